--- a/brain/fleetworld_test.go
+++ b/brain/fleetworld_test.go
@@ -144,6 +144,7 @@
 	cut     bool    // zone z0 from the others
 	most    float64 // work sent to a cold engine in a window, over what it may be sent
 	sent    func(*fleetRouter, *fleetEngine, int)
+	acted   func(*fleetRouter, Action)
 	beyond  float64 // the most of it past that, in calls of mean work, over 2 root of N + 2, N being what it may be sent
 }
 
@@ -228,6 +229,9 @@
 }
 
 func (f *fleet) act(r *fleetRouter, a Action) {
+	if f.acted != nil {
+		f.acted(r, a)
+	}
 	switch a := a.(type) {
 	case SetTimer:
 		at := f.now + a.After
--- /dev/null
+++ b/brain/trace_test.go
@@ -0,0 +1,156 @@
+package brain
+
+import (
+	"cmp"
+	"testing"
+	"time"
+
+	"windflow/internal/tracetest"
+)
+
+// Every decision of the controller stays as it was recorded in testdata/traces.txt: in a random world under several
+// settings, and in whole fleets. It guards against changes that are meant to leave decisions alone and do not.
+func TestTraces(t *testing.T) {
+	var all []tracetest.Scenario
+	for i, s := range traceSettings {
+		all = append(all, randomTrace(s, uint64(i+1)))
+	}
+	all = append(all, upgradeTrace("upgrade/warm", func(*Config) {}))
+	all = append(all, upgradeTrace("upgrade/large-fleet", func(c *Config) { c.Gateways, c.Instance = 600, 55 }))
+	for _, d := range traceDays() {
+		all = append(all, fleetTrace(d.name, d.day))
+	}
+	tracetest.Check(t, all)
+}
+
+const traceSteps = 6000
+
+// traceSetting is a change of traceConfig.
+type traceSetting struct {
+	name    string
+	change  func(*Config)
+	engines int    // 0 for traceEngines
+	lost    string // zone whose engines do not answer
+}
+
+var traceSettings = []traceSetting{
+	{name: "random/plain", change: func(*Config) {}},
+	{name: "random/bare", change: func(c *Config) {
+		c.Grants, c.Priorities, c.RetryAfter, c.Cancel, c.SecondCopies = false, false, false, false, false
+		c.Tenants, c.Budget, c.NoteEvery = nil, RetryBudget{}, 0
+	}},
+	{name: "random/second-copies", change: func(c *Config) { c.SecondCopies, c.Cancel = true, true }},
+	{name: "random/tight-budget", change: func(c *Config) {
+		c.SecondCopies, c.Budget = true, RetryBudget{Window: time.Second, Free: 1, PerRequest: 0.05}
+	}},
+	{name: "random/no-cap", change: func(c *Config) { c.MaxAttempts, c.MaxHeld = 0, 0 }},
+	{name: "random/few-held", change: func(c *Config) { c.MaxHeld, c.MaxAttempts = 4, 2 }},
+	{name: "random/asked-discovery", change: func(c *Config) { c.AskedDiscovery, c.AskWithin = true, 2*time.Second }},
+	{name: "random/shortage-trim", change: func(c *Config) { c.Shortage = ShortTrim }},
+	{name: "random/shortage-swap", change: func(c *Config) { c.Shortage = ShortSwap }},
+	{name: "random/scope-zone", change: func(c *Config) { setTraceScope(c, ScopeZone) }},
+	{name: "random/scope-cell", change: func(c *Config) { setTraceScope(c, ScopeCell) }},
+	{name: "random/order-by-key", change: func(c *Config) {
+		for i := range c.Classes {
+			c.Classes[i].OrderByKey = true
+		}
+	}},
+	{name: "random/own-zone", change: func(c *Config) { c.Zone = "z1" }},
+	{name: "random/cold-starts", change: func(c *Config) { c.ColdFrom, c.ColdFor, c.OverloadFactor = 0.1, 30*time.Second, 1.2 }},
+	{name: "random/many-gateways", change: func(c *Config) { c.Gateways, c.Instance = 40, 7 }},
+	{name: "random/large-fleet", change: func(c *Config) { c.Gateways, c.Instance = 600, 123 }},
+	{name: "random/many-engines", engines: 60, change: func(c *Config) { c.Gateways, c.Instance = 12, 3 }},
+	{name: "random/large-fleet-many-engines", engines: 300, change: func(c *Config) { c.Gateways, c.Instance = 600, 321 }},
+	{name: "random/single-threaded", engines: 16, change: func(c *Config) {
+		c.Gateways, c.Instance = 40, 9
+		for i := range c.Classes {
+			c.Classes[i].Threads = 1
+		}
+	}},
+	{name: "random/zone-lost", engines: 30, lost: "z1", change: func(c *Config) { c.Gateways, c.Instance = 12, 5 }},
+	{name: "random/large-fleet-zone-lost", engines: 300, lost: "z1", change: func(c *Config) { c.Gateways, c.Instance = 600, 77 }},
+}
+
+func setTraceScope(c *Config, scope Scope) {
+	for i := range c.Classes {
+		c.Classes[i].Scope = scope
+	}
+}
+
+// traceConfig uses about all that a controller can be told.
+func traceConfig() Config {
+	return Config{
+		Seed: 7, Instance: 1, Gateways: 3, Zone: "z0",
+		Classes: []Class{
+			{Name: "lookup", Aim: 400 * ms, AimStretch: 2, Deadline: 2 * time.Second, Worth: 1, Threads: 1, WaitsOnLoad: true},
+			{Name: "report", Aim: 900 * ms, AimStretch: 2.5, Deadline: 8 * time.Second, Worth: 10, LateWorth: 0.4, Threads: 4, WaitsOnLoad: true},
+			{Name: "load", Aim: 1200 * ms, Deadline: 9 * time.Second, Worth: 7, LateWorth: 0.5, Threads: 2, Load: true, Semantics: AtMostOnce},
+			{Name: "write", Aim: 700 * ms, Deadline: 5 * time.Second, Worth: 3, Semantics: Deduplicated, Window: 3 * time.Second, OrderByKey: true},
+			{Name: "bound", Aim: 800 * ms, Deadline: 4 * time.Second, Worth: 2, Threads: 2, Zones: []string{"z1"}, Kinds: []string{"large", "small"}},
+		},
+		Tenants:        []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 2}},
+		Kinds:          []Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 16, MemoryMB: 32768}},
+		OverShareWorth: 0.1, MaxAttempts: 4, MaxHeld: 50, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		Grants: true, MaxGrantShare: 0.4, Priorities: true, NoteEvery: 200 * ms, Tick: 2 * ms,
+		ColdFrom: 0.36, ColdFor: 12 * time.Second, OverloadFactor: 2, OverloadFor: 1500 * ms, KeyRest: 300 * ms,
+		Budget: RetryBudget{Window: 10 * time.Second, Free: 10, PerRequest: 0.3},
+	}
+}
+
+func randomTrace(s traceSetting, seed uint64) tracetest.Scenario {
+	return tracetest.Scenario{Name: s.name, Run: func(t *testing.T, h *tracetest.Hash) {
+		cfg := traceConfig()
+		s.change(&cfg)
+		w := newTraceWorld(t, h, cfg, seed, cmp.Or(s.engines, traceEngines))
+		w.lost = s.lost
+		w.run(traceSteps)
+	}}
+}
+
+// upgradeTrace has controllers take over from each other.
+func upgradeTrace(name string, change func(*Config)) tracetest.Scenario {
+	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
+		cfg := traceConfig()
+		change(&cfg)
+		newTraceWorld(t, h, cfg, 99, traceEngines).upgrades(8, 400)
+	}}
+}
+
+// fleetTrace writes what all controllers of a fleet do, in order.
+func fleetTrace(name string, day fleetDay) tracetest.Scenario {
+	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
+		f := newFleetWorld(t, day)
+		f.acted = func(r *fleetRouter, a Action) { traceAction(h, r.cfg.Instance, a) }
+		f.run()
+		for _, r := range f.routers[:min(len(f.routers), 3)] {
+			traceOfSnapshot(h, r.c.Snapshot())
+		}
+	}}
+}
+
+type traceDay struct {
+	name string
+	day  fleetDay
+}
+
+// traceDays are days on a small fleet, one of the middle and a large one.
+func traceDays() []traceDay {
+	s := time.Second
+	few := fleetDay{seed: 5, gateways: 2, engines: 6, cores: 8, zones: 2, load: 0.7, lasts: 12 * s, bad: 0.2,
+		joinAt: 3 * s, joinFor: 4 * s, burst: 1.4, pile: 700 * ms}
+	some := fleetDay{seed: 6, gateways: 30, engines: 24, cores: 8, zones: 3, load: 0.7, lasts: 9 * s, bad: 0.1,
+		joinAt: 2 * s, joinFor: 3 * s}
+	many := fleetDay{seed: 7, gateways: 600, engines: 48, cores: 16, zones: 6, load: 0.6, lasts: 4 * s, bad: 0.1,
+		joinAt: s, joinFor: s}
+	changed := func(d fleetDay, change func(*fleetDay)) fleetDay { change(&d); return d }
+	return []traceDay{
+		{"fleet/2-join", changed(few, func(d *fleetDay) { d.join, d.hasty = 0.6, 0.3 })},
+		{"fleet/2-zone-lost", changed(few, func(d *fleetDay) { d.zone, d.told = true, 2*s })},
+		{"fleet/30-join-restart", changed(some, func(d *fleetDay) { d.join, d.restart, d.burst = 0.5, 0.3, 1.5 })},
+		{"fleet/30-split", changed(some, func(d *fleetDay) { d.split = true })},
+		{"fleet/30-region-lost", changed(some, func(d *fleetDay) { d.zone, d.wide, d.told = true, 1, s })},
+		{"fleet/600-restart", changed(many, func(d *fleetDay) { d.join, d.restart = 0.2, 0.2 })},
+		{"fleet/600-rack-drained", changed(many, func(d *fleetDay) { d.rack, d.drained = 4, true })},
+		{"fleet/600-replaced", changed(many, func(d *fleetDay) { d.roll, d.replace = 60, 10 })},
+	}
+}
--- /dev/null
+++ b/brain/tracecode_test.go
@@ -0,0 +1,130 @@
+package brain
+
+import "windflow/internal/tracetest"
+
+// This file writes actions and snapshots into a trace, field by field. The numbers of the kinds are those of the
+// recorded traces and must not change.
+
+// Kinds of step in a trace.
+const (
+	traceSend      = 1
+	traceSetTerms  = 2
+	traceCancel    = 3
+	traceRefuse    = 4
+	traceFail      = 5
+	traceSubscribe = 6
+	traceSetTimer  = 7
+	traceSnapshot  = 20
+	traceUse       = 21
+	traceView      = 22
+	traceConfigure = 23
+)
+
+// traceAction adds an action of one of several controllers.
+func traceAction(h *tracetest.Hash, controller int, a Action) {
+	switch a := a.(type) {
+	case Send:
+		h.Step(traceSend)
+		h.String(string(a.Request))
+		h.Uint(uint64(a.Engine))
+		h.Duration(a.Timeout)
+		h.Duration(a.Begin)
+	case SetTerms:
+		h.Step(traceSetTerms)
+		h.String(string(a.Request))
+		h.Float(a.GrantMB)
+		h.Int(int64(a.Priority))
+	case Cancel:
+		h.Step(traceCancel)
+		h.String(string(a.Request))
+		h.Int(int64(a.Attempt))
+	case Refuse:
+		h.Step(traceRefuse)
+		h.String(string(a.Request))
+		h.Duration(a.RetryAfter)
+	case Fail:
+		h.Step(traceFail)
+		h.String(string(a.Request))
+	case Subscribe:
+		h.Step(traceSubscribe)
+	case SetTimer:
+		h.Step(traceSetTimer)
+		h.Int(a.Tag)
+		h.Duration(a.After)
+	default:
+		panic("an action that the trace does not know")
+	}
+	h.Int(int64(controller))
+}
+
+func traceOfSnapshot(h *tracetest.Hash, s Snapshot) {
+	h.Step(traceSnapshot)
+	traceIDs(h, s.Known)
+	traceIDs(h, s.Excluded)
+	h.Int(int64(len(s.Engines)))
+	for _, e := range s.Engines {
+		h.Uint(uint64(e.ID))
+		h.Duration(e.Born)
+		h.Duration(e.ColdAt)
+		h.Duration(e.WarmAt)
+		h.Float(e.Slow)
+		h.Float(e.Fail)
+		h.Duration(e.SlowAt)
+		h.Duration(e.FailAt)
+		h.Int(int64(e.Lost))
+		h.Bool(e.Owed)
+	}
+	h.Int(int64(len(s.Classes)))
+	for _, k := range s.Classes {
+		h.String(k.Name)
+		for _, v := range []float64{k.Mean, k.Pace, k.Best, k.EstMean, k.Fix, k.Seen} {
+			h.Float(v)
+		}
+		h.Duration(k.SeenAt)
+	}
+	h.Float(s.Done)
+	h.Duration(s.DoneAt)
+}
+
+func traceIDs(h *tracetest.Hash, ids []EngineID) {
+	h.Int(int64(len(ids)))
+	for _, id := range ids {
+		h.Uint(uint64(id))
+	}
+}
+
+func traceOfUse(h *tracetest.Hash, use PeerUse) {
+	h.Step(traceUse)
+	h.Int(int64(use.Held))
+	h.Int(int64(len(use.Engines)))
+	for _, u := range use.Engines {
+		h.Uint(uint64(u.ID))
+		for _, v := range []float64{u.Threads, u.Prefer, u.Work, u.Granted, u.Cold} {
+			h.Float(v)
+		}
+	}
+}
+
+func traceOfView(h *tracetest.Hash, v *View) {
+	h.Step(traceView)
+	h.Int(int64(v.Held))
+	h.Float(v.Jam)
+	h.Float(v.Bound)
+	h.Int(int64(len(v.Engines)))
+	for _, e := range v.Engines {
+		h.Uint(uint64(e.ID))
+		h.String(e.Zone)
+		h.String(e.Kind)
+		h.Int(int64(e.State))
+		for _, b := range []bool{e.Excluded, e.Cold, e.Failing, e.Down} {
+			h.Bool(b)
+		}
+		h.Duration(e.WarmAt)
+		h.Float(e.Slow)
+		h.Float(e.Fail)
+		h.Int(int64(e.Lost))
+		h.Int(int64(e.Running))
+		h.Float(e.Threads)
+		h.Float(e.Works)
+	}
+}
--- /dev/null
+++ b/brain/traceevents_test.go
@@ -0,0 +1,170 @@
+package brain
+
+import "time"
+
+// This file has the events of a traceWorld that are not of one request: lists, bans, settings, a second controller.
+
+// change has an engine drain, go, or start, and tells one controller or all.
+func (w *traceWorld) change(s *traceSide) {
+	at := w.rng.IntN(len(w.engines))
+	e := &w.engines[at]
+	switch {
+	case e.State == Live && w.rng.IntN(2) == 0:
+		return
+	case e.State == Live:
+		e.State = Draining
+	case e.State == Draining && w.rng.IntN(3) > 0:
+		e.State = Gone
+	case e.State == Gone && w.rng.IntN(2) == 0 && len(w.engines) < w.most:
+		fresh := w.newEngine(EngineID(len(w.engines) + 1))
+		fresh.Born = w.now - time.Duration(w.rng.IntN(int(time.Second)))
+		w.engines = append(w.engines, fresh)
+		e = &w.engines[len(w.engines)-1]
+	default:
+		e.State, e.Born = Live, w.now
+	}
+	w.tellAll(EngineList{Mode: ListChanges, Engines: []Engine{*e}})
+	if w.rng.IntN(10) == 0 {
+		w.handle(s, EngineList{Mode: ListChanges, Engines: []Engine{*e}})
+	}
+}
+
+func (w *traceWorld) tellAll(ev Event) {
+	for _, s := range w.sides {
+		w.handle(s, ev)
+	}
+}
+
+// lists gives a list of any mode.
+func (w *traceWorld) lists(s *traceSide) {
+	switch mode := ListMode(w.rng.IntN(int(ListFailed) + 1)); mode {
+	case ListFailed:
+		w.handle(s, EngineList{Mode: mode})
+	case ListSaved:
+		list := w.listed()
+		w.handle(s, EngineList{Mode: mode, Engines: list[:len(list)-len(list)/3]})
+		w.handle(s, EngineList{Mode: ListFull, Engines: list})
+	default:
+		w.handle(s, EngineList{Mode: mode, Engines: w.listed()})
+	}
+}
+
+func (w *traceWorld) exclude(s *traceSide) {
+	id := w.anyEngine()
+	if s.c.Excluded(id) || w.rng.IntN(3) == 0 {
+		w.tellAll(Include{Engine: id})
+		return
+	}
+	w.tellAll(Exclude{Engine: id})
+}
+
+// peers starts a second controller, has the two tell each other what they have running, and in the end closes the first.
+func (w *traceWorld) peers(s *traceSide) {
+	switch {
+	case len(w.sides) == 1 && w.rng.IntN(3) == 0:
+		fresh := w.start()
+		snapshot := s.c.Snapshot()
+		traceOfSnapshot(w.hash, snapshot)
+		w.handle(fresh, Takeover{Snapshot: snapshot})
+		w.exchange()
+	case len(w.sides) == 1:
+	case w.rng.IntN(3) == 0:
+		w.handle(w.sides[0], Closing{At: w.now + time.Duration(w.rng.IntN(int(time.Second)))})
+	case w.rng.IntN(4) == 0:
+		w.handle(w.sides[1], PeerUse{})
+		w.sides = w.sides[1:]
+		w.sides[0].index = 0
+	default:
+		w.exchange()
+	}
+}
+
+// upgrades has one controller take over from another again and again, with much told between them.
+func (w *traceWorld) upgrades(rounds, steps int) {
+	for range rounds {
+		w.run(steps)
+		old, fresh := w.sides[len(w.sides)-1], w.start()
+		w.sides = []*traceSide{old, fresh}
+		fresh.index = 1 - old.index
+		w.handle(fresh, Takeover{Snapshot: old.c.Snapshot()})
+		for range steps / 10 {
+			w.run(10)
+			if len(w.sides) == 2 {
+				w.exchange()
+			}
+		}
+		w.handle(old, Closing{At: w.now + 100*ms})
+	}
+}
+
+// exchange has each controller count what the other one has running.
+func (w *traceWorld) exchange() {
+	uses := []PeerUse{w.sides[0].c.Use(w.now), w.sides[1].c.Use(w.now)}
+	for i, s := range w.sides {
+		traceOfUse(w.hash, uses[1-i])
+		w.handle(s, uses[1-i])
+	}
+}
+
+// configure changes settings of a running controller, some to what is refused or kept as it was.
+func (w *traceWorld) configure(s *traceSide) {
+	cfg := w.cfg
+	cfg.Classes = append([]Class(nil), w.cfg.Classes...)
+	cfg.Classes[w.rng.IntN(len(cfg.Classes))].Aim += time.Duration(w.rng.IntN(int(100 * ms)))
+	switch w.rng.IntN(8) {
+	case 0:
+		cfg.Gateways = 1 + w.rng.IntN(40)
+	case 1:
+		cfg.MaxAttempts = w.rng.IntN(5)
+	case 2:
+		cfg.MaxHeld = w.rng.IntN(30)
+	case 3:
+		cfg.Classes[0].Threads += 3
+		cfg.Seed++
+	case 4:
+		cfg.ColdFor = -1
+	case 5:
+		cfg.Tenants = append([]Tenant{{Name: "b", Quota: 5}}, cfg.Tenants[:len(cfg.Tenants)/2]...)
+	case 6:
+		cfg.Classes[1].Name = "another"
+	case 7:
+		cfg.AskedDiscovery = !cfg.AskedDiscovery
+	}
+	now, kept, err := s.c.Configure(cfg)
+	w.hash.Step(traceConfigure)
+	w.hash.Int(int64(len(kept)))
+	w.hash.Bool(err != nil)
+	w.hash.Int(int64(now.Gateways))
+	w.hash.Int(int64(now.MaxAttempts))
+	w.hash.Int(int64(now.MaxHeld))
+	w.hash.Int(int64(len(now.Tenants)))
+	w.hash.Uint(now.Seed)
+	for _, k := range now.Classes {
+		w.hash.Duration(k.Aim)
+		w.hash.Int(int64(k.Threads))
+	}
+}
+
+// strange sends what makes no sense: the controller must leave it aside.
+func (w *traceWorld) strange(s *traceSide) {
+	switch w.rng.IntN(8) {
+	case 0:
+		w.handle(s, Note{Request: "nobody's", Attempt: 1, Kind: NoteShare, Amount: 0.5})
+	case 1:
+		w.handle(s, AttemptEnd{Request: "nobody's", Outcome: Served, Last: true})
+	case 2:
+		w.handle(s, Abort{Request: "nobody's"})
+	case 3:
+		w.handle(s, Timer{Tag: int64(w.rng.IntN(3))})
+	case 4:
+		w.handle(s, Exclude{Engine: 9999})
+	case 5:
+		w.handle(s, Report{Engine: 9999})
+	case 6:
+		w.handle(s, Arrival{Request: "odd", Class: "no such class", TimeLeft: time.Second})
+	case 7:
+		if r, at := w.out(s); r != nil {
+			w.handle(s, AttemptEnd{Request: r.id, Attempt: r.out[at] + 7, Outcome: Reset})
+		}
+	}
+}
