--- /dev/null
+++ b/internal/decide/rollout/trace_test.go
@@ -0,0 +1,260 @@
+package rollout
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"windflow/internal/tracetest"
+)
+
+// What the log, the leases, the verdicts and the followers answer stays as it was recorded in testdata/traces.txt. It
+// guards against changes that are meant to leave decisions alone and do not.
+func TestTraces(t *testing.T) {
+	var all []tracetest.Scenario
+	for seed := range uint64(4) {
+		all = append(all, tracetest.Scenario{Name: fmt.Sprint("world/", seed), Run: func(t *testing.T, h *tracetest.Hash) {
+			traceWorld(t, h, seed)
+		}})
+	}
+	for _, k := range []struct {
+		name  string
+		terms Terms
+	}{{"log/by-revisions", Terms{Revisions: 5}}, {"log/by-bytes", Terms{Bytes: 2500}}, {"log/defaults", Terms{}}} {
+		all = append(all, tracetest.Scenario{Name: k.name, Run: func(t *testing.T, h *tracetest.Hash) { traceLog(t, h, k.terms) }})
+	}
+	all = append(all, tracetest.Scenario{Name: "log/many-ids", Run: traceIDs}, tracetest.Scenario{Name: "document", Run: traceDocument},
+		tracetest.Scenario{Name: "follower", Run: traceFollower},
+		tracetest.Scenario{Name: "refusals", Run: traceRefusals}, tracetest.Scenario{Name: "courier", Run: traceCourier})
+	tracetest.Check(t, all)
+}
+
+// byPCG draws the same row of numbers for a seed.
+func byPCG(seed uint64) drawer {
+	rng := rand.New(rand.NewPCG(seed, 2026))
+	return func(n int, _ string) int { return rng.IntN(n) }
+}
+
+// traceWorld plays keepers and routers with all faults, and writes whatever is asked of the package and answered.
+func traceWorld(t *testing.T, h *tracetest.Hash, seed uint64) {
+	for round := range uint64(30) {
+		w := newWorld(byPCG(seed*1000+round), traced(h))
+		for i := range 250 {
+			if err := w.step(i); err != nil {
+				t.Fatal(err)
+			}
+			if i%10 == 9 {
+				w.verdict(w.truth.revision() - min(w.truth.revision(), uint64(i%3)))
+			}
+		}
+		if err := w.calm(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// traced is what the package gives, written into a trace.
+func traced(h *tracetest.Hash) variant {
+	v := whole()
+	return variant{
+		follower: func(f *Follower) client { return &tracedFollower{Follower: f, h: h} },
+		apply: func(l *Log, c Change) Result {
+			r := v.apply(l, c)
+			traceResult(h, r)
+			traceHead(h, l)
+			return r
+		},
+		judge: func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict {
+			traceLeases(h, heard)
+			verdict := v.judge(l, rev, heard, unreached)
+			traceVerdict(h, verdict)
+			return verdict
+		},
+		settled: func(l *Leases, nowMS float64) bool {
+			settled := v.settled(l, nowMS)
+			h.Step(stepSettled)
+			h.Bool(settled)
+			return settled
+		},
+	}
+}
+
+// tracedFollower writes what a follower is told and what it answers.
+type tracedFollower struct {
+	*Follower
+	h *tracetest.Hash
+}
+
+func (f *tracedFollower) Ask() Report {
+	r := f.Follower.Ask()
+	traceReport(f.h, r)
+	return r
+}
+
+func (f *tracedFollower) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+	traceUpdate(f.h, u)
+	content, ok, err := f.Follower.Offer(u)
+	traceOffered(f.h, content, ok, err)
+	theirs, ahead := f.Follower.Ahead()
+	f.h.Uint(theirs)
+	f.h.Bool(ahead)
+	return content, ok, err
+}
+
+func (f *tracedFollower) Restore(s Saved) (map[string]json.RawMessage, bool, error) {
+	traceSaved(f.h, s)
+	content, ok, err := f.Follower.Restore(s)
+	traceOffered(f.h, content, ok, err)
+	return content, ok, err
+}
+
+func (f *tracedFollower) Saved() Saved {
+	s := f.Follower.Saved()
+	traceSaved(f.h, s)
+	return s
+}
+
+func (f *tracedFollower) Keeper(n int) int {
+	keeper := f.Follower.Keeper(n)
+	f.h.Step(stepKeeper)
+	f.h.Int(int64(keeper))
+	return keeper
+}
+
+func (f *tracedFollower) Lost(nowMS, jitter float64) float64 {
+	wait := f.Follower.Lost(nowMS, jitter)
+	f.h.Step(stepLost)
+	f.h.Float(wait)
+	return wait
+}
+
+// traceLog has a log take changes that are sound and at fault, and asks it all that it can be asked.
+func traceLog(t *testing.T, h *tracetest.Hash, terms Terms) {
+	for seed := range uint64(40) {
+		draw := byPCG(seed)
+		l := NewLog(terms)
+		for i := range 60 {
+			id := fmt.Sprint("c", i-draw(8, "again")/7*draw(i+1, "back"))
+			c := draw.change(id, l.Revision())
+			c.Note = []string{"", "why"}[draw(2, "note")]
+			if draw(12, "broken") == 0 {
+				spoil(draw, &c)
+			}
+			preview, fault := l.Preview(c)
+			traceFault(h, fault)
+			traceEntries(h, preview)
+			traceResult(h, l.Apply(c))
+			traceHead(h, l)
+			traceRoster(h, draw, l)
+			traceAnswers(h, draw, l)
+		}
+		l = reread(t, l)
+		traceHead(h, l)
+		traceHistory(h, l.History(0, 1000))
+	}
+}
+
+// spoil makes a change one that is refused.
+func spoil(draw drawer, c *Change) {
+	switch draw(10, "spoil") {
+	case 0:
+		c.ID = ""
+	case 1:
+		c.Put = map[string]json.RawMessage{"/settings/me": json.RawMessage("1")}
+	case 2:
+		c.Put = map[string]json.RawMessage{"/settings/d": json.RawMessage("{")}
+	case 3:
+		c.Put, c.Remove = nil, nil
+	case 4:
+		c.Remove = append(c.Remove, "/settings/none", "/settings/none")
+	case 5:
+		c.AtMS = -1
+	case 6:
+		c.Note = strings.Repeat("n", 1024+draw(2, "longer"))
+	case 7:
+		c.RevertTo, c.Remove = number(0), []string{"/board"}
+	case 8:
+		c.Put, c.Remove = map[string]json.RawMessage{"/board": json.RawMessage(`"b:1"`)}, []string{"/board"}
+	case 9:
+		c.Put = map[string]json.RawMessage{"/settings/d": json.RawMessage(`{"b": 1.50, "a": [null, "\u0041"]}`)}
+	}
+}
+
+func traceRoster(h *tracetest.Hash, draw drawer, l *Log) {
+	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
+	h.Step(stepRoster)
+	switch draw(6, "roster") {
+	case 0:
+		h.Bool(l.Forget(name))
+	case 1:
+		h.Bool(l.Join("", instance))
+	default:
+		h.Bool(l.Join(name, instance))
+	}
+	h.Bool(l.Joined(name, instance))
+	for _, name := range l.Roster() {
+		h.String(name)
+	}
+}
+
+// traceAnswers asks what followers at any revision get, what there was, and where a revision is in force.
+func traceAnswers(h *tracetest.Hash, draw drawer, l *Log) {
+	var heard []Lease
+	for range draw(5, "leases") {
+		rev := uint64(draw(int(l.Revision())+3, "revision"))
+		content, fault := l.At(rev)
+		traceFault(h, fault)
+		traceEntries(h, content)
+		r := Report{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashOf(content)}
+		if draw(3, "refuses") == 0 {
+			r.Refused = &Refusal{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
+		}
+		traceUpdate(h, l.Since(rev, r.Hash))
+		traceUpdate(h, l.Next(r))
+		heard = append(heard, Lease{Report: r, UntilMS: float64(draw(1000, "until"))})
+	}
+	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
+	traceVerdict(h, l.Judge(uint64(draw(int(l.Revision())+2, "judged")), heard, unreached))
+	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
+}
+
+// reread gives a log as it comes back from its state.
+func reread(t *testing.T, l *Log) *Log {
+	state, err := l.MarshalBinary()
+	back := NewLog(Terms{})
+	if err := errors.Join(err, back.UnmarshalBinary(state)); err != nil {
+		t.Fatal(err)
+	}
+	return back
+}
+
+// traceCourier has followers lose keepers and find them again.
+func traceCourier(t *testing.T, h *tracetest.Hash) {
+	for seed := range uint64(100) {
+		draw := byPCG(seed)
+		f := &tracedFollower{Follower: NewFollower("r", Instance(int64(seed)*1000, seed)), h: h}
+		now := 0.0
+		for range 60 {
+			now += float64(draw(1500, "wait"))
+			f.Keeper(draw(6, "keepers"))
+			switch draw(5, "outcome") {
+			case 0:
+				f.Unchanged()
+			case 1:
+				_, _, _ = f.Offer(Update{From: 3, To: 2, Behind: true})
+			default:
+				f.Lost(now, float64(draw(120, "jitter")-10)/100)
+			}
+		}
+	}
+}
+
+// sortedKeys gives the places of a content in a fixed order.
+func sortedKeys(content map[string]json.RawMessage) []string {
+	return slices.Sorted(maps.Keys(content))
+}
--- /dev/null
+++ b/internal/decide/rollout/tracecode_test.go
@@ -0,0 +1,181 @@
+package rollout
+
+import (
+	"encoding/json"
+	"errors"
+
+	"windflow/internal/tracetest"
+)
+
+// This file writes what the package gives into a trace, field by field. The numbers of the kinds are those of the
+// recorded traces and must not change. Reasons that the package words itself are left out: they decide nothing.
+
+// Kinds of step in a trace.
+const (
+	stepResult  = 1
+	stepHead    = 2
+	stepFault   = 3
+	stepUpdate  = 4
+	stepReport  = 5
+	stepOffered = 6
+	stepSaved   = 7
+	stepVerdict = 8
+	stepLeases  = 9
+	stepHistory = 10
+	stepRoster  = 11
+	stepSettled = 12
+	stepKeeper  = 13
+	stepLost    = 14
+	stepPointer = 15
+)
+
+func traceResult(h *tracetest.Hash, r Result) {
+	h.Step(stepResult)
+	h.Uint(r.Revision)
+	h.Bool(r.Repeated)
+	traceFault(h, r.Fault)
+}
+
+// traceHead writes what a log has in force.
+func traceHead(h *tracetest.Hash, l *Log) {
+	h.Step(stepHead)
+	h.Uint(l.Revision())
+	h.Uint(l.Oldest())
+	hash := l.Hash()
+	h.Bytes(hash[:])
+	entries, bytes := l.Size()
+	h.Int(int64(entries))
+	h.Int(int64(bytes))
+	traceEntries(h, l.Entries())
+}
+
+func traceFault(h *tracetest.Hash, f *Fault) {
+	h.Step(stepFault)
+	h.Bool(f != nil)
+	if f == nil {
+		return
+	}
+	h.String(string(f.Kind)) // it is part of the protocol
+	h.String(f.Pointer)
+	h.Uint(f.Revision)
+}
+
+func traceEntries(h *tracetest.Hash, content map[string]json.RawMessage) {
+	h.Int(int64(len(content)))
+	for _, p := range sortedKeys(content) {
+		h.String(p)
+		h.Bytes(content[p])
+	}
+}
+
+func traceUpdate(h *tracetest.Hash, u Update) {
+	h.Step(stepUpdate)
+	h.Uint(u.From)
+	h.Uint(u.To)
+	h.Bool(u.Snapshot)
+	h.Bool(u.Behind)
+	h.Bool(u.Nothing())
+	traceEntries(h, u.Put)
+	traceStrings(h, u.Remove)
+	h.Bytes(u.Hash[:])
+}
+
+func traceStrings(h *tracetest.Hash, list []string) {
+	h.Int(int64(len(list)))
+	for _, s := range list {
+		h.String(s)
+	}
+}
+
+func traceReport(h *tracetest.Hash, r Report) {
+	h.Step(stepReport)
+	h.String(r.Name)
+	h.String(r.Instance)
+	h.Uint(r.Revision)
+	h.Bytes(r.Hash[:])
+	traceRefusal(h, r.Refused)
+}
+
+func traceRefusal(h *tracetest.Hash, r *Refusal) {
+	h.Bool(r != nil)
+	if r == nil {
+		return
+	}
+	h.Uint(r.Revision)
+	h.Bytes(r.Hash[:])
+	h.String(r.Pointer)
+	h.String(r.Reason) // the caller's
+}
+
+func traceOffered(h *tracetest.Hash, content map[string]json.RawMessage, ok bool, err error) {
+	h.Step(stepOffered)
+	traceEntries(h, content)
+	h.Bool(ok)
+	h.Int(errorNumber(err))
+}
+
+// errorNumber gives the place of an error among those of a follower, 0 for none.
+func errorNumber(err error) int64 {
+	if err == nil {
+		return 0
+	}
+	for i, known := range []error{ErrBehind, ErrStale, ErrMismatch, ErrPending, ErrDamaged} {
+		if errors.Is(err, known) {
+			return int64(i + 1)
+		}
+	}
+	return -1
+}
+
+func traceSaved(h *tracetest.Hash, s Saved) {
+	h.Step(stepSaved)
+	h.Uint(s.Revision)
+	h.Bytes(s.Hash[:])
+	h.Bytes(s.Sum[:])
+	traceEntries(h, s.Entries)
+}
+
+func traceVerdict(h *tracetest.Hash, v Verdict) {
+	h.Step(stepVerdict)
+	h.Uint(v.Revision)
+	for _, seats := range [][]Seat{v.InForce, v.Behind, v.Refused, v.Foreign} {
+		h.Int(int64(len(seats)))
+		for _, s := range seats {
+			h.String(s.Name)
+			h.String(s.Instance)
+			h.Uint(s.Revision)
+			h.Bytes(s.Hash[:])
+			traceRefusal(h, s.Refused)
+		}
+	}
+	traceStrings(h, v.Gone)
+	traceStrings(h, v.Unreached)
+	h.Bool(v.Everywhere)
+}
+
+func traceLeases(h *tracetest.Hash, leases []Lease) {
+	h.Step(stepLeases)
+	h.Int(int64(len(leases)))
+	for _, l := range leases {
+		traceReport(h, l.Report)
+		h.Float(l.UntilMS)
+	}
+}
+
+func traceHistory(h *tracetest.Hash, list []Revision) {
+	h.Step(stepHistory)
+	h.Int(int64(len(list)))
+	for _, r := range list {
+		h.Uint(r.Revision)
+		h.String(r.ID)
+		h.String(r.Note)
+		h.Int(r.AtMS)
+		h.Bool(r.RevertTo != nil)
+		if r.RevertTo != nil {
+			h.Uint(*r.RevertTo)
+		}
+		h.Bytes(r.Hash[:])
+		traceEntries(h, r.Put)
+		traceStrings(h, r.Remove)
+	}
+}
--- /dev/null
+++ b/internal/decide/rollout/tracefollower_test.go
@@ -0,0 +1,139 @@
+package rollout
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"strings"
+	"testing"
+
+	"windflow/internal/tracetest"
+)
+
+// This file has the traces of a follower by itself, which is offered what no sound keeper sends, of the places and
+// values that a change may have, and of a log that has forgotten the oldest ids.
+
+// traceFollower offers a follower updates and copies of all kinds, in any order.
+func traceFollower(t *testing.T, h *tracetest.Hash) {
+	for seed := range uint64(60) {
+		draw := byPCG(seed)
+		l := NewLog(Terms{Revisions: 8})
+		f := &tracedFollower{Follower: NewFollower("r", Instance(1, seed)), h: h}
+		copies := []Saved{f.Saved()}
+		for i := range 80 {
+			l.Apply(draw.change(fmt.Sprint("c", i), l.Revision()))
+			f.follow(draw, l, &copies)
+		}
+	}
+}
+
+// follow has a follower do one drawn thing.
+func (f *tracedFollower) follow(draw drawer, l *Log, copies *[]Saved) {
+	r := f.Ask()
+	switch draw(12, "step") {
+	case 0, 1, 2:
+		_, _, _ = f.Offer(l.Next(r))
+	case 3:
+		_, _, _ = f.Offer(damaged(draw, l.Since(r.Revision, r.Hash)))
+	case 4:
+		_, _, _ = f.Offer(l.Since(uint64(draw(int(l.Revision())+2, "from")), Hash{}))
+	case 5, 6, 7:
+		f.Accept()
+	case 8:
+		f.Refuse("/settings/d", strings.Repeat("é", draw(1024, "reason")))
+	case 9:
+		f.Retry()
+	case 10:
+		*copies = append(*copies, f.Saved())
+	case 11:
+		s := (*copies)[draw(len(*copies), "copy")]
+		if draw(4, "damage") == 0 {
+			s.Revision++
+		}
+		_, _, _ = f.Restore(s)
+	}
+}
+
+// damaged gives an update that doesn't make what it says.
+func damaged(draw drawer, u Update) Update {
+	switch draw(4, "damage") {
+	case 0:
+		u.Hash[draw(32, "byte")]++
+	case 1:
+		u.Remove = append(u.Remove, "/settings/none")
+	case 2:
+		u.Put = maps.Clone(u.Put)
+		if u.Put == nil {
+			u.Put = map[string]json.RawMessage{}
+		}
+		u.Put["/settings/more"] = json.RawMessage("1")
+	case 3:
+		u.From++
+	}
+	return u
+}
+
+var tracePointers = []string{"", "board", "/board", "/board/a", "/", "/settings", "/settings/", "/settings/a", "/settings/A", "/settings/me",
+	"/settings/zone", "/settings/zone/a", "/settings/a//b", "/settings/a/-", "/settings/a/01", "/settings/a/0", "/settings/a/10", "/settings/a_b.c-d",
+	"/settings/a~0", "/settings/a~", "/settings/a~2", "/settings/parties", "/settings/parties/", "/settings/parties/p", "/settings/parties/p~1q~0",
+	"/settings/parties/p/q", "/settings/\x01", "/settings/\xff", "/other/a", "/settings/" + strings.Repeat("a", 502), "/settings/" + strings.Repeat("a", 503)}
+
+var traceValues = []string{"", "1", "1.50", "1e2", "1E400", "-0", "0.1e-7", "123456789012345678901234567890", `"a"`, `"\u0041<>&\u2028"`, `"\ud800"`, "null", "true",
+	"[]", "[1, 2,  [3]]", "{}", `{"b":1,"a":{"d":2,"c":[null]}}`, `{"a":1,"a":2}`, "{", "1 2", "\xff", `{"a":null}`,
+	nested(63), nested(64), nested(65), nested(66), `"` + strings.Repeat("x", 64<<10-2) + `"`, `"` + strings.Repeat("x", 64<<10-1) + `"`}
+
+// nested gives lists within each other. Bounds are written as numbers here, so that a changed bound shows.
+func nested(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
+
+// traceDocument tries each value at each place.
+func traceDocument(t *testing.T, h *tracetest.Hash) {
+	for _, p := range tracePointers {
+		name, ok := PartyName(p)
+		h.Step(stepPointer)
+		h.Bool(CheckPointer(p) == nil)
+		h.String(name)
+		h.Bool(ok)
+		for _, v := range traceValues {
+			l := NewLog(Terms{})
+			traceResult(h, l.Apply(Change{ID: "a", Put: map[string]json.RawMessage{p: json.RawMessage(v)}}))
+			traceHead(h, l)
+		}
+	}
+}
+
+// traceIDs makes more changes than a log remembers by id, and makes some of them again.
+func traceIDs(t *testing.T, h *tracetest.Hash) {
+	l := NewLog(Terms{Revisions: 3})
+	change := func(i int) Change {
+		return Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i % 7))}}
+	}
+	const remembered = 4096
+	for i := range remembered + 50 {
+		traceResult(h, l.Apply(change(i)))
+	}
+	for _, i := range []int{remembered, 60, 49, 50, 51, 0} {
+		traceResult(h, l.Apply(change(i)))
+	}
+	traceHead(h, l)
+}
+
+// traceRefusals has a follower refuse one revision after another, and offers it all of them again.
+func traceRefusals(t *testing.T, h *tracetest.Hash) {
+	l := NewLog(Terms{})
+	f := &tracedFollower{Follower: NewFollower("r", Instance(1, 1)), h: h}
+	var updates []Update
+	for i := range 24 {
+		l.Apply(Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i))}})
+		updates = append(updates, l.Next(f.Ask()))
+		_, _, _ = f.Offer(updates[i])
+		f.Refuse("/settings/d", "odd")
+	}
+	for _, u := range updates {
+		_, ok, _ := f.Offer(u)
+		if ok {
+			f.Refuse("/settings/d", "still odd")
+		}
+	}
+	f.Retry()
+	_, _, _ = f.Offer(updates[5])
+}
