--- /dev/null
+++ b/internal/node/golden_message_test.go
@@ -0,0 +1,105 @@
+package node
+
+import (
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	jsoniter "github.com/json-iterator/go"
+
+	"windflow/internal/golden"
+	"windflow/internal/handover"
+)
+
+// messageSample is a message between two processes of a router, as one of them says it.
+type messageSample struct {
+	file   string // below testdata/golden/upgrade, without .json
+	kind   string
+	body   any      // nil for a message that says no more than its kind
+	absent []string // fields of the body that this version does not have, and leaves zero
+}
+
+// encode gives the message as it stands in a frame of the link.
+func (s messageSample) encode(t *testing.T) []byte {
+	t.Helper()
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(handover.New(s.kind, s.body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+func (s messageSample) path() string {
+	return filepath.Join("testdata", "golden", "upgrade", s.file+".json")
+}
+
+// Each message between two processes of a router is encoded as it was when its golden file was recorded. It guards
+// against an upgrade from or to a program that was built before a change of this code, in which something is lost.
+func TestGoldenMessagesAreEncoded(t *testing.T) {
+	for _, s := range messageSamples() {
+		t.Run(s.file, func(t *testing.T) {
+			if s.body != nil {
+				golden.Full(t, s.body, s.absent...)
+			}
+			golden.File(t, s.path(), s.encode(t))
+		})
+	}
+}
+
+// Each recorded message is read back whole.
+func TestGoldenMessagesAreDecoded(t *testing.T) {
+	for _, s := range messageSamples() {
+		t.Run(s.file, func(t *testing.T) {
+			var m handover.Message
+			if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(readGolden(t, s.path()), &m); err != nil {
+				t.Fatal(err)
+			}
+			if m.Kind != s.kind {
+				t.Errorf("the kind is %q, not %q", m.Kind, s.kind)
+			}
+			if s.body == nil {
+				if text := string(m.Body); text != "" && text != "null" {
+					t.Errorf("the body is %s", text)
+				}
+				return
+			}
+			got := reflect.New(reflect.TypeOf(s.body))
+			if err := m.Read(got.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(s.body, got.Elem().Interface(), cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
+				t.Errorf("sample -, read +\n%s", diff)
+			}
+		})
+	}
+}
+
+// Each kind of message has a sample, and each golden file too.
+func TestGoldenMessagesAreAll(t *testing.T) {
+	kinds, files := map[string]bool{}, map[string]bool{}
+	for _, s := range messageSamples() {
+		kinds[s.kind] = true
+		files[s.path()] = true
+	}
+	for kind := range messages {
+		if !kinds[kind] {
+			t.Errorf("message %q has no sample", kind)
+		}
+	}
+	for _, kind := range []string{msgID, msgClaimID, msgWord, msgUse, msgBan, msgBanned, msgKill, msgBye, msgBGP, msgClaim,
+		msgClaimed, msgTickets, msgConfiguration} {
+		if !kinds[kind] {
+			t.Errorf("message %q has no sample", kind)
+		}
+	}
+	found, err := filepath.Glob("testdata/golden/upgrade/*/*.json")
+	if err != nil || len(found) != len(files) {
+		t.Errorf("%d golden files for %d samples, %v", len(found), len(files), err)
+	}
+	for _, path := range found {
+		if !files[path] {
+			t.Errorf("%s has no sample", path)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/golden_samples_test.go
@@ -0,0 +1,139 @@
+package node
+
+import (
+	"encoding/json"
+	"net/netip"
+	"os"
+	"testing"
+	"time"
+
+	"windflow/brain"
+	"windflow/internal/bgp"
+	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/takeover"
+	"windflow/internal/flightsql"
+	"windflow/internal/follow"
+	"windflow/internal/router"
+)
+
+func readGolden(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// messageSamples are the messages of both versions, with no field left out. Version 1 has fewer fields and messages.
+func messageSamples() []messageSample {
+	one, two := sampleState(), sampleState()
+	one.Version, one.Configuration = 0, nil
+	return append(sharedSamples(),
+		messageSample{"v1/hello", "hello", hello{PID: 22071}, []string{"Place", "Version"}},
+		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: takeover.Version}, nil},
+		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
+		messageSample{"v2/state", "state", two, nil},
+		messageSample{"v1/ban", msgBan, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
+		messageSample{"v2/ban", msgBan, ban{N: 8, ID: 3, Exclude: true, Known: true, Unnoted: true}, nil},
+		messageSample{"v1/banned", msgBanned, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
+		messageSample{"v2/banned", msgBanned, ban{N: 8, ID: 3, Exclude: true, Known: true, Unnoted: true}, nil},
+		messageSample{"v1/bye", msgBye, nil, nil},
+		messageSample{"v2/wait", "wait", wait{Phase: "serving", PID: 22130}, nil},
+		messageSample{"v2/back", "back", nil, nil},
+		messageSample{"v2/may", msgClaimID, claimID{N: 9, ID: "00000000000000ff", OK: true}, nil},
+		messageSample{"v2/word", msgWord, claimID{N: 9, ID: "00000000000000ff", OK: true}, nil},
+		messageSample{"v2/configuration", msgConfiguration, sampleRevision(), nil},
+	)
+}
+
+// sharedSamples are messages that are the same in both versions.
+func sharedSamples() []messageSample {
+	ticket := sampleTicket()
+	return []messageSample{
+		{"both/ready", "ready", ready{Took: []string{"clients", "door"}}, nil},
+		{"both/go-ahead", "go-ahead", nil, nil},
+		{"both/id-open", msgID, router.IDChange{ID: "0000000000000007", What: router.IDOpen}, []string{"What"}},
+		{"both/id-done", msgID, router.IDChange{ID: "0000000000000008", What: router.IDDone}, nil},
+		{"both/id-spent", msgID, router.IDChange{ID: "0000000000000009", What: router.IDSpent}, nil},
+		{"both/id-unspent", msgID, router.IDChange{ID: "000000000000000a", What: router.IDUnspent}, nil},
+		{"both/use", msgUse, use{Module: samplePeerUse(), Sessions: 41, Conns: 42, Leaving: true}, nil},
+		{"both/kill", msgKill, kill{ID: 305419896, Query: true}, nil},
+		{"both/bgp", msgBGP, sampleSession(), nil},
+		{"both/claim-asked", msgClaim, claim{N: 12, Handle: "5a0000000000000c"}, []string{"Ticket"}},
+		{"both/claimed-none", msgClaimed, claim{N: 13, Handle: "5a0000000000000d"}, []string{"Ticket"}},
+		{"both/claimed", msgClaimed, claim{N: 12, Handle: ticket.Handle, Ticket: &ticket}, nil},
+		{"both/tickets", msgTickets, []flightsql.Ticket{ticket, otherTicket()}, nil},
+		{"both/bgp-none", msgBGP, bgp.Handed{}, []string{""}},
+	}
+}
+
+func sampleState() state {
+	revision := sampleRevision()
+	return state{
+		Version:       takeover.Version,
+		Generation:    2,
+		Core:          router.State{Open: []string{"0000000000000001"}, Spent: []string{"0000000000000002", "0000000000000003"}, Module: sampleSnapshot()},
+		Listeners:     []string{"clients", "door"},
+		At:            map[string]string{"door": "127.0.0.1:8002", "clients": "127.0.0.1:3307"},
+		Parts:         []string{"bgp"},
+		Configuration: &revision,
+	}
+}
+
+// sampleSnapshot has an engine twice, so that a list of one would show.
+func sampleSnapshot() brain.Snapshot {
+	return brain.Snapshot{
+		Known:    []brain.EngineID{1, 2, 12_000_000},
+		Excluded: []brain.EngineID{2},
+		Engines: []brain.EngineSnapshot{
+			{ID: 1, Born: 11 * time.Second, ColdAt: 12 * time.Second, WarmAt: 13 * time.Second, Slow: 1.25, Fail: 0.0625,
+				SlowAt: 14 * time.Second, FailAt: 15 * time.Second, Lost: 3, Owed: true},
+			{ID: 2, Born: 21 * time.Second, ColdAt: 22 * time.Second, WarmAt: 23 * time.Second, Slow: 2.5, Fail: 1e-7,
+				SlowAt: 24 * time.Second, FailAt: 1796148879607449088, Lost: 4, Owed: true},
+		},
+		Classes: []brain.ClassSnapshot{
+			{Name: "lookup", Mean: 0.25, Pace: 0.5, Best: 0.125, EstMean: 1.5, Fix: 1.75, Seen: 31, SeenAt: 32 * time.Second},
+			{Name: "load", Mean: 1.25, Pace: 1.375, Best: 1.125, EstMean: 2.5, Fix: 2.75, Seen: 1e21, SeenAt: 42 * time.Second},
+		},
+		Done:   51.5,
+		DoneAt: 52 * time.Second,
+	}
+}
+
+func samplePeerUse() brain.PeerUse {
+	return brain.PeerUse{
+		Engines: []brain.EngineUse{
+			{ID: 1, Threads: 1.5, Prefer: 2.5, Work: 3.5, Granted: 4.5, Cold: 5.5},
+			{ID: 2, Threads: 6.5, Prefer: 7.5, Work: 8.5, Granted: 9.5, Cold: 10.5},
+		},
+		Held: 61,
+	}
+}
+
+func sampleRevision() follow.Revision {
+	return follow.Revision{Revision: 71, Hash: rollout.Hash{0: 0xab, 31: 0xcd},
+		Entries: map[string]json.RawMessage{"/classes/0": json.RawMessage(`{"name":"lookup"}`), "/zone": json.RawMessage(`"a"`)}}
+}
+
+func sampleTicket() flightsql.Ticket {
+	return flightsql.Ticket{
+		Handle: "5a0000000000000c",
+		Request: router.Request{ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", Group: 81,
+			Sent: 1796148879607.25, Budget: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Again: true, Update: true},
+		End:     1796148899607.5,
+		Expires: 1796148909607.75,
+		Once:    true,
+	}
+}
+
+func otherTicket() flightsql.Ticket {
+	t := sampleTicket()
+	t.Handle, t.Request.ID, t.Request.Group = "5a0000000000000e", "000000000000000c", -1
+	return t
+}
+
+func sampleSession() bgp.Handed {
+	return bgp.Handed{Peer: "10.0.0.9:179", HoldMS: 3000.5, FourB: true, Unread: []byte{0xff, 0, 0x13},
+		Told: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1")}
+}
