--- a/brain/handover.go
+++ b/brain/handover.go
@@ -10,37 +10,48 @@
 
 // Snapshot is what a controller knows of the fleet; times are on the clock that both share.
 type Snapshot struct {
-	Known    []EngineID // that a list has named
-	Excluded []EngineID
-	Engines  []EngineSnapshot
-	Classes  []ClassSnapshot
-	Done     float64 // work finished on warm engines
-	DoneAt   time.Duration
+	Known    []EngineID       `json:"Known"` // that a list has named
+	Excluded []EngineID       `json:"Excluded"`
+	Engines  []EngineSnapshot `json:"Engines"`
+	Classes  []ClassSnapshot  `json:"Classes"`
+	Done     float64          `json:"Done"` // work finished on warm engines
+	DoneAt   time.Duration    `json:"DoneAt"`
 }
 
 // EngineSnapshot is what a controller knows of an engine.
 type EngineSnapshot struct {
-	ID             EngineID
-	Born           time.Duration
-	ColdAt, WarmAt time.Duration
-	Slow, Fail     float64
-	SlowAt, FailAt time.Duration
-	Lost           int
-	Owed           bool
+	ID     EngineID      `json:"ID"`
+	Born   time.Duration `json:"Born"`
+	ColdAt time.Duration `json:"ColdAt"`
+	WarmAt time.Duration `json:"WarmAt"`
+	Slow   float64       `json:"Slow"`
+	Fail   float64       `json:"Fail"`
+	SlowAt time.Duration `json:"SlowAt"`
+	FailAt time.Duration `json:"FailAt"`
+	Lost   int           `json:"Lost"`
+	Owed   bool          `json:"Owed"`
 }
 
 // ClassSnapshot is what a controller has learned of a class.
 type ClassSnapshot struct {
-	Name                                 string
-	Mean, Pace, Best, EstMean, Fix, Seen float64
-	SeenAt                               time.Duration
+	Name    string        `json:"Name"`
+	Mean    float64       `json:"Mean"`
+	Pace    float64       `json:"Pace"`
+	Best    float64       `json:"Best"`
+	EstMean float64       `json:"EstMean"`
+	Fix     float64       `json:"Fix"`
+	Seen    float64       `json:"Seen"`
+	SeenAt  time.Duration `json:"SeenAt"`
 }
 
 // EngineUse is what a controller has running on an engine, and what it sent there within the window for cold ones.
 type EngineUse struct {
-	ID                             EngineID
-	Threads, Prefer, Work, Granted float64
-	Cold                           float64
+	ID      EngineID `json:"ID"`
+	Threads float64  `json:"Threads"`
+	Prefer  float64  `json:"Prefer"`
+	Work    float64  `json:"Work"`
+	Granted float64  `json:"Granted"`
+	Cold    float64  `json:"Cold"`
 }
 
 // Takeover has a controller go on from what another one knew.
@@ -48,8 +59,8 @@
 
 // PeerUse says what the other controller has running; it counts as this one's own.
 type PeerUse struct {
-	Engines []EngineUse
-	Held    int
+	Engines []EngineUse `json:"Engines"`
+	Held    int         `json:"Held"`
 }
 
 // Closing says that the controller's process ends at that time: no request has longer.
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -98,11 +98,11 @@
 
 // Ticket is a ticket as processes hand it to each other.
 type Ticket struct {
-	Handle  string
-	Request router.Request
-	End     float64 // the latest end that the client's fields name; 0 for none
-	Expires float64
-	Once    bool
+	Handle  string         `json:"Handle"`
+	Request router.Request `json:"Request"`
+	End     float64        `json:"End"` // the latest end that the client's fields name; 0 for none
+	Expires float64        `json:"Expires"`
+	Once    bool           `json:"Once"`
 }
 
 // New returns a front that accepts nothing yet; seed makes its tickets hard to guess, and two processes of one router
--- /dev/null
+++ b/internal/golden/tags_test.go
@@ -0,0 +1,65 @@
+package golden
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A struct with a tag on one of its exported fields has one on each. It guards types that no list of encoded types can
+// name: those without a name, as the bodies of calls.
+func TestNoStructIsTaggedInPart(t *testing.T) {
+	structs := 0
+	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		set := token.NewFileSet()
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			s, ok := n.(*ast.StructType)
+			if !ok || !hasTag(s) {
+				return true
+			}
+			structs++
+			for _, name := range namesWithoutTag(s) {
+				t.Errorf("%s: field %s has no tag, and others of its struct do", set.Position(name.Pos()), name.Name)
+			}
+			return true
+		})
+		return nil
+	})
+	if err != nil || structs < 80 {
+		t.Error(structs, "structs with tags", err)
+	}
+}
+
+func hasTag(s *ast.StructType) bool {
+	for _, field := range s.Fields.List {
+		if field.Tag != nil {
+			return true
+		}
+	}
+	return false
+}
+
+func namesWithoutTag(s *ast.StructType) (names []*ast.Ident) {
+	for _, field := range s.Fields.List {
+		if field.Tag != nil {
+			continue
+		}
+		for _, name := range field.Names {
+			if name.IsExported() {
+				names = append(names, name)
+			}
+		}
+	}
+	return names
+}
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -103,3 +103,14 @@
 		}
 	}
 }
+
+// Each field that a message holds names itself in a tag, so that the name in the code can change.
+func TestMessageFieldsHaveTags(t *testing.T) {
+	encoded := []any{handover.Message{}}
+	for _, s := range messageSamples() {
+		if s.body != nil {
+			encoded = append(encoded, s.body)
+		}
+	}
+	golden.Tagged(t, "json", encoded...)
+}
--- /dev/null
+++ b/internal/record/encoded_test.go
@@ -0,0 +1,18 @@
+package record
+
+import (
+	"testing"
+
+	"windflow/internal/golden"
+)
+
+// encodedTypes are the types of this package that leave the process or outlive it as CBOR and JSON; what they hold is found by itself.
+func encodedTypes() []any {
+	return []any{&Header{}, &Engine{}, &Second{}, &Answer{}, &Event{}, &Gap{}}
+}
+
+// Each field that is encoded names itself in a tag, so that the name in the code can change.
+func TestEncodedFieldsHaveTags(t *testing.T) {
+	golden.Tagged(t, "cbor", encodedTypes()...)
+	golden.Tagged(t, "json", append(encodedTypes(), Config{})...)
+}
--- /dev/null
+++ b/internal/router/encoded_test.go
@@ -0,0 +1,17 @@
+package router
+
+import (
+	"testing"
+
+	"windflow/internal/golden"
+)
+
+// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
+func encodedTypes() []any {
+	return []any{State{}, IDChange{}, Request{}}
+}
+
+// Each field that is encoded names itself in a tag, so that the name in the code can change.
+func TestEncodedFieldsHaveTags(t *testing.T) {
+	golden.Tagged(t, "json", encodedTypes()...)
+}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -11,17 +11,17 @@
 
 // Request is a query as a front hands it over, in no wire's terms.
 type Request struct {
-	ID         string // the client's, 16 hex digits
-	Class      string
-	Tenant     string
-	Statement  string // without the fields
-	Group      int64  // group of tables, as brain.GroupOf numbers it; 0 if there is none
-	Sent       float64
-	Budget     float64 // milliseconds from Sent that the client waits
-	EstimateMS float64 // 0 if unknown
-	NeedMB     float64 // 0 if unknown
-	Again      bool
-	Update     bool // the client asked for an update, not for rows
+	ID         string  `json:"ID"` // the client's, 16 hex digits
+	Class      string  `json:"Class"`
+	Tenant     string  `json:"Tenant"`
+	Statement  string  `json:"Statement"` // without the fields
+	Group      int64   `json:"Group"`     // group of tables, as brain.GroupOf numbers it; 0 if there is none
+	Sent       float64 `json:"Sent"`
+	Budget     float64 `json:"Budget"`     // milliseconds from Sent that the client waits
+	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
+	NeedMB     float64 `json:"NeedMB"`     // 0 if unknown
+	Again      bool    `json:"Again"`
+	Update     bool    `json:"Update"` // the client asked for an update, not for rows
 }
 
 // The names of a request's fields, the same on every front.
