--- /dev/null
+++ b/internal/node/golden_place_test.go
@@ -0,0 +1,27 @@
+package node
+
+import (
+	"fmt"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"windflow/brain"
+	"windflow/internal/golden"
+	"windflow/internal/settings"
+)
+
+// Processes of a router meet by the name that its settings give, and note a ban by the engine's id as text: both have to
+// be the same in the next program.
+func TestGoldenMeetingAndBans(t *testing.T) {
+	var got strings.Builder
+	fmt.Fprintf(&got, "meeting %q\n", meeting(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
+	for _, id := range []brain.EngineID{0, 2, 0xc41f7a, 0xffffffff} {
+		text := settings.FormatID(id)
+		fmt.Fprintf(&got, "ban of %d %q\n", id, text)
+		if back, err := settings.ParseID(text); err != nil || back != id {
+			t.Errorf("%q is read as %d, %v", text, back, err)
+		}
+	}
+	golden.File(t, filepath.Join("testdata", "golden", "meeting.txt"), []byte(got.String()))
+}
