--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -15,6 +15,9 @@
 
 var record = flag.Bool("record-golden", false, "write the golden files that are not there yet; one that is there is never written")
 
+// Recording tells whether golden files that are not there yet are to be written.
+func Recording() bool { return *record }
+
 // File compares got with the golden file of that path, byte for byte. With -record-golden it writes a file that does not
 // exist, and fails on one that does and differs: what was recorded is what other programs have.
 func File(t testing.TB, path string, got []byte) {
--- /dev/null
+++ b/internal/node/golden_figures_test.go
@@ -0,0 +1,108 @@
+package node
+
+import (
+	"log/slog"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"windflow/internal/bgp"
+	"windflow/internal/decide/takeover"
+	"windflow/internal/flightsql"
+	"windflow/internal/follow"
+	"windflow/internal/golden"
+	"windflow/internal/record"
+	"windflow/internal/routertest"
+	"windflow/internal/settings"
+	"windflow/internal/site"
+)
+
+// allParts are settings of an installation with each part, at addresses where nobody answers.
+func allParts(t *testing.T) *site.Settings {
+	t.Helper()
+	records := record.Defaults
+	records.Dir = t.TempDir()
+	nobody := routertest.Refused(t, [4]byte{127, 0, 0, 1})
+	return &site.Settings{
+		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
+		BGP: &bgp.Config{Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
+			Prefixes: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}, NextHop: netip.MustParseAddr("10.0.0.1"),
+			HoldTimeS: 90, ConnectRetryS: 120},
+		Records: &records,
+		Keepers: &follow.Config{Addresses: []string{nobody}, Dir: t.TempDir(), HoldMS: 1000},
+	}
+}
+
+// startAllParts runs a router that has each part, with an operators' door, and ends it with the test.
+func startAllParts(t *testing.T) *node {
+	t.Helper()
+	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
+		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + noticeBoard(t) + `",
+		"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[` +
+		member(routertest.Refused(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
+	cfg, err := settings.ParseNode(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := newNode(cfg, allParts(t), Options{}, slog.New(slog.DiscardHandler))
+	n.keepers = newKeepers(n, filepath.Join(t.TempDir(), "router.json"), text)
+	n.begin(false)
+	if n.failed != nil {
+		t.Fatal(n.failed)
+	}
+	end := routertest.Run(n.loop)
+	t.Cleanup(func() {
+		n.stopping.Do(func() { close(n.stop) })
+		end()
+		n.close()
+	})
+	return n
+}
+
+// The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are as
+// they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a router
+// that serves nobody; of the counters' values most do, and they are left out.
+func TestGoldenFigures(t *testing.T) {
+	n := startAllParts(t)
+	var telemetry, names string
+	inLoop(n, func() {
+		telemetry = n.Telemetry()
+		for _, row := range n.status() {
+			names += row[0] + "\n"
+		}
+	})
+	golden.File(t, filepath.Join("testdata", "golden", "telemetry.txt"), []byte(telemetry))
+	golden.File(t, filepath.Join("testdata", "golden", "status.txt"), []byte(names))
+}
+
+// The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in what
+// operators hear from a router that is not ready.
+func TestGoldenPhases(t *testing.T) {
+	var words strings.Builder
+	for p := takeover.Looking; p <= takeover.Ended; p++ {
+		words.WriteString(p.String() + "\n")
+	}
+	golden.File(t, filepath.Join("testdata", "golden", "phases.txt"), []byte(words.String()))
+}
+
+// Each part has its counters in the list: one that is left out of the router of the test would be held by nothing.
+func TestGoldenFiguresHaveEachPart(t *testing.T) {
+	n := startAllParts(t)
+	inLoop(n, func() {
+		if len(n.parts) != len(makers) {
+			t.Errorf("%d parts of %d", len(n.parts), len(makers))
+		}
+		var groups []string
+		for _, row := range n.status() {
+			group, _, _ := strings.Cut(row[0], ".")
+			groups = append(groups, group)
+		}
+		for _, p := range n.parts {
+			if p.counters != nil && !slices.Contains(groups, p.counters()[0].name) {
+				t.Errorf("part %s has no counters", p.name)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/node/golden_log_test.go
@@ -0,0 +1,92 @@
+package node
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"windflow/internal/golden"
+)
+
+const goldenLog = "testdata/golden/log.txt"
+
+// Each line that the router may log keeps its text and the names of its attributes: operators look for them, and records
+// have them as events. A new line needs no place in the golden file.
+func TestGoldenLogLines(t *testing.T) {
+	now := logLines(t)
+	if len(now) < 30 {
+		t.Error(len(now), "lines")
+	}
+	if golden.Recording() {
+		golden.File(t, goldenLog, []byte(strings.Join(now, "\n")+"\n"))
+	}
+	for line := range strings.Lines(string(readGolden(t, goldenLog))) {
+		if line = strings.TrimSuffix(line, "\n"); !slices.Contains(now, line) {
+			t.Errorf("no longer logged: %s", line)
+		}
+	}
+}
+
+// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes, sorted.
+func logLines(t *testing.T) (lines []string) {
+	t.Helper()
+	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if line, ok := logLine(n); ok {
+				lines = append(lines, line)
+			}
+			return true
+		})
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(lines)
+	return slices.Compact(lines)
+}
+
+// logLine words a call of Info, Warn or Error as LEVEL "TEXT" and the names of the attributes that are literals.
+func logLine(n ast.Node) (string, bool) {
+	call, ok := n.(*ast.CallExpr)
+	if !ok || len(call.Args) == 0 {
+		return "", false
+	}
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !slices.Contains([]string{"Info", "Warn", "Error"}, method.Sel.Name) {
+		return "", false
+	}
+	text, ok := literal(call.Args[0])
+	if !ok {
+		return "", false
+	}
+	line := method.Sel.Name + " " + strconv.Quote(text)
+	for i := 1; i < len(call.Args); i += 2 {
+		if name, ok := literal(call.Args[i]); ok {
+			line += " " + name
+		}
+	}
+	return line, true
+}
+
+func literal(e ast.Expr) (string, bool) {
+	text, ok := e.(*ast.BasicLit)
+	if !ok || text.Kind != token.STRING {
+		return "", false
+	}
+	value, err := strconv.Unquote(text.Value)
+	return value, err == nil
+}
