--- /dev/null
+++ b/internal/goldentest/archive.go
@@ -0,0 +1,61 @@
+package goldentest
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Pack gives a folder as a compressed tar archive.
+func Pack(t testing.TB, dir string) []byte {
+	t.Helper()
+	var packed bytes.Buffer
+	compressed, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	archive := tar.NewWriter(compressed)
+	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressed.Close()); err != nil {
+		t.Fatal(err)
+	}
+	return packed.Bytes()
+}
+
+// Unpack writes the content of an archive of Pack into a new temporary folder and gives its path.
+func Unpack(t testing.TB, packed []byte) string {
+	t.Helper()
+	compressed, err := gzip.NewReader(bytes.NewReader(packed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	for archive := tar.NewReader(compressed); ; {
+		header, err := archive.Next()
+		if errors.Is(err, io.EOF) {
+			return dir
+		}
+		if err == nil {
+			err = unpackEntry(dir, header, archive)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func unpackEntry(dir string, header *tar.Header, content io.Reader) error {
+	path := filepath.Join(dir, filepath.FromSlash(header.Name))
+	if header.Typeflag == tar.TypeDir {
+		return os.MkdirAll(path, 0o700)
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return err
+	}
+	text, err := io.ReadAll(content)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o600)
+}
--- /dev/null
+++ b/internal/keeper/golden_calls_test.go
@@ -0,0 +1,194 @@
+package keeper
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"windflow/internal/decide/rollout"
+	"windflow/internal/goldentest"
+)
+
+// step is one call of a conversation with a keeper. An empty body is none.
+type step struct{ method, path, body string }
+
+// varying are the parts of answers that differ from run to run; their names stay in the golden files.
+var varying = []*regexp.Regexp{
+	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|term|last_index|applied_index)":[0-9.e+]+`),
+	regexp.MustCompile(`"(dir)":"[^"]*"`),
+	regexp.MustCompile(`(of type|is no) [^ ]*keeper\.[^ "]*`), // names of Go types in errors of encoding/json
+	regexp.MustCompile(`(dial) tcp [0-9.:]+`),
+}
+
+func withoutVarying(text []byte) []byte {
+	for _, part := range varying {
+		text = part.ReplaceAll(text, []byte(`"$1":VARIES`))
+	}
+	return text
+}
+
+// startOne runs a keeper k1 with these options until the test ends, and gives the address of its calls.
+func startOne(t *testing.T, tweak func(*Options)) string {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	host := ownHost()
+	ready := make(chan string, 1)
+	o := Options{ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
+		Peers: []Peer{{ID: "k1", HTTP: host + ":7401", Raft: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
+		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: rollout.Terms{Revisions: 3},
+		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin}
+	tweak(&o)
+	ended := make(chan error, 1)
+	go func() { ended <- Run(ctx, o) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	select {
+	case address := <-ready:
+		return address
+	case err := <-ended:
+		ended <- err
+		t.Fatal(err)
+	}
+	return ""
+}
+
+// refusesEight is a check of content that has something against the number 8.
+func refusesEight(entries map[string]json.RawMessage) *rollout.Fault {
+	const pointer = "/settings/over-share-worth"
+	if string(entries[pointer]) != "8" {
+		return nil
+	}
+	return &rollout.Fault{Kind: rollout.FaultInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
+}
+
+// converse makes the calls in turn and gives what was said, but for what varies.
+func converse(t *testing.T, address string, header http.Header, steps []step) []byte {
+	t.Helper()
+	var said bytes.Buffer
+	for _, s := range steps {
+		request, err := http.NewRequest(s.method, "http://"+address+s.path, strings.NewReader(s.body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for name, values := range header {
+			request.Header[name] = values
+		}
+		request.Close = true
+		answer, err := http.DefaultClient.Do(request)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(answer.Body)
+		_ = answer.Body.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&said, "> %s %s\n> %.300s\n< %d %s Retry-After=%q\n< %s\n\n", s.method, s.path, s.body, answer.StatusCode,
+			answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), bytes.TrimSpace(withoutVarying(body)))
+	}
+	return said.Bytes()
+}
+
+// waitForLeader returns once a keeper leads and has written down that it is a member.
+func waitForLeader(t *testing.T, address string) {
+	t.Helper()
+	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		answer, err := http.Get("http://" + address + "/v1/status")
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, _ := io.ReadAll(answer.Body)
+		_ = answer.Body.Close()
+		if bytes.Contains(text, []byte(`"stage":"member"`)) && bytes.Contains(text, []byte(`"state":"Leader"`)) {
+			return
+		}
+	}
+	t.Fatal("no leader")
+}
+
+// board is an entry that makes the whole content larger than a change of another entry.
+const board = `"board-1.example:7300,board-2.example:7300"`
+
+func report(name string, revision uint64, worth, rest string) string {
+	hash := rollout.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(worth),
+		"/board": json.RawMessage(board)})
+	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b","revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
+		name, revision, hash, rest)
+}
+
+// Operators' calls: what was answered before is answered in the same bytes, errors too.
+func TestGoldenOperatorsCalls(t *testing.T) {
+	address := startOne(t, func(*Options) {})
+	waitForLeader(t, address)
+	const changes, revert, worth = "/v1/changes", "/v1/revert", `"put":{"/settings/over-share-worth":%s}`
+	change := func(id, value, rest string) step {
+		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+worth+`%s}`, id, value, rest)}
+	}
+	goldentest.Equal(t, "calls-operators.txt", converse(t, address, nil, []step{
+		{"GET", "/v1/config", ""}, {"GET", "/v1/revisions", ""},
+		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`), change("a", "2", ""),
+		change("b", "2", `,"expect":0`), change("b", "2", `,"expect":1`), change("c", "8", ""), change("d", "3", ""), change("e", "4", ""),
+		{"POST", changes, `{"id":"f","remove":["/board"]}`}, {"POST", changes, `{"id":"f","put":{"/listen":1}}`},
+		{"POST", changes, `{"id":"f"}`}, {"POST", changes, `{"put":{}}`}, {"POST", changes, `{"id":7}`},
+		{"POST", changes, `{"id":"f","no":1}`}, {"POST", changes, `{`}, {"POST", changes, `{"id":"f"} {}`}, {"POST", changes, ""},
+		{"POST", changes, `{"id":"` + strings.Repeat("x", mostBody) + `"}`},
+		{"POST", revert, `{"id":"g","to":2,"expect":4,"note":"back"}`}, {"POST", revert, `{"id":"h","to":0}`},
+		{"POST", revert, `{"id":"h","to":99}`}, {"POST", revert, `{"id":"h"}`},
+		{"GET", "/v1/config", ""}, {"GET", "/v1/config?revision=4", ""}, {"GET", "/v1/config?revision=1", ""},
+		{"GET", "/v1/config?revision=99&wait_ms=1", ""}, {"GET", "/v1/config?revision=x", ""}, {"GET", "/v1/config?wait_ms=x", ""},
+		{"GET", "/v1/revisions", ""}, {"GET", "/v1/revisions?from=4&most=1", ""}, {"GET", "/v1/revisions?most=x", ""},
+		{"DELETE", "/v1/followers/r9", ""}, {"GET", "/v1/changes", ""}, {"GET", "/v1/unknown", ""}, {"GET", "/v1/status", ""},
+	}))
+}
+
+// Followers' calls and the verdict on a revision.
+func TestGoldenFollowersCalls(t *testing.T) {
+	address := startOne(t, func(*Options) {})
+	waitForLeader(t, address)
+	refused := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`, 7)
+	put := func(id, value string) step {
+		return step{"POST", "/v1/changes", fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board)}
+	}
+	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
+	goldentest.Equal(t, "calls-followers.txt", converse(t, address, nil, []step{
+		put("a", "1"), {"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`}, {"POST", "/v1/follow", report("r1", 0, "0", "")}, {"POST", "/v1/follow", report("r2", 0, "0", "")},
+		{"POST", "/v1/follow", report("r3", 0, "0", "")}, put("b", "2"),
+		{"POST", "/v1/follow", report("r1", 1, "1", "")}, {"POST", "/v1/follow", now}, {"POST", "/v1/follow", report("r2", 1, "1", refused)},
+		{"POST", "/v1/follow", report("r4", 2, "9", "")}, {"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
+		{"POST", "/v1/roster", `[{"name":"r6","instance":"i"},{"name":"r7","instance":"i"}]`}, {"DELETE", "/v1/followers/r7", ""},
+		{"POST", "/v1/roster", `[]`}, {"POST", "/v1/roster", `{}`}, {"POST", "/v1/roster", "[{}" + strings.Repeat(",{}", joinAtOnce) + "]"},
+		{"POST", "/v1/follow", `{}`}, {"POST", "/v1/follow", `{"report":{"name":"r1"}}`}, {"POST", "/v1/follow", `{"report":{"hash":"x"}}`},
+		{"GET", "/v1/rollout", ""}, {"GET", "/v1/rollout?revision=1", ""}, {"GET", "/v1/rollout?revision=9&wait_ms=1", ""},
+		{"GET", "/v1/rollout?revision=x", ""}, {"GET", "/v1/leases", ""}, {"GET", "/v1/peer", ""}, {"GET", "/v1/leader", ""},
+		{"GET", "/v1/status", ""},
+	}))
+}
+
+// A keeper that waits for the others, and one with no room for followers, say so as before.
+func TestGoldenUnservedCalls(t *testing.T) {
+	lonely := startOne(t, func(o *Options) {
+		o.Peers = append(o.Peers, Peer{ID: "k2", HTTP: ownHost() + ":1", Raft: ownHost() + ":1"})
+		o.Within, o.Waiting = 50*time.Millisecond, -1
+	})
+	steps := []step{
+		{"GET", "/v1/status", ""}, {"GET", "/v1/peer", ""}, {"GET", "/v1/leader", ""}, {"GET", "/v1/leases", ""},
+		{"POST", "/v1/changes", `{"id":"a","put":{"/settings/over-share-worth":1}}`}, {"POST", "/v1/revert", `{"id":"a","to":0}`},
+		{"DELETE", "/v1/followers/r1", ""}, {"GET", "/v1/rollout", ""}, {"POST", "/v1/roster", `[{"name":"r6","instance":"i"}]`},
+		{"POST", "/v1/follow", report("r1", 0, "0", "")}, {"GET", "/v1/config", ""},
+	}
+	goldentest.Equal(t, "calls-unserved.txt", converse(t, lonely, nil, steps))
+	passed := http.Header{"Windflow-Keeper": {"k2"}}
+	goldentest.Equal(t, "calls-unserved-passed.txt", converse(t, lonely, passed, []step{steps[4], steps[7]}))
+}
--- /dev/null
+++ b/internal/keeper/golden_command_test.go
@@ -0,0 +1,115 @@
+package keeper
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/hashicorp/raft"
+
+	"windflow/internal/decide/rollout"
+	"windflow/internal/goldentest"
+)
+
+func pointerTo[T any](v T) *T { return &v }
+
+// sampleCommands are the entries of a replicated log, by golden file; together they set each field.
+func sampleCommands() map[string]command {
+	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
+	return map[string]command{
+		"command-put.bin": {Change: &changeCommand{Base: 7, Change: rollout.Change{ID: "change-8", Expect: pointerTo(uint64(7)),
+			Put: put, Remove: []string{"/settings/parties/north"}, Note: "more for south", AtMS: 1_796_000_000_123}}},
+		"command-revert.bin": {Change: &changeCommand{Base: 8, Change: rollout.Change{ID: "change-9", RevertTo: pointerTo(uint64(7)),
+			Note: "back", AtMS: 1_796_000_000_456}}},
+		"command-join.bin":   {Join: []seat{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
+		"command-forget.bin": {Forget: "r2"},
+	}
+}
+
+// Entries of the replicated log have the bytes that an earlier program gave them, and are read as it meant them.
+func TestGoldenCommands(t *testing.T) {
+	var all []any
+	for file, want := range sampleCommands() {
+		all = append(all, want)
+		data, err := want.encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Equal(t, file, data)
+		got, err := decodeCommand(goldentest.Read(t, file))
+		if diff := cmp.Diff(want, got); err != nil || diff != "" {
+			t.Errorf("%s: %v %s", file, err, diff)
+		}
+	}
+	goldentest.AllFieldsSet(t, all...)
+}
+
+// sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
+func sampleMachine(t *testing.T) *machine {
+	m := newMachine(rollout.Terms{Revisions: 3, Bytes: 1 << 20})
+	put := func(id, pointer, value string) rollout.Change {
+		return rollout.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
+	}
+	for i, c := range []command{
+		{Change: &changeCommand{Base: 0, Change: put("a", "/settings/over-share-worth", "1")}},
+		{Join: []seat{{"r1", "first"}, {"r2", "only"}, {"r3", "gone"}}},
+		{Change: &changeCommand{Base: 1, Change: put("b", "/board", `"board:7300"`)}},
+		{Join: []seat{{"r1", "second"}}},
+		{Change: &changeCommand{Base: 2, Change: put("c", "/settings/parties/north", `{"share":2}`)}},
+		{Forget: "r3"},
+		{Change: &changeCommand{Base: 3, Change: rollout.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
+		{Change: &changeCommand{Base: 4, Change: rollout.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005}}},
+	} {
+		m.Apply(entry(t, uint64(i+1), c))
+	}
+	return m
+}
+
+// A snapshot of the state has the bytes that an earlier program gave it, and gives back all that was in it.
+func TestGoldenSnapshot(t *testing.T) {
+	const file = "snapshot.bin"
+	m := sampleMachine(t)
+	s, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, file, s.(state))
+	read := newMachine(rollout.Terms{})
+	if err := read.Restore(io.NopCloser(bytes.NewReader(goldentest.Read(t, file)))); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.MarshalIndent(contentOf(read), "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, "snapshot.json", append(text, '\n'))
+	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(state), goldentest.Read(t, file)) {
+		t.Errorf("a snapshot of what was read differs: %v", err)
+	}
+	if out := read.Apply(&raft.Log{Index: 9, Type: raft.LogCommand, Data: goldentest.Read(t, "command-forget.bin")}); out != true {
+		t.Errorf("r2 is not forgotten: %v", out)
+	}
+}
+
+// machineContent is all that a machine holds, as calls give it.
+type machineContent struct {
+	Oldest   uint64             `json:"oldest"`
+	Revision uint64             `json:"revision"`
+	History  []rollout.Revision `json:"history"`
+	Contents []content          `json:"contents"`
+	Roster   []string           `json:"roster"`
+	Unknown  []seat             `json:"unknown"` // of the seats that were ever heard
+}
+
+func contentOf(m *machine) machineContent {
+	now := m.stand()
+	out := machineContent{Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.names(),
+		Unknown: m.lacks([]seat{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}})}
+	for rev := now.Oldest; rev <= now.Revision; rev++ {
+		c, _, _ := m.at(&rev)
+		out.Contents = append(out.Contents, c)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/keeper/golden_folder_test.go
@@ -0,0 +1,264 @@
+package keeper
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+
+	"windflow/internal/decide/rollout"
+	"windflow/internal/goldentest"
+)
+
+// goldenFolders holds the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
+const goldenFolders = "folders.tar.gz"
+
+const goldenWithin = 20 * time.Second
+
+// foldersChanges has a revert, a removal and more revisions than are kept.
+func foldersChanges() (list []rollout.Change) {
+	for i := range 5 {
+		list = append(list, rollout.Change{ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
+			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(fmt.Sprint(i + 1)),
+				fmt.Sprint("/settings/parties/p", i): json.RawMessage(`{"share":2}`)}})
+	}
+	list = append(list, rollout.Change{ID: "change-6", Remove: []string{"/settings/parties/p0"}})
+	return append(list, rollout.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
+}
+
+// leaderField is the part of an answer that differs from run to run.
+var leaderField = regexp.MustCompile(`"leader":"[^"]*"`)
+
+// cluster is a group of keepers that run in this process.
+type cluster struct {
+	addresses []string // of the calls
+	stop      func()
+}
+
+// lastHost numbers the loopback addresses that these tests listen at.
+var lastHost atomic.Uint32
+
+// ownHost gives a loopback address on which no other process opens ports.
+func ownHost() string { return fmt.Sprintf("127.230.%d.%d", os.Getpid()%250, lastHost.Add(1)) }
+
+// startCluster runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
+func startCluster(t *testing.T, dir string) *cluster {
+	t.Helper()
+	var peers []Peer
+	for i := range 3 {
+		host := ownHost()
+		peers = append(peers, Peer{ID: fmt.Sprint("k", i+1), Raft: host + ":7402", HTTP: host + ":7401"})
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	c := &cluster{}
+	for _, p := range peers {
+		c.addresses = append(c.addresses, p.HTTP)
+		o := Options{ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
+			Check: func(map[string]json.RawMessage) *rollout.Fault { return nil }, Log: slog.New(slog.DiscardHandler),
+			Keep: rollout.Terms{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
+		running.Go(func() {
+			if err := Run(ctx, o); err != nil {
+				t.Errorf("%s ended: %v", o.ID, err)
+			}
+		})
+	}
+	c.stop = func() {
+		cancel()
+		running.Wait()
+	}
+	t.Cleanup(c.stop)
+	return c
+}
+
+// ask calls a keeper of the cluster until it answers with status 200, and gives the body.
+func (c *cluster) ask(t *testing.T, i int, method, path string, in any) []byte {
+	t.Helper()
+	body, err := json.Marshal(in)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var said string
+	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		r, err := http.NewRequest(method, "http://"+c.addresses[i]+path, bytes.NewReader(body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Close = true
+		answer, err := http.DefaultClient.Do(r)
+		if err != nil {
+			said = err.Error()
+			continue
+		}
+		text, _ := io.ReadAll(answer.Body)
+		_ = answer.Body.Close()
+		if answer.StatusCode == http.StatusOK {
+			return text
+		}
+		said = answer.Status + " " + string(text)
+	}
+	t.Fatalf("k%d: %s %s: %s", i+1, method, path, said)
+	return nil
+}
+
+// followBody is the call of a follower that has nothing yet.
+func followBody(name string) any {
+	return map[string]rollout.Report{"report": {Name: name, Instance: name + "-1"}}
+}
+
+// recordFolders writes the golden folders with this program.
+func recordFolders(t *testing.T) {
+	dir := t.TempDir()
+	c := startCluster(t, dir)
+	changes := foldersChanges()
+	for i, change := range changes {
+		c.ask(t, i%3, http.MethodPost, "/v1/changes", change)
+		if i == 2 {
+			c.ask(t, 0, http.MethodPost, "/v1/follow", followBody("r1"))
+			c.ask(t, 1, http.MethodPost, "/v1/follow", followBody("r2"))
+			c.ask(t, 2, http.MethodDelete, "/v1/followers/r2", nil)
+		}
+	}
+	for i := range 3 {
+		c.ask(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", len(changes)), nil)
+	}
+	time.Sleep(2 * time.Second) // for a snapshot, and for the stage to be written
+	c.stop()
+	goldentest.Write(t, goldenFolders, goldentest.Pack(t, dir))
+}
+
+// Folders that an earlier program wrote hold what it put there, file by file.
+func TestGoldenFolders(t *testing.T) {
+	if goldentest.Recording(t, goldenFolders) {
+		recordFolders(t)
+	}
+	dir := goldentest.Unpack(t, goldentest.Read(t, goldenFolders))
+	var text strings.Builder
+	for i := range 3 {
+		id := fmt.Sprint("k", i+1)
+		fmt.Fprintf(&text, "%s\n", id)
+		describeFolder(t, &text, filepath.Join(dir, id), id)
+	}
+	goldentest.Equal(t, "folders.txt", []byte(text.String()))
+}
+
+// describeFolder words a folder's identity, vote, entries and snapshots.
+func describeFolder(t *testing.T, out io.Writer, dir, id string) {
+	t.Helper()
+	f, err := openFolder(dir, "golden", id, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.close()
+	fmt.Fprintf(out, "stage %s, aside %d\n", f.mark.Stage, len(f.aside()))
+	s, err := openStores(dir, hclog.NewNullLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.close()
+	describeVote(t, out, s)
+	describeEntries(t, out, s)
+	describeSnapshots(t, out, s)
+}
+
+func describeVote(t *testing.T, out io.Writer, s *stores) {
+	t.Helper()
+	term, err := s.votes.GetUint64([]byte("CurrentTerm"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	votedIn, _ := s.votes.GetUint64([]byte("LastVoteTerm"))
+	votedFor, _ := s.votes.Get([]byte("LastVoteCand"))
+	fmt.Fprintf(out, "term %d, voted in %d for %s\n", term, votedIn, votedFor)
+}
+
+func describeEntries(t *testing.T, out io.Writer, s *stores) {
+	t.Helper()
+	first, _ := s.entries.FirstIndex()
+	last, _ := s.entries.LastIndex()
+	for i := first; i <= last; i++ {
+		var l raft.Log
+		if err := (checkedLog{s.entries}).GetLog(i, &l); err != nil {
+			t.Fatal(err)
+		}
+		what := ""
+		switch l.Type {
+		case raft.LogCommand:
+			what = string(l.Data[commandHead:])
+		case raft.LogConfiguration:
+			what = members(raft.DecodeConfiguration(l.Data))
+		}
+		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, what)
+	}
+}
+
+func describeSnapshots(t *testing.T, out io.Writer, s *stores) {
+	t.Helper()
+	list, err := s.snapshots.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, meta := range list {
+		_, content, err := s.snapshots.Open(meta.ID)
+		if err != nil {
+			t.Fatal(err)
+		}
+		m := newMachine(rollout.Terms{})
+		if err := m.Restore(content); err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.Marshal(contentOf(m))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(out, "snapshot at %d, term %d, %s: %s\n", meta.Index, meta.Term, members(meta.Configuration), text)
+	}
+}
+
+func members(c raft.Configuration) string {
+	var names []string
+	for _, s := range c.Servers {
+		names = append(names, fmt.Sprintf("%s=%s(%v)", s.ID, s.Address, s.Suffrage))
+	}
+	return strings.Join(names, " ")
+}
+
+// A group that is started on folders of an earlier program serves the revisions that are in them, and takes more.
+func TestGoldenFoldersServe(t *testing.T) {
+	if testing.Short() {
+		t.Skip("runs three keepers")
+	}
+	c := startCluster(t, goldentest.Unpack(t, goldentest.Read(t, goldenFolders)))
+	last := len(foldersChanges())
+	var text bytes.Buffer
+	for i := range 3 {
+		for rev := last - 3; rev <= last; rev++ {
+			text.Write(c.ask(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", rev), nil))
+		}
+		text.Write(c.ask(t, i, http.MethodGet, "/v1/revisions", nil))
+		text.Write(c.ask(t, i, http.MethodGet, "/v1/peer", nil))
+	}
+	goldentest.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
+	got := c.ask(t, 0, http.MethodPost, "/v1/changes", foldersChanges()[3])
+	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
+		t.Errorf("a change of before, sent again: %s, want %s", got, want)
+	}
+	got = c.ask(t, 1, http.MethodPost, "/v1/changes", rollout.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
+	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
+		t.Errorf("a new change: %s, want %s", got, want)
+	}
+}
