--- /dev/null
+++ b/internal/follow/golden_test.go
@@ -0,0 +1,162 @@
+package follow
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"windflow/internal/decide/rollout"
+	"windflow/internal/goldentest"
+)
+
+const goldenWithin = 20 * time.Second
+
+// goldenCopy is the copy that a router "n/0" has on its disk of revision 12.
+const goldenCopy = "n%2F0.revision"
+
+// goldenHash is some hash, the same for each digit.
+func goldenHash(digit byte) (h rollout.Hash) {
+	copy(h[:], bytes.Repeat([]byte{digit}, len(h)))
+	return h
+}
+
+// goldenEntries are in the form in which keepers give them out.
+func goldenEntries() map[string]json.RawMessage {
+	return map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"),
+		"/settings/parties/north": json.RawMessage(`{"share":2}`), "/board": json.RawMessage(`"board:7300"`)}
+}
+
+// goldenSaved gives the copy of revision 12 as the follower's state has it.
+func goldenSaved(t *testing.T) rollout.Saved {
+	t.Helper()
+	f := rollout.NewFollower("n/0", rollout.Instance(10, 11))
+	update := rollout.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: rollout.HashOf(goldenEntries())}
+	if _, ok, err := f.Offer(update); !ok || err != nil {
+		t.Fatal(ok, err)
+	}
+	f.Accept()
+	return f.Saved()
+}
+
+// A copy has the bytes that an earlier program wrote, under the same name in the folder.
+func TestGoldenCopyIsWritten(t *testing.T) {
+	dir := t.TempDir()
+	saved := goldenSaved(t)
+	if err := newDisk(dir, "n/0", &Counters{}, discard).write(saved); err != nil {
+		t.Fatal(err)
+	}
+	files, err := os.ReadDir(dir)
+	if err != nil || len(files) != 1 || files[0].Name() != goldenCopy {
+		t.Fatalf("the folder holds %v, %v", files, err)
+	}
+	written, err := os.ReadFile(filepath.Join(dir, goldenCopy))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, goldenCopy, written)
+	goldentest.AllFieldsSet(t, copied{Router: "n/0", Saved: saved})
+}
+
+// A copy that an earlier program wrote is in force after a start without any keeper.
+func TestGoldenCopyIsRestored(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, goldenCopy), goldentest.Read(t, goldenCopy), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c := New(Config{Dir: dir}, "n/0", rollout.Instance(10, 11), discard)
+	t.Cleanup(c.Stop)
+	c.Restore(time.Second, func(Revision) error { return nil })
+	want := Revision{Revision: 12, Hash: rollout.HashOf(goldenEntries()), Entries: goldenEntries()}
+	if diff := cmp.Diff(want, c.Latest()); diff != "" {
+		t.Error(diff)
+	}
+	if n := c.Counters.SetAside.Load(); n != 0 {
+		t.Errorf("%d copies were set aside", n)
+	}
+}
+
+// A copy that can't be used is set aside under the same name as before.
+func TestGoldenNameOfWhatIsSetAside(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, ok := newDisk(dir, "n/0", &Counters{}, discard).read(); ok {
+		t.Error("a damaged copy is read")
+	}
+	if _, err := os.Stat(filepath.Join(dir, goldenCopy+".aside")); err != nil {
+		t.Error(err)
+	}
+}
+
+// keeperAnswer is what a keeper answers once, in full.
+const keeperAnswer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+
+// answerOnce listens at an address of this machine, reads one call, answers it with the text and gives the call's bytes.
+func answerOnce(t *testing.T, text []byte) (address string, call <-chan []byte) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	heard := make(chan []byte, 1)
+	go func() {
+		defer close(heard)
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer func() { _ = conn.Close() }()
+		var raw bytes.Buffer
+		request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(conn, &raw)))
+		if err != nil {
+			return
+		}
+		_, _ = io.Copy(io.Discard, request.Body)
+		heard <- raw.Bytes()
+		_, _ = fmt.Fprintf(conn, keeperAnswer, len(text), text)
+	}()
+	return listener.Addr().String(), heard
+}
+
+// What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
+func TestGoldenCall(t *testing.T) {
+	report := rollout.Report{Name: "n/0", Instance: rollout.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Refused: &rollout.Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
+	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
+	answers := map[string]rollout.Update{
+		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
+		"whole": {From: 12, To: 14, Snapshot: true, Put: goldenEntries(), Hash: goldenHash(3)},
+		"none":  {From: 12, To: 9, Behind: true, Hash: goldenHash(3)},
+	}
+	var all []any
+	for name, want := range answers {
+		text, err := json.Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Equal(t, "answer-"+name+".json", append(text, '\n'))
+		address, call := answerOnce(t, goldentest.Read(t, "answer-"+name+".json"))
+		ctx, cancel := context.WithTimeout(context.Background(), goldenWithin)
+		got, fresh, err := (&poller{}).ask(ctx, address, report, 2000)
+		cancel()
+		if diff := cmp.Diff(want, got); err != nil || !fresh || diff != "" {
+			t.Errorf("%s: %v %v %s", name, fresh, err, diff)
+		}
+		goldentest.Equal(t, "call.txt", bytes.Replace(<-call, []byte(address), []byte("KEEPER"), 1))
+		all = append(all, want)
+	}
+	goldentest.AllFieldsSet(t, append(all, report)...)
+}
