--- /dev/null
+++ b/internal/decide/rollout/golden_test.go
@@ -0,0 +1,121 @@
+package rollout
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"windflow/internal/goldentest"
+)
+
+func goldenHash(digit byte) (h Hash) {
+	copy(h[:], bytes.Repeat([]byte{digit}, len(h)))
+	return h
+}
+
+// goldenMessages are the encoded types by golden file, all fields set.
+func goldenMessages() map[string]any {
+	revertTo, expect := uint64(3), uint64(7)
+	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
+	remove := []string{"/settings/parties/north", "/settings/parties/south"}
+	refusal := &Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
+	report := Report{Name: "n/0", Instance: Instance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Refused: refusal}
+	seats := []Seat{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Refused: refusal}}
+	fault := Fault{Kind: FaultConflict, Pointer: "/board", Reason: "another one", Revision: 9}
+	return map[string]any{
+		"change.json":   Change{ID: "c", Expect: &expect, Put: put, Remove: remove, RevertTo: &revertTo, Note: "note", AtMS: 1_796_000_000_123},
+		"fault.json":    fault,
+		"result.json":   Result{Revision: 9, Repeated: true, Fault: &fault},
+		"revision.json": Revision{Revision: 9, ID: "c", Note: "note", AtMS: 5, RevertTo: &revertTo, Hash: goldenHash(3), Put: put, Remove: remove},
+		"update.json":   Update{From: 8, To: 9, Snapshot: true, Behind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
+		"report.json":   report,
+		"lease.json":    Lease{Report: report, UntilMS: 6000.25},
+		"verdict.json": Verdict{Revision: 9, InForce: seats, Behind: seats, Refused: seats, Foreign: seats, Gone: []string{"r1"},
+			Unreached: []string{"k2"}, Everywhere: true},
+		"saved.json": Saved{Revision: 9, Hash: goldenHash(5), Sum: goldenHash(6), Entries: put},
+		"terms.json": Terms{Revisions: 2000, Bytes: 1 << 20},
+	}
+}
+
+// Each type has the JSON that an earlier program gave it, and is read as it was meant.
+func TestGoldenMessages(t *testing.T) {
+	for file, want := range goldenMessages() {
+		goldentest.AllFieldsSet(t, want)
+		text, err := json.Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Equal(t, file, append(text, '\n'))
+		got := reflect.New(reflect.TypeOf(want))
+		if err := json.Unmarshal(goldentest.Read(t, file), got.Interface()); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(want, got.Elem().Interface()); diff != "" {
+			t.Errorf("%s: %s", file, diff)
+		}
+	}
+}
+
+// Words that stand in messages for kinds of faults.
+func TestGoldenFaultKinds(t *testing.T) {
+	text, err := json.Marshal([]FaultKind{FaultInvalid, FaultConflict, FaultCompacted, FaultReused})
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, "fault-kinds.json", append(text, '\n'))
+}
+
+// goldenChanges are made in a log that keeps three revisions.
+func goldenChanges() []Change {
+	back := uint64(4)
+	expect := uint64(2)
+	return []Change{
+		{ID: "a", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")}, Note: "first", AtMS: 1_796_000_000_001},
+		{ID: "b", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7300"`)}, AtMS: 1_796_000_000_002},
+		{ID: "c", Expect: &expect, Put: map[string]json.RawMessage{"/settings/parties/north": json.RawMessage(`{"share":2,"a":[1.50,null]}`)},
+			Remove: []string{"/settings/over-share-worth"}, Note: "both", AtMS: 1_796_000_000_003},
+		{ID: "d", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7301"`)}, AtMS: 1_796_000_000_004},
+		{ID: "e", Remove: []string{"/board"}, AtMS: 1_796_000_000_005},
+		{ID: "f", RevertTo: &back, Note: "back", AtMS: 1_796_000_000_006},
+	}
+}
+
+// A log has the bytes that an earlier program gave it. What is read from them has the same content and past, and knows the
+// changes that were made, so that none is made twice.
+func TestGoldenLog(t *testing.T) {
+	const file = "log.bin"
+	l := NewLog(Terms{Revisions: 3, Bytes: 1 << 20})
+	for _, c := range goldenChanges() {
+		if r := l.Apply(c); r.Fault != nil {
+			t.Fatal(r.Fault)
+		}
+	}
+	l.Join("r1", "first")
+	l.Join("r1", "second")
+	l.Join("r2", "only")
+	state, err := l.MarshalBinary()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, file, state)
+	read := NewLog(Terms{})
+	if err := read.UnmarshalBinary(goldentest.Read(t, file)); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(l, read, cmp.AllowUnexported(Log{}, record{}, edit{}, made{})); diff != "" {
+		t.Error(diff)
+	}
+	for i, c := range goldenChanges() {
+		if r := read.Apply(c); !r.Repeated || r.Revision != uint64(i+1) {
+			t.Errorf("%s, made anew: %+v", c.ID, r)
+		}
+	}
+	history, err := json.MarshalIndent(read.History(0, 100), "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, "log-history.json", append(history, '\n'))
+}
