--- /dev/null
+++ b/internal/flightsql/golden_test.go
@@ -0,0 +1,212 @@
+package flightsql
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow"
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	fsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+
+	"windflow/internal/goldentest"
+	"windflow/internal/router"
+)
+
+const goldenWithin = 20 * time.Second
+
+// words gives metadata's names and values in order, without those that gRPC adds itself.
+func words(md metadata.MD) string {
+	var list []string
+	for name, values := range md {
+		if name != "content-type" && name != "user-agent" && name != ":authority" && !strings.HasPrefix(name, "grpc-") {
+			list = append(list, fmt.Sprintf("%s=%q", name, values))
+		}
+	}
+	slices.Sort(list)
+	return strings.Join(list, " ")
+}
+
+// ending words the end of a call: its status with all details, and its trailer.
+func ending(err error, trailer metadata.MD) string {
+	s := status.Convert(err)
+	text := fmt.Sprintf("%v %q trailer %s\n", s.Code(), s.Message(), words(trailer))
+	for _, detail := range s.Proto().GetDetails() {
+		text += fmt.Sprintf("detail %s %x\n", detail.GetTypeUrl(), detail.GetValue())
+	}
+	return text
+}
+
+// fields are a request's, all that there are.
+func fields(id, class string) []string {
+	return []string{"rid", id, "method", class, "budget", "9000", "acct", "rckik-south", "again", "1", "est", "12.5", "mem", "34.5"}
+}
+
+// execute asks for a ticket and words it; the ticket is nil where there was none.
+func execute(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
+	t.Helper()
+	var trailer metadata.MD
+	info, err := c.Execute(call(t, goldenWithin, md...), statement, grpc.Trailer(&trailer))
+	if err != nil {
+		return ending(err, trailer), nil
+	}
+	text = fmt.Sprintf("descriptor %x records %d bytes %d schema %x\n", info.GetFlightDescriptor().GetCmd(), info.GetTotalRecords(),
+		info.GetTotalBytes(), info.GetSchema())
+	for _, at := range info.GetEndpoint() {
+		text += fmt.Sprintf("ticket %x at %v\n", at.GetTicket().GetTicket(), at.GetLocation()[0].GetUri())
+		ticket = at.GetTicket()
+	}
+	return text, ticket
+}
+
+// get redeems a ticket and words each message of the stream.
+func get(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) string {
+	stream, err := c.Client.DoGet(ctx, ticket)
+	var text strings.Builder
+	for err == nil {
+		var data *flight.FlightData
+		if data, err = stream.Recv(); err == nil {
+			fmt.Fprintf(&text, "message %x body %x\n", data.GetDataHeader(), data.GetDataBody())
+		}
+	}
+	if errors.Is(err, io.EOF) {
+		err = nil
+	}
+	return text.String() + ending(err, stream.Trailer())
+}
+
+// Clients see the same tickets, schemas, rows, codes, details and trailers as before.
+func TestGoldenExchanges(t *testing.T) {
+	f, _, c := newFront(t)
+	text := answers(t, c) + failures(t, c)
+	goldentest.Equal(t, "exchanges.txt", []byte(strings.ReplaceAll(text, f.Addr(), "ROUTER")))
+}
+
+// answers has a query and an update of each class end in each way that an engine gives them.
+func answers(t *testing.T, c *fsql.Client) string {
+	var text strings.Builder
+	for i, k := range []struct{ class, statement string }{
+		{"lookup", "serve"}, {"load", "serve"}, {"lookup", "full"}, {"load", "full"}, {"lookup", "reset"}, {"load", "reset"},
+		{"unknown", "serve"}, {"lookup", ""},
+	} {
+		md := fields(fmt.Sprintf("%016x", i+1), k.class)
+		said, ticket := execute(t, c, k.statement, md...)
+		fmt.Fprintf(&text, "query %q of %s\n%s", k.statement, k.class, said)
+		if ticket != nil {
+			text.WriteString(get(call(t, goldenWithin), c, ticket))
+		}
+		n, trailer, err := runUpdate(call(t, goldenWithin, fields(fmt.Sprintf("%016x", 100+i), k.class)...), c, k.statement)
+		fmt.Fprintf(&text, "update: %d rows changed, %s\n", n, ending(err, trailer))
+	}
+	return text.String()
+}
+
+// failures are calls that are malformed, come too late or name what is not there.
+func failures(t *testing.T, c *fsql.Client) string {
+	var text strings.Builder
+	for i, class := range []string{"lookup", "load"} {
+		md := fields(fmt.Sprintf("%016x", 200+i), class)
+		md[slices.Index(md, "budget")+1] = "200"
+		_, ticket := execute(t, c, "hang", md...)
+		fmt.Fprintf(&text, "too late, %s\n%s\n", class, get(call(t, goldenWithin), c, ticket))
+	}
+	_, trailer, err := runUpdate(call(t, goldenWithin, fields("0000000000000069", "load")...), c, "serve")
+	fmt.Fprintf(&text, "id of a load that may have run\n%s\n", ending(err, trailer))
+	ticket, err := fsql.CreateStatementQueryTicket([]byte("unknown"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "unknown ticket\n%s\n", get(call(t, goldenWithin), c, &flight.Ticket{Ticket: ticket}))
+	said, _ := execute(t, c, "serve", "rid", "0000000000000001")
+	fmt.Fprintf(&text, "no class\n%s\n", said)
+	said, _ = execute(t, c, "serve", "rid", "1", "method", "load")
+	fmt.Fprintf(&text, "bad id\n%s\n", said)
+	said, _ = execute(t, c, "serve", append(fields("0000000000000001", "load"), "rid", "0000000000000002")...)
+	fmt.Fprintf(&text, "id twice\n%s\n", said)
+	stream, err := c.Client.DoPut(call(t, goldenWithin))
+	if err == nil {
+		err = errors.Join(stream.Send(&flight.FlightData{}), stream.CloseSend())
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = stream.Recv()
+	fmt.Fprintf(&text, "update without a descriptor\n%s", ending(err, stream.Trailer()))
+	return text.String()
+}
+
+// runUpdate runs an update.
+func runUpdate(ctx context.Context, c *fsql.Client, statement string) (n int64, trailer metadata.MD, err error) {
+	n, err = c.ExecuteUpdate(ctx, statement, grpc.Trailer(&trailer))
+	return n, trailer, err
+}
+
+// A statement that is prepared has the same handle and schemas as before.
+func TestGoldenPrepared(t *testing.T) {
+	_, _, c := newFront(t)
+	statement, err := c.Prepare(call(t, goldenWithin), "serve")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = c.Prepare(call(t, goldenWithin), "")
+	goldentest.Equal(t, "prepared.txt", fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
+		statement.DatasetSchema(), statement.ParameterSchema(), ending(err, nil)))
+}
+
+// What a client is told of the server is the same as before, but for the version of Arrow.
+func TestGoldenSqlInfo(t *testing.T) {
+	_, _, c := newFront(t)
+	info, err := c.GetSqlInfo(call(t, goldenWithin), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := c.DoGet(call(t, goldenWithin), info.Endpoint[0].Ticket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer reader.Release()
+	var rows []string
+	for reader.Next() {
+		batch := reader.RecordBatch()
+		for row := range int(batch.NumRows()) {
+			rows = append(rows, batch.Column(0).ValueStr(row)+": "+batch.Column(1).ValueStr(row))
+		}
+	}
+	if err := reader.Err(); err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(rows)
+	text := fmt.Sprintf("%v\n%s\n", reader.Schema(), strings.Join(rows, "\n"))
+	goldentest.Equal(t, "sql-info.txt", []byte(strings.ReplaceAll(text, arrow.PkgVersion, "ARROW")))
+}
+
+// Tickets that one process gives up to another have the same names and values as before, and can be redeemed there.
+func TestGoldenTickets(t *testing.T) {
+	want := []Ticket{{Handle: "00112233445566778899aabbccddeeff", End: 1_796_000_009_000.5, Expires: 1e15, Once: true,
+		Request: router.Request{ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", Group: 7,
+			Sent: 1_796_000_000_000.25, Budget: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Again: true, Update: true}}}
+	goldentest.AllFieldsSet(t, want)
+	text, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Equal(t, "tickets.json", append(text, '\n'))
+	var got []Ticket
+	if err := json.Unmarshal(goldentest.Read(t, "tickets.json"), &got); err != nil {
+		t.Fatal(err)
+	}
+	f, _, _ := newFront(t)
+	f.Take(got)
+	if back := f.ReleaseAll(); len(back) != 1 || back[0] != want[0] {
+		t.Errorf("%+v, want %+v", back, want)
+	}
+}
