--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -37,7 +37,16 @@
 )
 
 // Counters count what the speaker sent and heard.
-type Counters struct{ Connects, Established, Announced, Withdrawn, Keepalives, Updates, Notified, Errors int64 }
+type Counters struct {
+	Connects    int64 `status:"connects"`
+	Established int64 `status:"established"`
+	Announced   int64 `status:"announced"`
+	Withdrawn   int64 `status:"withdrawn"`
+	Keepalives  int64 `status:"keepalives"`
+	Updates     int64 `status:"updates"`
+	Notified    int64 `status:"notified"`
+	Errors      int64 `status:"errors"`
+}
 
 // Speaker keeps a session with the neighbour for as long as it is not stopped.
 type Speaker struct {
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -122,7 +122,12 @@
 func (f *Follower) HeardAt() float64 { return f.heardAt }
 
 // Counters count what the board sent.
-type Counters struct{ Links, Frames, Events, Bad int64 }
+type Counters struct {
+	Links  int64 `status:"links"`
+	Frames int64 `status:"frames"`
+	Events int64 `status:"events"`
+	Bad    int64 `status:"bad"`
+}
 
 // Follow opens the link; last is the number of the last event that is known, and waits are drawn from the seed.
 func Follow(loop *router.Loop, dialer netio.Dialer, addr string, names Names, last uint64, tell func(List),
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -34,7 +34,14 @@
 )
 
 // Counters count the calls by their answers, and the callers that gave none.
-type Counters struct{ Calls, Answered, Denied, Malformed, TimedOut, Evicted int64 }
+type Counters struct {
+	Calls     int64 `status:"calls"`
+	Answered  int64 `status:"answered"`
+	Denied    int64 `status:"denied"`
+	Malformed int64 `status:"malformed"`
+	TimedOut  int64 `status:"timed_out"`
+	Evicted   int64 `status:"evicted"`
+}
 
 // Door answers operators.
 type Door struct {
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -51,8 +51,16 @@
 
 // Counters count what was sent to engines and what came back.
 type Counters struct {
-	Posts, Polls, Pages, Priorities, Deletes, Dials int64
-	BadAnswers, Broken, Silent, AskedAgain          int64
+	Posts      int64 `status:"posts"`
+	Polls      int64 `status:"polls"`
+	Pages      int64 `status:"pages"`
+	Priorities int64 `status:"priorities"`
+	Deletes    int64 `status:"deletes"`
+	Dials      int64 `status:"dials"`
+	BadAnswers int64 `status:"bad_answers"`
+	Broken     int64 `status:"broken"`
+	Silent     int64 `status:"silent"`
+	AskedAgain int64 `status:"asked_again"`
 }
 
 // Client implements router.EngineClient.
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -41,7 +41,12 @@
 }
 
 // ClientCounters count what was sent to engines.
-type ClientCounters struct{ Queries, Updates, Repeats, BadAnswers atomic.Int64 }
+type ClientCounters struct {
+	Queries    atomic.Int64 `status:"queries"`
+	Updates    atomic.Int64 `status:"updates"`
+	Repeats    atomic.Int64 `status:"repeats"`
+	BadAnswers atomic.Int64 `status:"bad_answers"`
+}
 
 // sharedIdle is how long a shared connection may be without a call before it is closed.
 const sharedIdle = 10 * time.Second
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -88,7 +88,18 @@
 }
 
 // Counters count what the front took in.
-type Counters struct{ Infos, Gets, Puts, Malformed, BadTickets, Served, Refused, Failed, Late, Left atomic.Int64 }
+type Counters struct {
+	Infos      atomic.Int64 `status:"infos"`
+	Gets       atomic.Int64 `status:"gets"`
+	Puts       atomic.Int64 `status:"puts"`
+	Malformed  atomic.Int64 `status:"malformed"`
+	BadTickets atomic.Int64 `status:"bad_tickets"`
+	Served     atomic.Int64 `status:"served"`
+	Refused    atomic.Int64 `status:"refused"`
+	Failed     atomic.Int64 `status:"failed"`
+	Late       atomic.Int64 `status:"late"`
+	Left       atomic.Int64 `status:"left"`
+}
 
 // ticket is a query that a client described and may now fetch.
 type ticket struct {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -66,10 +66,16 @@
 
 // Counters count what happened; the last two are figures that stand.
 type Counters struct {
-	Polls, Changes, Refused, Lost, Unfit, DiskFailed, SetAside atomic.Int64
-
-	Revision atomic.Int64 // in force
-	Barred   atomic.Int64 // the latest that was refused and is not overtaken; 0 for none
+	Polls      atomic.Int64 `status:"polls"`
+	Changes    atomic.Int64 `status:"changes"`
+	Refused    atomic.Int64 `status:"refused"`
+	Lost       atomic.Int64 `status:"lost"`
+	Unfit      atomic.Int64 `status:"unfit"`
+	DiskFailed atomic.Int64 `status:"disk_failed"`
+	SetAside   atomic.Int64 `status:"set_aside"`
+
+	Revision atomic.Int64 `status:"revision"` // in force
+	Barred   atomic.Int64 `status:"barred"`   // the latest that was refused and is not overtaken; 0 for none
 }
 
 // Client follows the keepers.
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -39,7 +39,16 @@
 
 // Counters count what the front took in.
 type Counters struct {
-	Sessions, TurnedAway, Evicted, TimedOut, Logins, BadLogins, BadPackets, BadFields, Pings, Kills int64
+	Sessions   int64 `status:"sessions"`
+	TurnedAway int64 `status:"turned_away"`
+	Evicted    int64 `status:"evicted"`
+	TimedOut   int64 `status:"timed_out"`
+	Logins     int64 `status:"logins"`
+	BadLogins  int64 `status:"bad_logins"`
+	BadPackets int64 `status:"bad_packets"`
+	BadFields  int64 `status:"bad_fields"`
+	Pings      int64 `status:"pings"`
+	Kills      int64 `status:"kills"`
 }
 
 // NewFront returns a front; status gives the rows of SHOW STATUS.
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -33,8 +33,8 @@
 
 // stallCounters count standstills, and the SIGCONTs that tell that the process had been stopped by a signal.
 type stallCounters struct {
-	Stalls    int64
-	Continued atomic.Int64
+	Stalls    int64        `status:"stalls"`
+	Continued atomic.Int64 `status:"continued"`
 }
 
 // beat notices that the loop stood still: the process was stopped, or got no processor. Then clients' queries wait that
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"reflect"
 	"strconv"
-	"strings"
 	"sync/atomic"
 
 	"windflow/brain"
@@ -14,7 +13,7 @@
 	brain.TimedOut: "timed_out", brain.ConnectFailed: "connect_failed", brain.Reset: "reset",
 	brain.Cancelled: "cancelled", brain.NotSent: "not_sent"}
 
-// status lists the counters of all parts, and what is open now.
+// status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
 func (r *node) status() [][2]string {
 	rows := [][2]string{
 		{"core.open", strconv.Itoa(r.core.Open())},
@@ -33,7 +32,7 @@
 	for _, p := range parts {
 		v := reflect.ValueOf(p.of).Elem()
 		for i := range v.NumField() {
-			name := p.name + "." + snake(v.Type().Field(i).Name)
+			name := p.name + "." + v.Type().Field(i).Tag.Get("status")
 			switch field := v.Field(i).Addr().Interface().(type) {
 			case *int64:
 				rows = append(rows, [2]string{name, strconv.FormatInt(*field, 10)})
@@ -49,18 +48,6 @@
 	return rows
 }
 
-// snake turns a field's name into a counter's.
-func snake(s string) string {
-	var b strings.Builder
-	for i, c := range s {
-		if i > 0 && c >= 'A' && c <= 'Z' {
-			b.WriteByte('_')
-		}
-		b.WriteString(strings.ToLower(string(c)))
-	}
-	return b.String()
-}
-
 func (r *node) printCounters(why string) {
 	var attrs []any
 	for _, kv := range r.status() {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -39,7 +39,13 @@
 )
 
 // Counters count what the writer did.
-type Counters struct{ Written, Dropped, Bytes, Segments, Failures atomic.Int64 }
+type Counters struct {
+	Written  atomic.Int64 `status:"written"`
+	Dropped  atomic.Int64 `status:"dropped"`
+	Bytes    atomic.Int64 `status:"bytes"`
+	Segments atomic.Int64 `status:"segments"`
+	Failures atomic.Int64 `status:"failures"`
+}
 
 // Writer writes records in a goroutine of its own. The caller never waits for it, nor for a disk.
 type Writer struct {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -51,10 +51,22 @@
 
 // Counters count what the core took in, sent and answered.
 type Counters struct {
-	Taken, Served, Refused, Failed, Abandoned   int64
-	Malformed, Sends, Late, Overdue, Lists      int64
-	Ends                                        [8]int64 // by outcome
-	Handled, Actions, Steps, MaxOpen, AfterDone int64
+	Taken     int64    `status:"taken"`
+	Served    int64    `status:"served"`
+	Refused   int64    `status:"refused"`
+	Failed    int64    `status:"failed"`
+	Abandoned int64    `status:"abandoned"`
+	Malformed int64    `status:"malformed"`
+	Sends     int64    `status:"sends"`
+	Late      int64    `status:"late"`
+	Overdue   int64    `status:"overdue"`
+	Lists     int64    `status:"lists"`
+	Ends      [8]int64 `status:"ends"` // by outcome
+	Handled   int64    `status:"handled"`
+	Actions   int64    `status:"actions"`
+	Steps     int64    `status:"steps"`
+	MaxOpen   int64    `status:"max_open"`
+	AfterDone int64    `status:"after_done"`
 }
 
 // ClassCounters count the requests of a class by their answers, and the attempts that were written whole to engines.
