--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
 // Command drill speaks the simulator's wire on standard input and output and hosts one controller per
-// instance. It translates and decides nothing; the decisions are in package brain.
+// instance. It translates and decides nothing; the decisions are in package dispatch.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"os"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/settings"
 )
 
@@ -52,14 +52,14 @@
 
 // host keeps the instances of this process and the numbered lists.
 type host struct {
-	instances map[int64]*brain.Controller
-	sheets    map[int64][]brain.Engine
-	actions   []brain.Action
+	instances map[int64]*dispatch.Controller
+	sheets    map[int64][]dispatch.Engine
+	actions   []dispatch.Action
 	out       []map[string]any
 }
 
 func newHost() *host {
-	return &host{instances: map[int64]*brain.Controller{}, sheets: map[int64][]brain.Engine{}}
+	return &host{instances: map[int64]*dispatch.Controller{}, sheets: map[int64][]dispatch.Engine{}}
 }
 
 // batch handles one line and returns the reply.
@@ -158,7 +158,7 @@
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	c, err := brain.New(cfg)
+	c, err := dispatch.New(cfg)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
@@ -178,7 +178,7 @@
 	if m.Sheet == nil {
 		return errors.New("field sheet is missing")
 	}
-	list := make([]brain.Engine, 0, len(m.Elements))
+	list := make([]dispatch.Engine, 0, len(m.Elements))
 	for i, e := range m.Elements {
 		engine, err := e.engine()
 		if err != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 const startLine = `{"ts-ns":1000000000,"n":1,"in":[{"START":{"who":0,"nonce64":5,"settings":{"balancers":1,"me":0,` +
@@ -63,10 +63,10 @@
 // Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then nobody minds the
 // loads that hold what it reads.
 func TestTableGroups(t *testing.T) {
-	for field, want := range map[string]int64{``: 0, `,"table-group":0`: brain.GroupOf(0), `,"table-group":17`: brain.GroupOf(17),
-		`,"table-group":4294967295`: brain.GroupOf(math.MaxUint32), `,"table-group":-1`: 0, `,"table-group":1e300`: 0} {
+	for field, want := range map[string]int64{``: 0, `,"table-group":0`: dispatch.GroupOf(0), `,"table-group":17`: dispatch.GroupOf(17),
+		`,"table-group":4294967295`: dispatch.GroupOf(math.MaxUint32), `,"table-group":-1`: 0, `,"table-group":1e300`: 0} {
 		ev, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
-		if a, ok := ev.(brain.Arrival); err != nil || !ok || a.Group != want {
+		if a, ok := ev.(dispatch.Arrival); err != nil || !ok || a.Group != want {
 			t.Errorf("%s: %+v, %v, want group %d", field, ev, err, want)
 		}
 	}
--- a/cmd/drill/wire.go
+++ b/cmd/drill/wire.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/settings"
 )
 
@@ -28,12 +28,12 @@
 }
 
 var (
-	states = map[string]brain.EngineState{"live": brain.Live, "quiescing": brain.Draining, "dead": brain.Gone}
-	modes  = map[string]brain.ListMode{"FULL": brain.ListFull, "INCREMENTAL": brain.ListChanges,
-		"SAVED": brain.ListSaved, "FAILED": brain.ListFailed}
-	outcomes = map[string]brain.Outcome{"served": brain.Served, "server_error": brain.Errored,
-		"turned_away": brain.Full, "no_answer": brain.TimedOut, "no_connection": brain.ConnectFailed,
-		"connection_lost": brain.Reset, "called_off": brain.Cancelled, "not_sent": brain.NotSent}
+	states = map[string]dispatch.EngineState{"live": dispatch.Live, "quiescing": dispatch.Draining, "dead": dispatch.Gone}
+	modes  = map[string]dispatch.ListMode{"FULL": dispatch.ListFull, "INCREMENTAL": dispatch.ListChanges,
+		"SAVED": dispatch.ListSaved, "FAILED": dispatch.ListFailed}
+	outcomes = map[string]dispatch.Outcome{"served": dispatch.Served, "server_error": dispatch.Errored,
+		"turned_away": dispatch.Full, "no_answer": dispatch.TimedOut, "no_connection": dispatch.ConnectFailed,
+		"connection_lost": dispatch.Reset, "called_off": dispatch.Cancelled, "not_sent": dispatch.NotSent}
 )
 
 // A bill is milliseconds of work times billUnit, plus the memory needed in units of billMB.
@@ -53,12 +53,12 @@
 	Born      int64   `json:"born-ns"`
 }
 
-func (e wireEntry) engine() (brain.Engine, error) {
+func (e wireEntry) engine() (dispatch.Engine, error) {
 	if e.Executor == nil {
-		return brain.Engine{}, errors.New("executor is missing")
+		return dispatch.Engine{}, errors.New("executor is missing")
 	}
 	state, err := settings.Word("condition", e.Condition, states)
-	return brain.Engine{ID: brain.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
+	return dispatch.Engine{ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
 		Size: e.Units, State: state, Born: time.Duration(e.Born)}, err
 }
 
@@ -88,7 +88,7 @@
 }
 
 // load translates a report; absent values are unknown.
-func (m *wireEvent) load() *brain.Load {
+func (m *wireEvent) load() *dispatch.Load {
 	if m.Load == nil {
 		return nil
 	}
@@ -98,21 +98,21 @@
 		}
 		return -1
 	}
-	return &brain.Load{InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
+	return &dispatch.Load{InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
 		Memory: get("x0"), Failing: get("fail_rate")}
 }
 
 // event translates one event; nil means that there is nothing to tell.
-func (h *host) event(name string, body json.RawMessage) (brain.Event, error) {
+func (h *host) event(name string, body json.RawMessage) (dispatch.Event, error) {
 	var m wireEvent
 	if err := decode(body, &m); err != nil {
 		return nil, err
 	}
-	ref := func() (brain.RequestID, error) {
+	ref := func() (dispatch.RequestID, error) {
 		if m.Ref == nil || *m.Ref == "" {
 			return "", errors.New("field ref is missing")
 		}
-		return brain.RequestID(*m.Ref), nil
+		return dispatch.RequestID(*m.Ref), nil
 	}
 	switch name {
 	case "ENDPOINTS":
@@ -121,46 +121,46 @@
 			return nil, err
 		}
 		list, ok := h.sheets[m.Sheet]
-		if !ok && mode != brain.ListFailed {
+		if !ok && mode != dispatch.ListFailed {
 			return nil, fmt.Errorf("field sheet: list %d was never registered", m.Sheet)
 		}
-		if mode == brain.ListFailed {
+		if mode == dispatch.ListFailed {
 			list = nil
 		}
-		return brain.EngineList{Mode: mode, Engines: list}, nil
+		return dispatch.EngineList{Mode: mode, Engines: list}, nil
 	case "REQ":
 		id, err := ref()
 		tenant, _ := m.Billing.(string)
 		group := int64(0)
 		if m.TableGroup != nil && *m.TableGroup >= 0 && *m.TableGroup <= math.MaxUint32 {
-			group = brain.GroupOf(uint32(*m.TableGroup))
+			group = dispatch.GroupOf(uint32(*m.TableGroup))
 		}
-		return brain.Arrival{Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, Group: group,
+		return dispatch.Arrival{Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, Group: group,
 			Estimate: time.Duration(m.Estimate), NeedMB: m.WantMB, TimeLeft: time.Duration(m.TimeLeft),
 			Resent: m.Resent}, err
 	case "PROGRESS":
 		id, err := ref()
-		return brain.Note{Request: id, Attempt: m.Hop, Kind: brain.NoteKind(m.What), Amount: m.Amount}, err
+		return dispatch.Note{Request: id, Attempt: m.Hop, Kind: dispatch.NoteKind(m.What), Amount: m.Amount}, err
 	case "ATTEMPT_END":
 		id, err := ref()
 		if err != nil {
 			return nil, err
 		}
 		outcome, err := settings.Word("field disposition", m.Disposition, outcomes)
-		return brain.AttemptEnd{Request: id, Attempt: m.Hop, Outcome: outcome,
+		return dispatch.AttemptEnd{Request: id, Attempt: m.Hop, Outcome: outcome,
 			Took: time.Duration(m.DelaySeen), Last: m.Last, Load: m.load(),
 			Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB}, err
 	case "STREAMING":
 		id, err := ref()
-		return brain.StreamStart{Request: id, Attempt: m.Hop}, err
+		return dispatch.StreamStart{Request: id, Attempt: m.Hop}, err
 	case "ABORTED":
 		id, err := ref()
-		return brain.Abort{Request: id}, err
+		return dispatch.Abort{Request: id}, err
 	case "BELL":
-		return brain.Timer{Tag: m.Tag}, nil
+		return dispatch.Timer{Tag: m.Tag}, nil
 	case "PROBE_RESULT":
 		if l := m.load(); l != nil {
-			return brain.Report{Engine: brain.EngineID(m.Executor), Load: *l}, nil
+			return dispatch.Report{Engine: dispatch.EngineID(m.Executor), Load: *l}, nil
 		}
 		return nil, nil
 	case "INBOX":
@@ -170,30 +170,30 @@
 }
 
 // encode translates one action.
-func encode(who int64, a brain.Action) map[string]any {
+func encode(who int64, a dispatch.Action) map[string]any {
 	fields := map[string]any{"who": who}
 	name := ""
 	switch a := a.(type) {
-	case brain.Send:
+	case dispatch.Send:
 		name, fields["ref"], fields["executor"] = "DISPATCH", a.Request, a.Engine
 		if a.Timeout != 0 {
 			fields["allow-for-ns"] = int64(a.Timeout)
 		}
-	case brain.SetTerms:
+	case dispatch.SetTerms:
 		name, fields["ref"] = "ASSIGN_TERMS", a.Request
 		fields["allot-mb"], fields["weight-class"] = a.GrantMB, a.Priority
-	case brain.Cancel:
+	case dispatch.Cancel:
 		name, fields["ref"], fields["hop"] = "CANCEL", a.Request, a.Attempt
-	case brain.Refuse:
+	case dispatch.Refuse:
 		name, fields["ref"] = "PUSH_BACK", a.Request
 		if a.RetryAfter > 0 {
 			fields["not-before-for-ns"] = int64(a.RetryAfter)
 		}
-	case brain.Fail:
+	case dispatch.Fail:
 		name, fields["ref"] = "ERROR", a.Request
-	case brain.Subscribe:
+	case dispatch.Subscribe:
 		name, fields["on"] = "FOLLOW", true
-	case brain.SetTimer:
+	case dispatch.SetTimer:
 		name, fields["tag"], fields["delay-ns"] = "SCHEDULE", a.Tag, int64(a.After)
 	}
 	return map[string]any{name: fields}
--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 	"windflow/internal/validate"
 )
@@ -111,9 +111,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("--base: %s: %w", file, err)
 	}
-	return func(entries map[string]json.RawMessage) *rollout.Fault {
+	return func(entries map[string]json.RawMessage) *configlog.Fault {
 		if f := validate.Entries(base, entries); f != nil {
-			return &rollout.Fault{Kind: rollout.FaultInvalid, Pointer: f.Pointer, Reason: f.Reason}
+			return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: f.Pointer, Reason: f.Reason}
 		}
 		return nil
 	}, nil
--- a/brain/api.go
+++ b/dispatch/api.go
@@ -1,10 +1,10 @@
-// Package brain decides for a front of query engines with limited memory: which engine runs a query,
+// Package dispatch decides for a front of query engines with limited memory: which engine runs a query,
 // when, with what memory grant and priority, and when to retry, cancel, refuse or fail it.
 //
 // This file holds the types that go in and out. Decisions are in hold.go (what waits and what goes), choose.go
 // (which engine), learn.go (what outcomes tell) and rules.go (what may be sent, again or at all); mechanisms that
 // stand alone are in packages under internal/decide.
-package brain
+package dispatch
 
 import "time"
 
--- a/brain/brain_test.go
+++ b/dispatch/brain_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"os"
@@ -270,7 +270,7 @@
 			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > 120 {
 				t.Errorf("%s:%d is %d wide", file, i+1, width)
 			}
-			if strings.TrimSpace(line) != "" && strings.Contains(policy[1], `"brain/`+file+`"`) {
+			if strings.TrimSpace(line) != "" && strings.Contains(policy[1], `"dispatch/`+file+`"`) {
 				decides++
 			}
 		}
--- a/brain/choose.go
+++ b/dispatch/choose.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Which engine a query goes to: of two random ones with room, the one with less work.
 
@@ -8,7 +8,7 @@
 	"time"
 
 	"windflow/internal/decide/pressure"
-	"windflow/internal/decide/ration"
+	"windflow/internal/decide/slowstart"
 )
 
 const (
@@ -153,7 +153,7 @@
 	}
 	if size = min(size, n); size != c.nearSize {
 		c.near, c.nearSize = c.near[:0], size
-		for _, i := range ration.Deal(c.cfg.Instance, c.cfg.Gateways, n, size) {
+		for _, i := range slowstart.Deal(c.cfg.Instance, c.cfg.Gateways, n, size) {
 			c.near = append(c.near, c.live[i])
 		}
 	}
--- a/brain/handle.go
+++ b/dispatch/handle.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Events come in, actions go out, and the books between are kept. Nothing is decided here.
 
--- a/brain/handover.go
+++ b/dispatch/handover.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"slices"
--- a/brain/hold.go
+++ b/dispatch/hold.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // What waits and what goes: requests wait in first-come queues, one a class, and ratio release picks among them
 // (LaPadula's delay-ratio control, Segal, ITC 9). What can't be over in time is given up at once.
--- a/brain/learn.go
+++ b/dispatch/learn.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // What lists, outcomes and notes tell of engines and classes, and what follows for attempts that are out.
 
--- a/brain/list.go
+++ b/dispatch/list.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // The engines that lists name, and the operators' word on them.
 
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"windflow/internal/decide/ration"
-	"windflow/internal/decide/rest"
+	"windflow/internal/decide/backoff"
+	"windflow/internal/decide/slowstart"
 )
 
 func (c *Controller) onList(ev EngineList) {
@@ -53,7 +53,7 @@
 	e.coldAt, e.warmAt = at, max(e.warmAt, at+c.cfg.ColdFor)
 	e.slow, e.fail = 1, 0
 	e.rest.Answer()
-	e.ration = ration.Start(c.cfg.Instance, c.cfg.Gateways, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
+	e.ration = slowstart.Start(c.cfg.Instance, c.cfg.Gateways, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
 	e.rationBy, c.tally.till, c.tally.failingUntil = rationBy{}, 0, 0
 }
 
@@ -111,7 +111,7 @@
 	}
 	for _, z := range c.groups {
 		if !slices.Contains(before, z) {
-			z.Group = rest.Group{} // of a zone with no listed engine nothing is kept
+			z.Group = backoff.Group{} // of a zone with no listed engine nothing is kept
 		}
 	}
 }
--- a/brain/locks_test.go
+++ b/dispatch/locks_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"math/rand/v2"
--- a/brain/measure.go
+++ b/dispatch/measure.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Measures of engines, classes and the fleet that the decisions go by.
 
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"windflow/internal/decide/rest"
+	"windflow/internal/decide/backoff"
 )
 
 // fade is what is left of evidence from a time on, at a life in which it falls to 1/e.
@@ -112,8 +112,8 @@
 // rests are those of an engine after strikes in a row, in milliseconds; zoneRests those of a zone once
 // zoneStrikes of its engines in a row gave no answer.
 var (
-	rests     = rest.Terms{First: 250, Most: 4000}
-	zoneRests = rest.Terms{First: 500, Most: 2000}
+	rests     = backoff.Terms{First: 250, Most: 4000}
+	zoneRests = backoff.Terms{First: 500, Most: 2000}
 )
 
 const zoneStrikes = 3
@@ -128,7 +128,7 @@
 	return n
 }
 
-// strike keeps what internal/decide/rest goes by: a gateway of a large fleet keeps off an engine that gave no
+// strike keeps what internal/decide/backoff goes by: a gateway of a large fleet keeps off an engine that gave no
 // connection, no answer or no room, and off a zone where several gave none in a row. Its tries are few, and
 // all gateways' are many.
 func (c *Controller) strike(a *attempt, o Outcome) {
--- a/brain/rules.go
+++ b/dispatch/rules.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // The gate: what the rules allow to be sent, sent again or refused is kept here and nowhere else.
 
--- a/brain/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"fmt"
@@ -162,7 +162,7 @@
 	for name, x := range figures {
 		figures[name] = math.Round(x*1000) / 1000
 	}
-	return capacity.Scale{Name: d.name, Routers: d.day.gateways, Engines: d.day.engines, Zones: d.day.zones, Figures: figures, Test: "windflow/brain TestScaleFleet",
+	return capacity.Scale{Name: d.name, Routers: d.day.gateways, Engines: d.day.engines, Zones: d.day.zones, Figures: figures, Test: "windflow/dispatch TestScaleFleet",
 		Conditions: fmt.Sprintf("the module alone, seed %d, load %.1f of the fleet, %.3g of the engines three times as slow", d.day.seed, d.day.load, d.day.bad)}
 }
 
--- a/brain/scalenear_test.go
+++ b/dispatch/scalenear_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import (
 	"math"
@@ -85,6 +85,6 @@
 	figures["one engine less: share of places moved"] = math.Round(1000*share) / 1000
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
 		writeScale(t, capacity.Scale{Name: "near sets", Routers: gateways, Engines: engines, Zones: 6, Figures: figures,
-			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom", Test: "windflow/brain TestNearSetsOfALargeFleet"})
+			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom", Test: "windflow/dispatch TestNearSetsOfALargeFleet"})
 	}
 }
--- a/brain/state.go
+++ b/dispatch/state.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // What the controller remembers, and how it is made and configured. Nothing is decided here.
 
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
+	"windflow/internal/decide/backoff"
 	"windflow/internal/decide/pressure"
 	"windflow/internal/decide/quota"
-	"windflow/internal/decide/ration"
-	"windflow/internal/decide/rest"
+	"windflow/internal/decide/slowstart"
 )
 
 // This file holds what the controller remembers and the bookkeeping of it; the decisions are in brain.go.
@@ -52,7 +52,7 @@
 	owed            bool // included again, and not sent anything since
 	coldAt, warmAt  time.Duration
 	lost            int // attempts in a row that met no connection, or lost it
-	rest            rest.Rest
+	rest            backoff.Rest
 	zone            *zone
 	counted, noted  bool // among the warm ones of the tally; among the failed
 	running         []*attempt
@@ -62,7 +62,7 @@
 	slowAt, failAt  time.Duration
 	fullAt          time.Duration
 	spent           []spend
-	ration          ration.Ration // of what all gateways may send it while it is cold
+	ration          slowstart.Ration // of what all gateways may send it while it is cold
 	rationBy        rationBy
 	dueAt           float64         // when the heap of rations looks at it
 	peer            EngineUse       // of the other controller of this gateway, in an upgrade
--- a/brain/sums.go
+++ b/dispatch/sums.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Sums over the engines that lists name, and the few of them that a moment is about, kept so that no decision looks
 // at the whole fleet. Nothing is decided here. What only time changes is kept with the time until which it holds.
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"windflow/internal/decide/ration"
-	"windflow/internal/decide/rest"
+	"windflow/internal/decide/backoff"
+	"windflow/internal/decide/slowstart"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // zone is a failure domain that lists name.
 type zone struct {
-	rest.Group
+	backoff.Group
 	listed bool // it has a listed engine; of one without, nothing is kept
 }
 
@@ -93,7 +93,7 @@
 // ---- rations of cold engines
 
 // flow is what comes due to this gateway of what all may send a cold engine, in chunks of that work.
-func (c *Controller) flow(e *engine, chunk float64) (f ration.Flow) {
+func (c *Controller) flow(e *engine, chunk float64) (f slowstart.Flow) {
 	window := c.cfg.OverloadFor.Seconds()
 	whole, meet := 0.85*e.cores, math.Inf(1) // what it can do when warm; where the two bounds below meet
 	if d := c.cfg.OverloadFactor - 2*coldUse; d > 0 {
@@ -134,7 +134,7 @@
 }
 
 // rationed gives an engine's ration, which goes by the present chunk.
-func (c *Controller) rationed(e *engine) *ration.Ration {
+func (c *Controller) rationed(e *engine) *slowstart.Ration {
 	if by := (rationBy{c.tally.chunk, e.cores, c.revision}); e.rationBy != by {
 		e.rationBy = by
 		e.ration.Go(c.flow(e, by.chunk), millis(c.now))
--- a/internal/control/door.go
+++ b/internal/admin/door.go
@@ -1,6 +1,6 @@
-// Package control is the operators' door: a small HTTP/1.1 server in the router's loop, with one call to a connection.
+// Package admin is the operators' door: a small HTTP/1.1 server in the router's loop, with one call to a connection.
 // It tells whether the router is ready and how it does, and bans engines by hand. It knows none of that itself.
-package control
+package admin
 
 import (
 	"fmt"
--- a/internal/control/door_test.go
+++ b/internal/admin/door_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"errors"
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -103,7 +103,7 @@
 	}
 	m := Measured{[]Slope{s}, []Scale{{Name: "day", Routers: Routers, Engines: Engines, Zones: Zones, Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T"}}}
 	row := func(what string, budget float64, terms ...Term) Row {
-		return Row{Role: "router", What: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"brain"}}
+		return Row{Role: "router", What: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"dispatch"}}
 	}
 	rows := []Scenario{{"one", []Row{row("within", 900, Line("a", 400)), row("over", 900, Line("a", 450)), row("far", 0, Line("a", 1601)),
 		row("rise", 0, Rise("a", 400).By(0.5)), row("missing", 5, Line("b", 1)), row("day", 1, Played("day", "served")), row("size", 0, Given(12345.6, "sum")),
@@ -121,13 +121,13 @@
 <!-- capacity: one -->
 | role | what | figure | budget | says | from | carried by |
 | --- | --- | --- | --- | --- | --- | --- |
-| router | within | 810 ms | 900 ms | measured | ` + "`a`" + ` at 400 | a loop ` + "`brain`" + ` |
-| router | over | 910 ms | 900 ms | reckoned, at 1.13 times the largest size measured; over its budget | ` + "`a`" + ` at 450 | a loop ` + "`brain`" + ` |
-| router | far | 3,210 ms | - | extrapolated to 4 times the largest size measured | ` + "`a`" + ` at 1,600 | a loop ` + "`brain`" + ` |
-| router | rise | 400 ms | - | reckoned | rise of ` + "`a`" + ` by 400 × 0.5 | a loop ` + "`brain`" + ` |
-| router | missing | - | 5 ms | unmeasured: b | ` + "`b`" + ` at 1 | a loop ` + "`brain`" + ` |
-| router | day | 0.987 ms | 1 ms | played | day ` + "`day`, `served`" + ` | a loop ` + "`brain`" + ` |
-| router | size | 12,300 ms | - | given | sum | a loop ` + "`brain`" + ` |
+| router | within | 810 ms | 900 ms | measured | ` + "`a`" + ` at 400 | a loop ` + "`dispatch`" + ` |
+| router | over | 910 ms | 900 ms | reckoned, at 1.13 times the largest size measured; over its budget | ` + "`a`" + ` at 450 | a loop ` + "`dispatch`" + ` |
+| router | far | 3,210 ms | - | extrapolated to 4 times the largest size measured | ` + "`a`" + ` at 1,600 | a loop ` + "`dispatch`" + ` |
+| router | rise | 400 ms | - | reckoned | rise of ` + "`a`" + ` by 400 × 0.5 | a loop ` + "`dispatch`" + ` |
+| router | missing | - | 5 ms | unmeasured: b | ` + "`b`" + ` at 1 | a loop ` + "`dispatch`" + ` |
+| router | day | 0.987 ms | 1 ms | played | day ` + "`day`, `served`" + ` | a loop ` + "`dispatch`" + ` |
+| router | size | 12,300 ms | - | given | sum | a loop ` + "`dispatch`" + ` |
 | relay | to come | 3,220 | - | assumed; extrapolated to 4 times the largest size measured | a guess + ` + "`a`" + ` at 1,600 | a hop (not built) |
 <!-- /capacity -->
 tail
@@ -152,10 +152,10 @@
 		{"an unsaid gap", "unmeasured: b", "measured", `one, router: missing: is unmeasured (b) and does not say so`},
 		{"an extrapolation behind an assumption", "assumed; extrapolated to 4 times the largest size measured", "assumed", `one, relay: to come: is extrapolated to 4 times`},
 		{"an assumption called given", "assumed;", "given;", `one, relay: to come: says "given;`},
-		{"another place for what is not built", "a hop (not built)", "a hop `brain`", "one, relay: to come: is said to be carried by \"a hop `brain`\""},
+		{"another place for what is not built", "a hop (not built)", "a hop `dispatch`", "one, relay: to come: is said to be carried by \"a hop `dispatch`\""},
 		{"a reckoned figure called measured", "| reckoned |", "| measured |", `one, router: rise: says "measured", want "reckoned"`},
 		{"another source", "`a` at 400 |", "`a` at 100 |", `one, router: within: is said to come from "` + "`a` at 100"},
-		{"a row without its mechanism", "a loop `brain` |\n| router | over", "|\n| router | over", `one, router: within: names no mechanism with its package`},
+		{"a row without its mechanism", "a loop `dispatch` |\n| router | over", "|\n| router | over", `one, router: within: names no mechanism with its package`},
 		{"a row that is missing", "| router | size |", "| router | sizes |", `one, router: size: is not on the page`},
 		{"a row that nothing defines", "| router | size |", "| router | sizes |", `one, router: sizes: no row is defined for it`},
 		{"a row twice", "| router | over |", "| router | within |", `one, router: within: is there twice`},
@@ -192,7 +192,7 @@
 		t.Error(faults)
 	}
 	m, rows, page = example(t)
-	rows[0].Rows[0].Mechanism, rows[0].Rows[1].Packages, rows[0].Rows[2].Packages = "", []string{"internal/nowhere"}, []string{"brain", NotBuilt}
+	rows[0].Rows[0].Mechanism, rows[0].Rows[1].Packages, rows[0].Rows[2].Packages = "", []string{"internal/nowhere"}, []string{"dispatch", NotBuilt}
 	faults := strings.Join(m.Check(page, rows, packageExists), "\n")
 	if !strings.Contains(faults, "within: names no mechanism with its package") || !strings.Contains(faults, "over: there is no package internal/nowhere") ||
 		!strings.Contains(faults, "far: there is no package (not built)") {
--- a/internal/follow/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // counting counts the bytes of connections that it accepts.
@@ -47,7 +47,7 @@
 	s.Start()
 	defer s.Close()
 	p := &poller{}
-	f := rollout.NewFollower("router-0001", rollout.Instance(1, 1))
+	f := configlog.NewFollower("router-0001", configlog.Instance(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, fresh, err := p.ask(context.Background(), l.Addr().String(), f.Ask(), 2000); fresh || err != nil {
--- a/internal/follow/disk.go
+++ b/internal/configclient/disk.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"path/filepath"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
@@ -33,22 +33,22 @@
 	path, name string
 	counters   *Counters
 	log        *slog.Logger
-	next       chan rollout.Saved // the latest that is not written yet
+	next       chan configlog.Saved // the latest that is not written yet
 	failing    bool
 }
 
 func newDisk(dir, name string, n *Counters, log *slog.Logger) *disk {
-	return &disk{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan rollout.Saved, 1)}
+	return &disk{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.Saved, 1)}
 }
 
 // copied is what stands in the file, after its first line.
 type copied struct {
-	Router string        `json:"router"`
-	Saved  rollout.Saved `json:"saved"`
+	Router string          `json:"router"`
+	Saved  configlog.Saved `json:"saved"`
 }
 
 // load reads a copy: fs.ErrNotExist where there is none, ErrDamaged where it is not what was written.
-func (d *disk) load() (s rollout.Saved, err error) {
+func (d *disk) load() (s configlog.Saved, err error) {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return s, err
@@ -61,28 +61,28 @@
 	line, rest, _ := bytes.Cut(text, []byte("\n"))
 	sum, ok := bytes.CutPrefix(line, []byte(head))
 	if !ok {
-		return s, fmt.Errorf("%w: it is no copy of a configuration", rollout.ErrDamaged)
+		return s, fmt.Errorf("%w: it is no copy of a configuration", configlog.ErrDamaged)
 	}
 	if got := sha256.Sum256(rest); hex.EncodeToString(got[:]) != string(sum) {
-		return s, fmt.Errorf("%w: the checksum is that of another content", rollout.ErrDamaged)
+		return s, fmt.Errorf("%w: the checksum is that of another content", configlog.ErrDamaged)
 	}
 	var c copied
 	if err := json.Unmarshal(rest, &c); err != nil {
-		return s, fmt.Errorf("%w: %w", rollout.ErrDamaged, err)
+		return s, fmt.Errorf("%w: %w", configlog.ErrDamaged, err)
 	}
 	if c.Router != d.name {
-		return s, fmt.Errorf("%w: it is that of router %q", rollout.ErrDamaged, c.Router)
+		return s, fmt.Errorf("%w: it is that of router %q", configlog.ErrDamaged, c.Router)
 	}
 	return c.Saved, nil
 }
 
 // read gives the copy, if there is a good one; one that is not is set aside.
-func (d *disk) read() (rollout.Saved, bool) {
+func (d *disk) read() (configlog.Saved, bool) {
 	s, err := d.load()
 	switch {
 	case err == nil:
 		return s, true
-	case errors.Is(err, rollout.ErrDamaged):
+	case errors.Is(err, configlog.ErrDamaged):
 		d.setAside(err)
 	case !errors.Is(err, fs.ErrNotExist):
 		d.log.Error("the copy of the configuration can't be read", "file", d.path, "err", err)
@@ -99,7 +99,7 @@
 }
 
 // save has a revision written when the disk comes to it. A later one that comes before takes its place.
-func (d *disk) save(s rollout.Saved) {
+func (d *disk) save(s configlog.Saved) {
 	for {
 		select {
 		case d.next <- s:
@@ -115,10 +115,10 @@
 
 // run writes what is to be saved, until the client ends. What came last is written then too.
 func (d *disk) run(ctx context.Context) {
-	var failed *rollout.Saved
+	var failed *configlog.Saved
 	again := time.NewTicker(againAfter)
 	defer again.Stop()
-	put := func(s rollout.Saved) {
+	put := func(s configlog.Saved) {
 		failed = nil
 		if !d.keep(s) {
 			failed = &s
@@ -144,7 +144,7 @@
 }
 
 // keep writes a copy, and says once that it can't, and once that it can again.
-func (d *disk) keep(s rollout.Saved) bool {
+func (d *disk) keep(s configlog.Saved) bool {
 	err := d.write(s)
 	if err != nil {
 		d.counters.DiskFailed.Add(1)
@@ -159,7 +159,7 @@
 }
 
 // write replaces the copy, whole or not at all. One that is later stays: the other process of this router wrote it.
-func (d *disk) write(s rollout.Saved) error {
+func (d *disk) write(s configlog.Saved) error {
 	if there, err := d.load(); err == nil && there.Revision > s.Revision {
 		return nil
 	}
--- a/internal/follow/encoded_test.go
+++ b/internal/configclient/encoded_test.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"testing"
--- a/internal/follow/follow.go
+++ b/internal/configclient/follow.go
@@ -1,8 +1,8 @@
-// Package follow is the router's side of the keepers: it asks one of them in a long poll what is new of the configuration by
+// Package configclient is the router's side of the keepers: it asks one of them in a long poll what is new of the configuration by
 // revision, has the router bring it in force, says with the next call what became of it, and keeps the last good revision on
 // disk for a start at which no keeper answers. It runs in goroutines of its own; the router's loop waits for none of it.
 // What to take and whom to ask is decided by package rollout.
-package follow
+package configclient
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // Config is the section of the settings.
@@ -57,7 +57,7 @@
 // Revision is the content of a revision. The entries may not be written to.
 type Revision struct {
 	Revision uint64                     `json:"revision"`
-	Hash     rollout.Hash               `json:"hash"`
+	Hash     configlog.Hash             `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
@@ -85,7 +85,7 @@
 	log    *slog.Logger
 	disk   *disk
 	poller *poller
-	state  *rollout.Follower // of the goroutine that runs, and of the starter before
+	state  *configlog.Follower // of the goroutine that runs, and of the starter before
 	apply  Apply
 	began  time.Time
 	lost   bool // the last call was
@@ -106,7 +106,7 @@
 
 // New gives a client that does nothing yet. The name is the router's, the instance this process's; see rollout.Instance.
 func New(cfg Config, name, instance string, log *slog.Logger) *Client {
-	c := &Client{cfg: cfg, log: log, state: rollout.NewFollower(name, instance), began: time.Now(), tokens: 2, tokenAt: time.Now()}
+	c := &Client{cfg: cfg, log: log, state: configlog.NewFollower(name, instance), began: time.Now(), tokens: 2, tokenAt: time.Now()}
 	c.stopped, c.stop = context.WithCancel(context.Background())
 	c.disk = newDisk(cfg.Dir, name, &c.Counters, log)
 	c.poller = &poller{}
@@ -233,8 +233,8 @@
 			c.Counters.Barred.Store(0)
 		}
 		if given != nil {
-			u := rollout.Update{To: given.Revision, Snapshot: true, Put: given.Entries, Hash: given.Hash}
-			if err := c.take(u); err != nil && !errors.Is(err, rollout.ErrStale) {
+			u := configlog.Update{To: given.Revision, Snapshot: true, Put: given.Entries, Hash: given.Hash}
+			if err := c.take(u); err != nil && !errors.Is(err, configlog.ErrStale) {
 				c.log.Warn("what the other process has can't be taken", "err", err)
 			}
 		}
@@ -308,7 +308,7 @@
 }
 
 // take goes by a keeper's answer.
-func (c *Client) take(u rollout.Update) error {
+func (c *Client) take(u configlog.Update) error {
 	entries, ok, err := c.state.Offer(u)
 	if ok {
 		c.settle(Revision{u.To, u.Hash, entries})
--- a/internal/follow/follow_test.go
+++ b/internal/configclient/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"encoding/json"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
-	"windflow/internal/follow/keepertest"
+	"windflow/internal/configclient/keepertest"
+	"windflow/internal/decide/configlog"
 )
 
 // router is a stand-in for what brings revisions in force.
@@ -72,7 +72,7 @@
 
 func client(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
-	c := New(Config{Addresses: keepers, Dir: dir, HoldMS: 2000}, "n/0", rollout.Instance(1, 1), discard)
+	c := New(Config{Addresses: keepers, Dir: dir, HoldMS: 2000}, "n/0", configlog.Instance(1, 1), discard)
 	t.Cleanup(c.Stop)
 	return c
 }
@@ -91,7 +91,7 @@
 	r.refuse[first+1] = &Refusal{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
-	said := k.Until("it refuses", func(r rollout.Report) bool { return r.Refused != nil })
+	said := k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
 	if said.Revision != first || said.Refused.Revision != first+1 || said.Refused.Pointer != "/settings/over-share-worth" ||
 		said.Refused.Reason != "too much" {
 		t.Errorf("%+v, %+v", said, said.Refused)
@@ -116,7 +116,7 @@
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
-	k.Until("it refuses", func(r rollout.Report) bool { return r.Refused != nil })
+	k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
 	r.mu.Lock()
 	delete(r.refuse, 1)
 	r.mu.Unlock()
@@ -146,13 +146,13 @@
 		}},
 		{"garbage", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\x00\xff<html>") }},
 		{"wrong hash", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(rollout.Update{To: 5, Snapshot: true, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
+			_ = json.NewEncoder(w).Encode(configlog.Update{To: 5, Snapshot: true, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
 		}},
 		{"behind", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(rollout.Update{To: 0, Behind: true})
+			_ = json.NewEncoder(w).Encode(configlog.Update{To: 0, Behind: true})
 		}},
 		{"a delta from elsewhere", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(rollout.Update{From: 4, To: 5, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
+			_ = json.NewEncoder(w).Encode(configlog.Update{From: 4, To: 5, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
 		}},
 		{"huge", func(w http.ResponseWriter, _ *http.Request) {
 			part := strings.Repeat("x", 1<<16)
@@ -176,7 +176,7 @@
 				met <- struct{}{}
 				bad.h(w, r)
 			})
-			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), HoldMS: 100}, "n0", rollout.Instance(1, 1), discard)
+			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), HoldMS: 100}, "n0", configlog.Instance(1, 1), discard)
 			t.Cleanup(c.Stop)
 			c.Start(r.apply)
 			<-met // it was asked, whatever it answers
@@ -237,9 +237,9 @@
 	c.Start(r.apply)
 	k.UntilAt(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
-	c.Give(Revision{7, rollout.HashOf(entries), entries})
+	c.Give(Revision{7, configlog.HashOf(entries), entries})
 	k.UntilAt(7)
-	c.Give(Revision{5, rollout.Hash{}, nil}) // older: left
+	c.Give(Revision{5, configlog.Hash{}, nil}) // older: left
 	r.until(t, 7)
 	if c.Latest().Revision != 7 {
 		t.Error(c.Latest().Revision)
@@ -366,9 +366,9 @@
 	dir := t.TempDir()
 	d := newDisk(dir, "n/0", &Counters{}, discard)
 	for _, rev := range []uint64{3, 9, 4} {
-		f := rollout.NewFollower("a", "b")
+		f := configlog.NewFollower("a", "b")
 		entries := map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}
-		if _, ok, err := f.Offer(rollout.Update{To: rev, Snapshot: true, Put: entries, Hash: rollout.HashOf(entries)}); !ok {
+		if _, ok, err := f.Offer(configlog.Update{To: rev, Snapshot: true, Put: entries, Hash: configlog.HashOf(entries)}); !ok {
 			t.Fatal(err)
 		}
 		f.Accept()
@@ -390,7 +390,7 @@
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
 	saved(t, k, dir)
-	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, HoldMS: 100}, "n/0", rollout.Instance(2, 2), discard), newRouter()
+	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, HoldMS: 100}, "n/0", configlog.Instance(2, 2), discard), newRouter()
 	t.Cleanup(c.Stop)
 	c.Restore(20*time.Second, r.apply)
 	if r.latest().Revision != rev || c.Counters.Changes.Load() != 1 {
--- a/internal/follow/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
 
@@ -26,7 +26,7 @@
 const goldenCopy = "n%2F0.revision"
 
 // goldenHash is some hash, the same for each digit.
-func goldenHash(digit byte) (h rollout.Hash) {
+func goldenHash(digit byte) (h configlog.Hash) {
 	copy(h[:], bytes.Repeat([]byte{digit}, len(h)))
 	return h
 }
@@ -38,10 +38,10 @@
 }
 
 // goldenSaved gives the copy of revision 12 as the follower's state has it.
-func goldenSaved(t *testing.T) rollout.Saved {
+func goldenSaved(t *testing.T) configlog.Saved {
 	t.Helper()
-	f := rollout.NewFollower("n/0", rollout.Instance(10, 11))
-	update := rollout.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: rollout.HashOf(goldenEntries())}
+	f := configlog.NewFollower("n/0", configlog.Instance(10, 11))
+	update := configlog.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: configlog.HashOf(goldenEntries())}
 	if _, ok, err := f.Offer(update); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
@@ -74,10 +74,10 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), goldentest.Read(t, goldenCopy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Config{Dir: dir}, "n/0", rollout.Instance(10, 11), discard)
+	c := New(Config{Dir: dir}, "n/0", configlog.Instance(10, 11), discard)
 	t.Cleanup(c.Stop)
 	c.Restore(time.Second, func(Revision) error { return nil })
-	want := Revision{Revision: 12, Hash: rollout.HashOf(goldenEntries()), Entries: goldenEntries()}
+	want := Revision{Revision: 12, Hash: configlog.HashOf(goldenEntries()), Entries: goldenEntries()}
 	if diff := cmp.Diff(want, c.Latest()); diff != "" {
 		t.Error(diff)
 	}
@@ -133,10 +133,10 @@
 
 // What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
 func TestGoldenCall(t *testing.T) {
-	report := rollout.Report{Name: "n/0", Instance: rollout.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
-		Refused: &rollout.Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
+	report := configlog.Report{Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Refused: &configlog.Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
 	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
-	answers := map[string]rollout.Update{
+	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
 		"whole": {From: 12, To: 14, Snapshot: true, Put: goldenEntries(), Hash: goldenHash(3)},
 		"none":  {From: 12, To: 9, Behind: true, Hash: goldenHash(3)},
--- a/internal/follow/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // within bounds the wait for what a test waits for: it is reached by a test that fails only.
@@ -24,17 +24,17 @@
 	stop   chan struct{}
 
 	mu      sync.Mutex
-	log     *rollout.Log
+	log     *configlog.Log
 	changed chan struct{} // closed at the next change
 	instead http.HandlerFunc
-	heard   chan rollout.Report
+	heard   chan configlog.Report
 	noted   map[string]bool // instances
 }
 
 // New runs a keeper that ends with the test.
 func New(t testing.TB) *Keeper {
-	k := &Keeper{t: t, log: rollout.NewLog(rollout.DefaultTerms), changed: make(chan struct{}), stop: make(chan struct{}),
-		heard: make(chan rollout.Report, 1<<14), noted: map[string]bool{}}
+	k := &Keeper{t: t, log: configlog.NewLog(configlog.DefaultTerms), changed: make(chan struct{}), stop: make(chan struct{}),
+		heard: make(chan configlog.Report, 1<<14), noted: map[string]bool{}}
 	k.server = httptest.NewServer(k)
 	t.Cleanup(func() {
 		close(k.stop)
@@ -52,7 +52,7 @@
 	k.t.Helper()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := rollout.Change{ID: "c" + strconv.FormatUint(k.log.Revision(), 10), Put: map[string]json.RawMessage{}, Remove: remove}
+	c := configlog.Change{ID: "c" + strconv.FormatUint(k.log.Revision(), 10), Put: map[string]json.RawMessage{}, Remove: remove}
 	for p, v := range put {
 		c.Put[p] = json.RawMessage(v)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Until waits for a call that says so.
-func (k *Keeper) Until(what string, ok func(rollout.Report) bool) rollout.Report {
+func (k *Keeper) Until(what string, ok func(configlog.Report) bool) configlog.Report {
 	k.t.Helper()
 	late := time.After(within)
 	for {
@@ -91,17 +91,17 @@
 }
 
 // UntilAt waits for a call that says that a revision is in force.
-func (k *Keeper) UntilAt(revision uint64) rollout.Report {
+func (k *Keeper) UntilAt(revision uint64) configlog.Report {
 	k.t.Helper()
 	return k.Until("revision "+strconv.FormatUint(revision, 10)+" is in force",
-		func(r rollout.Report) bool { return r.Revision == revision })
+		func(r configlog.Report) bool { return r.Revision == revision })
 }
 
 // ServeHTTP implements http.Handler.
 func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var ask struct {
-		Report rollout.Report `json:"report"`
-		WaitMS int            `json:"wait_ms"`
+		Report configlog.Report `json:"report"`
+		WaitMS int              `json:"wait_ms"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil || r.URL.Path != "/v1/follow" || r.Method != http.MethodPost {
 		http.Error(w, "no such call", http.StatusNotFound)
--- a/internal/follow/poller.go
+++ b/internal/configclient/poller.go
@@ -1,4 +1,4 @@
-package follow
+package configclient
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 	"net/http"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
 	// mostAnswer bounds what is read of an answer, in bytes: the largest document, each value escaped and with its pointer, fits.
-	mostAnswer = 2 * rollout.MaxDocument
+	mostAnswer = 2 * configlog.MaxDocument
 	// mostHeader bounds the head of an answer, in bytes.
 	mostHeader = 16 << 10
 	// dialWithin bounds the wait for a connection to a keeper.
@@ -61,10 +61,10 @@
 
 // ask says what this router has and hears what is new; not fresh where nothing is. The context, which has to have a deadline,
 // bounds all of it.
-func (p *poller) ask(ctx context.Context, addr string, report rollout.Report, holdMS int) (u rollout.Update, fresh bool, err error) {
+func (p *poller) ask(ctx context.Context, addr string, report configlog.Report, holdMS int) (u configlog.Update, fresh bool, err error) {
 	body, err := json.Marshal(struct {
-		Report rollout.Report `json:"report"`
-		WaitMS int            `json:"wait_ms"`
+		Report configlog.Report `json:"report"`
+		WaitMS int              `json:"wait_ms"`
 	}{report, holdMS})
 	if err != nil {
 		return u, false, err
--- a/internal/decide/rest/rest.go
+++ b/internal/decide/backoff/rest.go
@@ -1,9 +1,9 @@
-// Package rest decides how long to keep off what did not answer: a machine, or a group of them that one fault may have cut
+// Package backoff decides how long to keep off what did not answer: a machine, or a group of them that one fault may have cut
 // off. Each strike in a row doubles the rest, up to a bound; an answer ends it. It guards against many parties that each try
 // what is gone a little, which is a storm in sum, and against each of them finding machine by machine that a whole zone is gone.
 //
 // There is no clock in here, and no chance: times are handed in, in milliseconds, and so is the jitter.
-package rest
+package backoff
 
 // Terms say how long rests are, in milliseconds: the first one, and the longest.
 type Terms struct{ First, Most float64 }
--- a/internal/decide/rest/rest_test.go
+++ b/internal/decide/backoff/rest_test.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import "testing"
 
--- a/internal/decide/rollout/change.go
+++ b/internal/decide/configlog/change.go
@@ -1,8 +1,8 @@
-// Package rollout decides how a configuration by revision comes to the routers: a log of revisions as the keepers replicate
+// Package configlog decides how a configuration by revision comes to the routers: a log of revisions as the keepers replicate
 // it, what a follower gets that holds another revision, whose word counts for how long, when a revision may be called in
 // force everywhere, and what a follower does with what it is offered. It reads no clock, draws no chance and does no I/O: times
 // come in as milliseconds, jitter as a number. None of its types may be used by two goroutines at once.
-package rollout
+package configlog
 
 import (
 	"encoding/json"
--- a/internal/decide/rollout/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -1,4 +1,4 @@
-package rollout
+package configlog
 
 import (
 	"encoding/json"
--- a/internal/decide/takeover/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -1,4 +1,4 @@
-package takeover
+package hotrestart
 
 import (
 	"fmt"
--- a/internal/decide/takeover/step.go
+++ b/internal/decide/hotrestart/step.go
@@ -1,4 +1,4 @@
-package takeover
+package hotrestart
 
 // What the machine does at each event, by where it stands.
 
--- a/internal/decide/takeover/takeover.go
+++ b/internal/decide/hotrestart/takeover.go
@@ -1,4 +1,4 @@
-// Package takeover decides how one process of a router goes on in another one's place: who asks whom, who accepts, with
+// Package hotrestart decides how one process of a router goes on in another one's place: who asks whom, who accepts, with
 // which part of the bounds, and who ends. It is a pure state machine. Events and the time come in, effects come out; the
 // sockets, files and timers are the caller's. docs/design/takeover.md says why it is as it is.
 //
@@ -12,7 +12,7 @@
 //   - The elder stops accepting by a message only, and the new one accepts once it has the elder's word, or its end, or
 //     no word for so long that the elder hangs.
 //   - What must not run twice is begun while both take such requests only with the other's word (Peers).
-package takeover
+package hotrestart
 
 import "math"
 
--- a/internal/decide/ration/flow.go
+++ b/internal/decide/slowstart/flow.go
@@ -1,4 +1,4 @@
-package ration
+package slowstart
 
 import "math"
 
--- a/internal/decide/ration/ration.go
+++ b/internal/decide/slowstart/ration.go
@@ -1,4 +1,4 @@
-// Package ration deals a flow, or a row of items, out to many parties that know nothing of each other. Of a flow, each
+// Package slowstart deals a flow, or a row of items, out to many parties that know nothing of each other. Of a flow, each
 // one's part may be too small to be of use: a three-hundredth of what a cold engine may be sent in a second is less than one
 // query. A part adds up until it is worth a whole chunk, which the party may spend for a while; what is left then is void.
 //
@@ -10,7 +10,7 @@
 // one sums up to it, however often anybody asks: so the few rations out of many that are due can be found by their times.
 //
 // There is no clock in here, and no chance: times are handed in, in milliseconds on any clock that does not go back.
-package ration
+package slowstart
 
 import (
 	"math"
--- a/internal/board/board.go
+++ b/internal/discovery/board.go
@@ -1,6 +1,6 @@
-// Package board follows the notice board: numbered changes of the list of engines, as JSON in the
+// Package discovery follows the notice board: numbered changes of the list of engines, as JSON in the
 // configuration and as frames over TCP from then on.
-package board
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/netio"
 	"windflow/internal/router"
@@ -75,20 +75,20 @@
 	case len(rest)%recordLength != 0:
 		return f, fmt.Errorf("payload of %d bytes is not whole records", len(rest))
 	}
-	f.list = List{Events: brain.EngineList{Mode: brain.ListChanges}, Addrs: map[brain.EngineID]string{}}
+	f.list = List{Events: dispatch.EngineList{Mode: dispatch.ListChanges}, Addrs: map[dispatch.EngineID]string{}}
 	if f.kind == kindWhole {
-		f.list.Events.Mode = brain.ListFull
+		f.list.Events.Mode = dispatch.ListFull
 	}
 	for ; len(rest) > 0; rest = rest[recordLength:] {
-		id := brain.EngineID(binary.BigEndian.Uint32(rest))
+		id := dispatch.EngineID(binary.BigEndian.Uint32(rest))
 		state, zone, kind := rest[10], int(rest[11]), int(rest[12])
 		started := binary.BigEndian.Uint64(rest[19:])
 		if state > 2 || zone >= len(names.Zones) || kind >= len(names.Kinds) || started > maxStart {
 			return f, fmt.Errorf("record of s-%08x: state %d, zone %d, kind %d or start %d is out of range",
 				uint64(id), state, zone, kind, started)
 		}
-		f.list.Events.Engines = append(f.list.Events.Engines, brain.Engine{ID: id,
-			State: brain.EngineState(state), Zone: names.Zones[zone], Kind: names.Kinds[kind],
+		f.list.Events.Engines = append(f.list.Events.Engines, dispatch.Engine{ID: id,
+			State: dispatch.EngineState(state), Zone: names.Zones[zone], Kind: names.Kinds[kind],
 			Cell: int(binary.BigEndian.Uint16(rest[13:])), Size: float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
 			Born: clock.Duration(float64(started))})
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(rest[4:8])), binary.BigEndian.Uint16(rest[8:]))
--- a/internal/board/board_test.go
+++ b/internal/discovery/board_test.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"encoding/hex"
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/netio"
 	"windflow/internal/router"
@@ -35,15 +35,15 @@
 }
 
 func TestParseFrame(t *testing.T) {
-	engine := brain.Engine{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, Size: 1.5}
+	engine := dispatch.Engine{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, Size: 1.5}
 	for _, k := range []struct {
 		name, body, err string
-		want            []brain.Engine
-		mode            brain.ListMode
+		want            []dispatch.Engine
+		mode            dispatch.ListMode
 	}{
-		{"nothing new", head + "00", "", nil, brain.ListChanges},
-		{"whole list", head + "01" + record, "", []brain.Engine{engine}, brain.ListFull},
-		{"changes", head + "02" + record, "", []brain.Engine{engine}, brain.ListChanges},
+		{"nothing new", head + "00", "", nil, dispatch.ListChanges},
+		{"whole list", head + "01" + record, "", []dispatch.Engine{engine}, dispatch.ListFull},
+		{"changes", head + "02" + record, "", []dispatch.Engine{engine}, dispatch.ListChanges},
 		{"unknown kind", head + "03", "unknown kind", nil, 0},
 		{"cut record", head + "02" + record[:50], "not whole records", nil, 0},
 		{"zone out of range", head + "02" + unknown, "out of range", nil, 0},
@@ -60,7 +60,7 @@
 		if err != nil || f.number != 5 {
 			t.Errorf("%s: number %d, %v", k.name, f.number, err)
 		}
-		if diff := cmp.Diff(brain.EngineList{Mode: k.mode, Engines: k.want}, f.list.Events); diff != "" {
+		if diff := cmp.Diff(dispatch.EngineList{Mode: k.mode, Engines: k.want}, f.list.Events); diff != "" {
 			t.Errorf("%s: %s", k.name, diff)
 		}
 		if len(k.want) > 0 && f.list.Addrs[engine.ID] != "127.8.0.1:8080" {
--- a/internal/fetch/fetch.go
+++ b/internal/enginehttp/fetch.go
@@ -1,14 +1,14 @@
-// Package fetch reaches engines over HTTP/1.1: it starts a statement, asks for its news until it ends and
+// Package enginehttp reaches engines over HTTP/1.1: it starts a statement, asks for its news until it ends and
 // collects the pages of its result. It resends nothing by itself: a POST is written once, whatever becomes
 // of its connection; only questions about a query that was started are asked again.
-package fetch
+package enginehttp
 
 import (
 	"errors"
 	"log/slog"
 	"os"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/netio"
 	"windflow/internal/router"
 )
@@ -77,7 +77,7 @@
 // New returns a client.
 func New(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Client {
 	c := &Client{loop: loop, dialer: dialer, log: log}
-	c.pool = &pool{client: c, idle: map[brain.EngineID][]*conn{}}
+	c.pool = &pool{client: c, idle: map[dispatch.EngineID][]*conn{}}
 	c.Configure(cfg)
 	c.sweep()
 	return c
--- a/internal/fetch/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -1,4 +1,4 @@
-package fetch
+package enginehttp
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/netio"
 	"windflow/internal/router"
@@ -75,7 +75,7 @@
 
 // heard shows what an answer tells beside an end.
 func (s *stage) heard(n router.News) {
-	if n.Note != brain.NoteAlive {
+	if n.Note != dispatch.NoteAlive {
 		fmt.Fprintf(&s.out, "  ~ note %d of %v\n", n.Note, n.Amount)
 	}
 	if n.Load != nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-var outcomes = map[brain.Outcome]string{brain.Served: "served", brain.Errored: "errored", brain.Full: "full",
-	brain.ConnectFailed: "connect failed", brain.Reset: "reset", brain.Cancelled: "cancelled"}
+var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.Errored: "errored", dispatch.Full: "full",
+	dispatch.ConnectFailed: "connect failed", dispatch.Reset: "reset", dispatch.Cancelled: "cancelled"}
 
 // play carries out one line:
 //
--- a/internal/fetch/page.go
+++ b/internal/enginehttp/page.go
@@ -1,4 +1,4 @@
-package fetch
+package enginehttp
 
 import (
 	"bytes"
--- a/internal/fetch/pool.go
+++ b/internal/enginehttp/pool.go
@@ -1,10 +1,10 @@
-package fetch
+package enginehttp
 
 import (
 	"errors"
 	"slices"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/netio"
 	"windflow/internal/router"
 )
@@ -28,9 +28,9 @@
 	client  *Client
 	max     int
 	total   int
-	idle    map[brain.EngineID][]*conn // latest used last
-	dialing []*conn                    // in the order of their dials: what is done to them must not go by chance
-	waiting []*call                    // those that may wait behind the others last
+	idle    map[dispatch.EngineID][]*conn // latest used last
+	dialing []*conn                       // in the order of their dials: what is done to them must not go by chance
+	waiting []*call                       // those that may wait behind the others last
 }
 
 // submit has a call written to its engine: on an idle connection, a new one, or once one is free.
@@ -140,7 +140,7 @@
 }
 
 // forget closes the idle connections to an engine that is gone: its address may pass to a new one.
-func (p *pool) forget(id brain.EngineID) {
+func (p *pool) forget(id dispatch.EngineID) {
 	for _, k := range slices.Clone(p.idle[id]) {
 		k.close()
 	}
@@ -154,7 +154,7 @@
 // withhold ends the calls that would start a statement on an engine and of which nothing was written. It guards
 // against work that reaches an engine after its ban was confirmed, or long after word of its drain or end: calls wait for a
 // connection, or for it to come up.
-func (p *pool) withhold(id brain.EngineID) {
+func (p *pool) withhold(id dispatch.EngineID) {
 	calls := slices.Clone(p.waiting)
 	for _, k := range p.dialing {
 		if k.call != nil {
--- a/internal/fetch/query.go
+++ b/internal/enginehttp/query.go
@@ -1,4 +1,4 @@
-package fetch
+package enginehttp
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"strconv"
 	"syscall"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/router"
 )
 
@@ -73,7 +73,7 @@
 	switch {
 	case q.over || !q.post.written:
 	case q.call.Alone:
-		q.giveUp(brain.Cancelled, "given up")
+		q.giveUp(dispatch.Cancelled, "given up")
 	default:
 		q.delete(nil)
 	}
@@ -88,7 +88,7 @@
 
 // lose ends an attempt that the engine may still have under way. Where another one may begin at once, that is its end;
 // elsewhere the engine has to have given it up.
-func (q *query) lose(o brain.Outcome, detail string) {
+func (q *query) lose(o dispatch.Outcome, detail string) {
 	if q.call.Alone {
 		q.giveUp(o, detail)
 	} else {
@@ -99,7 +99,7 @@
 // giveUp ends the attempt once the engine has none of it any more: when it has taken the word to give it up, where that is
 // allowed, or when it has not been asked for so long that it forgets the query. It guards against a second copy where the
 // settings allow none: a query belongs to no connection, and runs on when that breaks.
-func (q *query) giveUp(o brain.Outcome, detail string) {
+func (q *query) giveUp(o dispatch.Outcome, detail string) {
 	if q.over || q.leaving {
 		return
 	}
@@ -142,7 +142,7 @@
 		q.call.ID, q.call.Engine.Addr, len(body), body)})
 }
 
-func (q *query) end(o brain.Outcome, detail string) {
+func (q *query) end(o dispatch.Outcome, detail string) {
 	if q.over {
 		return
 	}
@@ -158,7 +158,7 @@
 		q.news(r)
 	case !q.post.written:
 		// It was never written, or never connected: the one proof that a transport can give.
-		q.end(brain.ConnectFailed, err.Error())
+		q.end(dispatch.ConnectFailed, err.Error())
 	default:
 		// It may have begun. Whether it did is asked; the statement is not sent again.
 		var bad *badAnswer
@@ -190,7 +190,7 @@
 	notBegun := r.header["not-begun"] == "1"
 	switch {
 	case r.status == 202 && q.mute && !q.call.Once:
-		q.lose(brain.Reset, "not over after a POST without an answer")
+		q.lose(dispatch.Reset, "not over after a POST without an answer")
 	case r.status == 202:
 		q.heard()
 		q.ask(0)
@@ -203,13 +203,13 @@
 		q.parts, q.work, q.need = parts, number(r.header["x-cpu-ms"]), number(r.header["x-mem-used"])
 		q.page(r)
 	case (r.status == 503 || r.status == 504) && notBegun && len(q.pages) == 0:
-		q.end(brain.Full, strconv.Itoa(r.status))
+		q.end(dispatch.Full, strconv.Itoa(r.status))
 	case r.status >= 400 && q.cut:
 		// The engine is well and does not know the query: the break came before it had read the statement, or it
 		// has started anew since. Neither is the query's fault, nor a proof.
-		q.end(brain.Reset, fmt.Sprintf("%d after a break: %s", r.status, clip(r.body)))
+		q.end(dispatch.Reset, fmt.Sprintf("%d after a break: %s", r.status, clip(r.body)))
 	case r.status >= 400:
-		q.end(brain.Errored, fmt.Sprintf("%d: %s", r.status, clip(r.body)))
+		q.end(dispatch.Errored, fmt.Sprintf("%d: %s", r.status, clip(r.body)))
 	default:
 		q.spoilt(fmt.Sprintf("status %d", r.status))
 	}
@@ -248,7 +248,7 @@
 	case r.status == 200 && r.header["x-part-no"] == strconv.Itoa(page):
 		q.page(r)
 	case r.status >= 400:
-		q.end(brain.Errored, fmt.Sprintf("%d for a page: %s", r.status, clip(r.body)))
+		q.end(dispatch.Errored, fmt.Sprintf("%d for a page: %s", r.status, clip(r.body)))
 	default:
 		q.spoilt(fmt.Sprintf("status %d, X-Part-No %.10q for page %d", r.status, r.header["x-part-no"], page))
 	}
@@ -280,20 +280,20 @@
 		// An engine answers a POST within 250 ms, if only with 'not yet over'. One that did not, and then does not tell
 		// of an end at once either, may never: what may be repeated is given up there, so that it runs elsewhere while
 		// its client still waits. A query that is over is told of at once, so that one whose answer was cut off is saved.
-		q.lose(brain.Reset, "silent after a POST without an answer")
+		q.lose(dispatch.Reset, "silent after a POST without an answer")
 		return
 	case errors.As(err, &bad):
 		q.c.Counters.BadAnswers++
 		if q.bad++; q.bad >= maxBad {
 			q.c.log.Warn("bad answers from an engine", "engine", q.call.Engine.Addr, "rid", q.call.ID, "why", err)
-			q.lose(brain.Errored, err.Error())
+			q.lose(dispatch.Errored, err.Error())
 			return
 		}
 	case errors.Is(err, syscall.ECONNREFUSED):
-		q.end(brain.Reset, "the engine takes no connections any more: "+err.Error())
+		q.end(dispatch.Reset, "the engine takes no connections any more: "+err.Error())
 		return
 	case q.c.loop.Now()-q.last >= limit:
-		q.lose(brain.Reset, "silent: "+err.Error())
+		q.lose(dispatch.Reset, "silent: "+err.Error())
 		return
 	}
 	q.c.Counters.Broken++
@@ -329,10 +329,10 @@
 	}
 	result, err := parseRows(q.pages)
 	if err != nil {
-		q.end(brain.Errored, err.Error())
+		q.end(dispatch.Errored, err.Error())
 		return
 	}
 	result.WorkMS, result.NeedMB = q.work, q.need
 	q.over = true
-	q.done(router.End{Outcome: brain.Served, Result: result})
+	q.done(router.End{Outcome: dispatch.Served, Result: result})
 }
--- a/internal/fleettest/board.go
+++ b/internal/fleettest/board.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/settings"
 )
 
@@ -36,10 +36,10 @@
 
 // Engine is one of a stand-in board's list.
 type Engine struct {
-	ID      brain.EngineID
+	ID      dispatch.EngineID
 	Addr    netip.AddrPort // IPv4
 	Zone    int            // in Zones
-	State   brain.EngineState
+	State   dispatch.EngineState
 	Started uint64 // Unix milliseconds
 }
 
@@ -48,12 +48,12 @@
 	list := make([]Engine, n)
 	for i := range list {
 		at := netip.AddrFrom4([4]byte{127, 200, byte(i >> 8), byte(i)})
-		list[i] = Engine{ID: brain.EngineID(i + 1), Addr: netip.AddrPortFrom(at, 1), Zone: i % len(Zones)}
+		list[i] = Engine{ID: dispatch.EngineID(i + 1), Addr: netip.AddrPortFrom(at, 1), Zone: i % len(Zones)}
 	}
 	return list
 }
 
-// Board is a stand-in for the notice board, written from the frames that our own follower reads (internal/board): a length,
+// Board is a stand-in for the notice board, written from the frames that our own follower reads (internal/discovery): a length,
 // an event's number, a kind, and records of 27 bytes. It serves hundreds of followers from their last event on.
 type Board struct {
 	Addr string
@@ -62,8 +62,8 @@
 	mu     sync.Mutex
 	news   chan struct{} // closed and replaced with each event and each link that comes or goes
 	number uint64
-	list   map[brain.EngineID]Engine
-	order  []brain.EngineID
+	list   map[dispatch.EngineID]Engine
+	order  []dispatch.EngineID
 	past   [][]byte // frames of the last events
 	links  map[net.Conn]bool
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Board{lis: lis, Addr: lis.Addr().String(), news: make(chan struct{}), list: map[brain.EngineID]Engine{},
+	b := &Board{lis: lis, Addr: lis.Addr().String(), news: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
 		links: map[net.Conn]bool{}}
 	b.event(frameWhole, engines)
 	go b.accept()
@@ -267,7 +267,7 @@
 
 // Known is a list as a router's configuration holds it, as event 1; without engines the router knows of no event yet.
 func Known(engines []Engine) json.RawMessage {
-	phases := map[brain.EngineState]string{brain.Live: "active", brain.Draining: "leaving", brain.Gone: "left"}
+	phases := map[dispatch.EngineState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Gone: "left"}
 	type member struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
--- a/internal/fleettest/following_test.go
+++ b/internal/fleettest/following_test.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"windflow/internal/capacity"
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // rolloutSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment says more.
@@ -110,9 +110,9 @@
 }
 
 // next is a change that nobody has made.
-func (f *following) next() rollout.Change {
+func (f *following) next() configlog.Change {
 	f.changes++
-	return rollout.Change{ID: fmt.Sprint("change-", f.changes), Put: map[string]json.RawMessage{
+	return configlog.Change{ID: fmt.Sprint("change-", f.changes), Put: map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", f.changes))}}
 }
 
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"windflow/brain"
-	"windflow/internal/board"
+	"windflow/dispatch"
 	"windflow/internal/clock"
+	"windflow/internal/discovery"
 	"windflow/internal/netio"
 	"windflow/internal/router"
 	"windflow/internal/settings"
@@ -107,7 +107,7 @@
 	loop     *router.Loop
 	net      *netio.Net
 	core     *router.Core
-	board    *board.Follower
+	board    *discovery.Follower
 	stop     chan struct{}
 	ended    chan struct{}
 	out      *words
@@ -138,7 +138,7 @@
 	}
 	h.core.Engines(known.Events, known.Addrs)
 	h.loop.Post(func() {
-		h.board = board.Follow(h.loop, h.net, h.cfg.Board, h.names(), last, h.listed, h.cfg.SeedValue, log)
+		h.board = discovery.Follow(h.loop, h.net, h.cfg.Board, h.names(), last, h.listed, h.cfg.SeedValue, log)
 		if spec.Rate > 0 {
 			h.ask()
 		}
@@ -153,11 +153,11 @@
 	return h, err
 }
 
-func (h *hollow) names() board.Names {
-	return board.Names{Zones: h.cfg.Parsed.Zones, Kinds: h.cfg.Parsed.Kinds}
+func (h *hollow) names() discovery.Names {
+	return discovery.Names{Zones: h.cfg.Parsed.Zones, Kinds: h.cfg.Parsed.Kinds}
 }
 
-func (h *hollow) listed(l board.List) {
+func (h *hollow) listed(l discovery.List) {
 	h.core.Engines(l.Events, l.Addrs)
 	h.out.tell(word{Router: h.spec.Number, List: h.board.Last(), AtNS: time.Now().UnixNano()})
 }
@@ -180,7 +180,7 @@
 func (h *hollow) ask() {
 	h.asked++
 	_, _ = h.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", h.asked), Class: "lookup", Statement: "SELECT 1",
-		Group: brain.GroupOf(uint32(h.asked % 64)), Sent: h.loop.Now(), Budget: 2000}, nobody{})
+		Group: dispatch.GroupOf(uint32(h.asked % 64)), Sent: h.loop.Now(), Budget: 2000}, nobody{})
 	h.loop.After(1000/h.spec.Rate, h.ask)
 }
 
@@ -212,7 +212,7 @@
 
 func (i instantly) Start(_ router.Call, done func(router.End)) router.Attempt {
 	return served{i.h.loop.After(i.h.spec.WorkMS, func() {
-		done(router.End{Outcome: brain.Served, Result: &router.Result{WorkMS: i.h.spec.WorkMS}})
+		done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: i.h.spec.WorkMS}})
 	})}
 }
 func (i instantly) Forget(router.Engine)   {}
@@ -311,7 +311,7 @@
 func Toggled(engines []Engine, i int) Engine {
 	e := engines[i%len(engines)]
 	if i/len(engines)%2 == 0 {
-		e.State = brain.Draining
+		e.State = dispatch.Draining
 	}
 	return e
 }
--- a/internal/fleettest/hollowfollow.go
+++ b/internal/fleettest/hollowfollow.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"windflow/internal/decide/rollout"
-	"windflow/internal/follow"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/settings"
 	"windflow/internal/validate"
 )
@@ -15,19 +15,19 @@
 // follow has a hollow router follow keepers as a router does: the same client, the same check, and a change of the core and of
 // the follower of the board in the loop. The function that it gives ends it.
 func (h *hollow) follow() (end func(), err error) {
-	var section follow.Config
+	var section configclient.Config
 	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
 		return nil, err
 	}
-	instance := rollout.Instance(time.Now().UnixMilli(), rand.Uint64())
-	client := follow.New(section, h.cfg.Name, instance, slog.New(slog.DiscardHandler))
-	client.Start(func(rev follow.Revision) error {
+	instance := configlog.Instance(time.Now().UnixMilli(), rand.Uint64())
+	client := configclient.New(section, h.cfg.Name, instance, slog.New(slog.DiscardHandler))
+	client.Start(func(rev configclient.Revision) error {
 		cfg, fault := validate.Overlaid(h.spec.Config, rev.Entries)
 		if fault != nil {
-			return &follow.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
+			return &configclient.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
 		}
 		if err := h.put(cfg); err != nil {
-			return &follow.Refusal{Reason: err.Error()}
+			return &configclient.Refusal{Reason: err.Error()}
 		}
 		h.out.tell(word{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(), AtNS: time.Now().UnixNano()})
 		return nil
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // Keepers are processes of the built windflowkeeper, with a link of its own from each to each other one.
@@ -147,7 +147,7 @@
 
 // Change has a change made by keeper i, and calls again with the same id until it is answered, at another keeper where that
 // one is gone. It gives the revision, and when the first call was made.
-func (k *Keepers) Change(i int, c rollout.Change) (revision uint64, asked time.Time) {
+func (k *Keepers) Change(i int, c configlog.Change) (revision uint64, asked time.Time) {
 	k.rig.T.Helper()
 	revision, asked, err := k.TryChange(i, c)
 	if err != nil {
@@ -157,10 +157,10 @@
 }
 
 // TryChange is Change, and may be called from any goroutine.
-func (k *Keepers) TryChange(i int, c rollout.Change) (revision uint64, asked time.Time, err error) {
+func (k *Keepers) TryChange(i int, c configlog.Change) (revision uint64, asked time.Time, err error) {
 	asked = time.Now()
 	for {
-		var done rollout.Result
+		var done configlog.Result
 		err := k.Members[i].call(10*time.Second, http.MethodPost, "/v1/changes", c, &done)
 		if err == nil {
 			return done.Revision, asked, nil
@@ -194,11 +194,11 @@
 }
 
 // Everywhere asks keeper i until it says that a revision is in force everywhere.
-func (k *Keepers) Everywhere(i int, revision uint64) rollout.Verdict {
+func (k *Keepers) Everywhere(i int, revision uint64) configlog.Verdict {
 	k.rig.T.Helper()
 	var last error
 	for began := time.Now(); time.Since(began) < Patience; {
-		var v rollout.Verdict
+		var v configlog.Verdict
 		last = k.Members[i].call(10*time.Second, http.MethodGet, fmt.Sprintf("/v1/rollout?revision=%d&wait_ms=7000", revision), nil, &v)
 		if last == nil && v.Everywhere {
 			return v
@@ -208,7 +208,7 @@
 		}
 	}
 	k.rig.T.Fatalf("revision %d is not in force everywhere by the word of %s: %v", revision, k.Members[i].ID, last)
-	return rollout.Verdict{}
+	return configlog.Verdict{}
 }
 
 // Stop has a keeper stand still, and Go go on.
--- a/internal/fleettest/rig_test.go
+++ b/internal/fleettest/rig_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 const (
@@ -49,7 +49,7 @@
 	b.AwaitLinks(t, fleet)
 
 	drains := engines[0]
-	drains.State = brain.Draining
+	drains.State = dispatch.Draining
 	number := b.Change(drains)
 	h.AwaitList(number)
 	for _, p := range routers {
@@ -59,7 +59,7 @@
 	relays[0].Cut()
 	b.AwaitLinks(t, fleet/2)
 	gone := engines[1]
-	gone.State = brain.Gone
+	gone.State = dispatch.Gone
 	number = b.Change(gone)
 	h.Await(func(state map[int]*Standing) string {
 		for n, s := range state {
--- a/internal/fleettest/rollout_test.go
+++ b/internal/fleettest/rollout_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // Changes reach a whole fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and regions apart
@@ -96,9 +96,9 @@
 		f.await(last, asked, func(zone int) bool { return regionOf(zone) == 0 }, took)
 	}
 	f.told("changes in the region with the majority, the other one cut off", took)
-	var done rollout.Result
+	var done configlog.Result
 	err := f.keepers.Members[minor[0]].call(20*time.Second, "POST", "/v1/changes",
-		rollout.Change{ID: "without a majority", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")}}, &done)
+		configlog.Change{ID: "without a majority", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")}}, &done)
 	if err == nil {
 		t.Errorf("a region without a majority made revision %d", done.Revision)
 	}
--- a/internal/fleettest/slopes_following_test.go
+++ b/internal/fleettest/slopes_following_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // What following the keepers costs a router of the size that is designed for, by the changes a second that come to it one by
@@ -27,8 +27,8 @@
 		c.Own = map[string]any{"keepers": k.Doors(t).Section(filepath.Join(own.Dir, "follower"), 0)}
 		p := own.Router(c)
 		p.Ready()
-		change := func(n int) rollout.Change {
-			return rollout.Change{ID: fmt.Sprint("pace-", n), Put: map[string]json.RawMessage{
+		change := func(n int) configlog.Change {
+			return configlog.Change{ID: fmt.Sprint("pace-", n), Put: map[string]json.RawMessage{
 				"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", n+1))}}
 		}
 		revision, _ := k.Change(0, change(0))
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // group is five keepers with hollow routers that follow them.
@@ -207,14 +207,14 @@
 	put := 0
 	for _, n := range sizes {
 		for put < n {
-			c := rollout.Change{ID: fmt.Sprint("tenants-", put), Put: map[string]json.RawMessage{}}
+			c := configlog.Change{ID: fmt.Sprint("tenants-", put), Put: map[string]json.RawMessage{}}
 			for ; put < n && len(c.Put) < 50; put++ {
 				c.Put[fmt.Sprintf("/settings/parties/tenant-%05d", put)] = json.RawMessage(`{"quota-rps":11.5,"share":0.25}`)
 			}
 			revision, asked := g.keepers.Change(0, c)
 			g.await(revision, asked, everyZone, nil)
 		}
-		q, err := json.Marshal(map[string]any{"report": rollout.NewFollower("fresh", fmt.Sprint("fresh-", n)).Ask(), "wait_ms": 2000})
+		q, err := json.Marshal(map[string]any{"report": configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Ask(), "wait_ms": 2000})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleettest/slopes_told_test.go
+++ b/internal/fleettest/slopes_told_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 // How long it takes until the last of hundreds of routers has an engine's change: from the board's event to the word of the last
@@ -59,7 +59,7 @@
 			list := slices.Clone(engines[:k])
 			for i := range list {
 				if n%2 == 0 {
-					list[i].State = brain.Draining
+					list[i].State = dispatch.Draining
 				}
 			}
 			<-pace.C
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/metadata"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/router"
 	"windflow/internal/routertest"
@@ -35,10 +35,10 @@
 	e.runs[c.ID]++
 	e.mu.Unlock()
 	end, ok := map[string]router.End{
-		"serve": {Outcome: brain.Served, Result: &router.Result{Columns: []string{"a"}, Changed: 3,
+		"serve": {Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Changed: 3,
 			Cells: []router.Cell{{Text: "x"}, {Null: true}}}},
-		"full":  {Outcome: brain.Full},
-		"reset": {Outcome: brain.Reset},
+		"full":  {Outcome: dispatch.Full},
+		"reset": {Outcome: dispatch.Reset},
 	}[c.Statement]
 	if ok {
 		e.loop.Post(func() { done(end) })
@@ -72,16 +72,16 @@
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
 	e := &engines{loop: loop, runs: map[string]int{}}
-	core, err := router.New(loop, brain.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []brain.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []brain.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
+	core, err := router.New(loop, dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
+		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWorth: 0.5,
-				Semantics: brain.AtMostOnce}}}, e, slog.New(slog.DiscardHandler))
+				Semantics: dispatch.AtMostOnce}}}, e, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Engines(brain.EngineList{Mode: brain.ListSaved, Engines: []brain.Engine{{ID: 7, Kind: "k", Size: 1}}},
-		map[brain.EngineID]string{7: "127.0.0.1:1"})
+	core.Engines(dispatch.EngineList{Mode: dispatch.ListSaved, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1}}},
+		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/router"
 )
@@ -33,10 +33,10 @@
 type Client struct {
 	loop           *router.Loop
 	log            *slog.Logger
-	connectTimeout atomic.Int64                        // a time.Duration; dials read it in goroutines of their own
-	shared         map[brain.EngineID]*grpc.ClientConn // for what may run twice
-	out            map[*attempt]bool                   // touched in the loop only
-	own            chan struct{}                       // holds one for each connection of what must not
+	connectTimeout atomic.Int64                           // a time.Duration; dials read it in goroutines of their own
+	shared         map[dispatch.EngineID]*grpc.ClientConn // for what may run twice
+	out            map[*attempt]bool                      // touched in the loop only
+	own            chan struct{}                          // holds one for each connection of what must not
 	Counters       ClientCounters
 }
 
@@ -54,7 +54,7 @@
 // NewClient returns a client that keeps at most maxOwn connections of their own for what must not run twice;
 // further ones wait their turn, unwritten.
 func NewClient(loop *router.Loop, connectTimeoutMS float64, maxOwn int, log *slog.Logger) *Client {
-	c := &Client{loop: loop, log: log, shared: map[brain.EngineID]*grpc.ClientConn{},
+	c := &Client{loop: loop, log: log, shared: map[dispatch.EngineID]*grpc.ClientConn{},
 		out: map[*attempt]bool{}, own: make(chan struct{}, maxOwn)}
 	c.Configure(connectTimeoutMS)
 	return c
@@ -84,7 +84,7 @@
 
 // attempt is one call that is out.
 type attempt struct {
-	engine  brain.EngineID
+	engine  dispatch.EngineID
 	watch   *watch
 	cancel  context.CancelFunc
 	dropped bool // touched in the loop only
@@ -133,7 +133,7 @@
 	if !call.Once {
 		var err error
 		if shared, err = c.connection(call.Engine); err != nil {
-			c.loop.Post(func() { c.finish(a, done, router.End{Outcome: brain.ConnectFailed, Detail: err.Error()}) })
+			c.loop.Post(func() { c.finish(a, done, router.End{Outcome: dispatch.ConnectFailed, Detail: err.Error()}) })
 			return a
 		}
 	}
@@ -149,8 +149,8 @@
 	delete(c.out, a)
 	if !a.dropped {
 		a.dropped = true
-		if a.given && end.Outcome == brain.Reset {
-			end.Outcome = brain.Cancelled // not the engine's doing
+		if a.given && end.Outcome == dispatch.Reset {
+			end.Outcome = dispatch.Cancelled // not the engine's doing
 		}
 		done(end)
 	}
@@ -186,16 +186,16 @@
 		case c.own <- struct{}{}:
 			defer func() { <-c.own }()
 		case <-ctx.Done():
-			return router.End{Outcome: brain.ConnectFailed, Detail: "no connection came free: " + ctx.Err().Error()}
+			return router.End{Outcome: dispatch.ConnectFailed, Detail: "no connection came free: " + ctx.Err().Error()}
 		}
 		d := net.Dialer{Timeout: time.Duration(c.connectTimeout.Load())}
 		raw, err := d.DialContext(ctx, "tcp", call.Engine.Addr)
 		if err != nil {
-			return router.End{Outcome: brain.ConnectFailed, Detail: err.Error()}
+			return router.End{Outcome: dispatch.ConnectFailed, Detail: err.Error()}
 		}
 		own, err := dial(single(raw))
 		if err != nil {
-			return router.End{Outcome: brain.ConnectFailed, Detail: errors.Join(err, raw.Close()).Error()}
+			return router.End{Outcome: dispatch.ConnectFailed, Detail: errors.Join(err, raw.Close()).Error()}
 		}
 		defer own.Close()
 		conn = own
@@ -216,10 +216,10 @@
 	}
 	if err == nil {
 		result.WorkMS, result.NeedMB = number(trailer, metaWork), number(trailer, metaNeed)
-		return router.End{Outcome: brain.Served, Result: result}
+		return router.End{Outcome: dispatch.Served, Result: result}
 	}
 	end := router.End{Outcome: outcome(err, trailer, w), Detail: err.Error()}
-	if end.Outcome == brain.Errored {
+	if end.Outcome == dispatch.Errored {
 		c.Counters.BadAnswers.Add(1)
 	}
 	return end
@@ -227,22 +227,22 @@
 
 // outcome reads how a call that brought no result ended. Only the engine's own word, or a call of which
 // nothing was written, proves that it never ran.
-func outcome(err error, trailer metadata.MD, w *watch) brain.Outcome {
+func outcome(err error, trailer metadata.MD, w *watch) dispatch.Outcome {
 	code := status.Code(err)
 	switch {
 	case errors.Is(err, errBad):
-		return brain.Errored
+		return dispatch.Errored
 	case !w.written():
-		return brain.ConnectFailed
+		return dispatch.ConnectFailed
 	case len(trailer.Get(metaNotBegun)) == 1 && trailer.Get(metaNotBegun)[0] == "1" &&
 		(code == codes.Unavailable || code == codes.ResourceExhausted || code == codes.DeadlineExceeded):
-		return brain.Full
+		return dispatch.Full
 	case code == codes.DeadlineExceeded:
-		return brain.TimedOut
+		return dispatch.TimedOut
 	case code == codes.Unavailable || code == codes.Canceled:
-		return brain.Reset
+		return dispatch.Reset
 	}
-	return brain.Errored
+	return dispatch.Errored
 }
 
 // errBad marks an answer that no engine should give.
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/router"
 	"windflow/internal/routertest"
@@ -128,20 +128,20 @@
 		name      string
 		endpoints []*flight.FlightEndpoint
 		get       func(flight.FlightService_DoGetServer) error
-		want      brain.Outcome
+		want      dispatch.Outcome
 	}{
-		{"whole", one, rows(whole), brain.Served},
-		{"broken offsets", one, rows(broken), brain.Errored},
-		{"no endpoint", nil, rows(whole), brain.Errored},
-		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), brain.Served},
-		{"no Arrow at all", one, rows(noSchema), brain.Errored},
-		{"rows without a schema", one, rows(whole[1:]), brain.Errored},
-		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResult))), brain.Errored},
-		{"nothing", one, rows(nil), brain.Errored},
-		{"its own failure", one, fails(codes.Internal), brain.Errored},
-		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), brain.Full},
-		{"full, without proof", one, fails(codes.Unavailable), brain.Reset},
-		{"proof beside another code", one, fails(codes.Internal, metaNotBegun, "1"), brain.Errored},
+		{"whole", one, rows(whole), dispatch.Served},
+		{"broken offsets", one, rows(broken), dispatch.Errored},
+		{"no endpoint", nil, rows(whole), dispatch.Errored},
+		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), dispatch.Served},
+		{"no Arrow at all", one, rows(noSchema), dispatch.Errored},
+		{"rows without a schema", one, rows(whole[1:]), dispatch.Errored},
+		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResult))), dispatch.Errored},
+		{"nothing", one, rows(nil), dispatch.Errored},
+		{"its own failure", one, fails(codes.Internal), dispatch.Errored},
+		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), dispatch.Full},
+		{"full, without proof", one, fails(codes.Unavailable), dispatch.Reset},
+		{"proof beside another code", one, fails(codes.Internal, metaNotBegun, "1"), dispatch.Errored},
 	} {
 		end := begin(t, &rawEngine{endpoints: k.endpoints, get: k.get}, false)
 		if end.Outcome != k.want {
@@ -168,20 +168,20 @@
 	for _, k := range []struct {
 		name string
 		put  func(flight.FlightService_DoPutServer) error
-		want brain.Outcome
+		want dispatch.Outcome
 	}{
-		{"whole", answers(nil, changed), brain.Served},
-		{"none", answers(nil), brain.Errored},
-		{"two", answers(nil, changed, changed), brain.Errored},
-		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), brain.Errored},
-		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), brain.Errored},
-		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), brain.Errored},
+		{"whole", answers(nil, changed), dispatch.Served},
+		{"none", answers(nil), dispatch.Errored},
+		{"two", answers(nil, changed, changed), dispatch.Errored},
+		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.Errored},
+		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), dispatch.Errored},
+		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), dispatch.Errored},
 	} {
 		end := begin(t, &rawEngine{put: k.put}, true)
 		if end.Outcome != k.want {
 			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
 		}
-		if end.Outcome == brain.Served && end.Result.Changed != 5 {
+		if end.Outcome == dispatch.Served && end.Result.Changed != 5 {
 			t.Errorf("%s: %d rows changed", k.name, end.Result.Changed)
 		}
 	}
@@ -191,7 +191,7 @@
 func TestRefusedConnection(t *testing.T) {
 	addr := routertest.Refused(t, [4]byte{127, 0, 0, 1})
 	for _, once := range []bool{true, false} {
-		if end := attemptAt(addr, once); end.Outcome != brain.ConnectFailed {
+		if end := attemptAt(addr, once); end.Outcome != dispatch.ConnectFailed {
 			t.Errorf("once %v: outcome %v (%s)", once, end.Outcome, end.Detail)
 		}
 	}
@@ -231,13 +231,13 @@
 	}
 	first := start(20_000)
 	<-runs
-	if end := <-start(50); end.Outcome != brain.ConnectFailed {
+	if end := <-start(50); end.Outcome != dispatch.ConnectFailed {
 		t.Errorf("without a free connection: %v (%s)", end.Outcome, end.Detail)
 	}
 	third := start(20_000)
 	close(release)
 	for _, ended := range []chan router.End{first, third} {
-		if end := <-ended; end.Outcome != brain.Served {
+		if end := <-ended; end.Outcome != dispatch.Served {
 			t.Errorf("outcome %v (%s)", end.Outcome, end.Detail)
 		}
 	}
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -28,7 +28,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/netio"
 	"windflow/internal/router"
 )
@@ -273,7 +273,7 @@
 		return nil, err
 	}
 	class, _ := f.core.Class(r.Class)
-	t := &ticket{Ticket: Ticket{Request: *r, Expires: f.loop.Now() + ticketLife, Once: class.Semantics != brain.Idempotent}}
+	t := &ticket{Ticket: Ticket{Request: *r, Expires: f.loop.Now() + ticketLife, Once: class.Semantics != dispatch.Idempotent}}
 	if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(router.FieldBudget)) > 0 {
 		t.End = r.Sent + r.Budget // a deadline of the call itself binds that call only
 	}
@@ -497,7 +497,7 @@
 		return nil, f.refusal(ctx, a.backoff)
 	}
 	advice := "unsafe: it may have run"
-	if class, _ := f.core.Class(r.Class); class.Semantics == brain.Idempotent {
+	if class, _ := f.core.Class(r.Class); class.Semantics == dispatch.Idempotent {
 		advice = "safe"
 	}
 	_ = grpc.SetTrailer(ctx, metadata.Pairs(metaRetry, advice))
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/goldentest"
 	"windflow/internal/router"
@@ -98,10 +98,10 @@
 	goldentest.Equal(t, "engine-calls.txt", e.heard.Bytes())
 	changed := router.Result{Columns: []string{"rows_changed"}, Cells: []router.Cell{{Text: "3"}}, WorkMS: 12.5, NeedMB: 34.5, Changed: 3}
 	want := []router.End{
-		{Outcome: brain.Served, Result: &router.Result{Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
+		{Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
 			WorkMS: 12.5, NeedMB: 34.5}},
-		{Outcome: brain.Served, Result: &changed}, {Outcome: brain.Served, Result: &changed},
-		{Outcome: brain.Full, Detail: "rpc error: code = ResourceExhausted desc = full"},
+		{Outcome: dispatch.Served, Result: &changed}, {Outcome: dispatch.Served, Result: &changed},
+		{Outcome: dispatch.Full, Detail: "rpc error: code = ResourceExhausted desc = full"},
 	}
 	if diff := cmp.Diff(want, append(served, refused...)); diff != "" {
 		t.Error(diff)
--- a/internal/flightsql/recall_test.go
+++ b/internal/flightsql/recall_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/router"
 	"windflow/internal/routertest"
@@ -98,7 +98,7 @@
 	if <-taken {
 		t.Error("what had begun was taken back")
 	}
-	if end := <-ends; end.Outcome != brain.Cancelled {
+	if end := <-ends; end.Outcome != dispatch.Cancelled {
 		t.Errorf("outcome %v: %s", end.Outcome, end.Detail)
 	}
 	<-heard
@@ -140,7 +140,7 @@
 	loop.Post(func() { c.Withhold(router.Engine{ID: 8}) })
 	loop.Post(func() { c.Withhold(engine) })
 	for range 2 {
-		if e := <-ends; e.Outcome != brain.ConnectFailed {
+		if e := <-ends; e.Outcome != dispatch.ConnectFailed {
 			t.Errorf("outcome %v: %s", e.Outcome, e.Detail)
 		}
 	}
--- a/internal/handover/golden_place_test.go
+++ b/internal/hotrestartipc/golden_place_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestartipc
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/tools/txtar"
 
-	"windflow/internal/decide/takeover"
+	"windflow/internal/decide/hotrestart"
 	"windflow/internal/golden"
 )
 
@@ -95,7 +95,7 @@
 
 // restoreFolder writes the regular files of the recorded folder, and has those of the places given locked, as a living
 // process has them.
-func restoreFolder(t *testing.T, dir string, living ...takeover.Peer) {
+func restoreFolder(t *testing.T, dir string, living ...hotrestart.Peer) {
 	t.Helper()
 	archive, err := txtar.ParseFile(goldenFolder)
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-func holdLock(t *testing.T, dir string, peer takeover.Peer) {
+func holdLock(t *testing.T, dir string, peer hotrestart.Peer) {
 	t.Helper()
 	path, err := Path(dir, goldenRouter)
 	if err != nil {
@@ -138,10 +138,10 @@
 // A process that finds the recorded folder takes the next place, knows who lives, and reads the bans.
 func TestGoldenFolderIsRead(t *testing.T) {
 	dir := shortFolder(t)
-	restoreFolder(t, dir, takeover.First+1)
+	restoreFolder(t, dir, hotrestart.First+1)
 	p := takeGoldenPlace(t, dir)
-	if p.Peer != takeover.First+2 || p.Elder() != takeover.First+1 || p.Lives(takeover.First) {
-		t.Errorf("place %d, after %d, the first lives: %v", p.Peer, p.Elder(), p.Lives(takeover.First))
+	if p.Peer != hotrestart.First+2 || p.Elder() != hotrestart.First+1 || p.Lives(hotrestart.First) {
+		t.Errorf("place %d, after %d, the first lives: %v", p.Peer, p.Elder(), p.Lives(hotrestart.First))
 	}
 	got, err := p.Banned()
 	if want := []string{"s-00000002", "s-00c41f7a"}; err != nil || !slices.Equal(got, want) {
@@ -154,7 +154,7 @@
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	p := takeGoldenPlace(t, dir)
-	if p.Peer != takeover.First+2 || p.Elder() != takeover.None {
+	if p.Peer != hotrestart.First+2 || p.Elder() != hotrestart.None {
 		t.Errorf("place %d, after %d", p.Peer, p.Elder())
 	}
 	if got, err := p.Banned(); err != nil || len(got) > 0 {
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p := takeGoldenPlace(t, dir); p.Peer != takeover.First+2 {
+	if p := takeGoldenPlace(t, dir); p.Peer != hotrestart.First+2 {
 		t.Errorf("place %d", p.Peer)
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/hotrestartipc/link.go
@@ -1,6 +1,6 @@
-// Package handover joins the two processes of a router that is being upgraded: a Unix socket, on which the new process
+// Package hotrestartipc joins the two processes of a router that is being upgraded: a Unix socket, on which the new process
 // finds the old one, and framed messages that go both ways while both live. What the messages mean is their owners'.
-package handover
+package hotrestartipc
 
 import (
 	"encoding/binary"
--- a/internal/handover/place.go
+++ b/internal/hotrestartipc/place.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestartipc
 
 import (
 	"errors"
@@ -13,14 +13,14 @@
 	"syscall"
 	"time"
 
-	"windflow/internal/decide/takeover"
+	"windflow/internal/decide/hotrestart"
 )
 
 // Place is a process's place in the order of the processes of one router, and the folder that they share. Of each place
 // there is a socket, on which newer processes find this one, and a file that the process keeps locked while it lives: the
 // system gives the lock up with the process, whatever becomes of it, and one that is stopped keeps it.
 type Place struct {
-	Peer     takeover.Peer
+	Peer     hotrestart.Peer
 	Listener *net.UnixListener
 	base     string
 	lock     *os.File
@@ -55,11 +55,11 @@
 		}
 	}
 	// The greatest place ever given is kept: one that was given again would be taken for the process that had it.
-	last := takeover.First - 1
+	last := hotrestart.First - 1
 	text := make([]byte, 32)
 	n, _ := roster.ReadAt(text, 0)
 	if v, err := strconv.ParseUint(strings.TrimSpace(string(text[:n])), 10, 48); err == nil {
-		last = max(last, takeover.Peer(v))
+		last = max(last, hotrestart.Peer(v))
 	}
 	anybody := p.legacy()
 	for _, there := range p.places() {
@@ -97,23 +97,23 @@
 	return p, nil
 }
 
-func (p *Place) socket(of takeover.Peer) string {
-	if of == takeover.Unplaced {
+func (p *Place) socket(of hotrestart.Peer) string {
+	if of == hotrestart.Unplaced {
 		return p.base + ".sock"
 	}
 	return fmt.Sprintf("%s.%d.sock", p.base, of)
 }
 
-func (p *Place) lockFile(of takeover.Peer) string { return fmt.Sprintf("%s.%d.lock", p.base, of) }
-func (p *Place) bans() string                     { return p.base + ".bans" }
+func (p *Place) lockFile(of hotrestart.Peer) string { return fmt.Sprintf("%s.%d.lock", p.base, of) }
+func (p *Place) bans() string                       { return p.base + ".bans" }
 
 // places gives those that have a file, living or not, in their order.
-func (p *Place) places() (all []takeover.Peer) {
+func (p *Place) places() (all []hotrestart.Peer) {
 	names, _ := filepath.Glob(p.base + ".*.lock")
 	for _, name := range names {
 		text := strings.TrimSuffix(strings.TrimPrefix(name, p.base+"."), ".lock")
-		if n, err := strconv.ParseUint(text, 10, 48); err == nil && takeover.Peer(n) >= takeover.First {
-			all = append(all, takeover.Peer(n))
+		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.Peer(n) >= hotrestart.First {
+			all = append(all, hotrestart.Peer(n))
 		}
 	}
 	slices.Sort(all)
@@ -121,8 +121,8 @@
 }
 
 // Lives tells whether the process of a place lives; one that is stopped does.
-func (p *Place) Lives(of takeover.Peer) bool {
-	if of == takeover.Unplaced {
+func (p *Place) Lives(of hotrestart.Peer) bool {
+	if of == hotrestart.Unplaced {
 		return p.legacy()
 	}
 	f, err := os.Open(p.lockFile(of))
@@ -137,7 +137,7 @@
 // legacy tells whether a process of version 1 waits where those do. A placed process is published there under its own
 // socket's name, too, and does not count.
 func (p *Place) legacy() bool {
-	at, err := os.Stat(p.socket(takeover.Unplaced))
+	at, err := os.Stat(p.socket(hotrestart.Unplaced))
 	if err != nil {
 		return false
 	}
@@ -146,7 +146,7 @@
 			return false
 		}
 	}
-	conn, err := Dial(p.socket(takeover.Unplaced), dialWithin)
+	conn, err := Dial(p.socket(hotrestart.Unplaced), dialWithin)
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist)
 	}
@@ -155,20 +155,22 @@
 }
 
 // Elder gives the newest living process before this one, or None.
-func (p *Place) Elder() takeover.Peer {
+func (p *Place) Elder() hotrestart.Peer {
 	for _, there := range slices.Backward(p.places()) {
 		if there < p.Peer && p.Lives(there) {
 			return there
 		}
 	}
 	if p.legacy() {
-		return takeover.Unplaced
+		return hotrestart.Unplaced
 	}
-	return takeover.None
+	return hotrestart.None
 }
 
 // Call connects to the process of a place.
-func (p *Place) Call(of takeover.Peer) (*net.UnixConn, error) { return Dial(p.socket(of), dialWithin) }
+func (p *Place) Call(of hotrestart.Peer) (*net.UnixConn, error) {
+	return Dial(p.socket(of), dialWithin)
+}
 
 // Publish has processes of version 1 find this one.
 func (p *Place) Publish() error {
@@ -177,7 +179,7 @@
 	if err := os.Link(p.socket(p.Peer), mine); err != nil {
 		return err
 	}
-	err := os.Rename(mine, p.socket(takeover.Unplaced))
+	err := os.Rename(mine, p.socket(hotrestart.Unplaced))
 	_ = os.Remove(mine) // a rename onto another name of the same file leaves both
 	return err
 }
@@ -188,8 +190,8 @@
 		_ = p.Listener.Close()
 	}
 	own, err := os.Stat(p.socket(p.Peer))
-	if at, bad := os.Stat(p.socket(takeover.Unplaced)); err == nil && bad == nil && os.SameFile(at, own) {
-		_ = os.Remove(p.socket(takeover.Unplaced))
+	if at, bad := os.Stat(p.socket(hotrestart.Unplaced)); err == nil && bad == nil && os.SameFile(at, own) {
+		_ = os.Remove(p.socket(hotrestart.Unplaced))
 	}
 	_ = os.Remove(p.socket(p.Peer))
 	_ = os.Remove(p.lockFile(p.Peer))
--- a/internal/keeper/calls.go
+++ b/internal/keeper/calls.go
@@ -12,7 +12,7 @@
 	"net/url"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // fromKeeper marks a call that another keeper passed on, with that keeper's id. It is not passed on again.
@@ -50,11 +50,11 @@
 }
 
 // faulty gives a fault of a change or a question its status.
-func faulty(f *rollout.Fault) answer {
+func faulty(f *configlog.Fault) answer {
 	switch f.Kind {
-	case rollout.FaultConflict, rollout.FaultReused:
+	case configlog.FaultConflict, configlog.FaultReused:
 		return answer{http.StatusConflict, f}
-	case rollout.FaultCompacted:
+	case configlog.FaultCompacted:
 		return answer{http.StatusGone, f}
 	default:
 		return answer{http.StatusUnprocessableEntity, f}
--- a/internal/keeper/change.go
+++ b/internal/keeper/change.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // changes is `POST /v1/changes`.
 func (k *Keeper) changes(w http.ResponseWriter, r *http.Request) answer {
-	var c rollout.Change
+	var c configlog.Change
 	body, no := readBody(w, r, mostBody, &c)
 	if no != nil {
 		return *no
@@ -46,10 +46,10 @@
 	if c.To == nil {
 		return refuse(http.StatusBadRequest, "malformed", "field to is missing: the revision whose content is to be in force again")
 	}
-	return k.propose(r, rollout.Change{ID: c.ID, Expect: c.Expect, RevertTo: c.To, Note: c.Note}, body, "/v1/revert")
+	return k.propose(r, configlog.Change{ID: c.ID, Expect: c.Expect, RevertTo: c.To, Note: c.Note}, body, "/v1/revert")
 }
 
-func (k *Keeper) propose(r *http.Request, c rollout.Change, body []byte, path string) answer {
+func (k *Keeper) propose(r *http.Request, c configlog.Change, body []byte, path string) answer {
 	if c.ID == "" {
 		return refuse(http.StatusBadRequest, "malformed", "field id is missing: it makes a repeated call one change")
 	}
@@ -63,7 +63,7 @@
 
 // change checks a change and has it replicated, as the leader. One at a time, so that each is checked against what it
 // will be laid over; an entry whose base has moved all the same (another leader came between) does nothing.
-func (k *Keeper) change(ctx context.Context, c rollout.Change) answer {
+func (k *Keeper) change(ctx context.Context, c configlog.Change) answer {
 	select {
 	case k.changing <- struct{}{}:
 		defer func() { <-k.changing }()
@@ -173,7 +173,7 @@
 // content is what `GET /v1/config` gives.
 type content struct {
 	Revision uint64                     `json:"revision"`
-	Hash     rollout.Hash               `json:"hash"`
+	Hash     configlog.Hash             `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
@@ -194,7 +194,7 @@
 		switch {
 		case fault == nil:
 			return answer{http.StatusOK, c}
-		case fault.Kind != rollout.FaultInvalid:
+		case fault.Kind != configlog.FaultInvalid:
 			return faulty(fault)
 		}
 		select {
--- a/internal/keeper/change_test.go
+++ b/internal/keeper/change_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"testing"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 func number(n uint64) *uint64 { return &n }
@@ -31,7 +31,7 @@
 	}{
 		{"repeated", "/v1/changes", put("c1", "/settings/over-share-worth", "1"), 200, "2 true"},
 		{"reused id", "/v1/changes", put("c1", "/settings/over-share-worth", "7"), 409, "reused 2"},
-		{"conflict", "/v1/changes", rollout.Change{ID: "x", Expect: number(2), Put: put("", "/settings/over-share-worth", "9").Put}, 409, "conflict 3"},
+		{"conflict", "/v1/changes", configlog.Change{ID: "x", Expect: number(2), Put: put("", "/settings/over-share-worth", "9").Put}, 409, "conflict 3"},
 		{"checked", "/v1/changes", put("y", refusedPointer, "-1"), 422, "invalid " + refusedPointer + " below zero"},
 		{"not allowed", "/v1/changes", put("z", "/listen", `"x"`), 422, "invalid /listen"},
 		{"no id", "/v1/changes", put("", "/settings/over-share-worth", "1"), 400, "malformed field id"},
@@ -69,8 +69,8 @@
 		t.Errorf("revision 3: %s", c.Entries)
 	}
 	var h struct {
-		Oldest    uint64             `json:"oldest"`
-		Revisions []rollout.Revision `json:"revisions"`
+		Oldest    uint64               `json:"oldest"`
+		Revisions []configlog.Revision `json:"revisions"`
 	}
 	if code := g.get(other, "/v1/revisions?from=2&most=2", &h); code != 200 || len(h.Revisions) != 2 || h.Revisions[0].ID != "c1" || h.Revisions[0].AtMS == 0 {
 		t.Errorf("revisions: %d %+v", code, h)
--- a/internal/keeper/client_test.go
+++ b/internal/keeper/client_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
-	"windflow/internal/follow"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
@@ -20,15 +20,15 @@
 	t.Parallel()
 	g := started(t, 3, func(_ int, o *keeper.Options) { o.Lease = 2500 * time.Millisecond })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	client := func(n int, life uint64, dir string, refuses uint64) *follow.Client {
-		cfg := follow.Config{Dir: dir, HoldMS: 1000}
+	client := func(n int, life uint64, dir string, refuses uint64) *configclient.Client {
+		cfg := configclient.Config{Dir: dir, HoldMS: 1000}
 		for i := range g.members { // each begins at another one
 			cfg.Addresses = append(cfg.Addresses, g.members[(n+i)%3].options.HTTP)
 		}
-		c := follow.New(cfg, fmt.Sprint("r", n), rollout.Instance(int64(life), uint64(n)), log)
-		apply := func(r follow.Revision) error {
+		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.Instance(int64(life), uint64(n)), log)
+		apply := func(r configclient.Revision) error {
 			if r.Revision == refuses {
-				return &follow.Refusal{Pointer: "/settings/over-share-worth", Reason: "no"}
+				return &configclient.Refusal{Pointer: "/settings/over-share-worth", Reason: "no"}
 			}
 			return nil
 		}
@@ -39,7 +39,7 @@
 	}
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
-	var clients []*follow.Client
+	var clients []*configclient.Client
 	for n, dir := range dirs {
 		c := client(n, 1, dir, map[int]uint64{1: 3}[n])
 		if got := c.Latest().Revision; got != 1 {
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // command is one entry of the replicated log. Exactly one of its fields is set.
@@ -25,8 +25,8 @@
 
 // changeCommand is a change that was checked against the content at revision Base, and counts on no other one.
 type changeCommand struct {
-	Base   uint64         `json:"base"`
-	Change rollout.Change `json:"change"`
+	Base   uint64           `json:"base"`
+	Change configlog.Change `json:"change"`
 }
 
 // commandFormat is the first byte of each entry; then come a CRC-32C of the rest, and JSON.
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
@@ -33,7 +33,7 @@
 	g.limit(i, uint64(f.Size()))
 }
 
-func large(n int) rollout.Change {
+func large(n int) configlog.Change {
 	return put(fmt.Sprint("c", n), "/board", `"`+strings.Repeat("x", 20<<10)+fmt.Sprint(n)+`"`)
 }
 
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -6,13 +6,13 @@
 	"sync"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
 	mostReport = 64 << 10
 	// mostJoining bounds the processes that wait for their place on the roster, and joinAtOnce those in one entry.
-	mostJoining = rollout.MaxRoster
+	mostJoining = configlog.MaxRoster
 	joinAtOnce  = 500
 	// The wait after a try that failed grows from joinAgain to joinLatest: with a full disk each try costs an election.
 	joinAgain  = 100 * time.Millisecond
@@ -23,8 +23,8 @@
 // One whose process is not on the replicated roster gets nothing until it is: from then on no verdict overlooks it.
 func (k *Keeper) follow(w http.ResponseWriter, r *http.Request) answer {
 	var q struct {
-		Report rollout.Report `json:"report"`
-		WaitMS *int           `json:"wait_ms"`
+		Report configlog.Report `json:"report"`
+		WaitMS *int             `json:"wait_ms"`
 	}
 	if _, no := readBody(w, r, mostReport, &q); no != nil {
 		return *no
@@ -64,7 +64,7 @@
 
 // await gives what a follower needs as soon as there is something; false when the time is up. That this keeper is behind
 // the follower it says only at the end: it may yet catch up, and the follower doesn't call again at once.
-func (k *Keeper) await(ctx context.Context, report rollout.Report, hold time.Duration) (u rollout.Update, news bool) {
+func (k *Keeper) await(ctx context.Context, report configlog.Report, hold time.Duration) (u configlog.Update, news bool) {
 	end := time.NewTimer(hold)
 	defer end.Stop()
 	for asked := false; ; {
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
 // rolloutReply is what GET /v1/rollout gives.
 type rolloutReply struct {
-	rollout.Verdict
+	configlog.Verdict
 	Keeper   string `json:"keeper"`
 	Majority bool   `json:"majority"`
 	Why      string `json:"why"`
@@ -27,17 +27,17 @@
 	g              *group
 	name, instance string
 	revision       uint64
-	hash           rollout.Hash
-	refused        *rollout.Refusal
+	hash           configlog.Hash
+	refused        *configlog.Refusal
 	content        map[string]json.RawMessage
-	updates        []rollout.Update
+	updates        []configlog.Update
 }
 
 // call asks once, and takes what it gets.
 func (f *follower) call(i int, waitMS int) (code int) {
 	f.g.t.Helper()
-	var u rollout.Update
-	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": rollout.Report{Name: f.name, Instance: f.instance,
+	var u configlog.Update
+	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.Report{Name: f.name, Instance: f.instance,
 		Revision: f.revision, Hash: f.hash, Refused: f.refused}}, &u)
 	if code != http.StatusOK || u.Behind {
 		return code
@@ -56,7 +56,7 @@
 		delete(f.content, p)
 	}
 	f.revision, f.hash = u.To, u.Hash
-	if h := rollout.HashOf(f.content); h != u.Hash {
+	if h := configlog.HashOf(f.content); h != u.Hash {
 		f.g.t.Errorf("%s: content of revision %d has hash %s, not %s", f.name, u.To, h, u.Hash)
 	}
 	return code
@@ -97,8 +97,8 @@
 		}
 	}
 	a.ack(1)
-	b.revision, b.refused = 1, &rollout.Refusal{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
-	b.hash = rollout.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
+	b.revision, b.refused = 1, &configlog.Refusal{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
+	b.hash = configlog.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.call(2, 0); code != http.StatusNoContent {
 		t.Errorf("a follower that refused the revision is offered it again: %d", code)
 	}
@@ -205,7 +205,7 @@
 	if len(fresh.updates) != 1 || !reflect.DeepEqual(fresh.content, wide.content) {
 		t.Errorf("fresh: %d updates, %d entries", len(fresh.updates), len(fresh.content))
 	}
-	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: rollout.HashOf(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
+	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: configlog.HashOf(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
 	first.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
 	first.until(2, 1050)
 	if len(first.updates) != 1 || !reflect.DeepEqual(first.content, wide.content) {
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
 
@@ -43,7 +43,7 @@
 	ready := make(chan string, 1)
 	o := Options{ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTP: host + ":7401", Raft: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
-		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: rollout.Terms{Revisions: 3},
+		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: configlog.Terms{Revisions: 3},
 		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin}
 	tweak(&o)
 	ended := make(chan error, 1)
@@ -65,12 +65,12 @@
 }
 
 // refusesEight is a check of content that has something against the number 8.
-func refusesEight(entries map[string]json.RawMessage) *rollout.Fault {
+func refusesEight(entries map[string]json.RawMessage) *configlog.Fault {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
 		return nil
 	}
-	return &rollout.Fault{Kind: rollout.FaultInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
+	return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
 // converse makes the calls in turn and gives what was said, but for what varies.
@@ -122,7 +122,7 @@
 const board = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, worth, rest string) string {
-	hash := rollout.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(worth),
+	hash := configlog.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(worth),
 		"/board": json.RawMessage(board)})
 	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b","revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
 		name, revision, hash, rest)
--- a/internal/keeper/golden_command_test.go
+++ b/internal/keeper/golden_command_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/hashicorp/raft"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
 
@@ -19,9 +19,9 @@
 func sampleCommands() map[string]command {
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
 	return map[string]command{
-		"command-put.bin": {Change: &changeCommand{Base: 7, Change: rollout.Change{ID: "change-8", Expect: pointerTo(uint64(7)),
+		"command-put.bin": {Change: &changeCommand{Base: 7, Change: configlog.Change{ID: "change-8", Expect: pointerTo(uint64(7)),
 			Put: put, Remove: []string{"/settings/parties/north"}, Note: "more for south", AtMS: 1_796_000_000_123}}},
-		"command-revert.bin": {Change: &changeCommand{Base: 8, Change: rollout.Change{ID: "change-9", RevertTo: pointerTo(uint64(7)),
+		"command-revert.bin": {Change: &changeCommand{Base: 8, Change: configlog.Change{ID: "change-9", RevertTo: pointerTo(uint64(7)),
 			Note: "back", AtMS: 1_796_000_000_456}}},
 		"command-join.bin":   {Join: []seat{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
 		"command-forget.bin": {Forget: "r2"},
@@ -48,9 +48,9 @@
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
 func sampleMachine(t *testing.T) *machine {
-	m := newMachine(rollout.Terms{Revisions: 3, Bytes: 1 << 20})
-	put := func(id, pointer, value string) rollout.Change {
-		return rollout.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
+	m := newMachine(configlog.Terms{Revisions: 3, Bytes: 1 << 20})
+	put := func(id, pointer, value string) configlog.Change {
+		return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
 	}
 	for i, c := range []command{
 		{Change: &changeCommand{Base: 0, Change: put("a", "/settings/over-share-worth", "1")}},
@@ -59,8 +59,8 @@
 		{Join: []seat{{"r1", "second"}}},
 		{Change: &changeCommand{Base: 2, Change: put("c", "/settings/parties/north", `{"share":2}`)}},
 		{Forget: "r3"},
-		{Change: &changeCommand{Base: 3, Change: rollout.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
-		{Change: &changeCommand{Base: 4, Change: rollout.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005}}},
+		{Change: &changeCommand{Base: 3, Change: configlog.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
+		{Change: &changeCommand{Base: 4, Change: configlog.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005}}},
 	} {
 		m.Apply(entry(t, uint64(i+1), c))
 	}
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, file, s.(state))
-	read := newMachine(rollout.Terms{})
+	read := newMachine(configlog.Terms{})
 	if err := read.Restore(io.NopCloser(bytes.NewReader(goldentest.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
@@ -95,12 +95,12 @@
 
 // machineContent is all that a machine holds, as calls give it.
 type machineContent struct {
-	Oldest   uint64             `json:"oldest"`
-	Revision uint64             `json:"revision"`
-	History  []rollout.Revision `json:"history"`
-	Contents []content          `json:"contents"`
-	Roster   []string           `json:"roster"`
-	Unknown  []seat             `json:"unknown"` // of the seats that were ever heard
+	Oldest   uint64               `json:"oldest"`
+	Revision uint64               `json:"revision"`
+	History  []configlog.Revision `json:"history"`
+	Contents []content            `json:"contents"`
+	Roster   []string             `json:"roster"`
+	Unknown  []seat               `json:"unknown"` // of the seats that were ever heard
 }
 
 func contentOf(m *machine) machineContent {
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
 
@@ -30,14 +30,14 @@
 const goldenWithin = 20 * time.Second
 
 // foldersChanges has a revert, a removal and more revisions than are kept.
-func foldersChanges() (list []rollout.Change) {
+func foldersChanges() (list []configlog.Change) {
 	for i := range 5 {
-		list = append(list, rollout.Change{ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
+		list = append(list, configlog.Change{ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
 			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(fmt.Sprint(i + 1)),
 				fmt.Sprint("/settings/parties/p", i): json.RawMessage(`{"share":2}`)}})
 	}
-	list = append(list, rollout.Change{ID: "change-6", Remove: []string{"/settings/parties/p0"}})
-	return append(list, rollout.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
+	list = append(list, configlog.Change{ID: "change-6", Remove: []string{"/settings/parties/p0"}})
+	return append(list, configlog.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
 }
 
 // leaderField is the part of an answer that differs from run to run.
@@ -69,8 +69,8 @@
 	for _, p := range peers {
 		c.addresses = append(c.addresses, p.HTTP)
 		o := Options{ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
-			Check: func(map[string]json.RawMessage) *rollout.Fault { return nil }, Log: slog.New(slog.DiscardHandler),
-			Keep: rollout.Terms{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
+			Check: func(map[string]json.RawMessage) *configlog.Fault { return nil }, Log: slog.New(slog.DiscardHandler),
+			Keep: configlog.Terms{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
 				t.Errorf("%s ended: %v", o.ID, err)
@@ -117,7 +117,7 @@
 
 // followBody is the call of a follower that has nothing yet.
 func followBody(name string) any {
-	return map[string]rollout.Report{"report": {Name: name, Instance: name + "-1"}}
+	return map[string]configlog.Report{"report": {Name: name, Instance: name + "-1"}}
 }
 
 // recordFolders writes the golden folders with this program.
@@ -217,7 +217,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := newMachine(rollout.Terms{})
+		m := newMachine(configlog.Terms{})
 		if err := m.Restore(content); err != nil {
 			t.Fatal(err)
 		}
@@ -257,7 +257,7 @@
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
 		t.Errorf("a change of before, sent again: %s, want %s", got, want)
 	}
-	got = c.ask(t, 1, http.MethodPost, "/v1/changes", rollout.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
+	got = c.ask(t, 1, http.MethodPost, "/v1/changes", configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
 	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
 		t.Errorf("a new change: %s, want %s", got, want)
 	}
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // callsToPeer has a keeper make each call that keepers make to each other, and gives the requests as they came.
-func callsToPeer(t *testing.T) (requests []byte, word peerWord, leases []rollout.Lease, leader leaderWord) {
+func callsToPeer(t *testing.T) (requests []byte, word peerWord, leases []configlog.Lease, leader leaderWord) {
 	t.Helper()
 	var came bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +41,7 @@
 	}))
 	defer server.Close()
 	peer := Peer{ID: "k2", HTTP: strings.TrimPrefix(server.URL, "http://")}
-	k := &Keeper{o: Options{ID: "k1", Peers: []Peer{{ID: "k1"}, peer}}, client: server.Client(), leases: rollout.NewLeases(1000)}
+	k := &Keeper{o: Options{ID: "k1", Peers: []Peer{{ID: "k1"}, peer}}, client: server.Client(), leases: configlog.NewLeases(1000)}
 	ctx := context.Background()
 	word = k.askAll(ctx)["k2"]
 	leases, _ = k.gather(ctx)
@@ -64,11 +64,11 @@
 func TestGoldenCallsToPeers(t *testing.T) {
 	requests, word, leases, leader := callsToPeer(t)
 	goldentest.Equal(t, "calls-to-peers.txt", requests)
-	var hash, refused rollout.Hash
+	var hash, refused configlog.Hash
 	copy(hash[:], bytes.Repeat([]byte{1}, 32))
 	copy(refused[:], bytes.Repeat([]byte{2}, 32))
-	wantLeases := []rollout.Lease{{Report: rollout.Report{Name: "r1", Instance: "i", Revision: 4, Hash: hash,
-		Refused: &rollout.Refusal{Revision: 5, Hash: refused, Pointer: "/board", Reason: "no"}}, UntilMS: 12.5}}
+	wantLeases := []configlog.Lease{{Report: configlog.Report{Name: "r1", Instance: "i", Revision: 4, Hash: hash,
+		Refused: &configlog.Refusal{Revision: 5, Hash: refused, Pointer: "/board", Reason: "no"}}, UntilMS: 12.5}}
 	if diff := cmp.Diff(wantLeases, leases); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
@@ -225,12 +225,12 @@
 	Done     string `json:"done"`
 }
 
-func put(id, pointer, value string) rollout.Change {
-	return rollout.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
+func put(id, pointer, value string) configlog.Change {
+	return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
 }
 
 // change has a change made and gives its revision.
-func (g *group) change(i int, c rollout.Change) uint64 {
+func (g *group) change(i int, c configlog.Change) uint64 {
 	g.t.Helper()
 	var r reply
 	if code := g.post(i, "/v1/changes", c, &r); code != http.StatusOK {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/net/netutil"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
@@ -48,7 +48,7 @@
 	settled  atomic.Uint64 // the term in which everything of former terms is known to be applied
 
 	leasesMu sync.Mutex
-	leases   *rollout.Leases
+	leases   *configlog.Leases
 
 	joining joining
 }
@@ -62,7 +62,7 @@
 	k := &Keeper{o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Keep), begun: make(chan struct{}),
 		stopping: make(chan struct{}), changing: make(chan struct{}, 1),
 		leadership: newTurns(),
-		leases:     rollout.NewLeases(float64(o.Lease.Milliseconds())), joining: newJoining()}
+		leases:     configlog.NewLeases(float64(o.Lease.Milliseconds())), joining: newJoining()}
 	k.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
 		DialContext: (&net.Dialer{Timeout: askWithin}).DialContext}}
 	defer k.client.CloseIdleConnections()
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
@@ -115,7 +115,7 @@
 		v.code, v.err = ask("http://"+g.members[old].options.HTTP, http.MethodGet, "/v1/rollout", nil, &v)
 		verdict <- v
 	}()
-	conflict := g.send(old, http.MethodPost, "/v1/changes", rollout.Change{ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put})
+	conflict := g.send(old, http.MethodPost, "/v1/changes", configlog.Change{ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put})
 	repeated := g.send(old, http.MethodPost, "/v1/changes", put("second", "/settings/over-share-worth", "2"))
 	g.members[old].signal(syscall.SIGCONT)
 	if v := <-verdict; v.err != nil || v.code != 200 || v.Everywhere {
--- a/internal/keeper/machine.go
+++ b/internal/keeper/machine.go
@@ -9,24 +9,24 @@
 
 	"github.com/hashicorp/raft"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 // machine is the replicated state: the log of revisions and the roster of followers. Raft alone changes it; the calls of
 // operators and followers read it. It holds only entries that a majority has.
 type machine struct {
 	mu      sync.Mutex
-	log     *rollout.Log
+	log     *configlog.Log
 	changed chan struct{} // closed and replaced at each change
 }
 
-func newMachine(t rollout.Terms) *machine {
-	return &machine{log: rollout.NewLog(t), changed: make(chan struct{})}
+func newMachine(t configlog.Terms) *machine {
+	return &machine{log: configlog.NewLog(t), changed: make(chan struct{})}
 }
 
 // outcome is what Apply gives for a change.
 type outcome struct {
-	rollout.Result
+	configlog.Result
 	Moved bool // the revision in force is no longer the one that the change was checked against; nothing was done
 }
 
@@ -56,7 +56,7 @@
 
 func (m *machine) change(c *changeCommand) outcome {
 	if c.Base != m.log.Revision() {
-		return outcome{Result: rollout.Result{Revision: m.log.Revision()}, Moved: true}
+		return outcome{Result: configlog.Result{Revision: m.log.Revision()}, Moved: true}
 	}
 	return outcome{Result: m.log.Apply(c.Change)}
 }
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	log := rollout.NewLog(rollout.Terms{})
+	log := configlog.NewLog(configlog.Terms{})
 	if err := log.UnmarshalBinary(text); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 type stand struct {
 	Revision uint64
 	Oldest   uint64
-	Hash     rollout.Hash
+	Hash     configlog.Hash
 }
 
 func (m *machine) stand() stand {
@@ -121,7 +121,7 @@
 	return stand{Revision: m.log.Revision(), Oldest: m.log.Oldest(), Hash: m.log.Hash()}
 }
 
-func (m *machine) preview(c rollout.Change) (base uint64, content map[string]json.RawMessage, fault *rollout.Fault) {
+func (m *machine) preview(c configlog.Change) (base uint64, content map[string]json.RawMessage, fault *configlog.Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	content, fault = m.log.Preview(c)
@@ -129,14 +129,14 @@
 }
 
 // next gives what a follower needs, whether its process is on the roster, and what is closed when that may differ.
-func (m *machine) next(r rollout.Report) (u rollout.Update, known bool, changed <-chan struct{}) {
+func (m *machine) next(r configlog.Report) (u configlog.Update, known bool, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.Next(r), m.log.Joined(r.Name, r.Instance), m.changed
 }
 
 // at gives the content at a revision; nil for the one in force. changed is closed when another one is in force.
-func (m *machine) at(rev *uint64) (c content, fault *rollout.Fault, changed <-chan struct{}) {
+func (m *machine) at(rev *uint64) (c content, fault *configlog.Fault, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.Revision = m.log.Revision()
@@ -151,13 +151,13 @@
 		if h := m.log.History(c.Revision, 1); len(h) == 1 && h[0].Revision == c.Revision {
 			c.Hash = h[0].Hash
 		} else {
-			c.Hash = rollout.HashOf(c.Entries)
+			c.Hash = configlog.HashOf(c.Entries)
 		}
 	}
 	return c, nil, m.changed
 }
 
-func (m *machine) history(from uint64, most int) []rollout.Revision {
+func (m *machine) history(from uint64, most int) []configlog.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.History(from, most)
--- a/internal/keeper/many_test.go
+++ b/internal/keeper/many_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 var many = flag.Int("followers", 100, "followers of TestManyFollowers")
 
 // follow plays a router with the state machine that routers have, until ctx ends.
 func (g *group) follow(ctx context.Context, n int) {
-	f := rollout.NewFollower(fmt.Sprintf("r%03d", n), rollout.Instance(1, uint64(n+1)))
+	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.Instance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
 	began := time.Now()
@@ -27,7 +27,7 @@
 		to := g.members[f.Keeper(len(g.members))].options.HTTP
 		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Ask()})
 		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/follow", bytes.NewReader(text))
-		var u rollout.Update
+		var u configlog.Update
 		a, err := c.Do(q)
 		if err == nil {
 			switch a.StatusCode {
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
 
@@ -43,9 +43,9 @@
 	}
 	signal.Ignore(syscall.SIGXFSZ)
 	o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
-	o.Check = func(entries map[string]json.RawMessage) *rollout.Fault {
+	o.Check = func(entries map[string]json.RawMessage) *configlog.Fault {
 		if v, ok := entries[refusedPointer]; ok && string(v) == "-1" {
-			return &rollout.Fault{Kind: rollout.FaultInvalid, Pointer: refusedPointer, Reason: "is below zero"}
+			return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: refusedPointer, Reason: "is below zero"}
 		}
 		return nil
 	}
--- a/internal/keeper/store.go
+++ b/internal/keeper/store.go
@@ -16,7 +16,7 @@
 	berrors "go.etcd.io/bbolt/errors"
 	"golang.org/x/sys/unix"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
@@ -212,7 +212,7 @@
 	if err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
-	m := newMachine(rollout.Terms{})
+	m := newMachine(configlog.Terms{})
 	if err := m.Restore(r); err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
--- a/internal/keeper/verdict.go
+++ b/internal/keeper/verdict.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"windflow/internal/decide/rollout"
+	"windflow/internal/decide/configlog"
 )
 
 const (
@@ -21,7 +21,7 @@
 // verdict is what `GET /v1/rollout` gives. Everywhere is said only by a leader that a majority has confirmed after the
 // leases were gathered.
 type verdict struct {
-	rollout.Verdict
+	configlog.Verdict
 	Keeper   string `json:"keeper"` // whose verdict it is
 	Majority bool   `json:"majority"`
 	Why      string `json:"why,omitempty"` // why there is no majority's word
@@ -29,9 +29,9 @@
 
 // held are the leases of one keeper.
 type held struct {
-	Keeper  string          `json:"keeper"`
-	Settled bool            `json:"settled"` // false for a while after a start or a stop: not everyone has called yet
-	Leases  []rollout.Lease `json:"leases"`
+	Keeper  string            `json:"keeper"`
+	Settled bool              `json:"settled"` // false for a while after a start or a stop: not everyone has called yet
+	Leases  []configlog.Lease `json:"leases"`
 }
 
 func (k *Keeper) held() held {
@@ -116,7 +116,7 @@
 
 // gather asks all keepers for their leases, at once. A keeper that doesn't answer, or that may not have heard everyone
 // yet, counts as unreached; what it did hear counts.
-func (k *Keeper) gather(ctx context.Context) (heard []rollout.Lease, unreached []string) {
+func (k *Keeper) gather(ctx context.Context) (heard []configlog.Lease, unreached []string) {
 	var mu sync.Mutex
 	add := func(id string, h held, ok bool) {
 		mu.Lock()
@@ -140,7 +140,7 @@
 }
 
 // judge gives the verdict on a revision; nil stands for the one in force.
-func (m *machine) judge(rev *uint64, heard []rollout.Lease, unreached []string) rollout.Verdict {
+func (m *machine) judge(rev *uint64, heard []configlog.Lease, unreached []string) configlog.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.log.Revision()
--- a/internal/node/actor_test.go
+++ b/internal/node/actor_test.go
@@ -4,20 +4,20 @@
 	"net"
 	"testing"
 
-	"windflow/internal/handover"
+	"windflow/internal/hotrestartipc"
 )
 
 // actor plays one side of a takeover; heard has the kinds of message that came, but for those that tell what runs.
 type actor struct {
-	link  *handover.Link
-	heard chan handover.Message
+	link  *hotrestartipc.Link
+	heard chan hotrestartipc.Message
 	gone  chan struct{} // closed with the link; a message may still be in hand then
 	ask   func()        // says hello again, as a new process does that is told to wait; nil for one that does not ask
 }
 
 func act(conn *net.UnixConn) *actor {
-	a := &actor{heard: make(chan handover.Message, 256), gone: make(chan struct{})}
-	a.link = handover.Start(conn, func(m handover.Message) {
+	a := &actor{heard: make(chan hotrestartipc.Message, 256), gone: make(chan struct{})}
+	a.link = hotrestartipc.Start(conn, func(m hotrestartipc.Message) {
 		for _, f := range m.Files {
 			_ = f.Close()
 		}
@@ -31,7 +31,7 @@
 	return a
 }
 
-func (a *actor) want(t *testing.T, kind string) handover.Message {
+func (a *actor) want(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for {
 		m, there := a.next()
@@ -51,7 +51,7 @@
 }
 
 // next waits for a message, also one that came before the link's end; false if there is none to come.
-func (a *actor) next() (handover.Message, bool) {
+func (a *actor) next() (hotrestartipc.Message, bool) {
 	select {
 	case m := <-a.heard:
 		return m, true
@@ -65,7 +65,7 @@
 		case m := <-a.heard:
 			return m, true
 		default:
-			return handover.Message{}, false
+			return hotrestartipc.Message{}, false
 		}
 	}
 }
--- a/internal/node/bans.go
+++ b/internal/node/bans.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/router"
 	"windflow/internal/settings"
 )
@@ -22,7 +22,7 @@
 }
 
 // ban notes a ban, or its end, where all processes of this router see it, then carries it out here, then goes on.
-func (r *node) ban(id brain.EngineID, exclude, known bool, then func()) {
+func (r *node) ban(id dispatch.EngineID, exclude, known bool, then func()) {
 	apply := func() {
 		if known {
 			if exclude {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return
 	}
-	now := map[brain.EngineID]bool{}
+	now := map[dispatch.EngineID]bool{}
 	for _, name := range names {
 		if id, err := settings.ParseID(name); err == nil {
 			now[id] = true
@@ -87,7 +87,7 @@
 }
 
 // goBy carries out the bans that other processes of this router were told.
-func (r *node) goBy(now map[brain.EngineID]bool) {
+func (r *node) goBy(now map[dispatch.EngineID]bool) {
 	if r.unnoted || maps.Equal(now, r.out) {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // tellBan tells the other process of an operator's word, and answers the operator once it is in force there too.
-func (r *node) tellBan(id brain.EngineID, exclude, known bool, answer func(bool)) {
+func (r *node) tellBan(id dispatch.EngineID, exclude, known bool, answer func(bool)) {
 	if r.with == nil {
 		answer(known)
 		return
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"windflow/internal/board"
-	"windflow/internal/decide/takeover"
-	"windflow/internal/fetch"
+	"windflow/internal/decide/hotrestart"
+	"windflow/internal/discovery"
+	"windflow/internal/enginehttp"
 	"windflow/internal/mysql"
 	"windflow/internal/settings"
 	"windflow/internal/site"
@@ -75,7 +75,7 @@
 // bounds are those of the configuration, or this process's part of them while another one stands for the same router.
 func (r *node) bounds(cfg *settings.Node) (bounds, error) {
 	b, err := boundsOf(cfg, r.setAside())
-	if s := r.machine.Share(); err == nil && s != takeover.Whole {
+	if s := r.machine.Share(); err == nil && s != hotrestart.Whole {
 		r.divide(&b, s)
 	}
 	return b, err
@@ -93,7 +93,7 @@
 type bounds struct {
 	inbound int // bytes read and not yet handled
 	mysql   mysql.Config
-	fetch   fetch.Config
+	fetch   enginehttp.Config
 }
 
 // boundsOf gives each part what the configuration has for it; taken are the descriptors of parts that it does not name.
@@ -102,13 +102,13 @@
 	return bounds{
 		inbound: n.Inbound,
 		mysql:   mysql.Config{MaxSessions: n.Sessions, MaxBuffered: n.Buffered},
-		fetch: fetch.Config{MaxConns: n.EngineConns, ConnectTimeoutMS: float64(cfg.Parsed.Limits.ConnectTimeout) / 1e6,
+		fetch: enginehttp.Config{MaxConns: n.EngineConns, ConnectTimeoutMS: float64(cfg.Parsed.Limits.ConnectTimeout) / 1e6,
 			IdleMS: float64(cfg.Parsed.Limits.ConnIdle) / 1e6},
 	}, err
 }
 
-func namesOf(cfg *settings.Node) board.Names {
-	return board.Names{Zones: cfg.Parsed.Zones, Kinds: cfg.Parsed.Kinds}
+func namesOf(cfg *settings.Node) discovery.Names {
+	return discovery.Names{Zones: cfg.Parsed.Zones, Kinds: cfg.Parsed.Kinds}
 }
 
 // limit keeps the runtime within what the deployment gives; two processes of one router have half of the memory each.
@@ -117,7 +117,7 @@
 		runtime.GOMAXPROCS(max(int(cores+0.5), 1))
 	}
 	if memory := r.cfg.Limits.MemoryMB << 20; memory > 0 {
-		if r.machine.Share() != takeover.Whole {
+		if r.machine.Share() != hotrestart.Whole {
 			memory /= 2
 		}
 		debug.SetMemoryLimit(int64(float64(memory) * memoryShare))
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
-	"windflow/internal/control"
-	"windflow/internal/decide/takeover"
+	"windflow/internal/admin"
+	"windflow/internal/decide/hotrestart"
 )
 
 // openDoor has operators heard on a listener, for the first time or again.
@@ -18,14 +18,14 @@
 		r.door.Reopen(lis)
 		return
 	}
-	r.door = control.Open(r.loop, r.net, lis, r, r.log)
+	r.door = admin.Open(r.loop, r.net, lis, r, r.log)
 	r.log.Info("operators' door", "control", r.door.Addr())
 }
 
 // Ready implements control.Operators.
 func (r *node) Ready() error {
 	switch {
-	case r.machine.Phase() == takeover.Yielded || r.leaving:
+	case r.machine.Phase() == hotrestart.Yielded || r.leaving:
 		return errors.New("another process of this router accepts")
 	case !r.machine.Ready():
 		return errors.New(r.machine.Phase().String())
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -9,9 +9,9 @@
 	"testing"
 
 	"windflow/internal/bgp"
-	"windflow/internal/decide/takeover"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/hotrestart"
 	"windflow/internal/flightsql"
-	"windflow/internal/follow"
 	"windflow/internal/golden"
 	"windflow/internal/record"
 	"windflow/internal/routertest"
@@ -31,7 +31,7 @@
 			Prefixes: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}, NextHop: netip.MustParseAddr("10.0.0.1"),
 			HoldTimeS: 90, ConnectRetryS: 120},
 		Records: &records,
-		Keepers: &follow.Config{Addresses: []string{nobody}, Dir: t.TempDir(), HoldMS: 1000},
+		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), HoldMS: 1000},
 	}
 }
 
@@ -81,7 +81,7 @@
 // operators hear from a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var words strings.Builder
-	for p := takeover.Looking; p <= takeover.Ended; p++ {
+	for p := hotrestart.Looking; p <= hotrestart.Ended; p++ {
 		words.WriteString(p.String() + "\n")
 	}
 	golden.File(t, filepath.Join("testdata", "golden", "phases.txt"), []byte(words.String()))
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -9,7 +9,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"windflow/internal/golden"
-	"windflow/internal/handover"
+	"windflow/internal/hotrestartipc"
 )
 
 // messageSample is a message between two processes of a router, as one of them says it.
@@ -23,7 +23,7 @@
 // encode gives the message as it stands in a frame of the link.
 func (s messageSample) encode(t *testing.T) []byte {
 	t.Helper()
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(handover.New(s.kind, s.body))
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(hotrestartipc.New(s.kind, s.body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 func TestGoldenMessagesAreDecoded(t *testing.T) {
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
-			var m handover.Message
+			var m hotrestartipc.Message
 			if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(readGolden(t, s.path()), &m); err != nil {
 				t.Fatal(err)
 			}
@@ -106,7 +106,7 @@
 
 // Each field that a message holds names itself in a tag, so that the name in the code can change.
 func TestMessageFieldsHaveTags(t *testing.T) {
-	encoded := []any{handover.Message{}}
+	encoded := []any{hotrestartipc.Message{}}
 	for _, s := range messageSamples() {
 		if s.body != nil {
 			encoded = append(encoded, s.body)
--- a/internal/node/golden_place_test.go
+++ b/internal/node/golden_place_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/golden"
 	"windflow/internal/settings"
 )
@@ -16,7 +16,7 @@
 func TestGoldenMeetingAndBans(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintf(&got, "meeting %q\n", meeting(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
-	for _, id := range []brain.EngineID{0, 2, 0xc41f7a, 0xffffffff} {
+	for _, id := range []dispatch.EngineID{0, 2, 0xc41f7a, 0xffffffff} {
 		text := settings.FormatID(id)
 		fmt.Fprintf(&got, "ban of %d %q\n", id, text)
 		if back, err := settings.ParseID(text); err != nil || back != id {
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/bgp"
-	"windflow/internal/decide/rollout"
-	"windflow/internal/decide/takeover"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/configlog"
+	"windflow/internal/decide/hotrestart"
 	"windflow/internal/flightsql"
-	"windflow/internal/follow"
 	"windflow/internal/router"
 )
 
@@ -31,7 +31,7 @@
 	one.Version, one.Configuration = 0, nil
 	return append(sharedSamples(),
 		messageSample{"v1/hello", "hello", hello{PID: 22071}, []string{"Place", "Version"}},
-		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: takeover.Version}, nil},
+		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: hotrestart.Version}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
 		messageSample{"v2/state", "state", two, nil},
 		messageSample{"v1/ban", msgBan, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
@@ -71,7 +71,7 @@
 func sampleState() state {
 	revision := sampleRevision()
 	return state{
-		Version:       takeover.Version,
+		Version:       hotrestart.Version,
 		Generation:    2,
 		Core:          router.State{Open: []string{"0000000000000001"}, Spent: []string{"0000000000000002", "0000000000000003"}, Module: sampleSnapshot()},
 		Listeners:     []string{"clients", "door"},
@@ -82,17 +82,17 @@
 }
 
 // sampleSnapshot has an engine twice, so that a list of one would show.
-func sampleSnapshot() brain.Snapshot {
-	return brain.Snapshot{
-		Known:    []brain.EngineID{1, 2, 12_000_000},
-		Excluded: []brain.EngineID{2},
-		Engines: []brain.EngineSnapshot{
+func sampleSnapshot() dispatch.Snapshot {
+	return dispatch.Snapshot{
+		Known:    []dispatch.EngineID{1, 2, 12_000_000},
+		Excluded: []dispatch.EngineID{2},
+		Engines: []dispatch.EngineSnapshot{
 			{ID: 1, Born: 11 * time.Second, ColdAt: 12 * time.Second, WarmAt: 13 * time.Second, Slow: 1.25, Fail: 0.0625,
 				SlowAt: 14 * time.Second, FailAt: 15 * time.Second, Lost: 3, Owed: true},
 			{ID: 2, Born: 21 * time.Second, ColdAt: 22 * time.Second, WarmAt: 23 * time.Second, Slow: 2.5, Fail: 1e-7,
 				SlowAt: 24 * time.Second, FailAt: 1796148879607449088, Lost: 4, Owed: true},
 		},
-		Classes: []brain.ClassSnapshot{
+		Classes: []dispatch.ClassSnapshot{
 			{Name: "lookup", Mean: 0.25, Pace: 0.5, Best: 0.125, EstMean: 1.5, Fix: 1.75, Seen: 31, SeenAt: 32 * time.Second},
 			{Name: "load", Mean: 1.25, Pace: 1.375, Best: 1.125, EstMean: 2.5, Fix: 2.75, Seen: 1e21, SeenAt: 42 * time.Second},
 		},
@@ -101,9 +101,9 @@
 	}
 }
 
-func samplePeerUse() brain.PeerUse {
-	return brain.PeerUse{
-		Engines: []brain.EngineUse{
+func samplePeerUse() dispatch.PeerUse {
+	return dispatch.PeerUse{
+		Engines: []dispatch.EngineUse{
 			{ID: 1, Threads: 1.5, Prefer: 2.5, Work: 3.5, Granted: 4.5, Cold: 5.5},
 			{ID: 2, Threads: 6.5, Prefer: 7.5, Work: 8.5, Granted: 9.5, Cold: 10.5},
 		},
@@ -111,8 +111,8 @@
 	}
 }
 
-func sampleRevision() follow.Revision {
-	return follow.Revision{Revision: 71, Hash: rollout.Hash{0: 0xab, 31: 0xcd},
+func sampleRevision() configclient.Revision {
+	return configclient.Revision{Revision: 71, Hash: configlog.Hash{0: 0xab, 31: 0xcd},
 		Entries: map[string]json.RawMessage{"/classes/0": json.RawMessage(`{"name":"lookup"}`), "/zone": json.RawMessage(`"a"`)}}
 }
 
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
-	"windflow/internal/decide/rollout"
-	"windflow/internal/follow/keepertest"
+	"windflow/internal/configclient/keepertest"
+	"windflow/internal/decide/configlog"
 )
 
 // keepersFleet is a fleet whose routers follow keepers.
@@ -106,7 +106,7 @@
 	reached()
 	f.serves(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	said := k.Until("it refuses", func(r rollout.Report) bool { return r.Refused != nil })
+	said := k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
 	if said.Revision != first || said.Refused.Revision != bad || said.Refused.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("%+v, %+v", said, said.Refused)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,11 +13,11 @@
 	"sync"
 	"syscall"
 
-	"windflow/internal/board"
+	"windflow/internal/admin"
 	"windflow/internal/clock"
-	"windflow/internal/control"
-	"windflow/internal/decide/takeover"
-	"windflow/internal/fetch"
+	"windflow/internal/decide/hotrestart"
+	"windflow/internal/discovery"
+	"windflow/internal/enginehttp"
 	"windflow/internal/mysql"
 	"windflow/internal/netio"
 	"windflow/internal/router"
@@ -132,10 +132,10 @@
 	loop      *router.Loop
 	net       *netio.Net
 	core      *router.Core
-	client    *fetch.Client
+	client    *enginehttp.Client
 	front     *mysql.Front
-	board     *board.Follower
-	door      *control.Door // nil unless turned on
+	board     *discovery.Follower
+	door      *admin.Door // nil unless turned on
 	stop      chan struct{}
 	stopping  sync.Once
 	failed    error // why it can't serve
@@ -200,7 +200,7 @@
 		return err
 	}
 	r.net.SetMaxInbound(b.inbound)
-	r.client = fetch.New(r.loop, r.net, b.fetch, log)
+	r.client = enginehttp.New(r.loop, r.net, b.fetch, log)
 	r.clients.Other = r.client
 	r.core = core
 	for _, p := range r.parts {
@@ -219,8 +219,8 @@
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
 	core.Engines(known.Events, known.Addrs)
 	core.Adopt(slices.Sorted(maps.Keys(r.out)))
-	r.board = board.Follow(r.loop, r.net, cfg.Board, namesOf(cfg), last,
-		func(l board.List) { core.Engines(l.Events, l.Addrs) }, cfg.SeedValue, log)
+	r.board = discovery.Follow(r.loop, r.net, cfg.Board, namesOf(cfg), last,
+		func(l discovery.List) { core.Engines(l.Events, l.Addrs) }, cfg.SeedValue, log)
 	r.limit()
 	return nil
 }
@@ -244,5 +244,5 @@
 		}
 		return
 	}
-	r.step(takeover.Event{Kind: takeover.Stop})
+	r.step(hotrestart.Event{Kind: hotrestart.Stop})
 }
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/netio"
 )
 
@@ -220,15 +220,15 @@
 
 // listDoes has a list say that an engine drains, is gone, or is there.
 func (w *ordersWorld) listDoes(t *rapid.T) {
-	id := brain.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
-	state := rapid.SampledFrom([]brain.EngineState{brain.Live, brain.Live, brain.Draining, brain.Gone}).Draw(t, "state")
+	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
+	state := rapid.SampledFrom([]dispatch.EngineState{dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Gone}).Draw(t, "state")
 	w.loop.Post(func() { w.list(id, state) })
 	w.maybe(t)
 }
 
 // banDoes has an operator exclude an engine, or include it again; it counts from the moment of the answer.
 func (w *ordersWorld) banDoes(t *rapid.T) {
-	id := brain.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
+	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
 	exclude := rapid.Bool().Draw(t, "exclude")
 	w.loop.Post(func() {
 		if !exclude {
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -14,9 +14,9 @@
 
 	"pgregory.net/rapid"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
-	"windflow/internal/fetch"
+	"windflow/internal/enginehttp"
 	"windflow/internal/mysql"
 	"windflow/internal/netio"
 	"windflow/internal/router"
@@ -205,40 +205,40 @@
 	now     *clock.Manual
 	loop    *router.Loop
 	core    *router.Core
-	client  *fetch.Client
+	client  *enginehttp.Client
 	front   *mysql.Front
 	pipes   []*stagePipe
 	clients []*stageClient
 	byID    map[string]*stageClient
 	closed  map[int]float64 // engines to which nothing new may go, and since when
-	at      map[brain.EngineID]int
-	banned  map[brain.EngineID]float64 // since when
+	at      map[dispatch.EngineID]int
+	banned  map[dispatch.EngineID]float64 // since when
 	rev     int
 	alone   bool // no second copy is allowed
 }
 
-var ordersClasses = []brain.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-	{Name: "keyed", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: brain.Deduplicated, Window: ordersWindow},
-	{Name: "load", Aim: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, Load: true, Semantics: brain.AtMostOnce}}
+var ordersClasses = []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
+	{Name: "keyed", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.Deduplicated, Window: ordersWindow},
+	{Name: "load", Aim: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, Load: true, Semantics: dispatch.AtMostOnce}}
 
 func newOrdersWorld(t *rapid.T) *ordersWorld {
-	w := &ordersWorld{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*stageClient{}, closed: map[int]float64{}, at: map[brain.EngineID]int{}, banned: map[brain.EngineID]float64{}}
+	w := &ordersWorld{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*stageClient{}, closed: map[int]float64{}, at: map[dispatch.EngineID]int{}, banned: map[dispatch.EngineID]float64{}}
 	w.loop = router.NewLoop(w.now)
 	log := slog.New(slog.DiscardHandler)
 	clients := &router.ByKind{}
 	w.alone = rapid.Bool().Draw(t, "no second copies")
-	core, err := router.New(w.loop, brain.Config{Gateways: 1, SecondCopies: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []brain.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: ordersClasses,
+	core, err := router.New(w.loop, dispatch.Config{Gateways: 1, SecondCopies: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfter: true,
+		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: ordersClasses,
 		Cancel: rapid.Bool().Draw(t, "cancels"), ColdFrom: 0.4, ColdFor: 5 * time.Second, OverloadFactor: 2, OverloadFor: time.Second}, clients, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.core = core
-	w.client = fetch.New(w.loop, w, fetch.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: ordersDial, IdleMS: 8000}, log)
+	w.client = enginehttp.New(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: ordersDial, IdleMS: 8000}, log)
 	clients.Other = w.client
 	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20}, func() [][2]string { return nil }, log)
 	for id := range 3 {
-		w.list(brain.EngineID(id+1), brain.Live)
+		w.list(dispatch.EngineID(id+1), dispatch.Live)
 	}
 	return w
 }
@@ -271,16 +271,16 @@
 }
 
 // list tells of an engine; one that comes anew does so at another address.
-func (w *ordersWorld) list(id brain.EngineID, state brain.EngineState) {
-	if state == brain.Live && w.at[id] == 0 || state == brain.Live && w.closed[w.at[id]] > 0 {
+func (w *ordersWorld) list(id dispatch.EngineID, state dispatch.EngineState) {
+	if state == dispatch.Live && w.at[id] == 0 || state == dispatch.Live && w.closed[w.at[id]] > 0 {
 		w.rev++
 		w.at[id] = w.rev
 	}
-	if state != brain.Live {
+	if state != dispatch.Live {
 		w.closed[w.at[id]] = w.now.MS
 	}
-	w.core.Engines(brain.EngineList{Mode: brain.ListChanges, Engines: []brain.Engine{{ID: id, Kind: "k", Zone: "z", Size: 1, State: state}}},
-		map[brain.EngineID]string{id: strconv.Itoa(w.at[id])})
+	w.core.Engines(dispatch.EngineList{Mode: dispatch.ListChanges, Engines: []dispatch.Engine{{ID: id, Kind: "k", Zone: "z", Size: 1, State: state}}},
+		map[dispatch.EngineID]string{id: strconv.Itoa(w.at[id])})
 }
 
 // begins checks a POST whose first byte is written.
@@ -300,7 +300,7 @@
 		w.bad("%s begins at an engine %.0f ms after word of its end", c.id, now-w.closed[p.engine])
 	case now > c.end:
 		w.bad("%s begins after its end", c.id)
-	case ordersClasses[c.class].Semantics == brain.Deduplicated && c.mayHaveRun() != nil && now > c.mayHaveRun().at+clock.Millis(ordersWindow):
+	case ordersClasses[c.class].Semantics == dispatch.Deduplicated && c.mayHaveRun() != nil && now > c.mayHaveRun().at+clock.Millis(ordersWindow):
 		w.bad("%s begins %.0f ms after its first attempt", c.id, now-c.mayHaveRun().at)
 	}
 }
@@ -308,7 +308,7 @@
 // ran checks a POST that has come whole.
 func (w *ordersWorld) ran(p *stagePipe) {
 	c := w.byID[p.begun]
-	if ordersClasses[c.class].Semantics == brain.AtMostOnce && c.mayHaveRun() != nil {
+	if ordersClasses[c.class].Semantics == dispatch.AtMostOnce && c.mayHaveRun() != nil {
 		w.bad("load %s has come whole twice", c.id)
 	}
 	for _, post := range c.posts {
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -4,7 +4,7 @@
 	"net"
 	"os"
 
-	"windflow/internal/handover"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/site"
 )
 
@@ -16,18 +16,18 @@
 	listening   *listening // where it accepts; nil for nowhere
 	handsOver   bool       // a process that takes over waits for what this part has to give
 
-	start     func(b bounds) error                                     // the core is there
-	configure func(s *site.Settings, b bounds) (kept []string)         // other settings are in force; kept are the fields that can't change
-	counters  func() []counted                                         // for the log and SHOW STATUS
-	busy      func() bool                                              // something is open
-	drain     func()                                                   // the router is told to end, and nobody takes over
-	leave     func(to *handover.Link)                                  // another process has taken over
-	farewell  func(to *handover.Link)                                  // nothing is open any more
-	end       func()                                                   // the router ends, and nobody has taken over
-	stop      func()                                                   // the process ends
-	sharing   func(with *handover.Link)                                // another process shares the router; nil: none does
-	alone     func()                                                   // that has ended, or has nothing to give
-	hear      map[string]func(*handover.Link, *handover.Message) error // messages of that one, by kind
+	start     func(b bounds) error                                               // the core is there
+	configure func(s *site.Settings, b bounds) (kept []string)                   // other settings are in force; kept are the fields that can't change
+	counters  func() []counted                                                   // for the log and SHOW STATUS
+	busy      func() bool                                                        // something is open
+	drain     func()                                                             // the router is told to end, and nobody takes over
+	leave     func(to *hotrestartipc.Link)                                       // another process has taken over
+	farewell  func(to *hotrestartipc.Link)                                       // nothing is open any more
+	end       func()                                                             // the router ends, and nobody has taken over
+	stop      func()                                                             // the process ends
+	sharing   func(with *hotrestartipc.Link)                                     // another process shares the router; nil: none does
+	alone     func()                                                             // that has ended, or has nothing to give
+	hear      map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error // messages of that one, by kind
 }
 
 // makers make the parts whose section is there; the order is that in which they start.
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"windflow/internal/bgp"
-	"windflow/internal/decide/takeover"
-	"windflow/internal/handover"
+	"windflow/internal/decide/hotrestart"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/site"
 )
 
@@ -23,7 +23,7 @@
 		handsOver: true,
 		start: func(bounds) error {
 			// An elder that hangs may have a session; the neighbour would take a second one for a collision.
-			if r.machine.Elder() != takeover.None && (r.machine.Phase() == takeover.Guarded || slices.Contains(r.handed.Parts, "bgp")) {
+			if r.machine.Elder() != hotrestart.None && (r.machine.Phase() == hotrestart.Guarded || slices.Contains(r.handed.Parts, "bgp")) {
 				s = bgp.Await(r.loop, r.net, *r.site.BGP, r.log)
 			} else {
 				s = bgp.Start(r.loop, r.net, *r.site.BGP, r.log)
@@ -37,20 +37,20 @@
 		},
 		counters: func() []counted { return []counted{{"bgp", &s.Counters}} },
 		drain:    func() { s.Withdraw() }, // first of all, so that new clients go elsewhere
-		leave: func(to *handover.Link) {
+		leave: func(to *hotrestartipc.Link) {
 			s.HandOver(func(h bgp.Handed, f *os.File) {
 				if f == nil {
-					to.Send(handover.New(msgBGP, h))
+					to.Send(hotrestartipc.New(msgBGP, h))
 					return
 				}
-				to.Send(handover.New(msgBGP, h, f))
+				to.Send(hotrestartipc.New(msgBGP, h, f))
 				_ = f.Close()
 			})
 		},
 		end:   func() { s.Stop() },
 		alone: func() { s.Adopt(r.net, bgp.Handed{}, nil) }, // connects, if it waited for the old process's session
-		hear: map[string]func(*handover.Link, *handover.Message) error{
-			msgBGP: func(_ *handover.Link, m *handover.Message) error {
+		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
+			msgBGP: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var h bgp.Handed
 				err := m.Read(&h)
 				var f *os.File
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"windflow/internal/flightsql"
-	"windflow/internal/handover"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/router"
 	"windflow/internal/site"
 )
@@ -38,7 +38,7 @@
 	claims  sync.Mutex // over what follows: gRPC's goroutines claim tickets
 	claimN  int64
 	claimed map[int64]chan *flightsql.Ticket
-	claimOn *handover.Link // where to ask
+	claimOn *hotrestartipc.Link // where to ask
 }
 
 func flightPart(r *node) *part {
@@ -91,10 +91,10 @@
 			return []counted{{"flightsql", &f.front.Counters}, {"flightsql_engines", &f.client.Counters}}
 		},
 		busy:  func() bool { return f.front.Active() > 0 },
-		leave: func(*handover.Link) { f.front.Leave() },
-		farewell: func(to *handover.Link) {
+		leave: func(*hotrestartipc.Link) { f.front.Leave() },
+		farewell: func(to *hotrestartipc.Link) {
 			if all := f.front.ReleaseAll(); len(all) > 0 {
-				to.Send(handover.New(msgTickets, all))
+				to.Send(hotrestartipc.New(msgTickets, all))
 			}
 		},
 		stop: func() {
@@ -103,17 +103,17 @@
 			}
 		},
 		sharing: f.sharing,
-		hear: map[string]func(*handover.Link, *handover.Message) error{
-			msgClaim: func(from *handover.Link, m *handover.Message) error {
+		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
+			msgClaim: func(from *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var c claim
 				if err := m.Read(&c); err != nil {
 					return err
 				}
 				c.Ticket = f.front.Release(c.Handle)
-				from.Send(handover.New(msgClaimed, c))
+				from.Send(hotrestartipc.New(msgClaimed, c))
 				return nil
 			},
-			msgClaimed: func(_ *handover.Link, m *handover.Message) error {
+			msgClaimed: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var c claim
 				if err := m.Read(&c); err != nil {
 					return err
@@ -121,7 +121,7 @@
 				f.settle(c)
 				return nil
 			},
-			msgTickets: func(_ *handover.Link, m *handover.Message) error {
+			msgTickets: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var all []flightsql.Ticket
 				err := m.Read(&all)
 				f.front.Take(all)
@@ -132,7 +132,7 @@
 }
 
 // sharing says where to ask for tickets that this process does not have.
-func (f *flightState) sharing(with *handover.Link) {
+func (f *flightState) sharing(with *hotrestartipc.Link) {
 	f.claims.Lock()
 	defer f.claims.Unlock()
 	f.claimOn = with
@@ -156,7 +156,7 @@
 	n, ch := f.claimN, make(chan *flightsql.Ticket, 1)
 	f.claimed[n] = ch
 	f.claims.Unlock()
-	link.Send(handover.New(msgClaim, claim{N: n, Handle: handle}))
+	link.Send(hotrestartipc.New(msgClaim, claim{N: n, Handle: handle}))
 	select {
 	case t := <-ch:
 		return t
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"windflow/internal/decide/rollout"
-	"windflow/internal/follow"
-	"windflow/internal/handover"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/configlog"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/settings"
 	"windflow/internal/site"
 	"windflow/internal/validate"
@@ -27,26 +27,26 @@
 type keepers struct {
 	r       *node
 	path    string // of the router's own file
-	client  *follow.Client
+	client  *configclient.Client
 	reloads chan struct{} // a SIGHUP that was not taken yet
 
-	own  []byte          // the text of that file, as it is in force
-	now  follow.Revision // laid over it; 0 for nothing
-	turn int             // counts what came in force
+	own  []byte                // the text of that file, as it is in force
+	now  configclient.Revision // laid over it; 0 for nothing
+	turn int                   // counts what came in force
 }
 
 // newKeepers makes what follows the keepers. The name is that of the platform's configuration, the instance another in each
 // life.
 func newKeepers(r *node, path string, own []byte) *keepers {
 	k := &keepers{r: r, path: path, own: own, reloads: make(chan struct{}, 1)}
-	k.client = follow.New(*r.site.Keepers, r.cfg.Name, rollout.Instance(time.Now().UnixMilli(), rand.Uint64()), r.log)
+	k.client = configclient.New(*r.site.Keepers, r.cfg.Name, configlog.Instance(time.Now().UnixMilli(), rand.Uint64()), r.log)
 	return k
 }
 
 // restore is the start: what the copy on the disk has, and what a keeper has that answers soon, is in force before the router
 // is built. The loop does not run yet.
 func (k *keepers) restore() {
-	k.client.Restore(startWithin, func(rev follow.Revision) error {
+	k.client.Restore(startWithin, func(rev configclient.Revision) error {
 		cfg, err := k.laid(k.own, rev)
 		if err == nil {
 			k.r.cfg, k.now = cfg, rev
@@ -58,10 +58,10 @@
 }
 
 // laid checks a revision over a text of the router's own file. Its error is a Refusal.
-func (k *keepers) laid(own []byte, rev follow.Revision) (*settings.Node, error) {
+func (k *keepers) laid(own []byte, rev configclient.Revision) (*settings.Node, error) {
 	cfg, fault := validate.Overlaid(own, rev.Entries)
 	if fault != nil {
-		return nil, &follow.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
+		return nil, &configclient.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
 	}
 	complete(cfg)
 	return cfg, nil
@@ -85,7 +85,7 @@
 // held is what was in force when someone looked.
 type held struct {
 	own  []byte
-	now  follow.Revision
+	now  configclient.Revision
 	turn int
 }
 
@@ -95,7 +95,7 @@
 	for {
 		var at held
 		if !k.inLoop(func() { at = held{k.own, k.now, k.turn} }) {
-			return follow.ErrEnding
+			return configclient.ErrEnding
 		}
 		make, err := prepare(at)
 		if err != nil || make == nil {
@@ -107,7 +107,7 @@
 				err = make()
 			}
 		}) {
-			return follow.ErrEnding
+			return configclient.ErrEnding
 		}
 		if !moved {
 			return err
@@ -116,11 +116,11 @@
 }
 
 // apply brings a keeper's revision in force; it is called in the client's goroutine.
-func (k *keepers) apply(rev follow.Revision) error {
+func (k *keepers) apply(rev configclient.Revision) error {
 	return k.change(func(at held) (func() error, error) {
 		switch {
 		case rev.Revision < at.now.Revision:
-			return nil, follow.ErrLater
+			return nil, configclient.ErrLater
 		case rev.Revision == at.now.Revision && rev.Hash == at.now.Hash:
 			return nil, nil // from the other process
 		}
@@ -130,7 +130,7 @@
 		}
 		return func() error {
 			if err := k.put(cfg, k.r.site, at.own, rev); err != nil {
-				return &follow.Refusal{Reason: err.Error()}
+				return &configclient.Refusal{Reason: err.Error()}
 			}
 			return nil
 		}, nil
@@ -138,7 +138,7 @@
 }
 
 // put brings a configuration in force, in the loop, and tells the other process of this router.
-func (k *keepers) put(cfg *settings.Node, s *site.Settings, own []byte, rev follow.Revision) error {
+func (k *keepers) put(cfg *settings.Node, s *site.Settings, own []byte, rev configclient.Revision) error {
 	if k.r.core == nil {
 		k.r.cfg, k.r.site = cfg, s // it has nothing yet that goes by others
 	} else if err := k.r.configure(cfg, s); err != nil {
@@ -156,11 +156,11 @@
 
 // adopt takes a later revision that is in force in the other process. It is checked here and now, in the loop: this process
 // may be about to accept clients, which the other one has served by it.
-func (k *keepers) adopt(rev follow.Revision) {
+func (k *keepers) adopt(rev configclient.Revision) {
 	if rev.Revision <= k.now.Revision {
 		return
 	}
-	if rollout.HashOf(rev.Entries) != rev.Hash {
+	if configlog.HashOf(rev.Entries) != rev.Hash {
 		k.r.log.Error("the other process's configuration is damaged", "revision", rev.Revision)
 		return
 	}
@@ -209,7 +209,7 @@
 				return func() error { return k.put(cfg, &copied, own, at.now) }, nil
 			})
 		}
-		if errors.Is(err, follow.ErrEnding) {
+		if errors.Is(err, configclient.ErrEnding) {
 			return
 		}
 		if err != nil {
@@ -247,14 +247,14 @@
 		},
 		counters: func() []counted { return []counted{{"keepers", &k.client.Counters}} },
 		stop:     k.client.Stop,
-		sharing: func(with *handover.Link) {
+		sharing: func(with *hotrestartipc.Link) {
 			if with != nil && k.now.Revision > 0 {
-				with.Send(handover.New(msgConfiguration, k.now))
+				with.Send(hotrestartipc.New(msgConfiguration, k.now))
 			}
 		},
-		hear: map[string]func(*handover.Link, *handover.Message) error{
-			msgConfiguration: func(_ *handover.Link, m *handover.Message) error {
-				var rev follow.Revision
+		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
+			msgConfiguration: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
+				var rev configclient.Revision
 				if err := m.Read(&rev); err != nil {
 					return err
 				}
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 	"sync/atomic"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 	"windflow/internal/record"
 	"windflow/internal/router"
@@ -26,9 +26,9 @@
 	r       *node
 	w       *record.Writer
 	meter   *record.Meter
-	view    brain.View
-	states  map[brain.EngineID]record.State
-	seen    map[brain.EngineID]bool
+	view    dispatch.View
+	states  map[dispatch.EngineID]record.State
+	seen    map[dispatch.EngineID]bool
 	takenAt float64
 	samples int // left in this second
 	most    int
@@ -42,8 +42,8 @@
 	if cfg == nil {
 		return nil
 	}
-	c := &recorder{r: r, states: map[brain.EngineID]record.State{}, seen: map[brain.EngineID]bool{}, most: cfg.Samples}
-	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatID(brain.EngineID(id)) })
+	c := &recorder{r: r, states: map[dispatch.EngineID]record.State{}, seen: map[dispatch.EngineID]bool{}, most: cfg.Samples}
+	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatID(dispatch.EngineID(id)) })
 	return &part{
 		name:        "records",
 		descriptors: 2, // a segment, and the folder while it is swept
@@ -137,14 +137,14 @@
 	}
 	for id := range c.states {
 		if !c.seen[id] {
-			c.change(now, &brain.EngineView{ID: id}, record.Gone)
+			c.change(now, &dispatch.EngineView{ID: id}, record.Gone)
 			delete(c.states, id)
 			c.meter.Forget(uint64(id))
 		}
 	}
 }
 
-func (c *recorder) change(now float64, e *brain.EngineView, state record.State) {
+func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
 	r := &record.Engine{At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slow, Fail: e.Fail,
 		Lost: e.Lost, Zone: e.Zone, Kind: e.Kind}
 	if state == record.Cold {
@@ -160,11 +160,11 @@
 // slowAt is from where on an engine counts as slow against its peers.
 const slowAt = 1.5
 
-func stateOf(e *brain.EngineView) record.State {
+func stateOf(e *dispatch.EngineView) record.State {
 	switch {
 	case e.Excluded:
 		return record.Out
-	case e.State == brain.Draining:
+	case e.State == dispatch.Draining:
 		return record.Draining
 	case e.Down:
 		return record.Down
@@ -225,13 +225,13 @@
 }
 
 // Sent implements router.Watcher.
-func (c *recorder) Sent(e brain.EngineID) { c.meter.Sent(uint64(e)) }
+func (c *recorder) Sent(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
 
-var ends = map[brain.Outcome]record.End{brain.Served: record.EndServed, brain.Full: record.EndFull, brain.Errored: record.EndErrored,
-	brain.ConnectFailed: record.EndBroken, brain.Reset: record.EndBroken, brain.TimedOut: record.EndSilent}
+var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.Full: record.EndFull, dispatch.Errored: record.EndErrored,
+	dispatch.ConnectFailed: record.EndBroken, dispatch.Reset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
 
 // Ended implements router.Watcher.
-func (c *recorder) Ended(e brain.EngineID, outcome brain.Outcome, tookMS float64) {
+func (c *recorder) Ended(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
 	how, ok := ends[outcome]
 	if !ok {
 		how = record.EndOther
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -5,18 +5,18 @@
 	"fmt"
 	"os"
 
-	"windflow/brain"
-	"windflow/internal/decide/takeover"
-	"windflow/internal/follow"
-	"windflow/internal/handover"
+	"windflow/dispatch"
+	"windflow/internal/configclient"
+	"windflow/internal/decide/hotrestart"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/router"
 )
 
 type (
 	hello struct {
-		PID     int           `json:"pid"`
-		Place   takeover.Peer `json:"place,omitempty"` // version 2
-		Version int           `json:"version,omitempty"`
+		PID     int             `json:"pid"`
+		Place   hotrestart.Peer `json:"place,omitempty"` // version 2
+		Version int             `json:"version,omitempty"`
 	}
 	wait struct {
 		Phase string `json:"phase"`
@@ -30,23 +30,23 @@
 		At         map[string]string `json:"at"`        // their addresses
 		Parts      []string          `json:"parts"`
 		// Configuration is the revision of the keepers' that is in force; the process that takes over begins with no earlier one.
-		Configuration *follow.Revision `json:"configuration,omitempty"`
+		Configuration *configclient.Revision `json:"configuration,omitempty"`
 	}
 	ready struct {
 		Took []string `json:"took"` // the listeners that the sender accepts on in the other's place
 	}
 	use struct {
-		Module   brain.PeerUse `json:"module"`
-		Sessions int           `json:"sessions"`
-		Conns    int           `json:"conns"`
-		Leaving  bool          `json:"leaving"`
+		Module   dispatch.PeerUse `json:"module"`
+		Sessions int              `json:"sessions"`
+		Conns    int              `json:"conns"`
+		Leaving  bool             `json:"leaving"`
 	}
 	ban struct {
-		N       int            `json:"n"`
-		ID      brain.EngineID `json:"id"`
-		Exclude bool           `json:"exclude"`
-		Known   bool           `json:"known"`
-		Unnoted bool           `json:"unnoted,omitempty"` // it is in no folder; version 2
+		N       int               `json:"n"`
+		ID      dispatch.EngineID `json:"id"`
+		Exclude bool              `json:"exclude"`
+		Known   bool              `json:"known"`
+		Unnoted bool              `json:"unnoted,omitempty"` // it is in no folder; version 2
 	}
 	kill struct {
 		ID    uint32 `json:"id"`
@@ -61,14 +61,14 @@
 
 // peer is a link to another process, and who that is.
 type peer struct {
-	link    *handover.Link
-	place   takeover.Peer // None until it has said hello
+	link    *hotrestartipc.Link
+	place   hotrestart.Peer // None until it has said hello
 	version int
 	bye     bool // it said goodbye and lives on
 }
 
 // sharing tells the parts with whom this process shares the router.
-func (r *node) sharing(link *handover.Link) {
+func (r *node) sharing(link *hotrestartipc.Link) {
 	for _, p := range r.parts {
 		if p.sharing != nil {
 			p.sharing(link)
@@ -81,9 +81,9 @@
 	var p *peer
 	if r.core != nil {
 		switch m := &r.machine; {
-		case m.Elder() != takeover.None && m.Phase() != takeover.Asking && m.Phase() != takeover.Guarded:
+		case m.Elder() != hotrestart.None && m.Phase() != hotrestart.Asking && m.Phase() != hotrestart.Guarded:
 			p = r.links[m.Elder()]
-		case m.Newer() != takeover.None:
+		case m.Newer() != hotrestart.None:
 			p = r.links[m.Newer()]
 		}
 	}
@@ -102,7 +102,7 @@
 // tell sends the other process a message, if there is one.
 func (r *node) tell(kind string, body any) {
 	if r.with != nil {
-		r.with.link.Send(handover.New(kind, body))
+		r.with.link.Send(hotrestartipc.New(kind, body))
 	}
 }
 
@@ -122,30 +122,30 @@
 }
 
 // say sends a message of the machine's.
-func (r *node) say(p *peer, what takeover.Kind) {
-	if p == nil || p.version == 1 && (what == takeover.Wait || what == takeover.Back) {
+func (r *node) say(p *peer, what hotrestart.Kind) {
+	if p == nil || p.version == 1 && (what == hotrestart.Wait || what == hotrestart.Back) {
 		return
 	}
 	var body any
 	var files []*os.File
 	switch what {
-	case takeover.Hello:
-		body = hello{PID: os.Getpid(), Place: r.machine.Self, Version: takeover.Version}
-	case takeover.Wait:
+	case hotrestart.Hello:
+		body = hello{PID: os.Getpid(), Place: r.machine.Self, Version: hotrestart.Version}
+	case hotrestart.Wait:
 		body = wait{Phase: r.machine.Phase().String(), PID: os.Getpid()}
-	case takeover.State:
+	case hotrestart.State:
 		body, files = r.state()
-	case takeover.Ready:
+	case hotrestart.Ready:
 		body = ready{Took: r.took}
 	}
-	p.link.Send(handover.New(what.String(), body, files...))
+	p.link.Send(hotrestartipc.New(what.String(), body, files...))
 	for _, f := range files {
 		_ = f.Close()
 	}
 }
 
 // hear takes one message of another process.
-func (r *node) hear(p *peer, m handover.Message) {
+func (r *node) hear(p *peer, m hotrestartipc.Message) {
 	defer func() {
 		for _, f := range m.Files {
 			_ = f.Close()
@@ -154,7 +154,7 @@
 	var err error
 	if kind, ok := messages[m.Kind]; ok {
 		err = r.hearMachine(p, kind, &m)
-	} else if p.place != takeover.None && r.links[p.place] == p && r.core != nil {
+	} else if p.place != hotrestart.None && r.links[p.place] == p && r.core != nil {
 		err = r.hearOther(p, &m)
 	}
 	if err != nil {
@@ -163,35 +163,35 @@
 }
 
 // hearMachine takes a message that is the machine's.
-func (r *node) hearMachine(p *peer, kind takeover.Kind, m *handover.Message) error {
+func (r *node) hearMachine(p *peer, kind hotrestart.Kind, m *hotrestartipc.Message) error {
 	switch kind {
-	case takeover.Hello:
+	case hotrestart.Hello:
 		var h hello
 		if err := m.Read(&h); err != nil {
 			return err
 		}
-		version, ok := takeover.Agree(h.Version)
+		version, ok := hotrestart.Agree(h.Version)
 		if !ok {
 			p.link.Close()
-			return fmt.Errorf("process %d speaks version %d, this one %d to %d", h.PID, h.Version, takeover.Oldest, takeover.Version)
+			return fmt.Errorf("process %d speaks version %d, this one %d to %d", h.PID, h.Version, hotrestart.Oldest, hotrestart.Version)
 		}
 		who := h.Place
-		if who < takeover.First {
-			who = takeover.Stranger
+		if who < hotrestart.First {
+			who = hotrestart.Stranger
 		}
 		if who <= r.machine.Self { // a folder that was tampered with: each asks only who was there before it
 			p.link.Close()
 			return fmt.Errorf("process %d has place %d, and this one %d", h.PID, who, r.machine.Self)
 		}
 		p.version = version
-		if p.place == takeover.None {
+		if p.place == hotrestart.None {
 			p.place = who
 			if old := r.links[who]; old != nil {
 				old.link.Close()
 			}
 			r.links[who] = p
 		}
-	case takeover.State:
+	case hotrestart.State:
 		s := state{Version: 1}
 		if err := m.Read(&s); err != nil {
 			return err
@@ -199,7 +199,7 @@
 		if len(m.Files) != len(s.Listeners) {
 			return errors.New("the descriptors don't match the listeners")
 		}
-		p.version, _ = takeover.Agree(s.Version)
+		p.version, _ = hotrestart.Agree(s.Version)
 		if r.generation == s.Generation { // of a process of version 1, which counts by itself
 			r.generation = (s.Generation + 8) % 16
 		}
@@ -208,7 +208,7 @@
 			r.files[s.Listeners[i]] = f
 		}
 		defer clear(r.files)
-	case takeover.Ready:
+	case hotrestart.Ready:
 		var now ready
 		if err := m.Read(&now); err != nil {
 			return err
@@ -216,13 +216,13 @@
 		r.theyTook = now.Took
 	}
 	if r.links[p.place] == p {
-		r.step(takeover.Event{Kind: takeover.Received, Peer: p.place, Message: kind})
+		r.step(hotrestart.Event{Kind: hotrestart.Received, Peer: p.place, Message: kind})
 	}
 	return nil
 }
 
 // hearOther takes what the process that this one shares the router with has to tell.
-func (r *node) hearOther(p *peer, m *handover.Message) error {
+func (r *node) hearOther(p *peer, m *hotrestartipc.Message) error {
 	switch m.Kind {
 	case msgID:
 		var n router.IDChange
@@ -236,7 +236,7 @@
 			return err
 		}
 		c.OK = r.core.Grant(c.ID)
-		p.link.Send(handover.New(msgWord, c))
+		p.link.Send(hotrestartipc.New(msgWord, c))
 	case msgWord:
 		var c claimID
 		if err := m.Read(&c); err != nil {
@@ -261,7 +261,7 @@
 			return err
 		}
 		b.Known = r.core.Knows(b.ID)
-		r.banThere(p, b, func() { p.link.Send(handover.New(msgBanned, b)) })
+		r.banThere(p, b, func() { p.link.Send(hotrestartipc.New(msgBanned, b)) })
 	case msgBanned:
 		var b ban
 		if err := m.Read(&b); err != nil {
@@ -302,10 +302,10 @@
 	ask, may := r.machine.Peers()
 	p := r.links[ask]
 	switch {
-	case !may || ask != takeover.None && p == nil:
+	case !may || ask != hotrestart.None && p == nil:
 		r.loop.After(0, func() { then(router.Silent) })
 		return
-	case ask == takeover.None || p.version == 1: // which knows no such question
+	case ask == hotrestart.None || p.version == 1: // which knows no such question
 		then(router.Granted)
 		return
 	}
@@ -318,7 +318,7 @@
 		then(w)
 	}
 	late = r.loop.After(wordWithin, func() { r.words[n](router.Silent) })
-	p.link.Send(handover.New(msgClaimID, claimID{N: n, ID: id}))
+	p.link.Send(hotrestartipc.New(msgClaimID, claimID{N: n, ID: id}))
 }
 
 // rebound goes by the bounds of the configuration, or by this process's part of them.
@@ -331,10 +331,10 @@
 // divide takes the other process's part off the bounds. Sessions are divided as they stand: the old process accepts no
 // more, and what it closes comes to the new one. Connections to engines are halved, until the old one leaves. A process
 // beside one that hangs keeps to what every process leaves for a successor.
-func (r *node) divide(b *bounds, share takeover.Share) {
+func (r *node) divide(b *bounds, share hotrestart.Share) {
 	b.inbound /= 2
 	b.mysql.MaxBuffered /= 2
-	if share != takeover.Half {
+	if share != hotrestart.Half {
 		b.mysql.MaxSessions = min(b.mysql.MaxSessions, guardedSessions)
 		b.fetch.MaxConns = min(b.fetch.MaxConns, guardedConns)
 		return
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/record"
 	"windflow/internal/router"
 	"windflow/internal/settings"
@@ -113,7 +113,7 @@
 
 func (c instant) Recall() bool { return false }
 func (c instant) Start(_ router.Call, done func(router.End)) router.Attempt {
-	c.loop.Post(func() { done(router.End{Outcome: brain.Served, Result: &router.Result{WorkMS: 1}}) })
+	c.loop.Post(func() { done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: 1}}) })
 	return c
 }
 func (instant) SetPriority(int)        {}
@@ -133,10 +133,10 @@
 func benchRequest(b *testing.B, r *node) {
 	if r.clients.Other != router.EngineClient(instant{r.loop}) {
 		r.clients.Other = instant{r.loop}
-		list := brain.EngineList{Mode: brain.ListFull}
-		addrs := map[brain.EngineID]string{}
-		for id := brain.EngineID(1); id <= 8; id++ {
-			list.Engines = append(list.Engines, brain.Engine{ID: id, Zone: "a", Kind: "std", Size: 1})
+		list := dispatch.EngineList{Mode: dispatch.ListFull}
+		addrs := map[dispatch.EngineID]string{}
+		for id := dispatch.EngineID(1); id <= 8; id++ {
+			list.Engines = append(list.Engines, dispatch.Engine{ID: id, Zone: "a", Kind: "std", Size: 1})
 			addrs[id] = "127.0.0.1:1"
 		}
 		r.core.Engines(list, addrs)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -6,12 +6,12 @@
 	"strconv"
 	"sync/atomic"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
-var outcomes = map[brain.Outcome]string{brain.Served: "served", brain.Errored: "errored", brain.Full: "full",
-	brain.TimedOut: "timed_out", brain.ConnectFailed: "connect_failed", brain.Reset: "reset",
-	brain.Cancelled: "cancelled", brain.NotSent: "not_sent"}
+var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.Errored: "errored", dispatch.Full: "full",
+	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.Reset: "reset",
+	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent"}
 
 // status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
 func (r *node) status() [][2]string {
@@ -40,7 +40,7 @@
 				rows = append(rows, [2]string{name, strconv.FormatInt(field.Load(), 10)})
 			case *[8]int64: // by outcome
 				for o, n := range field {
-					rows = append(rows, [2]string{name + "." + outcomes[brain.Outcome(o)], strconv.FormatInt(n, 10)})
+					rows = append(rows, [2]string{name + "." + outcomes[dispatch.Outcome(o)], strconv.FormatInt(n, 10)})
 				}
 			}
 		}
--- a/internal/node/steps_test.go
+++ b/internal/node/steps_test.go
@@ -16,13 +16,13 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/tools/txtar"
 
-	"windflow/internal/handover"
+	"windflow/internal/hotrestartipc"
 )
 
 var discard = slog.New(slog.DiscardHandler)
 
 // script is one process of a recorded exchange: what it says, by kind of message, in its order.
-type script []handover.Message
+type script []hotrestartipc.Message
 
 // recorded reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes sent them.
 func recorded(t *testing.T, name string) (old, new script) {
@@ -41,7 +41,7 @@
 			if who, kind = fields[0], fields[1]; len(fields) < 3 {
 				fields = append(fields, "null")
 			}
-			m := handover.Message{Kind: kind, Body: jsoniter.RawMessage(fields[2])}
+			m := hotrestartipc.Message{Kind: kind, Body: jsoniter.RawMessage(fields[2])}
 			if who == "old:" {
 				old = append(old, m)
 			} else {
@@ -54,7 +54,7 @@
 	return nil, nil
 }
 
-func (s script) of(t *testing.T, kind string) handover.Message {
+func (s script) of(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for _, m := range s {
 		if m.Kind == kind {
@@ -62,11 +62,11 @@
 		}
 	}
 	t.Fatal("not recorded:", kind)
-	return handover.Message{}
+	return hotrestartipc.Message{}
 }
 
 // hello is the recorded one, from the place that the test has.
-func (s script) hello(t *testing.T, p *handover.Place) handover.Message {
+func (s script) hello(t *testing.T, p *hotrestartipc.Place) hotrestartipc.Message {
 	t.Helper()
 	h := s.of(t, "hello")
 	h.Body = jsoniter.RawMessage(strings.Replace(string(h.Body), `"place":3`, fmt.Sprintf(`"place":%d`, p.Peer), 1))
@@ -76,9 +76,9 @@
 func (f *fleet) dir() string { return strings.TrimPrefix(f.env[1], "TMPDIR=") }
 
 // place takes a place among the processes of the fleet's router.
-func (f *fleet) place() *handover.Place {
+func (f *fleet) place() *hotrestartipc.Place {
 	f.t.Helper()
-	p, err := handover.TakePlace(f.dir(), "n0 "+f.clients.Addr().String())
+	p, err := hotrestartipc.TakePlace(f.dir(), "n0 "+f.clients.Addr().String())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	return p
 }
 
-func keys(t *testing.T, m handover.Message) []string {
+func keys(t *testing.T, m hotrestartipc.Message) []string {
 	t.Helper()
 	var all map[string]any
 	if len(m.Body) == 0 || string(m.Body) == "null" {
@@ -105,8 +105,8 @@
 	door := freePort(t)
 	f.start(door)
 	f.ready(door)
-	path, _ := handover.Path(f.dir(), "n0 "+f.clients.Addr().String())
-	conn, err := handover.Dial(path, time.Second)
+	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	conn, err := hotrestartipc.Dial(path, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 	old, next := recorded(t, "version 1")
 	one, two := newSlowEngine(), newSlowEngine()
 	f := newFleet(t, one, two)
-	path, _ := handover.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
 	lis, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -325,7 +325,7 @@
 func TestForeignAtTheMeetingPoint(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, newSlowEngine(), newSlowEngine())
-	path, _ := handover.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
 	base := strings.TrimSuffix(path, ".sock")
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: base + ".7.sock", Net: "unix"})
 	if err != nil {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"windflow/brain"
-	"windflow/internal/decide/takeover"
-	"windflow/internal/handover"
+	"windflow/dispatch"
+	"windflow/internal/decide/hotrestart"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/router"
 	"windflow/internal/settings"
 )
@@ -38,9 +38,9 @@
 )
 
 // messages are those that the machine knows.
-var messages = map[string]takeover.Kind{"hello": takeover.Hello, "wait": takeover.Wait, "state": takeover.State,
+var messages = map[string]hotrestart.Kind{"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
 
-	"ready": takeover.Ready, "go-ahead": takeover.GoAhead, "back": takeover.Back}
+	"ready": hotrestart.Ready, "go-ahead": hotrestart.GoAhead, "back": hotrestart.Back}
 
 const (
 	// useEvery is how often either process tells what it has running; while the other one does not read, it is left out.
@@ -67,29 +67,29 @@
 
 // upgrade is what a router keeps for being upgraded; it belongs to the loop's goroutine.
 type upgrade struct {
-	machine    takeover.Machine
+	machine    hotrestart.Machine
 	tick       *router.Timer
-	place      *handover.Place // nil where none could be had
+	place      *hotrestartipc.Place // nil where none could be had
 	generation uint8
-	links      map[takeover.Peer]*peer
-	with       *peer                     // the process that this one shares the router with
-	peer       use                       // what that one has
-	looking    bool                      // a look for an elder is under way
-	idle       map[string]net.Listener   // listeners that this process does not accept on
-	missing    []string                  // listeners whose address is not to be had yet
-	handed     state                     // what the elder gave
-	files      map[string]*os.File       // the listeners that came with it
-	took       []string                  // what is said with ready
-	theyTook   []string                  // what the other one said
-	leaving    bool                      // this one hears out what it accepted, and ends
-	closing    bool                      // requests have been told when this process ends
-	answers    map[int]func(bool)        // answers to operators that wait for the other process, by number
-	words      map[int]func(router.Word) // claims that do
-	seq        int                       // of both
-	out        map[brain.EngineID]bool   // bans by hand, as the folder has them
-	unnoted    bool                      // the folder of bans can't be written: bans go by messages alone
-	io         chan func()               // work with the folder, in order
-	passed     *os.File                  // the clients' socket, where the platform holds it
+	links      map[hotrestart.Peer]*peer
+	with       *peer                      // the process that this one shares the router with
+	peer       use                        // what that one has
+	looking    bool                       // a look for an elder is under way
+	idle       map[string]net.Listener    // listeners that this process does not accept on
+	missing    []string                   // listeners whose address is not to be had yet
+	handed     state                      // what the elder gave
+	files      map[string]*os.File        // the listeners that came with it
+	took       []string                   // what is said with ready
+	theyTook   []string                   // what the other one said
+	leaving    bool                       // this one hears out what it accepted, and ends
+	closing    bool                       // requests have been told when this process ends
+	answers    map[int]func(bool)         // answers to operators that wait for the other process, by number
+	words      map[int]func(router.Word)  // claims that do
+	seq        int                        // of both
+	out        map[dispatch.EngineID]bool // bans by hand, as the folder has them
+	unnoted    bool                       // the folder of bans can't be written: bans go by messages alone
+	io         chan func()                // work with the folder, in order
+	passed     *os.File                   // the clients' socket, where the platform holds it
 }
 
 // meeting is where the processes of a router find each other.
@@ -98,16 +98,16 @@
 // begin takes a place among the processes of this router, where it is to have one, and starts the machine; the caller
 // runs the loop.
 func (r *node) begin(placed bool) {
-	r.links, r.idle = map[takeover.Peer]*peer{}, map[string]net.Listener{}
+	r.links, r.idle = map[hotrestart.Peer]*peer{}, map[string]net.Listener{}
 	r.answers, r.words = map[int]func(bool){}, map[int]func(router.Word){}
-	r.out = map[brain.EngineID]bool{}
+	r.out = map[dispatch.EngineID]bool{}
 	r.io = make(chan func(), 64)
 	r.beat()
 	go r.watchLoop()
-	self := takeover.First
+	self := hotrestart.First
 	if placed {
 		var err error
-		if r.place, err = handover.TakePlace(os.TempDir(), meeting(r.cfg)); err != nil {
+		if r.place, err = hotrestartipc.TakePlace(os.TempDir(), meeting(r.cfg)); err != nil {
 			r.log.Warn("no upgrades", "err", err)
 		} else {
 			self = r.place.Peer
@@ -117,13 +117,13 @@
 	}
 	go r.work() // it reads the place
 	r.generation = uint8(self % 16)
-	var effects []takeover.Effect
-	r.machine, effects = takeover.New(self, r.loop.Now(), takeover.Defaults)
+	var effects []hotrestart.Effect
+	r.machine, effects = hotrestart.New(self, r.loop.Now(), hotrestart.Defaults)
 	for _, e := range effects {
 		r.carryOut(e)
 	}
 	if r.place == nil {
-		r.step(takeover.Event{Kind: takeover.Looked})
+		r.step(hotrestart.Event{Kind: hotrestart.Looked})
 	}
 }
 
@@ -156,7 +156,7 @@
 }
 
 // step hands the machine an event and carries out what it wants.
-func (r *node) step(ev takeover.Event) {
+func (r *node) step(ev hotrestart.Event) {
 	before := r.machine.Phase()
 	for _, e := range r.machine.Step(r.loop.Now(), ev) {
 		r.carryOut(e)
@@ -167,33 +167,33 @@
 	}
 	r.tick.Stop()
 	if due := r.machine.Due(); due < 1e300 {
-		r.tick = r.loop.At(due, func() { r.step(takeover.Event{}) })
+		r.tick = r.loop.At(due, func() { r.step(hotrestart.Event{}) })
 	}
 	r.share()
 }
 
-func (r *node) carryOut(e takeover.Effect) {
+func (r *node) carryOut(e hotrestart.Effect) {
 	if r.failed != nil {
 		return
 	}
 	switch e.Do {
-	case takeover.Look:
+	case hotrestart.Look:
 		r.look()
-	case takeover.Send:
+	case hotrestart.Send:
 		r.say(r.links[e.Peer], e.Message)
-	case takeover.TakeState:
+	case hotrestart.TakeState:
 		r.takeState()
-	case takeover.Accept:
+	case hotrestart.Accept:
 		r.accept()
-	case takeover.Yield:
+	case hotrestart.Yield:
 		r.yield()
-	case takeover.Leave:
+	case hotrestart.Leave:
 		r.leave()
-	case takeover.Drain:
+	case hotrestart.Drain:
 		r.drain()
-	case takeover.End:
+	case hotrestart.End:
 		r.end()
-	case takeover.Bound:
+	case hotrestart.Bound:
 		if r.core != nil {
 			r.rebound()
 			r.limit()
@@ -217,20 +217,20 @@
 	go func() {
 		found := r.place.Elder()
 		var conn *net.UnixConn
-		if found != takeover.None && !slices.Contains(linked, found) {
+		if found != hotrestart.None && !slices.Contains(linked, found) {
 			conn, _ = r.place.Call(found) // an elder that can't be reached is one that is silent
 		}
 		r.loop.Post(func() {
 			r.looking = false
 			if conn != nil {
-				p := &peer{place: found, version: takeover.Version}
+				p := &peer{place: found, version: hotrestart.Version}
 				r.links[found] = p
 				r.connect(p, conn)
 			}
-			if e := r.machine.Elder(); e != takeover.None && e != found && r.links[e] == nil && !r.place.Lives(e) {
+			if e := r.machine.Elder(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Lives(e) {
 				r.gone(e) // it could not be linked up with, so that no link's end tells of its own
 			}
-			r.step(takeover.Event{Kind: takeover.Looked, Peer: found})
+			r.step(hotrestart.Event{Kind: hotrestart.Looked, Peer: found})
 		})
 	}()
 }
@@ -238,7 +238,7 @@
 // connect runs a link.
 func (r *node) connect(p *peer, conn *net.UnixConn) {
 	started := make(chan struct{})
-	p.link = handover.Start(conn, func(m handover.Message) {
+	p.link = hotrestartipc.Start(conn, func(m hotrestartipc.Message) {
 		<-started
 		r.loop.Post(func() { r.hear(p, m) })
 	}, func(err error) {
@@ -266,16 +266,16 @@
 
 // ended goes on after a link that ended; what lives at its other end may not have.
 func (r *node) ended(p *peer, err error) {
-	if p.place == takeover.None || r.links[p.place] != p {
+	if p.place == hotrestart.None || r.links[p.place] != p {
 		return
 	}
 	delete(r.links, p.place)
 	if r.with == p {
 		r.settleAnswers()
 	}
-	if p.bye || p.place != takeover.Stranger && r.place.Lives(p.place) {
+	if p.bye || p.place != hotrestart.Stranger && r.place.Lives(p.place) {
 		r.log.Info("link ended", "place", uint64(p.place), "why", err)
-		r.step(takeover.Event{Kind: takeover.Cut, Peer: p.place})
+		r.step(hotrestart.Event{Kind: hotrestart.Cut, Peer: p.place})
 		if !p.bye {
 			r.watch(p.place)
 		}
@@ -285,7 +285,7 @@
 }
 
 // watch waits for the end of a process to which the link has ended.
-func (r *node) watch(who takeover.Peer) {
+func (r *node) watch(who hotrestart.Peer) {
 	r.loop.After(livesEvery, func() {
 		switch {
 		case r.links[who] != nil:
@@ -298,9 +298,9 @@
 }
 
 // gone goes on without a process that has ended.
-func (r *node) gone(who takeover.Peer) {
-	shared := who == r.machine.Elder() && r.machine.Phase() != takeover.Asking || who == r.machine.Newer()
-	r.step(takeover.Event{Kind: takeover.Gone, Peer: who})
+func (r *node) gone(who hotrestart.Peer) {
+	shared := who == r.machine.Elder() && r.machine.Phase() != hotrestart.Asking || who == r.machine.Newer()
+	r.step(hotrestart.Event{Kind: hotrestart.Gone, Peer: who})
 	if !shared || r.core == nil || r.failed != nil {
 		return
 	}
@@ -329,7 +329,7 @@
 
 // state gives a newer process of this router what it needs to go on in this one's place.
 func (r *node) state() (state, []*os.File) {
-	s := state{Version: takeover.Version, Generation: r.generation, Core: r.core.State(), At: map[string]string{}}
+	s := state{Version: hotrestart.Version, Generation: r.generation, Core: r.core.State(), At: map[string]string{}}
 	var files []*os.File
 	for _, l := range r.listeners() {
 		if l.name == listenClients && r.passed != nil {
