--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -1,13 +1,13 @@
 package router
 
 import (
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
 // Engine is an engine as the list names it.
 type Engine struct {
-	ID   brain.EngineID
+	ID   dispatch.EngineID
 	Addr string
 	Kind string
 }
@@ -37,15 +37,15 @@
 // News is what an answer of an engine tells beside an end: of the attempt, that it is under way, and of the engine, its
 // load where it reports that.
 type News struct {
-	Note   brain.NoteKind
+	Note   dispatch.NoteKind
 	Amount float64
-	Load   *brain.Load
+	Load   *dispatch.Load
 	Over   bool // the answer is the attempt's end: there is no note
 }
 
 // End is how an attempt ended; Result is set where Outcome is Served.
 type End struct {
-	Outcome brain.Outcome
+	Outcome dispatch.Outcome
 	Result  *Result
 	Detail  string // for the log
 }
@@ -72,11 +72,11 @@
 	Withhold(Engine)
 }
 
-func (c *Core) carryOut(a brain.Action) {
+func (c *Core) carryOut(a dispatch.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case dispatch.Send:
 		c.send(a)
-	case brain.SetTerms:
+	case dispatch.SetTerms:
 		r := c.requests[a.Request]
 		if r == nil {
 			return
@@ -90,11 +90,11 @@
 				}
 			}
 		}
-	case brain.Cancel:
+	case dispatch.Cancel:
 		if r := c.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
 			c.cancel(r.attempts[a.Attempt])
 		}
-	case brain.Refuse:
+	case dispatch.Refuse:
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
 			asker := r.asker
 			c.finish(r)
@@ -103,7 +103,7 @@
 			c.watched(r, Answer{Kind: AnswerRefused, Reason: c.whyRefused(r)})
 			asker.Refused(clock.Millis(a.RetryAfter))
 		}
-	case brain.Fail:
+	case dispatch.Fail:
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
 			why := ReasonEngine
 			if c.loop.Now() >= r.end-1 {
@@ -111,16 +111,16 @@
 			}
 			c.fail(r, why)
 		}
-	case brain.SetTimer:
+	case dispatch.SetTimer:
 		c.loop.After(clock.Millis(a.After), func() {
-			c.events = append(c.events, brain.Timer{Tag: a.Tag})
+			c.events = append(c.events, dispatch.Timer{Tag: a.Tag})
 		})
-	case brain.Subscribe: // the notice board pushes its changes unasked
+	case dispatch.Subscribe: // the notice board pushes its changes unasked
 	}
 }
 
 // send starts an attempt. What can no longer be sent ends as NotSent, which proves that it never ran.
-func (c *Core) send(s brain.Send) {
+func (c *Core) send(s dispatch.Send) {
 	r := c.requests[s.Request]
 	if r == nil {
 		c.log.Error("send for an unknown request", "request", s.Request)
@@ -137,13 +137,13 @@
 	engine, ok := c.engines[s.Engine]
 	if r.asker == nil || !ok || wait <= 0 || c.max > 0 && len(r.attempts) > c.max {
 		a.call = noAttempt{}
-		c.ended(a, End{Outcome: brain.NotSent})
+		c.ended(a, End{Outcome: dispatch.NotSent})
 		return
 	}
 	if c.leaving[s.Engine] {
 		// Two words of an engine came in one batch: the module went by the first one.
 		a.call = noAttempt{}
-		c.ended(a, End{Outcome: brain.ConnectFailed, Detail: "the engine leaves"})
+		c.ended(a, End{Outcome: dispatch.ConnectFailed, Detail: "the engine leaves"})
 		return
 	}
 	c.Counters.Sends++
@@ -155,18 +155,18 @@
 		latest = now + clock.Millis(s.Begin)
 	}
 	class, _ := c.Class(r.Class)
-	a.alone = c.alone && class.Semantics != brain.AtMostOnce // after what may have run there is no other, and its end is due at once
-	if class.Semantics == brain.AtMostOnce {
+	a.alone = c.alone && class.Semantics != dispatch.AtMostOnce // after what may have run there is no other, and its end is due at once
+	if class.Semantics == dispatch.AtMostOnce {
 		c.spent.add(r.ID)
 		c.changed(r.ID, IDSpent)
 	}
 	a.call = c.client.Start(Call{Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
-		GrantMB: r.grant, Priority: r.priority, Update: r.Update, Once: class.Semantics != brain.Idempotent,
+		GrantMB: r.grant, Priority: r.priority, Update: r.Update, Once: class.Semantics != dispatch.Idempotent,
 		Latest: latest, Alone: a.alone, Deletes: c.deletes, Wrote: func() { c.ByClass[r.Class].Forwards++ }, Heard: func(n News) { c.heard(a, n) }},
 		func(e End) { c.ended(a, e) })
-	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: brain.TimedOut, Detail: "no answer in time"}) })
+	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "no answer in time"}) })
 	if s.Begin > 0 {
-		a.latest = c.loop.After(clock.Millis(s.Begin), func() { c.recall(a, brain.ConnectFailed, "not begun in time") })
+		a.latest = c.loop.After(clock.Millis(s.Begin), func() { c.recall(a, dispatch.ConnectFailed, "not begun in time") })
 	}
 }
 
@@ -175,18 +175,18 @@
 	if a.ended || a.cancelled {
 		return
 	}
-	if c.recall(a, brain.ConnectFailed, "taken back"); a.ended {
+	if c.recall(a, dispatch.ConnectFailed, "taken back"); a.ended {
 		return
 	}
 	a.cancelled = true
 	if a.call.Cancel(); !a.alone {
-		c.ended(a, End{Outcome: brain.Cancelled})
+		c.ended(a, End{Outcome: dispatch.Cancelled})
 	}
 }
 
 // recall ends an attempt that was not written whole, as one that never ran. It guards against attempts that begin long
 // after the module decided on them: they wait for a connection, or for it to come up.
-func (c *Core) recall(a *attempt, o brain.Outcome, why string) {
+func (c *Core) recall(a *attempt, o dispatch.Outcome, why string) {
 	if !a.ended && a.call != nil && a.call.Recall() {
 		c.ended(a, End{Outcome: o, Detail: why})
 	}
@@ -198,7 +198,7 @@
 
 // report is an engine's last word of its load, and when the module was told.
 type report struct {
-	load brain.Load
+	load dispatch.Load
 	at   float64
 }
 
@@ -209,13 +209,13 @@
 	last, told := c.reports[a.engine]
 	if _, listed := c.engines[a.engine]; listed && n.Load != nil && (!told || last.load != *n.Load || now-last.at >= reportEvery) {
 		c.reports[a.engine] = report{*n.Load, now}
-		c.events = append(c.events, brain.Report{Engine: a.engine, Load: *n.Load})
+		c.events = append(c.events, dispatch.Report{Engine: a.engine, Load: *n.Load})
 	}
-	if a.ended || n.Over || c.noteEvery <= 0 || n.Note == brain.NoteAlive && now-a.noted < c.noteEvery/2 {
+	if a.ended || n.Over || c.noteEvery <= 0 || n.Note == dispatch.NoteAlive && now-a.noted < c.noteEvery/2 {
 		return
 	}
 	a.noted = now
-	c.events = append(c.events, brain.Note{Request: a.r.key, Attempt: a.hop, Kind: n.Note, Amount: n.Amount})
+	c.events = append(c.events, dispatch.Note{Request: a.r.key, Attempt: a.hop, Kind: n.Note, Amount: n.Amount})
 }
 
 // ended reports an attempt's end to the module; the first good one answers the request.
@@ -234,17 +234,17 @@
 	a.call.Drop()
 	r.out--
 	c.Counters.Ends[e.Outcome]++
-	if proven := e.Outcome == brain.Full || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent; proven {
+	if proven := e.Outcome == dispatch.Full || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
 		if c.spent.has(r.ID) {
 			c.changed(r.ID, IDUnspent)
 		}
 		c.spent.remove(r.ID) // no earlier attempt may have run: the module would not have sent this one
 	}
-	if e.Outcome != brain.Served {
+	if e.Outcome != dispatch.Served {
 		c.log.Debug("attempt ended", "rid", r.ID, "class", r.Class, "outcome", e.Outcome, "detail", e.Detail,
 			"took", c.loop.Now()-a.at)
 	}
-	if e.Outcome == brain.Served && r.asker != nil {
+	if e.Outcome == dispatch.Served && r.asker != nil {
 		asker := r.asker
 		c.finish(r)
 		c.Counters.Served++
@@ -252,7 +252,7 @@
 		c.watched(r, Answer{Kind: AnswerServed, AimMS: c.aim(r, e.Result), Engine: a.engine})
 		asker.Served(e.Result)
 	}
-	end := brain.AttemptEnd{Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
+	end := dispatch.AttemptEnd{Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
 		Took: clock.Duration(c.loop.Now() - a.at), Last: r.asker == nil}
 	if e.Result != nil {
 		end.Work, end.NeedMB = clock.Duration(e.Result.WorkMS), e.Result.NeedMB
--- a/internal/router/bed_test.go
+++ b/internal/router/bed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
@@ -59,16 +59,16 @@
 	ids     int
 }
 
-func newBed(t *testing.T, change ...func(*brain.Config)) *bed {
+func newBed(t *testing.T, change ...func(*dispatch.Config)) *bed {
 	t.Helper()
 	b := &bed{t: t, now: &clock.Manual{MS: 1e12}, engines: &engines{}}
 	b.loop = NewLoop(b.now)
 	var err error
-	cfg := brain.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
-		Tenants: []brain.Tenant{{Name: "south"}}, RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []brain.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []brain.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
+	cfg := dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
+		Tenants: []dispatch.Tenant{{Name: "south"}}, RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWorth: 0.5,
-				Semantics: brain.AtMostOnce}}}
+				Semantics: dispatch.AtMostOnce}}}
 	for _, f := range change {
 		f(&cfg)
 	}
@@ -76,14 +76,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.list(brain.ListSaved, brain.Live, "10.0.0.1:1")
+	b.list(dispatch.ListSaved, dispatch.Live, "10.0.0.1:1")
 	return b
 }
 
-func (b *bed) list(mode brain.ListMode, state brain.EngineState, addr string) {
+func (b *bed) list(mode dispatch.ListMode, state dispatch.EngineState, addr string) {
 	b.loop.Post(func() {
-		b.core.Engines(brain.EngineList{Mode: mode, Engines: []brain.Engine{{ID: 7, Kind: "k", Size: 1, State: state}}},
-			map[brain.EngineID]string{7: addr})
+		b.core.Engines(dispatch.EngineList{Mode: mode, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1, State: state}}},
+			map[dispatch.EngineID]string{7: addr})
 	})
 	b.run()
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -1,6 +1,6 @@
 // Package router is the core: requests, attempts, timers, the list of engines and the counters. It knows no
 // wire. Fronts hand it requests and hear of their one final answer; engine clients carry its attempts out;
-// every decision is the module's (package brain). All of it runs in the goroutine of one Loop.
+// every decision is the module's (package dispatch). All of it runs in the goroutine of one Loop.
 package router
 
 import (
@@ -10,7 +10,7 @@
 	"strconv"
 	"sync/atomic"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
@@ -83,7 +83,7 @@
 
 type request struct {
 	*Request
-	key      brain.RequestID
+	key      dispatch.RequestID
 	asker    Asker // nil once the final answer is given or no longer owed
 	end      float64
 	attempts []*attempt
@@ -105,33 +105,33 @@
 	ended     bool
 	cancelled bool
 	alone     bool // see Call
-	engine    brain.EngineID
-	outcome   brain.Outcome
+	engine    dispatch.EngineID
+	outcome   dispatch.Outcome
 }
 
 // Core is the router's state.
 type Core struct {
 	loop    *Loop
-	module  *brain.Controller
+	module  *dispatch.Controller
 	client  EngineClient
 	log     *slog.Logger
 	names   atomic.Pointer[names] // read from any goroutine
 	max     int                   // attempts for a request
 	alone   bool                  // no two attempts of a request may be out at once
 	deletes bool                  // engines may be told to give queries up
-	engines map[brain.EngineID]Engine
-	gone    []brain.EngineID          // of engines, until the module has been told
-	leaving map[brain.EngineID]bool   // engines that drain or are gone by the last word of them
-	reports map[brain.EngineID]report // of engines in the list
+	engines map[dispatch.EngineID]Engine
+	gone    []dispatch.EngineID          // of engines, until the module has been told
+	leaving map[dispatch.EngineID]bool   // engines that drain or are gone by the last word of them
+	reports map[dispatch.EngineID]report // of engines in the list
 	// noteEvery is the time between notes of attempts that are out, in milliseconds; 0 where engines send none.
 	noteEvery float64
 	// advice bounds the time to stay away, in milliseconds, by what clients honour; 0 where they honour none.
 	advice   func(ms float64) float64
-	requests map[brain.RequestID]*request
+	requests map[dispatch.RequestID]*request
 	byID     map[string]*request // the open ones, by the client's id
-	events   []brain.Event
-	words    []brain.Event // of engines; they go ahead of all others
-	actions  []brain.Action
+	events   []dispatch.Event
+	words    []dispatch.Event // of engines; they go ahead of all others
+	actions  []dispatch.Action
 	spent    spent
 	seq      uint64
 	// Ids, where it is set, hears of ids as they come to be open or spent, or cease to be.
@@ -150,13 +150,13 @@
 }
 
 // New returns a core for the settings that the module was told.
-func New(loop *Loop, cfg brain.Config, client EngineClient, log *slog.Logger) (*Core, error) {
-	module, err := brain.New(cfg)
+func New(loop *Loop, cfg dispatch.Config, client EngineClient, log *slog.Logger) (*Core, error) {
+	module, err := dispatch.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{loop: loop, module: module, client: client, log: log, engines: map[brain.EngineID]Engine{}, leaving: map[brain.EngineID]bool{},
-		requests: map[brain.RequestID]*request{}, reports: map[brain.EngineID]report{}, byID: map[string]*request{}, spent: spent{at: map[string]int{}},
+	c := &Core{loop: loop, module: module, client: client, log: log, engines: map[dispatch.EngineID]Engine{}, leaving: map[dispatch.EngineID]bool{},
+		requests: map[dispatch.RequestID]*request{}, reports: map[dispatch.EngineID]report{}, byID: map[string]*request{}, spent: spent{at: map[string]int{}},
 		ByClass: map[string]*ClassCounters{}, elsewhere: map[string]bool{}}
 	c.use(cfg)
 	loop.Settle = c.settle
@@ -165,7 +165,7 @@
 
 // Configure has the core and the module go by changed settings. Requests that are open are not touched. It names
 // what stays as it was because it can't change while running; an error says that nothing changed.
-func (c *Core) Configure(cfg brain.Config) (kept []string, err error) {
+func (c *Core) Configure(cfg dispatch.Config) (kept []string, err error) {
 	now, kept, err := c.module.Configure(cfg)
 	if err == nil {
 		c.use(now)
@@ -173,8 +173,8 @@
 	return kept, err
 }
 
-func (c *Core) use(cfg brain.Config) {
-	n := &names{classes: map[string]brain.Class{}, tenants: map[string]bool{}}
+func (c *Core) use(cfg dispatch.Config) {
+	n := &names{classes: map[string]dispatch.Class{}, tenants: map[string]bool{}}
 	for _, k := range cfg.Classes {
 		n.classes[k.Name] = k
 		if c.ByClass[k.Name] == nil {
@@ -197,12 +197,12 @@
 
 // names are those that the settings give.
 type names struct {
-	classes map[string]brain.Class
+	classes map[string]dispatch.Class
 	tenants map[string]bool
 }
 
 // Class gives a class of the settings; it may be called from anywhere.
-func (c *Core) Class(name string) (brain.Class, bool) {
+func (c *Core) Class(name string) (dispatch.Class, bool) {
 	k, ok := c.names.Load().classes[name]
 	return k, ok
 }
@@ -245,7 +245,7 @@
 	if c.Watch != nil {
 		c.Watch.Arrived(q)
 	}
-	r := &request{Request: q, key: brain.RequestID(strconv.FormatUint(c.seq, 10)), asker: asker,
+	r := &request{Request: q, key: dispatch.RequestID(strconv.FormatUint(c.seq, 10)), asker: asker,
 		end: q.Sent + q.Budget - answerMargin, priority: 1}
 	if c.closeAt > 0 {
 		r.end = min(r.end, c.closeAt)
@@ -260,11 +260,11 @@
 	c.guard(r)
 	begin := func() {
 		r.fresh, c.fresh = true, append(c.fresh, r)
-		c.events = append(c.events, brain.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, Group: q.Group,
+		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, Group: q.Group,
 			Estimate: clock.Duration(q.EstimateMS), NeedMB: q.NeedMB, TimeLeft: clock.Duration(max(r.end-c.loop.Now(), 0)),
 			Resent: q.Again})
 	}
-	if class.Semantics == brain.AtMostOnce {
+	if class.Semantics == dispatch.AtMostOnce {
 		c.claim(r, begin)
 	} else {
 		begin()
@@ -285,7 +285,7 @@
 	}
 	c.Counters.Abandoned++
 	c.finish(r)
-	c.events = append(c.events, brain.Abort{Request: r.key})
+	c.events = append(c.events, dispatch.Abort{Request: r.key})
 	c.watched(r, Answer{Kind: AnswerLeft})
 }
 
@@ -297,7 +297,7 @@
 	delete(c.byID, r.ID)
 	c.changed(r.ID, IDDone)
 	for _, a := range r.attempts {
-		c.recall(a, brain.NotSent, "nobody waits for it any more")
+		c.recall(a, dispatch.NotSent, "nobody waits for it any more")
 	}
 	if r.out == 0 && !r.fresh {
 		delete(c.requests, r.key)
@@ -312,7 +312,7 @@
 	c.Counters.Overdue++
 	c.log.Error("request overdue: the module gave no answer", "rid", r.ID, "class", r.Class, "out", r.out)
 	c.fail(r, ReasonDeadline)
-	c.events = append(c.events, brain.Abort{Request: r.key})
+	c.events = append(c.events, dispatch.Abort{Request: r.key})
 }
 
 func (c *Core) fail(r *request, why Reason) {
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -3,21 +3,21 @@
 import (
 	"slices"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
 // Engines tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
 // has heard of it: an event gathered ahead of this list may still have it send to one.
-func (c *Core) Engines(list brain.EngineList, addrs map[brain.EngineID]string) {
+func (c *Core) Engines(list dispatch.EngineList, addrs map[dispatch.EngineID]string) {
 	c.Counters.Lists++
 	if c.Watch != nil {
 		c.Watch.Listed()
 	}
-	if list.Mode == brain.ListFull {
+	if list.Mode == dispatch.ListFull {
 		// An engine that a whole list leaves out is gone; its address may pass to another.
 		for id, e := range c.engines {
-			if !slices.ContainsFunc(list.Engines, func(n brain.Engine) bool { return n.ID == id }) {
+			if !slices.ContainsFunc(list.Engines, func(n dispatch.Engine) bool { return n.ID == id }) {
 				c.client.Forget(e)
 				c.client.Withhold(e)
 				c.leaving[id] = true
@@ -28,12 +28,12 @@
 	c.words = append(c.words, list)
 	for _, e := range list.Engines {
 		old, known := c.engines[e.ID]
-		if delete(c.leaving, e.ID); e.State != brain.Live && (known || e.State == brain.Draining) {
+		if delete(c.leaving, e.ID); e.State != dispatch.Live && (known || e.State == dispatch.Draining) {
 			c.leaving[e.ID] = true
 		}
 		moved := known && old.Addr != addrs[e.ID]
 		switch {
-		case e.State == brain.Gone:
+		case e.State == dispatch.Gone:
 			if known {
 				c.client.Forget(old)
 				c.gone = append(c.gone, e.ID)
@@ -43,9 +43,9 @@
 				c.client.Forget(old)
 			}
 			c.engines[e.ID] = Engine{ID: e.ID, Addr: addrs[e.ID], Kind: e.Kind}
-			c.gone = slices.DeleteFunc(c.gone, func(id brain.EngineID) bool { return id == e.ID })
+			c.gone = slices.DeleteFunc(c.gone, func(id dispatch.EngineID) bool { return id == e.ID })
 		}
-		if known && (moved || e.State != brain.Live) {
+		if known && (moved || e.State != dispatch.Live) {
 			// The module chose it when it was live, and there. What has not begun may begin much later, when the time for
 			// that is over, or another engine has the address.
 			c.client.Withhold(old)
@@ -55,12 +55,12 @@
 
 // Exclude keeps new work from an engine, by an operator's word, until Include; once it returns, nothing more is begun
 // there. Both say no to an engine that no list has named.
-func (c *Core) Exclude(id brain.EngineID) bool { return c.order(id, brain.Exclude{Engine: id}) }
+func (c *Core) Exclude(id dispatch.EngineID) bool { return c.order(id, dispatch.Exclude{Engine: id}) }
 
 // Include ends an Exclude.
-func (c *Core) Include(id brain.EngineID) bool { return c.order(id, brain.Include{Engine: id}) }
+func (c *Core) Include(id dispatch.EngineID) bool { return c.order(id, dispatch.Include{Engine: id}) }
 
-func (c *Core) order(id brain.EngineID, word brain.Event) bool {
+func (c *Core) order(id dispatch.EngineID, word dispatch.Event) bool {
 	if !c.Knows(id) {
 		return false
 	}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
@@ -27,9 +27,9 @@
 
 // State is what another process needs to go on in a router's place.
 type State struct {
-	Open   []string       `json:"open"`
-	Spent  []string       `json:"spent"`
-	Module brain.Snapshot `json:"module"`
+	Open   []string          `json:"open"`
+	Spent  []string          `json:"spent"`
+	Module dispatch.Snapshot `json:"module"`
 }
 
 func (c *Core) changed(id string, what IDStatus) {
@@ -53,7 +53,7 @@
 	for _, id := range s.Spent {
 		c.spent.add(id)
 	}
-	c.words = append(c.words, brain.Takeover{Snapshot: s.Module})
+	c.words = append(c.words, dispatch.Takeover{Snapshot: s.Module})
 	c.settle()
 }
 
@@ -70,11 +70,11 @@
 		for _, a := range r.attempts {
 			if !a.ended && a.timeout != nil {
 				a.timeout.Stop()
-				a.timeout = c.loop.At(at, func() { c.ended(a, End{Outcome: brain.TimedOut, Detail: "the router ends"}) })
+				a.timeout = c.loop.At(at, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "the router ends"}) })
 			}
 		}
 	}
-	c.events = append(c.events, brain.Closing{At: clock.Duration(at)})
+	c.events = append(c.events, dispatch.Closing{At: clock.Duration(at)})
 }
 
 // Elsewhere takes news of an id from the other process: one that is open there can't be opened here.
@@ -139,14 +139,14 @@
 }
 
 // Knows tells whether a list has named an engine.
-func (c *Core) Knows(id brain.EngineID) bool {
+func (c *Core) Knows(id dispatch.EngineID) bool {
 	c.settle() // a list that names the engine may just have come
 	return c.module.Knows(id)
 }
 
 // Adopt keeps work from engines that operators have excluded in another process, whether a list has named them or not.
-func (c *Core) Adopt(out []brain.EngineID) {
-	c.words = append(c.words, brain.Takeover{Snapshot: brain.Snapshot{Known: out, Excluded: out, Done: -1}})
+func (c *Core) Adopt(out []dispatch.EngineID) {
+	c.words = append(c.words, dispatch.Takeover{Snapshot: dispatch.Snapshot{Known: out, Excluded: out, Done: -1}})
 	c.settle()
 	for _, id := range out {
 		if e, ok := c.engines[id]; ok {
@@ -156,15 +156,15 @@
 }
 
 // Use gives what this process has running on each engine.
-func (c *Core) Use() brain.PeerUse { return c.module.Use(clock.Duration(c.loop.Now())) }
+func (c *Core) Use() dispatch.PeerUse { return c.module.Use(clock.Duration(c.loop.Now())) }
 
 // PeerUse takes in what the other process has running there.
-func (c *Core) PeerUse(use brain.PeerUse) { c.events = append(c.events, use) }
+func (c *Core) PeerUse(use dispatch.PeerUse) { c.events = append(c.events, use) }
 
 // Alone says that the other process has ended: nothing runs there any more, and no id is open.
 func (c *Core) Alone() {
 	clear(c.elsewhere)
-	c.PeerUse(brain.PeerUse{})
+	c.PeerUse(dispatch.PeerUse{})
 }
 
 // list gives the ids, the oldest first.
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 // What answers say beside an end reaches the module: notes where engines send them, load reports from all. It guards against
 // attempts that are taken for lost, and given up with their work, while their engine says all along that they are under
 // way; and against a flood of events: each answer brings the same report again, and every question four answers a second.
 func TestNewsOfEnginesReachTheModule(t *testing.T) {
-	notes := func(cfg *brain.Config) { cfg.NoteEvery, cfg.Cancel = time.Second, true }
-	load := brain.Load{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
+	notes := func(cfg *dispatch.Config) { cfg.NoteEvery, cfg.Cancel = time.Second, true }
+	load := dispatch.Load{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
 	for _, k := range []struct {
 		name      string
-		change    func(*brain.Config)
+		change    func(*dispatch.Config)
 		tell      News
 		gap       float64 // between two answers, in milliseconds
 		cancelled int
@@ -24,8 +24,8 @@
 		{"a silent engine", notes, News{}, 1e9, 1, 0},
 		{"under way", notes, News{}, 250, 0, 9},
 		{"under way with a report that stays the same", notes, News{Load: &load}, 100, 0, 9 + 17},
-		{"a share", notes, News{Note: brain.NoteShare, Amount: 0.5}, 250, 0, 16},
-		{"no notes in the settings", func(*brain.Config) {}, News{Note: brain.NoteShare, Amount: 0.5}, 250, 0, 0},
+		{"a share", notes, News{Note: dispatch.NoteShare, Amount: 0.5}, 250, 0, 16},
+		{"no notes in the settings", func(*dispatch.Config) {}, News{Note: dispatch.NoteShare, Amount: 0.5}, 250, 0, 0},
 		{"an end", notes, News{Over: true}, 250, 1, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			for range 20 { // the class's times are known by then
 				b.ask("lookup", 3000, 0)
 				b.wait(200)
-				b.end(len(b.engines.done)-1, End{Outcome: brain.Served, Result: &Result{}})
+				b.end(len(b.engines.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
 			}
 			b.ask("lookup", 5000, 0)
 			call := b.engines.calls[len(b.engines.calls)-1]
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -6,7 +6,7 @@
 	"math"
 	"strconv"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 // Request is a query as a front hands it over, in no wire's terms.
@@ -15,7 +15,7 @@
 	Class      string  `json:"Class"`
 	Tenant     string  `json:"Tenant"`
 	Statement  string  `json:"Statement"` // without the fields
-	Group      int64   `json:"Group"`     // group of tables, as brain.GroupOf numbers it; 0 if there is none
+	Group      int64   `json:"Group"`     // group of tables, as dispatch.GroupOf numbers it; 0 if there is none
 	Sent       float64 `json:"Sent"`
 	Budget     float64 `json:"Budget"`     // milliseconds from Sent that the client waits
 	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
@@ -80,7 +80,7 @@
 		return nil, errors.New("several statements; a query is one")
 	}
 	if n, ok := tableGroup(statement); ok {
-		r.Group = brain.GroupOf(n)
+		r.Group = dispatch.GroupOf(n)
 	}
 	return r, nil
 }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -1,7 +1,7 @@
 package router
 
 import (
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
@@ -9,10 +9,10 @@
 type Watcher interface {
 	Arrived(*Request)
 	Answered(*Request, Answer)
-	Sent(brain.EngineID)
+	Sent(dispatch.EngineID)
 	// Listed hears that the list of engines has changed; the module is told at the end of the step.
 	Listed()
-	Ended(engine brain.EngineID, outcome brain.Outcome, tookMS float64)
+	Ended(engine dispatch.EngineID, outcome dispatch.Outcome, tookMS float64)
 }
 
 // AnswerKind is how a request ended.
@@ -29,10 +29,10 @@
 // Answer is a request's end.
 type Answer struct {
 	Kind   AnswerKind
-	TookMS float64        // since the client sent the request
-	AimMS  float64        // the class's aim for it; of served ones
-	Reason string         // of refusals and failures
-	Engine brain.EngineID // of the last attempt; 0 for none
+	TookMS float64           // since the client sent the request
+	AimMS  float64           // the class's aim for it; of served ones
+	Reason string            // of refusals and failures
+	Engine dispatch.EngineID // of the last attempt; 0 for none
 }
 
 func (c *Core) watched(r *request, a Answer) {
@@ -57,9 +57,9 @@
 }
 
 // reasons word how the last attempt ended.
-var reasons = map[brain.Outcome]string{brain.Errored: "the engine failed", brain.Full: "the engine was full",
-	brain.TimedOut: "the engine did not answer in time", brain.ConnectFailed: "no connection to the engine",
-	brain.Reset: "the connection to the engine broke", brain.Cancelled: "given up", brain.NotSent: "not sent"}
+var reasons = map[dispatch.Outcome]string{dispatch.Errored: "the engine failed", dispatch.Full: "the engine was full",
+	dispatch.TimedOut: "the engine did not answer in time", dispatch.ConnectFailed: "no connection to the engine",
+	dispatch.Reset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent"}
 
 // why words a failure.
 func (r *request) why(reason Reason) string {
@@ -89,4 +89,4 @@
 }
 
 // See fills a view of the fleet as the module has it.
-func (c *Core) See(v *brain.View) { c.module.See(clock.Duration(c.loop.Now()), v) }
+func (c *Core) See(v *dispatch.View) { c.module.See(clock.Duration(c.loop.Now()), v) }
--- a/internal/settings/known.go
+++ b/internal/settings/known.go
@@ -6,17 +6,17 @@
 	"strconv"
 	"strings"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
 // EngineList is a list of engines, whole or what changed of it, and where they listen.
 type EngineList struct {
-	Events brain.EngineList
-	Addrs  map[brain.EngineID]string
+	Events dispatch.EngineList
+	Addrs  map[dispatch.EngineID]string
 }
 
-var states = map[string]brain.EngineState{"active": brain.Live, "leaving": brain.Draining, "left": brain.Gone}
+var states = map[string]dispatch.EngineState{"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Gone}
 
 // ParseKnown folds the events that the configuration holds into one complete list, and gives the number of
 // the last one.
@@ -40,20 +40,20 @@
 			} `json:"pool"`
 		} `json:"notices"`
 	}
-	l := EngineList{Events: brain.EngineList{Mode: brain.ListSaved}, Addrs: map[brain.EngineID]string{}}
+	l := EngineList{Events: dispatch.EngineList{Mode: dispatch.ListSaved}, Addrs: map[dispatch.EngineID]string{}}
 	if len(text) == 0 {
 		return l, 0, nil
 	}
 	if err := Decode(text, &known); err != nil {
 		return l, 0, err
 	}
-	at := map[brain.EngineID]int{}
+	at := map[dispatch.EngineID]int{}
 	for i, n := range known.Notices {
 		if n.Pool == nil {
 			continue
 		}
 		if n.Pool.Complete {
-			l.Events.Engines, l.Addrs = nil, map[brain.EngineID]string{}
+			l.Events.Engines, l.Addrs = nil, map[dispatch.EngineID]string{}
 			clear(at)
 		}
 		for j, m := range n.Pool.Members {
@@ -66,10 +66,10 @@
 			if !ok {
 				return l, 0, fmt.Errorf("%s.phase: unknown value %q", field, m.Phase)
 			}
-			if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != brain.Gone {
+			if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != dispatch.Gone {
 				return l, 0, fmt.Errorf("%s.host_port: %q is no address and port", field, m.HostPort)
 			}
-			e := brain.Engine{ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, Size: m.Size, State: state,
+			e := dispatch.Engine{ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, Size: m.Size, State: state,
 				Born: clock.Duration(m.UpSince)}
 			if k, known := at[id]; known {
 				l.Events.Engines[k] = e
@@ -84,14 +84,14 @@
 }
 
 // FormatID gives an engine's id as it stands in text.
-func FormatID(id brain.EngineID) string { return fmt.Sprintf("s-%08x", uint32(id)) }
+func FormatID(id dispatch.EngineID) string { return fmt.Sprintf("s-%08x", uint32(id)) }
 
 // ParseID reads an engine's id as it stands in text.
-func ParseID(s string) (brain.EngineID, error) {
+func ParseID(s string) (dispatch.EngineID, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
 		return 0, fmt.Errorf("%q is not s- and 8 hex digits", s)
 	}
-	return brain.EngineID(n), nil
+	return dispatch.EngineID(n), nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"windflow/brain"
+	"windflow/dispatch"
 )
 
 // Word looks a wire word up in a table.
@@ -19,15 +19,15 @@
 }
 
 var (
-	semantics = map[string]brain.Semantics{"": brain.Idempotent, "idempotent": brain.Idempotent,
-		"deduplicated": brain.Deduplicated, "at_most_once": brain.AtMostOnce}
-	scopes = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
-		"cell": brain.ScopeCell}
-	shortages = map[string]brain.Shortage{"": brain.ShortQueue, "queue": brain.ShortQueue,
-		"trim": brain.ShortTrim, "swap": brain.ShortSwap}
+	semantics = map[string]dispatch.Semantics{"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
+		"deduplicated": dispatch.Deduplicated, "at_most_once": dispatch.AtMostOnce}
+	scopes = map[string]dispatch.Scope{"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+		"cell": dispatch.ScopeCell}
+	shortages = map[string]dispatch.Shortage{"": dispatch.ShortQueue, "queue": dispatch.ShortQueue,
+		"trim": dispatch.ShortTrim, "swap": dispatch.ShortSwap}
 )
 
-// Settings is the wire form of brain.Config; unknown fields are ignored.
+// Settings is the wire form of dispatch.Config; unknown fields are ignored.
 type Settings struct {
 	Me        int    `json:"me"`
 	Balancers int    `json:"balancers"`
@@ -150,9 +150,9 @@
 }
 
 // Config translates the settings; nonce seeds the random numbers.
-func (s *Settings) Config(nonce uint64) (brain.Config, error) {
+func (s *Settings) Config(nonce uint64) (dispatch.Config, error) {
 	if err := s.check(); err != nil {
-		return brain.Config{}, err
+		return dispatch.Config{}, err
 	}
 	sp := &s.Specifics
 	n, k := len(s.Classes), len(s.Kinds)
@@ -160,15 +160,15 @@
 		perItem("specifics.width-by-class", sp.Width, n), perItem("specifics.yields-to-loads", sp.Yields, n),
 		perItem("specifics.cores-by-kind", sp.Cores, k), perItem("specifics.kind-memory-mb", sp.MemoryMB, k)} {
 		if err != nil {
-			return brain.Config{}, err
+			return dispatch.Config{}, err
 		}
 	}
 	shortage, err := Word("specifics.overbooked", sp.Overbooked, shortages)
 	if err != nil {
-		return brain.Config{}, err
+		return dispatch.Config{}, err
 	}
 	d := func(ns int64) time.Duration { return time.Duration(ns) }
-	cfg := brain.Config{
+	cfg := dispatch.Config{
 		Seed: nonce, Instance: s.Me, Gateways: s.Balancers, Zone: s.Zone,
 		OverShareWorth: s.OverShareWorth, MaxAttempts: s.Limits.AttemptsCap, Cancel: s.Limits.Cancel,
 		SecondCopies: s.Limits.SecondCopies, RetryAfter: s.Limits.RetryAfter,
@@ -177,7 +177,7 @@
 		NoteEvery: d(sp.NoteEvery), Tick: d(s.PeriodNS), AskWithin: d(s.Rules.AskWithin), ColdFrom: s.Rules.ColdFrom,
 		ColdFor: d(s.Rules.ColdNS), OverloadFactor: s.Rules.OverloadFactor,
 		OverloadFor: d(s.Rules.OverloadFor), KeyRest: d(s.Rules.KeyRest),
-		Budget: brain.RetryBudget{Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
+		Budget: dispatch.RetryBudget{Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
 			PerRequest: s.Rules.ExtraPerRequest},
 	}
 	for i, c := range s.Classes {
@@ -189,16 +189,16 @@
 		if err != nil {
 			return cfg, err
 		}
-		cfg.Classes = append(cfg.Classes, brain.Class{Name: c.Name, Aim: d(c.Goal), AimStretch: c.Stretch,
+		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: c.Name, Aim: d(c.Goal), AimStretch: c.Stretch,
 			Deadline: d(c.Deadline), Worth: c.Credit, LateWorth: c.LateValue, Semantics: sem, Scope: scope,
 			Window: d(c.Window), OrderByKey: c.FifoByKey, Zones: c.StaysIn, Kinds: c.AllowedOn,
 			Threads: at(sp.Width, i), Load: at(sp.Load, i), WaitsOnLoad: at(sp.Yields, i)})
 	}
 	for _, t := range s.Parties {
-		cfg.Tenants = append(cfg.Tenants, brain.Tenant{Name: t.Name, Quota: t.Quota})
+		cfg.Tenants = append(cfg.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	for i, name := range s.Kinds {
-		cfg.Kinds = append(cfg.Kinds, brain.Kind{Name: name, Cores: at(sp.Cores, i), MemoryMB: at(sp.MemoryMB, i)})
+		cfg.Kinds = append(cfg.Kinds, dispatch.Kind{Name: name, Cores: at(sp.Cores, i), MemoryMB: at(sp.MemoryMB, i)})
 	}
 	return cfg, nil
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -17,17 +17,17 @@
 	"github.com/google/jsonschema-go/jsonschema"
 
 	"windflow/internal/bgp"
+	"windflow/internal/configclient"
 	"windflow/internal/flightsql"
-	"windflow/internal/follow"
 	"windflow/internal/record"
 )
 
 // Settings are what the file holds; a section that is not there is nil.
 type Settings struct {
-	FlightSQL *flightsql.Config `json:"flightsql"`
-	BGP       *bgp.Config       `json:"bgp"`
-	Records   *record.Config    `json:"records"`
-	Keepers   *follow.Config    `json:"keepers"`
+	FlightSQL *flightsql.Config    `json:"flightsql"`
+	BGP       *bgp.Config          `json:"bgp"`
+	Records   *record.Config       `json:"records"`
+	Keepers   *configclient.Config `json:"keepers"`
 }
 
 //go:embed windflow.schema.json
@@ -86,7 +86,7 @@
 		s.Records = &defaults
 	}
 	if sections["keepers"] != nil {
-		s.Keepers = &follow.Config{HoldMS: follow.DefaultHoldMS}
+		s.Keepers = &configclient.Config{HoldMS: configclient.DefaultHoldMS}
 	}
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, err
--- a/internal/validate/bounds.go
+++ b/internal/validate/bounds.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"windflow/brain"
+	"windflow/dispatch"
 	"windflow/internal/settings"
 )
 
@@ -54,7 +54,7 @@
 
 // Decisions gives what the module is told. Clients hold at most a third of the descriptors: were most of that taken by
 // queries that are held with little hope, new ones could not even be asked.
-func Decisions(cfg *settings.Node, seed uint64) (brain.Config, error) {
+func Decisions(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
 	d, err := cfg.Parsed.Config(seed)
 	d.MaxHeld = int(heldShare * float64(cfg.Limits.Sockets))
 	return d, err
