--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -53,13 +53,13 @@
 // host keeps the instances of this process and the numbered lists.
 type host struct {
 	instances map[int64]*dispatch.Controller
-	sheets    map[int64][]dispatch.Engine
+	sheets    map[int64][]dispatch.Endpoint
 	actions   []dispatch.Action
 	out       []map[string]any
 }
 
 func newHost() *host {
-	return &host{instances: map[int64]*dispatch.Controller{}, sheets: map[int64][]dispatch.Engine{}}
+	return &host{instances: map[int64]*dispatch.Controller{}, sheets: map[int64][]dispatch.Endpoint{}}
 }
 
 // batch handles one line and returns the reply.
@@ -178,7 +178,7 @@
 	if m.Sheet == nil {
 		return errors.New("field sheet is missing")
 	}
-	list := make([]dispatch.Engine, 0, len(m.Elements))
+	list := make([]dispatch.Endpoint, 0, len(m.Elements))
 	for i, e := range m.Elements {
 		engine, err := e.engine()
 		if err != nil {
--- a/cmd/drill/wire.go
+++ b/cmd/drill/wire.go
@@ -28,12 +28,12 @@
 }
 
 var (
-	states = map[string]dispatch.EngineState{"live": dispatch.Live, "quiescing": dispatch.Draining, "dead": dispatch.Gone}
-	modes  = map[string]dispatch.ListMode{"FULL": dispatch.ListFull, "INCREMENTAL": dispatch.ListChanges,
-		"SAVED": dispatch.ListSaved, "FAILED": dispatch.ListFailed}
-	outcomes = map[string]dispatch.Outcome{"served": dispatch.Served, "server_error": dispatch.Errored,
-		"turned_away": dispatch.Full, "no_answer": dispatch.TimedOut, "no_connection": dispatch.ConnectFailed,
-		"connection_lost": dispatch.Reset, "called_off": dispatch.Cancelled, "not_sent": dispatch.NotSent}
+	states = map[string]dispatch.EndpointState{"live": dispatch.Live, "quiescing": dispatch.Draining, "dead": dispatch.Removed}
+	modes  = map[string]dispatch.ListMode{"FULL": dispatch.ListComplete, "INCREMENTAL": dispatch.ListIncremental,
+		"SAVED": dispatch.ListCached, "FAILED": dispatch.ListFailed}
+	outcomes = map[string]dispatch.Outcome{"served": dispatch.Served, "server_error": dispatch.EngineFailed,
+		"turned_away": dispatch.EngineFull, "no_answer": dispatch.TimedOut, "no_connection": dispatch.ConnectFailed,
+		"connection_lost": dispatch.ConnectionReset, "called_off": dispatch.Cancelled, "not_sent": dispatch.NotSent}
 )
 
 // A bill is milliseconds of work times billUnit, plus the memory needed in units of billMB.
@@ -53,13 +53,13 @@
 	Born      int64   `json:"born-ns"`
 }
 
-func (e wireEntry) engine() (dispatch.Engine, error) {
+func (e wireEntry) engine() (dispatch.Endpoint, error) {
 	if e.Executor == nil {
-		return dispatch.Engine{}, errors.New("executor is missing")
+		return dispatch.Endpoint{}, errors.New("executor is missing")
 	}
 	state, err := settings.Word("condition", e.Condition, states)
-	return dispatch.Engine{ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
-		Size: e.Units, State: state, Born: time.Duration(e.Born)}, err
+	return dispatch.Endpoint{ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
+		CapacityWeight: e.Units, State: state, StartedAt: time.Duration(e.Born)}, err
 }
 
 // wireEvent has the fields of all events but START and REGISTER.
@@ -88,7 +88,7 @@
 }
 
 // load translates a report; absent values are unknown.
-func (m *wireEvent) load() *dispatch.Load {
+func (m *wireEvent) load() *dispatch.LoadReport {
 	if m.Load == nil {
 		return nil
 	}
@@ -98,7 +98,7 @@
 		}
 		return -1
 	}
-	return &dispatch.Load{InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
+	return &dispatch.LoadReport{InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
 		Memory: get("x0"), Failing: get("fail_rate")}
 }
 
@@ -127,20 +127,20 @@
 		if mode == dispatch.ListFailed {
 			list = nil
 		}
-		return dispatch.EngineList{Mode: mode, Engines: list}, nil
+		return dispatch.EndpointList{Mode: mode, Endpoints: list}, nil
 	case "REQ":
 		id, err := ref()
 		tenant, _ := m.Billing.(string)
 		group := int64(0)
 		if m.TableGroup != nil && *m.TableGroup >= 0 && *m.TableGroup <= math.MaxUint32 {
-			group = dispatch.GroupOf(uint32(*m.TableGroup))
+			group = dispatch.TableGroupOf(uint32(*m.TableGroup))
 		}
-		return dispatch.Arrival{Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, Group: group,
+		return dispatch.Arrival{Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, TableGroup: group,
 			Estimate: time.Duration(m.Estimate), NeedMB: m.WantMB, TimeLeft: time.Duration(m.TimeLeft),
 			Resent: m.Resent}, err
 	case "PROGRESS":
 		id, err := ref()
-		return dispatch.Note{Request: id, Attempt: m.Hop, Kind: dispatch.NoteKind(m.What), Amount: m.Amount}, err
+		return dispatch.AttemptProgress{Request: id, Attempt: m.Hop, Kind: dispatch.ProgressKind(m.What), Amount: m.Amount}, err
 	case "ATTEMPT_END":
 		id, err := ref()
 		if err != nil {
@@ -148,19 +148,19 @@
 		}
 		outcome, err := settings.Word("field disposition", m.Disposition, outcomes)
 		return dispatch.AttemptEnd{Request: id, Attempt: m.Hop, Outcome: outcome,
-			Took: time.Duration(m.DelaySeen), Last: m.Last, Load: m.load(),
+			Took: time.Duration(m.DelaySeen), Last: m.Last, Report: m.load(),
 			Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB}, err
 	case "STREAMING":
 		id, err := ref()
-		return dispatch.StreamStart{Request: id, Attempt: m.Hop}, err
+		return dispatch.ResponseStarted{Request: id, Attempt: m.Hop}, err
 	case "ABORTED":
 		id, err := ref()
-		return dispatch.Abort{Request: id}, err
+		return dispatch.ClientGone{Request: id}, err
 	case "BELL":
-		return dispatch.Timer{Tag: m.Tag}, nil
+		return dispatch.TimerFired{Tag: m.Tag}, nil
 	case "PROBE_RESULT":
 		if l := m.load(); l != nil {
-			return dispatch.Report{Engine: dispatch.EngineID(m.Executor), Load: *l}, nil
+			return dispatch.EngineLoad{Engine: dispatch.EngineID(m.Executor), Report: *l}, nil
 		}
 		return nil, nil
 	case "INBOX":
@@ -174,22 +174,22 @@
 	fields := map[string]any{"who": who}
 	name := ""
 	switch a := a.(type) {
-	case dispatch.Send:
+	case dispatch.StartAttempt:
 		name, fields["ref"], fields["executor"] = "DISPATCH", a.Request, a.Engine
 		if a.Timeout != 0 {
 			fields["allow-for-ns"] = int64(a.Timeout)
 		}
-	case dispatch.SetTerms:
+	case dispatch.SetResources:
 		name, fields["ref"] = "ASSIGN_TERMS", a.Request
 		fields["allot-mb"], fields["weight-class"] = a.GrantMB, a.Priority
-	case dispatch.Cancel:
+	case dispatch.CancelAttempt:
 		name, fields["ref"], fields["hop"] = "CANCEL", a.Request, a.Attempt
-	case dispatch.Refuse:
+	case dispatch.Reject:
 		name, fields["ref"] = "PUSH_BACK", a.Request
 		if a.RetryAfter > 0 {
 			fields["not-before-for-ns"] = int64(a.RetryAfter)
 		}
-	case dispatch.Fail:
+	case dispatch.FailRequest:
 		name, fields["ref"] = "ERROR", a.Request
 	case dispatch.Subscribe:
 		name, fields["on"] = "FOLLOW", true
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -8,24 +8,24 @@
 
 // benchFleet is one controller of 600 before a fleet, some of whose engines are cold. They stay so: what is measured is a
 // moment after a zone or a region has come back.
-func benchFleet(tb testing.TB, engines int, cold float64) (*Controller, time.Duration, []Engine) {
+func benchFleet(tb testing.TB, engines int, cold float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
 	cfg := fleetConfig(fleetDay{seed: 1, gateways: 600, cores: 8}, 7)
-	cfg.ColdFor = 1000 * time.Hour
+	cfg.WarmUpDuration = 1000 * time.Hour
 	c, err := New(cfg)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := 2000 * time.Hour
-	var list []Engine
+	var list []Endpoint
 	for i := range engines {
-		e := Engine{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%6), Cell: i % 6, Size: 1}
+		e := Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%6), Cell: i % 6, CapacityWeight: 1}
 		if float64(i) < cold*float64(engines) {
-			e.Born = now - time.Second - time.Duration(i)*ms
+			e.StartedAt = now - time.Second - time.Duration(i)*ms
 		}
 		list = append(list, e)
 	}
-	c.Handle(now, EngineList{Mode: ListFull, Engines: list}, nil)
+	c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
 	return c, now, list
 }
 
@@ -51,7 +51,7 @@
 	}
 	id := RequestID(fmt.Sprint(t.n))
 	t.open = append(t.open, id)
-	t.buf = t.c.Handle(t.now, Arrival{Request: id, Class: class, Group: int64(t.n%40 + 1), TimeLeft: 2 * time.Second, Estimate: est, NeedMB: 64}, t.buf[:0])
+	t.buf = t.c.Handle(t.now, Arrival{Request: id, Class: class, TableGroup: int64(t.n%40 + 1), TimeLeft: 2 * time.Second, Estimate: est, NeedMB: 64}, t.buf[:0])
 }
 
 // end has the oldest one end, whatever became of it.
@@ -59,7 +59,7 @@
 	id := t.open[0]
 	t.open = t.open[1:]
 	t.buf = t.c.Handle(t.now, AttemptEnd{Request: id, Outcome: Served, Last: true}, t.buf[:0])
-	t.buf = t.c.Handle(t.now, Abort{Request: id}, t.buf[:0])
+	t.buf = t.c.Handle(t.now, ClientGone{Request: id}, t.buf[:0])
 }
 
 var benchSizes = []int{30, 300, 1200, 4800}
@@ -79,7 +79,7 @@
 					t.arrive()
 					t.end()
 					if t.n%4 == 0 {
-						t.buf = c.Handle(t.now, Timer{Tag: tickTag}, t.buf[:0])
+						t.buf = c.Handle(t.now, TimerFired{Tag: tickTag}, t.buf[:0])
 					}
 				}
 			})
@@ -96,8 +96,8 @@
 			for i := range b.N {
 				now += ms
 				e := list[i/2%len(list)]
-				e.State = []EngineState{Draining, Live}[i%2]
-				c.Handle(now, EngineList{Mode: ListChanges, Engines: []Engine{e}}, buf)
+				e.State = []EndpointState{Draining, Live}[i%2]
+				c.Handle(now, EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{e}}, buf)
 				c.nearby()
 			}
 		})
@@ -117,7 +117,7 @@
 			for range b.N {
 				t.now += 5 * time.Microsecond
 				c.wakeAt = t.now
-				t.buf = c.Handle(t.now, Timer{Tag: tickTag}, t.buf[:0])
+				t.buf = c.Handle(t.now, TimerFired{Tag: tickTag}, t.buf[:0])
 			}
 		})
 	}
--- a/dispatch/brain_test.go
+++ b/dispatch/brain_test.go
@@ -30,7 +30,7 @@
 // TestReleaseOrder fills queues and reads the order in which classes are picked.
 func TestReleaseOrder(t *testing.T) {
 	three := twoClasses()
-	three.Classes = append(three.Classes, Class{Name: "load", Aim: 2 * time.Second, Deadline: 20 * time.Second,
+	three.Classes = append(three.Classes, Class{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second,
 		Threads: 2})
 	for _, k := range []struct {
 		name         string
@@ -72,12 +72,12 @@
 
 func TestPreferredPriority(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	w.ask("quick", "")
 	w.ask("big", "")
 	var got []int
 	for _, a := range w.acts {
-		if terms, ok := a.(SetTerms); ok {
+		if terms, ok := a.(SetResources); ok {
 			got = append(got, terms.Priority)
 		}
 	}
@@ -89,7 +89,7 @@
 // An arrival with no time left gets its answer in the call that brings it.
 func TestExpiredArrivalAnsweredAtOnce(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(2)...)
+	w.list(ListComplete, engines(2)...)
 	if tr := w.askFor(Arrival{Class: "big"}); tr.answers != 1 || len(w.sends) != 0 {
 		t.Errorf("answers %d, sends %d", tr.answers, len(w.sends))
 	}
@@ -106,15 +106,15 @@
 
 func TestDrainStopsAtOnce(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(2)...)
+	w.list(ListComplete, engines(2)...)
 	gone := engines(2)[0]
 	gone.State = Draining
-	w.list(ListChanges, gone)
+	w.list(ListIncremental, gone)
 	for range 20 {
 		w.now += 20 * ms
 		w.end(w.ask("quick", ""), Served)
 	}
-	w.list(ListFull, engines(1)...)
+	w.list(ListComplete, engines(1)...)
 	for range 20 {
 		w.now += 20 * ms
 		w.end(w.ask("quick", ""), Served)
@@ -126,18 +126,18 @@
 
 func TestOrderByKeyRests(t *testing.T) {
 	cfg := twoClasses()
-	cfg.Classes[0].OrderByKey, cfg.Classes[0].Deadline, cfg.KeyRest = true, 10*time.Second, time.Second
-	cfg.Classes[0].LateWorth = 0.5
+	cfg.Classes[0].OrderByKey, cfg.Classes[0].Deadline, cfg.KeyCooldown = true, 10*time.Second, time.Second
+	cfg.Classes[0].LateWeightShare = 0.5
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	a, b := w.ask("quick", "t"), w.ask("quick", "t")
 	other := w.ask("quick", "u")
 	if len(a.engines) != 1 || len(b.engines) != 0 || len(other.engines) != 1 {
 		t.Fatal("one key must run one at a time, others freely")
 	}
-	w.handle(Abort{Request: a.id})
+	w.handle(ClientGone{Request: a.id})
 	a.aborted = true
-	w.end(a, Reset)
+	w.end(a, ConnectionReset)
 	w.tick(900 * ms)
 	if len(b.engines) != 0 {
 		t.Fatal("sent during the rest")
@@ -150,9 +150,9 @@
 
 func TestSubscribesAndBacksOff(t *testing.T) {
 	cfg := twoClasses()
-	cfg.AskedDiscovery, cfg.AskWithin = true, 10*time.Second
+	cfg.PolledDiscovery, cfg.DiscoveryTimeout = true, 10*time.Second
 	w := newWorld(t, cfg)
-	w.list(ListSaved, engines(2)...)
+	w.list(ListCached, engines(2)...)
 	count := func() (n int) {
 		for _, a := range w.acts {
 			if _, ok := a.(Subscribe); ok {
@@ -178,12 +178,12 @@
 func TestColdSlice(t *testing.T) {
 	for _, gateways := range []int{1, 4} {
 		cfg := twoClasses()
-		cfg.Gateways, cfg.ColdFrom, cfg.ColdFor = gateways, 0.4, 10*time.Second
-		cfg.OverloadFactor, cfg.OverloadFor = 2, time.Second
+		cfg.Routers, cfg.WarmUpInitialShare, cfg.WarmUpDuration = gateways, 0.4, 10*time.Second
+		cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2, time.Second
 		w := newWorld(t, cfg)
 		cold := engines(1)[0]
-		cold.Born = w.now - time.Second
-		w.list(ListSaved, cold)
+		cold.StartedAt = w.now - time.Second
+		w.list(ListCached, cold)
 		for range 200 {
 			w.now += 10 * ms
 			if tr := w.ask("quick", ""); len(tr.engines) > 0 {
@@ -207,9 +207,9 @@
 	for name, spoil := range map[string]func(*Config){
 		"classes":          func(c *Config) { c.Classes = nil },
 		"classes[0].name":  func(c *Config) { c.Classes[0].Name = "" },
-		"classes[1].aim":   func(c *Config) { c.Classes[1].Aim = -1 },
+		"classes[1].aim":   func(c *Config) { c.Classes[1].LatencyObjective = -1 },
 		"classes[0].deadl": func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cold-for":         func(c *Config) { c.ColdFor = -1 },
+		"cold-for":         func(c *Config) { c.WarmUpDuration = -1 },
 		"kinds[0]":         func(c *Config) { c.Kinds[0].Cores = -1 },
 	} {
 		cfg := twoClasses()
@@ -223,7 +223,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() []Action {
 		w := newWorld(t, twoClasses())
-		w.list(ListFull, engines(7)...)
+		w.list(ListComplete, engines(7)...)
 		for i := range 300 {
 			w.now += 7 * ms
 			tr := w.ask([]string{"quick", "big"}[i%2], "")
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -68,7 +68,7 @@
 // wholeShare tells whether an even part of an engine is half of a query or more: then one rounds up on each
 // engine, else on all engines together. It goes by even parts, since all gateways would round up at once.
 func (c *Controller) wholeShare(r *request) bool {
-	even := threadsPerCore * c.cores / float64(max(c.cfg.Gateways, 1))
+	even := threadsPerCore * c.cores / float64(max(c.cfg.Routers, 1))
 	return 2*even >= float64(len(c.live)*r.c.Threads)
 }
 
@@ -99,7 +99,7 @@
 	if more.Stands || r.c != c.prefer && len(e.running) > 0 && more.Memory > c.terms(e).Most() {
 		return false
 	}
-	if c.now < e.warmAt && c.cfg.OverloadFactor > 0 && c.large() {
+	if c.now < e.warmAt && c.cfg.WarmUpOverloadFactor > 0 && c.large() {
 		return true
 	}
 	spread := float64(len(c.live)) / float64(max(len(c.near), 1)) // its share falls on those nearby
@@ -153,7 +153,7 @@
 	}
 	if size = min(size, n); size != c.nearSize {
 		c.near, c.nearSize = c.near[:0], size
-		for _, i := range slowstart.Deal(c.cfg.Instance, c.cfg.Gateways, n, size) {
+		for _, i := range slowstart.Deal(c.cfg.RouterIndex, c.cfg.Routers, n, size) {
 			c.near = append(c.near, c.live[i])
 		}
 	}
@@ -171,7 +171,7 @@
 		clear(c.homeOf)
 		c.homesAt = c.now
 	}
-	key := home{r.group, r.c.Load}
+	key := home{r.group, r.c.LocksTableGroup}
 	if c.homeOf[key] == nil {
 		if len(c.homeOf) >= homesMost {
 			clear(c.homeOf)
@@ -181,8 +181,8 @@
 			return cmp.Compare(mix(r.group, a.ID), mix(r.group, b.ID))
 		})
 		n := c.demand.Loaders(r.group, pressure.Fleet{Engines: len(c.live), Near: len(near),
-			Cores: c.cores / float64(len(c.live)), Routers: c.cfg.Gateways}, millis(c.now))
-		if !r.c.Load {
+			Cores: c.cores / float64(len(c.live)), Routers: c.cfg.Routers}, millis(c.now))
+		if !r.c.LocksTableGroup {
 			n = len(near) - n
 		} else {
 			slices.Reverse(ranks)
@@ -263,7 +263,7 @@
 			serve++
 		}
 	}
-	return c.waits && (r.c.Load || r.c.WaitsOnLoad) && 2*serve >= len(homes)
+	return c.waits && (r.c.LocksTableGroup || r.c.BlockedByLoad) && 2*serve >= len(homes)
 }
 
 // coldest is the cold engine, wherever it is, that this gateway has a ration of.
--- a/dispatch/evidence_test.go
+++ b/dispatch/evidence_test.go
@@ -11,9 +11,9 @@
 // An engine that turns queries away fast must not draw the rest.
 func TestFullEngineRests(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(1)...)
+	w.list(ListComplete, engines(1)...)
 	tr := w.ask("quick", "")
-	w.end(tr, Full)
+	w.end(tr, EngineFull)
 	if len(tr.engines) != 1 {
 		t.Fatal("sent again to an engine that was full a moment ago")
 	}
@@ -25,15 +25,15 @@
 
 func TestFastFailuresDrawLittle(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	bad, n := EngineID(1), 0
 	for i := range 200 {
 		w.now += 20 * ms
-		tr := w.askFor(Arrival{Class: "quick", Group: int64(i), TimeLeft: 3 * time.Second})
+		tr := w.askFor(Arrival{Class: "quick", TableGroup: int64(i), TimeLeft: 3 * time.Second})
 		for tr.answers == 0 && len(tr.outcome) > 0 && tr.outcome[len(tr.outcome)-1] == isOut {
 			if tr.engines[len(tr.engines)-1] == bad {
 				n++
-				w.end(tr, Errored)
+				w.end(tr, EngineFailed)
 			} else {
 				w.now += 125 * ms
 				w.end(tr, Served)
@@ -49,9 +49,9 @@
 func TestBadPlan(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		cfg := twoClasses()
-		cfg.Cancel = allowed
+		cfg.CancelAllowed = allowed
 		w := newWorld(t, cfg)
-		w.list(ListFull, engines(3)...)
+		w.list(ListComplete, engines(3)...)
 		for range 40 {
 			tr := w.askFor(Arrival{Class: "big", Estimate: time.Second, TimeLeft: 15 * time.Second})
 			w.now += 250 * ms
@@ -59,8 +59,8 @@
 		}
 		tr := w.askFor(Arrival{Class: "big", Estimate: time.Second, TimeLeft: 15 * time.Second})
 		w.now += 500 * ms
-		acts := w.handle(Note{Request: tr.id, Kind: NoteShare, Amount: 0.05})
-		cancelled := reflect.DeepEqual(acts, []Action{Cancel{Request: tr.id, Attempt: 0}})
+		acts := w.handle(AttemptProgress{Request: tr.id, Kind: ProgressFraction, Amount: 0.05})
+		cancelled := reflect.DeepEqual(acts, []Action{CancelAttempt{Request: tr.id, Attempt: 0}})
 		if cancelled != allowed {
 			t.Fatalf("cancel allowed %v: %v", allowed, acts)
 		}
@@ -76,20 +76,20 @@
 // A link that is cut shows as silence: the attempt is cancelled, the engine blamed, the query run elsewhere.
 func TestSilentAttemptIsLost(t *testing.T) {
 	cfg := twoClasses()
-	cfg.Cancel, cfg.NoteEvery = true, 500*ms
+	cfg.CancelAllowed, cfg.ProgressInterval = true, 500*ms
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	silent, heard := w.ask("big", ""), w.ask("big", "")
 	w.tick(500 * ms)
-	w.handle(Note{Request: heard.id, Kind: NoteShare, Amount: 0.4})
+	w.handle(AttemptProgress{Request: heard.id, Kind: ProgressFraction, Amount: 0.4})
 	w.tick(400 * ms)
 	var cancels []Action
 	for _, a := range w.acts {
-		if _, ok := a.(Cancel); ok {
+		if _, ok := a.(CancelAttempt); ok {
 			cancels = append(cancels, a)
 		}
 	}
-	if !reflect.DeepEqual(cancels, []Action{Cancel{Request: silent.id}}) {
+	if !reflect.DeepEqual(cancels, []Action{CancelAttempt{Request: silent.id}}) {
 		t.Fatalf("cancelled %v, want only the silent one", cancels)
 	}
 	e := w.c.byID[silent.engines[0]]
@@ -104,7 +104,7 @@
 func TestGrantFollowsNeed(t *testing.T) {
 	for _, k := range []struct{ needOverEstimate, want float64 }{{1, 1}, {1.5, 1.5}, {0.7, 0.7}, {0, 1}} {
 		w := newWorld(t, twoClasses())
-		w.list(ListFull, engines(3)...)
+		w.list(ListComplete, engines(3)...)
 		for range 400 {
 			tr := w.askFor(Arrival{Class: "quick", Estimate: 100 * ms, NeedMB: 100,
 				TimeLeft: 3 * time.Second})
@@ -115,7 +115,7 @@
 		}
 		got := 0.0
 		for _, a := range w.acts {
-			if terms, ok := a.(SetTerms); ok {
+			if terms, ok := a.(SetResources); ok {
 				got = terms.GrantMB / 100 / grantRoom
 			}
 		}
@@ -141,7 +141,7 @@
 // When all others are at their bound, an engine that fails at once has room; it must not draw what is held.
 func TestEjectedEngineRestsInOverload(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	w.c.now = w.now
 	bad := w.c.byID[1]
 	for _, e := range w.c.engines[1:] {
@@ -167,7 +167,7 @@
 		ejected bool
 	}{{1, true}, {2, true}, {3, false}, {4, false}} {
 		w := newWorld(t, twoClasses())
-		w.list(ListFull, engines(4)...)
+		w.list(ListComplete, engines(4)...)
 		w.c.now = w.now
 		for _, e := range w.c.engines[:k.failing] {
 			w.c.blame(e, 1, failGain)
@@ -188,15 +188,15 @@
 	cfg := twoClasses()
 	cfg.MaxAttempts = 5
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	tr := w.ask("quick", "")
-	w.end(tr, Errored)
+	w.end(tr, EngineFailed)
 	if len(tr.engines) != 2 {
 		t.Fatalf("%d attempts after one error", len(tr.engines))
 	}
 	before := len(w.acts)
-	w.end(tr, Errored)
-	if len(tr.engines) != 2 || tr.answers != 1 || !slices.Contains(w.acts[before:], Action(Fail{Request: tr.id})) {
+	w.end(tr, EngineFailed)
+	if len(tr.engines) != 2 || tr.answers != 1 || !slices.Contains(w.acts[before:], Action(FailRequest{Request: tr.id})) {
 		t.Errorf("%d attempts, %d answers, %v", len(tr.engines), tr.answers, w.acts[before:])
 	}
 }
@@ -205,7 +205,7 @@
 // that are named once are not remembered for good.
 func TestWildFiguresWeighLittle(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	for range 50 {
 		w.end(w.askFor(Arrival{Class: "quick", Estimate: 100 * ms, NeedMB: 10, TimeLeft: 3 * time.Second}), Served)
 	}
@@ -217,7 +217,7 @@
 		t.Errorf("%v MB are wanted, want %v", got, most)
 	}
 	for i := range 3 * homesMost {
-		w.end(w.askFor(Arrival{Class: "quick", Group: int64(i + 1), TimeLeft: 3 * time.Second}), Served)
+		w.end(w.askFor(Arrival{Class: "quick", TableGroup: int64(i + 1), TimeLeft: 3 * time.Second}), Served)
 	}
 	if n := len(w.c.homeOf); n > homesMost {
 		t.Errorf("%d groups are remembered", n)
@@ -228,7 +228,7 @@
 // program has most of the cores, the usual bound would have it thrash.
 func TestBoundGoesDownInAJamAndOnASlowEngine(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	w.c.now = w.now
 	quick, big := w.c.prefer, w.c.classes[1]
 	for _, k := range []struct{ times, want float64 }{{1, threadsPerCore}, {jamFrom, threadsPerCore},
@@ -259,7 +259,7 @@
 		jam   bool
 	}{{25, 1, false}, {1000, 3, true}} {
 		w := newWorld(t, twoClasses())
-		w.list(ListFull, engines(4)...)
+		w.list(ListComplete, engines(4)...)
 		play := func(n int, slow time.Duration, every int) {
 			for i := range n {
 				tr := w.ask("quick", "")
--- a/dispatch/fleetengine_test.go
+++ b/dispatch/fleetengine_test.go
@@ -38,10 +38,10 @@
 	case x.late:
 		f.ended(x, ConnectFailed)
 		return
-	case e.silent, f.cut && f.lost(e.Cell) != f.lost(x.router.cfg.Instance%f.day.zones):
+	case e.silent, f.cut && f.lost(e.Cell) != f.lost(x.router.cfg.RouterIndex%f.day.zones):
 		// Most find no connection, some wait in vain on one that they had; a load is not given up so soon.
 		switch {
-		case f.rng.Float64() < 0.3 && x.router.cfg.Classes[x.class].Load:
+		case f.rng.Float64() < 0.3 && x.router.cfg.Classes[x.class].LocksTableGroup:
 			f.after(2*time.Second, func() { f.ended(x, TimedOut) })
 		case f.rng.Float64() < 0.3:
 			f.after(420*ms, func() { f.ended(x, TimedOut) })
@@ -71,13 +71,13 @@
 			e.fell, e.dead = true, true
 			f.fell++
 			f.lose(e)
-			f.ended(x, Reset)
+			f.ended(x, ConnectionReset)
 			return
 		}
 	}
 	if len(e.running) >= fleetSlots*f.day.cores {
 		f.span().fulls++
-		f.ended(x, Full)
+		f.ended(x, EngineFull)
 		return
 	}
 	e.running = append(e.running, x)
@@ -85,16 +85,16 @@
 
 func (f *fleet) lose(e *fleetEngine) {
 	for _, x := range e.running {
-		f.ended(x, Reset)
+		f.ended(x, ConnectionReset)
 	}
 	e.running = nil
 }
 
 func (f *fleet) warmth(e *fleetEngine) float64 {
-	if e.Born == 0 || f.now > e.Born+12*time.Second {
+	if e.StartedAt == 0 || f.now > e.StartedAt+12*time.Second {
 		return 1
 	}
-	return 0.36 + 0.64*(f.now-e.Born).Seconds()/12
+	return 0.36 + 0.64*(f.now-e.StartedAt).Seconds()/12
 }
 
 func (f *fleet) ended(x *fleetQuery, o Outcome) {
@@ -109,9 +109,9 @@
 			k := r.cfg.Classes[q.class]
 			gain := 0.0
 			if f.now <= q.aim {
-				gain = k.Worth
+				gain = k.PriorityWeight
 			} else if f.now <= q.end {
-				gain = k.Worth * k.LateWorth
+				gain = k.PriorityWeight * k.LateWeightShare
 			}
 			s := f.spanAt(q.first)
 			s.gained += gain
@@ -150,10 +150,10 @@
 		if f.rng.Float64() < f.day.hasty && f.now > time.Hour+f.day.joinAt {
 			q.end = f.now + time.Duration(0.3*f.rng.Float64()*float64(k.Deadline))
 		}
-		q.aim = f.now + k.Aim + secs(k.AimStretch*q.work/float64(max(k.Threads, 1)))
+		q.aim = f.now + k.LatencyObjective + secs(k.ObjectiveStretch*q.work/float64(max(k.Threads, 1)))
 		s := f.span()
-		s.asked += k.Worth
-		s.askedBy[q.class] += k.Worth
+		s.asked += k.PriorityWeight
+		s.askedBy[q.class] += k.PriorityWeight
 	}
 	if q.end-f.now < 20*ms {
 		return // the client has no time left for another try
@@ -277,11 +277,11 @@
 		}
 		f.after(d.joinAt, func() { e.silent = true; e.running = nil })
 		if d.told > 0 {
-			f.after(d.joinAt+d.told, func() { e.State = Gone; f.announce(0, e.Engine) })
+			f.after(d.joinAt+d.told, func() { e.State = Removed; f.announce(0, e.Endpoint) })
 		}
 		f.after(d.joinAt+d.joinFor, func() {
-			e.silent, e.State, e.Born = false, Live, f.now
-			f.announce(300*ms, e.Engine)
+			e.silent, e.State, e.StartedAt = false, Live, f.now
+			f.announce(300*ms, e.Endpoint)
 		})
 	}
 	f.wideTroubles()
--- a/dispatch/fleetwide_test.go
+++ b/dispatch/fleetwide_test.go
@@ -17,7 +17,7 @@
 	if d.zone && d.wide > 0 {
 		f.after(d.joinAt, func() { f.loseZones() })
 		if d.told > 0 {
-			f.after(d.joinAt+d.told, func() { f.announceLost(Gone, 0) })
+			f.after(d.joinAt+d.told, func() { f.announceLost(Removed, 0) })
 		}
 		f.after(d.joinAt+d.joinFor, func() { f.zonesBack() })
 	}
@@ -36,12 +36,12 @@
 func (f *fleet) swap(i int) {
 	e := f.engines[i]
 	e.State = Draining
-	f.announce(200*ms, e.Engine)
-	f.after(3*time.Second, func() { e.dead = true; f.lose(e); e.State = Gone; f.announce(200*ms, e.Engine) })
+	f.announce(200*ms, e.Endpoint)
+	f.after(3*time.Second, func() { e.dead = true; f.lose(e); e.State = Removed; f.announce(200*ms, e.Endpoint) })
 	f.after(700*ms, func() {
 		fresh := f.addEngine(EngineID(max(1000, f.day.engines+1)+i), i)
-		fresh.Born = f.now
-		f.announce(800*ms, fresh.Engine)
+		fresh.StartedAt = f.now
+		f.announce(800*ms, fresh.Endpoint)
 	})
 }
 
@@ -62,11 +62,11 @@
 
 func (f *fleet) loseRack() {
 	engines, gateways := f.rack()
-	say := func(s EngineState) {
-		var list []Engine
+	say := func(s EndpointState) {
+		var list []Endpoint
 		for _, e := range engines {
 			e.State = s
-			list = append(list, e.Engine)
+			list = append(list, e.Endpoint)
 		}
 		f.announce(200*ms, list...)
 	}
@@ -77,7 +77,7 @@
 				e.dead = true
 				f.lose(e)
 			}
-			say(Gone)
+			say(Removed)
 		})
 		return
 	}
@@ -89,7 +89,7 @@
 		r.down = true
 	}
 	if f.day.told > 0 {
-		f.after(f.day.told, func() { say(Gone) })
+		f.after(f.day.told, func() { say(Removed) })
 	}
 }
 
@@ -100,19 +100,19 @@
 		}
 	}
 	for _, r := range f.routers {
-		if f.lost(r.cfg.Instance % f.day.zones) {
+		if f.lost(r.cfg.RouterIndex % f.day.zones) {
 			f.breakOff(r)
 			r.down = true
 		}
 	}
 }
 
-func (f *fleet) announceLost(s EngineState, late time.Duration) {
-	var list []Engine
+func (f *fleet) announceLost(s EndpointState, late time.Duration) {
+	var list []Endpoint
 	for _, e := range f.engines {
 		if f.lost(e.Cell) {
 			e.State = s
-			list = append(list, e.Engine)
+			list = append(list, e.Endpoint)
 		}
 	}
 	f.announce(late, list...)
@@ -122,7 +122,7 @@
 func (f *fleet) zonesBack() {
 	for _, e := range f.engines {
 		if f.lost(e.Cell) {
-			e.silent, e.Born = false, f.now
+			e.silent, e.StartedAt = false, f.now
 		}
 	}
 	f.announceLost(Live, 300*ms)
@@ -150,7 +150,7 @@
 	r.life++
 	r.open = map[RequestID]*fleetAsk{}
 	for _, q := range open {
-		if r.cfg.Classes[q.class].Load || q.tries >= 2 || f.rng.Float64() < 0.2 {
+		if r.cfg.Classes[q.class].LocksTableGroup || q.tries >= 2 || f.rng.Float64() < 0.2 {
 			continue
 		}
 		f.after(time.Duration((0.5+f.rng.Float64())*float64(300*ms)), func() {
--- a/dispatch/fleetworld_test.go
+++ b/dispatch/fleetworld_test.go
@@ -64,7 +64,7 @@
 }
 
 type fleetEngine struct {
-	Engine
+	Endpoint
 	speed    float64
 	dead     bool
 	silent   bool
@@ -161,13 +161,13 @@
 }
 
 func fleetConfig(day fleetDay, i int) Config {
-	cfg := Config{Seed: day.seed*1000 + uint64(i), Instance: i, Gateways: day.gateways, Tick: 1 * ms, MaxAttempts: 5, Priorities: true,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, SecondCopies: true, MaxHeld: 50, OverShareWorth: 0.1,
-		Kinds: []Kind{{Name: "k", Cores: float64(day.cores), MemoryMB: 1 << 16}}, MaxGrantShare: 0.4,
-		ColdFrom: 0.36, ColdFor: 12 * time.Second, OverloadFactor: 2, OverloadFor: 1500 * ms,
-		Classes: []Class{{Name: "lookup", Aim: 400 * ms, AimStretch: 2, Deadline: 1960 * ms, Worth: 1, Threads: 1, WaitsOnLoad: true},
-			{Name: "report", Aim: 590 * ms, AimStretch: 2.5, Deadline: 7800 * ms, Worth: 10, LateWorth: 0.4, Threads: 4, WaitsOnLoad: true},
-			{Name: "load", Aim: 1180 * ms, AimStretch: 3, Deadline: 9800 * ms, Worth: 7.5, LateWorth: 0.5, Threads: 2, Load: true, Semantics: AtMostOnce}}}
+	cfg := Config{Seed: day.seed*1000 + uint64(i), RouterIndex: i, Routers: day.gateways, Tick: 1 * ms, MaxAttempts: 5, Priorities: true,
+		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, HedgingAllowed: true, MaxQueued: 50, OverQuotaWeight: 0.1,
+		Kinds: []EngineKind{{Name: "k", Cores: float64(day.cores), MemoryMB: 1 << 16}}, MaxGrantShare: 0.4,
+		WarmUpInitialShare: 0.36, WarmUpDuration: 12 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: 1500 * ms,
+		Classes: []Class{{Name: "lookup", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 1960 * ms, PriorityWeight: 1, Threads: 1, BlockedByLoad: true},
+			{Name: "report", LatencyObjective: 590 * ms, ObjectiveStretch: 2.5, Deadline: 7800 * ms, PriorityWeight: 10, LateWeightShare: 0.4, Threads: 4, BlockedByLoad: true},
+			{Name: "load", LatencyObjective: 1180 * ms, ObjectiveStretch: 3, Deadline: 9800 * ms, PriorityWeight: 7.5, LateWeightShare: 0.5, Threads: 2, LocksTableGroup: true, Semantics: AtMostOnce}}}
 	return cfg
 }
 
@@ -188,7 +188,7 @@
 }
 
 func (f *fleet) addEngine(id EngineID, i int) *fleetEngine {
-	e := &fleetEngine{Engine: Engine{ID: id, Kind: "k", Zone: fmt.Sprint("z", i%f.day.zones), Cell: i % f.day.zones, Size: 1}, speed: 0.9 + 0.2*f.rng.Float64()}
+	e := &fleetEngine{Endpoint: Endpoint{ID: id, Kind: "k", Zone: fmt.Sprint("z", i%f.day.zones), Cell: i % f.day.zones, CapacityWeight: 1}, speed: 0.9 + 0.2*f.rng.Float64()}
 	if f.rng.Float64() < f.day.bad {
 		e.speed /= 3
 	}
@@ -203,13 +203,13 @@
 		f.t.Fatal(err)
 	}
 	r.c, r.life, r.open = c, r.life+1, map[RequestID]*fleetAsk{}
-	var list []Engine
+	var list []Endpoint
 	for _, e := range f.engines {
 		if !e.dead {
-			list = append(list, e.Engine)
+			list = append(list, e.Endpoint)
 		}
 	}
-	f.tell(r, EngineList{Mode: ListFull, Engines: list})
+	f.tell(r, EndpointList{Mode: ListComplete, Endpoints: list})
 }
 
 func (f *fleet) tell(r *fleetRouter, ev Event) {
@@ -222,9 +222,9 @@
 }
 
 // announce tells all routers of engines, each after a time of its own.
-func (f *fleet) announce(late time.Duration, list ...Engine) {
+func (f *fleet) announce(late time.Duration, list ...Endpoint) {
 	for _, r := range f.routers {
-		f.after(late+time.Duration(f.rng.Float64()*float64(300*ms)), func() { f.tell(r, EngineList{Mode: ListChanges, Engines: list}) })
+		f.after(late+time.Duration(f.rng.Float64()*float64(300*ms)), func() { f.tell(r, EndpointList{Mode: ListIncremental, Endpoints: list}) })
 	}
 }
 
@@ -239,14 +239,14 @@
 		life := r.life
 		f.after(a.After, func() {
 			if r.life == life && r.wake == at {
-				f.tell(r, Timer{Tag: a.Tag})
+				f.tell(r, TimerFired{Tag: a.Tag})
 			}
 		})
-	case SetTerms:
+	case SetResources:
 		if q := r.open[a.Request]; q != nil {
 			q.prefer = a.Priority == 2
 		}
-	case Send:
+	case StartAttempt:
 		f.span().sends++
 		q := r.open[a.Request]
 		x := &fleetQuery{router: r, life: r.life, id: a.Request, hop: q.hops, class: q.class, work: q.work, left: q.work,
@@ -256,11 +256,11 @@
 		if f.sent != nil {
 			f.sent(r, e, q.class)
 		}
-		f.after(ms+f.dial(e, x, a.Begin), func() { f.reach(e, x) })
-	case Refuse:
+		f.after(ms+f.dial(e, x, a.StartWithin), func() { f.reach(e, x) })
+	case Reject:
 		f.span().refused++
 		f.over(r, a.Request, a.RetryAfter)
-	case Fail:
+	case FailRequest:
 		f.span().failed++
 		f.over(r, a.Request, 0)
 	}
--- a/dispatch/handle.go
+++ b/dispatch/handle.go
@@ -21,38 +21,38 @@
 		c.subscribe()
 	}
 	switch ev := ev.(type) {
-	case EngineList:
+	case EndpointList:
 		c.onList(ev)
 	case Arrival:
 		c.onArrival(ev)
-	case Note:
+	case AttemptProgress:
 		c.onNote(ev)
 	case AttemptEnd:
 		c.onEnd(ev)
-	case Report:
+	case EngineLoad:
 		if e := c.byID[ev.Engine]; e != nil {
-			c.heard(e, ev.Load)
+			c.heard(e, ev.Report)
 		}
-	case StreamStart:
+	case ResponseStarted:
 		if a := c.attempt(ev.Request, ev.Attempt); a != nil {
 			a.streaming, a.r.end = true, math.MaxInt64
 		}
-	case Exclude:
+	case Cordon:
 		c.exclude(ev.Engine, true)
-	case Include:
+	case Uncordon:
 		c.exclude(ev.Engine, false)
-	case Takeover:
+	case RestoreSnapshot:
 		c.takeOver(ev.Snapshot)
-	case Closing:
+	case ShutdownDeadline:
 		c.closing(ev.At)
-	case PeerUse:
+	case OtherProcessUsage:
 		c.peerUse(ev)
-	case Abort:
+	case ClientGone:
 		if r := c.requests[ev.Request]; r != nil {
 			c.gone(r)
 			c.release()
 		}
-	case Timer:
+	case TimerFired:
 		c.onTimer(ev)
 	}
 	c.arm()
@@ -70,7 +70,7 @@
 	if c.held > 0 {
 		due = min(due, c.now+housekeeping/2)
 	}
-	if c.cfg.AskedDiscovery {
+	if c.cfg.PolledDiscovery {
 		due = min(due, c.askAt)
 	}
 	if at := max(due, c.now+c.cfg.Tick, c.now+1); at < c.wakeAt {
@@ -82,7 +82,7 @@
 // ---- the list of engines
 
 func (c *Controller) subscribe() {
-	if c.cfg.AskedDiscovery {
+	if c.cfg.PolledDiscovery {
 		c.emit(Subscribe{})
 		c.askAt = math.MaxInt64
 	}
@@ -134,7 +134,7 @@
 
 // query is what the pressure on an engine is reckoned from.
 func (r *request) query() pressure.Query {
-	return pressure.Query{NeedMB: r.need, Group: r.group, Load: r.c.Load, Waits: r.c.WaitsOnLoad}
+	return pressure.Query{NeedMB: r.need, Group: r.group, Load: r.c.LocksTableGroup, Waits: r.c.BlockedByLoad}
 }
 
 // demand is the usual time of the query on its threads, in milliseconds, where it counts.
@@ -147,11 +147,11 @@
 
 // terms are what the settings say of an engine.
 func (c *Controller) terms(e *engine) pressure.Terms {
-	return pressure.Terms{MemoryMB: e.memory, MaxGrant: c.cfg.MaxGrantShare, Short: pressure.Shortage(c.cfg.Shortage)}
+	return pressure.Terms{MemoryMB: e.memory, MaxGrant: c.cfg.MaxGrantShare, Short: pressure.Shortage(c.cfg.MemoryShortage)}
 }
 
 // heard notes an engine's report of itself.
-func (c *Controller) heard(e *engine, l Load) {
+func (c *Controller) heard(e *engine, l LoadReport) {
 	e.press.Reported(pressure.Report{InFlight: l.InFlight, Waiting: l.Waiting, Busy: l.Busy, Disk: l.Disk,
 		Memory: l.Memory}, millis(c.now))
 }
--- a/dispatch/handover_test.go
+++ b/dispatch/handover_test.go
@@ -10,13 +10,13 @@
 // against a cold engine that is flooded after an upgrade, and a ban that ends with the process that was told.
 func TestTakeover(t *testing.T) {
 	cfg := twoClasses()
-	cfg.ColdFor, cfg.ColdFrom, cfg.OverloadFactor, cfg.OverloadFor = 12*time.Second, 0.36, 2, 1500*ms
+	cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
 	old := newWorld(t, cfg)
-	old.list(ListFull, engines(4)...)
+	old.list(ListComplete, engines(4)...)
 	old.tick(20 * time.Second)
-	old.handle(Exclude{Engine: 2})
-	old.handle(Exclude{Engine: 3})
-	old.handle(Include{Engine: 3})
+	old.handle(Cordon{Engine: 2})
+	old.handle(Cordon{Engine: 3})
+	old.handle(Uncordon{Engine: 3})
 	for range 30 {
 		tr := old.ask("quick", "")
 		old.tick(300 * ms)
@@ -34,9 +34,9 @@
 	}
 	w := newWorld(t, cfg)
 	w.now = old.now
-	w.list(ListSaved, engines(3)...)
-	w.handle(Takeover{Snapshot: s})
-	if !w.c.Excluded(2) || w.c.Excluded(3) || !w.c.Knows(4) || w.c.byID[2].listed {
+	w.list(ListCached, engines(3)...)
+	w.handle(RestoreSnapshot{Snapshot: s})
+	if !w.c.Cordoned(2) || w.c.Cordoned(3) || !w.c.Knows(4) || w.c.byID[2].listed {
 		t.Error("bans or known ids were lost")
 	}
 	if a, b := old.c.byID[3], w.c.byID[3]; a.warmAt != b.warmAt || a.coldAt != b.coldAt || b.warmAt <= w.now {
@@ -46,9 +46,9 @@
 		t.Errorf("learned %+v, now %+v", a.mean, b.mean)
 	}
 	bad := s
-	bad.Engines = []EngineSnapshot{{ID: 1, Slow: -1, Fail: 7, Lost: -1}}
-	bad.Classes = []ClassSnapshot{{Name: "quick", Mean: -1, Seen: 1}}
-	w.handle(Takeover{Snapshot: bad})
+	bad.Engines = []EngineSnapshot{{ID: 1, Slowness: -1, FailureShare: 7, ConnectionFailures: -1}}
+	bad.Classes = []ClassSnapshot{{Name: "quick", MeanServiceTime: -1, Observations: 1}}
+	w.handle(RestoreSnapshot{Snapshot: bad})
 	if e := w.c.byID[1]; e.slow <= 0 || e.fail > 1 || w.c.classes[0].mean <= 0 {
 		t.Errorf("what makes no sense was taken over: slow %v, fail %v", e.slow, e.fail)
 	}
@@ -57,19 +57,19 @@
 // What the other process has running counts as own work, towards cold engines too, and is not told back.
 func TestPeerUseCounts(t *testing.T) {
 	cfg := twoClasses()
-	cfg.ColdFor, cfg.ColdFrom, cfg.OverloadFactor, cfg.OverloadFor = 12*time.Second, 0.36, 2, 1500*ms
+	cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(2)...)
+	w.list(ListComplete, engines(2)...)
 	w.tick(time.Second)
-	w.handle(PeerUse{Engines: []EngineUse{{ID: 1, Threads: 1000, Work: 500, Granted: 10, Cold: 1e6},
+	w.handle(OtherProcessUsage{Engines: []EngineUsage{{ID: 1, Threads: 1000, Work: 500, GrantedMB: 10, WarmUpWork: 1e6},
 		{ID: 2, Threads: 1000, Work: 500}}})
 	if tr := w.ask("big", ""); len(tr.engines) != 0 {
 		t.Error("a query was sent to an engine that the other process has filled")
 	}
-	if list := w.c.Use(w.now).Engines; len(list) != 0 {
+	if list := w.c.Usage(w.now).Engines; len(list) != 0 {
 		t.Errorf("the other process's work is told as own: %+v", list)
 	}
-	w.handle(PeerUse{Engines: []EngineUse{{ID: 1, Cold: 1e6}}})
+	w.handle(OtherProcessUsage{Engines: []EngineUsage{{ID: 1, WarmUpWork: 1e6}}})
 	if w.c.threads > 4*1 || w.c.byID[1].work > 100 {
 		t.Errorf("work that has ended is still counted: %v threads", w.c.threads)
 	}
@@ -80,25 +80,25 @@
 		}
 		w.tick(10 * ms)
 	}
-	if list := w.c.Use(w.now).Engines; len(list) == 0 {
+	if list := w.c.Usage(w.now).Engines; len(list) == 0 {
 		t.Error("own work is not told")
 	}
-	w.handle(PeerUse{})
+	w.handle(OtherProcessUsage{})
 	gone := engines(1)
-	gone[0].State = Gone
-	w.list(ListChanges, gone...)
+	gone[0].State = Removed
+	w.list(ListIncremental, gone...)
 }
 
 // When the process ends, every request has its answer before.
 func TestClosingEndsRequests(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(1)...)
+	w.list(ListComplete, engines(1)...)
 	running := w.ask("big", "")
 	var held []*track
 	for range 40 {
 		held = append(held, w.ask("big", ""))
 	}
-	w.handle(Closing{At: w.now + 2*time.Second})
+	w.handle(ShutdownDeadline{At: w.now + 2*time.Second})
 	w.tick(2*time.Second + 10*ms)
 	if running.answers != 1 {
 		t.Error("a running request got no answer")
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -29,7 +29,7 @@
 // ---- requests
 
 func (c *Controller) onArrival(ev Arrival) {
-	c.arrivals = append(within(c.arrivals, c.now-c.cfg.Budget.Window), c.now)
+	c.arrivals = append(within(c.arrivals, c.now-c.cfg.RetryBudget.Window), c.now)
 	c.rate, c.rateAt = c.rate*c.fade(c.rateAt, shareLife)+1/shareLife.Seconds(), c.now
 	cl := c.classes[0]
 	for _, k := range c.classes {
@@ -37,7 +37,7 @@
 			cl = k
 		}
 	}
-	r := &request{id: ev.Request, c: cl, group: ev.Group, key: ev.Key, at: c.now, end: c.now + ev.TimeLeft,
+	r := &request{id: ev.Request, c: cl, group: ev.TableGroup, key: ev.Key, at: c.now, end: c.now + ev.TimeLeft,
 		need: ev.NeedMB, est: cl.estMean, tenant: c.tenants[ev.Tenant]}
 	if !(r.need > 0) || math.IsInf(r.need, 1) {
 		r.need = 0 // not known
@@ -45,18 +45,18 @@
 	if ev.Estimate > 0 {
 		r.est, r.estimated = ev.Estimate.Seconds(), true
 		if cl.seen == 0 {
-			most := cl.Aim.Seconds() * float64(cl.Threads)
+			most := cl.LatencyObjective.Seconds() * float64(cl.Threads)
 			cl.estMean = min(max(r.est, most/estMost), most)
 			cl.mean, cl.pace, cl.best, cl.seen = 1, 1, 1, 1
 		}
 		r.est = min(max(r.est, cl.estMean/estMost), estMost*cl.estMean)
 		cl.estMean += meanGain * (r.est - cl.estMean)
 	}
-	r.aim = min(c.now+cl.Aim+secs(cl.AimStretch*r.est*cl.best/float64(cl.Threads)), r.end)
+	r.aim = min(c.now+cl.LatencyObjective+secs(cl.ObjectiveStretch*r.est*cl.best/float64(cl.Threads)), r.end)
 	r.over, r.ordered = c.overShare(r), cl.OrderByKey && ev.Key != ""
 	c.requests[r.id] = r
 	c.open = append(c.open, r)
-	c.demand.Add(r.group, r.demand(cl.Load), r.demand(cl.WaitsOnLoad)*float64(cl.Threads), millis(c.now))
+	c.demand.Add(r.group, r.demand(cl.LocksTableGroup), r.demand(cl.BlockedByLoad)*float64(cl.Threads), millis(c.now))
 	if r.ordered {
 		line := c.keys[r.key]
 		if line == nil {
@@ -87,7 +87,7 @@
 func (c *Controller) vain(r *request) bool {
 	over := c.now + secs(c.meanNow(r.c)*min(r.est, heavy*r.c.estMean)/float64(r.c.Threads))
 	lately := c.now-r.c.seenAt < 2*evidenceLife // else a class that was priced out would never be tried again
-	return c.now >= r.end || c.large() && lately && (over >= r.end || r.c.LateWorth == 0 && over > r.aim)
+	return c.now >= r.end || c.large() && lately && (over >= r.end || r.c.LateWeightShare == 0 && over > r.aim)
 }
 
 // overShare tells whether a tenant is past its share of what this gateway usually takes.
@@ -125,19 +125,19 @@
 func (c *Controller) giveUp(r *request) {
 	c.finish(r)
 	if !c.mayRefuse(r) {
-		c.emit(Fail{Request: r.id})
+		c.emit(FailRequest{Request: r.id})
 		return
 	}
 	after := time.Duration(0)
-	if c.cfg.RetryAfter {
-		after = min(r.c.Aim, c.cfg.MaxRetryAfter)
+	if c.cfg.RetryAfterAllowed {
+		after = min(r.c.LatencyObjective, c.cfg.MaxRetryAfter)
 	}
-	c.emit(Refuse{Request: r.id, RetryAfter: after})
+	c.emit(Reject{Request: r.id, RetryAfter: after})
 }
 
 // ---- time
 
-func (c *Controller) onTimer(ev Timer) {
+func (c *Controller) onTimer(ev TimerFired) {
 	if ev.Tag != tickTag || c.now+c.cfg.Tick < c.wakeAt {
 		return // set before an earlier one; hosts may round a time down, so a tick early is in time
 	}
@@ -145,7 +145,7 @@
 		c.pausedAt = c.now
 	}
 	c.wakeAt, c.due = math.MaxInt64, math.MaxInt64
-	if c.cfg.AskedDiscovery && c.now >= c.askAt {
+	if c.cfg.PolledDiscovery && c.now >= c.askAt {
 		c.subscribe()
 	}
 	open := c.open[:0]
@@ -175,14 +175,14 @@
 	}
 	switch {
 	case r.held && (c.now+c.margin() >= r.end || !c.mayRepeat(r) ||
-		c.hopeless(r) && (r.c.LateWorth == 0 || c.held > c.mostHeld)):
+		c.hopeless(r) && (r.c.LateWeightShare == 0 || c.held > c.mostHeld)):
 		c.giveUp(r)
 	case r.held && c.hopeless(r) && !r.aside:
 		c.unhold(r)
 		c.hold(r, false)
 	case r.out == 0 && !r.held || c.now >= r.end:
 		c.finish(r)
-		c.emit(Fail{Request: r.id})
+		c.emit(FailRequest{Request: r.id})
 	}
 }
 
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -55,9 +55,9 @@
 	r.out--
 	e.running = without(e.running, a)
 	c.count(a, -1)
-	a.mayRun = ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != NotSent // no proof
-	if r.ordered && (ev.Outcome == TimedOut || ev.Outcome == Reset || ev.Outcome == Cancelled) {
-		c.keys[r.key].rest = max(c.keys[r.key].rest, c.now+c.cfg.KeyRest)
+	a.mayRun = ev.Outcome != EngineFull && ev.Outcome != ConnectFailed && ev.Outcome != NotSent // no proof
+	if r.ordered && (ev.Outcome == TimedOut || ev.Outcome == ConnectionReset || ev.Outcome == Cancelled) {
+		c.keys[r.key].rest = max(c.keys[r.key].rest, c.now+c.cfg.KeyCooldown)
 	}
 	c.learn(a, ev)
 	switch {
@@ -73,8 +73,8 @@
 // learn takes what an outcome tells of an engine and of its class.
 func (c *Controller) learn(a *attempt, ev AttemptEnd) {
 	e, r := a.e, a.r
-	if ev.Load != nil {
-		c.heard(e, *ev.Load)
+	if ev.Report != nil {
+		c.heard(e, *ev.Report)
 	}
 	c.strike(a, ev.Outcome)
 	switch ev.Outcome {
@@ -93,20 +93,20 @@
 		}
 		if r.need > 0 && ev.NeedMB > 0 {
 			r.c.grantFix += meanGain * (ev.NeedMB/r.need - r.c.grantFix)
-		} else if r.need > 0 && !a.spillSeen && a.grant > 0 && c.cfg.NoteEvery > 0 {
+		} else if r.need > 0 && !a.spillSeen && a.grant > 0 && c.cfg.ProgressInterval > 0 {
 			// Only where notes would tell of spilling does their absence say that less would do.
 			r.c.grantFix = max(r.c.grantFix*0.995, 0.3)
 		}
-	case Errored:
+	case EngineFailed:
 		r.errors++
 		c.blame(e, 1, breakGain)
 		c.breaks(1)
 		e.lost = 0
-	case ConnectFailed, Reset:
+	case ConnectFailed, ConnectionReset:
 		c.blame(e, 1, breakGain)
 		c.breaks(1)
 		e.lost++
-	case Full:
+	case EngineFull:
 		e.fullAt, e.lost = c.now, 0
 	case TimedOut:
 		if !a.blamed && c.now-a.at > 2*c.expected(r) {
@@ -130,8 +130,8 @@
 // silentAt is when an attempt of which nothing more is heard counts as lost.
 func (c *Controller) silentAt(a *attempt) time.Duration {
 	limit := secs(overdue * c.expected(a.r).Seconds() * c.slowness(a.e))
-	if c.cfg.NoteEvery > 0 {
-		limit = secs(noteSlack * c.cfg.NoteEvery.Seconds())
+	if c.cfg.ProgressInterval > 0 {
+		limit = secs(noteSlack * c.cfg.ProgressInterval.Seconds())
 	}
 	return max(a.heard, c.pausedAt) + limit
 }
@@ -158,7 +158,7 @@
 	c.crowd, c.crowdAt = crowd+crowdGain*(min(x/r.c.best, jamMost)-1-crowd), c.now
 }
 
-func (c *Controller) onNote(ev Note) {
+func (c *Controller) onNote(ev AttemptProgress) {
 	a := c.attempt(ev.Request, ev.Attempt)
 	if a == nil {
 		return
@@ -166,16 +166,16 @@
 	r, took := a.r, (c.now - a.at).Seconds()
 	a.heard = c.now
 	switch ev.Kind {
-	case NoteSpill:
+	case ProgressSpilling:
 		if !a.spillSeen && a.grant > 0 && r.need > 0 && ev.Amount > 0 {
 			r.c.grantFix += 0.05 * ((a.grant+ev.Amount)/r.need - r.c.grantFix)
 		}
 		a.spillSeen = true
-	case NoteWaits:
+	case ProgressBlocked:
 		if now := millis(c.now); ev.Amount == 2 {
 			a.e.press.Noticed(r.group, now, now+1000*c.usual(r.c)/float64(r.c.Threads))
 		}
-	case NoteShare:
+	case ProgressFraction:
 		total := took / max(ev.Amount, 0.01)
 		expected := c.expected(r).Seconds() * c.slowness(a.e)
 		if r.estimated && total > badPlan*expected && total-took > 2*expected {
@@ -188,20 +188,20 @@
 // bad plans, stuck engines and lost answers; it hurts when the estimate, not the run, was wrong.
 func (c *Controller) rescue(a *attempt) {
 	r := a.r
-	if r.done || a.cancelled || a.streaming || c.now+c.expected(r) > r.end || !c.cfg.Cancel ||
+	if r.done || a.cancelled || a.streaming || c.now+c.expected(r) > r.end || !c.cfg.CancelAllowed ||
 		r.c.Semantics == AtMostOnce || c.capReached(r) || !c.budgetAllows() {
 		return
 	}
 	a.cancelled = true
-	c.emit(Cancel{Request: r.id, Attempt: a.hop})
+	c.emit(CancelAttempt{Request: r.id, Attempt: a.hop})
 }
 
 // gone ends a request whose client has left, and cancels what still runs of it where that is allowed.
 func (c *Controller) gone(r *request) {
 	for _, a := range r.attempts {
-		if c.cfg.Cancel && !a.ended && !a.cancelled {
+		if c.cfg.CancelAllowed && !a.ended && !a.cancelled {
 			a.cancelled = true
-			c.emit(Cancel{Request: r.id, Attempt: a.hop})
+			c.emit(CancelAttempt{Request: r.id, Attempt: a.hop})
 		}
 	}
 	c.finish(r)
--- a/dispatch/list.go
+++ b/dispatch/list.go
@@ -10,23 +10,23 @@
 	"windflow/internal/decide/slowstart"
 )
 
-func (c *Controller) onList(ev EngineList) {
+func (c *Controller) onList(ev EndpointList) {
 	if ev.Mode == ListFailed {
 		// Back off with jitter, so that gateways which failed together don't call together again.
-		c.askWait = min(max(2*c.askWait, 250*time.Millisecond), max(c.cfg.AskWithin/4, 500*time.Millisecond))
+		c.askWait = min(max(2*c.askWait, 250*time.Millisecond), max(c.cfg.DiscoveryTimeout/4, 500*time.Millisecond))
 		c.askAt = c.now + c.askWait/2 + time.Duration(c.rng.Float64()*float64(c.askWait))
 		return
 	}
-	if ev.Mode != ListSaved {
+	if ev.Mode != ListCached {
 		c.askWait = 0
 	}
-	if ev.Mode != ListChanges {
+	if ev.Mode != ListIncremental {
 		for _, e := range c.engines {
-			e.listed, e.State, c.someGone = false, Gone, true
+			e.listed, e.State, c.someGone = false, Removed, true
 		}
 	}
 	first := len(c.engines) == 0
-	for _, entry := range ev.Engines {
+	for _, entry := range ev.Endpoints {
 		c.onEntry(entry, first)
 	}
 	c.relist()
@@ -35,7 +35,7 @@
 
 // exclude keeps work from an engine, or ends that: it has started anew by then, and is owed a first query.
 func (c *Controller) exclude(id EngineID, on bool) {
-	if !c.Knows(id) || c.Excluded(id) == on {
+	if !c.Knows(id) || c.Cordoned(id) == on {
 		return
 	}
 	c.ids.excluded[id] = on
@@ -50,35 +50,35 @@
 
 // chill treats an engine as just started: its history is void.
 func (c *Controller) chill(e *engine, at time.Duration) {
-	e.coldAt, e.warmAt = at, max(e.warmAt, at+c.cfg.ColdFor)
+	e.coldAt, e.warmAt = at, max(e.warmAt, at+c.cfg.WarmUpDuration)
 	e.slow, e.fail = 1, 0
 	e.rest.Answer()
-	e.ration = slowstart.Start(c.cfg.Instance, c.cfg.Gateways, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
+	e.ration = slowstart.Start(c.cfg.RouterIndex, c.cfg.Routers, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
 	e.rationBy, c.tally.till, c.tally.failingUntil = rationBy{}, 0, 0
 }
 
-func (c *Controller) onEntry(entry Engine, first bool) {
+func (c *Controller) onEntry(entry Endpoint, first bool) {
 	e := c.byID[entry.ID]
 	if e == nil {
-		e = &engine{Engine: entry, cores: max(entry.Size, 1), slow: 1}
+		e = &engine{Endpoint: entry, cores: max(entry.CapacityWeight, 1), slow: 1}
 		c.equip(e)
 		c.byID[entry.ID] = e
 		c.engines = append(c.engines, e)
 		c.unsorted = true
-		if entry.Born == 0 && !first {
+		if entry.StartedAt == 0 && !first {
 			c.chill(e, c.now)
 		}
 	}
-	if entry.Born > 0 && (entry.Born != e.Born || e.warmAt == 0) && entry.Born+c.cfg.ColdFor > c.now {
-		c.chill(e, entry.Born)
+	if entry.StartedAt > 0 && (entry.StartedAt != e.StartedAt || e.warmAt == 0) && entry.StartedAt+c.cfg.WarmUpDuration > c.now {
+		c.chill(e, entry.StartedAt)
 	}
 	if e.zone == nil || e.Zone != entry.Zone {
 		e.zone = c.zoneOf(entry.Zone)
 	}
-	e.Engine = entry
-	c.someGone = c.someGone || entry.State == Gone
+	e.Endpoint = entry
+	c.someGone = c.someGone || entry.State == Removed
 	c.ids.named(entry.ID)
-	e.listed = entry.State == Live && !c.Excluded(entry.ID)
+	e.listed = entry.State == Live && !c.Cordoned(entry.ID)
 }
 
 // relist keeps the listed engines and their sums, and forgets those that are gone with nothing out.
@@ -118,14 +118,14 @@
 
 // forget tells whether an engine is gone with nothing out, and drops all that is known of it.
 func (c *Controller) forget(e *engine) bool {
-	if e.State != Gone {
+	if e.State != Removed {
 		return false
 	}
 	if len(e.running) > 0 {
 		c.someGone = true // later
 		return false
 	}
-	c.setPeer(e, EngineUse{})
+	c.setPeer(e, EngineUsage{})
 	delete(c.byID, e.ID)
 	if e.noted {
 		c.failed = without(c.failed, e)
@@ -173,16 +173,16 @@
 	return known
 }
 
-// Excluded tells whether an engine gets no work by an operator's word.
-func (c *Controller) Excluded(id EngineID) bool { return c.ids.excluded[id] }
+// Cordoned tells whether an engine gets no work by an operator's word.
+func (c *Controller) Cordoned(id EngineID) bool { return c.ids.excluded[id] }
 
-// Avoided counts the engines in the list that get no ordinary work at that time: they drain, are excluded,
+// AvoidedEngines counts the engines in the list that get no ordinary work at that time: they drain, are excluded,
 // fail or are down.
-func (c *Controller) Avoided(now time.Duration) int {
+func (c *Controller) AvoidedEngines(now time.Duration) int {
 	c.now = max(c.now, now)
 	n, eject := 0, c.ejected() <= ejectMost*float64(len(c.live)) // else those that fail are used like others
 	for _, e := range c.engines {
-		if e.State != Gone && (!e.listed || e.lost >= downAfter || eject && c.failing(e) >= ejectAt) {
+		if e.State != Removed && (!e.listed || e.lost >= downAfter || eject && c.failing(e) >= ejectAt) {
 			n++
 		}
 	}
--- a/dispatch/locks_test.go
+++ b/dispatch/locks_test.go
@@ -9,9 +9,9 @@
 // withLoads has queries that stand still while a load holds their table group, and loads that must not run twice.
 func withLoads() Config {
 	cfg := twoClasses()
-	cfg.Classes[0].WaitsOnLoad = true
-	cfg.Classes = append(cfg.Classes, Class{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Worth: 4,
-		Threads: 2, Load: true, Semantics: AtMostOnce})
+	cfg.Classes[0].BlockedByLoad = true
+	cfg.Classes = append(cfg.Classes, Class{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, PriorityWeight: 4,
+		Threads: 2, LocksTableGroup: true, Semantics: AtMostOnce})
 	return cfg
 }
 
@@ -23,17 +23,17 @@
 		reads, loads := map[int64]map[EngineID]bool{}, map[int64]map[EngineID]bool{}
 		for gateway := range 3 {
 			cfg := withLoads()
-			cfg.Gateways, cfg.Instance, cfg.Seed = 3, gateway, uint64(7+gateway)
+			cfg.Routers, cfg.RouterIndex, cfg.Seed = 3, gateway, uint64(7+gateway)
 			w, rng := newWorld(t, cfg), rand.New(rand.NewPCG(uint64(n), uint64(gateway)))
-			w.list(ListFull, engines(n)...)
+			w.list(ListComplete, engines(n)...)
 			var out []*track
 			for range 3000 {
 				w.now += time.Duration(rng.IntN(12)) * ms
-				group, class := GroupOf(uint32(rng.IntN(2))), "quick"
+				group, class := TableGroupOf(uint32(rng.IntN(2))), "quick"
 				if rng.IntN(10) == 0 {
 					class = "load"
 				}
-				tr := w.askFor(Arrival{Class: class, Group: group, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
+				tr := w.askFor(Arrival{Class: class, TableGroup: group, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
 				tr.key = string(rune('0' + group))
 				out = append(out, tr)
 				for _, tr := range out {
@@ -42,7 +42,7 @@
 					}
 					group, e := int64(tr.key[0]-'0'), tr.engines[0]
 					used := reads
-					if tr.class.Load {
+					if tr.class.LocksTableGroup {
 						used = loads
 					}
 					if used[group] == nil {
@@ -59,7 +59,7 @@
 				held := map[[2]int64]int{}
 				for _, e := range w.c.engines {
 					for _, a := range e.running {
-						if key := [2]int64{int64(e.ID), a.r.group}; a.r.c.Load {
+						if key := [2]int64{int64(e.ID), a.r.group}; a.r.c.LocksTableGroup {
 							if held[key]++; held[key] > 1 {
 								t.Fatalf("%d engines: two loads of group %d at once on engine %d", n, a.r.group, e.ID)
 							}
@@ -88,7 +88,7 @@
 // Where most of a group's engines are down, its readers go elsewhere: kept apart for good, they would all be refused.
 func TestReadersLeaveHomesThatAreDown(t *testing.T) {
 	w := newWorld(t, withLoads())
-	w.list(ListFull, engines(6)...)
+	w.list(ListComplete, engines(6)...)
 	w.c.now = w.now
 	r := &request{c: w.c.classes[0], group: 9, est: 1, end: w.now + time.Second}
 	homes := w.c.homes(r)
@@ -101,7 +101,7 @@
 	elsewhere := 0
 	for range 200 { // none that is sent to an engine that is up ends, so that the one home left fills up
 		w.tick(20 * ms)
-		tr := w.askFor(Arrival{Class: "quick", Group: 9, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
+		tr := w.askFor(Arrival{Class: "quick", TableGroup: 9, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
 		for tr.answers == 0 && len(tr.engines) > 0 && tr.outcome[len(tr.outcome)-1] == isOut {
 			e := tr.engines[len(tr.engines)-1]
 			if down[e] {
--- a/dispatch/measure.go
+++ b/dispatch/measure.go
@@ -20,15 +20,15 @@
 	if c.now >= e.warmAt || from == 1 {
 		return 1
 	}
-	return from + (1-from)*min((c.now-e.coldAt).Seconds()/c.cfg.ColdFor.Seconds(), 1)
+	return from + (1-from)*min((c.now-e.coldAt).Seconds()/c.cfg.WarmUpDuration.Seconds(), 1)
 }
 
 // warmthFrom is that share when an engine has just started.
 func (c *Controller) warmthFrom() float64 {
-	if c.cfg.ColdFor <= 0 || c.cfg.ColdFrom <= 0 {
+	if c.cfg.WarmUpDuration <= 0 || c.cfg.WarmUpInitialShare <= 0 {
 		return 1
 	}
-	return c.cfg.ColdFrom
+	return c.cfg.WarmUpInitialShare
 }
 
 // slowness is an engine's time against the usual, fading to 1 when nothing renews it.
@@ -64,7 +64,7 @@
 }
 
 // firstGuess of a class's work is a quarter of the aim on each thread; the first answers correct it.
-func firstGuess(k Class) float64 { return k.Aim.Seconds() / 4 * float64(k.Threads) }
+func firstGuess(k Class) float64 { return k.LatencyObjective.Seconds() / 4 * float64(k.Threads) }
 
 // expected is the time that a query takes at present, on an engine of usual speed.
 func (c *Controller) expected(r *request) time.Duration {
@@ -75,7 +75,7 @@
 func (c *Controller) margin() time.Duration { return 2*housekeeping + 2*c.cfg.Tick }
 
 // share is this gateway's part of the fleet: an even one, so that all parts sum to the whole.
-func (c *Controller) share() float64 { return 1 / float64(max(c.cfg.Gateways, 1)) }
+func (c *Controller) share() float64 { return 1 / float64(max(c.cfg.Routers, 1)) }
 
 // traffic is this gateway's part of all traffic, by the quotas of all tenants. It passes 1 in overload, so
 // nothing that sums over gateways may go by it.
@@ -139,7 +139,7 @@
 	case o == Served:
 		e.rest.Answer()
 		e.zone.Answer()
-	case c.large() && (silent || o == Full):
+	case c.large() && (silent || o == EngineFull):
 		jitter := 0.75 + c.rng.Float64()/2
 		e.rest.Strike(now, jitter, rests)
 		if silent {
--- a/dispatch/odd_test.go
+++ b/dispatch/odd_test.go
@@ -13,11 +13,11 @@
 // memory or cores, no zones or five, classes without threads, no limits, notes that never come.
 func oddConfig(rng *rand.Rand) Config {
 	cfg := randomConfig(rng)
-	cfg.Shortage, cfg.Grants = Shortage(rng.IntN(3)), rng.IntN(2) == 0
+	cfg.MemoryShortage, cfg.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
 	cfg.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
-	cfg.NoteEvery = []time.Duration{0, time.Second}[rng.IntN(2)]
+	cfg.ProgressInterval = []time.Duration{0, time.Second}[rng.IntN(2)]
 	cfg.Zone = []string{"", "z0", "nowhere"}[rng.IntN(3)]
-	cfg.Gateways, cfg.Instance = rng.IntN(5), rng.IntN(6)
+	cfg.Routers, cfg.RouterIndex = rng.IntN(5), rng.IntN(6)
 	switch rng.IntN(4) {
 	case 0:
 		cfg.Kinds = nil
@@ -33,7 +33,7 @@
 	return cfg
 }
 
-func oddEngines(rng *rand.Rand, n int) []Engine {
+func oddEngines(rng *rand.Rand, n int) []Endpoint {
 	list := engines(n)
 	zones := []int{1, 1, 5}[rng.IntN(3)]
 	for i := range list {
@@ -41,7 +41,7 @@
 		if zones > 1 {
 			list[i].Zone = fmt.Sprint("z", i%zones)
 		}
-		list[i].Size = []float64{0, 1, 1e9, -3}[rng.IntN(4)]
+		list[i].CapacityWeight = []float64{0, 1, 1e9, -3}[rng.IntN(4)]
 	}
 	return list
 }
@@ -50,11 +50,11 @@
 
 func odd(rng *rand.Rand) float64 { return oddFigures[rng.IntN(len(oddFigures))] }
 
-func oddLoad(rng *rand.Rand) *Load {
+func oddLoad(rng *rand.Rand) *LoadReport {
 	if rng.IntN(4) == 0 {
 		return nil
 	}
-	return &Load{InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng), Disk: odd(rng), Memory: odd(rng), Failing: odd(rng)}
+	return &LoadReport{InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng), Disk: odd(rng), Memory: odd(rng), Failing: odd(rng)}
 }
 
 // Whatever engines say of themselves and of attempts, and whatever is missing from settings and queries: no rule is broken,
@@ -65,7 +65,7 @@
 			rng := rand.New(rand.NewPCG(seed, 11))
 			w := newWorld(t, oddConfig(rng))
 			list := oddEngines(rng, 1+rng.IntN(6))
-			w.list(ListFull, list...)
+			w.list(ListComplete, list...)
 			for range 300 {
 				w.oddStep(rng)
 			}
@@ -94,13 +94,13 @@
 			}
 			w.tick(30 * time.Second)
 			for _, cl := range w.cfg.Classes {
-				tr := w.askFor(Arrival{Class: cl.Name, Group: GroupOf(3), TimeLeft: cl.Deadline})
+				tr := w.askFor(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
 				w.tick(100 * ms)
 				if len(tr.engines) == 0 && len(w.c.tallied().cold) > 0 {
 					// One that was down has answered the query before, and is held to be cold: the next that comes once it is
 					// warm is sent, at once.
-					w.tick(w.cfg.ColdFor)
-					tr = w.askFor(Arrival{Class: cl.Name, Group: GroupOf(3), TimeLeft: cl.Deadline})
+					w.tick(w.cfg.WarmUpDuration)
+					tr = w.askFor(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
 				}
 				if len(tr.engines) == 0 {
 					t.Errorf("all engines are idle, and a %s is not sent", cl.Name)
@@ -118,15 +118,15 @@
 	switch rng.IntN(8) {
 	case 0, 1, 2:
 		k := w.cfg.Classes[rng.IntN(len(w.cfg.Classes))]
-		w.askFor(Arrival{Class: k.Name, Tenant: "nobody", Group: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: odd(rng),
+		w.askFor(Arrival{Class: k.Name, Tenant: "nobody", TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: odd(rng),
 			Estimate: time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
 			TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline))})
 	case 3:
-		w.handle(Report{Engine: EngineID(rng.IntN(9)), Load: Load{InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng),
+		w.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng),
 			Disk: odd(rng), Memory: odd(rng)}})
 	case 4: // a note on an attempt that may have ended, or never was
 		id := RequestID(fmt.Sprint("r", rng.IntN(w.next+2)))
-		w.handle(Note{Request: id, Attempt: rng.IntN(3) - 1, Kind: NoteKind(rng.IntN(6) - 1), Amount: odd(rng)})
+		w.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: odd(rng)})
 	default:
 		for _, tr := range slices.Backward(w.order) {
 			for hop, o := range tr.outcome {
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -44,14 +44,14 @@
 	if c.now < e.warmAt {
 		e.spent = append(e.spent, spend{c.now, c.usual(r.c)})
 	}
-	terms := SetTerms{Request: r.id, GrantMB: a.grant}
+	terms := SetResources{Request: r.id, GrantMB: a.grant}
 	if a.preferred {
 		terms.Priority = 2
 	}
 	if c.cfg.Priorities || a.grant > 0 {
 		c.emit(terms)
 	}
-	c.emit(Send{Request: r.id, Engine: e.ID, Begin: c.begin(r, e)})
+	c.emit(StartAttempt{Request: r.id, Engine: e.ID, StartWithin: c.begin(r, e)})
 }
 
 // begin is the time within which an attempt that is sent now has to begin, 0 where it may at any time: what
@@ -59,16 +59,16 @@
 // not meet there with what is counted later.
 func (c *Controller) begin(r *request, e *engine) (within time.Duration) {
 	if c.now < e.warmAt {
-		within = c.cfg.OverloadFor / coldLate
+		within = c.cfg.WarmUpOverloadWindow / coldLate
 	}
-	if late := c.cfg.Budget.late(); len(r.attempts) > 1 && late > 0 && (within == 0 || late < within) {
+	if late := c.cfg.RetryBudget.late(); len(r.attempts) > 1 && late > 0 && (within == 0 || late < within) {
 		within = late
 	}
 	if r.c.Semantics == Idempotent {
 		return within
 	}
 	for _, a := range r.attempts[:len(r.attempts)-1] {
-		if left := max(a.at+r.c.Window-c.now, 1); a.mayRun && (within == 0 || left < within) {
+		if left := max(a.at+r.c.IdempotencyWindow-c.now, 1); a.mayRun && (within == 0 || left < within) {
 			within = left
 		}
 	}
@@ -105,7 +105,7 @@
 		return false
 	case len(r.c.Kinds) > 0 && !slices.Contains(r.c.Kinds, e.Kind):
 		return false
-	case r.out > 0 && !c.cfg.SecondCopies:
+	case r.out > 0 && !c.cfg.HedgingAllowed:
 		return false
 	case len(r.attempts) > 0 && (!c.budgetAllows() || !c.repeatAllowed(r, e)):
 		return false
@@ -122,7 +122,7 @@
 func (c *Controller) mayRefuse(r *request) bool {
 	for _, a := range r.attempts {
 		if a.mayRun && r.c.Semantics != Idempotent &&
-			(r.c.Semantics == AtMostOnce || r.c.Scope != ScopeAll || c.now > a.at+r.c.Window) {
+			(r.c.Semantics == AtMostOnce || r.c.IdempotencyScope != ScopeAll || c.now > a.at+r.c.IdempotencyWindow) {
 			return false
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 	if r.errors >= errorsMost {
 		c.finish(r)
-		c.emit(Fail{Request: r.id}) // a refusal would have the client ask the same again
+		c.emit(FailRequest{Request: r.id}) // a refusal would have the client ask the same again
 		return
 	}
 	c.hold(r, true)
@@ -162,8 +162,8 @@
 		if !a.mayRun {
 			continue
 		}
-		if r.c.Semantics == AtMostOnce || c.now >= a.at+r.c.Window ||
-			r.c.Scope == ScopeZone && a.e.Zone != e.Zone || r.c.Scope == ScopeCell && a.e.Cell != e.Cell {
+		if r.c.Semantics == AtMostOnce || c.now >= a.at+r.c.IdempotencyWindow ||
+			r.c.IdempotencyScope == ScopeZone && a.e.Zone != e.Zone || r.c.IdempotencyScope == ScopeCell && a.e.Cell != e.Cell {
 			return false
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 func (c *Controller) budgetAllows() bool {
-	b := c.cfg.Budget
+	b := c.cfg.RetryBudget
 	if b.Window <= 0 {
 		c.extras = c.extras[:0]
 		return true
@@ -197,11 +197,11 @@
 // until they are worth a query of the largest class, to be spent on any within a window. What was due in two
 // windows, and one query more, may meet in one.
 func (c *Controller) coldAllows(r *request, e *engine) bool {
-	if c.now >= e.warmAt || c.cfg.OverloadFactor <= 0 {
+	if c.now >= e.warmAt || c.cfg.WarmUpOverloadFactor <= 0 {
 		return true
 	}
-	window := c.cfg.OverloadFor
-	since, most := c.now-window, c.coldRate()*e.cores*c.cfg.ColdFrom*c.cfg.OverloadFactor*window.Seconds()
+	window := c.cfg.WarmUpOverloadWindow
+	since, most := c.now-window, c.coldRate()*e.cores*c.cfg.WarmUpInitialShare*c.cfg.WarmUpOverloadFactor*window.Seconds()
 	if c.large() {
 		c.tallied()
 		most = c.largest()
@@ -211,7 +211,7 @@
 		}
 		since, most = secs(at/1000), most*(1+1e-9)
 	}
-	sum := c.usual(r.c) + e.peer.Cold
+	sum := c.usual(r.c) + e.peer.WarmUpWork
 	e.spent = slices.DeleteFunc(e.spent, func(s spend) bool { return s.at < c.now-window })
 	for _, s := range e.spent {
 		if s.at >= since {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -9,28 +9,28 @@
 )
 
 // halfBusy is the report that random outcomes carry.
-var halfBusy = &Load{InFlight: -1, Waiting: -1, Busy: 0.5, Disk: 0.5, Memory: -1}
+var halfBusy = &LoadReport{InFlight: -1, Waiting: -1, Busy: 0.5, Disk: 0.5, Memory: -1}
 
 // randomConfig varies every setting that a rule depends on.
 func randomConfig(rng *rand.Rand) Config {
 	cfg := twoClasses()
-	cfg.Seed, cfg.Gateways = rng.Uint64(), 1+rng.IntN(4)
+	cfg.Seed, cfg.Routers = rng.Uint64(), 1+rng.IntN(4)
 	cfg.MaxAttempts = rng.IntN(5)
-	cfg.Cancel, cfg.SecondCopies, cfg.AskedDiscovery = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
-	cfg.AskWithin, cfg.KeyRest = 4*time.Second, time.Duration(rng.IntN(500))*ms
-	cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.4, 5*time.Second, 2, time.Second
+	cfg.CancelAllowed, cfg.HedgingAllowed, cfg.PolledDiscovery = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
+	cfg.DiscoveryTimeout, cfg.KeyCooldown = 4*time.Second, time.Duration(rng.IntN(500))*ms
+	cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 5*time.Second, 2, time.Second
 	if rng.IntN(2) == 0 {
-		cfg.Budget = RetryBudget{Window: 2 * time.Second, Free: float64(rng.IntN(4)), PerRequest: 0.2 * rng.Float64()}
+		cfg.RetryBudget = RetryBudget{Window: 2 * time.Second, Free: float64(rng.IntN(4)), PerRequest: 0.2 * rng.Float64()}
 	}
 	for i := range cfg.Classes {
 		k := &cfg.Classes[i]
-		k.Semantics, k.Scope = Semantics(rng.IntN(3)), Scope(rng.IntN(3))
-		k.Window, k.OrderByKey = time.Duration(200+rng.IntN(2000))*ms, rng.IntN(2) == 0
-		k.LateWorth = float64(rng.IntN(2)) / 2
+		k.Semantics, k.IdempotencyScope = Semantics(rng.IntN(3)), IdempotencyScope(rng.IntN(3))
+		k.IdempotencyWindow, k.OrderByKey = time.Duration(200+rng.IntN(2000))*ms, rng.IntN(2) == 0
+		k.LateWeightShare = float64(rng.IntN(2)) / 2
 		if rng.IntN(3) == 0 {
 			k.Zones = []string{"z0"}
 		}
-		k.Load, k.WaitsOnLoad = rng.IntN(3) == 0, rng.IntN(3) == 0
+		k.LocksTableGroup, k.BlockedByLoad = rng.IntN(3) == 0, rng.IntN(3) == 0
 	}
 	return cfg
 }
@@ -41,7 +41,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			w := newWorld(t, randomConfig(rng))
-			w.list(ListSaved, engines(2+rng.IntN(4))...)
+			w.list(ListCached, engines(2+rng.IntN(4))...)
 			for range 600 {
 				w.randomStep(rng)
 			}
@@ -57,7 +57,7 @@
 			for _, tr := range w.order {
 				for i, o := range tr.outcome {
 					if o == isOut {
-						w.endHop(tr, i, Reset, halfBusy)
+						w.endHop(tr, i, ConnectionReset, halfBusy)
 					}
 				}
 			}
@@ -84,7 +84,7 @@
 		if k.OrderByKey {
 			key = fmt.Sprint("k", rng.IntN(3))
 		}
-		w.askFor(Arrival{Class: k.Name, Key: key, Group: int64(rng.IntN(4)), NeedMB: float64(rng.IntN(3) * 300),
+		w.askFor(Arrival{Class: k.Name, Key: key, TableGroup: int64(rng.IntN(4)), NeedMB: float64(rng.IntN(3) * 300),
 			Estimate: time.Duration(rng.IntN(3)*200) * ms, TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline))})
 	case n < 17:
 		w.randomOutcome(rng)
@@ -92,21 +92,21 @@
 		tr := w.order[max(len(w.order)-1-rng.IntN(5), 0):]
 		if len(tr) > 0 && tr[0].answers == 0 {
 			tr[0].aborted = true
-			w.handle(Abort{Request: tr[0].id})
+			w.handle(ClientGone{Request: tr[0].id})
 		}
 	case n == 18:
 		e := engines(6)[rng.IntN(6)]
-		e.State = EngineState(rng.IntN(3))
+		e.State = EndpointState(rng.IntN(3))
 		if rng.IntN(2) == 0 {
-			e.Born = w.now
+			e.StartedAt = w.now
 		}
-		w.list(ListChanges, e)
+		w.list(ListIncremental, e)
 	default:
 		if rng.IntN(3) == 0 {
 			w.list(ListFailed)
 			return
 		}
-		w.list(ListFull, engines(1+rng.IntN(6))...)
+		w.list(ListComplete, engines(1+rng.IntN(6))...)
 	}
 }
 
@@ -119,7 +119,7 @@
 				continue
 			}
 			if rng.IntN(3) == 0 {
-				w.handle(Note{Request: tr.id, Attempt: hop, Kind: NoteKind(rng.IntN(4)), Amount: rng.Float64() * 2})
+				w.handle(AttemptProgress{Request: tr.id, Attempt: hop, Kind: ProgressKind(rng.IntN(4)), Amount: rng.Float64() * 2})
 			}
 			w.endHop(tr, hop, Outcome(rng.IntN(int(NotSent))), halfBusy)
 			return
@@ -130,12 +130,12 @@
 // A crash while the list is silent: own outcomes tell of it, and the engine is cold when it answers again.
 func TestCrashDuringListOutage(t *testing.T) {
 	cfg := twoClasses()
-	cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.4, 10*time.Second, 2, time.Second
+	cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	tr := w.ask("quick", "")
 	dead := tr.engines[0]
-	w.end(tr, Reset)
+	w.end(tr, ConnectionReset)
 	if len(tr.engines) != 2 || tr.engines[1] == dead {
 		t.Fatalf("not run elsewhere: %v", tr.engines)
 	}
@@ -146,7 +146,7 @@
 		w.tick(20 * ms)
 		var open []*track
 		for range 6 {
-			open = append(open, w.askFor(Arrival{Class: "quick", Group: int64(w.next), TimeLeft: 3 * time.Second}))
+			open = append(open, w.askFor(Arrival{Class: "quick", TableGroup: int64(w.next), TimeLeft: 3 * time.Second}))
 		}
 		for len(open) > 0 {
 			tr := open[0]
@@ -184,18 +184,18 @@
 func TestResetsByChanceEjectNobody(t *testing.T) {
 	cfg := twoClasses()
 	cfg.MaxAttempts = 5
-	cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.4, 10*time.Second, 2, time.Second
+	cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(5)...)
+	w.list(ListComplete, engines(5)...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	shut := 0
 	for range 2000 {
 		w.now += 10 * ms
-		tr := w.askFor(Arrival{Class: "quick", Group: int64(w.next), TimeLeft: 3 * time.Second})
+		tr := w.askFor(Arrival{Class: "quick", TableGroup: int64(w.next), TimeLeft: 3 * time.Second})
 		for tr.answers == 0 && tr.outcome[len(tr.outcome)-1] == isOut {
 			o := Served
 			if rng.IntN(8) == 0 {
-				o = []Outcome{Reset, ConnectFailed}[rng.IntN(2)]
+				o = []Outcome{ConnectionReset, ConnectFailed}[rng.IntN(2)]
 			}
 			w.end(tr, o)
 		}
@@ -213,14 +213,14 @@
 // Two loads on one table group must not share an engine while another is free.
 func TestLoadsOnOneGroupSpread(t *testing.T) {
 	cfg := twoClasses()
-	cfg.Classes[1].Load = true
+	cfg.Classes[1].LocksTableGroup = true
 	for seed := range uint64(20) {
 		cfg.Seed = seed
 		w := newWorld(t, cfg)
-		w.list(ListFull, engines(4)...)
+		w.list(ListComplete, engines(4)...)
 		used := map[EngineID]bool{}
 		for range 4 {
-			tr := w.askFor(Arrival{Class: "big", Group: 9, TimeLeft: 15 * time.Second})
+			tr := w.askFor(Arrival{Class: "big", TableGroup: 9, TimeLeft: 15 * time.Second})
 			used[tr.engines[0]] = true
 		}
 		if len(used) < 4 {
@@ -232,14 +232,14 @@
 // A restarted gateway with a stale list learns from outcomes and from the full list that follows.
 func TestRestartWithStaleList(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListSaved, engines(3)...)
+	w.list(ListCached, engines(3)...)
 	tr := w.ask("quick", "")
 	w.end(tr, ConnectFailed)
 	if len(tr.engines) != 2 || tr.engines[0] == tr.engines[1] {
 		t.Fatalf("tried %v", tr.engines)
 	}
 	w.end(tr, Served)
-	w.list(ListFull, engines(3)[1:]...)
+	w.list(ListComplete, engines(3)[1:]...)
 	for range 30 {
 		w.now += 50 * ms
 		w.end(w.ask("quick", ""), Served)
@@ -278,9 +278,9 @@
 // outlived the burst.
 func TestBoundDoesNotGrowWithTraffic(t *testing.T) {
 	cfg := twoClasses()
-	cfg.Gateways, cfg.Tenants = 2, []Tenant{{Name: "a", Quota: 5}}
+	cfg.Routers, cfg.Tenants = 2, []Tenant{{Name: "a", Quota: 5}}
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(3)...)
+	w.list(ListComplete, engines(3)...)
 	calm := w.c.bound()
 	for range 300 {
 		w.askFor(Arrival{Class: "quick", Tenant: "a", TimeLeft: time.Second})
@@ -300,10 +300,10 @@
 	seen := map[bool][]EngineID{}
 	for gateway := range 3 {
 		cfg := twoClasses()
-		cfg.Seed, cfg.Instance, cfg.Gateways = uint64(gateway)+7, gateway, 3
-		cfg.Classes[0].WaitsOnLoad, cfg.Classes[1].Load = true, true
+		cfg.Seed, cfg.RouterIndex, cfg.Routers = uint64(gateway)+7, gateway, 3
+		cfg.Classes[0].BlockedByLoad, cfg.Classes[1].LocksTableGroup = true, true
 		w := newWorld(t, cfg)
-		w.list(ListFull, engines(8)...)
+		w.list(ListComplete, engines(8)...)
 		for _, load := range []bool{false, true} {
 			cl := w.c.classes[0]
 			if load {
@@ -331,9 +331,9 @@
 // was once listed stays known.
 func TestExcludeHoldsUntilInclude(t *testing.T) {
 	cfg := twoClasses()
-	cfg.ColdFor, cfg.ColdFrom, cfg.OverloadFactor, cfg.OverloadFor = 12*time.Second, 0.36, 2, 1500*ms
+	cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
 	w := newWorld(t, cfg)
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	w.tick(20 * time.Second)
 	sent := func(n int) (to3 int) {
 		for range n {
@@ -354,31 +354,31 @@
 	if sent(60) == 0 {
 		t.Error("engine 3 was never used")
 	}
-	if w.handle(Exclude{Engine: 9}); w.c.Knows(9) || w.c.Avoided(w.now) != 0 {
+	if w.handle(Cordon{Engine: 9}); w.c.Knows(9) || w.c.AvoidedEngines(w.now) != 0 {
 		t.Error("an engine that was never listed was excluded")
 	}
 	back := engines(4)[2]
 	for _, word := range []func(){
-		func() { w.handle(Exclude{Engine: 3}) },
-		func() { w.handle(Exclude{Engine: 3}) },
-		func() { back.State = Gone; w.list(ListChanges, back) },
-		func() { back.State, back.Born = Live, w.now; w.list(ListChanges, back) },
-		func() { w.list(ListFull, engines(4)...) },
+		func() { w.handle(Cordon{Engine: 3}) },
+		func() { w.handle(Cordon{Engine: 3}) },
+		func() { back.State = Removed; w.list(ListIncremental, back) },
+		func() { back.State, back.StartedAt = Live, w.now; w.list(ListIncremental, back) },
+		func() { w.list(ListComplete, engines(4)...) },
 	} {
 		if word(); sent(40) != 0 {
 			t.Fatal("an excluded engine got work")
 		}
 	}
-	if n := w.c.Avoided(w.now); n != 1 {
+	if n := w.c.AvoidedEngines(w.now); n != 1 {
 		t.Errorf("%d engines are avoided", n)
 	}
-	w.handle(Include{Engine: 3})
+	w.handle(Uncordon{Engine: 3})
 	if e := w.c.byID[3]; e.warmAt <= w.now || sent(20) == 0 {
 		t.Errorf("after the word back: warm at %v of %v, or no work in 0.8 s", e.warmAt, w.now)
 	}
-	back.State = Gone
-	w.list(ListChanges, back)
-	if !w.c.Knows(3) || w.c.Excluded(3) {
+	back.State = Removed
+	w.list(ListIncremental, back)
+	if !w.c.Knows(3) || w.c.Cordoned(3) {
 		t.Error("an engine that has gone is not known any more, or excluded")
 	}
 }
@@ -386,13 +386,13 @@
 // The ids that were listed are remembered within a bound, the excluded ones for good.
 func TestIDsAreBounded(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(2)...)
-	w.handle(Exclude{Engine: 1})
+	w.list(ListComplete, engines(2)...)
+	w.handle(Cordon{Engine: 1})
 	for i := range maxIDs + 10 {
 		w.c.ids.named(EngineID(100 + i))
 	}
-	if n := len(w.c.ids.excluded); n != maxIDs || len(w.c.ids.order) != maxIDs || !w.c.Excluded(1) || w.c.Knows(2) {
-		t.Errorf("%d ids are remembered, at most %d should be; 1 is excluded: %v", n, maxIDs, w.c.Excluded(1))
+	if n := len(w.c.ids.excluded); n != maxIDs || len(w.c.ids.order) != maxIDs || !w.c.Cordoned(1) || w.c.Knows(2) {
+		t.Errorf("%d ids are remembered, at most %d should be; 1 is excluded: %v", n, maxIDs, w.c.Cordoned(1))
 	}
 }
 
@@ -401,11 +401,11 @@
 // count.
 func TestHeldAreBounded(t *testing.T) {
 	cfg := twoClasses()
-	cfg.MaxHeld = 10
+	cfg.MaxQueued = 10
 	for _, k := range []struct{ peer, want int }{{0, 10}, {4, 6}, {40, 0}} {
 		w := newWorld(t, cfg)
-		w.list(ListFull, engines(2)...)
-		w.handle(PeerUse{Held: k.peer})
+		w.list(ListComplete, engines(2)...)
+		w.handle(OtherProcessUsage{Queued: k.peer})
 		for range 60 {
 			w.askFor(Arrival{Class: "big", Estimate: 20 * time.Second, TimeLeft: 15 * time.Second})
 		}
@@ -423,11 +423,11 @@
 // Avoided is what the module goes by: engines that fail count until so many do that all are used again.
 func TestAvoidedFollowsTheFloor(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(4)...)
+	w.list(ListComplete, engines(4)...)
 	for i, want := range []int{1, 2, 0, 0} {
 		w.c.now = w.now
 		w.c.blame(w.c.engines[i], 1, 1)
-		if got := w.c.Avoided(w.now); got != want {
+		if got := w.c.AvoidedEngines(w.now); got != want {
 			t.Errorf("%d engines fail: %d avoided, want %d", i+1, got, want)
 		}
 	}
--- a/dispatch/scale_test.go
+++ b/dispatch/scale_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-func largeFleet(gateways, n, instance int) (Config, []Engine) {
+func largeFleet(gateways, n, instance int) (Config, []Endpoint) {
 	cfg := twoClasses()
-	cfg.Gateways, cfg.Instance, cfg.Seed = gateways, instance, uint64(instance)
+	cfg.Routers, cfg.RouterIndex, cfg.Seed = gateways, instance, uint64(instance)
 	return cfg, engines(n)
 }
 
@@ -21,7 +21,7 @@
 		for i := range k.gateways {
 			cfg, list := largeFleet(k.gateways, k.engines, i)
 			w := newWorld(t, cfg)
-			w.list(ListFull, list...)
+			w.list(ListComplete, list...)
 			near := w.c.nearby()
 			if len(near) != k.most {
 				t.Fatalf("%d gateways, %d engines: %d nearby, want %d", k.gateways, k.engines, len(near), k.most)
@@ -43,7 +43,7 @@
 func TestRestOfTheFleetWhenNearbyIsLost(t *testing.T) {
 	cfg, list := largeFleet(250, 60, 3)
 	w := newWorld(t, cfg)
-	w.list(ListFull, list...)
+	w.list(ListComplete, list...)
 	w.c.now = w.now
 	near := map[EngineID]bool{}
 	for _, e := range w.c.nearby() {
@@ -64,7 +64,7 @@
 	for _, k := range []struct{ gateways, want int }{{4, 4}, {250, 1}} {
 		cfg, list := largeFleet(k.gateways, 4, 0)
 		w := newWorld(t, cfg)
-		w.list(ListFull, list...)
+		w.list(ListComplete, list...)
 		for range 8 {
 			w.ask("big", "")
 		}
@@ -88,20 +88,20 @@
 			switch a := a.(type) {
 			case SetTimer:
 				due = now + a.After
-			case Fail, Refuse:
+			case FailRequest, Reject:
 				answered = true
 			}
 		}
 	}
-	handle(EngineList{Mode: ListFull, Engines: engines(1)})
+	handle(EndpointList{Mode: ListComplete, Endpoints: engines(1)})
 	handle(Arrival{Request: "x", Class: "quick", TimeLeft: time.Second})
 	for range 220 { // its attempt is silent; another event comes in every tick
 		now += 5 * ms
 		if due > 0 && now+100*time.Microsecond >= due { // hosts round: a timer may come a little early
 			due = 0
-			handle(Timer{Tag: tickTag})
+			handle(TimerFired{Tag: tickTag})
 		}
-		handle(Abort{Request: "unknown"})
+		handle(ClientGone{Request: "unknown"})
 	}
 	if !answered {
 		t.Error("no answer at the client's end")
@@ -114,7 +114,7 @@
 	for i := range 200 {
 		e := engines(1)[0]
 		e.ID = EngineID(i + 1)
-		w.list(ListFull, e)
+		w.list(ListComplete, e)
 		w.now += 100 * ms
 		w.end(w.ask("quick", ""), Served)
 	}
@@ -134,33 +134,33 @@
 		now, born := 30*time.Second, 40*time.Second
 		for i := range gateways {
 			cfg, list := largeFleet(gateways, warm, i)
-			cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.4, 12*time.Second, 2.5, 2*time.Second
+			cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 12*time.Second, 2.5, 2*time.Second
 			cfg.Seed = seed*1000 + uint64(i)
 			c, err := New(cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Handle(now, EngineList{Mode: ListFull, Engines: list}, nil)
+			c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
 			rate := 1 + 4*rng.Float64()*rng.Float64()*2 // queries a second, uneven
 			n := 0
 			for at := now; at < born+10*time.Second; at += secs(rng.ExpFloat64() / rate) {
 				if n > 0 && at > born && len(c.live) == warm {
 					fresh := engines(warm + cold)[warm:]
 					for j := range fresh {
-						fresh[j].Born = born
+						fresh[j].StartedAt = born
 					}
 					for _, e := range list {
 						e.State = Draining
 						fresh = append(fresh, e)
 					}
-					c.Handle(at, EngineList{Mode: ListChanges, Engines: fresh}, nil)
+					c.Handle(at, EndpointList{Mode: ListIncremental, Endpoints: fresh}, nil)
 					rate *= 5 // a burst
 				}
 				n++
 				id := RequestID(fmt.Sprint(i, "-", n))
-				c.Handle(at, Timer{Tag: tickTag}, nil) // those held too long are given up; else they block their queue
+				c.Handle(at, TimerFired{Tag: tickTag}, nil) // those held too long are given up; else they block their queue
 				for _, a := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
-					if s, ok := a.(Send); ok {
+					if s, ok := a.(StartAttempt); ok {
 						if s.Engine > warm {
 							spent[s.Engine] += 0.125
 							windows[fmt.Sprint(s.Engine, at/(2*time.Second))] += 0.125
@@ -190,13 +190,13 @@
 			t.Fatal(err)
 		}
 		now := time.Hour
-		c.Handle(now, EngineList{Mode: ListFull, Engines: list}, nil)
+		c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
 		buf := make([]Action, 0, 16)
 		return testing.AllocsPerRun(500, func() {
 			now += 10 * ms
 			c.Handle(now, Arrival{Request: "a", Class: "quick", TimeLeft: time.Second}, buf[:0])
 			c.Handle(now, AttemptEnd{Request: "a", Outcome: Served, Last: true}, buf[:0])
-			c.Handle(now, Timer{Tag: tickTag}, buf[:0])
+			c.Handle(now, TimerFired{Tag: tickTag}, buf[:0])
 		})
 	}
 	if few, many := allocs(8), allocs(80); many > few+1 {
@@ -215,24 +215,24 @@
 		var sends []time.Duration
 		for i := range gateways {
 			cfg, _ := largeFleet(gateways, 1, i)
-			cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.4, 12*time.Second, 2, window
-			cfg.Classes[1].Aim, cfg.MaxAttempts = 4*time.Second, 0
+			cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 12*time.Second, 2, window
+			cfg.Classes[1].LatencyObjective, cfg.MaxAttempts = 4*time.Second, 0
 			c, err := New(cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
 			cold := engines(1)
-			cold[0].Born = born
-			c.Handle(born+time.Second, EngineList{Mode: ListFull, Engines: cold}, nil)
+			cold[0].StartedAt = born
+			c.Handle(born+time.Second, EndpointList{Mode: ListComplete, Endpoints: cold}, nil)
 			for now := at; now < at+window; now += 50 * ms {
 				id := RequestID(fmt.Sprint(now))
 				for _, a := range c.Handle(now, Arrival{Request: id, Class: "big", TimeLeft: 15 * time.Second}, nil) {
-					if s, ok := a.(Send); ok {
+					if s, ok := a.(StartAttempt); ok {
 						sends = append(sends, now)
-						c.Handle(now, AttemptEnd{Request: s.Request, Outcome: Full}, nil)
+						c.Handle(now, AttemptEnd{Request: s.Request, Outcome: EngineFull}, nil)
 					}
 				}
-				c.Handle(now, Abort{Request: id}, nil)
+				c.Handle(now, ClientGone{Request: id}, nil)
 			}
 		}
 		warmth := 0.4 + 0.6*(at-born).Seconds()/12
@@ -250,7 +250,7 @@
 	cfg, list := largeFleet(300, 8, 0)
 	strikes := func() *world {
 		w := newWorld(t, cfg)
-		w.list(ListFull, list...)
+		w.list(ListComplete, list...)
 		for range 12 {
 			for _, e := range w.c.live {
 				if e.Zone == "z0" {
@@ -268,15 +268,15 @@
 		t.Error("an engine of a zone that rests is used")
 	}
 	gone := list[0] // the last of z1 is gone, and z0 rests
-	left := []Engine{gone, list[2], list[4]}
-	w.list(ListFull, left...)
+	left := []Endpoint{gone, list[2], list[4]}
+	w.list(ListComplete, left...)
 	w.c.byID[3].rest.Answer()
 	if w.c.resting(w.c.byID[3]) {
 		t.Error("all zones that are listed rest, and the router keeps off all")
 	}
 	w = strikes()
-	w.handle(Exclude{Engine: 1})
-	w.handle(Include{Engine: 1})
+	w.handle(Cordon{Engine: 1})
+	w.handle(Uncordon{Engine: 1})
 	if w.c.byID[1].rest.On(millis(w.now)) {
 		t.Error("an engine rests after its ban has ended")
 	}
@@ -290,16 +290,16 @@
 		spent := 0
 		for i := range 40 {
 			cfg, list := largeFleet(300, 8, 7*i)
-			cfg.ColdFor, cfg.ColdFrom, cfg.OverloadFactor, cfg.OverloadFor = 12*time.Second, 0.36, 2, 1500*ms
+			cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
 			w := newWorld(t, cfg)
 			w.now += time.Duration(k) * 10 * time.Second
-			w.list(ListFull, list...)
-			w.handle(Takeover{Snapshot: Snapshot{Engines: []EngineSnapshot{{ID: 1, ColdAt: w.now, WarmAt: w.now + 12*time.Second, Slow: 1}}}})
+			w.list(ListComplete, list...)
+			w.handle(RestoreSnapshot{Snapshot: Snapshot{Engines: []EngineSnapshot{{ID: 1, WarmUpStart: w.now, WarmUpEnd: w.now + 12*time.Second, Slowness: 1}}}})
 			for range 100 {
 				w.now += 100 * ms
 				w.ask("big", "")
 			}
-			if slices.ContainsFunc(w.sends, func(s Send) bool { return s.Engine == 1 }) {
+			if slices.ContainsFunc(w.sends, func(s StartAttempt) bool { return s.Engine == 1 }) {
 				spent++
 			}
 		}
@@ -319,7 +319,7 @@
 			list[i].Zone = fmt.Sprint("z", i%k.zones)
 		}
 		w := newWorld(t, cfg)
-		w.list(ListFull, list...)
+		w.list(ListComplete, list...)
 		c := w.c
 		c.now = w.now
 		if !c.large() {
--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -117,7 +117,7 @@
 	moves := moved{f: f}
 	f.sent = func(r *fleetRouter, e *fleetEngine, class int) {
 		sends[e]++
-		moves.sent(r, e, f.routers[0].cfg.Classes[class].Load)
+		moves.sent(r, e, f.routers[0].cfg.Classes[class].LocksTableGroup)
 		if f.warmth(e) < 1 {
 			cold++
 		}
@@ -192,7 +192,7 @@
 func (f *fleet) asked() (n float64) {
 	worth := 0.0
 	for i, k := range f.routers[0].cfg.Classes {
-		worth += k.Worth * fleetClasses[i].part
+		worth += k.PriorityWeight * fleetClasses[i].part
 	}
 	for _, s := range f.spans {
 		n += s.asked / worth
--- a/dispatch/scalemoves_test.go
+++ b/dispatch/scalemoves_test.go
@@ -52,7 +52,7 @@
 		users++
 		at, ok := m.first[r]
 		if !ok {
-			t.Errorf("gateway %d sent no load elsewhere", r.cfg.Instance)
+			t.Errorf("gateway %d sent no load elsewhere", r.cfg.RouterIndex)
 			continue
 		}
 		s := (at - m.from).Seconds()
--- a/dispatch/scalenear_test.go
+++ b/dispatch/scalenear_test.go
@@ -14,17 +14,17 @@
 func TestNearSetsOfALargeFleet(t *testing.T) {
 	const gateways, engines = 600, 1200
 	cfg := fleetConfig(fleetDay{gateways: gateways, engines: engines, cores: 24, zones: 6}, 0)
-	list := make([]Engine, engines)
+	list := make([]Endpoint, engines)
 	for i := range list {
-		list[i] = Engine{ID: EngineID(i + 1), Kind: "k", Zone: "z", Size: 1}
+		list[i] = Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: "z", CapacityWeight: 1}
 	}
-	near := func(instance int, list []Engine) map[EngineID]bool {
-		cfg.Instance, cfg.Seed = instance, uint64(instance)
+	near := func(instance int, list []Endpoint) map[EngineID]bool {
+		cfg.RouterIndex, cfg.Seed = instance, uint64(instance)
 		c, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
+		c.Handle(0, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
 		set := map[EngineID]bool{}
 		for _, e := range c.nearby() {
 			set[e.ID] = true
@@ -38,7 +38,7 @@
 		idle int // at most
 		most float64
 	}{{"0% dead", 0, 0, 1.15}, {"17% dead", 204, 0, 1.15}, {"50% dead", 600, 0, 1.15}, {"70% dead", 840, 0, 1.15}} {
-		var left []Engine
+		var left []Endpoint
 		for i, e := range list {
 			if i*7919%engines >= k.dead { // 7919 has no factor with 1200: each place is met once
 				left = append(left, e)
@@ -69,7 +69,7 @@
 	places, moved := 0, 0
 	for i := range gateways {
 		was := near(i, list)
-		is := near(i, append(append([]Engine(nil), list[:600]...), list[601:]...))
+		is := near(i, append(append([]Endpoint(nil), list[:600]...), list[601:]...))
 		for id := range was {
 			places++
 			if !is[id] {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -46,7 +46,7 @@
 }
 
 type engine struct {
-	Engine
+	Endpoint
 	cores, memory   float64
 	listed          bool // live, and not excluded
 	owed            bool // included again, and not sent anything since
@@ -65,7 +65,7 @@
 	ration          slowstart.Ration // of what all gateways may send it while it is cold
 	rationBy        rationBy
 	dueAt           float64         // when the heap of rations looks at it
-	peer            EngineUse       // of the other controller of this gateway, in an upgrade
+	peer            EngineUsage     // of the other controller of this gateway, in an upgrade
 	press           pressure.Engine // of memory and locks
 }
 
@@ -171,7 +171,7 @@
 	if err := validate(cfg); err != nil {
 		return nil, err
 	}
-	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Instance))),
+	c := &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.RouterIndex))),
 		tenants: map[string]*tenant{}, byID: map[EngineID]*engine{}, requests: map[RequestID]*request{},
 		keys: map[string]*keyLine{}, zones: map[string]*zone{},
 		homeOf: map[home][]*engine{}, ids: ids{excluded: map[EngineID]bool{}}}
@@ -187,18 +187,18 @@
 
 // derive sets what follows from the settings.
 func (c *Controller) derive() {
-	if c.mostHeld = math.MaxInt; c.cfg.MaxHeld > 0 {
-		c.mostHeld = max(c.cfg.MaxHeld-c.peerHeld, 0)
+	if c.mostHeld = math.MaxInt; c.cfg.MaxQueued > 0 {
+		c.mostHeld = max(c.cfg.MaxQueued-c.peerHeld, 0)
 	}
 	c.prefer = c.classes[0]
 	for _, cl := range c.classes {
-		if cl.Aim < c.prefer.Aim {
+		if cl.LatencyObjective < c.prefer.LatencyObjective {
 			c.prefer = cl
 		}
 	}
 	for _, cl := range c.classes {
-		cl.ratio = cl.Aim.Seconds() / c.prefer.Aim.Seconds()
-		c.widest, c.waits = max(c.widest, cl.Threads), c.waits || cl.WaitsOnLoad
+		cl.ratio = cl.LatencyObjective.Seconds() / c.prefer.LatencyObjective.Seconds()
+		c.widest, c.waits = max(c.widest, cl.Threads), c.waits || cl.BlockedByLoad
 	}
 	c.mostGrant = 0
 	for _, k := range c.cfg.Kinds {
@@ -231,17 +231,17 @@
 	for i, cl := range c.classes {
 		k := &cfg.Classes[i]
 		shape := *k
-		k.Semantics, k.Scope, k.OrderByKey = cl.Semantics, cl.Scope, cl.OrderByKey
-		k.Threads, k.Load, k.WaitsOnLoad = cl.Threads, cl.Load, cl.WaitsOnLoad
+		k.Semantics, k.IdempotencyScope, k.OrderByKey = cl.Semantics, cl.IdempotencyScope, cl.OrderByKey
+		k.Threads, k.LocksTableGroup, k.BlockedByLoad = cl.Threads, cl.LocksTableGroup, cl.BlockedByLoad
 		if shape.Threads = max(shape.Threads, 1); !reflect.DeepEqual(shape, *k) {
 			kept = append(kept, "classes["+strconv.Itoa(i)+"]: effect, order, threads, load or wait")
 		}
 		cl.Class = *k
 	}
-	if cfg.AskedDiscovery != c.cfg.AskedDiscovery {
-		kept, cfg.AskedDiscovery = append(kept, "discovery"), c.cfg.AskedDiscovery
+	if cfg.PolledDiscovery != c.cfg.PolledDiscovery {
+		kept, cfg.PolledDiscovery = append(kept, "discovery"), c.cfg.PolledDiscovery
 	}
-	cfg.Seed, cfg.Instance = c.cfg.Seed, c.cfg.Instance // the random source was made of them
+	cfg.Seed, cfg.RouterIndex = c.cfg.Seed, c.cfg.RouterIndex // the random source was made of them
 	c.cfg = cfg
 	c.revision++
 	c.derive()
--- a/dispatch/sums.go
+++ b/dispatch/sums.go
@@ -94,17 +94,17 @@
 
 // flow is what comes due to this gateway of what all may send a cold engine, in chunks of that work.
 func (c *Controller) flow(e *engine, chunk float64) (f slowstart.Flow) {
-	window := c.cfg.OverloadFor.Seconds()
+	window := c.cfg.WarmUpOverloadWindow.Seconds()
 	whole, meet := 0.85*e.cores, math.Inf(1) // what it can do when warm; where the two bounds below meet
-	if d := c.cfg.OverloadFactor - 2*coldUse; d > 0 {
+	if d := c.cfg.WarmUpOverloadFactor - 2*coldUse; d > 0 {
 		meet = chunk / window / d
 	}
 	rate := func(can float64) float64 {
-		return min(coldUse*can, (c.cfg.OverloadFactor*can-chunk/window)/2) * c.share() / chunk
+		return min(coldUse*can, (c.cfg.WarmUpOverloadFactor*can-chunk/window)/2) * c.share() / chunk
 	}
-	from, cold, warm := c.warmthFrom(), millis(e.coldAt), millis(e.coldAt+c.cfg.ColdFor)
+	from, cold, warm := c.warmthFrom(), millis(e.coldAt), millis(e.coldAt+c.cfg.WarmUpDuration)
 	f = f.With(cold, rate(whole*from))
-	for _, can := range []float64{chunk / window / c.cfg.OverloadFactor, meet} { // where the rate sets in, and bends
+	for _, can := range []float64{chunk / window / c.cfg.WarmUpOverloadFactor, meet} { // where the rate sets in, and bends
 		if part := (can/whole - from) / (1 - from); part > 0 && part < 1 {
 			f = f.With(cold+part*(warm-cold), rate(can))
 		}
@@ -117,7 +117,7 @@
 func (c *Controller) ration() {
 	t := &c.tally
 	t.due, t.chunks = t.due[:0], t.chunks[:0]
-	if c.cfg.OverloadFactor <= 0 || !c.large() {
+	if c.cfg.WarmUpOverloadFactor <= 0 || !c.large() {
 		return
 	}
 	if t.chunk == 0 {
@@ -172,7 +172,7 @@
 		t.chunk = most
 		c.ration()
 	}
-	now, life := millis(c.now), millis(c.cfg.OverloadFor)
+	now, life := millis(c.now), millis(c.cfg.WarmUpOverloadWindow)
 	for len(t.due) > 0 && t.due[0].dueAt <= now {
 		e := t.due[0]
 		e.ration.Chunk(now, life)
--- a/dispatch/sums_test.go
+++ b/dispatch/sums_test.go
@@ -27,8 +27,8 @@
 // plainChunked are the cold engines that have a ration, looked for one by one.
 func (c *Controller) plainChunked() (ids []EngineID) {
 	for _, e := range c.live {
-		if c.now < e.warmAt && c.large() && c.cfg.OverloadFactor > 0 {
-			if _, ok := c.rationed(e).Chunk(millis(c.now), millis(c.cfg.OverloadFor)); ok {
+		if c.now < e.warmAt && c.large() && c.cfg.WarmUpOverloadFactor > 0 {
+			if _, ok := c.rationed(e).Chunk(millis(c.now), millis(c.cfg.WarmUpOverloadWindow)); ok {
 				ids = append(ids, e.ID)
 			}
 		}
@@ -50,10 +50,10 @@
 	*rapid.T
 	kept, plain *Controller
 	now         time.Duration
-	out         []Send
+	out         []StartAttempt
 	hops        map[RequestID]int
 	timer       time.Duration
-	named       map[EngineID]Engine
+	named       map[EngineID]Endpoint
 	n           int
 }
 
@@ -65,7 +65,7 @@
 	}
 	for _, a := range got {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			w.out = append(w.out, a)
 			w.hops[a.Request]++
 		case SetTimer:
@@ -93,15 +93,15 @@
 }
 
 // change draws what a list says of an engine.
-func (w *twins) change() Engine {
+func (w *twins) change() Endpoint {
 	id := EngineID(rapid.IntRange(1, 60).Draw(w.T, "engine"))
 	e, known := w.named[id]
 	if !known {
-		e = Engine{ID: id, Kind: "k", Zone: fmt.Sprint("z", int(id)%5), Cell: int(id) % 5, Size: 1}
+		e = Endpoint{ID: id, Kind: "k", Zone: fmt.Sprint("z", int(id)%5), Cell: int(id) % 5, CapacityWeight: 1}
 	}
-	switch e.State = rapid.SampledFrom([]EngineState{Live, Live, Live, Draining, Gone}).Draw(w.T, "state"); {
+	switch e.State = rapid.SampledFrom([]EndpointState{Live, Live, Live, Draining, Removed}).Draw(w.T, "state"); {
 	case e.State == Live && rapid.Bool().Draw(w.T, "new"):
-		e.Born = w.now - time.Duration(rapid.IntRange(0, 3000).Draw(w.T, "age"))*ms
+		e.StartedAt = w.now - time.Duration(rapid.IntRange(0, 3000).Draw(w.T, "age"))*ms
 	case rapid.IntRange(0, 9).Draw(w.T, "moved") == 0:
 		e.Zone = fmt.Sprint("z", rapid.IntRange(0, 6).Draw(w.T, "zone"))
 	}
@@ -117,7 +117,7 @@
 	i := rapid.IntRange(0, len(w.out)-1).Draw(w.T, "which")
 	s := w.out[i]
 	w.out = slices.Delete(w.out, i, i+1)
-	o := rapid.SampledFrom([]Outcome{Served, Served, Served, Errored, ConnectFailed, ConnectFailed, Reset, Full, TimedOut}).Draw(w.T, "outcome")
+	o := rapid.SampledFrom([]Outcome{Served, Served, Served, EngineFailed, ConnectFailed, ConnectFailed, ConnectionReset, EngineFull, TimedOut}).Draw(w.T, "outcome")
 	if e := w.kept.byID[s.Engine]; e != nil && dead[e.Zone] && rapid.IntRange(0, 9).Draw(w.T, "through") > 0 {
 		o = ConnectFailed
 	}
@@ -131,7 +131,7 @@
 		gateways := rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "gateways")
 		cfg := fleetConfig(fleetDay{seed: 1, gateways: gateways, cores: 8}, 7)
 		cfg.Grants = true
-		w := &twins{T: t, now: time.Hour, hops: map[RequestID]int{}, named: map[EngineID]Engine{}}
+		w := &twins{T: t, now: time.Hour, hops: map[RequestID]int{}, named: map[EngineID]Endpoint{}}
 		for _, c := range []**Controller{&w.kept, &w.plain} {
 			var err error
 			if *c, err = New(cfg); err != nil {
@@ -143,39 +143,39 @@
 			dead[fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))] = true
 		}
 		busy := rapid.IntRange(0, 40).Draw(t, "busy") // how much more there is of statements than of the rest
-		var list []Engine
+		var list []Endpoint
 		for range rapid.IntRange(1, 40).Draw(t, "first") {
 			list = append(list, w.change())
 		}
-		w.handle(EngineList{Mode: ListFull, Engines: list})
+		w.handle(EndpointList{Mode: ListComplete, Endpoints: list})
 		for range rapid.IntRange(20, 250).Draw(t, "events") {
 			w.now += rapid.SampledFrom([]time.Duration{0, 0, ms, 3 * ms, 20 * ms, 150 * ms, 1500 * ms, 15 * time.Second}).Draw(t, "passes")
 			if w.timer > 0 && w.now >= w.timer {
 				w.timer = 0
-				w.handle(Timer{Tag: tickTag})
+				w.handle(TimerFired{Tag: tickTag})
 			}
 			switch kind := rapid.IntRange(0, 14+busy).Draw(t, "kind"); kind {
 			case 0, 14:
-				w.handle(EngineList{Mode: ListChanges, Engines: []Engine{w.change(), w.change()}})
+				w.handle(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{w.change(), w.change()}})
 			case 1:
 				list = list[:0]
 				for range rapid.IntRange(0, 60).Draw(t, "whole") {
 					list = append(list, w.change())
 				}
-				w.handle(EngineList{Mode: ListFull, Engines: list})
+				w.handle(EndpointList{Mode: ListComplete, Endpoints: list})
 			case 2:
-				w.handle(Exclude{Engine: EngineID(rapid.IntRange(1, 60).Draw(t, "banned"))})
+				w.handle(Cordon{Engine: EngineID(rapid.IntRange(1, 60).Draw(t, "banned"))})
 			case 3:
-				w.handle(Include{Engine: EngineID(rapid.IntRange(1, 60).Draw(t, "back"))})
+				w.handle(Uncordon{Engine: EngineID(rapid.IntRange(1, 60).Draw(t, "back"))})
 			case 4:
-				var use PeerUse
+				var use OtherProcessUsage
 				for range rapid.IntRange(0, 3).Draw(t, "uses") {
-					use.Engines = append(use.Engines, EngineUse{ID: EngineID(rapid.IntRange(1, 60).Draw(t, "used")), Threads: 4, Work: 1, Granted: 100.1, Cold: 0.1})
+					use.Engines = append(use.Engines, EngineUsage{ID: EngineID(rapid.IntRange(1, 60).Draw(t, "used")), Threads: 4, Work: 1, GrantedMB: 100.1, WarmUpWork: 0.1})
 				}
 				w.handle(use)
 			case 5:
 				changed := cfg
-				changed.Gateways, changed.OverloadFactor = rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "now"), rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(t, "factor")
+				changed.Routers, changed.WarmUpOverloadFactor = rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "now"), rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(t, "factor")
 				for _, c := range []*Controller{w.kept, w.plain} {
 					if _, _, err := c.Configure(changed); err != nil {
 						t.Fatal(err)
@@ -188,7 +188,7 @@
 				}
 				w.n++
 				class := rapid.SampledFrom([]string{"lookup", "report", "load"}).Draw(t, "class")
-				w.handle(Arrival{Request: RequestID(fmt.Sprint(w.n)), Class: class, Group: int64(rapid.IntRange(0, 5).Draw(t, "group")), TimeLeft: 3 * time.Second,
+				w.handle(Arrival{Request: RequestID(fmt.Sprint(w.n)), Class: class, TableGroup: int64(rapid.IntRange(0, 5).Draw(t, "group")), TimeLeft: 3 * time.Second,
 					Estimate: time.Duration(rapid.IntRange(1, 4000).Draw(t, "estimate")) * ms, NeedMB: rapid.Float64Range(0, 900).Draw(t, "need")})
 			}
 		}
@@ -202,8 +202,8 @@
 	list := engines(40)
 	for _, born := range []time.Duration{w.now - time.Second, w.now + 2*time.Second} {
 		w.now = born + time.Second
-		list[0].Born = born
-		w.list(ListFull, list...)
+		list[0].StartedAt = born
+		w.list(ListComplete, list...)
 		w.c.warm()
 		e := w.c.byID[1]
 		if due := e.ration.Next(); due <= millis(born) || due > millis(e.warmAt) {
@@ -215,7 +215,7 @@
 // A try of an engine that is down renews the evidence against it, and it counts among those that fail.
 func TestTryOfAnEngineThatIsDownCounts(t *testing.T) {
 	w := newWorld(t, twoClasses())
-	w.list(ListFull, engines(1)...)
+	w.list(ListComplete, engines(1)...)
 	w.c.now = w.now
 	e := w.c.live[0]
 	for range downAfter + 1 {
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -16,7 +16,7 @@
 		all = append(all, randomTrace(s, uint64(i+1)))
 	}
 	all = append(all, upgradeTrace("upgrade/warm", func(*Config) {}))
-	all = append(all, upgradeTrace("upgrade/large-fleet", func(c *Config) { c.Gateways, c.Instance = 600, 55 }))
+	all = append(all, upgradeTrace("upgrade/large-fleet", func(c *Config) { c.Routers, c.RouterIndex = 600, 55 }))
 	for _, d := range traceDays() {
 		all = append(all, fleetTrace(d.name, d.day))
 	}
@@ -36,18 +36,18 @@
 var traceSettings = []traceSetting{
 	{name: "random/plain", change: func(*Config) {}},
 	{name: "random/bare", change: func(c *Config) {
-		c.Grants, c.Priorities, c.RetryAfter, c.Cancel, c.SecondCopies = false, false, false, false, false
-		c.Tenants, c.Budget, c.NoteEvery = nil, RetryBudget{}, 0
+		c.Grants, c.Priorities, c.RetryAfterAllowed, c.CancelAllowed, c.HedgingAllowed = false, false, false, false, false
+		c.Tenants, c.RetryBudget, c.ProgressInterval = nil, RetryBudget{}, 0
 	}},
-	{name: "random/second-copies", change: func(c *Config) { c.SecondCopies, c.Cancel = true, true }},
+	{name: "random/second-copies", change: func(c *Config) { c.HedgingAllowed, c.CancelAllowed = true, true }},
 	{name: "random/tight-budget", change: func(c *Config) {
-		c.SecondCopies, c.Budget = true, RetryBudget{Window: time.Second, Free: 1, PerRequest: 0.05}
+		c.HedgingAllowed, c.RetryBudget = true, RetryBudget{Window: time.Second, Free: 1, PerRequest: 0.05}
 	}},
-	{name: "random/no-cap", change: func(c *Config) { c.MaxAttempts, c.MaxHeld = 0, 0 }},
-	{name: "random/few-held", change: func(c *Config) { c.MaxHeld, c.MaxAttempts = 4, 2 }},
-	{name: "random/asked-discovery", change: func(c *Config) { c.AskedDiscovery, c.AskWithin = true, 2*time.Second }},
-	{name: "random/shortage-trim", change: func(c *Config) { c.Shortage = ShortTrim }},
-	{name: "random/shortage-swap", change: func(c *Config) { c.Shortage = ShortSwap }},
+	{name: "random/no-cap", change: func(c *Config) { c.MaxAttempts, c.MaxQueued = 0, 0 }},
+	{name: "random/few-held", change: func(c *Config) { c.MaxQueued, c.MaxAttempts = 4, 2 }},
+	{name: "random/asked-discovery", change: func(c *Config) { c.PolledDiscovery, c.DiscoveryTimeout = true, 2*time.Second }},
+	{name: "random/shortage-trim", change: func(c *Config) { c.MemoryShortage = ShortageShrink }},
+	{name: "random/shortage-swap", change: func(c *Config) { c.MemoryShortage = ShortagePage }},
 	{name: "random/scope-zone", change: func(c *Config) { setTraceScope(c, ScopeZone) }},
 	{name: "random/scope-cell", change: func(c *Config) { setTraceScope(c, ScopeCell) }},
 	{name: "random/order-by-key", change: func(c *Config) {
@@ -56,44 +56,46 @@
 		}
 	}},
 	{name: "random/own-zone", change: func(c *Config) { c.Zone = "z1" }},
-	{name: "random/cold-starts", change: func(c *Config) { c.ColdFrom, c.ColdFor, c.OverloadFactor = 0.1, 30*time.Second, 1.2 }},
-	{name: "random/many-gateways", change: func(c *Config) { c.Gateways, c.Instance = 40, 7 }},
-	{name: "random/large-fleet", change: func(c *Config) { c.Gateways, c.Instance = 600, 123 }},
-	{name: "random/many-engines", engines: 60, change: func(c *Config) { c.Gateways, c.Instance = 12, 3 }},
-	{name: "random/large-fleet-many-engines", engines: 300, change: func(c *Config) { c.Gateways, c.Instance = 600, 321 }},
+	{name: "random/cold-starts", change: func(c *Config) {
+		c.WarmUpInitialShare, c.WarmUpDuration, c.WarmUpOverloadFactor = 0.1, 30*time.Second, 1.2
+	}},
+	{name: "random/many-gateways", change: func(c *Config) { c.Routers, c.RouterIndex = 40, 7 }},
+	{name: "random/large-fleet", change: func(c *Config) { c.Routers, c.RouterIndex = 600, 123 }},
+	{name: "random/many-engines", engines: 60, change: func(c *Config) { c.Routers, c.RouterIndex = 12, 3 }},
+	{name: "random/large-fleet-many-engines", engines: 300, change: func(c *Config) { c.Routers, c.RouterIndex = 600, 321 }},
 	{name: "random/single-threaded", engines: 16, change: func(c *Config) {
-		c.Gateways, c.Instance = 40, 9
+		c.Routers, c.RouterIndex = 40, 9
 		for i := range c.Classes {
 			c.Classes[i].Threads = 1
 		}
 	}},
-	{name: "random/zone-lost", engines: 30, lost: "z1", change: func(c *Config) { c.Gateways, c.Instance = 12, 5 }},
-	{name: "random/large-fleet-zone-lost", engines: 300, lost: "z1", change: func(c *Config) { c.Gateways, c.Instance = 600, 77 }},
+	{name: "random/zone-lost", engines: 30, lost: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 12, 5 }},
+	{name: "random/large-fleet-zone-lost", engines: 300, lost: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 600, 77 }},
 }
 
-func setTraceScope(c *Config, scope Scope) {
+func setTraceScope(c *Config, scope IdempotencyScope) {
 	for i := range c.Classes {
-		c.Classes[i].Scope = scope
+		c.Classes[i].IdempotencyScope = scope
 	}
 }
 
 // traceConfig uses about all that a controller can be told.
 func traceConfig() Config {
 	return Config{
-		Seed: 7, Instance: 1, Gateways: 3, Zone: "z0",
+		Seed: 7, RouterIndex: 1, Routers: 3, Zone: "z0",
 		Classes: []Class{
-			{Name: "lookup", Aim: 400 * ms, AimStretch: 2, Deadline: 2 * time.Second, Worth: 1, Threads: 1, WaitsOnLoad: true},
-			{Name: "report", Aim: 900 * ms, AimStretch: 2.5, Deadline: 8 * time.Second, Worth: 10, LateWorth: 0.4, Threads: 4, WaitsOnLoad: true},
-			{Name: "load", Aim: 1200 * ms, Deadline: 9 * time.Second, Worth: 7, LateWorth: 0.5, Threads: 2, Load: true, Semantics: AtMostOnce},
-			{Name: "write", Aim: 700 * ms, Deadline: 5 * time.Second, Worth: 3, Semantics: Deduplicated, Window: 3 * time.Second, OrderByKey: true},
-			{Name: "bound", Aim: 800 * ms, Deadline: 4 * time.Second, Worth: 2, Threads: 2, Zones: []string{"z1"}, Kinds: []string{"large", "small"}},
+			{Name: "lookup", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, Threads: 1, BlockedByLoad: true},
+			{Name: "report", LatencyObjective: 900 * ms, ObjectiveStretch: 2.5, Deadline: 8 * time.Second, PriorityWeight: 10, LateWeightShare: 0.4, Threads: 4, BlockedByLoad: true},
+			{Name: "load", LatencyObjective: 1200 * ms, Deadline: 9 * time.Second, PriorityWeight: 7, LateWeightShare: 0.5, Threads: 2, LocksTableGroup: true, Semantics: AtMostOnce},
+			{Name: "write", LatencyObjective: 700 * ms, Deadline: 5 * time.Second, PriorityWeight: 3, Semantics: IdempotentByKey, IdempotencyWindow: 3 * time.Second, OrderByKey: true},
+			{Name: "bound", LatencyObjective: 800 * ms, Deadline: 4 * time.Second, PriorityWeight: 2, Threads: 2, Zones: []string{"z1"}, Kinds: []string{"large", "small"}},
 		},
-		Tenants:        []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 2}},
-		Kinds:          []Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 16, MemoryMB: 32768}},
-		OverShareWorth: 0.1, MaxAttempts: 4, MaxHeld: 50, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Grants: true, MaxGrantShare: 0.4, Priorities: true, NoteEvery: 200 * ms, Tick: 2 * ms,
-		ColdFrom: 0.36, ColdFor: 12 * time.Second, OverloadFactor: 2, OverloadFor: 1500 * ms, KeyRest: 300 * ms,
-		Budget: RetryBudget{Window: 10 * time.Second, Free: 10, PerRequest: 0.3},
+		Tenants:         []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 2}},
+		Kinds:           []EngineKind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 16, MemoryMB: 32768}},
+		OverQuotaWeight: 0.1, MaxAttempts: 4, MaxQueued: 50, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
+		Grants: true, MaxGrantShare: 0.4, Priorities: true, ProgressInterval: 200 * ms, Tick: 2 * ms,
+		WarmUpInitialShare: 0.36, WarmUpDuration: 12 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: 1500 * ms, KeyCooldown: 300 * ms,
+		RetryBudget: RetryBudget{Window: 10 * time.Second, Free: 10, PerRequest: 0.3},
 	}
 }
 
@@ -120,7 +122,7 @@
 func fleetTrace(name string, day fleetDay) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
 		f := newFleetWorld(t, day)
-		f.acted = func(r *fleetRouter, a Action) { traceAction(h, r.cfg.Instance, a) }
+		f.acted = func(r *fleetRouter, a Action) { traceAction(h, r.cfg.RouterIndex, a) }
 		f.run()
 		for _, r := range f.routers[:min(len(f.routers), 3)] {
 			traceOfSnapshot(h, r.c.Snapshot())
--- a/dispatch/tracecode_test.go
+++ b/dispatch/tracecode_test.go
@@ -23,26 +23,26 @@
 // traceAction adds an action of one of several controllers.
 func traceAction(h *tracetest.Hash, controller int, a Action) {
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		h.Step(traceSend)
 		h.String(string(a.Request))
 		h.Uint(uint64(a.Engine))
 		h.Duration(a.Timeout)
-		h.Duration(a.Begin)
-	case SetTerms:
+		h.Duration(a.StartWithin)
+	case SetResources:
 		h.Step(traceSetTerms)
 		h.String(string(a.Request))
 		h.Float(a.GrantMB)
 		h.Int(int64(a.Priority))
-	case Cancel:
+	case CancelAttempt:
 		h.Step(traceCancel)
 		h.String(string(a.Request))
 		h.Int(int64(a.Attempt))
-	case Refuse:
+	case Reject:
 		h.Step(traceRefuse)
 		h.String(string(a.Request))
 		h.Duration(a.RetryAfter)
-	case Fail:
+	case FailRequest:
 		h.Step(traceFail)
 		h.String(string(a.Request))
 	case Subscribe:
@@ -60,30 +60,30 @@
 func traceOfSnapshot(h *tracetest.Hash, s Snapshot) {
 	h.Step(traceSnapshot)
 	traceIDs(h, s.Known)
-	traceIDs(h, s.Excluded)
+	traceIDs(h, s.Cordoned)
 	h.Int(int64(len(s.Engines)))
 	for _, e := range s.Engines {
 		h.Uint(uint64(e.ID))
-		h.Duration(e.Born)
-		h.Duration(e.ColdAt)
-		h.Duration(e.WarmAt)
-		h.Float(e.Slow)
-		h.Float(e.Fail)
-		h.Duration(e.SlowAt)
-		h.Duration(e.FailAt)
-		h.Int(int64(e.Lost))
-		h.Bool(e.Owed)
+		h.Duration(e.StartedAt)
+		h.Duration(e.WarmUpStart)
+		h.Duration(e.WarmUpEnd)
+		h.Float(e.Slowness)
+		h.Float(e.FailureShare)
+		h.Duration(e.SlownessAt)
+		h.Duration(e.FailureShareAt)
+		h.Int(int64(e.ConnectionFailures))
+		h.Bool(e.OnProbation)
 	}
 	h.Int(int64(len(s.Classes)))
 	for _, k := range s.Classes {
 		h.String(k.Name)
-		for _, v := range []float64{k.Mean, k.Pace, k.Best, k.EstMean, k.Fix, k.Seen} {
+		for _, v := range []float64{k.MeanServiceTime, k.BoundedServiceTime, k.BestServiceTime, k.MeanEstimate, k.GrantCorrection, k.Observations} {
 			h.Float(v)
 		}
-		h.Duration(k.SeenAt)
+		h.Duration(k.ObservedAt)
 	}
-	h.Float(s.Done)
-	h.Duration(s.DoneAt)
+	h.Float(s.CompletedWork)
+	h.Duration(s.CompletedWorkAt)
 }
 
 func traceIDs(h *tracetest.Hash, ids []EngineID) {
@@ -93,13 +93,13 @@
 	}
 }
 
-func traceOfUse(h *tracetest.Hash, use PeerUse) {
+func traceOfUse(h *tracetest.Hash, use OtherProcessUsage) {
 	h.Step(traceUse)
-	h.Int(int64(use.Held))
+	h.Int(int64(use.Queued))
 	h.Int(int64(len(use.Engines)))
 	for _, u := range use.Engines {
 		h.Uint(uint64(u.ID))
-		for _, v := range []float64{u.Threads, u.Prefer, u.Work, u.Granted, u.Cold} {
+		for _, v := range []float64{u.Threads, u.PreferredThreads, u.Work, u.GrantedMB, u.WarmUpWork} {
 			h.Float(v)
 		}
 	}
@@ -107,24 +107,24 @@
 
 func traceOfView(h *tracetest.Hash, v *View) {
 	h.Step(traceView)
-	h.Int(int64(v.Held))
-	h.Float(v.Jam)
-	h.Float(v.Bound)
+	h.Int(int64(v.Queued))
+	h.Float(v.Congestion)
+	h.Float(v.ThreadsPerCore)
 	h.Int(int64(len(v.Engines)))
 	for _, e := range v.Engines {
 		h.Uint(uint64(e.ID))
 		h.String(e.Zone)
 		h.String(e.Kind)
 		h.Int(int64(e.State))
-		for _, b := range []bool{e.Excluded, e.Cold, e.Failing, e.Down} {
+		for _, b := range []bool{e.Cordoned, e.WarmingUp, e.Ejected, e.Down} {
 			h.Bool(b)
 		}
-		h.Duration(e.WarmAt)
-		h.Float(e.Slow)
-		h.Float(e.Fail)
-		h.Int(int64(e.Lost))
+		h.Duration(e.WarmUpEnd)
+		h.Float(e.Slowness)
+		h.Float(e.FailureShare)
+		h.Int(int64(e.ConnectionFailures))
 		h.Int(int64(e.Running))
 		h.Float(e.Threads)
-		h.Float(e.Works)
+		h.Float(e.Work)
 	}
 }
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -14,18 +14,18 @@
 	case e.State == Live:
 		e.State = Draining
 	case e.State == Draining && w.rng.IntN(3) > 0:
-		e.State = Gone
-	case e.State == Gone && w.rng.IntN(2) == 0 && len(w.engines) < w.most:
+		e.State = Removed
+	case e.State == Removed && w.rng.IntN(2) == 0 && len(w.engines) < w.most:
 		fresh := w.newEngine(EngineID(len(w.engines) + 1))
-		fresh.Born = w.now - time.Duration(w.rng.IntN(int(time.Second)))
+		fresh.StartedAt = w.now - time.Duration(w.rng.IntN(int(time.Second)))
 		w.engines = append(w.engines, fresh)
 		e = &w.engines[len(w.engines)-1]
 	default:
-		e.State, e.Born = Live, w.now
+		e.State, e.StartedAt = Live, w.now
 	}
-	w.tellAll(EngineList{Mode: ListChanges, Engines: []Engine{*e}})
+	w.tellAll(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{*e}})
 	if w.rng.IntN(10) == 0 {
-		w.handle(s, EngineList{Mode: ListChanges, Engines: []Engine{*e}})
+		w.handle(s, EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{*e}})
 	}
 }
 
@@ -39,23 +39,23 @@
 func (w *traceWorld) lists(s *traceSide) {
 	switch mode := ListMode(w.rng.IntN(int(ListFailed) + 1)); mode {
 	case ListFailed:
-		w.handle(s, EngineList{Mode: mode})
-	case ListSaved:
+		w.handle(s, EndpointList{Mode: mode})
+	case ListCached:
 		list := w.listed()
-		w.handle(s, EngineList{Mode: mode, Engines: list[:len(list)-len(list)/3]})
-		w.handle(s, EngineList{Mode: ListFull, Engines: list})
+		w.handle(s, EndpointList{Mode: mode, Endpoints: list[:len(list)-len(list)/3]})
+		w.handle(s, EndpointList{Mode: ListComplete, Endpoints: list})
 	default:
-		w.handle(s, EngineList{Mode: mode, Engines: w.listed()})
+		w.handle(s, EndpointList{Mode: mode, Endpoints: w.listed()})
 	}
 }
 
 func (w *traceWorld) exclude(s *traceSide) {
 	id := w.anyEngine()
-	if s.c.Excluded(id) || w.rng.IntN(3) == 0 {
-		w.tellAll(Include{Engine: id})
+	if s.c.Cordoned(id) || w.rng.IntN(3) == 0 {
+		w.tellAll(Uncordon{Engine: id})
 		return
 	}
-	w.tellAll(Exclude{Engine: id})
+	w.tellAll(Cordon{Engine: id})
 }
 
 // peers starts a second controller, has the two tell each other what they have running, and in the end closes the first.
@@ -65,13 +65,13 @@
 		fresh := w.start()
 		snapshot := s.c.Snapshot()
 		traceOfSnapshot(w.hash, snapshot)
-		w.handle(fresh, Takeover{Snapshot: snapshot})
+		w.handle(fresh, RestoreSnapshot{Snapshot: snapshot})
 		w.exchange()
 	case len(w.sides) == 1:
 	case w.rng.IntN(3) == 0:
-		w.handle(w.sides[0], Closing{At: w.now + time.Duration(w.rng.IntN(int(time.Second)))})
+		w.handle(w.sides[0], ShutdownDeadline{At: w.now + time.Duration(w.rng.IntN(int(time.Second)))})
 	case w.rng.IntN(4) == 0:
-		w.handle(w.sides[1], PeerUse{})
+		w.handle(w.sides[1], OtherProcessUsage{})
 		w.sides = w.sides[1:]
 		w.sides[0].index = 0
 	default:
@@ -86,20 +86,20 @@
 		old, fresh := w.sides[len(w.sides)-1], w.start()
 		w.sides = []*traceSide{old, fresh}
 		fresh.index = 1 - old.index
-		w.handle(fresh, Takeover{Snapshot: old.c.Snapshot()})
+		w.handle(fresh, RestoreSnapshot{Snapshot: old.c.Snapshot()})
 		for range steps / 10 {
 			w.run(10)
 			if len(w.sides) == 2 {
 				w.exchange()
 			}
 		}
-		w.handle(old, Closing{At: w.now + 100*ms})
+		w.handle(old, ShutdownDeadline{At: w.now + 100*ms})
 	}
 }
 
 // exchange has each controller count what the other one has running.
 func (w *traceWorld) exchange() {
-	uses := []PeerUse{w.sides[0].c.Use(w.now), w.sides[1].c.Use(w.now)}
+	uses := []OtherProcessUsage{w.sides[0].c.Usage(w.now), w.sides[1].c.Usage(w.now)}
 	for i, s := range w.sides {
 		traceOfUse(w.hash, uses[1-i])
 		w.handle(s, uses[1-i])
@@ -110,37 +110,37 @@
 func (w *traceWorld) configure(s *traceSide) {
 	cfg := w.cfg
 	cfg.Classes = append([]Class(nil), w.cfg.Classes...)
-	cfg.Classes[w.rng.IntN(len(cfg.Classes))].Aim += time.Duration(w.rng.IntN(int(100 * ms)))
+	cfg.Classes[w.rng.IntN(len(cfg.Classes))].LatencyObjective += time.Duration(w.rng.IntN(int(100 * ms)))
 	switch w.rng.IntN(8) {
 	case 0:
-		cfg.Gateways = 1 + w.rng.IntN(40)
+		cfg.Routers = 1 + w.rng.IntN(40)
 	case 1:
 		cfg.MaxAttempts = w.rng.IntN(5)
 	case 2:
-		cfg.MaxHeld = w.rng.IntN(30)
+		cfg.MaxQueued = w.rng.IntN(30)
 	case 3:
 		cfg.Classes[0].Threads += 3
 		cfg.Seed++
 	case 4:
-		cfg.ColdFor = -1
+		cfg.WarmUpDuration = -1
 	case 5:
 		cfg.Tenants = append([]Tenant{{Name: "b", Quota: 5}}, cfg.Tenants[:len(cfg.Tenants)/2]...)
 	case 6:
 		cfg.Classes[1].Name = "another"
 	case 7:
-		cfg.AskedDiscovery = !cfg.AskedDiscovery
+		cfg.PolledDiscovery = !cfg.PolledDiscovery
 	}
 	now, kept, err := s.c.Configure(cfg)
 	w.hash.Step(traceConfigure)
 	w.hash.Int(int64(len(kept)))
 	w.hash.Bool(err != nil)
-	w.hash.Int(int64(now.Gateways))
+	w.hash.Int(int64(now.Routers))
 	w.hash.Int(int64(now.MaxAttempts))
-	w.hash.Int(int64(now.MaxHeld))
+	w.hash.Int(int64(now.MaxQueued))
 	w.hash.Int(int64(len(now.Tenants)))
 	w.hash.Uint(now.Seed)
 	for _, k := range now.Classes {
-		w.hash.Duration(k.Aim)
+		w.hash.Duration(k.LatencyObjective)
 		w.hash.Int(int64(k.Threads))
 	}
 }
@@ -149,22 +149,22 @@
 func (w *traceWorld) strange(s *traceSide) {
 	switch w.rng.IntN(8) {
 	case 0:
-		w.handle(s, Note{Request: "nobody's", Attempt: 1, Kind: NoteShare, Amount: 0.5})
+		w.handle(s, AttemptProgress{Request: "nobody's", Attempt: 1, Kind: ProgressFraction, Amount: 0.5})
 	case 1:
 		w.handle(s, AttemptEnd{Request: "nobody's", Outcome: Served, Last: true})
 	case 2:
-		w.handle(s, Abort{Request: "nobody's"})
+		w.handle(s, ClientGone{Request: "nobody's"})
 	case 3:
-		w.handle(s, Timer{Tag: int64(w.rng.IntN(3))})
+		w.handle(s, TimerFired{Tag: int64(w.rng.IntN(3))})
 	case 4:
-		w.handle(s, Exclude{Engine: 9999})
+		w.handle(s, Cordon{Engine: 9999})
 	case 5:
-		w.handle(s, Report{Engine: 9999})
+		w.handle(s, EngineLoad{Engine: 9999})
 	case 6:
 		w.handle(s, Arrival{Request: "odd", Class: "no such class", TimeLeft: time.Second})
 	case 7:
 		if r, at := w.out(s); r != nil {
-			w.handle(s, AttemptEnd{Request: r.id, Attempt: r.out[at] + 7, Outcome: Reset})
+			w.handle(s, AttemptEnd{Request: r.id, Attempt: r.out[at] + 7, Outcome: ConnectionReset})
 		}
 	}
 }
--- a/dispatch/traceworld_test.go
+++ b/dispatch/traceworld_test.go
@@ -18,7 +18,7 @@
 	cfg     Config
 	now     time.Duration
 	sides   []*traceSide
-	engines []Engine
+	engines []Endpoint
 	most    int    // engines over all time
 	lost    string // zone whose engines do not answer
 	next    int    // number of the latest request
@@ -53,10 +53,10 @@
 }
 
 // newEngine gives an engine, some of them large, some of another kind.
-func (w *traceWorld) newEngine(id EngineID) Engine {
+func (w *traceWorld) newEngine(id EngineID) Endpoint {
 	kind := []string{"small", "large", "unknown"}[w.rng.IntN(3)]
 	cell := int(id) % 4
-	return Engine{ID: id, Cell: cell, Zone: fmt.Sprint("z", cell/2), Kind: kind, Size: float64(1 + w.rng.IntN(8))}
+	return Endpoint{ID: id, Cell: cell, Zone: fmt.Sprint("z", cell/2), Kind: kind, CapacityWeight: float64(1 + w.rng.IntN(8))}
 }
 
 // start adds a controller that knows the list.
@@ -67,13 +67,13 @@
 	}
 	s := &traceSide{index: len(w.sides), c: c}
 	w.sides = append(w.sides, s)
-	w.handle(s, EngineList{Mode: ListFull, Engines: w.listed()})
+	w.handle(s, EndpointList{Mode: ListComplete, Endpoints: w.listed()})
 	return s
 }
 
-func (w *traceWorld) listed() (list []Engine) {
+func (w *traceWorld) listed() (list []Endpoint) {
 	for _, e := range w.engines {
-		if e.State != Gone {
+		if e.State != Removed {
 			list = append(list, e)
 		}
 	}
@@ -90,14 +90,14 @@
 // act does what the controller wants done.
 func (w *traceWorld) act(s *traceSide, a Action) {
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		if r := s.request(a.Request); r != nil {
 			r.out = append(r.out, len(r.attempts))
 			r.attempts = append(r.attempts, a.Engine)
 		}
-	case Refuse:
+	case Reject:
 		s.answered(a.Request)
-	case Fail:
+	case FailRequest:
 		s.answered(a.Request)
 	case SetTimer:
 		s.wakeAt, s.wakeTag = w.now+a.After, a.Tag
@@ -152,7 +152,7 @@
 		if s.wakeAt > 0 && s.wakeAt <= until {
 			w.now = max(w.now, s.wakeAt)
 			s.wakeAt = 0
-			w.handle(s, Timer{Tag: s.wakeTag})
+			w.handle(s, TimerFired{Tag: s.wakeTag})
 		}
 	}
 	w.now = max(w.now, until)
@@ -162,11 +162,11 @@
 func (w *traceWorld) show() {
 	for _, s := range w.sides {
 		var v View
-		s.c.See(w.now, &v)
+		s.c.FillView(w.now, &v)
 		traceOfView(w.hash, &v)
 		traceOfSnapshot(w.hash, s.c.Snapshot())
-		traceOfUse(w.hash, s.c.Use(w.now))
-		w.hash.Int(int64(s.c.Avoided(w.now)))
+		traceOfUse(w.hash, s.c.Usage(w.now))
+		w.hash.Int(int64(s.c.AvoidedEngines(w.now)))
 		s.forget()
 	}
 }
@@ -180,7 +180,7 @@
 	case n < 162:
 		w.note(s)
 	case n < 170:
-		w.handle(s, Report{Engine: w.anyEngine(), Load: *w.load()})
+		w.handle(s, EngineLoad{Engine: w.anyEngine(), Report: *w.load()})
 	case n < 174:
 		w.stream(s)
 	case n < 179:
@@ -210,7 +210,7 @@
 		a.Key = fmt.Sprint("key", w.rng.IntN(6))
 	}
 	if w.rng.IntN(2) == 0 {
-		a.Group = GroupOf(uint32(w.rng.IntN(5)))
+		a.TableGroup = TableGroupOf(uint32(w.rng.IntN(5)))
 	}
 	if w.rng.IntN(3) > 0 {
 		a.Estimate = time.Duration(w.rng.ExpFloat64() * float64(200*ms))
@@ -256,7 +256,7 @@
 	ev.Last = o == Served && !r.answered
 	r.answered = r.answered || ev.Last
 	if w.rng.IntN(2) == 0 {
-		ev.Load = w.load()
+		ev.Report = w.load()
 	}
 	if o == Served && w.rng.IntN(3) > 0 {
 		ev.Work = time.Duration(w.rng.ExpFloat64() * float64(250*ms))
@@ -266,8 +266,8 @@
 }
 
 // load gives a report, with some figures unknown.
-func (w *traceWorld) load() *Load {
-	l := &Load{InFlight: float64(w.rng.IntN(20)), Waiting: float64(w.rng.IntN(3)), Busy: w.rng.Float64(), Disk: w.rng.Float64(),
+func (w *traceWorld) load() *LoadReport {
+	l := &LoadReport{InFlight: float64(w.rng.IntN(20)), Waiting: float64(w.rng.IntN(3)), Busy: w.rng.Float64(), Disk: w.rng.Float64(),
 		Memory: 1.2 * w.rng.Float64(), Failing: w.rng.Float64()}
 	for _, v := range []*float64{&l.InFlight, &l.Waiting, &l.Busy, &l.Disk, &l.Memory, &l.Failing} {
 		if w.rng.IntN(6) == 0 {
@@ -284,13 +284,13 @@
 	if r == nil {
 		return
 	}
-	ev := Note{Request: r.id, Attempt: r.out[at], Kind: NoteKind(w.rng.IntN(4))}
+	ev := AttemptProgress{Request: r.id, Attempt: r.out[at], Kind: ProgressKind(w.rng.IntN(4))}
 	switch ev.Kind {
-	case NoteShare:
+	case ProgressFraction:
 		ev.Amount = w.rng.Float64()
-	case NoteSpill:
+	case ProgressSpilling:
 		ev.Amount = w.rng.ExpFloat64() * 500
-	case NoteWaits:
+	case ProgressBlocked:
 		ev.Amount = float64(1 + w.rng.IntN(2))
 	}
 	w.handle(s, ev)
@@ -298,7 +298,7 @@
 
 func (w *traceWorld) stream(s *traceSide) {
 	if r, at := w.out(s); r != nil {
-		w.handle(s, StreamStart{Request: r.id, Attempt: r.out[at]})
+		w.handle(s, ResponseStarted{Request: r.id, Attempt: r.out[at]})
 	}
 }
 
@@ -306,6 +306,6 @@
 	if len(s.requests) > 0 {
 		r := s.requests[w.rng.IntN(len(s.requests))]
 		r.answered = true
-		w.handle(s, Abort{Request: r.id})
+		w.handle(s, ClientGone{Request: r.id})
 	}
 }
--- a/dispatch/validate.go
+++ b/dispatch/validate.go
@@ -17,11 +17,11 @@
 		switch {
 		case k.Name == "" || names[k.Name]:
 			return fmt.Errorf("%s.name: %q is empty or used twice", at, k.Name)
-		case k.Aim <= 0:
-			return fmt.Errorf("%s.aim: %v is not above zero", at, k.Aim)
+		case k.LatencyObjective <= 0:
+			return fmt.Errorf("%s.aim: %v is not above zero", at, k.LatencyObjective)
 		case k.Deadline <= 0:
 			return fmt.Errorf("%s.deadline: %v is not above zero", at, k.Deadline)
-		case k.AimStretch < 0 || k.Worth < 0 || k.LateWorth < 0 || k.Window < 0 || k.Threads < 0:
+		case k.ObjectiveStretch < 0 || k.PriorityWeight < 0 || k.LateWeightShare < 0 || k.IdempotencyWindow < 0 || k.Threads < 0:
 			return fmt.Errorf("%s: a stretch, worth, window or thread count is below zero", at)
 		}
 		names[k.Name] = true
@@ -34,14 +34,14 @@
 	for _, k := range []struct {
 		name string
 		d    time.Duration
-	}{{"cold-for", cfg.ColdFor}, {"overload-for", cfg.OverloadFor}, {"key-rest", cfg.KeyRest},
-		{"budget.window", cfg.Budget.Window}, {"ask-within", cfg.AskWithin}, {"tick", cfg.Tick},
+	}{{"cold-for", cfg.WarmUpDuration}, {"overload-for", cfg.WarmUpOverloadWindow}, {"key-rest", cfg.KeyCooldown},
+		{"budget.window", cfg.RetryBudget.Window}, {"ask-within", cfg.DiscoveryTimeout}, {"tick", cfg.Tick},
 		{"max-retry-after", cfg.MaxRetryAfter}} {
 		if k.d < 0 {
 			return fmt.Errorf("%s: %v is below zero", k.name, k.d)
 		}
 	}
-	if cfg.MaxAttempts < 0 || cfg.Gateways < 0 || cfg.ColdFrom < 0 || cfg.OverloadFactor < 0 {
+	if cfg.MaxAttempts < 0 || cfg.Routers < 0 || cfg.WarmUpInitialShare < 0 || cfg.WarmUpOverloadFactor < 0 {
 		return errors.New("max-attempts, gateways, cold-from or overload-factor: below zero")
 	}
 	return nil
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -7,46 +7,46 @@
 
 // EngineView is what a controller thinks of an engine.
 type EngineView struct {
-	ID             EngineID
-	Zone, Kind     string
-	State          EngineState // as the list says
-	Excluded       bool        // by hand
-	Cold           bool        // started not long ago
-	Failing        bool        // so many of its attempts fail that others are preferred
-	Down           bool        // attempts in a row met no connection, or lost it
-	WarmAt         time.Duration
-	Slow           float64 // its times over its peers', 1 for like them
-	Fail           float64 // share of late attempts that failed, fading
-	Lost           int     // attempts in a row that met no connection, or lost it
-	Running        int     // own attempts
-	Threads, Works float64 // theirs, and their estimated work in seconds
+	ID                 EngineID
+	Zone, Kind         string
+	State              EndpointState // as the list says
+	Cordoned           bool          // by hand
+	WarmingUp          bool          // started not long ago
+	Ejected            bool          // so many of its attempts fail that others are preferred
+	Down               bool          // attempts in a row met no connection, or lost it
+	WarmUpEnd          time.Duration
+	Slowness           float64 // its times over its peers', 1 for like them
+	FailureShare       float64 // share of late attempts that failed, fading
+	ConnectionFailures int     // attempts in a row that met no connection, or lost it
+	Running            int     // own attempts
+	Threads, Work      float64 // theirs, and their estimated work in seconds
 }
 
 // View is what a controller thinks of the fleet.
 type View struct {
-	Engines []EngineView
-	Held    int     // requests that are not sent
-	Jam     float64 // 0 for none to 1
-	Bound   float64 // own threads a core
+	Engines        []EngineView
+	Queued         int     // requests that are not sent
+	Congestion     float64 // 0 for none to 1
+	ThreadsPerCore float64 // own threads a core
 }
 
-// See fills a view, whose slice it uses again.
-func (c *Controller) See(now time.Duration, v *View) {
+// FillView fills a view, whose slice it uses again.
+func (c *Controller) FillView(now time.Duration, v *View) {
 	c.now = max(c.now, now)
-	v.Engines, v.Held, v.Jam, v.Bound = v.Engines[:0], c.held, 0, 0
+	v.Engines, v.Queued, v.Congestion, v.ThreadsPerCore = v.Engines[:0], c.held, 0, 0
 	if share := c.share(); c.prefer != nil && share > 0 {
-		v.Bound = c.bound()
-		v.Jam, _ = c.jam()
+		v.ThreadsPerCore = c.bound()
+		v.Congestion, _ = c.jam()
 	}
 	for _, e := range c.engines {
-		if e.State == Gone {
+		if e.State == Removed {
 			continue
 		}
-		threads := e.threads - e.peer.Threads + e.prefer - e.peer.Prefer
+		threads := e.threads - e.peer.Threads + e.prefer - e.peer.PreferredThreads
 		v.Engines = append(v.Engines, EngineView{ID: e.ID, Zone: e.Zone, Kind: e.Kind, State: e.State,
-			Excluded: c.Excluded(e.ID), Cold: e.warmAt > c.now, WarmAt: e.warmAt,
-			Failing: c.failing(e) >= ejectAt, Down: e.lost >= downAfter, Lost: e.lost,
-			Slow: c.slowness(e), Fail: c.failing(e),
-			Running: len(e.running), Threads: threads, Works: e.work - e.peer.Work})
+			Cordoned: c.Cordoned(e.ID), WarmingUp: e.warmAt > c.now, WarmUpEnd: e.warmAt,
+			Ejected: c.failing(e) >= ejectAt, Down: e.lost >= downAfter, ConnectionFailures: e.lost,
+			Slowness: c.slowness(e), FailureShare: c.failing(e),
+			Running: len(e.running), Threads: threads, Work: e.work - e.peer.Work})
 	}
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -15,10 +15,10 @@
 	c     *Controller
 	cfg   Config
 	now   time.Duration
-	sends []Send
+	sends []StartAttempt
 	acts  []Action
 	reqs  map[RequestID]*track
-	told  map[EngineID]Engine
+	told  map[EngineID]Endpoint
 	taken []time.Duration
 	extra []time.Duration
 	order []*track
@@ -46,15 +46,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, c: c, cfg: cfg, reqs: map[RequestID]*track{}, told: map[EngineID]Engine{}, now: time.Hour,
+	return &world{t: t, c: c, cfg: cfg, reqs: map[RequestID]*track{}, told: map[EngineID]Endpoint{}, now: time.Hour,
 		cold: map[EngineID][]time.Duration{}}
 }
 
 func twoClasses() Config {
-	return Config{Seed: 1, Gateways: 1, Tick: 5 * ms, MaxAttempts: 3, Priorities: true, Grants: true,
-		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}}, MaxGrantShare: 0.5,
-		Classes: []Class{{Name: "quick", Aim: 500 * ms, Deadline: 3 * time.Second, Worth: 1, Threads: 1},
-			{Name: "big", Aim: 2 * time.Second, Deadline: 15 * time.Second, Worth: 10, LateWorth: 0.5, Threads: 4}}}
+	return Config{Seed: 1, Routers: 1, Tick: 5 * ms, MaxAttempts: 3, Priorities: true, Grants: true,
+		Kinds: []EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, MaxGrantShare: 0.5,
+		Classes: []Class{{Name: "quick", LatencyObjective: 500 * ms, Deadline: 3 * time.Second, PriorityWeight: 1, Threads: 1},
+			{Name: "big", LatencyObjective: 2 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 10, LateWeightShare: 0.5, Threads: 4}}}
 }
 
 func (w *world) handle(ev Event) []Action {
@@ -67,24 +67,24 @@
 	return acts
 }
 
-func (w *world) list(mode ListMode, engines ...Engine) {
+func (w *world) list(mode ListMode, engines ...Endpoint) {
 	w.t.Helper()
-	if mode == ListFull || mode == ListSaved {
+	if mode == ListComplete || mode == ListCached {
 		for id, e := range w.told {
-			e.State = Gone
+			e.State = Removed
 			w.told[id] = e
 		}
 	}
 	for _, e := range engines {
 		w.told[e.ID] = e
 	}
-	w.handle(EngineList{Mode: mode, Engines: engines})
+	w.handle(EndpointList{Mode: mode, Endpoints: engines})
 }
 
-func engines(n int) []Engine {
-	var list []Engine
+func engines(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Engine{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%2), Cell: i % 2, Size: 1})
+		list = append(list, Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%2), Cell: i % 2, CapacityWeight: 1})
 	}
 	return list
 }
@@ -122,20 +122,20 @@
 	w.endHop(tr, len(tr.outcome)-1, o, nil)
 }
 
-func (w *world) endHop(tr *track, hop int, o Outcome, load *Load) {
+func (w *world) endHop(tr *track, hop int, o Outcome, load *LoadReport) {
 	w.t.Helper()
 	tr.outcome[hop] = o
 	if o == Served && tr.answers == 0 && !tr.aborted {
 		tr.answers = 1
 	}
-	w.handle(AttemptEnd{Request: tr.id, Attempt: hop, Outcome: o, Last: tr.answers > 0 || tr.aborted, Load: load})
+	w.handle(AttemptEnd{Request: tr.id, Attempt: hop, Outcome: o, Last: tr.answers > 0 || tr.aborted, Report: load})
 }
 
 func (w *world) tick(d time.Duration) {
 	w.t.Helper()
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * ms
-		w.handle(Timer{Tag: tickTag})
+		w.handle(TimerFired{Tag: tickTag})
 	}
 }
 
@@ -143,23 +143,23 @@
 func (w *world) check(a Action) {
 	w.t.Helper()
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		w.sends = append(w.sends, a)
-		w.checkBegin(w.reqs[a.Request], w.told[a.Engine], a.Begin)
+		w.checkBegin(w.reqs[a.Request], w.told[a.Engine], a.StartWithin)
 		w.checkSend(w.reqs[a.Request], w.told[a.Engine])
-	case Refuse:
+	case Reject:
 		tr := w.reqs[a.Request]
 		for i, o := range tr.outcome {
-			if mayRun(o) && (tr.class.Semantics == AtMostOnce || tr.class.Semantics == Deduplicated &&
-				(tr.class.Scope != ScopeAll || w.now > tr.sentAt[i]+tr.class.Window)) {
+			if mayRun(o) && (tr.class.Semantics == AtMostOnce || tr.class.Semantics == IdempotentByKey &&
+				(tr.class.IdempotencyScope != ScopeAll || w.now > tr.sentAt[i]+tr.class.IdempotencyWindow)) {
 				w.t.Fatalf("%s refused though it may have run", tr.id)
 			}
 		}
 		w.answer(tr)
-	case Fail:
+	case FailRequest:
 		w.answer(w.reqs[a.Request])
-	case Cancel:
-		if !w.cfg.Cancel {
+	case CancelAttempt:
+		if !w.cfg.CancelAllowed {
 			w.t.Fatal("cancel where it is not allowed")
 		}
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-func mayRun(o Outcome) bool { return o != Full && o != ConnectFailed && o != NotSent }
+func mayRun(o Outcome) bool { return o != EngineFull && o != ConnectFailed && o != NotSent }
 
-func (w *world) checkSend(tr *track, e Engine) {
+func (w *world) checkSend(tr *track, e Endpoint) {
 	w.t.Helper()
 	bad := func(f string, args ...any) {
 		w.t.Helper()
@@ -198,16 +198,16 @@
 		bad("placed in %s on %s", e.Zone, e.Kind)
 	}
 	for i, o := range tr.outcome {
-		if o == isOut && !w.cfg.SecondCopies {
+		if o == isOut && !w.cfg.HedgingAllowed {
 			bad("two attempts out")
 		}
 		first := w.told[tr.engines[i]]
 		if !mayRun(o) || tr.class.Semantics == Idempotent {
 			continue
 		}
-		if tr.class.Semantics == AtMostOnce || w.now > tr.sentAt[i]+tr.class.Window ||
-			tr.class.Scope == ScopeZone && first.Zone != e.Zone ||
-			tr.class.Scope == ScopeCell && first.Cell != e.Cell {
+		if tr.class.Semantics == AtMostOnce || w.now > tr.sentAt[i]+tr.class.IdempotencyWindow ||
+			tr.class.IdempotencyScope == ScopeZone && first.Zone != e.Zone ||
+			tr.class.IdempotencyScope == ScopeCell && first.Cell != e.Cell {
 			bad("its effect may happen twice")
 		}
 	}
@@ -221,16 +221,16 @@
 			}
 		}
 	}
-	if len(tr.engines) > 0 && w.cfg.Budget.Window > 0 {
+	if len(tr.engines) > 0 && w.cfg.RetryBudget.Window > 0 {
 		w.extra = append(w.extra, w.now)
-		for _, begins := range []time.Duration{w.now, w.now + w.cfg.Budget.late()} { // now, or as late as it may
-			allowed := w.cfg.Budget.Free + w.cfg.Budget.PerRequest*float64(since(w.taken, begins-w.cfg.Budget.Window))
-			if float64(since(w.extra, w.now-w.cfg.Budget.Window-w.cfg.Budget.late())) > allowed {
+		for _, begins := range []time.Duration{w.now, w.now + w.cfg.RetryBudget.late()} { // now, or as late as it may
+			allowed := w.cfg.RetryBudget.Free + w.cfg.RetryBudget.PerRequest*float64(since(w.taken, begins-w.cfg.RetryBudget.Window))
+			if float64(since(w.extra, w.now-w.cfg.RetryBudget.Window-w.cfg.RetryBudget.late())) > allowed {
 				bad("past the budget of %v", allowed)
 			}
 		}
 	}
-	if e.Born > 0 && w.now < e.Born+w.cfg.ColdFor && w.cfg.OverloadFactor > 0 {
+	if e.StartedAt > 0 && w.now < e.StartedAt+w.cfg.WarmUpDuration && w.cfg.WarmUpOverloadFactor > 0 {
 		w.cold[e.ID] = append(w.cold[e.ID], w.now)
 	}
 	tr.engines = append(tr.engines, e.ID)
@@ -262,18 +262,18 @@
 
 // checkBegin holds the time within which an attempt has to begin against the window of earlier ones that may have run, and
 // against the budget of a cold engine.
-func (w *world) checkBegin(tr *track, e Engine, within time.Duration) {
+func (w *world) checkBegin(tr *track, e Endpoint, within time.Duration) {
 	w.t.Helper()
 	most := time.Duration(0) // 0: any time
 	for i, o := range tr.outcome {
-		if left := tr.sentAt[i] + tr.class.Window - w.now; tr.class.Semantics == Deduplicated && mayRun(o) && (most == 0 || left < most) {
+		if left := tr.sentAt[i] + tr.class.IdempotencyWindow - w.now; tr.class.Semantics == IdempotentByKey && mayRun(o) && (most == 0 || left < most) {
 			most = max(left, 1)
 		}
 	}
-	if e.Born > 0 && w.now < e.Born+w.cfg.ColdFor && (most == 0 || w.cfg.OverloadFor/coldLate < most) {
-		most = w.cfg.OverloadFor / coldLate
+	if e.StartedAt > 0 && w.now < e.StartedAt+w.cfg.WarmUpDuration && (most == 0 || w.cfg.WarmUpOverloadWindow/coldLate < most) {
+		most = w.cfg.WarmUpOverloadWindow / coldLate
 	}
-	if late := w.cfg.Budget.late(); late > 0 && len(tr.outcome) > 0 && (most == 0 || late < most) {
+	if late := w.cfg.RetryBudget.late(); late > 0 && len(tr.outcome) > 0 && (most == 0 || late < most) {
 		most = late
 	}
 	if most > 0 && (within <= 0 || within > most) {
--- a/internal/discovery/board.go
+++ b/internal/discovery/board.go
@@ -75,9 +75,9 @@
 	case len(rest)%recordLength != 0:
 		return f, fmt.Errorf("payload of %d bytes is not whole records", len(rest))
 	}
-	f.list = List{Events: dispatch.EngineList{Mode: dispatch.ListChanges}, Addrs: map[dispatch.EngineID]string{}}
+	f.list = List{Events: dispatch.EndpointList{Mode: dispatch.ListIncremental}, Addrs: map[dispatch.EngineID]string{}}
 	if f.kind == kindWhole {
-		f.list.Events.Mode = dispatch.ListFull
+		f.list.Events.Mode = dispatch.ListComplete
 	}
 	for ; len(rest) > 0; rest = rest[recordLength:] {
 		id := dispatch.EngineID(binary.BigEndian.Uint32(rest))
@@ -87,10 +87,10 @@
 			return f, fmt.Errorf("record of s-%08x: state %d, zone %d, kind %d or start %d is out of range",
 				uint64(id), state, zone, kind, started)
 		}
-		f.list.Events.Engines = append(f.list.Events.Engines, dispatch.Engine{ID: id,
-			State: dispatch.EngineState(state), Zone: names.Zones[zone], Kind: names.Kinds[kind],
-			Cell: int(binary.BigEndian.Uint16(rest[13:])), Size: float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
-			Born: clock.Duration(float64(started))})
+		f.list.Events.Endpoints = append(f.list.Events.Endpoints, dispatch.Endpoint{ID: id,
+			State: dispatch.EndpointState(state), Zone: names.Zones[zone], Kind: names.Kinds[kind],
+			Cell: int(binary.BigEndian.Uint16(rest[13:])), CapacityWeight: float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
+			StartedAt: clock.Duration(float64(started))})
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(rest[4:8])), binary.BigEndian.Uint16(rest[8:]))
 		f.list.Addrs[id] = addr.String()
 	}
@@ -235,7 +235,7 @@
 	default:
 		f.last = fr.number
 		f.Counters.Events++
-		f.log.Info("board event", "number", fr.number, "engines", len(fr.list.Events.Engines),
+		f.log.Info("board event", "number", fr.number, "engines", len(fr.list.Events.Endpoints),
 			"whole", fr.kind == kindWhole)
 		f.tell(fr.list)
 	}
--- a/internal/discovery/board_test.go
+++ b/internal/discovery/board_test.go
@@ -35,15 +35,15 @@
 }
 
 func TestParseFrame(t *testing.T) {
-	engine := dispatch.Engine{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, Size: 1.5}
+	engine := dispatch.Endpoint{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, CapacityWeight: 1.5}
 	for _, k := range []struct {
 		name, body, err string
-		want            []dispatch.Engine
+		want            []dispatch.Endpoint
 		mode            dispatch.ListMode
 	}{
-		{"nothing new", head + "00", "", nil, dispatch.ListChanges},
-		{"whole list", head + "01" + record, "", []dispatch.Engine{engine}, dispatch.ListFull},
-		{"changes", head + "02" + record, "", []dispatch.Engine{engine}, dispatch.ListChanges},
+		{"nothing new", head + "00", "", nil, dispatch.ListIncremental},
+		{"whole list", head + "01" + record, "", []dispatch.Endpoint{engine}, dispatch.ListComplete},
+		{"changes", head + "02" + record, "", []dispatch.Endpoint{engine}, dispatch.ListIncremental},
 		{"unknown kind", head + "03", "unknown kind", nil, 0},
 		{"cut record", head + "02" + record[:50], "not whole records", nil, 0},
 		{"zone out of range", head + "02" + unknown, "out of range", nil, 0},
@@ -60,7 +60,7 @@
 		if err != nil || f.number != 5 {
 			t.Errorf("%s: number %d, %v", k.name, f.number, err)
 		}
-		if diff := cmp.Diff(dispatch.EngineList{Mode: k.mode, Engines: k.want}, f.list.Events); diff != "" {
+		if diff := cmp.Diff(dispatch.EndpointList{Mode: k.mode, Endpoints: k.want}, f.list.Events); diff != "" {
 			t.Errorf("%s: %s", k.name, diff)
 		}
 		if len(k.want) > 0 && f.list.Addrs[engine.ID] != "127.8.0.1:8080" {
@@ -103,7 +103,7 @@
 	}
 	d := &dials{}
 	var told []int
-	f := Follow(loop, d, "board", names, 4, func(l List) { told = append(told, len(l.Events.Engines)) },
+	f := Follow(loop, d, "board", names, 4, func(l List) { told = append(told, len(l.Events.Endpoints)) },
 		1, slog.New(slog.DiscardHandler))
 	steps := []struct {
 		name, frame string
@@ -233,9 +233,9 @@
 		if err != nil {
 			return
 		}
-		for _, e := range fr.list.Events.Engines {
+		for _, e := range fr.list.Events.Endpoints {
 			if _, ok := fr.list.Addrs[e.ID]; !ok || !slices.Contains(names.Zones, e.Zone) ||
-				!slices.Contains(names.Kinds, e.Kind) || e.Born < 0 {
+				!slices.Contains(names.Kinds, e.Kind) || e.StartedAt < 0 {
 				t.Fatalf("%+v", e)
 			}
 		}
--- a/internal/enginehttp/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -75,7 +75,7 @@
 
 // heard shows what an answer tells beside an end.
 func (s *stage) heard(n router.News) {
-	if n.Note != dispatch.NoteAlive {
+	if n.Note != dispatch.ProgressAlive {
 		fmt.Fprintf(&s.out, "  ~ note %d of %v\n", n.Note, n.Amount)
 	}
 	if n.Load != nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.Errored: "errored", dispatch.Full: "full",
-	dispatch.ConnectFailed: "connect failed", dispatch.Reset: "reset", dispatch.Cancelled: "cancelled"}
+var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
+	dispatch.ConnectFailed: "connect failed", dispatch.ConnectionReset: "reset", dispatch.Cancelled: "cancelled"}
 
 // play carries out one line:
 //
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -190,7 +190,7 @@
 	notBegun := r.header["not-begun"] == "1"
 	switch {
 	case r.status == 202 && q.mute && !q.call.Once:
-		q.lose(dispatch.Reset, "not over after a POST without an answer")
+		q.lose(dispatch.ConnectionReset, "not over after a POST without an answer")
 	case r.status == 202:
 		q.heard()
 		q.ask(0)
@@ -203,13 +203,13 @@
 		q.parts, q.work, q.need = parts, number(r.header["x-cpu-ms"]), number(r.header["x-mem-used"])
 		q.page(r)
 	case (r.status == 503 || r.status == 504) && notBegun && len(q.pages) == 0:
-		q.end(dispatch.Full, strconv.Itoa(r.status))
+		q.end(dispatch.EngineFull, strconv.Itoa(r.status))
 	case r.status >= 400 && q.cut:
 		// The engine is well and does not know the query: the break came before it had read the statement, or it
 		// has started anew since. Neither is the query's fault, nor a proof.
-		q.end(dispatch.Reset, fmt.Sprintf("%d after a break: %s", r.status, clip(r.body)))
+		q.end(dispatch.ConnectionReset, fmt.Sprintf("%d after a break: %s", r.status, clip(r.body)))
 	case r.status >= 400:
-		q.end(dispatch.Errored, fmt.Sprintf("%d: %s", r.status, clip(r.body)))
+		q.end(dispatch.EngineFailed, fmt.Sprintf("%d: %s", r.status, clip(r.body)))
 	default:
 		q.spoilt(fmt.Sprintf("status %d", r.status))
 	}
@@ -248,7 +248,7 @@
 	case r.status == 200 && r.header["x-part-no"] == strconv.Itoa(page):
 		q.page(r)
 	case r.status >= 400:
-		q.end(dispatch.Errored, fmt.Sprintf("%d for a page: %s", r.status, clip(r.body)))
+		q.end(dispatch.EngineFailed, fmt.Sprintf("%d for a page: %s", r.status, clip(r.body)))
 	default:
 		q.spoilt(fmt.Sprintf("status %d, X-Part-No %.10q for page %d", r.status, r.header["x-part-no"], page))
 	}
@@ -280,20 +280,20 @@
 		// An engine answers a POST within 250 ms, if only with 'not yet over'. One that did not, and then does not tell
 		// of an end at once either, may never: what may be repeated is given up there, so that it runs elsewhere while
 		// its client still waits. A query that is over is told of at once, so that one whose answer was cut off is saved.
-		q.lose(dispatch.Reset, "silent after a POST without an answer")
+		q.lose(dispatch.ConnectionReset, "silent after a POST without an answer")
 		return
 	case errors.As(err, &bad):
 		q.c.Counters.BadAnswers++
 		if q.bad++; q.bad >= maxBad {
 			q.c.log.Warn("bad answers from an engine", "engine", q.call.Engine.Addr, "rid", q.call.ID, "why", err)
-			q.lose(dispatch.Errored, err.Error())
+			q.lose(dispatch.EngineFailed, err.Error())
 			return
 		}
 	case errors.Is(err, syscall.ECONNREFUSED):
-		q.end(dispatch.Reset, "the engine takes no connections any more: "+err.Error())
+		q.end(dispatch.ConnectionReset, "the engine takes no connections any more: "+err.Error())
 		return
 	case q.c.loop.Now()-q.last >= limit:
-		q.lose(dispatch.Reset, "silent: "+err.Error())
+		q.lose(dispatch.ConnectionReset, "silent: "+err.Error())
 		return
 	}
 	q.c.Counters.Broken++
@@ -329,7 +329,7 @@
 	}
 	result, err := parseRows(q.pages)
 	if err != nil {
-		q.end(dispatch.Errored, err.Error())
+		q.end(dispatch.EngineFailed, err.Error())
 		return
 	}
 	result.WorkMS, result.NeedMB = q.work, q.need
--- a/internal/fleettest/board.go
+++ b/internal/fleettest/board.go
@@ -39,7 +39,7 @@
 	ID      dispatch.EngineID
 	Addr    netip.AddrPort // IPv4
 	Zone    int            // in Zones
-	State   dispatch.EngineState
+	State   dispatch.EndpointState
 	Started uint64 // Unix milliseconds
 }
 
@@ -267,7 +267,7 @@
 
 // Known is a list as a router's configuration holds it, as event 1; without engines the router knows of no event yet.
 func Known(engines []Engine) json.RawMessage {
-	phases := map[dispatch.EngineState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Gone: "left"}
+	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Removed: "left"}
 	type member struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -180,7 +180,7 @@
 func (h *hollow) ask() {
 	h.asked++
 	_, _ = h.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", h.asked), Class: "lookup", Statement: "SELECT 1",
-		Group: dispatch.GroupOf(uint32(h.asked % 64)), Sent: h.loop.Now(), Budget: 2000}, nobody{})
+		Group: dispatch.TableGroupOf(uint32(h.asked % 64)), Sent: h.loop.Now(), Budget: 2000}, nobody{})
 	h.loop.After(1000/h.spec.Rate, h.ask)
 }
 
--- a/internal/fleettest/rig_test.go
+++ b/internal/fleettest/rig_test.go
@@ -59,7 +59,7 @@
 	relays[0].Cut()
 	b.AwaitLinks(t, fleet/2)
 	gone := engines[1]
-	gone.State = dispatch.Gone
+	gone.State = dispatch.Removed
 	number = b.Change(gone)
 	h.Await(func(state map[int]*Standing) string {
 		for n, s := range state {
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -37,8 +37,8 @@
 	end, ok := map[string]router.End{
 		"serve": {Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Changed: 3,
 			Cells: []router.Cell{{Text: "x"}, {Null: true}}}},
-		"full":  {Outcome: dispatch.Full},
-		"reset": {Outcome: dispatch.Reset},
+		"full":  {Outcome: dispatch.EngineFull},
+		"reset": {Outcome: dispatch.ConnectionReset},
 	}[c.Statement]
 	if ok {
 		e.loop.Post(func() { done(end) })
@@ -72,15 +72,15 @@
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
 	e := &engines{loop: loop, runs: map[string]int{}}
-	core, err := router.New(loop, dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWorth: 0.5,
+	core, err := router.New(loop, dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
+		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
 				Semantics: dispatch.AtMostOnce}}}, e, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Engines(dispatch.EngineList{Mode: dispatch.ListSaved, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1}}},
+	core.Engines(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
 		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -149,7 +149,7 @@
 	delete(c.out, a)
 	if !a.dropped {
 		a.dropped = true
-		if a.given && end.Outcome == dispatch.Reset {
+		if a.given && end.Outcome == dispatch.ConnectionReset {
 			end.Outcome = dispatch.Cancelled // not the engine's doing
 		}
 		done(end)
@@ -219,7 +219,7 @@
 		return router.End{Outcome: dispatch.Served, Result: result}
 	}
 	end := router.End{Outcome: outcome(err, trailer, w), Detail: err.Error()}
-	if end.Outcome == dispatch.Errored {
+	if end.Outcome == dispatch.EngineFailed {
 		c.Counters.BadAnswers.Add(1)
 	}
 	return end
@@ -231,18 +231,18 @@
 	code := status.Code(err)
 	switch {
 	case errors.Is(err, errBad):
-		return dispatch.Errored
+		return dispatch.EngineFailed
 	case !w.written():
 		return dispatch.ConnectFailed
 	case len(trailer.Get(metaNotBegun)) == 1 && trailer.Get(metaNotBegun)[0] == "1" &&
 		(code == codes.Unavailable || code == codes.ResourceExhausted || code == codes.DeadlineExceeded):
-		return dispatch.Full
+		return dispatch.EngineFull
 	case code == codes.DeadlineExceeded:
 		return dispatch.TimedOut
 	case code == codes.Unavailable || code == codes.Canceled:
-		return dispatch.Reset
+		return dispatch.ConnectionReset
 	}
-	return dispatch.Errored
+	return dispatch.EngineFailed
 }
 
 // errBad marks an answer that no engine should give.
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -131,17 +131,17 @@
 		want      dispatch.Outcome
 	}{
 		{"whole", one, rows(whole), dispatch.Served},
-		{"broken offsets", one, rows(broken), dispatch.Errored},
-		{"no endpoint", nil, rows(whole), dispatch.Errored},
+		{"broken offsets", one, rows(broken), dispatch.EngineFailed},
+		{"no endpoint", nil, rows(whole), dispatch.EngineFailed},
 		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), dispatch.Served},
-		{"no Arrow at all", one, rows(noSchema), dispatch.Errored},
-		{"rows without a schema", one, rows(whole[1:]), dispatch.Errored},
-		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResult))), dispatch.Errored},
-		{"nothing", one, rows(nil), dispatch.Errored},
-		{"its own failure", one, fails(codes.Internal), dispatch.Errored},
-		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), dispatch.Full},
-		{"full, without proof", one, fails(codes.Unavailable), dispatch.Reset},
-		{"proof beside another code", one, fails(codes.Internal, metaNotBegun, "1"), dispatch.Errored},
+		{"no Arrow at all", one, rows(noSchema), dispatch.EngineFailed},
+		{"rows without a schema", one, rows(whole[1:]), dispatch.EngineFailed},
+		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResult))), dispatch.EngineFailed},
+		{"nothing", one, rows(nil), dispatch.EngineFailed},
+		{"its own failure", one, fails(codes.Internal), dispatch.EngineFailed},
+		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), dispatch.EngineFull},
+		{"full, without proof", one, fails(codes.Unavailable), dispatch.ConnectionReset},
+		{"proof beside another code", one, fails(codes.Internal, metaNotBegun, "1"), dispatch.EngineFailed},
 	} {
 		end := begin(t, &rawEngine{endpoints: k.endpoints, get: k.get}, false)
 		if end.Outcome != k.want {
@@ -171,11 +171,11 @@
 		want dispatch.Outcome
 	}{
 		{"whole", answers(nil, changed), dispatch.Served},
-		{"none", answers(nil), dispatch.Errored},
-		{"two", answers(nil, changed, changed), dispatch.Errored},
-		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.Errored},
-		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), dispatch.Errored},
-		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), dispatch.Errored},
+		{"none", answers(nil), dispatch.EngineFailed},
+		{"two", answers(nil, changed, changed), dispatch.EngineFailed},
+		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
+		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
+		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), dispatch.EngineFailed},
 	} {
 		end := begin(t, &rawEngine{put: k.put}, true)
 		if end.Outcome != k.want {
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -101,7 +101,7 @@
 		{Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
 			WorkMS: 12.5, NeedMB: 34.5}},
 		{Outcome: dispatch.Served, Result: &changed}, {Outcome: dispatch.Served, Result: &changed},
-		{Outcome: dispatch.Full, Detail: "rpc error: code = ResourceExhausted desc = full"},
+		{Outcome: dispatch.EngineFull, Detail: "rpc error: code = ResourceExhausted desc = full"},
 	}
 	if diff := cmp.Diff(want, append(served, refused...)); diff != "" {
 		t.Error(diff)
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -74,17 +74,17 @@
 	s := &stage{t: t, clock: &clock.Manual{MS: 1e12}, engine: &engine{}, handlers: map[string]netio.Handler{},
 		wires: map[string]*wire{}}
 	s.loop = router.NewLoop(s.clock)
-	cfg := dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
+	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfterAllowed: true,
+		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
 	core, err := router.New(s.loop, cfg, s.engine, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.front = NewFront(core, s.loop, Config{MaxSessions: 3, MaxBuffered: 100_000}, func() [][2]string { return [][2]string{{"taken", "1"}} },
 		slog.New(slog.DiscardHandler))
-	core.Engines(dispatch.EngineList{Mode: dispatch.ListSaved, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1}}},
+	core.Engines(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
 		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
 	s.run()
 	return s
@@ -142,8 +142,8 @@
 		if len(s.engine.done) == 0 {
 			s.t.Fatalf("%s: no attempt is out", line)
 		}
-		end := router.End{Outcome: map[string]dispatch.Outcome{"served": dispatch.Served, "errored": dispatch.Errored,
-			"full": dispatch.Full, "reset": dispatch.Reset, "refused": dispatch.ConnectFailed}[word[1]]}
+		end := router.End{Outcome: map[string]dispatch.Outcome{"served": dispatch.Served, "errored": dispatch.EngineFailed,
+			"full": dispatch.EngineFull, "reset": dispatch.ConnectionReset, "refused": dispatch.ConnectFailed}[word[1]]}
 		if end.Outcome == dispatch.Served {
 			end.Result = &router.Result{Columns: []string{"a", "b"}}
 			for _, row := range strings.Split(strings.TrimSuffix(text(2), "\n"), "\n") {
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -85,29 +85,29 @@
 func sampleSnapshot() dispatch.Snapshot {
 	return dispatch.Snapshot{
 		Known:    []dispatch.EngineID{1, 2, 12_000_000},
-		Excluded: []dispatch.EngineID{2},
+		Cordoned: []dispatch.EngineID{2},
 		Engines: []dispatch.EngineSnapshot{
-			{ID: 1, Born: 11 * time.Second, ColdAt: 12 * time.Second, WarmAt: 13 * time.Second, Slow: 1.25, Fail: 0.0625,
-				SlowAt: 14 * time.Second, FailAt: 15 * time.Second, Lost: 3, Owed: true},
-			{ID: 2, Born: 21 * time.Second, ColdAt: 22 * time.Second, WarmAt: 23 * time.Second, Slow: 2.5, Fail: 1e-7,
-				SlowAt: 24 * time.Second, FailAt: 1796148879607449088, Lost: 4, Owed: true},
+			{ID: 1, StartedAt: 11 * time.Second, WarmUpStart: 12 * time.Second, WarmUpEnd: 13 * time.Second, Slowness: 1.25, FailureShare: 0.0625,
+				SlownessAt: 14 * time.Second, FailureShareAt: 15 * time.Second, ConnectionFailures: 3, OnProbation: true},
+			{ID: 2, StartedAt: 21 * time.Second, WarmUpStart: 22 * time.Second, WarmUpEnd: 23 * time.Second, Slowness: 2.5, FailureShare: 1e-7,
+				SlownessAt: 24 * time.Second, FailureShareAt: 1796148879607449088, ConnectionFailures: 4, OnProbation: true},
 		},
 		Classes: []dispatch.ClassSnapshot{
-			{Name: "lookup", Mean: 0.25, Pace: 0.5, Best: 0.125, EstMean: 1.5, Fix: 1.75, Seen: 31, SeenAt: 32 * time.Second},
-			{Name: "load", Mean: 1.25, Pace: 1.375, Best: 1.125, EstMean: 2.5, Fix: 2.75, Seen: 1e21, SeenAt: 42 * time.Second},
+			{Name: "lookup", MeanServiceTime: 0.25, BoundedServiceTime: 0.5, BestServiceTime: 0.125, MeanEstimate: 1.5, GrantCorrection: 1.75, Observations: 31, ObservedAt: 32 * time.Second},
+			{Name: "load", MeanServiceTime: 1.25, BoundedServiceTime: 1.375, BestServiceTime: 1.125, MeanEstimate: 2.5, GrantCorrection: 2.75, Observations: 1e21, ObservedAt: 42 * time.Second},
 		},
-		Done:   51.5,
-		DoneAt: 52 * time.Second,
+		CompletedWork:   51.5,
+		CompletedWorkAt: 52 * time.Second,
 	}
 }
 
-func samplePeerUse() dispatch.PeerUse {
-	return dispatch.PeerUse{
-		Engines: []dispatch.EngineUse{
-			{ID: 1, Threads: 1.5, Prefer: 2.5, Work: 3.5, Granted: 4.5, Cold: 5.5},
-			{ID: 2, Threads: 6.5, Prefer: 7.5, Work: 8.5, Granted: 9.5, Cold: 10.5},
+func samplePeerUse() dispatch.OtherProcessUsage {
+	return dispatch.OtherProcessUsage{
+		Engines: []dispatch.EngineUsage{
+			{ID: 1, Threads: 1.5, PreferredThreads: 2.5, Work: 3.5, GrantedMB: 4.5, WarmUpWork: 5.5},
+			{ID: 2, Threads: 6.5, PreferredThreads: 7.5, Work: 8.5, GrantedMB: 9.5, WarmUpWork: 10.5},
 		},
-		Held: 61,
+		Queued: 61,
 	}
 }
 
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -221,7 +221,7 @@
 // listDoes has a list say that an engine drains, is gone, or is there.
 func (w *ordersWorld) listDoes(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
-	state := rapid.SampledFrom([]dispatch.EngineState{dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Gone}).Draw(t, "state")
+	state := rapid.SampledFrom([]dispatch.EndpointState{dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Removed}).Draw(t, "state")
 	w.loop.Post(func() { w.list(id, state) })
 	w.maybe(t)
 }
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -217,9 +217,9 @@
 	alone   bool // no second copy is allowed
 }
 
-var ordersClasses = []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-	{Name: "keyed", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.Deduplicated, Window: ordersWindow},
-	{Name: "load", Aim: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, Load: true, Semantics: dispatch.AtMostOnce}}
+var ordersClasses = []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+	{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.IdempotentByKey, IdempotencyWindow: ordersWindow},
+	{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true, Semantics: dispatch.AtMostOnce}}
 
 func newOrdersWorld(t *rapid.T) *ordersWorld {
 	w := &ordersWorld{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*stageClient{}, closed: map[int]float64{}, at: map[dispatch.EngineID]int{}, banned: map[dispatch.EngineID]float64{}}
@@ -227,9 +227,9 @@
 	log := slog.New(slog.DiscardHandler)
 	clients := &router.ByKind{}
 	w.alone = rapid.Bool().Draw(t, "no second copies")
-	core, err := router.New(w.loop, dispatch.Config{Gateways: 1, SecondCopies: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: ordersClasses,
-		Cancel: rapid.Bool().Draw(t, "cancels"), ColdFrom: 0.4, ColdFor: 5 * time.Second, OverloadFactor: 2, OverloadFor: time.Second}, clients, log)
+	core, err := router.New(w.loop, dispatch.Config{Routers: 1, HedgingAllowed: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
+		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: ordersClasses,
+		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second}, clients, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 }
 
 // list tells of an engine; one that comes anew does so at another address.
-func (w *ordersWorld) list(id dispatch.EngineID, state dispatch.EngineState) {
+func (w *ordersWorld) list(id dispatch.EngineID, state dispatch.EndpointState) {
 	if state == dispatch.Live && w.at[id] == 0 || state == dispatch.Live && w.closed[w.at[id]] > 0 {
 		w.rev++
 		w.at[id] = w.rev
@@ -279,7 +279,7 @@
 	if state != dispatch.Live {
 		w.closed[w.at[id]] = w.now.MS
 	}
-	w.core.Engines(dispatch.EngineList{Mode: dispatch.ListChanges, Engines: []dispatch.Engine{{ID: id, Kind: "k", Zone: "z", Size: 1, State: state}}},
+	w.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}}},
 		map[dispatch.EngineID]string{id: strconv.Itoa(w.at[id])})
 }
 
@@ -300,7 +300,7 @@
 		w.bad("%s begins at an engine %.0f ms after word of its end", c.id, now-w.closed[p.engine])
 	case now > c.end:
 		w.bad("%s begins after its end", c.id)
-	case ordersClasses[c.class].Semantics == dispatch.Deduplicated && c.mayHaveRun() != nil && now > c.mayHaveRun().at+clock.Millis(ordersWindow):
+	case ordersClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil && now > c.mayHaveRun().at+clock.Millis(ordersWindow):
 		w.bad("%s begins %.0f ms after its first attempt", c.id, now-c.mayHaveRun().at)
 	}
 }
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -90,7 +90,7 @@
 func classesOf(cfg *settings.Node) (all []record.Class) {
 	d, _ := validate.Decisions(cfg, 0)
 	for _, k := range d.Classes {
-		all = append(all, record.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, AimMS: clock.Millis(k.Aim)})
+		all = append(all, record.Class{Name: k.Name, Worth: k.PriorityWeight, LateWorth: k.LateWeightShare, AimMS: clock.Millis(k.LatencyObjective)})
 	}
 	return all
 }
@@ -145,10 +145,10 @@
 }
 
 func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
-	r := &record.Engine{At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slow, Fail: e.Fail,
-		Lost: e.Lost, Zone: e.Zone, Kind: e.Kind}
+	r := &record.Engine{At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slowness, Fail: e.FailureShare,
+		Lost: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind}
 	if state == record.Cold {
-		r.WarmAt = clock.Millis(e.WarmAt)
+		r.WarmAt = clock.Millis(e.WarmUpEnd)
 	}
 	if c.r.board != nil {
 		r.Event = c.r.board.Last()
@@ -162,17 +162,17 @@
 
 func stateOf(e *dispatch.EngineView) record.State {
 	switch {
-	case e.Excluded:
+	case e.Cordoned:
 		return record.Out
 	case e.State == dispatch.Draining:
 		return record.Draining
 	case e.Down:
 		return record.Down
-	case e.Failing:
+	case e.Ejected:
 		return record.Failing
-	case e.Cold:
+	case e.WarmingUp:
 		return record.Cold
-	case e.Slow >= slowAt:
+	case e.Slowness >= slowAt:
 		return record.Slow
 	}
 	return record.Warm
@@ -181,7 +181,7 @@
 // second writes what was counted since it did so last.
 func (c *recorder) second() {
 	now := c.r.loop.Now()
-	s := &record.Second{At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Held, Jam: c.view.Jam,
+	s := &record.Second{At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Queued, Jam: c.view.Congestion,
 		Conns: c.r.client.Conns(), Session: c.r.front.Sessions()}
 	s.Rows, s.Engines = c.meter.Take()
 	turned, spoilt := c.r.front.Counters.TurnedAway+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
@@ -227,8 +227,8 @@
 // Sent implements router.Watcher.
 func (c *recorder) Sent(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
 
-var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.Full: record.EndFull, dispatch.Errored: record.EndErrored,
-	dispatch.ConnectFailed: record.EndBroken, dispatch.Reset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
+var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndFull, dispatch.EngineFailed: record.EndErrored,
+	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
 
 // Ended implements router.Watcher.
 func (c *recorder) Ended(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -36,10 +36,10 @@
 		Took []string `json:"took"` // the listeners that the sender accepts on in the other's place
 	}
 	use struct {
-		Module   dispatch.PeerUse `json:"module"`
-		Sessions int              `json:"sessions"`
-		Conns    int              `json:"conns"`
-		Leaving  bool             `json:"leaving"`
+		Module   dispatch.OtherProcessUsage `json:"module"`
+		Sessions int                        `json:"sessions"`
+		Conns    int                        `json:"conns"`
+		Leaving  bool                       `json:"leaving"`
 	}
 	ban struct {
 		N       int               `json:"n"`
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -133,10 +133,10 @@
 func benchRequest(b *testing.B, r *node) {
 	if r.clients.Other != router.EngineClient(instant{r.loop}) {
 		r.clients.Other = instant{r.loop}
-		list := dispatch.EngineList{Mode: dispatch.ListFull}
+		list := dispatch.EndpointList{Mode: dispatch.ListComplete}
 		addrs := map[dispatch.EngineID]string{}
 		for id := dispatch.EngineID(1); id <= 8; id++ {
-			list.Engines = append(list.Engines, dispatch.Engine{ID: id, Zone: "a", Kind: "std", Size: 1})
+			list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: id, Zone: "a", Kind: "std", CapacityWeight: 1})
 			addrs[id] = "127.0.0.1:1"
 		}
 		r.core.Engines(list, addrs)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.Errored: "errored", dispatch.Full: "full",
-	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.Reset: "reset",
+var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
+	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.ConnectionReset: "reset",
 	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent"}
 
 // status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -374,5 +374,5 @@
 	}
 	r.core.TakeOver(r.handed.Core)
 	r.log.Info("taking over", "engines", len(r.handed.Core.Module.Engines), "open", len(r.handed.Core.Open),
-		"excluded", len(r.handed.Core.Module.Excluded), "spent", len(r.handed.Core.Spent))
+		"excluded", len(r.handed.Core.Module.Cordoned), "spent", len(r.handed.Core.Spent))
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -37,9 +37,9 @@
 // News is what an answer of an engine tells beside an end: of the attempt, that it is under way, and of the engine, its
 // load where it reports that.
 type News struct {
-	Note   dispatch.NoteKind
+	Note   dispatch.ProgressKind
 	Amount float64
-	Load   *dispatch.Load
+	Load   *dispatch.LoadReport
 	Over   bool // the answer is the attempt's end: there is no note
 }
 
@@ -74,9 +74,9 @@
 
 func (c *Core) carryOut(a dispatch.Action) {
 	switch a := a.(type) {
-	case dispatch.Send:
+	case dispatch.StartAttempt:
 		c.send(a)
-	case dispatch.SetTerms:
+	case dispatch.SetResources:
 		r := c.requests[a.Request]
 		if r == nil {
 			return
@@ -90,11 +90,11 @@
 				}
 			}
 		}
-	case dispatch.Cancel:
+	case dispatch.CancelAttempt:
 		if r := c.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
 			c.cancel(r.attempts[a.Attempt])
 		}
-	case dispatch.Refuse:
+	case dispatch.Reject:
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
 			asker := r.asker
 			c.finish(r)
@@ -103,7 +103,7 @@
 			c.watched(r, Answer{Kind: AnswerRefused, Reason: c.whyRefused(r)})
 			asker.Refused(clock.Millis(a.RetryAfter))
 		}
-	case dispatch.Fail:
+	case dispatch.FailRequest:
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
 			why := ReasonEngine
 			if c.loop.Now() >= r.end-1 {
@@ -113,14 +113,14 @@
 		}
 	case dispatch.SetTimer:
 		c.loop.After(clock.Millis(a.After), func() {
-			c.events = append(c.events, dispatch.Timer{Tag: a.Tag})
+			c.events = append(c.events, dispatch.TimerFired{Tag: a.Tag})
 		})
 	case dispatch.Subscribe: // the notice board pushes its changes unasked
 	}
 }
 
 // send starts an attempt. What can no longer be sent ends as NotSent, which proves that it never ran.
-func (c *Core) send(s dispatch.Send) {
+func (c *Core) send(s dispatch.StartAttempt) {
 	r := c.requests[s.Request]
 	if r == nil {
 		c.log.Error("send for an unknown request", "request", s.Request)
@@ -151,8 +151,8 @@
 		c.Watch.Sent(s.Engine)
 	}
 	latest := 0.0
-	if s.Begin > 0 {
-		latest = now + clock.Millis(s.Begin)
+	if s.StartWithin > 0 {
+		latest = now + clock.Millis(s.StartWithin)
 	}
 	class, _ := c.Class(r.Class)
 	a.alone = c.alone && class.Semantics != dispatch.AtMostOnce // after what may have run there is no other, and its end is due at once
@@ -165,8 +165,8 @@
 		Latest: latest, Alone: a.alone, Deletes: c.deletes, Wrote: func() { c.ByClass[r.Class].Forwards++ }, Heard: func(n News) { c.heard(a, n) }},
 		func(e End) { c.ended(a, e) })
 	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "no answer in time"}) })
-	if s.Begin > 0 {
-		a.latest = c.loop.After(clock.Millis(s.Begin), func() { c.recall(a, dispatch.ConnectFailed, "not begun in time") })
+	if s.StartWithin > 0 {
+		a.latest = c.loop.After(clock.Millis(s.StartWithin), func() { c.recall(a, dispatch.ConnectFailed, "not begun in time") })
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // report is an engine's last word of its load, and when the module was told.
 type report struct {
-	load dispatch.Load
+	load dispatch.LoadReport
 	at   float64
 }
 
@@ -209,13 +209,13 @@
 	last, told := c.reports[a.engine]
 	if _, listed := c.engines[a.engine]; listed && n.Load != nil && (!told || last.load != *n.Load || now-last.at >= reportEvery) {
 		c.reports[a.engine] = report{*n.Load, now}
-		c.events = append(c.events, dispatch.Report{Engine: a.engine, Load: *n.Load})
+		c.events = append(c.events, dispatch.EngineLoad{Engine: a.engine, Report: *n.Load})
 	}
-	if a.ended || n.Over || c.noteEvery <= 0 || n.Note == dispatch.NoteAlive && now-a.noted < c.noteEvery/2 {
+	if a.ended || n.Over || c.noteEvery <= 0 || n.Note == dispatch.ProgressAlive && now-a.noted < c.noteEvery/2 {
 		return
 	}
 	a.noted = now
-	c.events = append(c.events, dispatch.Note{Request: a.r.key, Attempt: a.hop, Kind: n.Note, Amount: n.Amount})
+	c.events = append(c.events, dispatch.AttemptProgress{Request: a.r.key, Attempt: a.hop, Kind: n.Note, Amount: n.Amount})
 }
 
 // ended reports an attempt's end to the module; the first good one answers the request.
@@ -234,7 +234,7 @@
 	a.call.Drop()
 	r.out--
 	c.Counters.Ends[e.Outcome]++
-	if proven := e.Outcome == dispatch.Full || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
+	if proven := e.Outcome == dispatch.EngineFull || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
 		if c.spent.has(r.ID) {
 			c.changed(r.ID, IDUnspent)
 		}
--- a/internal/router/bed_test.go
+++ b/internal/router/bed_test.go
@@ -64,10 +64,10 @@
 	b := &bed{t: t, now: &clock.Manual{MS: 1e12}, engines: &engines{}}
 	b.loop = NewLoop(b.now)
 	var err error
-	cfg := dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
-		Tenants: []dispatch.Tenant{{Name: "south"}}, RetryAfter: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", Aim: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWorth: 0.5,
+	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
+		Tenants: []dispatch.Tenant{{Name: "south"}}, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
 				Semantics: dispatch.AtMostOnce}}}
 	for _, f := range change {
 		f(&cfg)
@@ -76,13 +76,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.list(dispatch.ListSaved, dispatch.Live, "10.0.0.1:1")
+	b.list(dispatch.ListCached, dispatch.Live, "10.0.0.1:1")
 	return b
 }
 
-func (b *bed) list(mode dispatch.ListMode, state dispatch.EngineState, addr string) {
+func (b *bed) list(mode dispatch.ListMode, state dispatch.EndpointState, addr string) {
 	b.loop.Post(func() {
-		b.core.Engines(dispatch.EngineList{Mode: mode, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1, State: state}}},
+		b.core.Engines(dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
 			map[dispatch.EngineID]string{7: addr})
 	})
 	b.run()
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -185,10 +185,10 @@
 		n.tenants[t.Name] = true
 	}
 	c.names.Store(n)
-	c.max, c.noteEvery = cfg.MaxAttempts, clock.Millis(cfg.NoteEvery)
-	c.alone, c.deletes = !cfg.SecondCopies, cfg.Cancel
+	c.max, c.noteEvery = cfg.MaxAttempts, clock.Millis(cfg.ProgressInterval)
+	c.alone, c.deletes = !cfg.HedgingAllowed, cfg.CancelAllowed
 	c.advice = func(ms float64) float64 {
-		if !cfg.RetryAfter {
+		if !cfg.RetryAfterAllowed {
 			return 0
 		}
 		return min(ms, clock.Millis(cfg.MaxRetryAfter))
@@ -260,7 +260,7 @@
 	c.guard(r)
 	begin := func() {
 		r.fresh, c.fresh = true, append(c.fresh, r)
-		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, Group: q.Group,
+		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, TableGroup: q.Group,
 			Estimate: clock.Duration(q.EstimateMS), NeedMB: q.NeedMB, TimeLeft: clock.Duration(max(r.end-c.loop.Now(), 0)),
 			Resent: q.Again})
 	}
@@ -285,7 +285,7 @@
 	}
 	c.Counters.Abandoned++
 	c.finish(r)
-	c.events = append(c.events, dispatch.Abort{Request: r.key})
+	c.events = append(c.events, dispatch.ClientGone{Request: r.key})
 	c.watched(r, Answer{Kind: AnswerLeft})
 }
 
@@ -312,7 +312,7 @@
 	c.Counters.Overdue++
 	c.log.Error("request overdue: the module gave no answer", "rid", r.ID, "class", r.Class, "out", r.out)
 	c.fail(r, ReasonDeadline)
-	c.events = append(c.events, dispatch.Abort{Request: r.key})
+	c.events = append(c.events, dispatch.ClientGone{Request: r.key})
 }
 
 func (c *Core) fail(r *request, why Reason) {
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -68,17 +68,17 @@
 		{"silent engine with a load", "load", func(b *bed, _ Handle) {}, []string{"failed 1"}, 1},
 		{"served after the deadline", "load", func(b *bed, _ Handle) { b.wait(2980); b.end(0, served) },
 			[]string{"failed 1"}, 1},
-		{"load reset", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.Reset}) }, []string{"failed 0"}, 1},
-		{"load errored", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.Errored}) }, []string{"failed 0"}, 1},
+		{"load reset", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.ConnectionReset}) }, []string{"failed 0"}, 1},
+		{"load errored", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.EngineFailed}) }, []string{"failed 0"}, 1},
 		{"load full, then served", "load", func(b *bed, _ Handle) {
-			b.end(0, End{Outcome: dispatch.Full})
+			b.end(0, End{Outcome: dispatch.EngineFull})
 			b.wait(400)
 			b.end(1, served)
 		}, []string{"served"}, 2},
 		{"attempts used up", "lookup", func(b *bed, _ Handle) {
-			b.end(0, End{Outcome: dispatch.Full})
+			b.end(0, End{Outcome: dispatch.EngineFull})
 			b.wait(400)
-			b.end(1, End{Outcome: dispatch.Full})
+			b.end(1, End{Outcome: dispatch.EngineFull})
 		}, []string{"refused 1000"}, 2},
 		{"client left", "lookup", func(b *bed, h Handle) {
 			b.loop.Post(func() { b.core.Abandon(h); b.core.Abandon(h) })
@@ -125,13 +125,13 @@
 // connections with it.
 func TestDrainAndNewAddress(t *testing.T) {
 	b := newBed(t)
-	b.list(dispatch.ListChanges, dispatch.Live, "10.0.0.2:1")
+	b.list(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 	b.ask("lookup", 1000, 0)
 	if len(b.engines.calls) != 1 || b.engines.calls[0].Engine.Addr != "10.0.0.2:1" || len(b.engines.gone) != 1 {
 		t.Errorf("calls %+v, forgotten %v", b.engines.calls, b.engines.gone)
 	}
-	for _, state := range []dispatch.EngineState{dispatch.Draining, dispatch.Gone} {
-		b.list(dispatch.ListChanges, state, "10.0.0.2:1")
+	for _, state := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
+		b.list(dispatch.ListIncremental, state, "10.0.0.2:1")
 		b.ask("lookup", 1000, 0)
 		if len(b.engines.calls) != 1 {
 			t.Errorf("state %d: sent to an engine that drains or is gone", state)
@@ -140,8 +140,8 @@
 	if len(b.engines.gone) != 2 {
 		t.Errorf("forgotten %v", b.engines.gone)
 	}
-	b.list(dispatch.ListChanges, dispatch.Live, "10.0.0.2:1")
-	b.loop.Post(func() { b.core.Engines(dispatch.EngineList{Mode: dispatch.ListFull}, nil) })
+	b.list(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
+	b.loop.Post(func() { b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	b.run()
 	if len(b.engines.gone) != 3 {
 		t.Errorf("an engine that a whole list leaves out: forgotten %v", b.engines.gone)
@@ -154,7 +154,7 @@
 	alone := newBed(t)
 	alone.ask("lookup", 3000, 0)
 	for range 2 {
-		alone.loop.Post(func() { alone.core.carryOut(dispatch.Cancel{Request: "1", Attempt: 0}) })
+		alone.loop.Post(func() { alone.core.carryOut(dispatch.CancelAttempt{Request: "1", Attempt: 0}) })
 		alone.run()
 	}
 	alone.wait(500)
@@ -162,7 +162,7 @@
 		t.Errorf("told %v, ends %v, %d calls", alone.engines.cancelled, alone.core.Counters.Ends, len(alone.engines.calls))
 	}
 	load, _ := alone.ask("load", 3000, 0)
-	alone.end(1, End{Outcome: dispatch.Reset})
+	alone.end(1, End{Outcome: dispatch.ConnectionReset})
 	if alone.engines.calls[1].Alone || len(load.answers) != 1 {
 		t.Errorf("a load that may have run waits for its engine: %+v, answers %v", alone.engines.calls[1], load.answers)
 	}
@@ -171,16 +171,16 @@
 	if alone.core.Counters.Ends[dispatch.Cancelled] != 1 || len(alone.engines.calls) != 3 {
 		t.Errorf("after its end: ends %v, %d calls", alone.core.Counters.Ends, len(alone.engines.calls))
 	}
-	b := newBed(t, func(cfg *dispatch.Config) { cfg.SecondCopies = true })
+	b := newBed(t, func(cfg *dispatch.Config) { cfg.HedgingAllowed = true })
 	b.ask("lookup", 3000, 0)
 	for range 2 {
-		b.loop.Post(func() { b.core.carryOut(dispatch.Cancel{Request: "1", Attempt: 0}) })
+		b.loop.Post(func() { b.core.carryOut(dispatch.CancelAttempt{Request: "1", Attempt: 0}) })
 		b.run()
 	}
 	if len(b.engines.cancelled) != 1 || b.core.Counters.Ends[dispatch.Cancelled] != 1 {
 		t.Errorf("told %v, ends %v", b.engines.cancelled, b.core.Counters.Ends)
 	}
-	for _, unknown := range []dispatch.Cancel{{Request: "9"}, {Request: "1", Attempt: 5}} {
+	for _, unknown := range []dispatch.CancelAttempt{{Request: "9"}, {Request: "1", Attempt: 5}} {
 		b.core.carryOut(unknown)
 	}
 }
@@ -204,7 +204,7 @@
 			t.Errorf("%+v: %v", k, err)
 		}
 	}
-	b.end(0, End{Outcome: dispatch.Reset})
+	b.end(0, End{Outcome: dispatch.ConnectionReset})
 	if diff := cmp.Diff([]string{"failed 0"}, first.answers); diff != "" {
 		t.Error(diff)
 	}
@@ -219,7 +219,7 @@
 		a, _ := b.ask(class, 3000, 0)
 		id := fmt.Sprintf("%016x", b.ids)
 		for len(a.answers) == 0 {
-			b.end(len(b.engines.done)-1, End{Outcome: dispatch.Full})
+			b.end(len(b.engines.done)-1, End{Outcome: dispatch.EngineFull})
 			b.wait(400)
 		}
 		if err := submit(id, class, ""); err != nil {
@@ -241,8 +241,8 @@
 	for i := range 50 {
 		b.loop.Post(func() {
 			id := dispatch.EngineID(100 + i)
-			b.core.Engines(dispatch.EngineList{Mode: dispatch.ListChanges, Engines: []dispatch.Engine{
-				{ID: id, Kind: "k", Size: 1}, {ID: id - 1, Kind: "k", State: dispatch.Gone}}},
+			b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{
+				{ID: id, Kind: "k", CapacityWeight: 1}, {ID: id - 1, Kind: "k", State: dispatch.Removed}}},
 				map[dispatch.EngineID]string{id: "10.0.0.9:1"})
 		})
 		b.run()
@@ -250,7 +250,7 @@
 	if len(b.core.engines) != 2 {
 		t.Errorf("%d engines are kept: %v", len(b.core.engines), b.core.engines)
 	}
-	b.loop.Post(func() { b.core.Engines(dispatch.EngineList{Mode: dispatch.ListFull}, nil) })
+	b.loop.Post(func() { b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	b.run()
 	if len(b.core.engines) != 0 {
 		t.Errorf("after an empty whole list: %v", b.core.engines)
@@ -260,14 +260,14 @@
 // Changed settings bind at once: here the attempts of a request that is open, and the tenants.
 func TestConfigure(t *testing.T) {
 	b := newBed(t)
-	cfg := dispatch.Config{Gateways: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1, Tenants: []dispatch.Tenant{{Name: "north"}},
-		Classes: []dispatch.Class{{Name: "lookup", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", Aim: 2 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
+	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1, Tenants: []dispatch.Tenant{{Name: "north"}},
+		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
 	a, _ := b.ask("lookup", 3000, 0)
 	if kept, err := b.core.Configure(cfg); err != nil || len(kept) > 0 {
 		t.Fatal(kept, err)
 	}
-	b.end(0, End{Outcome: dispatch.Full})
+	b.end(0, End{Outcome: dispatch.EngineFull})
 	b.wait(400)
 	if diff := cmp.Diff([]string{"refused 0"}, a.answers); diff != "" || len(b.engines.calls) != 1 {
 		t.Errorf("%d calls, %s", len(b.engines.calls), diff)
@@ -275,8 +275,8 @@
 	if err := b.core.Check(&Request{Class: "load", Tenant: "south"}); err == nil {
 		t.Error("a tenant that the new settings don't name is still taken")
 	}
-	if k, _ := b.core.Class("load"); k.Aim != 2*time.Second {
-		t.Errorf("aim %v", k.Aim)
+	if k, _ := b.core.Class("load"); k.LatencyObjective != 2*time.Second {
+		t.Errorf("aim %v", k.LatencyObjective)
 	}
 	cfg.Classes = cfg.Classes[:1]
 	if kept, err := b.core.Configure(cfg); err != nil || len(kept) != 1 || kept[0] != "classes" {
@@ -304,7 +304,7 @@
 	b.ask("lookup", 10, 20)
 	b.ask("load", 3000, 0)
 	b.engines.calls[1].Wrote()
-	b.end(1, End{Outcome: dispatch.Reset})
+	b.end(1, End{Outcome: dispatch.ConnectionReset})
 	want := map[string]*ClassCounters{"lookup": {Served: 1, Refused: 1, Forwards: 1}, "load": {Failed: 1, Forwards: 1}}
 	if diff := cmp.Diff(want, b.core.ByClass); diff != "" {
 		t.Error(diff)
@@ -374,7 +374,7 @@
 		t.Error("an id that is open in the other process was taken, or a new one was not")
 	}
 	one.end(1, End{Outcome: dispatch.Served, Result: &Result{}})
-	one.end(0, End{Outcome: dispatch.Reset})
+	one.end(0, End{Outcome: dispatch.ConnectionReset})
 	if refused(2) || !refused(1) {
 		t.Error("an id that is free again was not taken, or that of a load that may have run was")
 	}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -14,7 +14,7 @@
 // connection, nor a further one that was decided on in the same batch. What has begun goes on, and is cancelled where the
 // settings allow that.
 func TestGoneClientGetsNoAttempt(t *testing.T) {
-	b := newBed(t, func(cfg *dispatch.Config) { cfg.Cancel, cfg.SecondCopies, cfg.MaxAttempts = true, true, 5 })
+	b := newBed(t, func(cfg *dispatch.Config) { cfg.CancelAllowed, cfg.HedgingAllowed, cfg.MaxAttempts = true, true, 5 })
 	_, waits := b.ask("lookup", 3000, 0)
 	waiting := fmt.Sprintf("%016x", b.ids)
 	b.engines.unbegun = map[string]bool{waiting: true}
@@ -45,7 +45,7 @@
 	_, h := b.ask("lookup", 3000, 0)
 	calls := len(b.engines.calls)
 	b.loop.Post(func() {
-		b.engines.done[calls-1](End{Outcome: dispatch.Full})
+		b.engines.done[calls-1](End{Outcome: dispatch.EngineFull})
 		b.core.Abandon(h)
 	})
 	b.wait(1000)
@@ -59,14 +59,14 @@
 func TestWordOfAnEngineTakesBackWhatHasNotBegun(t *testing.T) {
 	for _, k := range []struct {
 		name  string
-		state dispatch.EngineState
+		state dispatch.EndpointState
 		addr  string
-	}{{"drains", dispatch.Draining, "10.0.0.1:1"}, {"gone", dispatch.Gone, "10.0.0.1:1"}, {"elsewhere", dispatch.Live, "10.0.0.2:1"}} {
+	}{{"drains", dispatch.Draining, "10.0.0.1:1"}, {"gone", dispatch.Removed, "10.0.0.1:1"}, {"elsewhere", dispatch.Live, "10.0.0.2:1"}} {
 		b := newBed(t)
 		b.ask("lookup", 3000, 0)
 		b.loop.Post(func() {
 			_, _ = b.core.Submit(&Request{ID: "f", Class: "lookup", Statement: "S", Sent: b.now.MS, Budget: 3000}, &asker{})
-			b.core.Engines(dispatch.EngineList{Mode: dispatch.ListChanges, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1, State: k.state}}},
+			b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: k.state}}},
 				map[dispatch.EngineID]string{7: k.addr})
 		})
 		b.run()
@@ -83,13 +83,13 @@
 // up: it ends as never run, and the module hears so.
 func TestLatestStart(t *testing.T) {
 	b := newBed(t, func(cfg *dispatch.Config) {
-		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: "keyed", Aim: time.Second, Deadline: 5 * time.Second, Threads: 1,
-			Semantics: dispatch.Deduplicated, Window: 300 * time.Millisecond})
+		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1,
+			Semantics: dispatch.IdempotentByKey, IdempotencyWindow: 300 * time.Millisecond})
 	})
 	a, _ := b.ask("keyed", 3000, 0)
 	b.engines.unbegun = map[string]bool{fmt.Sprintf("%016x", b.ids): true}
 	b.wait(100)
-	b.end(0, End{Outcome: dispatch.Reset})
+	b.end(0, End{Outcome: dispatch.ConnectionReset})
 	if n := len(b.engines.calls); n != 2 || b.engines.calls[0].Latest != 0 {
 		t.Fatalf("%d calls, the first to begin by %v", n, b.engines.calls[0].Latest)
 	}
@@ -104,13 +104,13 @@
 
 // Two words of an engine in one batch: the module goes by the first, and releases what it held; nothing is begun by it.
 func TestTwoWordsInOneBatch(t *testing.T) {
-	for _, second := range []dispatch.EngineState{dispatch.Draining, dispatch.Gone} {
+	for _, second := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
 		b := newBed(t)
-		b.list(dispatch.ListChanges, dispatch.Draining, "10.0.0.1:1")
+		b.list(dispatch.ListIncremental, dispatch.Draining, "10.0.0.1:1")
 		a, _ := b.ask("lookup", 3000, 0) // waits for an engine
 		b.loop.Post(func() {
-			for _, state := range []dispatch.EngineState{dispatch.Live, second} {
-				b.core.Engines(dispatch.EngineList{Mode: dispatch.ListChanges, Engines: []dispatch.Engine{{ID: 7, Kind: "k", Size: 1, State: state}}},
+			for _, state := range []dispatch.EndpointState{dispatch.Live, second} {
+				b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
 					map[dispatch.EngineID]string{7: "10.0.0.1:1"})
 			}
 		})
@@ -118,7 +118,7 @@
 		if len(b.engines.calls) > 0 {
 			t.Errorf("%d: begun at an engine that leaves", second)
 		}
-		b.list(dispatch.ListChanges, dispatch.Live, "10.0.0.2:1")
+		b.list(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 		b.wait(500)
 		if len(b.engines.calls) != 1 || len(a.answers) > 0 || len(b.core.leaving) > 0 {
 			t.Errorf("%d: %d calls after it is back, answers %v, leaving %v", second, len(b.engines.calls), a.answers, b.core.leaving)
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -9,15 +9,15 @@
 
 // Engines tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
 // has heard of it: an event gathered ahead of this list may still have it send to one.
-func (c *Core) Engines(list dispatch.EngineList, addrs map[dispatch.EngineID]string) {
+func (c *Core) Engines(list dispatch.EndpointList, addrs map[dispatch.EngineID]string) {
 	c.Counters.Lists++
 	if c.Watch != nil {
 		c.Watch.Listed()
 	}
-	if list.Mode == dispatch.ListFull {
+	if list.Mode == dispatch.ListComplete {
 		// An engine that a whole list leaves out is gone; its address may pass to another.
 		for id, e := range c.engines {
-			if !slices.ContainsFunc(list.Engines, func(n dispatch.Engine) bool { return n.ID == id }) {
+			if !slices.ContainsFunc(list.Endpoints, func(n dispatch.Endpoint) bool { return n.ID == id }) {
 				c.client.Forget(e)
 				c.client.Withhold(e)
 				c.leaving[id] = true
@@ -26,14 +26,14 @@
 		}
 	}
 	c.words = append(c.words, list)
-	for _, e := range list.Engines {
+	for _, e := range list.Endpoints {
 		old, known := c.engines[e.ID]
 		if delete(c.leaving, e.ID); e.State != dispatch.Live && (known || e.State == dispatch.Draining) {
 			c.leaving[e.ID] = true
 		}
 		moved := known && old.Addr != addrs[e.ID]
 		switch {
-		case e.State == dispatch.Gone:
+		case e.State == dispatch.Removed:
 			if known {
 				c.client.Forget(old)
 				c.gone = append(c.gone, e.ID)
@@ -55,10 +55,10 @@
 
 // Exclude keeps new work from an engine, by an operator's word, until Include; once it returns, nothing more is begun
 // there. Both say no to an engine that no list has named.
-func (c *Core) Exclude(id dispatch.EngineID) bool { return c.order(id, dispatch.Exclude{Engine: id}) }
+func (c *Core) Exclude(id dispatch.EngineID) bool { return c.order(id, dispatch.Cordon{Engine: id}) }
 
 // Include ends an Exclude.
-func (c *Core) Include(id dispatch.EngineID) bool { return c.order(id, dispatch.Include{Engine: id}) }
+func (c *Core) Include(id dispatch.EngineID) bool { return c.order(id, dispatch.Uncordon{Engine: id}) }
 
 func (c *Core) order(id dispatch.EngineID, word dispatch.Event) bool {
 	if !c.Knows(id) {
@@ -66,7 +66,7 @@
 	}
 	c.words = append(c.words, word)
 	c.settle()
-	if e, ok := c.engines[id]; ok && c.module.Excluded(id) {
+	if e, ok := c.engines[id]; ok && c.module.Cordoned(id) {
 		c.client.Withhold(e)
 	}
 	return true
@@ -77,7 +77,7 @@
 func (c *Core) Listed() int { return len(c.engines) }
 
 // Avoided: see Listed.
-func (c *Core) Avoided() int { return c.module.Avoided(clock.Duration(c.loop.Now())) }
+func (c *Core) Avoided() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
 
 // Hear has the core gather events and hand none to the module, until it is called with false: then what it heard of
 // engines goes first. It is for a process that stood still, and guards against queries that waited with it being sent by
@@ -89,7 +89,7 @@
 	}
 	c.settle()
 	for id, e := range c.engines {
-		if c.module.Excluded(id) {
+		if c.module.Cordoned(id) {
 			c.client.Withhold(e)
 		}
 	}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -53,7 +53,7 @@
 	for _, id := range s.Spent {
 		c.spent.add(id)
 	}
-	c.words = append(c.words, dispatch.Takeover{Snapshot: s.Module})
+	c.words = append(c.words, dispatch.RestoreSnapshot{Snapshot: s.Module})
 	c.settle()
 }
 
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	c.events = append(c.events, dispatch.Closing{At: clock.Duration(at)})
+	c.events = append(c.events, dispatch.ShutdownDeadline{At: clock.Duration(at)})
 }
 
 // Elsewhere takes news of an id from the other process: one that is open there can't be opened here.
@@ -146,7 +146,7 @@
 
 // Adopt keeps work from engines that operators have excluded in another process, whether a list has named them or not.
 func (c *Core) Adopt(out []dispatch.EngineID) {
-	c.words = append(c.words, dispatch.Takeover{Snapshot: dispatch.Snapshot{Known: out, Excluded: out, Done: -1}})
+	c.words = append(c.words, dispatch.RestoreSnapshot{Snapshot: dispatch.Snapshot{Known: out, Cordoned: out, CompletedWork: -1}})
 	c.settle()
 	for _, id := range out {
 		if e, ok := c.engines[id]; ok {
@@ -156,15 +156,15 @@
 }
 
 // Use gives what this process has running on each engine.
-func (c *Core) Use() dispatch.PeerUse { return c.module.Use(clock.Duration(c.loop.Now())) }
+func (c *Core) Use() dispatch.OtherProcessUsage { return c.module.Usage(clock.Duration(c.loop.Now())) }
 
 // PeerUse takes in what the other process has running there.
-func (c *Core) PeerUse(use dispatch.PeerUse) { c.events = append(c.events, use) }
+func (c *Core) PeerUse(use dispatch.OtherProcessUsage) { c.events = append(c.events, use) }
 
 // Alone says that the other process has ended: nothing runs there any more, and no id is open.
 func (c *Core) Alone() {
 	clear(c.elsewhere)
-	c.PeerUse(dispatch.PeerUse{})
+	c.PeerUse(dispatch.OtherProcessUsage{})
 }
 
 // list gives the ids, the oldest first.
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -11,8 +11,8 @@
 // attempts that are taken for lost, and given up with their work, while their engine says all along that they are under
 // way; and against a flood of events: each answer brings the same report again, and every question four answers a second.
 func TestNewsOfEnginesReachTheModule(t *testing.T) {
-	notes := func(cfg *dispatch.Config) { cfg.NoteEvery, cfg.Cancel = time.Second, true }
-	load := dispatch.Load{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
+	notes := func(cfg *dispatch.Config) { cfg.ProgressInterval, cfg.CancelAllowed = time.Second, true }
+	load := dispatch.LoadReport{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
 	for _, k := range []struct {
 		name      string
 		change    func(*dispatch.Config)
@@ -24,8 +24,8 @@
 		{"a silent engine", notes, News{}, 1e9, 1, 0},
 		{"under way", notes, News{}, 250, 0, 9},
 		{"under way with a report that stays the same", notes, News{Load: &load}, 100, 0, 9 + 17},
-		{"a share", notes, News{Note: dispatch.NoteShare, Amount: 0.5}, 250, 0, 16},
-		{"no notes in the settings", func(*dispatch.Config) {}, News{Note: dispatch.NoteShare, Amount: 0.5}, 250, 0, 0},
+		{"a share", notes, News{Note: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
+		{"no notes in the settings", func(*dispatch.Config) {}, News{Note: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 0},
 		{"an end", notes, News{Over: true}, 250, 1, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -80,7 +80,7 @@
 		return nil, errors.New("several statements; a query is one")
 	}
 	if n, ok := tableGroup(statement); ok {
-		r.Group = dispatch.GroupOf(n)
+		r.Group = dispatch.TableGroupOf(n)
 	}
 	return r, nil
 }
