--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -53,13 +53,13 @@
 	if result != nil && result.WorkMS > 0 {
 		work = result.WorkMS
 	}
-	return clock.Millis(class.Aim) + class.AimStretch*work/float64(max(class.Threads, 1))
+	return clock.Millis(class.LatencyObjective) + class.ObjectiveStretch*work/float64(max(class.Threads, 1))
 }
 
 // reasons word how the last attempt ended.
-var reasons = map[dispatch.Outcome]string{dispatch.Errored: "the engine failed", dispatch.Full: "the engine was full",
+var reasons = map[dispatch.Outcome]string{dispatch.EngineFailed: "the engine failed", dispatch.EngineFull: "the engine was full",
 	dispatch.TimedOut: "the engine did not answer in time", dispatch.ConnectFailed: "no connection to the engine",
-	dispatch.Reset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent"}
+	dispatch.ConnectionReset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent"}
 
 // why words a failure.
 func (r *request) why(reason Reason) string {
@@ -89,4 +89,4 @@
 }
 
 // See fills a view of the fleet as the module has it.
-func (c *Core) See(v *dispatch.View) { c.module.See(clock.Duration(c.loop.Now()), v) }
+func (c *Core) See(v *dispatch.View) { c.module.FillView(clock.Duration(c.loop.Now()), v) }
--- a/internal/settings/known.go
+++ b/internal/settings/known.go
@@ -12,11 +12,11 @@
 
 // EngineList is a list of engines, whole or what changed of it, and where they listen.
 type EngineList struct {
-	Events dispatch.EngineList
+	Events dispatch.EndpointList
 	Addrs  map[dispatch.EngineID]string
 }
 
-var states = map[string]dispatch.EngineState{"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Gone}
+var states = map[string]dispatch.EndpointState{"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed}
 
 // ParseKnown folds the events that the configuration holds into one complete list, and gives the number of
 // the last one.
@@ -40,7 +40,7 @@
 			} `json:"pool"`
 		} `json:"notices"`
 	}
-	l := EngineList{Events: dispatch.EngineList{Mode: dispatch.ListSaved}, Addrs: map[dispatch.EngineID]string{}}
+	l := EngineList{Events: dispatch.EndpointList{Mode: dispatch.ListCached}, Addrs: map[dispatch.EngineID]string{}}
 	if len(text) == 0 {
 		return l, 0, nil
 	}
@@ -53,7 +53,7 @@
 			continue
 		}
 		if n.Pool.Complete {
-			l.Events.Engines, l.Addrs = nil, map[dispatch.EngineID]string{}
+			l.Events.Endpoints, l.Addrs = nil, map[dispatch.EngineID]string{}
 			clear(at)
 		}
 		for j, m := range n.Pool.Members {
@@ -66,16 +66,16 @@
 			if !ok {
 				return l, 0, fmt.Errorf("%s.phase: unknown value %q", field, m.Phase)
 			}
-			if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != dispatch.Gone {
+			if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != dispatch.Removed {
 				return l, 0, fmt.Errorf("%s.host_port: %q is no address and port", field, m.HostPort)
 			}
-			e := dispatch.Engine{ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, Size: m.Size, State: state,
-				Born: clock.Duration(m.UpSince)}
+			e := dispatch.Endpoint{ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, CapacityWeight: m.Size, State: state,
+				StartedAt: clock.Duration(m.UpSince)}
 			if k, known := at[id]; known {
-				l.Events.Engines[k] = e
+				l.Events.Endpoints[k] = e
 			} else {
-				at[id] = len(l.Events.Engines)
-				l.Events.Engines = append(l.Events.Engines, e)
+				at[id] = len(l.Events.Endpoints)
+				l.Events.Endpoints = append(l.Events.Endpoints, e)
 			}
 			l.Addrs[id] = m.HostPort
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,11 +20,11 @@
 
 var (
 	semantics = map[string]dispatch.Semantics{"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
-		"deduplicated": dispatch.Deduplicated, "at_most_once": dispatch.AtMostOnce}
-	scopes = map[string]dispatch.Scope{"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+		"deduplicated": dispatch.IdempotentByKey, "at_most_once": dispatch.AtMostOnce}
+	scopes = map[string]dispatch.IdempotencyScope{"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
 		"cell": dispatch.ScopeCell}
-	shortages = map[string]dispatch.Shortage{"": dispatch.ShortQueue, "queue": dispatch.ShortQueue,
-		"trim": dispatch.ShortTrim, "swap": dispatch.ShortSwap}
+	shortages = map[string]dispatch.MemoryShortage{"": dispatch.ShortageWait, "queue": dispatch.ShortageWait,
+		"trim": dispatch.ShortageShrink, "swap": dispatch.ShortagePage}
 )
 
 // Settings is the wire form of dispatch.Config; unknown fields are ignored.
@@ -169,15 +169,15 @@
 	}
 	d := func(ns int64) time.Duration { return time.Duration(ns) }
 	cfg := dispatch.Config{
-		Seed: nonce, Instance: s.Me, Gateways: s.Balancers, Zone: s.Zone,
-		OverShareWorth: s.OverShareWorth, MaxAttempts: s.Limits.AttemptsCap, Cancel: s.Limits.Cancel,
-		SecondCopies: s.Limits.SecondCopies, RetryAfter: s.Limits.RetryAfter,
-		MaxRetryAfter: d(s.Limits.MaxRetryAfter), AskedDiscovery: s.Discovery == "subscribe",
-		Grants: sp.Grants, MaxGrantShare: sp.MaxGrant, Priorities: sp.Priorities, Shortage: shortage,
-		NoteEvery: d(sp.NoteEvery), Tick: d(s.PeriodNS), AskWithin: d(s.Rules.AskWithin), ColdFrom: s.Rules.ColdFrom,
-		ColdFor: d(s.Rules.ColdNS), OverloadFactor: s.Rules.OverloadFactor,
-		OverloadFor: d(s.Rules.OverloadFor), KeyRest: d(s.Rules.KeyRest),
-		Budget: dispatch.RetryBudget{Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
+		Seed: nonce, RouterIndex: s.Me, Routers: s.Balancers, Zone: s.Zone,
+		OverQuotaWeight: s.OverShareWorth, MaxAttempts: s.Limits.AttemptsCap, CancelAllowed: s.Limits.Cancel,
+		HedgingAllowed: s.Limits.SecondCopies, RetryAfterAllowed: s.Limits.RetryAfter,
+		MaxRetryAfter: d(s.Limits.MaxRetryAfter), PolledDiscovery: s.Discovery == "subscribe",
+		Grants: sp.Grants, MaxGrantShare: sp.MaxGrant, Priorities: sp.Priorities, MemoryShortage: shortage,
+		ProgressInterval: d(sp.NoteEvery), Tick: d(s.PeriodNS), DiscoveryTimeout: d(s.Rules.AskWithin), WarmUpInitialShare: s.Rules.ColdFrom,
+		WarmUpDuration: d(s.Rules.ColdNS), WarmUpOverloadFactor: s.Rules.OverloadFactor,
+		WarmUpOverloadWindow: d(s.Rules.OverloadFor), KeyCooldown: d(s.Rules.KeyRest),
+		RetryBudget: dispatch.RetryBudget{Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
 			PerRequest: s.Rules.ExtraPerRequest},
 	}
 	for i, c := range s.Classes {
@@ -189,16 +189,16 @@
 		if err != nil {
 			return cfg, err
 		}
-		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: c.Name, Aim: d(c.Goal), AimStretch: c.Stretch,
-			Deadline: d(c.Deadline), Worth: c.Credit, LateWorth: c.LateValue, Semantics: sem, Scope: scope,
-			Window: d(c.Window), OrderByKey: c.FifoByKey, Zones: c.StaysIn, Kinds: c.AllowedOn,
-			Threads: at(sp.Width, i), Load: at(sp.Load, i), WaitsOnLoad: at(sp.Yields, i)})
+		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: c.Name, LatencyObjective: d(c.Goal), ObjectiveStretch: c.Stretch,
+			Deadline: d(c.Deadline), PriorityWeight: c.Credit, LateWeightShare: c.LateValue, Semantics: sem, IdempotencyScope: scope,
+			IdempotencyWindow: d(c.Window), OrderByKey: c.FifoByKey, Zones: c.StaysIn, Kinds: c.AllowedOn,
+			Threads: at(sp.Width, i), LocksTableGroup: at(sp.Load, i), BlockedByLoad: at(sp.Yields, i)})
 	}
 	for _, t := range s.Parties {
 		cfg.Tenants = append(cfg.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	for i, name := range s.Kinds {
-		cfg.Kinds = append(cfg.Kinds, dispatch.Kind{Name: name, Cores: at(sp.Cores, i), MemoryMB: at(sp.MemoryMB, i)})
+		cfg.Kinds = append(cfg.Kinds, dispatch.EngineKind{Name: name, Cores: at(sp.Cores, i), MemoryMB: at(sp.MemoryMB, i)})
 	}
 	return cfg, nil
 }
--- a/internal/validate/bounds.go
+++ b/internal/validate/bounds.go
@@ -56,6 +56,6 @@
 // queries that are held with little hope, new ones could not even be asked.
 func Decisions(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
 	d, err := cfg.Parsed.Config(seed)
-	d.MaxHeld = int(heldShare * float64(cfg.Limits.Sockets))
+	d.MaxQueued = int(heldShare * float64(cfg.Limits.Sockets))
 	return d, err
 }
