--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -111,9 +111,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("--base: %s: %w", file, err)
 	}
-	return func(entries map[string]json.RawMessage) *configlog.Fault {
+	return func(entries map[string]json.RawMessage) *configlog.ChangeError {
 		if f := validate.Entries(base, entries); f != nil {
-			return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: f.Pointer, Reason: f.Reason}
+			return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: f.Pointer, Reason: f.Reason}
 		}
 		return nil
 	}, nil
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -95,8 +95,8 @@
 	if !c.serves(e) {
 		return false
 	}
-	more := e.press.More(r.query(), c.terms(e), millis(c.now))
-	if more.Stands || r.c != c.prefer && len(e.running) > 0 && more.Memory > c.terms(e).Most() {
+	more := e.press.Headroom(r.query(), c.terms(e), millis(c.now))
+	if more.BlockedByLock || r.c != c.prefer && len(e.running) > 0 && more.MemoryShare > c.terms(e).MaxMemoryShare() {
 		return false
 	}
 	if c.now < e.warmAt && c.cfg.WarmUpOverloadFactor > 0 && c.large() {
@@ -131,7 +131,7 @@
 // cost is an engine's own work per core with this query, scaled by the evidence against the engine.
 func (c *Controller) cost(e *engine, r *request) float64 {
 	scale := max(c.slowness(e), 0.5) * (1 + failWeight*max(c.failing(e)-c.breakAll, 0))
-	scale *= e.press.Weight(e.cores, millis(c.now)) / c.warmth(e)
+	scale *= e.press.CostFactor(e.cores, millis(c.now)) / c.warmth(e)
 	if e.owed && len(e.running) == 0 {
 		scale /= failWeight
 	}
@@ -153,7 +153,7 @@
 	}
 	if size = min(size, n); size != c.nearSize {
 		c.near, c.nearSize = c.near[:0], size
-		for _, i := range slowstart.Deal(c.cfg.RouterIndex, c.cfg.Routers, n, size) {
+		for _, i := range slowstart.Subset(c.cfg.RouterIndex, c.cfg.Routers, n, size) {
 			c.near = append(c.near, c.live[i])
 		}
 	}
@@ -180,7 +180,7 @@
 		slices.SortFunc(ranks, func(a, b *engine) int {
 			return cmp.Compare(mix(r.group, a.ID), mix(r.group, b.ID))
 		})
-		n := c.demand.Loaders(r.group, pressure.Fleet{Engines: len(c.live), Near: len(near),
+		n := c.demand.LoaderCount(r.group, pressure.Fleet{Engines: len(c.live), Subset: len(near),
 			Cores: c.cores / float64(len(c.live)), Routers: c.cfg.Routers}, millis(c.now))
 		if !r.c.LocksTableGroup {
 			n = len(near) - n
--- a/dispatch/handle.go
+++ b/dispatch/handle.go
@@ -134,7 +134,7 @@
 
 // query is what the pressure on an engine is reckoned from.
 func (r *request) query() pressure.Query {
-	return pressure.Query{NeedMB: r.need, Group: r.group, Load: r.c.LocksTableGroup, Waits: r.c.BlockedByLoad}
+	return pressure.Query{NeedMB: r.need, TableGroup: r.group, LocksTableGroup: r.c.LocksTableGroup, BlockedByLoad: r.c.BlockedByLoad}
 }
 
 // demand is the usual time of the query on its threads, in milliseconds, where it counts.
@@ -146,13 +146,13 @@
 }
 
 // terms are what the settings say of an engine.
-func (c *Controller) terms(e *engine) pressure.Terms {
-	return pressure.Terms{MemoryMB: e.memory, MaxGrant: c.cfg.MaxGrantShare, Short: pressure.Shortage(c.cfg.MemoryShortage)}
+func (c *Controller) terms(e *engine) pressure.Limits {
+	return pressure.Limits{MemoryMB: e.memory, MaxGrantShare: c.cfg.MaxGrantShare, Shortage: pressure.MemoryShortage(c.cfg.MemoryShortage)}
 }
 
 // heard notes an engine's report of itself.
 func (c *Controller) heard(e *engine, l LoadReport) {
-	e.press.Reported(pressure.Report{InFlight: l.InFlight, Waiting: l.Waiting, Busy: l.Busy, Disk: l.Disk,
+	e.press.LoadReported(pressure.LoadReport{InFlight: l.InFlight, Waiting: l.Waiting, Busy: l.Busy, Disk: l.Disk,
 		Memory: l.Memory}, millis(c.now))
 }
 
@@ -167,9 +167,9 @@
 		c.threads += threads
 	}
 	if sign > 0 {
-		e.press.Sent(a.r.query(), c.terms(e), millis(c.now))
+		e.press.AttemptStarted(a.r.query(), c.terms(e), millis(c.now))
 	} else {
-		e.press.Ended(a.r.query())
+		e.press.AttemptEnded(a.r.query())
 	}
 	e.work = max(e.work+sign*a.work, 0)
 	e.granted = max(e.granted+sign*a.grant, 0)
--- a/dispatch/learn.go
+++ b/dispatch/learn.go
@@ -173,7 +173,7 @@
 		a.spillSeen = true
 	case ProgressBlocked:
 		if now := millis(c.now); ev.Amount == 2 {
-			a.e.press.Noticed(r.group, now, now+1000*c.usual(r.c)/float64(r.c.Threads))
+			a.e.press.LockObserved(r.group, now, now+1000*c.usual(r.c)/float64(r.c.Threads))
 		}
 	case ProgressFraction:
 		total := took / max(ev.Amount, 0.01)
--- a/dispatch/list.go
+++ b/dispatch/list.go
@@ -52,8 +52,8 @@
 func (c *Controller) chill(e *engine, at time.Duration) {
 	e.coldAt, e.warmAt = at, max(e.warmAt, at+c.cfg.WarmUpDuration)
 	e.slow, e.fail = 1, 0
-	e.rest.Answer()
-	e.ration = slowstart.Start(c.cfg.RouterIndex, c.cfg.Routers, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
+	e.rest.RecordSuccess()
+	e.ration = slowstart.NewBudget(c.cfg.RouterIndex, c.cfg.Routers, float64(mix(1, e.ID)>>11)/(1<<53), millis(at))
 	e.rationBy, c.tally.till, c.tally.failingUntil = rationBy{}, 0, 0
 }
 
@@ -111,7 +111,7 @@
 	}
 	for _, z := range c.groups {
 		if !slices.Contains(before, z) {
-			z.Group = backoff.Group{} // of a zone with no listed engine nothing is kept
+			z.ZoneBackoff = backoff.ZoneBackoff{} // of a zone with no listed engine nothing is kept
 		}
 	}
 }
--- a/dispatch/measure.go
+++ b/dispatch/measure.go
@@ -93,7 +93,7 @@
 func (c *Controller) zonesLost() bool {
 	n := 0
 	for _, z := range c.groups {
-		if z.Doubted() {
+		if z.Suspect() {
 			n++
 		}
 	}
@@ -112,8 +112,8 @@
 // rests are those of an engine after strikes in a row, in milliseconds; zoneRests those of a zone once
 // zoneStrikes of its engines in a row gave no answer.
 var (
-	rests     = backoff.Terms{First: 250, Most: 4000}
-	zoneRests = backoff.Terms{First: 500, Most: 2000}
+	rests     = backoff.Policy{Initial: 250, Max: 4000}
+	zoneRests = backoff.Policy{Initial: 500, Max: 2000}
 )
 
 const zoneStrikes = 3
@@ -121,7 +121,7 @@
 // zonesOn counts the zones that rest.
 func (c *Controller) zonesOn() (n int) {
 	for _, z := range c.groups {
-		if z.On(millis(c.now)) {
+		if z.Active(millis(c.now)) {
 			n++
 		}
 	}
@@ -134,19 +134,19 @@
 func (c *Controller) strike(a *attempt, o Outcome) {
 	e, now := a.e, millis(c.now)
 	silent := o == ConnectFailed || o == TimedOut && !a.blamed && c.now+c.margin() < a.r.end
-	doubted := e.zone.Doubted()
+	doubted := e.zone.Suspect()
 	switch {
 	case o == Served:
-		e.rest.Answer()
-		e.zone.Answer()
+		e.rest.RecordSuccess()
+		e.zone.RecordSuccess()
 	case c.large() && (silent || o == EngineFull):
 		jitter := 0.75 + c.rng.Float64()/2
-		e.rest.Strike(now, jitter, rests)
+		e.rest.RecordFailure(now, jitter, rests)
 		if silent {
-			e.zone.Strike(int64(e.ID), zoneStrikes, now, jitter, zoneRests)
+			e.zone.RecordFailure(int64(e.ID), zoneStrikes, now, jitter, zoneRests)
 		}
 	}
-	if e.zone.Doubted() != doubted {
+	if e.zone.Suspect() != doubted {
 		c.tally.till = 0
 	}
 }
@@ -155,6 +155,6 @@
 // do, that is no reason.
 func (c *Controller) resting(e *engine) bool {
 	now := millis(c.now)
-	return e.fullAt > 0 && c.now-e.fullAt < fullRest || e.rest.On(now) ||
-		e.zone.On(now) && c.zonesOn() < len(c.groups)
+	return e.fullAt > 0 && c.now-e.fullAt < fullRest || e.rest.Active(now) ||
+		e.zone.Active(now) && c.zonesOn() < len(c.groups)
 }
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -35,7 +35,7 @@
 	r.out++
 	e.running = append(e.running, a)
 	c.count(a, 1)
-	e.zone.Tried(millis(c.now), zoneRests)
+	e.zone.RecordAttempt(millis(c.now), zoneRests)
 	c.due = min(c.due, c.dueOf(r))
 	if e.lost >= downAfter {
 		e.failAt = c.now // one try a rest, whenever it ends
@@ -205,7 +205,7 @@
 	if c.large() {
 		c.tallied()
 		most = c.largest()
-		at, ok := c.rationed(e).Chunk(millis(c.now), millis(window))
+		at, ok := c.rationed(e).Available(millis(c.now), millis(window))
 		if !ok {
 			return false
 		}
--- a/dispatch/scale_test.go
+++ b/dispatch/scale_test.go
@@ -264,20 +264,20 @@
 	if e, other := w.c.byID[1], w.c.byID[2]; !w.c.resting(e) || w.c.resting(other) {
 		t.Fatal("zone z0 does not rest, or z1 does")
 	}
-	if w.c.byID[7].rest.Answer(); !w.c.resting(w.c.byID[7]) {
+	if w.c.byID[7].rest.RecordSuccess(); !w.c.resting(w.c.byID[7]) {
 		t.Error("an engine of a zone that rests is used")
 	}
 	gone := list[0] // the last of z1 is gone, and z0 rests
 	left := []Endpoint{gone, list[2], list[4]}
 	w.list(ListComplete, left...)
-	w.c.byID[3].rest.Answer()
+	w.c.byID[3].rest.RecordSuccess()
 	if w.c.resting(w.c.byID[3]) {
 		t.Error("all zones that are listed rest, and the router keeps off all")
 	}
 	w = strikes()
 	w.handle(Cordon{Engine: 1})
 	w.handle(Uncordon{Engine: 1})
-	if w.c.byID[1].rest.On(millis(w.now)) {
+	if w.c.byID[1].rest.Active(millis(w.now)) {
 		t.Error("an engine rests after its ban has ended")
 	}
 }
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -52,7 +52,7 @@
 	owed            bool // included again, and not sent anything since
 	coldAt, warmAt  time.Duration
 	lost            int // attempts in a row that met no connection, or lost it
-	rest            backoff.Rest
+	rest            backoff.Backoff
 	zone            *zone
 	counted, noted  bool // among the warm ones of the tally; among the failed
 	running         []*attempt
@@ -62,7 +62,7 @@
 	slowAt, failAt  time.Duration
 	fullAt          time.Duration
 	spent           []spend
-	ration          slowstart.Ration // of what all gateways may send it while it is cold
+	ration          slowstart.Budget // of what all gateways may send it while it is cold
 	rationBy        rationBy
 	dueAt           float64         // when the heap of rations looks at it
 	peer            EngineUsage     // of the other controller of this gateway, in an upgrade
--- a/dispatch/sums.go
+++ b/dispatch/sums.go
@@ -24,7 +24,7 @@
 
 // zone is a failure domain that lists name.
 type zone struct {
-	backoff.Group
+	backoff.ZoneBackoff
 	listed bool // it has a listed engine; of one without, nothing is kept
 }
 
@@ -54,7 +54,7 @@
 		switch {
 		case c.now < e.warmAt:
 			t.cold, t.till = append(t.cold, e), min(t.till, e.warmAt)
-		case !lost || !e.zone.Doubted():
+		case !lost || !e.zone.Suspect():
 			e.counted = true
 			t.warm.cores, t.warm.memory = t.warm.cores+e.cores, t.warm.memory+e.memory
 			t.warm.threads, t.granted = t.warm.threads+e.threads, t.granted+units(e.granted)
@@ -93,7 +93,7 @@
 // ---- rations of cold engines
 
 // flow is what comes due to this gateway of what all may send a cold engine, in chunks of that work.
-func (c *Controller) flow(e *engine, chunk float64) (f slowstart.Flow) {
+func (c *Controller) flow(e *engine, chunk float64) (f slowstart.Rate) {
 	window := c.cfg.WarmUpOverloadWindow.Seconds()
 	whole, meet := 0.85*e.cores, math.Inf(1) // what it can do when warm; where the two bounds below meet
 	if d := c.cfg.WarmUpOverloadFactor - 2*coldUse; d > 0 {
@@ -103,13 +103,13 @@
 		return min(coldUse*can, (c.cfg.WarmUpOverloadFactor*can-chunk/window)/2) * c.share() / chunk
 	}
 	from, cold, warm := c.warmthFrom(), millis(e.coldAt), millis(e.coldAt+c.cfg.WarmUpDuration)
-	f = f.With(cold, rate(whole*from))
+	f = f.WithPoint(cold, rate(whole*from))
 	for _, can := range []float64{chunk / window / c.cfg.WarmUpOverloadFactor, meet} { // where the rate sets in, and bends
 		if part := (can/whole - from) / (1 - from); part > 0 && part < 1 {
-			f = f.With(cold+part*(warm-cold), rate(can))
+			f = f.WithPoint(cold+part*(warm-cold), rate(can))
 		}
 	}
-	return f.With(warm, rate(whole))
+	return f.WithPoint(warm, rate(whole))
 }
 
 // ration has the rations of all cold engines go by the present work of the largest class, and orders them by when they
@@ -125,7 +125,7 @@
 	}
 	for _, e := range t.cold {
 		c.rationed(e)
-		e.dueAt = e.ration.Next()
+		e.dueAt = e.ration.NextDue()
 		t.due, t.chunks = append(t.due, e), append(t.chunks, e)
 	}
 	for i := len(t.due)/2 - 1; i >= 0; i-- {
@@ -134,10 +134,10 @@
 }
 
 // rationed gives an engine's ration, which goes by the present chunk.
-func (c *Controller) rationed(e *engine) *slowstart.Ration {
+func (c *Controller) rationed(e *engine) *slowstart.Budget {
 	if by := (rationBy{c.tally.chunk, e.cores, c.revision}); e.rationBy != by {
 		e.rationBy = by
-		e.ration.Go(c.flow(e, by.chunk), millis(c.now))
+		e.ration.SetRate(c.flow(e, by.chunk), millis(c.now))
 	}
 	return &e.ration
 }
@@ -175,8 +175,8 @@
 	now, life := millis(c.now), millis(c.cfg.WarmUpOverloadWindow)
 	for len(t.due) > 0 && t.due[0].dueAt <= now {
 		e := t.due[0]
-		e.ration.Chunk(now, life)
-		e.dueAt = e.ration.Next()
+		e.ration.Available(now, life)
+		e.dueAt = e.ration.NextDue()
 		sink(t.due, 0)
 		at, found := slices.BinarySearchFunc(t.chunks, e, byEngineID)
 		if !found {
@@ -184,7 +184,7 @@
 		}
 	}
 	t.chunks = slices.DeleteFunc(t.chunks, func(e *engine) bool {
-		_, ok := e.ration.Chunk(now, life)
+		_, ok := e.ration.Available(now, life)
 		return !ok
 	})
 	return t.chunks
--- a/dispatch/sums_test.go
+++ b/dispatch/sums_test.go
@@ -15,7 +15,7 @@
 	lost := c.large() && c.zonesLost()
 	granted := int64(0)
 	for _, e := range c.live {
-		if c.now >= e.warmAt && !(lost && e.zone.Doubted()) {
+		if c.now >= e.warmAt && !(lost && e.zone.Suspect()) {
 			sum.cores, sum.memory = sum.cores+e.cores, sum.memory+e.memory
 			sum.threads, granted = sum.threads+e.threads, granted+units(e.granted)
 		}
@@ -28,7 +28,7 @@
 func (c *Controller) plainChunked() (ids []EngineID) {
 	for _, e := range c.live {
 		if c.now < e.warmAt && c.large() && c.cfg.WarmUpOverloadFactor > 0 {
-			if _, ok := c.rationed(e).Chunk(millis(c.now), millis(c.cfg.WarmUpOverloadWindow)); ok {
+			if _, ok := c.rationed(e).Available(millis(c.now), millis(c.cfg.WarmUpOverloadWindow)); ok {
 				ids = append(ids, e.ID)
 			}
 		}
@@ -206,7 +206,7 @@
 		w.list(ListComplete, list...)
 		w.c.warm()
 		e := w.c.byID[1]
-		if due := e.ration.Next(); due <= millis(born) || due > millis(e.warmAt) {
+		if due := e.ration.NextDue(); due <= millis(born) || due > millis(e.warmAt) {
 			t.Errorf("started at %v, its next chunk is due at %v ms", born, due)
 		}
 	}
--- a/internal/configclient/follow.go
+++ b/internal/configclient/follow.go
@@ -170,7 +170,7 @@
 	hold := min(within*3/8, time.Duration(cfg.HoldMS)*time.Millisecond)
 	for i := range n {
 		each, done := context.WithTimeout(ctx, within/time.Duration(min(n, 2)))
-		u, fresh, err := c.poller.ask(each, cfg.Addresses[c.state.Keeper(n)], c.state.Ask(), int(hold.Milliseconds()))
+		u, fresh, err := c.poller.ask(each, cfg.Addresses[c.state.Keeper(n)], c.state.Status(), int(hold.Milliseconds()))
 		done()
 		if err == nil && fresh {
 			err = c.take(u)
@@ -178,13 +178,13 @@
 		if err == nil {
 			return
 		}
-		wait := c.state.Lost(c.now(), 0) // none before each was asked
+		wait := c.state.CallFailed(c.now(), 0) // none before each was asked
 		if i == n-1 || ctx.Err() != nil {
 			break
 		}
 		pause(ctx, time.Duration(wait*1e6))
 	}
-	c.log.Warn("no keeper answered at the start", "revision", c.state.Ask().Revision)
+	c.log.Warn("no keeper answered at the start", "revision", c.state.Status().Revision)
 }
 
 // Start follows the keepers from now on.
@@ -259,7 +259,7 @@
 	c.Counters.Polls.Add(1)
 	at := time.Now()
 	call, done := context.WithTimeout(ctx, hold+answerWithin)
-	u, fresh, err := c.poller.ask(call, addr, c.state.Ask(), cfg.HoldMS)
+	u, fresh, err := c.poller.ask(call, addr, c.state.Status(), cfg.HoldMS)
 	done()
 	if ctx.Err() != nil {
 		return // cut short from here: no loss of the keeper's
@@ -283,15 +283,15 @@
 		c.Counters.Unfit.Add(1)
 	}
 	c.Counters.Lost.Add(1)
-	wait := c.state.Lost(c.now(), rand.Float64())
+	wait := c.state.CallFailed(c.now(), rand.Float64())
 	level := slog.LevelDebug
 	if !c.lost { // the first is said; the next good answer is
 		level = slog.LevelWarn
 	}
 	c.lost = true
 	c.log.Log(ctx, level, "keeper lost", "keeper", addr, "err", err, "wait_ms", int(wait))
-	if theirs, ahead := c.state.Ahead(); ahead {
-		c.log.Log(ctx, level, "all keepers are behind this router, which keeps its revision", "revision", c.state.Ask().Revision,
+	if theirs, ahead := c.state.KeepersAreBehind(); ahead {
+		c.log.Log(ctx, level, "all keepers are behind this router, which keeps its revision", "revision", c.state.Status().Revision,
 			"theirs", theirs)
 	}
 	pause(ctx, time.Duration(wait*1e6))
@@ -340,14 +340,14 @@
 	if !errors.As(err, &r) {
 		r = &Refusal{Reason: err.Error()}
 	}
-	c.state.Refuse(r.Pointer, r.Reason)
+	c.state.Reject(r.Pointer, r.Reason)
 	if errors.Is(err, ErrLater) {
 		return
 	}
 	c.Counters.Refused.Add(1)
 	c.Counters.Barred.Store(int64(s.Revision))
 	c.log.Error("configuration refused; the one before stays in force", "revision", s.Revision, "pointer", r.Pointer, "err", r.Reason,
-		"in_force", c.state.Ask().Revision)
+		"in_force", c.state.Status().Revision)
 }
 
 // pause waits, but not past the end of what it waits for.
--- a/internal/configclient/follow_test.go
+++ b/internal/configclient/follow_test.go
@@ -91,18 +91,18 @@
 	r.refuse[first+1] = &Refusal{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
-	said := k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
-	if said.Revision != first || said.Refused.Revision != first+1 || said.Refused.Pointer != "/settings/over-share-worth" ||
-		said.Refused.Reason != "too much" {
-		t.Errorf("%+v, %+v", said, said.Refused)
+	said := k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	if said.Revision != first || said.Rejected.Revision != first+1 || said.Rejected.Pointer != "/settings/over-share-worth" ||
+		said.Rejected.Reason != "too much" {
+		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
 	if c.Counters.Revision.Load() != int64(first) || c.Counters.Barred.Load() != int64(first+1) || c.Latest().Revision != first {
 		t.Errorf("in force %d, refused %d", c.Counters.Revision.Load(), c.Counters.Barred.Load())
 	}
 	third := k.Change(worth("0.3"))
 	said = k.UntilAt(third)
-	if said.Refused != nil || c.Counters.Barred.Load() != 0 {
-		t.Errorf("after a good one: %+v", said.Refused)
+	if said.Rejected != nil || c.Counters.Barred.Load() != 0 {
+		t.Errorf("after a good one: %+v", said.Rejected)
 	}
 	if got := string(r.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
 		t.Error(got)
@@ -116,7 +116,7 @@
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
-	k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
+	k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	r.mu.Lock()
 	delete(r.refuse, 1)
 	r.mu.Unlock()
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -133,8 +133,8 @@
 
 // What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
 func TestGoldenCall(t *testing.T) {
-	report := configlog.Report{Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
-		Refused: &configlog.Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
+	report := configlog.FollowerStatus{Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
 	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
 	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -27,14 +27,14 @@
 	log     *configlog.Log
 	changed chan struct{} // closed at the next change
 	instead http.HandlerFunc
-	heard   chan configlog.Report
+	heard   chan configlog.FollowerStatus
 	noted   map[string]bool // instances
 }
 
 // New runs a keeper that ends with the test.
 func New(t testing.TB) *Keeper {
-	k := &Keeper{t: t, log: configlog.NewLog(configlog.DefaultTerms), changed: make(chan struct{}), stop: make(chan struct{}),
-		heard: make(chan configlog.Report, 1<<14), noted: map[string]bool{}}
+	k := &Keeper{t: t, log: configlog.NewLog(configlog.DefaultRetention), changed: make(chan struct{}), stop: make(chan struct{}),
+		heard: make(chan configlog.FollowerStatus, 1<<14), noted: map[string]bool{}}
 	k.server = httptest.NewServer(k)
 	t.Cleanup(func() {
 		close(k.stop)
@@ -57,8 +57,8 @@
 		c.Put[p] = json.RawMessage(v)
 	}
 	r := k.log.Apply(c)
-	if r.Fault != nil {
-		k.t.Fatal(r.Fault)
+	if r.Err != nil {
+		k.t.Fatal(r.Err)
 	}
 	close(k.changed)
 	k.changed = make(chan struct{})
@@ -75,7 +75,7 @@
 }
 
 // Until waits for a call that says so.
-func (k *Keeper) Until(what string, ok func(configlog.Report) bool) configlog.Report {
+func (k *Keeper) Until(what string, ok func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
 	k.t.Helper()
 	late := time.After(within)
 	for {
@@ -91,17 +91,17 @@
 }
 
 // UntilAt waits for a call that says that a revision is in force.
-func (k *Keeper) UntilAt(revision uint64) configlog.Report {
+func (k *Keeper) UntilAt(revision uint64) configlog.FollowerStatus {
 	k.t.Helper()
 	return k.Until("revision "+strconv.FormatUint(revision, 10)+" is in force",
-		func(r configlog.Report) bool { return r.Revision == revision })
+		func(r configlog.FollowerStatus) bool { return r.Revision == revision })
 }
 
 // ServeHTTP implements http.Handler.
 func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var ask struct {
-		Report configlog.Report `json:"report"`
-		WaitMS int              `json:"wait_ms"`
+		Report configlog.FollowerStatus `json:"report"`
+		WaitMS int                      `json:"wait_ms"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil || r.URL.Path != "/v1/follow" || r.Method != http.MethodPost {
 		http.Error(w, "no such call", http.StatusNotFound)
--- a/internal/configclient/poller.go
+++ b/internal/configclient/poller.go
@@ -61,10 +61,10 @@
 
 // ask says what this router has and hears what is new; not fresh where nothing is. The context, which has to have a deadline,
 // bounds all of it.
-func (p *poller) ask(ctx context.Context, addr string, report configlog.Report, holdMS int) (u configlog.Update, fresh bool, err error) {
+func (p *poller) ask(ctx context.Context, addr string, report configlog.FollowerStatus, holdMS int) (u configlog.Update, fresh bool, err error) {
 	body, err := json.Marshal(struct {
-		Report configlog.Report `json:"report"`
-		WaitMS int              `json:"wait_ms"`
+		Report configlog.FollowerStatus `json:"report"`
+		WaitMS int                      `json:"wait_ms"`
 	}{report, holdMS})
 	if err != nil {
 		return u, false, err
--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -10,7 +10,7 @@
 // one each.
 func grown(b *testing.B, entries int) *Log {
 	b.Helper()
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	for n := 0; n < entries; {
 		c := Change{ID: fmt.Sprint("grow ", n), Put: map[string]json.RawMessage{}}
 		for ; n < entries && len(c.Put) < 5000; n++ {
@@ -46,8 +46,8 @@
 		}
 		b.ResetTimer()
 		for _, c := range changes {
-			if r := l.Apply(c); r.Fault != nil {
-				b.Fatal(r.Fault)
+			if r := l.Apply(c); r.Err != nil {
+				b.Fatal(r.Err)
 			}
 		}
 	})
@@ -139,7 +139,7 @@
 			b.Fatal(err)
 		}
 		f.Accept()
-		u := l.Next(f.Ask())
+		u := l.Next(f.Status())
 		for b.Loop() {
 			if _, ok, err := f.Offer(u); !ok {
 				b.Fatal(err)
--- a/internal/decide/configlog/broken_test.go
+++ b/internal/decide/configlog/broken_test.go
@@ -43,25 +43,27 @@
 		}
 	}},
 	{"judge that ignores unreached keepers", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, _ []string) Verdict { return l.Judge(rev, heard, nil) }
+		v.judge = func(l *Log, rev uint64, heard []Lease, _ []string) ConvergenceStatus {
+			return l.Convergence(rev, heard, nil)
+		}
 	}},
 	{"judge that goes by names alone", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict {
-			verdict := l.Judge(rev, heard, nil)
+		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
+			verdict := l.Convergence(rev, heard, nil)
 			verdict.Everywhere = verdict.Everywhere && (len(unreached) == 0 || len(verdict.Gone) == 0)
 			return verdict
 		}
 	}},
 	{"judge that ignores who is behind", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict {
-			verdict := l.Judge(rev, heard, unreached)
+		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
+			verdict := l.Convergence(rev, heard, unreached)
 			verdict.Everywhere = len(verdict.InForce) > 0
 			return verdict
 		}
 	}},
 	{"judge that counts who is gone", allMeet, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict {
-			verdict := l.Judge(rev, heard, unreached)
+		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
+			verdict := l.Convergence(rev, heard, unreached)
 			verdict.Everywhere = verdict.Everywhere && len(verdict.Gone) == 0
 			return verdict
 		}
@@ -125,8 +127,8 @@
 
 type forgetful struct{ *Follower }
 
-func (f forgetful) Refuse(pointer, reason string) {
-	f.Follower.Refuse(pointer, reason)
+func (f forgetful) Reject(pointer, reason string) {
+	f.Follower.Reject(pointer, reason)
 	f.Retry()
 }
 
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -28,46 +28,46 @@
 	AtMS int64 `json:"at_ms"`
 }
 
-// FaultKind says what kind of wrong a Fault is.
-type FaultKind string
+// ChangeErrorKind says what kind of wrong a Fault is.
+type ChangeErrorKind string
 
 const (
-	// FaultInvalid is a change that is wrong in itself or doesn't fit the document.
-	FaultInvalid FaultKind = "invalid"
-	// FaultConflict is a change that expects another revision; Fault.Revision is the one in force.
-	FaultConflict FaultKind = "conflict"
-	// FaultCompacted asks for a revision that is no longer kept; Fault.Revision is the oldest that is.
-	FaultCompacted FaultKind = "compacted"
-	// FaultReused is an ID that another change has had; Fault.Revision is that one's revision.
-	FaultReused FaultKind = "reused"
+	// ChangeInvalid is a change that is wrong in itself or doesn't fit the document.
+	ChangeInvalid ChangeErrorKind = "invalid"
+	// ChangeConflict is a change that expects another revision; Fault.Revision is the one in force.
+	ChangeConflict ChangeErrorKind = "conflict"
+	// RevisionCompacted asks for a revision that is no longer kept; Fault.Revision is the oldest that is.
+	RevisionCompacted ChangeErrorKind = "compacted"
+	// ChangeIDReused is an ID that another change has had; Fault.Revision is that one's revision.
+	ChangeIDReused ChangeErrorKind = "reused"
 )
 
-// Fault is why a change or a question got no revision. It implements error.
-type Fault struct {
-	Kind     FaultKind `json:"kind"`
-	Pointer  string    `json:"pointer,omitempty"` // the entry at fault, where it is one
-	Reason   string    `json:"reason"`            // in plain words, with the field
-	Revision uint64    `json:"revision"`          // what it is depends on the kind
+// ChangeError is why a change or a question got no revision. It implements error.
+type ChangeError struct {
+	Kind     ChangeErrorKind `json:"kind"`
+	Pointer  string          `json:"pointer,omitempty"` // the entry at fault, where it is one
+	Reason   string          `json:"reason"`            // in plain words, with the field
+	Revision uint64          `json:"revision"`          // what it is depends on the kind
 }
 
 // Error gives the fault in one line.
-func (f *Fault) Error() string {
+func (f *ChangeError) Error() string {
 	if f.Pointer != "" {
 		return fmt.Sprintf("%s: %s: %s", f.Kind, f.Pointer, f.Reason)
 	}
 	return fmt.Sprintf("%s: %s", f.Kind, f.Reason)
 }
 
-func invalid(pointer, format string, a ...any) *Fault {
-	return &Fault{Kind: FaultInvalid, Pointer: pointer, Reason: fmt.Sprintf(format, a...)}
+func invalid(pointer, format string, a ...any) *ChangeError {
+	return &ChangeError{Kind: ChangeInvalid, Pointer: pointer, Reason: fmt.Sprintf(format, a...)}
 }
 
 // Result is what became of a Change. Where Fault is nil, Revision is the one that the change made, now or (Repeated) at a former
 // call; otherwise nothing was made and Revision is the one in force.
 type Result struct {
-	Revision uint64 `json:"revision"`
-	Repeated bool   `json:"repeated"`
-	Fault    *Fault `json:"fault,omitempty"`
+	Revision uint64       `json:"revision"`
+	Repeated bool         `json:"repeated"`
+	Err      *ChangeError `json:"fault,omitempty"`
 }
 
 // Revision is one change that was made, as History shows it. Put and Remove are what differs from the revision before, also
@@ -99,17 +99,17 @@
 // Nothing says that the update holds nothing new for the follower that it is for.
 func (u Update) Nothing() bool { return u.From == u.To && !u.Snapshot && !u.Behind }
 
-// Report is a follower's word to a keeper: it holds Revision with Hash in force (ACK), and refused Refused (NACK), if any.
-type Report struct {
-	Name     string   `json:"name"`     // of the router, the same in its next life
-	Instance string   `json:"instance"` // of the process, another in each life; see Instance
-	Revision uint64   `json:"revision"` // 0 for the router's own file alone
-	Hash     Hash     `json:"hash"`
-	Refused  *Refusal `json:"refused,omitempty"`
+// FollowerStatus is a follower's word to a keeper: it holds Revision with Hash in force (ACK), and refused Refused (NACK), if any.
+type FollowerStatus struct {
+	Name     string     `json:"name"`     // of the router, the same in its next life
+	Instance string     `json:"instance"` // of the process, another in each life; see Instance
+	Revision uint64     `json:"revision"` // 0 for the router's own file alone
+	Hash     Hash       `json:"hash"`
+	Rejected *Rejection `json:"refused,omitempty"`
 }
 
-// Refusal is a revision that a follower couldn't put in force; it keeps the one before.
-type Refusal struct {
+// Rejection is a revision that a follower couldn't put in force; it keeps the one before.
+type Rejection struct {
 	Revision uint64 `json:"revision"`
 	Hash     Hash   `json:"hash"` // of the refused content
 	Pointer  string `json:"pointer,omitempty"`
@@ -123,14 +123,14 @@
 }
 
 // Check says which field of a report is wrong, or nothing.
-func (r Report) Check() error {
+func (r FollowerStatus) Check() error {
 	if err := checkLabel("name", r.Name); err != nil {
 		return err
 	}
 	if err := checkLabel("instance", r.Instance); err != nil {
 		return err
 	}
-	if f := r.Refused; f != nil && (len(f.Pointer) > MaxPointer || len(f.Reason) > MaxNote) {
+	if f := r.Rejected; f != nil && (len(f.Pointer) > MaxPointer || len(f.Reason) > MaxNote) {
 		return fmt.Errorf("field refused: its pointer has more than %d bytes, or its reason more than %d", MaxPointer, MaxNote)
 	}
 	return nil
--- a/internal/decide/configlog/courier.go
+++ b/internal/decide/configlog/courier.go
@@ -11,9 +11,9 @@
 	firstWaitMS = 100
 	// leastWaitMS is the wait after each keeper has failed once; it doubles for each round after that.
 	leastWaitMS = 500
-	// MostWaitMS bounds the wait. It is below the usual lease of 6,000, so that a follower that finds a keeper again
+	// MaxBackoffMS bounds the wait. It is below the usual lease of 6,000, so that a follower that finds a keeper again
 	// wasn't gone for longer than the others took to answer.
-	MostWaitMS = 4_000
+	MaxBackoffMS = 4_000
 )
 
 // courier is what a follower knows of the keepers: which one is asked, and how long is waited after a failure.
@@ -42,10 +42,10 @@
 // Unchanged says that a keeper answered that there is nothing new. Offer says it by itself for what it takes.
 func (f *Follower) Unchanged() { f.losses, f.behinds, f.theirs = 0, 0, 0 }
 
-// Lost says that a call failed, or that its answer couldn't be taken, and gives the milliseconds to wait before the next, which
+// CallFailed says that a call failed, or that its answer couldn't be taken, and gives the milliseconds to wait before the next, which
 // goes to another keeper. A loss that is told during the wait changes nothing: the next keeper hasn't been asked yet. jitter is
 // evenly drawn from 0 up to 1. nowMS is of a clock that doesn't go back.
-func (f *Follower) Lost(nowMS, jitter float64) (waitMS float64) {
+func (f *Follower) CallFailed(nowMS, jitter float64) (waitMS float64) {
 	if nowMS < f.untilMS {
 		return f.untilMS - nowMS
 	}
@@ -56,19 +56,19 @@
 		waitMS = jitter * firstWaitMS
 	} else {
 		most := float64(leastWaitMS)
-		for i := f.losses / f.keepers; i > 1 && most < MostWaitMS; i-- {
+		for i := f.losses / f.keepers; i > 1 && most < MaxBackoffMS; i-- {
 			most *= 2
 		}
-		most = min(most, MostWaitMS)
+		most = min(most, MaxBackoffMS)
 		waitMS = most/2 + jitter*most/2
 	}
 	f.untilMS = nowMS + waitMS
 	return waitMS
 }
 
-// Ahead says that as many answers in a row as there are keepers came from keepers that are behind, and the highest revision
+// KeepersAreBehind says that as many answers in a row as there are keepers came from keepers that are behind, and the highest revision
 // among them: the keepers were restored from an older state. The follower keeps what it has until they are past it.
-func (f *Follower) Ahead() (theirs uint64, ahead bool) {
+func (f *Follower) KeepersAreBehind() (theirs uint64, ahead bool) {
 	return f.theirs, f.behinds >= f.keepers
 }
 
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -20,7 +20,7 @@
 	MaxChange   = 1 << 20  // of all pointers and values of one change
 	MaxDocument = 4 << 20  // of all pointers and values of the document
 	MaxEntries  = 50_000   // entries of the document
-	MaxRoster   = 10_000   // names of followers that are remembered
+	MaxMembers  = 10_000   // names of followers that are remembered
 	MaxIDs      = 4_096    // latest IDs that are remembered, so that a repeated call is one change
 	maxDepth    = 64       // lists and objects within each other in a value
 	partiesPath = "/settings/parties/"
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// PartyName gives the name of the party that a pointer addresses, and false for a pointer that addresses none.
-func PartyName(pointer string) (string, bool) {
+// TenantName gives the name of the party that a pointer addresses, and false for a pointer that addresses none.
+func TenantName(pointer string) (string, bool) {
 	name, ok := strings.CutPrefix(pointer, partiesPath)
 	if !ok || name == "" || strings.Contains(name, "/") {
 		return "", false
--- a/internal/decide/configlog/document_test.go
+++ b/internal/decide/configlog/document_test.go
@@ -23,10 +23,10 @@
 			t.Errorf("%q is taken", p)
 		}
 	}
-	if n, ok := PartyName("/settings/parties/a~1b~01"); n != "a/b~1" || !ok {
+	if n, ok := TenantName("/settings/parties/a~1b~01"); n != "a/b~1" || !ok {
 		t.Error(n, ok)
 	}
-	if n, ok := PartyName("/settings/parties/a/b"); ok {
+	if n, ok := TenantName("/settings/parties/a/b"); ok {
 		t.Error(n)
 	}
 }
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -50,9 +50,9 @@
 type Follower struct {
 	name, instance string
 	now            content
-	next           *content  // offered, neither accepted nor refused
-	refused        []Refusal // after what is in force, by revision
-	whole          bool      // an update didn't fit: the whole is asked for
+	next           *content    // offered, neither accepted nor refused
+	refused        []Rejection // after what is in force, by revision
+	whole          bool        // an update didn't fit: the whole is asked for
 	courier
 }
 
@@ -63,13 +63,13 @@
 		courier: newCourier(instance)}
 }
 
-// Ask gives what the next call says to a keeper, which is also the ACK or NACK of what the last one brought. After an update
+// Status gives what the next call says to a keeper, which is also the ACK or NACK of what the last one brought. After an update
 // that didn't fit, the hash is left out, which makes a keeper send the whole.
-func (f *Follower) Ask() Report {
-	r := Report{Name: f.name, Instance: f.instance, Revision: f.now.revision, Hash: f.now.hash}
+func (f *Follower) Status() FollowerStatus {
+	r := FollowerStatus{Name: f.name, Instance: f.instance, Revision: f.now.revision, Hash: f.now.hash}
 	if n := len(f.refused); n > 0 {
 		last := f.refused[n-1]
-		r.Refused = &last
+		r.Rejected = &last
 	}
 	if f.whole {
 		r.Hash = Hash{}
@@ -143,19 +143,19 @@
 		return
 	}
 	f.now, f.next, f.whole = *f.next, nil, false
-	f.refused = slices.DeleteFunc(f.refused, func(r Refusal) bool { return r.Revision <= f.now.revision })
+	f.refused = slices.DeleteFunc(f.refused, func(r Rejection) bool { return r.Revision <= f.now.revision })
 }
 
-// Refuse says that the candidate couldn't be brought in force, at which pointer and why; the one before stays. The same content
+// Reject says that the candidate couldn't be brought in force, at which pointer and why; the one before stays. The same content
 // under the same number isn't taken again in this life until Retry, also if a keeper that is late has offered another between.
 // Without a candidate it does nothing.
-func (f *Follower) Refuse(pointer, reason string) {
+func (f *Follower) Reject(pointer, reason string) {
 	if f.next == nil {
 		return
 	}
-	r := Refusal{Revision: f.next.revision, Hash: f.next.hash, Pointer: cut(pointer, MaxPointer), Reason: cut(reason, MaxNote)}
+	r := Rejection{Revision: f.next.revision, Hash: f.next.hash, Pointer: cut(pointer, MaxPointer), Reason: cut(reason, MaxNote)}
 	f.next = nil
-	at, _ := slices.BinarySearchFunc(f.refused, r, func(a, b Refusal) int { return cmp.Compare(a.Revision, b.Revision) })
+	at, _ := slices.BinarySearchFunc(f.refused, r, func(a, b Rejection) int { return cmp.Compare(a.Revision, b.Revision) })
 	f.refused = slices.Insert(f.refused, at, r)
 	if over := len(f.refused) - refusals; over > 0 {
 		f.refused = slices.Delete(f.refused, 0, over)
@@ -166,7 +166,7 @@
 const refusals = 16
 
 func (f *Follower) hasRefused(rev uint64, h Hash) bool {
-	return slices.ContainsFunc(f.refused, func(r Refusal) bool { return r.Revision == rev && r.Hash == h })
+	return slices.ContainsFunc(f.refused, func(r Rejection) bool { return r.Revision == rev && r.Hash == h })
 }
 
 // cut gives at most so many bytes of a text, and no part of a character.
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -14,7 +14,7 @@
 func (f *Follower) holds(t testing.TB, rev uint64, content map[string]json.RawMessage) {
 	t.Helper()
 	s := f.Saved()
-	if s.Revision != rev || f.Ask().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) || s.Hash != HashOf(content) {
+	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) || s.Hash != HashOf(content) {
 		t.Fatalf("it holds %d %v, not %d %v", s.Revision, s.Entries, rev, content)
 	}
 }
@@ -22,7 +22,7 @@
 // follow takes what the log has for the follower.
 func (f *Follower) follow(t testing.TB, l *Log) {
 	t.Helper()
-	if _, ok, err := f.Offer(l.Next(f.Ask())); !ok || err != nil {
+	if _, ok, err := f.Offer(l.Next(f.Status())); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	f.Accept()
@@ -31,21 +31,21 @@
 
 // Delta and whole, accepted one after another; nothing where there is nothing.
 func TestFollowerFollows(t *testing.T) {
-	l, f := filled(t, Terms{Revisions: 2}), NewFollower("r", "1")
+	l, f := filled(t, Retention{Revisions: 2}), NewFollower("r", "1")
 	f.holds(t, 0, nil)
 	f.follow(t, l)
 	l.made(t, put("a", "/settings/a", "1"))
-	if u := l.Next(f.Ask()); u.Snapshot {
+	if u := l.Next(f.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, l)
-	if _, ok, err := f.Offer(l.Next(f.Ask())); ok || err != nil {
+	if _, ok, err := f.Offer(l.Next(f.Status())); ok || err != nil {
 		t.Error(ok, err)
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		l.made(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if u := l.Next(f.Ask()); !u.Snapshot {
+	if u := l.Next(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, l)
@@ -55,12 +55,12 @@
 
 // What isn't for this follower, or isn't what it says, changes nothing and is told.
 func TestFollowerTakesNoOther(t *testing.T) {
-	l, f := filled(t, Terms{}), NewFollower("r", "1")
-	old := l.Next(f.Ask())
+	l, f := filled(t, Retention{}), NewFollower("r", "1")
+	old := l.Next(f.Status())
 	f.follow(t, l)
 	late := l.Since(f.now.revision, f.now.hash)
 	l.made(t, put("a", "/settings/a", "1"))
-	delta := l.Next(f.Ask())
+	delta := l.Next(f.Status())
 	f.follow(t, l)
 	content := l.Entries()
 	refuses := func(why string, u Update, want error) {
@@ -75,17 +75,17 @@
 	refuses("a delta once more", delta, ErrStale)
 	refuses("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
 	refuses("behind", Update{From: 2, To: 1, Behind: true}, ErrBehind)
-	if f.Ask().Hash != f.now.hash {
+	if f.Status().Hash != f.now.hash {
 		t.Error("the whole is asked for without need")
 	}
 	l.made(t, put("b", "/settings/a", "2"))
-	broken := l.Next(f.Ask())
+	broken := l.Next(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
 	refuses("a value that isn't the one", broken, ErrMismatch)
-	if f.Ask().Hash != (Hash{}) {
+	if f.Status().Hash != (Hash{}) {
 		t.Error("the whole isn't asked for")
 	}
-	if u := l.Next(f.Ask()); !u.Snapshot {
+	if u := l.Next(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	} else {
 		u.Put["/settings/x"] = json.RawMessage("1")
@@ -93,14 +93,14 @@
 	}
 	refuses("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
 	f.follow(t, l)
-	if f.Ask().Hash != l.Hash() {
+	if f.Status().Hash != l.Hash() {
 		t.Error("the whole is still asked for")
 	}
 	l.made(t, put("c", "/settings/a", "4"))
-	if _, ok, err := f.Offer(l.Next(f.Ask())); !ok || err != nil {
+	if _, ok, err := f.Offer(l.Next(f.Status())); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	if _, ok, err := f.Offer(l.Next(f.Ask())); ok || !errors.Is(err, ErrPending) {
+	if _, ok, err := f.Offer(l.Next(f.Status())); ok || !errors.Is(err, ErrPending) {
 		t.Error(ok, err)
 	}
 	if _, _, err := f.Restore(Saved{Revision: 9}); !errors.Is(err, ErrPending) {
@@ -109,31 +109,31 @@
 	f.Accept()
 	f.holds(t, 4, l.Entries())
 	f.Accept()
-	f.Refuse("", "nothing is offered")
-	if f.holds(t, 4, l.Entries()); f.Ask().Refused != nil {
-		t.Error(f.Ask().Refused)
+	f.Reject("", "nothing is offered")
+	if f.holds(t, 4, l.Entries()); f.Status().Rejected != nil {
+		t.Error(f.Status().Rejected)
 	}
 }
 
 // A refused revision leaves the one before in force, is told, and isn't taken again until something is different.
 func TestFollowerRefuses(t *testing.T) {
-	l, f := filled(t, Terms{}), NewFollower("r", "1")
+	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	f.follow(t, l)
 	before := l.Entries()
 	l.made(t, put("a", "/settings/a", "1"))
-	u := l.Next(f.Ask())
+	u := l.Next(f.Status())
 	refuse := func() {
 		t.Helper()
 		if _, ok, err := f.Offer(u); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
-		f.Refuse("/settings/a", strings.Repeat("é", MaxNote))
+		f.Reject("/settings/a", strings.Repeat("é", MaxNote))
 		f.holds(t, 1, before)
 	}
 	refuse()
-	r := f.Ask()
-	if r.Refused == nil || r.Refused.Revision != 2 || r.Refused.Hash != l.Hash() || r.Refused.Pointer != "/settings/a" || r.Check() != nil {
-		t.Errorf("%+v", r.Refused)
+	r := f.Status()
+	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() || r.Rejected.Pointer != "/settings/a" || r.Check() != nil {
+		t.Errorf("%+v", r.Rejected)
 	}
 	if u := l.Next(r); !u.Nothing() {
 		t.Errorf("%+v", u)
@@ -145,26 +145,26 @@
 		}
 	}
 	f.Retry()
-	if f.Ask().Refused != nil {
+	if f.Status().Rejected != nil {
 		t.Error("still refused")
 	}
 	refuse()
 	l.made(t, put("b", "/settings/a", "2"))
 	f.follow(t, l)
-	if f.Ask().Refused != nil {
+	if f.Status().Rejected != nil {
 		t.Error("still refused")
 	}
 }
 
 // A late keeper's offer between doesn't make a follower forget what it refused, and its memory has a bound.
 func TestFollowerRemembersRefusals(t *testing.T) {
-	l, f := filled(t, Terms{}), NewFollower("r", "1")
+	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	f.follow(t, l)
 	l.made(t, put("a", "/settings/a", "1"))
-	two := l.Next(f.Ask())
+	two := l.Next(f.Status())
 	good := l.Entries()
 	l.made(t, put("b", "/settings/a", "2"))
-	three := l.Next(f.Ask())
+	three := l.Next(f.Status())
 	offer := func(u Update, want bool) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok != want || err != nil {
@@ -172,39 +172,39 @@
 		}
 	}
 	offer(three, true)
-	f.Refuse("/settings/a", "no")
+	f.Reject("/settings/a", "no")
 	offer(two, true)
-	f.Refuse("/settings/a", "no")
+	f.Reject("/settings/a", "no")
 	offer(three, false)
 	offer(two, false)
-	if r := f.Ask().Refused; r == nil || r.Revision != 3 {
+	if r := f.Status().Rejected; r == nil || r.Revision != 3 {
 		t.Errorf("%+v", r)
 	}
 	f.Retry()
 	offer(three, true)
-	f.Refuse("/settings/a", "no")
+	f.Reject("/settings/a", "no")
 	offer(two, true)
 	f.Accept()
 	f.holds(t, 2, good)
 	offer(l.Since(2, f.now.hash), false)
 	for i := range 2 * refusals {
 		l.made(t, put(fmt.Sprint("c", i), "/settings/a", fmt.Sprint("1", i)))
-		offer(l.Next(f.Ask()), true)
-		f.Refuse("/settings/a", "no")
+		offer(l.Next(f.Status()), true)
+		f.Reject("/settings/a", "no")
 	}
-	if r := f.Ask().Refused; len(f.refused) != refusals || r.Revision != l.Revision() {
+	if r := f.Status().Rejected; len(f.refused) != refusals || r.Revision != l.Revision() {
 		t.Errorf("%d, %+v", len(f.refused), r)
 	}
 	l.made(t, put("d", "/settings/a", "9"))
 	f.follow(t, l)
-	if f.Ask().Refused != nil || len(f.refused) != 0 {
+	if f.Status().Rejected != nil || len(f.refused) != 0 {
 		t.Error(f.refused)
 	}
 }
 
 // A copy is taken if it's what was saved and not older than what is in force.
 func TestFollowerRestores(t *testing.T) {
-	l, f := filled(t, Terms{}), NewFollower("r", "1")
+	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	l.made(t, put("a", "/settings/a", "1"))
 	f.follow(t, l)
 	text, err := json.Marshal(f.Saved())
@@ -249,10 +249,10 @@
 	if _, ok, _ := third.Restore(saved); !ok {
 		t.Fatal("not taken")
 	}
-	third.Refuse("/settings/a", "no")
+	third.Reject("/settings/a", "no")
 	third.holds(t, 0, nil)
 	l.made(t, put("b", "/settings/a", "2"))
-	if u := l.Next(next.Ask()); u.Snapshot {
+	if u := l.Next(next.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	next.follow(t, l)
@@ -261,47 +261,47 @@
 // Keepers that were restored from an older state are behind a follower: it keeps what it has, says so, and takes theirs when
 // they are past it, as a whole.
 func TestKeepersFromAnOlderState(t *testing.T) {
-	l, f := filled(t, Terms{}), NewFollower("r", "1")
+	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	old, _ := l.MarshalBinary()
 	l.made(t, put("a", "/settings/a", "1"))
 	l.made(t, put("b", "/settings/a", "2"))
 	f.follow(t, l)
-	restored := NewLog(Terms{})
+	restored := NewLog(Retention{})
 	if err := restored.UnmarshalBinary(old); err != nil {
 		t.Fatal(err)
 	}
 	restored.Join("r", "1")
 	f.Keeper(3)
 	for i := range 3 {
-		if _, ahead := f.Ahead(); ahead {
+		if _, ahead := f.KeepersAreBehind(); ahead {
 			t.Error("ahead of all after", i)
 		}
-		if _, ok, err := f.Offer(restored.Next(f.Ask())); ok || !errors.Is(err, ErrBehind) {
+		if _, ok, err := f.Offer(restored.Next(f.Status())); ok || !errors.Is(err, ErrBehind) {
 			t.Fatal(ok, err)
 		}
-		f.Lost(float64(i)*10_000, 0)
+		f.CallFailed(float64(i)*10_000, 0)
 		f.holds(t, 3, l.Entries())
 	}
-	if theirs, ahead := f.Ahead(); !ahead || theirs != 1 {
+	if theirs, ahead := f.KeepersAreBehind(); !ahead || theirs != 1 {
 		t.Error(theirs, ahead)
 	}
-	if v := restored.Judge(1, []Lease{{Report: f.Ask()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
+	if v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
 		t.Errorf("%+v", v)
 	}
 	for i, id := range []string{"x", "y"} {
 		restored.made(t, put(id, "/settings/c", string(rune('1'+i))))
 	}
-	if v := restored.Judge(3, []Lease{{Report: f.Ask()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
+	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
 		t.Errorf("%+v", v) // the same number, another content
 	}
-	if u := restored.Next(f.Ask()); !u.Snapshot {
+	if u := restored.Next(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, restored)
-	if _, ahead := f.Ahead(); ahead {
+	if _, ahead := f.KeepersAreBehind(); ahead {
 		t.Error("still ahead")
 	}
-	if v := restored.Judge(3, []Lease{{Report: f.Ask()}}, nil); !v.Everywhere {
+	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !v.Everywhere {
 		t.Errorf("%+v", v)
 	}
 }
@@ -312,11 +312,11 @@
 	now, asked := 0.0, map[int]int{}
 	for i := range 3 {
 		asked[f.Keeper(3)]++
-		wait := f.Lost(now, 0.999)
+		wait := f.CallFailed(now, 0.999)
 		if most := 100.0; i < 2 && wait >= most || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
 		}
-		if again := f.Lost(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // told twice
+		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // told twice
 			t.Error(again, wait)
 		}
 		now += wait
@@ -326,19 +326,19 @@
 	}
 	last := 0.0
 	for i := range 30 {
-		wait := f.Lost(now, 0)
-		if now += wait; wait < last || wait > MostWaitMS/2 || i%3 == 0 && wait < 250 {
+		wait := f.CallFailed(now, 0)
+		if now += wait; wait < last || wait > MaxBackoffMS/2 || i%3 == 0 && wait < 250 {
 			t.Error(i, wait, last)
 		}
 		last = wait
 	}
-	if wait := f.Lost(now, 5); wait != MostWaitMS {
+	if wait := f.CallFailed(now, 5); wait != MaxBackoffMS {
 		t.Error(wait)
 	}
-	now += MostWaitMS
+	now += MaxBackoffMS
 	at := f.Keeper(3)
 	f.Unchanged()
-	if f.Keeper(3) != at || f.Lost(now, 0) != 0 || f.Keeper(3) == at {
+	if f.Keeper(3) != at || f.CallFailed(now, 0) != 0 || f.Keeper(3) == at {
 		t.Error("an answer doesn't end it, or a loss doesn't move on")
 	}
 	// Followers spread over the keepers.
@@ -358,16 +358,16 @@
 
 // A report's fields are checked before it is taken.
 func TestReportCheck(t *testing.T) {
-	for words, r := range map[string]Report{
+	for words, r := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
 		"instance": {Name: "r"},
-		"refused":  {Name: "r", Instance: "1", Refused: &Refusal{Reason: strings.Repeat("x", MaxNote+1)}},
+		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNote+1)}},
 	} {
 		if err := r.Check(); err == nil || !strings.Contains(err.Error(), "field "+words) {
 			t.Error(words, err)
 		}
 	}
-	if err := (Report{Name: "r", Instance: "1"}).Check(); err != nil {
+	if err := (FollowerStatus{Name: "r", Instance: "1"}).Check(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -21,22 +21,22 @@
 	revertTo, expect := uint64(3), uint64(7)
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
 	remove := []string{"/settings/parties/north", "/settings/parties/south"}
-	refusal := &Refusal{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
-	report := Report{Name: "n/0", Instance: Instance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Refused: refusal}
-	seats := []Seat{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Refused: refusal}}
-	fault := Fault{Kind: FaultConflict, Pointer: "/board", Reason: "another one", Revision: 9}
+	refusal := &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
+	report := FollowerStatus{Name: "n/0", Instance: Instance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Rejected: refusal}
+	seats := []FollowerProcess{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal}}
+	fault := ChangeError{Kind: ChangeConflict, Pointer: "/board", Reason: "another one", Revision: 9}
 	return map[string]any{
 		"change.json":   Change{ID: "c", Expect: &expect, Put: put, Remove: remove, RevertTo: &revertTo, Note: "note", AtMS: 1_796_000_000_123},
 		"fault.json":    fault,
-		"result.json":   Result{Revision: 9, Repeated: true, Fault: &fault},
+		"result.json":   Result{Revision: 9, Repeated: true, Err: &fault},
 		"revision.json": Revision{Revision: 9, ID: "c", Note: "note", AtMS: 5, RevertTo: &revertTo, Hash: goldenHash(3), Put: put, Remove: remove},
 		"update.json":   Update{From: 8, To: 9, Snapshot: true, Behind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
 		"report.json":   report,
-		"lease.json":    Lease{Report: report, UntilMS: 6000.25},
-		"verdict.json": Verdict{Revision: 9, InForce: seats, Behind: seats, Refused: seats, Foreign: seats, Gone: []string{"r1"},
+		"lease.json":    Lease{FollowerStatus: report, UntilMS: 6000.25},
+		"verdict.json": ConvergenceStatus{Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Foreign: seats, Gone: []string{"r1"},
 			Unreached: []string{"k2"}, Everywhere: true},
 		"saved.json": Saved{Revision: 9, Hash: goldenHash(5), Sum: goldenHash(6), Entries: put},
-		"terms.json": Terms{Revisions: 2000, Bytes: 1 << 20},
+		"terms.json": Retention{Revisions: 2000, Bytes: 1 << 20},
 	}
 }
 
@@ -61,7 +61,7 @@
 
 // Words that stand in messages for kinds of faults.
 func TestGoldenFaultKinds(t *testing.T) {
-	text, err := json.Marshal([]FaultKind{FaultInvalid, FaultConflict, FaultCompacted, FaultReused})
+	text, err := json.Marshal([]ChangeErrorKind{ChangeInvalid, ChangeConflict, RevisionCompacted, ChangeIDReused})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,10 +87,10 @@
 // changes that were made, so that none is made twice.
 func TestGoldenLog(t *testing.T) {
 	const file = "log.bin"
-	l := NewLog(Terms{Revisions: 3, Bytes: 1 << 20})
+	l := NewLog(Retention{Revisions: 3, Bytes: 1 << 20})
 	for _, c := range goldenChanges() {
-		if r := l.Apply(c); r.Fault != nil {
-			t.Fatal(r.Fault)
+		if r := l.Apply(c); r.Err != nil {
+			t.Fatal(r.Err)
 		}
 	}
 	l.Join("r1", "first")
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, file, state)
-	read := NewLog(Terms{})
+	read := NewLog(Retention{})
 	if err := read.UnmarshalBinary(goldentest.Read(t, file)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/configlog/judge.go
+++ b/internal/decide/configlog/judge.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Seat is one living process of a follower and what it holds.
-type Seat struct {
+// FollowerProcess is one living process of a follower and what it holds.
+type FollowerProcess struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 	Revision uint64 `json:"revision"`
 	Hash     Hash   `json:"hash"`
 	// Refused says why it doesn't go on, for seats in Verdict.Refused; nil for others.
-	Refused *Refusal `json:"refused,omitempty"`
+	Rejected *Rejection `json:"refused,omitempty"`
 }
 
-// Verdict says where a revision is in force.
-type Verdict struct {
-	Revision uint64 `json:"revision"`
-	InForce  []Seat `json:"in_force"`
-	Behind   []Seat `json:"behind"`  // alive, before the revision
-	Refused  []Seat `json:"refused"` // alive, before the revision, which or a later one they refused
+// ConvergenceStatus says where a revision is in force.
+type ConvergenceStatus struct {
+	Revision uint64            `json:"revision"`
+	InForce  []FollowerProcess `json:"in_force"`
+	Behind   []FollowerProcess `json:"behind"`  // alive, before the revision
+	Rejected []FollowerProcess `json:"refused"` // alive, before the revision, which or a later one they refused
 	// Foreign are alive, but hold what these keepers didn't give under that number, or no longer know: followers ahead of
 	// keepers that were restored from an older state, or about to get the whole. It can't be known that the revision is in it.
-	Foreign   []Seat   `json:"foreign"`
-	Gone      []string `json:"gone"`      // in the roster without a lease: gone or cut off, named and never counted
-	Unreached []string `json:"unreached"` // keepers that weren't asked or whose leases aren't whole
+	Foreign   []FollowerProcess `json:"foreign"`
+	Gone      []string          `json:"gone"`      // in the roster without a lease: gone or cut off, named and never counted
+	Unreached []string          `json:"unreached"` // keepers that weren't asked or whose leases aren't whole
 	// Everywhere says that each living process holds the revision or a later one.
 	Everywhere bool `json:"everywhere"`
 }
 
-// Judge says where a revision is in force, by the leases of all keepers that were reached, as Live gives them, and the names of
+// Convergence says where a revision is in force, by the leases of all keepers that were reached, as Live gives them, and the names of
 // those that weren't or that haven't Settled. Only content that the log has under a follower's revision counts, and of a
 // revision that isn't there yet, nothing is in force. The log has to be that of a leader, or caught up with it.
 //
@@ -39,8 +39,8 @@
 // isn't might be living there. That the name alone is heard isn't enough, since the lease may be that of a former life. What
 // this can't see is the elder process at an unreached keeper while its successor is heard elsewhere, and a router that has
 // never been answered.
-func (l *Log) Judge(rev uint64, heard []Lease, unreached []string) Verdict {
-	v := Verdict{Revision: rev, InForce: []Seat{}, Behind: []Seat{}, Refused: []Seat{}, Foreign: []Seat{}, Gone: []string{},
+func (l *Log) Convergence(rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
+	v := ConvergenceStatus{Revision: rev, InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{}, Foreign: []FollowerProcess{}, Gone: []string{},
 		Unreached: slices.Sorted(slices.Values(unreached))}
 	if v.Unreached == nil {
 		v.Unreached = []string{}
@@ -48,34 +48,34 @@
 	names, seats := map[string]bool{}, map[seat]bool{}
 	for _, lease := range latest(heard) {
 		names[lease.Name], seats[seat{lease.Name, lease.Instance}] = true, true
-		s := Seat{Name: lease.Name, Instance: lease.Instance, Revision: lease.Revision, Hash: lease.Hash}
-		switch f := lease.Refused; {
+		s := FollowerProcess{Name: lease.Name, Instance: lease.Instance, Revision: lease.Revision, Hash: lease.Hash}
+		switch f := lease.Rejected; {
 		case lease.Revision < rev && f != nil && f.Revision >= rev:
-			s.Refused = f
-			v.Refused = append(v.Refused, s)
+			s.Rejected = f
+			v.Rejected = append(v.Rejected, s)
 		case lease.Revision < rev:
 			v.Behind = append(v.Behind, s)
-		case !l.gave(lease.Report):
+		case !l.gave(lease.FollowerStatus):
 			v.Foreign = append(v.Foreign, s)
 		default:
 			v.InForce = append(v.InForce, s)
 		}
 	}
 	missing := false
-	for _, name := range l.Roster() {
+	for _, name := range l.Members() {
 		missing = missing || !seats[seat{name, l.roster[name][0]}]
 		if !names[name] {
 			v.Gone = append(v.Gone, name)
 		}
 	}
 	// Nobody at all is not everywhere: it would tell an operator that something is in force that no router has.
-	v.Everywhere = len(v.InForce) > 0 && len(v.Behind)+len(v.Refused)+len(v.Foreign) == 0 &&
+	v.Everywhere = len(v.InForce) > 0 && len(v.Behind)+len(v.Rejected)+len(v.Foreign) == 0 &&
 		(len(unreached) == 0 || !missing)
 	return v
 }
 
 // gave says whether what a follower holds is what the log has under that revision. Of one that is compacted it can't be said.
-func (l *Log) gave(r Report) bool {
+func (l *Log) gave(r FollowerStatus) bool {
 	h, kept := l.hashAt(r.Revision)
 	return kept && h == r.Hash
 }
--- a/internal/decide/configlog/judge_test.go
+++ b/internal/decide/configlog/judge_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func names(seats []Seat) string {
+func names(seats []FollowerProcess) string {
 	out := ""
 	for _, s := range seats {
 		out += s.Name + s.Instance
@@ -17,8 +17,8 @@
 // A lease counts for its length, is renewed by each word, and is first after it ran out.
 func TestLeases(t *testing.T) {
 	l := NewLeases(6000)
-	a, b := Report{Name: "a", Instance: "1", Revision: 3}, Report{Name: "a", Instance: "2"}
-	if !l.Heard(1000, b) || !l.Heard(1000, a) || l.Heard(3000, a) {
+	a, b := FollowerStatus{Name: "a", Instance: "1", Revision: 3}, FollowerStatus{Name: "a", Instance: "2"}
+	if !l.Renew(1000, b) || !l.Renew(1000, a) || l.Renew(3000, a) {
 		t.Error("first")
 	}
 	if live := l.Live(6999); len(live) != 2 || live[0].Instance != "1" || live[0].UntilMS != 9000 || live[1].UntilMS != 7000 {
@@ -27,7 +27,7 @@
 	if live := l.Live(7000); len(live) != 1 || live[0].Revision != 3 {
 		t.Errorf("%+v", live)
 	}
-	if l.Heard(8999, a) || !l.Heard(15_000, a) || !l.Heard(15_000, b) {
+	if l.Renew(8999, a) || !l.Renew(15_000, a) || !l.Renew(15_000, b) {
 		t.Error("first after a lease")
 	}
 }
@@ -59,7 +59,7 @@
 
 // judged has a log with revisions 1 to 6, to hold reports against.
 func judged(t *testing.T, roster ...string) (*Log, func(name, instance string, rev uint64, until float64) Lease) {
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	hashes := []Hash{{}}
 	for i := range 6 {
 		l.made(t, put(string(rune('a'+i)), "/settings/a", string(rune('1'+i))))
@@ -69,7 +69,7 @@
 		l.Join(n, "1")
 	}
 	return l, func(name, instance string, rev uint64, until float64) Lease {
-		return Lease{Report: Report{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]}, UntilMS: until}
+		return Lease{FollowerStatus: FollowerStatus{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]}, UntilMS: until}
 	}
 }
 
@@ -77,17 +77,17 @@
 func TestJudge(t *testing.T) {
 	l, lease := judged(t, "z", "a", "b", "c", "d")
 	refuses := lease("c", "1", 4, 0)
-	refuses.Refused = &Refusal{Revision: 5, Pointer: "/settings/a", Reason: "no"}
+	refuses.Rejected = &Rejection{Revision: 5, Pointer: "/settings/a", Reason: "no"}
 	refusedBefore := lease("d", "1", 4, 0)
-	refusedBefore.Refused = &Refusal{Revision: 4}
-	v := l.Judge(5, []Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)}, nil)
-	if names(v.InForce) != "a1n1" || names(v.Behind) != "b1d1" || names(v.Refused) != "c1" || v.Refused[0].Refused.Pointer != "/settings/a" ||
+	refusedBefore.Rejected = &Rejection{Revision: 4}
+	v := l.Convergence(5, []Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)}, nil)
+	if names(v.InForce) != "a1n1" || names(v.Behind) != "b1d1" || names(v.Rejected) != "c1" || v.Rejected[0].Rejected.Pointer != "/settings/a" ||
 		!reflect.DeepEqual(v.Gone, []string{"z"}) || v.Everywhere || v.Revision != 5 {
 		t.Errorf("%+v", v)
 	}
 	l, lease = judged(t, "a", "b")
 	past := lease("a", "1", 5, 0)
-	past.Refused = &Refusal{Revision: 6}
+	past.Rejected = &Rejection{Revision: 6}
 	for name, c := range map[string]struct {
 		heard     []Lease
 		unreached []string
@@ -104,11 +104,11 @@
 		"went to another keeper":                 {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), lease("b", "1", 5, 0)}, nil, true},
 		"a refusal that is later":                {[]Lease{past}, nil, true},
 	} {
-		if v := l.Judge(5, c.heard, c.unreached); v.Everywhere != c.want {
+		if v := l.Convergence(5, c.heard, c.unreached); v.Everywhere != c.want {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
-	text, err := json.Marshal(NewLog(Terms{}).Judge(1, nil, nil))
+	text, err := json.Marshal(NewLog(Retention{}).Convergence(1, nil, nil))
 	if want := `{"revision":1,"in_force":[],"behind":[],"refused":[],"foreign":[],"gone":[],"unreached":[],"everywhere":false}`; err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
@@ -116,29 +116,29 @@
 
 // A follower counts only with the content that the log has under its revision.
 func TestLogJudgesByContent(t *testing.T) {
-	l := filled(t, Terms{Revisions: 2})
+	l := filled(t, Retention{Revisions: 2})
 	l.Join("a", "1")
 	l.made(t, put("a", "/settings/a", "1"))
 	at := func(rev uint64, h Hash) []Lease {
-		return []Lease{{Report: Report{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
+		return []Lease{{FollowerStatus: FollowerStatus{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
 	}
-	if v := l.Judge(2, at(2, l.Hash()), nil); !v.Everywhere || names(v.InForce) != "a1" {
+	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Everywhere || names(v.InForce) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Judge(2, at(2, Hash{}), nil); v.Everywhere || names(v.Foreign) != "a1" {
+	if v := l.Convergence(2, at(2, Hash{}), nil); v.Everywhere || names(v.Foreign) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Judge(2, at(7, l.Hash()), nil); v.Everywhere || names(v.Foreign) != "a1" {
+	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Everywhere || names(v.Foreign) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Judge(3, at(3, l.Hash()), nil); v.Everywhere { // there is no revision 3
+	if v := l.Convergence(3, at(3, l.Hash()), nil); v.Everywhere { // there is no revision 3
 		t.Errorf("%+v", v)
 	}
 	h := l.Hash()
 	for _, id := range []string{"b", "c", "d"} {
 		l.made(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if v := l.Judge(1, at(2, h), nil); v.Everywhere { // compacted: what it holds can't be known
+	if v := l.Convergence(1, at(2, h), nil); v.Everywhere { // compacted: what it holds can't be known
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/decide/configlog/leases.go
+++ b/internal/decide/configlog/leases.go
@@ -7,7 +7,7 @@
 
 // Lease is a follower's latest word, and until when it counts as living, in milliseconds of the hearing keeper's clock.
 type Lease struct {
-	Report
+	FollowerStatus
 	UntilMS float64 `json:"until_ms"`
 }
 
@@ -29,12 +29,12 @@
 	return &Leases{length: lengthMS, seats: map[seat]Lease{}}
 }
 
-// Heard takes a follower's word and says whether it had no lease: then its name has to be in the roster before it's answered.
-func (l *Leases) Heard(nowMS float64, r Report) (first bool) {
+// Renew takes a follower's word and says whether it had no lease: then its name has to be in the roster before it's answered.
+func (l *Leases) Renew(nowMS float64, r FollowerStatus) (first bool) {
 	l.Tick(nowMS)
 	key := seat{r.Name, r.Instance}
 	old, known := l.seats[key]
-	l.seats[key] = Lease{Report: r, UntilMS: nowMS + l.length}
+	l.seats[key] = Lease{FollowerStatus: r, UntilMS: nowMS + l.length}
 	return !known || old.UntilMS <= nowMS
 }
 
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Terms bound how much of the past a Log keeps for deltas, history and reverts. All keepers need the same, because they
+// Retention bound how much of the past a Log keeps for deltas, history and reverts. All keepers need the same, because they
 // decide what a revert gets; a state that was read brings its own. Zero stands for the figures of DefaultTerms.
-type Terms struct {
+type Retention struct {
 	Revisions int `json:"revisions"` // changes that are kept
 	Bytes     int `json:"bytes"`     // bytes that these may take, by reckoning; the newest is always kept
 }
 
-// DefaultTerms keep a day and more at 1,500 changes a day.
-var DefaultTerms = Terms{Revisions: 2_000, Bytes: 8 << 20}
+// DefaultRetention keep a day and more at 1,500 changes a day.
+var DefaultRetention = Retention{Revisions: 2_000, Bytes: 8 << 20}
 
 // recordBytes is what a record costs beside its texts, about.
 const recordBytes = 200
@@ -53,7 +53,7 @@
 // Log is the replicated document with its past. The same calls of Apply, Join and Forget in the same order give the same
 // Log at each keeper, and refused ones change nothing. Values that it gives out are shared and mustn't be written to.
 type Log struct {
-	terms   Terms
+	terms   Retention
 	entries map[string]json.RawMessage
 	inner   map[string]int // entries below each path that is above one, to find prefixes
 	size    int            // bytes of the entries' pointers and values
@@ -68,12 +68,12 @@
 }
 
 // NewLog gives a Log at revision 0, with no entries.
-func NewLog(t Terms) *Log {
+func NewLog(t Retention) *Log {
 	if t.Revisions <= 0 {
-		t.Revisions = DefaultTerms.Revisions
+		t.Revisions = DefaultRetention.Revisions
 	}
 	if t.Bytes <= 0 {
-		t.Bytes = DefaultTerms.Bytes
+		t.Bytes = DefaultRetention.Bytes
 	}
 	return &Log{terms: t, entries: map[string]json.RawMessage{}, inner: map[string]int{}, ids: map[string]made{},
 		roster: map[string][2]string{}}
@@ -95,7 +95,7 @@
 func (l *Log) Entries() map[string]json.RawMessage { return maps.Clone(l.entries) }
 
 // At gives the content at a revision: FaultCompacted for one before Oldest, FaultInvalid for one that isn't there yet.
-func (l *Log) At(rev uint64) (map[string]json.RawMessage, *Fault) {
+func (l *Log) At(rev uint64) (map[string]json.RawMessage, *ChangeError) {
 	if f := l.keeps(rev); f != nil {
 		return nil, f
 	}
@@ -130,7 +130,7 @@
 
 // Preview gives the content that a change would give, and makes none. A change that was made already gives the content in
 // force.
-func (l *Log) Preview(c Change) (map[string]json.RawMessage, *Fault) {
+func (l *Log) Preview(c Change) (map[string]json.RawMessage, *ChangeError) {
 	p, fault := l.plan(c)
 	if fault != nil {
 		return nil, fault
@@ -147,7 +147,7 @@
 	p, fault := l.plan(c)
 	switch {
 	case fault != nil:
-		return Result{Revision: l.Revision(), Fault: fault}
+		return Result{Revision: l.Revision(), Err: fault}
 	case p.made != nil:
 		return Result{Revision: p.made.revision, Repeated: true}
 	}
@@ -167,13 +167,13 @@
 }
 
 // keeps says why the content at a revision can't be given.
-func (l *Log) keeps(rev uint64) *Fault {
+func (l *Log) keeps(rev uint64) *ChangeError {
 	switch {
 	case rev < l.oldest:
-		return &Fault{Kind: FaultCompacted, Revision: l.oldest,
+		return &ChangeError{Kind: RevisionCompacted, Revision: l.oldest,
 			Reason: fmt.Sprintf("revision %d is no longer kept, the oldest is %d", rev, l.oldest)}
 	case rev > l.Revision():
-		return &Fault{Kind: FaultInvalid, Revision: l.Revision(),
+		return &ChangeError{Kind: ChangeInvalid, Revision: l.Revision(),
 			Reason: fmt.Sprintf("there is no revision %d yet, the latest is %d", rev, l.Revision())}
 	}
 	return nil
@@ -255,7 +255,7 @@
 // has ended can come late. A wrong name or instance, or a name beyond MaxRoster, is not noted.
 func (l *Log) Join(name, instance string) bool {
 	seats, known := l.roster[name]
-	if l.Joined(name, instance) || !known && len(l.roster) >= MaxRoster || (Report{Name: name, Instance: instance}).Check() != nil {
+	if l.Joined(name, instance) || !known && len(l.roster) >= MaxMembers || (FollowerStatus{Name: name, Instance: instance}).Check() != nil {
 		return false
 	}
 	if instance > seats[0] {
@@ -278,8 +278,8 @@
 	return known
 }
 
-// Roster gives the names of all followers ever seen and not forgotten, sorted.
-func (l *Log) Roster() []string { return slices.Sorted(maps.Keys(l.roster)) }
+// Members gives the names of all followers ever seen and not forgotten, sorted.
+func (l *Log) Members() []string { return slices.Sorted(maps.Keys(l.roster)) }
 
 // set puts a value into a content, or takes the entry out for nil.
 func set(content map[string]json.RawMessage, pointer string, v json.RawMessage) {
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -19,7 +19,7 @@
 func (l *Log) made(t testing.TB, c Change) uint64 {
 	t.Helper()
 	r := l.Apply(c)
-	if r.Fault != nil || r.Repeated {
+	if r.Err != nil || r.Repeated {
 		t.Fatalf("%+v: %+v", c, r)
 	}
 	return r.Revision
@@ -27,19 +27,19 @@
 
 // A change, its repetition, a conflict and a revert: the short way through the whole.
 func TestChangeRepeatConflictRevert(t *testing.T) {
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	if rev := l.made(t, put("a", "/settings/over-share-worth", "0.5")); rev != 1 {
 		t.Error(rev)
 	}
-	if r := l.Apply(put("a", "/settings/over-share-worth", " 0.50 ")); r.Fault != nil || !r.Repeated || r.Revision != 1 {
+	if r := l.Apply(put("a", "/settings/over-share-worth", " 0.50 ")); r.Err != nil || !r.Repeated || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
-	if r := l.Apply(put("a", "/settings/over-share-worth", "0.6")); r.Fault == nil || r.Fault.Kind != FaultReused || r.Fault.Revision != 1 {
+	if r := l.Apply(put("a", "/settings/over-share-worth", "0.6")); r.Err == nil || r.Err.Kind != ChangeIDReused || r.Err.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	c := put("b", "/board", `"127.0.0.1:1"`)
 	c.Expect = number(0)
-	if r := l.Apply(c); r.Fault == nil || r.Fault.Kind != FaultConflict || r.Fault.Revision != 1 || r.Revision != 1 {
+	if r := l.Apply(c); r.Err == nil || r.Err.Kind != ChangeConflict || r.Err.Revision != 1 || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	c.Expect = number(1)
@@ -55,7 +55,7 @@
 
 // Each fault is told with its kind and place, and nothing differs after it.
 func TestFaults(t *testing.T) {
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	l.made(t, Change{ID: "base", Put: map[string]json.RawMessage{"/settings/rules/cold-ns": json.RawMessage("1"), "/settings/list": json.RawMessage("[]")}})
 	before, _ := l.MarshalBinary()
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValue-2) + `"`)
@@ -65,37 +65,37 @@
 	}
 	for name, c := range map[string]struct {
 		Change
-		kind    FaultKind
+		kind    ChangeErrorKind
 		pointer string
 		words   string
 	}{
-		"no id":           {Change{Remove: []string{"/settings/list"}}, FaultInvalid, "", "field id"},
-		"long id":         {put(strings.Repeat("x", MaxID+1), "/settings/a", "1"), FaultInvalid, "", "field id"},
-		"odd id":          {put("a\nb", "/settings/a", "1"), FaultInvalid, "", "field id"},
-		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNote+1), Remove: []string{"/settings/list"}}, FaultInvalid, "", "field note"},
-		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, FaultInvalid, "", "field note"},
-		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, FaultInvalid, "", "field at_ms"},
-		"nothing":         {Change{ID: "x"}, FaultInvalid, "", "no put"},
-		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: []string{"/settings/list"}}, FaultInvalid, "", "field revert_to"},
-		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, FaultInvalid, "", "field revert_to"},
-		"place":           {put("x", "/listen", `"a:1"`), FaultInvalid, "/listen", "own"},
-		"value":           {put("x", "/settings/a", "{"), FaultInvalid, "/settings/a", "JSON"},
-		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, FaultInvalid, "/seed", "own"},
-		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, FaultInvalid, "/settings/a", "no such entry"},
-		"remove twice":    {Change{ID: "x", Remove: []string{"/settings/list", "/settings/list"}}, FaultInvalid, "/settings/list", "twice"},
-		"put and remove":  {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/list": json.RawMessage("1")}, Remove: []string{"/settings/list"}}, FaultInvalid, "/settings/list", "put and removed"},
-		"within an entry": {put("x", "/settings/list/0", "1"), FaultInvalid, "/settings/list/0", "/settings/list"},
-		"above an entry":  {put("x", "/settings/rules", "{}"), FaultInvalid, "/settings/rules", "below"},
-		"within itself":   {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/q": json.RawMessage("1"), "/settings/q/r": json.RawMessage("1")}}, FaultInvalid, "/settings/q/r", "/settings/q"},
-		"large change":    {many, FaultInvalid, "", "bytes"},
-		"conflict":        {Change{ID: "x", Expect: number(7), Remove: []string{"/settings/list"}}, FaultConflict, "", "field expect"},
-		"reused":          {Change{ID: "base", Remove: []string{"/settings/list"}}, FaultReused, "", "field id"},
+		"no id":           {Change{Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field id"},
+		"long id":         {put(strings.Repeat("x", MaxID+1), "/settings/a", "1"), ChangeInvalid, "", "field id"},
+		"odd id":          {put("a\nb", "/settings/a", "1"), ChangeInvalid, "", "field id"},
+		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNote+1), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
+		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
+		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field at_ms"},
+		"nothing":         {Change{ID: "x"}, ChangeInvalid, "", "no put"},
+		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field revert_to"},
+		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, ChangeInvalid, "", "field revert_to"},
+		"place":           {put("x", "/listen", `"a:1"`), ChangeInvalid, "/listen", "own"},
+		"value":           {put("x", "/settings/a", "{"), ChangeInvalid, "/settings/a", "JSON"},
+		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, ChangeInvalid, "/seed", "own"},
+		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, ChangeInvalid, "/settings/a", "no such entry"},
+		"remove twice":    {Change{ID: "x", Remove: []string{"/settings/list", "/settings/list"}}, ChangeInvalid, "/settings/list", "twice"},
+		"put and remove":  {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/list": json.RawMessage("1")}, Remove: []string{"/settings/list"}}, ChangeInvalid, "/settings/list", "put and removed"},
+		"within an entry": {put("x", "/settings/list/0", "1"), ChangeInvalid, "/settings/list/0", "/settings/list"},
+		"above an entry":  {put("x", "/settings/rules", "{}"), ChangeInvalid, "/settings/rules", "below"},
+		"within itself":   {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/q": json.RawMessage("1"), "/settings/q/r": json.RawMessage("1")}}, ChangeInvalid, "/settings/q/r", "/settings/q"},
+		"large change":    {many, ChangeInvalid, "", "bytes"},
+		"conflict":        {Change{ID: "x", Expect: number(7), Remove: []string{"/settings/list"}}, ChangeConflict, "", "field expect"},
+		"reused":          {Change{ID: "base", Remove: []string{"/settings/list"}}, ChangeIDReused, "", "field id"},
 	} {
 		r := l.Apply(c.Change)
-		if r.Fault == nil || r.Fault.Kind != c.kind || r.Fault.Pointer != c.pointer || !strings.Contains(r.Fault.Error(), c.words) || r.Revision != 1 {
-			t.Errorf("%s: %+v, %v", name, r, r.Fault)
+		if r.Err == nil || r.Err.Kind != c.kind || r.Err.Pointer != c.pointer || !strings.Contains(r.Err.Error(), c.words) || r.Revision != 1 {
+			t.Errorf("%s: %+v, %v", name, r, r.Err)
 		}
-		if _, f := l.Preview(c.Change); !reflect.DeepEqual(f, r.Fault) {
+		if _, f := l.Preview(c.Change); !reflect.DeepEqual(f, r.Err) {
 			t.Errorf("%s: the preview says %v", name, f)
 		}
 	}
@@ -112,16 +112,16 @@
 
 // The document has bounds, which a change can't pass bit by bit.
 func TestDocumentBounds(t *testing.T) {
-	l := NewLog(Terms{Revisions: 2})
+	l := NewLog(Retention{Revisions: 2})
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValue-2) + `"`)
-	var fault *Fault
+	var fault *ChangeError
 	for i := 0; fault == nil && i < 100; i++ {
-		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Fault
+		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
 	}
 	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") || entries != MaxDocument/MaxValue-1 || size > MaxDocument {
 		t.Error(fault, entries, size)
 	}
-	l = NewLog(Terms{Revisions: 2})
+	l = NewLog(Retention{Revisions: 2})
 	for i, n := 0, 0; n < MaxEntries; i++ {
 		c := Change{ID: fmt.Sprint(i), Put: map[string]json.RawMessage{}}
 		for range 25_000 {
@@ -130,14 +130,14 @@
 		}
 		l.made(t, c)
 	}
-	if r := l.Apply(put("more", "/settings/y", "1")); r.Fault == nil || !strings.Contains(r.Fault.Reason, "entries") {
+	if r := l.Apply(put("more", "/settings/y", "1")); r.Err == nil || !strings.Contains(r.Err.Reason, "entries") {
 		t.Errorf("%+v", r)
 	}
 }
 
 // IDs are remembered past the records, but not for ever.
 func TestIDsAreRememberedWithinBounds(t *testing.T) {
-	l := NewLog(Terms{Revisions: 2})
+	l := NewLog(Retention{Revisions: 2})
 	l.made(t, put("first", "/settings/a", "0"))
 	for i := range MaxIDs - 1 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
@@ -158,11 +158,11 @@
 
 // The roster takes each name once, with its two latest processes, and none that is wrong or beyond the bound.
 func TestRoster(t *testing.T) {
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	if !l.Join("b", "1") || !l.Join("a", "1") || l.Join("b", "1") || l.Join("", "1") || l.Join("\x00", "1") || l.Join("c", "") {
-		t.Error(l.Roster())
+		t.Error(l.Members())
 	}
-	if r := l.Roster(); !reflect.DeepEqual(r, []string{"a", "b"}) {
+	if r := l.Members(); !reflect.DeepEqual(r, []string{"a", "b"}) {
 		t.Error(r)
 	}
 	// Two that live side by side don't push each other out.
@@ -179,13 +179,13 @@
 	if l.Joined("b", "") || l.Joined("b", "2") || l.Joined("c", "1") {
 		t.Error(l.roster)
 	}
-	if !l.Forget("a") || l.Forget("a") || len(l.Roster()) != 1 || l.Joined("a", "4") {
-		t.Error(l.Roster())
+	if !l.Forget("a") || l.Forget("a") || len(l.Members()) != 1 || l.Joined("a", "4") {
+		t.Error(l.Members())
 	}
-	for i := range MaxRoster {
+	for i := range MaxMembers {
 		l.Join(fmt.Sprint(i), "1")
 	}
-	if len(l.Roster()) != MaxRoster || l.Join("late", "1") || !l.Join("b", "2") {
-		t.Error(len(l.Roster()))
+	if len(l.Members()) != MaxMembers || l.Join("late", "1") || !l.Join("b", "2") {
+		t.Error(len(l.Members()))
 	}
 }
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -36,26 +36,26 @@
 	text, _ := json.Marshal(c)
 	if said, ok := m.ids[c.ID]; ok {
 		if said != string(text) {
-			return string(FaultReused), m.revs[c.ID]
+			return string(ChangeIDReused), m.revs[c.ID]
 		}
 		return "repeated", m.revs[c.ID]
 	}
 	if c.Expect != nil && *c.Expect != m.revision() {
-		return string(FaultConflict), m.revision()
+		return string(ChangeConflict), m.revision()
 	}
 	next := maps.Clone(m.content())
 	if c.RevertTo != nil {
 		switch {
 		case *c.RevertTo > m.revision():
-			return string(FaultInvalid), m.revision()
+			return string(ChangeInvalid), m.revision()
 		case *c.RevertTo < m.oldest():
-			return string(FaultCompacted), m.revision()
+			return string(RevisionCompacted), m.revision()
 		}
 		next = maps.Clone(m.contents[*c.RevertTo])
 	}
 	for _, p := range c.Remove {
 		if _, ok := next[p]; !ok {
-			return string(FaultInvalid), m.revision()
+			return string(ChangeInvalid), m.revision()
 		}
 		delete(next, p)
 	}
@@ -63,7 +63,7 @@
 	for p := range next {
 		for q := range next {
 			if strings.HasPrefix(q, p+"/") {
-				return string(FaultInvalid), m.revision()
+				return string(ChangeInvalid), m.revision()
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 func TestLogAgainstPlainReckoning(t *testing.T) {
 	drawn(t, "200", func(t *rapid.T) {
 		draw := byRapid(t)
-		l, m := NewLog(Terms{Revisions: 5}), newModel(5)
+		l, m := NewLog(Retention{Revisions: 5}), newModel(5)
 		for i := range 40 {
 			id := fmt.Sprint(i)
 			if draw(8, "again") == 0 {
@@ -138,17 +138,17 @@
 			kind, rev := m.apply(c)
 			r := l.Apply(c)
 			switch {
-			case r.Fault != nil && (string(r.Fault.Kind) != kind || !reflect.DeepEqual(fault, r.Fault)):
-				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Fault, fault, kind)
-			case r.Fault == nil && (r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || fault != nil):
+			case r.Err != nil && (string(r.Err.Kind) != kind || !reflect.DeepEqual(fault, r.Err)):
+				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Err, fault, kind)
+			case r.Err == nil && (r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || fault != nil):
 				t.Fatalf("%+v: %+v, not %q %d, preview %v", c, r, kind, rev, fault)
-			case r.Fault == nil && !maps.EqualFunc(preview, m.content(), equal):
+			case r.Err == nil && !maps.EqualFunc(preview, m.content(), equal):
 				t.Fatalf("%+v: preview %v", c, preview)
 			}
 			m.compare(t, l)
 		}
 		state, _ := l.MarshalBinary()
-		back := NewLog(Terms{})
+		back := NewLog(Retention{})
 		if err := back.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, back) {
 			t.Fatal("the state didn't come back", err)
 		}
@@ -162,7 +162,7 @@
 	for rev, want := range m.contents {
 		got, fault := l.At(uint64(rev))
 		if uint64(rev) < m.oldest() {
-			if fault == nil || fault.Kind != FaultCompacted || fault.Revision != m.oldest() {
+			if fault == nil || fault.Kind != RevisionCompacted || fault.Revision != m.oldest() {
 				t.Fatalf("%d: %v %v", rev, got, fault)
 			}
 		} else if fault != nil || !maps.EqualFunc(got, want, equal) {
--- a/internal/decide/configlog/orders_test.go
+++ b/internal/decide/configlog/orders_test.go
@@ -229,7 +229,7 @@
 			return &violation{allMeet, fmt.Sprintf("%s is at %d of %d", r.name, r.rev, last)}
 		}
 	}
-	if v := w.verdict(last); v.Everywhere != (living > 0 && !refusing) || len(v.Refused) > 0 != refusing || len(v.Gone) > len(w.routers)-living {
+	if v := w.verdict(last); v.Everywhere != (living > 0 && !refusing) || len(v.Rejected) > 0 != refusing || len(v.Gone) > len(w.routers)-living {
 		return &violation{allMeet, fmt.Sprintf("the leader says %+v", v)}
 	}
 	want, err := w.leader.MarshalBinary()
--- a/internal/decide/configlog/plan.go
+++ b/internal/decide/configlog/plan.go
@@ -19,7 +19,7 @@
 }
 
 // plan checks a change and says what it would do. Faults are looked for in a fixed order, so that all keepers give the same.
-func (l *Log) plan(c Change) (plan, *Fault) {
+func (l *Log) plan(c Change) (plan, *ChangeError) {
 	put, fault := checkChange(c)
 	if fault != nil {
 		return plan{}, fault
@@ -27,14 +27,14 @@
 	p := plan{sum: c.sum(put)}
 	if m, ok := l.ids[c.ID]; ok {
 		if m.sum != p.sum {
-			return p, &Fault{Kind: FaultReused, Revision: m.revision,
+			return p, &ChangeError{Kind: ChangeIDReused, Revision: m.revision,
 				Reason: fmt.Sprintf("field id: %q was another change, which made revision %d", c.ID, m.revision)}
 		}
 		p.made = &m
 		return p, nil
 	}
 	if now := l.Revision(); c.Expect != nil && *c.Expect != now {
-		return p, &Fault{Kind: FaultConflict, Revision: now,
+		return p, &ChangeError{Kind: ChangeConflict, Revision: now,
 			Reason: fmt.Sprintf("field expect: the revision in force is %d, not %d", now, *c.Expect)}
 	}
 	if c.RevertTo != nil {
@@ -67,7 +67,7 @@
 }
 
 // checkChange guards what can be said of a change without the document, and gives its values in canonical form.
-func checkChange(c Change) (put map[string]json.RawMessage, _ *Fault) {
+func checkChange(c Change) (put map[string]json.RawMessage, _ *ChangeError) {
 	if err := checkLabel("id", c.ID); err != nil {
 		return nil, invalid("", "%s", err)
 	}
@@ -128,7 +128,7 @@
 }
 
 // fits says whether the document would be sound after the edits: no pointer the prefix of another's, within its bounds.
-func (l *Log) fits(edits []edit) *Fault {
+func (l *Log) fits(edits []edit) *ChangeError {
 	added, freed := map[string]bool{}, map[string]int{}
 	size, count := l.size, len(l.entries)
 	for _, e := range edits {
--- a/internal/decide/configlog/since.go
+++ b/internal/decide/configlog/since.go
@@ -28,8 +28,8 @@
 
 // Next gives what the author of a report needs: as Since, but nothing while the revision in force is the one that it refused
 // and still stands at what it has: asking again wouldn't change its mind.
-func (l *Log) Next(r Report) Update {
-	if f := r.Refused; f != nil && f.Revision == l.Revision() && f.Hash == l.hash && r.Revision <= f.Revision {
+func (l *Log) Next(r FollowerStatus) Update {
+	if f := r.Rejected; f != nil && f.Revision == l.Revision() && f.Hash == l.hash && r.Revision <= f.Revision {
 		return Update{From: r.Revision, To: r.Revision, Hash: r.Hash}
 	}
 	return l.Since(r.Revision, r.Hash)
--- a/internal/decide/configlog/since_test.go
+++ b/internal/decide/configlog/since_test.go
@@ -10,7 +10,7 @@
 )
 
 // filled gives a log whose whole is larger than any delta of these tests.
-func filled(t testing.TB, terms Terms) *Log {
+func filled(t testing.TB, terms Retention) *Log {
 	l := NewLog(terms)
 	l.made(t, put("filler", "/settings/filler", `"`+strings.Repeat("x", 400)+`"`))
 	return l
@@ -18,7 +18,7 @@
 
 // What a follower gets: nothing, what differs, or the whole by cost, by a foreign hash and by compaction; Behind if it's ahead.
 func TestSince(t *testing.T) {
-	l := filled(t, Terms{Revisions: 3})
+	l := filled(t, Retention{Revisions: 3})
 	one, h1 := l.Revision(), l.Hash()
 	l.made(t, put("a", "/settings/a", "1"))
 	l.made(t, put("b", "/settings/a", "2"))
@@ -56,21 +56,21 @@
 
 // One that refused what is in force is left alone until something else is.
 func TestNextAfterARefusal(t *testing.T) {
-	l := filled(t, Terms{})
-	r := Report{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
+	l := filled(t, Retention{})
+	r := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
 	l.made(t, put("a", "/settings/a", "1"))
 	if u := l.Next(r); u.Nothing() {
 		t.Errorf("%+v", u)
 	}
-	r.Refused = &Refusal{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
+	r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
 	if u := l.Next(r); !u.Nothing() {
 		t.Errorf("%+v", u)
 	}
-	r.Refused.Hash = Hash{1}
+	r.Rejected.Hash = Hash{1}
 	if u := l.Next(r); u.Nothing() {
 		t.Error("other content under the refused number is kept from it")
 	}
-	r.Refused.Hash = l.Hash()
+	r.Rejected.Hash = l.Hash()
 	l.made(t, put("b", "/settings/a", "2"))
 	if u := l.Next(r); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
 		t.Errorf("%+v", u)
@@ -79,7 +79,7 @@
 
 // The past is kept by number and by bytes, and the newest change always.
 func TestCompaction(t *testing.T) {
-	l := NewLog(Terms{Revisions: 5})
+	l := NewLog(Retention{Revisions: 5})
 	for i := range 20 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
@@ -89,16 +89,16 @@
 	if c, f := l.At(15); f != nil || string(c["/settings/a"]) != "14" {
 		t.Error(c, f)
 	}
-	if _, f := l.At(14); f == nil || f.Kind != FaultCompacted || f.Revision != 15 {
+	if _, f := l.At(14); f == nil || f.Kind != RevisionCompacted || f.Revision != 15 {
 		t.Error(f)
 	}
-	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Fault == nil || r.Fault.Kind != FaultCompacted || r.Revision != 20 {
+	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Err == nil || r.Err.Kind != RevisionCompacted || r.Revision != 20 {
 		t.Errorf("%+v", r)
 	}
 	if h := l.History(17, 2); len(h) != 2 || h[0].Revision != 17 || h[1].ID != "17" {
 		t.Errorf("%+v", h)
 	}
-	l = NewLog(Terms{Bytes: 3000})
+	l = NewLog(Retention{Bytes: 3000})
 	for i := range 20 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", `"`+strings.Repeat("x", 400+i)+`"`))
 		sum := 0
--- a/internal/decide/configlog/state.go
+++ b/internal/decide/configlog/state.go
@@ -38,7 +38,7 @@
 		w.number(m.revision)
 		w.b = append(w.b, m.sum[:]...)
 	}
-	roster := l.Roster()
+	roster := l.Members()
 	w.number(uint64(len(roster)))
 	for _, n := range roster {
 		w.text(n)
@@ -64,7 +64,7 @@
 		return fmt.Errorf("%w: the state doesn't have the checksum that it says", ErrDamaged)
 	}
 	r := &reader{b: state[len(magic):body]}
-	n := NewLog(Terms{Revisions: int(r.number()), Bytes: int(r.number())})
+	n := NewLog(Retention{Revisions: int(r.number()), Bytes: int(r.number())})
 	n.oldest, n.before = r.number(), r.hash()
 	for range r.count() {
 		n.put(r.text(), r.optional())
--- a/internal/decide/configlog/state_test.go
+++ b/internal/decide/configlog/state_test.go
@@ -13,7 +13,7 @@
 
 // sample has everything that a state can hold.
 func sample(t testing.TB) *Log {
-	l := filled(t, Terms{Revisions: 4, Bytes: 1 << 20})
+	l := filled(t, Retention{Revisions: 4, Bytes: 1 << 20})
 	l.made(t, put("a", "/settings/a", "1"))
 	l.made(t, Change{ID: "b", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}, Remove: []string{"/settings/a"}, Note: "why", AtMS: 7})
 	l.made(t, Change{ID: "c", RevertTo: number(2)})
@@ -27,12 +27,12 @@
 
 // A state that was read is the one that was written, in every respect.
 func TestStateComesBack(t *testing.T) {
-	for _, l := range []*Log{NewLog(Terms{}), sample(t)} {
+	for _, l := range []*Log{NewLog(Retention{}), sample(t)} {
 		state, err := l.MarshalBinary()
 		if err != nil {
 			t.Fatal(err)
 		}
-		back := NewLog(Terms{Revisions: 1})
+		back := NewLog(Retention{Revisions: 1})
 		back.made(t, put("else", "/settings/else", "1"))
 		if err := back.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, back) {
 			t.Errorf("%v\n%+v\n%+v", err, l, back)
@@ -47,7 +47,7 @@
 // A damaged state is told as such, wherever it's damaged, and leaves the log alone.
 func TestDamagedState(t *testing.T) {
 	state, _ := sample(t).MarshalBinary()
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	l.made(t, put("mine", "/settings/mine", "1"))
 	refused := func(why string, state []byte, words string) {
 		t.Helper()
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -24,8 +24,8 @@
 	}
 	for _, k := range []struct {
 		name  string
-		terms Terms
-	}{{"log/by-revisions", Terms{Revisions: 5}}, {"log/by-bytes", Terms{Bytes: 2500}}, {"log/defaults", Terms{}}} {
+		terms Retention
+	}{{"log/by-revisions", Retention{Revisions: 5}}, {"log/by-bytes", Retention{Bytes: 2500}}, {"log/defaults", Retention{}}} {
 		all = append(all, tracetest.Scenario{Name: k.name, Run: func(t *testing.T, h *tracetest.Hash) { traceLog(t, h, k.terms) }})
 	}
 	all = append(all, tracetest.Scenario{Name: "log/many-ids", Run: traceIDs}, tracetest.Scenario{Name: "document", Run: traceDocument},
@@ -69,7 +69,7 @@
 			traceHead(h, l)
 			return r
 		},
-		judge: func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict {
+		judge: func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
 			traceLeases(h, heard)
 			verdict := v.judge(l, rev, heard, unreached)
 			traceVerdict(h, verdict)
@@ -90,8 +90,8 @@
 	h *tracetest.Hash
 }
 
-func (f *tracedFollower) Ask() Report {
-	r := f.Follower.Ask()
+func (f *tracedFollower) Status() FollowerStatus {
+	r := f.Follower.Status()
 	traceReport(f.h, r)
 	return r
 }
@@ -100,7 +100,7 @@
 	traceUpdate(f.h, u)
 	content, ok, err := f.Follower.Offer(u)
 	traceOffered(f.h, content, ok, err)
-	theirs, ahead := f.Follower.Ahead()
+	theirs, ahead := f.Follower.KeepersAreBehind()
 	f.h.Uint(theirs)
 	f.h.Bool(ahead)
 	return content, ok, err
@@ -126,15 +126,15 @@
 	return keeper
 }
 
-func (f *tracedFollower) Lost(nowMS, jitter float64) float64 {
-	wait := f.Follower.Lost(nowMS, jitter)
+func (f *tracedFollower) CallFailed(nowMS, jitter float64) float64 {
+	wait := f.Follower.CallFailed(nowMS, jitter)
 	f.h.Step(stepLost)
 	f.h.Float(wait)
 	return wait
 }
 
 // traceLog has a log take changes that are sound and at fault, and asks it all that it can be asked.
-func traceLog(t *testing.T, h *tracetest.Hash, terms Terms) {
+func traceLog(t *testing.T, h *tracetest.Hash, terms Retention) {
 	for seed := range uint64(40) {
 		draw := byPCG(seed)
 		l := NewLog(terms)
@@ -197,7 +197,7 @@
 		h.Bool(l.Join(name, instance))
 	}
 	h.Bool(l.Joined(name, instance))
-	for _, name := range l.Roster() {
+	for _, name := range l.Members() {
 		h.String(name)
 	}
 }
@@ -210,23 +210,23 @@
 		content, fault := l.At(rev)
 		traceFault(h, fault)
 		traceEntries(h, content)
-		r := Report{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashOf(content)}
+		r := FollowerStatus{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashOf(content)}
 		if draw(3, "refuses") == 0 {
-			r.Refused = &Refusal{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
+			r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
 		traceUpdate(h, l.Since(rev, r.Hash))
 		traceUpdate(h, l.Next(r))
-		heard = append(heard, Lease{Report: r, UntilMS: float64(draw(1000, "until"))})
+		heard = append(heard, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
-	traceVerdict(h, l.Judge(uint64(draw(int(l.Revision())+2, "judged")), heard, unreached))
+	traceVerdict(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), heard, unreached))
 	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
 }
 
 // reread gives a log as it comes back from its state.
 func reread(t *testing.T, l *Log) *Log {
 	state, err := l.MarshalBinary()
-	back := NewLog(Terms{})
+	back := NewLog(Retention{})
 	if err := errors.Join(err, back.UnmarshalBinary(state)); err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +248,7 @@
 			case 1:
 				_, _, _ = f.Offer(Update{From: 3, To: 2, Behind: true})
 			default:
-				f.Lost(now, float64(draw(120, "jitter")-10)/100)
+				f.CallFailed(now, float64(draw(120, "jitter")-10)/100)
 			}
 		}
 	}
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -33,7 +33,7 @@
 	h.Step(stepResult)
 	h.Uint(r.Revision)
 	h.Bool(r.Repeated)
-	traceFault(h, r.Fault)
+	traceFault(h, r.Err)
 }
 
 // traceHead writes what a log has in force.
@@ -49,7 +49,7 @@
 	traceEntries(h, l.Entries())
 }
 
-func traceFault(h *tracetest.Hash, f *Fault) {
+func traceFault(h *tracetest.Hash, f *ChangeError) {
 	h.Step(stepFault)
 	h.Bool(f != nil)
 	if f == nil {
@@ -87,16 +87,16 @@
 	}
 }
 
-func traceReport(h *tracetest.Hash, r Report) {
+func traceReport(h *tracetest.Hash, r FollowerStatus) {
 	h.Step(stepReport)
 	h.String(r.Name)
 	h.String(r.Instance)
 	h.Uint(r.Revision)
 	h.Bytes(r.Hash[:])
-	traceRefusal(h, r.Refused)
+	traceRefusal(h, r.Rejected)
 }
 
-func traceRefusal(h *tracetest.Hash, r *Refusal) {
+func traceRefusal(h *tracetest.Hash, r *Rejection) {
 	h.Bool(r != nil)
 	if r == nil {
 		return
@@ -135,17 +135,17 @@
 	traceEntries(h, s.Entries)
 }
 
-func traceVerdict(h *tracetest.Hash, v Verdict) {
+func traceVerdict(h *tracetest.Hash, v ConvergenceStatus) {
 	h.Step(stepVerdict)
 	h.Uint(v.Revision)
-	for _, seats := range [][]Seat{v.InForce, v.Behind, v.Refused, v.Foreign} {
+	for _, seats := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Foreign} {
 		h.Int(int64(len(seats)))
 		for _, s := range seats {
 			h.String(s.Name)
 			h.String(s.Instance)
 			h.Uint(s.Revision)
 			h.Bytes(s.Hash[:])
-			traceRefusal(h, s.Refused)
+			traceRefusal(h, s.Rejected)
 		}
 	}
 	traceStrings(h, v.Gone)
@@ -157,7 +157,7 @@
 	h.Step(stepLeases)
 	h.Int(int64(len(leases)))
 	for _, l := range leases {
-		traceReport(h, l.Report)
+		traceReport(h, l.FollowerStatus)
 		h.Float(l.UntilMS)
 	}
 }
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -17,7 +17,7 @@
 func traceFollower(t *testing.T, h *tracetest.Hash) {
 	for seed := range uint64(60) {
 		draw := byPCG(seed)
-		l := NewLog(Terms{Revisions: 8})
+		l := NewLog(Retention{Revisions: 8})
 		f := &tracedFollower{Follower: NewFollower("r", Instance(1, seed)), h: h}
 		copies := []Saved{f.Saved()}
 		for i := range 80 {
@@ -29,7 +29,7 @@
 
 // follow has a follower do one drawn thing.
 func (f *tracedFollower) follow(draw drawer, l *Log, copies *[]Saved) {
-	r := f.Ask()
+	r := f.Status()
 	switch draw(12, "step") {
 	case 0, 1, 2:
 		_, _, _ = f.Offer(l.Next(r))
@@ -40,7 +40,7 @@
 	case 5, 6, 7:
 		f.Accept()
 	case 8:
-		f.Refuse("/settings/d", strings.Repeat("é", draw(1024, "reason")))
+		f.Reject("/settings/d", strings.Repeat("é", draw(1024, "reason")))
 	case 9:
 		f.Retry()
 	case 10:
@@ -88,13 +88,13 @@
 // traceDocument tries each value at each place.
 func traceDocument(t *testing.T, h *tracetest.Hash) {
 	for _, p := range tracePointers {
-		name, ok := PartyName(p)
+		name, ok := TenantName(p)
 		h.Step(stepPointer)
 		h.Bool(CheckPointer(p) == nil)
 		h.String(name)
 		h.Bool(ok)
 		for _, v := range traceValues {
-			l := NewLog(Terms{})
+			l := NewLog(Retention{})
 			traceResult(h, l.Apply(Change{ID: "a", Put: map[string]json.RawMessage{p: json.RawMessage(v)}}))
 			traceHead(h, l)
 		}
@@ -103,7 +103,7 @@
 
 // traceIDs makes more changes than a log remembers by id, and makes some of them again.
 func traceIDs(t *testing.T, h *tracetest.Hash) {
-	l := NewLog(Terms{Revisions: 3})
+	l := NewLog(Retention{Revisions: 3})
 	change := func(i int) Change {
 		return Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i % 7))}}
 	}
@@ -119,19 +119,19 @@
 
 // traceRefusals has a follower refuse one revision after another, and offers it all of them again.
 func traceRefusals(t *testing.T, h *tracetest.Hash) {
-	l := NewLog(Terms{})
+	l := NewLog(Retention{})
 	f := &tracedFollower{Follower: NewFollower("r", Instance(1, 1)), h: h}
 	var updates []Update
 	for i := range 24 {
 		l.Apply(Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i))}})
-		updates = append(updates, l.Next(f.Ask()))
+		updates = append(updates, l.Next(f.Status()))
 		_, _, _ = f.Offer(updates[i])
-		f.Refuse("/settings/d", "odd")
+		f.Reject("/settings/d", "odd")
 	}
 	for _, u := range updates {
 		_, ok, _ := f.Offer(u)
 		if ok {
-			f.Refuse("/settings/d", "still odd")
+			f.Reject("/settings/d", "still odd")
 		}
 	}
 	f.Retry()
--- a/internal/decide/configlog/world_test.go
+++ b/internal/decide/configlog/world_test.go
@@ -25,14 +25,14 @@
 
 // client is what the world asks of a follower; a broken variant changes some of it.
 type client interface {
-	Ask() Report
+	Status() FollowerStatus
 	Offer(Update) (map[string]json.RawMessage, bool, error)
 	Accept()
-	Refuse(pointer, reason string)
+	Reject(pointer, reason string)
 	Restore(Saved) (map[string]json.RawMessage, bool, error)
 	Saved() Saved
 	Keeper(n int) int
-	Lost(nowMS, jitter float64) float64
+	CallFailed(nowMS, jitter float64) float64
 	Unchanged()
 }
 
@@ -40,7 +40,7 @@
 type variant struct {
 	follower func(*Follower) client
 	apply    func(*Log, Change) Result
-	judge    func(l *Log, rev uint64, heard []Lease, unreached []string) Verdict
+	judge    func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus
 	settled  func(l *Leases, nowMS float64) bool
 }
 
@@ -49,7 +49,7 @@
 	return variant{
 		follower: func(f *Follower) client { return f },
 		apply:    (*Log).Apply,
-		judge:    (*Log).Judge,
+		judge:    (*Log).Convergence,
 		settled:  (*Leases).Settled,
 	}
 }
@@ -95,7 +95,7 @@
 // message is a call or an answer on its way.
 type message struct {
 	router, life, keeper int
-	report               Report
+	report               FollowerStatus
 	update               Update
 	answer               bool
 }
@@ -114,9 +114,9 @@
 }
 
 func newWorld(draw drawer, v variant) *world {
-	w := &world{variant: v, draw: draw, truth: newModel(worldKeep), leader: NewLog(Terms{Revisions: worldKeep})}
+	w := &world{variant: v, draw: draw, truth: newModel(worldKeep), leader: NewLog(Retention{Revisions: worldKeep})}
 	for i := range 3 {
-		w.keepers = append(w.keepers, &keeper{name: fmt.Sprint("k", i), log: NewLog(Terms{Revisions: worldKeep}), leases: NewLeases(leaseMS), up: true})
+		w.keepers = append(w.keepers, &keeper{name: fmt.Sprint("k", i), log: NewLog(Retention{Revisions: worldKeep}), leases: NewLeases(leaseMS), up: true})
 	}
 	for i := range 1 + draw(3, "routers") {
 		r := &router{name: fmt.Sprint("r", i), picky: i == 2}
@@ -174,7 +174,7 @@
 	r.offered = false
 	if v := string(r.pending["/settings/d"]); r.picky && (v == "1" || v == "3") {
 		r.refused[fmt.Sprint(r.to, HashOf(r.pending))]++
-		r.client.Refuse("/settings/d", "it is odd")
+		r.client.Reject("/settings/d", "it is odd")
 		return
 	}
 	r.inForce = maps.Clone(r.pending)
@@ -185,7 +185,7 @@
 func (w *world) call(i int) {
 	r := w.routers[i]
 	if r.alive && !r.offered {
-		w.mail = append(w.mail, message{router: i, life: r.life, keeper: r.client.Keeper(len(w.keepers)), report: r.client.Ask()})
+		w.mail = append(w.mail, message{router: i, life: r.life, keeper: r.client.Keeper(len(w.keepers)), report: r.client.Status()})
 	}
 }
 
@@ -199,7 +199,7 @@
 			return
 		}
 		if r.alive && r.life == m.life {
-			r.client.Lost(w.nowMS, 0.5)
+			r.client.CallFailed(w.nowMS, 0.5)
 		}
 		return
 	}
@@ -208,7 +208,7 @@
 	}
 	content, ok, err := r.client.Offer(m.update)
 	if err != nil {
-		r.client.Lost(w.nowMS, 0.5)
+		r.client.CallFailed(w.nowMS, 0.5)
 	}
 	if ok {
 		r.pending, r.offered, r.to = content, true, m.update.To
@@ -220,7 +220,7 @@
 	if !k.up || r.cut {
 		return Update{}, false
 	}
-	k.leases.Heard(w.nowMS, m.report)
+	k.leases.Renew(w.nowMS, m.report)
 	if !k.log.Joined(m.report.Name, m.report.Instance) {
 		if k.cut {
 			return Update{}, false
@@ -247,7 +247,7 @@
 }
 
 // verdict is what the leader says of a revision.
-func (w *world) verdict(rev uint64) Verdict {
+func (w *world) verdict(rev uint64) ConvergenceStatus {
 	var heard []Lease
 	var unreached []string
 	for _, k := range w.keepers {
@@ -266,7 +266,7 @@
 
 // crash ends a keeper, which loses its leases, and what it has applied since its snapshot.
 func (w *world) crash(k *keeper) {
-	k.up, k.log, k.applied = false, NewLog(Terms{Revisions: worldKeep}), 0
+	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: worldKeep}), 0
 }
 
 // wake starts a keeper from its snapshot.
--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -10,8 +10,8 @@
 func TestNothingIsDueAfterTheEnd(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"looking": nil,
-		"asking":  {{Kind: Looked, Peer: First}},
-		"taking":  {{Kind: Looked, Peer: First}, {Kind: Received, Peer: First, Message: State}},
+		"asking":  {{Kind: PredecessorFound, Process: First}},
+		"taking":  {{Kind: PredecessorFound, Process: First}, {Kind: Received, Process: First, Message: State}},
 	} {
 		m, _ := New(First+1, 1000, Defaults)
 		for _, ev := range events {
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -81,17 +81,17 @@
 	fail string
 }
 
-func peer(i int) Peer  { return First + Peer(i) }
-func index(p Peer) int { return int(p - First) }
+func peer(i int) ProcessNumber  { return First + ProcessNumber(i) }
+func index(p ProcessNumber) int { return int(p - First) }
 
 func (x *model) step(i int, ev Event) {
 	p := &x.w.p[i]
 	now := 0.0
 	if ev.Kind == Tick {
 		now = p.m.Due()
-		if x.old && p.m.phase == Asking { // as it was: a silent elder was taken for none
-			p.m.phase, p.m.elder = Looking, None
-			ev = Event{Kind: Looked}
+		if x.old && p.m.phase == AskingPredecessor { // as it was: a silent elder was taken for none
+			p.m.phase, p.m.elder = FindingPredecessor, None
+			ev = Event{Kind: PredecessorFound}
 		}
 	}
 	before := p.m.phase
@@ -120,7 +120,7 @@
 func (x *model) effect(i int, e Effect) {
 	p := &x.w.p[i]
 	switch e.Do {
-	case Look:
+	case FindPredecessor:
 		p.looking = true
 	case Send:
 		m := note(e.Message)
@@ -130,12 +130,12 @@
 				m |= asIs
 			}
 		}
-		x.send(i, index(e.Peer), m)
-	case TakeState:
+		x.send(i, index(e.Process), m)
+	case RestoreState:
 		p.spent = p.spent || p.state
-	case Accept:
+	case StartAccepting:
 		p.accepts = true
-	case Yield:
+	case StopAccepting:
 		p.accepts = false
 	case End:
 		x.end(i)
@@ -208,7 +208,7 @@
 		if m&^asIs == note(State) {
 			p.state = m&asIs != 0
 		}
-		x.step(j, Event{Kind: Received, Peer: peer(i), Message: Kind(m &^ asIs)})
+		x.step(j, Event{Kind: Received, Process: peer(i), Message: MessageKind(m &^ asIs)})
 	}
 }
 
@@ -221,7 +221,7 @@
 // submit has a client send the load to a process.
 func (x *model) submit(i int) {
 	p := &x.w.p[i]
-	ask, may := p.m.Peers()
+	ask, may := p.m.MustAsk()
 	if !may || p.spent {
 		return
 	}
@@ -295,7 +295,7 @@
 						}
 					}
 				}
-				y.step(i, Event{Kind: Looked, Peer: found}) // an end that it shows is heard of as well: gone
+				y.step(i, Event{Kind: PredecessorFound, Process: found}) // an end that it shows is heard of as well: gone
 			})
 		}
 		if p.ban != w.folder {
@@ -317,12 +317,12 @@
 				try(true, "hears of the end of", i, j, func(y *model) {
 					q := &y.w.p[i]
 					q.gone[j], q.up[j], q.cut[j], q.claim[j] = false, false, false, false
-					y.step(i, Event{Kind: Gone, Peer: peer(j)})
+					y.step(i, Event{Kind: Gone, Process: peer(j)})
 				})
 			} else if p.cut[j] {
 				try(true, "hears of the broken link to", i, j, func(y *model) {
 					y.w.p[i].cut[j], y.w.p[i].claim[j] = false, false
-					y.step(i, Event{Kind: Cut, Peer: peer(j)})
+					y.step(i, Event{Kind: Cut, Process: peer(j)})
 				})
 			}
 			if p.claim[j] {
@@ -343,7 +343,7 @@
 		if e := p.m.elder; e != None {
 			idle = w.q[i][index(e)].n == 0 && w.q[index(e)][i].n == 0
 		}
-		if due := p.m.Due(); !p.looking && (p.m.phase == Asking || p.m.phase == Taking || due < 1e300 && idle) {
+		if due := p.m.Due(); !p.looking && (p.m.phase == AskingPredecessor || p.m.phase == TakingOver || due < 1e300 && idle) {
 			if p.m.askAt > 0 && idle {
 				try(false, "asks again", i, 0, func(y *model) {
 					q := &y.w.p[i]
@@ -351,7 +351,7 @@
 					y.step(i, Event{Kind: Tick})
 				})
 			}
-			if p.m.phase == Asking || p.m.phase == Taking {
+			if p.m.phase == AskingPredecessor || p.m.phase == TakingOver {
 				try(false, "has waited long", i, 0, func(y *model) {
 					q := &y.w.p[i]
 					again := q.m.askAt
@@ -378,13 +378,13 @@
 				y.w.folder, y.w.p[i].ban = true, true
 			})
 		}
-		if w.left.loads > 0 && (p.accepts || p.m.phase == Yielded || p.m.phase == Leaving) {
+		if w.left.loads > 0 && (p.accepts || p.m.phase == Superseded || p.m.phase == Leaving) {
 			try(false, "gets the load", i, 0, func(y *model) { y.w.left.loads--; y.submit(i) })
 		}
 	}
 }
 
-var parts = [...]int{Nothing: 1, Reserve: 4, Half: 40, Whole: 80}
+var parts = [...]int{Nothing: 1, ReserveShare: 4, HalfShare: 40, FullShare: 80}
 
 // limit is that of the platform for all processes of a router together, in the parts' unit.
 const limit = 90
@@ -410,7 +410,7 @@
 		if p.accepts != p.m.Accepts() {
 			return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.m.Accepts())
 		}
-		if p.m.phase == Looking || p.m.phase == Asking || p.m.phase == Taking {
+		if p.m.phase == FindingPredecessor || p.m.phase == AskingPredecessor || p.m.phase == TakingOver {
 			coming++
 		}
 		if settled && p.ban != x.w.folder && p.m.begun {
--- a/internal/decide/hotrestart/step.go
+++ b/internal/decide/hotrestart/step.go
@@ -9,15 +9,17 @@
 	out []Effect
 }
 
-func (s *step) do(e Effect)             { s.out = append(s.out, e) }
-func (s *step) send(to Peer, what Kind) { s.do(Effect{Do: Send, Peer: to, Message: what}) }
+func (s *step) do(e Effect) { s.out = append(s.out, e) }
+func (s *step) send(to ProcessNumber, what MessageKind) {
+	s.do(Effect{Do: Send, Process: to, Message: what})
+}
 
 func (s *step) to(p Phase) { s.phase = p }
 
 func (s *step) bound(share Share) {
 	if s.share != share {
 		s.share = share
-		s.do(Effect{Do: Bound, Share: share})
+		s.do(Effect{Do: SetShare, Share: share})
 	}
 }
 
@@ -25,52 +27,52 @@
 func (s *step) accept() {
 	s.to(Serving)
 	s.begun = true
-	s.do(Effect{Do: Accept})
+	s.do(Effect{Do: StartAccepting})
 }
 
 // ask has the newest living process before this one looked for, now and again.
 func (s *step) ask() {
-	s.askAt = s.now + s.set.AskEvery
-	s.do(Effect{Do: Look})
+	s.askAt = s.now + s.set.HelloInterval
+	s.do(Effect{Do: FindPredecessor})
 }
 
 // alone goes by the whole bounds once nobody else is there.
 func (s *step) alone() {
 	if s.elder == None && s.newer == None && s.begun && s.known {
-		s.bound(Whole)
+		s.bound(FullShare)
 	}
 }
 
 // asks tells whether the elder's state is still awaited.
 func (s *step) asks() bool {
-	return s.phase == Looking || s.phase == Asking || s.phase == Guarded ||
-		!s.yielded && s.elder != None && (s.phase == Taking || s.phase == Serving)
+	return s.phase == FindingPredecessor || s.phase == AskingPredecessor || s.phase == Degraded ||
+		!s.yielded && s.elder != None && (s.phase == TakingOver || s.phase == Serving)
 }
 
-func (s *step) looked(p Peer) {
+func (s *step) looked(p ProcessNumber) {
 	if !s.asks() {
 		s.askAt = 0
 		return
 	}
 	if p < s.elder {
-		s.askAt = s.now + s.set.AskEvery // it has ended; what it sent, and word of its end, are on their way
+		s.askAt = s.now + s.set.HelloInterval // it has ended; what it sent, and word of its end, are on their way
 		return
 	}
 	if p == None {
 		s.nobody()
 		return
 	}
-	if s.phase == Taking || s.phase == Serving {
+	if s.phase == TakingOver || s.phase == Serving {
 		if p != s.elder {
 			return // the elder's end is still on its way
 		}
 	} else if p != s.elder {
 		s.elder, s.waits = p, false
 	}
-	if s.phase == Looking {
-		s.to(Asking)
+	if s.phase == FindingPredecessor {
+		s.to(AskingPredecessor)
 	}
-	s.askAt = s.now + s.set.AskEvery
+	s.askAt = s.now + s.set.HelloInterval
 	if !s.waits { // one that is slow would else answer many in the end
 		s.waits = true
 		s.send(p, Hello)
@@ -81,10 +83,10 @@
 func (s *step) nobody() {
 	s.elder, s.askAt, s.known = None, 0, true
 	switch s.phase {
-	case Looking, Asking, Taking:
-		s.bound(Whole)
+	case FindingPredecessor, AskingPredecessor, TakingOver:
+		s.bound(FullShare)
 		s.accept()
-	case Guarded:
+	case Degraded:
 		s.to(Serving)
 	}
 	s.alone()
@@ -93,12 +95,12 @@
 func (s *step) tick() {
 	switch {
 	case s.now < s.askBy:
-	case s.phase == Asking:
-		s.bound(Reserve)
-		s.to(Guarded)
+	case s.phase == AskingPredecessor:
+		s.bound(ReserveShare)
+		s.to(Degraded)
 		s.begun = true
-		s.do(Effect{Do: Accept})
-	case s.phase == Taking:
+		s.do(Effect{Do: StartAccepting})
+	case s.phase == TakingOver:
 		// The elder has gone to its half and has told all ids ahead; it reads that it is to yield when it reads on.
 		s.accept()
 	}
@@ -109,28 +111,28 @@
 	}
 }
 
-func (s *step) received(p Peer, what Kind) {
+func (s *step) received(p ProcessNumber, what MessageKind) {
 	switch what {
 	case Hello:
 		s.hello(p)
 	case Wait:
 		s.waits = s.waits && p != s.elder
-		if p == s.elder && s.phase == Asking {
-			s.askBy = max(s.askBy, s.now+s.set.SilentFor) // it lives and has its reasons
+		if p == s.elder && s.phase == AskingPredecessor {
+			s.askBy = max(s.askBy, s.now+s.set.SilenceTimeout) // it lives and has its reasons
 		}
 	case State:
 		s.state(p)
 	case Ready:
 		s.ready(p)
 	case GoAhead:
-		if p == s.elder && (s.phase == Taking || s.phase == Serving) {
+		if p == s.elder && (s.phase == TakingOver || s.phase == Serving) {
 			s.yielded, s.askAt = true, 0
-			if s.phase == Taking {
+			if s.phase == TakingOver {
 				s.accept()
 			}
 		}
 	case Back:
-		if p == s.newer && s.phase == Yielded && !s.back {
+		if p == s.newer && s.phase == Superseded && !s.back {
 			s.back = true
 			s.accept()
 			s.send(p, Ready)
@@ -139,57 +141,57 @@
 }
 
 // hello answers a newer process that asks.
-func (s *step) hello(p Peer) {
+func (s *step) hello(p ProcessNumber) {
 	serves := (s.phase == Serving || s.phase == Draining) && s.known
-	hears := s.newer == p && (s.phase == Yielded || s.phase == Leaving) // it lost the link, and with it what was on its way
+	hears := s.newer == p && (s.phase == Superseded || s.phase == Leaving) // it lost the link, and with it what was on its way
 	if !hears && (!serves || s.elder != None || s.back || s.newer != None && s.newer != p) {
 		s.send(p, Wait)
 		return
 	}
 	s.newer = p
-	s.bound(Half)
+	s.bound(HalfShare)
 	s.send(p, State)
 }
 
 // state goes on from the elder's state.
-func (s *step) state(p Peer) {
+func (s *step) state(p ProcessNumber) {
 	if p != s.elder || s.yielded {
 		return
 	}
 	s.waits = false
 	switch s.phase {
-	case Asking:
-		s.to(Taking)
-		s.askBy = max(s.askBy, s.now+s.set.GoAheadWithin)
-	case Guarded:
+	case AskingPredecessor:
+		s.to(TakingOver)
+		s.askBy = max(s.askBy, s.now+s.set.GoAheadTimeout)
+	case Degraded:
 		s.to(Serving)
-	case Taking, Serving: // the link broke in between
+	case TakingOver, Serving: // the link broke in between
 	case Draining: // too late to take its place, but not to know what it knew
 		s.known = true
-		s.do(Effect{Do: TakeState})
+		s.do(Effect{Do: RestoreState})
 		return
 	default:
 		return
 	}
 	s.known = true
-	s.do(Effect{Do: TakeState})
-	s.bound(Half)
+	s.do(Effect{Do: RestoreState})
+	s.bound(HalfShare)
 	s.send(p, Ready)
 }
 
 // ready gives way: to the newer process, or back to the elder where this one is told to end.
-func (s *step) ready(p Peer) {
+func (s *step) ready(p ProcessNumber) {
 	switch {
 	case p == s.newer && !s.back && (s.phase == Serving || s.phase == Draining):
-		s.do(Effect{Do: Yield})
-		s.to(Yielded)
+		s.do(Effect{Do: StopAccepting})
+		s.to(Superseded)
 		if s.stop {
 			s.to(Leaving)
 			s.do(Effect{Do: Leave})
 		}
-	case p == s.newer && !s.back && (s.phase == Yielded || s.phase == Leaving):
+	case p == s.newer && !s.back && (s.phase == Superseded || s.phase == Leaving):
 	case p == s.elder && p != None && s.phase == Draining:
-		s.do(Effect{Do: Yield})
+		s.do(Effect{Do: StopAccepting})
 		s.to(Leaving)
 		s.do(Effect{Do: Leave})
 	default:
@@ -199,44 +201,44 @@
 }
 
 // cut goes on after a link that broke though the process at its other end lives.
-func (s *step) cut(p Peer) {
+func (s *step) cut(p ProcessNumber) {
 	if p == s.elder && p != None && s.asks() {
 		s.waits = false
-		s.askAt = s.now + s.set.AskEvery // an elder that hangs at its end would be asked without a pause
+		s.askAt = s.now + s.set.HelloInterval // an elder that hangs at its end would be asked without a pause
 	}
 }
 
 // gone goes on after a process that ended.
-func (s *step) gone(p Peer) {
+func (s *step) gone(p ProcessNumber) {
 	if p == None {
 		return
 	}
 	if p == s.elder {
 		s.elder, s.yielded, s.waits = None, false, false
 		switch s.phase {
-		case Asking:
-			s.to(Looking)
+		case AskingPredecessor:
+			s.to(FindingPredecessor)
 			s.ask()
-		case Guarded:
+		case Degraded:
 			s.ask()
-		case Taking:
+		case TakingOver:
 			s.askAt = 0
 			s.accept()
 		default:
 			s.askAt = 0
 		}
-		if s.phase != Guarded {
+		if s.phase != Degraded {
 			s.alone()
 		}
 	}
 	if p == s.newer {
 		s.newer = None
 		switch s.phase {
-		case Yielded:
+		case Superseded:
 			s.accept()
 		case Leaving:
 			s.to(Draining)
-			s.do(Effect{Do: Accept})
+			s.do(Effect{Do: StartAccepting})
 			s.do(Effect{Do: Drain})
 		}
 		s.back = false
@@ -250,13 +252,13 @@
 	}
 	s.stop = true
 	switch s.phase {
-	case Looking, Asking, Taking: // nothing was accepted; an elder that yielded hears of the end, and accepts again
+	case FindingPredecessor, AskingPredecessor, TakingOver: // nothing was accepted; an elder that yielded hears of the end, and accepts again
 		s.to(Ended)
 		s.do(Effect{Do: End})
-	case Yielded:
+	case Superseded:
 		s.to(Leaving)
 		s.do(Effect{Do: Leave})
-	case Serving, Guarded:
+	case Serving, Degraded:
 		if s.elder != None && s.phase == Serving {
 			s.send(s.elder, Back) // taken back: where the elder is not told to end too, it accepts again
 		}
--- a/internal/decide/hotrestart/takeover.go
+++ b/internal/decide/hotrestart/takeover.go
@@ -16,15 +16,15 @@
 
 import "math"
 
-// Peer names a process of the router by its place in the order of their starts.
-type Peer uint64
+// ProcessNumber names a process of the router by its place in the order of their starts.
+type ProcessNumber uint64
 
 // Peers that have no place of their own.
 const (
-	None     Peer = 0
-	Unplaced Peer = 1              // a process of version 1 that was there before
-	First    Peer = 2              // the first place
-	Stranger Peer = math.MaxUint64 // a process of version 1 that came later
+	None     ProcessNumber = 0
+	Unplaced ProcessNumber = 1              // a process of version 1 that was there before
+	First    ProcessNumber = 2              // the first place
+	Stranger ProcessNumber = math.MaxUint64 // a process of version 1 that came later
 )
 
 // Versions of the protocol. Version 1 has hello, state, ready and go-ahead; its processes know neither of places nor of
@@ -46,14 +46,14 @@
 
 // Phases.
 const (
-	Looking  Phase = iota // whether anybody was there before
-	Asking                // a living elder was met; its state is awaited
-	Taking                // the state is here; the elder's go-ahead is awaited
-	Serving               // it accepts
-	Guarded               // it accepts within the reserve, since a living elder is silent
-	Yielded               // the newer one accepts; what this one accepted goes on
-	Leaving               // yielded, and told to end: it ends when nothing is open
-	Draining              // told to end with nobody in its place: it accepts until nothing has been open for a while
+	FindingPredecessor Phase = iota // whether anybody was there before
+	AskingPredecessor               // a living elder was met; its state is awaited
+	TakingOver                      // the state is here; the elder's go-ahead is awaited
+	Serving                         // it accepts
+	Degraded                        // it accepts within the reserve, since a living elder is silent
+	Superseded                      // the newer one accepts; what this one accepted goes on
+	Leaving                         // yielded, and told to end: it ends when nothing is open
+	Draining                        // told to end with nobody in its place: it accepts until nothing has been open for a while
 	Ended
 )
 
@@ -67,47 +67,47 @@
 // Shares. A whole one and a reserve fit the limits together, and so do two halves.
 const (
 	Nothing Share = iota // it asks and holds what that takes
-	Reserve
-	Half
-	Whole
+	ReserveShare
+	HalfShare
+	FullShare
 )
 
-// Kind is that of a message between two processes.
-type Kind uint8
+// MessageKind is that of a message between two processes.
+type MessageKind uint8
 
 // Kinds of message.
 const (
-	Hello   Kind = iota // new: is there a state for me?
-	Wait                // elder: not now; ask again
-	State               // elder: bans, ids, warmth, listeners
-	Ready               // it can accept: stop accepting
-	GoAhead             // I accept no more
-	Back                // new: I am told to end; accept again
+	Hello   MessageKind = iota // new: is there a state for me?
+	Wait                       // elder: not now; ask again
+	State                      // elder: bans, ids, warmth, listeners
+	Ready                      // it can accept: stop accepting
+	GoAhead                    // I accept no more
+	Back                       // new: I am told to end; accept again
 )
 
 var kindNames = [...]string{"hello", "wait", "state", "ready", "go-ahead", "back"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k MessageKind) String() string { return kindNames[k] }
 
 // EventKind is what an event tells.
 type EventKind uint8
 
 // Events.
 const (
-	Tick     EventKind = iota // time has passed
-	Looked                    // Peer is the newest living process before this one, or None; Gone comes besides for an elder that ended
-	Received                  // Message from Peer
-	Cut                       // the link to Peer broke, and Peer lives
-	Gone                      // Peer has ended
-	Stop                      // the process is told to end
-	Quiet                     // nothing has been open for a while
+	Tick             EventKind = iota // time has passed
+	PredecessorFound                  // Peer is the newest living process before this one, or None; Gone comes besides for an elder that ended
+	Received                          // Message from Peer
+	Cut                               // the link to Peer broke, and Peer lives
+	Gone                              // Peer has ended
+	Stop                              // the process is told to end
+	Quiet                             // nothing has been open for a while
 )
 
 // Event is one event.
 type Event struct {
 	Kind    EventKind
-	Peer    Peer
-	Message Kind
+	Process ProcessNumber
+	Message MessageKind
 }
 
 // Action is what an effect asks for.
@@ -115,22 +115,22 @@
 
 // Effects.
 const (
-	Look      Action = iota // find the newest living process before this one, link up with it, and say Looked
-	Send                    // Message to Peer
-	TakeState               // go on from the state that came last; prepare to accept
-	Accept                  // begin, or begin again, to accept
-	Yield                   // stop accepting, and keep what it takes to accept again
-	Leave                   // hear out what was accepted and close idle sessions
-	Drain                   // accept and answer until nothing is open
-	End                     // end the process
-	Bound                   // go by Share
+	FindPredecessor Action = iota // find the newest living process before this one, link up with it, and say Looked
+	Send                          // Message to Peer
+	RestoreState                  // go on from the state that came last; prepare to accept
+	StartAccepting                // begin, or begin again, to accept
+	StopAccepting                 // stop accepting, and keep what it takes to accept again
+	Leave                         // hear out what was accepted and close idle sessions
+	Drain                         // accept and answer until nothing is open
+	End                           // end the process
+	SetShare                      // go by Share
 )
 
 // Effect is one thing to do, in the order given.
 type Effect struct {
 	Do      Action
-	Peer    Peer
-	Message Kind
+	Process ProcessNumber
+	Message MessageKind
 	Share   Share
 }
 
@@ -138,40 +138,40 @@
 type Settings struct {
 	// AskWithin is how long a process that has met a living elder waits, from its start, before it serves without its
 	// word; the platform wants its yes within 6 s.
-	AskWithin float64
+	HelloTimeout float64
 	// SilentFor is how long an elder that did say something may be silent before it counts as hanging.
-	SilentFor float64
+	SilenceTimeout float64
 	// AskEvery is the distance of two questions.
-	AskEvery float64
+	HelloInterval float64
 	// GoAheadWithin is the least time that an elder has to stop accepting.
-	GoAheadWithin float64
+	GoAheadTimeout float64
 }
 
 // Defaults are the settings in service.
-var Defaults = Settings{AskWithin: 5400, SilentFor: 3000, AskEvery: 150, GoAheadWithin: 500}
+var Defaults = Settings{HelloTimeout: 5400, SilenceTimeout: 3000, HelloInterval: 150, GoAheadTimeout: 500}
 
 // Machine is one process's side. It is a plain value: a copy is another machine in the same state.
 type Machine struct {
-	Self    Peer
+	Self    ProcessNumber
 	set     Settings
 	phase   Phase
 	share   Share
-	elder   Peer // the process before this one that is asked, or that this one goes on from; None when it has ended
-	newer   Peer // the process that has this one's state
-	yielded bool // the elder has said that it accepts no more
-	back    bool // the newer one was told to end, and gave the place back
-	known   bool // the elder's state, or that there is nobody: ids that may have run are known
-	stop    bool // told to end
-	waits   bool // a hello has no answer yet
-	begun   bool // it accepted at some time
+	elder   ProcessNumber // the process before this one that is asked, or that this one goes on from; None when it has ended
+	newer   ProcessNumber // the process that has this one's state
+	yielded bool          // the elder has said that it accepts no more
+	back    bool          // the newer one was told to end, and gave the place back
+	known   bool          // the elder's state, or that there is nobody: ids that may have run are known
+	stop    bool          // told to end
+	waits   bool          // a hello has no answer yet
+	begun   bool          // it accepted at some time
 	askBy   float64
 	askAt   float64 // 0 while nothing is to be asked
 }
 
 // New gives the machine of a process that has just taken its place.
-func New(self Peer, now float64, set Settings) (Machine, []Effect) {
-	m := Machine{Self: self, set: set, askBy: now + set.AskWithin}
-	return m, []Effect{{Do: Look}}
+func New(self ProcessNumber, now float64, set Settings) (Machine, []Effect) {
+	m := Machine{Self: self, set: set, askBy: now + set.HelloTimeout}
+	return m, []Effect{{Do: FindPredecessor}}
 }
 
 // Phase is where it stands.
@@ -180,28 +180,28 @@
 // Share is what it goes by.
 func (m *Machine) Share() Share { return m.share }
 
-// Elder and Newer are the processes that it has to do with, or None.
-func (m *Machine) Elder() Peer { return m.elder }
+// Predecessor and Newer are the processes that it has to do with, or None.
+func (m *Machine) Predecessor() ProcessNumber { return m.elder }
 
-// Newer: see Elder.
-func (m *Machine) Newer() Peer { return m.newer }
+// Successor: see Elder.
+func (m *Machine) Successor() ProcessNumber { return m.newer }
 
 // Ready tells whether the process says yes to an operator who asks whether it serves.
-func (m *Machine) Ready() bool { return m.phase == Serving || m.phase == Guarded }
+func (m *Machine) Ready() bool { return m.phase == Serving || m.phase == Degraded }
 
 // Accepts tells whether the process accepts clients now.
 func (m *Machine) Accepts() bool { return m.Ready() || m.phase == Draining }
 
-// Peers tells whom a process must ask before it begins what must not run twice, and whether it may begin such work at
+// MustAsk tells whom a process must ask before it begins what must not run twice, and whether it may begin such work at
 // all. Before an elder has yielded, its word goes ahead of its go-ahead on the same link, so it needs to ask nobody;
 // afterwards both have open sessions, and either asks the other.
-func (m *Machine) Peers() (ask Peer, may bool) {
+func (m *Machine) MustAsk() (ask ProcessNumber, may bool) {
 	switch {
-	case m.phase == Guarded || !m.known:
+	case m.phase == Degraded || !m.known:
 		return None, false
 	case m.elder != None:
 		return m.elder, true
-	case m.phase == Yielded || m.phase == Leaving || m.back:
+	case m.phase == Superseded || m.phase == Leaving || m.back:
 		return m.newer, true
 	}
 	return None, true
@@ -216,7 +216,7 @@
 	if m.askAt > 0 {
 		due = m.askAt
 	}
-	if m.phase == Asking || m.phase == Taking {
+	if m.phase == AskingPredecessor || m.phase == TakingOver {
 		due = min(due, m.askBy)
 	}
 	return due
@@ -232,14 +232,14 @@
 	switch ev.Kind {
 	case Tick:
 		s.tick()
-	case Looked:
-		s.looked(ev.Peer)
+	case PredecessorFound:
+		s.looked(ev.Process)
 	case Received:
-		s.received(ev.Peer, ev.Message)
+		s.received(ev.Process, ev.Message)
 	case Cut:
-		s.cut(ev.Peer)
+		s.cut(ev.Process)
 	case Gone:
-		s.gone(ev.Peer)
+		s.gone(ev.Process)
 	case Stop:
 		s.stopped()
 	case Quiet:
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -20,7 +20,7 @@
 		}{
 			{"sound", Defaults, 0},
 			{"strange-events", Defaults, 150},
-			{"short-waits", Settings{AskWithin: 700, SilentFor: 300, AskEvery: 90, GoAheadWithin: 120}, 20},
+			{"short-waits", Settings{HelloTimeout: 700, SilenceTimeout: 300, HelloInterval: 90, GoAheadTimeout: 120}, 20},
 		} {
 			all = append(all, chains(fmt.Sprintf("%d-processes/%s", procs, k.name), procs, k.set, k.strange))
 		}
@@ -74,12 +74,12 @@
 
 // letter is an event on its way to a process.
 type letter struct {
-	to Peer
+	to ProcessNumber
 	ev Event
 }
 
 func (c *chain) start() {
-	m, effects := New(First+Peer(c.started), c.now, c.set)
+	m, effects := New(First+ProcessNumber(c.started), c.now, c.set)
 	c.started++
 	p := &traced{m: m}
 	c.procs = append(c.procs, p)
@@ -94,7 +94,7 @@
 func (c *chain) took(p *traced, effects []Effect) {
 	for _, e := range effects {
 		c.hash.Step(1 + int(e.Do))
-		c.hash.Uint(uint64(e.Peer))
+		c.hash.Uint(uint64(e.Process))
 		c.hash.Int(int64(e.Message))
 		c.hash.Int(int64(e.Share))
 	}
@@ -105,8 +105,8 @@
 }
 
 func (c *chain) state(m *Machine) {
-	ask, may := m.Peers()
-	for _, peer := range []Peer{m.Self, m.Elder(), m.Newer(), ask} {
+	ask, may := m.MustAsk()
+	for _, peer := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), ask} {
 		c.hash.Uint(uint64(peer))
 	}
 	c.hash.Int(int64(m.Phase()))
@@ -119,10 +119,10 @@
 
 func (c *chain) effect(p *traced, e Effect) {
 	switch e.Do {
-	case Look:
+	case FindPredecessor:
 		p.looking = true
 	case Send:
-		c.mail = append(c.mail, letter{e.Peer, Event{Kind: Received, Peer: p.m.Self, Message: e.Message}})
+		c.mail = append(c.mail, letter{e.Process, Event{Kind: Received, Process: p.m.Self, Message: e.Message}})
 	case End:
 		c.hash.Int(int64(len(p.m.Step(c.now, Event{Kind: Stop}))))
 		c.end(p)
@@ -135,7 +135,7 @@
 	for _, o := range c.procs {
 		if o != p {
 			left = append(left, o)
-			c.mail = append(c.mail, letter{o.m.Self, Event{Kind: Gone, Peer: p.m.Self}})
+			c.mail = append(c.mail, letter{o.m.Self, Event{Kind: Gone, Process: p.m.Self}})
 		}
 	}
 	c.procs = left
@@ -186,7 +186,7 @@
 			found = o.m.Self
 		}
 	}
-	c.handle(p, Event{Kind: Looked, Peer: found})
+	c.handle(p, Event{Kind: PredecessorFound, Process: found})
 }
 
 // deliver hands over the first of what is on its way to some process, now and then twice.
@@ -209,7 +209,7 @@
 	}
 }
 
-func (c *chain) find(peer Peer) *traced {
+func (c *chain) find(peer ProcessNumber) *traced {
 	for _, p := range c.procs {
 		if p.m.Self == peer {
 			return p
@@ -228,28 +228,28 @@
 
 // cut loses what is on its way between a process and its elder, and tells both.
 func (c *chain) cut(p *traced) {
-	elder := c.find(p.m.Elder())
+	elder := c.find(p.m.Predecessor())
 	if elder == nil {
 		return
 	}
 	var left []letter
 	for _, l := range c.mail {
-		between := l.to == p.m.Self && l.ev.Peer == elder.m.Self || l.to == elder.m.Self && l.ev.Peer == p.m.Self
+		between := l.to == p.m.Self && l.ev.Process == elder.m.Self || l.to == elder.m.Self && l.ev.Process == p.m.Self
 		if !between {
 			left = append(left, l)
 		}
 	}
 	c.mail = left
-	c.handle(p, Event{Kind: Cut, Peer: elder.m.Self})
-	c.handle(elder, Event{Kind: Cut, Peer: p.m.Self})
+	c.handle(p, Event{Kind: Cut, Process: elder.m.Self})
+	c.handle(elder, Event{Kind: Cut, Process: p.m.Self})
 }
 
 // nonsense gives any event from any process, those of version 1 among them.
 func (c *chain) nonsense(p *traced) {
-	peers := []Peer{None, Unplaced, Stranger, p.m.Self, p.m.Elder(), p.m.Newer(), First + Peer(c.rng.IntN(c.started+1))}
-	ev := Event{Kind: EventKind(c.rng.IntN(int(Quiet) + 1)), Peer: peers[c.rng.IntN(len(peers))]}
+	peers := []ProcessNumber{None, Unplaced, Stranger, p.m.Self, p.m.Predecessor(), p.m.Successor(), First + ProcessNumber(c.rng.IntN(c.started+1))}
+	ev := Event{Kind: EventKind(c.rng.IntN(int(Quiet) + 1)), Process: peers[c.rng.IntN(len(peers))]}
 	if ev.Kind == Received {
-		ev.Message = Kind(c.rng.IntN(int(Back) + 1))
+		ev.Message = MessageKind(c.rng.IntN(int(Back) + 1))
 	}
 	c.handle(p, ev)
 }
--- a/internal/decide/pressure/demand.go
+++ b/internal/decide/pressure/demand.go
@@ -43,21 +43,21 @@
 		d.started, d.from, d.at, d.groups = true, now, now, map[int64]demand{}
 	}
 	if _, known := d.groups[group]; !known && len(d.groups) >= groupsMost {
-		d.Fade(now)
+		d.Decay(now)
 		if len(d.groups) >= groupsMost {
 			return
 		}
 	}
 	g, up := d.groups[group], math.Exp((now-d.at)/life) // what comes later has faded less
 	if now-d.at > life {
-		d.Fade(now)
+		d.Decay(now)
 		g, up = d.groups[group], 1
 	}
 	d.groups[group] = demand{g.held + held*up, g.work + work*up}
 }
 
-// Fade brings all demand to a time, and forgets what is next to nothing.
-func (d *Demand) Fade(now float64) {
+// Decay brings all demand to a time, and forgets what is next to nothing.
+func (d *Demand) Decay(now float64) {
 	down := math.Exp((d.at - now) / life)
 	for k, g := range d.groups {
 		if g.held, g.work = g.held*down, g.work*down; g.held+g.work < 1 {
@@ -72,19 +72,19 @@
 // Fleet is what there is for a group.
 type Fleet struct {
 	Engines int     // of the fleet
-	Near    int     // those of them that this router uses
+	Subset  int     // those of them that this router uses
 	Cores   float64 // of each of them
 	Routers int     // that share them, with about the same traffic
 }
 
-// Loaders is the number of engines near that load a group; the others read it. It is half of them, rounded down and one at
+// LoaderCount is the number of engines near that load a group; the others read it. It is half of them, rounded down and one at
 // least, and more where its loads would wait for each other while its readers leave room. With one engine there is no
 // dividing, and of a few out of many, which other routers share each with other neighbours, always half: what a group
 // asks of those few can't be told.
-func (d *Demand) Loaders(group int64, f Fleet, now float64) int {
-	half := max(int(halfPart*float64(f.Near)), 1)
+func (d *Demand) LoaderCount(group int64, f Fleet, now float64) int {
+	half := max(int(halfPart*float64(f.Subset)), 1)
 	g, known := d.groups[group]
-	if !known || now-d.from < settled || !(f.Cores > 0) || f.Near < f.Engines {
+	if !known || now-d.from < settled || !(f.Cores > 0) || f.Subset < f.Engines {
 		return half
 	}
 	// A flow that lasts for a time leaves its rate x life x (1 - exp(-time/life)) after fading.
--- a/internal/decide/pressure/demand_test.go
+++ b/internal/decide/pressure/demand_test.go
@@ -42,18 +42,18 @@
 	} {
 		var d Demand
 		flow(&d, 7, k.loads, k.held, k.cores, 1e9, k.after)
-		f := Fleet{Engines: k.engines, Near: k.engines, Cores: 12, Routers: 3}
-		if got := d.Loaders(7, f, 1e9+k.after); got != k.want {
+		f := Fleet{Engines: k.engines, Subset: k.engines, Cores: 12, Routers: 3}
+		if got := d.LoaderCount(7, f, 1e9+k.after); got != k.want {
 			t.Errorf("%s: %d of %d load, want %d", k.name, got, k.engines, k.want)
 		}
-		if got := d.Loaders(7, f, 1e9+k.after+300_000); got != k.latest {
+		if got := d.LoaderCount(7, f, 1e9+k.after+300_000); got != k.latest {
 			t.Errorf("%s, long over: %d of %d load, want %d", k.name, got, k.engines, k.latest)
 		}
-		few := Fleet{Engines: 60, Near: 5, Cores: 12, Routers: 80}
-		if got := d.Loaders(7, few, 1e9+k.after); got != 2 {
+		few := Fleet{Engines: 60, Subset: 5, Cores: 12, Routers: 80}
+		if got := d.LoaderCount(7, few, 1e9+k.after); got != 2 {
 			t.Errorf("%s: %d of five out of sixty load", k.name, got)
 		}
-		if got := d.Loaders(8, f, 1e9+k.after); got != max(k.engines/2, 1) {
+		if got := d.LoaderCount(8, f, 1e9+k.after); got != max(k.engines/2, 1) {
 			t.Errorf("%s: of a group never seen %d load", k.name, got)
 		}
 	}
@@ -63,7 +63,7 @@
 func TestRoutersDivideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(2, 40).Draw(t, "engines")
-		f := Fleet{Engines: engines, Near: engines, Cores: 12, Routers: 3}
+		f := Fleet{Engines: engines, Subset: engines, Cores: 12, Routers: 3}
 		loads, cores := rapid.Float64Range(0.5, 4).Draw(t, "loads"), rapid.Float64Range(5, 60).Draw(t, "cores")
 		least, most := engines, 0
 		for range 3 {
@@ -73,7 +73,7 @@
 				d.Add(1, loads/3*1800*n.Draw(t, "load"), 0, at)
 				d.Add(1, 0, cores/3*1000*n.Draw(t, "work"), at)
 			}
-			got := d.Loaders(1, f, 90_000)
+			got := d.LoaderCount(1, f, 90_000)
 			least, most = min(least, got), max(most, got)
 		}
 		if most-least > 1+engines/10 {
@@ -96,10 +96,10 @@
 			t.Fatalf("%d groups are remembered", len(d.groups))
 		}
 		n := rapid.IntRange(1, 60).Draw(t, "engines")
-		f := Fleet{Engines: n, Near: rapid.IntRange(1, n).Draw(t, "near"), Cores: rapid.SampledFrom(odd).Draw(t, "cores"), Routers: rapid.IntRange(-1, 300).Draw(t, "routers")}
+		f := Fleet{Engines: n, Subset: rapid.IntRange(1, n).Draw(t, "near"), Cores: rapid.SampledFrom(odd).Draw(t, "cores"), Routers: rapid.IntRange(-1, 300).Draw(t, "routers")}
 		for group := range d.groups {
-			if got := d.Loaders(group, f, now); got < 1 || f.Near > 1 && got >= f.Near {
-				t.Fatalf("%d of %d engines load", got, f.Near)
+			if got := d.LoaderCount(group, f, now); got < 1 || f.Subset > 1 && got >= f.Subset {
+				t.Fatalf("%d of %d engines load", got, f.Subset)
 			}
 		}
 	})
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -12,33 +12,33 @@
 	"slices"
 )
 
-// Shortage is what an engine does when the memory that it grants passes what it has.
-type Shortage int
+// MemoryShortage is what an engine does when the memory that it grants passes what it has.
+type MemoryShortage int
 
 // Forms of shortage. A query that waits, or gets what is left, hurts itself; where all are let in, it hurts all.
 const (
-	Queue Shortage = iota // the query waits in the engine's line
-	Trim                  // it gets what is left, and spills
-	Page                  // it is let in, and all slow down
+	ShortageWait   MemoryShortage = iota // the query waits in the engine's line
+	ShortageShrink                       // it gets what is left, and spills
+	ShortagePage                         // it is let in, and all slow down
 )
 
-// Terms are what the settings say of an engine. A figure of 0 is not known.
-type Terms struct {
-	MemoryMB float64
-	MaxGrant float64 // share of the memory that one query gets at most
-	Short    Shortage
+// Limits are what the settings say of an engine. A figure of 0 is not known.
+type Limits struct {
+	MemoryMB      float64
+	MaxGrantShare float64 // share of the memory that one query gets at most
+	Shortage      MemoryShortage
 }
 
 // Query is what is known of a query ahead of its run.
 type Query struct {
-	NeedMB float64 // by estimate; 0 if unknown
-	Group  int64   // of tables; 0 for none
-	Load   bool    // it holds its group while it runs
-	Waits  bool    // it stands still while a load holds its group
+	NeedMB          float64 // by estimate; 0 if unknown
+	TableGroup      int64   // of tables; 0 for none
+	LocksTableGroup bool    // it holds its group while it runs
+	BlockedByLoad   bool    // it stands still while a load holds its group
 }
 
-// Report is what an engine says of itself; a figure below 0 is unknown.
-type Report struct {
+// LoadReport is what an engine says of itself; a figure below 0 is unknown.
+type LoadReport struct {
 	InFlight float64 // queries that it holds
 	Waiting  float64 // those of them that wait for memory
 	Busy     float64 // share of its cores in use
@@ -47,7 +47,7 @@
 }
 
 // sound takes figures that are no numbers for unknown.
-func (r Report) sound() Report {
+func (r LoadReport) sound() LoadReport {
 	for _, v := range []*float64{&r.InFlight, &r.Waiting, &r.Busy, &r.Disk, &r.Memory} {
 		if math.IsNaN(*v) || math.IsInf(*v, 0) {
 			*v = -1
@@ -56,10 +56,10 @@
 	return r
 }
 
-// More is what one more query would meet.
-type More struct {
-	Memory float64 // share of the memory granted with it; 0 where that is not known
-	Stands bool    // a load holds its group
+// Headroom is what one more query would meet.
+type Headroom struct {
+	MemoryShare   float64 // share of the memory granted with it; 0 where that is not known
+	BlockedByLock bool    // a load holds its group
 }
 
 const (
@@ -86,19 +86,19 @@
 type Engine struct {
 	loads   map[int64]int     // own ones under way, by group
 	noticed map[int64]float64 // until when others' loads hold a group
-	report  Report            // the last
+	report  LoadReport        // the last
 	at      float64           // when it came
 	told    bool              // whether one did
 	since   []sent
 }
 
-// Sent notes an own query that goes to the engine.
-func (e *Engine) Sent(q Query, t Terms, now float64) {
-	if q.Load && q.Group != 0 {
+// AttemptStarted notes an own query that goes to the engine.
+func (e *Engine) AttemptStarted(q Query, t Limits, now float64) {
+	if q.LocksTableGroup && q.TableGroup != 0 {
 		if e.loads == nil {
 			e.loads = map[int64]int{}
 		}
-		e.loads[q.Group]++
+		e.loads[q.TableGroup]++
 	}
 	if mb := t.grant(q); mb > 0 {
 		e.since = append(e.since, sent{now, mb})
@@ -108,17 +108,17 @@
 	}
 }
 
-// Ended notes that an own query runs there no more, or is not waited for any longer.
-func (e *Engine) Ended(q Query) {
-	if q.Load && e.loads[q.Group] > 0 {
-		if e.loads[q.Group]--; e.loads[q.Group] == 0 {
-			delete(e.loads, q.Group)
+// AttemptEnded notes that an own query runs there no more, or is not waited for any longer.
+func (e *Engine) AttemptEnded(q Query) {
+	if q.LocksTableGroup && e.loads[q.TableGroup] > 0 {
+		if e.loads[q.TableGroup]--; e.loads[q.TableGroup] == 0 {
+			delete(e.loads, q.TableGroup)
 		}
 	}
 }
 
-// Noticed notes that a query stands behind another router's load on that group, which is guessed to last until then.
-func (e *Engine) Noticed(group int64, now, until float64) {
+// LockObserved notes that a query stands behind another router's load on that group, which is guessed to last until then.
+func (e *Engine) LockObserved(group int64, now, until float64) {
 	if group == 0 || !(until > now) {
 		return
 	}
@@ -138,23 +138,23 @@
 	e.noticed[group] = until
 }
 
-// Reported notes what the engine says of itself.
-func (e *Engine) Reported(r Report, now float64) {
+// LoadReported notes what the engine says of itself.
+func (e *Engine) LoadReported(r LoadReport, now float64) {
 	e.report, e.at, e.told = r.sound(), now, true
 	e.since = slices.DeleteFunc(e.since, func(s sent) bool { return s.at < now-lag })
 }
 
-// More reckons what one more query would meet.
-func (e *Engine) More(q Query, t Terms, now float64) (m More) {
-	if q.Group != 0 && (q.Load || q.Waits) {
-		m.Stands = e.loads[q.Group] > 0 || e.noticed[q.Group] > now
+// Headroom reckons what one more query would meet.
+func (e *Engine) Headroom(q Query, t Limits, now float64) (m Headroom) {
+	if q.TableGroup != 0 && (q.LocksTableGroup || q.BlockedByLoad) {
+		m.BlockedByLock = e.loads[q.TableGroup] > 0 || e.noticed[q.TableGroup] > now
 	}
 	if t.MemoryMB > 0 && e.told && now-e.at < fresh && e.report.Memory >= 0 {
 		mb := t.grant(q)
 		for _, s := range e.since {
 			mb += s.mb
 		}
-		m.Memory = e.report.Memory + mb/t.MemoryMB
+		m.MemoryShare = e.report.Memory + mb/t.MemoryMB
 	}
 	return m
 }
@@ -166,8 +166,8 @@
 		max(r.Busy, r.Disk, r.Memory, r.InFlight/cores) < calmAt
 }
 
-// Weight is by how much its report makes the engine a worse choice than an idle one, 1 where it tells nothing.
-func (e *Engine) Weight(cores, now float64) float64 {
+// CostFactor is by how much its report makes the engine a worse choice than an idle one, 1 where it tells nothing.
+func (e *Engine) CostFactor(cores, now float64) float64 {
 	r := e.report
 	if !e.told || now-e.at >= fresh {
 		return 1
@@ -180,22 +180,22 @@
 }
 
 // grant is the memory that the engine will give a query, where it chooses itself.
-func (t Terms) grant(q Query) float64 {
+func (t Limits) grant(q Query) float64 {
 	if !(q.NeedMB > 0) {
 		return 0
 	}
 	mb := q.NeedMB * generous
-	if most := t.MemoryMB * t.MaxGrant; most > 0 {
+	if most := t.MemoryMB * t.MaxGrantShare; most > 0 {
 		mb = min(mb, most)
 	}
 	return mb
 }
 
-// Most is the share of its memory up to which an engine takes further queries. Where a shortage hurts only the query
+// MaxMemoryShare is the share of its memory up to which an engine takes further queries. Where a shortage hurts only the query
 // that meets it there is no bound here. Grants go by estimates and queries use what they need of them, so that a little
 // over the whole is in use no earlier than when reports say a fifth more.
-func (t Terms) Most() float64 {
-	if t.Short == Page {
+func (t Limits) MaxMemoryShare() float64 {
+	if t.Shortage == ShortagePage {
 		return 1.2
 	}
 	return math.Inf(1)
--- a/internal/decide/pressure/trace_test.go
+++ b/internal/decide/pressure/trace_test.go
@@ -22,7 +22,7 @@
 func traceEngines(h *tracetest.Hash, groups int) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
-		terms := Terms{MemoryMB: []float64{0, 4096}[seed%2], MaxGrant: []float64{0, 0.4}[seed/2%2], Short: Shortage(seed % 3)}
+		terms := Limits{MemoryMB: []float64{0, 4096}[seed%2], MaxGrantShare: []float64{0, 0.4}[seed/2%2], Shortage: MemoryShortage(seed % 3)}
 		var e Engine
 		var out []Query
 		now := 0.0
@@ -31,17 +31,17 @@
 			q := traceQuery(rng, groups)
 			switch rng.IntN(6) {
 			case 0:
-				e.Sent(q, terms, now)
+				e.AttemptStarted(q, terms, now)
 				out = append(out, q)
 			case 1:
 				if len(out) > 0 {
-					e.Ended(out[0])
+					e.AttemptEnded(out[0])
 					out = out[1:]
 				}
 			case 2:
-				e.Noticed(q.Group, now, now+rng.Float64()*4000-200)
+				e.LockObserved(q.TableGroup, now, now+rng.Float64()*4000-200)
 			case 3:
-				e.Reported(traceReport(rng), now)
+				e.LoadReported(traceReport(rng), now)
 			}
 			traceAnswers(h, &e, q, terms, now)
 		}
@@ -53,10 +53,10 @@
 	var e Engine
 	for i := range 600 {
 		now := float64(i)
-		e.Noticed(int64(i+1), now, now+250+float64(i%7)*40)
+		e.LockObserved(int64(i+1), now, now+250+float64(i%7)*40)
 		standing := 0
 		for group := range 600 {
-			if e.More(Query{Group: int64(group + 1), Waits: true}, Terms{}, now).Stands {
+			if e.Headroom(Query{TableGroup: int64(group + 1), BlockedByLoad: true}, Limits{}, now).BlockedByLock {
 				standing++
 			}
 		}
@@ -66,12 +66,12 @@
 }
 
 func traceQuery(rng *rand.Rand, groups int) Query {
-	return Query{NeedMB: max(rng.ExpFloat64()*300-50, 0), Group: int64(rng.IntN(groups + 1)), Load: rng.IntN(3) == 0, Waits: rng.IntN(2) == 0}
+	return Query{NeedMB: max(rng.ExpFloat64()*300-50, 0), TableGroup: int64(rng.IntN(groups + 1)), LocksTableGroup: rng.IntN(3) == 0, BlockedByLoad: rng.IntN(2) == 0}
 }
 
 // traceReport gives a report with some figures that are unknown or no numbers.
-func traceReport(rng *rand.Rand) Report {
-	r := Report{InFlight: float64(rng.IntN(20)), Waiting: float64(rng.IntN(8) / 4), Busy: rng.Float64(), Disk: rng.Float64(), Memory: rng.Float64()}
+func traceReport(rng *rand.Rand) LoadReport {
+	r := LoadReport{InFlight: float64(rng.IntN(20)), Waiting: float64(rng.IntN(8) / 4), Busy: rng.Float64(), Disk: rng.Float64(), Memory: rng.Float64()}
 	for _, v := range []*float64{&r.InFlight, &r.Waiting, &r.Busy, &r.Disk, &r.Memory} {
 		switch rng.IntN(10) {
 		case 0:
@@ -85,16 +85,16 @@
 	return r
 }
 
-func traceAnswers(h *tracetest.Hash, e *Engine, q Query, terms Terms, now float64) {
+func traceAnswers(h *tracetest.Hash, e *Engine, q Query, terms Limits, now float64) {
 	for _, late := range []float64{0, 500, 1500, 2500} {
-		m := e.More(q, terms, now+late)
+		m := e.Headroom(q, terms, now+late)
 		h.Step(1)
-		h.Float(m.Memory)
-		h.Bool(m.Stands)
+		h.Float(m.MemoryShare)
+		h.Bool(m.BlockedByLock)
 		h.Bool(e.Calm(8, now+late))
-		h.Float(e.Weight(8, now+late))
+		h.Float(e.CostFactor(8, now+late))
 	}
-	h.Float(terms.Most())
+	h.Float(terms.MaxMemoryShare())
 }
 
 func traceDemand(h *tracetest.Hash, groups, mean int) {
@@ -108,12 +108,12 @@
 			d.Add(group, traceTime(rng, 300), traceTime(rng, 2000), now)
 			if i%1000 == 999 {
 				now += rng.Float64() * 40_000
-				d.Fade(now)
+				d.Decay(now)
 			}
 			f := Fleet{Engines: 1 + rng.IntN(40), Cores: float64(rng.IntN(16)), Routers: rng.IntN(30)}
-			f.Near = max(f.Engines-rng.IntN(2)*rng.IntN(10), 0)
+			f.Subset = max(f.Engines-rng.IntN(2)*rng.IntN(10), 0)
 			h.Step(1)
-			h.Int(int64(d.Loaders(group, f, now)))
+			h.Int(int64(d.LoaderCount(group, f, now)))
 			h.Int(int64(len(d.groups)))
 		}
 	}
--- a/internal/decide/slowstart/flow.go
+++ b/internal/decide/slowstart/flow.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Flow is how many chunks a second come due to a party, over time: straight between its points, level before the first and
+// Rate is how many chunks a second come due to a party, over time: straight between its points, level before the first and
 // after the last. Points are in order of time, in milliseconds; rates are not below 0. The zero Flow is none at all.
-type Flow struct {
+type Rate struct {
 	points [flowPoints]point
 	n      int
 }
@@ -14,9 +14,9 @@
 
 type point struct{ at, rate float64 }
 
-// With adds a point, no earlier than the last one; a rate below 0, or that is no number, counts as 0. A flow has four points at
+// WithPoint adds a point, no earlier than the last one; a rate below 0, or that is no number, counts as 0. A flow has four points at
 // most: further ones are not taken.
-func (f Flow) With(at, rate float64) Flow {
+func (f Rate) WithPoint(at, rate float64) Rate {
 	if f.n < flowPoints {
 		if !(rate > 0) {
 			rate = 0
@@ -28,7 +28,7 @@
 }
 
 // next gives the piece of the flow that a time lies in, from that time on: its rates at both ends and how long it lasts.
-func (f *Flow) next(from float64) (rate, then, lasts float64) {
+func (f *Rate) next(from float64) (rate, then, lasts float64) {
 	if f.n == 0 {
 		return 0, 0, math.Inf(1)
 	}
@@ -48,7 +48,7 @@
 }
 
 // sum gives how many chunks come due between two times.
-func (f *Flow) sum(from, to float64) (chunks float64) {
+func (f *Rate) sum(from, to float64) (chunks float64) {
 	for from < to {
 		rate, then, lasts := f.next(from)
 		if d := to - from; d < lasts {
@@ -64,7 +64,7 @@
 }
 
 // when gives the time at which that many chunks have come due since another one: infinite for never.
-func (f *Flow) when(from, chunks float64) float64 {
+func (f *Rate) when(from, chunks float64) float64 {
 	left := chunks * 1000
 	for {
 		rate, then, lasts := f.next(from)
--- a/internal/decide/slowstart/flow_test.go
+++ b/internal/decide/slowstart/flow_test.go
@@ -9,10 +9,10 @@
 )
 
 // drawFlow is a flow of up to four points, some of them without any rate.
-func drawFlow(t *rapid.T, from float64) (f Flow) {
+func drawFlow(t *rapid.T, from float64) (f Rate) {
 	at := from + rapid.Float64Range(-3000, 3000).Draw(t, "from")
 	for range rapid.IntRange(0, flowPoints).Draw(t, "points") {
-		f = f.With(at, max(rapid.Float64Range(-1, 3).Draw(t, "rate"), 0))
+		f = f.WithPoint(at, max(rapid.Float64Range(-1, 3).Draw(t, "rate"), 0))
 		at += rapid.SampledFrom([]float64{0, 1, 700, 5000}).Draw(t, "gap")
 	}
 	return f
@@ -50,24 +50,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.Float64Range(0, 1e6).Draw(t, "start")
 		f, party := drawFlow(t, at), rapid.IntRange(0, 99).Draw(t, "party")
-		often, seldom := Start(party, 100, 0.3, at), Start(party, 100, 0.3, at)
+		often, seldom := NewBudget(party, 100, 0.3, at), NewBudget(party, 100, 0.3, at)
 		plain := often.part
-		often.Go(f, at)
-		seldom.Go(f, at)
+		often.SetRate(f, at)
+		seldom.SetRate(f, at)
 		chunks := 0
 		last := math.Inf(-1)
 		for now := at; now < at+20_000; now += 5 {
-			since, _ := often.Chunk(now, math.Inf(1))
+			since, _ := often.Available(now, math.Inf(1))
 			if often.any && since != last {
 				chunks, last = chunks+1, since
 			}
 			if rapid.IntRange(0, 400).Draw(t, "ask") != 0 {
 				continue
 			}
-			if due := seldom.Next(); due <= now != (seldom.given != since || seldom.any != often.any) {
+			if due := seldom.NextDue(); due <= now != (seldom.given != since || seldom.any != often.any) {
 				t.Fatalf("due at %v by now %v, and the one asked often has its chunk since %v, the other %v", due, now, since, seldom.given)
 			}
-			if got, _ := seldom.Chunk(now, math.Inf(1)); often.any && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
+			if got, _ := seldom.Available(now, math.Inf(1)); often.any && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
 				t.Fatalf("asked often it has a chunk since %v, asked seldom since %v", since, got)
 			}
 		}
@@ -79,28 +79,28 @@
 
 // A flow that changes leaves what came due until then.
 func TestGoKeepsWhatCameDue(t *testing.T) {
-	r := Start(0, 1, 0, 0)
-	r.Go(Flow{}.With(0, 1), 0)
-	r.Go(Flow{}.With(0, 2), 500) // half a chunk is there, the other half takes a quarter of a second
-	if r.Next() != 750 {
-		t.Errorf("the chunk is due at %v, want 750", r.Next())
+	r := NewBudget(0, 1, 0, 0)
+	r.SetRate(Rate{}.WithPoint(0, 1), 0)
+	r.SetRate(Rate{}.WithPoint(0, 2), 500) // half a chunk is there, the other half takes a quarter of a second
+	if r.NextDue() != 750 {
+		t.Errorf("the chunk is due at %v, want 750", r.NextDue())
 	}
-	r.Go(Flow{}, 700)
-	if !math.IsInf(r.Next(), 1) {
-		t.Errorf("without a flow one is due at %v", r.Next())
+	r.SetRate(Rate{}, 700)
+	if !math.IsInf(r.NextDue(), 1) {
+		t.Errorf("without a flow one is due at %v", r.NextDue())
 	}
-	r.Go(Flow{}.With(0, 1), 10_000) // 0.9 were there, and nothing came meanwhile
-	if math.Abs(r.Next()-10_100) > 1e-6 {
-		t.Errorf("the chunk is due at %v, want 10100", r.Next())
+	r.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 were there, and nothing came meanwhile
+	if math.Abs(r.NextDue()-10_100) > 1e-6 {
+		t.Errorf("the chunk is due at %v, want 10100", r.NextDue())
 	}
-	if _, ok := r.Chunk(10_050, 1e9); ok {
+	if _, ok := r.Available(10_050, 1e9); ok {
 		t.Error("a chunk before its time")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 { // however often it is told the same flow
-		r.Go(Flow{}.With(0, 1), 10_000+100*rng.Float64())
+		r.SetRate(Rate{}.WithPoint(0, 1), 10_000+100*rng.Float64())
 	}
-	if math.Abs(r.Next()-10_100) > 1e-6 {
-		t.Errorf("told again and again, the chunk is due at %v, want 10100", r.Next())
+	if math.Abs(r.NextDue()-10_100) > 1e-6 {
+		t.Errorf("told again and again, the chunk is due at %v, want 10100", r.NextDue())
 	}
 }
--- a/internal/decide/slowstart/ration.go
+++ b/internal/decide/slowstart/ration.go
@@ -17,9 +17,9 @@
 	"slices"
 )
 
-// Ration is one party's part of a flow. It begins with Start, and has nothing until it is told its flow.
-type Ration struct {
-	flow  Flow
+// Budget is one party's part of a flow. It begins with Start, and has nothing until it is told its flow.
+type Budget struct {
+	flow  Rate
 	from  float64 // up to when it is reckoned
 	part  float64 // of the next chunk, from 0 to 1, by then
 	next  float64 // when that chunk is due
@@ -27,15 +27,15 @@
 	any   bool    // whether there was one
 }
 
-// Start gives the ration of a party from a time on. Parties are numbered from 0; those of one flow share a salt from 0 to 1,
+// NewBudget gives the ration of a party from a time on. Parties are numbered from 0; those of one flow share a salt from 0 to 1,
 // which has other flows begin with another party.
-func Start(party, parties int, salt, at float64) Ration {
+func NewBudget(party, parties int, salt, at float64) Budget {
 	_, part := math.Modf(float64(party)/float64(max(parties, 1)) + salt)
-	return Ration{part: math.Abs(part), from: at, next: math.Inf(1)}
+	return Budget{part: math.Abs(part), from: at, next: math.Inf(1)}
 }
 
-// Go has the ration come by a flow from a time on. What came due until then by the former flow stays.
-func (r *Ration) Go(by Flow, now float64) {
+// SetRate has the ration come by a flow from a time on. What came due until then by the former flow stays.
+func (r *Budget) SetRate(by Rate, now float64) {
 	r.reckon(now)
 	if now > r.from {
 		r.part = min(r.part+r.flow.sum(r.from, now), 1)
@@ -45,18 +45,18 @@
 	r.next = by.when(r.from, 1-r.part)
 }
 
-// Next tells when the next chunk is due, however often the ration is asked until then; infinite for never.
-func (r *Ration) Next() float64 { return r.next }
+// NextDue tells when the next chunk is due, however often the ration is asked until then; infinite for never.
+func (r *Budget) NextDue() float64 { return r.next }
 
-// Chunk tells since when the party has had the chunk that it may spend. It has none if the last one is older than life.
+// Available tells since when the party has had the chunk that it may spend. It has none if the last one is older than life.
 // Several that came due since it last asked are one: a party that did not ask for long is owed no burst.
-func (r *Ration) Chunk(now, life float64) (since float64, ok bool) {
+func (r *Budget) Available(now, life float64) (since float64, ok bool) {
 	r.reckon(now)
 	return r.given, r.any && now-r.given <= life
 }
 
 // reckon takes what has come due up to now.
-func (r *Ration) reckon(now float64) {
+func (r *Budget) reckon(now float64) {
 	if now < r.next {
 		return
 	}
@@ -69,9 +69,9 @@
 	r.next = max(r.flow.when(r.given, 1), math.Nextafter(now, math.Inf(1)))
 }
 
-// Deal gives a party its part of a row of items: so many places in it, each once, in an order of its own. Over all parties
+// Subset gives a party its part of a row of items: so many places in it, each once, in an order of its own. Over all parties
 // every place is dealt about as often as any other; neighbours in number get places that lie apart.
-func Deal(party, parties, items, each int) []int {
+func Subset(party, parties, items, each int) []int {
 	places := make([]int, 0, max(min(each, items), 0))
 	if each >= items {
 		for i := range items {
--- a/internal/decide/slowstart/ration_test.go
+++ b/internal/decide/slowstart/ration_test.go
@@ -17,18 +17,18 @@
 				rng := rand.New(rand.NewPCG(uint64(parties), uint64(flow)))
 				var given []float64
 				for i := range parties {
-					even := Flow{}.With(0, flow/float64(parties))
-					r := Start(i, parties, 0.3, 0)
-					r.Go(even, 0)
+					even := Rate{}.WithPoint(0, flow/float64(parties))
+					r := NewBudget(i, parties, 0.3, 0)
+					r.SetRate(even, 0)
 					every := float64(1 + rng.IntN(400)) // how often it asks
 					last := -1.0
 					anew := restart && rng.Float64() < 0.7
 					for now := 0.0; now < lasts; now += every {
 						if anew && now > 5000 {
-							r, anew = Start(i, parties, 0.3, now), false
-							r.Go(even, now)
+							r, anew = NewBudget(i, parties, 0.3, now), false
+							r.SetRate(even, now)
 						}
-						if since, ok := r.Chunk(now, life); ok && since != last {
+						if since, ok := r.Available(now, life); ok && since != last {
 							given, last = append(given, since), since
 						}
 					}
@@ -56,8 +56,8 @@
 }
 
 func TestChunkIsVoidAfterItsLife(t *testing.T) {
-	r := Start(0, 1, 0, 0)
-	r.Go(Flow{}.With(0, 1), 0)
+	r := NewBudget(0, 1, 0, 0)
+	r.SetRate(Rate{}.WithPoint(0, 1), 0)
 	for _, k := range []struct {
 		at, life, since float64
 		ok              bool
@@ -66,13 +66,13 @@
 		{9700, 800, 9000, true}, // seven came due: one
 		{9800, 700, 9000, false},
 	} {
-		if since, ok := r.Chunk(k.at, k.life); ok != k.ok || math.Abs(since-k.since) > 0.001 {
+		if since, ok := r.Available(k.at, k.life); ok != k.ok || math.Abs(since-k.since) > 0.001 {
 			t.Errorf("at %v: since %v, %v; want %v, %v", k.at, since, ok, k.since, k.ok)
 		}
 	}
 	for _, flow := range []float64{0, -1} {
-		r.Go(Flow{}.With(0, flow), 9900)
-		if _, ok := r.Chunk(30_000-1000*flow, 700); ok || r.part < 0 || math.IsNaN(r.part) {
+		r.SetRate(Rate{}.WithPoint(0, flow), 9900)
+		if _, ok := r.Available(30_000-1000*flow, 700); ok || r.part < 0 || math.IsNaN(r.part) {
 			t.Errorf("a flow of %v gave a chunk, or took one: %+v", flow, r)
 		}
 	}
@@ -84,7 +84,7 @@
 		{3, 5, 9, 3, 3}, {1, 0, 4, 0, 0}, {0, 3, 1, 0, 1}} {
 		dealt := make([]int, k.items)
 		for i := range max(k.parties, 1) {
-			places := Deal(i, k.parties, k.items, k.each)
+			places := Subset(i, k.parties, k.items, k.each)
 			if len(places) != min(k.each, k.items) {
 				t.Errorf("%+v: party %d got %d places", k, i, len(places))
 			}
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -14,7 +14,7 @@
 }
 
 // traceFlow gives a flow of up to five points, some with rates that do not count.
-func traceFlow(rng *rand.Rand, from float64) (f Flow) {
+func traceFlow(rng *rand.Rand, from float64) (f Rate) {
 	at := from - rng.Float64()*2000
 	for range rng.IntN(6) {
 		rate := rng.ExpFloat64() * 3
@@ -26,7 +26,7 @@
 		case 2:
 			rate = math.NaN()
 		}
-		f = f.With(at, rate)
+		f = f.WithPoint(at, rate)
 		at += 1 + rng.ExpFloat64()*4000
 	}
 	return f
@@ -37,17 +37,17 @@
 		rng := rand.New(rand.NewPCG(seed, 2026))
 		now := rng.Float64() * 1e5
 		parties := rng.IntN(700)
-		r := Start(rng.IntN(parties+1), parties, rng.Float64(), now)
+		r := NewBudget(rng.IntN(parties+1), parties, rng.Float64(), now)
 		for i := range 200 {
 			now += rng.ExpFloat64() * 400
 			if i%23 == 0 {
-				r.Go(traceFlow(rng, now), now)
+				r.SetRate(traceFlow(rng, now), now)
 			}
-			since, ok := r.Chunk(now, rng.ExpFloat64()*1500)
+			since, ok := r.Available(now, rng.ExpFloat64()*1500)
 			h.Step(1)
 			h.Float(since)
 			h.Bool(ok)
-			h.Float(r.Next())
+			h.Float(r.NextDue())
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	for range 2000 {
 		parties := rng.IntN(700)
 		h.Step(1)
-		for _, place := range Deal(rng.IntN(parties+1), parties, rng.IntN(1500), rng.IntN(30)-1) {
+		for _, place := range Subset(rng.IntN(parties+1), parties, rng.IntN(1500), rng.IntN(30)-1) {
 			h.Int(int64(place))
 		}
 	}
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -194,21 +194,21 @@
 }
 
 // Everywhere asks keeper i until it says that a revision is in force everywhere.
-func (k *Keepers) Everywhere(i int, revision uint64) configlog.Verdict {
+func (k *Keepers) Everywhere(i int, revision uint64) configlog.ConvergenceStatus {
 	k.rig.T.Helper()
 	var last error
 	for began := time.Now(); time.Since(began) < Patience; {
-		var v configlog.Verdict
+		var v configlog.ConvergenceStatus
 		last = k.Members[i].call(10*time.Second, http.MethodGet, fmt.Sprintf("/v1/rollout?revision=%d&wait_ms=7000", revision), nil, &v)
 		if last == nil && v.Everywhere {
 			return v
 		}
 		if last == nil {
-			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind), len(v.Refused), len(v.Gone), v.Unreached)
+			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind), len(v.Rejected), len(v.Gone), v.Unreached)
 		}
 	}
 	k.rig.T.Fatalf("revision %d is not in force everywhere by the word of %s: %v", revision, k.Members[i].ID, last)
-	return configlog.Verdict{}
+	return configlog.ConvergenceStatus{}
 }
 
 // Stop has a keeper stand still, and Go go on.
--- a/internal/fleettest/rollout_test.go
+++ b/internal/fleettest/rollout_test.go
@@ -15,8 +15,8 @@
 	all := f.size.real + f.size.hollow
 	everywhere := func(i int, revision uint64, want int) {
 		t.Helper()
-		if v := f.keepers.Everywhere(i, revision); len(v.InForce) != want || len(v.Refused)+len(v.Behind) > 0 {
-			t.Errorf("revision %d: %d in force, want %d; %d behind, %d refused", revision, len(v.InForce), want, len(v.Behind), len(v.Refused))
+		if v := f.keepers.Everywhere(i, revision); len(v.InForce) != want || len(v.Rejected)+len(v.Behind) > 0 {
+			t.Errorf("revision %d: %d in force, want %d; %d behind, %d refused", revision, len(v.InForce), want, len(v.Behind), len(v.Rejected))
 		}
 	}
 	first, asked := f.change(0)
--- a/internal/hotrestartipc/golden_place_test.go
+++ b/internal/hotrestartipc/golden_place_test.go
@@ -95,7 +95,7 @@
 
 // restoreFolder writes the regular files of the recorded folder, and has those of the places given locked, as a living
 // process has them.
-func restoreFolder(t *testing.T, dir string, living ...hotrestart.Peer) {
+func restoreFolder(t *testing.T, dir string, living ...hotrestart.ProcessNumber) {
 	t.Helper()
 	archive, err := txtar.ParseFile(goldenFolder)
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-func holdLock(t *testing.T, dir string, peer hotrestart.Peer) {
+func holdLock(t *testing.T, dir string, peer hotrestart.ProcessNumber) {
 	t.Helper()
 	path, err := Path(dir, goldenRouter)
 	if err != nil {
--- a/internal/hotrestartipc/place.go
+++ b/internal/hotrestartipc/place.go
@@ -20,7 +20,7 @@
 // there is a socket, on which newer processes find this one, and a file that the process keeps locked while it lives: the
 // system gives the lock up with the process, whatever becomes of it, and one that is stopped keeps it.
 type Place struct {
-	Peer     hotrestart.Peer
+	Peer     hotrestart.ProcessNumber
 	Listener *net.UnixListener
 	base     string
 	lock     *os.File
@@ -59,7 +59,7 @@
 	text := make([]byte, 32)
 	n, _ := roster.ReadAt(text, 0)
 	if v, err := strconv.ParseUint(strings.TrimSpace(string(text[:n])), 10, 48); err == nil {
-		last = max(last, hotrestart.Peer(v))
+		last = max(last, hotrestart.ProcessNumber(v))
 	}
 	anybody := p.legacy()
 	for _, there := range p.places() {
@@ -97,23 +97,25 @@
 	return p, nil
 }
 
-func (p *Place) socket(of hotrestart.Peer) string {
+func (p *Place) socket(of hotrestart.ProcessNumber) string {
 	if of == hotrestart.Unplaced {
 		return p.base + ".sock"
 	}
 	return fmt.Sprintf("%s.%d.sock", p.base, of)
 }
 
-func (p *Place) lockFile(of hotrestart.Peer) string { return fmt.Sprintf("%s.%d.lock", p.base, of) }
-func (p *Place) bans() string                       { return p.base + ".bans" }
+func (p *Place) lockFile(of hotrestart.ProcessNumber) string {
+	return fmt.Sprintf("%s.%d.lock", p.base, of)
+}
+func (p *Place) bans() string { return p.base + ".bans" }
 
 // places gives those that have a file, living or not, in their order.
-func (p *Place) places() (all []hotrestart.Peer) {
+func (p *Place) places() (all []hotrestart.ProcessNumber) {
 	names, _ := filepath.Glob(p.base + ".*.lock")
 	for _, name := range names {
 		text := strings.TrimSuffix(strings.TrimPrefix(name, p.base+"."), ".lock")
-		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.Peer(n) >= hotrestart.First {
-			all = append(all, hotrestart.Peer(n))
+		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.ProcessNumber(n) >= hotrestart.First {
+			all = append(all, hotrestart.ProcessNumber(n))
 		}
 	}
 	slices.Sort(all)
@@ -121,7 +123,7 @@
 }
 
 // Lives tells whether the process of a place lives; one that is stopped does.
-func (p *Place) Lives(of hotrestart.Peer) bool {
+func (p *Place) Lives(of hotrestart.ProcessNumber) bool {
 	if of == hotrestart.Unplaced {
 		return p.legacy()
 	}
@@ -155,7 +157,7 @@
 }
 
 // Elder gives the newest living process before this one, or None.
-func (p *Place) Elder() hotrestart.Peer {
+func (p *Place) Elder() hotrestart.ProcessNumber {
 	for _, there := range slices.Backward(p.places()) {
 		if there < p.Peer && p.Lives(there) {
 			return there
@@ -168,7 +170,7 @@
 }
 
 // Call connects to the process of a place.
-func (p *Place) Call(of hotrestart.Peer) (*net.UnixConn, error) {
+func (p *Place) Call(of hotrestart.ProcessNumber) (*net.UnixConn, error) {
 	return Dial(p.socket(of), dialWithin)
 }
 
--- a/internal/keeper/calls.go
+++ b/internal/keeper/calls.go
@@ -50,11 +50,11 @@
 }
 
 // faulty gives a fault of a change or a question its status.
-func faulty(f *configlog.Fault) answer {
+func faulty(f *configlog.ChangeError) answer {
 	switch f.Kind {
-	case configlog.FaultConflict, configlog.FaultReused:
+	case configlog.ChangeConflict, configlog.ChangeIDReused:
 		return answer{http.StatusConflict, f}
-	case configlog.FaultCompacted:
+	case configlog.RevisionCompacted:
 		return answer{http.StatusGone, f}
 	default:
 		return answer{http.StatusUnprocessableEntity, f}
--- a/internal/keeper/change.go
+++ b/internal/keeper/change.go
@@ -95,9 +95,9 @@
 		switch {
 		case out.Moved:
 			continue
-		case out.Fault != nil:
+		case out.Err != nil:
 			k.figures.changesRefused.Add(1)
-			return faulty(out.Fault)
+			return faulty(out.Err)
 		}
 		if !out.Repeated {
 			k.figures.changesMade.Add(1)
@@ -194,7 +194,7 @@
 		switch {
 		case fault == nil:
 			return answer{http.StatusOK, c}
-		case fault.Kind != configlog.FaultInvalid:
+		case fault.Kind != configlog.ChangeInvalid:
 			return faulty(fault)
 		}
 		select {
--- a/internal/keeper/client_test.go
+++ b/internal/keeper/client_test.go
@@ -52,9 +52,9 @@
 	var v rolloutReply
 	wait(t, "a refusal and two that have it", func() bool {
 		v = g.verdict(0, "revision=3")
-		return len(v.Refused) == 1 && len(v.InForce) == 2
+		return len(v.Rejected) == 1 && len(v.InForce) == 2
 	})
-	if v.Everywhere || v.Refused[0].Name != "r1" || v.Refused[0].Refused.Reason != "no" {
+	if v.Everywhere || v.Rejected[0].Name != "r1" || v.Rejected[0].Rejected.Reason != "no" {
 		t.Errorf("%+v", v)
 	}
 	g.everywhere(g.change(0, put("fourth", "/settings/over-share-worth", "4")))
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -12,7 +12,7 @@
 const (
 	mostReport = 64 << 10
 	// mostJoining bounds the processes that wait for their place on the roster, and joinAtOnce those in one entry.
-	mostJoining = configlog.MaxRoster
+	mostJoining = configlog.MaxMembers
 	joinAtOnce  = 500
 	// The wait after a try that failed grows from joinAgain to joinLatest: with a full disk each try costs an election.
 	joinAgain  = 100 * time.Millisecond
@@ -23,8 +23,8 @@
 // One whose process is not on the replicated roster gets nothing until it is: from then on no verdict overlooks it.
 func (k *Keeper) follow(w http.ResponseWriter, r *http.Request) answer {
 	var q struct {
-		Report configlog.Report `json:"report"`
-		WaitMS *int             `json:"wait_ms"`
+		Report configlog.FollowerStatus `json:"report"`
+		WaitMS *int                     `json:"wait_ms"`
 	}
 	if _, no := readBody(w, r, mostReport, &q); no != nil {
 		return *no
@@ -45,7 +45,7 @@
 	defer k.figures.waiting.Add(-1)
 	k.figures.follows.Add(1)
 	k.leasesMu.Lock()
-	k.leases.Heard(k.nowMS(), q.Report)
+	k.leases.Renew(k.nowMS(), q.Report)
 	k.leasesMu.Unlock()
 	u, news := k.await(r.Context(), q.Report, hold)
 	if !news {
@@ -64,7 +64,7 @@
 
 // await gives what a follower needs as soon as there is something; false when the time is up. That this keeper is behind
 // the follower it says only at the end: it may yet catch up, and the follower doesn't call again at once.
-func (k *Keeper) await(ctx context.Context, report configlog.Report, hold time.Duration) (u configlog.Update, news bool) {
+func (k *Keeper) await(ctx context.Context, report configlog.FollowerStatus, hold time.Duration) (u configlog.Update, news bool) {
 	end := time.NewTimer(hold)
 	defer end.Stop()
 	for asked := false; ; {
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -14,7 +14,7 @@
 
 // rolloutReply is what GET /v1/rollout gives.
 type rolloutReply struct {
-	configlog.Verdict
+	configlog.ConvergenceStatus
 	Keeper   string `json:"keeper"`
 	Majority bool   `json:"majority"`
 	Why      string `json:"why"`
@@ -28,7 +28,7 @@
 	name, instance string
 	revision       uint64
 	hash           configlog.Hash
-	refused        *configlog.Refusal
+	refused        *configlog.Rejection
 	content        map[string]json.RawMessage
 	updates        []configlog.Update
 }
@@ -37,8 +37,8 @@
 func (f *follower) call(i int, waitMS int) (code int) {
 	f.g.t.Helper()
 	var u configlog.Update
-	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.Report{Name: f.name, Instance: f.instance,
-		Revision: f.revision, Hash: f.hash, Refused: f.refused}}, &u)
+	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.FollowerStatus{Name: f.name, Instance: f.instance,
+		Revision: f.revision, Hash: f.hash, Rejected: f.refused}}, &u)
 	if code != http.StatusOK || u.Behind {
 		return code
 	}
@@ -97,13 +97,13 @@
 		}
 	}
 	a.ack(1)
-	b.revision, b.refused = 1, &configlog.Refusal{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
+	b.revision, b.refused = 1, &configlog.Rejection{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
 	b.hash = configlog.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.call(2, 0); code != http.StatusNoContent {
 		t.Errorf("a follower that refused the revision is offered it again: %d", code)
 	}
 	v = g.verdict(0, "revision=2")
-	if v.Everywhere || len(v.InForce) != 1 || len(v.Refused) != 1 || v.Refused[0].Refused.Pointer != "/settings/over-share-worth" || v.Refused[0].Refused.Reason != "too much" {
+	if v.Everywhere || len(v.InForce) != 1 || len(v.Rejected) != 1 || v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
 		t.Errorf("one refused: %+v", v)
 	}
 	wait(t, "a follower that doesn't call is gone", func() bool {
@@ -111,7 +111,7 @@
 		v = g.verdict(0, "")
 		return reflect.DeepEqual(v.Gone, []string{"rb"})
 	})
-	if len(v.Refused) != 0 || v.Revision != 2 {
+	if len(v.Rejected) != 0 || v.Revision != 2 {
 		t.Errorf("gone: %+v", v)
 	}
 	var forgotten struct {
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -43,7 +43,7 @@
 	ready := make(chan string, 1)
 	o := Options{ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTP: host + ":7401", Raft: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
-		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: configlog.Terms{Revisions: 3},
+		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: configlog.Retention{Revisions: 3},
 		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin}
 	tweak(&o)
 	ended := make(chan error, 1)
@@ -65,12 +65,12 @@
 }
 
 // refusesEight is a check of content that has something against the number 8.
-func refusesEight(entries map[string]json.RawMessage) *configlog.Fault {
+func refusesEight(entries map[string]json.RawMessage) *configlog.ChangeError {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
 		return nil
 	}
-	return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
+	return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
 // converse makes the calls in turn and gives what was said, but for what varies.
--- a/internal/keeper/golden_command_test.go
+++ b/internal/keeper/golden_command_test.go
@@ -48,7 +48,7 @@
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
 func sampleMachine(t *testing.T) *machine {
-	m := newMachine(configlog.Terms{Revisions: 3, Bytes: 1 << 20})
+	m := newMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
 	put := func(id, pointer, value string) configlog.Change {
 		return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
 	}
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, file, s.(state))
-	read := newMachine(configlog.Terms{})
+	read := newMachine(configlog.Retention{})
 	if err := read.Restore(io.NopCloser(bytes.NewReader(goldentest.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -69,8 +69,8 @@
 	for _, p := range peers {
 		c.addresses = append(c.addresses, p.HTTP)
 		o := Options{ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
-			Check: func(map[string]json.RawMessage) *configlog.Fault { return nil }, Log: slog.New(slog.DiscardHandler),
-			Keep: configlog.Terms{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
+			Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }, Log: slog.New(slog.DiscardHandler),
+			Keep: configlog.Retention{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
 				t.Errorf("%s ended: %v", o.ID, err)
@@ -117,7 +117,7 @@
 
 // followBody is the call of a follower that has nothing yet.
 func followBody(name string) any {
-	return map[string]configlog.Report{"report": {Name: name, Instance: name + "-1"}}
+	return map[string]configlog.FollowerStatus{"report": {Name: name, Instance: name + "-1"}}
 }
 
 // recordFolders writes the golden folders with this program.
@@ -217,7 +217,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := newMachine(configlog.Terms{})
+		m := newMachine(configlog.Retention{})
 		if err := m.Restore(content); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/keeper/machine.go
+++ b/internal/keeper/machine.go
@@ -20,7 +20,7 @@
 	changed chan struct{} // closed and replaced at each change
 }
 
-func newMachine(t configlog.Terms) *machine {
+func newMachine(t configlog.Retention) *machine {
 	return &machine{log: configlog.NewLog(t), changed: make(chan struct{})}
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	log := configlog.NewLog(configlog.Terms{})
+	log := configlog.NewLog(configlog.Retention{})
 	if err := log.UnmarshalBinary(text); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	return stand{Revision: m.log.Revision(), Oldest: m.log.Oldest(), Hash: m.log.Hash()}
 }
 
-func (m *machine) preview(c configlog.Change) (base uint64, content map[string]json.RawMessage, fault *configlog.Fault) {
+func (m *machine) preview(c configlog.Change) (base uint64, content map[string]json.RawMessage, fault *configlog.ChangeError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	content, fault = m.log.Preview(c)
@@ -129,14 +129,14 @@
 }
 
 // next gives what a follower needs, whether its process is on the roster, and what is closed when that may differ.
-func (m *machine) next(r configlog.Report) (u configlog.Update, known bool, changed <-chan struct{}) {
+func (m *machine) next(r configlog.FollowerStatus) (u configlog.Update, known bool, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.Next(r), m.log.Joined(r.Name, r.Instance), m.changed
 }
 
 // at gives the content at a revision; nil for the one in force. changed is closed when another one is in force.
-func (m *machine) at(rev *uint64) (c content, fault *configlog.Fault, changed <-chan struct{}) {
+func (m *machine) at(rev *uint64) (c content, fault *configlog.ChangeError, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.Revision = m.log.Revision()
@@ -167,7 +167,7 @@
 func (m *machine) names() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.log.Roster()
+	return m.log.Members()
 }
 
 // lacks gives those of some processes that are not on the roster.
--- a/internal/keeper/machine_test.go
+++ b/internal/keeper/machine_test.go
@@ -31,7 +31,7 @@
 
 // A change counts only on the content that it was checked against: two that are right each by itself may be wrong together.
 func TestChangeCountsOnItsBase(t *testing.T) {
-	m := newMachine(configlog.Terms{})
+	m := newMachine(configlog.Retention{})
 	if out := m.Apply(entry(t, 1, changing("a", 0, "1"))).(outcome); out.Moved || out.Revision != 1 {
 		t.Errorf("%+v", out)
 	}
@@ -45,7 +45,7 @@
 
 // A state that is written down and read again is the same, and goes on the same.
 func TestSnapshotHoldsAll(t *testing.T) {
-	m := newMachine(configlog.Terms{Revisions: 2})
+	m := newMachine(configlog.Retention{Revisions: 2})
 	for i, c := range []command{changing("a", 0, "1"), {Join: []seat{{"r2", "i"}, {"r1", "i"}}}, changing("b", 1, "2"), {Forget: "r2"}, changing("c", 2, "3")} {
 		m.Apply(entry(t, uint64(i+1), c))
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := newMachine(configlog.Terms{})
+	other := newMachine(configlog.Retention{})
 	_, _, changed := other.at(nil)
 	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(state)))); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 		t.Errorf("a change from before the snapshot: %+v", out)
 	}
 	cut := s.(state)[:len(s.(state))-1]
-	if err := newMachine(configlog.Terms{}).Restore(io.NopCloser(bytes.NewReader(cut))); err == nil {
+	if err := newMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(cut))); err == nil {
 		t.Error("a snapshot that is cut off is read")
 	}
 }
@@ -102,7 +102,7 @@
 					t.Errorf("%q: passed over", c.err)
 				}
 			}()
-			newMachine(configlog.Terms{}).Apply(&raft.Log{Index: 1, Data: c.data})
+			newMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
 		}()
 	}
 	if err := (checkedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound {
@@ -135,7 +135,7 @@
 		peers, err := ParsePeers(c.text)
 		if err == nil {
 			_, err = Options{ID: "k1", Dir: "d", HTTP: "h:1", Raft: "h:2", Peers: peers,
-				Check: func(map[string]json.RawMessage) *configlog.Fault { return nil }}.filled()
+				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }}.filled()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.err)
--- a/internal/keeper/many_test.go
+++ b/internal/keeper/many_test.go
@@ -25,7 +25,7 @@
 	began := time.Now()
 	for ctx.Err() == nil {
 		to := g.members[f.Keeper(len(g.members))].options.HTTP
-		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Ask()})
+		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Status()})
 		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/follow", bytes.NewReader(text))
 		var u configlog.Update
 		a, err := c.Do(q)
@@ -48,7 +48,7 @@
 		if err == nil {
 			continue
 		}
-		lost := f.Lost(float64(time.Since(began).Milliseconds()), float64(n%16)/16)
+		lost := f.CallFailed(float64(time.Since(began).Milliseconds()), float64(n%16)/16)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(lost) * time.Millisecond):
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -29,7 +29,7 @@
 }
 
 // Check looks at the content that a change would give, before the change gets a revision; nil lets it pass.
-type Check func(entries map[string]json.RawMessage) *configlog.Fault
+type Check func(entries map[string]json.RawMessage) *configlog.ChangeError
 
 // Options are what one keeper is started with. Fields that are 0 get the value that their line names.
 type Options struct {
@@ -47,14 +47,14 @@
 	// lost ones held is given up.
 	AcceptLoss bool
 
-	Heartbeat     time.Duration   // a leader that is silent for so long is given up; 400 ms
-	Hold          time.Duration   // longest hold of a follower's call; 2 s
-	Lease         time.Duration   // a follower that has not called for so long counts as gone; 6 s
-	Within        time.Duration   // longest time for a change, with all tries; 5 s
-	Waiting       int             // followers' calls held at once at most; 2,000
-	Keep          configlog.Terms // how much of the past is kept; 2,000 revisions, 16 MB
-	Snapshots     uint64          // entries between two snapshots of the state; 1,024
-	SnapshotEvery time.Duration   // how often it is looked whether a snapshot is due; 30 s
+	Heartbeat     time.Duration       // a leader that is silent for so long is given up; 400 ms
+	Hold          time.Duration       // longest hold of a follower's call; 2 s
+	Lease         time.Duration       // a follower that has not called for so long counts as gone; 6 s
+	Within        time.Duration       // longest time for a change, with all tries; 5 s
+	Waiting       int                 // followers' calls held at once at most; 2,000
+	Keep          configlog.Retention // how much of the past is kept; 2,000 revisions, 16 MB
+	Snapshots     uint64              // entries between two snapshots of the state; 1,024
+	SnapshotEvery time.Duration       // how often it is looked whether a snapshot is due; 30 s
 }
 
 // ParsePeers reads `k1=RAFT/HTTP,k2=RAFT/HTTP`.
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -43,9 +43,9 @@
 	}
 	signal.Ignore(syscall.SIGXFSZ)
 	o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
-	o.Check = func(entries map[string]json.RawMessage) *configlog.Fault {
+	o.Check = func(entries map[string]json.RawMessage) *configlog.ChangeError {
 		if v, ok := entries[refusedPointer]; ok && string(v) == "-1" {
-			return &configlog.Fault{Kind: configlog.FaultInvalid, Pointer: refusedPointer, Reason: "is below zero"}
+			return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: refusedPointer, Reason: "is below zero"}
 		}
 		return nil
 	}
--- a/internal/keeper/store.go
+++ b/internal/keeper/store.go
@@ -212,7 +212,7 @@
 	if err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
-	m := newMachine(configlog.Terms{})
+	m := newMachine(configlog.Retention{})
 	if err := m.Restore(r); err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
--- a/internal/keeper/verdict.go
+++ b/internal/keeper/verdict.go
@@ -21,7 +21,7 @@
 // verdict is what `GET /v1/rollout` gives. Everywhere is said only by a leader that a majority has confirmed after the
 // leases were gathered.
 type verdict struct {
-	configlog.Verdict
+	configlog.ConvergenceStatus
 	Keeper   string `json:"keeper"` // whose verdict it is
 	Majority bool   `json:"majority"`
 	Why      string `json:"why,omitempty"` // why there is no majority's word
@@ -99,14 +99,14 @@
 		if err := k.raft.Barrier(enqueueWithin).Error(); err != nil {
 			return k.unreplicated(err, doneNothing)
 		}
-		return answer{http.StatusOK, verdict{Verdict: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID, Majority: true}}
+		return answer{http.StatusOK, verdict{ConvergenceStatus: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID, Majority: true}}
 	}
 }
 
 // unconfirmed is what this keeper sees by itself.
 func (k *Keeper) unconfirmed(ctx context.Context, rev *uint64, because answer) answer {
 	heard, unreached := k.gather(ctx)
-	v := verdict{Verdict: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID}
+	v := verdict{ConvergenceStatus: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID}
 	v.Everywhere = false
 	if no, ok := because.body.(refusal); ok {
 		v.Why = no.Reason
@@ -140,12 +140,12 @@
 }
 
 // judge gives the verdict on a revision; nil stands for the one in force.
-func (m *machine) judge(rev *uint64, heard []configlog.Lease, unreached []string) configlog.Verdict {
+func (m *machine) judge(rev *uint64, heard []configlog.Lease, unreached []string) configlog.ConvergenceStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.log.Revision()
 	if rev != nil {
 		r = *rev
 	}
-	return m.log.Judge(r, heard, unreached)
+	return m.log.Convergence(r, heard, unreached)
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -75,7 +75,7 @@
 // bounds are those of the configuration, or this process's part of them while another one stands for the same router.
 func (r *node) bounds(cfg *settings.Node) (bounds, error) {
 	b, err := boundsOf(cfg, r.setAside())
-	if s := r.machine.Share(); err == nil && s != hotrestart.Whole {
+	if s := r.machine.Share(); err == nil && s != hotrestart.FullShare {
 		r.divide(&b, s)
 	}
 	return b, err
@@ -117,7 +117,7 @@
 		runtime.GOMAXPROCS(max(int(cores+0.5), 1))
 	}
 	if memory := r.cfg.Limits.MemoryMB << 20; memory > 0 {
-		if r.machine.Share() != hotrestart.Whole {
+		if r.machine.Share() != hotrestart.FullShare {
 			memory /= 2
 		}
 		debug.SetMemoryLimit(int64(float64(memory) * memoryShare))
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -106,16 +106,16 @@
 	reached()
 	f.serves(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	said := k.Until("it refuses", func(r configlog.Report) bool { return r.Refused != nil })
-	if said.Revision != first || said.Refused.Revision != bad || said.Refused.Pointer != "/settings/specifics/width-by-class" {
-		t.Errorf("%+v, %+v", said, said.Refused)
+	said := k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	if said.Revision != first || said.Rejected.Revision != bad || said.Rejected.Pointer != "/settings/specifics/width-by-class" {
+		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
 	if a, b := f.figure(door, revisionFigure), f.figure(door, refusedFigure); a != int(first) || b != int(bad) {
 		t.Errorf("in force %d, refused %d", a, b)
 	}
 	f.serves(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
-	if said := k.UntilAt(last); said.Refused != nil || said.Name != "n0" {
+	if said := k.UntilAt(last); said.Rejected != nil || said.Name != "n0" {
 		t.Errorf("%+v", said)
 	}
 	if a, b := f.figure(door, revisionFigure), f.figure(door, refusedFigure); a != int(last) || b != 0 {
@@ -171,8 +171,8 @@
 	hup()
 	// It is refused: revisions go on over the file that was in force, which has two classes.
 	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
-	if said := k.UntilAt(end); said.Refused != nil {
-		t.Errorf("%+v", said.Refused)
+	if said := k.UntilAt(end); said.Rejected != nil {
+		t.Errorf("%+v", said.Rejected)
 	}
 	// With the entries gone, and the signal given again, the same file is in force.
 	k.UntilAt(k.Change(nil, "/settings/classes/1/credit", "/board"))
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -30,7 +30,7 @@
 	r.log.Info("draining", "open", r.core.Open())
 	r.leaving = false
 	patience := patienceAlone
-	if r.machine.Elder() != hotrestart.None || r.machine.Newer() != hotrestart.None {
+	if r.machine.Predecessor() != hotrestart.None || r.machine.Successor() != hotrestart.None {
 		patience = patienceUpgrade
 	}
 	r.closeBy(patience)
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -23,7 +23,7 @@
 		handsOver: true,
 		start: func(bounds) error {
 			// An elder that hangs may have a session; the neighbour would take a second one for a collision.
-			if r.machine.Elder() != hotrestart.None && (r.machine.Phase() == hotrestart.Guarded || slices.Contains(r.handed.Parts, "bgp")) {
+			if r.machine.Predecessor() != hotrestart.None && (r.machine.Phase() == hotrestart.Degraded || slices.Contains(r.handed.Parts, "bgp")) {
 				s = bgp.Await(r.loop, r.net, *r.site.BGP, r.log)
 			} else {
 				s = bgp.Start(r.loop, r.net, *r.site.BGP, r.log)
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -14,9 +14,9 @@
 
 type (
 	hello struct {
-		PID     int             `json:"pid"`
-		Place   hotrestart.Peer `json:"place,omitempty"` // version 2
-		Version int             `json:"version,omitempty"`
+		PID     int                      `json:"pid"`
+		Place   hotrestart.ProcessNumber `json:"place,omitempty"` // version 2
+		Version int                      `json:"version,omitempty"`
 	}
 	wait struct {
 		Phase string `json:"phase"`
@@ -62,7 +62,7 @@
 // peer is a link to another process, and who that is.
 type peer struct {
 	link    *hotrestartipc.Link
-	place   hotrestart.Peer // None until it has said hello
+	place   hotrestart.ProcessNumber // None until it has said hello
 	version int
 	bye     bool // it said goodbye and lives on
 }
@@ -81,10 +81,10 @@
 	var p *peer
 	if r.core != nil {
 		switch m := &r.machine; {
-		case m.Elder() != hotrestart.None && m.Phase() != hotrestart.Asking && m.Phase() != hotrestart.Guarded:
-			p = r.links[m.Elder()]
-		case m.Newer() != hotrestart.None:
-			p = r.links[m.Newer()]
+		case m.Predecessor() != hotrestart.None && m.Phase() != hotrestart.AskingPredecessor && m.Phase() != hotrestart.Degraded:
+			p = r.links[m.Predecessor()]
+		case m.Successor() != hotrestart.None:
+			p = r.links[m.Successor()]
 		}
 	}
 	if p == r.with {
@@ -122,7 +122,7 @@
 }
 
 // say sends a message of the machine's.
-func (r *node) say(p *peer, what hotrestart.Kind) {
+func (r *node) say(p *peer, what hotrestart.MessageKind) {
 	if p == nil || p.version == 1 && (what == hotrestart.Wait || what == hotrestart.Back) {
 		return
 	}
@@ -163,7 +163,7 @@
 }
 
 // hearMachine takes a message that is the machine's.
-func (r *node) hearMachine(p *peer, kind hotrestart.Kind, m *hotrestartipc.Message) error {
+func (r *node) hearMachine(p *peer, kind hotrestart.MessageKind, m *hotrestartipc.Message) error {
 	switch kind {
 	case hotrestart.Hello:
 		var h hello
@@ -216,7 +216,7 @@
 		r.theyTook = now.Took
 	}
 	if r.links[p.place] == p {
-		r.step(hotrestart.Event{Kind: hotrestart.Received, Peer: p.place, Message: kind})
+		r.step(hotrestart.Event{Kind: hotrestart.Received, Process: p.place, Message: kind})
 	}
 	return nil
 }
@@ -299,7 +299,7 @@
 
 // claimID asks the process that this one shares the router with before what must not run twice begins.
 func (r *node) claimID(id string, then func(router.Word)) {
-	ask, may := r.machine.Peers()
+	ask, may := r.machine.MustAsk()
 	p := r.links[ask]
 	switch {
 	case !may || ask != hotrestart.None && p == nil:
@@ -334,7 +334,7 @@
 func (r *node) divide(b *bounds, share hotrestart.Share) {
 	b.inbound /= 2
 	b.mysql.MaxBuffered /= 2
-	if share != hotrestart.Half {
+	if share != hotrestart.HalfShare {
 		b.mysql.MaxSessions = min(b.mysql.MaxSessions, guardedSessions)
 		b.fetch.MaxConns = min(b.fetch.MaxConns, guardedConns)
 		return
