--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -38,7 +38,7 @@
 )
 
 // messages are those that the machine knows.
-var messages = map[string]hotrestart.Kind{"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
+var messages = map[string]hotrestart.MessageKind{"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
 
 	"ready": hotrestart.Ready, "go-ahead": hotrestart.GoAhead, "back": hotrestart.Back}
 
@@ -71,7 +71,7 @@
 	tick       *router.Timer
 	place      *hotrestartipc.Place // nil where none could be had
 	generation uint8
-	links      map[hotrestart.Peer]*peer
+	links      map[hotrestart.ProcessNumber]*peer
 	with       *peer                      // the process that this one shares the router with
 	peer       use                        // what that one has
 	looking    bool                       // a look for an elder is under way
@@ -98,7 +98,7 @@
 // begin takes a place among the processes of this router, where it is to have one, and starts the machine; the caller
 // runs the loop.
 func (r *node) begin(placed bool) {
-	r.links, r.idle = map[hotrestart.Peer]*peer{}, map[string]net.Listener{}
+	r.links, r.idle = map[hotrestart.ProcessNumber]*peer{}, map[string]net.Listener{}
 	r.answers, r.words = map[int]func(bool){}, map[int]func(router.Word){}
 	r.out = map[dispatch.EngineID]bool{}
 	r.io = make(chan func(), 64)
@@ -123,7 +123,7 @@
 		r.carryOut(e)
 	}
 	if r.place == nil {
-		r.step(hotrestart.Event{Kind: hotrestart.Looked})
+		r.step(hotrestart.Event{Kind: hotrestart.PredecessorFound})
 	}
 }
 
@@ -163,7 +163,7 @@
 	}
 	if now := r.machine.Phase(); now != before {
 		r.log.Info("takeover", "phase", now.String(), "was", before.String(), "place", uint64(r.machine.Self),
-			"elder", uint64(r.machine.Elder()), "newer", uint64(r.machine.Newer()))
+			"elder", uint64(r.machine.Predecessor()), "newer", uint64(r.machine.Successor()))
 	}
 	r.tick.Stop()
 	if due := r.machine.Due(); due < 1e300 {
@@ -177,15 +177,15 @@
 		return
 	}
 	switch e.Do {
-	case hotrestart.Look:
+	case hotrestart.FindPredecessor:
 		r.look()
 	case hotrestart.Send:
-		r.say(r.links[e.Peer], e.Message)
-	case hotrestart.TakeState:
+		r.say(r.links[e.Process], e.Message)
+	case hotrestart.RestoreState:
 		r.takeState()
-	case hotrestart.Accept:
+	case hotrestart.StartAccepting:
 		r.accept()
-	case hotrestart.Yield:
+	case hotrestart.StopAccepting:
 		r.yield()
 	case hotrestart.Leave:
 		r.leave()
@@ -193,7 +193,7 @@
 		r.drain()
 	case hotrestart.End:
 		r.end()
-	case hotrestart.Bound:
+	case hotrestart.SetShare:
 		if r.core != nil {
 			r.rebound()
 			r.limit()
@@ -227,10 +227,10 @@
 				r.links[found] = p
 				r.connect(p, conn)
 			}
-			if e := r.machine.Elder(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Lives(e) {
+			if e := r.machine.Predecessor(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Lives(e) {
 				r.gone(e) // it could not be linked up with, so that no link's end tells of its own
 			}
-			r.step(hotrestart.Event{Kind: hotrestart.Looked, Peer: found})
+			r.step(hotrestart.Event{Kind: hotrestart.PredecessorFound, Process: found})
 		})
 	}()
 }
@@ -275,7 +275,7 @@
 	}
 	if p.bye || p.place != hotrestart.Stranger && r.place.Lives(p.place) {
 		r.log.Info("link ended", "place", uint64(p.place), "why", err)
-		r.step(hotrestart.Event{Kind: hotrestart.Cut, Peer: p.place})
+		r.step(hotrestart.Event{Kind: hotrestart.Cut, Process: p.place})
 		if !p.bye {
 			r.watch(p.place)
 		}
@@ -285,7 +285,7 @@
 }
 
 // watch waits for the end of a process to which the link has ended.
-func (r *node) watch(who hotrestart.Peer) {
+func (r *node) watch(who hotrestart.ProcessNumber) {
 	r.loop.After(livesEvery, func() {
 		switch {
 		case r.links[who] != nil:
@@ -298,9 +298,9 @@
 }
 
 // gone goes on without a process that has ended.
-func (r *node) gone(who hotrestart.Peer) {
-	shared := who == r.machine.Elder() && r.machine.Phase() != hotrestart.Asking || who == r.machine.Newer()
-	r.step(hotrestart.Event{Kind: hotrestart.Gone, Peer: who})
+func (r *node) gone(who hotrestart.ProcessNumber) {
+	shared := who == r.machine.Predecessor() && r.machine.Phase() != hotrestart.AskingPredecessor || who == r.machine.Successor()
+	r.step(hotrestart.Event{Kind: hotrestart.Gone, Process: who})
 	if !shared || r.core == nil || r.failed != nil {
 		return
 	}
