--- a/internal/enginehttp/fetch.go
+++ b/internal/enginehttp/fetch.go
@@ -103,8 +103,8 @@
 // Forget implements router.EngineClient.
 func (c *Client) Forget(e router.Engine) { c.pool.forget(e.ID) }
 
-// Withhold implements router.EngineClient.
-func (c *Client) Withhold(e router.Engine) { c.pool.withhold(e.ID) }
+// CancelUnstarted implements router.EngineClient.
+func (c *Client) CancelUnstarted(e router.Engine) { c.pool.withhold(e.ID) }
 
 // call is one HTTP request.
 type call struct {
@@ -142,7 +142,7 @@
 	if !k.begins {
 		return 0
 	}
-	return k.about.call.Latest
+	return k.about.call.LatestStartMS
 }
 
 // wrote starts the wait for the answer.
@@ -150,8 +150,8 @@
 	k.written = true
 	if k.begins {
 		k.about.last = c.loop.Now()
-		if k.about.call.Wrote != nil {
-			k.conn.c.Flushed(k.about.call.Wrote)
+		if k.about.call.OnSent != nil {
+			k.conn.c.Flushed(k.about.call.OnSent)
 		}
 	}
 	within := answerWithin
--- a/internal/enginehttp/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -74,12 +74,12 @@
 }
 
 // heard shows what an answer tells beside an end.
-func (s *stage) heard(n router.News) {
-	if n.Note != dispatch.ProgressAlive {
-		fmt.Fprintf(&s.out, "  ~ note %d of %v\n", n.Note, n.Amount)
+func (s *stage) heard(n router.AttemptProgress) {
+	if n.Kind != dispatch.ProgressAlive {
+		fmt.Fprintf(&s.out, "  ~ note %d of %v\n", n.Kind, n.Amount)
 	}
-	if n.Load != nil {
-		fmt.Fprintf(&s.out, "  ~ load %+v\n", *n.Load)
+	if n.Report != nil {
+		fmt.Fprintf(&s.out, "  ~ load %+v\n", *n.Report)
 	}
 }
 
@@ -124,7 +124,7 @@
 		}
 		return n
 	}
-	engine := router.Engine{ID: 7, Addr: cmp.Or(s.addr, "10.0.0.1:80")}
+	engine := router.Engine{ID: 7, Address: cmp.Or(s.addr, "10.0.0.1:80")}
 	latest := 0.0
 	if s.latest > 0 {
 		latest = s.clock.MS + s.latest
@@ -133,9 +133,9 @@
 	case "start":
 		s.alone = rest == "alone" || rest == "deleted"
 		s.attempts = append(s.attempts, s.client.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41",
-			Class: "lookup", Statement: "SELECT 1", WaitMS: 1500.7, GrantMB: 96.2, Priority: 2, Once: rest == "once", Latest: latest,
-			Alone: rest == "alone" || rest == "deleted", Deletes: rest == "deleted",
-			Wrote: func() { s.out.WriteString("  written whole\n") }, Heard: s.heard},
+			Class: "lookup", Statement: "SELECT 1", WaitMS: 1500.7, GrantMB: 96.2, Priority: 2, AtMostOnce: rest == "once", LatestStartMS: latest,
+			Exclusive: rest == "alone" || rest == "deleted", CancelAllowed: rest == "deleted",
+			OnSent: func() { s.out.WriteString("  written whole\n") }, OnProgress: s.heard},
 			func(e router.End) {
 				fmt.Fprintf(&s.out, "  = %s", outcomes[e.Outcome])
 				if e.Result != nil {
@@ -157,16 +157,16 @@
 			s.run()
 		}
 	case "drop":
-		s.attempts[0].Drop()
+		s.attempts[0].Abandon()
 	case "cancel":
 		s.attempts[0].Cancel()
 		if !s.alone {
-			s.attempts[0].Drop()
+			s.attempts[0].Abandon()
 		}
 	case "rank":
 		s.attempts[0].SetPriority(number(rest))
 	case "recall":
-		fmt.Fprintf(&s.out, "  taken back: %v\n", s.attempts[number(rest)].Recall())
+		fmt.Fprintf(&s.out, "  taken back: %v\n", s.attempts[number(rest)].CancelUnsent())
 	case "latest":
 		s.latest = float64(number(rest))
 	case "moved":
@@ -174,7 +174,7 @@
 	case "forget":
 		s.client.Forget(engine)
 	case "withhold":
-		s.client.Withhold(engine)
+		s.client.CancelUnstarted(engine)
 	default:
 		l := s.links[number(word)-1]
 		if rest == "unread" {
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -63,7 +63,7 @@
 // fits tells whether a call may be written to an idle connection; see restFor. One on which something has come that is on
 // its way to the loop is of no further use, and one to an address that the engine has left leads to another engine.
 func (k *conn) fits(c *call) bool {
-	return !c.fresh && k.engine.Addr == c.engine.Addr &&
+	return !c.fresh && k.engine.Address == c.engine.Address &&
 		(k.about == c.about || k.pool.client.loop.Now()-k.heard >= restFor) && !k.c.Unread()
 }
 
@@ -84,7 +84,7 @@
 	k := &conn{pool: p, engine: c.engine, call: c}
 	c.conn = k
 	p.dialing = append(p.dialing, k)
-	k.c = p.client.dialer.Dial(c.engine.Addr, p.client.connectTimeout, k)
+	k.c = p.client.dialer.Dial(c.engine.Address, p.client.connectTimeout, k)
 }
 
 // dialed takes a connection off those that are coming up.
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -36,7 +36,7 @@
 func (c *Client) Start(what router.Call, done func(router.End)) router.Attempt {
 	q := &query{c: c, call: what, done: done, last: c.loop.Now(), rank: what.Priority}
 	b := fmt.Appendf(nil, "POST /fetch HTTP/1.1\r\nHost: %s\r\nCall-Id: %s\r\nCall-Kind: %s\r\nCall-Ms: %d\r\n",
-		what.Engine.Addr, what.ID, what.Class, max(int64(what.WaitMS), 1))
+		what.Engine.Address, what.ID, what.Class, max(int64(what.WaitMS), 1))
 	if what.GrantMB > 0 {
 		b = fmt.Appendf(b, "X-Mem-Limit: %d\r\n", int64(math.Ceil(what.GrantMB)))
 	}
@@ -45,26 +45,26 @@
 	c.Counters.Posts++
 	// What must not run twice gets a new connection: an old one may be reset as it is written to, and then nobody
 	// can tell whether the engine has read it, where a new one that fails proves that it has not.
-	q.post = c.do(&call{engine: what.Engine, about: q, fresh: what.Once, once: what.Once, begins: true, text: b, then: q.started})
+	q.post = c.do(&call{engine: what.Engine, about: q, fresh: what.AtMostOnce, once: what.AtMostOnce, begins: true, text: b, then: q.started})
 	q.current = q.post
 	return q
 }
 
-// Drop implements router.Attempt. Nothing is asked any more, so that the engine forgets the query; a call
+// Abandon implements router.Attempt. Nothing is asked any more, so that the engine forgets the query; a call
 // that is under way may end by itself, which keeps its connection.
-func (q *query) Drop() {
+func (q *query) Abandon() {
 	q.over = true
 	if q.current != nil && !q.current.written {
 		q.current.abort(nil)
 	}
 }
 
-// Recall implements router.Attempt.
-func (q *query) Recall() bool {
+// CancelUnsent implements router.Attempt.
+func (q *query) CancelUnsent() bool {
 	if q.over || q.post.written {
 		return false
 	}
-	q.Drop()
+	q.Abandon()
 	return true
 }
 
@@ -72,7 +72,7 @@
 func (q *query) Cancel() {
 	switch {
 	case q.over || !q.post.written:
-	case q.call.Alone:
+	case q.call.Exclusive:
 		q.giveUp(dispatch.Cancelled, "given up")
 	default:
 		q.delete(nil)
@@ -83,13 +83,13 @@
 func (q *query) delete(then func(*response, error)) {
 	q.c.Counters.Deletes++
 	q.c.do(&call{engine: q.call.Engine, about: q, then: then, text: fmt.Appendf(nil,
-		"DELETE /fetch/%s HTTP/1.1\r\nHost: %s\r\n\r\n", q.call.ID, q.call.Engine.Addr)})
+		"DELETE /fetch/%s HTTP/1.1\r\nHost: %s\r\n\r\n", q.call.ID, q.call.Engine.Address)})
 }
 
 // lose ends an attempt that the engine may still have under way. Where another one may begin at once, that is its end;
 // elsewhere the engine has to have given it up.
 func (q *query) lose(o dispatch.Outcome, detail string) {
-	if q.call.Alone {
+	if q.call.Exclusive {
 		q.giveUp(o, detail)
 	} else {
 		q.end(o, detail)
@@ -108,7 +108,7 @@
 		q.current.abort(nil)
 	}
 	q.c.loop.After(forgets, func() { q.end(o, detail) })
-	if !q.call.Deletes {
+	if !q.call.CancelAllowed {
 		return
 	}
 	var tell func()
@@ -139,7 +139,7 @@
 	body := strconv.Itoa(p)
 	q.c.do(&call{engine: q.call.Engine, about: q, text: fmt.Appendf(nil,
 		"PUT /fetch/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
-		q.call.ID, q.call.Engine.Addr, len(body), body)})
+		q.call.ID, q.call.Engine.Address, len(body), body)})
 }
 
 func (q *query) end(o dispatch.Outcome, detail string) {
@@ -164,24 +164,24 @@
 		var bad *badAnswer
 		q.cut = !errors.As(err, &bad)
 		// Where nothing else may begin until the engine forgets the query, giving it up early gains nothing.
-		q.mute = errors.Is(err, errSilent) && (!q.call.Alone || q.call.Deletes)
+		q.mute = errors.Is(err, errSilent) && (!q.call.Exclusive || q.call.CancelAllowed)
 		q.broken(err)
 	}
 }
 
 // tell passes on what an answer says beside its result.
 func (q *query) tell(r *response) {
-	if q.call.Heard == nil {
+	if q.call.OnProgress == nil {
 		return
 	}
-	n := router.News{Over: r.status != 202}
+	n := router.AttemptProgress{Final: r.status != 202}
 	if text := r.header["backend-load"]; text != "" {
-		n.Load = parseLoad(text)
+		n.Report = parseLoad(text)
 	}
-	if !n.Over {
-		n.Note, n.Amount = parseNote(r.header)
+	if !n.Final {
+		n.Kind, n.Amount = parseNote(r.header)
 	}
-	q.call.Heard(n)
+	q.call.OnProgress(n)
 }
 
 // news takes an answer to a POST or to a question.
@@ -189,7 +189,7 @@
 	q.tell(r)
 	notBegun := r.header["not-begun"] == "1"
 	switch {
-	case r.status == 202 && q.mute && !q.call.Once:
+	case r.status == 202 && q.mute && !q.call.AtMostOnce:
 		q.lose(dispatch.ConnectionReset, "not over after a POST without an answer")
 	case r.status == 202:
 		q.heard()
@@ -229,11 +229,11 @@
 	}
 	// After a failure a new connection asks: others that are kept may have met with the same.
 	within := 0.0
-	if q.mute && page == 0 && !q.call.Once {
+	if q.mute && page == 0 && !q.call.AtMostOnce {
 		within = overWithin
 	}
 	q.current = q.c.do(&call{engine: q.call.Engine, about: q, fresh: q.failed > 0, later: page == 0 && q.failed == 0, within: within,
-		text: fmt.Appendf(nil, "GET /fetch/%s/%d HTTP/1.1\r\nHost: %s\r\n\r\n", q.call.ID, page, q.call.Engine.Addr),
+		text: fmt.Appendf(nil, "GET /fetch/%s/%d HTTP/1.1\r\nHost: %s\r\n\r\n", q.call.ID, page, q.call.Engine.Address),
 		then: func(r *response, err error) { q.told(page, r, err) }})
 }
 
@@ -269,14 +269,14 @@
 func (q *query) broken(err error) {
 	q.failed++
 	limit := silentFor
-	if q.call.Once {
+	if q.call.AtMostOnce {
 		limit = silentForOnce
 	}
 	var bad *badAnswer
-	q.c.log.Debug("no usable answer from an engine", "engine", q.call.Engine.Addr, "rid", q.call.ID, "why", err,
+	q.c.log.Debug("no usable answer from an engine", "engine", q.call.Engine.Address, "rid", q.call.ID, "why", err,
 		"in_a_row", q.failed)
 	switch {
-	case q.mute && q.failed > 1 && errors.Is(err, errSilent) && !q.call.Once:
+	case q.mute && q.failed > 1 && errors.Is(err, errSilent) && !q.call.AtMostOnce:
 		// An engine answers a POST within 250 ms, if only with 'not yet over'. One that did not, and then does not tell
 		// of an end at once either, may never: what may be repeated is given up there, so that it runs elsewhere while
 		// its client still waits. A query that is over is told of at once, so that one whose answer was cut off is saved.
@@ -285,7 +285,7 @@
 	case errors.As(err, &bad):
 		q.c.Counters.BadAnswers++
 		if q.bad++; q.bad >= maxBad {
-			q.c.log.Warn("bad answers from an engine", "engine", q.call.Engine.Addr, "rid", q.call.ID, "why", err)
+			q.c.log.Warn("bad answers from an engine", "engine", q.call.Engine.Address, "rid", q.call.ID, "why", err)
 			q.lose(dispatch.EngineFailed, err.Error())
 			return
 		}
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -136,7 +136,7 @@
 	if h.net, err = netio.New(h.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	h.core.Engines(known.Events, known.Addrs)
+	h.core.UpdateEndpoints(known.Events, known.Addrs)
 	h.loop.Post(func() {
 		h.board = discovery.Follow(h.loop, h.net, h.cfg.Board, h.names(), last, h.listed, h.cfg.SeedValue, log)
 		if spec.Rate > 0 {
@@ -158,7 +158,7 @@
 }
 
 func (h *hollow) listed(l discovery.List) {
-	h.core.Engines(l.Events, l.Addrs)
+	h.core.UpdateEndpoints(l.Events, l.Addrs)
 	h.out.tell(word{Router: h.spec.Number, List: h.board.Last(), AtNS: time.Now().UnixNano()})
 }
 
@@ -180,13 +180,13 @@
 func (h *hollow) ask() {
 	h.asked++
 	_, _ = h.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", h.asked), Class: "lookup", Statement: "SELECT 1",
-		Group: dispatch.TableGroupOf(uint32(h.asked % 64)), Sent: h.loop.Now(), Budget: 2000}, nobody{})
+		TableGroup: dispatch.TableGroupOf(uint32(h.asked % 64)), SentAtMS: h.loop.Now(), BudgetMS: 2000}, nobody{})
 	h.loop.After(1000/h.spec.Rate, h.ask)
 }
 
 func (h *hollow) totals() Totals {
 	c := h.core.Counters
-	return Totals{Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Engines: h.core.Listed()}
+	return Totals{Taken: c.Taken, Served: c.Served, Refused: c.Rejected, Failed: c.Failed, Engines: h.core.ListedEngines()}
 }
 
 func (h *hollow) close() {
@@ -202,7 +202,7 @@
 type nobody struct{}
 
 func (nobody) Served(*router.Result) {}
-func (nobody) Refused(float64)       {}
+func (nobody) Rejected(float64)      {}
 func (nobody) Failed(router.Reason)  {}
 
 // instantly is all engines in one: each attempt is served after the same time.
@@ -215,13 +215,13 @@
 		done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: i.h.spec.WorkMS}})
 	})}
 }
-func (i instantly) Forget(router.Engine)   {}
-func (i instantly) Withhold(router.Engine) {}
+func (i instantly) Forget(router.Engine)          {}
+func (i instantly) CancelUnstarted(router.Engine) {}
 
-func (s served) SetPriority(int) {}
-func (s served) Cancel()         {}
-func (s served) Drop()           { s.t.Stop() }
-func (s served) Recall() bool    { return false }
+func (s served) SetPriority(int)    {}
+func (s served) Cancel()            {}
+func (s served) Abandon()           { s.t.Stop() }
+func (s served) CancelUnsent() bool { return false }
 
 // playHollow runs the routers of the first line, says "ready", and answers "totals" until its input ends.
 func playHollow(in *bufio.Scanner, out *words) error {
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -28,7 +28,7 @@
 
 func (e *engines) Forget(router.Engine) {}
 
-func (e *engines) Withhold(router.Engine) {}
+func (e *engines) CancelUnstarted(router.Engine) {}
 
 func (e *engines) Start(c router.Call, done func(router.End)) router.Attempt {
 	e.mu.Lock()
@@ -64,9 +64,9 @@
 
 func (out) Cancel() {}
 
-func (out) Recall() bool { return false }
+func (out) CancelUnsent() bool { return false }
 
-func (out) Drop() {}
+func (out) Abandon() {}
 
 func newFront(t *testing.T) (*Front, *engines, *fsql.Client) {
 	t.Helper()
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Engines(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
+	core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
 		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Withhold implements router.EngineClient.
-func (c *Client) Withhold(e router.Engine) {
+// CancelUnstarted implements router.EngineClient.
+func (c *Client) CancelUnstarted(e router.Engine) {
 	for a := range c.out {
 		if a.engine == e.ID && a.watch.withhold() {
 			a.cancel()
@@ -100,18 +100,18 @@
 	a.cancel()
 }
 
-// Drop implements router.Attempt.
-func (a *attempt) Drop() {
+// Abandon implements router.Attempt.
+func (a *attempt) Abandon() {
 	a.dropped = true
 	a.cancel()
 }
 
-// Recall implements router.Attempt.
-func (a *attempt) Recall() bool {
+// CancelUnsent implements router.Attempt.
+func (a *attempt) CancelUnsent() bool {
 	if a.dropped || !a.watch.withhold() {
 		return false
 	}
-	a.Drop()
+	a.Abandon()
 	return true
 }
 
@@ -119,8 +119,8 @@
 func (c *Client) Start(call router.Call, done func(router.End)) router.Attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(call.WaitMS))
 	w := &watch{cancel: cancel, wrote: func() {
-		if call.Wrote != nil {
-			c.loop.Post(call.Wrote)
+		if call.OnSent != nil {
+			c.loop.Post(call.OnSent)
 		}
 	}}
 	a := &attempt{engine: call.Engine.ID, watch: w, cancel: cancel}
@@ -130,7 +130,7 @@
 		router.FieldBudget, strconv.FormatFloat(call.WaitMS, 'f', 0, 64),
 		metaGrant, strconv.FormatFloat(call.GrantMB, 'f', 0, 64), metaPriority, strconv.Itoa(call.Priority))
 	var shared *grpc.ClientConn
-	if !call.Once {
+	if !call.AtMostOnce {
 		var err error
 		if shared, err = c.connection(call.Engine); err != nil {
 			c.loop.Post(func() { c.finish(a, done, router.End{Outcome: dispatch.ConnectFailed, Detail: err.Error()}) })
@@ -163,7 +163,7 @@
 	}
 	conn, err := dial(func(ctx context.Context, _ string) (net.Conn, error) {
 		d := net.Dialer{Timeout: time.Duration(c.connectTimeout.Load())}
-		return d.DialContext(ctx, "tcp", e.Addr)
+		return d.DialContext(ctx, "tcp", e.Address)
 	})
 	if err == nil {
 		c.shared[e.ID] = conn
@@ -179,7 +179,7 @@
 
 // carryOut runs one attempt to its end.
 func (c *Client) carryOut(ctx context.Context, call router.Call, conn *grpc.ClientConn, w *watch) router.End {
-	if call.Once {
+	if call.AtMostOnce {
 		// What must not run twice gets a connection of its own, dialled here: only so is a refused connection
 		// seen as such, and nothing can move the call to another connection.
 		select {
@@ -189,7 +189,7 @@
 			return router.End{Outcome: dispatch.ConnectFailed, Detail: "no connection came free: " + ctx.Err().Error()}
 		}
 		d := net.Dialer{Timeout: time.Duration(c.connectTimeout.Load())}
-		raw, err := d.DialContext(ctx, "tcp", call.Engine.Addr)
+		raw, err := d.DialContext(ctx, "tcp", call.Engine.Address)
 		if err != nil {
 			return router.End{Outcome: dispatch.ConnectFailed, Detail: err.Error()}
 		}
@@ -204,7 +204,7 @@
 	var trailer metadata.MD
 	var result *router.Result
 	var err error
-	if call.Once || call.Update {
+	if call.AtMostOnce || call.Update {
 		c.Counters.Updates.Add(1)
 		result, trailer, err = update(ctx, client, call.Statement)
 	} else {
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -95,10 +95,10 @@
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 5000, 4, slog.New(slog.DiscardHandler))
 	defer routertest.Run(loop)()
-	engine := router.Engine{ID: 7, Addr: addr}
+	engine := router.Engine{ID: 7, Address: addr}
 	ended := make(chan router.End, 1)
 	loop.Post(func() {
-		c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, Once: once},
+		c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, AtMostOnce: once},
 			func(e router.End) { ended <- e })
 	})
 	end := <-ended
@@ -224,8 +224,8 @@
 	start := func(waitMS float64) chan router.End {
 		ended := make(chan router.End, 1)
 		loop.Post(func() {
-			c.Start(router.Call{Engine: router.Engine{ID: 7, Addr: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41",
-				Statement: "S", WaitMS: waitMS, Once: true}, func(e router.End) { ended <- e })
+			c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41",
+				Statement: "S", WaitMS: waitMS, AtMostOnce: true}, func(e router.End) { ended <- e })
 		})
 		return ended
 	}
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -275,7 +275,7 @@
 	class, _ := f.core.Class(r.Class)
 	t := &ticket{Ticket: Ticket{Request: *r, Expires: f.loop.Now() + ticketLife, Once: class.Semantics != dispatch.Idempotent}}
 	if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(router.FieldBudget)) > 0 {
-		t.End = r.Sent + r.Budget // a deadline of the call itself binds that call only
+		t.End = r.SentAtMS + r.BudgetMS // a deadline of the call itself binds that call only
 	}
 	if !f.keep(t) {
 		return nil, f.refusal(ctx, 1000)
@@ -401,13 +401,13 @@
 	left, bound := untilDeadline(ctx)
 	switch {
 	case t.End > 0 && (!bound || t.End < now+left):
-		r.Budget = max(t.End-now, 0)
+		r.BudgetMS = max(t.End-now, 0)
 	case bound:
-		r.Budget = left
+		r.BudgetMS = left
 	default:
-		r.Budget = max(r.Sent+r.Budget-now, 0)
+		r.BudgetMS = max(r.SentAtMS+r.BudgetMS-now, 0)
 	}
-	r.Sent = now
+	r.SentAtMS = now
 	result, err := f.run(ctx, &r)
 	if err != nil {
 		return nil, nil, err
@@ -431,7 +431,7 @@
 		return 0, err
 	}
 	if left, ok := untilDeadline(ctx); ok {
-		r.Budget = min(r.Budget, left)
+		r.BudgetMS = min(r.BudgetMS, left)
 	}
 	r.Update = true
 	result, err := f.run(ctx, r)
@@ -455,9 +455,9 @@
 
 type asker chan answer
 
-func (a asker) Served(r *router.Result)   { a <- answer{result: r} }
-func (a asker) Refused(backoffMS float64) { a <- answer{refused: true, backoff: backoffMS} }
-func (a asker) Failed(why router.Reason)  { a <- answer{why: why} }
+func (a asker) Served(r *router.Result)    { a <- answer{result: r} }
+func (a asker) Rejected(backoffMS float64) { a <- answer{refused: true, backoff: backoffMS} }
+func (a asker) Failed(why router.Reason)   { a <- answer{why: why} }
 
 // run hands a request to the core and waits for its one answer, or for the client to leave.
 func (f *Front) run(ctx context.Context, r *router.Request) (*router.Result, error) {
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -76,7 +76,7 @@
 	client := NewClient(loop, 5000, 4, slog.New(slog.DiscardHandler))
 	defer routertest.Run(loop)()
 	for _, c := range calls {
-		c.Engine = router.Engine{ID: 7, Addr: listener.Addr().String()}
+		c.Engine = router.Engine{ID: 7, Address: listener.Addr().String()}
 		ended := make(chan router.End, 1)
 		loop.Post(func() { client.Start(c, func(end router.End) { ended <- end }) })
 		ends = append(ends, <-ended)
@@ -91,7 +91,7 @@
 	query := router.Call{ID: "9b1f03aa5c7e2d41", Class: "lookup", Statement: "SELECT 1", WaitMS: 20_000, GrantMB: 64, Priority: 3}
 	update, load := query, query
 	update.Update = true
-	load.Once = true
+	load.AtMostOnce = true
 	served := attempts(t, e, query, update, load)
 	e.refuses = true
 	refused := attempts(t, e, load)
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -192,8 +192,8 @@
 // Tickets that one process gives up to another have the same names and values as before, and can be redeemed there.
 func TestGoldenTickets(t *testing.T) {
 	want := []Ticket{{Handle: "00112233445566778899aabbccddeeff", End: 1_796_000_009_000.5, Expires: 1e15, Once: true,
-		Request: router.Request{ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", Group: 7,
-			Sent: 1_796_000_000_000.25, Budget: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Again: true, Update: true}}}
+		Request: router.Request{ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", TableGroup: 7,
+			SentAtMS: 1_796_000_000_000.25, BudgetMS: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Retry: true, Update: true}}}
 	goldentest.AllFieldsSet(t, want)
 	text, err := json.Marshal(want)
 	if err != nil {
--- a/internal/flightsql/recall_test.go
+++ b/internal/flightsql/recall_test.go
@@ -30,8 +30,8 @@
 	attempts := make(chan router.Attempt, 2)
 	loop.Post(func() {
 		for _, once := range []bool{false, true} {
-			attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Addr: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
-				Statement: "S", WaitMS: 60_000, Once: once, Wrote: func() { heard <- "written" }}, func(router.End) { heard <- "ended" })
+			attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
+				Statement: "S", WaitMS: 60_000, AtMostOnce: once, OnSent: func() { heard <- "written" }}, func(router.End) { heard <- "ended" })
 		}
 	})
 	for range 2 { // both are up, and the engine never speaks HTTP/2
@@ -44,8 +44,8 @@
 	done := make(chan bool, 4)
 	for range 2 {
 		a := <-attempts
-		loop.Post(func() { done <- a.Recall() })
-		loop.Post(func() { done <- !a.Recall() })
+		loop.Post(func() { done <- a.CancelUnsent() })
+		loop.Post(func() { done <- !a.CancelUnsent() })
 		if !<-done || !<-done {
 			t.Error("it was not taken back, or twice")
 		}
@@ -85,14 +85,14 @@
 	t.Cleanup(routertest.Run(loop))
 	ends, attempts := make(chan router.End, 1), make(chan router.Attempt, 1)
 	loop.Post(func() {
-		attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Addr: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
-			Statement: "S", WaitMS: 60_000, Once: true, Alone: true}, func(e router.End) { ends <- e })
+		attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
+			Statement: "S", WaitMS: 60_000, AtMostOnce: true, Exclusive: true}, func(e router.End) { ends <- e })
 	})
 	a := <-attempts
 	<-started
 	taken := make(chan bool, 1)
 	loop.Post(func() {
-		taken <- a.Recall()
+		taken <- a.CancelUnsent()
 		a.Cancel()
 	})
 	if <-taken {
@@ -126,19 +126,19 @@
 	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
 	t.Cleanup(routertest.Run(loop))
 	ends := make(chan router.End, 4)
-	engine := router.Engine{ID: 7, Addr: lis.Addr().String()}
+	engine := router.Engine{ID: 7, Address: lis.Addr().String()}
 	wrote := make(chan struct{}, 4)
 	loop.Post(func() {
 		for _, once := range []bool{false, true} {
-			c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, Once: once,
-				Wrote: func() { wrote <- struct{}{} }}, func(e router.End) { ends <- e })
+			c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
+				OnSent: func() { wrote <- struct{}{} }}, func(e router.End) { ends <- e })
 		}
 	})
 	for range 2 {
 		defer (<-silent).Close()
 	}
-	loop.Post(func() { c.Withhold(router.Engine{ID: 8}) })
-	loop.Post(func() { c.Withhold(engine) })
+	loop.Post(func() { c.CancelUnstarted(router.Engine{ID: 8}) })
+	loop.Post(func() { c.CancelUnstarted(engine) })
 	for range 2 {
 		if e := <-ends; e.Outcome != dispatch.ConnectFailed {
 			t.Errorf("outcome %v: %s", e.Outcome, e.Detail)
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -190,8 +190,8 @@
 	s.answer(w.b)
 }
 
-// Refused implements router.Asker.
-func (s *session) Refused(backoffMS float64) {
+// Rejected implements router.Asker.
+func (s *session) Rejected(backoffMS float64) {
 	w := writer{seq: s.seq}
 	text := "refused, nothing was done; try again later"
 	if backoffMS > 0 { // else the settings allow no advice
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -27,15 +27,15 @@
 	e.calls, e.done = append(e.calls, c), append(e.done, done)
 	return out{}
 }
-func (e *engine) Forget(router.Engine)   {}
-func (e *engine) Withhold(router.Engine) {}
+func (e *engine) Forget(router.Engine)          {}
+func (e *engine) CancelUnstarted(router.Engine) {}
 
 type out struct{}
 
-func (out) SetPriority(int) {}
-func (out) Cancel()         {}
-func (out) Drop()           {}
-func (out) Recall() bool    { return false }
+func (out) SetPriority(int)    {}
+func (out) Cancel()            {}
+func (out) Abandon()           {}
+func (out) CancelUnsent() bool { return false }
 
 // wire is a stand-in for a connection: it keeps what the session writes.
 type wire struct {
@@ -84,7 +84,7 @@
 	}
 	s.front = NewFront(core, s.loop, Config{MaxSessions: 3, MaxBuffered: 100_000}, func() [][2]string { return [][2]string{{"taken", "1"}} },
 		slog.New(slog.DiscardHandler))
-	core.Engines(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
+	core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
 		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
 	s.run()
 	return s
--- a/internal/node/bans.go
+++ b/internal/node/bans.go
@@ -26,10 +26,10 @@
 	apply := func() {
 		if known {
 			if exclude {
-				r.core.Exclude(id)
+				r.core.Cordon(id)
 				r.out[id] = true
 			} else {
-				r.core.Include(id)
+				r.core.Uncordon(id)
 				delete(r.out, id)
 			}
 		}
@@ -98,10 +98,10 @@
 	}
 	for id := range old {
 		if !now[id] {
-			r.core.Include(id)
+			r.core.Uncordon(id)
 		}
 	}
-	r.core.Adopt(slices.Sorted(maps.Keys(now)))
+	r.core.AdoptCordons(slices.Sorted(maps.Keys(now)))
 	r.log.Info("bans", "excluded", len(now))
 }
 
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -43,14 +43,14 @@
 		for _, f := range []struct {
 			name string
 			n    int64
-		}{{"succeeded", n.Served}, {"declined", n.Refused}, {"aborted", n.Failed}, {"forwards", n.Forwards}} {
+		}{{"succeeded", n.Served}, {"declined", n.Rejected}, {"aborted", n.Failed}, {"forwards", n.Forwards}} {
 			fmt.Fprintf(&b, "svc.%s.%s:%d|c\n", f.name, class, f.n)
 		}
 	}
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"outstanding", r.core.Open()}, {"discovered", r.core.Listed()}, {"ejected", r.core.Avoided()}} {
+	}{{"outstanding", r.core.Open()}, {"discovered", r.core.ListedEngines()}, {"ejected", r.core.AvoidedEngines()}} {
 		fmt.Fprintf(&b, "svc.%s:%d|g\n", f.name, f.n)
 	}
 	if r.keepers != nil {
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -53,10 +53,10 @@
 	return []messageSample{
 		{"both/ready", "ready", ready{Took: []string{"clients", "door"}}, nil},
 		{"both/go-ahead", "go-ahead", nil, nil},
-		{"both/id-open", msgID, router.IDChange{ID: "0000000000000007", What: router.IDOpen}, []string{"What"}},
-		{"both/id-done", msgID, router.IDChange{ID: "0000000000000008", What: router.IDDone}, nil},
-		{"both/id-spent", msgID, router.IDChange{ID: "0000000000000009", What: router.IDSpent}, nil},
-		{"both/id-unspent", msgID, router.IDChange{ID: "000000000000000a", What: router.IDUnspent}, nil},
+		{"both/id-open", msgID, router.IDChange{ID: "0000000000000007", Status: router.IDOpen}, []string{"Status"}},
+		{"both/id-done", msgID, router.IDChange{ID: "0000000000000008", Status: router.IDDone}, nil},
+		{"both/id-spent", msgID, router.IDChange{ID: "0000000000000009", Status: router.IDConsumed}, nil},
+		{"both/id-unspent", msgID, router.IDChange{ID: "000000000000000a", Status: router.IDReleased}, nil},
 		{"both/use", msgUse, use{Module: samplePeerUse(), Sessions: 41, Conns: 42, Leaving: true}, nil},
 		{"both/kill", msgKill, kill{ID: 305419896, Query: true}, nil},
 		{"both/bgp", msgBGP, sampleSession(), nil},
@@ -73,7 +73,7 @@
 	return state{
 		Version:       hotrestart.Version,
 		Generation:    2,
-		Core:          router.State{Open: []string{"0000000000000001"}, Spent: []string{"0000000000000002", "0000000000000003"}, Module: sampleSnapshot()},
+		Core:          router.State{OpenIDs: []string{"0000000000000001"}, ConsumedIDs: []string{"0000000000000002", "0000000000000003"}, Dispatch: sampleSnapshot()},
 		Listeners:     []string{"clients", "door"},
 		At:            map[string]string{"door": "127.0.0.1:8002", "clients": "127.0.0.1:3307"},
 		Parts:         []string{"bgp"},
@@ -119,8 +119,8 @@
 func sampleTicket() flightsql.Ticket {
 	return flightsql.Ticket{
 		Handle: "5a0000000000000c",
-		Request: router.Request{ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", Group: 81,
-			Sent: 1796148879607.25, Budget: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Again: true, Update: true},
+		Request: router.Request{ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", TableGroup: 81,
+			SentAtMS: 1796148879607.25, BudgetMS: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Retry: true, Update: true},
 		End:     1796148899607.5,
 		Expires: 1796148909607.75,
 		Once:    true,
@@ -129,7 +129,7 @@
 
 func otherTicket() flightsql.Ticket {
 	t := sampleTicket()
-	t.Handle, t.Request.ID, t.Request.Group = "5a0000000000000e", "000000000000000c", -1
+	t.Handle, t.Request.ID, t.Request.TableGroup = "5a0000000000000e", "000000000000000c", -1
 	return t
 }
 
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -17,7 +17,7 @@
 		longest = max(longest, float64(k.Deadline)/1e6)
 	}
 	r.closeAt = max(r.since()+min(longest, patience)+beforeKill, r.loop.Now())
-	r.core.Closing(r.closeAt)
+	r.core.SetShutdownDeadline(r.closeAt)
 }
 
 // busy tells whether anything is open.
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(r.missing) == 0 {
-		r.log.Info("ready", "listen", r.clientsAt, "engines", r.core.Listed(), "phase", r.machine.Phase().String())
+		r.log.Info("ready", "listen", r.clientsAt, "engines", r.core.ListedEngines(), "phase", r.machine.Phase().String())
 	} else {
 		r.log.Warn("addresses are held by a process that does not answer", "listeners", r.missing)
 		r.loop.After(bindEvery, r.bindAgain)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -191,8 +191,8 @@
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	core.Claim = r.claimID
-	core.Ids = func(n router.IDChange) { r.tell(msgID, n) }
+	core.ClaimID = r.claimID
+	core.OnIDChange = func(n router.IDChange) { r.tell(msgID, n) }
 	r.front = mysql.NewFront(core, r.loop, b.mysql, r.status, log)
 	r.front.SetGeneration(r.generation)
 	r.front.Elsewhere = r.kill
@@ -217,10 +217,10 @@
 		}
 	}
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
-	core.Engines(known.Events, known.Addrs)
-	core.Adopt(slices.Sorted(maps.Keys(r.out)))
+	core.UpdateEndpoints(known.Events, known.Addrs)
+	core.AdoptCordons(slices.Sorted(maps.Keys(r.out)))
 	r.board = discovery.Follow(r.loop, r.net, cfg.Board, namesOf(cfg), last,
-		func(l discovery.List) { core.Engines(l.Events, l.Addrs) }, cfg.SeedValue, log)
+		func(l discovery.List) { core.UpdateEndpoints(l.Events, l.Addrs) }, cfg.SeedValue, log)
 	r.limit()
 	return nil
 }
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -233,8 +233,8 @@
 	w.loop.Post(func() {
 		if !exclude {
 			delete(w.banned, id)
-			w.core.Include(id)
-		} else if w.core.Exclude(id) {
+			w.core.Uncordon(id)
+		} else if w.core.Cordon(id) {
 			w.banned[id] = w.now.MS
 		}
 	})
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -279,7 +279,7 @@
 	if state != dispatch.Live {
 		w.closed[w.at[id]] = w.now.MS
 	}
-	w.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}}},
+	w.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}}},
 		map[dispatch.EngineID]string{id: strconv.Itoa(w.at[id])})
 }
 
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -63,7 +63,7 @@
 				}
 			})
 			r.records.put.Store(&c.w)
-			r.core.Watch = c
+			r.core.Observer = c
 			c.takenAt, c.samples = now(), c.most
 			c.look()
 			return nil
@@ -118,14 +118,14 @@
 	c.r.loop.After(lookEvery, c.look)
 }
 
-// Listed implements router.Watcher. The change is written in the next step, when the module has been told: all routers
+// EndpointsChanged implements router.Watcher. The change is written in the next step, when the module has been told: all routers
 // hear of it at much the same time, so that it ties their clocks together.
-func (c *recorder) Listed() { c.r.loop.After(0, c.observe) }
+func (c *recorder) EndpointsChanged() { c.r.loop.After(0, c.observe) }
 
 // observe writes how engines' states changed.
 func (c *recorder) observe() {
 	now := c.r.loop.Now()
-	c.r.core.See(&c.view)
+	c.r.core.FillView(&c.view)
 	clear(c.seen)
 	for i := range c.view.Engines {
 		e := &c.view.Engines[i]
@@ -194,22 +194,22 @@
 	c.w.Put(s)
 }
 
-// Arrived implements router.Watcher.
-func (c *recorder) Arrived(q *router.Request) {
-	c.meter.Arrived(q.Class, q.Tenant, q.Again, q.EstimateMS)
+// RequestArrived implements router.Watcher.
+func (c *recorder) RequestArrived(q *router.Request) {
+	c.meter.Arrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
 }
 
-// Answered implements router.Watcher.
-func (c *recorder) Answered(q *router.Request, what router.Answer) {
+// RequestAnswered implements router.Watcher.
+func (c *recorder) RequestAnswered(q *router.Request, what router.Answer) {
 	how := record.Failed
 	switch what.Kind {
 	case router.AnswerServed:
-		if how = record.InAim; what.TookMS > what.AimMS {
+		if how = record.InAim; what.TookMS > what.ObjectiveMS {
 			how = record.LateServed
 		}
-	case router.AnswerRefused:
+	case router.AnswerRejected:
 		how = record.Refused
-	case router.AnswerLeft:
+	case router.AnswerClientGone:
 		how = record.Left
 	}
 	c.meter.Answer(q.Class, q.Tenant, how, what.TookMS)
@@ -224,14 +224,14 @@
 	}
 }
 
-// Sent implements router.Watcher.
-func (c *recorder) Sent(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
+// AttemptStarted implements router.Watcher.
+func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
 
 var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndFull, dispatch.EngineFailed: record.EndErrored,
 	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
 
-// Ended implements router.Watcher.
-func (c *recorder) Ended(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
+// AttemptEnded implements router.Watcher.
+func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
 	how, ok := ends[outcome]
 	if !ok {
 		how = record.EndOther
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -118,7 +118,7 @@
 }
 
 func (r *node) sendUse() {
-	r.tell(msgUse, use{Module: r.core.Use(), Sessions: r.front.Sessions(), Conns: r.client.Conns(), Leaving: r.leaving})
+	r.tell(msgUse, use{Module: r.core.Usage(), Sessions: r.front.Sessions(), Conns: r.client.Conns(), Leaving: r.leaving})
 }
 
 // say sends a message of the machine's.
@@ -229,13 +229,13 @@
 		if err := m.Read(&n); err != nil {
 			return err
 		}
-		r.core.Elsewhere(n)
+		r.core.OtherProcessChanged(n)
 	case msgClaimID:
 		var c claimID
 		if err := m.Read(&c); err != nil {
 			return err
 		}
-		c.OK = r.core.Grant(c.ID)
+		c.OK = r.core.GrantClaim(c.ID)
 		p.link.Send(hotrestartipc.New(msgWord, c))
 	case msgWord:
 		var c claimID
@@ -243,9 +243,9 @@
 			return err
 		}
 		if word := r.words[c.N]; word != nil && c.OK {
-			word(router.Granted)
+			word(router.ClaimGranted)
 		} else if word != nil {
-			word(router.Denied)
+			word(router.ClaimDenied)
 		}
 	case msgUse:
 		var u use
@@ -253,7 +253,7 @@
 			return err
 		}
 		r.peer = u
-		r.core.PeerUse(u.Module)
+		r.core.SetOtherProcessUsage(u.Module)
 		r.rebound()
 	case msgBan:
 		var b ban
@@ -298,26 +298,26 @@
 }
 
 // claimID asks the process that this one shares the router with before what must not run twice begins.
-func (r *node) claimID(id string, then func(router.Word)) {
+func (r *node) claimID(id string, then func(router.ClaimReply)) {
 	ask, may := r.machine.MustAsk()
 	p := r.links[ask]
 	switch {
 	case !may || ask != hotrestart.None && p == nil:
-		r.loop.After(0, func() { then(router.Silent) })
+		r.loop.After(0, func() { then(router.ClaimTimedOut) })
 		return
 	case ask == hotrestart.None || p.version == 1: // which knows no such question
-		then(router.Granted)
+		then(router.ClaimGranted)
 		return
 	}
 	r.seq++
 	n := r.seq
 	var late *router.Timer
-	r.words[n] = func(w router.Word) {
+	r.words[n] = func(w router.ClaimReply) {
 		delete(r.words, n)
 		late.Stop()
 		then(w)
 	}
-	late = r.loop.After(wordWithin, func() { r.words[n](router.Silent) })
+	late = r.loop.After(wordWithin, func() { r.words[n](router.ClaimTimedOut) })
 	p.link.Send(hotrestartipc.New(msgClaimID, claimID{N: n, ID: id}))
 }
 
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -111,21 +111,21 @@
 // instant answers each attempt at once.
 type instant struct{ loop *router.Loop }
 
-func (c instant) Recall() bool { return false }
+func (c instant) CancelUnsent() bool { return false }
 func (c instant) Start(_ router.Call, done func(router.End)) router.Attempt {
 	c.loop.Post(func() { done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: 1}}) })
 	return c
 }
-func (instant) SetPriority(int)        {}
-func (instant) Cancel()                {}
-func (instant) Drop()                  {}
-func (instant) Forget(router.Engine)   {}
-func (instant) Withhold(router.Engine) {}
+func (instant) SetPriority(int)               {}
+func (instant) Cancel()                       {}
+func (instant) Abandon()                      {}
+func (instant) Forget(router.Engine)          {}
+func (instant) CancelUnstarted(router.Engine) {}
 
 type answered struct{ n int }
 
 func (a *answered) Served(*router.Result) { a.n++ }
-func (a *answered) Refused(float64)       { a.n++ }
+func (a *answered) Rejected(float64)      { a.n++ }
 func (a *answered) Failed(router.Reason)  { a.n++ }
 
 var benchSeq int
@@ -139,15 +139,15 @@
 			list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: id, Zone: "a", Kind: "std", CapacityWeight: 1})
 			addrs[id] = "127.0.0.1:1"
 		}
-		r.core.Engines(list, addrs)
+		r.core.UpdateEndpoints(list, addrs)
 		r.loop.Post(func() {})
 		r.loop.Step()
 	}
 	benchSeq++
 	a := &answered{}
 	now := r.loop.Now()
-	_, err := r.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", Sent: now,
-		Budget: 5000, EstimateMS: 1}, a)
+	_, err := r.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
+		BudgetMS: 5000, EstimateMS: 1}, a)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -48,11 +48,11 @@
 		r.stood, r.until = r.beatAt, now
 		r.waking = true
 		r.log.Warn("the loop stood still", "ms", int(late), "open", r.core.Open(), "continued", r.Continued.Load())
-		r.core.Hear(true)
+		r.core.HoldDecisions(true)
 		wake := func() {
 			r.loop.After(hearFor, func() {
 				r.waking = false
-				r.core.Hear(false)
+				r.core.HoldDecisions(false)
 			})
 		}
 		if r.place == nil {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -72,24 +72,24 @@
 	place      *hotrestartipc.Place // nil where none could be had
 	generation uint8
 	links      map[hotrestart.ProcessNumber]*peer
-	with       *peer                      // the process that this one shares the router with
-	peer       use                        // what that one has
-	looking    bool                       // a look for an elder is under way
-	idle       map[string]net.Listener    // listeners that this process does not accept on
-	missing    []string                   // listeners whose address is not to be had yet
-	handed     state                      // what the elder gave
-	files      map[string]*os.File        // the listeners that came with it
-	took       []string                   // what is said with ready
-	theyTook   []string                   // what the other one said
-	leaving    bool                       // this one hears out what it accepted, and ends
-	closing    bool                       // requests have been told when this process ends
-	answers    map[int]func(bool)         // answers to operators that wait for the other process, by number
-	words      map[int]func(router.Word)  // claims that do
-	seq        int                        // of both
-	out        map[dispatch.EngineID]bool // bans by hand, as the folder has them
-	unnoted    bool                       // the folder of bans can't be written: bans go by messages alone
-	io         chan func()                // work with the folder, in order
-	passed     *os.File                   // the clients' socket, where the platform holds it
+	with       *peer                           // the process that this one shares the router with
+	peer       use                             // what that one has
+	looking    bool                            // a look for an elder is under way
+	idle       map[string]net.Listener         // listeners that this process does not accept on
+	missing    []string                        // listeners whose address is not to be had yet
+	handed     state                           // what the elder gave
+	files      map[string]*os.File             // the listeners that came with it
+	took       []string                        // what is said with ready
+	theyTook   []string                        // what the other one said
+	leaving    bool                            // this one hears out what it accepted, and ends
+	closing    bool                            // requests have been told when this process ends
+	answers    map[int]func(bool)              // answers to operators that wait for the other process, by number
+	words      map[int]func(router.ClaimReply) // claims that do
+	seq        int                             // of both
+	out        map[dispatch.EngineID]bool      // bans by hand, as the folder has them
+	unnoted    bool                            // the folder of bans can't be written: bans go by messages alone
+	io         chan func()                     // work with the folder, in order
+	passed     *os.File                        // the clients' socket, where the platform holds it
 }
 
 // meeting is where the processes of a router find each other.
@@ -99,7 +99,7 @@
 // runs the loop.
 func (r *node) begin(placed bool) {
 	r.links, r.idle = map[hotrestart.ProcessNumber]*peer{}, map[string]net.Listener{}
-	r.answers, r.words = map[int]func(bool){}, map[int]func(router.Word){}
+	r.answers, r.words = map[int]func(bool){}, map[int]func(router.ClaimReply){}
 	r.out = map[dispatch.EngineID]bool{}
 	r.io = make(chan func(), 64)
 	r.beat()
@@ -305,7 +305,7 @@
 		return
 	}
 	r.peer = use{}
-	r.core.Alone()
+	r.core.OtherProcessEnded()
 	r.rebound()
 	r.limit()
 	r.log.Info("alone", "phase", r.machine.Phase().String())
@@ -322,7 +322,7 @@
 		answer(false)
 	}
 	for _, word := range r.words {
-		word(router.Silent)
+		word(router.ClaimTimedOut)
 	}
 	r.sharing(nil)
 }
@@ -372,7 +372,7 @@
 			}
 		}
 	}
-	r.core.TakeOver(r.handed.Core)
-	r.log.Info("taking over", "engines", len(r.handed.Core.Module.Engines), "open", len(r.handed.Core.Open),
-		"excluded", len(r.handed.Core.Module.Cordoned), "spent", len(r.handed.Core.Spent))
+	r.core.RestoreState(r.handed.Core)
+	r.log.Info("taking over", "engines", len(r.handed.Core.Dispatch.Engines), "open", len(r.handed.Core.OpenIDs),
+		"excluded", len(r.handed.Core.Dispatch.Cordoned), "spent", len(r.handed.Core.ConsumedIDs))
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -7,40 +7,40 @@
 
 // Engine is an engine as the list names it.
 type Engine struct {
-	ID   dispatch.EngineID
-	Addr string
-	Kind string
+	ID      dispatch.EngineID
+	Address string
+	Kind    string
 }
 
 // Call is one attempt for an engine client to carry out.
 type Call struct {
-	Engine    Engine
-	ID        string
-	Class     string
-	Statement string
-	WaitMS    float64 // how long the router will wait
-	GrantMB   float64 // 0: the engine's own choice
-	Priority  int
-	Update    bool // the client asked for an update, not for rows
-	Once      bool // it must not run twice: proof that it never ran is worth a new connection
+	Engine     Engine
+	ID         string
+	Class      string
+	Statement  string
+	WaitMS     float64 // how long the router will wait
+	GrantMB    float64 // 0: the engine's own choice
+	Priority   int
+	Update     bool // the client asked for an update, not for rows
+	AtMostOnce bool // it must not run twice: proof that it never ran is worth a new connection
 	// Alone says that no second attempt of the request may begin while an engine may have this one under way: its end is
 	// reported once the engine has none of it any more, and not before. Deletes says that the engine may be told to give it up.
-	Alone, Deletes bool
+	Exclusive, CancelAllowed bool
 	// Latest is when it may begin at the latest, on the loop's clock; 0: at any time.
-	Latest float64
+	LatestStartMS float64
 	// Wrote is called in the loop, once at most, when the last byte of the attempt has left for the engine.
-	Wrote func()
+	OnSent func()
 	// Heard, where it is set, is called in the loop with each answer of the engine that can be read.
-	Heard func(News)
+	OnProgress func(AttemptProgress)
 }
 
-// News is what an answer of an engine tells beside an end: of the attempt, that it is under way, and of the engine, its
+// AttemptProgress is what an answer of an engine tells beside an end: of the attempt, that it is under way, and of the engine, its
 // load where it reports that.
-type News struct {
-	Note   dispatch.ProgressKind
+type AttemptProgress struct {
+	Kind   dispatch.ProgressKind
 	Amount float64
-	Load   *dispatch.LoadReport
-	Over   bool // the answer is the attempt's end: there is no note
+	Report *dispatch.LoadReport
+	Final  bool // the answer is the attempt's end: there is no note
 }
 
 // End is how an attempt ended; Result is set where Outcome is Served.
@@ -56,10 +56,10 @@
 	// Cancel tells the engine to give the query up. Drop follows or, where the call is Alone, the end once that is done.
 	Cancel()
 	// Drop ends the interest in it: its end is not reported any more.
-	Drop()
+	Abandon()
 	// Recall takes back an attempt that was not written whole, so that it never runs; false says that it is too late. As
 	// after Drop, its end is not reported.
-	Recall() bool
+	CancelUnsent() bool
 }
 
 // EngineClient carries attempts out. done is called at most once, in the loop, and never from within Start.
@@ -69,7 +69,7 @@
 	Forget(Engine)
 	// Withhold is told that an engine gets nothing more, or that it is elsewhere: each attempt of which nothing was
 	// written ends as ConnectFailed. What has been begun goes on.
-	Withhold(Engine)
+	CancelUnstarted(Engine)
 }
 
 func (c *Core) carryOut(a dispatch.Action) {
@@ -98,10 +98,10 @@
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
 			asker := r.asker
 			c.finish(r)
-			c.Counters.Refused++
-			c.ByClass[r.Class].Refused++
-			c.watched(r, Answer{Kind: AnswerRefused, Reason: c.whyRefused(r)})
-			asker.Refused(clock.Millis(a.RetryAfter))
+			c.Counters.Rejected++
+			c.ByClass[r.Class].Rejected++
+			c.watched(r, Answer{Kind: AnswerRejected, Reason: c.whyRefused(r)})
+			asker.Rejected(clock.Millis(a.RetryAfter))
 		}
 	case dispatch.FailRequest:
 		if r := c.requests[a.Request]; r != nil && r.asker != nil {
@@ -146,9 +146,9 @@
 		c.ended(a, End{Outcome: dispatch.ConnectFailed, Detail: "the engine leaves"})
 		return
 	}
-	c.Counters.Sends++
-	if c.Watch != nil {
-		c.Watch.Sent(s.Engine)
+	c.Counters.Attempts++
+	if c.Observer != nil {
+		c.Observer.AttemptStarted(s.Engine)
 	}
 	latest := 0.0
 	if s.StartWithin > 0 {
@@ -158,11 +158,11 @@
 	a.alone = c.alone && class.Semantics != dispatch.AtMostOnce // after what may have run there is no other, and its end is due at once
 	if class.Semantics == dispatch.AtMostOnce {
 		c.spent.add(r.ID)
-		c.changed(r.ID, IDSpent)
+		c.changed(r.ID, IDConsumed)
 	}
 	a.call = c.client.Start(Call{Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
-		GrantMB: r.grant, Priority: r.priority, Update: r.Update, Once: class.Semantics != dispatch.Idempotent,
-		Latest: latest, Alone: a.alone, Deletes: c.deletes, Wrote: func() { c.ByClass[r.Class].Forwards++ }, Heard: func(n News) { c.heard(a, n) }},
+		GrantMB: r.grant, Priority: r.priority, Update: r.Update, AtMostOnce: class.Semantics != dispatch.Idempotent,
+		LatestStartMS: latest, Exclusive: a.alone, CancelAllowed: c.deletes, OnSent: func() { c.ByClass[r.Class].Forwards++ }, OnProgress: func(n AttemptProgress) { c.heard(a, n) }},
 		func(e End) { c.ended(a, e) })
 	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "no answer in time"}) })
 	if s.StartWithin > 0 {
@@ -187,7 +187,7 @@
 // recall ends an attempt that was not written whole, as one that never ran. It guards against attempts that begin long
 // after the module decided on them: they wait for a connection, or for it to come up.
 func (c *Core) recall(a *attempt, o dispatch.Outcome, why string) {
-	if !a.ended && a.call != nil && a.call.Recall() {
+	if !a.ended && a.call != nil && a.call.CancelUnsent() {
 		c.ended(a, End{Outcome: o, Detail: why})
 	}
 }
@@ -204,18 +204,18 @@
 
 // heard tells the module how an engine says it is loaded and, where engines send notes, what they say of an attempt. An
 // answer that says no more than that the attempt is under way is told twice in the time between notes.
-func (c *Core) heard(a *attempt, n News) {
+func (c *Core) heard(a *attempt, n AttemptProgress) {
 	now := c.loop.Now()
 	last, told := c.reports[a.engine]
-	if _, listed := c.engines[a.engine]; listed && n.Load != nil && (!told || last.load != *n.Load || now-last.at >= reportEvery) {
-		c.reports[a.engine] = report{*n.Load, now}
-		c.events = append(c.events, dispatch.EngineLoad{Engine: a.engine, Report: *n.Load})
+	if _, listed := c.engines[a.engine]; listed && n.Report != nil && (!told || last.load != *n.Report || now-last.at >= reportEvery) {
+		c.reports[a.engine] = report{*n.Report, now}
+		c.events = append(c.events, dispatch.EngineLoad{Engine: a.engine, Report: *n.Report})
 	}
-	if a.ended || n.Over || c.noteEvery <= 0 || n.Note == dispatch.ProgressAlive && now-a.noted < c.noteEvery/2 {
+	if a.ended || n.Final || c.noteEvery <= 0 || n.Kind == dispatch.ProgressAlive && now-a.noted < c.noteEvery/2 {
 		return
 	}
 	a.noted = now
-	c.events = append(c.events, dispatch.AttemptProgress{Request: a.r.key, Attempt: a.hop, Kind: n.Note, Amount: n.Amount})
+	c.events = append(c.events, dispatch.AttemptProgress{Request: a.r.key, Attempt: a.hop, Kind: n.Kind, Amount: n.Amount})
 }
 
 // ended reports an attempt's end to the module; the first good one answers the request.
@@ -226,17 +226,17 @@
 	}
 	r := a.r
 	a.ended, a.outcome = true, e.Outcome
-	if c.Watch != nil {
-		c.Watch.Ended(a.engine, e.Outcome, c.loop.Now()-a.at)
+	if c.Observer != nil {
+		c.Observer.AttemptEnded(a.engine, e.Outcome, c.loop.Now()-a.at)
 	}
 	a.timeout.Stop()
 	a.latest.Stop()
-	a.call.Drop()
+	a.call.Abandon()
 	r.out--
 	c.Counters.Ends[e.Outcome]++
 	if proven := e.Outcome == dispatch.EngineFull || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
 		if c.spent.has(r.ID) {
-			c.changed(r.ID, IDUnspent)
+			c.changed(r.ID, IDReleased)
 		}
 		c.spent.remove(r.ID) // no earlier attempt may have run: the module would not have sent this one
 	}
@@ -249,7 +249,7 @@
 		c.finish(r)
 		c.Counters.Served++
 		c.ByClass[r.Class].Served++
-		c.watched(r, Answer{Kind: AnswerServed, AimMS: c.aim(r, e.Result), Engine: a.engine})
+		c.watched(r, Answer{Kind: AnswerServed, ObjectiveMS: c.aim(r, e.Result), Engine: a.engine})
 		asker.Served(e.Result)
 	}
 	end := dispatch.AttemptEnd{Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
@@ -265,7 +265,7 @@
 
 type noAttempt struct{}
 
-func (noAttempt) SetPriority(int) {}
-func (noAttempt) Cancel()         {}
-func (noAttempt) Drop()           {}
-func (noAttempt) Recall() bool    { return false }
+func (noAttempt) SetPriority(int)    {}
+func (noAttempt) Cancel()            {}
+func (noAttempt) Abandon()           {}
+func (noAttempt) CancelUnsent() bool { return false }
--- a/internal/router/bed_test.go
+++ b/internal/router/bed_test.go
@@ -33,22 +33,22 @@
 }
 
 func (o out) Cancel() { o.e.cancelled = append(o.e.cancelled, o.id) }
-func (o out) Recall() bool {
+func (o out) CancelUnsent() bool {
 	if !o.e.unbegun[o.id] {
 		return false
 	}
 	o.e.recalled = append(o.e.recalled, o.id)
 	return true
 }
-func (e *engines) Forget(g Engine)   { e.gone = append(e.gone, g) }
-func (e *engines) Withhold(g Engine) { e.withheld = append(e.withheld, g) }
+func (e *engines) Forget(g Engine)          { e.gone = append(e.gone, g) }
+func (e *engines) CancelUnstarted(g Engine) { e.withheld = append(e.withheld, g) }
 
 // asker keeps the answers to one request.
 type asker struct{ answers []string }
 
-func (a *asker) Served(*Result)     { a.answers = append(a.answers, "served") }
-func (a *asker) Refused(ms float64) { a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms)) }
-func (a *asker) Failed(why Reason)  { a.answers = append(a.answers, fmt.Sprintf("failed %d", why)) }
+func (a *asker) Served(*Result)      { a.answers = append(a.answers, "served") }
+func (a *asker) Rejected(ms float64) { a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms)) }
+func (a *asker) Failed(why Reason)   { a.answers = append(a.answers, fmt.Sprintf("failed %d", why)) }
 
 type bed struct {
 	t       *testing.T
@@ -82,7 +82,7 @@
 
 func (b *bed) list(mode dispatch.ListMode, state dispatch.EndpointState, addr string) {
 	b.loop.Post(func() {
-		b.core.Engines(dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
+		b.core.UpdateEndpoints(dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
 			map[dispatch.EngineID]string{7: addr})
 	})
 	b.run()
@@ -108,7 +108,7 @@
 	b.loop.Post(func() {
 		var err error
 		h, err = b.core.Submit(&Request{ID: fmt.Sprintf("%016x", b.ids), Class: class, Statement: "S",
-			Sent: b.now.MS - sent, Budget: budget}, a)
+			SentAtMS: b.now.MS - sent, BudgetMS: budget}, a)
 		if err != nil {
 			b.t.Error(err)
 		}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -41,11 +41,11 @@
 	ReasonDeadline               // the client's time is up
 )
 
-// Asker is the front's end of a request. Exactly one of its methods is called, once, unless the front takes
+// ResponseHandler is the front's end of a request. Exactly one of its methods is called, once, unless the front takes
 // the request back with Abandon.
-type Asker interface {
+type ResponseHandler interface {
 	Served(*Result)
-	Refused(backoffMS float64)
+	Rejected(backoffMS float64)
 	Failed(Reason)
 }
 
@@ -53,11 +53,11 @@
 type Counters struct {
 	Taken     int64    `status:"taken"`
 	Served    int64    `status:"served"`
-	Refused   int64    `status:"refused"`
+	Rejected  int64    `status:"refused"`
 	Failed    int64    `status:"failed"`
 	Abandoned int64    `status:"abandoned"`
 	Malformed int64    `status:"malformed"`
-	Sends     int64    `status:"sends"`
+	Attempts  int64    `status:"sends"`
 	Late      int64    `status:"late"`
 	Overdue   int64    `status:"overdue"`
 	Lists     int64    `status:"lists"`
@@ -70,7 +70,7 @@
 }
 
 // ClassCounters count the requests of a class by their answers, and the attempts that were written whole to engines.
-type ClassCounters struct{ Served, Refused, Failed, Forwards int64 }
+type ClassCounters struct{ Served, Rejected, Failed, Forwards int64 }
 
 const (
 	// answerMargin is kept before the client's deadline, in milliseconds, so that the final answer is on its
@@ -84,7 +84,7 @@
 type request struct {
 	*Request
 	key      dispatch.RequestID
-	asker    Asker // nil once the final answer is given or no longer owed
+	asker    ResponseHandler // nil once the final answer is given or no longer owed
 	end      float64
 	attempts []*attempt
 	out      int
@@ -135,12 +135,12 @@
 	spent    spent
 	seq      uint64
 	// Ids, where it is set, hears of ids as they come to be open or spent, or cease to be.
-	Ids func(IDChange)
+	OnIDChange func(IDChange)
 	// Claim, where it is set, asks the other process of this router whether an id may begin here, and calls back in the
 	// loop, once: from within with Granted where nobody is to be asked, else later.
-	Claim func(id string, then func(Word))
+	ClaimID func(id string, then func(ClaimReply))
 	// Watch, where it is set, hears of requests and attempts; it decides nothing.
-	Watch     Watcher
+	Observer  Observer
 	hearing   bool            // see Hear
 	fresh     []*request      // taken in since the module was last told
 	closeAt   float64         // when the process ends; 0 while that is not known
@@ -230,7 +230,7 @@
 var ErrInUse = errors.New("field rid: a request with that id is still open, or may have run")
 
 // Submit takes a request in. An error says that it was malformed and is owed nothing.
-func (c *Core) Submit(q *Request, asker Asker) (Handle, error) {
+func (c *Core) Submit(q *Request, asker ResponseHandler) (Handle, error) {
 	err := c.Check(q)
 	if err == nil && (c.byID[q.ID] != nil || c.elsewhere[q.ID] || c.spent.has(q.ID)) {
 		err = ErrInUse
@@ -242,11 +242,11 @@
 	class, _ := c.Class(q.Class)
 	c.seq++
 	c.Counters.Taken++
-	if c.Watch != nil {
-		c.Watch.Arrived(q)
+	if c.Observer != nil {
+		c.Observer.RequestArrived(q)
 	}
 	r := &request{Request: q, key: dispatch.RequestID(strconv.FormatUint(c.seq, 10)), asker: asker,
-		end: q.Sent + q.Budget - answerMargin, priority: 1}
+		end: q.SentAtMS + q.BudgetMS - answerMargin, priority: 1}
 	if c.closeAt > 0 {
 		r.end = min(r.end, c.closeAt)
 	}
@@ -260,9 +260,9 @@
 	c.guard(r)
 	begin := func() {
 		r.fresh, c.fresh = true, append(c.fresh, r)
-		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, TableGroup: q.Group,
+		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, TableGroup: q.TableGroup,
 			Estimate: clock.Duration(q.EstimateMS), NeedMB: q.NeedMB, TimeLeft: clock.Duration(max(r.end-c.loop.Now(), 0)),
-			Resent: q.Again})
+			Resent: q.Retry})
 	}
 	if class.Semantics == dispatch.AtMostOnce {
 		c.claim(r, begin)
@@ -286,7 +286,7 @@
 	c.Counters.Abandoned++
 	c.finish(r)
 	c.events = append(c.events, dispatch.ClientGone{Request: r.key})
-	c.watched(r, Answer{Kind: AnswerLeft})
+	c.watched(r, Answer{Kind: AnswerClientGone})
 }
 
 // finish closes a request. Its attempts that have begun go on being reported to the module; those that have not are taken
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -101,7 +101,7 @@
 			t.Errorf("%s: %d open, %d kept", k.name, b.core.Open(), len(b.core.requests))
 		}
 		c := b.core.Counters
-		if c.Taken != c.Served+c.Refused+c.Failed+c.Abandoned || c.Overdue != 0 {
+		if c.Taken != c.Served+c.Rejected+c.Failed+c.Abandoned || c.Overdue != 0 {
 			t.Errorf("%s: counters %+v", k.name, c)
 		}
 	}
@@ -127,7 +127,7 @@
 	b := newBed(t)
 	b.list(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 	b.ask("lookup", 1000, 0)
-	if len(b.engines.calls) != 1 || b.engines.calls[0].Engine.Addr != "10.0.0.2:1" || len(b.engines.gone) != 1 {
+	if len(b.engines.calls) != 1 || b.engines.calls[0].Engine.Address != "10.0.0.2:1" || len(b.engines.gone) != 1 {
 		t.Errorf("calls %+v, forgotten %v", b.engines.calls, b.engines.gone)
 	}
 	for _, state := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
@@ -141,7 +141,7 @@
 		t.Errorf("forgotten %v", b.engines.gone)
 	}
 	b.list(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
-	b.loop.Post(func() { b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
+	b.loop.Post(func() { b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	b.run()
 	if len(b.engines.gone) != 3 {
 		t.Errorf("an engine that a whole list leaves out: forgotten %v", b.engines.gone)
@@ -158,12 +158,12 @@
 		alone.run()
 	}
 	alone.wait(500)
-	if len(alone.engines.cancelled) != 1 || alone.core.Counters.Ends[dispatch.Cancelled] != 0 || len(alone.engines.calls) != 1 || !alone.engines.calls[0].Alone {
+	if len(alone.engines.cancelled) != 1 || alone.core.Counters.Ends[dispatch.Cancelled] != 0 || len(alone.engines.calls) != 1 || !alone.engines.calls[0].Exclusive {
 		t.Errorf("told %v, ends %v, %d calls", alone.engines.cancelled, alone.core.Counters.Ends, len(alone.engines.calls))
 	}
 	load, _ := alone.ask("load", 3000, 0)
 	alone.end(1, End{Outcome: dispatch.ConnectionReset})
-	if alone.engines.calls[1].Alone || len(load.answers) != 1 {
+	if alone.engines.calls[1].Exclusive || len(load.answers) != 1 {
 		t.Errorf("a load that may have run waits for its engine: %+v, answers %v", alone.engines.calls[1], load.answers)
 	}
 	alone.end(0, End{Outcome: dispatch.Cancelled})
@@ -189,8 +189,8 @@
 	b := newBed(t)
 	submit := func(id, class, tenant string) (err error) {
 		b.loop.Post(func() {
-			_, err = b.core.Submit(&Request{ID: id, Class: class, Tenant: tenant, Statement: "S", Sent: b.now.MS,
-				Budget: 3000}, &asker{})
+			_, err = b.core.Submit(&Request{ID: id, Class: class, Tenant: tenant, Statement: "S", SentAtMS: b.now.MS,
+				BudgetMS: 3000}, &asker{})
 		})
 		b.run()
 		return err
@@ -241,7 +241,7 @@
 	for i := range 50 {
 		b.loop.Post(func() {
 			id := dispatch.EngineID(100 + i)
-			b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{
+			b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{
 				{ID: id, Kind: "k", CapacityWeight: 1}, {ID: id - 1, Kind: "k", State: dispatch.Removed}}},
 				map[dispatch.EngineID]string{id: "10.0.0.9:1"})
 		})
@@ -250,7 +250,7 @@
 	if len(b.core.engines) != 2 {
 		t.Errorf("%d engines are kept: %v", len(b.core.engines), b.core.engines)
 	}
-	b.loop.Post(func() { b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
+	b.loop.Post(func() { b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	b.run()
 	if len(b.core.engines) != 0 {
 		t.Errorf("after an empty whole list: %v", b.core.engines)
@@ -299,13 +299,13 @@
 	if diff := cmp.Diff(map[string]*ClassCounters{"lookup": {}, "load": {}}, b.core.ByClass); diff != "" {
 		t.Error("before anything has left:", diff)
 	}
-	b.engines.calls[0].Wrote()
+	b.engines.calls[0].OnSent()
 	b.end(0, End{Outcome: dispatch.Served, Result: &Result{}})
 	b.ask("lookup", 10, 20)
 	b.ask("load", 3000, 0)
-	b.engines.calls[1].Wrote()
+	b.engines.calls[1].OnSent()
 	b.end(1, End{Outcome: dispatch.ConnectionReset})
-	want := map[string]*ClassCounters{"lookup": {Served: 1, Refused: 1, Forwards: 1}, "load": {Failed: 1, Forwards: 1}}
+	want := map[string]*ClassCounters{"lookup": {Served: 1, Rejected: 1, Forwards: 1}, "load": {Failed: 1, Forwards: 1}}
 	if diff := cmp.Diff(want, b.core.ByClass); diff != "" {
 		t.Error(diff)
 	}
@@ -318,19 +318,19 @@
 	b.ask("lookup", 3000, 0)
 	told := map[string]bool{}
 	b.loop.Post(func() {
-		told["unknown"], told["known"] = b.core.Exclude(8), b.core.Exclude(7)
-		told["again"] = b.core.Exclude(7)
+		told["unknown"], told["known"] = b.core.Cordon(8), b.core.Cordon(7)
+		told["again"] = b.core.Cordon(7)
 	})
 	b.run()
 	if diff := cmp.Diff(map[string]bool{"unknown": false, "known": true, "again": true}, told); diff != "" {
 		t.Error(diff)
 	}
 	b.ask("lookup", 3000, 0)
-	if len(b.engines.calls) != 1 || len(b.engines.withheld) == 0 || b.core.Avoided() != 1 || b.core.Listed() != 1 {
+	if len(b.engines.calls) != 1 || len(b.engines.withheld) == 0 || b.core.AvoidedEngines() != 1 || b.core.ListedEngines() != 1 {
 		t.Errorf("%d calls, withheld %v, avoided %d of %d", len(b.engines.calls), b.engines.withheld,
-			b.core.Avoided(), b.core.Listed())
+			b.core.AvoidedEngines(), b.core.ListedEngines())
 	}
-	b.loop.Post(func() { told["back"], told["unknown back"] = b.core.Include(7), b.core.Include(8) })
+	b.loop.Post(func() { told["back"], told["unknown back"] = b.core.Uncordon(7), b.core.Uncordon(8) })
 	b.run()
 	if !told["back"] || told["unknown back"] || len(b.engines.calls) != 2 {
 		t.Errorf("after the word back: %v, %d calls", told, len(b.engines.calls))
@@ -341,7 +341,7 @@
 func TestClosingAnswersBeforeTheEnd(t *testing.T) {
 	b := newBed(t)
 	a, _ := b.ask("load", 20_000, 0)
-	b.loop.Post(func() { b.core.Closing(b.now.MS + 500) })
+	b.loop.Post(func() { b.core.SetShutdownDeadline(b.now.MS + 500) })
 	c, _ := b.ask("lookup", 20_000, 0)
 	b.wait(520)
 	if len(a.answers) != 1 || len(c.answers) != 1 || b.core.Open() != 0 || b.core.Counters.Overdue != 0 {
@@ -352,19 +352,19 @@
 // Two processes of one router know each other's ids: what is open, or may have run, in one is not taken in the other.
 func TestIDsOfTheOtherProcess(t *testing.T) {
 	one, two := newBed(t), newBed(t)
-	pass := func(n IDChange) { two.loop.Post(func() { two.core.Elsewhere(n) }) }
+	pass := func(n IDChange) { two.loop.Post(func() { two.core.OtherProcessChanged(n) }) }
 	one.ask("load", 20_000, 0) // id 1
 	one.loop.Post(func() {
 		s := one.core.State()
-		one.core.Ids = pass
-		two.loop.Post(func() { two.core.TakeOver(s) })
+		one.core.OnIDChange = pass
+		two.loop.Post(func() { two.core.RestoreState(s) })
 	})
 	one.run()
 	one.ask("lookup", 20_000, 0) // id 2
 	refused := func(id int) (no bool) {
 		two.loop.Post(func() {
 			_, err := two.core.Submit(&Request{ID: fmt.Sprintf("%016x", id), Class: "lookup", Statement: "S",
-				Sent: two.now.MS, Budget: 3000}, &asker{})
+				SentAtMS: two.now.MS, BudgetMS: 3000}, &asker{})
 			no = err == ErrInUse
 		})
 		two.run()
@@ -378,7 +378,7 @@
 	if refused(2) || !refused(1) {
 		t.Error("an id that is free again was not taken, or that of a load that may have run was")
 	}
-	two.loop.Post(two.core.Alone)
+	two.loop.Post(two.core.OtherProcessEnded)
 	if !refused(1) {
 		t.Error("a load that may have run was forgotten with the other process")
 	}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -65,15 +65,15 @@
 		b := newBed(t)
 		b.ask("lookup", 3000, 0)
 		b.loop.Post(func() {
-			_, _ = b.core.Submit(&Request{ID: "f", Class: "lookup", Statement: "S", Sent: b.now.MS, Budget: 3000}, &asker{})
-			b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: k.state}}},
+			_, _ = b.core.Submit(&Request{ID: "f", Class: "lookup", Statement: "S", SentAtMS: b.now.MS, BudgetMS: 3000}, &asker{})
+			b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: k.state}}},
 				map[dispatch.EngineID]string{7: k.addr})
 		})
 		b.run()
-		if diff := cmp.Diff([]Engine{{ID: 7, Addr: "10.0.0.1:1", Kind: "k"}}, b.engines.withheld); diff != "" {
+		if diff := cmp.Diff([]Engine{{ID: 7, Address: "10.0.0.1:1", Kind: "k"}}, b.engines.withheld); diff != "" {
 			t.Errorf("%s: withheld: %s", k.name, diff)
 		}
-		if n := len(b.engines.calls); k.state != dispatch.Live && n != 1 || k.state == dispatch.Live && b.engines.calls[n-1].Engine.Addr != k.addr {
+		if n := len(b.engines.calls); k.state != dispatch.Live && n != 1 || k.state == dispatch.Live && b.engines.calls[n-1].Engine.Address != k.addr {
 			t.Errorf("%s: sent by an old view: %+v", k.name, b.engines.calls)
 		}
 	}
@@ -90,10 +90,10 @@
 	b.engines.unbegun = map[string]bool{fmt.Sprintf("%016x", b.ids): true}
 	b.wait(100)
 	b.end(0, End{Outcome: dispatch.ConnectionReset})
-	if n := len(b.engines.calls); n != 2 || b.engines.calls[0].Latest != 0 {
-		t.Fatalf("%d calls, the first to begin by %v", n, b.engines.calls[0].Latest)
+	if n := len(b.engines.calls); n != 2 || b.engines.calls[0].LatestStartMS != 0 {
+		t.Fatalf("%d calls, the first to begin by %v", n, b.engines.calls[0].LatestStartMS)
 	}
-	if left := b.engines.calls[1].Latest - b.now.MS; left <= 0 || left > 200 {
+	if left := b.engines.calls[1].LatestStartMS - b.now.MS; left <= 0 || left > 200 {
 		t.Errorf("the second may begin within %v ms", left)
 	}
 	b.wait(250)
@@ -110,7 +110,7 @@
 		a, _ := b.ask("lookup", 3000, 0) // waits for an engine
 		b.loop.Post(func() {
 			for _, state := range []dispatch.EndpointState{dispatch.Live, second} {
-				b.core.Engines(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
+				b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
 					map[dispatch.EngineID]string{7: "10.0.0.1:1"})
 			}
 		})
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -7,19 +7,19 @@
 	"windflow/internal/clock"
 )
 
-// Engines tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
+// UpdateEndpoints tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
 // has heard of it: an event gathered ahead of this list may still have it send to one.
-func (c *Core) Engines(list dispatch.EndpointList, addrs map[dispatch.EngineID]string) {
+func (c *Core) UpdateEndpoints(list dispatch.EndpointList, addrs map[dispatch.EngineID]string) {
 	c.Counters.Lists++
-	if c.Watch != nil {
-		c.Watch.Listed()
+	if c.Observer != nil {
+		c.Observer.EndpointsChanged()
 	}
 	if list.Mode == dispatch.ListComplete {
 		// An engine that a whole list leaves out is gone; its address may pass to another.
 		for id, e := range c.engines {
 			if !slices.ContainsFunc(list.Endpoints, func(n dispatch.Endpoint) bool { return n.ID == id }) {
 				c.client.Forget(e)
-				c.client.Withhold(e)
+				c.client.CancelUnstarted(e)
 				c.leaving[id] = true
 				c.gone = append(c.gone, id)
 			}
@@ -31,7 +31,7 @@
 		if delete(c.leaving, e.ID); e.State != dispatch.Live && (known || e.State == dispatch.Draining) {
 			c.leaving[e.ID] = true
 		}
-		moved := known && old.Addr != addrs[e.ID]
+		moved := known && old.Address != addrs[e.ID]
 		switch {
 		case e.State == dispatch.Removed:
 			if known {
@@ -42,23 +42,23 @@
 			if moved {
 				c.client.Forget(old)
 			}
-			c.engines[e.ID] = Engine{ID: e.ID, Addr: addrs[e.ID], Kind: e.Kind}
+			c.engines[e.ID] = Engine{ID: e.ID, Address: addrs[e.ID], Kind: e.Kind}
 			c.gone = slices.DeleteFunc(c.gone, func(id dispatch.EngineID) bool { return id == e.ID })
 		}
 		if known && (moved || e.State != dispatch.Live) {
 			// The module chose it when it was live, and there. What has not begun may begin much later, when the time for
 			// that is over, or another engine has the address.
-			c.client.Withhold(old)
+			c.client.CancelUnstarted(old)
 		}
 	}
 }
 
-// Exclude keeps new work from an engine, by an operator's word, until Include; once it returns, nothing more is begun
+// Cordon keeps new work from an engine, by an operator's word, until Include; once it returns, nothing more is begun
 // there. Both say no to an engine that no list has named.
-func (c *Core) Exclude(id dispatch.EngineID) bool { return c.order(id, dispatch.Cordon{Engine: id}) }
+func (c *Core) Cordon(id dispatch.EngineID) bool { return c.order(id, dispatch.Cordon{Engine: id}) }
 
-// Include ends an Exclude.
-func (c *Core) Include(id dispatch.EngineID) bool { return c.order(id, dispatch.Uncordon{Engine: id}) }
+// Uncordon ends an Exclude.
+func (c *Core) Uncordon(id dispatch.EngineID) bool { return c.order(id, dispatch.Uncordon{Engine: id}) }
 
 func (c *Core) order(id dispatch.EngineID, word dispatch.Event) bool {
 	if !c.Knows(id) {
@@ -67,22 +67,22 @@
 	c.words = append(c.words, word)
 	c.settle()
 	if e, ok := c.engines[id]; ok && c.module.Cordoned(id) {
-		c.client.Withhold(e)
+		c.client.CancelUnstarted(e)
 	}
 	return true
 }
 
-// Listed is the number of engines in the list, and Avoided that of those among them which get no work now, by an
+// ListedEngines is the number of engines in the list, and Avoided that of those among them which get no work now, by an
 // operator's word or by the module's choice.
-func (c *Core) Listed() int { return len(c.engines) }
+func (c *Core) ListedEngines() int { return len(c.engines) }
 
-// Avoided: see Listed.
-func (c *Core) Avoided() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
+// AvoidedEngines: see Listed.
+func (c *Core) AvoidedEngines() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
 
-// Hear has the core gather events and hand none to the module, until it is called with false: then what it heard of
+// HoldDecisions has the core gather events and hand none to the module, until it is called with false: then what it heard of
 // engines goes first. It is for a process that stood still, and guards against queries that waited with it being sent by
 // an old view of the fleet.
-func (c *Core) Hear(on bool) {
+func (c *Core) HoldDecisions(on bool) {
 	c.hearing = on
 	if on {
 		return
@@ -90,7 +90,7 @@
 	c.settle()
 	for id, e := range c.engines {
 		if c.module.Cordoned(id) {
-			c.client.Withhold(e)
+			c.client.CancelUnstarted(e)
 		}
 	}
 }
--- a/internal/router/mux.go
+++ b/internal/router/mux.go
@@ -21,5 +21,5 @@
 // Forget implements EngineClient.
 func (m *ByKind) Forget(e Engine) { m.client(e).Forget(e) }
 
-// Withhold implements EngineClient.
-func (m *ByKind) Withhold(e Engine) { m.client(e).Withhold(e) }
+// CancelUnstarted implements EngineClient.
+func (m *ByKind) CancelUnstarted(e Engine) { m.client(e).CancelUnstarted(e) }
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -16,17 +16,17 @@
 	for _, k := range []struct {
 		name      string
 		change    func(*dispatch.Config)
-		tell      News
+		tell      AttemptProgress
 		gap       float64 // between two answers, in milliseconds
 		cancelled int
 		told      int // events for the module, at most
 	}{
-		{"a silent engine", notes, News{}, 1e9, 1, 0},
-		{"under way", notes, News{}, 250, 0, 9},
-		{"under way with a report that stays the same", notes, News{Load: &load}, 100, 0, 9 + 17},
-		{"a share", notes, News{Note: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
-		{"no notes in the settings", func(*dispatch.Config) {}, News{Note: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 0},
-		{"an end", notes, News{Over: true}, 250, 1, 0},
+		{"a silent engine", notes, AttemptProgress{}, 1e9, 1, 0},
+		{"under way", notes, AttemptProgress{}, 250, 0, 9},
+		{"under way with a report that stays the same", notes, AttemptProgress{Report: &load}, 100, 0, 9 + 17},
+		{"a share", notes, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
+		{"no notes in the settings", func(*dispatch.Config) {}, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 0},
+		{"an end", notes, AttemptProgress{Final: true}, 250, 1, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			b := newBed(t, k.change)
@@ -42,7 +42,7 @@
 				b.wait(k.gap)
 				b.loop.Post(func() {
 					before := len(b.core.events)
-					call.Heard(k.tell)
+					call.OnProgress(k.tell)
 					told += len(b.core.events) - before
 				})
 				b.run()
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -15,12 +15,12 @@
 	Class      string  `json:"Class"`
 	Tenant     string  `json:"Tenant"`
 	Statement  string  `json:"Statement"` // without the fields
-	Group      int64   `json:"Group"`     // group of tables, as dispatch.GroupOf numbers it; 0 if there is none
-	Sent       float64 `json:"Sent"`
-	Budget     float64 `json:"Budget"`     // milliseconds from Sent that the client waits
+	TableGroup int64   `json:"Group"`     // group of tables, as dispatch.GroupOf numbers it; 0 if there is none
+	SentAtMS   float64 `json:"Sent"`
+	BudgetMS   float64 `json:"Budget"`     // milliseconds from Sent that the client waits
 	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
 	NeedMB     float64 `json:"NeedMB"`     // 0 if unknown
-	Again      bool    `json:"Again"`
+	Retry      bool    `json:"Again"`
 	Update     bool    `json:"Update"` // the client asked for an update, not for rows
 }
 
@@ -42,7 +42,7 @@
 // where it is absent. Its error names the field; such a request must never reach an engine.
 func NewRequest(field func(string) string, statement string, sent float64) (*Request, error) {
 	r := &Request{Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
-		Statement: statement, Sent: sent}
+		Statement: statement, SentAtMS: sent}
 	if r.Class == "" {
 		return nil, fmt.Errorf("field %s is missing", FieldClass)
 	}
@@ -54,7 +54,7 @@
 		into     *float64
 		required bool
 		most     float64
-	}{{FieldBudget, &r.Budget, true, maxBudget}, {FieldEstimate, &r.EstimateMS, false, 1e9},
+	}{{FieldBudget, &r.BudgetMS, true, maxBudget}, {FieldEstimate, &r.EstimateMS, false, 1e9},
 		{FieldNeed, &r.NeedMB, false, 1e9}} {
 		text := field(n.name)
 		if text == "" && !n.required {
@@ -69,7 +69,7 @@
 	switch again := field(FieldAgain); again {
 	case "", "0":
 	case "1":
-		r.Again = true
+		r.Retry = true
 	default:
 		return nil, fmt.Errorf("field %s: %q is neither 1 nor absent", FieldAgain, clip(again))
 	}
@@ -80,7 +80,7 @@
 		return nil, errors.New("several statements; a query is one")
 	}
 	if n, ok := tableGroup(statement); ok {
-		r.Group = dispatch.TableGroupOf(n)
+		r.TableGroup = dispatch.TableGroupOf(n)
 	}
 	return r, nil
 }
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -65,8 +65,8 @@
 	good := map[string]string{"method": "lookup", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "a",
 		"est": "820.0", "mem": "96", "again": "1"}
 	r, err := NewRequest(func(n string) string { return good[n] }, "SELECT 1 FROM s_3.t", 5)
-	want := &Request{ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t", Group: dispatch.TableGroupOf(3),
-		Sent: 5, Budget: 1500, EstimateMS: 820, NeedMB: 96, Again: true}
+	want := &Request{ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t", TableGroup: dispatch.TableGroupOf(3),
+		SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true}
 	if diff := cmp.Diff(want, r); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -5,14 +5,14 @@
 	"windflow/internal/clock"
 )
 
-// Watcher hears of requests and attempts, in the loop. It must not block, and what it is handed is not its own.
-type Watcher interface {
-	Arrived(*Request)
-	Answered(*Request, Answer)
-	Sent(dispatch.EngineID)
+// Observer hears of requests and attempts, in the loop. It must not block, and what it is handed is not its own.
+type Observer interface {
+	RequestArrived(*Request)
+	RequestAnswered(*Request, Answer)
+	AttemptStarted(dispatch.EngineID)
 	// Listed hears that the list of engines has changed; the module is told at the end of the step.
-	Listed()
-	Ended(engine dispatch.EngineID, outcome dispatch.Outcome, tookMS float64)
+	EndpointsChanged()
+	AttemptEnded(engine dispatch.EngineID, outcome dispatch.Outcome, tookMS float64)
 }
 
 // AnswerKind is how a request ended.
@@ -21,29 +21,29 @@
 // Ends of requests.
 const (
 	AnswerServed AnswerKind = iota
-	AnswerRefused
+	AnswerRejected
 	AnswerFailed
-	AnswerLeft // the client went; none was owed
+	AnswerClientGone // the client went; none was owed
 )
 
 // Answer is a request's end.
 type Answer struct {
-	Kind   AnswerKind
-	TookMS float64           // since the client sent the request
-	AimMS  float64           // the class's aim for it; of served ones
-	Reason string            // of refusals and failures
-	Engine dispatch.EngineID // of the last attempt; 0 for none
+	Kind        AnswerKind
+	TookMS      float64           // since the client sent the request
+	ObjectiveMS float64           // the class's aim for it; of served ones
+	Reason      string            // of refusals and failures
+	Engine      dispatch.EngineID // of the last attempt; 0 for none
 }
 
 func (c *Core) watched(r *request, a Answer) {
-	if c.Watch == nil {
+	if c.Observer == nil {
 		return
 	}
-	a.TookMS = c.loop.Now() - r.Sent
+	a.TookMS = c.loop.Now() - r.SentAtMS
 	if n := len(r.attempts); a.Engine == 0 && n > 0 {
 		a.Engine = r.attempts[n-1].engine
 	}
-	c.Watch.Answered(r.Request, a)
+	c.Observer.RequestAnswered(r.Request, a)
 }
 
 // aim is when an answer is in time, by the work that the engine told, else by the client's estimate.
@@ -88,5 +88,5 @@
 	return "no room in time"
 }
 
-// See fills a view of the fleet as the module has it.
-func (c *Core) See(v *dispatch.View) { c.module.FillView(clock.Duration(c.loop.Now()), v) }
+// FillView fills a view of the fleet as the module has it.
+func (c *Core) FillView(v *dispatch.View) { c.module.FillView(clock.Duration(c.loop.Now()), v) }
