--- a/cmd/drill/wire.go
+++ b/cmd/drill/wire.go
@@ -57,7 +57,7 @@
 	if e.Executor == nil {
 		return dispatch.Endpoint{}, errors.New("executor is missing")
 	}
-	state, err := settings.Word("condition", e.Condition, states)
+	state, err := settings.Enum("condition", e.Condition, states)
 	return dispatch.Endpoint{ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
 		CapacityWeight: e.Units, State: state, StartedAt: time.Duration(e.Born)}, err
 }
@@ -116,7 +116,7 @@
 	}
 	switch name {
 	case "ENDPOINTS":
-		mode, err := settings.Word("field mode", m.Mode, modes)
+		mode, err := settings.Enum("field mode", m.Mode, modes)
 		if err != nil {
 			return nil, err
 		}
@@ -146,7 +146,7 @@
 		if err != nil {
 			return nil, err
 		}
-		outcome, err := settings.Word("field disposition", m.Disposition, outcomes)
+		outcome, err := settings.Enum("field disposition", m.Disposition, outcomes)
 		return dispatch.AttemptEnd{Request: id, Attempt: m.Hop, Outcome: outcome,
 			Took: time.Duration(m.DelaySeen), Last: m.Last, Report: m.load(),
 			Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB}, err
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -14,7 +14,7 @@
 	return []record.Record{
 		&record.Header{Version: 1, Router: "n0", Place: 2, Process: "p-3", Program: "windflow v4", Segment: 5, ClockMS: 6.5,
 			WallMS: 7.5, Classes: []record.Class{{Name: "lookup", Worth: 8.5, LateWorth: 0.25, AimMS: 9.5}}},
-		&record.Engine{At: 11.5, ID: "s-00000001", State: record.Out, Was: record.Slow, Slow: 12.5, Fail: 0.5, Lost: 13,
+		&record.Engine{At: 11.5, ID: "s-00000001", State: record.Cordoned, Was: record.Slow, Slow: 12.5, Fail: 0.5, Lost: 13,
 			WarmAt: 14.5, Zone: "a", Kind: "arrow", Event: 15},
 		&record.Second{At: 21.5, ForMS: 1000.5, Rows: []record.Row{sampleRow()}, Engines: []record.EngineRow{sampleEngineRow()},
 			Open: 22, Held: 23, Jam: 0.75, Conns: 24, Session: 25, Turned: 26, Spoilt: 27, Event: 28, BoardMS: 29.5},
--- a/cmd/windflowctl/incident.go
+++ b/cmd/windflowctl/incident.go
@@ -30,7 +30,7 @@
 				return err
 			}
 			complain(c, read)
-			tell(c.OutOrStdout(), j.Tell())
+			tell(c.OutOrStdout(), j.Timeline())
 			return nil
 		},
 	}
@@ -46,7 +46,7 @@
 	}, name)
 }
 
-func tell(w io.Writer, s *incident.Story) {
+func tell(w io.Writer, s *incident.Timeline) {
 	fmt.Fprintf(w, "%s to %s, %.0f s\n\nProcesses\n", stamp(s.From), stamp(s.To), (s.To-s.From)/1000)
 	for _, p := range s.Processes {
 		how := fmt.Sprintf("clock off by %+.1f ms, within %.0f ms, by %d marks", p.Clock.OffsetMS, p.Clock.Within, p.Clock.Marks)
@@ -82,7 +82,7 @@
 		for _, e := range s.Engines {
 			var spans []string
 			for _, span := range e.Spans {
-				if span.State == record.Warm || span.To < in.From || span.From > in.To {
+				if span.State == record.Normal || span.To < in.From || span.From > in.To {
 					continue
 				}
 				text := fmt.Sprintf("%s at %s from %+.1f s to %+.1f s", span.State, plain(span.Router), (span.From-in.From)/1000,
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -24,17 +24,17 @@
 		w := record.Start(cfg, record.Header{Router: "n" + string(rune('0'+i)) + "\x1b[31m", Place: 2, Process: "p" + string(rune('0'+i)),
 			Classes: []record.Class{{Name: "lookup", Worth: 1}}}, func() float64 { return at }, func(err error) { t.Error(err) })
 		on := func(ms float64) float64 { return zero + ms + offset }
-		w.Put(&record.Engine{At: on(0), ID: "s-00000001", State: record.Warm})
+		w.Put(&record.Engine{At: on(0), ID: "s-00000001", State: record.Normal})
 		for s := range 120 {
 			row := record.Row{Class: "lookup", Tenant: "rckik-south", Arrived: 50, InAim: 50}
 			if s >= 60 && s < 70 {
 				row.InAim, row.Failed = 20, 30
 			}
 			if s == 60 {
-				w.Put(&record.Engine{At: on(60_000), ID: "s-00000001", State: record.Down, Was: record.Warm, Lost: 6})
+				w.Put(&record.Engine{At: on(60_000), ID: "s-00000001", State: record.Down, Was: record.Normal, Lost: 6})
 			}
 			if s == 70 {
-				w.Put(&record.Engine{At: on(70_000), ID: "s-00000001", State: record.Warm, Was: record.Down})
+				w.Put(&record.Engine{At: on(70_000), ID: "s-00000001", State: record.Normal, Was: record.Down})
 			}
 			if s%20 == 5 {
 				w.Put(&record.Engine{At: on(float64(1000 * s)), ID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone})
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -13,16 +13,16 @@
 	"windflow/internal/router"
 )
 
-// Operators is what the door opens to; all of it is called in the loop.
-type Operators interface {
+// Backend is what the door opens to; all of it is called in the loop.
+type Backend interface {
 	// Ready is nil while the router serves; else its text says why not.
 	Ready() error
 	// Telemetry gives the figures, a line each.
 	Telemetry() string
 	// Exclude and Include answer with no to an id that no list of engines has named. The answer comes once the ban is
 	// in force, or ended, in all processes that stand for the router.
-	Exclude(id string, answer func(bool))
-	Include(id string, answer func(bool))
+	Cordon(id string, answer func(bool))
+	Uncordon(id string, answer func(bool))
 }
 
 const (
@@ -43,10 +43,10 @@
 	Evicted   int64 `status:"evicted"`
 }
 
-// Door answers operators.
-type Door struct {
+// Server answers operators.
+type Server struct {
 	loop     *router.Loop
-	ops      Operators
+	ops      Backend
 	log      *slog.Logger
 	listener *netio.Listener
 	callers  map[*caller]bool
@@ -54,34 +54,34 @@
 	Counters Counters
 }
 
-// Open opens a door on a listener, which it takes over.
-func Open(loop *router.Loop, n *netio.Net, lis net.Listener, ops Operators, log *slog.Logger) *Door {
+// NewServer opens a door on a listener, which it takes over.
+func NewServer(loop *router.Loop, n *netio.Net, lis net.Listener, ops Backend, log *slog.Logger) *Server {
 	d := newDoor(loop, ops, log)
 	d.listener = n.Serve(lis, d.accept)
 	return d
 }
 
-func newDoor(loop *router.Loop, ops Operators, log *slog.Logger) *Door {
-	return &Door{loop: loop, ops: ops, log: log, callers: map[*caller]bool{}}
+func newDoor(loop *router.Loop, ops Backend, log *slog.Logger) *Server {
+	return &Server{loop: loop, ops: ops, log: log, callers: map[*caller]bool{}}
 }
 
 // Addr is where the door listens.
-func (d *Door) Addr() string { return d.listener.Addr() }
+func (d *Server) Addr() string { return d.listener.Addr() }
 
 // Reopen opens a door that was closed.
-func (d *Door) Reopen(lis net.Listener) { d.listener = d.listener.Again(lis) }
+func (d *Server) Reopen(lis net.Listener) { d.listener = d.listener.Resume(lis) }
 
 // File gives a copy of the listener's descriptor.
-func (d *Door) File() (*os.File, error) { return d.listener.File() }
+func (d *Server) File() (*os.File, error) { return d.listener.File() }
 
 // Close closes the door to new callers; those that are inside are answered.
-func (d *Door) Close() { d.listener.Close() }
+func (d *Server) Close() { d.listener.Close() }
 
-func (d *Door) accept() netio.Handler { return &caller{door: d} }
+func (d *Server) accept() netio.Handler { return &caller{door: d} }
 
 // caller is one connection.
 type caller struct {
-	door   *Door
+	door   *Server
 	conn   netio.Conn
 	buf    []byte
 	seq    int64 // callers are numbered as they come
@@ -108,7 +108,7 @@
 }
 
 // evict closes the caller that has sent the least, the oldest of those.
-func (d *Door) evict() bool {
+func (d *Server) evict() bool {
 	var least *caller
 	for c := range d.callers {
 		if c.called {
@@ -190,8 +190,8 @@
 }
 
 // carryOut does what a call asks. With 405 the text is the method that is allowed.
-func (d *Door) carryOut(k *call, answer func(code int, text string)) {
-	for prefix, order := range map[string]func(string, func(bool)){"/api/exclude/": d.ops.Exclude, "/api/include/": d.ops.Include} {
+func (d *Server) carryOut(k *call, answer func(code int, text string)) {
+	for prefix, order := range map[string]func(string, func(bool)){"/api/exclude/": d.ops.Cordon, "/api/include/": d.ops.Uncordon} {
 		id, ok := strings.CutPrefix(k.path, prefix)
 		switch {
 		case !ok:
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -29,8 +29,8 @@
 	}
 	answer(id == "s-00c41f7a")
 }
-func (d *desk) Exclude(id string, answer func(bool)) { d.order("exclude", id, answer) }
-func (d *desk) Include(id string, answer func(bool)) { d.order("include", id, answer) }
+func (d *desk) Cordon(id string, answer func(bool))   { d.order("exclude", id, answer) }
+func (d *desk) Uncordon(id string, answer func(bool)) { d.order("include", id, answer) }
 
 // wire is a stand-in for a connection.
 type wire struct {
--- a/internal/configclient/follow.go
+++ b/internal/configclient/follow.go
@@ -38,16 +38,16 @@
 	stopWithin = 200 * time.Millisecond
 )
 
-// ErrLater says that the router has a later revision in force than the one that was to be: its other process gave it.
-var ErrLater = errors.New("a later revision is in force")
+// ErrSuperseded says that the router has a later revision in force than the one that was to be: its other process gave it.
+var ErrSuperseded = errors.New("a later revision is in force")
 
-// ErrEnding says that the router ends: nothing is said of the revision then.
-var ErrEnding = errors.New("the router ends")
+// ErrShuttingDown says that the router ends: nothing is said of the revision then.
+var ErrShuttingDown = errors.New("the router ends")
 
-// Refusal is why a revision can't be in force, with the JSON pointer of the entry at fault, empty where it is none of them.
-type Refusal struct{ Pointer, Reason string }
+// Rejection is why a revision can't be in force, with the JSON pointer of the entry at fault, empty where it is none of them.
+type Rejection struct{ Pointer, Reason string }
 
-func (r *Refusal) Error() string {
+func (r *Rejection) Error() string {
 	if r.Pointer == "" {
 		return r.Reason
 	}
@@ -68,9 +68,9 @@
 type Counters struct {
 	Polls      atomic.Int64 `status:"polls"`
 	Changes    atomic.Int64 `status:"changes"`
-	Refused    atomic.Int64 `status:"refused"`
+	Rejected   atomic.Int64 `status:"refused"`
 	Lost       atomic.Int64 `status:"lost"`
-	Unfit      atomic.Int64 `status:"unfit"`
+	Unusable   atomic.Int64 `status:"unfit"`
 	DiskFailed atomic.Int64 `status:"disk_failed"`
 	SetAside   atomic.Int64 `status:"set_aside"`
 
@@ -129,8 +129,8 @@
 	c.interrupt()
 }
 
-// Give tells of a revision that is in force here already: the other process of this router had it.
-func (c *Client) Give(s Revision) {
+// SetInForce tells of a revision that is in force here already: the other process of this router had it.
+func (c *Client) SetInForce(s Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.given = &s
@@ -280,7 +280,7 @@
 			c.spend(ctx)
 			return
 		}
-		c.Counters.Unfit.Add(1)
+		c.Counters.Unusable.Add(1)
 	}
 	c.Counters.Lost.Add(1)
 	wait := c.state.CallFailed(c.now(), rand.Float64())
@@ -332,19 +332,19 @@
 		c.disk.save(c.state.Saved())
 		return
 	}
-	if errors.Is(err, ErrEnding) {
+	if errors.Is(err, ErrShuttingDown) {
 		c.stop()
 		return
 	}
-	var r *Refusal
+	var r *Rejection
 	if !errors.As(err, &r) {
-		r = &Refusal{Reason: err.Error()}
+		r = &Rejection{Reason: err.Error()}
 	}
 	c.state.Reject(r.Pointer, r.Reason)
-	if errors.Is(err, ErrLater) {
+	if errors.Is(err, ErrSuperseded) {
 		return
 	}
-	c.Counters.Refused.Add(1)
+	c.Counters.Rejected.Add(1)
 	c.Counters.Barred.Store(int64(s.Revision))
 	c.log.Error("configuration refused; the one before stays in force", "revision", s.Revision, "pointer", r.Pointer, "err", r.Reason,
 		"in_force", c.state.Status().Revision)
--- a/internal/configclient/follow_test.go
+++ b/internal/configclient/follow_test.go
@@ -22,12 +22,12 @@
 type router struct {
 	mu     sync.Mutex
 	put    []Revision
-	refuse map[uint64]*Refusal
+	refuse map[uint64]*Rejection
 	came   chan uint64
 }
 
 func newRouter() *router {
-	return &router{refuse: map[uint64]*Refusal{}, came: make(chan uint64, 4096)}
+	return &router{refuse: map[uint64]*Rejection{}, came: make(chan uint64, 4096)}
 }
 
 func (r *router) apply(rev Revision) error {
@@ -37,7 +37,7 @@
 		return bad
 	}
 	if n := len(r.put); n > 0 && r.put[n-1].Revision > rev.Revision {
-		return ErrLater
+		return ErrSuperseded
 	}
 	r.put = append(r.put, rev)
 	r.came <- rev.Revision
@@ -88,7 +88,7 @@
 	if r.latest().Revision != first {
 		t.Fatalf("at the start revision %d is in force", r.latest().Revision)
 	}
-	r.refuse[first+1] = &Refusal{Pointer: "/settings/over-share-worth", Reason: "too much"}
+	r.refuse[first+1] = &Rejection{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
 	said := k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
@@ -112,7 +112,7 @@
 // What was refused is offered again when the router's own file is another one.
 func TestRetry(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	r.refuse[1] = &Refusal{Reason: "not yet"}
+	r.refuse[1] = &Rejection{Reason: "not yet"}
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
@@ -237,9 +237,9 @@
 	c.Start(r.apply)
 	k.UntilAt(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
-	c.Give(Revision{7, configlog.HashOf(entries), entries})
+	c.SetInForce(Revision{7, configlog.HashOf(entries), entries})
 	k.UntilAt(7)
-	c.Give(Revision{5, configlog.Hash{}, nil}) // older: left
+	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: left
 	r.until(t, 7)
 	if c.Latest().Revision != 7 {
 		t.Error(c.Latest().Revision)
@@ -318,7 +318,7 @@
 	rev := k.Change(worth("0.7"))
 	saved(t, k, dir)
 	c, r := client(t, dir, "127.0.0.1:1"), newRouter()
-	r.refuse[rev] = &Refusal{Reason: "does not fit"}
+	r.refuse[rev] = &Rejection{Reason: "does not fit"}
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != 0 || c.Counters.Barred.Load() != int64(rev) {
 		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.Barred.Load())
--- a/internal/discovery/board.go
+++ b/internal/discovery/board.go
@@ -47,8 +47,8 @@
 	maxStart = math.MaxInt64 / 1_000_000
 )
 
-// List is one event: engines, and where they listen.
-type List = settings.EngineList
+// Update is one event: engines, and where they listen.
+type Update = settings.EndpointEvents
 
 // Names are the lists of the settings that records point into.
 type Names struct{ Zones, Kinds []string }
@@ -57,7 +57,7 @@
 type frame struct {
 	number uint64
 	kind   byte
-	list   List
+	list   Update
 }
 
 // parseFrame reads what follows the length.
@@ -75,7 +75,7 @@
 	case len(rest)%recordLength != 0:
 		return f, fmt.Errorf("payload of %d bytes is not whole records", len(rest))
 	}
-	f.list = List{Events: dispatch.EndpointList{Mode: dispatch.ListIncremental}, Addrs: map[dispatch.EngineID]string{}}
+	f.list = Update{Events: dispatch.EndpointList{Mode: dispatch.ListIncremental}, Addrs: map[dispatch.EngineID]string{}}
 	if f.kind == kindWhole {
 		f.list.Events.Mode = dispatch.ListComplete
 	}
@@ -97,14 +97,14 @@
 	return f, nil
 }
 
-// Follower keeps a link to the board and tells of every event once, in order.
-type Follower struct {
+// Watcher keeps a link to the board and tells of every event once, in order.
+type Watcher struct {
 	loop   *router.Loop
 	dialer netio.Dialer
 	addr   string
 	names  Names
 	last   uint64
-	tell   func(List)
+	tell   func(Update)
 	log    *slog.Logger
 	link   *link
 	rng    *rand.Rand
@@ -115,11 +115,11 @@
 	Counters Counters
 }
 
-// Last is the number of the last event, and HeardAt when the board was heard last, in milliseconds.
-func (f *Follower) Last() uint64 { return f.last }
+// LastEvent is the number of the last event, and HeardAt when the board was heard last, in milliseconds.
+func (f *Watcher) LastEvent() uint64 { return f.last }
 
-// HeardAt: see Last.
-func (f *Follower) HeardAt() float64 { return f.heardAt }
+// LastContactMS: see Last.
+func (f *Watcher) LastContactMS() float64 { return f.heardAt }
 
 // Counters count what the board sent.
 type Counters struct {
@@ -129,10 +129,10 @@
 	Bad    int64 `status:"bad"`
 }
 
-// Follow opens the link; last is the number of the last event that is known, and waits are drawn from the seed.
-func Follow(loop *router.Loop, dialer netio.Dialer, addr string, names Names, last uint64, tell func(List),
-	seed uint64, log *slog.Logger) *Follower {
-	f := &Follower{loop: loop, dialer: dialer, addr: addr, names: names, last: last, tell: tell, log: log,
+// Watch opens the link; last is the number of the last event that is known, and waits are drawn from the seed.
+func Watch(loop *router.Loop, dialer netio.Dialer, addr string, names Names, last uint64, tell func(Update),
+	seed uint64, log *slog.Logger) *Watcher {
+	f := &Watcher{loop: loop, dialer: dialer, addr: addr, names: names, last: last, tell: tell, log: log,
 		redial: redialLeast, rng: rand.New(rand.NewPCG(seed, seedOf))}
 	f.open()
 	return f
@@ -141,7 +141,7 @@
 // Configure has the follower read records by other names and, where the address is a new one, follow there at
 // once, from the last event on. Whatever the old board still sends is not heard any more: its numbers go on at the
 // new one, so that an event from either is told once.
-func (f *Follower) Configure(addr string, names Names) {
+func (f *Watcher) Configure(addr string, names Names) {
 	f.names = names
 	if addr == f.addr {
 		return
@@ -153,7 +153,7 @@
 	f.open()
 }
 
-func (f *Follower) open() {
+func (f *Watcher) open() {
 	f.Counters.Links++
 	f.link = &link{f: f}
 	f.link.conn = f.dialer.Dial(f.addr, dialTimeout, f.link)
@@ -162,7 +162,7 @@
 
 // link is one connection to the board.
 type link struct {
-	f     *Follower
+	f     *Watcher
 	conn  netio.Conn
 	buf   []byte
 	timer *router.Timer
--- a/internal/discovery/board_test.go
+++ b/internal/discovery/board_test.go
@@ -103,7 +103,7 @@
 	}
 	d := &dials{}
 	var told []int
-	f := Follow(loop, d, "board", names, 4, func(l List) { told = append(told, len(l.Events.Endpoints)) },
+	f := Watch(loop, d, "board", names, 4, func(l Update) { told = append(told, len(l.Events.Endpoints)) },
 		1, slog.New(slog.DiscardHandler))
 	steps := []struct {
 		name, frame string
@@ -151,7 +151,7 @@
 		now := &clock.Manual{MS: 1e6}
 		loop := router.NewLoop(now)
 		d := &dials{}
-		Follow(loop, d, "board", names, 4, func(List) {}, seed, slog.New(slog.DiscardHandler))
+		Watch(loop, d, "board", names, 4, func(Update) {}, seed, slog.New(slog.DiscardHandler))
 		for len(at) < 6 {
 			d.links[len(d.links)-1].Closed(netio.ErrNotConnected)
 			from := now.MS
@@ -197,7 +197,7 @@
 		now := &clock.Manual{MS: 1e6}
 		loop := router.NewLoop(now)
 		d := &dials{}
-		Follow(loop, d, "board", names, 4, func(List) {}, 1, slog.New(slog.DiscardHandler))
+		Watch(loop, d, "board", names, 4, func(Update) {}, 1, slog.New(slog.DiscardHandler))
 		d.links[0].Opened(&end{d: d})
 		if k.first != "" {
 			d.links[0].Data(frameOf(t, k.first), now.MS)
--- a/internal/enginehttp/fetch.go
+++ b/internal/enginehttp/fetch.go
@@ -59,8 +59,8 @@
 	Dials      int64 `status:"dials"`
 	BadAnswers int64 `status:"bad_answers"`
 	Broken     int64 `status:"broken"`
-	Silent     int64 `status:"silent"`
-	AskedAgain int64 `status:"asked_again"`
+	TimedOut   int64 `status:"silent"`
+	Retries    int64 `status:"asked_again"`
 }
 
 // Client implements router.EngineClient.
@@ -159,7 +159,7 @@
 		within = k.within
 	}
 	k.timer = c.loop.After(within, func() {
-		c.Counters.Silent++
+		c.Counters.TimedOut++
 		k.abort(errSilent)
 	})
 }
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -299,7 +299,7 @@
 	q.c.Counters.Broken++
 	again := func() {
 		if !q.over && !q.leaving {
-			q.c.Counters.AskedAgain++
+			q.c.Counters.Retries++
 			q.ask(len(q.pages))
 		}
 	}
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -107,7 +107,7 @@
 	loop     *router.Loop
 	net      *netio.Net
 	core     *router.Core
-	board    *discovery.Follower
+	board    *discovery.Watcher
 	stop     chan struct{}
 	ended    chan struct{}
 	out      *words
@@ -138,7 +138,7 @@
 	}
 	h.core.UpdateEndpoints(known.Events, known.Addrs)
 	h.loop.Post(func() {
-		h.board = discovery.Follow(h.loop, h.net, h.cfg.Board, h.names(), last, h.listed, h.cfg.SeedValue, log)
+		h.board = discovery.Watch(h.loop, h.net, h.cfg.Board, h.names(), last, h.listed, h.cfg.SeedValue, log)
 		if spec.Rate > 0 {
 			h.ask()
 		}
@@ -157,9 +157,9 @@
 	return discovery.Names{Zones: h.cfg.Parsed.Zones, Kinds: h.cfg.Parsed.Kinds}
 }
 
-func (h *hollow) listed(l discovery.List) {
+func (h *hollow) listed(l discovery.Update) {
 	h.core.UpdateEndpoints(l.Events, l.Addrs)
-	h.out.tell(word{Router: h.spec.Number, List: h.board.Last(), AtNS: time.Now().UnixNano()})
+	h.out.tell(word{Router: h.spec.Number, List: h.board.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
 // configure puts another configuration in force, as a router's reload does; an error says that nothing changed.
--- a/internal/fleettest/hollowfollow.go
+++ b/internal/fleettest/hollowfollow.go
@@ -24,10 +24,10 @@
 	client.Start(func(rev configclient.Revision) error {
 		cfg, fault := validate.Overlaid(h.spec.Config, rev.Entries)
 		if fault != nil {
-			return &configclient.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
+			return &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
 		}
 		if err := h.put(cfg); err != nil {
-			return &configclient.Refusal{Reason: err.Error()}
+			return &configclient.Rejection{Reason: err.Error()}
 		}
 		h.out.tell(word{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(), AtNS: time.Now().UnixNano()})
 		return nil
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -13,7 +13,7 @@
 
 // frameSamples are messages as a link writes them; the second one is without a body.
 func frameSamples() []Message {
-	return []Message{New("use", map[string]int{"sessions": 41}), {Kind: "bye"}, New("go-ahead", nil)}
+	return []Message{NewMessage("use", map[string]int{"sessions": 41}), {Kind: "bye"}, NewMessage("go-ahead", nil)}
 }
 
 // A link writes frames as it did when the golden file was recorded.
--- a/internal/hotrestartipc/golden_place_test.go
+++ b/internal/hotrestartipc/golden_place_test.go
@@ -32,9 +32,9 @@
 	return dir
 }
 
-func takeGoldenPlace(t *testing.T, dir string) *Place {
+func takeGoldenPlace(t *testing.T, dir string) *ProcessSlot {
 	t.Helper()
-	p, err := TakePlace(dir, goldenRouter)
+	p, err := AcquireSlot(dir, goldenRouter)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 }
 
 // ban has a ban noted, or its end.
-func ban(t *testing.T, p *Place, engine string, out bool) {
+func ban(t *testing.T, p *ProcessSlot, engine string, out bool) {
 	t.Helper()
-	if err := p.Ban(engine, out); err != nil {
+	if err := p.SetCordon(engine, out); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -140,10 +140,10 @@
 	dir := shortFolder(t)
 	restoreFolder(t, dir, hotrestart.First+1)
 	p := takeGoldenPlace(t, dir)
-	if p.Peer != hotrestart.First+2 || p.Elder() != hotrestart.First+1 || p.Lives(hotrestart.First) {
-		t.Errorf("place %d, after %d, the first lives: %v", p.Peer, p.Elder(), p.Lives(hotrestart.First))
+	if p.Process != hotrestart.First+2 || p.Predecessor() != hotrestart.First+1 || p.Alive(hotrestart.First) {
+		t.Errorf("place %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.First))
 	}
-	got, err := p.Banned()
+	got, err := p.Cordoned()
 	if want := []string{"s-00000002", "s-00c41f7a"}; err != nil || !slices.Equal(got, want) {
 		t.Errorf("out are %q, %v, not %q", got, err, want)
 	}
@@ -154,10 +154,10 @@
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	p := takeGoldenPlace(t, dir)
-	if p.Peer != hotrestart.First+2 || p.Elder() != hotrestart.None {
-		t.Errorf("place %d, after %d", p.Peer, p.Elder())
+	if p.Process != hotrestart.First+2 || p.Predecessor() != hotrestart.None {
+		t.Errorf("place %d, after %d", p.Process, p.Predecessor())
 	}
-	if got, err := p.Banned(); err != nil || len(got) > 0 {
+	if got, err := p.Cordoned(); err != nil || len(got) > 0 {
 		t.Errorf("out are %q, %v", got, err)
 	}
 }
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p := takeGoldenPlace(t, dir); p.Peer != hotrestart.First+2 {
-		t.Errorf("place %d", p.Peer)
+	if p := takeGoldenPlace(t, dir); p.Process != hotrestart.First+2 {
+		t.Errorf("place %d", p.Process)
 	}
 }
--- a/internal/hotrestartipc/link.go
+++ b/internal/hotrestartipc/link.go
@@ -48,8 +48,8 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// New makes a message; files stay the caller's, who may close them after the link's Send.
-func New(kind string, body any, files ...*os.File) Message {
+// NewMessage makes a message; files stay the caller's, who may close them after the link's Send.
+func NewMessage(kind string, body any, files ...*os.File) Message {
 	text, err := json.Marshal(body)
 	if err != nil {
 		panic(err) // the bodies are this program's own types
@@ -57,8 +57,8 @@
 	return Message{Kind: kind, Body: text, Files: files}
 }
 
-// Read reads the message's body.
-func (m Message) Read(into any) error { return json.Unmarshal(m.Body, into) }
+// Decode reads the message's body.
+func (m Message) Decode(into any) error { return json.Unmarshal(m.Body, into) }
 
 // Path is where the router of that name is found. The name is hashed: it may be of any length and hold anything.
 func Path(dir, name string) (string, error) {
@@ -91,9 +91,9 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// Start runs a link. hear gets each message that comes, and gone, at the end and once, why the link ended; both are
+// StartLink runs a link. hear gets each message that comes, and gone, at the end and once, why the link ended; both are
 // called from a goroutine of the link's. A peer that is no process of the same user is not heard.
-func Start(conn *net.UnixConn, hear func(Message), gone func(error), log *slog.Logger) *Link {
+func StartLink(conn *net.UnixConn, hear func(Message), gone func(error), log *slog.Logger) *Link {
 	l := &Link{conn: conn, log: log, out: make(chan Message, maxQueued), done: make(chan struct{}), hear: hear, gone: gone}
 	go l.read()
 	go l.write()
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -23,7 +23,7 @@
 
 func newEnd(conn *net.UnixConn) *end {
 	e := &end{got: make(chan Message, 16), gone: make(chan error, 2)}
-	e.link = Start(conn, func(m Message) { e.got <- m }, func(err error) { e.gone <- err }, slog.New(slog.DiscardHandler))
+	e.link = StartLink(conn, func(m Message) { e.got <- m }, func(err error) { e.gone <- err }, slog.New(slog.DiscardHandler))
 	return e
 }
 
@@ -68,16 +68,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one.link.Send(New("big", strings.Repeat("x", 300_000)))
-	one.link.Send(New("file", "pipe", w))
+	one.link.Send(NewMessage("big", strings.Repeat("x", 300_000)))
+	one.link.Send(NewMessage("file", "pipe", w))
 	_ = w.Close() // the link has its own copy
-	two.link.Send(New("back", 5))
+	two.link.Send(NewMessage("back", 5))
 	if m := <-one.got; m.Kind != "back" {
 		t.Errorf("got %+v", m)
 	}
 	one.link.Close()
 	var text string
-	if m := <-two.got; m.Kind != "big" || m.Read(&text) != nil || len(text) != 300_000 || len(m.Files) != 0 {
+	if m := <-two.got; m.Kind != "big" || m.Decode(&text) != nil || len(text) != 300_000 || len(m.Files) != 0 {
 		t.Errorf("%s with %d bytes, %d files", m.Kind, len(text), len(m.Files))
 	}
 	m := <-two.got
@@ -137,7 +137,7 @@
 	defer b.Close()
 	e := newEnd(a)
 	for range 2 * maxQueued { // more than the system's buffers and the queue hold
-		e.link.Send(New("x", strings.Repeat("y", 1000)))
+		e.link.Send(NewMessage("x", strings.Repeat("y", 1000)))
 	}
 	if err := <-e.gone; err == nil {
 		t.Error("a peer that does not read holds the link open")
--- a/internal/hotrestartipc/place.go
+++ b/internal/hotrestartipc/place.go
@@ -16,11 +16,11 @@
 	"windflow/internal/decide/hotrestart"
 )
 
-// Place is a process's place in the order of the processes of one router, and the folder that they share. Of each place
+// ProcessSlot is a process's place in the order of the processes of one router, and the folder that they share. Of each place
 // there is a socket, on which newer processes find this one, and a file that the process keeps locked while it lives: the
 // system gives the lock up with the process, whatever becomes of it, and one that is stopped keeps it.
-type Place struct {
-	Peer     hotrestart.ProcessNumber
+type ProcessSlot struct {
+	Process  hotrestart.ProcessNumber
 	Listener *net.UnixListener
 	base     string
 	lock     *os.File
@@ -33,14 +33,14 @@
 	dialWithin = time.Second
 )
 
-// TakePlace takes the next place among the processes of the router of that name. Where none of them lives, what they
+// AcquireSlot takes the next place among the processes of the router of that name. Where none of them lives, what they
 // left behind is removed, their bans too: a plain restart starts from nothing.
-func TakePlace(dir, name string) (*Place, error) {
+func AcquireSlot(dir, name string) (*ProcessSlot, error) {
 	path, err := Path(dir, name)
 	if err != nil {
 		return nil, err
 	}
-	p := &Place{base: strings.TrimSuffix(path, ".sock")}
+	p := &ProcessSlot{base: strings.TrimSuffix(path, ".sock")}
 	roster, err := os.OpenFile(p.base+".roster", os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	anybody := p.legacy()
 	for _, there := range p.places() {
 		last = max(last, there)
-		if p.Lives(there) {
+		if p.Alive(there) {
 			anybody = true
 			continue
 		}
@@ -74,21 +74,21 @@
 	if !anybody {
 		_ = os.RemoveAll(p.bans())
 	}
-	p.Peer = last + 1
-	if _, err := roster.WriteAt([]byte(fmt.Sprintf("%-20d\n", p.Peer)), 0); err != nil {
+	p.Process = last + 1
+	if _, err := roster.WriteAt([]byte(fmt.Sprintf("%-20d\n", p.Process)), 0); err != nil {
 		return nil, err
 	}
-	if p.lock, err = os.OpenFile(p.lockFile(p.Peer), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if p.lock, err = os.OpenFile(p.lockFile(p.Process), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, err
 	}
 	err = flock(p.lock, syscall.LOCK_EX)
 	if err == nil {
-		_ = os.Remove(p.socket(p.Peer))
-		p.Listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: p.socket(p.Peer), Net: "unix"})
+		_ = os.Remove(p.socket(p.Process))
+		p.Listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: p.socket(p.Process), Net: "unix"})
 	}
 	if err == nil {
 		p.Listener.SetUnlinkOnClose(false)
-		err = os.Chmod(p.socket(p.Peer), 0o600)
+		err = os.Chmod(p.socket(p.Process), 0o600)
 	}
 	if err != nil {
 		p.Close()
@@ -97,20 +97,20 @@
 	return p, nil
 }
 
-func (p *Place) socket(of hotrestart.ProcessNumber) string {
+func (p *ProcessSlot) socket(of hotrestart.ProcessNumber) string {
 	if of == hotrestart.Unplaced {
 		return p.base + ".sock"
 	}
 	return fmt.Sprintf("%s.%d.sock", p.base, of)
 }
 
-func (p *Place) lockFile(of hotrestart.ProcessNumber) string {
+func (p *ProcessSlot) lockFile(of hotrestart.ProcessNumber) string {
 	return fmt.Sprintf("%s.%d.lock", p.base, of)
 }
-func (p *Place) bans() string { return p.base + ".bans" }
+func (p *ProcessSlot) bans() string { return p.base + ".bans" }
 
 // places gives those that have a file, living or not, in their order.
-func (p *Place) places() (all []hotrestart.ProcessNumber) {
+func (p *ProcessSlot) places() (all []hotrestart.ProcessNumber) {
 	names, _ := filepath.Glob(p.base + ".*.lock")
 	for _, name := range names {
 		text := strings.TrimSuffix(strings.TrimPrefix(name, p.base+"."), ".lock")
@@ -122,8 +122,8 @@
 	return all
 }
 
-// Lives tells whether the process of a place lives; one that is stopped does.
-func (p *Place) Lives(of hotrestart.ProcessNumber) bool {
+// Alive tells whether the process of a place lives; one that is stopped does.
+func (p *ProcessSlot) Alive(of hotrestart.ProcessNumber) bool {
 	if of == hotrestart.Unplaced {
 		return p.legacy()
 	}
@@ -138,7 +138,7 @@
 
 // legacy tells whether a process of version 1 waits where those do. A placed process is published there under its own
 // socket's name, too, and does not count.
-func (p *Place) legacy() bool {
+func (p *ProcessSlot) legacy() bool {
 	at, err := os.Stat(p.socket(hotrestart.Unplaced))
 	if err != nil {
 		return false
@@ -156,10 +156,10 @@
 	return true
 }
 
-// Elder gives the newest living process before this one, or None.
-func (p *Place) Elder() hotrestart.ProcessNumber {
+// Predecessor gives the newest living process before this one, or None.
+func (p *ProcessSlot) Predecessor() hotrestart.ProcessNumber {
 	for _, there := range slices.Backward(p.places()) {
-		if there < p.Peer && p.Lives(there) {
+		if there < p.Process && p.Alive(there) {
 			return there
 		}
 	}
@@ -169,16 +169,16 @@
 	return hotrestart.None
 }
 
-// Call connects to the process of a place.
-func (p *Place) Call(of hotrestart.ProcessNumber) (*net.UnixConn, error) {
+// Connect connects to the process of a place.
+func (p *ProcessSlot) Connect(of hotrestart.ProcessNumber) (*net.UnixConn, error) {
 	return Dial(p.socket(of), dialWithin)
 }
 
 // Publish has processes of version 1 find this one.
-func (p *Place) Publish() error {
+func (p *ProcessSlot) Publish() error {
 	mine := p.base + ".own"
 	_ = os.Remove(mine)
-	if err := os.Link(p.socket(p.Peer), mine); err != nil {
+	if err := os.Link(p.socket(p.Process), mine); err != nil {
 		return err
 	}
 	err := os.Rename(mine, p.socket(hotrestart.Unplaced))
@@ -187,16 +187,16 @@
 }
 
 // Close gives the place up.
-func (p *Place) Close() {
+func (p *ProcessSlot) Close() {
 	if p.Listener != nil {
 		_ = p.Listener.Close()
 	}
-	own, err := os.Stat(p.socket(p.Peer))
+	own, err := os.Stat(p.socket(p.Process))
 	if at, bad := os.Stat(p.socket(hotrestart.Unplaced)); err == nil && bad == nil && os.SameFile(at, own) {
 		_ = os.Remove(p.socket(hotrestart.Unplaced))
 	}
-	_ = os.Remove(p.socket(p.Peer))
-	_ = os.Remove(p.lockFile(p.Peer))
+	_ = os.Remove(p.socket(p.Process))
+	_ = os.Remove(p.lockFile(p.Process))
 	if p.lock != nil {
 		_ = p.lock.Close()
 	}
@@ -205,8 +205,8 @@
 // A ban by hand is an empty file, named for the engine, in a folder that all processes of the router read: it is in
 // force for a process that starts while the one that was told of it hangs.
 
-// Ban notes that an engine is out by hand, or is not any more; it may be told twice.
-func (p *Place) Ban(engine string, out bool) error {
+// SetCordon notes that an engine is out by hand, or is not any more; it may be told twice.
+func (p *ProcessSlot) SetCordon(engine string, out bool) error {
 	if !out {
 		err := os.Remove(filepath.Join(p.bans(), engine))
 		if errors.Is(err, fs.ErrNotExist) {
@@ -224,8 +224,8 @@
 	return f.Close()
 }
 
-// Banned lists the engines that are out by hand.
-func (p *Place) Banned() ([]string, error) {
+// Cordoned lists the engines that are out by hand.
+func (p *ProcessSlot) Cordoned() ([]string, error) {
 	entries, err := os.ReadDir(p.bans())
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/internal/incident/story.go
+++ b/internal/incident/story.go
@@ -74,11 +74,11 @@
 	}
 }
 
-// Story is what records tell. All times are on the first router's clock, in milliseconds.
-type Story struct {
+// Timeline is what records tell. All times are on the first router's clock, in milliseconds.
+type Timeline struct {
 	From, To  float64
 	Processes []Process
-	Engines   []EngineLife
+	Engines   []EngineHistory
 	Incidents []Incident
 	Missing   []Missing
 	Loss      []float64 // of worth, 0 to 1, a value a second from From on; NaN where nothing ended
@@ -95,8 +95,8 @@
 	Records  int // seconds that it wrote
 }
 
-// EngineLife is what the routers held of an engine.
-type EngineLife struct {
+// EngineHistory is what the routers held of an engine.
+type EngineHistory struct {
 	ID    string
 	Spans []Span
 }
@@ -115,12 +115,12 @@
 // Incident is a stretch in which service was worth less than in the calm.
 type Incident struct {
 	From, To float64
-	Loss     float64 // mean share of the worth that was lost
-	Hurt     []Hurt  // the worst first
+	Loss     float64  // mean share of the worth that was lost
+	Hurt     []Impact // the worst first
 }
 
-// Hurt is a class and tenant in an incident.
-type Hurt struct {
+// Impact is a class and tenant in an incident.
+type Impact struct {
 	Class, Tenant         string
 	Late, Refused, Failed int
 	Ended                 int
@@ -147,14 +147,14 @@
 	silentMS = 2500.0
 )
 
-// Tell joins what was added.
-func (j *Joiner) Tell() *Story {
-	s := &Story{From: math.Inf(1), To: math.Inf(-1)}
+// Timeline joins what was added.
+func (j *Joiner) Timeline() *Timeline {
+	s := &Timeline{From: math.Inf(1), To: math.Inf(-1)}
 	order := slices.SortedFunc(maps.Values(j.processes), func(a, b *process) int {
 		return cmp.Or(cmp.Compare(a.head.Router, b.head.Router), cmp.Compare(a.from, b.from), cmp.Compare(a.head.Process, b.head.Process))
 	})
 	if len(order) == 0 {
-		return &Story{}
+		return &Timeline{}
 	}
 	clocks := clocksOf(order)
 	for i, p := range order {
@@ -236,7 +236,7 @@
 }
 
 // lives gives each engine's states over time, router by router.
-func lives(order []*process, clocks []Clock, end float64) []EngineLife {
+func lives(order []*process, clocks []Clock, end float64) []EngineHistory {
 	spans := map[string][]Span{}
 	for i, p := range order {
 		c := clocks[i]
@@ -256,13 +256,13 @@
 			open[e.ID] = len(spans[e.ID]) - 1
 		}
 	}
-	var all []EngineLife
+	var all []EngineHistory
 	for _, id := range slices.Sorted(maps.Keys(spans)) {
 		list := spans[id]
 		slices.SortStableFunc(list, func(a, b Span) int {
 			return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.From, b.From))
 		})
-		all = append(all, EngineLife{ID: id, Spans: list})
+		all = append(all, EngineHistory{ID: id, Spans: list})
 	}
 	return all
 }
@@ -276,7 +276,7 @@
 }
 
 // service finds the incidents: it goes by what ended in each second, so that long queries are not missed while they run.
-func (j *Joiner) service(s *Story, order []*process, clocks []Clock) {
+func (j *Joiner) service(s *Timeline, order []*process, clocks []Clock) {
 	n := int((s.To-s.From)/1000) + 1
 	buckets := make([]map[key]record.Row, n)
 	for i, p := range order {
@@ -372,7 +372,7 @@
 		for k, row := range sums {
 			got, most := value(k, row)
 			lost, all = lost+most-got, all+most
-			h := Hurt{Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Refused, Failed: row.Failed,
+			h := Impact{Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Refused, Failed: row.Failed,
 				Ended: row.InAim + row.Late + row.Refused + row.Failed}
 			if most > 0 {
 				h.Loss = 1 - got/most
@@ -390,7 +390,7 @@
 		for i := range in.Hurt {
 			in.Hurt[i].Part /= lost
 		}
-		slices.SortFunc(in.Hurt, func(a, b Hurt) int {
+		slices.SortFunc(in.Hurt, func(a, b Impact) int {
 			return cmp.Or(cmp.Compare(b.Part, a.Part), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
 		})
 		s.Incidents = append(s.Incidents, in)
--- a/internal/incident/story_test.go
+++ b/internal/incident/story_test.go
@@ -68,7 +68,7 @@
 		f.change(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
 		f.second(float64(6000*i), 0, -1)
 	}
-	s := f.j.Tell()
+	s := f.j.Timeline()
 	first := s.Processes[0].Clock
 	for i, p := range s.Processes {
 		if !p.Clock.Told || p.Clock.Within > 15 {
@@ -92,12 +92,12 @@
 		for i := range 120 {
 			calm.second(float64(1000*i), 0.01, -1)
 		}
-		if s := calm.j.Tell(); len(s.Incidents) != 0 {
+		if s := calm.j.Timeline(); len(s.Incidents) != 0 {
 			t.Fatalf("seed %d: a calm run has %+v", seed, s.Incidents)
 		}
 	}
 	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
-	f.change(500, "s-00000001", record.Warm)
+	f.change(500, "s-00000001", record.Normal)
 	for i := range 200 {
 		hurt := 0.0
 		if i >= 60 && i < 75 || i >= 150 && i < 156 {
@@ -107,7 +107,7 @@
 			f.change(60_000, "s-00000001", record.Down)
 		}
 		if i == 75 {
-			f.change(75_000, "s-00000001", record.Warm)
+			f.change(75_000, "s-00000001", record.Normal)
 		}
 		skip := -1
 		if i >= 65 && i < 72 {
@@ -118,7 +118,7 @@
 		}
 		f.second(float64(1000*i), hurt, skip)
 	}
-	s := f.j.Tell()
+	s := f.j.Timeline()
 	if len(s.Incidents) != 2 {
 		t.Fatalf("%+v", s.Incidents)
 	}
@@ -165,7 +165,7 @@
 		}
 		f.second(float64(1000*i), 0, -1)
 	}
-	s := f.j.Tell()
+	s := f.j.Timeline()
 	if len(s.Processes) != 3 || s.Processes[2].Router != "n1" || s.Processes[2].Place != 3 {
 		t.Fatalf("%+v", s.Processes)
 	}
@@ -178,7 +178,7 @@
 }
 
 func TestNothing(t *testing.T) {
-	if s := NewJoiner().Tell(); len(s.Processes)+len(s.Incidents) != 0 {
+	if s := NewJoiner().Timeline(); len(s.Processes)+len(s.Incidents) != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/keeper/client_test.go
+++ b/internal/keeper/client_test.go
@@ -28,7 +28,7 @@
 		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.Instance(int64(life), uint64(n)), log)
 		apply := func(r configclient.Revision) error {
 			if r.Revision == refuses {
-				return &configclient.Refusal{Pointer: "/settings/over-share-worth", Reason: "no"}
+				return &configclient.Rejection{Pointer: "/settings/over-share-worth", Reason: "no"}
 			}
 			return nil
 		}
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -121,7 +121,7 @@
 	s.front.Counters.Kills++
 	query := strings.EqualFold(words[1], "QUERY")
 	f := s.front
-	if !f.Kill(uint32(id), query) && (uint32(id)>>idBits == f.base>>idBits || f.Elsewhere == nil || !f.Elsewhere(uint32(id), query)) {
+	if !f.Kill(uint32(id), query) && (uint32(id)>>idBits == f.base>>idBits || f.RemoteKill == nil || !f.RemoteKill(uint32(id), query)) {
 		s.fail(errNoSuchThread, fmt.Sprintf("unknown thread id: %d", id))
 		return
 	}
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -27,8 +27,8 @@
 	buffered int // bytes in the buffers of all sessions
 	// Elsewhere, where it is set, passes a KILL on to the other process of this router, and tells whether there is one
 	// that may have the session.
-	Elsewhere func(id uint32, query bool) bool
-	Counters  Counters
+	RemoteKill func(id uint32, query bool) bool
+	Counters   Counters
 }
 
 // Config bounds the front.
@@ -40,7 +40,7 @@
 // Counters count what the front took in.
 type Counters struct {
 	Sessions   int64 `status:"sessions"`
-	TurnedAway int64 `status:"turned_away"`
+	Rejected   int64 `status:"turned_away"`
 	Evicted    int64 `status:"evicted"`
 	TimedOut   int64 `status:"timed_out"`
 	Logins     int64 `status:"logins"`
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -57,7 +57,7 @@
 	s.opened = f.loop.Now()
 	s.since = s.opened
 	if len(f.sessions) >= f.cfg.MaxSessions && !f.evict() {
-		f.Counters.TurnedAway++
+		f.Counters.Rejected++
 		s.fatal(errTooManyConns, "too many connections")
 		return
 	}
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -134,7 +134,7 @@
 		s.front.End()
 	case word[0] == "generation":
 		s.front.SetGeneration(word[1][0] - '0')
-		s.front.Elsewhere = func(id uint32, query bool) bool {
+		s.front.RemoteKill = func(id uint32, query bool) bool {
 			fmt.Fprintf(&s.elsewhere, "  elsewhere: kill %#x, query %v\n", id, query)
 			return true
 		}
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -44,8 +44,8 @@
 // File gives a copy of the listener's descriptor.
 func (l *Listener) File() (*os.File, error) { return Copy(l.lis) }
 
-// Again accepts on another listener in place of this one, for the same handlers.
-func (l *Listener) Again(lis net.Listener) *Listener { return l.net.Serve(lis, l.accept) }
+// Resume accepts on another listener in place of this one, for the same handlers.
+func (l *Listener) Resume(lis net.Listener) *Listener { return l.net.Serve(lis, l.accept) }
 
 // Close stops accepting; the loop hears of all that was accepted before. The socket itself is closed, never shut down:
 // another process may accept from the same queue.
--- a/internal/node/actor_test.go
+++ b/internal/node/actor_test.go
@@ -17,7 +17,7 @@
 
 func act(conn *net.UnixConn) *actor {
 	a := &actor{heard: make(chan hotrestartipc.Message, 256), gone: make(chan struct{})}
-	a.link = hotrestartipc.Start(conn, func(m hotrestartipc.Message) {
+	a.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		for _, f := range m.Files {
 			_ = f.Close()
 		}
--- a/internal/node/bans.go
+++ b/internal/node/bans.go
@@ -46,7 +46,7 @@
 		apply()
 	}
 	r.inOrder(func() {
-		err := r.place.Ban(engine, exclude)
+		err := r.place.SetCordon(engine, exclude)
 		r.loop.Post(func() {
 			if err != nil {
 				cant(err)
@@ -73,7 +73,7 @@
 
 // readBans has the loop go by the bans that are noted. It is called where files may be waited for.
 func (r *node) readBans() {
-	names, err := r.place.Banned()
+	names, err := r.place.Cordoned()
 	if err != nil {
 		return
 	}
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -18,7 +18,7 @@
 		r.door.Reopen(lis)
 		return
 	}
-	r.door = admin.Open(r.loop, r.net, lis, r, r.log)
+	r.door = admin.NewServer(r.loop, r.net, lis, r, r.log)
 	r.log.Info("operators' door", "control", r.door.Addr())
 }
 
@@ -60,8 +60,8 @@
 	return b.String()
 }
 
-// Exclude implements control.Operators.
-func (r *node) Exclude(id string, answer func(bool)) { r.order(id, true, answer) }
+// Cordon implements control.Operators.
+func (r *node) Cordon(id string, answer func(bool)) { r.order(id, true, answer) }
 
-// Include implements control.Operators.
-func (r *node) Include(id string, answer func(bool)) { r.order(id, false, answer) }
+// Uncordon implements control.Operators.
+func (r *node) Uncordon(id string, answer func(bool)) { r.order(id, false, answer) }
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -23,7 +23,7 @@
 // encode gives the message as it stands in a frame of the link.
 func (s messageSample) encode(t *testing.T) []byte {
 	t.Helper()
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(hotrestartipc.New(s.kind, s.body))
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(hotrestartipc.NewMessage(s.kind, s.body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 				return
 			}
 			got := reflect.New(reflect.TypeOf(s.body))
-			if err := m.Read(got.Interface()); err != nil {
+			if err := m.Decode(got.Interface()); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(s.body, got.Elem().Interface(), cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,8 +134,8 @@
 	core      *router.Core
 	client    *enginehttp.Client
 	front     *mysql.Front
-	board     *discovery.Follower
-	door      *admin.Door // nil unless turned on
+	board     *discovery.Watcher
+	door      *admin.Server // nil unless turned on
 	stop      chan struct{}
 	stopping  sync.Once
 	failed    error // why it can't serve
@@ -195,7 +195,7 @@
 	core.OnIDChange = func(n router.IDChange) { r.tell(msgID, n) }
 	r.front = mysql.NewFront(core, r.loop, b.mysql, r.status, log)
 	r.front.SetGeneration(r.generation)
-	r.front.Elsewhere = r.kill
+	r.front.RemoteKill = r.kill
 	if r.net, err = netio.New(r.loop, "", nil, log); err != nil {
 		return err
 	}
@@ -219,8 +219,8 @@
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
 	core.UpdateEndpoints(known.Events, known.Addrs)
 	core.AdoptCordons(slices.Sorted(maps.Keys(r.out)))
-	r.board = discovery.Follow(r.loop, r.net, cfg.Board, namesOf(cfg), last,
-		func(l discovery.List) { core.UpdateEndpoints(l.Events, l.Addrs) }, cfg.SeedValue, log)
+	r.board = discovery.Watch(r.loop, r.net, cfg.Board, namesOf(cfg), last,
+		func(l discovery.Update) { core.UpdateEndpoints(l.Events, l.Addrs) }, cfg.SeedValue, log)
 	r.limit()
 	return nil
 }
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -40,10 +40,10 @@
 		leave: func(to *hotrestartipc.Link) {
 			s.HandOver(func(h bgp.Handed, f *os.File) {
 				if f == nil {
-					to.Send(hotrestartipc.New(msgBGP, h))
+					to.Send(hotrestartipc.NewMessage(msgBGP, h))
 					return
 				}
-				to.Send(hotrestartipc.New(msgBGP, h, f))
+				to.Send(hotrestartipc.NewMessage(msgBGP, h, f))
 				_ = f.Close()
 			})
 		},
@@ -52,7 +52,7 @@
 		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
 			msgBGP: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var h bgp.Handed
-				err := m.Read(&h)
+				err := m.Decode(&h)
 				var f *os.File
 				if len(m.Files) > 0 {
 					f, m.Files = m.Files[0], m.Files[1:]
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -94,7 +94,7 @@
 		leave: func(*hotrestartipc.Link) { f.front.Leave() },
 		farewell: func(to *hotrestartipc.Link) {
 			if all := f.front.ReleaseAll(); len(all) > 0 {
-				to.Send(hotrestartipc.New(msgTickets, all))
+				to.Send(hotrestartipc.NewMessage(msgTickets, all))
 			}
 		},
 		stop: func() {
@@ -106,16 +106,16 @@
 		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
 			msgClaim: func(from *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var c claim
-				if err := m.Read(&c); err != nil {
+				if err := m.Decode(&c); err != nil {
 					return err
 				}
 				c.Ticket = f.front.Release(c.Handle)
-				from.Send(hotrestartipc.New(msgClaimed, c))
+				from.Send(hotrestartipc.NewMessage(msgClaimed, c))
 				return nil
 			},
 			msgClaimed: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var c claim
-				if err := m.Read(&c); err != nil {
+				if err := m.Decode(&c); err != nil {
 					return err
 				}
 				f.settle(c)
@@ -123,7 +123,7 @@
 			},
 			msgTickets: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var all []flightsql.Ticket
-				err := m.Read(&all)
+				err := m.Decode(&all)
 				f.front.Take(all)
 				return err
 			},
@@ -156,7 +156,7 @@
 	n, ch := f.claimN, make(chan *flightsql.Ticket, 1)
 	f.claimed[n] = ch
 	f.claims.Unlock()
-	link.Send(hotrestartipc.New(msgClaim, claim{N: n, Handle: handle}))
+	link.Send(hotrestartipc.NewMessage(msgClaim, claim{N: n, Handle: handle}))
 	select {
 	case t := <-ch:
 		return t
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -61,7 +61,7 @@
 func (k *keepers) laid(own []byte, rev configclient.Revision) (*settings.Node, error) {
 	cfg, fault := validate.Overlaid(own, rev.Entries)
 	if fault != nil {
-		return nil, &configclient.Refusal{Pointer: fault.Pointer, Reason: fault.Reason}
+		return nil, &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
 	}
 	complete(cfg)
 	return cfg, nil
@@ -95,7 +95,7 @@
 	for {
 		var at held
 		if !k.inLoop(func() { at = held{k.own, k.now, k.turn} }) {
-			return configclient.ErrEnding
+			return configclient.ErrShuttingDown
 		}
 		make, err := prepare(at)
 		if err != nil || make == nil {
@@ -107,7 +107,7 @@
 				err = make()
 			}
 		}) {
-			return configclient.ErrEnding
+			return configclient.ErrShuttingDown
 		}
 		if !moved {
 			return err
@@ -120,7 +120,7 @@
 	return k.change(func(at held) (func() error, error) {
 		switch {
 		case rev.Revision < at.now.Revision:
-			return nil, configclient.ErrLater
+			return nil, configclient.ErrSuperseded
 		case rev.Revision == at.now.Revision && rev.Hash == at.now.Hash:
 			return nil, nil // from the other process
 		}
@@ -130,7 +130,7 @@
 		}
 		return func() error {
 			if err := k.put(cfg, k.r.site, at.own, rev); err != nil {
-				return &configclient.Refusal{Reason: err.Error()}
+				return &configclient.Rejection{Reason: err.Error()}
 			}
 			return nil
 		}, nil
@@ -172,7 +172,7 @@
 		k.r.log.Error("the other process's configuration can't be in force here", "revision", rev.Revision, "err", err)
 		return
 	}
-	k.client.Give(rev)
+	k.client.SetInForce(rev)
 }
 
 // reload has the router's own file read again. It does not wait.
@@ -209,7 +209,7 @@
 				return func() error { return k.put(cfg, &copied, own, at.now) }, nil
 			})
 		}
-		if errors.Is(err, configclient.ErrEnding) {
+		if errors.Is(err, configclient.ErrShuttingDown) {
 			return
 		}
 		if err != nil {
@@ -249,13 +249,13 @@
 		stop:     k.client.Stop,
 		sharing: func(with *hotrestartipc.Link) {
 			if with != nil && k.now.Revision > 0 {
-				with.Send(hotrestartipc.New(msgConfiguration, k.now))
+				with.Send(hotrestartipc.NewMessage(msgConfiguration, k.now))
 			}
 		},
 		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
 			msgConfiguration: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var rev configclient.Revision
-				if err := m.Read(&rev); err != nil {
+				if err := m.Decode(&rev); err != nil {
 					return err
 				}
 				k.adopt(rev)
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -147,11 +147,11 @@
 func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
 	r := &record.Engine{At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slowness, Fail: e.FailureShare,
 		Lost: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind}
-	if state == record.Cold {
+	if state == record.WarmingUp {
 		r.WarmAt = clock.Millis(e.WarmUpEnd)
 	}
 	if c.r.board != nil {
-		r.Event = c.r.board.Last()
+		r.Event = c.r.board.LastEvent()
 	}
 	c.states[e.ID] = state
 	c.w.Put(r)
@@ -163,19 +163,19 @@
 func stateOf(e *dispatch.EngineView) record.State {
 	switch {
 	case e.Cordoned:
-		return record.Out
+		return record.Cordoned
 	case e.State == dispatch.Draining:
 		return record.Draining
 	case e.Down:
 		return record.Down
 	case e.Ejected:
-		return record.Failing
+		return record.Ejected
 	case e.WarmingUp:
-		return record.Cold
+		return record.WarmingUp
 	case e.Slowness >= slowAt:
 		return record.Slow
 	}
-	return record.Warm
+	return record.Normal
 }
 
 // second writes what was counted since it did so last.
@@ -184,11 +184,11 @@
 	s := &record.Second{At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Queued, Jam: c.view.Congestion,
 		Conns: c.r.client.Conns(), Session: c.r.front.Sessions()}
 	s.Rows, s.Engines = c.meter.Take()
-	turned, spoilt := c.r.front.Counters.TurnedAway+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
+	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
 	s.Turned, s.Spoilt = turned-c.turned, spoilt-c.spoilt
 	c.turned, c.spoilt = turned, spoilt
 	if b := c.r.board; b != nil {
-		s.Event, s.BoardMS = b.Last(), now-b.HeardAt()
+		s.Event, s.BoardMS = b.LastEvent(), now-b.LastContactMS()
 	}
 	c.takenAt, c.samples = now, c.most
 	c.w.Put(s)
@@ -204,18 +204,18 @@
 	how := record.Failed
 	switch what.Kind {
 	case router.AnswerServed:
-		if how = record.InAim; what.TookMS > what.ObjectiveMS {
+		if how = record.InObjective; what.TookMS > what.ObjectiveMS {
 			how = record.LateServed
 		}
 	case router.AnswerRejected:
-		how = record.Refused
+		how = record.Rejected
 	case router.AnswerClientGone:
-		how = record.Left
+		how = record.ClientGone
 	}
 	c.meter.Answer(q.Class, q.Tenant, how, what.TookMS)
-	if (how == record.Refused || how == record.Failed) && c.samples > 0 {
+	if (how == record.Rejected || how == record.Failed) && c.samples > 0 {
 		c.samples--
-		a := &record.Answer{At: c.r.loop.Now(), ID: q.ID, Class: q.Class, Tenant: q.Tenant, Refused: how == record.Refused,
+		a := &record.Answer{At: c.r.loop.Now(), ID: q.ID, Class: q.Class, Tenant: q.Tenant, Refused: how == record.Rejected,
 			Reason: what.Reason, AfterMS: what.TookMS}
 		if what.Engine != 0 {
 			a.Engine = settings.FormatID(what.Engine)
@@ -227,7 +227,7 @@
 // AttemptStarted implements router.Watcher.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
 
-var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndFull, dispatch.EngineFailed: record.EndErrored,
+var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndRejected, dispatch.EngineFailed: record.EndErrored,
 	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
 
 // AttemptEnded implements router.Watcher.
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -102,7 +102,7 @@
 // tell sends the other process a message, if there is one.
 func (r *node) tell(kind string, body any) {
 	if r.with != nil {
-		r.with.link.Send(hotrestartipc.New(kind, body))
+		r.with.link.Send(hotrestartipc.NewMessage(kind, body))
 	}
 }
 
@@ -138,7 +138,7 @@
 	case hotrestart.Ready:
 		body = ready{Took: r.took}
 	}
-	p.link.Send(hotrestartipc.New(what.String(), body, files...))
+	p.link.Send(hotrestartipc.NewMessage(what.String(), body, files...))
 	for _, f := range files {
 		_ = f.Close()
 	}
@@ -167,7 +167,7 @@
 	switch kind {
 	case hotrestart.Hello:
 		var h hello
-		if err := m.Read(&h); err != nil {
+		if err := m.Decode(&h); err != nil {
 			return err
 		}
 		version, ok := hotrestart.Agree(h.Version)
@@ -193,7 +193,7 @@
 		}
 	case hotrestart.State:
 		s := state{Version: 1}
-		if err := m.Read(&s); err != nil {
+		if err := m.Decode(&s); err != nil {
 			return err
 		}
 		if len(m.Files) != len(s.Listeners) {
@@ -210,7 +210,7 @@
 		defer clear(r.files)
 	case hotrestart.Ready:
 		var now ready
-		if err := m.Read(&now); err != nil {
+		if err := m.Decode(&now); err != nil {
 			return err
 		}
 		r.theyTook = now.Took
@@ -226,20 +226,20 @@
 	switch m.Kind {
 	case msgID:
 		var n router.IDChange
-		if err := m.Read(&n); err != nil {
+		if err := m.Decode(&n); err != nil {
 			return err
 		}
 		r.core.OtherProcessChanged(n)
 	case msgClaimID:
 		var c claimID
-		if err := m.Read(&c); err != nil {
+		if err := m.Decode(&c); err != nil {
 			return err
 		}
 		c.OK = r.core.GrantClaim(c.ID)
-		p.link.Send(hotrestartipc.New(msgWord, c))
+		p.link.Send(hotrestartipc.NewMessage(msgWord, c))
 	case msgWord:
 		var c claimID
-		if err := m.Read(&c); err != nil {
+		if err := m.Decode(&c); err != nil {
 			return err
 		}
 		if word := r.words[c.N]; word != nil && c.OK {
@@ -249,7 +249,7 @@
 		}
 	case msgUse:
 		var u use
-		if err := m.Read(&u); err != nil {
+		if err := m.Decode(&u); err != nil {
 			return err
 		}
 		r.peer = u
@@ -257,14 +257,14 @@
 		r.rebound()
 	case msgBan:
 		var b ban
-		if err := m.Read(&b); err != nil {
+		if err := m.Decode(&b); err != nil {
 			return err
 		}
 		b.Known = r.core.Knows(b.ID)
-		r.banThere(p, b, func() { p.link.Send(hotrestartipc.New(msgBanned, b)) })
+		r.banThere(p, b, func() { p.link.Send(hotrestartipc.NewMessage(msgBanned, b)) })
 	case msgBanned:
 		var b ban
-		if err := m.Read(&b); err != nil {
+		if err := m.Decode(&b); err != nil {
 			return err
 		}
 		if answer := r.answers[b.N]; answer != nil {
@@ -272,7 +272,7 @@
 		}
 	case msgKill:
 		var k kill
-		if err := m.Read(&k); err != nil {
+		if err := m.Decode(&k); err != nil {
 			return err
 		}
 		r.front.Kill(k.ID, k.Query)
@@ -318,7 +318,7 @@
 		then(w)
 	}
 	late = r.loop.After(wordWithin, func() { r.words[n](router.ClaimTimedOut) })
-	p.link.Send(hotrestartipc.New(msgClaimID, claimID{N: n, ID: id}))
+	p.link.Send(hotrestartipc.NewMessage(msgClaimID, claimID{N: n, ID: id}))
 }
 
 // rebound goes by the bounds of the configuration, or by this process's part of them.
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -54,7 +54,7 @@
 				served += row.InAim + row.Late
 			}
 		case *record.Engine:
-			if r.State == record.Out && r.ID == "s-00000002" {
+			if r.State == record.Cordoned && r.ID == "s-00000002" {
 				out++
 			}
 		case *record.Event:
--- a/internal/node/steps_test.go
+++ b/internal/node/steps_test.go
@@ -66,19 +66,19 @@
 }
 
 // hello is the recorded one, from the place that the test has.
-func (s script) hello(t *testing.T, p *hotrestartipc.Place) hotrestartipc.Message {
+func (s script) hello(t *testing.T, p *hotrestartipc.ProcessSlot) hotrestartipc.Message {
 	t.Helper()
 	h := s.of(t, "hello")
-	h.Body = jsoniter.RawMessage(strings.Replace(string(h.Body), `"place":3`, fmt.Sprintf(`"place":%d`, p.Peer), 1))
+	h.Body = jsoniter.RawMessage(strings.Replace(string(h.Body), `"place":3`, fmt.Sprintf(`"place":%d`, p.Process), 1))
 	return h
 }
 
 func (f *fleet) dir() string { return strings.TrimPrefix(f.env[1], "TMPDIR=") }
 
 // place takes a place among the processes of the fleet's router.
-func (f *fleet) place() *hotrestartipc.Place {
+func (f *fleet) place() *hotrestartipc.ProcessSlot {
 	f.t.Helper()
-	p, err := hotrestartipc.TakePlace(f.dir(), "n0 "+f.clients.Addr().String())
+	p, err := hotrestartipc.AcquireSlot(f.dir(), "n0 "+f.clients.Addr().String())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	if len(m.Body) == 0 || string(m.Body) == "null" {
 		return nil
 	}
-	if err := m.Read(&all); err != nil {
+	if err := m.Decode(&all); err != nil {
 		t.Fatal(err)
 	}
 	return slices.Sorted(maps.Keys(all))
@@ -188,7 +188,7 @@
 	f.start(door)
 	f.ready(door)
 	p := f.place()
-	conn, err := p.Call(p.Elder())
+	conn, err := p.Connect(p.Predecessor())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,7 +278,7 @@
 			f.ready(door)
 			for round := range 2 { // the link breaks, then the process ends
 				p := f.place()
-				conn, err := p.Call(p.Elder())
+				conn, err := p.Connect(p.Predecessor())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -303,7 +303,7 @@
 				play()
 				if round == 0 {
 					a.link.Close()
-					if conn, err = p.Call(p.Elder()); err != nil {
+					if conn, err = p.Connect(p.Predecessor()); err != nil {
 						t.Fatal(err)
 					}
 					a = act(conn)
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -69,7 +69,7 @@
 type upgrade struct {
 	machine    hotrestart.Machine
 	tick       *router.Timer
-	place      *hotrestartipc.Place // nil where none could be had
+	place      *hotrestartipc.ProcessSlot // nil where none could be had
 	generation uint8
 	links      map[hotrestart.ProcessNumber]*peer
 	with       *peer                           // the process that this one shares the router with
@@ -107,10 +107,10 @@
 	self := hotrestart.First
 	if placed {
 		var err error
-		if r.place, err = hotrestartipc.TakePlace(os.TempDir(), meeting(r.cfg)); err != nil {
+		if r.place, err = hotrestartipc.AcquireSlot(os.TempDir(), meeting(r.cfg)); err != nil {
 			r.log.Warn("no upgrades", "err", err)
 		} else {
-			self = r.place.Peer
+			self = r.place.Process
 			r.readBans()
 			go r.awaitSuccessors()
 		}
@@ -215,10 +215,10 @@
 	r.looking = true
 	linked := slices.Collect(maps.Keys(r.links))
 	go func() {
-		found := r.place.Elder()
+		found := r.place.Predecessor()
 		var conn *net.UnixConn
 		if found != hotrestart.None && !slices.Contains(linked, found) {
-			conn, _ = r.place.Call(found) // an elder that can't be reached is one that is silent
+			conn, _ = r.place.Connect(found) // an elder that can't be reached is one that is silent
 		}
 		r.loop.Post(func() {
 			r.looking = false
@@ -227,7 +227,7 @@
 				r.links[found] = p
 				r.connect(p, conn)
 			}
-			if e := r.machine.Predecessor(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Lives(e) {
+			if e := r.machine.Predecessor(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Alive(e) {
 				r.gone(e) // it could not be linked up with, so that no link's end tells of its own
 			}
 			r.step(hotrestart.Event{Kind: hotrestart.PredecessorFound, Process: found})
@@ -238,7 +238,7 @@
 // connect runs a link.
 func (r *node) connect(p *peer, conn *net.UnixConn) {
 	started := make(chan struct{})
-	p.link = hotrestartipc.Start(conn, func(m hotrestartipc.Message) {
+	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		<-started
 		r.loop.Post(func() { r.hear(p, m) })
 	}, func(err error) {
@@ -273,7 +273,7 @@
 	if r.with == p {
 		r.settleAnswers()
 	}
-	if p.bye || p.place != hotrestart.Stranger && r.place.Lives(p.place) {
+	if p.bye || p.place != hotrestart.Stranger && r.place.Alive(p.place) {
 		r.log.Info("link ended", "place", uint64(p.place), "why", err)
 		r.step(hotrestart.Event{Kind: hotrestart.Cut, Process: p.place})
 		if !p.bye {
@@ -289,7 +289,7 @@
 	r.loop.After(livesEvery, func() {
 		switch {
 		case r.links[who] != nil:
-		case r.place.Lives(who):
+		case r.place.Alive(who):
 			r.watch(who)
 		default:
 			r.gone(who)
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -94,7 +94,7 @@
 		text.WriteString(s.String() + "\n")
 	}
 	goldentest.Equal(t, "states.txt", text.Bytes())
-	numbers := []State{Unknown, Warm, Cold, Slow, Failing, Down, Draining, Out, Gone}
+	numbers := []State{Unknown, Normal, WarmingUp, Slow, Ejected, Down, Draining, Cordoned, Gone}
 	for want, s := range numbers {
 		if int(s) != want {
 			t.Errorf("%v is %d, want %d", s, s, want)
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -22,7 +22,7 @@
 // Ends of attempts.
 const (
 	EndServed End = iota
-	EndFull
+	EndRejected
 	EndErrored
 	EndBroken // no connection, or lost it
 	EndSilent // no answer in time
@@ -34,11 +34,11 @@
 
 // Ends of requests.
 const (
-	InAim Answered = iota
+	InObjective Answered = iota
 	LateServed
-	Refused
+	Rejected
 	Failed
-	Left
+	ClientGone
 )
 
 type rowKey struct{ class, tenant string }
@@ -124,18 +124,18 @@
 func (m *Meter) Answer(class, tenant string, how Answered, tookMS float64) {
 	r := m.row(class, tenant)
 	switch how {
-	case InAim:
+	case InObjective:
 		r.InAim++
 	case LateServed:
 		r.Late++
-	case Refused:
+	case Rejected:
 		r.Refused++
 	case Failed:
 		r.Failed++
-	case Left:
+	case ClientGone:
 		r.Left++
 	}
-	if r.times != nil && (how == InAim || how == LateServed) {
+	if r.times != nil && (how == InObjective || how == LateServed) {
 		_ = r.times.RecordValue(clamp(tookMS))
 	}
 }
@@ -152,7 +152,7 @@
 		if e.times != nil {
 			_ = e.times.RecordValue(clamp(tookMS))
 		}
-	case EndFull:
+	case EndRejected:
 		e.Full++
 	case EndErrored:
 		e.Errored++
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -21,7 +21,7 @@
 func sample() []Record {
 	return []Record{
 		&Header{Version: Version, Router: "n0", Place: 2, Process: "1.a", Program: "windflow", ClockMS: 1000, WallMS: 1001},
-		&Engine{At: 1001, ID: "s-00000001", State: Cold, WarmAt: 9000, Zone: "hall-a", Kind: "std-8", Event: 3},
+		&Engine{At: 1001, ID: "s-00000001", State: WarmingUp, WarmAt: 9000, Zone: "hall-a", Kind: "std-8", Event: 3},
 		&Second{At: 2000, ForMS: 1000, Rows: []Row{{Class: "lookup", Tenant: "a", Arrived: 5, InAim: 4, Late: 1, P50: 20, P99: 120}},
 			Engines: []EngineRow{{ID: "s-00000001", Sent: 5, Served: 5}}, Open: 2, Jam: 0.25},
 		&Answer{At: 2100, ID: "9b1f03aa5c7e2d41", Class: "load", Refused: true, Reason: "no room in time", AfterMS: 12},
@@ -336,7 +336,7 @@
 	}
 	want := sample()
 	state := *want[1].(*Engine)
-	state.At, state.Was = 2050, Cold
+	state.At, state.Was = 2050, WarmingUp
 	if diff := cmp.Diff([]Record{&state, want[3], want[4]}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -347,11 +347,11 @@
 	m := NewMeter(func(id uint64) string { return fmt.Sprint("e", id) })
 	for i := range 100 {
 		m.Arrived("lookup", "a", i%10 == 0, 100)
-		m.Answer("lookup", "a", InAim, float64(i+1))
+		m.Answer("lookup", "a", InObjective, float64(i+1))
 		m.Sent(1)
 		m.Ended(1, EndServed, 50)
 	}
-	m.Answer("lookup", "a", Refused, 1)
+	m.Answer("lookup", "a", Rejected, 1)
 	m.Ended(1, EndBroken, 1)
 	rows, engines := m.Take()
 	if diff := cmp.Diff([]Row{{Class: "lookup", Tenant: "a", Arrived: 100, Again: 10, InAim: 100, Refused: 1, WorkMS: 10000, P50: 50, P99: 99}}, rows); diff != "" {
@@ -384,7 +384,7 @@
 		m.Arrived("lookup", "a", false, 100)
 		m.Sent(1)
 		m.Ended(1, EndServed, 50)
-		m.Answer("lookup", "a", InAim, 60)
+		m.Answer("lookup", "a", InObjective, 60)
 	}
 	one()
 	if n := testing.AllocsPerRun(100, one); n != 0 {
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -50,15 +50,15 @@
 
 // States. An engine is in the first that holds, from the end: gone before out by hand before down, and so on.
 const (
-	Unknown  State = iota
-	Warm           // listed, and like its peers
-	Cold           // listed, and started not long ago
-	Slow           // its answers take much longer than its peers'
-	Failing        // many of its attempts fail
-	Down           // several attempts in a row met no connection, or lost it
-	Draining       // the board says so
-	Out            // by hand
-	Gone           // the board says so, or lists it no more
+	Unknown   State = iota
+	Normal          // listed, and like its peers
+	WarmingUp       // listed, and started not long ago
+	Slow            // its answers take much longer than its peers'
+	Ejected         // many of its attempts fail
+	Down            // several attempts in a row met no connection, or lost it
+	Draining        // the board says so
+	Cordoned        // by hand
+	Gone            // the board says so, or lists it no more
 )
 
 var stateNames = [...]string{"unknown", "warm", "cold", "slow", "failing", "down", "draining", "out by hand", "gone"}
--- a/internal/settings/known.go
+++ b/internal/settings/known.go
@@ -10,8 +10,8 @@
 	"windflow/internal/clock"
 )
 
-// EngineList is a list of engines, whole or what changed of it, and where they listen.
-type EngineList struct {
+// EndpointEvents is a list of engines, whole or what changed of it, and where they listen.
+type EndpointEvents struct {
 	Events dispatch.EndpointList
 	Addrs  map[dispatch.EngineID]string
 }
@@ -20,7 +20,7 @@
 
 // ParseKnown folds the events that the configuration holds into one complete list, and gives the number of
 // the last one.
-func ParseKnown(text []byte) (EngineList, uint64, error) {
+func ParseKnown(text []byte) (EndpointEvents, uint64, error) {
 	var known struct {
 		Rev     uint64 `json:"rev"`
 		Notices []struct {
@@ -40,7 +40,7 @@
 			} `json:"pool"`
 		} `json:"notices"`
 	}
-	l := EngineList{Events: dispatch.EndpointList{Mode: dispatch.ListCached}, Addrs: map[dispatch.EngineID]string{}}
+	l := EndpointEvents{Events: dispatch.EndpointList{Mode: dispatch.ListCached}, Addrs: map[dispatch.EngineID]string{}}
 	if len(text) == 0 {
 		return l, 0, nil
 	}
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -56,7 +56,7 @@
 		t.Error(diff)
 	}
 	n, err := ParseNode(text)
-	if err != nil || n.Parsed.Parties[1].Name != "west/two" || n.Parsed.Parties[1].Quota != 3 {
+	if err != nil || n.Parsed.Tenants[1].Name != "west/two" || n.Parsed.Tenants[1].Quota != 3 {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-// Word looks a wire word up in a table.
-func Word[T any](field, w string, table map[string]T) (T, error) {
+// Enum looks a wire word up in a table.
+func Enum[T any](field, w string, table map[string]T) (T, error) {
 	v, ok := table[w]
 	if !ok {
 		return v, fmt.Errorf("%s: unknown value %q", field, w)
@@ -29,12 +29,12 @@
 
 // Settings is the wire form of dispatch.Config; unknown fields are ignored.
 type Settings struct {
-	Me        int    `json:"me"`
-	Balancers int    `json:"balancers"`
-	Zone      string `json:"zone"`
-	Discovery string `json:"discovery"`
-	PeriodNS  int64  `json:"period-ns"`
-	Classes   []struct {
+	RouterIndex int    `json:"me"`
+	Routers     int    `json:"balancers"`
+	Zone        string `json:"zone"`
+	Discovery   string `json:"discovery"`
+	PeriodNS    int64  `json:"period-ns"`
+	Classes     []struct {
 		Name      string   `json:"name"`
 		Stretch   float64  `json:"aim-stretch"`
 		Credit    float64  `json:"credit"`
@@ -50,12 +50,12 @@
 	} `json:"classes"`
 	Kinds   []string `json:"kinds"`
 	Zones   []string `json:"failure-domains"`
-	Parties []struct {
+	Tenants []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota-rps"`
 	} `json:"parties"`
-	OverShareWorth float64 `json:"over-share-worth"`
-	Limits         struct {
+	OverQuotaWeight float64 `json:"over-share-worth"`
+	Limits          struct {
 		AttemptsCap   int   `json:"attempts-cap"`
 		Cancel        bool  `json:"cancel"`
 		SecondCopies  bool  `json:"second-copies"`
@@ -114,7 +114,7 @@
 		field string
 		v     float64
 	}
-	list := []number{{"balancers", float64(s.Balancers)}, {"period-ns", float64(s.PeriodNS)},
+	list := []number{{"balancers", float64(s.Routers)}, {"period-ns", float64(s.PeriodNS)},
 		{"limits.attempts-cap", float64(s.Limits.AttemptsCap)},
 		{"limits.max-retry-after-ns", float64(s.Limits.MaxRetryAfter)},
 		{"limits.connect-timeout-ns", float64(s.Limits.ConnectTimeout)},
@@ -163,14 +163,14 @@
 			return dispatch.Config{}, err
 		}
 	}
-	shortage, err := Word("specifics.overbooked", sp.Overbooked, shortages)
+	shortage, err := Enum("specifics.overbooked", sp.Overbooked, shortages)
 	if err != nil {
 		return dispatch.Config{}, err
 	}
 	d := func(ns int64) time.Duration { return time.Duration(ns) }
 	cfg := dispatch.Config{
-		Seed: nonce, RouterIndex: s.Me, Routers: s.Balancers, Zone: s.Zone,
-		OverQuotaWeight: s.OverShareWorth, MaxAttempts: s.Limits.AttemptsCap, CancelAllowed: s.Limits.Cancel,
+		Seed: nonce, RouterIndex: s.RouterIndex, Routers: s.Routers, Zone: s.Zone,
+		OverQuotaWeight: s.OverQuotaWeight, MaxAttempts: s.Limits.AttemptsCap, CancelAllowed: s.Limits.Cancel,
 		HedgingAllowed: s.Limits.SecondCopies, RetryAfterAllowed: s.Limits.RetryAfter,
 		MaxRetryAfter: d(s.Limits.MaxRetryAfter), PolledDiscovery: s.Discovery == "subscribe",
 		Grants: sp.Grants, MaxGrantShare: sp.MaxGrant, Priorities: sp.Priorities, MemoryShortage: shortage,
@@ -181,11 +181,11 @@
 			PerRequest: s.Rules.ExtraPerRequest},
 	}
 	for i, c := range s.Classes {
-		sem, err := Word(fmt.Sprintf("classes[%d].semantics", i), c.Semantics, semantics)
+		sem, err := Enum(fmt.Sprintf("classes[%d].semantics", i), c.Semantics, semantics)
 		if err != nil {
 			return cfg, err
 		}
-		scope, err := Word(fmt.Sprintf("classes[%d].dedup-scope", i), c.Scope, scopes)
+		scope, err := Enum(fmt.Sprintf("classes[%d].dedup-scope", i), c.Scope, scopes)
 		if err != nil {
 			return cfg, err
 		}
@@ -194,7 +194,7 @@
 			IdempotencyWindow: d(c.Window), OrderByKey: c.FifoByKey, Zones: c.StaysIn, Kinds: c.AllowedOn,
 			Threads: at(sp.Width, i), LocksTableGroup: at(sp.Load, i), BlockedByLoad: at(sp.Yields, i)})
 	}
-	for _, t := range s.Parties {
+	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	for i, name := range s.Kinds {
