--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill speaks the simulator's wire on standard input and output and hosts one controller per
+// Command simadapter speaks the simulator's wire on standard input and output and hosts one controller per
 // instance. It translates and decides nothing; the decisions are in package dispatch.
 package main
 
@@ -17,7 +17,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
