--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"windflow/internal/decide/pressure"
-	"windflow/internal/decide/slowstart"
+	"windflow/internal/decide/subset"
 )
 
 const (
@@ -153,7 +153,7 @@
 	}
 	if size = min(size, n); size != c.nearSize {
 		c.near, c.nearSize = c.near[:0], size
-		for _, i := range slowstart.Subset(c.cfg.RouterIndex, c.cfg.Routers, n, size) {
+		for _, i := range subset.Choose(c.cfg.RouterIndex, c.cfg.Routers, n, size) {
 			c.near = append(c.near, c.live[i])
 		}
 	}
--- a/internal/decide/slowstart/ration.go
+++ b/internal/decide/slowstart/ration.go
@@ -12,10 +12,7 @@
 // There is no clock in here, and no chance: times are handed in, in milliseconds on any clock that does not go back.
 package slowstart
 
-import (
-	"math"
-	"slices"
-)
+import "math"
 
 // Budget is one party's part of a flow. It begins with Start, and has nothing until it is told its flow.
 type Budget struct {
@@ -68,22 +65,3 @@
 	r.from, r.part = r.given, 0
 	r.next = max(r.flow.when(r.given, 1), math.Nextafter(now, math.Inf(1)))
 }
-
-// Subset gives a party its part of a row of items: so many places in it, each once, in an order of its own. Over all parties
-// every place is dealt about as often as any other; neighbours in number get places that lie apart.
-func Subset(party, parties, items, each int) []int {
-	places := make([]int, 0, max(min(each, items), 0))
-	if each >= items {
-		for i := range items {
-			places = append(places, i)
-		}
-		return places
-	}
-	for k := 0; len(places) < each && k < 4*items; k++ {
-		_, at := math.Modf(float64(party)/float64(max(parties, 1)) + float64(k)*math.Phi)
-		if place := int(at * float64(items)); !slices.Contains(places, place) {
-			places = append(places, place)
-		}
-	}
-	return places
-}
--- a/internal/decide/slowstart/ration_test.go
+++ b/internal/decide/slowstart/ration_test.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 	"testing"
 )
 
@@ -77,27 +76,3 @@
 		}
 	}
 }
-
-// Every place is dealt to as many parties, give or take a few, and no party gets one twice or one that is not there.
-func TestDeal(t *testing.T) {
-	for _, k := range []struct{ parties, items, each, least, most int }{{300, 80, 14, 45, 60}, {250, 60, 8, 29, 38}, {4, 8, 8, 4, 4},
-		{3, 5, 9, 3, 3}, {1, 0, 4, 0, 0}, {0, 3, 1, 0, 1}} {
-		dealt := make([]int, k.items)
-		for i := range max(k.parties, 1) {
-			places := Subset(i, k.parties, k.items, k.each)
-			if len(places) != min(k.each, k.items) {
-				t.Errorf("%+v: party %d got %d places", k, i, len(places))
-			}
-			for j, place := range places {
-				if dealt[place]++; slices.Contains(places[:j], place) {
-					t.Errorf("%+v: party %d got place %d twice", k, i, place)
-				}
-			}
-		}
-		for place, n := range dealt {
-			if n < k.least || n > k.most {
-				t.Errorf("%+v: place %d was dealt %d times", k, place, n)
-			}
-		}
-	}
-}
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
+	"windflow/internal/decide/subset"
 	"windflow/internal/tracetest"
 )
 
@@ -70,7 +71,7 @@
 	for range 2000 {
 		parties := rng.IntN(700)
 		h.Step(1)
-		for _, place := range Subset(rng.IntN(parties+1), parties, rng.IntN(1500), rng.IntN(30)-1) {
+		for _, place := range subset.Choose(rng.IntN(parties+1), parties, rng.IntN(1500), rng.IntN(30)-1) {
 			h.Int(int64(place))
 		}
 	}
