--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -63,8 +63,10 @@
 // Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then nobody minds the
 // loads that hold what it reads.
 func TestTableGroups(t *testing.T) {
-	for field, want := range map[string]int64{``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
-		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0, `,"table-group":1e300`: 0} {
+	for field, want := range map[string]int64{
+		``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
+		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0, `,"table-group":1e300`: 0,
+	} {
 		ev, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
 		if a, ok := ev.(dispatch.Arrival); err != nil || !ok || a.TableGroup != want {
 			t.Errorf("%s: %+v, %v, want group %d", field, ev, err, want)
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -29,11 +29,15 @@
 
 var (
 	states = map[string]dispatch.EndpointState{"live": dispatch.Live, "quiescing": dispatch.Draining, "dead": dispatch.Removed}
-	modes  = map[string]dispatch.ListMode{"FULL": dispatch.ListComplete, "INCREMENTAL": dispatch.ListIncremental,
-		"SAVED": dispatch.ListCached, "FAILED": dispatch.ListFailed}
-	outcomes = map[string]dispatch.Outcome{"served": dispatch.Served, "server_error": dispatch.EngineFailed,
+	modes  = map[string]dispatch.ListMode{
+		"FULL": dispatch.ListComplete, "INCREMENTAL": dispatch.ListIncremental,
+		"SAVED": dispatch.ListCached, "FAILED": dispatch.ListFailed,
+	}
+	outcomes = map[string]dispatch.Outcome{
+		"served": dispatch.Served, "server_error": dispatch.EngineFailed,
 		"turned_away": dispatch.EngineFull, "no_answer": dispatch.TimedOut, "no_connection": dispatch.ConnectFailed,
-		"connection_lost": dispatch.ConnectionReset, "called_off": dispatch.Cancelled, "not_sent": dispatch.NotSent}
+		"connection_lost": dispatch.ConnectionReset, "called_off": dispatch.Cancelled, "not_sent": dispatch.NotSent,
+	}
 )
 
 // A bill is milliseconds of work times billUnit, plus the memory needed in units of billMB.
@@ -58,8 +62,10 @@
 		return dispatch.Endpoint{}, errors.New("executor is missing")
 	}
 	state, err := settings.Enum("condition", e.Condition, states)
-	return dispatch.Endpoint{ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
-		CapacityWeight: e.Units, State: state, StartedAt: time.Duration(e.Born)}, err
+	return dispatch.Endpoint{
+		ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
+		CapacityWeight: e.Units, State: state, StartedAt: time.Duration(e.Born),
+	}, err
 }
 
 // wireEvent has the fields of all events but START and REGISTER.
@@ -98,8 +104,10 @@
 		}
 		return -1
 	}
-	return &dispatch.LoadReport{InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
-		Memory: get("x0"), Failing: get("fail_rate")}
+	return &dispatch.LoadReport{
+		InFlight: get("rif"), Waiting: get("q"), Busy: get("busy"), Disk: get("x1"),
+		Memory: get("x0"), Failing: get("fail_rate"),
+	}
 }
 
 // event translates one event; nil means that there is nothing to tell.
@@ -135,9 +143,11 @@
 		if m.TableGroup != nil && *m.TableGroup >= 0 && *m.TableGroup <= math.MaxUint32 {
 			group = dispatch.TableGroupOf(uint32(*m.TableGroup))
 		}
-		return dispatch.Arrival{Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, TableGroup: group,
+		return dispatch.Arrival{
+			Request: id, Class: m.Kind, Tenant: tenant, Key: m.Key, TableGroup: group,
 			Estimate: time.Duration(m.Estimate), NeedMB: m.WantMB, TimeLeft: time.Duration(m.TimeLeft),
-			Resent: m.Resent}, err
+			Resent: m.Resent,
+		}, err
 	case "PROGRESS":
 		id, err := ref()
 		return dispatch.AttemptProgress{Request: id, Attempt: m.Hop, Kind: dispatch.ProgressKind(m.What), Amount: m.Amount}, err
@@ -147,9 +157,11 @@
 			return nil, err
 		}
 		outcome, err := settings.Enum("field disposition", m.Disposition, outcomes)
-		return dispatch.AttemptEnd{Request: id, Attempt: m.Hop, Outcome: outcome,
+		return dispatch.AttemptEnd{
+			Request: id, Attempt: m.Hop, Outcome: outcome,
 			Took: time.Duration(m.DelaySeen), Last: m.Last, Report: m.load(),
-			Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB}, err
+			Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB,
+		}, err
 	case "STREAMING":
 		id, err := ref()
 		return dispatch.ResponseStarted{Request: id, Attempt: m.Hop}, err
--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -84,8 +84,10 @@
 				return nil
 			},
 		},
-		&cobra.Command{Use: "schema", Short: "Print the JSON Schema of the installation's settings", Args: cobra.NoArgs,
-			Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), string(site.Schema())) }},
+		&cobra.Command{
+			Use: "schema", Short: "Print the JSON Schema of the installation's settings", Args: cobra.NoArgs,
+			Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), string(site.Schema())) },
+		},
 	)
 	return config
 }
--- a/cmd/windflowctl/door.go
+++ b/cmd/windflowctl/door.go
@@ -58,15 +58,19 @@
 		{"ready", "Ask whether they are ready to serve", http.MethodGet, "/api/ready"},
 		{"figures", "Print their figures", http.MethodGet, "/api/telemetry"},
 	} {
-		cmd.AddCommand(&cobra.Command{Use: sub.use, Short: sub.short, Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return call(c, sub.method, sub.path) }})
+		cmd.AddCommand(&cobra.Command{
+			Use: sub.use, Short: sub.short, Args: cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error { return call(c, sub.method, sub.path) },
+		})
 	}
 	for _, sub := range []struct{ use, short, path string }{
 		{"exclude ENGINE", "Have no more sent to an engine, by all of them", "/api/exclude/"},
 		{"include ENGINE", "Put an engine back", "/api/include/"},
 	} {
-		cmd.AddCommand(&cobra.Command{Use: sub.use, Short: sub.short, Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return call(c, http.MethodPost, sub.path+args[0]) }})
+		cmd.AddCommand(&cobra.Command{
+			Use: sub.use, Short: sub.short, Args: cobra.ExactArgs(1),
+			RunE: func(c *cobra.Command, args []string) error { return call(c, http.MethodPost, sub.path+args[0]) },
+		})
 	}
 	return cmd
 }
--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -24,8 +24,10 @@
 	cfg := record.Defaults
 	cfg.Dir = dir
 	at := zero
-	w := record.Start(cfg, record.Header{Router: "n2", Place: 1, Process: "p2", Program: "windflow 1.2",
-		Classes: []record.Class{{Name: "lookup", Worth: 1, LateWorth: 0.25, AimMS: 300}}}, func() float64 { return at }, func(err error) { t.Error(err) })
+	w := record.Start(cfg, record.Header{
+		Router: "n2", Place: 1, Process: "p2", Program: "windflow 1.2",
+		Classes: []record.Class{{Name: "lookup", Worth: 1, LateWorth: 0.25, AimMS: 300}},
+	}, func() float64 { return at }, func(err error) { t.Error(err) })
 	for _, r := range fullRecords() {
 		w.Put(r)
 	}
@@ -35,17 +37,27 @@
 
 // fullRecords are one of each kind, all fields set.
 func fullRecords() []record.Record {
-	row := record.Row{Class: "lookup", Tenant: "rckik-south", Arrived: 50, Again: 1, InAim: 40, Late: 3, Refused: 4, Failed: 2, Left: 5,
-		WorkMS: 812.5, P50: 11.5, P99: 93.25}
-	engine := record.EngineRow{ID: "s-00000001", Sent: 50, Served: 43, Full: 2, Errored: 1, Broken: 3, Silent: 4, Running: 7,
-		Threads: 2.5, P50: 10.5, P99: 88.75}
+	row := record.Row{
+		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Again: 1, InAim: 40, Late: 3, Refused: 4, Failed: 2, Left: 5,
+		WorkMS: 812.5, P50: 11.5, P99: 93.25,
+	}
+	engine := record.EngineRow{
+		ID: "s-00000001", Sent: 50, Served: 43, Full: 2, Errored: 1, Broken: 3, Silent: 4, Running: 7,
+		Threads: 2.5, P50: 10.5, P99: 88.75,
+	}
 	return []record.Record{
-		&record.Engine{At: zero + 1, ID: "s-00000001", State: record.Down, Was: record.Slow, Slow: 3.5, Fail: 0.125, Lost: 6,
-			WarmAt: zero + 9000, Zone: "z1", Kind: "large", Event: 77},
-		&record.Second{At: zero + 1000, ForMS: 1000, Rows: []record.Row{row}, Engines: []record.EngineRow{engine}, Open: 9, Held: 2,
-			Jam: 0.5, Conns: 31, Session: 12, Turned: 3, Spoilt: 4, Event: 78, BoardMS: 250.5},
-		&record.Answer{At: zero + 1001, ID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Refused: true,
-			Reason: "no room", Engine: "s-00000001", AfterMS: 41.5},
+		&record.Engine{
+			At: zero + 1, ID: "s-00000001", State: record.Down, Was: record.Slow, Slow: 3.5, Fail: 0.125, Lost: 6,
+			WarmAt: zero + 9000, Zone: "z1", Kind: "large", Event: 77,
+		},
+		&record.Second{
+			At: zero + 1000, ForMS: 1000, Rows: []record.Row{row}, Engines: []record.EngineRow{engine}, Open: 9, Held: 2,
+			Jam: 0.5, Conns: 31, Session: 12, Turned: 3, Spoilt: 4, Event: 78, BoardMS: 250.5,
+		},
+		&record.Answer{
+			At: zero + 1001, ID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Refused: true,
+			Reason: "no room", Engine: "s-00000001", AfterMS: 41.5,
+		},
 		&record.Event{At: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"}},
 		&record.Gap{At: zero + 1003, From: zero + 900, Records: 21},
 	}
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -21,8 +21,10 @@
 		cfg := record.Defaults
 		cfg.Dir = dir
 		at := zero
-		w := record.Start(cfg, record.Header{Router: "n" + string(rune('0'+i)) + "\x1b[31m", Place: 2, Process: "p" + string(rune('0'+i)),
-			Classes: []record.Class{{Name: "lookup", Worth: 1}}}, func() float64 { return at }, func(err error) { t.Error(err) })
+		w := record.Start(cfg, record.Header{
+			Router: "n" + string(rune('0'+i)) + "\x1b[31m", Place: 2, Process: "p" + string(rune('0'+i)),
+			Classes: []record.Class{{Name: "lookup", Worth: 1}},
+		}, func() float64 { return at }, func(err error) { t.Error(err) })
 		on := func(ms float64) float64 { return zero + ms + offset }
 		w.Put(&record.Engine{At: on(0), ID: "s-00000001", State: record.Normal})
 		for s := range 120 {
--- a/cmd/windflowctl/records.go
+++ b/cmd/windflowctl/records.go
@@ -14,8 +14,10 @@
 )
 
 func recordsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "records", Short: "Read, verify and cut records",
-		Long: "Read, verify and cut the records that routers write where their settings have a section \"records\".\nRECORDS are segment files, or folders of them."}
+	cmd := &cobra.Command{
+		Use: "records", Short: "Read, verify and cut records",
+		Long: "Read, verify and cut the records that routers write where their settings have a section \"records\".\nRECORDS are segment files, or folders of them.",
+	}
 	cmd.AddCommand(catCommand(), checkCommand(), cutCommand())
 	return cmd
 }
--- a/cmd/windflowctl/threads.go
+++ b/cmd/windflowctl/threads.go
@@ -101,8 +101,10 @@
 }
 
 func newWatch(least time.Duration) *watch {
-	return &watch{least: least, samples: map[where]int{}, longest: map[where]time.Duration{},
-		since: map[thread]time.Duration{}, last: map[thread]where{}}
+	return &watch{
+		least: least, samples: map[where]int{}, longest: map[where]time.Duration{},
+		since: map[thread]time.Duration{}, last: map[thread]where{},
+	}
 }
 
 // take adds a sample; what a thread has left is printed where it took long. A wait counts from its first to its last sample.
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -42,8 +42,10 @@
 	if err := w.report(&out); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"    0.3 s: process 71, thread 72 waited 0.4 s in expand_files\n",
-		"S      ep_poll           10       0.9\n", "D      expand_files      5        0.4\n"} {
+	for _, want := range []string{
+		"    0.3 s: process 71, thread 72 waited 0.4 s in expand_files\n",
+		"S      ep_poll           10       0.9\n", "D      expand_files      5        0.4\n",
+	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in:\n%s", want, out.String())
 		}
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -138,12 +138,18 @@
 // traceDays are days on a small fleet, one of the middle and a large one.
 func traceDays() []traceDay {
 	s := time.Second
-	few := fleetDay{seed: 5, gateways: 2, engines: 6, cores: 8, zones: 2, load: 0.7, lasts: 12 * s, bad: 0.2,
-		joinAt: 3 * s, joinFor: 4 * s, burst: 1.4, pile: 700 * ms}
-	some := fleetDay{seed: 6, gateways: 30, engines: 24, cores: 8, zones: 3, load: 0.7, lasts: 9 * s, bad: 0.1,
-		joinAt: 2 * s, joinFor: 3 * s}
-	many := fleetDay{seed: 7, gateways: 600, engines: 48, cores: 16, zones: 6, load: 0.6, lasts: 4 * s, bad: 0.1,
-		joinAt: s, joinFor: s}
+	few := fleetDay{
+		seed: 5, gateways: 2, engines: 6, cores: 8, zones: 2, load: 0.7, lasts: 12 * s, bad: 0.2,
+		joinAt: 3 * s, joinFor: 4 * s, burst: 1.4, pile: 700 * ms,
+	}
+	some := fleetDay{
+		seed: 6, gateways: 30, engines: 24, cores: 8, zones: 3, load: 0.7, lasts: 9 * s, bad: 0.1,
+		joinAt: 2 * s, joinFor: 3 * s,
+	}
+	many := fleetDay{
+		seed: 7, gateways: 600, engines: 48, cores: 16, zones: 6, load: 0.6, lasts: 4 * s, bad: 0.1,
+		joinAt: s, joinFor: s,
+	}
 	changed := func(d fleetDay, change func(*fleetDay)) fleetDay { change(&d); return d }
 	return []traceDay{
 		{"fleet/2-join", changed(few, func(d *fleetDay) { d.join, d.hasty = 0.6, 0.3 })},
--- a/dispatch/traceworld_test.go
+++ b/dispatch/traceworld_test.go
@@ -267,8 +267,10 @@
 
 // load gives a report, with some figures unknown.
 func (w *traceWorld) load() *LoadReport {
-	l := &LoadReport{InFlight: float64(w.rng.IntN(20)), Waiting: float64(w.rng.IntN(3)), Busy: w.rng.Float64(), Disk: w.rng.Float64(),
-		Memory: 1.2 * w.rng.Float64(), Failing: w.rng.Float64()}
+	l := &LoadReport{
+		InFlight: float64(w.rng.IntN(20)), Waiting: float64(w.rng.IntN(3)), Busy: w.rng.Float64(), Disk: w.rng.Float64(),
+		Memory: 1.2 * w.rng.Float64(), Failing: w.rng.Float64(),
+	}
 	for _, v := range []*float64{&l.InFlight, &l.Waiting, &l.Busy, &l.Disk, &l.Memory, &l.Failing} {
 		if w.rng.IntN(6) == 0 {
 			*v = -1
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -157,8 +157,10 @@
 	delete(c.door.callers, c)
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 413: "Content Too Large", 503: "Service Unavailable"}
+var reasons = map[int]string{
+	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+	408: "Request Timeout", 413: "Content Too Large", 503: "Service Unavailable",
+}
 
 // answer writes the one answer and closes once the caller has had time to read it.
 func (c *caller) answer(code int, text string) {
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -47,6 +47,7 @@
 	}
 	return nil
 }
+
 func (w *wire) Close() {
 	if !w.closed {
 		w.closed = true
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -30,8 +30,10 @@
 	return fmt.Sprintf("notification %d/%d (%s) data %x", n.Code, n.Subcode, codeNames[n.Code], n.Data)
 }
 
-var codeNames = map[byte]string{1: "message header error", 2: "OPEN message error", 3: "UPDATE message error",
-	4: "hold timer expired", 5: "finite state machine error", 6: "cease"}
+var codeNames = map[byte]string{
+	1: "message header error", 2: "OPEN message error", 3: "UPDATE message error",
+	4: "hold timer expired", 5: "finite state machine error", 6: "cease",
+}
 
 // marker opens every message.
 var marker = bytes.Repeat([]byte{0xff}, 16)
@@ -94,8 +96,10 @@
 }
 
 func parseOpen(b []byte) (open, *Notification) {
-	o := open{as: uint32(binary.BigEndian.Uint16(b[1:])), hold: binary.BigEndian.Uint16(b[3:]),
-		id: netip.AddrFrom4([4]byte(b[5:9]))}
+	o := open{
+		as: uint32(binary.BigEndian.Uint16(b[1:])), hold: binary.BigEndian.Uint16(b[3:]),
+		id: netip.AddrFrom4([4]byte(b[5:9])),
+	}
 	if b[0] != version {
 		return o, &Notification{Code: 2, Subcode: 1, Data: []byte{0, version}}
 	}
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -110,8 +110,10 @@
 		p.keepalive.Stop()
 		s.session = nil
 		s.log.Info("bgp session handed over", "peer", s.cfg.Peer)
-		f(Handed{Peer: s.cfg.Peer, HoldMS: p.holdMS, FourB: p.fourB, Unread: p.buf, Told: s.cfg.Prefixes,
-			NextHop: netip.Addr(s.cfg.NextHop)}, file)
+		f(Handed{
+			Peer: s.cfg.Peer, HoldMS: p.holdMS, FourB: p.fourB, Unread: p.buf, Told: s.cfg.Prefixes,
+			NextHop: netip.Addr(s.cfg.NextHop),
+		}, file)
 	})
 }
 
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -18,9 +18,11 @@
 )
 
 func testConfig() Config {
-	return Config{Peer: "127.0.0.1:1179", PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
+	return Config{
+		Peer: "127.0.0.1:1179", PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
 		NextHop: netip.MustParseAddr("10.0.0.1"), Prefixes: []netip.Prefix{netip.MustParsePrefix("192.0.2.10/32")},
-		HoldTimeS: 9, ConnectRetryS: 5}
+		HoldTimeS: 9, ConnectRetryS: 5,
+	}
 }
 
 // peer is a stand-in for the neighbour: it keeps what the speaker writes.
@@ -48,6 +50,7 @@
 	p.handler, p.closed = h, false
 	return p
 }
+
 func (p *peer) Write(b []byte) error {
 	p.written = append(p.written, b...)
 	return nil
@@ -74,8 +77,10 @@
 		if err != nil || n == 0 {
 			p.t.Fatalf("the speaker wrote % x", p.written)
 		}
-		name := map[byte]string{typeOpen: "open", typeUpdate: "update", typeNotification: "notification",
-			typeKeepalive: "keepalive"}[kind]
+		name := map[byte]string{
+			typeOpen: "open", typeUpdate: "update", typeNotification: "notification",
+			typeKeepalive: "keepalive",
+		}[kind]
 		words = append(words, strings.TrimSpace(fmt.Sprintf("%s %x", name, body)))
 		p.written = p.written[n:]
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -105,9 +105,11 @@
 	row := func(what string, budget float64, terms ...Term) Row {
 		return Row{Role: "router", What: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"dispatch"}}
 	}
-	rows := []Scenario{{"one", []Row{row("within", 900, Line("a", 400)), row("over", 900, Line("a", 450)), row("far", 0, Line("a", 1601)),
+	rows := []Scenario{{"one", []Row{
+		row("within", 900, Line("a", 400)), row("over", 900, Line("a", 450)), row("far", 0, Line("a", 1601)),
 		row("rise", 0, Rise("a", 400).By(0.5)), row("missing", 5, Line("b", 1)), row("day", 1, Played("day", "served")), row("size", 0, Given(12345.6, "sum")),
-		{Role: "relay", What: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)}, Mechanism: "a hop", Packages: []string{NotBuilt}}}}}
+		{Role: "relay", What: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)}, Mechanism: "a hop", Packages: []string{NotBuilt}},
+	}}}
 	page, err := m.Update("head\n"+beginMark+"one"+markTail+"\nold\n"+endMark+"\ntail\n", rows)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -75,8 +75,14 @@
 
 // check says what makes a slope unfit to reckon with.
 func (s Slope) check() error {
-	for _, k := range []struct{ field, value string }{{"name", s.Name}, {"of", s.Of}, {"x", s.X}, {"y", s.Y},
-		{"conditions", s.Conditions}, {"test", s.Test}} {
+	for _, k := range []struct{ field, value string }{
+		{"name", s.Name},
+		{"of", s.Of},
+		{"x", s.X},
+		{"y", s.Y},
+		{"conditions", s.Conditions},
+		{"test", s.Test},
+	} {
 		if k.value == "" {
 			return fmt.Errorf("%s: is empty", k.field)
 		}
@@ -98,8 +104,11 @@
 		field     string
 		got, want float64
 		unit      float64
-	}{{"intercept", s.Intercept, intercept, scale}, {"slope", s.Slope, slope, math.Abs(slope)},
-		{"largest_residual", s.Residual, residual, scale}} {
+	}{
+		{"intercept", s.Intercept, intercept, scale},
+		{"slope", s.Slope, slope, math.Abs(slope)},
+		{"largest_residual", s.Residual, residual, scale},
+	} {
 		if !(math.Abs(k.got-k.want) <= 1e-6*k.unit) {
 			return fmt.Errorf("%s: is %v, the points give %v", k.field, k.got, k.want)
 		}
@@ -119,8 +128,10 @@
 		var s Slope
 		var named struct{ Name any }
 		_ = json.Unmarshal(item, &named) // for the place alone: what is wrong with the item is said below
-		err := fields(item, map[string]any{"name": &s.Name, "of": &s.Of, "x": &s.X, "y": &s.Y, "points": &s.Points,
-			"intercept": &s.Intercept, "slope": &s.Slope, "largest_residual": &s.Residual, "conditions": &s.Conditions, "test": &s.Test})
+		err := fields(item, map[string]any{
+			"name": &s.Name, "of": &s.Of, "x": &s.X, "y": &s.Y, "points": &s.Points,
+			"intercept": &s.Intercept, "slope": &s.Slope, "largest_residual": &s.Residual, "conditions": &s.Conditions, "test": &s.Test,
+		})
 		if err == nil {
 			err = s.check()
 		}
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -47,8 +47,12 @@
 	for _, k := range []struct {
 		points [][2]float64
 		want   [3]float64
-	}{{nil, [3]float64{}}, {[][2]float64{{3, 4}}, [3]float64{4, 0, 0}}, {[][2]float64{{3, 4}, {3, 6}}, [3]float64{5, 0, 1}},
-		{[][2]float64{{0, 1}, {1, 2}, {2, 6}}, [3]float64{0.5, 2.5, 1}}} {
+	}{
+		{nil, [3]float64{}},
+		{[][2]float64{{3, 4}}, [3]float64{4, 0, 0}},
+		{[][2]float64{{3, 4}, {3, 6}}, [3]float64{5, 0, 1}},
+		{[][2]float64{{0, 1}, {1, 2}, {2, 6}}, [3]float64{0.5, 2.5, 1}},
+	} {
 		a, b, r := Fit(k.points)
 		if [3]float64{a, b, r} != k.want {
 			t.Errorf("%v: %v %v %v, want %v", k.points, a, b, r, k.want)
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -33,8 +33,10 @@
 
 // goldenEntries are in the form in which keepers give them out.
 func goldenEntries() map[string]json.RawMessage {
-	return map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"),
-		"/settings/parties/north": json.RawMessage(`{"share":2}`), "/board": json.RawMessage(`"board:7300"`)}
+	return map[string]json.RawMessage{
+		"/settings/over-share-worth": json.RawMessage("1.5"),
+		"/settings/parties/north":    json.RawMessage(`{"share":2}`), "/board": json.RawMessage(`"board:7300"`),
+	}
 }
 
 // goldenSaved gives the copy of revision 12 as the follower's state has it.
@@ -133,8 +135,10 @@
 
 // What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
 func TestGoldenCall(t *testing.T) {
-	report := configlog.FollowerStatus{Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
-		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}}
+	report := configlog.FollowerStatus{
+		Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
+	}
 	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
 	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -33,8 +33,10 @@
 
 // New runs a keeper that ends with the test.
 func New(t testing.TB) *Keeper {
-	k := &Keeper{t: t, log: configlog.NewLog(configlog.DefaultRetention), changed: make(chan struct{}), stop: make(chan struct{}),
-		heard: make(chan configlog.FollowerStatus, 1<<14), noted: map[string]bool{}}
+	k := &Keeper{
+		t: t, log: configlog.NewLog(configlog.DefaultRetention), changed: make(chan struct{}), stop: make(chan struct{}),
+		heard: make(chan configlog.FollowerStatus, 1<<14), noted: map[string]bool{},
+	}
 	k.server = httptest.NewServer(k)
 	t.Cleanup(func() {
 		close(k.stop)
--- a/internal/decide/configlog/document_test.go
+++ b/internal/decide/configlog/document_test.go
@@ -8,17 +8,21 @@
 
 // The places that can be put, and those that are each router's own.
 func TestCheckPointer(t *testing.T) {
-	for _, p := range []string{"/board", "/settings/over-share-worth", "/settings/rules/look-back-ns", "/settings/limits/attempts-cap",
-		"/settings/classes/0/credit", "/settings/parties/a", "/settings/parties/Me", "/settings/parties/a~1b~0c", "/settings/meet"} {
+	for _, p := range []string{
+		"/board", "/settings/over-share-worth", "/settings/rules/look-back-ns", "/settings/limits/attempts-cap",
+		"/settings/classes/0/credit", "/settings/parties/a", "/settings/parties/Me", "/settings/parties/a~1b~0c", "/settings/meet",
+	} {
 		if err := CheckPointer(p); err != nil {
 			t.Errorf("%s: %v", p, err)
 		}
 	}
-	for _, p := range []string{"", "board", "/", "/name", "/listen", "/seed", "/limits", "/limits/sockets", "/control", "/known", "/board/x",
+	for _, p := range []string{
+		"", "board", "/", "/name", "/listen", "/seed", "/limits", "/limits/sockets", "/control", "/known", "/board/x",
 		"/Board", "/settings", "/settings/", "/settings/me", "/settings/zone", "/settings/Zone", "/settings/zone/x", "/settings/a//b",
 		"/settings/parties", "/settings/Parties/a", "/settings/parties/", "/settings/parties/a/quota-rps", "/settings/a~2", "/settings/a~",
 		"/settings/\x00", "/settings/parties/\n", "/settings/parties/\xff", "/settings/classes/-", "/settings/classes/01",
-		"/settings/parties/" + strings.Repeat("x", MaxPointer)} {
+		"/settings/parties/" + strings.Repeat("x", MaxPointer),
+	} {
 		if err := CheckPointer(p); err == nil {
 			t.Errorf("%q is taken", p)
 		}
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -59,8 +59,10 @@
 // NewFollower gives a follower at revision 0, which is the router's own file alone. The instance is another in
 // each life; see Instance.
 func NewFollower(name, instance string) *Follower {
-	return &Follower{name: name, instance: instance, now: content{entries: map[string]json.RawMessage{}},
-		courier: newCourier(instance)}
+	return &Follower{
+		name: name, instance: instance, now: content{entries: map[string]json.RawMessage{}},
+		courier: newCourier(instance),
+	}
 }
 
 // Status gives what the next call says to a keeper, which is also the ACK or NACK of what the last one brought. After an update
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -33,8 +33,10 @@
 		"update.json":   Update{From: 8, To: 9, Snapshot: true, Behind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
 		"report.json":   report,
 		"lease.json":    Lease{FollowerStatus: report, UntilMS: 6000.25},
-		"verdict.json": ConvergenceStatus{Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Foreign: seats, Gone: []string{"r1"},
-			Unreached: []string{"k2"}, Everywhere: true},
+		"verdict.json": ConvergenceStatus{
+			Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Foreign: seats, Gone: []string{"r1"},
+			Unreached: []string{"k2"}, Everywhere: true,
+		},
 		"saved.json": Saved{Revision: 9, Hash: goldenHash(5), Sum: goldenHash(6), Entries: put},
 		"terms.json": Retention{Revisions: 2000, Bytes: 1 << 20},
 	}
@@ -75,8 +77,10 @@
 	return []Change{
 		{ID: "a", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")}, Note: "first", AtMS: 1_796_000_000_001},
 		{ID: "b", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7300"`)}, AtMS: 1_796_000_000_002},
-		{ID: "c", Expect: &expect, Put: map[string]json.RawMessage{"/settings/parties/north": json.RawMessage(`{"share":2,"a":[1.50,null]}`)},
-			Remove: []string{"/settings/over-share-worth"}, Note: "both", AtMS: 1_796_000_000_003},
+		{
+			ID: "c", Expect: &expect, Put: map[string]json.RawMessage{"/settings/parties/north": json.RawMessage(`{"share":2,"a":[1.50,null]}`)},
+			Remove: []string{"/settings/over-share-worth"}, Note: "both", AtMS: 1_796_000_000_003,
+		},
 		{ID: "d", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7301"`)}, AtMS: 1_796_000_000_004},
 		{ID: "e", Remove: []string{"/board"}, AtMS: 1_796_000_000_005},
 		{ID: "f", RevertTo: &back, Note: "back", AtMS: 1_796_000_000_006},
--- a/internal/decide/configlog/judge.go
+++ b/internal/decide/configlog/judge.go
@@ -40,8 +40,10 @@
 // this can't see is the elder process at an unreached keeper while its successor is heard elsewhere, and a router that has
 // never been answered.
 func (l *Log) Convergence(rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
-	v := ConvergenceStatus{Revision: rev, InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{}, Foreign: []FollowerProcess{}, Gone: []string{},
-		Unreached: slices.Sorted(slices.Values(unreached))}
+	v := ConvergenceStatus{
+		Revision: rev, InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{}, Foreign: []FollowerProcess{}, Gone: []string{},
+		Unreached: slices.Sorted(slices.Values(unreached)),
+	}
 	if v.Unreached == nil {
 		v.Unreached = []string{}
 	}
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -75,8 +75,10 @@
 	if t.Bytes <= 0 {
 		t.Bytes = DefaultRetention.Bytes
 	}
-	return &Log{terms: t, entries: map[string]json.RawMessage{}, inner: map[string]int{}, ids: map[string]made{},
-		roster: map[string][2]string{}}
+	return &Log{
+		terms: t, entries: map[string]json.RawMessage{}, inner: map[string]int{}, ids: map[string]made{},
+		roster: map[string][2]string{},
+	}
 }
 
 // Revision is the one in force; 0 before the first change.
@@ -170,11 +172,15 @@
 func (l *Log) keeps(rev uint64) *ChangeError {
 	switch {
 	case rev < l.oldest:
-		return &ChangeError{Kind: RevisionCompacted, Revision: l.oldest,
-			Reason: fmt.Sprintf("revision %d is no longer kept, the oldest is %d", rev, l.oldest)}
+		return &ChangeError{
+			Kind: RevisionCompacted, Revision: l.oldest,
+			Reason: fmt.Sprintf("revision %d is no longer kept, the oldest is %d", rev, l.oldest),
+		}
 	case rev > l.Revision():
-		return &ChangeError{Kind: ChangeInvalid, Revision: l.Revision(),
-			Reason: fmt.Sprintf("there is no revision %d yet, the latest is %d", rev, l.Revision())}
+		return &ChangeError{
+			Kind: ChangeInvalid, Revision: l.Revision(),
+			Reason: fmt.Sprintf("there is no revision %d yet, the latest is %d", rev, l.Revision()),
+		}
 	}
 	return nil
 }
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -103,8 +103,10 @@
 		t.Error("a refused change changed something")
 	}
 	// What stands in the way may go in the same change.
-	l.made(t, Change{ID: "over", Put: map[string]json.RawMessage{"/settings/rules": json.RawMessage("{}"), "/settings/list/0": json.RawMessage("1")},
-		Remove: []string{"/settings/rules/cold-ns", "/settings/list"}})
+	l.made(t, Change{
+		ID: "over", Put: map[string]json.RawMessage{"/settings/rules": json.RawMessage("{}"), "/settings/list/0": json.RawMessage("1")},
+		Remove: []string{"/settings/rules/cold-ns", "/settings/list"},
+	})
 	if len(l.Entries()) != 2 {
 		t.Error(l.Entries())
 	}
--- a/internal/decide/configlog/plan.go
+++ b/internal/decide/configlog/plan.go
@@ -27,15 +27,19 @@
 	p := plan{sum: c.sum(put)}
 	if m, ok := l.ids[c.ID]; ok {
 		if m.sum != p.sum {
-			return p, &ChangeError{Kind: ChangeIDReused, Revision: m.revision,
-				Reason: fmt.Sprintf("field id: %q was another change, which made revision %d", c.ID, m.revision)}
+			return p, &ChangeError{
+				Kind: ChangeIDReused, Revision: m.revision,
+				Reason: fmt.Sprintf("field id: %q was another change, which made revision %d", c.ID, m.revision),
+			}
 		}
 		p.made = &m
 		return p, nil
 	}
 	if now := l.Revision(); c.Expect != nil && *c.Expect != now {
-		return p, &ChangeError{Kind: ChangeConflict, Revision: now,
-			Reason: fmt.Sprintf("field expect: the revision in force is %d, not %d", now, *c.Expect)}
+		return p, &ChangeError{
+			Kind: ChangeConflict, Revision: now,
+			Reason: fmt.Sprintf("field expect: the revision in force is %d, not %d", now, *c.Expect),
+		}
 	}
 	if c.RevertTo != nil {
 		if fault := l.keeps(*c.RevertTo); fault != nil {
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -73,14 +73,18 @@
 	return u
 }
 
-var tracePointers = []string{"", "board", "/board", "/board/a", "/", "/settings", "/settings/", "/settings/a", "/settings/A", "/settings/me",
+var tracePointers = []string{
+	"", "board", "/board", "/board/a", "/", "/settings", "/settings/", "/settings/a", "/settings/A", "/settings/me",
 	"/settings/zone", "/settings/zone/a", "/settings/a//b", "/settings/a/-", "/settings/a/01", "/settings/a/0", "/settings/a/10", "/settings/a_b.c-d",
 	"/settings/a~0", "/settings/a~", "/settings/a~2", "/settings/parties", "/settings/parties/", "/settings/parties/p", "/settings/parties/p~1q~0",
-	"/settings/parties/p/q", "/settings/\x01", "/settings/\xff", "/other/a", "/settings/" + strings.Repeat("a", 502), "/settings/" + strings.Repeat("a", 503)}
+	"/settings/parties/p/q", "/settings/\x01", "/settings/\xff", "/other/a", "/settings/" + strings.Repeat("a", 502), "/settings/" + strings.Repeat("a", 503),
+}
 
-var traceValues = []string{"", "1", "1.50", "1e2", "1E400", "-0", "0.1e-7", "123456789012345678901234567890", `"a"`, `"\u0041<>&\u2028"`, `"\ud800"`, "null", "true",
+var traceValues = []string{
+	"", "1", "1.50", "1e2", "1E400", "-0", "0.1e-7", "123456789012345678901234567890", `"a"`, `"\u0041<>&\u2028"`, `"\ud800"`, "null", "true",
 	"[]", "[1, 2,  [3]]", "{}", `{"b":1,"a":{"d":2,"c":[null]}}`, `{"a":1,"a":2}`, "{", "1 2", "\xff", `{"a":null}`,
-	nested(63), nested(64), nested(65), nested(66), `"` + strings.Repeat("x", 64<<10-2) + `"`, `"` + strings.Repeat("x", 64<<10-1) + `"`}
+	nested(63), nested(64), nested(65), nested(66), `"` + strings.Repeat("x", 64<<10-2) + `"`, `"` + strings.Repeat("x", 64<<10-1) + `"`,
+}
 
 // nested gives lists within each other. Bounds are written as numbers here, so that a changed bound shows.
 func nested(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -13,9 +13,11 @@
 
 // allowed are the packages of the standard library that compute and no more. Among them are none that read a clock, draw
 // chance, open anything or start goroutines; time is not, so that a decision can't ask for it.
-var allowed = []string{"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
+var allowed = []string{
+	"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash/fnv", "iter",
-	"maps", "math", "math/big", "math/bits", "slices", "sort", "strconv", "strings", "unicode", "unicode/utf8"}
+	"maps", "math", "math/big", "math/bits", "slices", "sort", "strconv", "strings", "unicode", "unicode/utf8",
+}
 
 // What a package below internal/decide decides, it decides from what it is handed. It guards against decisions that can't
 // be played again.
--- a/internal/decide/pressure/pressure_test.go
+++ b/internal/decide/pressure/pressure_test.go
@@ -102,11 +102,15 @@
 // stands in the way: no state is left in which nothing would be sent.
 func TestMoreIsMonotoneAndRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Limits{MemoryMB: rapid.SampledFrom([]float64{0, 1, 1000, 24576, 1e9}).Draw(t, "memory"),
-			MaxGrantShare: rapid.Float64Range(0, 1).Draw(t, "most"), Shortage: MemoryShortage(rapid.IntRange(0, 2).Draw(t, "short"))}
+		terms := Limits{
+			MemoryMB:      rapid.SampledFrom([]float64{0, 1, 1000, 24576, 1e9}).Draw(t, "memory"),
+			MaxGrantShare: rapid.Float64Range(0, 1).Draw(t, "most"), Shortage: MemoryShortage(rapid.IntRange(0, 2).Draw(t, "short")),
+		}
 		query := rapid.Custom(func(t *rapid.T) Query {
-			return Query{NeedMB: rapid.SampledFrom([]float64{0, -5, 1, 300, 1e9, math.NaN()}).Draw(t, "need"),
-				TableGroup: int64(rapid.IntRange(0, 3).Draw(t, "group")), LocksTableGroup: rapid.Bool().Draw(t, "load"), BlockedByLoad: rapid.Bool().Draw(t, "waits")}
+			return Query{
+				NeedMB:     rapid.SampledFrom([]float64{0, -5, 1, 300, 1e9, math.NaN()}).Draw(t, "need"),
+				TableGroup: int64(rapid.IntRange(0, 3).Draw(t, "group")), LocksTableGroup: rapid.Bool().Draw(t, "load"), BlockedByLoad: rapid.Bool().Draw(t, "waits"),
+			}
 		})
 		var e Engine
 		var out []Query
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -16,8 +16,12 @@
 		idle       float64 // before it begins, in milliseconds
 		past       float64 // share of 10,000 queries
 	}{
-		{"at its rate", 20, 20, 0, 0}, {"below", 20, 7, 0, 0}, {"twice", 20, 40, 0, 0.5}, {"four times", 5, 20, 0, 0.75},
-		{"twice after a day", 20, 40, 86_400_000, 0.5}, {"of a tenant without a share", 0, 10, 0, 1},
+		{"at its rate", 20, 20, 0, 0},
+		{"below", 20, 7, 0, 0},
+		{"twice", 20, 40, 0, 0.5},
+		{"four times", 5, 20, 0, 0.75},
+		{"twice after a day", 20, 40, 86_400_000, 0.5},
+		{"of a tenant without a share", 0, 10, 0, 1},
 		{"below zero", -5, 10, 0, 1},
 	} {
 		var b Bucket
--- a/internal/decide/slowstart/ration_test.go
+++ b/internal/decide/slowstart/ration_test.go
@@ -60,7 +60,11 @@
 	for _, k := range []struct {
 		at, life, since float64
 		ok              bool
-	}{{900, 1000, 0, false}, {1100, 800, 1000, true}, {1900, 800, 1000, false}, {2000, 800, 2000, true},
+	}{
+		{900, 1000, 0, false},
+		{1100, 800, 1000, true},
+		{1900, 800, 1000, false},
+		{2000, 800, 2000, true},
 		{1500, 800, 2000, true}, // a time that lies behind: nothing is reckoned twice
 		{9700, 800, 9000, true}, // seven came due: one
 		{9800, 700, 9000, false},
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -7,8 +7,14 @@
 
 // Each item is chosen by as many routers, give or take a few, and no router gets one twice or one that is not there.
 func TestChoose(t *testing.T) {
-	for _, k := range []struct{ routers, items, each, least, most int }{{300, 80, 14, 45, 60}, {250, 60, 8, 29, 38}, {4, 8, 8, 4, 4},
-		{3, 5, 9, 3, 3}, {1, 0, 4, 0, 0}, {0, 3, 1, 0, 1}} {
+	for _, k := range []struct{ routers, items, each, least, most int }{
+		{300, 80, 14, 45, 60},
+		{250, 60, 8, 29, 38},
+		{4, 8, 8, 4, 4},
+		{3, 5, 9, 3, 3},
+		{1, 0, 4, 0, 0},
+		{0, 3, 1, 0, 1},
+	} {
 		users := make([]int, k.items)
 		for i := range max(k.routers, 1) {
 			chosen := Choose(i, k.routers, k.items, k.each)
--- a/internal/discovery/board.go
+++ b/internal/discovery/board.go
@@ -87,10 +87,12 @@
 			return f, fmt.Errorf("record of s-%08x: state %d, zone %d, kind %d or start %d is out of range",
 				uint64(id), state, zone, kind, started)
 		}
-		f.list.Events.Endpoints = append(f.list.Events.Endpoints, dispatch.Endpoint{ID: id,
+		f.list.Events.Endpoints = append(f.list.Events.Endpoints, dispatch.Endpoint{
+			ID:    id,
 			State: dispatch.EndpointState(state), Zone: names.Zones[zone], Kind: names.Kinds[kind],
 			Cell: int(binary.BigEndian.Uint16(rest[13:])), CapacityWeight: float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
-			StartedAt: clock.Duration(float64(started))})
+			StartedAt: clock.Duration(float64(started)),
+		})
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(rest[4:8])), binary.BigEndian.Uint16(rest[8:]))
 		f.list.Addrs[id] = addr.String()
 	}
@@ -131,9 +133,12 @@
 
 // Watch opens the link; last is the number of the last event that is known, and waits are drawn from the seed.
 func Watch(loop *router.Loop, dialer netio.Dialer, addr string, names Names, last uint64, tell func(Update),
-	seed uint64, log *slog.Logger) *Watcher {
-	f := &Watcher{loop: loop, dialer: dialer, addr: addr, names: names, last: last, tell: tell, log: log,
-		redial: redialLeast, rng: rand.New(rand.NewPCG(seed, seedOf))}
+	seed uint64, log *slog.Logger,
+) *Watcher {
+	f := &Watcher{
+		loop: loop, dialer: dialer, addr: addr, names: names, last: last, tell: tell, log: log,
+		redial: redialLeast, rng: rand.New(rand.NewPCG(seed, seedOf)),
+	}
 	f.open()
 	return f
 }
--- a/internal/discovery/board_test.go
+++ b/internal/discovery/board_test.go
@@ -192,8 +192,12 @@
 		first string // frame
 		bytes int    // of a frame that follows, each 100 ms
 		stays bool
-	}{{"trickle", "0000000000000004" + "00", 1, false}, {"silent after a whole list", "0000000000000005" + "01" + record, 0, false},
-		{"a long frame", "0000000000000004" + "00", 1024, true}, {"silent from the first on", "", 0, false}} {
+	}{
+		{"trickle", "0000000000000004" + "00", 1, false},
+		{"silent after a whole list", "0000000000000005" + "01" + record, 0, false},
+		{"a long frame", "0000000000000004" + "00", 1024, true},
+		{"silent from the first on", "", 0, false},
+	} {
 		now := &clock.Manual{MS: 1e6}
 		loop := router.NewLoop(now)
 		d := &dials{}
--- a/internal/enginehttp/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -96,8 +96,10 @@
 	}
 }
 
-var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
-	dispatch.ConnectFailed: "connect failed", dispatch.ConnectionReset: "reset", dispatch.Cancelled: "cancelled"}
+var outcomes = map[dispatch.Outcome]string{
+	dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
+	dispatch.ConnectFailed: "connect failed", dispatch.ConnectionReset: "reset", dispatch.Cancelled: "cancelled",
+}
 
 // play carries out one line:
 //
@@ -132,10 +134,12 @@
 	switch word {
 	case "start":
 		s.alone = rest == "alone" || rest == "deleted"
-		s.attempts = append(s.attempts, s.client.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41",
+		s.attempts = append(s.attempts, s.client.Start(router.Call{
+			Engine: engine, ID: "9b1f03aa5c7e2d41",
 			Class: "lookup", Statement: "SELECT 1", WaitMS: 1500.7, GrantMB: 96.2, Priority: 2, AtMostOnce: rest == "once", LatestStartMS: latest,
 			Exclusive: rest == "alone" || rest == "deleted", CancelAllowed: rest == "deleted",
-			OnSent: func() { s.out.WriteString("  written whole\n") }, OnProgress: s.heard},
+			OnSent: func() { s.out.WriteString("  written whole\n") }, OnProgress: s.heard,
+		},
 			func(e router.End) {
 				fmt.Fprintf(&s.out, "  = %s", outcomes[e.Outcome])
 				if e.Result != nil {
@@ -274,8 +278,10 @@
 
 // Engines that tell odd things of themselves, with each answer, fill no log.
 func TestOddReportsLogNothing(t *testing.T) {
-	for _, odd := range []string{"Backend-Load: util:-4;inflight:nan;x0:", "Backend-Load: ;;;", "Backend-Load: util:1e300;util:0.2",
-		"Detail: frac\r\nX-Amount: 17", "Detail: missing\r\nX-Amount: -1", "Detail: parked", "Detail: nothing that is known\r\nX-Amount: inf"} {
+	for _, odd := range []string{
+		"Backend-Load: util:-4;inflight:nan;x0:", "Backend-Load: ;;;", "Backend-Load: util:1e300;util:0.2",
+		"Detail: frac\r\nX-Amount: 17", "Detail: missing\r\nX-Amount: -1", "Detail: parked", "Detail: nothing that is known\r\nX-Amount: inf",
+	} {
 		log := &lines{}
 		s := &stage{t: t, clock: &clock.Manual{MS: 1e12}}
 		s.loop = router.NewLoop(s.clock)
--- a/internal/enginehttp/news.go
+++ b/internal/enginehttp/news.go
@@ -15,8 +15,10 @@
 // unknown; without any figure that does there is no report.
 func parseLoad(text string) *dispatch.LoadReport {
 	l := dispatch.LoadReport{InFlight: -1, Waiting: -1, Busy: -1, Disk: -1, Memory: -1, Failing: -1}
-	places := map[string]*float64{"inflight": &l.InFlight, "rif": &l.InFlight, "queue": &l.Waiting, "q": &l.Waiting,
-		"util": &l.Busy, "busy": &l.Busy, "x1": &l.Disk, "x0": &l.Memory, "eps": &l.Failing, "fail_rate": &l.Failing}
+	places := map[string]*float64{
+		"inflight": &l.InFlight, "rif": &l.InFlight, "queue": &l.Waiting, "q": &l.Waiting,
+		"util": &l.Busy, "busy": &l.Busy, "x1": &l.Disk, "x0": &l.Memory, "eps": &l.Failing, "fail_rate": &l.Failing,
+	}
 	known := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -232,9 +232,11 @@
 	if q.mute && page == 0 && !q.call.AtMostOnce {
 		within = overWithin
 	}
-	q.current = q.c.do(&call{engine: q.call.Engine, about: q, fresh: q.failed > 0, later: page == 0 && q.failed == 0, within: within,
+	q.current = q.c.do(&call{
+		engine: q.call.Engine, about: q, fresh: q.failed > 0, later: page == 0 && q.failed == 0, within: within,
 		text: fmt.Appendf(nil, "GET /fetch/%s/%d HTTP/1.1\r\nHost: %s\r\n\r\n", q.call.ID, page, q.call.Engine.Address),
-		then: func(r *response, err error) { q.told(page, r, err) }})
+		then: func(r *response, err error) { q.told(page, r, err) },
+	})
 }
 
 // told takes the answer to a question.
--- a/internal/fleettest/board.go
+++ b/internal/fleettest/board.go
@@ -87,8 +87,10 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Board{lis: lis, Addr: lis.Addr().String(), news: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
-		links: map[net.Conn]bool{}}
+	b := &Board{
+		lis: lis, Addr: lis.Addr().String(), news: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
+		links: map[net.Conn]bool{},
+	}
 	b.event(frameWhole, engines)
 	go b.accept()
 	return b, nil
@@ -285,8 +287,10 @@
 	if len(engines) == 0 {
 		return json.RawMessage(`{"rev":0,"notices":[]}`)
 	}
-	text, err := json.Marshal(map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1,
-		"pool": map[string]any{"revision": 1, "complete": true, "members": members}}}})
+	text, err := json.Marshal(map[string]any{"rev": 1, "notices": []any{map[string]any{
+		"rev":  1,
+		"pool": map[string]any{"revision": 1, "complete": true, "members": members},
+	}}})
 	if err != nil {
 		panic(fmt.Sprint("a list that is no JSON: ", err))
 	}
--- a/internal/fleettest/following_test.go
+++ b/internal/fleettest/following_test.go
@@ -27,9 +27,11 @@
 func rolloutSizes(t *testing.T) rolloutSize {
 	t.Helper()
 	s := rolloutSize{keepers: 3, real: realFollowers, hollow: 60, changes: 4, tenants: 4, engines: listed}
-	for name, of := range map[string]*int{"WINDFLOW_FLEET_KEEPERS": &s.keepers, "WINDFLOW_FLEET_REAL": &s.real,
+	for name, of := range map[string]*int{
+		"WINDFLOW_FLEET_KEEPERS": &s.keepers, "WINDFLOW_FLEET_REAL": &s.real,
 		"WINDFLOW_FLEET_HOLLOW": &s.hollow, "WINDFLOW_FLEET_CHANGES": &s.changes, "WINDFLOW_FLEET_TENANTS": &s.tenants,
-		"WINDFLOW_FLEET_ENGINES": &s.engines} {
+		"WINDFLOW_FLEET_ENGINES": &s.engines,
+	} {
 		if text := os.Getenv(name); text != "" {
 			n, err := strconv.Atoi(text)
 			if err != nil || n < 0 {
@@ -113,7 +115,8 @@
 func (f *following) next() configlog.Change {
 	f.changes++
 	return configlog.Change{ID: fmt.Sprint("change-", f.changes), Put: map[string]json.RawMessage{
-		"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", f.changes))}}
+		"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", f.changes)),
+	}}
 }
 
 // change makes the next change, at keeper i.
@@ -288,11 +291,13 @@
 		dir = filepath.Join("..", "..", dir)
 	}
 	path := filepath.Join(dir, "scale.json")
-	day := capacity.Scale{Name: "configuration by revision", Routers: f.size.real + f.size.hollow, Engines: f.size.engines,
+	day := capacity.Scale{
+		Name: "configuration by revision", Routers: f.size.real + f.size.hollow, Engines: f.size.engines,
 		Zones: len(Zones), Figures: map[string]float64{}, Test: "windflow/internal/fleettest " + f.t.Name(),
 		Conditions: fmt.Sprintf("%d keepers, %d real and %d hollow routers, %d changes of one entry, one after the other and at %d a second; "+
 			"%d tenants; times from the operator's call on; %d cores, a 1-minute load of %s at the end with other work beside",
-			f.size.keepers, f.size.real, f.size.hollow, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), load())}
+			f.size.keepers, f.size.real, f.size.hollow, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), load()),
+	}
 	for name, v := range f.figures {
 		day.Figures[name] = math.Round(v*1000) / 1000
 	}
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -179,8 +179,10 @@
 // ask gives the router its next statement, and sets the time for the one after it.
 func (h *hollow) ask() {
 	h.asked++
-	_, _ = h.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", h.asked), Class: "lookup", Statement: "SELECT 1",
-		TableGroup: dispatch.TableGroupOf(uint32(h.asked % 64)), SentAtMS: h.loop.Now(), BudgetMS: 2000}, nobody{})
+	_, _ = h.core.Submit(&router.Request{
+		ID: fmt.Sprintf("%016x", h.asked), Class: "lookup", Statement: "SELECT 1",
+		TableGroup: dispatch.TableGroupOf(uint32(h.asked % 64)), SentAtMS: h.loop.Now(), BudgetMS: 2000,
+	}, nobody{})
 	h.loop.After(1000/h.spec.Rate, h.ask)
 }
 
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -58,8 +58,10 @@
 			}
 			peers = append(peers, p.ID+"="+raft+"/"+http)
 		}
-		m.args = []string{"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTP, "--raft", m.Raft,
-			"--peers", strings.Join(peers, ","), "--base", file}
+		m.args = []string{
+			"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTP, "--raft", m.Raft,
+			"--peers", strings.Join(peers, ","), "--base", file,
+		}
 		k.launch(i)
 	}
 	for _, m := range k.Members {
--- a/internal/fleettest/rig.go
+++ b/internal/fleettest/rig.go
@@ -98,8 +98,10 @@
 	if n >= MaxProcesses || over != "" {
 		r.T.Fatalf("%s is not started: %d processes of %d live; %s", name, n, MaxProcesses, over)
 	}
-	p := &Process{Name: name, rig: r, cmd: cmd, ready: make(chan string, 4096), ended: make(chan struct{}),
-		seen: map[string]int{}, news: make(chan struct{})}
+	p := &Process{
+		Name: name, rig: r, cmd: cmd, ready: make(chan string, 4096), ended: make(chan struct{}),
+		seen: map[string]int{}, news: make(chan struct{}),
+	}
 	for _, w := range watched {
 		p.seen[w] = 0
 	}
--- a/internal/fleettest/rig_test.go
+++ b/internal/fleettest/rig_test.go
@@ -39,8 +39,10 @@
 	const fleet = realRouters + hollowRouters
 	var routers []*Router
 	for i := range realRouters {
-		routers = append(routers, r.Router(Config{Name: fmt.Sprint("n", i), Index: hollowRouters + i, Routers: fleet,
-			Board: relays[i%2].Addr, Engines: engines}))
+		routers = append(routers, r.Router(Config{
+			Name: fmt.Sprint("n", i), Index: hollowRouters + i, Routers: fleet,
+			Board: relays[i%2].Addr, Engines: engines,
+		}))
 	}
 	h := r.Hollows(specs(hollowRouters, fleet, engines, 5, func(i int) string { return relays[i%2].Addr }))
 	for _, p := range routers {
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -32,8 +32,10 @@
 func (c Config) Text() []byte {
 	type object = map[string]any
 	class := func(name, semantics string, goal, deadline int, stretch, credit, late float64) object {
-		return object{"name": name, "semantics": semantics, "goal-time-ns": goal * 1_000_000, "deadline-ns": deadline * 1_000_000,
-			"aim-stretch": stretch, "credit": credit, "late-value": late}
+		return object{
+			"name": name, "semantics": semantics, "goal-time-ns": goal * 1_000_000, "deadline-ns": deadline * 1_000_000,
+			"aim-stretch": stretch, "credit": credit, "late-value": late,
+		}
 	}
 	parties := make([]object, c.Tenants)
 	for i := range parties {
@@ -51,15 +53,22 @@
 		"settings": object{
 			"balancers": or(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones, "kinds": Kinds,
 			"period-ns": 5_000_000, "parties": parties, "over-share-worth": c.OverWorth,
-			"classes": []object{class("lookup", "idempotent", 1000, 5000, 2, 1, 0),
-				class("report", "idempotent", 1500, 20000, 2.5, 10, 0.4), class("load", "at_most_once", 3000, 25000, 3, 7.5, 0.5)},
-			"limits": object{"attempts-cap": 5, "second-copies": true, "retry-after": true, "max-retry-after-ns": 2_000_000_000,
-				"connect-timeout-ns": 250_000_000, "conn-idle-ns": 30_000_000_000},
+			"classes": []object{
+				class("lookup", "idempotent", 1000, 5000, 2, 1, 0),
+				class("report", "idempotent", 1500, 20000, 2.5, 10, 0.4), class("load", "at_most_once", 3000, 25000, 3, 7.5, 0.5),
+			},
+			"limits": object{
+				"attempts-cap": 5, "second-copies": true, "retry-after": true, "max-retry-after-ns": 2_000_000_000,
+				"connect-timeout-ns": 250_000_000, "conn-idle-ns": 30_000_000_000,
+			},
 			"rules": object{"cold-from": 0.36, "cold-ns": 12_000_000_000, "overload-factor": 2, "overload-for-ns": 1_500_000_000},
-			"specifics": object{"class-load": []bool{false, false, true}, "yields-to-loads": []bool{true, true, false},
+			"specifics": object{
+				"class-load": []bool{false, false, true}, "yields-to-loads": []bool{true, true, false},
 				"width-by-class": []int{1, 4, 2}, "cores-by-kind": []int{8}, "kind-memory-mb": []int{16384}, "max-grant-share": 0.4,
-				"grants-count": true, "priorities": true, "overbooked": "trim"},
-		}})
+				"grants-count": true, "priorities": true, "overbooked": "trim",
+			},
+		},
+	})
 	if err != nil {
 		panic(fmt.Sprint("a configuration that is no JSON: ", err))
 	}
--- a/internal/fleettest/slopes_board_test.go
+++ b/internal/fleettest/slopes_board_test.go
@@ -36,9 +36,11 @@
 		suffix, x string
 		n         int
 		of        func(i int) (routers int, aSecond float64)
-	}{{"by-routers", "routers", len(sizes), func(i int) (int, float64) { return sizes[i], 0 }},
+	}{
+		{"by-routers", "routers", len(sizes), func(i int) (int, float64) { return sizes[i], 0 }},
 		{"by-routers-at-1-change", "routers", len(sizes), func(i int) (int, float64) { return sizes[i], 1 }},
-		{"by-changes", "list changes a second", len(rates), func(i int) (int, float64) { return 300, rates[i] }}} {
+		{"by-changes", "list changes a second", len(rates), func(i int) (int, float64) { return 300, rates[i] }},
+	} {
 		var all []*Process
 		var meters []*Meter
 		var x []float64
@@ -65,8 +67,10 @@
 		for i := range bytes {
 			bytes[i] = (bytes[i] - float64(from[i])) / time.Since(began).Seconds()
 		}
-		conditions := ours + map[string]string{"by-routers": "; no changes", "by-routers-at-1-change": "; one change of one engine a second",
-			"by-changes": "; 300 routers, one engine in each change"}[k.suffix]
+		conditions := ours + map[string]string{
+			"by-routers": "; no changes", "by-routers-at-1-change": "; one change of one engine a second",
+			"by-changes": "; 300 routers, one engine in each change",
+		}[k.suffix]
 		rows.add("board-cpu-"+k.suffix, "board", k.x, percent, pairs(x, cpu), conditions)
 		rows.add("board-memory-"+k.suffix, "board", k.x, mega, pairs(x, mb), conditions)
 		rows.add("board-bytes-"+k.suffix, "board", k.x, rate, pairs(x, bytes), conditions)
--- a/internal/fleettest/slopes_following_test.go
+++ b/internal/fleettest/slopes_following_test.go
@@ -29,7 +29,8 @@
 		p.Ready()
 		change := func(n int) configlog.Change {
 			return configlog.Change{ID: fmt.Sprint("pace-", n), Put: map[string]json.RawMessage{
-				"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", n+1))}}
+				"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", n+1)),
+			}}
 		}
 		revision, _ := k.Change(0, change(0))
 		p.AwaitRevision(revision)
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -35,8 +35,10 @@
 	e.runs[c.ID]++
 	e.mu.Unlock()
 	end, ok := map[string]router.End{
-		"serve": {Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Changed: 3,
-			Cells: []router.Cell{{Text: "x"}, {Null: true}}}},
+		"serve": {Outcome: dispatch.Served, Result: &router.Result{
+			Columns: []string{"a"}, Changed: 3,
+			Cells: []router.Cell{{Text: "x"}, {Null: true}},
+		}},
 		"full":  {Outcome: dispatch.EngineFull},
 		"reset": {Outcome: dispatch.ConnectionReset},
 	}[c.Statement]
@@ -72,11 +74,17 @@
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
 	e := &engines{loop: loop, runs: map[string]int{}}
-	core, err := router.New(loop, dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
+	core, err := router.New(loop, dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
 		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
-				Semantics: dispatch.AtMostOnce}}}, e, slog.New(slog.DiscardHandler))
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{
+				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
+				Semantics: dispatch.AtMostOnce,
+			},
+		},
+	}, e, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -54,8 +54,10 @@
 // NewClient returns a client that keeps at most maxOwn connections of their own for what must not run twice;
 // further ones wait their turn, unwritten.
 func NewClient(loop *router.Loop, connectTimeoutMS float64, maxOwn int, log *slog.Logger) *Client {
-	c := &Client{loop: loop, log: log, shared: map[dispatch.EngineID]*grpc.ClientConn{},
-		out: map[*attempt]bool{}, own: make(chan struct{}, maxOwn)}
+	c := &Client{
+		loop: loop, log: log, shared: map[dispatch.EngineID]*grpc.ClientConn{},
+		out: map[*attempt]bool{}, own: make(chan struct{}, maxOwn),
+	}
 	c.Configure(connectTimeoutMS)
 	return c
 }
@@ -340,7 +342,8 @@
 	}
 	// A send that fails says only that the stream has ended; Recv tells why.
 	if err := stream.Send(&flight.FlightData{FlightDescriptor: &flight.FlightDescriptor{
-		Type: flight.DescriptorCMD, Cmd: bytes}}); err != nil && !errors.Is(err, io.EOF) {
+		Type: flight.DescriptorCMD, Cmd: bytes,
+	}}); err != nil && !errors.Is(err, io.EOF) {
 		return nil, stream.Trailer(), err
 	}
 	if err := stream.CloseSend(); err != nil {
@@ -365,8 +368,10 @@
 		return nil, stream.Trailer(), err
 	}
 	n := told.GetRecordCount()
-	return &router.Result{Columns: []string{"rows_changed"}, Changed: n,
-		Cells: []router.Cell{{Text: strconv.FormatInt(n, 10)}}}, stream.Trailer(), nil
+	return &router.Result{
+		Columns: []string{"rows_changed"}, Changed: n,
+		Cells: []router.Cell{{Text: strconv.FormatInt(n, 10)}},
+	}, stream.Trailer(), nil
 }
 
 func number(md metadata.MD, name string) float64 {
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -36,6 +36,7 @@
 func (e *rawEngine) GetFlightInfo(context.Context, *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	return &flight.FlightInfo{Endpoint: e.endpoints}, nil
 }
+
 func (e *rawEngine) DoGet(_ *flight.Ticket, s flight.FlightService_DoGetServer) error {
 	return e.get(s)
 }
@@ -224,8 +225,10 @@
 	start := func(waitMS float64) chan router.End {
 		ended := make(chan router.End, 1)
 		loop.Post(func() {
-			c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41",
-				Statement: "S", WaitMS: waitMS, AtMostOnce: true}, func(e router.End) { ended <- e })
+			c.Start(router.Call{
+				Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41",
+				Statement: "S", WaitMS: waitMS, AtMostOnce: true,
+			}, func(e router.End) { ended <- e })
 		})
 		return ended
 	}
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -124,8 +124,10 @@
 		key[i] = byte(seed >> (8 * (i % 8)))
 	}
 	key[len(key)-1] ^= generation
-	f := &Front{core: core, loop: loop, log: log, addr: cfg.Listen, most: cfg.MaxConnections, tickets: map[string]*ticket{},
-		order: list.New(), rng: rand.NewChaCha8(key)}
+	f := &Front{
+		core: core, loop: loop, log: log, addr: cfg.Listen, most: cfg.MaxConnections, tickets: map[string]*ticket{},
+		order: list.New(), rng: rand.NewChaCha8(key),
+	}
 	f.Alloc = memory.DefaultAllocator
 	for id, value := range about {
 		if err := f.RegisterSqlInfo(id, value); err != nil {
@@ -202,7 +204,8 @@
 }
 
 func (f *Front) guardUnary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (
-	reply any, err error) {
+	reply any, err error,
+) {
 	defer f.guard(info.FullMethod, &err)
 	return next(ctx, req)
 }
@@ -262,7 +265,8 @@
 
 // GetFlightInfoStatement checks a query and gives a ticket for it. Nothing runs yet.
 func (f *Front) GetFlightInfoStatement(ctx context.Context, cmd flightsql.StatementQuery,
-	desc *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	desc *flight.FlightDescriptor,
+) (*flight.FlightInfo, error) {
 	return f.info(ctx, cmd.GetQuery(), desc)
 }
 
@@ -284,10 +288,14 @@
 	if err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
-	return &flight.FlightInfo{FlightDescriptor: desc, TotalRecords: -1, TotalBytes: -1,
-		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: bytes},
+	return &flight.FlightInfo{
+		FlightDescriptor: desc, TotalRecords: -1, TotalBytes: -1,
+		Endpoint: []*flight.FlightEndpoint{{
+			Ticket: &flight.Ticket{Ticket: bytes},
 			// Tickets live in this router, so the client is sent back to it.
-			Location: []*flight.Location{{Uri: "grpc+tcp://" + f.addr}}}}}, nil
+			Location: []*flight.Location{{Uri: "grpc+tcp://" + f.addr}},
+		}},
+	}, nil
 }
 
 // keep stores a ticket under a new handle; false says that there is no room.
@@ -389,7 +397,8 @@
 
 // DoGetStatement runs the query of a ticket and streams its rows.
 func (f *Front) DoGetStatement(ctx context.Context, cmd flightsql.StatementQueryTicket) (*arrow.Schema,
-	<-chan flight.StreamChunk, error) {
+	<-chan flight.StreamChunk, error,
+) {
 	f.Counters.Gets.Add(1)
 	t, ok := f.redeem(string(cmd.GetStatementHandle()))
 	if !ok {
@@ -517,7 +526,8 @@
 	s := status.New(codes.ResourceExhausted,
 		fmt.Sprintf("refused, nothing was done; try again later: backoff=%.0f", backoffMS))
 	detailed, err := s.WithDetails(&errdetails.RetryInfo{
-		RetryDelay: durationpb.New(time.Duration(backoffMS * float64(time.Millisecond)))})
+		RetryDelay: durationpb.New(time.Duration(backoffMS * float64(time.Millisecond))),
+	})
 	if err != nil {
 		return s.Err()
 	}
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -29,20 +29,30 @@
 		runs            int
 	}{
 		{"served", "serve", call(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
-		{"served within a budget", "serve", call(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
-			codes.OK, "", 1},
-		{"refused", "full", call(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
-			"backoff=2000", 1},
+		{
+			"served within a budget", "serve", call(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
+			codes.OK, "", 1,
+		},
+		{
+			"refused", "full", call(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
+			"backoff=2000", 1,
+		},
 		{"failed", "reset", call(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
-		{"past the call's deadline", "hang", call(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
-			codes.DeadlineExceeded, "", 1},
-		{"past the budget", "hang", call(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
-			codes.DeadlineExceeded, "", 1},
+		{
+			"past the call's deadline", "hang", call(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
+			codes.DeadlineExceeded, "", 1,
+		},
+		{
+			"past the budget", "hang", call(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
+			codes.DeadlineExceeded, "", 1,
+		},
 		{"no class", "serve", call(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
 		{"unknown class", "serve", call(t, long, "rid", "0000000000000007", "method", "x"), codes.InvalidArgument, "method", 0},
 		{"bad id", "serve", call(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
-		{"id twice", "serve", call(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
-			codes.InvalidArgument, "rid", 0},
+		{
+			"id twice", "serve", call(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
+			codes.InvalidArgument, "rid", 0,
+		},
 		{"no deadline", "serve", call(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
 		{"no statement", "", call(t, long, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "statement", 0},
 	} {
@@ -249,8 +259,10 @@
 		{"fetch with garbage", func() error { _, err := redeem(ctx(), c, &flight.Ticket{Ticket: garbage}); return err }},
 		{"update without a descriptor", func() error { return put(ctx(), c, &flight.FlightData{}) }},
 		{"update with garbage", func() error {
-			return put(ctx(), c, &flight.FlightData{DataHeader: garbage, DataBody: garbage,
-				FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: garbage}})
+			return put(ctx(), c, &flight.FlightData{
+				DataHeader: garbage, DataBody: garbage,
+				FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: garbage},
+			})
 		}},
 		{"update with a long garbage header", func() error {
 			return put(ctx(), c, &flight.FlightData{DataHeader: bytes.Repeat(garbage, 50)})
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -98,9 +98,12 @@
 	goldentest.Equal(t, "engine-calls.txt", e.heard.Bytes())
 	changed := router.Result{Columns: []string{"rows_changed"}, Cells: []router.Cell{{Text: "3"}}, WorkMS: 12.5, NeedMB: 34.5, Changed: 3}
 	want := []router.End{
-		{Outcome: dispatch.Served, Result: &router.Result{Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
-			WorkMS: 12.5, NeedMB: 34.5}},
-		{Outcome: dispatch.Served, Result: &changed}, {Outcome: dispatch.Served, Result: &changed},
+		{Outcome: dispatch.Served, Result: &router.Result{
+			Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
+			WorkMS: 12.5, NeedMB: 34.5,
+		}},
+		{Outcome: dispatch.Served, Result: &changed},
+		{Outcome: dispatch.Served, Result: &changed},
 		{Outcome: dispatch.EngineFull, Detail: "rpc error: code = ResourceExhausted desc = full"},
 	}
 	if diff := cmp.Diff(want, append(served, refused...)); diff != "" {
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -95,8 +95,14 @@
 func answers(t *testing.T, c *fsql.Client) string {
 	var text strings.Builder
 	for i, k := range []struct{ class, statement string }{
-		{"lookup", "serve"}, {"load", "serve"}, {"lookup", "full"}, {"load", "full"}, {"lookup", "reset"}, {"load", "reset"},
-		{"unknown", "serve"}, {"lookup", ""},
+		{"lookup", "serve"},
+		{"load", "serve"},
+		{"lookup", "full"},
+		{"load", "full"},
+		{"lookup", "reset"},
+		{"load", "reset"},
+		{"unknown", "serve"},
+		{"lookup", ""},
 	} {
 		md := fields(fmt.Sprintf("%016x", i+1), k.class)
 		said, ticket := execute(t, c, k.statement, md...)
@@ -191,9 +197,13 @@
 
 // Tickets that one process gives up to another have the same names and values as before, and can be redeemed there.
 func TestGoldenTickets(t *testing.T) {
-	want := []Ticket{{Handle: "00112233445566778899aabbccddeeff", End: 1_796_000_009_000.5, Expires: 1e15, Once: true,
-		Request: router.Request{ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", TableGroup: 7,
-			SentAtMS: 1_796_000_000_000.25, BudgetMS: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Retry: true, Update: true}}}
+	want := []Ticket{{
+		Handle: "00112233445566778899aabbccddeeff", End: 1_796_000_009_000.5, Expires: 1e15, Once: true,
+		Request: router.Request{
+			ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", TableGroup: 7,
+			SentAtMS: 1_796_000_000_000.25, BudgetMS: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Retry: true, Update: true,
+		},
+	}}
 	goldentest.AllFieldsSet(t, want)
 	text, err := json.Marshal(want)
 	if err != nil {
--- a/internal/flightsql/prepared.go
+++ b/internal/flightsql/prepared.go
@@ -16,7 +16,8 @@
 
 // CreatePreparedStatement gives a statement its handle.
 func (f *Front) CreatePreparedStatement(_ context.Context, req flightsql.ActionCreatePreparedStatementRequest) (
-	flightsql.ActionCreatePreparedStatementResult, error) {
+	flightsql.ActionCreatePreparedStatementResult, error,
+) {
 	var none flightsql.ActionCreatePreparedStatementResult
 	switch {
 	case len(req.GetTransactionId()) > 0:
@@ -34,13 +35,15 @@
 
 // GetFlightInfoPreparedStatement gives a ticket for one execution. Nothing runs yet.
 func (f *Front) GetFlightInfoPreparedStatement(ctx context.Context, cmd flightsql.PreparedStatementQuery,
-	desc *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	desc *flight.FlightDescriptor,
+) (*flight.FlightInfo, error) {
 	return f.info(ctx, string(cmd.GetPreparedStatementHandle()), desc)
 }
 
 // DoPutPreparedStatementUpdate runs an update once.
 func (f *Front) DoPutPreparedStatementUpdate(ctx context.Context, cmd flightsql.PreparedStatementUpdate,
-	bound flight.MessageReader) (int64, error) {
+	bound flight.MessageReader,
+) (int64, error) {
 	if bound.Schema() != nil && bound.Schema().NumFields() > 0 {
 		return 0, f.malformed("statements take no parameters")
 	}
@@ -49,7 +52,8 @@
 
 // DoPutPreparedStatementQuery would bind parameters, which no engine takes.
 func (f *Front) DoPutPreparedStatementQuery(context.Context, flightsql.PreparedStatementQuery, flight.MessageReader,
-	flight.MetadataWriter) ([]byte, error) {
+	flight.MetadataWriter,
+) ([]byte, error) {
 	return nil, f.malformed("statements take no parameters")
 }
 
--- a/internal/flightsql/recall_test.go
+++ b/internal/flightsql/recall_test.go
@@ -30,8 +30,10 @@
 	attempts := make(chan router.Attempt, 2)
 	loop.Post(func() {
 		for _, once := range []bool{false, true} {
-			attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
-				Statement: "S", WaitMS: 60_000, AtMostOnce: once, OnSent: func() { heard <- "written" }}, func(router.End) { heard <- "ended" })
+			attempts <- c.Start(router.Call{
+				Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
+				Statement: "S", WaitMS: 60_000, AtMostOnce: once, OnSent: func() { heard <- "written" },
+			}, func(router.End) { heard <- "ended" })
 		}
 	})
 	for range 2 { // both are up, and the engine never speaks HTTP/2
@@ -85,8 +87,10 @@
 	t.Cleanup(routertest.Run(loop))
 	ends, attempts := make(chan router.End, 1), make(chan router.Attempt, 1)
 	loop.Post(func() {
-		attempts <- c.Start(router.Call{Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
-			Statement: "S", WaitMS: 60_000, AtMostOnce: true, Exclusive: true}, func(e router.End) { ends <- e })
+		attempts <- c.Start(router.Call{
+			Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
+			Statement: "S", WaitMS: 60_000, AtMostOnce: true, Exclusive: true,
+		}, func(e router.End) { ends <- e })
 	})
 	a := <-attempts
 	<-started
@@ -130,8 +134,10 @@
 	wrote := make(chan struct{}, 4)
 	loop.Post(func() {
 		for _, once := range []bool{false, true} {
-			c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
-				OnSent: func() { wrote <- struct{}{} }}, func(e router.End) { ends <- e })
+			c.Start(router.Call{
+				Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
+				OnSent: func() { wrote <- struct{}{} },
+			}, func(e router.End) { ends <- e })
 		}
 	})
 	for range 2 {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -35,8 +35,10 @@
 
 func TestZeroFields(t *testing.T) {
 	full := inner{1, "a"}
-	sample := outer{List: []inner{full, {Tagged: 1}}, ByName: map[string]inner{"x": {Untagged: "b"}}, Pointer: &inner{Tagged: 1},
-		Address: netip.MustParseAddr("10.0.0.1"), Left: func() {}}
+	sample := outer{
+		List: []inner{full, {Tagged: 1}}, ByName: map[string]inner{"x": {Untagged: "b"}}, Pointer: &inner{Tagged: 1},
+		Address: netip.MustParseAddr("10.0.0.1"), Left: func() {},
+	}
 	want := []string{"List[1].Untagged", "ByName[x].Tagged", "Pointer.Untagged", "Only"}
 	if got := ZeroFields(sample); !slices.Equal(got, want) {
 		t.Errorf("zero are %q, not %q", got, want)
--- a/internal/incident/story.go
+++ b/internal/incident/story.go
@@ -159,8 +159,10 @@
 	clocks := clocksOf(order)
 	for i, p := range order {
 		c := clocks[i]
-		s.Processes = append(s.Processes, Process{Router: p.head.Router, Place: p.head.Place, Name: p.head.Process,
-			From: c.Correct(p.from), To: c.Correct(p.to), Clock: c, Records: len(p.seconds)})
+		s.Processes = append(s.Processes, Process{
+			Router: p.head.Router, Place: p.head.Place, Name: p.head.Process,
+			From: c.Correct(p.from), To: c.Correct(p.to), Clock: c, Records: len(p.seconds),
+		})
 		s.From, s.To = min(s.From, c.Correct(p.from)), max(s.To, c.Correct(p.to))
 		for _, g := range p.gaps {
 			s.Missing = append(s.Missing, Missing{p.head.Router, c.Correct(g.From), c.Correct(g.At), g.Records})
@@ -251,8 +253,10 @@
 			if e.State == record.Gone {
 				continue
 			}
-			spans[e.ID] = append(spans[e.ID], Span{Router: p.head.Router, From: at, To: until, Within: c.Within, State: e.State,
-				Slow: e.Slow, Fail: e.Fail, Lost: e.Lost})
+			spans[e.ID] = append(spans[e.ID], Span{
+				Router: p.head.Router, From: at, To: until, Within: c.Within, State: e.State,
+				Slow: e.Slow, Fail: e.Fail, Lost: e.Lost,
+			})
 			open[e.ID] = len(spans[e.ID]) - 1
 		}
 	}
@@ -372,8 +376,10 @@
 		for k, row := range sums {
 			got, most := value(k, row)
 			lost, all = lost+most-got, all+most
-			h := Impact{Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Refused, Failed: row.Failed,
-				Ended: row.InAim + row.Late + row.Refused + row.Failed}
+			h := Impact{
+				Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Refused, Failed: row.Failed,
+				Ended: row.InAim + row.Late + row.Refused + row.Failed,
+			}
 			if most > 0 {
 				h.Loss = 1 - got/most
 			}
--- a/internal/incident/story_test.go
+++ b/internal/incident/story_test.go
@@ -27,9 +27,13 @@
 func newFleet(seed uint64, offsets, drifts []float64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), j: NewJoiner()}
 	for i, off := range offsets {
-		f.routers = append(f.routers, &clocked{head: record.Header{Version: 1, Router: fmt.Sprint("n", i), Place: 2,
-			Process: fmt.Sprint("p", i), Classes: []record.Class{{Name: "lookup", Worth: 1}, {Name: "report", Worth: 10, LateWorth: 0.4}}},
-			offset: off, drift: drifts[i]})
+		f.routers = append(f.routers, &clocked{
+			head: record.Header{
+				Version: 1, Router: fmt.Sprint("n", i), Place: 2,
+				Process: fmt.Sprint("p", i), Classes: []record.Class{{Name: "lookup", Worth: 1}, {Name: "report", Worth: 10, LateWorth: 0.4}},
+			},
+			offset: off, drift: drifts[i],
+		})
 	}
 	return f
 }
@@ -55,7 +59,8 @@
 		refused := int(hurt * float64(n))
 		f.j.Add(&r.head, &record.Second{At: f.on(r, at), ForMS: 1000, Rows: []record.Row{
 			{Class: "lookup", Tenant: "a", Arrived: n, InAim: n - refused - n/50, Late: n / 50, Refused: refused},
-			{Class: "report", Tenant: "b", Arrived: 5, InAim: 5}}})
+			{Class: "report", Tenant: "b", Arrived: 5, InAim: 5},
+		}})
 	}
 }
 
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -37,8 +37,10 @@
 func (f *follower) call(i int, waitMS int) (code int) {
 	f.g.t.Helper()
 	var u configlog.Update
-	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.FollowerStatus{Name: f.name, Instance: f.instance,
-		Revision: f.revision, Hash: f.hash, Rejected: f.refused}}, &u)
+	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.FollowerStatus{
+		Name: f.name, Instance: f.instance,
+		Revision: f.revision, Hash: f.hash, Rejected: f.refused,
+	}}, &u)
 	if code != http.StatusOK || u.Behind {
 		return code
 	}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -41,10 +41,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	host := ownHost()
 	ready := make(chan string, 1)
-	o := Options{ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
+	o := Options{
+		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTP: host + ":7401", Raft: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
 		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: configlog.Retention{Revisions: 3},
-		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin}
+		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin,
+	}
 	tweak(&o)
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, o) }()
@@ -122,8 +124,10 @@
 const board = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, worth, rest string) string {
-	hash := configlog.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(worth),
-		"/board": json.RawMessage(board)})
+	hash := configlog.HashOf(map[string]json.RawMessage{
+		"/settings/over-share-worth": json.RawMessage(worth),
+		"/board":                     json.RawMessage(board),
+	})
 	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b","revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
 		name, revision, hash, rest)
 }
@@ -137,19 +141,37 @@
 		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+worth+`%s}`, id, value, rest)}
 	}
 	goldentest.Equal(t, "calls-operators.txt", converse(t, address, nil, []step{
-		{"GET", "/v1/config", ""}, {"GET", "/v1/revisions", ""},
+		{"GET", "/v1/config", ""},
+		{"GET", "/v1/revisions", ""},
 		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`), change("a", "2", ""),
 		change("b", "2", `,"expect":0`), change("b", "2", `,"expect":1`), change("c", "8", ""), change("d", "3", ""), change("e", "4", ""),
-		{"POST", changes, `{"id":"f","remove":["/board"]}`}, {"POST", changes, `{"id":"f","put":{"/listen":1}}`},
-		{"POST", changes, `{"id":"f"}`}, {"POST", changes, `{"put":{}}`}, {"POST", changes, `{"id":7}`},
-		{"POST", changes, `{"id":"f","no":1}`}, {"POST", changes, `{`}, {"POST", changes, `{"id":"f"} {}`}, {"POST", changes, ""},
+		{"POST", changes, `{"id":"f","remove":["/board"]}`},
+		{"POST", changes, `{"id":"f","put":{"/listen":1}}`},
+		{"POST", changes, `{"id":"f"}`},
+		{"POST", changes, `{"put":{}}`},
+		{"POST", changes, `{"id":7}`},
+		{"POST", changes, `{"id":"f","no":1}`},
+		{"POST", changes, `{`},
+		{"POST", changes, `{"id":"f"} {}`},
+		{"POST", changes, ""},
 		{"POST", changes, `{"id":"` + strings.Repeat("x", mostBody) + `"}`},
-		{"POST", revert, `{"id":"g","to":2,"expect":4,"note":"back"}`}, {"POST", revert, `{"id":"h","to":0}`},
-		{"POST", revert, `{"id":"h","to":99}`}, {"POST", revert, `{"id":"h"}`},
-		{"GET", "/v1/config", ""}, {"GET", "/v1/config?revision=4", ""}, {"GET", "/v1/config?revision=1", ""},
-		{"GET", "/v1/config?revision=99&wait_ms=1", ""}, {"GET", "/v1/config?revision=x", ""}, {"GET", "/v1/config?wait_ms=x", ""},
-		{"GET", "/v1/revisions", ""}, {"GET", "/v1/revisions?from=4&most=1", ""}, {"GET", "/v1/revisions?most=x", ""},
-		{"DELETE", "/v1/followers/r9", ""}, {"GET", "/v1/changes", ""}, {"GET", "/v1/unknown", ""}, {"GET", "/v1/status", ""},
+		{"POST", revert, `{"id":"g","to":2,"expect":4,"note":"back"}`},
+		{"POST", revert, `{"id":"h","to":0}`},
+		{"POST", revert, `{"id":"h","to":99}`},
+		{"POST", revert, `{"id":"h"}`},
+		{"GET", "/v1/config", ""},
+		{"GET", "/v1/config?revision=4", ""},
+		{"GET", "/v1/config?revision=1", ""},
+		{"GET", "/v1/config?revision=99&wait_ms=1", ""},
+		{"GET", "/v1/config?revision=x", ""},
+		{"GET", "/v1/config?wait_ms=x", ""},
+		{"GET", "/v1/revisions", ""},
+		{"GET", "/v1/revisions?from=4&most=1", ""},
+		{"GET", "/v1/revisions?most=x", ""},
+		{"DELETE", "/v1/followers/r9", ""},
+		{"GET", "/v1/changes", ""},
+		{"GET", "/v1/unknown", ""},
+		{"GET", "/v1/status", ""},
 	}))
 }
 
@@ -163,15 +185,32 @@
 	}
 	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
 	goldentest.Equal(t, "calls-followers.txt", converse(t, address, nil, []step{
-		put("a", "1"), {"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`}, {"POST", "/v1/follow", report("r1", 0, "0", "")}, {"POST", "/v1/follow", report("r2", 0, "0", "")},
-		{"POST", "/v1/follow", report("r3", 0, "0", "")}, put("b", "2"),
-		{"POST", "/v1/follow", report("r1", 1, "1", "")}, {"POST", "/v1/follow", now}, {"POST", "/v1/follow", report("r2", 1, "1", refused)},
-		{"POST", "/v1/follow", report("r4", 2, "9", "")}, {"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
-		{"POST", "/v1/roster", `[{"name":"r6","instance":"i"},{"name":"r7","instance":"i"}]`}, {"DELETE", "/v1/followers/r7", ""},
-		{"POST", "/v1/roster", `[]`}, {"POST", "/v1/roster", `{}`}, {"POST", "/v1/roster", "[{}" + strings.Repeat(",{}", joinAtOnce) + "]"},
-		{"POST", "/v1/follow", `{}`}, {"POST", "/v1/follow", `{"report":{"name":"r1"}}`}, {"POST", "/v1/follow", `{"report":{"hash":"x"}}`},
-		{"GET", "/v1/rollout", ""}, {"GET", "/v1/rollout?revision=1", ""}, {"GET", "/v1/rollout?revision=9&wait_ms=1", ""},
-		{"GET", "/v1/rollout?revision=x", ""}, {"GET", "/v1/leases", ""}, {"GET", "/v1/peer", ""}, {"GET", "/v1/leader", ""},
+		put("a", "1"),
+		{"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`},
+		{"POST", "/v1/follow", report("r1", 0, "0", "")},
+		{"POST", "/v1/follow", report("r2", 0, "0", "")},
+		{"POST", "/v1/follow", report("r3", 0, "0", "")},
+		put("b", "2"),
+		{"POST", "/v1/follow", report("r1", 1, "1", "")},
+		{"POST", "/v1/follow", now},
+		{"POST", "/v1/follow", report("r2", 1, "1", refused)},
+		{"POST", "/v1/follow", report("r4", 2, "9", "")},
+		{"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
+		{"POST", "/v1/roster", `[{"name":"r6","instance":"i"},{"name":"r7","instance":"i"}]`},
+		{"DELETE", "/v1/followers/r7", ""},
+		{"POST", "/v1/roster", `[]`},
+		{"POST", "/v1/roster", `{}`},
+		{"POST", "/v1/roster", "[{}" + strings.Repeat(",{}", joinAtOnce) + "]"},
+		{"POST", "/v1/follow", `{}`},
+		{"POST", "/v1/follow", `{"report":{"name":"r1"}}`},
+		{"POST", "/v1/follow", `{"report":{"hash":"x"}}`},
+		{"GET", "/v1/rollout", ""},
+		{"GET", "/v1/rollout?revision=1", ""},
+		{"GET", "/v1/rollout?revision=9&wait_ms=1", ""},
+		{"GET", "/v1/rollout?revision=x", ""},
+		{"GET", "/v1/leases", ""},
+		{"GET", "/v1/peer", ""},
+		{"GET", "/v1/leader", ""},
 		{"GET", "/v1/status", ""},
 	}))
 }
@@ -183,10 +222,17 @@
 		o.Within, o.Waiting = 50*time.Millisecond, -1
 	})
 	steps := []step{
-		{"GET", "/v1/status", ""}, {"GET", "/v1/peer", ""}, {"GET", "/v1/leader", ""}, {"GET", "/v1/leases", ""},
-		{"POST", "/v1/changes", `{"id":"a","put":{"/settings/over-share-worth":1}}`}, {"POST", "/v1/revert", `{"id":"a","to":0}`},
-		{"DELETE", "/v1/followers/r1", ""}, {"GET", "/v1/rollout", ""}, {"POST", "/v1/roster", `[{"name":"r6","instance":"i"}]`},
-		{"POST", "/v1/follow", report("r1", 0, "0", "")}, {"GET", "/v1/config", ""},
+		{"GET", "/v1/status", ""},
+		{"GET", "/v1/peer", ""},
+		{"GET", "/v1/leader", ""},
+		{"GET", "/v1/leases", ""},
+		{"POST", "/v1/changes", `{"id":"a","put":{"/settings/over-share-worth":1}}`},
+		{"POST", "/v1/revert", `{"id":"a","to":0}`},
+		{"DELETE", "/v1/followers/r1", ""},
+		{"GET", "/v1/rollout", ""},
+		{"POST", "/v1/roster", `[{"name":"r6","instance":"i"}]`},
+		{"POST", "/v1/follow", report("r1", 0, "0", "")},
+		{"GET", "/v1/config", ""},
 	}
 	goldentest.Equal(t, "calls-unserved.txt", converse(t, lonely, nil, steps))
 	passed := http.Header{"Windflow-Keeper": {"k2"}}
--- a/internal/keeper/golden_command_test.go
+++ b/internal/keeper/golden_command_test.go
@@ -19,10 +19,14 @@
 func sampleCommands() map[string]command {
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
 	return map[string]command{
-		"command-put.bin": {Change: &changeCommand{Base: 7, Change: configlog.Change{ID: "change-8", Expect: pointerTo(uint64(7)),
-			Put: put, Remove: []string{"/settings/parties/north"}, Note: "more for south", AtMS: 1_796_000_000_123}}},
-		"command-revert.bin": {Change: &changeCommand{Base: 8, Change: configlog.Change{ID: "change-9", RevertTo: pointerTo(uint64(7)),
-			Note: "back", AtMS: 1_796_000_000_456}}},
+		"command-put.bin": {Change: &changeCommand{Base: 7, Change: configlog.Change{
+			ID: "change-8", Expect: pointerTo(uint64(7)),
+			Put: put, Remove: []string{"/settings/parties/north"}, Note: "more for south", AtMS: 1_796_000_000_123,
+		}}},
+		"command-revert.bin": {Change: &changeCommand{Base: 8, Change: configlog.Change{
+			ID: "change-9", RevertTo: pointerTo(uint64(7)),
+			Note: "back", AtMS: 1_796_000_000_456,
+		}}},
 		"command-join.bin":   {Join: []seat{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
 		"command-forget.bin": {Forget: "r2"},
 	}
@@ -105,8 +109,10 @@
 
 func contentOf(m *machine) machineContent {
 	now := m.stand()
-	out := machineContent{Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.names(),
-		Unknown: m.lacks([]seat{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}})}
+	out := machineContent{
+		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.names(),
+		Unknown: m.lacks([]seat{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}}),
+	}
 	for rev := now.Oldest; rev <= now.Revision; rev++ {
 		c, _, _ := m.at(&rev)
 		out.Contents = append(out.Contents, c)
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -32,9 +32,13 @@
 // foldersChanges has a revert, a removal and more revisions than are kept.
 func foldersChanges() (list []configlog.Change) {
 	for i := range 5 {
-		list = append(list, configlog.Change{ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
-			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(fmt.Sprint(i + 1)),
-				fmt.Sprint("/settings/parties/p", i): json.RawMessage(`{"share":2}`)}})
+		list = append(list, configlog.Change{
+			ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
+			Put: map[string]json.RawMessage{
+				"/settings/over-share-worth":         json.RawMessage(fmt.Sprint(i + 1)),
+				fmt.Sprint("/settings/parties/p", i): json.RawMessage(`{"share":2}`),
+			},
+		})
 	}
 	list = append(list, configlog.Change{ID: "change-6", Remove: []string{"/settings/parties/p0"}})
 	return append(list, configlog.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
@@ -68,9 +72,11 @@
 	c := &cluster{}
 	for _, p := range peers {
 		c.addresses = append(c.addresses, p.HTTP)
-		o := Options{ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
+		o := Options{
+			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
 			Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }, Log: slog.New(slog.DiscardHandler),
-			Keep: configlog.Retention{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin}
+			Keep: configlog.Retention{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin,
+		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
 				t.Errorf("%s ended: %v", o.ID, err)
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -67,8 +67,10 @@
 	var hash, refused configlog.Hash
 	copy(hash[:], bytes.Repeat([]byte{1}, 32))
 	copy(refused[:], bytes.Repeat([]byte{2}, 32))
-	wantLeases := []configlog.Lease{{FollowerStatus: configlog.FollowerStatus{Name: "r1", Instance: "i", Revision: 4, Hash: hash,
-		Rejected: &configlog.Rejection{Revision: 5, Hash: refused, Pointer: "/board", Reason: "no"}}, UntilMS: 12.5}}
+	wantLeases := []configlog.Lease{{FollowerStatus: configlog.FollowerStatus{
+		Name: "r1", Instance: "i", Revision: 4, Hash: hash,
+		Rejected: &configlog.Rejection{Revision: 5, Hash: refused, Pointer: "/board", Reason: "no"},
+	}, UntilMS: 12.5}}
 	if diff := cmp.Diff(wantLeases, leases); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -59,12 +59,16 @@
 	if err != nil {
 		return err
 	}
-	k := &Keeper{o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Keep), begun: make(chan struct{}),
+	k := &Keeper{
+		o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Keep), begun: make(chan struct{}),
 		stopping: make(chan struct{}), changing: make(chan struct{}, 1),
 		leadership: newTurns(),
-		leases:     configlog.NewLeases(float64(o.Lease.Milliseconds())), joining: newJoining()}
-	k.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
-		DialContext: (&net.Dialer{Timeout: askWithin}).DialContext}}
+		leases:     configlog.NewLeases(float64(o.Lease.Milliseconds())), joining: newJoining(),
+	}
+	k.client = &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
+		DialContext: (&net.Dialer{Timeout: askWithin}).DialContext,
+	}}
 	defer k.client.CloseIdleConnections()
 	if k.folder, err = openFolder(o.Dir, o.Cluster, o.ID, o.Log); err != nil {
 		return err
@@ -96,8 +100,10 @@
 // serve answers calls from the start on, so that other keepers can ask how far this one is, and replicates as soon as it
 // is known how to begin.
 func (k *Keeper) serve(ctx context.Context, calls, replication net.Listener) error {
-	server := &http.Server{Handler: k.handler(), ReadHeaderTimeout: 5 * time.Second,
-		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(k.log.Handler(), slog.LevelDebug)}
+	server := &http.Server{
+		Handler: k.handler(), ReadHeaderTimeout: 5 * time.Second,
+		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(k.log.Handler(), slog.LevelDebug),
+	}
 	failed := make(chan error, 1)
 	go func() {
 		failed <- server.Serve(netutil.LimitListener(counted{calls, &k.figures.bytesIn, &k.figures.bytesOut}, k.o.Waiting+spareConns))
--- a/internal/keeper/machine_test.go
+++ b/internal/keeper/machine_test.go
@@ -25,8 +25,10 @@
 }
 
 func changing(id string, base uint64, value string) command {
-	return command{Change: &changeCommand{Base: base, Change: configlog.Change{ID: id,
-		Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(value)}}}}
+	return command{Change: &changeCommand{Base: base, Change: configlog.Change{
+		ID:  id,
+		Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(value)},
+	}}}
 }
 
 // A change counts only on the content that it was checked against: two that are right each by itself may be wrong together.
@@ -129,13 +131,22 @@
 	}
 	six := "a=h:1/h:2,b=h:1/h:2,c=h:1/h:2,d=h:1/h:2,e=h:1/h:2,f=h:1/h:2"
 	for _, c := range []struct{ text, err string }{
-		{"", `--peers: ""`}, {"k1", `"k1"`}, {"k1=h:1", `"k1=h:1"`}, {"=h:1/h:2", "--peers"}, {"k1=h:1/h:0", "k1: "}, {"k1=:1/h:1", "k1: "},
-		{"k1=h:1/h:2,k1=h:1/h:2", "k1 is named twice"}, {"k 1=h:1/h:2", `id "k 1"`}, {six, "6 keepers"},
+		{"", `--peers: ""`},
+		{"k1", `"k1"`},
+		{"k1=h:1", `"k1=h:1"`},
+		{"=h:1/h:2", "--peers"},
+		{"k1=h:1/h:0", "k1: "},
+		{"k1=:1/h:1", "k1: "},
+		{"k1=h:1/h:2,k1=h:1/h:2", "k1 is named twice"},
+		{"k 1=h:1/h:2", `id "k 1"`},
+		{six, "6 keepers"},
 	} {
 		peers, err := ParsePeers(c.text)
 		if err == nil {
-			_, err = Options{ID: "k1", Dir: "d", HTTP: "h:1", Raft: "h:2", Peers: peers,
-				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }}.filled()
+			_, err = Options{
+				ID: "k1", Dir: "d", HTTP: "h:1", Raft: "h:2", Peers: peers,
+				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil },
+			}.filled()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.err)
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -113,8 +113,10 @@
 
 // plain leaves the fields out that have no JSON.
 func plain(o keeper.Options) map[string]any {
-	return map[string]any{"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTP": o.HTTP, "Raft": o.Raft, "Peers": o.Peers,
-		"Hold": o.Hold, "Lease": o.Lease, "Within": o.Within, "Waiting": o.Waiting, "Keep": o.Keep, "Snapshots": o.Snapshots, "SnapshotEvery": o.SnapshotEvery, "AcceptLoss": o.AcceptLoss}
+	return map[string]any{
+		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTP": o.HTTP, "Raft": o.Raft, "Peers": o.Peers,
+		"Hold": o.Hold, "Lease": o.Lease, "Within": o.Within, "Waiting": o.Waiting, "Keep": o.Keep, "Snapshots": o.Snapshots, "SnapshotEvery": o.SnapshotEvery, "AcceptLoss": o.AcceptLoss,
+	}
 }
 
 // start starts the keeper and waits until it accepts calls.
--- a/internal/keeper/replica.go
+++ b/internal/keeper/replica.go
@@ -50,8 +50,10 @@
 	c.MaxAppendEntries = 16
 	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = k.o.Snapshots, k.o.Snapshots/2, k.o.SnapshotEvery
 	c.Logger = log
-	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: addresses{&k.o}, Logger: log,
-		Stream: stream{counted{listener, &k.figures.raftIn, &k.figures.raftOut}}, MaxPool: 3, Timeout: 2 * time.Second})
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		ServerAddressProvider: addresses{&k.o}, Logger: log,
+		Stream: stream{counted{listener, &k.figures.raftIn, &k.figures.raftOut}}, MaxPool: 3, Timeout: 2 * time.Second,
+	})
 	trans := newTransport(network, &k.muted)
 	if stage == stageFounding {
 		err = k.bootstrap(c, trans)
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -55,9 +55,11 @@
 )
 
 // sqlStates gives the SQLSTATE that goes with a code; HY000 for the rest.
-var sqlStates = map[int]string{errTooManyConns: "08004", errHandshake: "08S01", errAccessDenied: "28000",
+var sqlStates = map[int]string{
+	errTooManyConns: "08004", errHandshake: "08S01", errAccessDenied: "28000",
 	errUnknownCom: "08S01", errUnknownDB: "42000", errParse: "42000", errPacketTooBig: "08S01",
-	errPacketOrder: "08S01", errReadTimeout: "08S01", errInterrupted: "70100"}
+	errPacketOrder: "08S01", errReadTimeout: "08S01", errInterrupted: "70100",
+}
 
 // writer builds packets with their headers.
 type writer struct {
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -71,13 +71,19 @@
 
 func newStage(t *testing.T) *stage {
 	t.Helper()
-	s := &stage{t: t, clock: &clock.Manual{MS: 1e12}, engine: &engine{}, handlers: map[string]netio.Handler{},
-		wires: map[string]*wire{}}
+	s := &stage{
+		t: t, clock: &clock.Manual{MS: 1e12}, engine: &engine{}, handlers: map[string]netio.Handler{},
+		wires: map[string]*wire{},
+	}
 	s.loop = router.NewLoop(s.clock)
-	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfterAllowed: true,
+	cfg := dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfterAllowed: true,
 		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce},
+		},
+	}
 	core, err := router.New(s.loop, cfg, s.engine, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -142,8 +148,10 @@
 		if len(s.engine.done) == 0 {
 			s.t.Fatalf("%s: no attempt is out", line)
 		}
-		end := router.End{Outcome: map[string]dispatch.Outcome{"served": dispatch.Served, "errored": dispatch.EngineFailed,
-			"full": dispatch.EngineFull, "reset": dispatch.ConnectionReset, "refused": dispatch.ConnectFailed}[word[1]]}
+		end := router.End{Outcome: map[string]dispatch.Outcome{
+			"served": dispatch.Served, "errored": dispatch.EngineFailed,
+			"full": dispatch.EngineFull, "reset": dispatch.ConnectionReset, "refused": dispatch.ConnectFailed,
+		}[word[1]]}
 		if end.Outcome == dispatch.Served {
 			end.Result = &router.Result{Columns: []string{"a", "b"}}
 			for _, row := range strings.Split(strings.TrimSuffix(text(2), "\n"), "\n") {
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -26,8 +26,10 @@
 
 // Serve accepts on a listener, which it takes over; accept gives each new connection's handler.
 func (n *Net) Serve(lis net.Listener, accept func() Handler) *Listener {
-	l := &Listener{net: n, lis: lis, accept: accept, unsettled: make(chan struct{}, maxUnsettled),
-		done: make(chan struct{}), ended: make(chan struct{})}
+	l := &Listener{
+		net: n, lis: lis, accept: accept, unsettled: make(chan struct{}, maxUnsettled),
+		done: make(chan struct{}), ended: make(chan struct{}),
+	}
 	n.mu.Lock()
 	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -118,8 +118,10 @@
 	pollerLog.Store(log)
 	n := &Net{loop: loop, log: log, maxInbound: maxInbound, done: make(chan struct{}), dropping: map[*nbio.Conn]int{}}
 	n.drained = sync.NewCond(&n.mu)
-	n.engine = nbio.NewEngine(nbio.Config{Name: "windflow", Network: "tcp", NPoller: 1,
-		ReadBufferSize: readBuffer, MaxWriteBufferSize: maxUnwritten})
+	n.engine = nbio.NewEngine(nbio.Config{
+		Name: "windflow", Network: "tcp", NPoller: 1,
+		ReadBufferSize: readBuffer, MaxWriteBufferSize: maxUnwritten,
+	})
 	n.engine.OnData(func(c *nbio.Conn, b []byte) {
 		s, ok := c.Session().(*socket)
 		if !ok {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -102,8 +102,10 @@
 	return bounds{
 		inbound: n.Inbound,
 		mysql:   mysql.Config{MaxSessions: n.Sessions, MaxBuffered: n.Buffered},
-		fetch: enginehttp.Config{MaxConns: n.EngineConns, ConnectTimeoutMS: float64(cfg.Parsed.Limits.ConnectTimeout) / 1e6,
-			IdleMS: float64(cfg.Parsed.Limits.ConnIdle) / 1e6},
+		fetch: enginehttp.Config{
+			MaxConns: n.EngineConns, ConnectTimeoutMS: float64(cfg.Parsed.Limits.ConnectTimeout) / 1e6,
+			IdleMS: float64(cfg.Parsed.Limits.ConnIdle) / 1e6,
+		},
 	}, err
 }
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -224,8 +224,10 @@
 }
 
 func newSlowEngine() *slowEngine {
-	return &slowEngine{ran: map[string]int{}, slow: map[string]bool{}, released: make(chan struct{}),
-		started: make(chan string, 16)}
+	return &slowEngine{
+		ran: map[string]int{}, slow: map[string]bool{}, released: make(chan struct{}),
+		started: make(chan string, 16),
+	}
 }
 
 func query(class string, id int, statement string) string {
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -27,9 +27,11 @@
 	nobody := routertest.Refused(t, [4]byte{127, 0, 0, 1})
 	return &site.Settings{
 		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
-		BGP: &bgp.Config{Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
+		BGP: &bgp.Config{
+			Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
 			Prefixes: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}, NextHop: netip.MustParseAddr("10.0.0.1"),
-			HoldTimeS: 90, ConnectRetryS: 120},
+			HoldTimeS: 90, ConnectRetryS: 120,
+		},
 		Records: &records,
 		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), HoldMS: 1000},
 	}
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -87,8 +87,10 @@
 			t.Errorf("message %q has no sample", kind)
 		}
 	}
-	for _, kind := range []string{msgID, msgClaimID, msgWord, msgUse, msgBan, msgBanned, msgKill, msgBye, msgBGP, msgClaim,
-		msgClaimed, msgTickets, msgConfiguration} {
+	for _, kind := range []string{
+		msgID, msgClaimID, msgWord, msgUse, msgBan, msgBanned, msgKill, msgBye, msgBGP, msgClaim,
+		msgClaimed, msgTickets, msgConfiguration,
+	} {
 		if !kinds[kind] {
 			t.Errorf("message %q has no sample", kind)
 		}
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -87,10 +87,14 @@
 		Known:    []dispatch.EngineID{1, 2, 12_000_000},
 		Cordoned: []dispatch.EngineID{2},
 		Engines: []dispatch.EngineSnapshot{
-			{ID: 1, StartedAt: 11 * time.Second, WarmUpStart: 12 * time.Second, WarmUpEnd: 13 * time.Second, Slowness: 1.25, FailureShare: 0.0625,
-				SlownessAt: 14 * time.Second, FailureShareAt: 15 * time.Second, ConnectionFailures: 3, OnProbation: true},
-			{ID: 2, StartedAt: 21 * time.Second, WarmUpStart: 22 * time.Second, WarmUpEnd: 23 * time.Second, Slowness: 2.5, FailureShare: 1e-7,
-				SlownessAt: 24 * time.Second, FailureShareAt: 1796148879607449088, ConnectionFailures: 4, OnProbation: true},
+			{
+				ID: 1, StartedAt: 11 * time.Second, WarmUpStart: 12 * time.Second, WarmUpEnd: 13 * time.Second, Slowness: 1.25, FailureShare: 0.0625,
+				SlownessAt: 14 * time.Second, FailureShareAt: 15 * time.Second, ConnectionFailures: 3, OnProbation: true,
+			},
+			{
+				ID: 2, StartedAt: 21 * time.Second, WarmUpStart: 22 * time.Second, WarmUpEnd: 23 * time.Second, Slowness: 2.5, FailureShare: 1e-7,
+				SlownessAt: 24 * time.Second, FailureShareAt: 1796148879607449088, ConnectionFailures: 4, OnProbation: true,
+			},
 		},
 		Classes: []dispatch.ClassSnapshot{
 			{Name: "lookup", MeanServiceTime: 0.25, BoundedServiceTime: 0.5, BestServiceTime: 0.125, MeanEstimate: 1.5, GrantCorrection: 1.75, Observations: 31, ObservedAt: 32 * time.Second},
@@ -112,15 +116,19 @@
 }
 
 func sampleRevision() configclient.Revision {
-	return configclient.Revision{Revision: 71, Hash: configlog.Hash{0: 0xab, 31: 0xcd},
-		Entries: map[string]json.RawMessage{"/classes/0": json.RawMessage(`{"name":"lookup"}`), "/zone": json.RawMessage(`"a"`)}}
+	return configclient.Revision{
+		Revision: 71, Hash: configlog.Hash{0: 0xab, 31: 0xcd},
+		Entries: map[string]json.RawMessage{"/classes/0": json.RawMessage(`{"name":"lookup"}`), "/zone": json.RawMessage(`"a"`)},
+	}
 }
 
 func sampleTicket() flightsql.Ticket {
 	return flightsql.Ticket{
 		Handle: "5a0000000000000c",
-		Request: router.Request{ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", TableGroup: 81,
-			SentAtMS: 1796148879607.25, BudgetMS: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Retry: true, Update: true},
+		Request: router.Request{
+			ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", TableGroup: 81,
+			SentAtMS: 1796148879607.25, BudgetMS: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Retry: true, Update: true,
+		},
 		End:     1796148899607.5,
 		Expires: 1796148909607.75,
 		Once:    true,
@@ -134,6 +142,8 @@
 }
 
 func sampleSession() bgp.Handed {
-	return bgp.Handed{Peer: "10.0.0.9:179", HoldMS: 3000.5, FourB: true, Unread: []byte{0xff, 0, 0x13},
-		Told: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1")}
+	return bgp.Handed{
+		Peer: "10.0.0.9:179", HoldMS: 3000.5, FourB: true, Unread: []byte{0xff, 0, 0x13},
+		Told: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1"),
+	}
 }
--- a/internal/node/mixed_test.go
+++ b/internal/node/mixed_test.go
@@ -96,19 +96,25 @@
 
 func (e *flightEngine) GetFlightInfoStatement(ctx context.Context, cmd fsql.StatementQuery,
 
-	desc *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	desc *flight.FlightDescriptor,
+) (*flight.FlightInfo, error) {
 	ticket, err := fsql.CreateStatementQueryTicket([]byte(incoming(ctx, "rid")))
-	return &flight.FlightInfo{FlightDescriptor: desc,
-		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: ticket}}}}, err
+	return &flight.FlightInfo{
+		FlightDescriptor: desc,
+		Endpoint:         []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: ticket}}},
+	}, err
 }
 
 func (e *flightEngine) DoGetStatement(ctx context.Context, cmd fsql.StatementQueryTicket) (*arrow.Schema,
 
-	<-chan flight.StreamChunk, error) {
+	<-chan flight.StreamChunk, error,
+) {
 	id := string(cmd.GetStatementHandle())
 	e.l.ran(id, "flight")
-	schema := arrow.NewSchema([]arrow.Field{{Name: "id", Type: arrow.BinaryTypes.String},
-		{Name: "n", Type: arrow.PrimitiveTypes.Int64}}, nil)
+	schema := arrow.NewSchema([]arrow.Field{
+		{Name: "id", Type: arrow.BinaryTypes.String},
+		{Name: "n", Type: arrow.PrimitiveTypes.Int64},
+	}, nil)
 	ch := make(chan flight.StreamChunk, 3)
 	for n := range int64(3) {
 		b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -217,9 +217,11 @@
 	alone   bool // no second copy is allowed
 }
 
-var ordersClasses = []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+var ordersClasses = []dispatch.Class{
+	{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 	{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.IdempotentByKey, IdempotencyWindow: ordersWindow},
-	{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true, Semantics: dispatch.AtMostOnce}}
+	{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true, Semantics: dispatch.AtMostOnce},
+}
 
 func newOrdersWorld(t *rapid.T) *ordersWorld {
 	w := &ordersWorld{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*stageClient{}, closed: map[int]float64{}, at: map[dispatch.EngineID]int{}, banned: map[dispatch.EngineID]float64{}}
@@ -227,9 +229,11 @@
 	log := slog.New(slog.DiscardHandler)
 	clients := &router.ByKind{}
 	w.alone = rapid.Bool().Draw(t, "no second copies")
-	core, err := router.New(w.loop, dispatch.Config{Routers: 1, HedgingAllowed: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
+	core, err := router.New(w.loop, dispatch.Config{
+		Routers: 1, HedgingAllowed: !w.alone, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
 		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: ordersClasses,
-		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second}, clients, log)
+		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second,
+	}, clients, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -68,18 +68,22 @@
 
 // listeners are the places where this router accepts.
 func (r *node) listeners() []listening {
-	all := []listening{{listenClients, "listen", r.cfg.Listen,
+	all := []listening{{
+		listenClients, "listen", r.cfg.Listen,
 		func(lis net.Listener) { r.listening = r.net.Serve(lis, r.front.Accept) },
 		func() (*os.File, error) { return r.listening.File() },
-		func() { r.listening.Close() }}}
+		func() { r.listening.Close() },
+	}}
 	for _, p := range r.parts {
 		if p.listening != nil {
 			all = append(all, *p.listening)
 		}
 	}
 	if r.cfg.Control != "" {
-		all = append(all, listening{listenDoor, "control", r.cfg.Control, r.openDoor,
-			func() (*os.File, error) { return r.door.File() }, func() { r.door.Close() }})
+		all = append(all, listening{
+			listenDoor, "control", r.cfg.Control, r.openDoor,
+			func() (*os.File, error) { return r.door.File() }, func() { r.door.Close() },
+		})
 	}
 	return all
 }
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -57,14 +57,16 @@
 	return &part{
 		name:        "flightsql",
 		descriptors: cfg.MaxConnections + flightEngines,
-		listening: &listening{listenFlight, "/flightsql/listen", cfg.Listen,
+		listening: &listening{
+			listenFlight, "/flightsql/listen", cfg.Listen,
 			func(lis net.Listener) { f.front.Accept(lis) },
 			func() (*os.File, error) { return f.front.File() },
 			func() {
 				if file, err := f.front.Pause(); err == nil {
 					_ = file.Close()
 				}
-			}},
+			},
+		},
 		start: func(b bounds) (err error) {
 			f.client = flightsql.NewClient(r.loop, b.fetch.ConnectTimeoutMS, flightLoads, r.log)
 			speak(cfg.EngineKinds)
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -54,8 +54,10 @@
 			}
 			now := r.loop.Now
 			plain := r.log // what the writer has to say of its disk can't go to that disk
-			c.w = record.Start(*cfg, record.Header{Router: r.cfg.Name, Place: uint64(r.machine.Self),
-				Process: record.ProcessName(now()), Program: program, Classes: classesOf(r.cfg)}, now, func(err error) {
+			c.w = record.Start(*cfg, record.Header{
+				Router: r.cfg.Name, Place: uint64(r.machine.Self),
+				Process: record.ProcessName(now()), Program: program, Classes: classesOf(r.cfg),
+			}, now, func(err error) {
 				if err != nil {
 					plain.Error("records can't be written; serving goes on", "dir", cfg.Dir, "err", err)
 				} else {
@@ -145,8 +147,10 @@
 }
 
 func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
-	r := &record.Engine{At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slowness, Fail: e.FailureShare,
-		Lost: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind}
+	r := &record.Engine{
+		At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slowness, Fail: e.FailureShare,
+		Lost: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind,
+	}
 	if state == record.WarmingUp {
 		r.WarmAt = clock.Millis(e.WarmUpEnd)
 	}
@@ -181,8 +185,10 @@
 // second writes what was counted since it did so last.
 func (c *recorder) second() {
 	now := c.r.loop.Now()
-	s := &record.Second{At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Queued, Jam: c.view.Congestion,
-		Conns: c.r.client.Conns(), Session: c.r.front.Sessions()}
+	s := &record.Second{
+		At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Queued, Jam: c.view.Congestion,
+		Conns: c.r.client.Conns(), Session: c.r.front.Sessions(),
+	}
 	s.Rows, s.Engines = c.meter.Take()
 	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
 	s.Turned, s.Spoilt = turned-c.turned, spoilt-c.spoilt
@@ -215,8 +221,10 @@
 	c.meter.Answer(q.Class, q.Tenant, how, what.TookMS)
 	if (how == record.Rejected || how == record.Failed) && c.samples > 0 {
 		c.samples--
-		a := &record.Answer{At: c.r.loop.Now(), ID: q.ID, Class: q.Class, Tenant: q.Tenant, Refused: how == record.Rejected,
-			Reason: what.Reason, AfterMS: what.TookMS}
+		a := &record.Answer{
+			At: c.r.loop.Now(), ID: q.ID, Class: q.Class, Tenant: q.Tenant, Refused: how == record.Rejected,
+			Reason: what.Reason, AfterMS: what.TookMS,
+		}
 		if what.Engine != 0 {
 			a.Engine = settings.FormatID(what.Engine)
 		}
@@ -227,8 +235,10 @@
 // AttemptStarted implements router.Watcher.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
 
-var ends = map[dispatch.Outcome]record.End{dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndRejected, dispatch.EngineFailed: record.EndErrored,
-	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent}
+var ends = map[dispatch.Outcome]record.End{
+	dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndRejected, dispatch.EngineFailed: record.EndErrored,
+	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent,
+}
 
 // AttemptEnded implements router.Watcher.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -146,8 +146,10 @@
 	benchSeq++
 	a := &answered{}
 	now := r.loop.Now()
-	_, err := r.core.Submit(&router.Request{ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
-		BudgetMS: 5000, EstimateMS: 1}, a)
+	_, err := r.core.Submit(&router.Request{
+		ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
+		BudgetMS: 5000, EstimateMS: 1,
+	}, a)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -128,8 +128,10 @@
 		done := make(chan struct{})
 		n.loop.Post(func() {
 			n.log = slog.New(slog.NewTextHandler(&log, nil))
-			own := &site.Settings{FlightSQL: &flightsql.Config{Listen: "127.0.0.1:2", EngineKinds: []string{"std"}, MaxConnections: 32},
-				BGP: &bgp.Config{}}
+			own := &site.Settings{
+				FlightSQL: &flightsql.Config{Listen: "127.0.0.1:2", EngineKinds: []string{"std"}, MaxConnections: 32},
+				BGP:       &bgp.Config{},
+			}
 			err = n.configure(cfg, own)
 			close(done)
 		})
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,9 +9,11 @@
 	"windflow/dispatch"
 )
 
-var outcomes = map[dispatch.Outcome]string{dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
+var outcomes = map[dispatch.Outcome]string{
+	dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
 	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.ConnectionReset: "reset",
-	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent"}
+	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent",
+}
 
 // status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
 func (r *node) status() [][2]string {
@@ -19,8 +21,13 @@
 		{"core.open", strconv.Itoa(r.core.Open())},
 		{"fetch.connections", strconv.Itoa(r.client.Conns())},
 	}
-	parts := []counted{{"core", &r.core.Counters}, {"mysql", &r.front.Counters}, {"fetch", &r.client.Counters},
-		{"board", &r.board.Counters}, {"loop", &r.stallCounters}}
+	parts := []counted{
+		{"core", &r.core.Counters},
+		{"mysql", &r.front.Counters},
+		{"fetch", &r.client.Counters},
+		{"board", &r.board.Counters},
+		{"loop", &r.stallCounters},
+	}
 	for _, p := range r.parts {
 		if p.counters != nil {
 			parts = append(parts, p.counters()...)
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -38,9 +38,11 @@
 )
 
 // messages are those that the machine knows.
-var messages = map[string]hotrestart.MessageKind{"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
+var messages = map[string]hotrestart.MessageKind{
+	"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
 
-	"ready": hotrestart.Ready, "go-ahead": hotrestart.GoAhead, "back": hotrestart.Back}
+	"ready": hotrestart.Ready, "go-ahead": hotrestart.GoAhead, "back": hotrestart.Back,
+}
 
 const (
 	// useEvery is how often either process tells what it has running; while the other one does not read, it is left out.
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -91,8 +91,10 @@
 func TestUpgrade(t *testing.T) {
 	one, two := newSlowEngine(), newSlowEngine()
 	f := newFleet(t, one, two)
-	peer := &neighbour{sessions: make(chan int, 8), updates: make(chan string, 8), beats: make(chan struct{}, 64),
-		ended: make(chan int, 8)}
+	peer := &neighbour{
+		sessions: make(chan int, 8), updates: make(chan string, 8), beats: make(chan struct{}, 64),
+		ended: make(chan int, 8),
+	}
 	dir := filepath.Dir(f.config)
 	flightAt := freePort(t)
 	own := filepath.Join(dir, "windflow.json")
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -22,8 +22,10 @@
 	return []Record{
 		&Header{Version: Version, Router: "n0", Place: 2, Process: "1.a", Program: "windflow", ClockMS: 1000, WallMS: 1001},
 		&Engine{At: 1001, ID: "s-00000001", State: WarmingUp, WarmAt: 9000, Zone: "hall-a", Kind: "std-8", Event: 3},
-		&Second{At: 2000, ForMS: 1000, Rows: []Row{{Class: "lookup", Tenant: "a", Arrived: 5, InAim: 4, Late: 1, P50: 20, P99: 120}},
-			Engines: []EngineRow{{ID: "s-00000001", Sent: 5, Served: 5}}, Open: 2, Jam: 0.25},
+		&Second{
+			At: 2000, ForMS: 1000, Rows: []Row{{Class: "lookup", Tenant: "a", Arrived: 5, InAim: 4, Late: 1, P50: 20, P99: 120}},
+			Engines: []EngineRow{{ID: "s-00000001", Sent: 5, Served: 5}}, Open: 2, Jam: 0.25,
+		},
 		&Answer{At: 2100, ID: "9b1f03aa5c7e2d41", Class: "load", Refused: true, Reason: "no room in time", AfterMS: 12},
 		&Event{At: 2200, Name: "reloaded", Fields: map[string]string{"board": "127.0.0.1:1"}},
 		&Gap{At: 2300, From: 2250, Records: 7},
@@ -123,8 +125,10 @@
 	if _, _, err := readAll(newer); !errors.Is(err, ErrNewer) {
 		t.Error("a newer version:", err)
 	}
-	for name, b := range map[string][]byte{"text": []byte(strings.Repeat("no records at all\n", 99)), "zeros": make([]byte, 4096),
-		"no header": segment(t, &Gap{At: 1})} {
+	for name, b := range map[string][]byte{
+		"text": []byte(strings.Repeat("no records at all\n", 99)), "zeros": make([]byte, 4096),
+		"no header": segment(t, &Gap{At: 1}),
+	} {
 		if _, _, err := readAll(b); err == nil {
 			t.Errorf("%s was taken for a segment", name)
 		}
@@ -215,8 +219,10 @@
 // What does not fit the queue is dropped and counted, and a gap says how much; the caller never waits.
 func TestWriterDropsWhatDoesNotFit(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{now: func() float64 { return 1 }, queue: make(chan Record, 4), done: make(chan struct{}), ended: make(chan struct{}),
-		failed: func(error) {}}
+	w := &Writer{
+		now: func() float64 { return 1 }, queue: make(chan Record, 4), done: make(chan struct{}), ended: make(chan struct{}),
+		failed: func(error) {},
+	}
 	cfg := Defaults
 	cfg.Dir = dir
 	w.cfg.Store(&cfg)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -160,9 +160,11 @@
 		c.spent.add(r.ID)
 		c.changed(r.ID, IDConsumed)
 	}
-	a.call = c.client.Start(Call{Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
+	a.call = c.client.Start(Call{
+		Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
 		GrantMB: r.grant, Priority: r.priority, Update: r.Update, AtMostOnce: class.Semantics != dispatch.Idempotent,
-		LatestStartMS: latest, Exclusive: a.alone, CancelAllowed: c.deletes, OnSent: func() { c.ByClass[r.Class].Forwards++ }, OnProgress: func(n AttemptProgress) { c.heard(a, n) }},
+		LatestStartMS: latest, Exclusive: a.alone, CancelAllowed: c.deletes, OnSent: func() { c.ByClass[r.Class].Forwards++ }, OnProgress: func(n AttemptProgress) { c.heard(a, n) },
+	},
 		func(e End) { c.ended(a, e) })
 	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "no answer in time"}) })
 	if s.StartWithin > 0 {
@@ -252,8 +254,10 @@
 		c.watched(r, Answer{Kind: AnswerServed, ObjectiveMS: c.aim(r, e.Result), Engine: a.engine})
 		asker.Served(e.Result)
 	}
-	end := dispatch.AttemptEnd{Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
-		Took: clock.Duration(c.loop.Now() - a.at), Last: r.asker == nil}
+	end := dispatch.AttemptEnd{
+		Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
+		Took: clock.Duration(c.loop.Now() - a.at), Last: r.asker == nil,
+	}
 	if e.Result != nil {
 		end.Work, end.NeedMB = clock.Duration(e.Result.WorkMS), e.Result.NeedMB
 	}
--- a/internal/router/bed_test.go
+++ b/internal/router/bed_test.go
@@ -48,7 +48,8 @@
 
 func (a *asker) Served(*Result)      { a.answers = append(a.answers, "served") }
 func (a *asker) Rejected(ms float64) { a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms)) }
-func (a *asker) Failed(why Reason)   { a.answers = append(a.answers, fmt.Sprintf("failed %d", why)) }
+
+func (a *asker) Failed(why Reason) { a.answers = append(a.answers, fmt.Sprintf("failed %d", why)) }
 
 type bed struct {
 	t       *testing.T
@@ -64,11 +65,17 @@
 	b := &bed{t: t, now: &clock.Manual{MS: 1e12}, engines: &engines{}}
 	b.loop = NewLoop(b.now)
 	var err error
-	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
+	cfg := dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
 		Tenants: []dispatch.Tenant{{Name: "south"}}, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
-				Semantics: dispatch.AtMostOnce}}}
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{
+				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
+				Semantics: dispatch.AtMostOnce,
+			},
+		},
+	}
 	for _, f := range change {
 		f(&cfg)
 	}
@@ -107,8 +114,10 @@
 	var h Handle
 	b.loop.Post(func() {
 		var err error
-		h, err = b.core.Submit(&Request{ID: fmt.Sprintf("%016x", b.ids), Class: class, Statement: "S",
-			SentAtMS: b.now.MS - sent, BudgetMS: budget}, a)
+		h, err = b.core.Submit(&Request{
+			ID: fmt.Sprintf("%016x", b.ids), Class: class, Statement: "S",
+			SentAtMS: b.now.MS - sent, BudgetMS: budget,
+		}, a)
 		if err != nil {
 			b.t.Error(err)
 		}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -155,9 +155,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{loop: loop, module: module, client: client, log: log, engines: map[dispatch.EngineID]Engine{}, leaving: map[dispatch.EngineID]bool{},
+	c := &Core{
+		loop: loop, module: module, client: client, log: log, engines: map[dispatch.EngineID]Engine{}, leaving: map[dispatch.EngineID]bool{},
 		requests: map[dispatch.RequestID]*request{}, reports: map[dispatch.EngineID]report{}, byID: map[string]*request{}, spent: spent{at: map[string]int{}},
-		ByClass: map[string]*ClassCounters{}, elsewhere: map[string]bool{}}
+		ByClass: map[string]*ClassCounters{}, elsewhere: map[string]bool{},
+	}
 	c.use(cfg)
 	loop.Settle = c.settle
 	return c, nil
@@ -245,8 +247,10 @@
 	if c.Observer != nil {
 		c.Observer.RequestArrived(q)
 	}
-	r := &request{Request: q, key: dispatch.RequestID(strconv.FormatUint(c.seq, 10)), asker: asker,
-		end: q.SentAtMS + q.BudgetMS - answerMargin, priority: 1}
+	r := &request{
+		Request: q, key: dispatch.RequestID(strconv.FormatUint(c.seq, 10)), asker: asker,
+		end: q.SentAtMS + q.BudgetMS - answerMargin, priority: 1,
+	}
 	if c.closeAt > 0 {
 		r.end = min(r.end, c.closeAt)
 	}
@@ -260,9 +264,11 @@
 	c.guard(r)
 	begin := func() {
 		r.fresh, c.fresh = true, append(c.fresh, r)
-		c.events = append(c.events, dispatch.Arrival{Request: r.key, Class: class.Name, Tenant: q.Tenant, TableGroup: q.TableGroup,
+		c.events = append(c.events, dispatch.Arrival{
+			Request: r.key, Class: class.Name, Tenant: q.Tenant, TableGroup: q.TableGroup,
 			Estimate: clock.Duration(q.EstimateMS), NeedMB: q.NeedMB, TimeLeft: clock.Duration(max(r.end-c.loop.Now(), 0)),
-			Resent: q.Retry})
+			Resent: q.Retry,
+		})
 	}
 	if class.Semantics == dispatch.AtMostOnce {
 		c.claim(r, begin)
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -66,8 +66,11 @@
 		{"served twice over", "lookup", func(b *bed, _ Handle) { b.end(0, served); b.end(0, served) }, []string{"served"}, 1},
 		{"silent engine", "lookup", func(b *bed, _ Handle) {}, []string{"refused 1000"}, 1},
 		{"silent engine with a load", "load", func(b *bed, _ Handle) {}, []string{"failed 1"}, 1},
-		{"served after the deadline", "load", func(b *bed, _ Handle) { b.wait(2980); b.end(0, served) },
-			[]string{"failed 1"}, 1},
+		{
+			"served after the deadline", "load", func(b *bed, _ Handle) { b.wait(2980); b.end(0, served) },
+			[]string{"failed 1"},
+			1,
+		},
 		{"load reset", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.ConnectionReset}) }, []string{"failed 0"}, 1},
 		{"load errored", "load", func(b *bed, _ Handle) { b.end(0, End{Outcome: dispatch.EngineFailed}) }, []string{"failed 0"}, 1},
 		{"load full, then served", "load", func(b *bed, _ Handle) {
@@ -189,8 +192,10 @@
 	b := newBed(t)
 	submit := func(id, class, tenant string) (err error) {
 		b.loop.Post(func() {
-			_, err = b.core.Submit(&Request{ID: id, Class: class, Tenant: tenant, Statement: "S", SentAtMS: b.now.MS,
-				BudgetMS: 3000}, &asker{})
+			_, err = b.core.Submit(&Request{
+				ID: id, Class: class, Tenant: tenant, Statement: "S", SentAtMS: b.now.MS,
+				BudgetMS: 3000,
+			}, &asker{})
 		})
 		b.run()
 		return err
@@ -242,7 +247,8 @@
 		b.loop.Post(func() {
 			id := dispatch.EngineID(100 + i)
 			b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{
-				{ID: id, Kind: "k", CapacityWeight: 1}, {ID: id - 1, Kind: "k", State: dispatch.Removed}}},
+				{ID: id, Kind: "k", CapacityWeight: 1}, {ID: id - 1, Kind: "k", State: dispatch.Removed},
+			}},
 				map[dispatch.EngineID]string{id: "10.0.0.9:1"})
 		})
 		b.run()
@@ -260,9 +266,13 @@
 // Changed settings bind at once: here the attempts of a request that is open, and the tenants.
 func TestConfigure(t *testing.T) {
 	b := newBed(t)
-	cfg := dispatch.Config{Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1, Tenants: []dispatch.Tenant{{Name: "north"}},
-		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
-			{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce}}}
+	cfg := dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1, Tenants: []dispatch.Tenant{{Name: "north"}},
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second, Threads: 2, Semantics: dispatch.AtMostOnce},
+		},
+	}
 	a, _ := b.ask("lookup", 3000, 0)
 	if kept, err := b.core.Configure(cfg); err != nil || len(kept) > 0 {
 		t.Fatal(kept, err)
@@ -363,8 +373,10 @@
 	one.ask("lookup", 20_000, 0) // id 2
 	refused := func(id int) (no bool) {
 		two.loop.Post(func() {
-			_, err := two.core.Submit(&Request{ID: fmt.Sprintf("%016x", id), Class: "lookup", Statement: "S",
-				SentAtMS: two.now.MS, BudgetMS: 3000}, &asker{})
+			_, err := two.core.Submit(&Request{
+				ID: fmt.Sprintf("%016x", id), Class: "lookup", Statement: "S",
+				SentAtMS: two.now.MS, BudgetMS: 3000,
+			}, &asker{})
 			no = err == ErrInUse
 		})
 		two.run()
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -83,8 +83,10 @@
 // up: it ends as never run, and the module hears so.
 func TestLatestStart(t *testing.T) {
 	b := newBed(t, func(cfg *dispatch.Config) {
-		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1,
-			Semantics: dispatch.IdempotentByKey, IdempotencyWindow: 300 * time.Millisecond})
+		cfg.Classes = append(cfg.Classes, dispatch.Class{
+			Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1,
+			Semantics: dispatch.IdempotentByKey, IdempotencyWindow: 300 * time.Millisecond,
+		})
 	})
 	a, _ := b.ask("keyed", 3000, 0)
 	b.engines.unbegun = map[string]bool{fmt.Sprintf("%016x", b.ids): true}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -173,15 +173,18 @@
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
+
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
+
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(*h)
 	*h = append(*h, t)
 }
+
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -41,8 +41,10 @@
 // NewRequest checks the fields and reads the statement's group of tables. field gives a field's text, or ""
 // where it is absent. Its error names the field; such a request must never reach an engine.
 func NewRequest(field func(string) string, statement string, sent float64) (*Request, error) {
-	r := &Request{Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
-		Statement: statement, SentAtMS: sent}
+	r := &Request{
+		Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
+		Statement: statement, SentAtMS: sent,
+	}
 	if r.Class == "" {
 		return nil, fmt.Errorf("field %s is missing", FieldClass)
 	}
@@ -54,8 +56,11 @@
 		into     *float64
 		required bool
 		most     float64
-	}{{FieldBudget, &r.BudgetMS, true, maxBudget}, {FieldEstimate, &r.EstimateMS, false, 1e9},
-		{FieldNeed, &r.NeedMB, false, 1e9}} {
+	}{
+		{FieldBudget, &r.BudgetMS, true, maxBudget},
+		{FieldEstimate, &r.EstimateMS, false, 1e9},
+		{FieldNeed, &r.NeedMB, false, 1e9},
+	} {
 		text := field(n.name)
 		if text == "" && !n.required {
 			continue
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -24,11 +24,21 @@
 		{"UPDATE x_12.t SET a = 1", 12},
 		{"SELECT 1 FROM a, b_6.c", 6},
 		{"SELECT 'it''s \\' FROM a_1.t' FROM b_2 . t", 2},
-		{"SELECT 1 FROM plain.t", -1}, {"SELECT 1 FROM a_0.t", 0}, {"SELECT a_3.x FROM a_0.t", 0},
-		{"SELECT a_0.x, b_2.y", 0}, {"SELECT 1 FROM a_4294967295.t", 4294967295}, {"SELECT 1 FROM a_4294967296.t", -1},
+		{"SELECT 1 FROM plain.t", -1},
+		{"SELECT 1 FROM a_0.t", 0},
+		{"SELECT a_3.x FROM a_0.t", 0},
+		{"SELECT a_0.x, b_2.y", 0},
+		{"SELECT 1 FROM a_4294967295.t", 4294967295},
+		{"SELECT 1 FROM a_4294967296.t", -1},
 		{"SELECT 1 FROM a_+1.t", -1},
 		{"SELECT 1 FROM a_x.t JOIN b_7.t ON a_x.t.i = b_7.t.i", 7},
-		{"", -1}, {"'", -1}, {"`", -1}, {"/*", -1}, {"a_1.", 1}, {".", -1}, {"``", -1},
+		{"", -1},
+		{"'", -1},
+		{"`", -1},
+		{"/*", -1},
+		{"a_1.", 1},
+		{".", -1},
+		{"``", -1},
 	} {
 		got := int64(-1)
 		if n, ok := tableGroup(k.statement); ok {
@@ -62,16 +72,22 @@
 }
 
 func TestNewRequest(t *testing.T) {
-	good := map[string]string{"method": "lookup", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "a",
-		"est": "820.0", "mem": "96", "again": "1"}
+	good := map[string]string{
+		"method": "lookup", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "a",
+		"est": "820.0", "mem": "96", "again": "1",
+	}
 	r, err := NewRequest(func(n string) string { return good[n] }, "SELECT 1 FROM s_3.t", 5)
-	want := &Request{ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t", TableGroup: dispatch.TableGroupOf(3),
-		SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true}
+	want := &Request{
+		ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t", TableGroup: dispatch.TableGroupOf(3),
+		SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true,
+	}
 	if diff := cmp.Diff(want, r); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
-	for field, bad := range map[string]string{"method": "", "rid": "9b1f03aa5c7e2d4g", "budget": "0", "est": "-1",
-		"mem": "1e99", "again": "yes"} {
+	for field, bad := range map[string]string{
+		"method": "", "rid": "9b1f03aa5c7e2d4g", "budget": "0", "est": "-1",
+		"mem": "1e99", "again": "yes",
+	} {
 		_, err := NewRequest(func(n string) string {
 			if n == field {
 				return bad
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -57,9 +57,11 @@
 }
 
 // reasons word how the last attempt ended.
-var reasons = map[dispatch.Outcome]string{dispatch.EngineFailed: "the engine failed", dispatch.EngineFull: "the engine was full",
+var reasons = map[dispatch.Outcome]string{
+	dispatch.EngineFailed: "the engine failed", dispatch.EngineFull: "the engine was full",
 	dispatch.TimedOut: "the engine did not answer in time", dispatch.ConnectFailed: "no connection to the engine",
-	dispatch.ConnectionReset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent"}
+	dispatch.ConnectionReset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent",
+}
 
 // why words a failure.
 func (r *request) why(reason Reason) string {
--- a/internal/settings/known.go
+++ b/internal/settings/known.go
@@ -69,8 +69,10 @@
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != dispatch.Removed {
 				return l, 0, fmt.Errorf("%s.host_port: %q is no address and port", field, m.HostPort)
 			}
-			e := dispatch.Endpoint{ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, CapacityWeight: m.Size, State: state,
-				StartedAt: clock.Duration(m.UpSince)}
+			e := dispatch.Endpoint{
+				ID: id, Cell: m.Cell, Zone: m.Locality, Kind: m.Flavor, CapacityWeight: m.Size, State: state,
+				StartedAt: clock.Duration(m.UpSince),
+			}
 			if k, known := at[id]; known {
 				l.Events.Endpoints[k] = e
 			} else {
--- a/internal/settings/known_test.go
+++ b/internal/settings/known_test.go
@@ -17,8 +17,10 @@
 	}
 	l, last, err := ParseKnown([]byte(`{"rev":41,"notices":[{"rev":40,"pool":{"complete":true,"members":[` +
 		member("active") + `]}},{"rev":41,"pool":{"complete":false,"members":[` + member("leaving") + `]}}]}`))
-	want := dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 0xc41f7a, Zone: "hall-a",
-		Kind: "std-8", Cell: 2, CapacityWeight: 4, State: dispatch.Draining, StartedAt: clock.Duration(1500)}}}
+	want := dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{
+		ID: 0xc41f7a, Zone: "hall-a",
+		Kind: "std-8", Cell: 2, CapacityWeight: 4, State: dispatch.Draining, StartedAt: clock.Duration(1500),
+	}}}
 	if diff := cmp.Diff(want, l.Events); diff != "" || err != nil || last != 41 {
 		t.Errorf("last %d, %v, %s", last, err, diff)
 	}
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -50,8 +50,10 @@
 	s["classes"].([]any)[1].(map[string]any)["credit"] = 4.0
 	s["specifics"].(map[string]any)["cores-by-kind"] = []any{16.0}
 	s["limits"].(map[string]any)["max-retry-after-ns"] = 1000.0
-	s["parties"] = []any{map[string]any{"name": "east", "quota-rps": 2.0},
-		map[string]any{"name": "west/two", "quota-rps": 3.0, "share": 0.5}}
+	s["parties"] = []any{
+		map[string]any{"name": "east", "quota-rps": 2.0},
+		map[string]any{"name": "west/two", "quota-rps": 3.0, "share": 0.5},
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,12 +19,18 @@
 }
 
 var (
-	semantics = map[string]dispatch.Semantics{"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
-		"deduplicated": dispatch.IdempotentByKey, "at_most_once": dispatch.AtMostOnce}
-	scopes = map[string]dispatch.IdempotencyScope{"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
-		"cell": dispatch.ScopeCell}
-	shortages = map[string]dispatch.MemoryShortage{"": dispatch.ShortageWait, "queue": dispatch.ShortageWait,
-		"trim": dispatch.ShortageShrink, "swap": dispatch.ShortagePage}
+	semantics = map[string]dispatch.Semantics{
+		"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
+		"deduplicated": dispatch.IdempotentByKey, "at_most_once": dispatch.AtMostOnce,
+	}
+	scopes = map[string]dispatch.IdempotencyScope{
+		"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+		"cell": dispatch.ScopeCell,
+	}
+	shortages = map[string]dispatch.MemoryShortage{
+		"": dispatch.ShortageWait, "queue": dispatch.ShortageWait,
+		"trim": dispatch.ShortageShrink, "swap": dispatch.ShortagePage,
+	}
 )
 
 // Settings is the wire form of dispatch.Config; unknown fields are ignored.
@@ -114,15 +120,21 @@
 		field string
 		v     float64
 	}
-	list := []number{{"balancers", float64(s.Routers)}, {"period-ns", float64(s.PeriodNS)},
+	list := []number{
+		{"balancers", float64(s.Routers)},
+		{"period-ns", float64(s.PeriodNS)},
 		{"limits.attempts-cap", float64(s.Limits.AttemptsCap)},
 		{"limits.max-retry-after-ns", float64(s.Limits.MaxRetryAfter)},
 		{"limits.connect-timeout-ns", float64(s.Limits.ConnectTimeout)},
 		{"limits.conn-idle-ns", float64(s.Limits.ConnIdle)},
-		{"rules.ask-within-ns", float64(s.Rules.AskWithin)}, {"rules.cold-from", s.Rules.ColdFrom},
-		{"rules.cold-ns", float64(s.Rules.ColdNS)}, {"rules.overload-factor", s.Rules.OverloadFactor},
-		{"rules.overload-for-ns", float64(s.Rules.OverloadFor)}, {"rules.key-rest-ns", float64(s.Rules.KeyRest)},
-		{"rules.look-back-ns", float64(s.Rules.LookBack)}}
+		{"rules.ask-within-ns", float64(s.Rules.AskWithin)},
+		{"rules.cold-from", s.Rules.ColdFrom},
+		{"rules.cold-ns", float64(s.Rules.ColdNS)},
+		{"rules.overload-factor", s.Rules.OverloadFactor},
+		{"rules.overload-for-ns", float64(s.Rules.OverloadFor)},
+		{"rules.key-rest-ns", float64(s.Rules.KeyRest)},
+		{"rules.look-back-ns", float64(s.Rules.LookBack)},
+	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("classes[%d].", i)
 		if c.Goal == 0 || c.Deadline == 0 {
@@ -156,9 +168,11 @@
 	}
 	sp := &s.Specifics
 	n, k := len(s.Classes), len(s.Kinds)
-	for _, err := range []error{perItem("specifics.class-load", sp.Load, n),
+	for _, err := range []error{
+		perItem("specifics.class-load", sp.Load, n),
 		perItem("specifics.width-by-class", sp.Width, n), perItem("specifics.yields-to-loads", sp.Yields, n),
-		perItem("specifics.cores-by-kind", sp.Cores, k), perItem("specifics.kind-memory-mb", sp.MemoryMB, k)} {
+		perItem("specifics.cores-by-kind", sp.Cores, k), perItem("specifics.kind-memory-mb", sp.MemoryMB, k),
+	} {
 		if err != nil {
 			return dispatch.Config{}, err
 		}
@@ -177,8 +191,10 @@
 		ProgressInterval: d(sp.NoteEvery), Tick: d(s.PeriodNS), DiscoveryTimeout: d(s.Rules.AskWithin), WarmUpInitialShare: s.Rules.ColdFrom,
 		WarmUpDuration: d(s.Rules.ColdNS), WarmUpOverloadFactor: s.Rules.OverloadFactor,
 		WarmUpOverloadWindow: d(s.Rules.OverloadFor), KeyCooldown: d(s.Rules.KeyRest),
-		RetryBudget: dispatch.RetryBudget{Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
-			PerRequest: s.Rules.ExtraPerRequest},
+		RetryBudget: dispatch.RetryBudget{
+			Window: d(s.Rules.LookBack), Free: s.Rules.BudgetFree,
+			PerRequest: s.Rules.ExtraPerRequest,
+		},
 	}
 	for i, c := range s.Classes {
 		sem, err := Enum(fmt.Sprintf("classes[%d].semantics", i), c.Semantics, semantics)
@@ -189,10 +205,12 @@
 		if err != nil {
 			return cfg, err
 		}
-		cfg.Classes = append(cfg.Classes, dispatch.Class{Name: c.Name, LatencyObjective: d(c.Goal), ObjectiveStretch: c.Stretch,
+		cfg.Classes = append(cfg.Classes, dispatch.Class{
+			Name: c.Name, LatencyObjective: d(c.Goal), ObjectiveStretch: c.Stretch,
 			Deadline: d(c.Deadline), PriorityWeight: c.Credit, LateWeightShare: c.LateValue, Semantics: sem, IdempotencyScope: scope,
 			IdempotencyWindow: d(c.Window), OrderByKey: c.FifoByKey, Zones: c.StaysIn, Kinds: c.AllowedOn,
-			Threads: at(sp.Width, i), LocksTableGroup: at(sp.Load, i), BlockedByLoad: at(sp.Yields, i)})
+			Threads: at(sp.Width, i), LocksTableGroup: at(sp.Load, i), BlockedByLoad: at(sp.Yields, i),
+		})
 	}
 	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.Quota})
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -40,8 +40,10 @@
 
 // The fault carries the pointer of the entry that is to blame, among others that are right.
 func TestEntriesNameTheEntryAtFault(t *testing.T) {
-	good := map[string]settings.Value{"/board": settings.Value(`"127.0.0.1:9"`), "/settings/rules/cold-ns": settings.Value(`5`),
-		"/settings/parties/a": settings.Value(`{"quota-rps":1}`)}
+	good := map[string]settings.Value{
+		"/board": settings.Value(`"127.0.0.1:9"`), "/settings/rules/cold-ns": settings.Value(`5`),
+		"/settings/parties/a": settings.Value(`{"quota-rps":1}`),
+	}
 	if f := Entries([]byte(example(t)), good); f != nil {
 		t.Fatal(f)
 	}
@@ -71,10 +73,12 @@
 
 // Entries that are wrong only together: the one is named that the check speaks of, though an earlier one alone is wrong too.
 func TestEntriesWrongTogether(t *testing.T) {
-	entries := map[string]settings.Value{"/settings/kinds": settings.Value(`["std-8","std-16"]`),
+	entries := map[string]settings.Value{
+		"/settings/kinds":                    settings.Value(`["std-8","std-16"]`),
 		"/settings/specifics/cores-by-kind":  settings.Value(`[8,16]`),
 		"/settings/specifics/kind-memory-mb": settings.Value(`[1,2,3]`),
-		"/settings/specifics/note-period-ns": settings.Value(`5`)}
+		"/settings/specifics/note-period-ns": settings.Value(`5`),
+	}
 	f := Entries([]byte(example(t)), entries)
 	if f == nil || f.Pointer != "/settings/specifics/kind-memory-mb" {
 		t.Fatalf("%+v", f)
