--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -14,11 +14,15 @@
 	silentFactor = 6.0
 	// minFraction bounds a reported share done, which the total time is computed from.
 	minFraction = 0.01
+	// maxEngineErrors is how many engines may answer a request with an error before the request is taken to be at
+	// fault: usual ones err in a few of a thousand answers, and each further error would speak against one more
+	// engine.
+	maxEngineErrors = 2
 )
 
 // attempt returns an attempt that has not ended, or nil.
-func (c *Controller) attempt(id RequestID, index int) *attempt {
-	req := c.requests[id]
+func (t *requestTracker) attempt(id RequestID, index int) *attempt {
+	req := t.byID[id]
 	if req == nil || index < 0 || index >= len(req.attempts) || req.attempts[index].ended {
 		return nil
 	}
@@ -26,121 +30,141 @@
 }
 
 // start starts the request's next attempt on an engine.
-func (c *Controller) start(req *request, target *engine) {
-	if !c.retries.allows(req, target) || c.ordering.blocks(req) {
+func (t *requestTracker) start(req *request, target *engine) {
+	if !t.retries.allows(req, target) || t.ordering.blocks(req) {
 		return
 	}
-	c.queues.remove(req)
+	t.queues.remove(req)
 	next := &attempt{
 		request:    req,
 		engine:     target,
 		index:      len(req.attempts),
-		startedAt:  c.env.now,
-		progressAt: c.env.now,
+		startedAt:  t.env.now,
+		progressAt: t.env.now,
 		work:       req.work(),
-		grantMB:    c.capacity.grant(req, target),
+		grantMB:    t.capacity.grant(req, target),
 		mayHaveRun: true,
-		preferred:  req.class == c.classes.preferred,
+		preferred:  req.class == t.classes.preferred,
 	}
 	if next.index > 0 {
-		c.retries.recordRetry()
+		t.retries.recordRetry()
 	}
 	req.attempts = append(req.attempts, next)
 	req.outstanding++
-	c.capacity.attemptStarted(next)
-	c.outliers.recordTry(target)
-	c.warmUps.recordSent(next)
-	c.deadlines.lookAgainAt(c.nextLook(req))
-	c.emitStart(next)
+	t.capacity.attemptStarted(next)
+	t.outliers.recordTry(target)
+	t.warmUps.recordSent(next)
+	t.deadlines.lookAgainAt(t.nextLook(req))
+	t.emitStart(next)
 }
 
-func (c *Controller) emitStart(a *attempt) {
+func (t *requestTracker) emitStart(a *attempt) {
 	resources := SetResources{Request: a.request.id, GrantMB: a.grantMB}
 	if a.preferred {
 		resources.Priority = preferredPriority
 	}
-	if c.env.config.Priorities || a.grantMB > 0 {
-		c.env.emit(resources)
+	if t.env.config.Priorities || a.grantMB > 0 {
+		t.env.emit(resources)
 	}
-	within := c.retries.startWithin(a.request, a.engine)
-	c.env.emit(StartAttempt{Request: a.request.id, Engine: a.engine.ID, StartWithin: within})
+	within := t.retries.startWithin(a.request, a.engine)
+	t.env.emit(StartAttempt{Request: a.request.id, Engine: a.engine.ID, StartWithin: within})
 }
 
 // cancel stops an attempt; its end is still reported.
-func (c *Controller) cancel(a *attempt) {
+func (t *requestTracker) cancel(a *attempt) {
 	a.cancelled = true
-	c.env.emit(CancelAttempt{Request: a.request.id, Attempt: a.index})
+	t.env.emit(CancelAttempt{Request: a.request.id, Attempt: a.index})
 }
 
 // reroute cancels an attempt that takes far too long, so that the request runs elsewhere. It helps against bad plans,
 // stuck engines and lost answers; it hurts when the estimate, not the run, was wrong.
-func (c *Controller) reroute(a *attempt) {
+func (t *requestTracker) reroute(a *attempt) {
 	req := a.request
-	if req.finished || a.cancelled || a.streaming || c.env.now+req.expectedTime(c.env) > req.deadline {
+	if req.finished || a.cancelled || a.streaming || t.env.now+req.expectedTime(t.env) > req.deadline {
 		return
 	}
-	if c.retries.mayReroute(req) {
-		c.cancel(a)
+	if t.retries.mayReroute(req) {
+		t.cancel(a)
 	}
 }
 
 // isSilent tells whether nothing was heard of an attempt for too long: a link is cut, an engine is stuck, or an answer
 // never comes.
-func (c *Controller) isSilent(a *attempt) bool {
-	return !a.ended && !a.attributed && !a.streaming && c.env.now > c.silentAt(a)
+func (t *requestTracker) isSilent(a *attempt) bool {
+	return !a.ended && !a.attributed && !a.streaming && t.env.now > t.silentAt(a)
 }
 
 // silentAt is when an attempt counts as silent if nothing more is heard of it. After a pause of this process the time
 // starts anew.
-func (c *Controller) silentAt(a *attempt) time.Duration {
-	limit := seconds(silentFactor * a.request.expectedTime(c.env).Seconds() * a.engine.health.currentSlowness(c.env))
-	if interval := c.env.config.ProgressInterval; interval > 0 {
+func (t *requestTracker) silentAt(a *attempt) time.Duration {
+	limit := seconds(silentFactor * a.request.expectedTime(t.env).Seconds() * a.engine.health.currentSlowness(t.env))
+	if interval := t.env.config.ProgressInterval; interval > 0 {
 		limit = seconds(silentIntervals * interval.Seconds())
 	}
-	return max(a.progressAt, c.deadlines.pausedAt) + limit
+	return max(a.progressAt, t.deadlines.pausedAt) + limit
 }
 
 // onProgress takes a progress report of an attempt.
-func (c *Controller) onProgress(event AttemptProgress) {
-	reported := c.attempt(event.Request, event.Attempt)
+func (t *requestTracker) onProgress(event AttemptProgress) {
+	reported := t.attempt(event.Request, event.Attempt)
 	if reported == nil {
 		return
 	}
-	reported.progressAt = c.env.now
+	reported.progressAt = t.env.now
 	switch event.Kind {
 	case ProgressSpilling:
-		c.onSpill(reported, event.Amount)
+		t.learner.onSpill(reported, event.Amount)
 	case ProgressBlocked:
 		if event.Amount == blockedOnLoad {
-			c.onBlocked(reported)
+			t.learner.onBlocked(reported)
 		}
 	case ProgressFraction:
-		c.onFraction(reported, event.Amount)
+		t.onFraction(reported, event.Amount)
 	case ProgressAlive:
 	}
 }
 
-// onSpill learns from an attempt that spills how much memory its class needs.
-func (c *Controller) onSpill(a *attempt, missingMB float64) {
-	req := a.request
-	if !a.spilled && a.grantMB > 0 && req.neededMB > 0 && missingMB > 0 {
-		req.class.estimate.learnSpill(a.grantMB+missingMB, req.neededMB)
+// onFraction reroutes an attempt whose progress shows a bad plan.
+func (t *requestTracker) onFraction(a *attempt, fraction float64) {
+	elapsed := (t.env.now - a.startedAt).Seconds()
+	total := elapsed / max(fraction, minFraction)
+	expected := a.request.expectedTime(t.env).Seconds() * a.engine.health.currentSlowness(t.env)
+	if a.request.hasEstimate && total > badPlanFactor*expected && total-elapsed > badPlanRemainder*expected {
+		t.reroute(a)
 	}
-	a.spilled = true
 }
 
-// onBlocked notes another router's load that blocks an attempt, and guesses how long it lasts.
-func (c *Controller) onBlocked(a *attempt) {
-	k, now := a.request.class, c.env.nowMS()
-	a.engine.pressure.LockObserved(a.request.tableGroup, now, now+1000*k.estimate.usualWork()/float64(k.Threads))
+// onAttemptEnd takes the outcome of an attempt, and retries or ends its request.
+func (t *requestTracker) onAttemptEnd(event AttemptEnd) {
+	a := t.attempt(event.Request, event.Attempt)
+	if a == nil {
+		return
+	}
+	req := a.request
+	a.ended = true
+	req.outstanding--
+	t.capacity.attemptEnded(a)
+	a.mayHaveRun = !event.Outcome.provesNotRun()
+	t.ordering.recordOutcome(req, event.Outcome)
+	t.learner.learn(a, event)
+	switch {
+	case event.Last || event.Outcome == Served:
+		t.finish(req)
+	case !req.finished && req.outstanding == 0:
+		t.retry(req, event.Outcome)
+	}
+	t.settle(req)
+	t.release()
 }
 
-// onFraction reroutes an attempt whose progress shows a bad plan.
-func (c *Controller) onFraction(a *attempt, fraction float64) {
-	elapsed := (c.env.now - a.startedAt).Seconds()
-	total := elapsed / max(fraction, minFraction)
-	expected := a.request.expectedTime(c.env).Seconds() * a.engine.health.currentSlowness(c.env)
-	if a.request.hasEstimate && total > badPlanFactor*expected && total-elapsed > badPlanRemainder*expected {
-		c.reroute(a)
+// retry queues a request for its next attempt, or ends it when there can be none.
+func (t *requestTracker) retry(req *request, outcome Outcome) {
+	switch {
+	case !t.retries.mayRetry(req, outcome):
+		t.reject(req)
+	case req.engineErrors >= maxEngineErrors:
+		t.fail(req) // after a rejection the client would send the same again
+	default:
+		t.enqueue(req, true)
 	}
 }
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -58,15 +58,17 @@
 
 // largeFleet tells whether so many routers share the fleet that an even share of an engine is a fraction of a query.
 func (c *capacityLimiter) largeFleet() bool {
-	widest := float64(len(c.endpoints.listed) * c.classes.widestThreads)
-	return 4*threadsPerCore*c.endpoints.cores*c.env.fleetShare() < widest
+	cores, _ := c.endpoints.total()
+	widest := float64(len(c.endpoints.listedEngines()) * c.classes.widestThreads)
+	return 4*threadsPerCore*cores*c.env.fleetShare() < widest
 }
 
 // roundsUp tells whether an even share of an engine is half of a query or more: then each engine may run one, else
 // the share counts over all engines together. It goes by even shares, since all routers would round up at once.
 func (c *capacityLimiter) roundsUp(req *request) bool {
-	even := threadsPerCore * c.endpoints.cores / float64(max(c.env.config.Routers, 1))
-	return 2*even >= float64(len(c.endpoints.listed)*req.class.Threads)
+	cores, _ := c.endpoints.total()
+	even := threadsPerCore * cores / float64(max(c.env.config.Routers, 1))
+	return 2*even >= float64(len(c.endpoints.listedEngines())*req.class.Threads)
 }
 
 // threadBound is the threads a core that this router may run in the mean.
@@ -233,7 +235,8 @@
 	if c.largeFleet() {
 		return c.warmResources()
 	}
-	return resources{c.endpoints.cores, c.endpoints.memoryMB, c.threads, c.grantedMB}
+	cores, memoryMB := c.endpoints.total()
+	return resources{cores, memoryMB, c.threads, c.grantedMB}
 }
 
 // warmResources sums up the warm engines; in a large fleet those of lost zones are left out: others bear their part.
@@ -249,7 +252,7 @@
 
 // endpointsChanged has the sums computed anew over other engines.
 func (c *capacityLimiter) endpointsChanged() {
-	for _, e := range c.endpoints.all {
+	for _, e := range c.endpoints.engines() {
 		e.usage.countedWarm = false
 	}
 	c.invalidate()
@@ -268,7 +271,7 @@
 	c.recountAt = c.env.now + recountInterval
 	c.warm, c.warmGrants = resources{}, 0
 	c.warming = c.warming[:0]
-	for _, e := range c.endpoints.listed {
+	for _, e := range c.endpoints.listedEngines() {
 		e.usage.countedWarm = false
 		switch {
 		case e.warmUp.active(c.env.now):
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -12,17 +12,15 @@
 	classes   *classSet
 	quotas    *tenantQuotas
 	queues    *classQueues
-	ordering  *keyOrder
 	outliers  *outlierDetector
 	warmUps   *warmUpLimiter
 	capacity  *capacityLimiter
-	retries   *retryRules
 	selector  *selector
+	fleet     *fleetState
+	requests  *requestTracker
 	deadlines *deadlines
 	poll      *discoveryPoll
-	requests  map[RequestID]*request
-	open      []*request // those that are not finished, and some that are
-	started   bool       // the first event has come
+	started   bool // the first event has come
 }
 
 // New checks the settings and returns a controller. Its error is a *ConfigError.
@@ -31,37 +29,55 @@
 		return nil, err
 	}
 	env := newEnvironment(config)
-	endpoints := newEndpointTable(env)
-	classes := newClassSet(config.Classes)
-	ordering := newKeyOrder(env)
-	outliers := &outlierDetector{env: env, endpoints: endpoints}
-	warmUps := &warmUpLimiter{env: env, classes: classes}
-	capacity := &capacityLimiter{env: env, endpoints: endpoints, classes: classes, outliers: outliers, warmUps: warmUps}
-	warmUps.capacity = capacity
-	retries := &retryRules{env: env, ordering: ordering, warmUps: warmUps}
 	controller := &Controller{
 		env:       env,
-		endpoints: endpoints,
-		classes:   classes,
+		endpoints: newEndpointTable(env),
+		classes:   newClassSet(config.Classes),
 		quotas:    newTenantQuotas(env),
-		queues:    newClassQueues(classes),
-		ordering:  ordering,
-		outliers:  outliers,
-		warmUps:   warmUps,
-		capacity:  capacity,
-		retries:   retries,
-		selector: &selector{
-			subsetting: newSubsetting(env, endpoints, classes, capacity), outliers: outliers,
-			warmUps: warmUps, retries: retries,
-		},
 		deadlines: &deadlines{env: env},
 		poll:      &discoveryPoll{env: env},
-		requests:  map[RequestID]*request{},
 	}
+	controller.queues = newClassQueues(controller.classes)
 	controller.queues.setLimit(config.MaxQueued)
+	controller.connectFleet()
+	controller.connectRequests()
 	return controller, nil
 }
 
+// connectFleet creates the parts that know the engines.
+func (c *Controller) connectFleet() {
+	c.outliers = &outlierDetector{env: c.env, endpoints: c.endpoints}
+	c.warmUps = &warmUpLimiter{env: c.env, classes: c.classes}
+	c.capacity = &capacityLimiter{
+		env: c.env, endpoints: c.endpoints, classes: c.classes,
+		outliers: c.outliers, warmUps: c.warmUps,
+	}
+	c.warmUps.capacity = c.capacity
+	c.selector = &selector{
+		subsetting: newSubsetting(c.env, c.endpoints, c.classes, c.capacity),
+		outliers:   c.outliers,
+		warmUps:    c.warmUps,
+	}
+	c.fleet = &fleetState{
+		env: c.env, endpoints: c.endpoints, outliers: c.outliers,
+		warmUps: c.warmUps, capacity: c.capacity, subsets: &c.selector.subsetting,
+	}
+}
+
+// connectRequests creates the parts that follow requests.
+func (c *Controller) connectRequests() {
+	ordering := newKeyOrder(c.env)
+	retries := &retryRules{env: c.env, warmUps: c.warmUps}
+	c.selector.retries, c.selector.ordering = retries, ordering
+	c.requests = &requestTracker{
+		env: c.env, classes: c.classes, quotas: c.quotas, queues: c.queues, ordering: ordering,
+		outliers: c.outliers, warmUps: c.warmUps, capacity: c.capacity, retries: retries,
+		selector: c.selector, deadlines: c.deadlines,
+		learner: &outcomeLearner{env: c.env, fleet: c.fleet},
+		byID:    map[RequestID]*request{},
+	}
+}
+
 // Configure has a running controller go by changed settings and returns those in force. What is queued, running and
 // learned stays. The names, semantics and shape of the classes stay too, since open requests belong to them; settings
 // that were not taken for that reason are named in kept. After an error nothing has changed.
@@ -81,8 +97,7 @@
 	c.classes.derive()
 	c.quotas.configure()
 	c.queues.setLimit(config.MaxQueued)
-	c.endpoints.equipAll()
-	c.refreshEndpoints()
+	c.fleet.equip()
 	return config, kept, nil
 }
 
@@ -93,7 +108,7 @@
 		c.begin()
 	}
 	c.dispatch(event)
-	c.deadlines.setTimer(c.queues.length > 0, c.poll.next())
+	c.deadlines.setTimer(c.queues.len() > 0, c.poll.next())
 	return c.env.takeActions()
 }
 
@@ -111,17 +126,17 @@
 	case EndpointList:
 		c.onEndpointList(event)
 	case Arrival:
-		c.onArrival(event)
+		c.requests.onArrival(event)
 	case AttemptProgress:
-		c.onProgress(event)
+		c.requests.onProgress(event)
 	case AttemptEnd:
-		c.onAttemptEnd(event)
+		c.requests.onAttemptEnd(event)
 	case EngineLoad:
-		if e := c.endpoints.byID[event.Engine]; e != nil {
+		if e := c.endpoints.engine(event.Engine); e != nil {
 			c.endpoints.recordReport(e, event.Report)
 		}
 	case ResponseStarted:
-		c.onResponseStarted(event)
+		c.requests.onResponseStarted(event)
 	case Cordon:
 		c.setCordoned(event.Engine, true)
 	case Uncordon:
@@ -129,11 +144,11 @@
 	case RestoreSnapshot:
 		c.restore(event.Snapshot)
 	case ShutdownDeadline:
-		c.setShutdownDeadline(event.At)
+		c.requests.setShutdownDeadline(event.At)
 	case OtherProcessUsage:
 		c.setOtherProcessUsage(event)
 	case ClientGone:
-		c.onClientGone(event.Request)
+		c.requests.onClientGone(event.Request)
 	case TimerFired:
 		c.onTimer(event)
 	}
@@ -148,52 +163,15 @@
 	if event.Mode != ListCached {
 		c.poll.answered()
 	}
-	if event.Mode != ListIncremental {
-		c.endpoints.removeAll()
-	}
-	firstList := len(c.endpoints.all) == 0
-	for _, entry := range event.Endpoints {
-		if e, startedAt, restarted := c.endpoints.update(entry, firstList); restarted {
-			c.restartWarmUp(e, startedAt)
-		}
-	}
-	c.refreshEndpoints()
-	c.release()
+	c.fleet.update(event)
+	c.requests.release()
 }
 
-// refreshEndpoints has all parts go by a changed list of engines.
-func (c *Controller) refreshEndpoints() {
-	for _, e := range c.endpoints.refresh() {
-		c.capacity.setOtherProcess(e, EngineUsage{})
-		c.outliers.forget(e)
-	}
-	c.selector.endpointsChanged()
-	c.capacity.endpointsChanged()
-	c.outliers.invalidate()
-}
-
-// restartWarmUp treats an engine as started at a time: what was known of it does not hold any more.
-func (c *Controller) restartWarmUp(e *engine, at time.Duration) {
-	e.health.restart()
-	c.warmUps.begin(e, at)
-	c.capacity.invalidate()
-	c.outliers.invalidate()
-}
-
-// setCordoned keeps work from an engine, or ends that: it has been restarted by then, and gets a first request soon.
+// setCordoned cordons or uncordons an engine.
 func (c *Controller) setCordoned(id EngineID, cordoned bool) {
-	if !c.endpoints.cordons.set(id, cordoned) {
-		return
+	if c.fleet.setCordoned(id, cordoned) {
+		c.requests.release()
 	}
-	e := c.endpoints.byID[id]
-	if e == nil {
-		return
-	}
-	e.listed = e.State == Live && !cordoned
-	c.restartWarmUp(e, c.env.now)
-	e.health.cordonChanged(cordoned)
-	c.refreshEndpoints()
-	c.release()
 }
 
 // onTimer looks at all open requests when the timer is due.
@@ -202,19 +180,8 @@
 		return
 	}
 	c.poll.subscribeIfDue()
-	c.sweepOpen()
-	c.release()
-}
-
-// release starts queued requests for as long as an engine has headroom for one.
-func (c *Controller) release() {
-	c.queues.release(c.env.now, c.ordering.blocks, func(req *request) bool {
-		e := c.selector.cheapest(req)
-		if e != nil {
-			c.start(req, e)
-		}
-		return e != nil
-	})
+	c.requests.sweepOpen()
+	c.requests.release()
 }
 
 // Knows tells whether an endpoint list has named an engine.
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -17,6 +17,7 @@
 //   - deadlines.go, polling.go: timers and deadlines, polling of discovery
 //   - hotrestart.go: what two processes of one router tell each other
 //
-// Controller, in controller.go, requests.go, attempts.go and outcomes.go, coordinates them. Mechanisms that stand alone
-// are in the packages under internal/decide.
+// Controller, in controller.go, hands each event to the parts it concerns: requestTracker (requests.go, attempts.go)
+// follows requests, fleetState (fleet.go) keeps the parts that know engines in step, and outcomeLearner (outcomes.go)
+// learns from attempts. Mechanisms that stand alone are in the packages under internal/decide.
 package dispatch
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -48,6 +48,32 @@
 	return &endpointTable{env: env, cordons: newCordonList(), byID: map[EngineID]*engine{}, zones: map[string]*zone{}}
 }
 
+// engines returns all engines by their ids, also those that are not listed.
+func (t *endpointTable) engines() []*engine { return t.all }
+
+// listedEngines returns the engines that are live and not cordoned, by their ids.
+func (t *endpointTable) listedEngines() []*engine { return t.listed }
+
+// engine returns an engine, or nil for an unknown one.
+func (t *endpointTable) engine(id EngineID) *engine { return t.byID[id] }
+
+func (t *endpointTable) isEmpty() bool { return len(t.all) == 0 }
+
+// total is what all listed engines have.
+func (t *endpointTable) total() (cores, memoryMB float64) { return t.cores, t.memoryMB }
+
+// setCordoned cordons or uncordons an engine and returns it; nil says that nothing changed, or that it is not known.
+func (t *endpointTable) setCordoned(id EngineID, cordoned bool) *engine {
+	if !t.cordons.set(id, cordoned) {
+		return nil
+	}
+	e := t.byID[id]
+	if e != nil {
+		e.listed = e.State == Live && !cordoned
+	}
+	return e
+}
+
 // removeAll takes all engines for removed, until a complete list has named them again.
 func (t *endpointTable) removeAll() {
 	for _, e := range t.all {
@@ -173,6 +199,9 @@
 // averageCores is the cores of a listed engine in the mean.
 func (t *endpointTable) averageCores() float64 { return t.cores / float64(len(t.listed)) }
 
+// allZonesBackedOff tells whether all zones with listed engines are backed off from.
+func (t *endpointTable) allZonesBackedOff() bool { return t.zonesBackedOff() >= len(t.activeZones) }
+
 // zonesBackedOff counts the zones that are backed off from.
 func (t *endpointTable) zonesBackedOff() (n int) {
 	for _, z := range t.activeZones {
--- a/dispatch/evidence_test.go
+++ b/dispatch/evidence_test.go
@@ -215,7 +215,7 @@
 	if mean := w.c.classes.all[0].estimate.clientEstimate; mean > 0.5 {
 		t.Errorf("the mean estimate rose to %v s", mean)
 	}
-	if got, most := w.c.capacity.wantedGrant(w.c.requests[wild.id]), 8192*w.cfg.MaxGrantShare; got != most {
+	if got, most := w.c.capacity.wantedGrant(w.c.requests.byID[wild.id]), 8192*w.cfg.MaxGrantShare; got != most {
 		t.Errorf("%v MB are wanted, want %v", got, most)
 	}
 	for i := range 3 * maxAffinities {
--- a/dispatch/handover_test.go
+++ b/dispatch/handover_test.go
@@ -75,7 +75,7 @@
 	if w.c.capacity.threads > 4*1 || w.c.endpoints.byID[1].usage.work > 100 {
 		t.Errorf("work that has ended is still counted: %v threads", w.c.capacity.threads)
 	}
-	w.c.restartWarmUp(w.c.endpoints.byID[1], w.now)
+	w.c.fleet.restartWarmUp(w.c.endpoints.byID[1], w.now)
 	for range 20 {
 		if tr := w.ask("quick", ""); len(tr.engines) > 0 && tr.engines[0] == 1 {
 			t.Fatal("a cold engine got work beyond what the other process sent it")
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -41,7 +41,7 @@
 	h.backoff.RecordSuccess()
 }
 
-// uncordon forgets the failures before a cordon; on probation an engine is sent a first request soon.
+// cordonChanged forgets the failures before a cordon; on probation an engine is sent a first request soon.
 func (h *health) cordonChanged(cordoned bool) {
 	h.onProbation = !cordoned
 	h.connectionFailures = 0
@@ -78,6 +78,18 @@
 	h.failureShareAt = env.now
 }
 
+// renewFailure keeps the failure share from fading for a while.
+func (h *health) renewFailure(env *environment) { h.failureShareAt = env.now }
+
+// recordConnected notes that a connection came up.
+func (h *health) recordConnected() { h.connectionFailures = 0 }
+
+// recordConnectionFailure notes that no connection came up, or that one broke.
+func (h *health) recordConnectionFailure() { h.connectionFailures++ }
+
+// recordServed ends probation.
+func (h *health) recordServed() { h.onProbation = false }
+
 // down tells whether no connection to the engine comes up any more.
 func (h *health) down() bool { return h.connectionFailures >= maxConnectionFailures }
 
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -72,11 +72,8 @@
 
 // Snapshot returns what the controller knows.
 func (c *Controller) Snapshot() Snapshot {
-	s := Snapshot{CompletedWork: c.warmUps.completedWork, CompletedWorkAt: c.warmUps.completedWorkAt}
-	s.Known, s.Cordoned = c.endpoints.cordons.all()
-	for _, e := range c.endpoints.all {
-		s.Engines = append(s.Engines, e.snapshot())
-	}
+	var s Snapshot
+	c.fleet.snapshot(&s)
 	for _, k := range c.classes.all {
 		s.Classes = append(s.Classes, k.estimate.snapshot(k.Name))
 	}
@@ -108,8 +105,8 @@
 		c.setCordoned(id, true)
 	}
 	for _, old := range snapshot.Engines {
-		if e := c.endpoints.byID[old.ID]; e != nil {
-			c.restoreEngine(e, old)
+		if e := c.endpoints.engine(old.ID); e != nil {
+			c.fleet.restoreEngine(e, old)
 		}
 	}
 	for _, old := range snapshot.Classes {
@@ -119,28 +116,15 @@
 			}
 		}
 	}
-	if snapshot.CompletedWork >= 0 && snapshot.CompletedWorkAt <= c.env.now {
-		c.warmUps.completedWork, c.warmUps.completedWorkAt = snapshot.CompletedWork, snapshot.CompletedWorkAt
-	}
-}
-
-func (c *Controller) restoreEngine(e *engine, old EngineSnapshot) {
-	if old.WarmUpEnd > e.warmUp.end || old.WarmUpEnd > c.env.now {
-		c.restartWarmUp(e, min(old.WarmUpStart, c.env.now))
-		e.warmUp.end = max(old.WarmUpEnd, e.warmUp.end)
-	}
-	if e.health.restore(old) {
-		c.outliers.invalidate()
-		c.outliers.track(e)
-	}
+	c.warmUps.restoreCompleted(snapshot.CompletedWork, snapshot.CompletedWorkAt)
 }
 
 // Usage returns what the controller itself has on each engine, and in its queues.
 func (c *Controller) Usage(now time.Duration) OtherProcessUsage {
 	c.env.advance(now)
-	usage := OtherProcessUsage{Queued: c.queues.length}
+	usage := OtherProcessUsage{Queued: c.queues.len()}
 	windowStart := c.env.now - c.env.config.WarmUpOverloadWindow
-	for _, e := range c.endpoints.all {
+	for _, e := range c.endpoints.engines() {
 		own := e.usage.own(e.ID)
 		own.WarmUpWork = e.warmUp.sentSince(windowStart, 0)
 		if own != (EngineUsage{ID: e.ID}) {
@@ -152,14 +136,7 @@
 
 // setOtherProcessUsage takes what the other process has running in place of what it had.
 func (c *Controller) setOtherProcessUsage(event OtherProcessUsage) {
-	c.queues.otherLength = max(event.Queued, 0)
-	c.queues.setLimit(c.env.config.MaxQueued)
-	byEngine := map[EngineID]EngineUsage{}
-	for _, usage := range event.Engines {
-		byEngine[usage.ID] = usage.sound()
-	}
-	for _, e := range c.endpoints.all {
-		c.capacity.setOtherProcess(e, byEngine[e.ID])
-	}
-	c.release()
+	c.queues.setOtherLength(event.Queued, c.env.config.MaxQueued)
+	c.fleet.setOtherProcessUsage(event.Engines)
+	c.requests.release()
 }
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -1,116 +1,90 @@
 package dispatch
 
-// maxEngineErrors is how many engines may answer a request with an error before the request is taken to be at fault:
-// usual ones err in a few of a thousand answers, and each further error would speak against one more engine.
-const maxEngineErrors = 2
-
-// onAttemptEnd takes the outcome of an attempt, and retries or ends its request.
-func (c *Controller) onAttemptEnd(event AttemptEnd) {
-	a := c.attempt(event.Request, event.Attempt)
-	if a == nil {
-		return
-	}
-	req := a.request
-	a.ended = true
-	req.outstanding--
-	c.capacity.attemptEnded(a)
-	a.mayHaveRun = !event.Outcome.provesNotRun()
-	c.ordering.recordOutcome(req, event.Outcome)
-	c.learn(a, event)
-	switch {
-	case event.Last || event.Outcome == Served:
-		c.finish(req)
-	case !req.finished && req.outstanding == 0:
-		c.retry(req, event.Outcome)
-	}
-	c.settle(req)
-	c.release()
-}
-
-// retry queues a request for its next attempt, or ends it when there can be none.
-func (c *Controller) retry(req *request, outcome Outcome) {
-	switch {
-	case !c.retries.mayRetry(req, outcome):
-		c.reject(req)
-	case req.engineErrors >= maxEngineErrors:
-		c.fail(req) // after a rejection the client would send the same again
-	default:
-		c.enqueue(req, true)
-	}
+// outcomeLearner learns from attempts what their engines and classes are like.
+type outcomeLearner struct {
+	env   *environment
+	fleet *fleetState
 }
 
 // learn takes what an outcome tells of an engine and of the request's class.
-func (c *Controller) learn(ended *attempt, event AttemptEnd) {
+func (l *outcomeLearner) learn(ended *attempt, event AttemptEnd) {
 	if event.Report != nil {
-		c.endpoints.recordReport(ended.engine, *event.Report)
+		l.fleet.endpoints.recordReport(ended.engine, *event.Report)
 	}
-	c.recordOutcome(ended, event.Outcome)
+	l.fleet.recordOutcome(ended, event.Outcome)
 	health := &ended.engine.health
 	switch event.Outcome {
 	case Served:
-		c.learnServed(ended, event)
+		l.learnServed(ended, event)
 	case EngineFailed:
 		ended.request.engineErrors++
-		c.outliers.attributeFailure(ended.engine, breakGain)
-		c.outliers.recordBreak(1)
-		health.connectionFailures = 0
+		l.fleet.outliers.attributeFailure(ended.engine, breakGain)
+		l.fleet.outliers.recordBreak(1)
+		health.recordConnected()
 	case ConnectFailed, ConnectionReset:
-		c.outliers.attributeFailure(ended.engine, breakGain)
-		c.outliers.recordBreak(1)
-		health.connectionFailures++
+		l.fleet.outliers.attributeFailure(ended.engine, breakGain)
+		l.fleet.outliers.recordBreak(1)
+		health.recordConnectionFailure()
 	case EngineFull:
-		health.recordFull(c.env)
+		health.recordFull(l.env)
 	case TimedOut:
-		if !ended.attributed && c.env.now-ended.startedAt > 2*ended.request.expectedTime(c.env) {
-			c.observeServiceTime(ended)
+		if !ended.attributed && l.env.now-ended.startedAt > 2*ended.request.expectedTime(l.env) {
+			l.observeServiceTime(ended)
 		}
 	case Cancelled, NotSent:
 	}
 }
 
-// recordOutcome counts an outcome for the backoff from engines and zones. A zone that is lost or found changes what
-// this router may use.
-func (c *Controller) recordOutcome(a *attempt, outcome Outcome) {
-	if c.outliers.recordOutcome(a, outcome, c.capacity.largeFleet()) {
-		c.capacity.invalidate()
-	}
-}
-
 // learnServed takes what a served attempt tells.
-func (c *Controller) learnServed(a *attempt, event AttemptEnd) {
-	c.outliers.recordAnswer(a.engine)
-	c.outliers.recordBreak(0)
+func (l *outcomeLearner) learnServed(a *attempt, event AttemptEnd) {
+	l.fleet.outliers.recordAnswer(a.engine)
+	l.fleet.outliers.recordBreak(0)
 	health := &a.engine.health
-	health.onProbation = false
+	health.recordServed()
 	if health.down() {
-		c.restartWarmUp(a.engine, c.env.now)
+		l.fleet.restartWarmUp(a.engine, l.env.now)
 	}
-	health.connectionFailures = 0
-	c.observeServiceTime(a)
-	c.warmUps.recordCompleted(a)
-	c.learnMemory(a, event.NeedMB)
+	health.recordConnected()
+	l.observeServiceTime(a)
+	l.fleet.warmUps.recordCompleted(a)
+	l.learnMemory(a, event.NeedMB)
 }
 
 // learnMemory learns the memory that the class needs over its estimates. Only where progress reports would tell of
 // spilling does their absence say that less would do.
-func (c *Controller) learnMemory(a *attempt, neededMB float64) {
+func (l *outcomeLearner) learnMemory(a *attempt, neededMB float64) {
 	req := a.request
 	switch {
 	case req.neededMB <= 0:
 	case neededMB > 0:
 		req.class.estimate.learnNeed(neededMB, req.neededMB)
-	case !a.spilled && a.grantMB > 0 && c.env.config.ProgressInterval > 0:
+	case !a.spilled && a.grantMB > 0 && l.env.config.ProgressInterval > 0:
 		req.class.estimate.learnNoSpill()
 	}
 }
 
 // observeServiceTime compares an attempt's time with what its class usually takes.
-func (c *Controller) observeServiceTime(a *attempt) {
+func (l *outcomeLearner) observeServiceTime(a *attempt) {
 	req := a.request
 	estimate := &req.class.estimate
-	elapsed := max((c.env.now - a.startedAt).Seconds(), minServiceTime)
+	elapsed := max((l.env.now - a.startedAt).Seconds(), minServiceTime)
 	serviceTime := elapsed * float64(req.class.Threads) / req.estimate
-	a.engine.health.observeSlowness(c.env, serviceTime/estimate.mean)
-	estimate.observe(c.env, serviceTime, c.capacity.largeFleet())
-	c.capacity.observeServiceTime(serviceTime / estimate.best)
+	a.engine.health.observeSlowness(l.env, serviceTime/estimate.mean)
+	estimate.observe(l.env, serviceTime, l.fleet.capacity.largeFleet())
+	l.fleet.capacity.observeServiceTime(serviceTime / estimate.best)
+}
+
+// onSpill learns from an attempt that spills how much memory its class needs.
+func (l *outcomeLearner) onSpill(a *attempt, missingMB float64) {
+	req := a.request
+	if !a.spilled && a.grantMB > 0 && req.neededMB > 0 && missingMB > 0 {
+		req.class.estimate.learnSpill(a.grantMB+missingMB, req.neededMB)
+	}
+	a.spilled = true
+}
+
+// onBlocked notes another router's load that blocks an attempt, and guesses how long it lasts.
+func (l *outcomeLearner) onBlocked(a *attempt) {
+	k, now := a.request.class, l.env.nowMS()
+	a.engine.pressure.LockObserved(a.request.tableGroup, now, now+1000*k.estimate.usualWork()/float64(k.Threads))
 }
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -69,14 +69,14 @@
 func (d *outlierDetector) recordTry(e *engine) {
 	e.zone.RecordAttempt(d.env.nowMS(), zoneBackoff)
 	if e.health.down() {
-		e.health.failureShareAt = d.env.now
+		e.health.renewFailure(d.env)
 		d.track(e)
 	}
 }
 
 // recordBreak moves the share of attempts that break, on whatever engine, towards 1 for a break and 0 for an answer.
 func (d *outlierDetector) recordBreak(outcome float64) {
-	engines := float64(max(len(d.endpoints.listed), 1))
+	engines := float64(max(len(d.endpoints.listedEngines()), 1))
 	d.breakShare += breakGain / engines * (outcome - d.breakShare)
 }
 
@@ -108,7 +108,7 @@
 	if e.health.fullLately(d.env) || e.health.backoff.Active(d.env.nowMS()) {
 		return true
 	}
-	return e.zone.Active(d.env.nowMS()) && d.endpoints.zonesBackedOff() < len(d.endpoints.activeZones)
+	return e.zone.Active(d.env.nowMS()) && !d.endpoints.allZonesBackedOff()
 }
 
 // accepts tells whether an engine may take work as far as its failures go.
@@ -129,14 +129,14 @@
 
 // ejectionAllowed tells whether few enough engines are ejected for the others to carry the traffic.
 func (d *outlierDetector) ejectionAllowed() bool {
-	return d.ejectedCount() <= maxEjectedShare*float64(len(d.endpoints.listed))
+	return d.ejectedCount() <= maxEjectedShare*float64(len(d.endpoints.listedEngines()))
 }
 
 // avoided counts the engines in the endpoint list that get no ordinary work: they drain, are cordoned, fail or are
 // down.
 func (d *outlierDetector) avoided() (n int) {
 	ejectionAllowed := d.ejectionAllowed() // else engines that fail are used like others
-	for _, e := range d.endpoints.all {
+	for _, e := range d.endpoints.engines() {
 		if e.State == Removed {
 			continue
 		}
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -63,6 +63,15 @@
 	}
 }
 
+// len is the number of queued requests.
+func (q *classQueues) len() int { return q.length }
+
+// setOtherLength takes how many requests the other process of this router has queued.
+func (q *classQueues) setOtherLength(n, configuredLimit int) {
+	q.otherLength = max(n, 0)
+	q.setLimit(configuredLimit)
+}
+
 func (q *classQueues) overLimit() bool { return q.length > q.limit }
 
 func (q *classQueues) of(k *class) *classQueue {
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -49,44 +49,62 @@
 	attributed bool // its silence was attributed to the engine
 }
 
+// requestTracker follows open requests from their arrival to their final answer.
+type requestTracker struct {
+	env       *environment
+	classes   *classSet
+	quotas    *tenantQuotas
+	queues    *classQueues
+	ordering  *keyOrder
+	outliers  *outlierDetector
+	warmUps   *warmUpLimiter
+	capacity  *capacityLimiter
+	retries   *retryRules
+	selector  *selector
+	deadlines *deadlines
+	learner   *outcomeLearner
+	byID      map[RequestID]*request
+	open      []*request // those that are not finished, and some that are
+}
+
 // onArrival admits a request: it is started at once, queued, or rejected.
-func (c *Controller) onArrival(event Arrival) {
-	c.retries.recordArrival()
-	c.quotas.recordArrival()
-	req := c.newRequest(event)
-	c.requests[req.id] = req
-	c.open = append(c.open, req)
-	c.selector.recordDemand(req)
-	c.ordering.add(req)
-	if c.cannotFinishInTime(req) {
-		c.reject(req)
+func (t *requestTracker) onArrival(event Arrival) {
+	t.retries.recordArrival()
+	t.quotas.recordArrival()
+	req := t.newRequest(event)
+	t.byID[req.id] = req
+	t.open = append(t.open, req)
+	t.selector.recordDemand(req)
+	t.ordering.add(req)
+	if t.cannotFinishInTime(req) {
+		t.reject(req)
 		return
 	}
-	if c.queues.isEmpty(req.class) { // else the newcomer would overtake those that wait
-		if e := c.selector.pick(req); e != nil {
-			c.start(req, e)
+	if t.queues.isEmpty(req.class) { // else the newcomer would overtake those that wait
+		if e := t.selector.pick(req); e != nil {
+			t.start(req, e)
 			return
 		}
 	}
-	c.enqueue(req, false)
-	if c.env.now+c.env.answerMargin() >= req.deadline || req.deferred && c.queues.overLimit() {
-		c.reject(req)
+	t.enqueue(req, false)
+	if t.env.now+t.env.answerMargin() >= req.deadline || req.deferred && t.queues.overLimit() {
+		t.reject(req)
 	}
-	c.release()
+	t.release()
 }
 
-func (c *Controller) newRequest(event Arrival) *request {
-	named := c.classes.byName(event.Class)
+func (t *requestTracker) newRequest(event Arrival) *request {
+	named := t.classes.byName(event.Class)
 	req := &request{
 		id:         event.Request,
 		class:      named,
 		tableGroup: event.TableGroup,
 		key:        event.Key,
-		arrivedAt:  c.env.now,
-		deadline:   c.env.now + event.TimeLeft,
+		arrivedAt:  t.env.now,
+		deadline:   t.env.now + event.TimeLeft,
 		neededMB:   finiteOrZero(event.NeedMB),
 		estimate:   named.estimate.clientEstimate,
-		tenant:     c.quotas.tenant(event.Tenant),
+		tenant:     t.quotas.tenant(event.Tenant),
 		ordered:    named.OrderByKey && event.Key != "",
 	}
 	if event.Estimate > 0 {
@@ -95,8 +113,8 @@
 		req.estimate = named.estimate.learnClientEstimate(event.Estimate.Seconds(), longest)
 	}
 	stretch := seconds(named.ObjectiveStretch * req.estimate * named.estimate.best / float64(named.Threads))
-	req.objective = min(c.env.now+named.LatencyObjective+stretch, req.deadline)
-	req.overQuota = c.quotas.exceeded(req.tenant)
+	req.objective = min(t.env.now+named.LatencyObjective+stretch, req.deadline)
+	req.overQuota = t.quotas.exceeded(req.tenant)
 	return req
 }
 
@@ -124,161 +142,161 @@
 // cannotFinishInTime tells whether a request that has just come is not worth starting: it came after its deadline or,
 // in a large fleet, would end too late. Engines go on running what nobody waits for any more, which adds up over all
 // routers.
-func (c *Controller) cannotFinishInTime(req *request) bool {
-	if c.env.now >= req.deadline {
+func (t *requestTracker) cannotFinishInTime(req *request) bool {
+	if t.env.now >= req.deadline {
 		return true
 	}
-	if !c.capacity.largeFleet() || !c.lately(req.class) {
+	if !t.capacity.largeFleet() || !t.lately(req.class) {
 		return false
 	}
 	estimate := &req.class.estimate
-	work := estimate.current(c.env) * min(req.estimate, heavyFactor*estimate.clientEstimate)
-	end := c.env.now + seconds(work/float64(req.class.Threads))
+	work := estimate.current(t.env) * min(req.estimate, heavyFactor*estimate.clientEstimate)
+	end := t.env.now + seconds(work/float64(req.class.Threads))
 	return end >= req.deadline || req.class.LateWeightShare == 0 && end > req.objective
 }
 
 // lately tells whether a class was observed not long ago; a class that was not has to be tried again.
-func (c *Controller) lately(k *class) bool {
-	return c.env.now-k.estimate.observedAt < 2*evidenceLife
+func (t *requestTracker) lately(k *class) bool {
+	return t.env.now-k.estimate.observedAt < 2*evidenceLife
 }
 
 // missesObjective tells whether a request that is started now would miss its latency objective.
-func (c *Controller) missesObjective(req *request) bool {
-	return c.env.now+seconds(deferFactor*req.expectedTime(c.env).Seconds()) > req.objective
+func (t *requestTracker) missesObjective(req *request) bool {
+	return t.env.now+seconds(deferFactor*req.expectedTime(t.env).Seconds()) > req.objective
 }
 
 // enqueue queues a request, in front if an attempt of it came back.
-func (c *Controller) enqueue(req *request, front bool) {
+func (t *requestTracker) enqueue(req *request, front bool) {
 	heavy := req.estimate > heavyFactor*req.class.estimate.clientEstimate
-	req.deferred = req.overQuota || c.missesObjective(req) || heavy
-	c.queues.push(req, front)
+	req.deferred = req.overQuota || t.missesObjective(req) || heavy
+	t.queues.push(req, front)
 }
 
 // reject answers a request at once: it is rejected where a retry is harmless, and fails otherwise.
-func (c *Controller) reject(req *request) {
-	c.finish(req)
-	if !c.retries.mayReject(req) {
-		c.env.emit(FailRequest{Request: req.id})
+func (t *requestTracker) reject(req *request) {
+	t.finish(req)
+	if !t.retries.mayReject(req) {
+		t.env.emit(FailRequest{Request: req.id})
 		return
 	}
 	retryAfter := time.Duration(0)
-	if c.env.config.RetryAfterAllowed {
-		retryAfter = min(req.class.LatencyObjective, c.env.config.MaxRetryAfter)
+	if t.env.config.RetryAfterAllowed {
+		retryAfter = min(req.class.LatencyObjective, t.env.config.MaxRetryAfter)
 	}
-	c.env.emit(Reject{Request: req.id, RetryAfter: retryAfter})
+	t.env.emit(Reject{Request: req.id, RetryAfter: retryAfter})
 }
 
 // fail answers a request at once, and promises nothing.
-func (c *Controller) fail(req *request) {
-	c.finish(req)
-	c.env.emit(FailRequest{Request: req.id})
+func (t *requestTracker) fail(req *request) {
+	t.finish(req)
+	t.env.emit(FailRequest{Request: req.id})
 }
 
 // finish ends a request; its outstanding attempts go on.
-func (c *Controller) finish(req *request) {
+func (t *requestTracker) finish(req *request) {
 	if req.finished {
 		return
 	}
 	req.finished = true
-	c.queues.remove(req)
-	c.settle(req)
+	t.queues.remove(req)
+	t.settle(req)
 }
 
 // settle forgets a finished request once no attempt is outstanding, and lets the next one of its key go on.
-func (c *Controller) settle(req *request) {
+func (t *requestTracker) settle(req *request) {
 	if !req.finished || req.outstanding > 0 {
 		return
 	}
-	delete(c.requests, req.id)
-	c.ordering.remove(req)
+	delete(t.byID, req.id)
+	t.ordering.remove(req)
 }
 
 // onClientGone ends a request whose client has left, and cancels what still runs of it where that is allowed.
-func (c *Controller) onClientGone(id RequestID) {
-	req := c.requests[id]
+func (t *requestTracker) onClientGone(id RequestID) {
+	req := t.byID[id]
 	if req == nil {
 		return
 	}
 	for _, a := range req.attempts {
-		if c.env.config.CancelAllowed && !a.ended && !a.cancelled {
-			c.cancel(a)
+		if t.env.config.CancelAllowed && !a.ended && !a.cancelled {
+			t.cancel(a)
 		}
 	}
-	c.finish(req)
-	c.release()
+	t.finish(req)
+	t.release()
 }
 
 // sweepOpen looks at each open request once and drops those that are finished.
-func (c *Controller) sweepOpen() {
-	open := c.open[:0]
-	for _, req := range c.open {
-		c.sweep(req)
+func (t *requestTracker) sweepOpen() {
+	open := t.open[:0]
+	for _, req := range t.open {
+		t.sweep(req)
 		if !req.finished {
 			open = append(open, req)
-			c.deadlines.lookAgainAt(c.nextLook(req))
+			t.deadlines.lookAgainAt(t.nextLook(req))
 		}
 	}
-	clear(c.open[len(open):])
-	c.open = open
+	clear(t.open[len(open):])
+	t.open = open
 }
 
 // sweep ends an open request in time, or moves it behind those that can still meet their objective.
-func (c *Controller) sweep(req *request) {
+func (t *requestTracker) sweep(req *request) {
 	if req.finished {
 		return
 	}
 	for _, a := range req.attempts {
-		if c.isSilent(a) {
+		if t.isSilent(a) {
 			a.attributed = true
-			c.outliers.attributeFailure(a.engine, failureGain)
-			c.reroute(a)
+			t.outliers.attributeFailure(a.engine, failureGain)
+			t.reroute(a)
 		}
 	}
 	switch {
-	case req.queued && c.mustLeaveQueue(req):
-		c.reject(req)
-	case req.queued && c.missesObjective(req) && !req.deferred:
-		c.queues.remove(req)
-		c.enqueue(req, false)
-	case req.outstanding == 0 && !req.queued || c.env.now >= req.deadline:
-		c.fail(req)
+	case req.queued && t.mustLeaveQueue(req):
+		t.reject(req)
+	case req.queued && t.missesObjective(req) && !req.deferred:
+		t.queues.remove(req)
+		t.enqueue(req, false)
+	case req.outstanding == 0 && !req.queued || t.env.now >= req.deadline:
+		t.fail(req)
 	}
 }
 
 // mustLeaveQueue tells whether a queued request has to be rejected now.
-func (c *Controller) mustLeaveQueue(req *request) bool {
-	if c.env.now+c.env.answerMargin() >= req.deadline || !c.retries.mayRepeat(req) {
+func (t *requestTracker) mustLeaveQueue(req *request) bool {
+	if t.env.now+t.env.answerMargin() >= req.deadline || !t.retries.mayRepeat(req) {
 		return true
 	}
-	return c.missesObjective(req) && (req.class.LateWeightShare == 0 || c.queues.overLimit())
+	return t.missesObjective(req) && (req.class.LateWeightShare == 0 || t.queues.overLimit())
 }
 
 // nextLook is when an open request has to be looked at again.
-func (c *Controller) nextLook(req *request) time.Duration {
+func (t *requestTracker) nextLook(req *request) time.Duration {
 	next := req.deadline
 	for _, a := range req.attempts {
 		if !a.ended && !a.attributed && !a.streaming {
-			next = min(next, c.silentAt(a)+1)
+			next = min(next, t.silentAt(a)+1)
 		}
 	}
 	return next
 }
 
 // onResponseStarted notes that an attempt's answer flows: the deadline binds no more.
-func (c *Controller) onResponseStarted(event ResponseStarted) {
-	if a := c.attempt(event.Request, event.Attempt); a != nil {
+func (t *requestTracker) onResponseStarted(event ResponseStarted) {
+	if a := t.attempt(event.Request, event.Attempt); a != nil {
 		a.streaming = true
 		a.request.deadline = math.MaxInt64
 	}
 }
 
 // setShutdownDeadline has open requests end by a time; what would end later is not started any more.
-func (c *Controller) setShutdownDeadline(at time.Duration) {
-	for _, req := range c.open {
+func (t *requestTracker) setShutdownDeadline(at time.Duration) {
+	for _, req := range t.open {
 		req.deadline = min(req.deadline, at)
 		req.objective = min(req.objective, at)
 	}
-	c.deadlines.lookAgainAt(c.env.now)
+	t.deadlines.lookAgainAt(t.env.now)
 }
 
 // allows tells whether a class may be placed on an engine.
@@ -288,3 +306,14 @@
 	}
 	return len(k.Kinds) == 0 || slices.Contains(k.Kinds, e.Kind)
 }
+
+// release starts queued requests for as long as an engine has headroom for one.
+func (t *requestTracker) release() {
+	t.queues.release(t.env.now, t.ordering.blocks, func(req *request) bool {
+		e := t.selector.cheapest(req)
+		if e != nil {
+			t.start(req, e)
+		}
+		return e != nil
+	})
+}
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -6,7 +6,6 @@
 // and the retry budget. No other part decides that.
 type retryRules struct {
 	env      *environment
-	ordering *keyOrder
 	warmUps  *warmUpLimiter
 	arrivals []time.Duration // within the budget's window
 	retries  []time.Duration // within the budget's window
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -266,7 +266,7 @@
 			tenant = "b"
 		}
 		tr := w.askFor(Arrival{Class: "big", Tenant: tenant, TimeLeft: 15 * time.Second})
-		if w.c.requests[tr.id].overQuota {
+		if w.c.requests.byID[tr.id].overQuota {
 			over[tenant]++
 		}
 	}
--- a/dispatch/scale_test.go
+++ b/dispatch/scale_test.go
@@ -254,7 +254,7 @@
 		for range 12 {
 			for _, e := range w.c.endpoints.listed {
 				if e.Zone == "z0" {
-					w.c.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
+					w.c.fleet.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
 				}
 			}
 		}
@@ -329,14 +329,14 @@
 		r := &request{class: c.classes.preferred, deadline: time.Hour * 1000}
 		for i, e := range c.endpoints.listed {
 			if i%k.zones < k.silent {
-				c.recordOutcome(&attempt{request: r, engine: e}, ConnectFailed)
+				c.fleet.recordOutcome(&attempt{request: r, engine: e}, ConnectFailed)
 			}
 		}
 		if got := c.capacity.usable().cores; got != all*float64(k.want)/60 {
 			t.Errorf("%d of %d zones silent: %g of %g cores counted, want those of %d engines", k.silent, k.zones, got, all, k.want)
 		}
 		for _, e := range c.endpoints.listed {
-			c.recordOutcome(&attempt{request: r, engine: e}, Served)
+			c.fleet.recordOutcome(&attempt{request: r, engine: e}, Served)
 		}
 		if got := c.capacity.usable().cores; got != all {
 			t.Errorf("%d of %d zones silent, then heard: %g of %g cores counted", k.silent, k.zones, got, all)
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -23,13 +23,14 @@
 	outliers *outlierDetector
 	warmUps  *warmUpLimiter
 	retries  *retryRules
+	ordering *keyOrder
 	ownZone  []*engine // see calmInOwnZone
 }
 
 // pick draws two engines of those with headroom and takes the one with the lower cost; nil if there is none.
 func (s *selector) pick(req *request) *engine {
 	candidates := s.forRequest(req)
-	if s.retries.ordering.blocks(req) || len(candidates) == 0 {
+	if s.ordering.blocks(req) || len(candidates) == 0 {
 		return nil
 	}
 	if e := s.warmingWithBudget(req); e != nil || !s.capacity.fits(req) {
@@ -90,7 +91,7 @@
 // cheapest returns the engine of the subset with headroom and the lowest cost or, where none has headroom, the best of
 // a few others; nil if there is none.
 func (s *selector) cheapest(req *request) *engine {
-	listed := s.endpoints.listed
+	listed := s.endpoints.listedEngines()
 	if len(listed) == 0 {
 		return nil
 	}
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -72,18 +72,19 @@
 // in a large one as many as it may run of the widest queries. Subsets are dealt out evenly by the routers' numbers: own
 // counts tell the more of what an engine runs the fewer routers share it.
 func (s *subsetting) engines() []*engine {
-	listed := len(s.endpoints.listed)
+	listed := s.endpoints.listedEngines()
+	cores, _ := s.endpoints.total()
 	share := s.env.fleetShare()
-	size := max(int(threadsPerCore*share*s.endpoints.cores), minSubset)
+	size := max(int(threadsPerCore*share*cores), minSubset)
 	if s.capacity.largeFleet() {
 		widest := float64(s.classes.widestThreads)
-		size = max(int(largeFleetThreadsPerCore*share*s.endpoints.cores/widest)+1, minLargeFleetSubset)
+		size = max(int(largeFleetThreadsPerCore*share*cores/widest)+1, minLargeFleetSubset)
 	}
-	size = min(size, listed)
+	size = min(size, len(listed))
 	if size != s.size {
 		s.subset, s.size = s.subset[:0], size
-		for _, i := range subset.Choose(s.env.config.RouterIndex, s.env.config.Routers, listed, size) {
-			s.subset = append(s.subset, s.endpoints.listed[i])
+		for _, i := range subset.Choose(s.env.config.RouterIndex, s.env.config.Routers, len(listed), size) {
+			s.subset = append(s.subset, listed[i])
 		}
 	}
 	return s.subset
@@ -91,7 +92,7 @@
 
 // spread is by how much this router's share of an engine grows since it uses few of them.
 func (s *subsetting) spread() float64 {
-	return float64(len(s.endpoints.listed)) / float64(max(len(s.subset), 1))
+	return float64(len(s.endpoints.listedEngines())) / float64(max(len(s.subset), 1))
 }
 
 // forRequest returns the engines of the subset that a request's table group is read from or, for a load, loaded on:
@@ -124,7 +125,7 @@
 		return cmp.Compare(rank(key.tableGroup, a.ID), rank(key.tableGroup, b.ID))
 	})
 	loaders := s.demand.LoaderCount(key.tableGroup, pressure.Fleet{
-		Engines: len(s.endpoints.listed),
+		Engines: len(s.endpoints.listedEngines()),
 		Subset:  len(subset),
 		Cores:   s.endpoints.averageCores(),
 		Routers: s.env.config.Routers,
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -31,11 +31,11 @@
 // FillView fills a view, whose slice it uses again. It changes nothing but the controller's time.
 func (c *Controller) FillView(now time.Duration, view *View) {
 	c.env.advance(now)
-	view.Queued = c.queues.length
+	view.Queued = c.queues.len()
 	view.ThreadsPerCore = c.capacity.threadBound()
 	view.Congestion, _ = c.capacity.congestion()
 	view.Engines = view.Engines[:0]
-	for _, e := range c.endpoints.all {
+	for _, e := range c.endpoints.engines() {
 		if e.State != Removed {
 			view.Engines = append(view.Engines, e.view(c.env, c.Cordoned(e.ID)))
 		}
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -49,6 +49,9 @@
 
 func (w *warmUp) active(now time.Duration) bool { return now < w.end }
 
+// extend has the warm-up end no earlier than at a time.
+func (w *warmUp) extend(end time.Duration) { w.end = max(end, w.end) }
+
 // never tells whether the engine has always been warm.
 func (w *warmUp) never() bool { return w.end == 0 }
 
@@ -125,6 +128,18 @@
 	l.completedWorkAt = l.env.now
 }
 
+// completed returns the completed work and the time that it has decayed to.
+func (l *warmUpLimiter) completed() (work float64, at time.Duration) {
+	return l.completedWork, l.completedWorkAt
+}
+
+// restoreCompleted takes over the completed work of another process, unless it makes no sense.
+func (l *warmUpLimiter) restoreCompleted(work float64, at time.Duration) {
+	if work >= 0 && at <= l.env.now {
+		l.completedWork, l.completedWorkAt = work, at
+	}
+}
+
 // startWithin is the time within which an attempt has to start on an engine; 0 means that it may start at any time.
 func (l *warmUpLimiter) startWithin(e *engine) time.Duration {
 	if !e.warmUp.active(l.env.now) {
