--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -13,38 +13,38 @@
 )
 
 // Meter counts what goes over connections, at their end in the test.
-type Meter struct{ payload, pieces, opened atomic.Int64 }
+type Meter struct{ payload, segments, opened atomic.Int64 }
 
-// Wire is what went over them so far with headers, reckoned as Relay.Wire does.
-func (m *Meter) Wire() int64 {
-	return 7*headers*m.opened.Load() + m.payload.Load() + 2*headers*m.pieces.Load()
+// WireBytes is what went over them so far with headers, reckoned as Relay.Wire does.
+func (m *Meter) WireBytes() int64 {
+	return 7*segmentHeaderBytes*m.opened.Load() + m.payload.Load() + 2*segmentHeaderBytes*m.segments.Load()
 }
 
 type meteredConn struct {
 	net.Conn
-	m *Meter
+	meter *Meter
 }
 
 func (m *Meter) count(n int) {
 	m.payload.Add(int64(n))
-	m.pieces.Add(int64((n + segment - 1) / segment))
+	m.segments.Add(int64((n + maxSegmentPayload - 1) / maxSegmentPayload))
 }
 
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.count(n)
+	c.meter.count(n)
 	return n, err
 }
 
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.count(n)
+	c.meter.count(n)
 	return n, err
 }
 
 type meteredListener struct {
 	net.Listener
-	m *Meter
+	meter *Meter
 }
 
 func (l meteredListener) Accept() (net.Conn, error) {
@@ -52,19 +52,19 @@
 	if err != nil {
 		return nil, err
 	}
-	l.m.opened.Add(1)
-	return meteredConn{c, l.m}, nil
+	l.meter.opened.Add(1)
+	return meteredConn{c, l.meter}, nil
 }
 
 // Client is a bare client of the MySQL protocol.
 type Client struct {
-	conn net.Conn
-	r    *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // Dial connects and logs in; what goes over the connection is counted where there is a meter.
 func Dial(addr string, meter ...*Meter) (*Client, error) {
-	conn, err := net.DialTimeout("tcp", addr, Patience)
+	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -72,8 +72,8 @@
 		m.opened.Add(1)
 		conn = meteredConn{conn, m}
 	}
-	c := &Client{conn: conn, r: bufio.NewReaderSize(conn, 512)}
-	_ = conn.SetDeadline(time.Now().Add(Patience))
+	c := &Client{conn: conn, reader: bufio.NewReaderSize(conn, 512)}
+	_ = conn.SetDeadline(time.Now().Add(WaitTimeout))
 	login := binary.LittleEndian.AppendUint32(nil, 0x000fa20d)
 	login = append(append(login, 0, 0, 0, 1, 45), make([]byte, 23)...)
 	login = append(login, "app\x00\x00warehouse\x00mysql_native_password\x00"...)
@@ -101,17 +101,17 @@
 
 func (c *Client) packet() ([]byte, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(c.r, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return nil, err
 	}
 	body := make([]byte, int(head[0])|int(head[1])<<8|int(head[2])<<16)
-	_, err := io.ReadFull(c.r, body)
+	_, err := io.ReadFull(c.reader, body)
 	return body, err
 }
 
 // Ping asks for a sign of life.
 func (c *Client) Ping() error {
-	_ = c.conn.SetDeadline(time.Now().Add(Patience))
+	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	if err := c.write(0, []byte{14}); err != nil {
 		return err
 	}
@@ -122,9 +122,9 @@
 	return err
 }
 
-// Ask sends a look-up with an id of its own and reads its whole answer. An error answer is an error.
-func (c *Client) Ask(id uint64) error {
-	_ = c.conn.SetDeadline(time.Now().Add(Patience))
+// Query sends a look-up with an id of its own and reads its whole answer. An error answer is an error.
+func (c *Client) Query(id uint64) error {
+	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	text := fmt.Sprintf("/* method=lookup,rid=%016x,budget=5000 */ SELECT day, count(*) FROM sales_%02d.orders GROUP BY day", id, id%64)
 	if err := c.write(0, append([]byte{3}, text...)); err != nil {
 		return err
@@ -143,17 +143,17 @@
 	return nil
 }
 
-// EngineFarm is stand-ins for engines, each at an address of its own, that serve any statement with one row at once.
-type EngineFarm struct {
-	Engines []Engine
-	Ran     atomic.Int64 // statements
-	Meter   Meter
+// StubEngines is stand-ins for engines, each at an address of its own, that serve any statement with one row at once.
+type StubEngines struct {
+	Engines    []Engine
+	Statements atomic.Int64 // statements
+	Meter      Meter
 }
 
-// NewEngines starts n engines until the test's end.
-func NewEngines(t testing.TB, n int) *EngineFarm {
+// NewStubEngines starts n engines until the test's end.
+func NewStubEngines(t testing.TB, n int) *StubEngines {
 	t.Helper()
-	f := &EngineFarm{Engines: Engines(n)}
+	f := &StubEngines{Engines: Engines(n)}
 	for i := range f.Engines {
 		lis, err := listen()
 		if err != nil {
@@ -162,16 +162,16 @@
 		s := &http.Server{Handler: f}
 		go func() { _ = s.Serve(meteredListener{lis, &f.Meter}) }()
 		t.Cleanup(func() { _ = s.Close() })
-		f.Engines[i].Addr = lis.Addr().(*net.TCPAddr).AddrPort()
+		f.Engines[i].Address = lis.Addr().(*net.TCPAddr).AddrPort()
 	}
 	return f
 }
 
 // ServeHTTP implements http.Handler: a POST brings a statement and is answered with its whole result.
-func (f *EngineFarm) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *StubEngines) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		_, _ = io.Copy(io.Discard, r.Body)
-		f.Ran.Add(1)
+		f.Statements.Add(1)
 	}
 	w.Header().Set("X-Parts", "1")
 	_, _ = io.WriteString(w, "a\tb\tc\n")
--- a/internal/fleettest/following_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -17,19 +17,19 @@
 	"windflow/internal/decide/configlog"
 )
 
-// rolloutSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment says more.
-type rolloutSize struct {
-	keepers, real, hollow int
-	changes               int // one after the other, and in a burst
-	tenants, engines      int // in the configuration of each router
+// scenarioSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment says more.
+type scenarioSize struct {
+	keepers, real, simulated int
+	changes                  int // one after the other, and in a burst
+	tenants, engines         int // in the configuration of each router
 }
 
-func rolloutSizes(t *testing.T) rolloutSize {
+func scenarioSizes(t *testing.T) scenarioSize {
 	t.Helper()
-	s := rolloutSize{keepers: 3, real: realFollowers, hollow: 60, changes: 4, tenants: 4, engines: listed}
+	s := scenarioSize{keepers: 3, real: realFollowers, simulated: 60, changes: 4, tenants: 4, engines: listedEngines}
 	for name, of := range map[string]*int{
 		"WINDFLOW_FLEET_KEEPERS": &s.keepers, "WINDFLOW_FLEET_REAL": &s.real,
-		"WINDFLOW_FLEET_HOLLOW": &s.hollow, "WINDFLOW_FLEET_CHANGES": &s.changes, "WINDFLOW_FLEET_TENANTS": &s.tenants,
+		"WINDFLOW_FLEET_HOLLOW": &s.simulated, "WINDFLOW_FLEET_CHANGES": &s.changes, "WINDFLOW_FLEET_TENANTS": &s.tenants,
 		"WINDFLOW_FLEET_ENGINES": &s.engines,
 	} {
 		if text := os.Getenv(name); text != "" {
@@ -51,30 +51,30 @@
 
 func regionOf(zone int) int { return zone / len(regions[0]) }
 
-// following is a fleet whose routers follow keepers: router i is in zone i mod 6, hollow ones first.
-type following struct {
-	t       *testing.T
-	rig     *Rig
-	size    rolloutSize
-	keepers *Keepers
-	doors   []*Doors // by zone
-	hollow  *Hollows
-	real    []*Router
-	changes int
-	figures map[string]float64 // of what was measured
+// configuredFleet is a fleet whose routers follow keepers: router i is in zone i mod 6, hollow ones first.
+type configuredFleet struct {
+	t         *testing.T
+	harness   *Harness
+	size      scenarioSize
+	keepers   *Keepers
+	links     []*ZoneLinks // by zone
+	simulated *SimulatedRouters
+	real      []*Router
+	changes   int
+	figures   map[string]float64 // of what was measured
 }
 
-func newFollowing(t *testing.T, size rolloutSize) *following {
+func newConfiguredFleet(t *testing.T, size scenarioSize) *configuredFleet {
 	r := New(t)
 	engines := Engines(size.engines)
-	b := NewBoard(t, engines)
-	f := &following{t: t, rig: r, size: size, figures: map[string]float64{}}
-	config := Config{Name: "base", Routers: size.real + size.hollow, Board: b.Addr, Engines: engines, Tenants: size.tenants, OverWorth: 0.1}
+	b := NewDiscoveryServer(t, engines)
+	f := &configuredFleet{t: t, harness: r, size: size, figures: map[string]float64{}}
+	config := Config{Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines, Tenants: size.tenants, OverQuotaWeight: 0.1}
 	f.keepers = r.Keepers(size.keepers, config)
 	for range Zones {
-		f.doors = append(f.doors, f.keepers.Doors(t))
+		f.links = append(f.links, f.keepers.ZoneLinks(t))
 	}
-	list := specs(size.hollow, config.Routers, engines, 1, func(int) string { return b.Addr })
+	list := simulatedSpecs(size.simulated, config.Routers, engines, 1, func(int) string { return b.Addr })
 	for i := range list {
 		section, err := json.Marshal(f.section(i))
 		if err != nil {
@@ -84,10 +84,10 @@
 	}
 	for i := range size.real {
 		c := config
-		c.Name, c.Index, c.Own = fmt.Sprint("n", i), size.hollow+i, map[string]any{"keepers": f.section(size.hollow + i)}
+		c.Name, c.Index, c.Installation = fmt.Sprint("n", i), size.simulated+i, map[string]any{"keepers": f.section(size.simulated + i)}
 		f.real = append(f.real, r.Router(c))
 	}
-	f.hollow = r.Hollows(list)
+	f.simulated = r.SimulatedRouters(list)
 	for _, p := range f.real {
 		p.Ready()
 	}
@@ -95,8 +95,8 @@
 }
 
 // close ends the processes of a fleet that is not needed any more.
-func (f *following) close() {
-	for _, p := range f.hollow.Processes {
+func (f *configuredFleet) close() {
+	for _, p := range f.simulated.Processes {
 		p.Kill()
 	}
 	for _, p := range f.real {
@@ -107,12 +107,12 @@
 	}
 }
 
-func (f *following) section(i int) map[string]any {
-	return f.doors[i%len(Zones)].Section(filepath.Join(f.rig.Dir, fmt.Sprint("follower-", i)), i)
+func (f *configuredFleet) section(i int) map[string]any {
+	return f.links[i%len(Zones)].Section(filepath.Join(f.harness.Dir, fmt.Sprint("follower-", i)), i)
 }
 
-// next is a change that nobody has made.
-func (f *following) next() configlog.Change {
+// nextChange is a change that nobody has made.
+func (f *configuredFleet) nextChange() configlog.Change {
 	f.changes++
 	return configlog.Change{ID: fmt.Sprint("change-", f.changes), Put: map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage(fmt.Sprintf("0.%06d", f.changes)),
@@ -120,13 +120,13 @@
 }
 
 // change makes the next change, at keeper i.
-func (f *following) change(i int) (revision uint64, asked time.Time) {
+func (f *configuredFleet) change(i int) (revision uint64, asked time.Time) {
 	f.t.Helper()
-	return f.keepers.Change(i, f.next())
+	return f.keepers.Change(i, f.nextChange())
 }
 
 // await waits until routers of zones have a revision, and records how long after it was asked for each of them had it.
-func (f *following) await(revision uint64, asked time.Time, zones func(int) bool, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) await(revision uint64, asked time.Time, zones func(int) bool, took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	record := func(at time.Time) {
 		if took != nil {
@@ -135,10 +135,10 @@
 			}
 		}
 	}
-	f.hollow.Await(func(state map[int]*Standing) string {
+	f.simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
-			if s.back != "" {
-				f.t.Errorf("hollow router %d went back: %s", n, s.back)
+			if s.regression != "" {
+				f.t.Errorf("hollow router %d went back: %s", n, s.regression)
 				return ""
 			}
 			if s.Last() < revision && zones(n%len(Zones)) {
@@ -163,8 +163,8 @@
 
 func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// told keeps and logs a distribution, in milliseconds.
-func (f *following) told(name string, took *hdrhistogram.Histogram) {
+// recordTimes keeps and logs a distribution, in milliseconds.
+func (f *configuredFleet) recordTimes(name string, took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	for what, us := range map[string]int64{"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99), "last": took.Max()} {
 		f.figures[name+", "+what+" ms"] = float64(us) / 1000
@@ -173,8 +173,8 @@
 		f.figures[name+", 99th ms"], f.figures[name+", last ms"], took.TotalCount())
 }
 
-// during keeps and logs what keepers and real routers took while something was done, and what their links carried.
-func (f *following) during(name string, do func()) {
+// measureDuring keeps and logs what keepers and real routers took while something was done, and what their links carried.
+func (f *configuredFleet) measureDuring(name string, do func()) {
 	f.t.Helper()
 	var all []*Process
 	for _, m := range f.keepers.Members {
@@ -184,12 +184,12 @@
 		all = append(all, p.Process)
 	}
 	wire := func() (doors float64) {
-		for _, d := range f.doors {
-			doors += float64(d.Wire())
+		for _, d := range f.links {
+			doors += float64(d.WireBytes())
 		}
 		return doors
 	}
-	from, doors, between := make([]Usage, len(all)), wire(), float64(f.keepers.Wire())
+	from, doors, between := make([]Usage, len(all)), wire(), float64(f.keepers.WireBytes())
 	for i, p := range all {
 		from[i] = p.Usage()
 	}
@@ -204,9 +204,9 @@
 			most["busiest "+who+", "+figure] = max(most["busiest "+who+", "+figure], v)
 		}
 	}
-	doors, between = wire()-doors, float64(f.keepers.Wire())-between
+	doors, between = wire()-doors, float64(f.keepers.WireBytes())-between
 	seconds := time.Since(from[0].At).Seconds()
-	most["mean router, bytes/s"] = doors / seconds / float64(f.size.real+f.size.hollow)
+	most["mean router, bytes/s"] = doors / seconds / float64(f.size.real+f.size.simulated)
 	most["mean keeper, bytes/s"] = (doors + 2*between) / seconds / float64(f.size.keepers)
 	for figure, v := range most {
 		f.figures[name+", "+figure] = v
@@ -216,7 +216,7 @@
 
 // burst makes changes at an even pace at keeper i, whether or not those before have been answered; between is called after the
 // first half. It gives what was asked when.
-func (f *following) burst(i, n int, between func()) (asked map[uint64]time.Time, last uint64) {
+func (f *configuredFleet) burst(i, n int, between func()) (asked map[uint64]time.Time, last uint64) {
 	f.t.Helper()
 	type made struct {
 		revision uint64
@@ -231,7 +231,7 @@
 			between()
 		}
 		<-pace.C
-		c := f.next()
+		c := f.nextChange()
 		go func() {
 			revision, asked, err := f.keepers.TryChange(i, c)
 			all <- made{revision, asked, err}
@@ -251,8 +251,8 @@
 	return asked, last
 }
 
-// paced logs how many changes a second were asked for.
-func (f *following) paced(name string, asked map[uint64]time.Time) {
+// recordRate logs how many changes a second were asked for.
+func (f *configuredFleet) recordRate(name string, asked map[uint64]time.Time) {
 	var first, last time.Time
 	for _, at := range asked {
 		if first.IsZero() || at.Before(first) {
@@ -266,7 +266,7 @@
 	f.t.Logf("%s: %.1f changes a second were asked for", name, f.figures[name+", changes a second"])
 }
 
-func (f *following) awaitAll(asked map[uint64]time.Time, last uint64, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) awaitAll(asked map[uint64]time.Time, last uint64, took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	f.await(last, asked[last], everyZone, nil)
 	for revision, at := range asked {
@@ -281,9 +281,9 @@
 	return list
 }
 
-// record puts the figures into scale.json beside slopes.json, where a folder for them is named.
-func (f *following) record() {
-	dir := os.Getenv(slopesEnv)
+// writeScale puts the figures into scale.json beside slopes.json, where a folder for them is named.
+func (f *configuredFleet) writeScale() {
+	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
 		return
 	}
@@ -292,11 +292,11 @@
 	}
 	path := filepath.Join(dir, "scale.json")
 	day := capacity.Scale{
-		Name: "configuration by revision", Routers: f.size.real + f.size.hollow, Engines: f.size.engines,
+		Name: "configuration by revision", Routers: f.size.real + f.size.simulated, Engines: f.size.engines,
 		Zones: len(Zones), Figures: map[string]float64{}, Test: "windflow/internal/fleettest " + f.t.Name(),
 		Conditions: fmt.Sprintf("%d keepers, %d real and %d hollow routers, %d changes of one entry, one after the other and at %d a second; "+
 			"%d tenants; times from the operator's call on; %d cores, a 1-minute load of %s at the end with other work beside",
-			f.size.keepers, f.size.real, f.size.hollow, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), load()),
+			f.size.keepers, f.size.real, f.size.simulated, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), loadAverage()),
 	}
 	for name, v := range f.figures {
 		day.Figures[name] = math.Round(v*1000) / 1000
--- a/internal/fleettest/rig.go
+++ b/internal/fleettest/harness.go
@@ -22,21 +22,21 @@
 const (
 	MaxProcesses = 300
 	MaxMemory    = 8 << 30 // bytes resident, all processes together
-	// Patience is how long anything may take that a test waits for: far beyond what it takes on a busy machine.
-	Patience = 60 * time.Second
-	// weighEvery is how often the memory of all processes is added up.
-	weighEvery = 250 * time.Millisecond
-	keepLines  = 40 // of a process's log, for a test that fails
+	// WaitTimeout is how long anything may take that a test waits for: far beyond what it takes on a busy machine.
+	WaitTimeout = 60 * time.Second
+	// memoryCheckInterval is how often the memory of all processes is added up.
+	memoryCheckInterval = 250 * time.Millisecond
+	keptLogLines        = 40 // of a process's log, for a test that fails
 )
 
-// Rig starts processes for one test and ends them with it, each by its id, also where the test fails.
-type Rig struct {
+// Harness starts processes for one test and ends them with it, each by its id, also where the test fails.
+type Harness struct {
 	T   testing.TB
 	Dir string // of its own; the path is short, since sockets lie below it
 }
 
-// all are the processes that live, of every test of this run.
-var all = struct {
+// liveProcesses are the processes that live, of every test of this run.
+var liveProcesses = struct {
 	sync.Mutex
 	of   map[*Process]bool
 	over string // why they were ended for their memory
@@ -44,19 +44,19 @@
 }{of: map[*Process]bool{}}
 
 // New returns a rig for a test.
-func New(t testing.TB) *Rig {
+func New(t testing.TB) *Harness {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "wf")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	return &Rig{T: t, Dir: dir}
+	return &Harness{T: t, Dir: dir}
 }
 
-// starter starts processes from one thread that never ends: the system ends them when the thread that started them does,
+// processStarter starts processes from one thread that never ends: the system ends them when the thread that started them does,
 // which is when the test run itself is killed.
-var starter = sync.OnceValue(func() chan func() {
+var processStarter = sync.OnceValue(func() chan func() {
 	c := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -72,38 +72,38 @@
 	Name string
 	PID  int
 
-	rig   *Rig
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	ready chan string   // its lines on the descriptor of readiness; closed at its end
-	ended chan struct{} // closed once it has ended
-	err   error         // of its end
+	harness   *Harness
+	cmd       *exec.Cmd
+	stdin     io.WriteCloser
+	ready     chan string   // its lines on the descriptor of readiness; closed at its end
+	ended     chan struct{} // closed once it has ended
+	exitError error         // of its end
 
-	mu        sync.Mutex
-	seen      map[string]int // lines of its log that contain a text, for texts that were asked for
-	revisions Revisions      // that its log says are in force
-	last      []string
-	news      chan struct{} // closed and replaced when seen or revisions have changed
-	asked     bool          // its end was asked for
+	mu           sync.Mutex
+	lineCounts   map[string]int // lines of its log that contain a text, for texts that were asked for
+	revisions    Revisions      // that its log says are in force
+	lastLines    []string
+	changed      chan struct{} // closed and replaced when seen or revisions have changed
+	endRequested bool          // its end was asked for
 }
 
 // Start starts a command. Descriptor 3 of it is one of readiness, whose number it finds in WINDFLOW_READY_FD; its log is
 // read for texts that are watched. It fails the test past the bounds.
-func (r *Rig) Start(name string, cmd *exec.Cmd, watched ...string) *Process {
+func (r *Harness) Start(name string, cmd *exec.Cmd, watched ...string) *Process {
 	r.T.Helper()
-	all.scan.Do(func() { go weigh() })
-	all.Lock()
-	n, over := len(all.of), all.over
-	all.Unlock()
+	liveProcesses.scan.Do(func() { go watchMemory() })
+	liveProcesses.Lock()
+	n, over := len(liveProcesses.of), liveProcesses.over
+	liveProcesses.Unlock()
 	if n >= MaxProcesses || over != "" {
 		r.T.Fatalf("%s is not started: %d processes of %d live; %s", name, n, MaxProcesses, over)
 	}
 	p := &Process{
-		Name: name, rig: r, cmd: cmd, ready: make(chan string, 4096), ended: make(chan struct{}),
-		seen: map[string]int{}, news: make(chan struct{}),
+		Name: name, harness: r, cmd: cmd, ready: make(chan string, 4096), ended: make(chan struct{}),
+		lineCounts: map[string]int{}, changed: make(chan struct{}),
 	}
 	for _, w := range watched {
-		p.seen[w] = 0
+		p.lineCounts[w] = 0
 	}
 	tell, told, err := os.Pipe()
 	if err != nil {
@@ -116,20 +116,20 @@
 	if err != nil {
 		r.T.Fatal(err)
 	}
-	if p.in, err = cmd.StdinPipe(); err != nil {
+	if p.stdin, err = cmd.StdinPipe(); err != nil {
 		r.T.Fatal(err)
 	}
 	started := make(chan error)
-	starter() <- func() { started <- cmd.Start() }
+	processStarter() <- func() { started <- cmd.Start() }
 	err = <-started
 	_ = told.Close()
 	if err != nil {
 		r.T.Fatalf("%s: %v", name, err)
 	}
 	p.PID = cmd.Process.Pid
-	all.Lock()
-	all.of[p] = true
-	all.Unlock()
+	liveProcesses.Lock()
+	liveProcesses.of[p] = true
+	liveProcesses.Unlock()
 	r.T.Cleanup(p.End)
 	var read sync.WaitGroup
 	read.Add(2)
@@ -148,11 +148,11 @@
 	go func() {
 		read.Wait()
 		err := cmd.Wait()
-		all.Lock()
-		delete(all.of, p)
-		all.Unlock()
+		liveProcesses.Lock()
+		delete(liveProcesses.of, p)
+		liveProcesses.Unlock()
 		p.mu.Lock()
-		p.err = err
+		p.exitError = err
 		p.mu.Unlock()
 		close(p.ended)
 	}()
@@ -167,30 +167,30 @@
 		}
 		p.mu.Lock()
 		changed := false
-		for text := range p.seen {
+		for text := range p.lineCounts {
 			if bytes.Contains(line, []byte(text)) {
-				p.seen[text]++
+				p.lineCounts[text]++
 				changed = true
 			}
 		}
-		if revision, ok := inForce(line); ok {
-			p.revisions.take(revision, "", time.Now())
+		if revision, ok := parseRevisionInForce(line); ok {
+			p.revisions.adopt(revision, "", time.Now())
 			changed = true
 		}
-		if p.last = append(p.last, strings.TrimSpace(string(line))); len(p.last) > 2*keepLines {
-			p.last = append([]string(nil), p.last[keepLines:]...)
+		if p.lastLines = append(p.lastLines, strings.TrimSpace(string(line))); len(p.lastLines) > 2*keptLogLines {
+			p.lastLines = append([]string(nil), p.lastLines[keptLogLines:]...)
 		}
 		if changed {
-			close(p.news)
-			p.news = make(chan struct{})
+			close(p.changed)
+			p.changed = make(chan struct{})
 		}
 		p.mu.Unlock()
 	}
 }
 
-// inForce reads the revision out of a line that says which one a router has in force.
-func inForce(line []byte) (revision uint64, ok bool) {
-	if !bytes.Contains(line, []byte(lineInForce)) {
+// parseRevisionInForce reads the revision out of a line that says which one a router has in force.
+func parseRevisionInForce(line []byte) (revision uint64, ok bool) {
+	if !bytes.Contains(line, []byte(lineRevisionInForce)) {
 		return 0, false
 	}
 	_, rest, _ := bytes.Cut(line, []byte(" revision="))
@@ -202,47 +202,47 @@
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.last, "\n")
+	return strings.Join(p.lastLines, "\n")
 }
 
 // Ready waits for the process's line of readiness and gives what stands behind the word.
 func (p *Process) Ready() string {
-	p.rig.T.Helper()
-	late := time.NewTimer(Patience)
+	p.harness.T.Helper()
+	late := time.NewTimer(WaitTimeout)
 	defer late.Stop()
 	select {
 	case line, open := <-p.ready:
 		if rest, ok := strings.CutPrefix(line, "ready"); open && ok {
 			return strings.TrimSpace(rest)
 		}
-		p.rig.T.Fatalf("%s: said %q in place of ready:\n%s", p.Name, line, p.Log())
+		p.harness.T.Fatalf("%s: said %q in place of ready:\n%s", p.Name, line, p.Log())
 	case <-late.C:
-		p.rig.T.Fatalf("%s: not ready within %v:\n%s", p.Name, Patience, p.Log())
+		p.harness.T.Fatalf("%s: not ready within %v:\n%s", p.Name, WaitTimeout, p.Log())
 	}
 	return ""
 }
 
-// Seen is how many lines of the log have contained a watched text.
-func (p *Process) Seen(text string) int {
+// LineCount is how many lines of the log have contained a watched text.
+func (p *Process) LineCount(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen[text]
+	return p.lineCounts[text]
 }
 
 // Await waits until as many lines of the log have contained a text that was watched from the start.
 func (p *Process) Await(text string, n int) {
-	p.rig.T.Helper()
-	p.await(fmt.Sprintf("%d lines with %q", n, text), func() bool { return p.seen[text] >= n })
+	p.harness.T.Helper()
+	p.await(fmt.Sprintf("%d lines with %q", n, text), func() bool { return p.lineCounts[text] >= n })
 }
 
 // await waits until the log has said something; ok is asked with the lock held.
 func (p *Process) await(what string, ok func() bool) {
-	p.rig.T.Helper()
-	late := time.NewTimer(Patience)
+	p.harness.T.Helper()
+	late := time.NewTimer(WaitTimeout)
 	defer late.Stop()
 	for {
 		p.mu.Lock()
-		there, news := ok(), p.news
+		there, news := ok(), p.changed
 		p.mu.Unlock()
 		if there {
 			return
@@ -250,33 +250,33 @@
 		select {
 		case <-news:
 		case <-p.ended:
-			p.rig.T.Fatalf("%s: ended before %s:\n%s", p.Name, what, p.Log())
+			p.harness.T.Fatalf("%s: ended before %s:\n%s", p.Name, what, p.Log())
 		case <-late.C:
-			p.rig.T.Fatalf("%s: not %s within %v:\n%s", p.Name, what, Patience, p.Log())
+			p.harness.T.Fatalf("%s: not %s within %v:\n%s", p.Name, what, WaitTimeout, p.Log())
 		}
 	}
 }
 
-// Say writes a line to the process's standard input.
-func (p *Process) Say(line string) {
-	p.rig.T.Helper()
-	if _, err := io.WriteString(p.in, line+"\n"); err != nil {
-		p.rig.T.Fatalf("%s: %v\n%s", p.Name, err, p.Log())
+// WriteLine writes a line to the process's standard input.
+func (p *Process) WriteLine(line string) {
+	p.harness.T.Helper()
+	if _, err := io.WriteString(p.stdin, line+"\n"); err != nil {
+		p.harness.T.Fatalf("%s: %v\n%s", p.Name, err, p.Log())
 	}
 }
 
 // Signal sends the process a signal.
 func (p *Process) Signal(s syscall.Signal) {
-	p.rig.T.Helper()
+	p.harness.T.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
-		p.rig.T.Fatalf("%s: %v: %v", p.Name, s, err)
+		p.harness.T.Fatalf("%s: %v: %v", p.Name, s, err)
 	}
 }
 
 // Kill kills the process and waits until it has ended.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.asked = true
+	p.endRequested = true
 	p.mu.Unlock()
 	_ = p.cmd.Process.Kill()
 	<-p.ended
@@ -288,40 +288,40 @@
 // End ends the process for good; one that had ended by itself, and not by the test's will, fails the test.
 func (p *Process) End() {
 	p.mu.Lock()
-	asked := p.asked
-	p.asked = true
+	asked := p.endRequested
+	p.endRequested = true
 	p.mu.Unlock()
 	select {
 	case <-p.ended:
 		if !asked {
-			p.rig.T.Errorf("%s (%d) ended by itself: %v\n%s", p.Name, p.PID, p.err, p.Log())
+			p.harness.T.Errorf("%s (%d) ended by itself: %v\n%s", p.Name, p.PID, p.exitError, p.Log())
 		}
 		return
 	default:
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.ended
-	if p.rig.T.Failed() && !asked {
-		p.rig.T.Logf("%s (%d):\n%s", p.Name, p.PID, p.Log())
+	if p.harness.T.Failed() && !asked {
+		p.harness.T.Logf("%s (%d):\n%s", p.Name, p.PID, p.Log())
 	}
 }
 
-// weigh ends everything where it takes more memory than it may: the test then fails over processes that ended.
-func weigh() {
-	for range time.Tick(weighEvery) {
-		all.Lock()
+// watchMemory ends everything where it takes more memory than it may: the test then fails over processes that ended.
+func watchMemory() {
+	for range time.Tick(memoryCheckInterval) {
+		liveProcesses.Lock()
 		sum := int64(0)
-		for p := range all.of {
+		for p := range liveProcesses.of {
 			sum += resident(p.PID)
 		}
 		if sum > MaxMemory {
-			all.over = fmt.Sprintf("all were ended: they took %d MB of %d", sum>>20, MaxMemory>>20)
-			fmt.Fprintln(os.Stderr, "fleettest:", all.over)
-			for p := range all.of {
+			liveProcesses.over = fmt.Sprintf("all were ended: they took %d MB of %d", sum>>20, MaxMemory>>20)
+			fmt.Fprintln(os.Stderr, "fleettest:", liveProcesses.over)
+			for p := range liveProcesses.of {
 				_ = p.cmd.Process.Kill()
 			}
 		}
-		all.Unlock()
+		liveProcesses.Unlock()
 	}
 }
 
@@ -375,7 +375,7 @@
 // another part, it plays that part instead.
 func Main(m *testing.M) {
 	if role := os.Getenv(roleEnv); role != "" {
-		if err := play(role); err != nil {
+		if err := playRole(role); err != nil {
 			fmt.Fprintln(os.Stderr, "fleettest:", err)
 			os.Exit(1)
 		}
--- a/internal/fleettest/rig_test.go
+++ b/internal/fleettest/harness_test.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	realRouters   = 4
-	realFollowers = 4
-	hollowRouters = 60
-	listed        = 120
+	realRouters      = 4
+	realFollowers    = 4
+	simulatedRouters = 60
+	listedEngines    = 120
 )
 
-// specs are hollow routers of a fleet, each with the board that is given for it.
-func specs(n, of int, engines []Engine, rate float64, board func(i int) string) []HollowSpec {
-	list := make([]HollowSpec, n)
+// simulatedSpecs are hollow routers of a fleet, each with the board that is given for it.
+func simulatedSpecs(n, of int, engines []Engine, rate float64, board func(i int) string) []SimulatedRouterSpec {
+	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
-		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Board: board(i), Engines: engines, Listen: "127.0.0.1:1"}
-		list[i] = HollowSpec{Number: i, Config: c.Text(), Rate: rate, WorkMS: 20}
+		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: board(i), Engines: engines, Listen: "127.0.0.1:1"}
+		list[i] = SimulatedRouterSpec{Number: i, Config: c.Text(), StatementsPerSecond: rate, WorkMS: 20}
 	}
 	return list
 }
@@ -33,61 +33,61 @@
 // meanwhile, and have it all once it is back. It guards the rig, and what each router does about its board.
 func TestFleetFollowsTheBoardThroughACut(t *testing.T) {
 	r := New(t)
-	engines := Engines(listed)
-	b := NewBoard(t, engines)
+	engines := Engines(listedEngines)
+	b := NewDiscoveryServer(t, engines)
 	relays := []*Relay{NewRelay(t, b.Addr), NewRelay(t, b.Addr)} // half of the fleet on either
-	const fleet = realRouters + hollowRouters
+	const fleet = realRouters + simulatedRouters
 	var routers []*Router
 	for i := range realRouters {
 		routers = append(routers, r.Router(Config{
-			Name: fmt.Sprint("n", i), Index: hollowRouters + i, Routers: fleet,
-			Board: relays[i%2].Addr, Engines: engines,
+			Name: fmt.Sprint("n", i), Index: simulatedRouters + i, Routers: fleet,
+			Discovery: relays[i%2].Addr, Engines: engines,
 		}))
 	}
-	h := r.Hollows(specs(hollowRouters, fleet, engines, 5, func(i int) string { return relays[i%2].Addr }))
+	h := r.SimulatedRouters(simulatedSpecs(simulatedRouters, fleet, engines, 5, func(i int) string { return relays[i%2].Addr }))
 	for _, p := range routers {
 		p.Ready()
 	}
-	b.AwaitLinks(t, fleet)
+	b.AwaitConnections(t, fleet)
 
 	drains := engines[0]
 	drains.State = dispatch.Draining
 	number := b.Change(drains)
 	h.AwaitList(number)
 	for _, p := range routers {
-		p.Await(LineEvent, 1)
+		p.Await(LineEndpointEvent, 1)
 	}
 
 	relays[0].Cut()
-	b.AwaitLinks(t, fleet/2)
+	b.AwaitConnections(t, fleet/2)
 	gone := engines[1]
 	gone.State = dispatch.Removed
 	number = b.Change(gone)
-	h.Await(func(state map[int]*Standing) string {
+	h.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
-			if n%2 == 1 && s.List < number {
-				return fmt.Sprintf("hollow router %d is at event %d, want %d", n, s.List, number)
+			if n%2 == 1 && s.LastEvent < number {
+				return fmt.Sprintf("hollow router %d is at event %d, want %d", n, s.LastEvent, number)
 			}
-			if n%2 == 0 && s.List >= number {
-				return fmt.Sprintf("hollow router %d heard event %d over a link that is cut", n, s.List)
+			if n%2 == 0 && s.LastEvent >= number {
+				return fmt.Sprintf("hollow router %d heard event %d over a link that is cut", n, s.LastEvent)
 			}
 		}
 		return ""
 	})
-	relays[0].Mend()
+	relays[0].Heal()
 	h.AwaitList(number)
-	b.AwaitLinks(t, fleet)
+	b.AwaitConnections(t, fleet)
 	for _, p := range routers {
-		p.Await(LineEvent, 2)
+		p.Await(LineEndpointEvent, 2)
 	}
-	if sum := h.Totals(); sum.Engines != hollowRouters*(listed-1) || sum.Served == 0 || sum.Failed > 0 {
-		t.Errorf("%+v, want %d engines in all lists and nothing failed", sum, hollowRouters*(listed-1))
+	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-1) || sum.Served == 0 || sum.Failed > 0 {
+		t.Errorf("%+v, want %d engines in all lists and nothing failed", sum, simulatedRouters*(listedEngines-1))
 	}
 	// A whole list takes the place of what they have.
 	number = b.Replace(engines[10:])
 	h.AwaitList(number)
-	if sum := h.Totals(); sum.Engines != hollowRouters*(listed-10) {
-		t.Errorf("%+v, want %d engines in all lists", sum, hollowRouters*(listed-10))
+	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-10) {
+		t.Errorf("%+v, want %d engines in all lists", sum, simulatedRouters*(listedEngines-10))
 	}
 }
 
@@ -95,33 +95,33 @@
 func TestFollowersLeaveASilentBoard(t *testing.T) {
 	r := New(t)
 	engines := Engines(30)
-	b := NewBoard(t, engines)
+	b := NewDiscoveryServer(t, engines)
 	relay := NewRelay(t, b.Addr)
-	h := r.Hollows(specs(8, 8, engines, 0, func(int) string { return relay.Addr }))
-	b.AwaitLinks(t, 8)
-	relay.Silence(Down)
-	before := b.Linked.Load()
-	number := b.Change(Toggled(engines, 3))
-	for b.Linked.Load() < before+8 { // each link that comes or goes is news
+	h := r.SimulatedRouters(simulatedSpecs(8, 8, engines, 0, func(int) string { return relay.Addr }))
+	b.AwaitConnections(t, 8)
+	relay.Blackhole(Down)
+	before := b.Accepted.Load()
+	number := b.Change(ToggledEngine(engines, 3))
+	for b.Accepted.Load() < before+8 { // each link that comes or goes is news
 		b.mu.Lock()
-		news := b.news
+		news := b.changed
 		b.mu.Unlock()
 		select {
 		case <-news:
-		case <-time.After(Patience):
+		case <-time.After(WaitTimeout):
 			t.Fatal("the followers stay on a board that says nothing")
 		}
 	}
-	relay.Mend()
+	relay.Heal()
 	h.AwaitList(number)
 }
 
 // The line of readiness comes when clients are taken, and not before: a client that dials on it is greeted.
 func TestReadinessMeansThatClientsAreTaken(t *testing.T) {
 	r := New(t)
-	b := NewBoard(t, nil)
+	b := NewDiscoveryServer(t, nil)
 	for i := range 3 {
-		p := r.Router(Config{Name: fmt.Sprint("n", i), Board: b.Addr, Engines: Engines(30)})
+		p := r.Router(Config{Name: fmt.Sprint("n", i), Discovery: b.Addr, Engines: Engines(30)})
 		if said := p.Ready(); said != "" {
 			t.Errorf("ready with %q", said)
 		}
@@ -142,8 +142,8 @@
 // A descriptor that can't be one is an error that names the variable.
 func TestReadinessOnNoDescriptor(t *testing.T) {
 	r := New(t)
-	b := NewBoard(t, nil)
-	c := Config{Name: "n0", Listen: FreePort(t), Board: b.Addr}
+	b := NewDiscoveryServer(t, nil)
+	c := Config{Name: "n0", Listen: FreePort(t), Discovery: b.Addr}
 	path := filepath.Join(r.Dir, "n0.json")
 	if err := os.WriteFile(path, c.Text(), 0o600); err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 // The clock that costs are measured by and the system's own sum are the same.
 func TestUsageIsTheSystemsSum(t *testing.T) {
 	r := New(t)
-	p := r.Router(Config{Name: "n0", Board: NewBoard(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
+	p := r.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
 	p.Ready()
 	for i := range 40 {
 		p.Reload()
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -23,8 +23,8 @@
 type Keepers struct {
 	Members []*Keeper
 
-	rig   *Rig
-	links map[[2]int][]*Relay // from, to: of replication and of calls
+	harness *Harness
+	links   map[[2]int][]*Relay // from, to: of replication and of calls
 }
 
 // Keeper is one of them.
@@ -36,9 +36,9 @@
 }
 
 // Keepers starts n keepers, which check changes against a router's configuration, and waits until all take calls.
-func (r *Rig) Keepers(n int, base Config) *Keepers {
+func (r *Harness) Keepers(n int, base Config) *Keepers {
 	r.T.Helper()
-	k := &Keepers{rig: r, links: map[[2]int][]*Relay{}}
+	k := &Keepers{harness: r, links: map[[2]int][]*Relay{}}
 	file := filepath.Join(r.Dir, "base.json")
 	base.Name, base.Listen = "base", "127.0.0.1:1"
 	if err := os.WriteFile(file, base.Text(), 0o600); err != nil {
@@ -71,48 +71,48 @@
 }
 
 func (k *Keepers) launch(i int) {
-	k.rig.T.Helper()
+	k.harness.T.Helper()
 	m := k.Members[i]
-	cmd := exec.Command(filepath.Join(Programs(k.rig.T), "windflowkeeper"), m.args...)
+	cmd := exec.Command(filepath.Join(Programs(k.harness.T), "windflowkeeper"), m.args...)
 	cmd.Env = os.Environ()
-	m.Process = k.rig.Start(m.ID, cmd)
+	m.Process = k.harness.Start(m.ID, cmd)
 }
 
 // Restart starts a keeper that has ended, on its folder, and waits until it takes calls.
 func (k *Keepers) Restart(i int) {
-	k.rig.T.Helper()
+	k.harness.T.Helper()
 	k.launch(i)
 	k.Members[i].Ready()
 }
 
-// Apart silences all links between keepers on two sides, or has them speak again.
-func (k *Keepers) Apart(silent bool, a, b []int) {
+// SetPartitioned silences all links between keepers on two sides, or has them speak again.
+func (k *Keepers) SetPartitioned(silent bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
 			for _, l := range append(k.links[[2]int{i, j}], k.links[[2]int{j, i}]...) {
-				if l.Mend(); silent {
-					l.Silence(Up)
-					l.Silence(Down)
+				if l.Heal(); silent {
+					l.Blackhole(Up)
+					l.Blackhole(Down)
 				}
 			}
 		}
 	}
 }
 
-// Wire is what went between keepers so far, with headers.
-func (k *Keepers) Wire() (sum int64) {
+// WireBytes is what went between keepers so far, with headers.
+func (k *Keepers) WireBytes() (sum int64) {
 	for _, links := range k.links {
 		for _, l := range links {
-			sum += l.Wire()
+			sum += l.WireBytes()
 		}
 	}
 	return sum
 }
 
-// errNotYet is an answer that may be another one on the next call: no leader, no majority, nobody there.
-var errNotYet = errors.New("not yet")
+// errRetryable is an answer that may be another one on the next call: no leader, no majority, nobody there.
+var errRetryable = errors.New("not yet")
 
-var calls = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
 // call makes one call at a keeper within a time and reads its answer.
 func (m *Keeper) call(within time.Duration, method, path string, in, out any) error {
@@ -130,17 +130,17 @@
 	if err != nil {
 		return err
 	}
-	a, err := calls.Do(q)
+	a, err := httpClient.Do(q)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNotYet, err)
+		return fmt.Errorf("%w: %w", errRetryable, err)
 	}
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	switch {
 	case err != nil:
-		return fmt.Errorf("%w: %w", errNotYet, err)
+		return fmt.Errorf("%w: %w", errRetryable, err)
 	case a.StatusCode == http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: %s", errNotYet, text)
+		return fmt.Errorf("%w: %s", errRetryable, text)
 	case a.StatusCode >= 300:
 		return fmt.Errorf("%s %s at %s: %d %s", method, path, m.ID, a.StatusCode, text)
 	}
@@ -150,10 +150,10 @@
 // Change has a change made by keeper i, and calls again with the same id until it is answered, at another keeper where that
 // one is gone. It gives the revision, and when the first call was made.
 func (k *Keepers) Change(i int, c configlog.Change) (revision uint64, asked time.Time) {
-	k.rig.T.Helper()
+	k.harness.T.Helper()
 	revision, asked, err := k.TryChange(i, c)
 	if err != nil {
-		k.rig.T.Fatal(err)
+		k.harness.T.Fatal(err)
 	}
 	return revision, asked
 }
@@ -167,7 +167,7 @@
 		if err == nil {
 			return done.Revision, asked, nil
 		}
-		if !errors.Is(err, errNotYet) || time.Since(asked) > Patience {
+		if !errors.Is(err, errRetryable) || time.Since(asked) > WaitTimeout {
 			return 0, asked, fmt.Errorf("change %s: %w", c.ID, err)
 		}
 		i = (i + 1) % len(k.Members)
@@ -176,8 +176,8 @@
 
 // Leader is the keeper that leads by the word of keeper i and its own.
 func (k *Keepers) Leader(i int) int {
-	k.rig.T.Helper()
-	for began := time.Now(); time.Since(began) < Patience; {
+	k.harness.T.Helper()
+	for began := time.Now(); time.Since(began) < WaitTimeout; {
 		var s struct {
 			Leader   string `json:"leader"`
 			Majority bool   `json:"majority"`
@@ -191,15 +191,15 @@
 			}
 		}
 	}
-	k.rig.T.Fatalf("%s names no leader within %v", k.Members[i].ID, Patience)
+	k.harness.T.Fatalf("%s names no leader within %v", k.Members[i].ID, WaitTimeout)
 	return 0
 }
 
-// Everywhere asks keeper i until it says that a revision is in force everywhere.
-func (k *Keepers) Everywhere(i int, revision uint64) configlog.ConvergenceStatus {
-	k.rig.T.Helper()
+// AwaitConvergence asks keeper i until it says that a revision is in force everywhere.
+func (k *Keepers) AwaitConvergence(i int, revision uint64) configlog.ConvergenceStatus {
+	k.harness.T.Helper()
 	var last error
-	for began := time.Now(); time.Since(began) < Patience; {
+	for began := time.Now(); time.Since(began) < WaitTimeout; {
 		var v configlog.ConvergenceStatus
 		last = k.Members[i].call(10*time.Second, http.MethodGet, fmt.Sprintf("/v1/rollout?revision=%d&wait_ms=7000", revision), nil, &v)
 		if last == nil && v.Everywhere {
@@ -209,22 +209,22 @@
 			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind), len(v.Rejected), len(v.Gone), v.Unreached)
 		}
 	}
-	k.rig.T.Fatalf("revision %d is not in force everywhere by the word of %s: %v", revision, k.Members[i].ID, last)
+	k.harness.T.Fatalf("revision %d is not in force everywhere by the word of %s: %v", revision, k.Members[i].ID, last)
 	return configlog.ConvergenceStatus{}
 }
 
-// Stop has a keeper stand still, and Go go on.
-func (m *Keeper) Stop() { m.Signal(syscall.SIGSTOP) }
+// Pause has a keeper stand still, and Go go on.
+func (m *Keeper) Pause() { m.Signal(syscall.SIGSTOP) }
 
-// Go: see Stop.
-func (m *Keeper) Go() { m.Signal(syscall.SIGCONT) }
+// Resume: see Stop.
+func (m *Keeper) Resume() { m.Signal(syscall.SIGCONT) }
 
-// Doors are a link from one zone to each keeper, which all its routers use.
-type Doors struct{ Relays []*Relay }
+// ZoneLinks are a link from one zone to each keeper, which all its routers use.
+type ZoneLinks struct{ Relays []*Relay }
 
-// Doors makes the links of a zone.
-func (k *Keepers) Doors(t testing.TB) *Doors {
-	d := &Doors{}
+// ZoneLinks makes the links of a zone.
+func (k *Keepers) ZoneLinks(t testing.TB) *ZoneLinks {
+	d := &ZoneLinks{}
 	for _, m := range k.Members {
 		d.Relays = append(d.Relays, NewRelay(t, m.HTTP))
 	}
@@ -232,7 +232,7 @@
 }
 
 // Section is the section of the installation's settings for routers behind these links. Each prefers another keeper.
-func (d *Doors) Section(dir string, i int) map[string]any {
+func (d *ZoneLinks) Section(dir string, i int) map[string]any {
 	var addresses []string
 	for j := range d.Relays {
 		addresses = append(addresses, d.Relays[(i+j)%len(d.Relays)].Addr)
@@ -240,16 +240,16 @@
 	return map[string]any{"addresses": addresses, "dir": dir, "hold_ms": 2000}
 }
 
-// Wire is what went over them so far, with headers.
-func (d *Doors) Wire() (sum int64) {
+// WireBytes is what went over them so far, with headers.
+func (d *ZoneLinks) WireBytes() (sum int64) {
 	for _, r := range d.Relays {
-		sum += r.Wire()
+		sum += r.WireBytes()
 	}
 	return sum
 }
 
 // Each does something to the links to some keepers.
-func (d *Doors) Each(keepers []int, do func(*Relay)) {
+func (d *ZoneLinks) Each(keepers []int, do func(*Relay)) {
 	for _, i := range keepers {
 		do(d.Relays[i])
 	}
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// headers are those of a segment: Ethernet 14, IPv4 20, TCP with timestamps 32 bytes.
-	headers = 66
-	// segment is the payload that one segment carries at most, on a path for 1,500 bytes.
-	segment = 1448
+	// segmentHeaderBytes are those of a segment: Ethernet 14, IPv4 20, TCP with timestamps 32 bytes.
+	segmentHeaderBytes = 66
+	// maxSegmentPayload is the payload that one segment carries at most, on a path for 1,500 bytes.
+	maxSegmentPayload = 1448
 )
 
 // Traffic is what went over a relay in one direction.
 type Traffic struct {
-	Payload int64 // bytes
-	Pieces  int64 // segments that carried it, one at least for each piece that was read
+	Payload  int64 // bytes
+	Segments int64 // segments that carried it, one at least for each piece that was read
 }
 
 // Relay is a link that a test cuts, makes silent or slow, for each direction apart, and that counts bytes.
 type Relay struct {
 	Addr string
 
-	target string
-	lis    net.Listener
-	mu     sync.Mutex
-	news   chan struct{} // closed and replaced when what it does has changed
-	cut    bool
-	silent [2]bool
-	delay  [2]time.Duration
-	conns  map[net.Conn]bool
-	count  [2]Traffic
-	opened int64
+	target     string
+	listener   net.Listener
+	mu         sync.Mutex
+	changed    chan struct{} // closed and replaced when what it does has changed
+	cut        bool
+	blackholed [2]bool
+	delay      [2]time.Duration
+	conns      map[net.Conn]bool
+	count      [2]Traffic
+	opened     int64
 }
 
 // NewRelay relays to a target until the test's end.
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{Addr: lis.Addr().String(), target: target, lis: lis, news: make(chan struct{}), conns: map[net.Conn]bool{}}
+	r := &Relay{Addr: lis.Addr().String(), target: target, listener: lis, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go r.accept()
 	t.Cleanup(func() {
 		_ = lis.Close()
@@ -69,36 +69,36 @@
 	for c := range r.conns {
 		reset(c)
 	}
-	r.changed()
+	r.notify()
 }
 
-// Silence has nothing pass in a direction; connections stay and new ones come up. Bytes wait until Mend.
-func (r *Relay) Silence(d Direction) {
+// Blackhole has nothing pass in a direction; connections stay and new ones come up. Bytes wait until Mend.
+func (r *Relay) Blackhole(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent[d] = true
-	r.changed()
+	r.blackholed[d] = true
+	r.notify()
 }
 
 // Delay has each piece wait for that long in a direction.
-func (r *Relay) Delay(d Direction, for_ time.Duration) {
+func (r *Relay) Delay(d Direction, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay[d] = for_
-	r.changed()
+	r.delay[d] = delay
+	r.notify()
 }
 
-// Mend has everything pass again.
-func (r *Relay) Mend() {
+// Heal has everything pass again.
+func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut, r.silent, r.delay = false, [2]bool{}, [2]time.Duration{}
-	r.changed()
+	r.cut, r.blackholed, r.delay = false, [2]bool{}, [2]time.Duration{}
+	r.notify()
 }
 
-func (r *Relay) changed() {
-	close(r.news)
-	r.news = make(chan struct{})
+func (r *Relay) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // Count is what went in a direction so far.
@@ -115,22 +115,22 @@
 	return r.opened
 }
 
-// Wire is what went over the link so far in both directions with headers: those of the segments, and a bare acknowledgement
+// WireBytes is what went over the link so far in both directions with headers: those of the segments, and a bare acknowledgement
 // for each piece, and seven segments without payload for the start and end of each connection. It is reckoned, since
 // loopback has no segments of a path's size.
-func (r *Relay) Wire() int64 {
+func (r *Relay) WireBytes() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sum := 7 * headers * r.opened
+	sum := 7 * segmentHeaderBytes * r.opened
 	for _, c := range r.count {
-		sum += c.Payload + 2*headers*c.Pieces
+		sum += c.Payload + 2*segmentHeaderBytes*c.Segments
 	}
 	return sum
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.lis.Accept()
+		near, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -166,7 +166,7 @@
 	}{{near, far, Up}, {far, near, Down}} {
 		go func() {
 			defer both.Done()
-			r.pump(way.from, way.to, way.d)
+			r.copyDirection(way.from, way.to, way.d)
 		}()
 	}
 	both.Wait()
@@ -178,18 +178,18 @@
 	_ = far.Close()
 }
 
-// pump carries one direction; its end is passed on as such.
-func (r *Relay) pump(from, to net.Conn, d Direction) {
+// copyDirection carries one direction; its end is passed on as such.
+func (r *Relay) copyDirection(from, to net.Conn, d Direction) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !r.pass(d) {
+			if !r.awaitPassage(d) {
 				return
 			}
 			r.mu.Lock() // ahead of the write, so that who has got something finds it counted
 			r.count[d].Payload += int64(n)
-			r.count[d].Pieces += int64((n + segment - 1) / segment)
+			r.count[d].Segments += int64((n + maxSegmentPayload - 1) / maxSegmentPayload)
 			r.mu.Unlock()
 			if _, bad := to.Write(buf[:n]); bad != nil {
 				reset(from)
@@ -205,12 +205,12 @@
 	}
 }
 
-// pass waits for as long as a direction is silent or slow; false says that the link was cut meanwhile.
-func (r *Relay) pass(d Direction) bool {
+// awaitPassage waits for as long as a direction is silent or slow; false says that the link was cut meanwhile.
+func (r *Relay) awaitPassage(d Direction) bool {
 	var due <-chan time.Time
 	for delayed := false; ; {
 		r.mu.Lock()
-		cut, silent, wait, news := r.cut, r.silent[d], r.delay[d], r.news
+		cut, silent, wait, news := r.cut, r.blackholed[d], r.delay[d], r.changed
 		r.mu.Unlock()
 		switch {
 		case cut:
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// echo serves what it is sent back.
-func echo(t *testing.T) string {
+// startEchoServer serves what it is sent back.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	return lis.Addr().String()
 }
 
-func talk(c net.Conn, text string, within time.Duration) error {
+func echoText(c net.Conn, text string, within time.Duration) error {
 	if _, err := c.Write([]byte(text)); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 
 // Links cut, fall silent, delay and count as the test says, in either direction.
 func TestRelay(t *testing.T) {
-	r := NewRelay(t, echo(t))
+	r := NewRelay(t, startEchoServer(t))
 	dial := func() net.Conn {
 		t.Helper()
 		c, err := net.Dial("tcp", r.Addr)
@@ -54,46 +54,46 @@
 		return c
 	}
 	c := dial()
-	if err := talk(c, "hello", Patience); err != nil {
+	if err := echoText(c, "hello", WaitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if up, down := r.Count(Up), r.Count(Down); up != (Traffic{5, 1}) || down != up {
 		t.Errorf("counted %+v up and %+v down", up, down)
 	}
-	if got, want := r.Wire(), int64(7*66+2*5+2*2*66); got != want {
+	if got, want := r.WireBytes(), int64(7*66+2*5+2*2*66); got != want {
 		t.Errorf("%d bytes with headers, want %d", got, want)
 	}
 	for _, d := range []Direction{Up, Down} {
-		r.Silence(d)
-		if err := talk(c, "a", 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		r.Blackhole(d)
+		if err := echoText(c, "a", 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("direction %d is silent, and yet: %v", d, err)
 		}
-		r.Mend()
-		_ = c.SetReadDeadline(time.Now().Add(Patience))
+		r.Heal()
+		_ = c.SetReadDeadline(time.Now().Add(WaitTimeout))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 			t.Errorf("direction %d speaks again: %v", d, err)
 		}
 		r.Delay(d, 80*time.Millisecond)
 		from := time.Now()
-		if err := talk(c, "b", Patience); err != nil || time.Since(from) < 80*time.Millisecond {
+		if err := echoText(c, "b", WaitTimeout); err != nil || time.Since(from) < 80*time.Millisecond {
 			t.Errorf("direction %d: %v after %v", d, err, time.Since(from))
 		}
-		r.Mend()
+		r.Heal()
 	}
 	r.Cut()
-	if err := talk(c, "c", Patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := echoText(c, "c", WaitTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a link that is cut: %v", err)
 	}
 	late, err := net.Dial("tcp", r.Addr) // the reset may come before the dial has returned
 	if err == nil {
 		t.Cleanup(func() { _ = late.Close() })
-		err = talk(late, "d", Patience)
+		err = echoText(late, "d", WaitTimeout)
 	}
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a new link where it is cut: %v", err)
 	}
-	r.Mend()
-	if err := talk(dial(), "e", Patience); err != nil {
+	r.Heal()
+	if err := echoText(dial(), "e", WaitTimeout); err != nil {
 		t.Error("mended:", err)
 	}
 }
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -15,17 +15,17 @@
 
 // Config is what differs between the routers of a rig; the rest is the platform's configuration of a plain site.
 type Config struct {
-	Name      string
-	Index     int    // of the router in its fleet
-	Routers   int    // of the fleet; 0: 1
-	Board     string // address
-	Engines   []Engine
-	Listen    string // empty: a free port on loopback
-	Sockets   int    // 0: 1024
-	MemoryMB  int    // 0: 192
-	Tenants   int
-	OverWorth float64        // over-share-worth; what reloads change
-	Own       map[string]any // sections of the installation's settings; nil: none
+	Name            string
+	Index           int    // of the router in its fleet
+	Routers         int    // of the fleet; 0: 1
+	Discovery       string // address
+	Engines         []Engine
+	Listen          string // empty: a free port on loopback
+	Sockets         int    // 0: 1024
+	MemoryMB        int    // 0: 192
+	Tenants         int
+	OverQuotaWeight float64        // over-share-worth; what reloads change
+	Installation    map[string]any // sections of the installation's settings; nil: none
 }
 
 // Text is the configuration as the platform writes it.
@@ -48,11 +48,11 @@
 		return n
 	}
 	text, err := json.Marshal(object{
-		"name": c.Name, "listen": c.Listen, "seed": fmt.Sprintf("%x", 0x1f+c.Index), "board": c.Board, "known": Known(c.Engines),
+		"name": c.Name, "listen": c.Listen, "seed": fmt.Sprintf("%x", 0x1f+c.Index), "board": c.Discovery, "known": KnownEvents(c.Engines),
 		"limits": object{"cores": 1, "memory_mb": or(c.MemoryMB, 192), "sockets": or(c.Sockets, 1024)},
 		"settings": object{
 			"balancers": or(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones, "kinds": Kinds,
-			"period-ns": 5_000_000, "parties": parties, "over-share-worth": c.OverWorth,
+			"period-ns": 5_000_000, "parties": parties, "over-share-worth": c.OverQuotaWeight,
 			"classes": []object{
 				class("lookup", "idempotent", 1000, 5000, 2, 1, 0),
 				class("report", "idempotent", 1500, 20000, 2.5, 10, 0.4), class("load", "at_most_once", 3000, 25000, 3, 7.5, 0.5),
@@ -84,15 +84,15 @@
 
 // The lines of a router's log that the rig waits for.
 const (
-	LineReloaded = "msg=reloaded"
-	LineRefused  = `msg="reload refused"`
-	LineEvent    = `msg="board event"`
-	LineLink     = `msg="board link up"`
-	lineInForce  = `msg="configuration in force"`
+	LineReloaded           = "msg=reloaded"
+	LineReloadRejected     = `msg="reload refused"`
+	LineEndpointEvent      = `msg="board event"`
+	LineDiscoveryConnected = `msg="board link up"`
+	lineRevisionInForce    = `msg="configuration in force"`
 )
 
 // Router starts a router, and does not wait until it is ready.
-func (r *Rig) Router(c Config) *Router {
+func (r *Harness) Router(c Config) *Router {
 	r.T.Helper()
 	if c.Listen == "" {
 		c.Listen = FreePort(r.T)
@@ -100,8 +100,8 @@
 	p := &Router{Config: c, path: filepath.Join(r.Dir, c.Name+".json")}
 	p.write(r.T)
 	cmd := exec.Command(filepath.Join(Programs(r.T), "windflow"))
-	if c.Own != nil {
-		text, err := json.Marshal(c.Own)
+	if c.Installation != nil {
+		text, err := json.Marshal(c.Installation)
 		own := filepath.Join(r.Dir, c.Name+".own.json")
 		if err == nil {
 			err = os.WriteFile(own, text, 0o600)
@@ -112,7 +112,7 @@
 		cmd.Args = append(cmd.Args, "--settings", own)
 	}
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.path)
-	p.Process = r.Start(c.Name, cmd, LineReloaded, LineRefused, LineEvent, LineLink)
+	p.Process = r.Start(c.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent, LineDiscoveryConnected)
 	return p
 }
 
@@ -130,45 +130,45 @@
 
 // Reload writes the configuration as it stands now and has the router read it; it does not wait.
 func (p *Router) Reload() {
-	p.rig.T.Helper()
-	p.write(p.rig.T)
+	p.harness.T.Helper()
+	p.write(p.harness.T)
 	p.Signal(syscall.SIGHUP)
 }
 
 // AwaitRevision waits until the router has a revision of the configuration or a later one in force, and gives since when, by
 // the line of its log.
 func (p *Router) AwaitRevision(revision uint64) time.Time {
-	p.rig.T.Helper()
+	p.harness.T.Helper()
 	var since time.Time
 	p.await(fmt.Sprint("revision ", revision), func() bool {
-		if p.revisions.back != "" {
-			p.rig.T.Errorf("%s went back: %s", p.Process.Name, p.revisions.back)
+		if p.revisions.regression != "" {
+			p.harness.T.Errorf("%s went back: %s", p.Process.Name, p.revisions.regression)
 		}
 		at, ok := p.revisions.Since(revision)
 		since = at
-		return ok || p.revisions.back != ""
+		return ok || p.revisions.regression != ""
 	})
 	return since
 }
 
-var addresses atomic.Uint32
+var loopbackIPs atomic.Uint32
 
-// ownIP gives an address of loopback that no other listener of this process has, nor one of another process that runs tests.
-func ownIP() string {
-	n, pid := addresses.Add(1), os.Getpid()
+// nextLoopbackIP gives an address of loopback that no other listener of this process has, nor one of another process that runs tests.
+func nextLoopbackIP() string {
+	n, pid := loopbackIPs.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%180, uint32(pid/180%8)*30+n/250%30, 1+n%250)
 }
 
 // listen listens where nobody else did: routers of tests that run beside this one go on dialling the ports of boards that have
 // ended, and the system gives a port out again.
-func listen() (net.Listener, error) { return net.Listen("tcp", ownIP()+":0") }
+func listen() (net.Listener, error) { return net.Listen("tcp", nextLoopbackIP()+":0") }
 
 // FreePort gives an address on loopback for a process to listen at. Each has an IP address of its own, where nobody's own
 // end of a connection is put, so that it stays free until the process is there, and while it is started anew.
 func FreePort(t testing.TB) string {
 	t.Helper()
 	for range 1000 {
-		addr := ownIP() + ":7500"
+		addr := nextLoopbackIP() + ":7500"
 		if lis, err := net.Listen("tcp", addr); err == nil {
 			_ = lis.Close()
 			return addr
--- a/internal/fleettest/hollowfollow.go
+++ b/internal/fleettest/simulatedclient.go
@@ -12,31 +12,31 @@
 	"windflow/internal/validate"
 )
 
-// follow has a hollow router follow keepers as a router does: the same client, the same check, and a change of the core and of
+// startConfigClient has a hollow router follow keepers as a router does: the same client, the same check, and a change of the core and of
 // the follower of the board in the loop. The function that it gives ends it.
-func (h *hollow) follow() (end func(), err error) {
+func (h *simulatedRouter) startConfigClient() (end func(), err error) {
 	var section configclient.Config
 	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
 		return nil, err
 	}
 	instance := configlog.Instance(time.Now().UnixMilli(), rand.Uint64())
-	client := configclient.New(section, h.cfg.Name, instance, slog.New(slog.DiscardHandler))
+	client := configclient.New(section, h.config.Name, instance, slog.New(slog.DiscardHandler))
 	client.Start(func(rev configclient.Revision) error {
 		cfg, fault := validate.Overlaid(h.spec.Config, rev.Entries)
 		if fault != nil {
 			return &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
 		}
-		if err := h.put(cfg); err != nil {
+		if err := h.applyInLoop(cfg); err != nil {
 			return &configclient.Rejection{Reason: err.Error()}
 		}
-		h.out.tell(word{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(), AtNS: time.Now().UnixNano()})
+		h.out.write(statusMessage{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(), AtNS: time.Now().UnixNano()})
 		return nil
 	})
 	return client.Stop, nil
 }
 
-// put brings a configuration in force, in the loop.
-func (h *hollow) put(cfg *settings.Node) error {
+// applyInLoop brings a configuration in force, in the loop.
+func (h *simulatedRouter) applyInLoop(cfg *settings.Node) error {
 	done := make(chan error, 1)
 	h.loop.Post(func() { done <- h.configure(cfg) })
 	return <-done
--- /dev/null
+++ b/internal/fleettest/simulatedgroup.go
@@ -0,0 +1,207 @@
+package fleettest
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"sort"
+	"strings"
+	"sync"
+	"time"
+)
+
+// SimulatedRoutersPerProcess is how many hollow routers run in one process.
+const SimulatedRoutersPerProcess = 60
+
+// SimulatedRouters are hollow routers, as the test sees them.
+type SimulatedRouters struct {
+	Processes []*Process
+
+	harness *Harness
+	mu      sync.Mutex
+	changed chan struct{} // closed and replaced with each word
+	state   map[int]*RouterStatus
+	totals  []Totals
+}
+
+// RouterStatus is what a hollow router said.
+type RouterStatus struct {
+	LastEvent uint64 // event of the board
+	Revisions
+}
+
+// Revisions are those of the configuration that a router said it has in force, in the order in which it said so.
+type Revisions struct {
+	Hash       string // of the last one
+	adopted    []adoption
+	regression string // that it went back, if it ever did
+}
+
+type adoption struct {
+	revision uint64
+	at       time.Time
+}
+
+// Last is the revision in force; 0 for none.
+func (r *Revisions) Last() uint64 {
+	if len(r.adopted) == 0 {
+		return 0
+	}
+	return r.adopted[len(r.adopted)-1].revision
+}
+
+// Since is when a revision or a later one came in force; false if none has.
+func (r *Revisions) Since(revision uint64) (time.Time, bool) {
+	i := sort.Search(len(r.adopted), func(i int) bool { return r.adopted[i].revision >= revision })
+	if i == len(r.adopted) {
+		return time.Time{}, false
+	}
+	return r.adopted[i].at, true
+}
+
+func (r *Revisions) adopt(revision uint64, hash string, at time.Time) {
+	if revision <= r.Last() {
+		r.regression = fmt.Sprintf("from revision %d to %d", r.Last(), revision)
+	}
+	r.adopted, r.Hash = append(r.adopted, adoption{revision, at}), hash
+}
+
+// SimulatedRouters starts hollow routers, PerProcess to a process, and waits until they run.
+func (r *Harness) SimulatedRouters(specs []SimulatedRouterSpec) *SimulatedRouters {
+	r.T.Helper()
+	exe, err := os.Executable()
+	if err != nil {
+		r.T.Fatal(err)
+	}
+	h := &SimulatedRouters{harness: r, changed: make(chan struct{}), state: map[int]*RouterStatus{}}
+	for _, s := range specs {
+		h.state[s.Number] = &RouterStatus{}
+	}
+	for len(specs) > 0 {
+		n := min(SimulatedRoutersPerProcess, len(specs))
+		first, err := json.Marshal(specs[:n])
+		if err != nil {
+			r.T.Fatal(err)
+		}
+		cmd := exec.Command(exe)
+		cmd.Env = append(os.Environ(), roleEnv+"="+roleSimulatedRouters)
+		p := r.Start(fmt.Sprintf("hollow %d to %d", specs[0].Number, specs[n-1].Number), cmd)
+		p.WriteLine(string(first))
+		h.Processes = append(h.Processes, p)
+		specs = specs[n:]
+	}
+	for _, p := range h.Processes {
+		p.Ready()
+		go h.readStatus(p)
+	}
+	return h
+}
+
+func (h *SimulatedRouters) readStatus(p *Process) {
+	for line := range p.ready {
+		var w statusMessage
+		if err := json.Unmarshal([]byte(line), &w); err != nil {
+			h.harness.T.Errorf("%s: %q: %v", p.Name, line, err)
+			return
+		}
+		h.mu.Lock()
+		if s := h.state[w.Router]; w.Totals != nil {
+			h.totals = append(h.totals, *w.Totals)
+		} else {
+			s.LastEvent = max(s.LastEvent, w.List)
+			if w.Revision > 0 {
+				s.adopt(w.Revision, w.Hash, time.Unix(0, w.AtNS))
+			}
+		}
+		close(h.changed)
+		h.changed = make(chan struct{})
+		h.mu.Unlock()
+	}
+}
+
+// Await waits until something holds of the routers' standing. tell is called with it unchanging, and says what is missing;
+// an empty text ends the wait.
+func (h *SimulatedRouters) Await(tell func(map[int]*RouterStatus) string) {
+	h.harness.T.Helper()
+	late := time.NewTimer(WaitTimeout)
+	defer late.Stop()
+	for {
+		h.mu.Lock()
+		missing, news := tell(h.state), h.changed
+		h.mu.Unlock()
+		if missing == "" {
+			return
+		}
+		select {
+		case <-news:
+		case <-late.C:
+			var logs []string
+			for _, p := range h.Processes {
+				logs = append(logs, p.Log())
+			}
+			h.harness.T.Fatalf("%s within %v\n%s", missing, WaitTimeout, strings.Join(logs, "\n"))
+		}
+	}
+}
+
+// AwaitList waits until all have an event of the board.
+func (h *SimulatedRouters) AwaitList(number uint64) {
+	h.harness.T.Helper()
+	h.Await(func(state map[int]*RouterStatus) string {
+		for n, s := range state {
+			if s.LastEvent < number {
+				return fmt.Sprintf("hollow router %d is at event %d, want %d", n, s.LastEvent, number)
+			}
+		}
+		return ""
+	})
+}
+
+// Totals sums what all have done so far.
+func (h *SimulatedRouters) Totals() (sum Totals) {
+	h.harness.T.Helper()
+	h.mu.Lock()
+	h.totals = nil
+	h.mu.Unlock()
+	for _, p := range h.Processes {
+		p.WriteLine("totals")
+	}
+	h.Await(func(map[int]*RouterStatus) string {
+		if n := len(h.totals); n < len(h.Processes) {
+			return fmt.Sprintf("%d of %d processes gave their totals", n, len(h.Processes))
+		}
+		sum = Totals{}
+		for _, t := range h.totals {
+			sum.add(t)
+		}
+		return ""
+	})
+	return sum
+}
+
+// DiscoveryProcess is a stand-in board in a process of its own, whose cost can be measured.
+type DiscoveryProcess struct {
+	*Process
+	Addr string
+}
+
+// DiscoveryProcess starts a board with a list of n engines.
+func (r *Harness) DiscoveryProcess(n int) *DiscoveryProcess {
+	r.T.Helper()
+	exe, err := os.Executable()
+	if err != nil {
+		r.T.Fatal(err)
+	}
+	cmd := exec.Command(exe)
+	cmd.Env = append(os.Environ(), roleEnv+"="+roleDiscovery)
+	p := r.Start("board", cmd)
+	p.WriteLine(fmt.Sprint(n))
+	return &DiscoveryProcess{Process: p, Addr: p.Ready()}
+}
+
+// SetChangeRate has the board change one engine as often a second.
+func (b *DiscoveryProcess) SetChangeRate(aSecond float64) {
+	b.harness.T.Helper()
+	b.WriteLine(fmt.Sprint("rate ", aSecond))
+}
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -11,15 +11,15 @@
 // sessionSockets lets a router hold 2,400 sessions: four tenths of its descriptors.
 const sessionSockets = 6000
 
-// crowd is clients of one router.
-type crowd struct {
+// sessions is clients of one router.
+type sessions struct {
 	clients []*Client
 	meter   Meter
 	ids     atomic.Uint64
 }
 
 // each runs f for every client, as many at a time as log in at once without being turned away, and fails on any error.
-func (c *crowd) each(t *testing.T, n int, f func(i int) error) {
+func (c *sessions) each(t *testing.T, n int, f func(i int) error) {
 	t.Helper()
 	var all sync.WaitGroup
 	var bad atomic.Pointer[string]
@@ -42,10 +42,10 @@
 	}
 }
 
-// gather logs clients in, each of which asks once.
-func gather(t *testing.T, p *Router, n int) *crowd {
+// openSessions logs clients in, each of which asks once.
+func openSessions(t *testing.T, p *Router, n int) *sessions {
 	t.Helper()
-	c := &crowd{clients: make([]*Client, n)}
+	c := &sessions{clients: make([]*Client, n)}
 	t.Cleanup(c.close)
 	c.each(t, n, func(i int) (err error) {
 		if c.clients[i], err = Dial(p.Listen, &c.meter); err == nil {
@@ -56,7 +56,7 @@
 	return c
 }
 
-func (c *crowd) close() {
+func (c *sessions) close() {
 	for _, m := range c.clients {
 		if m != nil {
 			_ = m.Close()
@@ -66,15 +66,15 @@
 
 // What sessions cost that say nothing.
 func TestSlopesOfSessionsAtRest(t *testing.T) {
-	rows, r := slopes(t), New(t)
-	b := NewBoard(t, Engines(300))
+	rows, r := requireSlopes(t), New(t)
+	b := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{0, 500, 1000, 2000}
 	var all []*Process
-	var crowds []*crowd
+	var crowds []*sessions
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Board: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
+		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
 		p.Ready()
-		crowds, all = append(crowds, gather(t, p, n)), append(all, p.Process)
+		crowds, all = append(crowds, openSessions(t, p, n)), append(all, p.Process)
 	}
 	// A router ends a session that said nothing for 10 s, so that there are spans of silence between pings that are not
 	// measured.
@@ -84,28 +84,28 @@
 		for _, c := range crowds {
 			c.each(t, len(c.clients), func(i int) error { return c.clients[i].Ping() })
 		}
-		percent, holds := costs(6*time.Second, all...)
+		percent, holds := measureCosts(6*time.Second, all...)
 		for i := range sizes {
 			cpu[i] += percent[i] / spans
 			mb[i] = max(mb[i], holds[i])
 		}
 	}
 	conditions := "silent sessions that have logged in and pinged; limits.sockets 6,000; 300 engines; mean of 4 spans of 6 s"
-	rows.add("router-cpu-by-sessions-at-rest", "router", "sessions at rest", percent, pairs(sizes, cpu), conditions)
-	rows.add("router-memory-by-sessions-at-rest", "router", "sessions at rest", mega, pairs(sizes, mb), conditions+", the most")
+	rows.add("router-cpu-by-sessions-at-rest", "router", "sessions at rest", cpuPercent, pairs(sizes, cpu), conditions)
+	rows.add("router-memory-by-sessions-at-rest", "router", "sessions at rest", megabytes, pairs(sizes, mb), conditions+", the most")
 }
 
 // What statements cost, from few sessions; and what sessions cost of which each asks now and then.
 func TestSlopesOfStatements(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	run := func(name string, sessions int, aSecond float64) (rate, cpu, mb, bytes float64) {
 		t.Helper()
-		farm := NewEngines(t, 60)
-		b := NewBoard(t, farm.Engines)
-		p := r.Router(Config{Name: name, Routers: 20, Board: b.Addr, Engines: farm.Engines, Tenants: 4, Sockets: sessionSockets})
+		farm := NewStubEngines(t, 60)
+		b := NewDiscoveryServer(t, farm.Engines)
+		p := r.Router(Config{Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4, Sockets: sessionSockets})
 		p.Ready()
 		defer p.Kill()
-		c := gather(t, p, sessions)
+		c := openSessions(t, p, sessions)
 		defer c.close()
 		ask := func(over time.Duration) (done int64) {
 			var served, failed atomic.Int64
@@ -119,7 +119,7 @@
 					defer all.Done()
 					for at := every * time.Duration(i) / time.Duration(sessions); at < over; at += every {
 						<-time.After(time.Until(began.Add(at)))
-						if err := m.Ask(c.ids.Add(1)); err != nil {
+						if err := m.Query(c.ids.Add(1)); err != nil {
 							text := err.Error()
 							why.Store(&text)
 							failed.Add(1)
@@ -136,11 +136,11 @@
 			return served.Load() + failed.Load()
 		}
 		ask(4 * time.Second) // connections to engines come up
-		from, wire := p.Usage(), farm.Meter.Wire()+c.meter.Wire()
+		from, wire := p.Usage(), farm.Meter.WireBytes()+c.meter.WireBytes()
 		n := ask(12 * time.Second)
 		to := p.Usage()
 		took := to.At.Sub(from.At).Seconds()
-		return float64(n) / took, Percent(from, to), to.MB(), float64(farm.Meter.Wire()+c.meter.Wire()-wire) / took
+		return float64(n) / took, Percent(from, to), to.MB(), float64(farm.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
 	}
 	var cpu, mb, bytes [][2]float64
 	for _, aSecond := range []float64{25, 50, 100, 200, 450, 900} {
@@ -148,9 +148,9 @@
 		cpu, mb, bytes = append(cpu, [2]float64{rate, percent}), append(mb, [2]float64{rate, holds}), append(bytes, [2]float64{rate, wire})
 	}
 	conditions := "64 sessions; look-ups that 60 stand-in engines answer at once with one row; the rate is what was answered; 12 s"
-	rows.add("router-cpu-by-statements", "router", "statements a second", percent, cpu, conditions)
-	rows.add("router-memory-by-statements", "router", "statements a second", mega, mb, conditions)
-	rows.add("router-bytes-by-statements", "router", "statements a second", rate, bytes, conditions+"; clients' and engines' links together")
+	rows.add("router-cpu-by-statements", "router", "statements a second", cpuPercent, cpu, conditions)
+	rows.add("router-memory-by-statements", "router", "statements a second", megabytes, mb, conditions)
+	rows.add("router-bytes-by-statements", "router", "statements a second", bytesPerSecond, bytes, conditions+"; clients' and engines' links together")
 
 	cpu, mb = nil, nil
 	for _, sessions := range []int{250, 500, 1000, 2000} {
@@ -158,29 +158,29 @@
 		cpu, mb = append(cpu, [2]float64{float64(sessions), percent}), append(mb, [2]float64{float64(sessions), holds})
 	}
 	conditions = "each asks a look-up every 4.4 s, which is 450 a second from 2,000; 60 stand-in engines; limits.sockets 6,000; 12 s"
-	rows.add("router-cpu-by-busy-sessions", "router", "busy sessions", percent, cpu, conditions)
-	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", mega, mb, conditions)
+	rows.add("router-cpu-by-busy-sessions", "router", "busy sessions", cpuPercent, cpu, conditions)
+	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", megabytes, mb, conditions)
 }
 
 // What clients cost that come back to a router that was started anew.
 func TestSlopesOfClientsThatComeBack(t *testing.T) {
-	rows, r := slopes(t), New(t)
-	b := NewBoard(t, Engines(300))
+	rows, r := requireSlopes(t), New(t)
+	b := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{250, 500, 1000, 2000}
 	var cpu, bytes, took []float64
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("b", n), Routers: 600, Board: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
+		p := r.Router(Config{Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
 		p.Ready()
 		from := p.Usage()
-		c := gather(t, p, n)
+		c := openSessions(t, p, n)
 		to := p.Usage()
-		cpu, bytes = append(cpu, (to.CPU-from.CPU).Seconds()*1000), append(bytes, float64(c.meter.Wire()))
+		cpu, bytes = append(cpu, (to.CPU-from.CPU).Seconds()*1000), append(bytes, float64(c.meter.WireBytes()))
 		took = append(took, to.At.Sub(from.At).Seconds()*1000)
 		c.close()
 		p.Kill()
 	}
 	conditions := "clients dial at once, 64 at a time, log in and ping; a router of 300 engines that has just become ready"
-	rows.add("return-cpu-by-clients", "router", "clients that come back", milli, pairs(sizes, cpu), conditions)
+	rows.add("return-cpu-by-clients", "router", "clients that come back", milliseconds, pairs(sizes, cpu), conditions)
 	rows.add("return-bytes-by-clients", "router", "clients that come back", "bytes with headers, both directions", pairs(sizes, bytes), conditions)
 	rows.add("return-time-by-clients", "router", "clients that come back", "ms until the last is served", pairs(sizes, took),
 		conditions+"; wall time on a machine shared with other work")
--- a/internal/fleettest/slopes_following_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -13,18 +13,18 @@
 // What following the keepers costs a router of the size that is designed for, by the changes a second that come to it one by
 // one: from two a second on several come in one call.
 func TestSlopesOfAFollowingRouter(t *testing.T) {
-	rows := slopes(t)
+	rows := requireSlopes(t)
 	rates := []float64{0, 0.25, 0.5, 1, 2}
 	engines := Engines(1200)
-	b := NewBoard(t, engines)
+	b := NewDiscoveryServer(t, engines)
 	var routers []*Process
 	done := make(chan struct{})
 	var ended []chan error
 	for i, aSecond := range rates {
-		c := Config{Name: fmt.Sprint("r", i), Index: i, Routers: 600, Board: b.Addr, Engines: engines, Tenants: 1000, OverWorth: 0.1}
+		c := Config{Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000, OverQuotaWeight: 0.1}
 		own := New(t) // keepers have their folders by name, so that each group needs a folder of its own
 		k := own.Keepers(3, c)
-		c.Own = map[string]any{"keepers": k.Doors(t).Section(filepath.Join(own.Dir, "follower"), 0)}
+		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(own.Dir, "follower"), 0)}
 		p := own.Router(c)
 		p.Ready()
 		change := func(n int) configlog.Change {
@@ -57,7 +57,7 @@
 			}
 		}()
 	}
-	cpu, mb := costs(span, routers...)
+	cpu, mb := measureCosts(measuredSpan, routers...)
 	close(done)
 	for _, over := range ended {
 		if err := <-over; err != nil {
@@ -65,6 +65,6 @@
 		}
 	}
 	const conditions = "a router of 1,200 engines and 1,000 tenants that follows 3 keepers, each change one entry and one call; no clients; 20 s"
-	rows.add("router-cpu-by-configuration-changes", "router", "configuration changes a second", percent, pairs(rates, cpu), conditions)
-	rows.add("router-memory-by-configuration-changes", "router", "configuration changes a second", mega, pairs(rates, mb), conditions)
+	rows.add("router-cpu-by-configuration-changes", "router", "configuration changes a second", cpuPercent, pairs(rates, cpu), conditions)
+	rows.add("router-memory-by-configuration-changes", "router", "configuration changes a second", megabytes, pairs(rates, mb), conditions)
 }
--- a/internal/fleettest/slopes_board_test.go
+++ b/internal/fleettest/slopes_discovery_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// links dials a board as many followers do, and reads what it sends, counted.
-func links(t *testing.T, addr string, n int) *Meter {
+// openWatchers dials a board as many followers do, and reads what it sends, counted.
+func openWatchers(t *testing.T, addr string, n int) *Meter {
 	t.Helper()
 	m := &Meter{}
 	for range n {
-		c, err := net.DialTimeout("tcp", addr, Patience)
+		c, err := net.DialTimeout("tcp", addr, WaitTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 
 // What the board costs by routers and by changes. It is our stand-in that is measured: another board costs what it costs.
 func TestSlopesOfTheBoard(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	const ours = "our stand-in board, in a process of its own, followed by bare links that read; 1,200 engines; 20 s"
 	sizes := []int{60, 150, 300, 600}
 	rates := []float64{0, 1, 10, 30}
@@ -45,10 +45,10 @@
 		var meters []*Meter
 		var x []float64
 		for i := range k.n {
-			b := r.BoardProcess(1200)
+			b := r.DiscoveryProcess(1200)
 			routers, aSecond := k.of(i)
-			meters, all = append(meters, links(t, b.Addr, routers)), append(all, b.Process)
-			if b.Rate(aSecond); k.x == "routers" {
+			meters, all = append(meters, openWatchers(t, b.Addr, routers)), append(all, b.Process)
+			if b.SetChangeRate(aSecond); k.x == "routers" {
 				x = append(x, float64(routers))
 			} else {
 				x = append(x, aSecond)
@@ -56,13 +56,13 @@
 		}
 		from := make([]int64, k.n)
 		for i, m := range meters {
-			from[i] = m.Wire()
+			from[i] = m.WireBytes()
 		}
 		began := time.Now()
-		cpu, mb := costs(span, all...)
+		cpu, mb := measureCosts(measuredSpan, all...)
 		var bytes []float64
 		for _, m := range meters {
-			bytes = append(bytes, float64(m.Wire()))
+			bytes = append(bytes, float64(m.WireBytes()))
 		}
 		for i := range bytes {
 			bytes[i] = (bytes[i] - float64(from[i])) / time.Since(began).Seconds()
@@ -71,9 +71,9 @@
 			"by-routers": "; no changes", "by-routers-at-1-change": "; one change of one engine a second",
 			"by-changes": "; 300 routers, one engine in each change",
 		}[k.suffix]
-		rows.add("board-cpu-"+k.suffix, "board", k.x, percent, pairs(x, cpu), conditions)
-		rows.add("board-memory-"+k.suffix, "board", k.x, mega, pairs(x, mb), conditions)
-		rows.add("board-bytes-"+k.suffix, "board", k.x, rate, pairs(x, bytes), conditions)
+		rows.add("board-cpu-"+k.suffix, "board", k.x, cpuPercent, pairs(x, cpu), conditions)
+		rows.add("board-memory-"+k.suffix, "board", k.x, megabytes, pairs(x, mb), conditions)
+		rows.add("board-bytes-"+k.suffix, "board", k.x, bytesPerSecond, pairs(x, bytes), conditions)
 		for _, p := range all {
 			p.Kill()
 		}
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -13,104 +13,104 @@
 	"windflow/internal/decide/configlog"
 )
 
-// group is five keepers with hollow routers that follow them.
-type group struct {
-	*following
-	wireDoors, wireKeepers int64
+// keeperGroup is five keepers with hollow routers that follow them.
+type keeperGroup struct {
+	*configuredFleet
+	clientBytes, keeperBytes int64
 }
 
-func (g *group) processes() (list []*Process) {
+func (g *keeperGroup) processes() (list []*Process) {
 	for _, m := range g.keepers.Members {
 		list = append(list, m.Process)
 	}
 	return list
 }
 
-func (g *group) mark() {
-	g.wireDoors, g.wireKeepers = g.wire()
+func (g *keeperGroup) startTraffic() {
+	g.clientBytes, g.keeperBytes = g.traffic()
 }
 
-func (g *group) wire() (doors, keepers int64) {
-	for _, d := range g.doors {
-		doors += d.Wire()
+func (g *keeperGroup) traffic() (doors, keepers int64) {
+	for _, d := range g.links {
+		doors += d.WireBytes()
 	}
-	return doors, g.keepers.Wire()
+	return doors, g.keepers.WireBytes()
 }
 
-func newGroup(t *testing.T, routers int) *group {
-	g := &group{following: newFollowing(t, rolloutSize{keepers: 5, hollow: routers, tenants: 4, engines: listed})}
+func newKeeperGroup(t *testing.T, routers int) *keeperGroup {
+	g := &keeperGroup{configuredFleet: newConfiguredFleet(t, scenarioSize{keepers: 5, simulated: routers, tenants: 4, engines: listedEngines})}
 	revision, asked := g.change(0)
 	g.await(revision, asked, everyZone, nil)
 	return g
 }
 
-// measure takes what the busiest keeper, and what the followers and keepers put on the wire, over a span.
-func measure(groups []*group) (cpu, mb, perRouter, perKeeper []float64) {
+// measureGroups takes what the busiest keeper, and what the followers and keepers put on the wire, over a span.
+func measureGroups(groups []*keeperGroup) (cpu, mb, perRouter, perKeeper []float64) {
 	var all []*Process
 	for _, g := range groups {
 		all = append(all, g.processes()...)
-		g.mark()
+		g.startTraffic()
 	}
 	began := time.Now()
-	percent, holds := costs(span, all...)
+	percent, holds := measureCosts(measuredSpan, all...)
 	took := time.Since(began).Seconds()
 	for _, g := range groups {
 		n := len(g.keepers.Members)
 		cpu, mb = append(cpu, slices.Max(percent[:n])), append(mb, slices.Max(holds[:n]))
 		percent, holds = percent[n:], holds[n:]
-		doors, keepers := g.wire()
-		perRouter = append(perRouter, float64(doors-g.wireDoors)/took/float64(g.size.hollow))
-		perKeeper = append(perKeeper, float64(doors-g.wireDoors+2*(keepers-g.wireKeepers))/took/float64(n))
+		doors, keepers := g.traffic()
+		perRouter = append(perRouter, float64(doors-g.clientBytes)/took/float64(g.size.simulated))
+		perKeeper = append(perKeeper, float64(doors-g.clientBytes+2*(keepers-g.keeperBytes))/took/float64(n))
 	}
 	return cpu, mb, perRouter, perKeeper
 }
 
-const ofKeepers = "the busiest of 5 keepers; hollow routers follow them by the long poll, each change one entry; 20 s"
+const keeperConditions = "the busiest of 5 keepers; hollow routers follow them by the long poll, each change one entry; 20 s"
 
 // What a keeper costs by the routers that follow, while nothing changes.
 func TestSlopesOfKeepersByRouters(t *testing.T) {
-	rows := slopes(t)
+	rows := requireSlopes(t)
 	sizes := []int{60, 150, 300, 600}
-	var groups []*group
+	var groups []*keeperGroup
 	for _, n := range sizes {
-		groups = append(groups, newGroup(t, n))
+		groups = append(groups, newKeeperGroup(t, n))
 	}
-	cpu, mb, perRouter, perKeeper := measure(groups)
-	rows.add("keeper-cpu-by-routers", "keeper", "routers", percent, pairs(sizes, cpu), ofKeepers+"; nothing changes")
-	rows.add("keeper-memory-by-routers", "keeper", "routers", mega, pairs(sizes, mb), ofKeepers+"; nothing changes")
-	rows.add("keeper-bytes-by-routers", "keeper", "routers", rate, pairs(sizes, perKeeper),
-		ofKeepers+"; nothing changes; mean of the keepers, links to followers and among keepers")
-	rows.add("follower-bytes-by-routers", "router", "routers", rate, pairs(sizes, perRouter), ofKeepers+"; nothing changes; mean of the routers")
+	cpu, mb, perRouter, perKeeper := measureGroups(groups)
+	rows.add("keeper-cpu-by-routers", "keeper", "routers", cpuPercent, pairs(sizes, cpu), keeperConditions+"; nothing changes")
+	rows.add("keeper-memory-by-routers", "keeper", "routers", megabytes, pairs(sizes, mb), keeperConditions+"; nothing changes")
+	rows.add("keeper-bytes-by-routers", "keeper", "routers", bytesPerSecond, pairs(sizes, perKeeper),
+		keeperConditions+"; nothing changes; mean of the keepers, links to followers and among keepers")
+	rows.add("follower-bytes-by-routers", "router", "routers", bytesPerSecond, pairs(sizes, perRouter), keeperConditions+"; nothing changes; mean of the routers")
 }
 
 // What keepers and followers cost in a burst of changes, by the routers.
 func TestSlopesOfKeepersInABurst(t *testing.T) {
-	rows := slopes(t)
+	rows := requireSlopes(t)
 	sizes := []int{60, 150, 300, 600}
 	var cpu, perRouter, perKeeper []float64
 	for _, n := range sizes { // one after the other: hollow routers in a burst take as much of the machine as real ones
-		g := newGroup(t, n)
-		end := g.pace(burstRate)
-		busiest, _, router, keeper := measure([]*group{g})
+		g := newKeeperGroup(t, n)
+		end := g.startChanges(burstRate)
+		busiest, _, router, keeper := measureGroups([]*keeperGroup{g})
 		end()
 		g.close()
 		cpu, perRouter, perKeeper = append(cpu, busiest...), append(perRouter, router...), append(perKeeper, keeper...)
 	}
-	conditions := fmt.Sprintf("%s; %d changes a second", ofKeepers, burstRate)
-	rows.add("keeper-cpu-by-routers-in-a-burst", "keeper", "routers", percent, pairs(sizes, cpu), conditions)
-	rows.add("keeper-bytes-by-routers-in-a-burst", "keeper", "routers", rate, pairs(sizes, perKeeper),
+	conditions := fmt.Sprintf("%s; %d changes a second", keeperConditions, burstRate)
+	rows.add("keeper-cpu-by-routers-in-a-burst", "keeper", "routers", cpuPercent, pairs(sizes, cpu), conditions)
+	rows.add("keeper-bytes-by-routers-in-a-burst", "keeper", "routers", bytesPerSecond, pairs(sizes, perKeeper),
 		conditions+"; mean of the keepers, links to followers and among keepers")
-	rows.add("follower-bytes-by-routers-in-a-burst", "router", "routers", rate, pairs(sizes, perRouter), conditions+"; mean of the routers")
+	rows.add("follower-bytes-by-routers-in-a-burst", "router", "routers", bytesPerSecond, pairs(sizes, perRouter), conditions+"; mean of the routers")
 }
 
 // How long a change takes until the last router has it in force, by the routers.
 func TestSlopesOfInForce(t *testing.T) {
-	rows := slopes(t)
+	rows := requireSlopes(t)
 	const changes = 40
 	sizes := []int{60, 150, 300, 600}
 	var mean, worst []float64
 	for _, n := range sizes {
-		g := newGroup(t, n)
+		g := newKeeperGroup(t, n)
 		var sum, most time.Duration
 		for i := range changes {
 			took := newTimes()
@@ -127,39 +127,39 @@
 	rows.add("in-force-worst-ms-by-routers", "router", "routers", "ms until the last has it in force, the slowest change", pairs(sizes, worst), conditions)
 }
 
-// linear is how many changes a second a follower takes at most: it leaves 500 ms between two calls that bring some. Its costs
+// maxClientChangeRate is how many changes a second a follower takes at most: it leaves 500 ms between two calls that bring some. Its costs
 // grow up to there, and are level past it.
-const linear = 2
+const maxClientChangeRate = 2
 
 // What a keeper and a follower cost by the changes a second.
 func TestSlopesOfKeepersByChanges(t *testing.T) {
-	rows := slopes(t)
-	rates := []float64{0, 0.5, 1, linear, 20}
-	var groups []*group
+	rows := requireSlopes(t)
+	rates := []float64{0, 0.5, 1, maxClientChangeRate, 20}
+	var groups []*keeperGroup
 	for range rates {
-		groups = append(groups, newGroup(t, 150))
+		groups = append(groups, newKeeperGroup(t, 150))
 	}
 	var ended []func()
 	for i, g := range groups {
-		ended = append(ended, g.pace(rates[i]))
+		ended = append(ended, g.startChanges(rates[i]))
 	}
-	cpu, mb, perRouter, perKeeper := measure(groups)
+	cpu, mb, perRouter, perKeeper := measureGroups(groups)
 	for _, end := range ended {
 		end()
 	}
-	conditions := ofKeepers + "; 150 routers"
-	rows.add("keeper-cpu-by-changes", "keeper", "configuration changes a second", percent, pairs(rates, cpu), conditions)
-	rows.add("keeper-memory-by-changes", "keeper", "configuration changes a second", mega, pairs(rates, mb), conditions)
-	rows.add("keeper-bytes-by-changes", "keeper", "configuration changes a second", rate, pairs(rates, perKeeper),
+	conditions := keeperConditions + "; 150 routers"
+	rows.add("keeper-cpu-by-changes", "keeper", "configuration changes a second", cpuPercent, pairs(rates, cpu), conditions)
+	rows.add("keeper-memory-by-changes", "keeper", "configuration changes a second", megabytes, pairs(rates, mb), conditions)
+	rows.add("keeper-bytes-by-changes", "keeper", "configuration changes a second", bytesPerSecond, pairs(rates, perKeeper),
 		conditions+"; mean of the keepers, links to followers and among keepers")
 	grows := len(rates) - 1
-	rows.add("follower-bytes-by-changes", "router", "configuration changes a second", rate, pairs(rates[:grows], perRouter[:grows]),
-		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, linear, perRouter[grows], rates[grows]))
+	rows.add("follower-bytes-by-changes", "router", "configuration changes a second", bytesPerSecond, pairs(rates[:grows], perRouter[:grows]),
+		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, maxClientChangeRate, perRouter[grows], rates[grows]))
 }
 
-// pace makes changes at an even pace, whether or not those before have been answered, until the function that it gives is
+// startChanges makes changes at an even pace, whether or not those before have been answered, until the function that it gives is
 // called. It fails the test where an answer does not come or the pace was not kept.
-func (f *following) pace(aSecond float64) (end func()) {
+func (f *configuredFleet) startChanges(aSecond float64) (end func()) {
 	if aSecond == 0 {
 		return func() {}
 	}
@@ -178,7 +178,7 @@
 			case <-pace.C:
 			}
 			n++
-			c := f.next()
+			c := f.nextChange()
 			open.Add(1)
 			go func() {
 				defer open.Done()
@@ -200,9 +200,9 @@
 
 // How large a whole configuration is for a follower that has none, and what a keeper holds, by tenants that are put as entries.
 func TestSlopesOfAWholeConfiguration(t *testing.T) {
-	rows := slopes(t)
+	rows := requireSlopes(t)
 	sizes := []int{10, 100, 300, 1000}
-	g := newGroup(t, 6)
+	g := newKeeperGroup(t, 6)
 	var sent, mb []float64
 	put := 0
 	for _, n := range sizes {
@@ -220,7 +220,7 @@
 		}
 		size := 0
 		for size == 0 { // 204 while the name is new
-			a, err := calls.Post("http://"+g.keepers.Members[0].HTTP+"/v1/follow", "application/json", bytes.NewReader(q))
+			a, err := httpClient.Post("http://"+g.keepers.Members[0].HTTP+"/v1/follow", "application/json", bytes.NewReader(q))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -235,5 +235,5 @@
 	}
 	rows.add("whole-configuration-bytes-by-entries", "keeper", "entries", "bytes of a whole configuration", pairs(sizes, sent),
 		"the body that a keeper sends to a follower that has none; tenants as entries beside one other")
-	rows.add("keeper-memory-by-entries", "keeper", "entries", mega, pairs(sizes, mb), "the same; after the changes that put them, 50 tenants in each")
+	rows.add("keeper-memory-by-entries", "keeper", "entries", megabytes, pairs(sizes, mb), "the same; after the changes that put them, 50 tenants in each")
 }
--- a/internal/fleettest/slopes_told_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -12,20 +12,20 @@
 // How long it takes until the last of hundreds of routers has an engine's change: from the board's event to the word of the last
 // hollow router that its module has it.
 func TestSlopesOfTelling(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	const changes = 20
 	sizes := []int{60, 150, 300, 600}
 	engines := Engines(1200)
 	var median, worst []float64
 	for _, n := range sizes {
-		b := NewBoard(t, engines)
-		h := r.Hollows(specs(n, n, engines, 0, func(int) string { return b.Addr }))
-		b.AwaitLinks(t, n)
-		h.AwaitList(b.Change(Toggled(engines, 0)))
+		b := NewDiscoveryServer(t, engines)
+		h := r.SimulatedRouters(simulatedSpecs(n, n, engines, 0, func(int) string { return b.Addr }))
+		b.AwaitConnections(t, n)
+		h.AwaitList(b.Change(ToggledEngine(engines, 0)))
 		var took []float64
 		for i := range changes {
 			from := time.Now()
-			h.AwaitList(b.Change(Toggled(engines, 1+i)))
+			h.AwaitList(b.Change(ToggledEngine(engines, 1+i)))
 			took = append(took, time.Since(from).Seconds()*1000)
 		}
 		slices.Sort(took)
@@ -42,18 +42,18 @@
 
 // What a router takes for a change that names many engines in one frame, as when a zone goes.
 func TestSlopesOfAFrameOfMany(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	const frames = 30
 	told := []int{1, 30, 100, 200, 600}
 	var cost, bytes []float64
 	for _, k := range told {
 		engines := Engines(1200)
-		b := NewBoard(t, engines)
+		b := NewDiscoveryServer(t, engines)
 		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("f", k), Routers: 600, Board: relay.Addr, Tenants: 4}).Process
+		p := r.Router(Config{Name: fmt.Sprint("f", k), Routers: 600, Discovery: relay.Addr, Tenants: 4}).Process
 		p.Ready()
-		p.Await(LineEvent, 1)
-		idle, before := p.Usage(), relay.Wire()
+		p.Await(LineEndpointEvent, 1)
+		idle, before := p.Usage(), relay.WireBytes()
 		pace := time.NewTicker(20 * time.Millisecond)
 		for n := range frames {
 			list := slices.Clone(engines[:k])
@@ -66,12 +66,12 @@
 			b.Change(list...)
 		}
 		pace.Stop()
-		p.Await(LineEvent, 1+frames)
+		p.Await(LineEndpointEvent, 1+frames)
 		cost = append(cost, (p.Usage().CPU-idle.CPU).Seconds()*1000/frames)
-		bytes = append(bytes, float64(relay.Wire()-before)/frames)
+		bytes = append(bytes, float64(relay.WireBytes()-before)/frames)
 		p.Kill()
 	}
 	const conditions = "a router of 1,200 engines without clients; 30 frames, 50 a second; what it takes at rest in that time is in it"
-	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milli+" for one frame", pairs(told, cost), conditions)
+	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milliseconds+" for one frame", pairs(told, cost), conditions)
 	rows.add("router-frame-bytes-by-engines-told", "router", "engines in one frame", "bytes with headers, both directions, for one frame", pairs(told, bytes), conditions)
 }
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -9,29 +9,29 @@
 var engineSizes = []int{30, 120, 300, 1200, 4800}
 
 const (
-	percent = "processor time, percent of one core"
-	milli   = "processor time, ms"
-	mega    = "resident memory, MB of 2^20 bytes"
-	rate    = "bytes a second with headers, both directions"
-	atRest  = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
+	cpuPercent     = "processor time, percent of one core"
+	milliseconds   = "processor time, ms"
+	megabytes      = "resident memory, MB of 2^20 bytes"
+	bytesPerSecond = "bytes a second with headers, both directions"
+	idleConditions = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
 )
 
 // What a router at rest takes, by the engines in its list; what a whole list is on the wire; and what one change of the list
 // costs by the engines in it.
 func TestSlopesOfARouterByEngines(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	var all []*Process
 	var relays []*Relay
-	var boards []*Board
+	var boards []*DiscoveryServer
 	var lists, onWire []float64
 	for _, n := range engineSizes {
-		b := NewBoard(t, Engines(n))
+		b := NewDiscoveryServer(t, Engines(n))
 		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Board: relay.Addr, Tenants: 4}) // it knows no list yet
+		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4}) // it knows no list yet
 		p.Ready()
-		p.Await(LineEvent, 1) // the whole one
+		p.Await(LineEndpointEvent, 1) // the whole one
 		lists = append(lists, float64(relay.Count(Down).Payload))
-		onWire = append(onWire, float64(relay.Wire()))
+		onWire = append(onWire, float64(relay.WireBytes()))
 		all, relays, boards = append(all, p.Process), append(relays, relay), append(boards, b)
 	}
 	rows.add("list-bytes-by-engines", "board", "engines", "bytes of a whole list", pairs(engineSizes, lists),
@@ -40,17 +40,17 @@
 		"as list-bytes-by-engines, with the link's start and headers reckoned")
 	before := make([]int64, len(relays))
 	for i, relay := range relays {
-		before[i] = relay.Wire()
+		before[i] = relay.WireBytes()
 	}
 	from := time.Now()
-	cpu, mb := costs(span, all...)
+	cpu, mb := measureCosts(measuredSpan, all...)
 	var bytes []float64
 	for i, relay := range relays {
-		bytes = append(bytes, float64(relay.Wire()-before[i])/time.Since(from).Seconds())
+		bytes = append(bytes, float64(relay.WireBytes()-before[i])/time.Since(from).Seconds())
 	}
-	rows.add("router-cpu-by-engines", "router", "engines", percent, pairs(engineSizes, cpu), atRest)
-	rows.add("router-memory-by-engines", "router", "engines", mega, pairs(engineSizes, mb), atRest)
-	rows.add("router-bytes-by-engines", "router", "engines", rate, pairs(engineSizes, bytes), atRest+"; its link to the board")
+	rows.add("router-cpu-by-engines", "router", "engines", cpuPercent, pairs(engineSizes, cpu), idleConditions)
+	rows.add("router-memory-by-engines", "router", "engines", megabytes, pairs(engineSizes, mb), idleConditions)
+	rows.add("router-bytes-by-engines", "router", "engines", bytesPerSecond, pairs(engineSizes, bytes), idleConditions+"; its link to the board")
 
 	const changes = 200
 	var cost []float64
@@ -60,53 +60,53 @@
 		pace := time.NewTicker(20 * time.Millisecond)
 		for n := range changes {
 			<-pace.C
-			b.Change(Toggled(engines, n))
+			b.Change(ToggledEngine(engines, n))
 		}
 		pace.Stop()
-		all[i].Await(LineEvent, 1+changes)
+		all[i].Await(LineEndpointEvent, 1+changes)
 		spent := all[i].Usage()
 		rest := time.Duration(cpu[i] / 100 * float64(time.Since(began)))
 		cost = append(cost, (spent.CPU-idle.CPU-rest).Seconds()*1000/changes)
 	}
-	rows.add("router-list-change-cost-by-engines", "router", "engines", milli+" for one change", pairs(engineSizes, cost),
+	rows.add("router-list-change-cost-by-engines", "router", "engines", milliseconds+" for one change", pairs(engineSizes, cost),
 		"200 changes of one engine each, 50 a second, one router after the other; less what it takes at rest")
 }
 
 // What changes of the list cost a router of 1,200 engines.
 func TestSlopesOfARouterByListChanges(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	rates := []float64{0, 1, 3, 10, 30, 100}
 	var all []*Process
 	var relays []*Relay
-	var boards []*BoardProcess
+	var boards []*DiscoveryProcess
 	for i := range rates {
-		b := r.BoardProcess(1200)
+		b := r.DiscoveryProcess(1200)
 		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("c", i), Routers: 600, Board: relay.Addr, Tenants: 4})
+		p := r.Router(Config{Name: fmt.Sprint("c", i), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
-		p.Await(LineEvent, 1)
+		p.Await(LineEndpointEvent, 1)
 		all, relays, boards = append(all, p.Process), append(relays, relay), append(boards, b)
 	}
 	from := make([]int64, len(rates))
 	for i, aSecond := range rates {
-		boards[i].Rate(aSecond)
-		from[i] = relays[i].Wire()
+		boards[i].SetChangeRate(aSecond)
+		from[i] = relays[i].WireBytes()
 	}
 	began := time.Now()
-	cpu, mb := costs(span, all...)
+	cpu, mb := measureCosts(measuredSpan, all...)
 	var bytes []float64
 	for i := range rates {
-		bytes = append(bytes, float64(relays[i].Wire()-from[i])/time.Since(began).Seconds())
+		bytes = append(bytes, float64(relays[i].WireBytes()-from[i])/time.Since(began).Seconds())
 	}
 	conditions := "1,200 engines, one of them in each change; no clients; 20 s"
-	rows.add("router-cpu-by-list-changes", "router", "list changes a second", percent, pairs(rates, cpu), conditions)
-	rows.add("router-memory-by-list-changes", "router", "list changes a second", mega, pairs(rates, mb), conditions)
-	rows.add("router-bytes-by-list-changes", "router", "list changes a second", rate, pairs(rates, bytes), conditions)
+	rows.add("router-cpu-by-list-changes", "router", "list changes a second", cpuPercent, pairs(rates, cpu), conditions)
+	rows.add("router-memory-by-list-changes", "router", "list changes a second", megabytes, pairs(rates, mb), conditions)
+	rows.add("router-bytes-by-list-changes", "router", "list changes a second", bytesPerSecond, pairs(rates, bytes), conditions)
 }
 
 // What a reload costs by tenants and by engines, and what reloads a second take.
 func TestSlopesOfReloads(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	const reloads = 40
 	cost := func(c Config) (ms, mb, whole float64) {
 		t.Helper()
@@ -114,7 +114,7 @@
 		p.Ready()
 		from := p.Usage()
 		for i := range reloads {
-			p.OverWorth = 0.1 + float64(i%2)/10 // a change each time
+			p.OverQuotaWeight = 0.1 + float64(i%2)/10 // a change each time
 			p.Reload()
 			p.Await(LineReloaded, i+1)
 		}
@@ -122,36 +122,36 @@
 		p.Kill()
 		return (to.CPU - from.CPU).Seconds() * 1000 / reloads, to.MB(), float64(len(p.Text()))
 	}
-	b := NewBoard(t, Engines(1))
+	b := NewDiscoveryServer(t, Engines(1))
 	tenants := []int{4, 100, 300, 1000, 4000}
 	var ms, mb, size []float64
 	for _, n := range tenants {
-		took, holds, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Board: b.Addr, Engines: Engines(1200), Tenants: n})
+		took, holds, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: n})
 		ms, mb, size = append(ms, took), append(mb, holds), append(size, text)
 	}
 	conditions := "the whole file read again on SIGHUP, 40 times, each with a change; 1,200 engines in the file; no clients"
-	rows.add("reload-cost-by-tenants", "router", "tenants", milli+" for one reload", pairs(tenants, ms), conditions)
-	rows.add("router-memory-by-tenants", "router", "tenants", mega, pairs(tenants, mb), conditions+"; after the reloads")
+	rows.add("reload-cost-by-tenants", "router", "tenants", milliseconds+" for one reload", pairs(tenants, ms), conditions)
+	rows.add("router-memory-by-tenants", "router", "tenants", megabytes, pairs(tenants, mb), conditions+"; after the reloads")
 	rows.add("configuration-bytes-by-tenants", "router", "tenants", "bytes of a whole configuration", pairs(tenants, size),
 		"the file as the rig writes it, with 1,200 engines")
 	ms = nil
 	for _, n := range engineSizes {
-		took, _, _ := cost(Config{Name: fmt.Sprint("g", n), Routers: 600, Board: b.Addr, Engines: Engines(n), Tenants: 4})
+		took, _, _ := cost(Config{Name: fmt.Sprint("g", n), Routers: 600, Discovery: b.Addr, Engines: Engines(n), Tenants: 4})
 		ms = append(ms, took)
 	}
-	rows.add("reload-cost-by-engines", "router", "engines", milli+" for one reload", pairs(engineSizes, ms),
+	rows.add("reload-cost-by-engines", "router", "engines", milliseconds+" for one reload", pairs(engineSizes, ms),
 		"as reload-cost-by-tenants, with 4 tenants")
 
 	rates := []float64{0.25, 1, 2, 5}
 	var at []float64
 	for i, aSecond := range rates {
-		p := r.Router(Config{Name: fmt.Sprint("r", i), Routers: 600, Board: b.Addr, Engines: Engines(1200), Tenants: 1000})
+		p := r.Router(Config{Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: 1000})
 		p.Ready()
 		from, n := p.Usage(), int(max(8*aSecond, 2))
 		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
 		for k := range n {
 			<-pace.C
-			p.OverWorth = 0.1 + float64(k%2)/10
+			p.OverQuotaWeight = 0.1 + float64(k%2)/10
 			p.Reload()
 			p.Await(LineReloaded, k+1)
 		}
@@ -159,27 +159,27 @@
 		at = append(at, Percent(from, p.Usage()))
 		p.Kill()
 	}
-	rows.add("router-cpu-by-reloads", "router", "configuration changes a second", percent, pairs(rates, at),
+	rows.add("router-cpu-by-reloads", "router", "configuration changes a second", cpuPercent, pairs(rates, at),
 		"each a SIGHUP on a changed file of 1,200 engines and 1,000 tenants; no clients")
 }
 
 // What a restart takes, by engines.
 func TestSlopesOfARestart(t *testing.T) {
-	rows, r := slopes(t), New(t)
+	rows, r := requireSlopes(t), New(t)
 	const times = 5
 	var ready, cpu, bytes []float64
 	for _, n := range engineSizes {
-		b := NewBoard(t, Engines(n))
+		b := NewDiscoveryServer(t, Engines(n))
 		var sumMS, sumCPU, sumBytes float64
 		for k := range times {
 			relay := NewRelay(t, b.Addr)
 			from := time.Now()
-			p := r.Router(Config{Name: fmt.Sprint("s", n, "-", k), Routers: 600, Board: relay.Addr, Tenants: 4})
+			p := r.Router(Config{Name: fmt.Sprint("s", n, "-", k), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 			p.Ready()
 			sumMS += time.Since(from).Seconds() * 1000
-			p.Await(LineEvent, 1)
+			p.Await(LineEndpointEvent, 1)
 			sumCPU += p.Usage().CPU.Seconds() * 1000
-			sumBytes += float64(relay.Wire())
+			sumBytes += float64(relay.WireBytes())
 			p.Kill()
 		}
 		ready, cpu, bytes = append(ready, sumMS/times), append(cpu, sumCPU/times), append(bytes, sumBytes/times)
@@ -187,6 +187,6 @@
 	conditions := "mean of 5 starts of a router whose file names no engines, up to the whole list of the board"
 	rows.add("restart-ready-by-engines", "router", "engines", "ms from the start of the process to its readiness", pairs(engineSizes, ready),
 		conditions+"; wall time on a machine shared with other work")
-	rows.add("restart-cpu-by-engines", "router", "engines", milli+" of a start", pairs(engineSizes, cpu), conditions)
+	rows.add("restart-cpu-by-engines", "router", "engines", milliseconds+" of a start", pairs(engineSizes, cpu), conditions)
 	rows.add("restart-bytes-by-engines", "router", "engines", "bytes of a start with headers, link to the board", pairs(engineSizes, bytes), conditions)
 }
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -13,37 +13,37 @@
 	"windflow/internal/capacity"
 )
 
-// slopesEnv names the folder, under the module's root unless it is absolute, whose slopes.json the tests TestSlopes... write
+// slopesFolderEnv names the folder, under the module's root unless it is absolute, whose slopes.json the tests TestSlopes... write
 // their rows into; without it they are skipped.
-const slopesEnv = "WINDFLOW_SLOPES"
+const slopesFolderEnv = "WINDFLOW_SLOPES"
 
-// span is how long a cost by the second is measured for.
-const span = 20 * time.Second
+// measuredSpan is how long a cost by the second is measured for.
+const measuredSpan = 20 * time.Second
 
-// slopes skips a test that nobody asked for, and gives where its rows go.
-func slopes(t *testing.T) *rows {
+// requireSlopes skips a test that nobody asked for, and gives where its rows go.
+func requireSlopes(t *testing.T) *slopeRows {
 	t.Helper()
-	dir := os.Getenv(slopesEnv)
+	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
-		t.Skipf("%s is not set to the folder for slopes.json: costs are measured by hand", slopesEnv)
+		t.Skipf("%s is not set to the folder for slopes.json: costs are measured by hand", slopesFolderEnv)
 	}
 	if !filepath.IsAbs(dir) {
 		dir = filepath.Join("..", "..", dir)
 	}
-	r := &rows{t: t, path: filepath.Join(dir, "slopes.json"), began: load()}
+	r := &slopeRows{t: t, path: filepath.Join(dir, "slopes.json"), startLoad: loadAverage()}
 	return r
 }
 
-// rows are the slopes that one test measures.
-type rows struct {
-	t     *testing.T
-	path  string
-	began string
-	mu    sync.Mutex
+// slopeRows are the slopes that one test measures.
+type slopeRows struct {
+	t         *testing.T
+	path      string
+	startLoad string
+	mu        sync.Mutex
 }
 
-// load is how busy the machine is: the runnable threads, on average of a minute.
-func load() string {
+// loadAverage is how busy the machine is: the runnable threads, on average of a minute.
+func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return "unknown"
@@ -53,12 +53,12 @@
 }
 
 // add fits a row and puts it in the file at once, in the place of an older one of its name.
-func (r *rows) add(name, of, x, y string, points [][2]float64, conditions string) {
+func (r *slopeRows) add(name, of, x, y string, points [][2]float64, conditions string) {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	conditions = fmt.Sprintf("%s; %d cores, a 1-minute load of %s at the start and %s at the end with other work beside",
-		conditions, runtime.NumCPU(), r.began, load())
+		conditions, runtime.NumCPU(), r.startLoad, loadAverage())
 	row, err := capacity.NewSlope(name, of, x, y, points, conditions, r.t.Name())
 	if err != nil {
 		r.t.Fatal(name, ": ", err)
@@ -82,8 +82,8 @@
 	r.t.Logf("%s: %v + %v x, largest residual %v (%s by %s)\n  %v", name, row.Intercept, row.Slope, row.Residual, y, x, points)
 }
 
-// costs measures what processes take over a span in percent of a core, and what they hold at its end in MB.
-func costs(over time.Duration, processes ...*Process) (percent, mb []float64) {
+// measureCosts measures what processes take over a span in percent of a core, and what they hold at its end in MB.
+func measureCosts(over time.Duration, processes ...*Process) (percent, mb []float64) {
 	from := make([]Usage, len(processes))
 	for i, p := range processes {
 		from[i] = p.Usage()
--- a/internal/fleettest/measure.go
+++ b/internal/fleettest/usage.go
@@ -21,10 +21,10 @@
 // Usage asks the system. The processor time is the process's own clock (clock_getcpuclockid(3)): the same sum that
 // /proc/PID/stat gives as utime and stime, in nanoseconds in place of hundredths of a second.
 func (p *Process) Usage() Usage {
-	p.rig.T.Helper()
+	p.harness.T.Helper()
 	cpu, err := processorTime(p.PID)
 	if err != nil {
-		p.rig.T.Fatalf("%s: %v\n%s", p.Name, err, p.Log())
+		p.harness.T.Fatalf("%s: %v\n%s", p.Name, err, p.Log())
 	}
 	return Usage{CPU: cpu, Resident: resident(p.PID), At: time.Now()}
 }
