--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -15,7 +15,7 @@
 // Meter counts what goes over connections, at their end in the test.
 type Meter struct{ payload, segments, opened atomic.Int64 }
 
-// WireBytes is what went over them so far with headers, reckoned as Relay.Wire does.
+// WireBytes is what went over them so far with headers, computed as Relay.WireBytes does.
 func (m *Meter) WireBytes() int64 {
 	return 7*segmentHeaderBytes*m.opened.Load() + m.payload.Load() + 2*segmentHeaderBytes*m.segments.Load()
 }
@@ -56,13 +56,13 @@
 	return meteredConn{c, l.meter}, nil
 }
 
-// Client is a bare client of the MySQL protocol.
+// Client is a minimal client of the MySQL protocol.
 type Client struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// Dial connects and logs in; what goes over the connection is counted where there is a meter.
+// Dial connects and logs in; meters count what goes over the connection.
 func Dial(addr string, meter ...*Meter) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	if err != nil {
@@ -72,14 +72,14 @@
 		m.opened.Add(1)
 		conn = meteredConn{conn, m}
 	}
-	c := &Client{conn: conn, reader: bufio.NewReaderSize(conn, 512)}
+	client := &Client{conn: conn, reader: bufio.NewReaderSize(conn, 512)}
 	_ = conn.SetDeadline(time.Now().Add(WaitTimeout))
 	login := binary.LittleEndian.AppendUint32(nil, 0x000fa20d)
 	login = append(append(login, 0, 0, 0, 1, 45), make([]byte, 23)...)
 	login = append(login, "app\x00\x00warehouse\x00mysql_native_password\x00"...)
-	if err = c.write(1, login); err == nil {
+	if err = client.write(1, login); err == nil {
 		for range 2 { // the greeting, and OK
-			if _, err = c.packet(); err != nil {
+			if _, err = client.packet(); err != nil {
 				break
 			}
 		}
@@ -88,7 +88,7 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	return c, nil
+	return client, nil
 }
 
 // Close ends the connection.
@@ -109,7 +109,7 @@
 	return body, err
 }
 
-// Ping asks for a sign of life.
+// Ping sends COM_PING and waits for OK.
 func (c *Client) Ping() error {
 	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	if err := c.write(0, []byte{14}); err != nil {
@@ -122,7 +122,7 @@
 	return err
 }
 
-// Query sends a look-up with an id of its own and reads its whole answer. An error answer is an error.
+// Query sends a lookup with an id and reads its complete answer. An error answer is an error.
 func (c *Client) Query(id uint64) error {
 	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	text := fmt.Sprintf("/* method=lookup,rid=%016x,budget=5000 */ SELECT day, count(*) FROM sales_%02d.orders GROUP BY day", id, id%64)
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// StubEngines is stand-ins for engines, each at an address of its own, that serve any statement with one row at once.
+// StubEngines are HTTP engines, each at an address of its own, that serve any statement with one row at once.
 type StubEngines struct {
 	Engines    []Engine
 	Statements atomic.Int64 // statements
@@ -151,23 +151,23 @@
 }
 
 // NewStubEngines starts n engines until the test's end.
-func NewStubEngines(t testing.TB, n int) *StubEngines {
-	t.Helper()
+func NewStubEngines(tb testing.TB, n int) *StubEngines {
+	tb.Helper()
 	f := &StubEngines{Engines: Engines(n)}
 	for i := range f.Engines {
 		lis, err := listen()
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		s := &http.Server{Handler: f}
 		go func() { _ = s.Serve(meteredListener{lis, &f.Meter}) }()
-		t.Cleanup(func() { _ = s.Close() })
+		tb.Cleanup(func() { _ = s.Close() })
 		f.Engines[i].Address = lis.Addr().(*net.TCPAddr).AddrPort()
 	}
 	return f
 }
 
-// ServeHTTP implements http.Handler: a POST brings a statement and is answered with its whole result.
+// ServeHTTP implements http.Handler: a POST brings a statement and is answered with its complete result.
 func (f *StubEngines) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -8,8 +8,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Changes reach a whole fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and regions apart
-// and joined; nobody goes back, all end at the same content, and the keepers say so.
+// Changes reach a whole fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and
+// regions apart and joined; nobody goes back, all end at the same content, and the keepers say so.
 func TestConfigurationReachesTheFleet(t *testing.T) {
 	f := newConfiguredFleet(t, scenarioSizes(t))
 	all := f.size.real + f.size.simulated
@@ -19,15 +19,15 @@
 			t.Errorf("revision %d: %d in force, want %d; %d behind, %d refused", revision, len(v.InForce), want, len(v.Behind), len(v.Rejected))
 		}
 	}
-	first, asked := f.change(0)
-	f.await(first, asked, everyZone, nil)
+	first, proposedAt := f.change(0)
+	f.await(first, proposedAt, everyZone, nil)
 	everywhere(0, first, all)
 
 	took := newTimes()
 	f.measureDuring("one change after the other", func() {
 		for i := range f.size.changes {
-			revision, asked := f.change(i % f.size.keepers)
-			f.await(revision, asked, everyZone, took)
+			revision, proposedAt := f.change(i % f.size.keepers)
+			f.await(revision, proposedAt, everyZone, took)
 		}
 	})
 	f.recordTimes("one change after the other", took)
@@ -63,8 +63,8 @@
 	t.Logf("a zone is back: %d routers, %.0f bytes with headers", took.TotalCount(), f.figures["a zone is back, bytes"])
 
 	f.partitionRegions()
-	revision, asked := f.change(0)
-	f.await(revision, asked, everyZone, nil)
+	revision, proposedAt := f.change(0)
+	f.await(revision, proposedAt, everyZone, nil)
 	everywhere(0, revision, all)
 	f.checkSameContent(revision)
 	if sum := f.simulated.Totals(); sum.Failed > 0 || sum.Served == 0 {
@@ -73,8 +73,8 @@
 	f.writeScale()
 }
 
-// partitionRegions cuts the regions off from each other: the one with the majority goes on changing, the other keeps what it has and
-// changes nothing; joined, all have what the majority made.
+// partitionRegions cuts the regions off from each other: the one with the majority goes on changing, the other keeps
+// what it has and changes nothing; joined, all have what the majority made.
 func (f *configuredFleet) partitionRegions() {
 	t := f.t
 	major := members(f.size.keepers)[:f.size.keepers/2+1]
@@ -90,10 +90,10 @@
 	}
 	took := newTimes()
 	var last uint64
-	var asked time.Time
+	var proposedAt time.Time
 	for range (f.size.changes + 3) / 4 {
-		last, asked = f.change(0)
-		f.await(last, asked, func(zone int) bool { return regionOf(zone) == 0 }, took)
+		last, proposedAt = f.change(0)
+		f.await(last, proposedAt, func(zone int) bool { return regionOf(zone) == 0 }, took)
 	}
 	f.recordTimes("changes in the region with the majority, the other one cut off", took)
 	var done configlog.Result
@@ -105,7 +105,7 @@
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if regionOf(n%len(Zones)) == 1 && s.Last() >= last {
-				t.Errorf("hollow router %d has revision %d of the other region", n, s.Last())
+				t.Errorf("simulated router %d has revision %d of the other region", n, s.Last())
 			}
 		}
 		return ""
@@ -120,7 +120,7 @@
 	f.recordTimes("the region that was cut off, from the joining on", took)
 }
 
-// checkSameContent looks whether all hollow routers have one content.
+// checkSameContent looks whether all simulated routers have one content.
 func (f *configuredFleet) checkSameContent(revision uint64) {
 	hashes := map[string]int{}
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -51,7 +51,7 @@
 
 func regionOf(zone int) int { return zone / len(regions[0]) }
 
-// configuredFleet is a fleet whose routers follow keepers: router i is in zone i mod 6, hollow ones first.
+// configuredFleet is a fleet whose routers follow keepers: router i is in zone i mod 6, simulated ones first.
 type configuredFleet struct {
 	t         *testing.T
 	harness   *Harness
@@ -65,6 +65,7 @@
 }
 
 func newConfiguredFleet(t *testing.T, size scenarioSize) *configuredFleet {
+	t.Helper()
 	r := New(t)
 	engines := Engines(size.engines)
 	b := NewDiscoveryServer(t, engines)
@@ -120,17 +121,17 @@
 }
 
 // change makes the next change, at keeper i.
-func (f *configuredFleet) change(i int) (revision uint64, asked time.Time) {
+func (f *configuredFleet) change(i int) (revision uint64, proposedAt time.Time) {
 	f.t.Helper()
 	return f.keepers.Change(i, f.nextChange())
 }
 
-// await waits until routers of zones have a revision, and records how long after it was asked for each of them had it.
-func (f *configuredFleet) await(revision uint64, asked time.Time, zones func(int) bool, took *hdrhistogram.Histogram) {
+// await waits until routers of zones have a revision, and records how long after the proposal each of them had it.
+func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool, took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	record := func(at time.Time) {
 		if took != nil {
-			if err := took.RecordValue(max(at.Sub(asked).Microseconds(), 1)); err != nil {
+			if err := took.RecordValue(max(at.Sub(proposedAt).Microseconds(), 1)); err != nil {
 				f.t.Error(err)
 			}
 		}
@@ -138,11 +139,11 @@
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if s.regression != "" {
-				f.t.Errorf("hollow router %d went back: %s", n, s.regression)
+				f.t.Errorf("simulated router %d went back: %s", n, s.regression)
 				return ""
 			}
 			if s.Last() < revision && zones(n%len(Zones)) {
-				return fmt.Sprintf("hollow router %d of zone %d is at revision %d, want %d", n, n%len(Zones), s.Last(), revision)
+				return fmt.Sprintf("simulated router %d of zone %d is at revision %d, want %d", n, n%len(Zones), s.Last(), revision)
 			}
 		}
 		for n, s := range state {
@@ -173,7 +174,8 @@
 		f.figures[name+", 99th ms"], f.figures[name+", last ms"], took.TotalCount())
 }
 
-// measureDuring keeps and logs what keepers and real routers took while something was done, and what their links carried.
+// measureDuring keeps and logs what keepers and real routers took while something was done, and what their links
+// carried.
 func (f *configuredFleet) measureDuring(name string, do func()) {
 	f.t.Helper()
 	var all []*Process
@@ -214,14 +216,14 @@
 	f.t.Logf("%s: over %.0f s: %v", name, seconds, most)
 }
 
-// burst makes changes at an even pace at keeper i, whether or not those before have been answered; between is called after the
-// first half. It gives what was asked when.
-func (f *configuredFleet) burst(i, n int, between func()) (asked map[uint64]time.Time, last uint64) {
+// burst makes changes at an even pace at keeper i, whether or not those before have been answered; between is called
+// after the first half. It returns when each revision was proposed.
+func (f *configuredFleet) burst(i, n int, between func()) (proposedAt map[uint64]time.Time, last uint64) {
 	f.t.Helper()
 	type made struct {
-		revision uint64
-		asked    time.Time
-		err      error
+		revision   uint64
+		proposedAt time.Time
+		err        error
 	}
 	all := make(chan made, n)
 	pace := time.NewTicker(time.Second / burstRate)
@@ -233,28 +235,28 @@
 		<-pace.C
 		c := f.nextChange()
 		go func() {
-			revision, asked, err := f.keepers.TryChange(i, c)
-			all <- made{revision, asked, err}
+			revision, proposedAt, err := f.keepers.TryChange(i, c)
+			all <- made{revision, proposedAt, err}
 		}()
 	}
-	asked = map[uint64]time.Time{}
+	proposedAt = map[uint64]time.Time{}
 	for range n {
 		m := <-all
 		if m.err != nil {
 			f.t.Fatal(m.err)
 		}
-		asked[m.revision], last = m.asked, max(last, m.revision)
+		proposedAt[m.revision], last = m.proposedAt, max(last, m.revision)
 	}
-	if len(asked) != n {
-		f.t.Errorf("%d changes with ids of their own got %d revisions", n, len(asked))
+	if len(proposedAt) != n {
+		f.t.Errorf("%d changes with ids of their own got %d revisions", n, len(proposedAt))
 	}
-	return asked, last
+	return proposedAt, last
 }
 
-// recordRate logs how many changes a second were asked for.
-func (f *configuredFleet) recordRate(name string, asked map[uint64]time.Time) {
+// recordRate logs how many changes a second were proposed.
+func (f *configuredFleet) recordRate(name string, proposedAt map[uint64]time.Time) {
 	var first, last time.Time
-	for _, at := range asked {
+	for _, at := range proposedAt {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -262,14 +264,14 @@
 			last = at
 		}
 	}
-	f.figures[name+", changes a second"] = float64(len(asked)-1) / last.Sub(first).Seconds()
-	f.t.Logf("%s: %.1f changes a second were asked for", name, f.figures[name+", changes a second"])
+	f.figures[name+", changes a second"] = float64(len(proposedAt)-1) / last.Sub(first).Seconds()
+	f.t.Logf("%s: %.1f changes a second were proposed", name, f.figures[name+", changes a second"])
 }
 
-func (f *configuredFleet) awaitAll(asked map[uint64]time.Time, last uint64, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) awaitAll(proposedAt map[uint64]time.Time, last uint64, took *hdrhistogram.Histogram) {
 	f.t.Helper()
-	f.await(last, asked[last], everyZone, nil)
-	for revision, at := range asked {
+	f.await(last, proposedAt[last], everyZone, nil)
+	for revision, at := range proposedAt {
 		f.await(revision, at, everyZone, took)
 	}
 }
@@ -294,7 +296,7 @@
 	day := capacity.Scale{
 		Name: "configuration by revision", Routers: f.size.real + f.size.simulated, Engines: f.size.engines,
 		Zones: len(Zones), Figures: map[string]float64{}, Test: "windflow/internal/fleettest " + f.t.Name(),
-		Conditions: fmt.Sprintf("%d keepers, %d real and %d hollow routers, %d changes of one entry, one after the other and at %d a second; "+
+		Conditions: fmt.Sprintf("%d keepers, %d real and %d simulated routers, %d changes of one entry, one after the other and at %d a second; "+
 			"%d tenants; times from the operator's call on; %d cores, a 1-minute load of %s at the end with other work beside",
 			f.size.keepers, f.size.real, f.size.simulated, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), loadAverage()),
 	}
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -16,25 +16,29 @@
 	"windflow/internal/settings"
 )
 
-// Zones and Kinds are those of every fleet of the rig; records of the board point into them.
+// Zones and Kinds are those of every fleet of the harness; records of endpoint events point into them.
 var (
 	Zones = []string{"z0", "z1", "z2", "z3", "z4", "z5"}
 	Kinds = []string{"std"}
 )
 
 const (
-	// heartbeatInterval is how often a board sends a frame to a follower that there is nothing else for.
+	// heartbeatInterval is how often the server sends a frame to a watcher when nothing changes.
 	heartbeatInterval = time.Second
-	// keptFrames is how many events a board keeps for followers that come back; one that is further behind gets the whole
-	// list.
+	// keptFrames is how many events the server keeps for watchers that reconnect; one that is further behind gets the
+	// complete list.
 	keptFrames = 256
-	// ioTimeout is how long a follower may leave a frame unread before the board drops it.
+	// ioTimeout is how long a watcher may leave a frame unread before it is disconnected.
 	ioTimeout = 5 * time.Second
 
-	frameHeartbeat, frameComplete, frameIncremental = 0, 1, 2
+	// heartbeatFrame, completeFrame and incrementalFrame are the kinds of frame.
+	heartbeatFrame, completeFrame, incrementalFrame = 0, 1, 2
+	// frameHeaderSize and frameRecordSize are the sizes of a frame's head behind its length, and of one engine's
+	// record.
+	frameHeaderSize, frameRecordSize = 9, 27
 )
 
-// Engine is one of a stand-in board's list.
+// Engine is an entry of the endpoint list.
 type Engine struct {
 	ID        dispatch.EngineID
 	Address   netip.AddrPort // IPv4
@@ -43,7 +47,7 @@
 	StartedMS uint64 // Unix milliseconds
 }
 
-// Engines gives n engines, dealt over the zones in turn, at addresses where nobody is.
+// Engines returns n engines, spread over the zones in turn, at addresses where nobody listens.
 func Engines(n int) []Engine {
 	list := make([]Engine, n)
 	for i := range list {
@@ -53,33 +57,34 @@
 	return list
 }
 
-// DiscoveryServer is a stand-in for the notice board, written from the frames that our own follower reads (internal/discovery): a length,
-// an event's number, a kind, and records of 27 bytes. It serves hundreds of followers from their last event on.
+// DiscoveryServer is a stand-in for the platform's notice board, written from the frames that package discovery
+// reads: a length, an event's number, a kind, and records of 27 bytes. It serves hundreds of watchers from their last
+// event on.
 type DiscoveryServer struct {
 	Addr string
 
 	listener     net.Listener
 	mu           sync.Mutex
-	changed      chan struct{} // closed and replaced with each event and each link that comes or goes
+	changed      chan struct{} // closed and replaced with each event, and as connections open and close
 	number       uint64
 	list         map[dispatch.EngineID]Engine
 	order        []dispatch.EngineID
-	recentFrames [][]byte // frames of the last events
+	recentFrames [][]byte // of the last events
 	connections  map[net.Conn]bool
 
-	Accepted  atomic.Int64 // links ever
-	SentBytes atomic.Int64 // bytes, without headers
+	Accepted  atomic.Int64 // connections in all
+	SentBytes atomic.Int64 // payload
 }
 
-// NewDiscoveryServer starts a board with a list, which is event 1, and ends it with the test.
-func NewDiscoveryServer(t testing.TB, engines []Engine) *DiscoveryServer {
-	t.Helper()
-	b, err := startDiscoveryServer(engines)
+// NewDiscoveryServer starts a server with a list, which is event 1, and ends it with the test.
+func NewDiscoveryServer(tb testing.TB, engines []Engine) *DiscoveryServer {
+	tb.Helper()
+	server, err := startDiscoveryServer(engines)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(b.Close)
-	return b
+	tb.Cleanup(server.Close)
+	return server
 }
 
 func startDiscoveryServer(engines []Engine) (*DiscoveryServer, error) {
@@ -87,69 +92,69 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &DiscoveryServer{
+	server := &DiscoveryServer{
 		listener: lis, Addr: lis.Addr().String(), changed: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
 		connections: map[net.Conn]bool{},
 	}
-	b.publish(frameComplete, engines)
-	go b.accept()
-	return b, nil
+	server.publish(completeFrame, engines)
+	go server.accept() // ends with Close
+	return server, nil
 }
 
-// Close ends the board and its links.
-func (b *DiscoveryServer) Close() {
-	_ = b.listener.Close()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for c := range b.connections {
+// Close ends the server and its connections.
+func (s *DiscoveryServer) Close() {
+	_ = s.listener.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.connections {
 		_ = c.Close()
 	}
 }
 
-// Change tells of engines in one event, and gives its number.
-func (b *DiscoveryServer) Change(engines ...Engine) uint64 {
-	return b.publish(frameIncremental, engines)
+// Change publishes engines in one event, and returns its number.
+func (s *DiscoveryServer) Change(engines ...Engine) uint64 {
+	return s.publish(incrementalFrame, engines)
 }
 
-// Replace tells of a whole list, and gives the event's number.
-func (b *DiscoveryServer) Replace(engines []Engine) uint64 { return b.publish(frameComplete, engines) }
+// Replace publishes a complete list, and returns the event's number.
+func (s *DiscoveryServer) Replace(engines []Engine) uint64 { return s.publish(completeFrame, engines) }
 
-// LastEvent is that of the last event.
-func (b *DiscoveryServer) LastEvent() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.number
+// LastEvent is the number of the last event.
+func (s *DiscoveryServer) LastEvent() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.number
 }
 
-func (b *DiscoveryServer) publish(kind byte, engines []Engine) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.number++
-	if kind == frameComplete {
-		clear(b.list)
-		b.order = b.order[:0]
+func (s *DiscoveryServer) publish(kind byte, engines []Engine) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.number++
+	if kind == completeFrame {
+		clear(s.list)
+		s.order = s.order[:0]
 	}
 	for _, e := range engines {
-		if _, known := b.list[e.ID]; !known {
-			b.order = append(b.order, e.ID)
+		if _, known := s.list[e.ID]; !known {
+			s.order = append(s.order, e.ID)
 		}
-		b.list[e.ID] = e
+		s.list[e.ID] = e
 	}
-	if b.recentFrames = append(b.recentFrames, encodeFrame(b.number, kind, engines)); len(b.recentFrames) > 2*keptFrames {
-		b.recentFrames = append([][]byte(nil), b.recentFrames[keptFrames:]...)
+	if s.recentFrames = append(s.recentFrames, encodeFrame(s.number, kind, engines)); len(s.recentFrames) > 2*keptFrames {
+		s.recentFrames = append([][]byte(nil), s.recentFrames[keptFrames:]...)
 	}
-	b.notify()
-	return b.number
+	s.notify()
+	return s.number
 }
 
-func (b *DiscoveryServer) notify() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (s *DiscoveryServer) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// encodeFrame is an event as it stands on the wire.
+// encodeFrame returns an event as it stands on the wire.
 func encodeFrame(number uint64, kind byte, engines []Engine) []byte {
-	out := binary.BigEndian.AppendUint32(make([]byte, 0, 13+27*len(engines)), uint32(9+27*len(engines)))
+	out := binary.BigEndian.AppendUint32(nil, uint32(frameHeaderSize+frameRecordSize*len(engines)))
 	out = append(binary.BigEndian.AppendUint64(out, number), kind)
 	for _, e := range engines {
 		ip := e.Address.Addr().As4()
@@ -163,113 +168,115 @@
 	return out
 }
 
-// framesAfter gives the frames that a follower lacks: those of its next events or, where it is new or far behind, the whole list.
-func (b *DiscoveryServer) framesAfter(last uint64) (frames [][]byte, now uint64, news chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	behind := b.number - last
+// framesAfter returns the frames that a watcher lacks: those of its next events or, if it is new or far behind, the
+// complete list.
+func (s *DiscoveryServer) framesAfter(last uint64) (frames [][]byte, now uint64, changed <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	behind := s.number - last
 	switch {
-	case last > b.number || behind == 0:
-	case last == 0 || behind > uint64(len(b.recentFrames)):
-		list := make([]Engine, len(b.order))
-		for i, id := range b.order {
-			list[i] = b.list[id]
+	case last > s.number || behind == 0:
+	case last == 0 || behind > uint64(len(s.recentFrames)):
+		list := make([]Engine, len(s.order))
+		for i, id := range s.order {
+			list[i] = s.list[id]
 		}
-		frames = [][]byte{encodeFrame(b.number, frameComplete, list)}
+		frames = [][]byte{encodeFrame(s.number, completeFrame, list)}
 	default:
-		frames = append(frames, b.recentFrames[len(b.recentFrames)-int(behind):]...)
+		frames = append(frames, s.recentFrames[len(s.recentFrames)-int(behind):]...)
 	}
-	return frames, max(b.number, last), b.changed
+	return frames, max(s.number, last), s.changed
 }
 
-func (b *DiscoveryServer) accept() {
+func (s *DiscoveryServer) accept() {
 	for {
-		c, err := b.listener.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		go b.serve(c)
+		go s.serve(c)
 	}
 }
 
-func (b *DiscoveryServer) serve(c net.Conn) {
-	defer c.Close()
-	var asked [8]byte
-	_ = c.SetReadDeadline(time.Now().Add(ioTimeout))
-	if _, err := io.ReadFull(c, asked[:]); err != nil {
+func (s *DiscoveryServer) serve(conn net.Conn) {
+	defer conn.Close()
+	var request [8]byte
+	_ = conn.SetReadDeadline(time.Now().Add(ioTimeout))
+	if _, err := io.ReadFull(conn, request[:]); err != nil {
 		return
 	}
-	_ = c.SetReadDeadline(time.Time{})
-	b.Accepted.Add(1)
-	b.setConnected(c, true)
-	defer b.setConnected(c, false)
-	gone := make(chan struct{})
-	go func() {
-		defer close(gone)
-		_, _ = io.Copy(io.Discard, c)
+	_ = conn.SetReadDeadline(time.Time{})
+	s.Accepted.Add(1)
+	s.setConnected(conn, true)
+	defer s.setConnected(conn, false)
+	closed := make(chan struct{})
+	go func() { // ends with the connection
+		defer close(closed)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
-	last := binary.BigEndian.Uint64(asked[:])
-	pulse := time.NewTicker(heartbeatInterval)
-	defer pulse.Stop()
+	last := binary.BigEndian.Uint64(request[:])
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		frames, now, news := b.framesAfter(last)
-		for _, f := range frames {
-			if !b.write(c, f) {
+		frames, now, changed := s.framesAfter(last)
+		for _, frame := range frames {
+			if !s.write(conn, frame) {
 				return
 			}
 		}
 		last = now
 		select {
-		case <-news:
-		case <-gone:
+		case <-changed:
+		case <-closed:
 			return
-		case <-pulse.C:
-			if !b.write(c, encodeFrame(last, frameHeartbeat, nil)) {
+		case <-heartbeat.C:
+			if !s.write(conn, encodeFrame(last, heartbeatFrame, nil)) {
 				return
 			}
 		}
 	}
 }
 
-func (b *DiscoveryServer) write(c net.Conn, f []byte) bool {
-	_ = c.SetWriteDeadline(time.Now().Add(ioTimeout))
-	n, err := c.Write(f)
-	b.SentBytes.Add(int64(n))
+func (s *DiscoveryServer) write(conn net.Conn, frame []byte) bool {
+	_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout))
+	n, err := conn.Write(frame)
+	s.SentBytes.Add(int64(n))
 	return err == nil
 }
 
-func (b *DiscoveryServer) setConnected(c net.Conn, up bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if up {
-		b.connections[c] = true
+func (s *DiscoveryServer) setConnected(conn net.Conn, connected bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if connected {
+		s.connections[conn] = true
 	} else {
-		delete(b.connections, c)
+		delete(s.connections, conn)
 	}
-	b.notify()
+	s.notify()
 }
 
-// AwaitConnections waits until as many followers are linked.
-func (b *DiscoveryServer) AwaitConnections(t testing.TB, n int) {
-	t.Helper()
+// AwaitConnections waits until as many watchers are connected.
+func (s *DiscoveryServer) AwaitConnections(tb testing.TB, n int) {
+	tb.Helper()
 	late := time.NewTimer(WaitTimeout)
 	defer late.Stop()
 	for {
-		b.mu.Lock()
-		have, news := len(b.connections), b.changed
-		b.mu.Unlock()
+		s.mu.Lock()
+		have, changed := len(s.connections), s.changed
+		s.mu.Unlock()
 		if have == n {
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-late.C:
-			t.Fatalf("%d followers are linked to the board, want %d within %v", have, n, WaitTimeout)
+			tb.Fatalf("%d watchers are connected, want %d within %v", have, n, WaitTimeout)
 		}
 	}
 }
 
-// KnownEvents is a list as a router's configuration holds it, as event 1; without engines the router knows of no event yet.
+// KnownEvents is an endpoint list as a router's configuration holds it, as event 1; without engines the router knows
+// of no event yet.
 func KnownEvents(engines []Engine) json.RawMessage {
 	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Removed: "left"}
 	type member struct {
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -19,19 +19,19 @@
 	listedEngines    = 120
 )
 
-// simulatedSpecs are hollow routers of a fleet, each with the board that is given for it.
-func simulatedSpecs(n, of int, engines []Engine, rate float64, board func(i int) string) []SimulatedRouterSpec {
+// simulatedSpecs are simulated routers of a fleet, each with the discovery server that is given for it.
+func simulatedSpecs(n, of int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
 	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
-		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: board(i), Engines: engines, Listen: "127.0.0.1:1"}
+		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines, Listen: "127.0.0.1:1"}
 		list[i] = SimulatedRouterSpec{Number: i, Config: c.Text(), StatementsPerSecond: rate, WorkMS: 20}
 	}
 	return list
 }
 
-// A fleet in small: real routers and hollow ones hear of a change of the list, lose the board, hear nothing of what it says
-// meanwhile, and have it all once it is back. It guards the rig, and what each router does about its board.
-func TestFleetFollowsTheBoardThroughACut(t *testing.T) {
+// A small fleet: real and simulated routers receive a change of the endpoint list, lose their connection to discovery,
+// receive nothing meanwhile, and catch up once it is back. It checks the harness, and each router's discovery watcher.
+func TestFleetFollowsDiscoveryThroughADisconnect(t *testing.T) {
 	r := New(t)
 	engines := Engines(listedEngines)
 	b := NewDiscoveryServer(t, engines)
@@ -66,10 +66,10 @@
 	h.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if n%2 == 1 && s.LastEvent < number {
-				return fmt.Sprintf("hollow router %d is at event %d, want %d", n, s.LastEvent, number)
+				return fmt.Sprintf("simulated router %d is at event %d, want %d", n, s.LastEvent, number)
 			}
 			if n%2 == 0 && s.LastEvent >= number {
-				return fmt.Sprintf("hollow router %d heard event %d over a link that is cut", n, s.LastEvent)
+				return fmt.Sprintf("simulated router %d received event %d over a link that is cut", n, s.LastEvent)
 			}
 		}
 		return ""
@@ -83,7 +83,7 @@
 	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-1) || sum.Served == 0 || sum.Failed > 0 {
 		t.Errorf("%+v, want %d engines in all lists and nothing failed", sum, simulatedRouters*(listedEngines-1))
 	}
-	// A whole list takes the place of what they have.
+	// A complete list replaces what they have.
 	number = b.Replace(engines[10:])
 	h.AwaitList(number)
 	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-10) {
@@ -91,32 +91,32 @@
 	}
 }
 
-// A board that falls silent without an end of the link is left, and followed again once it speaks.
-func TestFollowersLeaveASilentBoard(t *testing.T) {
+// Watchers leave a server that falls silent without closing, and follow it again once it answers.
+func TestWatchersLeaveASilentServer(t *testing.T) {
 	r := New(t)
 	engines := Engines(30)
 	b := NewDiscoveryServer(t, engines)
 	relay := NewRelay(t, b.Addr)
 	h := r.SimulatedRouters(simulatedSpecs(8, 8, engines, 0, func(int) string { return relay.Addr }))
 	b.AwaitConnections(t, 8)
-	relay.Blackhole(Down)
+	relay.Blackhole(Downstream)
 	before := b.Accepted.Load()
 	number := b.Change(ToggledEngine(engines, 3))
-	for b.Accepted.Load() < before+8 { // each link that comes or goes is news
+	for b.Accepted.Load() < before+8 { // each connection that opens or closes is a change
 		b.mu.Lock()
-		news := b.changed
+		changed := b.changed
 		b.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(WaitTimeout):
-			t.Fatal("the followers stay on a board that says nothing")
+			t.Fatal("the watchers stay with a silent server")
 		}
 	}
 	relay.Heal()
 	h.AwaitList(number)
 }
 
-// The line of readiness comes when clients are taken, and not before: a client that dials on it is greeted.
+// The readiness line comes when clients are accepted, and not before: a client that dials then is greeted.
 func TestReadinessMeansThatClientsAreTaken(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
@@ -139,7 +139,7 @@
 	}
 }
 
-// A descriptor that can't be one is an error that names the variable.
+// An invalid readiness descriptor is an error that names the variable.
 func TestReadinessOnNoDescriptor(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
@@ -156,7 +156,7 @@
 	}
 }
 
-// The clock that costs are measured by and the system's own sum are the same.
+// The clock that measures costs agrees with the system's own accounting.
 func TestUsageIsTheSystemsSum(t *testing.T) {
 	r := New(t)
 	p := r.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
@@ -180,8 +180,8 @@
 	}
 }
 
-// No program may carry the rig.
-func TestNoProgramLinksTheRig(t *testing.T) {
+// No program links the test harness.
+func TestNoProgramLinksTheHarness(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "windflow/cmd/...").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -19,12 +19,12 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Keepers are processes of the built windflowkeeper, with a link of its own from each to each other one.
+// Keepers are processes of the built windflowkeeper, with a relay of its own from each to each other one.
 type Keepers struct {
 	Members []*Keeper
 
 	harness *Harness
-	links   map[[2]int][]*Relay // from, to: of replication and of calls
+	links   map[[2]int][]*Relay // by members from and to: of replication and of HTTP calls
 }
 
 // Keeper is one of them.
@@ -35,25 +35,25 @@
 	args []string
 }
 
-// Keepers starts n keepers, which check changes against a router's configuration, and waits until all take calls.
+// Keepers starts n keepers, which check changes against a router's configuration, and waits until all are ready.
 func (r *Harness) Keepers(n int, base Config) *Keepers {
 	r.T.Helper()
-	k := &Keepers{harness: r, links: map[[2]int][]*Relay{}}
+	keepers := &Keepers{harness: r, links: map[[2]int][]*Relay{}}
 	file := filepath.Join(r.Dir, "base.json")
 	base.Name, base.Listen = "base", "127.0.0.1:1"
 	if err := os.WriteFile(file, base.Text(), 0o600); err != nil {
 		r.T.Fatal(err)
 	}
 	for i := range n {
-		k.Members = append(k.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTP: FreePort(r.T), Raft: FreePort(r.T)})
+		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTP: FreePort(r.T), Raft: FreePort(r.T)})
 	}
-	for i, m := range k.Members {
+	for i, m := range keepers.Members {
 		var peers []string
-		for j, p := range k.Members {
+		for j, p := range keepers.Members {
 			raft, http := p.Raft, p.HTTP
 			if i != j {
 				links := []*Relay{NewRelay(r.T, raft), NewRelay(r.T, http)}
-				k.links[[2]int{i, j}] = links
+				keepers.links[[2]int{i, j}] = links
 				raft, http = links[0].Addr, links[1].Addr
 			}
 			peers = append(peers, p.ID+"="+raft+"/"+http)
@@ -62,12 +62,12 @@
 			"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTP, "--raft", m.Raft,
 			"--peers", strings.Join(peers, ","), "--base", file,
 		}
-		k.launch(i)
+		keepers.launch(i)
 	}
-	for _, m := range k.Members {
+	for _, m := range keepers.Members {
 		m.Ready()
 	}
-	return k
+	return keepers
 }
 
 func (k *Keepers) launch(i int) {
@@ -78,21 +78,21 @@
 	m.Process = k.harness.Start(m.ID, cmd)
 }
 
-// Restart starts a keeper that has ended, on its folder, and waits until it takes calls.
+// Restart starts a keeper that has ended, on its folder, and waits until it is ready.
 func (k *Keepers) Restart(i int) {
 	k.harness.T.Helper()
 	k.launch(i)
 	k.Members[i].Ready()
 }
 
-// SetPartitioned silences all links between keepers on two sides, or has them speak again.
-func (k *Keepers) SetPartitioned(silent bool, a, b []int) {
+// SetPartitioned blackholes all links between keepers on two sides, or heals them.
+func (k *Keepers) SetPartitioned(partitioned bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
 			for _, l := range append(k.links[[2]int{i, j}], k.links[[2]int{j, i}]...) {
-				if l.Heal(); silent {
-					l.Blackhole(Up)
-					l.Blackhole(Down)
+				if l.Heal(); partitioned {
+					l.Blackhole(Upstream)
+					l.Blackhole(Downstream)
 				}
 			}
 		}
@@ -109,8 +109,8 @@
 	return sum
 }
 
-// errRetryable is an answer that may be another one on the next call: no leader, no majority, nobody there.
-var errRetryable = errors.New("not yet")
+// errRetryable says that the next call may succeed: there is no leader, no majority, or the keeper does not answer.
+var errRetryable = errors.New("retryable")
 
 var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
@@ -147,34 +147,34 @@
 	return json.Unmarshal(text, out)
 }
 
-// Change has a change made by keeper i, and calls again with the same id until it is answered, at another keeper where that
-// one is gone. It gives the revision, and when the first call was made.
-func (k *Keepers) Change(i int, c configlog.Change) (revision uint64, asked time.Time) {
+// Change proposes a change to keeper i, and again with the same id until it is answered, to another keeper if that
+// one does not answer. It returns the revision, and when the first call was made.
+func (k *Keepers) Change(i int, c configlog.Change) (revision uint64, proposedAt time.Time) {
 	k.harness.T.Helper()
-	revision, asked, err := k.TryChange(i, c)
+	revision, proposedAt, err := k.TryChange(i, c)
 	if err != nil {
 		k.harness.T.Fatal(err)
 	}
-	return revision, asked
+	return revision, proposedAt
 }
 
-// TryChange is Change, and may be called from any goroutine.
-func (k *Keepers) TryChange(i int, c configlog.Change) (revision uint64, asked time.Time, err error) {
-	asked = time.Now()
+// TryChange is like Change, but may be called from any goroutine.
+func (k *Keepers) TryChange(i int, c configlog.Change) (revision uint64, proposedAt time.Time, err error) {
+	proposedAt = time.Now()
 	for {
 		var done configlog.Result
 		err := k.Members[i].call(10*time.Second, http.MethodPost, "/v1/changes", c, &done)
 		if err == nil {
-			return done.Revision, asked, nil
+			return done.Revision, proposedAt, nil
 		}
-		if !errors.Is(err, errRetryable) || time.Since(asked) > WaitTimeout {
-			return 0, asked, fmt.Errorf("change %s: %w", c.ID, err)
+		if !errors.Is(err, errRetryable) || time.Since(proposedAt) > WaitTimeout {
+			return 0, proposedAt, fmt.Errorf("change %s: %w", c.ID, err)
 		}
 		i = (i + 1) % len(k.Members)
 	}
 }
 
-// Leader is the keeper that leads by the word of keeper i and its own.
+// Leader returns the index of the leader, by the status of keeper i.
 func (k *Keepers) Leader(i int) int {
 	k.harness.T.Helper()
 	for began := time.Now(); time.Since(began) < WaitTimeout; {
@@ -195,7 +195,7 @@
 	return 0
 }
 
-// AwaitConvergence asks keeper i until it says that a revision is in force everywhere.
+// AwaitConvergence polls keeper i until a revision is in force everywhere.
 func (k *Keepers) AwaitConvergence(i int, revision uint64) configlog.ConvergenceStatus {
 	k.harness.T.Helper()
 	var last error
@@ -209,29 +209,30 @@
 			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind), len(v.Rejected), len(v.Gone), v.Unreached)
 		}
 	}
-	k.harness.T.Fatalf("revision %d is not in force everywhere by the word of %s: %v", revision, k.Members[i].ID, last)
+	k.harness.T.Fatalf("revision %d is not in force everywhere according to %s: %v", revision, k.Members[i].ID, last)
 	return configlog.ConvergenceStatus{}
 }
 
-// Pause has a keeper stand still, and Go go on.
+// Pause stops the process of a keeper until Resume.
 func (m *Keeper) Pause() { m.Signal(syscall.SIGSTOP) }
 
-// Resume: see Stop.
+// Resume ends a Pause.
 func (m *Keeper) Resume() { m.Signal(syscall.SIGCONT) }
 
-// ZoneLinks are a link from one zone to each keeper, which all its routers use.
+// ZoneLinks are the links from one zone to each keeper, which all its routers use.
 type ZoneLinks struct{ Relays []*Relay }
 
-// ZoneLinks makes the links of a zone.
-func (k *Keepers) ZoneLinks(t testing.TB) *ZoneLinks {
+// ZoneLinks creates the links of a zone.
+func (k *Keepers) ZoneLinks(tb testing.TB) *ZoneLinks {
+	tb.Helper()
 	d := &ZoneLinks{}
 	for _, m := range k.Members {
-		d.Relays = append(d.Relays, NewRelay(t, m.HTTP))
+		d.Relays = append(d.Relays, NewRelay(tb, m.HTTP))
 	}
 	return d
 }
 
-// Section is the section of the installation's settings for routers behind these links. Each prefers another keeper.
+// Section is the settings section of router i behind these links. Each router prefers another keeper.
 func (d *ZoneLinks) Section(dir string, i int) map[string]any {
 	var addresses []string
 	for j := range d.Relays {
@@ -248,7 +249,7 @@
 	return sum
 }
 
-// Each does something to the links to some keepers.
+// Each calls a function for the links to some keepers.
 func (d *ZoneLinks) Each(keepers []int, do func(*Relay)) {
 	for _, i := range keepers {
 		do(d.Relays[i])
--- /dev/null
+++ b/internal/fleettest/programs.go
@@ -0,0 +1,81 @@
+package fleettest
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// buildTimeout bounds the build of the programs.
+const buildTimeout = 5 * time.Minute
+
+// programs are the built programs of a test run.
+var programs struct {
+	sync.Mutex
+	folder string
+	err    error
+}
+
+// programsEnv names a folder with the programs of another version, to be measured by hand in place of those of this
+// one.
+const programsEnv = "WINDFLOW_FLEET_PROGRAMS"
+
+// Programs builds the programs as deploy/balancer.toml says, once for a test run, and returns their folder.
+func Programs(tb testing.TB) string {
+	tb.Helper()
+	if other := os.Getenv(programsEnv); other != "" {
+		return other
+	}
+	programs.Lock()
+	defer programs.Unlock()
+	if programs.folder == "" && programs.err == nil {
+		programs.folder, programs.err = build()
+	}
+	if programs.err != nil {
+		tb.Fatal(programs.err)
+	}
+	return programs.folder
+}
+
+func build() (string, error) {
+	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
+	if err != nil {
+		return "", fmt.Errorf("go list -m: %w", err)
+	}
+	dir, err := os.MkdirTemp("", "wfbin")
+	if err != nil {
+		return "", err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), buildTimeout)
+	defer cancel()
+	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", dir+string(filepath.Separator), "./cmd/...")
+	cmd.Dir = strings.TrimSpace(string(root))
+	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
+	if out, err := cmd.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("go build: %w\n%s", err, out)
+	}
+	return dir, nil
+}
+
+// Main runs the tests of a package that uses the harness, from its TestMain. Where a test has started the test binary
+// again for another role, it plays that role instead.
+func Main(m *testing.M) {
+	if role := os.Getenv(roleEnv); role != "" {
+		if err := playRole(role); err != nil {
+			fmt.Fprintln(os.Stderr, "fleettest:", err)
+			os.Exit(1)
+		}
+		os.Exit(0)
+	}
+	code := m.Run()
+	if programs.folder != "" {
+		_ = os.RemoveAll(programs.folder)
+	}
+	os.Exit(code)
+}
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -10,33 +10,33 @@
 // Direction of a relay's bytes.
 type Direction int
 
-// Up is from who dials the relay to its target, Down the other way.
+// Upstream is from the relay's client to its target, Down the other way.
 const (
-	Up Direction = iota
-	Down
+	Upstream Direction = iota
+	Downstream
 )
 
 const (
 	// segmentHeaderBytes are those of a segment: Ethernet 14, IPv4 20, TCP with timestamps 32 bytes.
 	segmentHeaderBytes = 66
-	// maxSegmentPayload is the payload that one segment carries at most, on a path for 1,500 bytes.
+	// maxSegmentPayload is the payload that one segment carries at most, with an MTU of 1,500 bytes.
 	maxSegmentPayload = 1448
 )
 
 // Traffic is what went over a relay in one direction.
 type Traffic struct {
 	Payload  int64 // bytes
-	Segments int64 // segments that carried it, one at least for each piece that was read
+	Segments int64 // that carried it, at least one for each read
 }
 
-// Relay is a link that a test cuts, makes silent or slow, for each direction apart, and that counts bytes.
+// Relay is a link that a test disconnects, blackholes or delays, in each direction, and that counts bytes.
 type Relay struct {
 	Addr string
 
 	target     string
 	listener   net.Listener
 	mu         sync.Mutex
-	changed    chan struct{} // closed and replaced when what it does has changed
+	changed    chan struct{} // closed and replaced when its faults have changed
 	cut        bool
 	blackholed [2]bool
 	delay      [2]time.Duration
@@ -46,22 +46,22 @@
 }
 
 // NewRelay relays to a target until the test's end.
-func NewRelay(t testing.TB, target string) *Relay {
-	t.Helper()
+func NewRelay(tb testing.TB, target string) *Relay {
+	tb.Helper()
 	lis, err := listen()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r := &Relay{Addr: lis.Addr().String(), target: target, listener: lis, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go r.accept()
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		_ = lis.Close()
 		r.Cut()
 	})
 	return r
 }
 
-// Cut resets all connections, and each new one as it comes, until Mend.
+// Cut resets all connections, and each new one as it comes, until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	r.notify()
 }
 
-// Blackhole has nothing pass in a direction; connections stay and new ones come up. Bytes wait until Mend.
+// Blackhole holds back all bytes in a direction until Heal; connections stay and new ones come up.
 func (r *Relay) Blackhole(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +80,7 @@
 	r.notify()
 }
 
-// Delay has each piece wait for that long in a direction.
+// Delay delays each read in a direction.
 func (r *Relay) Delay(d Direction, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	r.notify()
 }
 
-// Heal has everything pass again.
+// Heal ends all faults.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,23 +101,23 @@
 	r.changed = make(chan struct{})
 }
 
-// Count is what went in a direction so far.
+// Count returns what went in a direction so far.
 func (r *Relay) Count(d Direction) Traffic {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count[d]
 }
 
-// Opened is how many connections came up.
+// Opened is how many connections were made.
 func (r *Relay) Opened() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
 }
 
-// WireBytes is what went over the link so far in both directions with headers: those of the segments, and a bare acknowledgement
-// for each piece, and seven segments without payload for the start and end of each connection. It is reckoned, since
-// loopback has no segments of a path's size.
+// WireBytes is what went over the link so far in both directions with headers: those of the segments, a bare
+// acknowledgement for each, and seven segments without payload for the start and end of each connection. It is
+// computed, since loopback has no segments of that size.
 func (r *Relay) WireBytes() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,32 +130,32 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near)
+		go r.carry(client) // ends with the connection
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
+func (r *Relay) carry(client net.Conn) {
 	r.mu.Lock()
 	cut := r.cut
 	r.mu.Unlock()
 	if cut {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", r.target)
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	r.mu.Lock()
 	r.opened++
-	if r.conns[near], r.conns[far] = true, true; r.cut {
-		reset(near)
-		reset(far)
+	if r.conns[client], r.conns[target] = true, true; r.cut {
+		reset(client)
+		reset(target)
 	}
 	r.mu.Unlock()
 	var both sync.WaitGroup
@@ -163,7 +163,7 @@
 	for _, way := range []struct {
 		from, to net.Conn
 		d        Direction
-	}{{near, far, Up}, {far, near, Down}} {
+	}{{client, target, Upstream}, {target, client, Downstream}} {
 		go func() {
 			defer both.Done()
 			r.copyDirection(way.from, way.to, way.d)
@@ -171,18 +171,18 @@
 	}
 	both.Wait()
 	r.mu.Lock()
-	delete(r.conns, near)
-	delete(r.conns, far)
+	delete(r.conns, client)
+	delete(r.conns, target)
 	r.mu.Unlock()
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = target.Close()
 }
 
-// copyDirection carries one direction; its end is passed on as such.
-func (r *Relay) copyDirection(from, to net.Conn, d Direction) {
+// copyDirection copies one direction, and passes its end on.
+func (r *Relay) copyDirection(source, target net.Conn, d Direction) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, err := from.Read(buf)
+		n, err := source.Read(buf)
 		if n > 0 {
 			if !r.awaitPassage(d) {
 				return
@@ -191,13 +191,13 @@
 			r.count[d].Payload += int64(n)
 			r.count[d].Segments += int64((n + maxSegmentPayload - 1) / maxSegmentPayload)
 			r.mu.Unlock()
-			if _, bad := to.Write(buf[:n]); bad != nil {
-				reset(from)
+			if _, bad := target.Write(buf[:n]); bad != nil {
+				reset(source)
 				return
 			}
 		}
 		if err != nil {
-			if c, ok := to.(*net.TCPConn); ok {
+			if c, ok := target.(*net.TCPConn); ok {
 				_ = c.CloseWrite()
 			}
 			return
@@ -205,7 +205,7 @@
 	}
 }
 
-// awaitPassage waits for as long as a direction is silent or slow; false says that the link was cut meanwhile.
+// awaitPassage waits while a direction is blackholed or delayed; false says that the link was cut meanwhile.
 func (r *Relay) awaitPassage(d Direction) bool {
 	var due <-chan time.Time
 	for delayed := false; ; {
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -57,13 +57,13 @@
 	if err := echoText(c, "hello", WaitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if up, down := r.Count(Up), r.Count(Down); up != (Traffic{5, 1}) || down != up {
+	if up, down := r.Count(Upstream), r.Count(Downstream); up != (Traffic{5, 1}) || down != up {
 		t.Errorf("counted %+v up and %+v down", up, down)
 	}
 	if got, want := r.WireBytes(), int64(7*66+2*5+2*2*66); got != want {
 		t.Errorf("%d bytes with headers, want %d", got, want)
 	}
-	for _, d := range []Direction{Up, Down} {
+	for _, d := range []Direction{Upstream, Downstream} {
 		r.Blackhole(d)
 		if err := echoText(c, "a", 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("direction %d is silent, and yet: %v", d, err)
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Config is what differs between the routers of a rig; the rest is the platform's configuration of a plain site.
+// Config is what differs between the routers of a harness; the rest is the platform's configuration of a plain site.
 type Config struct {
 	Name            string
 	Index           int    // of the router in its fleet
@@ -24,11 +24,11 @@
 	Sockets         int    // 0: 1024
 	MemoryMB        int    // 0: 192
 	Tenants         int
-	OverQuotaWeight float64        // over-share-worth; what reloads change
+	OverQuotaWeight float64        // the setting that reloads change
 	Installation    map[string]any // sections of the installation's settings; nil: none
 }
 
-// Text is the configuration as the platform writes it.
+// Text returns the configuration as the platform writes it.
 func (c Config) Text() []byte {
 	type object = map[string]any
 	class := func(name, semantics string, goal, deadline int, stretch, credit, late float64) object {
@@ -82,7 +82,7 @@
 	path string
 }
 
-// The lines of a router's log that the rig waits for.
+// The lines of a router's log that tests wait for.
 const (
 	LineReloaded           = "msg=reloaded"
 	LineReloadRejected     = `msg="reload refused"`
@@ -92,17 +92,17 @@
 )
 
 // Router starts a router, and does not wait until it is ready.
-func (r *Harness) Router(c Config) *Router {
+func (r *Harness) Router(config Config) *Router {
 	r.T.Helper()
-	if c.Listen == "" {
-		c.Listen = FreePort(r.T)
+	if config.Listen == "" {
+		config.Listen = FreePort(r.T)
 	}
-	p := &Router{Config: c, path: filepath.Join(r.Dir, c.Name+".json")}
-	p.write(r.T)
+	process := &Router{Config: config, path: filepath.Join(r.Dir, config.Name+".json")}
+	process.write(r.T)
 	cmd := exec.Command(filepath.Join(Programs(r.T), "windflow"))
-	if c.Installation != nil {
-		text, err := json.Marshal(c.Installation)
-		own := filepath.Join(r.Dir, c.Name+".own.json")
+	if config.Installation != nil {
+		text, err := json.Marshal(config.Installation)
+		own := filepath.Join(r.Dir, config.Name+".own.json")
 		if err == nil {
 			err = os.WriteFile(own, text, 0o600)
 		}
@@ -111,32 +111,32 @@
 		}
 		cmd.Args = append(cmd.Args, "--settings", own)
 	}
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.path)
-	p.Process = r.Start(c.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent, LineDiscoveryConnected)
-	return p
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+process.path)
+	process.Process = r.Start(config.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent, LineDiscoveryConnected)
+	return process
 }
 
-// write puts the configuration where the router reads it, whole at any time.
-func (p *Router) write(t testing.TB) {
-	t.Helper()
+// write replaces the file that the router reads atomically.
+func (p *Router) write(tb testing.TB) {
+	tb.Helper()
 	err := os.WriteFile(p.path+".new", p.Text(), 0o600)
 	if err == nil {
 		err = os.Rename(p.path+".new", p.path)
 	}
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-// Reload writes the configuration as it stands now and has the router read it; it does not wait.
+// Reload writes the configuration as it is now and has the router read it; it does not wait.
 func (p *Router) Reload() {
 	p.harness.T.Helper()
 	p.write(p.harness.T)
 	p.Signal(syscall.SIGHUP)
 }
 
-// AwaitRevision waits until the router has a revision of the configuration or a later one in force, and gives since when, by
-// the line of its log.
+// AwaitRevision waits until the router has a configuration revision or a later one in force, and returns since when,
+// by its log.
 func (p *Router) AwaitRevision(revision uint64) time.Time {
 	p.harness.T.Helper()
 	var since time.Time
@@ -153,20 +153,21 @@
 
 var loopbackIPs atomic.Uint32
 
-// nextLoopbackIP gives an address of loopback that no other listener of this process has, nor one of another process that runs tests.
+// nextLoopbackIP returns a loopback address that no other listener of this process has, nor one of another process that
+// runs tests.
 func nextLoopbackIP() string {
 	n, pid := loopbackIPs.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%180, uint32(pid/180%8)*30+n/250%30, 1+n%250)
 }
 
-// listen listens where nobody else did: routers of tests that run beside this one go on dialling the ports of boards that have
-// ended, and the system gives a port out again.
+// listen listens at an address of its own: routers of tests that run beside this one go on dialling the ports of
+// servers that have ended, and the system assigns a port again.
 func listen() (net.Listener, error) { return net.Listen("tcp", nextLoopbackIP()+":0") }
 
-// FreePort gives an address on loopback for a process to listen at. Each has an IP address of its own, where nobody's own
-// end of a connection is put, so that it stays free until the process is there, and while it is started anew.
-func FreePort(t testing.TB) string {
-	t.Helper()
+// FreePort returns a loopback address for a process to listen at. Each has an IP address of its own, which the system
+// uses for no outgoing connection, so that it stays free until the process listens, and while it is restarted.
+func FreePort(tb testing.TB) string {
+	tb.Helper()
 	for range 1000 {
 		addr := nextLoopbackIP() + ":7500"
 		if lis, err := net.Listen("tcp", addr); err == nil {
@@ -174,6 +175,6 @@
 			return addr
 		}
 	}
-	t.Fatal("no address on loopback is free")
+	tb.Fatal("no address on loopback is free")
 	return ""
 }
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -20,21 +20,21 @@
 	"windflow/internal/settings"
 )
 
-// roleEnv names the part that the test binary plays where it was started by a test.
+// roleEnv names the role that the test binary plays if a test has started it.
 const roleEnv = "WINDFLOW_FLEET_ROLE"
 
 const (
-	roleSimulatedRouters = "hollow"
-	roleDiscovery        = "board"
+	roleSimulatedRouters = "simulated-routers"
+	roleDiscovery        = "discovery"
 )
 
-// playRole plays a part until the standard input ends, which it does with the test.
+// playRole plays a role until the standard input ends, which it does with the test.
 func playRole(role string) error {
 	fd, err := strconv.Atoi(os.Getenv("WINDFLOW_READY_FD"))
 	if err != nil {
 		return fmt.Errorf("WINDFLOW_READY_FD: %w", err)
 	}
-	out := &statusWriter{file: os.NewFile(uintptr(fd), "words")}
+	out := &statusWriter{file: os.NewFile(uintptr(fd), "status")}
 	in := bufio.NewScanner(os.Stdin)
 	in.Buffer(nil, 16<<20)
 	if !in.Scan() {
@@ -46,10 +46,10 @@
 	case roleDiscovery:
 		return runDiscoveryServer(in, out)
 	}
-	return fmt.Errorf("no part is named %q", role)
+	return fmt.Errorf("no role is named %q", role)
 }
 
-// statusWriter writes lines to the test.
+// statusWriter writes lines to the test that started this process.
 type statusWriter struct {
 	mu   sync.Mutex
 	file *os.File
@@ -69,20 +69,20 @@
 	w.writeLine(string(text))
 }
 
-// statusMessage is what a hollow router says.
+// statusMessage is what a process of simulated routers tells its test.
 type statusMessage struct {
 	Router   int     `json:"r"`
-	List     uint64  `json:"list,omitempty"`     // event of the board that it has
-	Revision uint64  `json:"revision,omitempty"` // of the configuration in force, with Hash
+	List     uint64  `json:"list,omitempty"`     // its last endpoint event
+	Revision uint64  `json:"revision,omitempty"` // in force, with Hash
 	Hash     string  `json:"hash,omitempty"`
 	AtNS     int64   `json:"at,omitempty"` // Unix nanoseconds
 	Totals   *Totals `json:"totals,omitempty"`
 }
 
-// Totals are what hollow routers have done so far, and hold.
+// Totals are counts of simulated routers.
 type Totals struct {
 	Taken, Served, Rejected, Failed int64
-	Engines                         int // in the lists, summed
+	Engines                         int // in their endpoint lists, summed
 }
 
 func (t *Totals) add(o Totals) {
@@ -90,17 +90,17 @@
 	t.Engines += o.Engines
 }
 
-// SimulatedRouterSpec is one hollow router.
+// SimulatedRouterSpec describes one simulated router.
 type SimulatedRouterSpec struct {
-	Number              int             `json:"number"` // in what it says
+	Number              int             `json:"number"` // in its status messages
 	Config              json.RawMessage `json:"config"` // the platform's
 	StatementsPerSecond float64         `json:"rate"`   // statements a second
 	WorkMS              float64         `json:"work_ms"`
 	Keepers             json.RawMessage `json:"keepers,omitempty"` // the section of the installation's settings
 }
 
-// simulatedRouter is a router without sockets for clients and engines: its own loop, follower of the board, and core with the
-// module, on statements that it gives itself and engines that serve each after a while.
+// simulatedRouter is a router without sockets for clients and engines: a loop, a discovery watcher and the core with
+// dispatch. It submits statements to itself, which simulated engines serve after a fixed time.
 type simulatedRouter struct {
 	spec       SimulatedRouterSpec
 	config     *settings.Node
@@ -112,45 +112,45 @@
 	ended      chan struct{}
 	out        *statusWriter
 	submitted  uint64
-	stopClient func() // ends the follower of keepers; nil for none
+	stopClient func() // nil without a configuration client
 }
 
 func newSimulatedRouter(spec SimulatedRouterSpec, out *statusWriter) (*simulatedRouter, error) {
-	h := &simulatedRouter{spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}), ended: make(chan struct{})}
+	simulated := &simulatedRouter{spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}), ended: make(chan struct{})}
 	var err error
-	if h.config, err = settings.ParseNode(spec.Config); err != nil {
+	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
 	}
-	decisions, err := h.config.Parsed.Config(h.config.SeedValue)
+	decisions, err := simulated.config.Parsed.Config(simulated.config.SeedValue)
 	if err != nil {
 		return nil, err
 	}
-	known, last, err := settings.ParseKnown(h.config.Known)
+	known, last, err := settings.ParseKnown(simulated.config.Known)
 	if err != nil {
 		return nil, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	if h.core, err = router.New(h.loop, decisions, timedEngines{h}, log); err != nil {
+	if simulated.core, err = router.New(simulated.loop, decisions, timedEngines{simulated}, log); err != nil {
 		return nil, err
 	}
-	if h.net, err = netio.New(h.loop, "", nil, log); err != nil {
+	if simulated.net, err = netio.New(simulated.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	h.core.UpdateEndpoints(known.Events, known.Addrs)
-	h.loop.Post(func() {
-		h.watcher = discovery.Watch(h.loop, h.net, h.config.Board, h.names(), last, h.onUpdate, h.config.SeedValue, log)
+	simulated.core.UpdateEndpoints(known.Events, known.Addrs)
+	simulated.loop.Post(func() {
+		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.Board, simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
 		if spec.StatementsPerSecond > 0 {
-			h.submitNext()
+			simulated.submitNext()
 		}
 	})
 	go func() {
-		defer close(h.ended)
-		h.loop.Run(h.stop)
+		defer close(simulated.ended)
+		simulated.loop.Run(simulated.stop)
 	}()
 	if spec.Keepers != nil {
-		h.stopClient, err = h.startConfigClient()
+		simulated.stopClient, err = simulated.startConfigClient()
 	}
-	return h, err
+	return simulated, err
 }
 
 func (h *simulatedRouter) names() discovery.Names {
@@ -162,7 +162,7 @@
 	h.out.write(statusMessage{Router: h.spec.Number, List: h.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
-// configure puts another configuration in force, as a router's reload does; an error says that nothing changed.
+// configure puts another configuration in force, as a router's reload does. After an error nothing has changed.
 func (h *simulatedRouter) configure(cfg *settings.Node) error {
 	decisions, err := cfg.Parsed.Config(h.config.SeedValue)
 	if err != nil {
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// submitNext gives the router its next statement, and sets the time for the one after it.
+// submitNext submits the next statement, and schedules the one after it.
 func (h *simulatedRouter) submitNext() {
 	h.submitted++
 	_, _ = h.core.Submit(&router.Request{
@@ -200,14 +200,14 @@
 	h.net.Stop()
 }
 
-// discardResponses asks: the core's counters say how a statement ended.
+// discardResponses ignores answers: the core's counters say how a statement ended.
 type discardResponses struct{}
 
 func (discardResponses) Served(*router.Result) {}
 func (discardResponses) Rejected(float64)      {}
 func (discardResponses) Failed(router.Reason)  {}
 
-// timedEngines is all engines in one: each attempt is served after the same time.
+// timedEngines stands for all engines: it serves each attempt after the same time.
 type timedEngines struct{ router *simulatedRouter }
 
 type timedAttempt struct{ timer *router.Timer }
@@ -225,23 +225,24 @@
 func (s timedAttempt) Abandon()           { s.timer.Stop() }
 func (s timedAttempt) CancelUnsent() bool { return false }
 
-// runSimulatedRouters runs the routers of the first line, says "ready", and answers "totals" until its input ends.
-func runSimulatedRouters(in *bufio.Scanner, out *statusWriter) error {
+// runSimulatedRouters runs the routers that the first line describes, writes "ready", and answers "totals" until its
+// input ends.
+func runSimulatedRouters(input *bufio.Scanner, out *statusWriter) error {
 	var specs []SimulatedRouterSpec
-	if err := json.Unmarshal(in.Bytes(), &specs); err != nil {
+	if err := json.Unmarshal(input.Bytes(), &specs); err != nil {
 		return err
 	}
 	var routers []*simulatedRouter
 	for _, s := range specs {
 		h, err := newSimulatedRouter(s, out)
 		if err != nil {
-			return fmt.Errorf("hollow router %d: %w", s.Number, err)
+			return fmt.Errorf("simulated router %d: %w", s.Number, err)
 		}
 		routers = append(routers, h)
 	}
 	out.writeLine("ready")
-	for in.Scan() {
-		switch command := in.Text(); command {
+	for input.Scan() {
+		switch command := input.Text(); command {
 		case "totals":
 			sum := Totals{}
 			for _, h := range routers {
@@ -251,65 +252,65 @@
 			}
 			out.write(statusMessage{Totals: &sum})
 		default:
-			return fmt.Errorf("%q is no command", command)
+			return fmt.Errorf("%q is not a command", command)
 		}
 	}
 	for _, h := range routers {
 		h.close()
 	}
-	return in.Err()
+	return input.Err()
 }
 
-// runDiscoveryServer is a board in a process of its own; the first line is the number of engines. It says where it listens, and
-// obeys "rate N": a change of one engine as often a second.
-func runDiscoveryServer(in *bufio.Scanner, out *statusWriter) error {
-	n, err := strconv.Atoi(in.Text())
+// runDiscoveryServer runs a discovery server in a process of its own; the first line is the number of engines. It
+// writes its address, and obeys "rate N": N changes of one engine a second.
+func runDiscoveryServer(input *bufio.Scanner, out *statusWriter) error {
+	n, err := strconv.Atoi(input.Text())
 	if err != nil {
 		return err
 	}
 	engines := Engines(n)
-	b, err := startDiscoveryServer(engines)
+	server, err := startDiscoveryServer(engines)
 	if err != nil {
 		return err
 	}
-	out.writeLine("ready " + b.Addr)
+	out.writeLine("ready " + server.Addr)
 	rate := make(chan float64)
-	go func() {
-		var due <-chan time.Time
-		var ticker *time.Ticker
-		for i := 0; ; {
-			select {
-			case r, open := <-rate:
-				if ticker != nil {
-					ticker.Stop()
-					due = nil
-				}
-				if !open {
-					return
-				}
-				if r > 0 {
-					ticker = time.NewTicker(time.Duration(float64(time.Second) / r))
-					due = ticker.C
-				}
-			case <-due:
-				i++
-				b.Change(ToggledEngine(engines, i))
-			}
-		}
-	}()
+	go changeAtRate(server, engines, rate) // ends when rate is closed
 	defer close(rate)
-	for in.Scan() {
-		word, figure, _ := strings.Cut(in.Text(), " ")
+	for input.Scan() {
+		command, figure, _ := strings.Cut(input.Text(), " ")
 		r, err := strconv.ParseFloat(figure, 64)
-		if word != "rate" || err != nil {
-			return fmt.Errorf("%q is no command", in.Text())
+		if command != "rate" || err != nil {
+			return fmt.Errorf("%q is not a command", input.Text())
 		}
 		rate <- r
 	}
-	return in.Err()
+	return input.Err()
+}
+
+// changeAtRate publishes changes at the rate that was received last, in changes a second, until the channel is closed.
+func changeAtRate(server *DiscoveryServer, engines []Engine, rates <-chan float64) {
+	ticker := time.NewTicker(time.Hour)
+	ticker.Stop()
+	for i := 0; ; {
+		select {
+		case rate, open := <-rates:
+			ticker.Stop()
+			if !open {
+				return
+			}
+			if rate > 0 {
+				ticker.Reset(time.Duration(float64(time.Second) / rate))
+			}
+		case <-ticker.C:
+			i++
+			server.Change(ToggledEngine(engines, i))
+		}
+	}
 }
 
-// ToggledEngine gives the i-th change of a row that has each engine of a list drain, and serve again the next time round.
+// ToggledEngine returns the i-th change of a series in which each engine of a list drains, and serves again in the next
+// round.
 func ToggledEngine(engines []Engine, i int) Engine {
 	e := engines[i%len(engines)]
 	if i/len(engines)%2 == 0 {
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -12,8 +12,8 @@
 	"windflow/internal/validate"
 )
 
-// startConfigClient has a hollow router follow keepers as a router does: the same client, the same check, and a change of the core and of
-// the follower of the board in the loop. The function that it gives ends it.
+// startConfigClient has a simulated router follow keepers as a router does: with the same client and the same check,
+// and a change of the core and of the discovery watcher in the loop. The returned function ends it.
 func (h *simulatedRouter) startConfigClient() (end func(), err error) {
 	var section configclient.Config
 	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
@@ -35,7 +35,7 @@
 	return client.Stop, nil
 }
 
-// applyInLoop brings a configuration in force, in the loop.
+// applyInLoop puts a configuration in force, in the loop.
 func (h *simulatedRouter) applyInLoop(cfg *settings.Node) error {
 	done := make(chan error, 1)
 	h.loop.Post(func() { done <- h.configure(cfg) })
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// SimulatedRoutersPerProcess is how many hollow routers run in one process.
+// SimulatedRoutersPerProcess is how many simulated routers run in one process.
 const SimulatedRoutersPerProcess = 60
 
-// SimulatedRouters are hollow routers, as the test sees them.
+// SimulatedRouters are simulated routers as their test sees them.
 type SimulatedRouters struct {
 	Processes []*Process
 
 	harness *Harness
 	mu      sync.Mutex
-	changed chan struct{} // closed and replaced with each word
+	changed chan struct{} // closed and replaced with each status message
 	state   map[int]*RouterStatus
 	totals  []Totals
 }
 
-// RouterStatus is what a hollow router said.
+// RouterStatus is the last status of a simulated router.
 type RouterStatus struct {
-	LastEvent uint64 // event of the board
+	LastEvent uint64 // last endpoint event
 	Revisions
 }
 
-// Revisions are those of the configuration that a router said it has in force, in the order in which it said so.
+// Revisions are the configuration revisions that a router has put in force, in that order.
 type Revisions struct {
-	Hash       string // of the last one
+	Hash       string // of the last revision
 	adopted    []adoption
-	regression string // that it went back, if it ever did
+	regression string // says so if the router went back to an earlier one
 }
 
 type adoption struct {
@@ -43,7 +43,7 @@
 	at       time.Time
 }
 
-// Last is the revision in force; 0 for none.
+// Last is the revision in force, 0 for none.
 func (r *Revisions) Last() uint64 {
 	if len(r.adopted) == 0 {
 		return 0
@@ -51,7 +51,7 @@
 	return r.adopted[len(r.adopted)-1].revision
 }
 
-// Since is when a revision or a later one came in force; false if none has.
+// Since is when a revision or a later one was put in force; false if none was.
 func (r *Revisions) Since(revision uint64) (time.Time, bool) {
 	i := sort.Search(len(r.adopted), func(i int) bool { return r.adopted[i].revision >= revision })
 	if i == len(r.adopted) {
@@ -67,16 +67,16 @@
 	r.adopted, r.Hash = append(r.adopted, adoption{revision, at}), hash
 }
 
-// SimulatedRouters starts hollow routers, PerProcess to a process, and waits until they run.
+// SimulatedRouters starts simulated routers, SimulatedRoutersPerProcess to a process, and waits until they run.
 func (r *Harness) SimulatedRouters(specs []SimulatedRouterSpec) *SimulatedRouters {
 	r.T.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		r.T.Fatal(err)
 	}
-	h := &SimulatedRouters{harness: r, changed: make(chan struct{}), state: map[int]*RouterStatus{}}
+	routers := &SimulatedRouters{harness: r, changed: make(chan struct{}), state: map[int]*RouterStatus{}}
 	for _, s := range specs {
-		h.state[s.Number] = &RouterStatus{}
+		routers.state[s.Number] = &RouterStatus{}
 	}
 	for len(specs) > 0 {
 		n := min(SimulatedRoutersPerProcess, len(specs))
@@ -86,16 +86,16 @@
 		}
 		cmd := exec.Command(exe)
 		cmd.Env = append(os.Environ(), roleEnv+"="+roleSimulatedRouters)
-		p := r.Start(fmt.Sprintf("hollow %d to %d", specs[0].Number, specs[n-1].Number), cmd)
+		p := r.Start(fmt.Sprintf("simulated routers %d to %d", specs[0].Number, specs[n-1].Number), cmd)
 		p.WriteLine(string(first))
-		h.Processes = append(h.Processes, p)
+		routers.Processes = append(routers.Processes, p)
 		specs = specs[n:]
 	}
-	for _, p := range h.Processes {
+	for _, p := range routers.Processes {
 		p.Ready()
-		go h.readStatus(p)
+		go routers.readStatus(p)
 	}
-	return h
+	return routers
 }
 
 func (h *SimulatedRouters) readStatus(p *Process) {
@@ -120,21 +120,21 @@
 	}
 }
 
-// Await waits until something holds of the routers' standing. tell is called with it unchanging, and says what is missing;
-// an empty text ends the wait.
-func (h *SimulatedRouters) Await(tell func(map[int]*RouterStatus) string) {
+// Await waits until a condition of the routers' states holds. check is called while they do not change, and returns
+// what is missing; an empty text ends the wait.
+func (h *SimulatedRouters) Await(check func(map[int]*RouterStatus) string) {
 	h.harness.T.Helper()
 	late := time.NewTimer(WaitTimeout)
 	defer late.Stop()
 	for {
 		h.mu.Lock()
-		missing, news := tell(h.state), h.changed
+		missing, changed := check(h.state), h.changed
 		h.mu.Unlock()
 		if missing == "" {
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-late.C:
 			var logs []string
 			for _, p := range h.Processes {
@@ -145,20 +145,20 @@
 	}
 }
 
-// AwaitList waits until all have an event of the board.
+// AwaitList waits until all have an endpoint event.
 func (h *SimulatedRouters) AwaitList(number uint64) {
 	h.harness.T.Helper()
 	h.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if s.LastEvent < number {
-				return fmt.Sprintf("hollow router %d is at event %d, want %d", n, s.LastEvent, number)
+				return fmt.Sprintf("simulated router %d is at event %d, want %d", n, s.LastEvent, number)
 			}
 		}
 		return ""
 	})
 }
 
-// Totals sums what all have done so far.
+// Totals adds up what all have done so far.
 func (h *SimulatedRouters) Totals() (sum Totals) {
 	h.harness.T.Helper()
 	h.mu.Lock()
@@ -180,13 +180,13 @@
 	return sum
 }
 
-// DiscoveryProcess is a stand-in board in a process of its own, whose cost can be measured.
+// DiscoveryProcess is a discovery server in a process of its own, whose cost can be measured.
 type DiscoveryProcess struct {
 	*Process
 	Addr string
 }
 
-// DiscoveryProcess starts a board with a list of n engines.
+// DiscoveryProcess starts a discovery server with a list of n engines.
 func (r *Harness) DiscoveryProcess(n int) *DiscoveryProcess {
 	r.T.Helper()
 	exe, err := os.Executable()
@@ -195,13 +195,13 @@
 	}
 	cmd := exec.Command(exe)
 	cmd.Env = append(os.Environ(), roleEnv+"="+roleDiscovery)
-	p := r.Start("board", cmd)
+	p := r.Start("discovery", cmd)
 	p.WriteLine(fmt.Sprint(n))
 	return &DiscoveryProcess{Process: p, Addr: p.Ready()}
 }
 
-// SetChangeRate has the board change one engine as often a second.
-func (b *DiscoveryProcess) SetChangeRate(aSecond float64) {
+// SetChangeRate has the server change one engine as often a second.
+func (b *DiscoveryProcess) SetChangeRate(perSecond float64) {
 	b.harness.T.Helper()
-	b.WriteLine(fmt.Sprint("rate ", aSecond))
+	b.WriteLine(fmt.Sprint("rate ", perSecond))
 }
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -95,6 +95,37 @@
 	rows.add("router-memory-by-sessions-at-rest", "router", "sessions at rest", megabytes, pairs(sizes, mb), conditions+", the most")
 }
 
+// querySteadily has the sessions send lookups at an even rate for a while, and returns how many were answered. At
+// most one answer in twenty may be an error.
+func (c *sessions) querySteadily(t *testing.T, perSecond float64, span time.Duration) (answered int64) {
+	t.Helper()
+	var served, failed atomic.Int64
+	var running sync.WaitGroup
+	var lastError atomic.Pointer[string]
+	count := len(c.clients)
+	interval := time.Duration(float64(count) / perSecond * float64(time.Second))
+	start := time.Now()
+	for i, client := range c.clients {
+		running.Go(func() {
+			for at := interval * time.Duration(i) / time.Duration(count); at < span; at += interval {
+				<-time.After(time.Until(start.Add(at)))
+				if err := client.Query(c.ids.Add(1)); err != nil {
+					text := err.Error()
+					lastError.Store(&text)
+					failed.Add(1)
+				} else {
+					served.Add(1)
+				}
+			}
+		})
+	}
+	running.Wait()
+	if failed.Load()*20 > served.Load() {
+		t.Fatalf("%d sessions: %d served, %d failed: %s", count, served.Load(), failed.Load(), *lastError.Load())
+	}
+	return served.Load() + failed.Load()
+}
+
 // What statements cost, from few sessions; and what sessions cost of which each asks now and then.
 func TestSlopesOfStatements(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
@@ -107,37 +138,9 @@
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
 		defer c.close()
-		ask := func(over time.Duration) (done int64) {
-			var served, failed atomic.Int64
-			var all sync.WaitGroup
-			var why atomic.Pointer[string]
-			every := time.Duration(float64(sessions) / aSecond * float64(time.Second))
-			began := time.Now()
-			for i, m := range c.clients {
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					for at := every * time.Duration(i) / time.Duration(sessions); at < over; at += every {
-						<-time.After(time.Until(began.Add(at)))
-						if err := m.Query(c.ids.Add(1)); err != nil {
-							text := err.Error()
-							why.Store(&text)
-							failed.Add(1)
-						} else {
-							served.Add(1)
-						}
-					}
-				}()
-			}
-			all.Wait()
-			if failed.Load()*20 > served.Load() {
-				t.Fatalf("%s: %d served, %d failed: %s", name, served.Load(), failed.Load(), *why.Load())
-			}
-			return served.Load() + failed.Load()
-		}
-		ask(4 * time.Second) // connections to engines come up
+		c.querySteadily(t, aSecond, 4*time.Second) // connections to engines come up
 		from, wire := p.Usage(), farm.Meter.WireBytes()+c.meter.WireBytes()
-		n := ask(12 * time.Second)
+		n := c.querySteadily(t, aSecond, 12*time.Second)
 		to := p.Usage()
 		took := to.At.Sub(from.At).Seconds()
 		return float64(n) / took, Percent(from, to), to.MB(), float64(farm.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
--- a/internal/fleettest/slopes_discovery_test.go
+++ b/internal/fleettest/slopes_discovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// openWatchers dials a board as many followers do, and reads what it sends, counted.
+// openWatchers connects to a discovery server as many watchers do, and counts what it sends.
 func openWatchers(t *testing.T, addr string, n int) *Meter {
 	t.Helper()
 	m := &Meter{}
@@ -26,7 +26,8 @@
 	return m
 }
 
-// What the board costs by routers and by changes. It is our stand-in that is measured: another board costs what it costs.
+// What the discovery server of the harness costs by routers and by changes; another implementation may cost something
+// else.
 func TestSlopesOfTheBoard(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const ours = "our stand-in board, in a process of its own, followed by bare links that read; 1,200 engines; 20 s"
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -13,7 +13,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// keeperGroup is five keepers with hollow routers that follow them.
+// keeperGroup is five keepers with simulated routers that follow them.
 type keeperGroup struct {
 	*configuredFleet
 	clientBytes, keeperBytes int64
@@ -38,9 +38,10 @@
 }
 
 func newKeeperGroup(t *testing.T, routers int) *keeperGroup {
+	t.Helper()
 	g := &keeperGroup{configuredFleet: newConfiguredFleet(t, scenarioSize{keepers: 5, simulated: routers, tenants: 4, engines: listedEngines})}
-	revision, asked := g.change(0)
-	g.await(revision, asked, everyZone, nil)
+	revision, proposedAt := g.change(0)
+	g.await(revision, proposedAt, everyZone, nil)
 	return g
 }
 
@@ -65,7 +66,7 @@
 	return cpu, mb, perRouter, perKeeper
 }
 
-const keeperConditions = "the busiest of 5 keepers; hollow routers follow them by the long poll, each change one entry; 20 s"
+const keeperConditions = "the busiest of 5 keepers; simulated routers follow them by the long poll, each change one entry; 20 s"
 
 // What a keeper costs by the routers that follow, while nothing changes.
 func TestSlopesOfKeepersByRouters(t *testing.T) {
@@ -88,7 +89,7 @@
 	rows := requireSlopes(t)
 	sizes := []int{60, 150, 300, 600}
 	var cpu, perRouter, perKeeper []float64
-	for _, n := range sizes { // one after the other: hollow routers in a burst take as much of the machine as real ones
+	for _, n := range sizes { // one after the other: simulated routers in a burst take as much of the machine as real ones
 		g := newKeeperGroup(t, n)
 		end := g.startChanges(burstRate)
 		busiest, _, router, keeper := measureGroups([]*keeperGroup{g})
@@ -114,21 +115,21 @@
 		var sum, most time.Duration
 		for i := range changes {
 			took := newTimes()
-			revision, asked := g.change(i % g.size.keepers)
-			g.await(revision, asked, everyZone, took)
+			revision, proposedAt := g.change(i % g.size.keepers)
+			g.await(revision, proposedAt, everyZone, took)
 			last := time.Duration(took.Max()) * time.Microsecond
 			sum, most = sum+last, max(most, last)
 		}
 		mean, worst = append(mean, (sum/changes).Seconds()*1000), append(worst, most.Seconds()*1000)
 		g.close()
 	}
-	conditions := "5 keepers, hollow routers; 40 changes one after the other, from the operator's call on; wall time on a machine shared with other work"
+	conditions := "5 keepers, simulated routers; 40 changes one after the other, from the operator's call on; wall time on a machine shared with other work"
 	rows.add("in-force-ms-by-routers", "router", "routers", "ms until the last has it in force, mean of the changes", pairs(sizes, mean), conditions)
 	rows.add("in-force-worst-ms-by-routers", "router", "routers", "ms until the last has it in force, the slowest change", pairs(sizes, worst), conditions)
 }
 
-// maxClientChangeRate is how many changes a second a follower takes at most: it leaves 500 ms between two calls that bring some. Its costs
-// grow up to there, and are level past it.
+// maxClientChangeRate is how many changes a second a follower takes at most: it leaves 500 ms between two calls that
+// bring some. Its costs grow up to there, and are level past it.
 const maxClientChangeRate = 2
 
 // What a keeper and a follower cost by the changes a second.
@@ -157,8 +158,8 @@
 		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, maxClientChangeRate, perRouter[grows], rates[grows]))
 }
 
-// startChanges makes changes at an even pace, whether or not those before have been answered, until the function that it gives is
-// called. It fails the test where an answer does not come or the pace was not kept.
+// startChanges makes changes at an even pace, whether or not those before have been answered, until the function that
+// it gives is called. It fails the test where an answer does not come or the pace was not kept.
 func (f *configuredFleet) startChanges(aSecond float64) (end func()) {
 	if aSecond == 0 {
 		return func() {}
@@ -198,7 +199,8 @@
 	}
 }
 
-// How large a whole configuration is for a follower that has none, and what a keeper holds, by tenants that are put as entries.
+// How large a whole configuration is for a follower that has none, and what a keeper holds, by tenants that are put
+// as entries.
 func TestSlopesOfAWholeConfiguration(t *testing.T) {
 	rows := requireSlopes(t)
 	sizes := []int{10, 100, 300, 1000}
@@ -211,8 +213,8 @@
 			for ; put < n && len(c.Put) < 50; put++ {
 				c.Put[fmt.Sprintf("/settings/parties/tenant-%05d", put)] = json.RawMessage(`{"quota-rps":11.5,"share":0.25}`)
 			}
-			revision, asked := g.keepers.Change(0, c)
-			g.await(revision, asked, everyZone, nil)
+			revision, proposedAt := g.keepers.Change(0, c)
+			g.await(revision, proposedAt, everyZone, nil)
 		}
 		q, err := json.Marshal(map[string]any{"report": configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(), "wait_ms": 2000})
 		if err != nil {
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-// How long it takes until the last of hundreds of routers has an engine's change: from the board's event to the word of the last
-// hollow router that its module has it.
+// How long it takes until the last of hundreds of routers has an engine's change: from the board's event to the word
+// of the last simulated router that its module has it.
 func TestSlopesOfTelling(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const changes = 20
@@ -35,7 +35,7 @@
 		}
 		b.Close()
 	}
-	const conditions = "from the board's event to the word of the last hollow router, 60 of them to a process, 1,200 engines, one in each change; wall time on one machine"
+	const conditions = "from the board's event to the word of the last simulated router, 60 of them to a process, 1,200 engines, one in each change; wall time on one machine"
 	rows.add("board-told-ms-by-routers", "board", "routers", "ms, median of 20 changes", pairs(sizes, median), conditions)
 	rows.add("board-told-worst-ms-by-routers", "board", "routers", "ms, the most of 20 changes", pairs(sizes, worst), conditions)
 }
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -13,8 +13,8 @@
 	"windflow/internal/capacity"
 )
 
-// slopesFolderEnv names the folder, under the module's root unless it is absolute, whose slopes.json the tests TestSlopes... write
-// their rows into; without it they are skipped.
+// slopesFolderEnv names the folder, under the module's root unless it is absolute, whose slopes.json the tests
+// TestSlopes... write their rows into; without it they are skipped.
 const slopesFolderEnv = "WINDFLOW_SLOPES"
 
 // measuredSpan is how long a cost by the second is measured for.
--- a/internal/fleettest/usage.go
+++ b/internal/fleettest/usage.go
@@ -11,15 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has taken since its start, and holds.
+// Usage is the processor time that a process has used since its start, and the memory that it holds.
 type Usage struct {
 	CPU      time.Duration // processor time, all threads, user and system
 	Resident int64         // bytes
 	At       time.Time
 }
 
-// Usage asks the system. The processor time is the process's own clock (clock_getcpuclockid(3)): the same sum that
-// /proc/PID/stat gives as utime and stime, in nanoseconds in place of hundredths of a second.
+// Usage reads a process's usage from the system. The processor time is the process's own clock
+// (clock_getcpuclockid(3)): the same sum that /proc/PID/stat gives as utime and stime, in nanoseconds in place of
+// hundredths of a second.
 func (p *Process) Usage() Usage {
 	p.harness.T.Helper()
 	cpu, err := processorTime(p.PID)
@@ -73,7 +74,7 @@
 	return 0
 }
 
-// Percent is the processor time that a process took between two looks, in percent of one core.
+// Percent is the processor time that a process used between two readings, in percent of one core.
 func Percent(from, to Usage) float64 {
 	return 100 * (to.CPU - from.CPU).Seconds() / to.At.Sub(from.At).Seconds()
 }
