--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -21,45 +21,45 @@
 // recordSegments writes the golden segments with this program.
 func recordSegments(t *testing.T) {
 	dir := write(t)
-	cfg := record.Defaults
+	cfg := record.DefaultConfig
 	cfg.Dir = dir
 	at := zero
-	w := record.Start(cfg, record.Header{
-		Router: "n2", Place: 1, Process: "p2", Program: "windflow 1.2",
-		Classes: []record.Class{{Name: "lookup", Worth: 1, LateWorth: 0.25, AimMS: 300}},
+	w := record.StartWriter(cfg, record.Header{
+		Router: "n2", Incarnation: 1, ProcessID: "p2", Program: "windflow 1.2",
+		Classes: []record.Class{{Name: "lookup", PriorityWeight: 1, LateWeightShare: 0.25, ObjectiveMS: 300}},
 	}, func() float64 { return at }, func(err error) { t.Error(err) })
 	for _, r := range fullRecords() {
 		w.Put(r)
 	}
-	w.Stop()
+	w.Close()
 	goldentest.Write(t, goldenSegments, goldentest.Pack(t, dir))
 }
 
 // fullRecords are one of each kind, all fields set.
 func fullRecords() []record.Record {
-	row := record.Row{
-		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Again: 1, InAim: 40, Late: 3, Refused: 4, Failed: 2, Left: 5,
-		WorkMS: 812.5, P50: 11.5, P99: 93.25,
+	row := record.ClassStats{
+		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2, Cancelled: 5,
+		EstimateMS: 812.5, P50MS: 11.5, P99MS: 93.25,
 	}
-	engine := record.EngineRow{
-		ID: "s-00000001", Sent: 50, Served: 43, Full: 2, Errored: 1, Broken: 3, Silent: 4, Running: 7,
-		Threads: 2.5, P50: 10.5, P99: 88.75,
+	engine := record.EngineStats{
+		EngineID: "s-00000001", Sent: 50, Served: 43, Rejected: 2, Errored: 1, ConnectionFailed: 3, TimedOut: 4, InFlight: 7,
+		BusyThreads: 2.5, P50MS: 10.5, P99MS: 88.75,
 	}
 	return []record.Record{
-		&record.Engine{
-			At: zero + 1, ID: "s-00000001", State: record.Down, Was: record.Slow, Slow: 3.5, Fail: 0.125, Lost: 6,
-			WarmAt: zero + 9000, Zone: "z1", Kind: "large", Event: 77,
+		&record.EngineChange{
+			AtMS: zero + 1, EngineID: "s-00000001", State: record.Down, Previous: record.Slow, Slowness: 3.5, FailureRate: 0.125, ConnectionFailures: 6,
+			WarmUpEndMS: zero + 9000, Zone: "z1", Kind: "large", LastEvent: 77,
 		},
-		&record.Second{
-			At: zero + 1000, ForMS: 1000, Rows: []record.Row{row}, Engines: []record.EngineRow{engine}, Open: 9, Held: 2,
-			Jam: 0.5, Conns: 31, Session: 12, Turned: 3, Spoilt: 4, Event: 78, BoardMS: 250.5,
+		&record.Interval{
+			AtMS: zero + 1000, DurationMS: 1000, Classes: []record.ClassStats{row}, Engines: []record.EngineStats{engine}, OpenRequests: 9, QueuedRequests: 2,
+			Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3, InvalidResponses: 4, LastEvent: 78, DiscoveryAgeMS: 250.5,
 		},
-		&record.Answer{
-			At: zero + 1001, ID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Refused: true,
-			Reason: "no room", Engine: "s-00000001", AfterMS: 41.5,
+		&record.RequestFailure{
+			AtMS: zero + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
+			Reason: "no room", EngineID: "s-00000001", AfterMS: 41.5,
 		},
-		&record.Event{At: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"}},
-		&record.Gap{At: zero + 1003, From: zero + 900, Records: 21},
+		&record.Event{AtMS: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"}},
+		&record.Gap{AtMS: zero + 1003, FromMS: zero + 900, Dropped: 21},
 	}
 }
 
@@ -95,7 +95,7 @@
 // What is told of a segment that is cut off, one that is damaged and one that is none is what was told before.
 func TestGoldenRecordsDamaged(t *testing.T) {
 	dir := goldentest.Unpack(t, goldentest.Read(t, goldenSegments))
-	files, err := record.Files(dir)
+	files, err := record.SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -13,37 +13,37 @@
 func recordSamples() []record.Record {
 	return []record.Record{
 		&record.Header{
-			Version: 1, Router: "n0", Place: 2, Process: "p-3", Program: "windflow v4", Segment: 5, ClockMS: 6.5,
-			WallMS: 7.5, Classes: []record.Class{{Name: "lookup", Worth: 8.5, LateWorth: 0.25, AimMS: 9.5}},
+			Version: 1, Router: "n0", Incarnation: 2, ProcessID: "p-3", Program: "windflow v4", SegmentNumber: 5, ClockMS: 6.5,
+			WallMS: 7.5, Classes: []record.Class{{Name: "lookup", PriorityWeight: 8.5, LateWeightShare: 0.25, ObjectiveMS: 9.5}},
 		},
-		&record.Engine{
-			At: 11.5, ID: "s-00000001", State: record.Cordoned, Was: record.Slow, Slow: 12.5, Fail: 0.5, Lost: 13,
-			WarmAt: 14.5, Zone: "a", Kind: "arrow", Event: 15,
+		&record.EngineChange{
+			AtMS: 11.5, EngineID: "s-00000001", State: record.Cordoned, Previous: record.Slow, Slowness: 12.5, FailureRate: 0.5, ConnectionFailures: 13,
+			WarmUpEndMS: 14.5, Zone: "a", Kind: "arrow", LastEvent: 15,
 		},
-		&record.Second{
-			At: 21.5, ForMS: 1000.5, Rows: []record.Row{sampleRow()}, Engines: []record.EngineRow{sampleEngineRow()},
-			Open: 22, Held: 23, Jam: 0.75, Conns: 24, Session: 25, Turned: 26, Spoilt: 27, Event: 28, BoardMS: 29.5,
+		&record.Interval{
+			AtMS: 21.5, DurationMS: 1000.5, Classes: []record.ClassStats{sampleRow()}, Engines: []record.EngineStats{sampleEngineRow()},
+			OpenRequests: 22, QueuedRequests: 23, Congestion: 0.75, EngineConnections: 24, ClientSessions: 25, RejectedSessions: 26, InvalidResponses: 27, LastEvent: 28, DiscoveryAgeMS: 29.5,
 		},
-		&record.Answer{
-			At: 31.5, ID: "000000000000000b", Class: "load", Tenant: "a-17", Refused: true, Reason: "no room",
-			Engine: "s-00000002", AfterMS: 32.5,
+		&record.RequestFailure{
+			AtMS: 31.5, RequestID: "000000000000000b", Class: "load", Tenant: "a-17", Rejected: true, Reason: "no room",
+			EngineID: "s-00000002", AfterMS: 32.5,
 		},
-		&record.Event{At: 41.5, Name: "takeover", Fields: map[string]string{"phase": "serving", "elder": "2"}},
-		&record.Gap{At: 51.5, From: 52.5, Records: 53},
+		&record.Event{AtMS: 41.5, Name: "takeover", Fields: map[string]string{"phase": "serving", "elder": "2"}},
+		&record.Gap{AtMS: 51.5, FromMS: 52.5, Dropped: 53},
 	}
 }
 
-func sampleRow() record.Row {
-	return record.Row{
-		Class: "lookup", Tenant: "a-17", Arrived: 61, Again: 62, InAim: 63, Late: 64, Refused: 65, Failed: 66,
-		Left: 67, WorkMS: 68.5, P50: 69.5, P99: 70.5,
+func sampleRow() record.ClassStats {
+	return record.ClassStats{
+		Class: "lookup", Tenant: "a-17", Arrived: 61, Retries: 62, OnTime: 63, Late: 64, Rejected: 65, Failed: 66,
+		Cancelled: 67, EstimateMS: 68.5, P50MS: 69.5, P99MS: 70.5,
 	}
 }
 
-func sampleEngineRow() record.EngineRow {
-	return record.EngineRow{
-		ID: "s-00000001", Sent: 71, Served: 72, Full: 73, Errored: 74, Broken: 75, Silent: 76, Running: 77,
-		Threads: 78.5, P50: 79.5, P99: 80.5,
+func sampleEngineRow() record.EngineStats {
+	return record.EngineStats{
+		EngineID: "s-00000001", Sent: 71, Served: 72, Rejected: 73, Errored: 74, ConnectionFailed: 75, TimedOut: 76, InFlight: 77,
+		BusyThreads: 78.5, P50MS: 79.5, P99MS: 80.5,
 	}
 }
 
--- a/cmd/windflowctl/incident.go
+++ b/cmd/windflowctl/incident.go
@@ -20,12 +20,12 @@
 			"whom, what states engines were in then, and what is missing. Times are on the first router's clock.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			files, err := record.Files(paths...)
+			files, err := record.SegmentFiles(paths...)
 			if err != nil {
 				return err
 			}
 			j := incident.NewJoiner()
-			read, err := record.Read(files, func(h *record.Header, r record.Record) error { j.Add(h, r); return nil })
+			read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error { j.Add(h, r); return nil })
 			if err != nil {
 				return err
 			}
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -18,32 +18,32 @@
 	t.Helper()
 	dir := t.TempDir()
 	for i, offset := range []float64{0, 250} {
-		cfg := record.Defaults
+		cfg := record.DefaultConfig
 		cfg.Dir = dir
 		at := zero
-		w := record.Start(cfg, record.Header{
-			Router: "n" + string(rune('0'+i)) + "\x1b[31m", Place: 2, Process: "p" + string(rune('0'+i)),
-			Classes: []record.Class{{Name: "lookup", Worth: 1}},
+		w := record.StartWriter(cfg, record.Header{
+			Router: "n" + string(rune('0'+i)) + "\x1b[31m", Incarnation: 2, ProcessID: "p" + string(rune('0'+i)),
+			Classes: []record.Class{{Name: "lookup", PriorityWeight: 1}},
 		}, func() float64 { return at }, func(err error) { t.Error(err) })
 		on := func(ms float64) float64 { return zero + ms + offset }
-		w.Put(&record.Engine{At: on(0), ID: "s-00000001", State: record.Normal})
+		w.Put(&record.EngineChange{AtMS: on(0), EngineID: "s-00000001", State: record.Normal})
 		for s := range 120 {
-			row := record.Row{Class: "lookup", Tenant: "rckik-south", Arrived: 50, InAim: 50}
+			row := record.ClassStats{Class: "lookup", Tenant: "rckik-south", Arrived: 50, OnTime: 50}
 			if s >= 60 && s < 70 {
-				row.InAim, row.Failed = 20, 30
+				row.OnTime, row.Failed = 20, 30
 			}
 			if s == 60 {
-				w.Put(&record.Engine{At: on(60_000), ID: "s-00000001", State: record.Down, Was: record.Normal, Lost: 6})
+				w.Put(&record.EngineChange{AtMS: on(60_000), EngineID: "s-00000001", State: record.Down, Previous: record.Normal, ConnectionFailures: 6})
 			}
 			if s == 70 {
-				w.Put(&record.Engine{At: on(70_000), ID: "s-00000001", State: record.Normal, Was: record.Down})
+				w.Put(&record.EngineChange{AtMS: on(70_000), EngineID: "s-00000001", State: record.Normal, Previous: record.Down})
 			}
 			if s%20 == 5 {
-				w.Put(&record.Engine{At: on(float64(1000 * s)), ID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone})
+				w.Put(&record.EngineChange{AtMS: on(float64(1000 * s)), EngineID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone})
 			}
-			w.Put(&record.Second{At: on(float64(1000 * s)), ForMS: 1000, Rows: []record.Row{row}})
+			w.Put(&record.Interval{AtMS: on(float64(1000 * s)), DurationMS: 1000, Classes: []record.ClassStats{row}})
 		}
-		w.Stop()
+		w.Close()
 	}
 	return dir
 }
@@ -91,7 +91,7 @@
 		t.Error(out, err)
 	}
 	// A damaged file is told of and fails the check; a cut one does not.
-	files, _ := record.Files(dir)
+	files, _ := record.SegmentFiles(dir)
 	text, _ := os.ReadFile(files[0])
 	if err := os.WriteFile(files[0], text[:len(text)-3], 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/windflowctl/records.go
+++ b/cmd/windflowctl/records.go
@@ -34,9 +34,9 @@
 
 var kindNames = map[string]func(record.Record) bool{
 	"header": func(r record.Record) bool { _, ok := r.(*record.Header); return ok },
-	"engine": func(r record.Record) bool { _, ok := r.(*record.Engine); return ok },
-	"second": func(r record.Record) bool { _, ok := r.(*record.Second); return ok },
-	"answer": func(r record.Record) bool { _, ok := r.(*record.Answer); return ok },
+	"engine": func(r record.Record) bool { _, ok := r.(*record.EngineChange); return ok },
+	"second": func(r record.Record) bool { _, ok := r.(*record.Interval); return ok },
+	"answer": func(r record.Record) bool { _, ok := r.(*record.RequestFailure); return ok },
 	"event":  func(r record.Record) bool { _, ok := r.(*record.Event); return ok },
 	"gap":    func(r record.Record) bool { _, ok := r.(*record.Gap); return ok },
 }
@@ -67,7 +67,7 @@
 					return fmt.Errorf("--kind: %q is none of header, engine, second, answer, event, gap", k)
 				}
 			}
-			files, err := record.Files(paths...)
+			files, err := record.SegmentFiles(paths...)
 			if err != nil {
 				return err
 			}
@@ -85,11 +85,11 @@
 						return nil
 					}
 				}
-				return enc.Encode(line{kind, h.Router, h.Place, h.Process, stamp(record.When(r)), r})
+				return enc.Encode(line{kind, h.Router, h.Incarnation, h.ProcessID, stamp(record.When(r)), r})
 			}
 			last := ""
-			read, err := record.Read(files, func(h *record.Header, r record.Record) error {
-				if key := h.Process + "/" + strconv.FormatUint(h.Segment, 10); key != last {
+			read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error {
+				if key := h.ProcessID + "/" + strconv.FormatUint(h.SegmentNumber, 10); key != last {
 					last = key
 					if err := print(h, h); err != nil {
 						return err
@@ -106,7 +106,7 @@
 }
 
 // complain tells of what could not be read, and gives the number of files that it tells of.
-func complain(c *cobra.Command, read []record.File) (n int) {
+func complain(c *cobra.Command, read []record.SegmentResult) (n int) {
 	for _, f := range read {
 		if f.Err != nil {
 			fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", f.Path, f.Err)
@@ -130,14 +130,14 @@
 			"of and does not count as damaged. The exit status is 1 where something can't be read.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			files, err := record.Files(paths...)
+			files, err := record.SegmentFiles(paths...)
 			if err != nil {
 				return err
 			}
 			dropped := map[string]int{}
-			read, err := record.Read(files, func(h *record.Header, r record.Record) error {
+			read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error {
 				if g, ok := r.(*record.Gap); ok {
-					dropped[h.Process] += g.Records
+					dropped[h.ProcessID] += g.Dropped
 				}
 				return nil
 			})
@@ -152,19 +152,19 @@
 				case f.Err != nil:
 					what = f.Err.Error()
 					bad++
-				case len(f.Damage) == 1 && f.Damage[0].Cut:
+				case len(f.Damage) == 1 && f.Damage[0].Truncated:
 					what = f.Damage[0].String()
 				case len(f.Damage) > 0:
 					what = f.Damage[0].String()
 					bad++
 				}
 				h := f.Header
-				if want, known := next[h.Process]; f.Err == nil && h.Segment != want && (known || h.Segment > 0) {
-					what += fmt.Sprintf("; segments %d to %d of this process are not here", want, h.Segment-1)
+				if want, known := next[h.ProcessID]; f.Err == nil && h.SegmentNumber != want && (known || h.SegmentNumber > 0) {
+					what += fmt.Sprintf("; segments %d to %d of this process are not here", want, h.SegmentNumber-1)
 				}
-				next[h.Process] = h.Segment + 1
-				fmt.Fprintf(c.OutOrStdout(), "%s: router %q, place %d, process %s, segment %d, %d records: %s\n", f.Path, h.Router, h.Place,
-					h.Process, h.Segment, f.Records, what)
+				next[h.ProcessID] = h.SegmentNumber + 1
+				fmt.Fprintf(c.OutOrStdout(), "%s: router %q, place %d, process %s, segment %d, %d records: %s\n", f.Path, h.Router, h.Incarnation,
+					h.ProcessID, h.SegmentNumber, f.Records, what)
 			}
 			for process, n := range dropped {
 				fmt.Fprintf(c.OutOrStdout(), "process %s dropped %d records\n", process, n)
@@ -207,14 +207,14 @@
 			if dir == "" {
 				return fmt.Errorf("-o: no folder is named")
 			}
-			files, err := record.Files(paths...)
+			files, err := record.SegmentFiles(paths...)
 			if err != nil {
 				return err
 			}
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				return err
 			}
-			n, err := record.Cut(files, dir, start, end)
+			n, err := record.Extract(files, dir, start, end)
 			if err != nil {
 				return err
 			}
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -23,7 +23,7 @@
 	text := p.said("opened")
 	p.handler.Data(neighbourOpen, 0)
 	text += p.said("heard open")
-	p.handler.Data(message(typeKeepalive, nil), 0)
+	p.handler.Data(encodeMessage(typeKeepalive, nil), 0)
 	text += p.said("established")
 	p.speaker.Announce()
 	text += p.said("announced")
@@ -31,7 +31,7 @@
 	text += p.said("waited for a keepalive")
 	p.speaker.Withdraw()
 	text += p.said("withdrawn")
-	p.handler.Data(message(9, nil), 0)
+	p.handler.Data(encodeMessage(9, nil), 0)
 	return text + p.said("heard an unknown message")
 }
 
@@ -46,7 +46,7 @@
 	// An old neighbour says nothing of numbers of 32 bits: its OPEN has no parameters.
 	current := encodeOpen(peerOpen)
 	const parameters = headerLength + 9
-	old := message(typeOpen, append(bytes.Clone(current[headerLength:parameters]), 0))
+	old := encodeMessage(typeOpen, append(bytes.Clone(current[headerLength:parameters]), 0))
 	var text bytes.Buffer
 	for _, session := range []struct {
 		name   string
@@ -66,13 +66,13 @@
 		name  string
 		bytes []byte
 	}{
-		{"open", encodeOpen(open{as: 64513, hold: 9, id: netip.MustParseAddr("10.0.0.1")})},
-		{"open of a large system", encodeOpen(open{as: 4_200_000_001, hold: 9, id: netip.MustParseAddr("10.0.0.1")})},
-		{"keepalive", message(typeKeepalive, nil)},
+		{"open", encodeOpen(openMessage{asNumber: 64513, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1")})},
+		{"open of a large system", encodeOpen(openMessage{asNumber: 4_200_000_001, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1")})},
+		{"keepalive", encodeMessage(typeKeepalive, nil)},
 		{"announcement", encodeUpdate(cfg, true, false)},
 		{"announcement in 16 bits", encodeUpdate(cfg, false, false)},
 		{"withdrawal", encodeUpdate(cfg, true, true)},
-		{"notification", encodeNotification(&Notification{Code: 6, Subcode: 2, Data: []byte{1, 2}})},
+		{"notification", encodeNotification(&NotificationError{Code: 6, Subcode: 2, Data: []byte{1, 2}})},
 	} {
 		fmt.Fprintf(&text, "%s: %x\n", m.name, m.bytes)
 	}
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -20,13 +20,13 @@
 	asTrans      = 23456 // stands for a number of over 16 bits (RFC 6793)
 )
 
-// Notification is an error in RFC 4271's terms, as it goes over the wire.
-type Notification struct {
+// NotificationError is an error in RFC 4271's terms, as it goes over the wire.
+type NotificationError struct {
 	Code, Subcode byte
 	Data          []byte
 }
 
-func (n *Notification) Error() string {
+func (n *NotificationError) Error() string {
 	return fmt.Sprintf("notification %d/%d (%s) data %x", n.Code, n.Subcode, codeNames[n.Code], n.Data)
 }
 
@@ -38,72 +38,72 @@
 // marker opens every message.
 var marker = bytes.Repeat([]byte{0xff}, 16)
 
-func message(kind byte, body []byte) []byte {
+func encodeMessage(kind byte, body []byte) []byte {
 	b := append([]byte(nil), marker...)
 	b = binary.BigEndian.AppendUint16(b, uint16(headerLength+len(body)))
 	return append(append(b, kind), body...)
 }
 
-func encodeNotification(n *Notification) []byte {
-	return message(typeNotification, append([]byte{n.Code, n.Subcode}, n.Data...))
+func encodeNotification(n *NotificationError) []byte {
+	return encodeMessage(typeNotification, append([]byte{n.Code, n.Subcode}, n.Data...))
 }
 
-// next cuts the first message off b: its type, its body and the length of all of it, 0 if b does not hold it
+// decodeMessage cuts the first message off b: its type, its body and the length of all of it, 0 if b does not hold it
 // whole yet.
-func next(b []byte) (kind byte, body []byte, length int, err *Notification) {
+func decodeMessage(b []byte) (kind byte, body []byte, length int, err *NotificationError) {
 	if len(b) < headerLength {
 		return 0, nil, 0, nil
 	}
 	if !bytes.Equal(b[:16], marker) {
-		return 0, nil, 0, &Notification{Code: 1, Subcode: 1}
+		return 0, nil, 0, &NotificationError{Code: 1, Subcode: 1}
 	}
 	n := int(binary.BigEndian.Uint16(b[16:]))
 	kind = b[18]
 	least, ok := map[byte]int{typeOpen: 29, typeUpdate: 23, typeNotification: 21, typeKeepalive: headerLength}[kind]
 	switch {
 	case n < headerLength || n > maxMessage || ok && n < least || kind == typeKeepalive && n != headerLength:
-		return 0, nil, 0, &Notification{Code: 1, Subcode: 2, Data: b[16:18:18]}
+		return 0, nil, 0, &NotificationError{Code: 1, Subcode: 2, Data: b[16:18:18]}
 	case !ok:
-		return 0, nil, 0, &Notification{Code: 1, Subcode: 3, Data: []byte{kind}}
+		return 0, nil, 0, &NotificationError{Code: 1, Subcode: 3, Data: []byte{kind}}
 	case len(b) < n:
 		return 0, nil, 0, nil
 	}
 	return kind, b[headerLength:n], n, nil
 }
 
-// open is an OPEN message.
-type open struct {
-	as    uint32
-	hold  uint16
-	id    netip.Addr
-	fourB bool // numbers of 32 bits are understood
+// openMessage is an OPEN message.
+type openMessage struct {
+	asNumber        uint32
+	holdTimeSeconds uint16
+	routerID        netip.Addr
+	fourByteAS      bool // numbers of 32 bits are understood
 }
 
-func encodeOpen(o open) []byte {
+func encodeOpen(o openMessage) []byte {
 	b := []byte{version}
 	short := uint16(asTrans)
-	if o.as <= 0xffff {
-		short = uint16(o.as)
+	if o.asNumber <= 0xffff {
+		short = uint16(o.asNumber)
 	}
 	b = binary.BigEndian.AppendUint16(b, short)
-	b = binary.BigEndian.AppendUint16(b, o.hold)
-	b = append(b, o.id.AsSlice()...)
+	b = binary.BigEndian.AppendUint16(b, o.holdTimeSeconds)
+	b = append(b, o.routerID.AsSlice()...)
 	// One parameter with two capabilities: IPv4 unicast, and numbers of 32 bits.
 	caps := []byte{1, 4, 0, 1, 0, 1, 65, 4}
-	caps = binary.BigEndian.AppendUint32(caps, o.as)
+	caps = binary.BigEndian.AppendUint32(caps, o.asNumber)
 	b = append(b, byte(len(caps)+2), 2, byte(len(caps)))
-	return message(typeOpen, append(b, caps...))
+	return encodeMessage(typeOpen, append(b, caps...))
 }
 
-func parseOpen(b []byte) (open, *Notification) {
-	o := open{
-		as: uint32(binary.BigEndian.Uint16(b[1:])), hold: binary.BigEndian.Uint16(b[3:]),
-		id: netip.AddrFrom4([4]byte(b[5:9])),
+func parseOpen(b []byte) (openMessage, *NotificationError) {
+	o := openMessage{
+		asNumber: uint32(binary.BigEndian.Uint16(b[1:])), holdTimeSeconds: binary.BigEndian.Uint16(b[3:]),
+		routerID: netip.AddrFrom4([4]byte(b[5:9])),
 	}
 	if b[0] != version {
-		return o, &Notification{Code: 2, Subcode: 1, Data: []byte{0, version}}
+		return o, &NotificationError{Code: 2, Subcode: 1, Data: []byte{0, version}}
 	}
-	bad := &Notification{Code: 2}
+	bad := &NotificationError{Code: 2}
 	params := b[10:]
 	if len(params) != int(b[9]) {
 		return o, bad
@@ -115,23 +115,23 @@
 		kind, value := params[0], params[2:2+int(params[1])]
 		params = params[2+int(params[1]):]
 		if kind != 2 {
-			return o, &Notification{Code: 2, Subcode: 4}
+			return o, &NotificationError{Code: 2, Subcode: 4}
 		}
 		for len(value) > 0 {
 			if len(value) < 2 || len(value) < 2+int(value[1]) {
 				return o, bad
 			}
 			if value[0] == 65 && value[1] == 4 {
-				o.as, o.fourB = binary.BigEndian.Uint32(value[2:]), true
+				o.asNumber, o.fourByteAS = binary.BigEndian.Uint32(value[2:]), true
 			}
 			value = value[2+int(value[1]):]
 		}
 	}
 	switch {
-	case o.hold == 1 || o.hold == 2:
-		return o, &Notification{Code: 2, Subcode: 6}
-	case o.id.IsUnspecified():
-		return o, &Notification{Code: 2, Subcode: 3}
+	case o.holdTimeSeconds == 1 || o.holdTimeSeconds == 2:
+		return o, &NotificationError{Code: 2, Subcode: 6}
+	case o.routerID.IsUnspecified():
+		return o, &NotificationError{Code: 2, Subcode: 3}
 	}
 	return o, nil
 }
@@ -145,7 +145,7 @@
 	}
 	if withdraw {
 		b := binary.BigEndian.AppendUint16(nil, uint16(len(list)))
-		return message(typeUpdate, append(append(b, list...), 0, 0))
+		return encodeMessage(typeUpdate, append(append(b, list...), 0, 0))
 	}
 	attr := func(flags, kind byte, value []byte) []byte {
 		return append([]byte{flags, kind, byte(len(value))}, value...)
@@ -170,12 +170,12 @@
 		attrs = append(attrs, attr(0xc0, 17, path4)...) // AS4_PATH
 	}
 	b := binary.BigEndian.AppendUint16([]byte{0, 0}, uint16(len(attrs)))
-	return message(typeUpdate, append(append(b, attrs...), list...))
+	return encodeMessage(typeUpdate, append(append(b, attrs...), list...))
 }
 
 // checkUpdate checks the framing of a neighbour's UPDATE. Its routes are of no use to us and are not kept.
-func checkUpdate(b []byte) *Notification {
-	bad := &Notification{Code: 3, Subcode: 1}
+func checkUpdate(b []byte) *NotificationError {
+	bad := &NotificationError{Code: 3, Subcode: 1}
 	withdrawn := int(binary.BigEndian.Uint16(b))
 	if len(b) < 4+withdrawn {
 		return bad
@@ -185,8 +185,8 @@
 	if len(rest) < 2+attrs {
 		return bad
 	}
-	if !prefixes(b[2:2+withdrawn]) || !prefixes(rest[2+attrs:]) {
-		return &Notification{Code: 3, Subcode: 10}
+	if !validPrefixes(b[2:2+withdrawn]) || !validPrefixes(rest[2+attrs:]) {
+		return &NotificationError{Code: 3, Subcode: 10}
 	}
 	for a := rest[2 : 2+attrs]; len(a) > 0; {
 		head, n := 3, 0
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func prefixes(b []byte) bool {
+func validPrefixes(b []byte) bool {
 	for len(b) > 0 {
 		n := 1 + (int(b[0])+7)/8
 		if b[0] > 32 || len(b) < n {
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	dialTimeout = 5_000.0
-	// openHold is the hold time until the neighbour's OPEN has come: RFC 4271 suggests four minutes.
-	openHold = 240_000.0
+	dialTimeoutMS = 5_000.0
+	// openHoldTimeMS is the hold time until the neighbour's OPEN has come: RFC 4271 suggests four minutes.
+	openHoldTimeMS = 240_000.0
 )
 
 // Counters count what the speaker sent and heard.
@@ -50,68 +50,68 @@
 
 // Speaker keeps a session with the neighbour for as long as it is not stopped.
 type Speaker struct {
-	cfg      Config
-	loop     *router.Loop
-	dialer   netio.Dialer
-	log      *slog.Logger
-	announce bool // the service is ready
-	stopped  bool
-	awaits   bool // another process has the session
-	session  *session
-	retry    *router.Timer
-	Counters Counters
+	cfg              Config
+	loop             *router.Loop
+	dialer           netio.Dialer
+	log              *slog.Logger
+	announce         bool // the service is ready
+	stopped          bool
+	awaitingAdoption bool // another process has the session
+	session          *session
+	retry            *router.Timer
+	Counters         Counters
 }
 
-// Start returns a speaker that connects at once and announces nothing yet.
-func Start(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
+// StartSpeaker returns a speaker that connects at once and announces nothing yet.
+func StartSpeaker(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
 	s := &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log}
 	s.connect()
 	return s
 }
 
-// Await returns a speaker that does not connect by itself: the process that this one takes over from has the session,
+// StartDeferred returns a speaker that does not connect by itself: the process that this one takes over from has the session,
 // and gives it to Adopt in the end.
-func Await(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
-	return &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log, awaits: true}
+func StartDeferred(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
+	return &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log, awaitingAdoption: true}
 }
 
-// Handed is a session on its way to another process.
-type Handed struct {
-	Peer    string         `json:"peer"`
-	HoldMS  float64        `json:"hold_ms"`
-	FourB   bool           `json:"four_b"`
-	Unread  []byte         `json:"unread"` // the beginning of a message
-	Told    []netip.Prefix `json:"told"`
-	NextHop netip.Addr     `json:"next_hop"`
+// SessionState is a session on its way to another process.
+type SessionState struct {
+	Peer       string         `json:"peer"`
+	HoldMS     float64        `json:"hold_ms"`
+	FourByteAS bool           `json:"four_b"`
+	Buffered   []byte         `json:"unread"` // the beginning of a message
+	Announced  []netip.Prefix `json:"told"`
+	NextHop    netip.Addr     `json:"next_hop"`
 }
 
-// HandOver gives the session up for another process to go on with: nothing is withdrawn, since the neighbour sees no
+// Migrate gives the session up for another process to go on with: nothing is withdrawn, since the neighbour sees no
 // end of it. f hears nil where there is none to give; the other process then connects itself, after this one has ended
 // what it had.
-func (s *Speaker) HandOver(f func(Handed, *os.File)) {
+func (s *Speaker) Migrate(f func(SessionState, *os.File)) {
 	p := s.session
 	s.stopped = true
 	s.retry.Stop()
 	if p == nil || p.state != Established {
 		if p != nil {
-			p.end(&Notification{Code: 6, Subcode: 2}, "handed over")
+			p.close(&NotificationError{Code: 6, Subcode: 2}, "handed over")
 		}
-		f(Handed{}, nil)
+		f(SessionState{}, nil)
 		return
 	}
 	p.conn.Detach(func(file *os.File) {
 		if file == nil {
-			p.end(&Notification{Code: 6, Subcode: 2}, "handed over")
-			f(Handed{}, nil)
+			p.close(&NotificationError{Code: 6, Subcode: 2}, "handed over")
+			f(SessionState{}, nil)
 			return
 		}
 		p.state = Idle
-		p.hold.Stop()
-		p.keepalive.Stop()
+		p.holdTimer.Stop()
+		p.keepaliveTimer.Stop()
 		s.session = nil
 		s.log.Info("bgp session handed over", "peer", s.cfg.Peer)
-		f(Handed{
-			Peer: s.cfg.Peer, HoldMS: p.holdMS, FourB: p.fourB, Unread: p.buf, Told: s.cfg.Prefixes,
+		f(SessionState{
+			Peer: s.cfg.Peer, HoldMS: p.holdMS, FourByteAS: p.fourByteAS, Buffered: p.received, Announced: s.cfg.Prefixes,
 			NextHop: netip.Addr(s.cfg.NextHop),
 		}, file)
 	})
@@ -123,23 +123,23 @@
 }
 
 // Adopt goes on with a session that another process gave up, or connects where there is none or it can't be used.
-func (s *Speaker) Adopt(a Adopter, h Handed, file *os.File) {
-	if !s.awaits {
+func (s *Speaker) Adopt(a Adopter, h SessionState, file *os.File) {
+	if !s.awaitingAdoption {
 		if file != nil {
 			_ = file.Close()
 		}
 		return
 	}
-	s.awaits = false
+	s.awaitingAdoption = false
 	if file != nil && h.Peer == s.cfg.Peer {
-		p := &session{s: s, state: Established, holdMS: h.HoldMS, fourB: h.FourB, buf: h.Unread}
+		p := &session{speaker: s, state: Established, holdMS: h.HoldMS, fourByteAS: h.FourByteAS, received: h.Buffered}
 		if err := a.Adopt(file, p); err == nil {
 			s.session = p
 			s.log.Info("bgp session taken over", "peer", s.cfg.Peer)
-			p.heard()
-			p.beat()
+			p.resetHoldTimer()
+			p.sendKeepalive()
 			old := s.cfg
-			old.Prefixes = slices.DeleteFunc(h.Told, func(p netip.Prefix) bool { return slices.Contains(s.cfg.Prefixes, p) })
+			old.Prefixes = slices.DeleteFunc(h.Announced, func(p netip.Prefix) bool { return slices.Contains(s.cfg.Prefixes, p) })
 			if len(old.Prefixes) > 0 {
 				p.advertise(old, false)
 			}
@@ -163,12 +163,12 @@
 }
 
 // Announce says that the service is ready: its addresses are announced now and after each reconnection.
-func (s *Speaker) Announce() { s.set(true) }
+func (s *Speaker) Announce() { s.setAnnounced(true) }
 
 // Withdraw says that the service drains. The session stays up.
-func (s *Speaker) Withdraw() { s.set(false) }
+func (s *Speaker) Withdraw() { s.setAnnounced(false) }
 
-func (s *Speaker) set(on bool) {
+func (s *Speaker) setAnnounced(on bool) {
 	if s.announce == on {
 		return
 	}
@@ -178,12 +178,12 @@
 	}
 }
 
-// Stop ends the session in good order and does not reconnect.
-func (s *Speaker) Stop() {
+// Close ends the session in good order and does not reconnect.
+func (s *Speaker) Close() {
 	s.stopped = true
 	s.retry.Stop()
 	if s.session != nil {
-		s.session.end(&Notification{Code: 6, Subcode: 2}, "stopped")
+		s.session.close(&NotificationError{Code: 6, Subcode: 2}, "stopped")
 	}
 }
 
@@ -197,7 +197,7 @@
 	switch {
 	case !reflect.DeepEqual(same, old):
 		if s.session != nil {
-			s.session.end(&Notification{Code: 6, Subcode: 6}, "other configuration")
+			s.session.close(&NotificationError{Code: 6, Subcode: 6}, "other configuration")
 		}
 		s.retry.Stop()
 		s.connect()
@@ -215,162 +215,162 @@
 }
 
 func (s *Speaker) connect() {
-	if s.stopped || s.awaits {
+	if s.stopped || s.awaitingAdoption {
 		return
 	}
 	s.Counters.Connects++
-	p := &session{s: s, state: Connect}
+	p := &session{speaker: s, state: Connect}
 	s.session = p
-	p.conn = s.dialer.Dial(s.cfg.Peer, dialTimeout, p)
+	p.conn = s.dialer.Dial(s.cfg.Peer, dialTimeoutMS, p)
 }
 
 // session is one connection to the neighbour.
 type session struct {
-	s         *Speaker
-	conn      netio.Conn
-	state     State
-	buf       []byte
-	holdMS    float64 // 0: no hold timer
-	hold      *router.Timer
-	keepalive *router.Timer
-	fourB     bool
+	speaker        *Speaker
+	conn           netio.Conn
+	state          State
+	received       []byte
+	holdMS         float64 // 0: no hold timer
+	holdTimer      *router.Timer
+	keepaliveTimer *router.Timer
+	fourByteAS     bool
 }
 
 // Opened implements netio.Handler.
 func (p *session) Opened(c netio.Conn) {
-	cfg := p.s.cfg
+	cfg := p.speaker.cfg
 	p.conn = c
 	if p.state == Established {
 		return // taken over
 	}
 	p.state = OpenSent
-	_ = p.conn.Write(encodeOpen(open{as: cfg.LocalAS, hold: uint16(cfg.HoldTimeS), id: cfg.RouterID}))
-	p.holdMS = openHold
-	p.heard()
+	_ = p.conn.Write(encodeOpen(openMessage{asNumber: cfg.LocalAS, holdTimeSeconds: uint16(cfg.HoldTimeS), routerID: cfg.RouterID}))
+	p.holdMS = openHoldTimeMS
+	p.resetHoldTimer()
 }
 
 // Closed implements netio.Handler.
-func (p *session) Closed(err error) { p.end(nil, fmt.Sprint("connection closed: ", err)) }
+func (p *session) Closed(err error) { p.close(nil, fmt.Sprint("connection closed: ", err)) }
 
 // Data implements netio.Handler.
 func (p *session) Data(b []byte, _ float64) {
-	p.buf = append(p.buf, b...)
+	p.received = append(p.received, b...)
 	for p.state != Idle {
-		kind, body, n, bad := next(p.buf)
+		kind, body, n, bad := decodeMessage(p.received)
 		if bad != nil {
-			p.end(bad, "bad message")
+			p.close(bad, "bad message")
 			return
 		}
 		if n == 0 {
 			return
 		}
-		p.buf = p.buf[n:]
-		p.message(kind, body)
+		p.received = p.received[n:]
+		p.handleMessage(kind, body)
 	}
 }
 
-// heard starts the hold timer anew.
-func (p *session) heard() {
-	p.hold.Stop()
+// resetHoldTimer starts the hold timer anew.
+func (p *session) resetHoldTimer() {
+	p.holdTimer.Stop()
 	if p.holdMS > 0 {
-		p.hold = p.s.loop.After(p.holdMS, func() { p.end(&Notification{Code: 4}, "hold timer expired") })
+		p.holdTimer = p.speaker.loop.After(p.holdMS, func() { p.close(&NotificationError{Code: 4}, "hold timer expired") })
 	}
 }
 
-// message takes one whole message of the neighbour.
-func (p *session) message(kind byte, body []byte) {
+// handleMessage takes one whole message of the neighbour.
+func (p *session) handleMessage(kind byte, body []byte) {
 	if kind == typeNotification {
-		p.s.Counters.Notified++
-		got := &Notification{Code: body[0], Subcode: body[1], Data: body[2:]}
-		p.end(nil, "the neighbour sent "+got.Error())
+		p.speaker.Counters.Notified++
+		got := &NotificationError{Code: body[0], Subcode: body[1], Data: body[2:]}
+		p.close(nil, "the neighbour sent "+got.Error())
 		return
 	}
 	switch {
 	case p.state == OpenSent && kind == typeOpen:
-		p.opened(body)
+		p.handleOpen(body)
 	case p.state == OpenConfirm && kind == typeKeepalive:
 		p.state = Established
-		p.s.Counters.Established++
-		p.s.log.Info("bgp session established", "peer", p.s.cfg.Peer, "hold_ms", p.holdMS)
-		p.heard()
-		if p.s.announce {
-			p.advertise(p.s.cfg, true)
+		p.speaker.Counters.Established++
+		p.speaker.log.Info("bgp session established", "peer", p.speaker.cfg.Peer, "hold_ms", p.holdMS)
+		p.resetHoldTimer()
+		if p.speaker.announce {
+			p.advertise(p.speaker.cfg, true)
 		}
 	case p.state == Established && kind == typeKeepalive:
-		p.heard()
+		p.resetHoldTimer()
 	case p.state == Established && kind == typeUpdate:
-		p.s.Counters.Updates++
+		p.speaker.Counters.Updates++
 		if bad := checkUpdate(body); bad != nil {
-			p.end(bad, "bad UPDATE")
+			p.close(bad, "bad UPDATE")
 			return
 		}
-		p.heard()
+		p.resetHoldTimer()
 	default:
-		p.end(&Notification{Code: 5}, fmt.Sprintf("message of type %d in state %v", kind, p.state))
+		p.close(&NotificationError{Code: 5}, fmt.Sprintf("message of type %d in state %v", kind, p.state))
 	}
 }
 
-func (p *session) opened(body []byte) {
+func (p *session) handleOpen(body []byte) {
 	o, bad := parseOpen(body)
-	cfg := p.s.cfg
-	if bad == nil && o.as != cfg.PeerAS {
-		bad = &Notification{Code: 2, Subcode: 2}
+	cfg := p.speaker.cfg
+	if bad == nil && o.asNumber != cfg.PeerAS {
+		bad = &NotificationError{Code: 2, Subcode: 2}
 	}
-	if bad == nil && o.as == cfg.LocalAS && o.id == netip.Addr(cfg.RouterID) {
-		bad = &Notification{Code: 2, Subcode: 3} // a neighbour within the system has an id of its own
+	if bad == nil && o.asNumber == cfg.LocalAS && o.routerID == netip.Addr(cfg.RouterID) {
+		bad = &NotificationError{Code: 2, Subcode: 3} // a neighbour within the system has an id of its own
 	}
 	if bad != nil {
-		p.end(bad, "bad OPEN")
+		p.close(bad, "bad OPEN")
 		return
 	}
-	p.fourB = o.fourB
-	p.holdMS = float64(min(int(o.hold), cfg.HoldTimeS)) * 1000
+	p.fourByteAS = o.fourByteAS
+	p.holdMS = float64(min(int(o.holdTimeSeconds), cfg.HoldTimeS)) * 1000
 	p.state = OpenConfirm
-	p.heard()
-	p.beat()
+	p.resetHoldTimer()
+	p.sendKeepalive()
 }
 
-// beat sends a KEEPALIVE now and, where there is a hold time, at each third of it.
-func (p *session) beat() {
-	p.s.Counters.Keepalives++
-	_ = p.conn.Write(message(typeKeepalive, nil))
+// sendKeepalive sends a KEEPALIVE now and, where there is a hold time, at each third of it.
+func (p *session) sendKeepalive() {
+	p.speaker.Counters.Keepalives++
+	_ = p.conn.Write(encodeMessage(typeKeepalive, nil))
 	if p.holdMS > 0 {
-		p.keepalive = p.s.loop.After(p.holdMS/3, p.beat)
+		p.keepaliveTimer = p.speaker.loop.After(p.holdMS/3, p.sendKeepalive)
 	}
 }
 
 func (p *session) advertise(cfg Config, on bool) {
 	if on {
-		p.s.Counters.Announced++
+		p.speaker.Counters.Announced++
 	} else {
-		p.s.Counters.Withdrawn++
+		p.speaker.Counters.Withdrawn++
 	}
-	p.s.log.Info("bgp update", "peer", p.s.cfg.Peer, "announce", on, "prefixes", cfg.Prefixes)
-	_ = p.conn.Write(encodeUpdate(cfg, p.fourB, !on))
+	p.speaker.log.Info("bgp update", "peer", p.speaker.cfg.Peer, "announce", on, "prefixes", cfg.Prefixes)
+	_ = p.conn.Write(encodeUpdate(cfg, p.fourByteAS, !on))
 }
 
-// end closes the session, with a NOTIFICATION where there is one to send, and has it opened again later.
-func (p *session) end(n *Notification, why string) {
+// close closes the session, with a NOTIFICATION where there is one to send, and has it opened again later.
+func (p *session) close(n *NotificationError, why string) {
 	if p.state == Idle {
 		return
 	}
 	was := p.state
 	p.state = Idle
-	p.hold.Stop()
-	p.keepalive.Stop()
+	p.holdTimer.Stop()
+	p.keepaliveTimer.Stop()
 	if n != nil {
 		if n.Code != 6 {
-			p.s.Counters.Errors++
+			p.speaker.Counters.Errors++
 		}
 		if was > Connect {
 			_ = p.conn.Write(encodeNotification(n))
 		}
 		why += ": " + n.Error()
 	}
-	p.s.log.Warn("bgp session ended", "peer", p.s.cfg.Peer, "state", was.String(), "why", why)
+	p.speaker.log.Warn("bgp session ended", "peer", p.speaker.cfg.Peer, "state", was.String(), "why", why)
 	p.conn.Finish() // so that the neighbour can read why
-	p.s.session = nil
-	if !p.s.stopped {
-		p.s.retry = p.s.loop.After(float64(p.s.cfg.ConnectRetryS)*1000, p.s.connect)
+	p.speaker.session = nil
+	if !p.speaker.stopped {
+		p.speaker.retry = p.speaker.loop.After(float64(p.speaker.cfg.ConnectRetryS)*1000, p.speaker.connect)
 	}
 }
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	p := &peer{t: t, now: &clock.Manual{MS: 1e12}}
 	p.loop = router.NewLoop(p.now)
-	p.speaker = Start(p.loop, p, cfg, slog.New(slog.DiscardHandler))
+	p.speaker = StartSpeaker(p.loop, p, cfg, slog.New(slog.DiscardHandler))
 	return p
 }
 
@@ -73,7 +73,7 @@
 	p.t.Helper()
 	var words []string
 	for len(p.written) > 0 {
-		kind, body, n, err := next(p.written)
+		kind, body, n, err := decodeMessage(p.written)
 		if err != nil || n == 0 {
 			p.t.Fatalf("the speaker wrote % x", p.written)
 		}
@@ -87,13 +87,13 @@
 	return strings.Join(words, ", ")
 }
 
-var peerOpen = open{as: 64512, hold: 30, id: netip.MustParseAddr("10.0.0.2")}
+var peerOpen = openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.MustParseAddr("10.0.0.2")}
 
 // establish brings a session up.
 func (p *peer) establish() {
 	p.handler.Opened(p)
 	p.handler.Data(encodeOpen(peerOpen), 0)
-	p.handler.Data(message(typeKeepalive, nil), 0)
+	p.handler.Data(encodeMessage(typeKeepalive, nil), 0)
 }
 
 const (
@@ -110,7 +110,7 @@
 	p.speaker.Announce() // before the session is up: announced once it is
 	b := encodeOpen(peerOpen)
 	p.handler.Data(b[:5], 0)
-	p.handler.Data(append(b[5:], message(typeKeepalive, nil)...), 0)
+	p.handler.Data(append(b[5:], encodeMessage(typeKeepalive, nil)...), 0)
 	if got, want := p.heard(), "keepalive, "+announced; got != want || p.speaker.State() != Established {
 		t.Errorf("state %v, wrote %s, want %s", p.speaker.State(), got, want)
 	}
@@ -118,13 +118,13 @@
 	if got := p.heard(); got != "keepalive" {
 		t.Errorf("after a third of the hold time: wrote %q", got)
 	}
-	p.handler.Data(message(typeUpdate, []byte{0, 0, 0, 0}), 0)
+	p.handler.Data(encodeMessage(typeUpdate, []byte{0, 0, 0, 0}), 0)
 	p.speaker.Withdraw()
 	p.speaker.Withdraw()
 	if got := p.heard(); got != withdrawn {
 		t.Errorf("wrote %s, want %s", got, withdrawn)
 	}
-	p.speaker.Stop()
+	p.speaker.Close()
 	if got := p.heard(); got != "notification 0602" || !p.closed {
 		t.Errorf("at the end: wrote %q, closed %v", got, p.closed)
 	}
@@ -166,13 +166,13 @@
 		return b
 	}
 	good := encodeOpen(peerOpen)
-	keepalive := message(typeKeepalive, nil)
+	keepalive := encodeMessage(typeKeepalive, nil)
 	update := func(hexBody string) []byte {
 		b, err := hex.DecodeString(hexBody)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return message(typeUpdate, b)
+		return encodeMessage(typeUpdate, b)
 	}
 	for _, k := range []struct {
 		name        string
@@ -183,13 +183,13 @@
 		{"marker", false, edit(good, 3, 0), "0101"},
 		{"length below a header", false, edit(good, 16, 0, 18), "01020012"},
 		{"length over the most", false, edit(good, 16, 0x10, 1), "01021001"},
-		{"keepalive with a body", true, message(typeKeepalive, []byte{1}), "01020014"},
-		{"short OPEN", false, message(typeOpen, make([]byte, 9)), "0102001c"},
+		{"keepalive with a body", true, encodeMessage(typeKeepalive, []byte{1}), "01020014"},
+		{"short OPEN", false, encodeMessage(typeOpen, make([]byte, 9)), "0102001c"},
 		{"unknown type", false, edit(good, 18, 9), "010309"},
 		{"version", false, edit(good, 19, 3), "02010004"},
-		{"wrong system", false, encodeOpen(open{as: 1, hold: 30, id: peerOpen.id}), "0202"},
-		{"id of zeros", false, encodeOpen(open{as: 64512, hold: 30, id: netip.IPv4Unspecified()}), "0203"},
-		{"hold time of 2", false, encodeOpen(open{as: 64512, hold: 2, id: peerOpen.id}), "0206"},
+		{"wrong system", false, encodeOpen(openMessage{asNumber: 1, holdTimeSeconds: 30, routerID: peerOpen.routerID}), "0202"},
+		{"id of zeros", false, encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.IPv4Unspecified()}), "0203"},
+		{"hold time of 2", false, encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 2, routerID: peerOpen.routerID}), "0206"},
 		{"parameters cut short", false, edit(good, 28, 99), "0200"},
 		{"capability cut short", false, edit(good, 32, 99), "0200"},
 		{"unknown parameter", false, edit(good, 29, 1), "0204"},
@@ -222,7 +222,7 @@
 	p := newPeer(t, testConfig())
 	p.establish()
 	p.heard()
-	p.handler.Data(encodeNotification(&Notification{Code: 6, Subcode: 4}), 0)
+	p.handler.Data(encodeNotification(&NotificationError{Code: 6, Subcode: 4}), 0)
 	if got := p.heard(); got != "" || !p.closed || p.speaker.Counters.Notified != 1 {
 		t.Errorf("wrote %q, closed %v, counted %d", got, p.closed, p.speaker.Counters.Notified)
 	}
--- a/internal/incident/clocks.go
+++ b/internal/incident/clocks.go
@@ -43,10 +43,10 @@
 }
 
 // markOf tells whether a change is the board's word.
-func markOf(e *record.Engine) (mark, bool) {
+func markOf(e *record.EngineChange) (mark, bool) {
 	switch e.State {
 	case record.Draining, record.Gone:
-		return mark{e.ID, e.State}, true
+		return mark{e.EngineID, e.State}, true
 	}
 	return mark{}, false
 }
--- a/internal/incident/story.go
+++ b/internal/incident/story.go
@@ -19,7 +19,7 @@
 type process struct {
 	head    record.Header
 	marks   map[mark]float64
-	changes []record.Engine
+	changes []record.EngineChange
 	seconds []second
 	events  []record.Event
 	gaps    []record.Gap
@@ -31,7 +31,7 @@
 
 type second struct {
 	at   float64
-	rows map[key]record.Row
+	rows map[key]record.ClassStats
 	held int
 	jam  float64
 }
@@ -43,10 +43,10 @@
 
 // Add takes a record in; h is its segment's header.
 func (j *Joiner) Add(h *record.Header, r record.Record) {
-	p := j.processes[h.Process]
+	p := j.processes[h.ProcessID]
 	if p == nil {
 		p = &process{head: *h, marks: map[mark]float64{}, from: record.When(r), to: record.When(r)}
-		j.processes[h.Process] = p
+		j.processes[h.ProcessID] = p
 		for _, c := range h.Classes {
 			j.classes[c.Name] = c
 		}
@@ -54,16 +54,16 @@
 	at := record.When(r)
 	p.from, p.to = min(p.from, at), max(p.to, at)
 	switch r := r.(type) {
-	case *record.Engine:
+	case *record.EngineChange:
 		if m, ok := markOf(r); ok {
 			if _, known := p.marks[m]; !known {
-				p.marks[m] = r.At
+				p.marks[m] = r.AtMS
 			}
 		}
 		p.changes = append(p.changes, *r)
-	case *record.Second:
-		s := second{at: r.At, rows: make(map[key]record.Row, len(r.Rows)), held: r.Held, jam: r.Jam}
-		for _, row := range r.Rows {
+	case *record.Interval:
+		s := second{at: r.AtMS, rows: make(map[key]record.ClassStats, len(r.Classes)), held: r.QueuedRequests, jam: r.Congestion}
+		for _, row := range r.Classes {
 			s.rows[key{row.Class, row.Tenant}] = row
 		}
 		p.seconds = append(p.seconds, s)
@@ -151,7 +151,7 @@
 func (j *Joiner) Timeline() *Timeline {
 	s := &Timeline{From: math.Inf(1), To: math.Inf(-1)}
 	order := slices.SortedFunc(maps.Values(j.processes), func(a, b *process) int {
-		return cmp.Or(cmp.Compare(a.head.Router, b.head.Router), cmp.Compare(a.from, b.from), cmp.Compare(a.head.Process, b.head.Process))
+		return cmp.Or(cmp.Compare(a.head.Router, b.head.Router), cmp.Compare(a.from, b.from), cmp.Compare(a.head.ProcessID, b.head.ProcessID))
 	})
 	if len(order) == 0 {
 		return &Timeline{}
@@ -160,12 +160,12 @@
 	for i, p := range order {
 		c := clocks[i]
 		s.Processes = append(s.Processes, Process{
-			Router: p.head.Router, Place: p.head.Place, Name: p.head.Process,
+			Router: p.head.Router, Place: p.head.Incarnation, Name: p.head.ProcessID,
 			From: c.Correct(p.from), To: c.Correct(p.to), Clock: c, Records: len(p.seconds),
 		})
 		s.From, s.To = min(s.From, c.Correct(p.from)), max(s.To, c.Correct(p.to))
 		for _, g := range p.gaps {
-			s.Missing = append(s.Missing, Missing{p.head.Router, c.Correct(g.From), c.Correct(g.At), g.Records})
+			s.Missing = append(s.Missing, Missing{p.head.Router, c.Correct(g.FromMS), c.Correct(g.AtMS), g.Dropped})
 		}
 		for k := 1; k < len(p.seconds); k++ {
 			if a, b := p.seconds[k-1].at, p.seconds[k].at; b-a > silentMS {
@@ -245,19 +245,19 @@
 		open := map[string]int{}
 		until := min(c.Correct(p.to), end)
 		for _, e := range p.changes {
-			at := c.Correct(e.At)
-			if k, there := open[e.ID]; there {
-				spans[e.ID][k].To = at
-				delete(open, e.ID)
+			at := c.Correct(e.AtMS)
+			if k, there := open[e.EngineID]; there {
+				spans[e.EngineID][k].To = at
+				delete(open, e.EngineID)
 			}
 			if e.State == record.Gone {
 				continue
 			}
-			spans[e.ID] = append(spans[e.ID], Span{
+			spans[e.EngineID] = append(spans[e.EngineID], Span{
 				Router: p.head.Router, From: at, To: until, Within: c.Within, State: e.State,
-				Slow: e.Slow, Fail: e.Fail, Lost: e.Lost,
+				Slow: e.Slowness, Fail: e.FailureRate, Lost: e.ConnectionFailures,
 			})
-			open[e.ID] = len(spans[e.ID]) - 1
+			open[e.EngineID] = len(spans[e.EngineID]) - 1
 		}
 	}
 	var all []EngineHistory
@@ -273,8 +273,8 @@
 
 // worth gives a class's worth and the share of it that a late answer earns.
 func (j *Joiner) worth(class string) (worth, late float64) {
-	if c, ok := j.classes[class]; ok && c.Worth > 0 {
-		return c.Worth, c.LateWorth
+	if c, ok := j.classes[class]; ok && c.PriorityWeight > 0 {
+		return c.PriorityWeight, c.LateWeightShare
 	}
 	return 1, 0
 }
@@ -282,25 +282,25 @@
 // service finds the incidents: it goes by what ended in each second, so that long queries are not missed while they run.
 func (j *Joiner) service(s *Timeline, order []*process, clocks []Clock) {
 	n := int((s.To-s.From)/1000) + 1
-	buckets := make([]map[key]record.Row, n)
+	buckets := make([]map[key]record.ClassStats, n)
 	for i, p := range order {
 		for _, sec := range p.seconds {
 			at := min(max(int((clocks[i].Correct(sec.at)-s.From)/1000), 0), n-1)
 			if buckets[at] == nil {
-				buckets[at] = map[key]record.Row{}
+				buckets[at] = map[key]record.ClassStats{}
 			}
 			for k, row := range sec.rows {
 				sum := buckets[at][k]
-				sum.InAim, sum.Late = sum.InAim+row.InAim, sum.Late+row.Late
-				sum.Refused, sum.Failed = sum.Refused+row.Refused, sum.Failed+row.Failed
+				sum.OnTime, sum.Late = sum.OnTime+row.OnTime, sum.Late+row.Late
+				sum.Rejected, sum.Failed = sum.Rejected+row.Rejected, sum.Failed+row.Failed
 				buckets[at][k] = sum
 			}
 		}
 	}
-	value := func(k key, row record.Row) (got, most float64) {
+	value := func(k key, row record.ClassStats) (got, most float64) {
 		worth, late := j.worth(k.class)
-		return worth * (float64(row.InAim) + late*float64(row.Late)),
-			worth * float64(row.InAim+row.Late+row.Refused+row.Failed)
+		return worth * (float64(row.OnTime) + late*float64(row.Late)),
+			worth * float64(row.OnTime+row.Late+row.Rejected+row.Failed)
 	}
 	s.Loss = make([]float64, n)
 	var calm []float64
@@ -351,7 +351,7 @@
 			inside[i] = true
 		}
 	}
-	quiet := map[key]record.Row{}
+	quiet := map[key]record.ClassStats{}
 	for i, b := range buckets {
 		if inside[i] {
 			continue
@@ -366,7 +366,7 @@
 		}
 		from := max(f[0]-windowS+1, 0) // what the window's first second looked back on
 		in := Incident{From: s.From + 1000*float64(from), To: s.From + 1000*float64(f[1]+1)}
-		sums := map[key]record.Row{}
+		sums := map[key]record.ClassStats{}
 		for i := from; i <= f[1]; i++ {
 			for k, row := range buckets[i] {
 				sums[k] = plus(sums[k], row)
@@ -377,8 +377,8 @@
 			got, most := value(k, row)
 			lost, all = lost+most-got, all+most
 			h := Impact{
-				Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Refused, Failed: row.Failed,
-				Ended: row.InAim + row.Late + row.Refused + row.Failed,
+				Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Rejected, Failed: row.Failed,
+				Ended: row.OnTime + row.Late + row.Rejected + row.Failed,
 			}
 			if most > 0 {
 				h.Loss = 1 - got/most
@@ -403,7 +403,7 @@
 	}
 }
 
-func plus(a, b record.Row) record.Row {
-	a.InAim, a.Late, a.Refused, a.Failed = a.InAim+b.InAim, a.Late+b.Late, a.Refused+b.Refused, a.Failed+b.Failed
+func plus(a, b record.ClassStats) record.ClassStats {
+	a.OnTime, a.Late, a.Rejected, a.Failed = a.OnTime+b.OnTime, a.Late+b.Late, a.Rejected+b.Rejected, a.Failed+b.Failed
 	return a
 }
--- a/internal/incident/story_test.go
+++ b/internal/incident/story_test.go
@@ -29,8 +29,8 @@
 	for i, off := range offsets {
 		f.routers = append(f.routers, &clocked{
 			head: record.Header{
-				Version: 1, Router: fmt.Sprint("n", i), Place: 2,
-				Process: fmt.Sprint("p", i), Classes: []record.Class{{Name: "lookup", Worth: 1}, {Name: "report", Worth: 10, LateWorth: 0.4}},
+				Version: 1, Router: fmt.Sprint("n", i), Incarnation: 2,
+				ProcessID: fmt.Sprint("p", i), Classes: []record.Class{{Name: "lookup", PriorityWeight: 1}, {Name: "report", PriorityWeight: 10, LateWeightShare: 0.4}},
 			},
 			offset: off, drift: drifts[i],
 		})
@@ -45,7 +45,7 @@
 
 func (f *fleet) change(at float64, id string, state record.State) {
 	for _, r := range f.routers {
-		f.j.Add(&r.head, &record.Engine{At: f.on(r, at), ID: id, State: state})
+		f.j.Add(&r.head, &record.EngineChange{AtMS: f.on(r, at), EngineID: id, State: state})
 	}
 }
 
@@ -57,9 +57,9 @@
 		}
 		n := 80 + f.rng.IntN(10)
 		refused := int(hurt * float64(n))
-		f.j.Add(&r.head, &record.Second{At: f.on(r, at), ForMS: 1000, Rows: []record.Row{
-			{Class: "lookup", Tenant: "a", Arrived: n, InAim: n - refused - n/50, Late: n / 50, Refused: refused},
-			{Class: "report", Tenant: "b", Arrived: 5, InAim: 5},
+		f.j.Add(&r.head, &record.Interval{AtMS: f.on(r, at), DurationMS: 1000, Classes: []record.ClassStats{
+			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - refused - n/50, Late: n / 50, Rejected: refused},
+			{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
 		}})
 	}
 }
@@ -160,7 +160,7 @@
 func TestTwoProcessesOfARouter(t *testing.T) {
 	f := newFleet(5, []float64{0, 300}, []float64{0, 0})
 	next := &clocked{head: f.routers[1].head, offset: 300}
-	next.head.Process, next.head.Place = "p1b", 3
+	next.head.ProcessID, next.head.Incarnation = "p1b", 3
 	for i := range 60 {
 		if i == 30 {
 			f.routers[1] = next
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -22,7 +22,7 @@
 // allParts are settings of an installation with each part, at addresses where nobody answers.
 func allParts(t *testing.T) *site.Settings {
 	t.Helper()
-	records := record.Defaults
+	records := record.DefaultConfig
 	records.Dir = t.TempDir()
 	nobody := routertest.Refused(t, [4]byte{127, 0, 0, 1})
 	return &site.Settings{
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -64,7 +64,7 @@
 		{"both/claimed-none", msgClaimed, claim{N: 13, Handle: "5a0000000000000d"}, []string{"Ticket"}},
 		{"both/claimed", msgClaimed, claim{N: 12, Handle: ticket.Handle, Ticket: &ticket}, nil},
 		{"both/tickets", msgTickets, []flightsql.Ticket{ticket, otherTicket()}, nil},
-		{"both/bgp-none", msgBGP, bgp.Handed{}, []string{""}},
+		{"both/bgp-none", msgBGP, bgp.SessionState{}, []string{""}},
 	}
 }
 
@@ -141,9 +141,9 @@
 	return t
 }
 
-func sampleSession() bgp.Handed {
-	return bgp.Handed{
-		Peer: "10.0.0.9:179", HoldMS: 3000.5, FourB: true, Unread: []byte{0xff, 0, 0x13},
-		Told: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1"),
+func sampleSession() bgp.SessionState {
+	return bgp.SessionState{
+		Peer: "10.0.0.9:179", HoldMS: 3000.5, FourByteAS: true, Buffered: []byte{0xff, 0, 0x13},
+		Announced: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1"),
 	}
 }
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -24,9 +24,9 @@
 		start: func(bounds) error {
 			// An elder that hangs may have a session; the neighbour would take a second one for a collision.
 			if r.machine.Predecessor() != hotrestart.None && (r.machine.Phase() == hotrestart.Degraded || slices.Contains(r.handed.Parts, "bgp")) {
-				s = bgp.Await(r.loop, r.net, *r.site.BGP, r.log)
+				s = bgp.StartDeferred(r.loop, r.net, *r.site.BGP, r.log)
 			} else {
-				s = bgp.Start(r.loop, r.net, *r.site.BGP, r.log)
+				s = bgp.StartSpeaker(r.loop, r.net, *r.site.BGP, r.log)
 			}
 			s.Announce()
 			return nil
@@ -38,7 +38,7 @@
 		counters: func() []counted { return []counted{{"bgp", &s.Counters}} },
 		drain:    func() { s.Withdraw() }, // first of all, so that new clients go elsewhere
 		leave: func(to *hotrestartipc.Link) {
-			s.HandOver(func(h bgp.Handed, f *os.File) {
+			s.Migrate(func(h bgp.SessionState, f *os.File) {
 				if f == nil {
 					to.Send(hotrestartipc.NewMessage(msgBGP, h))
 					return
@@ -47,11 +47,11 @@
 				_ = f.Close()
 			})
 		},
-		end:   func() { s.Stop() },
-		alone: func() { s.Adopt(r.net, bgp.Handed{}, nil) }, // connects, if it waited for the old process's session
+		end:   func() { s.Close() },
+		alone: func() { s.Adopt(r.net, bgp.SessionState{}, nil) }, // connects, if it waited for the old process's session
 		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
 			msgBGP: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var h bgp.Handed
+				var h bgp.SessionState
 				err := m.Decode(&h)
 				var f *os.File
 				if len(m.Files) > 0 {
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -42,7 +42,7 @@
 	if cfg == nil {
 		return nil
 	}
-	c := &recorder{r: r, states: map[dispatch.EngineID]record.State{}, seen: map[dispatch.EngineID]bool{}, most: cfg.Samples}
+	c := &recorder{r: r, states: map[dispatch.EngineID]record.State{}, seen: map[dispatch.EngineID]bool{}, most: cfg.FailuresPerSecond}
 	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatID(dispatch.EngineID(id)) })
 	return &part{
 		name:        "records",
@@ -54,9 +54,9 @@
 			}
 			now := r.loop.Now
 			plain := r.log // what the writer has to say of its disk can't go to that disk
-			c.w = record.Start(*cfg, record.Header{
-				Router: r.cfg.Name, Place: uint64(r.machine.Self),
-				Process: record.ProcessName(now()), Program: program, Classes: classesOf(r.cfg),
+			c.w = record.StartWriter(*cfg, record.Header{
+				Router: r.cfg.Name, Incarnation: uint64(r.machine.Self),
+				ProcessID: record.NewProcessID(now()), Program: program, Classes: classesOf(r.cfg),
 			}, now, func(err error) {
 				if err != nil {
 					plain.Error("records can't be written; serving goes on", "dir", cfg.Dir, "err", err)
@@ -74,7 +74,7 @@
 			if s.Records.Dir != cfg.Dir {
 				kept, s.Records.Dir = append(kept, "/records/dir"), cfg.Dir
 			}
-			c.most = s.Records.Samples
+			c.most = s.Records.FailuresPerSecond
 			c.w.Configure(*s.Records)
 			return kept
 		},
@@ -83,7 +83,7 @@
 			if c.w != nil {
 				c.second()
 				r.records.put.Store(nil)
-				c.w.Stop()
+				c.w.Close()
 			}
 		},
 	}
@@ -92,7 +92,7 @@
 func classesOf(cfg *settings.Node) (all []record.Class) {
 	d, _ := validate.Decisions(cfg, 0)
 	for _, k := range d.Classes {
-		all = append(all, record.Class{Name: k.Name, Worth: k.PriorityWeight, LateWorth: k.LateWeightShare, AimMS: clock.Millis(k.LatencyObjective)})
+		all = append(all, record.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateWeightShare: k.LateWeightShare, ObjectiveMS: clock.Millis(k.LatencyObjective)})
 	}
 	return all
 }
@@ -104,7 +104,7 @@
 
 // tee has the log's lines recorded, where records are on.
 func (r *records) tee(log *slog.Logger, now func() float64) *slog.Logger {
-	return slog.New(record.Tee(log.Handler(), now, func(e *record.Event) {
+	return slog.New(record.NewLogHandler(log.Handler(), now, func(e *record.Event) {
 		if w := r.put.Load(); w != nil {
 			(*w).Put(e)
 		}
@@ -135,27 +135,27 @@
 		if state := stateOf(e); state != c.states[e.ID] {
 			c.change(now, e, state)
 		}
-		c.meter.Running(uint64(e.ID), e.Running, e.Threads)
+		c.meter.SetInFlight(uint64(e.ID), e.Running, e.Threads)
 	}
 	for id := range c.states {
 		if !c.seen[id] {
 			c.change(now, &dispatch.EngineView{ID: id}, record.Gone)
 			delete(c.states, id)
-			c.meter.Forget(uint64(id))
+			c.meter.RemoveEngine(uint64(id))
 		}
 	}
 }
 
 func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
-	r := &record.Engine{
-		At: now, ID: settings.FormatID(e.ID), State: state, Was: c.states[e.ID], Slow: e.Slowness, Fail: e.FailureShare,
-		Lost: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind,
+	r := &record.EngineChange{
+		AtMS: now, EngineID: settings.FormatID(e.ID), State: state, Previous: c.states[e.ID], Slowness: e.Slowness, FailureRate: e.FailureShare,
+		ConnectionFailures: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind,
 	}
 	if state == record.WarmingUp {
-		r.WarmAt = clock.Millis(e.WarmUpEnd)
+		r.WarmUpEndMS = clock.Millis(e.WarmUpEnd)
 	}
 	if c.r.board != nil {
-		r.Event = c.r.board.LastEvent()
+		r.LastEvent = c.r.board.LastEvent()
 	}
 	c.states[e.ID] = state
 	c.w.Put(r)
@@ -185,16 +185,16 @@
 // second writes what was counted since it did so last.
 func (c *recorder) second() {
 	now := c.r.loop.Now()
-	s := &record.Second{
-		At: now, ForMS: now - c.takenAt, Open: c.r.core.Open(), Held: c.view.Queued, Jam: c.view.Congestion,
-		Conns: c.r.client.Conns(), Session: c.r.front.Sessions(),
+	s := &record.Interval{
+		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.r.core.Open(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
+		EngineConnections: c.r.client.Conns(), ClientSessions: c.r.front.Sessions(),
 	}
-	s.Rows, s.Engines = c.meter.Take()
+	s.Classes, s.Engines = c.meter.Collect()
 	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
-	s.Turned, s.Spoilt = turned-c.turned, spoilt-c.spoilt
+	s.RejectedSessions, s.InvalidResponses = turned-c.turned, spoilt-c.spoilt
 	c.turned, c.spoilt = turned, spoilt
 	if b := c.r.board; b != nil {
-		s.Event, s.BoardMS = b.LastEvent(), now-b.LastContactMS()
+		s.LastEvent, s.DiscoveryAgeMS = b.LastEvent(), now-b.LastContactMS()
 	}
 	c.takenAt, c.samples = now, c.most
 	c.w.Put(s)
@@ -202,49 +202,49 @@
 
 // RequestArrived implements router.Watcher.
 func (c *recorder) RequestArrived(q *router.Request) {
-	c.meter.Arrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
+	c.meter.RequestArrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
 }
 
 // RequestAnswered implements router.Watcher.
 func (c *recorder) RequestAnswered(q *router.Request, what router.Answer) {
-	how := record.Failed
+	how := record.RequestFailed
 	switch what.Kind {
 	case router.AnswerServed:
-		if how = record.InObjective; what.TookMS > what.ObjectiveMS {
-			how = record.LateServed
+		if how = record.RequestOnTime; what.TookMS > what.ObjectiveMS {
+			how = record.RequestLate
 		}
 	case router.AnswerRejected:
-		how = record.Rejected
+		how = record.RequestRejected
 	case router.AnswerClientGone:
-		how = record.ClientGone
+		how = record.RequestCancelled
 	}
-	c.meter.Answer(q.Class, q.Tenant, how, what.TookMS)
-	if (how == record.Rejected || how == record.Failed) && c.samples > 0 {
+	c.meter.RequestEnded(q.Class, q.Tenant, how, what.TookMS)
+	if (how == record.RequestRejected || how == record.RequestFailed) && c.samples > 0 {
 		c.samples--
-		a := &record.Answer{
-			At: c.r.loop.Now(), ID: q.ID, Class: q.Class, Tenant: q.Tenant, Refused: how == record.Rejected,
+		a := &record.RequestFailure{
+			AtMS: c.r.loop.Now(), RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Rejected: how == record.RequestRejected,
 			Reason: what.Reason, AfterMS: what.TookMS,
 		}
 		if what.Engine != 0 {
-			a.Engine = settings.FormatID(what.Engine)
+			a.EngineID = settings.FormatID(what.Engine)
 		}
 		c.w.Put(a)
 	}
 }
 
 // AttemptStarted implements router.Watcher.
-func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.Sent(uint64(e)) }
+func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
-var ends = map[dispatch.Outcome]record.End{
-	dispatch.Served: record.EndServed, dispatch.EngineFull: record.EndRejected, dispatch.EngineFailed: record.EndErrored,
-	dispatch.ConnectFailed: record.EndBroken, dispatch.ConnectionReset: record.EndBroken, dispatch.TimedOut: record.EndSilent,
+var ends = map[dispatch.Outcome]record.AttemptOutcome{
+	dispatch.Served: record.AttemptServed, dispatch.EngineFull: record.AttemptRejected, dispatch.EngineFailed: record.AttemptErrored,
+	dispatch.ConnectFailed: record.AttemptConnectionFailed, dispatch.ConnectionReset: record.AttemptConnectionFailed, dispatch.TimedOut: record.AttemptTimedOut,
 }
 
 // AttemptEnded implements router.Watcher.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
 	how, ok := ends[outcome]
 	if !ok {
-		how = record.EndOther
+		how = record.AttemptOther
 	}
-	c.meter.Ended(uint64(e), how, tookMS)
+	c.meter.AttemptEnded(uint64(e), how, tookMS)
 }
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -40,21 +40,21 @@
 	}
 	_ = c.c.Close()
 	f.end(p)
-	files, err := record.Files(dir)
+	files, err := record.SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	served, out, events := 0, 0, map[string]int{}
 	var head record.Header
-	read, err := record.Read(files, func(h *record.Header, r record.Record) error {
+	read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error {
 		head = *h
 		switch r := r.(type) {
-		case *record.Second:
-			for _, row := range r.Rows {
-				served += row.InAim + row.Late
+		case *record.Interval:
+			for _, row := range r.Classes {
+				served += row.OnTime + row.Late
 			}
-		case *record.Engine:
-			if r.State == record.Cordoned && r.ID == "s-00000002" {
+		case *record.EngineChange:
+			if r.State == record.Cordoned && r.EngineID == "s-00000002" {
 				out++
 			}
 		case *record.Event:
@@ -68,7 +68,7 @@
 	if served != 50 || out != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator's call"] != 1 {
 		t.Errorf("%d served, out %d times, events %v", served, out, events)
 	}
-	if head.Router != "n0" || head.Place == 0 || head.WallMS == 0 {
+	if head.Router != "n0" || head.Incarnation == 0 || head.WallMS == 0 {
 		t.Errorf("%+v", head)
 	}
 	for _, file := range files {
@@ -86,7 +86,7 @@
 		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
 			own := &site.Settings{}
 			if on {
-				cfg := record.Defaults
+				cfg := record.DefaultConfig
 				cfg.Dir = b.TempDir()
 				own.Records = &cfg
 			}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -22,12 +22,12 @@
 	switch r.(type) {
 	case *Header:
 		return KindHeader
-	case *Engine:
-		return KindEngine
-	case *Second:
-		return KindSecond
-	case *Answer:
-		return KindAnswer
+	case *EngineChange:
+		return KindEngineChange
+	case *Interval:
+		return KindInterval
+	case *RequestFailure:
+		return KindRequestFailure
 	case *Event:
 		return KindEvent
 	case *Gap:
@@ -40,12 +40,12 @@
 	switch k {
 	case KindHeader:
 		return &Header{}
-	case KindEngine:
-		return &Engine{}
-	case KindSecond:
-		return &Second{}
-	case KindAnswer:
-		return &Answer{}
+	case KindEngineChange:
+		return &EngineChange{}
+	case KindInterval:
+		return &Interval{}
+	case KindRequestFailure:
+		return &RequestFailure{}
 	case KindEvent:
 		return &Event{}
 	case KindGap:
@@ -71,18 +71,18 @@
 	return b, nil
 }
 
-// ErrNewer says that a segment is of a later version of the format.
-var ErrNewer = errors.New("of a newer version of the format")
+// ErrNewerVersion says that a segment is of a later version of the format.
+var ErrNewerVersion = errors.New("of a newer version of the format")
 
 // Damage is a stretch of a segment that can't be read; what follows it is.
 type Damage struct {
-	Offset int64 // of the segment, in bytes
-	Bytes  int64
-	Cut    bool // it is the segment's end: a kill, or a copy while it was written
+	Offset    int64 // of the segment, in bytes
+	Bytes     int64
+	Truncated bool // it is the segment's end: a kill, or a copy while it was written
 }
 
 func (d Damage) String() string {
-	if d.Cut {
+	if d.Truncated {
 		return fmt.Sprintf("cut off at byte %d, %d bytes of a record are there", d.Offset, d.Bytes)
 	}
 	return fmt.Sprintf("damaged from byte %d on, %d bytes passed over", d.Offset, d.Bytes)
@@ -113,7 +113,7 @@
 	}
 	r.Header = *h
 	if h.Version > Version {
-		return r, fmt.Errorf("%w (%d; this program reads up to %d)", ErrNewer, h.Version, Version)
+		return r, fmt.Errorf("%w (%d; this program reads up to %d)", ErrNewerVersion, h.Version, Version)
 	}
 	return r, nil
 }
@@ -203,7 +203,7 @@
 
 func (r *Reader) settle(cut bool) {
 	if r.bad > 0 {
-		r.Damage = append(r.Damage, Damage{Offset: r.offset - r.bad, Bytes: r.bad, Cut: cut})
+		r.Damage = append(r.Damage, Damage{Offset: r.offset - r.bad, Bytes: r.bad, Truncated: cut})
 		r.bad = 0
 	}
 }
--- a/internal/record/cut.go
+++ b/internal/record/cut.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// Cut writes the records from start to end, on their routers' clocks in milliseconds, to one segment a process in dir, and
+// Extract writes the records from start to end, on their routers' clocks in milliseconds, to one segment a process in dir, and
 // gives their number. Each begins with the engines' states at the start, so that it can be understood alone.
-func Cut(files []string, dir string, start, end float64) (n int, err error) {
+func Extract(files []string, dir string, start, end float64) (n int, err error) {
 	type out struct {
 		f      *os.File
 		w      *bufio.Writer
-		states map[string]*Engine // before the span
+		states map[string]*EngineChange // before the span
 	}
 	all := map[string]*out{}
 	defer func() {
@@ -40,16 +40,16 @@
 		_, err = o.w.Write(b)
 		return err
 	}
-	_, err = Read(files, func(h *Header, r Record) error {
+	_, err = ReadSegments(files, func(h *Header, r Record) error {
 		at := When(r)
-		o := all[h.Process]
+		o := all[h.ProcessID]
 		if o == nil {
-			o = &out{states: map[string]*Engine{}}
-			all[h.Process] = o
+			o = &out{states: map[string]*EngineChange{}}
+			all[h.ProcessID] = o
 		}
 		if at < start {
-			if e, ok := r.(*Engine); ok {
-				o.states[e.ID] = e
+			if e, ok := r.(*EngineChange); ok {
+				o.states[e.EngineID] = e
 			}
 			return nil
 		}
@@ -57,14 +57,14 @@
 			return nil
 		}
 		if o.f == nil {
-			path := filepath.Join(dir, fmt.Sprintf("%s-%013.0f-%d-cut%s", safe(h.Router), start, h.Place, Suffix))
+			path := filepath.Join(dir, fmt.Sprintf("%s-%013.0f-%d-cut%s", safe(h.Router), start, h.Incarnation, Suffix))
 			var err error
 			if o.f, err = os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 				return err
 			}
 			o.w = bufio.NewWriter(o.f)
 			head := *h
-			head.Segment, head.WallMS, head.ClockMS = 0, h.WallMS+start-h.ClockMS, start
+			head.SegmentNumber, head.WallMS, head.ClockMS = 0, h.WallMS+start-h.ClockMS, start
 			if err := write(o, &head); err != nil {
 				return err
 			}
@@ -78,7 +78,7 @@
 				if e.State == Gone {
 					continue
 				}
-				e.At, e.Was = start, e.State
+				e.AtMS, e.Previous = start, e.State
 				if err := write(o, &e); err != nil {
 					return err
 				}
--- a/internal/record/encoded_test.go
+++ b/internal/record/encoded_test.go
@@ -8,7 +8,7 @@
 
 // encodedTypes are the types of this package that leave the process or outlive it as CBOR and JSON; what they hold is found by itself.
 func encodedTypes() []any {
-	return []any{&Header{}, &Engine{}, &Second{}, &Answer{}, &Event{}, &Gap{}}
+	return []any{&Header{}, &EngineChange{}, &Interval{}, &RequestFailure{}, &Event{}, &Gap{}}
 }
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -18,33 +18,33 @@
 // order among them.
 func goldenRecords() []Record {
 	const start = 1_796_000_000_000.5
-	row := Row{
-		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Again: 1, InAim: 40, Late: 3, Refused: 4, Failed: 2, Left: 5,
-		WorkMS: 812.5, P50: 11.5, P99: 93.25,
+	row := ClassStats{
+		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2, Cancelled: 5,
+		EstimateMS: 812.5, P50MS: 11.5, P99MS: 93.25,
 	}
-	engine := EngineRow{
-		ID: "s-00000001", Sent: 50, Served: 43, Full: 2, Errored: 1, Broken: 3, Silent: 4, Running: 7, Threads: 2.5,
-		P50: 10.5, P99: 88.75,
+	engine := EngineStats{
+		EngineID: "s-00000001", Sent: 50, Served: 43, Rejected: 2, Errored: 1, ConnectionFailed: 3, TimedOut: 4, InFlight: 7, BusyThreads: 2.5,
+		P50MS: 10.5, P99MS: 88.75,
 	}
 	return []Record{
 		&Header{
-			Version: 1, Router: "n0", Place: 2, Process: "4711.kfz", Program: "windflow 1.2", Segment: 3, ClockMS: start,
-			WallMS: start + 17.25, Classes: []Class{{Name: "lookup", Worth: 1.5, LateWorth: 0.25, AimMS: 300}, {Name: "load", Worth: 8}},
+			Version: 1, Router: "n0", Incarnation: 2, ProcessID: "4711.kfz", Program: "windflow 1.2", SegmentNumber: 3, ClockMS: start,
+			WallMS: start + 17.25, Classes: []Class{{Name: "lookup", PriorityWeight: 1.5, LateWeightShare: 0.25, ObjectiveMS: 300}, {Name: "load", PriorityWeight: 8}},
 		},
-		&Engine{
-			At: start + 1, ID: "s-00000001", State: Down, Was: Slow, Slow: 3.5, Fail: 0.125, Lost: 6, WarmAt: start + 9000,
-			Zone: "z1", Kind: "large", Event: 77,
+		&EngineChange{
+			AtMS: start + 1, EngineID: "s-00000001", State: Down, Previous: Slow, Slowness: 3.5, FailureRate: 0.125, ConnectionFailures: 6, WarmUpEndMS: start + 9000,
+			Zone: "z1", Kind: "large", LastEvent: 77,
 		},
-		&Second{
-			At: start + 1000, ForMS: 1000, Rows: []Row{row, {Class: "load"}}, Engines: []EngineRow{engine, {ID: "s-00000002"}}, Open: 9,
-			Held: 2, Jam: 0.5, Conns: 31, Session: 12, Turned: 3, Spoilt: 4, Event: 78, BoardMS: 250.5,
+		&Interval{
+			AtMS: start + 1000, DurationMS: 1000, Classes: []ClassStats{row, {Class: "load"}}, Engines: []EngineStats{engine, {EngineID: "s-00000002"}}, OpenRequests: 9,
+			QueuedRequests: 2, Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3, InvalidResponses: 4, LastEvent: 78, DiscoveryAgeMS: 250.5,
 		},
-		&Answer{
-			At: start + 1001, ID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Refused: true, Reason: "no room",
-			Engine: "s-00000001", AfterMS: 41.5,
+		&RequestFailure{
+			AtMS: start + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true, Reason: "no room",
+			EngineID: "s-00000001", AfterMS: 41.5,
 		},
-		&Event{At: start + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json"}},
-		&Gap{At: start + 1003, From: start + 900, Records: 21},
+		&Event{AtMS: start + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json"}},
+		&Gap{AtMS: start + 1003, FromMS: start + 900, Dropped: 21},
 	}
 }
 
--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -5,9 +5,9 @@
 	"log/slog"
 )
 
-// Tee gives a handler that hands each line of the log, from Info up, on as an Event besides: the log and the records tell
+// NewLogHandler gives a handler that hands each line of the log, from Info up, on as an Event besides: the log and the records tell
 // the same, under the same names. put must not block.
-func Tee(h slog.Handler, now func() float64, put func(*Event)) slog.Handler {
+func NewLogHandler(h slog.Handler, now func() float64, put func(*Event)) slog.Handler {
 	return &tee{Handler: h, now: now, put: put}
 }
 
@@ -24,7 +24,7 @@
 // Handle implements slog.Handler.
 func (t *tee) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level >= slog.LevelInfo {
-		e := &Event{At: t.now(), Name: r.Message, Fields: map[string]string{}}
+		e := &Event{AtMS: t.now(), Name: r.Message, Fields: map[string]string{}}
 		add := func(a slog.Attr) bool {
 			text := a.Value.Resolve().String()
 			e.Fields[a.Key] = text[:min(len(text), maxField)]
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -12,89 +12,89 @@
 	leastMS, mostMS, digits = 1, 120_000, 2
 	// maxRows and maxEngines bound the meter: what comes beyond is counted in one row without a name.
 	maxRows, maxEngines = 256, 1024
-	// MaxMeter bounds what the histograms of all rows hold, in bytes; rows beyond go without quantiles.
-	MaxMeter = 3 << 20
+	// maxHistogramBytes bounds what the histograms of all rows hold, in bytes; rows beyond go without quantiles.
+	maxHistogramBytes = 3 << 20
 )
 
-// End is how an attempt ended, as far as records tell.
-type End uint8
+// AttemptOutcome is how an attempt ended, as far as records tell.
+type AttemptOutcome uint8
 
 // Ends of attempts.
 const (
-	EndServed End = iota
-	EndRejected
-	EndErrored
-	EndBroken // no connection, or lost it
-	EndSilent // no answer in time
-	EndOther  // not sent, or cancelled
+	AttemptServed AttemptOutcome = iota
+	AttemptRejected
+	AttemptErrored
+	AttemptConnectionFailed // no connection, or lost it
+	AttemptTimedOut         // no answer in time
+	AttemptOther            // not sent, or cancelled
 )
 
-// Answered is how a request ended.
-type Answered uint8
+// RequestOutcome is how a request ended.
+type RequestOutcome uint8
 
 // Ends of requests.
 const (
-	InObjective Answered = iota
-	LateServed
-	Rejected
-	Failed
-	ClientGone
+	RequestOnTime RequestOutcome = iota
+	RequestLate
+	RequestRejected
+	RequestFailed
+	RequestCancelled
 )
 
-type rowKey struct{ class, tenant string }
+type classKey struct{ class, tenant string }
 
-type row struct {
-	Row
+type classMeter struct {
+	ClassStats
 	times *hdrhistogram.Histogram // nil beyond MaxMeter
 	used  bool
 }
 
-type engineRow struct {
-	EngineRow
+type engineMeter struct {
+	EngineStats
 	times *hdrhistogram.Histogram
 	used  bool
 }
 
 // Meter adds up what happens in a second. It allocates only when it meets a class, tenant or engine for the first time.
 type Meter struct {
-	rows    map[rowKey]*row
-	engines map[uint64]*engineRow
-	held    int // bytes of histograms
-	name    func(uint64) string
+	classes        map[classKey]*classMeter
+	engines        map[uint64]*engineMeter
+	histogramBytes int // bytes of histograms
+	formatEngineID func(uint64) string
 }
 
 // NewMeter returns a meter; name words an engine's id.
 func NewMeter(name func(uint64) string) *Meter {
-	return &Meter{rows: map[rowKey]*row{}, engines: map[uint64]*engineRow{}, name: name}
+	return &Meter{classes: map[classKey]*classMeter{}, engines: map[uint64]*engineMeter{}, formatEngineID: name}
 }
 
 func (m *Meter) histogram() *hdrhistogram.Histogram {
-	if m.held >= MaxMeter {
+	if m.histogramBytes >= maxHistogramBytes {
 		return nil
 	}
 	h := hdrhistogram.New(leastMS, mostMS, digits)
-	m.held += h.ByteSize()
+	m.histogramBytes += h.ByteSize()
 	return h
 }
 
-func (m *Meter) row(class, tenant string) *row {
-	key := rowKey{class, tenant}
-	r := m.rows[key]
+func (m *Meter) row(class, tenant string) *classMeter {
+	key := classKey{class, tenant}
+	r := m.classes[key]
 	if r == nil {
-		if len(m.rows) >= maxRows {
-			key = rowKey{}
-			if r = m.rows[key]; r != nil {
+		if len(m.classes) >= maxRows {
+			key = classKey{}
+			if r = m.classes[key]; r != nil {
 				return r
 			}
 		}
-		r = &row{Row: Row{Class: key.class, Tenant: key.tenant}, times: m.histogram()}
-		m.rows[key] = r
+		r = &classMeter{ClassStats: ClassStats{Class: key.class, Tenant: key.tenant}, times: m.histogram()}
+		m.classes[key] = r
 	}
 	r.used = true
 	return r
 }
 
-func (m *Meter) engine(id uint64) *engineRow {
+func (m *Meter) engine(id uint64) *engineMeter {
 	e := m.engines[id]
 	if e == nil {
 		if len(m.engines) >= maxEngines {
@@ -103,99 +103,99 @@
 				return e
 			}
 		}
-		e = &engineRow{EngineRow: EngineRow{ID: m.name(id)}, times: m.histogram()}
+		e = &engineMeter{EngineStats: EngineStats{EngineID: m.formatEngineID(id)}, times: m.histogram()}
 		m.engines[id] = e
 	}
 	e.used = true
 	return e
 }
 
-// Arrived counts a request that was taken in.
-func (m *Meter) Arrived(class, tenant string, again bool, workMS float64) {
+// RequestArrived counts a request that was taken in.
+func (m *Meter) RequestArrived(class, tenant string, again bool, workMS float64) {
 	r := m.row(class, tenant)
 	r.Arrived++
 	if again {
-		r.Again++
+		r.Retries++
 	}
-	r.WorkMS += workMS
+	r.EstimateMS += workMS
 }
 
-// Answer counts a request's end; tookMS is since its arrival.
-func (m *Meter) Answer(class, tenant string, how Answered, tookMS float64) {
+// RequestEnded counts a request's end; tookMS is since its arrival.
+func (m *Meter) RequestEnded(class, tenant string, how RequestOutcome, tookMS float64) {
 	r := m.row(class, tenant)
 	switch how {
-	case InObjective:
-		r.InAim++
-	case LateServed:
+	case RequestOnTime:
+		r.OnTime++
+	case RequestLate:
 		r.Late++
-	case Rejected:
-		r.Refused++
-	case Failed:
+	case RequestRejected:
+		r.Rejected++
+	case RequestFailed:
 		r.Failed++
-	case ClientGone:
-		r.Left++
+	case RequestCancelled:
+		r.Cancelled++
 	}
-	if r.times != nil && (how == InObjective || how == LateServed) {
+	if r.times != nil && (how == RequestOnTime || how == RequestLate) {
 		_ = r.times.RecordValue(clamp(tookMS))
 	}
 }
 
-// Sent counts an attempt, and Ended its end.
-func (m *Meter) Sent(engine uint64) { m.engine(engine).Sent++ }
+// AttemptStarted counts an attempt, and Ended its end.
+func (m *Meter) AttemptStarted(engine uint64) { m.engine(engine).Sent++ }
 
-// Ended: see Sent.
-func (m *Meter) Ended(engine uint64, how End, tookMS float64) {
+// AttemptEnded: see Sent.
+func (m *Meter) AttemptEnded(engine uint64, how AttemptOutcome, tookMS float64) {
 	e := m.engine(engine)
 	switch how {
-	case EndServed:
+	case AttemptServed:
 		e.Served++
 		if e.times != nil {
 			_ = e.times.RecordValue(clamp(tookMS))
 		}
-	case EndRejected:
-		e.Full++
-	case EndErrored:
+	case AttemptRejected:
+		e.Rejected++
+	case AttemptErrored:
 		e.Errored++
-	case EndBroken:
-		e.Broken++
-	case EndSilent:
-		e.Silent++
+	case AttemptConnectionFailed:
+		e.ConnectionFailed++
+	case AttemptTimedOut:
+		e.TimedOut++
 	}
 }
 
 func clamp(ms float64) int64 { return int64(min(max(ms, leastMS), mostMS)) }
 
-// Running notes what an engine has now.
-func (m *Meter) Running(engine uint64, running int, threads float64) {
+// SetInFlight notes what an engine has now.
+func (m *Meter) SetInFlight(engine uint64, running int, threads float64) {
 	if running > 0 || m.engines[engine] != nil {
 		e := m.engine(engine)
-		e.Running, e.Threads = running, threads
-		e.used = e.used && (running > 0 || e.Sent+e.Served+e.Full+e.Errored+e.Broken+e.Silent > 0)
+		e.InFlight, e.BusyThreads = running, threads
+		e.used = e.used && (running > 0 || e.Sent+e.Served+e.Rejected+e.Errored+e.ConnectionFailed+e.TimedOut > 0)
 	}
 }
 
-// Forget drops an engine that is gone, once what it did has been taken.
-func (m *Meter) Forget(engine uint64) {
+// RemoveEngine drops an engine that is gone, once what it did has been taken.
+func (m *Meter) RemoveEngine(engine uint64) {
 	if e := m.engines[engine]; e != nil && !e.used {
 		if e.times != nil {
-			m.held -= e.times.ByteSize()
+			m.histogramBytes -= e.times.ByteSize()
 		}
 		delete(m.engines, engine)
 	}
 }
 
-// Take gives what was counted since it was called last, the rows in the order of their names, and begins anew.
-func (m *Meter) Take() (rows []Row, engines []EngineRow) {
-	for _, r := range m.rows {
+// Collect gives what was counted since it was called last, the rows in the order of their names, and begins anew.
+func (m *Meter) Collect() (rows []ClassStats, engines []EngineStats) {
+	for _, r := range m.classes {
 		if !r.used {
 			continue
 		}
 		if r.times != nil && r.times.TotalCount() > 0 {
-			r.P50, r.P99 = float64(r.times.ValueAtQuantile(50)), float64(r.times.ValueAtQuantile(99))
+			r.P50MS, r.P99MS = float64(r.times.ValueAtQuantile(50)), float64(r.times.ValueAtQuantile(99))
 			r.times.Reset()
 		}
-		rows = append(rows, r.Row)
-		r.Row = Row{Class: r.Class, Tenant: r.Tenant}
+		rows = append(rows, r.ClassStats)
+		r.ClassStats = ClassStats{Class: r.Class, Tenant: r.Tenant}
 		r.used = false
 	}
 	for _, e := range m.engines {
@@ -203,19 +203,19 @@
 			continue
 		}
 		if e.times != nil && e.times.TotalCount() > 0 {
-			e.P50, e.P99 = float64(e.times.ValueAtQuantile(50)), float64(e.times.ValueAtQuantile(99))
+			e.P50MS, e.P99MS = float64(e.times.ValueAtQuantile(50)), float64(e.times.ValueAtQuantile(99))
 			e.times.Reset()
 		}
-		engines = append(engines, e.EngineRow)
-		e.EngineRow = EngineRow{ID: e.ID}
+		engines = append(engines, e.EngineStats)
+		e.EngineStats = EngineStats{EngineID: e.EngineID}
 		e.used = false
 	}
-	slices.SortFunc(rows, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b ClassStats) int {
 		if c := strings.Compare(a.Class, b.Class); c != 0 {
 			return c
 		}
 		return strings.Compare(a.Tenant, b.Tenant)
 	})
-	slices.SortFunc(engines, func(a, b EngineRow) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(engines, func(a, b EngineStats) int { return strings.Compare(a.EngineID, b.EngineID) })
 	return rows, engines
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -20,15 +20,15 @@
 
 func sample() []Record {
 	return []Record{
-		&Header{Version: Version, Router: "n0", Place: 2, Process: "1.a", Program: "windflow", ClockMS: 1000, WallMS: 1001},
-		&Engine{At: 1001, ID: "s-00000001", State: WarmingUp, WarmAt: 9000, Zone: "hall-a", Kind: "std-8", Event: 3},
-		&Second{
-			At: 2000, ForMS: 1000, Rows: []Row{{Class: "lookup", Tenant: "a", Arrived: 5, InAim: 4, Late: 1, P50: 20, P99: 120}},
-			Engines: []EngineRow{{ID: "s-00000001", Sent: 5, Served: 5}}, Open: 2, Jam: 0.25,
+		&Header{Version: Version, Router: "n0", Incarnation: 2, ProcessID: "1.a", Program: "windflow", ClockMS: 1000, WallMS: 1001},
+		&EngineChange{AtMS: 1001, EngineID: "s-00000001", State: WarmingUp, WarmUpEndMS: 9000, Zone: "hall-a", Kind: "std-8", LastEvent: 3},
+		&Interval{
+			AtMS: 2000, DurationMS: 1000, Classes: []ClassStats{{Class: "lookup", Tenant: "a", Arrived: 5, OnTime: 4, Late: 1, P50MS: 20, P99MS: 120}},
+			Engines: []EngineStats{{EngineID: "s-00000001", Sent: 5, Served: 5}}, OpenRequests: 2, Congestion: 0.25,
 		},
-		&Answer{At: 2100, ID: "9b1f03aa5c7e2d41", Class: "load", Refused: true, Reason: "no room in time", AfterMS: 12},
-		&Event{At: 2200, Name: "reloaded", Fields: map[string]string{"board": "127.0.0.1:1"}},
-		&Gap{At: 2300, From: 2250, Records: 7},
+		&RequestFailure{AtMS: 2100, RequestID: "9b1f03aa5c7e2d41", Class: "load", Rejected: true, Reason: "no room in time", AfterMS: 12},
+		&Event{AtMS: 2200, Name: "reloaded", Fields: map[string]string{"board": "127.0.0.1:1"}},
+		&Gap{AtMS: 2300, FromMS: 2250, Dropped: 7},
 	}
 }
 
@@ -95,7 +95,7 @@
 			}
 			continue
 		}
-		if err != nil || len(got) != records-1 || (len(damage) == 0) != exact || len(damage) > 0 && !damage[0].Cut {
+		if err != nil || len(got) != records-1 || (len(damage) == 0) != exact || len(damage) > 0 && !damage[0].Truncated {
 			t.Errorf("%d bytes: %d records of %d, %v, %v", n, len(got), records-1, damage, err)
 		}
 	}
@@ -114,20 +114,20 @@
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
 			t.Fatalf("byte %d: %v %s", i, err, diff)
 		}
-		if len(damage) != 1 || damage[0].Cut || damage[0].Offset != int64(from) || damage[0].Bytes != int64(to-from) {
+		if len(damage) != 1 || damage[0].Truncated || damage[0].Offset != int64(from) || damage[0].Bytes != int64(to-from) {
 			t.Errorf("byte %d: %v", i, damage)
 		}
 	}
 }
 
 func TestNewerVersionAndForeignFiles(t *testing.T) {
-	newer := segment(t, &Header{Version: Version + 1, Router: "n0"}, &Gap{At: 1})
-	if _, _, err := readAll(newer); !errors.Is(err, ErrNewer) {
+	newer := segment(t, &Header{Version: Version + 1, Router: "n0"}, &Gap{AtMS: 1})
+	if _, _, err := readAll(newer); !errors.Is(err, ErrNewerVersion) {
 		t.Error("a newer version:", err)
 	}
 	for name, b := range map[string][]byte{
 		"text": []byte(strings.Repeat("no records at all\n", 99)), "zeros": make([]byte, 4096),
-		"no header": segment(t, &Gap{At: 1}),
+		"no header": segment(t, &Gap{AtMS: 1}),
 	} {
 		if _, _, err := readAll(b); err == nil {
 			t.Errorf("%s was taken for a segment", name)
@@ -135,9 +135,9 @@
 	}
 	// A kind that came later is passed over.
 	b := segment(t, sample()[0])
-	later := segment(t, &Gap{At: 5})
+	later := segment(t, &Gap{AtMS: 5})
 	later[frameHead] = 200
-	fixed, _ := appendFrame(nil, &Gap{At: 6})
+	fixed, _ := appendFrame(nil, &Gap{AtMS: 6})
 	putSum(later)
 	b = append(b, later...)
 	got, damage, err := readAll(append(b, fixed...))
@@ -156,26 +156,26 @@
 func start(t *testing.T, cfg Config, failed func(error)) *Writer {
 	t.Helper()
 	if cfg.SegmentMB == 0 {
-		cfg.SegmentMB = Defaults.SegmentMB
+		cfg.SegmentMB = DefaultConfig.SegmentMB
 	}
 	if cfg.TotalMB == 0 {
-		cfg.TotalMB = Defaults.TotalMB
+		cfg.TotalMB = DefaultConfig.TotalMB
 	}
 	if failed == nil {
 		failed = func(err error) { t.Log(err) }
 	}
-	return Start(cfg, Header{Router: "n/0", Place: 2, Process: "1.a"}, func() float64 { return 5000 }, failed)
+	return StartWriter(cfg, Header{Router: "n/0", Incarnation: 2, ProcessID: "1.a"}, func() float64 { return 5000 }, failed)
 }
 
-func count(t *testing.T, dir string) (records int, gaps int, read []File) {
+func count(t *testing.T, dir string) (records int, gaps int, read []SegmentResult) {
 	t.Helper()
-	files, err := Files(dir)
+	files, err := SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err = Read(files, func(_ *Header, r Record) error {
+	read, err = ReadSegments(files, func(_ *Header, r Record) error {
 		if g, ok := r.(*Gap); ok {
-			gaps += g.Records
+			gaps += g.Dropped
 		} else {
 			records++
 		}
@@ -193,16 +193,16 @@
 	w := start(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
 	const n = 20000
 	for i := range n {
-		w.Put(&Answer{At: float64(i), ID: fmt.Sprintf("%016x", i), Class: "lookup", Reason: strings.Repeat("x", 60)})
+		w.Put(&RequestFailure{AtMS: float64(i), RequestID: fmt.Sprintf("%016x", i), Class: "lookup", Reason: strings.Repeat("x", 60)})
 		if i%500 == 0 {
 			time.Sleep(time.Millisecond) // the writer has its turn
 		}
 	}
-	w.Stop()
+	w.Close()
 	if got := w.Counters.Written.Load() + w.Counters.Dropped.Load(); got != n {
 		t.Errorf("%d records were put, %d written or counted as dropped", n, got)
 	}
-	files, _ := Files(dir)
+	files, _ := SegmentFiles(dir)
 	var total int64
 	for _, f := range files {
 		info, _ := os.Stat(f)
@@ -223,7 +223,7 @@
 		now: func() float64 { return 1 }, queue: make(chan Record, 4), done: make(chan struct{}), ended: make(chan struct{}),
 		failed: func(error) {},
 	}
-	cfg := Defaults
+	cfg := DefaultConfig
 	cfg.Dir = dir
 	w.cfg.Store(&cfg)
 	w.head.Version = Version
@@ -231,7 +231,7 @@
 		w.Put(&Event{Name: "x"})
 	}
 	go w.run()
-	w.Stop()
+	w.Close()
 	if records, gaps, _ := count(t, dir); records != 4 || gaps != 6 {
 		t.Errorf("%d records, and gaps of %d", records, gaps)
 	}
@@ -278,7 +278,7 @@
 		w.Put(&Event{Name: "kept"})
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.Stop()
+	w.Close()
 	if _, gaps, read := count(t, dir); gaps == 0 && len(read) == 0 {
 		t.Error("nothing was recorded after the disk was back")
 	}
@@ -330,19 +330,19 @@
 	if err := os.WriteFile(filepath.Join(dir, "a"+Suffix), segment(t, sample()...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	files, _ := Files(dir)
-	n, err := Cut(files, out, 2050, 2250)
+	files, _ := SegmentFiles(dir)
+	n, err := Extract(files, out, 2050, 2250)
 	if err != nil || n != 3 {
 		t.Fatal(n, err)
 	}
-	files, _ = Files(out)
+	files, _ = SegmentFiles(out)
 	var got []Record
-	if _, err := Read(files, func(_ *Header, r Record) error { got = append(got, r); return nil }); err != nil {
+	if _, err := ReadSegments(files, func(_ *Header, r Record) error { got = append(got, r); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	want := sample()
-	state := *want[1].(*Engine)
-	state.At, state.Was = 2050, WarmingUp
+	state := *want[1].(*EngineChange)
+	state.AtMS, state.Previous = 2050, WarmingUp
 	if diff := cmp.Diff([]Record{&state, want[3], want[4]}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -352,34 +352,34 @@
 func TestMeter(t *testing.T) {
 	m := NewMeter(func(id uint64) string { return fmt.Sprint("e", id) })
 	for i := range 100 {
-		m.Arrived("lookup", "a", i%10 == 0, 100)
-		m.Answer("lookup", "a", InObjective, float64(i+1))
-		m.Sent(1)
-		m.Ended(1, EndServed, 50)
-	}
-	m.Answer("lookup", "a", Rejected, 1)
-	m.Ended(1, EndBroken, 1)
-	rows, engines := m.Take()
-	if diff := cmp.Diff([]Row{{Class: "lookup", Tenant: "a", Arrived: 100, Again: 10, InAim: 100, Refused: 1, WorkMS: 10000, P50: 50, P99: 99}}, rows); diff != "" {
+		m.RequestArrived("lookup", "a", i%10 == 0, 100)
+		m.RequestEnded("lookup", "a", RequestOnTime, float64(i+1))
+		m.AttemptStarted(1)
+		m.AttemptEnded(1, AttemptServed, 50)
+	}
+	m.RequestEnded("lookup", "a", RequestRejected, 1)
+	m.AttemptEnded(1, AttemptConnectionFailed, 1)
+	rows, engines := m.Collect()
+	if diff := cmp.Diff([]ClassStats{{Class: "lookup", Tenant: "a", Arrived: 100, Retries: 10, OnTime: 100, Rejected: 1, EstimateMS: 10000, P50MS: 50, P99MS: 99}}, rows); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]EngineRow{{ID: "e1", Sent: 100, Served: 100, Broken: 1, P50: 50, P99: 50}}, engines); diff != "" {
+	if diff := cmp.Diff([]EngineStats{{EngineID: "e1", Sent: 100, Served: 100, ConnectionFailed: 1, P50MS: 50, P99MS: 50}}, engines); diff != "" {
 		t.Error(diff)
 	}
-	if rows, engines = m.Take(); len(rows)+len(engines) != 0 {
+	if rows, engines = m.Collect(); len(rows)+len(engines) != 0 {
 		t.Error("what was taken is there again", rows, engines)
 	}
 	for i := range 10000 {
-		m.Arrived("lookup", fmt.Sprint(i), false, 1)
-		m.Sent(uint64(i + 1))
+		m.RequestArrived("lookup", fmt.Sprint(i), false, 1)
+		m.AttemptStarted(uint64(i + 1))
 	}
-	rows, engines = m.Take()
+	rows, engines = m.Collect()
 	arrived := 0
 	for _, r := range rows {
 		arrived += r.Arrived
 	}
-	if arrived != 10000 || len(rows) > maxRows+1 || len(engines) > maxEngines+1 || m.held > MaxMeter+1<<20 {
-		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(rows), arrived, len(engines), m.held)
+	if arrived != 10000 || len(rows) > maxRows+1 || len(engines) > maxEngines+1 || m.histogramBytes > maxHistogramBytes+1<<20 {
+		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(rows), arrived, len(engines), m.histogramBytes)
 	}
 }
 
@@ -387,10 +387,10 @@
 func TestMeterAllocatesNothing(t *testing.T) {
 	m := NewMeter(func(uint64) string { return "e" })
 	one := func() {
-		m.Arrived("lookup", "a", false, 100)
-		m.Sent(1)
-		m.Ended(1, EndServed, 50)
-		m.Answer("lookup", "a", InObjective, 60)
+		m.RequestArrived("lookup", "a", false, 100)
+		m.AttemptStarted(1)
+		m.AttemptEnded(1, AttemptServed, 50)
+		m.RequestEnded("lookup", "a", RequestOnTime, 60)
 	}
 	one()
 	if n := testing.AllocsPerRun(100, one); n != 0 {
@@ -401,10 +401,10 @@
 func TestTee(t *testing.T) {
 	var got []*Event
 	var out strings.Builder
-	log := slog.New(Tee(slog.NewTextHandler(&out, nil), func() float64 { return 7 }, func(e *Event) { got = append(got, e) }))
+	log := slog.New(NewLogHandler(slog.NewTextHandler(&out, nil), func() float64 { return 7 }, func(e *Event) { got = append(got, e) }))
 	log.With("name", "n0").Warn("the loop stood still", "ms", 500)
 	log.Debug("not this")
-	want := []*Event{{At: 7, Name: "the loop stood still", Fields: map[string]string{"name": "n0", "ms": "500"}}}
+	want := []*Event{{AtMS: 7, Name: "the loop stood still", Fields: map[string]string{"name": "n0", "ms": "500"}}}
 	if diff := cmp.Diff(want, got); diff != "" || !strings.Contains(out.String(), "ms=500") {
 		t.Error(diff, out.String())
 	}
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -16,9 +16,9 @@
 // Kinds of record.
 const (
 	KindHeader Kind = 1 + iota
-	KindEngine
-	KindSecond
-	KindAnswer
+	KindEngineChange
+	KindInterval
+	KindRequestFailure
 	KindEvent
 	KindGap
 )
@@ -26,23 +26,23 @@
 // Header begins each segment. Times of all records are on the router's clock, in milliseconds since the Unix epoch as that
 // clock took it at the process's start; it never steps. WallMS is the system's clock at the same moment, which may.
 type Header struct {
-	Version int     `cbor:"1,keyasint" json:"Version"`
-	Router  string  `cbor:"2,keyasint" json:"Router"`
-	Place   uint64  `cbor:"3,keyasint" json:"Place"`   // of the process among those of the router, in the order of their starts
-	Process string  `cbor:"4,keyasint" json:"Process"` // unlike any other process's
-	Program string  `cbor:"5,keyasint" json:"Program"`
-	Segment uint64  `cbor:"6,keyasint" json:"Segment"` // from 0 in each process
-	ClockMS float64 `cbor:"7,keyasint" json:"ClockMS"`
-	WallMS  float64 `cbor:"8,keyasint" json:"WallMS"`
-	Classes []Class `cbor:"9,keyasint,omitempty" json:"Classes"`
+	Version       int     `cbor:"1,keyasint" json:"Version"`
+	Router        string  `cbor:"2,keyasint" json:"Router"`
+	Incarnation   uint64  `cbor:"3,keyasint" json:"Place"`   // of the process among those of the router, in the order of their starts
+	ProcessID     string  `cbor:"4,keyasint" json:"Process"` // unlike any other process's
+	Program       string  `cbor:"5,keyasint" json:"Program"`
+	SegmentNumber uint64  `cbor:"6,keyasint" json:"Segment"` // from 0 in each process
+	ClockMS       float64 `cbor:"7,keyasint" json:"ClockMS"`
+	WallMS        float64 `cbor:"8,keyasint" json:"WallMS"`
+	Classes       []Class `cbor:"9,keyasint,omitempty" json:"Classes"`
 }
 
 // Class is a class of requests, as the settings have it.
 type Class struct {
-	Name      string  `cbor:"1,keyasint" json:"Name"`
-	Worth     float64 `cbor:"2,keyasint" json:"Worth"`
-	LateWorth float64 `cbor:"3,keyasint,omitempty" json:"LateWorth"` // share of it that an answer after the aim earns
-	AimMS     float64 `cbor:"4,keyasint,omitempty" json:"AimMS"`
+	Name            string  `cbor:"1,keyasint" json:"Name"`
+	PriorityWeight  float64 `cbor:"2,keyasint" json:"Worth"`
+	LateWeightShare float64 `cbor:"3,keyasint,omitempty" json:"LateWorth"` // share of it that an answer after the aim earns
+	ObjectiveMS     float64 `cbor:"4,keyasint,omitempty" json:"AimMS"`
 }
 
 // State is an engine's, as the module sees it.
@@ -70,93 +70,93 @@
 	return "unknown"
 }
 
-// Engine is a change of an engine's state, with what caused it.
-type Engine struct {
-	At     float64 `cbor:"1,keyasint" json:"At"`
-	ID     string  `cbor:"2,keyasint" json:"ID"`
-	State  State   `cbor:"3,keyasint" json:"State"`
-	Was    State   `cbor:"4,keyasint" json:"Was"`
-	Slow   float64 `cbor:"5,keyasint,omitempty" json:"Slow"`   // its times over its peers'
-	Fail   float64 `cbor:"6,keyasint,omitempty" json:"Fail"`   // share of late attempts that failed
-	Lost   int     `cbor:"7,keyasint,omitempty" json:"Lost"`   // connections lost or not had, in a row
-	WarmAt float64 `cbor:"8,keyasint,omitempty" json:"WarmAt"` // when it is to be warm
-	Zone   string  `cbor:"9,keyasint,omitempty" json:"Zone"`
-	Kind   string  `cbor:"10,keyasint,omitempty" json:"Kind"`
-	Event  uint64  `cbor:"11,keyasint,omitempty" json:"Event"` // the board's last event
+// EngineChange is a change of an engine's state, with what caused it.
+type EngineChange struct {
+	AtMS               float64 `cbor:"1,keyasint" json:"At"`
+	EngineID           string  `cbor:"2,keyasint" json:"ID"`
+	State              State   `cbor:"3,keyasint" json:"State"`
+	Previous           State   `cbor:"4,keyasint" json:"Was"`
+	Slowness           float64 `cbor:"5,keyasint,omitempty" json:"Slow"`   // its times over its peers'
+	FailureRate        float64 `cbor:"6,keyasint,omitempty" json:"Fail"`   // share of late attempts that failed
+	ConnectionFailures int     `cbor:"7,keyasint,omitempty" json:"Lost"`   // connections lost or not had, in a row
+	WarmUpEndMS        float64 `cbor:"8,keyasint,omitempty" json:"WarmAt"` // when it is to be warm
+	Zone               string  `cbor:"9,keyasint,omitempty" json:"Zone"`
+	Kind               string  `cbor:"10,keyasint,omitempty" json:"Kind"`
+	LastEvent          uint64  `cbor:"11,keyasint,omitempty" json:"Event"` // the board's last event
 }
 
-// Second is what happened in the second, or so, before At.
-type Second struct {
-	At      float64     `cbor:"1,keyasint" json:"At"`
-	ForMS   float64     `cbor:"2,keyasint" json:"ForMS"`
-	Rows    []Row       `cbor:"3,keyasint,omitempty" json:"Rows"`
-	Engines []EngineRow `cbor:"4,keyasint,omitempty" json:"Engines"`
-	Open    int         `cbor:"5,keyasint,omitempty" json:"Open"`     // requests now
-	Held    int         `cbor:"6,keyasint,omitempty" json:"Held"`     // of them not sent
-	Jam     float64     `cbor:"7,keyasint,omitempty" json:"Jam"`      // 0 for none to 1
-	Conns   int         `cbor:"8,keyasint,omitempty" json:"Conns"`    // to engines
-	Session int         `cbor:"9,keyasint,omitempty" json:"Session"`  // of clients
-	Turned  int64       `cbor:"10,keyasint,omitempty" json:"Turned"`  // sessions turned away or made room
-	Spoilt  int64       `cbor:"11,keyasint,omitempty" json:"Spoilt"`  // answers of engines that can't be used
-	Event   uint64      `cbor:"12,keyasint,omitempty" json:"Event"`   // the board's last event
-	BoardMS float64     `cbor:"13,keyasint,omitempty" json:"BoardMS"` // since the board was heard
+// Interval is what happened in the second, or so, before At.
+type Interval struct {
+	AtMS              float64       `cbor:"1,keyasint" json:"At"`
+	DurationMS        float64       `cbor:"2,keyasint" json:"ForMS"`
+	Classes           []ClassStats  `cbor:"3,keyasint,omitempty" json:"Rows"`
+	Engines           []EngineStats `cbor:"4,keyasint,omitempty" json:"Engines"`
+	OpenRequests      int           `cbor:"5,keyasint,omitempty" json:"Open"`     // requests now
+	QueuedRequests    int           `cbor:"6,keyasint,omitempty" json:"Held"`     // of them not sent
+	Congestion        float64       `cbor:"7,keyasint,omitempty" json:"Jam"`      // 0 for none to 1
+	EngineConnections int           `cbor:"8,keyasint,omitempty" json:"Conns"`    // to engines
+	ClientSessions    int           `cbor:"9,keyasint,omitempty" json:"Session"`  // of clients
+	RejectedSessions  int64         `cbor:"10,keyasint,omitempty" json:"Turned"`  // sessions turned away or made room
+	InvalidResponses  int64         `cbor:"11,keyasint,omitempty" json:"Spoilt"`  // answers of engines that can't be used
+	LastEvent         uint64        `cbor:"12,keyasint,omitempty" json:"Event"`   // the board's last event
+	DiscoveryAgeMS    float64       `cbor:"13,keyasint,omitempty" json:"BoardMS"` // since the board was heard
 }
 
-// Row is a class and tenant in a second. Times are from a request's arrival to its answer.
-type Row struct {
-	Class   string  `cbor:"1,keyasint" json:"Class"`
-	Tenant  string  `cbor:"2,keyasint,omitempty" json:"Tenant"`
-	Arrived int     `cbor:"3,keyasint,omitempty" json:"Arrived"`
-	Again   int     `cbor:"4,keyasint,omitempty" json:"Again"` // of them clients' retries
-	InAim   int     `cbor:"5,keyasint,omitempty" json:"InAim"` // served in the class's aim
-	Late    int     `cbor:"6,keyasint,omitempty" json:"Late"`  // served after it
-	Refused int     `cbor:"7,keyasint,omitempty" json:"Refused"`
-	Failed  int     `cbor:"8,keyasint,omitempty" json:"Failed"`
-	Left    int     `cbor:"9,keyasint,omitempty" json:"Left"`    // the client went
-	WorkMS  float64 `cbor:"10,keyasint,omitempty" json:"WorkMS"` // the arrivals' estimates
-	P50     float64 `cbor:"11,keyasint,omitempty" json:"P50"`
-	P99     float64 `cbor:"12,keyasint,omitempty" json:"P99"`
+// ClassStats is a class and tenant in a second. Times are from a request's arrival to its answer.
+type ClassStats struct {
+	Class      string  `cbor:"1,keyasint" json:"Class"`
+	Tenant     string  `cbor:"2,keyasint,omitempty" json:"Tenant"`
+	Arrived    int     `cbor:"3,keyasint,omitempty" json:"Arrived"`
+	Retries    int     `cbor:"4,keyasint,omitempty" json:"Again"` // of them clients' retries
+	OnTime     int     `cbor:"5,keyasint,omitempty" json:"InAim"` // served in the class's aim
+	Late       int     `cbor:"6,keyasint,omitempty" json:"Late"`  // served after it
+	Rejected   int     `cbor:"7,keyasint,omitempty" json:"Refused"`
+	Failed     int     `cbor:"8,keyasint,omitempty" json:"Failed"`
+	Cancelled  int     `cbor:"9,keyasint,omitempty" json:"Left"`    // the client went
+	EstimateMS float64 `cbor:"10,keyasint,omitempty" json:"WorkMS"` // the arrivals' estimates
+	P50MS      float64 `cbor:"11,keyasint,omitempty" json:"P50"`
+	P99MS      float64 `cbor:"12,keyasint,omitempty" json:"P99"`
 }
 
-// EngineRow is an engine in a second.
-type EngineRow struct {
-	ID      string  `cbor:"1,keyasint" json:"ID"`
-	Sent    int     `cbor:"2,keyasint,omitempty" json:"Sent"`
-	Served  int     `cbor:"3,keyasint,omitempty" json:"Served"`
-	Full    int     `cbor:"4,keyasint,omitempty" json:"Full"`
-	Errored int     `cbor:"5,keyasint,omitempty" json:"Errored"`
-	Broken  int     `cbor:"6,keyasint,omitempty" json:"Broken"`  // no connection, or lost
-	Silent  int     `cbor:"7,keyasint,omitempty" json:"Silent"`  // no answer in time
-	Running int     `cbor:"8,keyasint,omitempty" json:"Running"` // own, now
-	Threads float64 `cbor:"9,keyasint,omitempty" json:"Threads"` // theirs
-	P50     float64 `cbor:"10,keyasint,omitempty" json:"P50"`    // of attempts that were served
-	P99     float64 `cbor:"11,keyasint,omitempty" json:"P99"`
+// EngineStats is an engine in a second.
+type EngineStats struct {
+	EngineID         string  `cbor:"1,keyasint" json:"ID"`
+	Sent             int     `cbor:"2,keyasint,omitempty" json:"Sent"`
+	Served           int     `cbor:"3,keyasint,omitempty" json:"Served"`
+	Rejected         int     `cbor:"4,keyasint,omitempty" json:"Full"`
+	Errored          int     `cbor:"5,keyasint,omitempty" json:"Errored"`
+	ConnectionFailed int     `cbor:"6,keyasint,omitempty" json:"Broken"`  // no connection, or lost
+	TimedOut         int     `cbor:"7,keyasint,omitempty" json:"Silent"`  // no answer in time
+	InFlight         int     `cbor:"8,keyasint,omitempty" json:"Running"` // own, now
+	BusyThreads      float64 `cbor:"9,keyasint,omitempty" json:"Threads"` // theirs
+	P50MS            float64 `cbor:"10,keyasint,omitempty" json:"P50"`    // of attempts that were served
+	P99MS            float64 `cbor:"11,keyasint,omitempty" json:"P99"`
 }
 
-// Answer is a refusal or a failure. Beyond some a second they are counted in Row only.
-type Answer struct {
-	At      float64 `cbor:"1,keyasint" json:"At"`
-	ID      string  `cbor:"2,keyasint" json:"ID"`
-	Class   string  `cbor:"3,keyasint" json:"Class"`
-	Tenant  string  `cbor:"4,keyasint,omitempty" json:"Tenant"`
-	Refused bool    `cbor:"5,keyasint,omitempty" json:"Refused"`
-	Reason  string  `cbor:"6,keyasint" json:"Reason"`
-	Engine  string  `cbor:"7,keyasint,omitempty" json:"Engine"` // of the last attempt
-	AfterMS float64 `cbor:"8,keyasint" json:"AfterMS"`
+// RequestFailure is a refusal or a failure. Beyond some a second they are counted in Row only.
+type RequestFailure struct {
+	AtMS      float64 `cbor:"1,keyasint" json:"At"`
+	RequestID string  `cbor:"2,keyasint" json:"ID"`
+	Class     string  `cbor:"3,keyasint" json:"Class"`
+	Tenant    string  `cbor:"4,keyasint,omitempty" json:"Tenant"`
+	Rejected  bool    `cbor:"5,keyasint,omitempty" json:"Refused"`
+	Reason    string  `cbor:"6,keyasint" json:"Reason"`
+	EngineID  string  `cbor:"7,keyasint,omitempty" json:"Engine"` // of the last attempt
+	AfterMS   float64 `cbor:"8,keyasint" json:"AfterMS"`
 }
 
 // Event is something else that happened: a reload, a phase of a takeover, a link to the board, an operator's word.
 type Event struct {
-	At     float64           `cbor:"1,keyasint" json:"At"`
+	AtMS   float64           `cbor:"1,keyasint" json:"At"`
 	Name   string            `cbor:"2,keyasint" json:"Name"`
 	Fields map[string]string `cbor:"3,keyasint,omitempty" json:"Fields"`
 }
 
 // Gap says that records were dropped, since the queue was full or the disk could not be written.
 type Gap struct {
-	At      float64 `cbor:"1,keyasint" json:"At"`
-	From    float64 `cbor:"2,keyasint" json:"From"`
-	Records int     `cbor:"3,keyasint" json:"Records"`
+	AtMS    float64 `cbor:"1,keyasint" json:"At"`
+	FromMS  float64 `cbor:"2,keyasint" json:"From"`
+	Dropped int     `cbor:"3,keyasint" json:"Records"`
 }
 
 // Record is one record of any kind: a pointer to one of the types above.
@@ -167,16 +167,16 @@
 	switch r := r.(type) {
 	case *Header:
 		return r.ClockMS
-	case *Engine:
-		return r.At
-	case *Second:
-		return r.At
-	case *Answer:
-		return r.At
+	case *EngineChange:
+		return r.AtMS
+	case *Interval:
+		return r.AtMS
+	case *RequestFailure:
+		return r.AtMS
 	case *Event:
-		return r.At
+		return r.AtMS
 	case *Gap:
-		return r.At
+		return r.AtMS
 	}
 	return 0
 }
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -16,15 +16,15 @@
 
 // Config is the section records of the settings (package site, whose schema says what is allowed).
 type Config struct {
-	Dir       string  `json:"dir"`
-	SegmentMB float64 `json:"segment_mb"` // a segment is closed at that size
-	TotalMB   float64 `json:"total_mb"`   // of all segments in the folder; the oldest go
-	MaxAgeH   float64 `json:"max_age_h"`  // segments older than that go
-	Samples   int     `json:"samples"`    // refusals and failures written in full, a second
+	Dir               string  `json:"dir"`
+	SegmentMB         float64 `json:"segment_mb"` // a segment is closed at that size
+	TotalMB           float64 `json:"total_mb"`   // of all segments in the folder; the oldest go
+	MaxAgeHours       float64 `json:"max_age_h"`  // segments older than that go
+	FailuresPerSecond int     `json:"samples"`    // refusals and failures written in full, a second
 }
 
-// Defaults are the values of fields that are not given.
-var Defaults = Config{SegmentMB: 8, TotalMB: 256, MaxAgeH: 168, Samples: 20}
+// DefaultConfig are the values of fields that are not given.
+var DefaultConfig = Config{SegmentMB: 8, TotalMB: 256, MaxAgeHours: 168, FailuresPerSecond: 20}
 
 const (
 	// Suffix is that of segment files.
@@ -69,9 +69,9 @@
 	waiting int // records in buf
 }
 
-// Start starts a writer. failed hears, in the writer's goroutine, that the disk can't be written, once, and with nil that
+// StartWriter starts a writer. failed hears, in the writer's goroutine, that the disk can't be written, once, and with nil that
 // it can be again.
-func Start(cfg Config, head Header, now func() float64, failed func(error)) *Writer {
+func StartWriter(cfg Config, head Header, now func() float64, failed func(error)) *Writer {
 	head.Version = Version
 	w := &Writer{head: head, now: now, failed: failed, queue: make(chan Record, maxQueued), done: make(chan struct{}), ended: make(chan struct{})}
 	w.cfg.Store(&cfg)
@@ -105,8 +105,8 @@
 	}
 }
 
-// Stop writes what is queued and ends the writer; it waits for that a second at most.
-func (w *Writer) Stop() {
+// Close writes what is queued and ends the writer; it waits for that a second at most.
+func (w *Writer) Close() {
 	close(w.done)
 	select {
 	case <-w.ended:
@@ -218,7 +218,7 @@
 	if gap > 0 {
 		from := float64(w.dropFrom.Load()) / 1e3
 		var err error
-		if w.buf, err = appendFrame(w.buf, &Gap{At: w.now(), From: from, Records: gap}); err != nil {
+		if w.buf, err = appendFrame(w.buf, &Gap{AtMS: w.now(), FromMS: from, Dropped: gap}); err != nil {
 			return err
 		}
 	}
@@ -242,9 +242,9 @@
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return err
 	}
-	w.head.Segment = w.segment
+	w.head.SegmentNumber = w.segment
 	w.head.ClockMS, w.head.WallMS = w.now(), float64(time.Now().UnixMicro())/1e3
-	name := fmt.Sprintf("%s-%013.0f-%d-%04d%s", safe(w.head.Router), w.head.ClockMS, w.head.Place, w.segment, Suffix)
+	name := fmt.Sprintf("%s-%013.0f-%d-%04d%s", safe(w.head.Router), w.head.ClockMS, w.head.Incarnation, w.segment, Suffix)
 	path := filepath.Join(cfg.Dir, name)
 	sweep(cfg, time.Now())
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
@@ -300,7 +300,7 @@
 	}
 	slices.SortFunc(all, func(a, b old) int { return a.at.Compare(b.at) })
 	for _, s := range all {
-		aged := cfg.MaxAgeH > 0 && now.Sub(s.at).Hours() > cfg.MaxAgeH
+		aged := cfg.MaxAgeHours > 0 && now.Sub(s.at).Hours() > cfg.MaxAgeHours
 		if !aged && float64(total)+cfg.SegmentMB*(1<<20) <= cfg.TotalMB*(1<<20) {
 			continue
 		}
@@ -310,9 +310,9 @@
 	}
 }
 
-// Files gives the segment files that paths name, folders with all in them, in the order of their names, which is that of
+// SegmentFiles gives the segment files that paths name, folders with all in them, in the order of their names, which is that of
 // each process's time.
-func Files(paths ...string) (files []string, err error) {
+func SegmentFiles(paths ...string) (files []string, err error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -339,8 +339,8 @@
 	return slices.Compact(files), nil
 }
 
-// File is what was read of one.
-type File struct {
+// SegmentResult is what was read of one.
+type SegmentResult struct {
 	Path    string
 	Header  Header
 	Records int
@@ -348,11 +348,11 @@
 	Err     error // why it can't be read, or not to its end
 }
 
-// Read reads segment files one after the other and hands each record on; it holds no more than one in memory. A file that
+// ReadSegments reads segment files one after the other and hands each record on; it holds no more than one in memory. A file that
 // can't be read is told of in what it returns, and the others are read all the same; an error of each ends it.
-func Read(files []string, each func(h *Header, r Record) error) (read []File, err error) {
+func ReadSegments(files []string, each func(h *Header, r Record) error) (read []SegmentResult, err error) {
 	for _, path := range files {
-		got := File{Path: path}
+		got := SegmentResult{Path: path}
 		f, err := os.Open(path)
 		if err != nil {
 			got.Err = err
@@ -383,7 +383,7 @@
 	return read, nil
 }
 
-// ProcessName gives a name that no other process has.
-func ProcessName(startMS float64) string {
+// NewProcessID gives a name that no other process has.
+func NewProcessID(startMS float64) string {
 	return strconv.Itoa(os.Getpid()) + "." + strconv.FormatInt(int64(startMS*1e3), 36)
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -82,7 +82,7 @@
 		s.BGP = &bgp.Config{HoldTimeS: 90, ConnectRetryS: 5}
 	}
 	if sections["records"] != nil {
-		defaults := record.Defaults
+		defaults := record.DefaultConfig
 		s.Records = &defaults
 	}
 	if sections["keepers"] != nil {
