--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -65,7 +65,7 @@
 			if o.Check, err = checkOver(base); err != nil {
 				return err
 			}
-			if o.Ready, err = readiness(log); err != nil {
+			if o.OnReady, err = readiness(log); err != nil {
 				return err
 			}
 			// A write past the limit on the size of files is an error like that of a full disk, not the end of the process.
@@ -78,8 +78,8 @@
 	f := serve.Flags()
 	f.StringVar(&o.ID, "id", "", "`name` of this keeper in --peers")
 	f.StringVar(&o.Dir, "dir", "", "`folder` of this keeper alone; it is made if it is missing")
-	f.StringVar(&o.HTTP, "http", "", "`address:port` to listen at for calls")
-	f.StringVar(&o.Raft, "raft", "", "`address:port` to listen at for the other keepers")
+	f.StringVar(&o.HTTPAddr, "http", "", "`address:port` to listen at for calls")
+	f.StringVar(&o.RaftAddr, "raft", "", "`address:port` to listen at for the other keepers")
 	f.StringVar(&peers, "peers", "", "all keepers: `ID=RAFT/HTTP,...`, with the addresses that the others reach them at")
 	f.StringVar(&base, "base", "", "platform configuration (`file`) of a router, against which changes are checked")
 	f.StringVar(&o.Cluster, "cluster", "windflow", "`name` of the group, the same at all keepers and in their folders")
--- a/internal/configclient/disk.go
+++ b/internal/configclient/disk.go
@@ -92,7 +92,7 @@
 
 // setAside takes a copy that can't be used out of the way, for a look at it.
 func (d *disk) setAside(why error) {
-	d.counters.SetAside.Add(1)
+	d.counters.CopiesSetAside.Add(1)
 	aside := d.path + ".aside"
 	err := os.Rename(d.path, aside)
 	d.log.Error("the copy of the configuration was set aside", "file", d.path, "as", aside, "why", why, "err", err)
@@ -147,7 +147,7 @@
 func (d *disk) keep(s configlog.Saved) bool {
 	err := d.write(s)
 	if err != nil {
-		d.counters.DiskFailed.Add(1)
+		d.counters.CopyWriteErrors.Add(1)
 		if !d.failing {
 			d.log.Error("the copy of the configuration can't be written; the configuration is in force", "file", d.path, "err", err)
 		}
--- a/internal/configclient/follow.go
+++ b/internal/configclient/follow.go
@@ -19,14 +19,14 @@
 
 // Config is the section of the settings.
 type Config struct {
-	Addresses []string `json:"addresses"` // of the keepers, as address:port
-	Dir       string   `json:"dir"`       // of the copy
-	HoldMS    int      `json:"hold_ms"`   // how long a keeper may keep a call open while nothing is new
+	Addresses     []string `json:"addresses"` // of the keepers, as address:port
+	Dir           string   `json:"dir"`       // of the copy
+	MaxPollWaitMS int      `json:"hold_ms"`   // how long a keeper may keep a call open while nothing is new
 }
 
 const (
-	// DefaultHoldMS is a third of the keepers' usual lease.
-	DefaultHoldMS = 2000
+	// DefaultMaxPollWaitMS is a third of the keepers' usual lease.
+	DefaultMaxPollWaitMS = 2000
 	// answerWithin is how long past the hold a keeper has to answer, in all.
 	answerWithin = 2 * time.Second
 	// bringEvery bounds how often a call may bring a change, in a burst of them: reloads and their bytes stay within it. Two
@@ -66,16 +66,16 @@
 
 // Counters count what happened; the last two are figures that stand.
 type Counters struct {
-	Polls      atomic.Int64 `status:"polls"`
-	Changes    atomic.Int64 `status:"changes"`
-	Rejected   atomic.Int64 `status:"refused"`
-	Lost       atomic.Int64 `status:"lost"`
-	Unusable   atomic.Int64 `status:"unfit"`
-	DiskFailed atomic.Int64 `status:"disk_failed"`
-	SetAside   atomic.Int64 `status:"set_aside"`
-
-	Revision atomic.Int64 `status:"revision"` // in force
-	Barred   atomic.Int64 `status:"barred"`   // the latest that was refused and is not overtaken; 0 for none
+	Polls           atomic.Int64 `status:"polls"`
+	Changes         atomic.Int64 `status:"changes"`
+	Rejected        atomic.Int64 `status:"refused"`
+	FailedCalls     atomic.Int64 `status:"lost"`
+	UnusableAnswers atomic.Int64 `status:"unfit"`
+	CopyWriteErrors atomic.Int64 `status:"disk_failed"`
+	CopiesSetAside  atomic.Int64 `status:"set_aside"`
+
+	Revision         atomic.Int64 `status:"revision"` // in force
+	RejectedRevision atomic.Int64 `status:"barred"`   // the latest that was refused and is not overtaken; 0 for none
 }
 
 // Client follows the keepers.
@@ -167,7 +167,7 @@
 	}
 	cfg := c.config()
 	n := len(cfg.Addresses)
-	hold := min(within*3/8, time.Duration(cfg.HoldMS)*time.Millisecond)
+	hold := min(within*3/8, time.Duration(cfg.MaxPollWaitMS)*time.Millisecond)
 	for i := range n {
 		each, done := context.WithTimeout(ctx, within/time.Duration(min(n, 2)))
 		u, fresh, err := c.poller.ask(each, cfg.Addresses[c.state.Keeper(n)], c.state.Status(), int(hold.Milliseconds()))
@@ -230,7 +230,7 @@
 		cfg, given, again := c.begin(cancel)
 		if again {
 			c.state.Retry()
-			c.Counters.Barred.Store(0)
+			c.Counters.RejectedRevision.Store(0)
 		}
 		if given != nil {
 			u := configlog.Update{To: given.Revision, Snapshot: true, Put: given.Entries, Hash: given.Hash}
@@ -254,12 +254,12 @@
 
 // poll makes one call and takes what it brings, or waits after a loss.
 func (c *Client) poll(ctx context.Context, cfg Config) {
-	hold := time.Duration(cfg.HoldMS) * time.Millisecond
+	hold := time.Duration(cfg.MaxPollWaitMS) * time.Millisecond
 	addr := cfg.Addresses[c.state.Keeper(len(cfg.Addresses))]
 	c.Counters.Polls.Add(1)
 	at := time.Now()
 	call, done := context.WithTimeout(ctx, hold+answerWithin)
-	u, fresh, err := c.poller.ask(call, addr, c.state.Status(), cfg.HoldMS)
+	u, fresh, err := c.poller.ask(call, addr, c.state.Status(), cfg.MaxPollWaitMS)
 	done()
 	if ctx.Err() != nil {
 		return // cut short from here: no loss of the keeper's
@@ -280,9 +280,9 @@
 			c.spend(ctx)
 			return
 		}
-		c.Counters.Unusable.Add(1)
+		c.Counters.UnusableAnswers.Add(1)
 	}
-	c.Counters.Lost.Add(1)
+	c.Counters.FailedCalls.Add(1)
 	wait := c.state.CallFailed(c.now(), rand.Float64())
 	level := slog.LevelDebug
 	if !c.lost { // the first is said; the next good answer is
@@ -326,8 +326,8 @@
 		c.mu.Unlock()
 		c.Counters.Changes.Add(1)
 		c.Counters.Revision.Store(int64(s.Revision))
-		if uint64(c.Counters.Barred.Load()) <= s.Revision {
-			c.Counters.Barred.Store(0)
+		if uint64(c.Counters.RejectedRevision.Load()) <= s.Revision {
+			c.Counters.RejectedRevision.Store(0)
 		}
 		c.disk.save(c.state.Saved())
 		return
@@ -345,7 +345,7 @@
 		return
 	}
 	c.Counters.Rejected.Add(1)
-	c.Counters.Barred.Store(int64(s.Revision))
+	c.Counters.RejectedRevision.Store(int64(s.Revision))
 	c.log.Error("configuration refused; the one before stays in force", "revision", s.Revision, "pointer", r.Pointer, "err", r.Reason,
 		"in_force", c.state.Status().Revision)
 }
--- a/internal/configclient/follow_test.go
+++ b/internal/configclient/follow_test.go
@@ -72,7 +72,7 @@
 
 func client(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
-	c := New(Config{Addresses: keepers, Dir: dir, HoldMS: 2000}, "n/0", configlog.Instance(1, 1), discard)
+	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.Instance(1, 1), discard)
 	t.Cleanup(c.Stop)
 	return c
 }
@@ -91,17 +91,17 @@
 	r.refuse[first+1] = &Rejection{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
-	said := k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if said.Revision != first || said.Rejected.Revision != first+1 || said.Rejected.Pointer != "/settings/over-share-worth" ||
 		said.Rejected.Reason != "too much" {
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
-	if c.Counters.Revision.Load() != int64(first) || c.Counters.Barred.Load() != int64(first+1) || c.Latest().Revision != first {
-		t.Errorf("in force %d, refused %d", c.Counters.Revision.Load(), c.Counters.Barred.Load())
+	if c.Counters.Revision.Load() != int64(first) || c.Counters.RejectedRevision.Load() != int64(first+1) || c.Latest().Revision != first {
+		t.Errorf("in force %d, refused %d", c.Counters.Revision.Load(), c.Counters.RejectedRevision.Load())
 	}
 	third := k.Change(worth("0.3"))
-	said = k.UntilAt(third)
-	if said.Rejected != nil || c.Counters.Barred.Load() != 0 {
+	said = k.WaitForRevision(third)
+	if said.Rejected != nil || c.Counters.RejectedRevision.Load() != 0 {
 		t.Errorf("after a good one: %+v", said.Rejected)
 	}
 	if got := string(r.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
@@ -116,12 +116,12 @@
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
-	k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	r.mu.Lock()
 	delete(r.refuse, 1)
 	r.mu.Unlock()
 	c.Retry()
-	k.UntilAt(1)
+	k.WaitForRevision(1)
 }
 
 // Keepers that misbehave: nothing that they say is in force, and the router goes on at the other one.
@@ -172,11 +172,11 @@
 			t.Parallel()
 			wrong, good, r := keepertest.New(t), keepertest.New(t), newRouter()
 			met := make(chan struct{}, 1024)
-			wrong.Instead(func(w http.ResponseWriter, r *http.Request) {
+			wrong.SetHandler(func(w http.ResponseWriter, r *http.Request) {
 				met <- struct{}{}
 				bad.h(w, r)
 			})
-			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), HoldMS: 100}, "n0", configlog.Instance(1, 1), discard)
+			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0", configlog.Instance(1, 1), discard)
 			t.Cleanup(c.Stop)
 			c.Start(r.apply)
 			<-met // it was asked, whatever it answers
@@ -185,10 +185,10 @@
 				t.Errorf("revision %d is in force", r.latest().Revision)
 			}
 			rev := good.Change(worth("0.5"))
-			c.Configure(Config{Addresses: []string{wrong.Addr(), good.Addr()}, HoldMS: 100})
-			good.UntilAt(rev)
-			if got := r.latest(); string(got.Entries[pointer]) != "0.5" || c.Counters.Lost.Load() == 0 {
-				t.Errorf("%+v, lost %d", got, c.Counters.Lost.Load())
+			c.Configure(Config{Addresses: []string{wrong.Addr(), good.Addr()}, MaxPollWaitMS: 100})
+			good.WaitForRevision(rev)
+			if got := r.latest(); string(got.Entries[pointer]) != "0.5" || c.Counters.FailedCalls.Load() == 0 {
+				t.Errorf("%+v, lost %d", got, c.Counters.FailedCalls.Load())
 			}
 		})
 	}
@@ -203,10 +203,10 @@
 	late.Change(worth("0.9"))
 	c := client(t, t.TempDir(), ahead.Addr())
 	c.Start(r.apply)
-	ahead.UntilAt(3)
-	c.Configure(Config{Addresses: []string{late.Addr()}, HoldMS: 100})
-	late.UntilAt(3)
-	late.UntilAt(3) // once more, after what it was told
+	ahead.WaitForRevision(3)
+	c.Configure(Config{Addresses: []string{late.Addr()}, MaxPollWaitMS: 100})
+	late.WaitForRevision(3)
+	late.WaitForRevision(3) // once more, after what it was told
 	if r.latest().Revision != 3 {
 		t.Errorf("revision %d", r.latest().Revision)
 	}
@@ -217,13 +217,13 @@
 	k, r := keepertest.New(t), newRouter()
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
-	k.UntilAt(0)
+	k.WaitForRevision(0)
 	began := time.Now()
 	var last uint64
 	for i := range 300 {
 		last = k.Change(worth(fmt.Sprint(i)))
 	}
-	k.UntilAt(last)
+	k.WaitForRevision(last)
 	most := 3 + int64(time.Since(began)/bringEvery)
 	if n := c.Counters.Changes.Load(); n > most {
 		t.Errorf("%d calls brought changes, %d at most may", n, most)
@@ -235,10 +235,10 @@
 	k, r := keepertest.New(t), newRouter()
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
-	k.UntilAt(0)
+	k.WaitForRevision(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
 	c.SetInForce(Revision{7, configlog.HashOf(entries), entries})
-	k.UntilAt(7)
+	k.WaitForRevision(7)
 	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: left
 	r.until(t, 7)
 	if c.Latest().Revision != 7 {
@@ -255,7 +255,7 @@
 	c.Restore(5*time.Second, r.apply)
 	c.Start(r.apply)
 	c.Stop() // what is not written yet is written then
-	if c.Counters.DiskFailed.Load() > 0 {
+	if c.Counters.CopyWriteErrors.Load() > 0 {
 		t.Fatal("the copy was not written")
 	}
 }
@@ -268,7 +268,7 @@
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	silent.Instead(func(http.ResponseWriter, *http.Request) { <-stop })
+	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
 	good, err := os.ReadFile(file(dir))
 	if err != nil {
 		t.Fatal(err)
@@ -293,8 +293,8 @@
 		if took := time.Since(began); took > 2*time.Second { // far above the bound: the machine may be busy
 			t.Errorf("%s: the start took %v", how.name, took)
 		}
-		if got := r.latest().Revision; (got == rev) != how.ok || (c.Counters.SetAside.Load() == 0) != how.ok {
-			t.Errorf("%s: revision %d, set aside %d", how.name, got, c.Counters.SetAside.Load())
+		if got := r.latest().Revision; (got == rev) != how.ok || (c.Counters.CopiesSetAside.Load() == 0) != how.ok {
+			t.Errorf("%s: revision %d, set aside %d", how.name, got, c.Counters.CopiesSetAside.Load())
 		}
 		if _, err := os.Stat(file(dir) + ".aside"); (err == nil) == how.ok && !how.ok {
 			t.Errorf("%s: %v", how.name, err)
@@ -304,11 +304,11 @@
 	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(file(dir), good, 0o600), os.Rename(file(dir), filepath.Join(dir, "n1.revision"))); err != nil {
 		t.Fatal(err)
 	}
-	other, r := New(Config{Addresses: []string{silent.Addr()}, Dir: dir, HoldMS: 100}, "n1", "1", discard), newRouter()
+	other, r := New(Config{Addresses: []string{silent.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n1", "1", discard), newRouter()
 	t.Cleanup(other.Stop)
 	other.Restore(100*time.Millisecond, r.apply)
-	if r.latest().Revision != 0 || other.Counters.SetAside.Load() != 1 {
-		t.Errorf("another router's copy: revision %d, set aside %d", r.latest().Revision, other.Counters.SetAside.Load())
+	if r.latest().Revision != 0 || other.Counters.CopiesSetAside.Load() != 1 {
+		t.Errorf("another router's copy: revision %d, set aside %d", r.latest().Revision, other.Counters.CopiesSetAside.Load())
 	}
 }
 
@@ -320,8 +320,8 @@
 	c, r := client(t, dir, "127.0.0.1:1"), newRouter()
 	r.refuse[rev] = &Rejection{Reason: "does not fit"}
 	c.Restore(time.Second, r.apply)
-	if r.latest().Revision != 0 || c.Counters.Barred.Load() != int64(rev) {
-		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.Barred.Load())
+	if r.latest().Revision != 0 || c.Counters.RejectedRevision.Load() != int64(rev) {
+		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
 	}
 }
 
@@ -333,14 +333,14 @@
 		t.Fatal(err)
 	}
 	var said lines
-	c := New(Config{Addresses: []string{k.Addr()}, Dir: dir, HoldMS: 100}, "n0", "1", slog.New(slog.NewTextHandler(&said, nil)))
+	c := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n0", "1", slog.New(slog.NewTextHandler(&said, nil)))
 	c.Start(r.apply)
 	for i := range 3 {
-		k.UntilAt(k.Change(worth(fmt.Sprint(i))))
+		k.WaitForRevision(k.Change(worth(fmt.Sprint(i))))
 	}
 	c.Stop()
-	if c.Counters.DiskFailed.Load() == 0 || strings.Count(said.text(), "can't be written") != 1 {
-		t.Errorf("failed %d: %s", c.Counters.DiskFailed.Load(), said.text())
+	if c.Counters.CopyWriteErrors.Load() == 0 || strings.Count(said.text(), "can't be written") != 1 {
+		t.Errorf("failed %d: %s", c.Counters.CopyWriteErrors.Load(), said.text())
 	}
 }
 
@@ -390,7 +390,7 @@
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
 	saved(t, k, dir)
-	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, HoldMS: 100}, "n/0", configlog.Instance(2, 2), discard), newRouter()
+	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.Instance(2, 2), discard), newRouter()
 	t.Cleanup(c.Stop)
 	c.Restore(20*time.Second, r.apply)
 	if r.latest().Revision != rev || c.Counters.Changes.Load() != 1 {
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -83,7 +83,7 @@
 	if diff := cmp.Diff(want, c.Latest()); diff != "" {
 		t.Error(diff)
 	}
-	if n := c.Counters.SetAside.Load(); n != 0 {
+	if n := c.Counters.CopiesSetAside.Load(); n != 0 {
 		t.Errorf("%d copies were set aside", n)
 	}
 }
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -67,8 +67,8 @@
 	return r.Revision
 }
 
-// Instead has calls answered by another handler; nil for as usual. Calls that are open end.
-func (k *Keeper) Instead(h http.HandlerFunc) {
+// SetHandler has calls answered by another handler; nil for as usual. Calls that are open end.
+func (k *Keeper) SetHandler(h http.HandlerFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.instead = h
@@ -76,8 +76,8 @@
 	k.changed = make(chan struct{})
 }
 
-// Until waits for a call that says so.
-func (k *Keeper) Until(what string, ok func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
+// WaitForStatus waits for a call that says so.
+func (k *Keeper) WaitForStatus(what string, ok func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
 	k.t.Helper()
 	late := time.After(within)
 	for {
@@ -92,10 +92,10 @@
 	}
 }
 
-// UntilAt waits for a call that says that a revision is in force.
-func (k *Keeper) UntilAt(revision uint64) configlog.FollowerStatus {
+// WaitForRevision waits for a call that says that a revision is in force.
+func (k *Keeper) WaitForRevision(revision uint64) configlog.FollowerStatus {
 	k.t.Helper()
-	return k.Until("revision "+strconv.FormatUint(revision, 10)+" is in force",
+	return k.WaitForStatus("revision "+strconv.FormatUint(revision, 10)+" is in force",
 		func(r configlog.FollowerStatus) bool { return r.Revision == revision })
 }
 
--- a/internal/keeper/calls.go
+++ b/internal/keeper/calls.go
@@ -165,7 +165,7 @@
 }
 
 func (k *Keeper) request(ctx context.Context, p Peer, method, path string, body []byte) (*http.Request, error) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+p.HTTP+path, bytes.NewReader(body))
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+p.HTTPAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/keeper/change.go
+++ b/internal/keeper/change.go
@@ -54,7 +54,7 @@
 		return refuse(http.StatusBadRequest, "malformed", "field id is missing: it makes a repeated call one change")
 	}
 	k.figures.changesAsked.Add(1)
-	a := k.viaLeader(r, k.o.Within, path, body, func(ctx context.Context) answer { return k.change(ctx, c) })
+	a := k.viaLeader(r, k.o.ChangeTimeout, path, body, func(ctx context.Context) answer { return k.change(ctx, c) })
 	if a.status == http.StatusServiceUnavailable {
 		k.figures.changesUnserved.Add(1)
 	}
@@ -161,7 +161,7 @@
 // forget is `DELETE /v1/followers/NAME`.
 func (k *Keeper) forget(_ http.ResponseWriter, r *http.Request) answer {
 	name := r.PathValue("name")
-	return k.viaLeader(r, k.o.Within, r.URL.EscapedPath(), nil, func(context.Context) answer {
+	return k.viaLeader(r, k.o.ChangeTimeout, r.URL.EscapedPath(), nil, func(context.Context) answer {
 		got, err := k.replicate(command{Forget: name})
 		if err != nil {
 			return k.unreplicated(err, doneUnknown)
--- a/internal/keeper/change_test.go
+++ b/internal/keeper/change_test.go
@@ -87,7 +87,7 @@
 func TestNoCallGoesRound(t *testing.T) {
 	g := started(t, 3, nil)
 	other := (g.leader() + 1) % 3
-	q, err := http.NewRequest(http.MethodPost, "http://"+g.members[other].options.HTTP+"/v1/changes",
+	q, err := http.NewRequest(http.MethodPost, "http://"+g.members[other].options.HTTPAddr+"/v1/changes",
 		strings.NewReader(`{"id":"a","put":{"/settings/over-share-worth":1}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 				c := put(fmt.Sprint(round, "-", i), "/settings/over-share-worth", fmt.Sprint(i))
 				c.Expect = number(round)
 				var err error
-				codes[i], err = ask("http://"+g.members[i].options.HTTP, http.MethodPost, "/v1/changes", c, &replies[i])
+				codes[i], err = ask("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", c, &replies[i])
 				if err != nil {
 					t.Error(err)
 				}
--- a/internal/keeper/client_test.go
+++ b/internal/keeper/client_test.go
@@ -18,12 +18,12 @@
 // middle of a call, a client that begins anew with its copy and one without.
 func TestRoutersClient(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Lease = 2500 * time.Millisecond })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 2500 * time.Millisecond })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := func(n int, life uint64, dir string, refuses uint64) *configclient.Client {
-		cfg := configclient.Config{Dir: dir, HoldMS: 1000}
+		cfg := configclient.Config{Dir: dir, MaxPollWaitMS: 1000}
 		for i := range g.members { // each begins at another one
-			cfg.Addresses = append(cfg.Addresses, g.members[(n+i)%3].options.HTTP)
+			cfg.Addresses = append(cfg.Addresses, g.members[(n+i)%3].options.HTTPAddr)
 		}
 		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.Instance(int64(life), uint64(n)), log)
 		apply := func(r configclient.Revision) error {
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -40,7 +40,7 @@
 // All disks are full: no change is lost or made by half, calls go on being answered, and with room again changes are taken.
 func TestDisksFull(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Within = 3 * time.Second })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
 	f := follower{g: g, name: "r1", instance: "a"}
 	last := g.change(0, large(0))
 	f.until(0, last)
@@ -91,7 +91,7 @@
 
 // One disk is full, the leader's: another one leads and takes the changes.
 func TestLeadersDiskFull(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Within = 20 * time.Second })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 20 * time.Second })
 	last := g.change(0, large(0))
 	full := g.leader()
 	g.full(full)
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -45,7 +45,7 @@
 // What is found wrong in a folder, file by file, and said in log and status; nothing of it is lost.
 func TestWhatIsWrongInAFolder(t *testing.T) {
 	const value = "a value that is looked for"
-	g := started(t, 1, func(_ int, o *keeper.Options) { o.Snapshots, o.SnapshotEvery = 8, 50*time.Millisecond })
+	g := started(t, 1, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 50*time.Millisecond })
 	p := g.members[0]
 	sound := p.options.Dir
 	for n := range 20 {
@@ -131,7 +131,7 @@
 // A keeper that sets its folder aside catches up from the others with the same id, and votes again.
 func TestFolderIsSetAside(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Snapshots = 8 })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	for n := range 30 {
 		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 	}
@@ -173,7 +173,7 @@
 // could be made leader by it.
 func TestKeeperWithoutItsFolderHasNoVote(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Within = 2500 * time.Millisecond })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
 	g.equal(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	leader := g.leader()
 	late, lost := (leader+1)%3, (leader+2)%3
@@ -213,7 +213,7 @@
 // last keeper holds is kept.
 func TestMajorityLostForGood(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Within = 2 * time.Second })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
 	g.equal(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	for i := range g.members {
 		g.members[i].end(syscall.SIGTERM)
@@ -249,7 +249,7 @@
 // The newest snapshot is damaged, and the entries before it are gone.
 func TestSnapshotIsDamaged(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Snapshots, o.SnapshotEvery = 8, 100*time.Millisecond })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond })
 	for n := range 40 {
 		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 	}
@@ -287,7 +287,7 @@
 	g := started(t, 1, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	second := &process{t: t, options: g.members[0].options, logFile: tempLog(t, "second")}
-	second.options.HTTP, second.options.Raft = host()+":7401", host()+":7402"
+	second.options.HTTPAddr, second.options.RaftAddr = host()+":7401", host()+":7402"
 	mustContain(t, second.fails(), "--dir", g.members[0].options.Dir, "in use by another process")
 	if rev := g.change(0, put("second", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Error("revision", rev)
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -32,15 +32,15 @@
 	if err := q.Report.Check(); err != nil {
 		return refuse(http.StatusBadRequest, "malformed", "field report: %v", err)
 	}
-	hold := k.o.Hold
+	hold := k.o.MaxPollWait
 	if q.WaitMS != nil {
 		hold = time.Duration(min(max(*q.WaitMS, 0), int(k.mostHold().Milliseconds()))) * time.Millisecond
 	}
-	if n := k.figures.waiting.Add(1); n > int64(k.o.Waiting) {
+	if n := k.figures.waiting.Add(1); n > int64(k.o.MaxWaitingFollowers) {
 		k.figures.waiting.Add(-1)
 		k.figures.followsRefused.Add(1)
 		w.Header().Set("Retry-After", "1")
-		return refuse(http.StatusServiceUnavailable, "busy", "%d followers wait here already; ask another keeper", k.o.Waiting)
+		return refuse(http.StatusServiceUnavailable, "busy", "%d followers wait here already; ask another keeper", k.o.MaxWaitingFollowers)
 	}
 	defer k.figures.waiting.Add(-1)
 	k.figures.follows.Add(1)
@@ -60,7 +60,7 @@
 }
 
 // mostHold keeps a follower's lease alive through its call.
-func (k *Keeper) mostHold() time.Duration { return k.o.Lease / 2 }
+func (k *Keeper) mostHold() time.Duration { return k.o.LeaseDuration / 2 }
 
 // await gives what a follower needs as soon as there is something; false when the time is up. That this keeper is behind
 // the follower it says only at the end: it may yet catch up, and the follower doesn't call again at once.
@@ -166,7 +166,7 @@
 		return false
 	}
 	var done struct{}
-	return k.call(ctx, p, k.o.Within, http.MethodPost, "/v1/roster", seats, &done) == nil
+	return k.call(ctx, p, k.o.ChangeTimeout, http.MethodPost, "/v1/roster", seats, &done) == nil
 }
 
 // roster is `POST /v1/roster`, from keeper to keeper.
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -75,7 +75,7 @@
 
 // From a follower's first call to a verdict, and what a refusal and a follower that is gone look like.
 func TestWhoHasIt(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Lease = 1500 * time.Millisecond })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 1500 * time.Millisecond })
 	a, b := follower{g: g, name: "ra", instance: "1"}, follower{g: g, name: "rb", instance: "1"}
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	a.until(0, 1)
@@ -156,7 +156,7 @@
 
 // A keeper holds a bounded number of calls and says so to the next.
 func TestWaitingFollowersAreBounded(t *testing.T) {
-	g := started(t, 1, func(_ int, o *keeper.Options) { o.Waiting = 2 })
+	g := started(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
 	done := make(chan int, 2)
 	for n := range 2 {
 		f := follower{g: g, name: fmt.Sprint("r", n), instance: "1"}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -42,10 +42,10 @@
 	host := ownHost()
 	ready := make(chan string, 1)
 	o := Options{
-		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTP: host + ":7401", Raft: host + ":7402",
-		Peers: []Peer{{ID: "k1", HTTP: host + ":7401", Raft: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
-		Check: refusesEight, Ready: func(address string) { ready <- address }, Keep: configlog.Retention{Revisions: 3},
-		Hold: 20 * time.Millisecond, Lease: 10 * time.Minute, Within: goldenWithin,
+		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTPAddr: host + ":7401", RaftAddr: host + ":7402",
+		Peers: []Peer{{ID: "k1", HTTPAddr: host + ":7401", RaftAddr: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
+		Check: refusesEight, OnReady: func(address string) { ready <- address }, Retention: configlog.Retention{Revisions: 3},
+		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenWithin,
 	}
 	tweak(&o)
 	ended := make(chan error, 1)
@@ -218,8 +218,8 @@
 // A keeper that waits for the others, and one with no room for followers, say so as before.
 func TestGoldenUnservedCalls(t *testing.T) {
 	lonely := startOne(t, func(o *Options) {
-		o.Peers = append(o.Peers, Peer{ID: "k2", HTTP: ownHost() + ":1", Raft: ownHost() + ":1"})
-		o.Within, o.Waiting = 50*time.Millisecond, -1
+		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: ownHost() + ":1", RaftAddr: ownHost() + ":1"})
+		o.ChangeTimeout, o.MaxWaitingFollowers = 50*time.Millisecond, -1
 	})
 	steps := []step{
 		{"GET", "/v1/status", ""},
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -65,17 +65,17 @@
 	var peers []Peer
 	for i := range 3 {
 		host := ownHost()
-		peers = append(peers, Peer{ID: fmt.Sprint("k", i+1), Raft: host + ":7402", HTTP: host + ":7401"})
+		peers = append(peers, Peer{ID: fmt.Sprint("k", i+1), RaftAddr: host + ":7402", HTTPAddr: host + ":7401"})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	c := &cluster{}
 	for _, p := range peers {
-		c.addresses = append(c.addresses, p.HTTP)
+		c.addresses = append(c.addresses, p.HTTPAddr)
 		o := Options{
-			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTP: p.HTTP, Raft: p.Raft, Peers: peers,
+			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTPAddr: p.HTTPAddr, RaftAddr: p.RaftAddr, Peers: peers,
 			Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }, Log: slog.New(slog.DiscardHandler),
-			Keep: configlog.Retention{Revisions: 4}, Snapshots: 6, SnapshotEvery: 20 * time.Millisecond, Within: goldenWithin,
+			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond, ChangeTimeout: goldenWithin,
 		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -40,7 +40,7 @@
 		_, _ = io.WriteString(w, peerAnswers[r.URL.Path])
 	}))
 	defer server.Close()
-	peer := Peer{ID: "k2", HTTP: strings.TrimPrefix(server.URL, "http://")}
+	peer := Peer{ID: "k2", HTTPAddr: strings.TrimPrefix(server.URL, "http://")}
 	k := &Keeper{o: Options{ID: "k1", Peers: []Peer{{ID: "k1"}, peer}}, client: server.Client(), leases: configlog.NewLeases(1000)}
 	ctx := context.Background()
 	word = k.askAll(ctx)["k2"]
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -45,13 +45,13 @@
 	}
 	for i := range n {
 		id := fmt.Sprintf("k%d", i+1)
-		o := keeper.Options{ID: id, Dir: filepath.Join(dir, id), HTTP: http[i], Raft: raft[i], Within: 10 * time.Second}
+		o := keeper.Options{ID: id, Dir: filepath.Join(dir, id), HTTPAddr: http[i], RaftAddr: raft[i], ChangeTimeout: 10 * time.Second}
 		for j := range n {
-			p := keeper.Peer{ID: fmt.Sprintf("k%d", j+1), Raft: raft[j], HTTP: http[j]}
+			p := keeper.Peer{ID: fmt.Sprintf("k%d", j+1), RaftAddr: raft[j], HTTPAddr: http[j]}
 			if i != j {
 				h := host()
-				p.Raft, p.HTTP = h+":7402", h+":7401"
-				g.links[[2]int{i, j}] = []*relay{newRelay(t, p.Raft, raft[j]), newRelay(t, p.HTTP, http[j])}
+				p.RaftAddr, p.HTTPAddr = h+":7402", h+":7401"
+				g.links[[2]int{i, j}] = []*relay{newRelay(t, p.RaftAddr, raft[j]), newRelay(t, p.HTTPAddr, http[j])}
 			}
 			o.Peers = append(o.Peers, p)
 		}
@@ -149,7 +149,7 @@
 var shortly = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (g *group) try(i int, s *status) error {
-	a, err := shortly.Get("http://" + g.members[i].options.HTTP + "/v1/status")
+	a, err := shortly.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 
 func (g *group) do(i int, method, path string, in, out any) (code int) {
 	g.t.Helper()
-	code, err := ask("http://"+g.members[i].options.HTTP, method, path, in, out)
+	code, err := ask("http://"+g.members[i].options.HTTPAddr, method, path, in, out)
 	if err != nil {
 		g.t.Fatalf("%s: %s %s: %v", g.members[i].options.ID, method, path, err)
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -60,10 +60,10 @@
 		return err
 	}
 	k := &Keeper{
-		o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Keep), begun: make(chan struct{}),
+		o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Retention), begun: make(chan struct{}),
 		stopping: make(chan struct{}), changing: make(chan struct{}, 1),
 		leadership: newTurns(),
-		leases:     configlog.NewLeases(float64(o.Lease.Milliseconds())), joining: newJoining(),
+		leases:     configlog.NewLeases(float64(o.LeaseDuration.Milliseconds())), joining: newJoining(),
 	}
 	k.client = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
@@ -77,12 +77,12 @@
 	if err := k.reach(k.folder.mark.Stage); err != nil {
 		return err
 	}
-	replication, err := net.Listen("tcp", o.Raft)
+	replication, err := net.Listen("tcp", o.RaftAddr)
 	if err != nil {
 		return fmt.Errorf("--raft: %w", err)
 	}
 	defer func() { _ = replication.Close() }()
-	calls, err := net.Listen("tcp", o.HTTP)
+	calls, err := net.Listen("tcp", o.HTTPAddr)
 	if err != nil {
 		return fmt.Errorf("--http: %w", err)
 	}
@@ -106,11 +106,11 @@
 	}
 	failed := make(chan error, 1)
 	go func() {
-		failed <- server.Serve(netutil.LimitListener(counted{calls, &k.figures.bytesIn, &k.figures.bytesOut}, k.o.Waiting+spareConns))
+		failed <- server.Serve(netutil.LimitListener(counted{calls, &k.figures.bytesIn, &k.figures.bytesOut}, k.o.MaxWaitingFollowers+spareConns))
 	}()
 	k.log.Info("a keeper listens", "id", k.o.ID, "http", calls.Addr().String(), "raft", replication.Addr().String(), "stage", k.stage.Load())
-	if k.o.Ready != nil {
-		k.o.Ready(calls.Addr().String())
+	if k.o.OnReady != nil {
+		k.o.OnReady(calls.Addr().String())
 	}
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -27,7 +27,7 @@
 	out := make(chan posted, 1)
 	go func() {
 		var p posted
-		p.code, p.err = ask("http://"+g.members[i].options.HTTP, method, path, in, &p.reply)
+		p.code, p.err = ask("http://"+g.members[i].options.HTTPAddr, method, path, in, &p.reply)
 		out <- p
 	}()
 	return out
@@ -112,7 +112,7 @@
 	verdict := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
-		v.code, v.err = ask("http://"+g.members[old].options.HTTP, http.MethodGet, "/v1/rollout", nil, &v)
+		v.code, v.err = ask("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
 		verdict <- v
 	}()
 	conflict := g.send(old, http.MethodPost, "/v1/changes", configlog.Change{ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put})
@@ -178,7 +178,7 @@
 
 // All keepers die at once; with them gone nothing that was accepted is.
 func TestRestartOfAll(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.Snapshots = 8 })
+	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	f := follower{g: g, name: "r1", instance: "a"}
 	for n := range 30 {
 		g.change(n%3, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%7), fmt.Sprintf(`{"quota-rps":%d}`, n+1)))
@@ -209,7 +209,7 @@
 // Three keepers and two are apart, the old leader among the two.
 func TestRegionsApart(t *testing.T) {
 	t.Parallel()
-	g := started(t, 5, func(_ int, o *keeper.Options) { o.Within = 3 * time.Second })
+	g := started(t, 5, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	g.equal(1)
 	leader := g.leader()
--- a/internal/keeper/machine_test.go
+++ b/internal/keeper/machine_test.go
@@ -126,7 +126,7 @@
 // The list of keepers as it is typed.
 func TestPeersAreRead(t *testing.T) {
 	peers, err := ParsePeers("k1=h1:1/h1:2,k2=[::1]:1/[::1]:2")
-	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", Raft: "[::1]:1", HTTP: "[::1]:2"}) {
+	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", RaftAddr: "[::1]:1", HTTPAddr: "[::1]:2"}) {
 		t.Error(peers, err)
 	}
 	six := "a=h:1/h:2,b=h:1/h:2,c=h:1/h:2,d=h:1/h:2,e=h:1/h:2,f=h:1/h:2"
@@ -144,7 +144,7 @@
 		peers, err := ParsePeers(c.text)
 		if err == nil {
 			_, err = Options{
-				ID: "k1", Dir: "d", HTTP: "h:1", Raft: "h:2", Peers: peers,
+				ID: "k1", Dir: "d", HTTPAddr: "h:1", RaftAddr: "h:2", Peers: peers,
 				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil },
 			}.filled()
 		}
--- a/internal/keeper/many_test.go
+++ b/internal/keeper/many_test.go
@@ -24,7 +24,7 @@
 	defer c.CloseIdleConnections()
 	began := time.Now()
 	for ctx.Err() == nil {
-		to := g.members[f.Keeper(len(g.members))].options.HTTP
+		to := g.members[f.Keeper(len(g.members))].options.HTTPAddr
 		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Status()})
 		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/follow", bytes.NewReader(text))
 		var u configlog.Update
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -23,9 +23,9 @@
 
 // Peer is one keeper of the group, as the others reach it.
 type Peer struct {
-	ID   string
-	Raft string // host:port of the replication
-	HTTP string // host:port of the calls
+	ID       string
+	RaftAddr string // host:port of the replication
+	HTTPAddr string // host:port of the calls
 }
 
 // Check looks at the content that a change would give, before the change gets a revision; nil lets it pass.
@@ -33,28 +33,28 @@
 
 // Options are what one keeper is started with. Fields that are 0 get the value that their line names.
 type Options struct {
-	ID      string
-	Cluster string // of the group, so that another group's folder is known as foreign; "windflow"
-	Dir     string
-	HTTP    string // host:port to listen at for calls; required
-	Raft    string // host:port to listen at for the other keepers; required
-	Peers   []Peer // the whole group, this keeper among them
-	Check   Check
-	Log     *slog.Logger
-	Ready   func(http string) // called once when calls are accepted, with the address
+	ID       string
+	Cluster  string // of the group, so that another group's folder is known as foreign; "windflow"
+	Dir      string
+	HTTPAddr string // host:port to listen at for calls; required
+	RaftAddr string // host:port to listen at for the other keepers; required
+	Peers    []Peer // the whole group, this keeper among them
+	Check    Check
+	Log      *slog.Logger
+	OnReady  func(http string) // called once when calls are accepted, with the address
 
 	// AcceptLoss lets a keeper that lost its folder vote at once. It is for a majority that is lost for good: what only the
 	// lost ones held is given up.
 	AcceptLoss bool
 
-	Heartbeat     time.Duration       // a leader that is silent for so long is given up; 400 ms
-	Hold          time.Duration       // longest hold of a follower's call; 2 s
-	Lease         time.Duration       // a follower that has not called for so long counts as gone; 6 s
-	Within        time.Duration       // longest time for a change, with all tries; 5 s
-	Waiting       int                 // followers' calls held at once at most; 2,000
-	Keep          configlog.Retention // how much of the past is kept; 2,000 revisions, 16 MB
-	Snapshots     uint64              // entries between two snapshots of the state; 1,024
-	SnapshotEvery time.Duration       // how often it is looked whether a snapshot is due; 30 s
+	Heartbeat           time.Duration       // a leader that is silent for so long is given up; 400 ms
+	MaxPollWait         time.Duration       // longest hold of a follower's call; 2 s
+	LeaseDuration       time.Duration       // a follower that has not called for so long counts as gone; 6 s
+	ChangeTimeout       time.Duration       // longest time for a change, with all tries; 5 s
+	MaxWaitingFollowers int                 // followers' calls held at once at most; 2,000
+	Retention           configlog.Retention // how much of the past is kept; 2,000 revisions, 16 MB
+	SnapshotThreshold   uint64              // entries between two snapshots of the state; 1,024
+	SnapshotInterval    time.Duration       // how often it is looked whether a snapshot is due; 30 s
 }
 
 // ParsePeers reads `k1=RAFT/HTTP,k2=RAFT/HTTP`.
@@ -71,7 +71,7 @@
 				return nil, fmt.Errorf("--peers: %s: %w", id, err)
 			}
 		}
-		peers = append(peers, Peer{ID: id, Raft: raft, HTTP: http})
+		peers = append(peers, Peer{ID: id, RaftAddr: raft, HTTPAddr: http})
 	}
 	return peers, nil
 }
@@ -94,9 +94,9 @@
 		return o, errors.New("--id: is missing")
 	case o.Dir == "":
 		return o, errors.New("--dir: is missing")
-	case o.HTTP == "":
+	case o.HTTPAddr == "":
 		return o, errors.New("--http: is missing; without an address to listen at there is nothing to serve")
-	case o.Raft == "":
+	case o.RaftAddr == "":
 		return o, errors.New("--raft: is missing")
 	case len(o.Peers) == 0:
 		return o, errors.New("--peers: is missing")
@@ -124,14 +124,14 @@
 	}
 	def(&o.Log, slog.Default())
 	def(&o.Heartbeat, 400*time.Millisecond)
-	def(&o.Hold, 2*time.Second)
-	def(&o.Lease, 6*time.Second)
-	def(&o.Within, 5*time.Second)
-	def(&o.Waiting, 2000)
-	def(&o.Keep.Revisions, 2000)
-	def(&o.Keep.Bytes, 16<<20)
-	def(&o.Snapshots, 1024)
-	def(&o.SnapshotEvery, 30*time.Second)
+	def(&o.MaxPollWait, 2*time.Second)
+	def(&o.LeaseDuration, 6*time.Second)
+	def(&o.ChangeTimeout, 5*time.Second)
+	def(&o.MaxWaitingFollowers, 2000)
+	def(&o.Retention.Revisions, 2000)
+	def(&o.Retention.Bytes, 16<<20)
+	def(&o.SnapshotThreshold, 1024)
+	def(&o.SnapshotInterval, 30*time.Second)
 	return o, nil
 }
 
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -49,7 +49,7 @@
 		}
 		return nil
 	}
-	o.Ready = func(http string) {
+	o.OnReady = func(http string) {
 		f := os.NewFile(3, "ready")
 		_, _ = f.WriteString("ready " + http + "\n")
 		_ = f.Close()
@@ -73,7 +73,7 @@
 func (p *process) launch() (ready <-chan string) {
 	p.t.Helper()
 	o := p.options
-	o.Log, o.Check, o.Ready = nil, nil, nil
+	o.Log, o.Check, o.OnReady = nil, nil, nil
 	text, err := json.Marshal(plain(o))
 	if err != nil {
 		p.t.Fatal(err)
@@ -114,8 +114,8 @@
 // plain leaves the fields out that have no JSON.
 func plain(o keeper.Options) map[string]any {
 	return map[string]any{
-		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTP": o.HTTP, "Raft": o.Raft, "Peers": o.Peers,
-		"Hold": o.Hold, "Lease": o.Lease, "Within": o.Within, "Waiting": o.Waiting, "Keep": o.Keep, "Snapshots": o.Snapshots, "SnapshotEvery": o.SnapshotEvery, "AcceptLoss": o.AcceptLoss,
+		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTP": o.HTTPAddr, "Raft": o.RaftAddr, "Peers": o.Peers,
+		"Hold": o.MaxPollWait, "Lease": o.LeaseDuration, "Within": o.ChangeTimeout, "Waiting": o.MaxWaitingFollowers, "Keep": o.Retention, "Snapshots": o.SnapshotThreshold, "SnapshotEvery": o.SnapshotInterval, "AcceptLoss": o.AcceptLoss,
 	}
 }
 
@@ -125,7 +125,7 @@
 	ready := p.launch()
 	select {
 	case line := <-ready:
-		if line != "ready "+p.options.HTTP+"\n" {
+		if line != "ready "+p.options.HTTPAddr+"\n" {
 			<-p.ended
 			p.t.Fatalf("%s: no word of readiness but %q; %s", p.options.ID, line, p.said())
 		}
--- a/internal/keeper/replica.go
+++ b/internal/keeper/replica.go
@@ -48,7 +48,7 @@
 	c.HeartbeatTimeout, c.ElectionTimeout = k.o.Heartbeat, k.o.Heartbeat
 	c.LeaderLeaseTimeout = k.o.Heartbeat * 3 / 4
 	c.MaxAppendEntries = 16
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = k.o.Snapshots, k.o.Snapshots/2, k.o.SnapshotEvery
+	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = k.o.SnapshotThreshold, k.o.SnapshotThreshold/2, k.o.SnapshotInterval
 	c.Logger = log
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: addresses{&k.o}, Logger: log,
@@ -177,7 +177,7 @@
 			case !ok:
 				silent = append(silent, p.ID)
 			case w.Cluster != k.o.Cluster || w.ID != p.ID:
-				silent = append(silent, fmt.Sprintf("%s (%s answers as %q of cluster %q)", p.ID, p.HTTP, w.ID, w.Cluster))
+				silent = append(silent, fmt.Sprintf("%s (%s answers as %q of cluster %q)", p.ID, p.HTTPAddr, w.ID, w.Cluster))
 			case w.Stage == stageMember || w.Stage == stageJoining:
 				k.log.Warn("the group exists and this keeper's folder is empty: it joins and catches up before it votes", "asked", p.ID)
 				return stageJoining, nil
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -61,7 +61,7 @@
 	if !ok {
 		return "", fmt.Errorf("keeper %s is not among --peers", id)
 	}
-	return raft.ServerAddress(p.Raft), nil
+	return raft.ServerAddress(p.RaftAddr), nil
 }
 
 var errMuted = errors.New("this keeper has lost its folder and takes no part in elections until it has caught up")
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -55,7 +55,7 @@
 	}
 	if r.keepers != nil {
 		fmt.Fprintf(&b, "svc.configuration_revision:%d|g\nsvc.configuration_refused:%d|g\n", r.keepers.now.Revision,
-			r.keepers.client.Counters.Barred.Load())
+			r.keepers.client.Counters.RejectedRevision.Load())
 	}
 	return b.String()
 }
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -33,7 +33,7 @@
 			HoldTimeS: 90, ConnectRetryS: 120,
 		},
 		Records: &records,
-		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), HoldMS: 1000},
+		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), MaxPollWaitMS: 1000},
 	}
 }
 
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -102,11 +102,11 @@
 	}
 	addr, reached := boardAt(t)
 	first := k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
-	k.UntilAt(first)
+	k.WaitForRevision(first)
 	reached()
 	f.serves(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	said := k.Until("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if said.Revision != first || said.Rejected.Revision != bad || said.Rejected.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
@@ -115,7 +115,7 @@
 	}
 	f.serves(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
-	if said := k.UntilAt(last); said.Rejected != nil || said.Name != "n0" {
+	if said := k.WaitForRevision(last); said.Rejected != nil || said.Name != "n0" {
 		t.Errorf("%+v", said)
 	}
 	if a, b := f.figure(door, revisionFigure), f.figure(door, refusedFigure); a != int(last) || b != 0 {
@@ -140,7 +140,7 @@
 	}
 	// The board is an entry, the file's own is another one: the entry's is followed whatever the file says.
 	addr, reached := boardAt(t)
-	k.UntilAt(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
+	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
 	elsewhere, links := listenBoard(t)
 	var last uint64
@@ -151,9 +151,9 @@
 			hup()
 		}
 	}
-	k.UntilAt(last)
+	k.WaitForRevision(last)
 	// A file that has no class for the entry does not fit.
-	k.UntilAt(k.Change(map[string]string{"/settings/classes/1/credit": "9"}))
+	k.WaitForRevision(k.Change(map[string]string{"/settings/classes/1/credit": "9"}))
 	text, err := os.ReadFile(f.config)
 	if err != nil {
 		t.Fatal(err)
@@ -171,11 +171,11 @@
 	hup()
 	// It is refused: revisions go on over the file that was in force, which has two classes.
 	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
-	if said := k.UntilAt(end); said.Rejected != nil {
+	if said := k.WaitForRevision(end); said.Rejected != nil {
 		t.Errorf("%+v", said.Rejected)
 	}
 	// With the entries gone, and the signal given again, the same file is in force.
-	k.UntilAt(k.Change(nil, "/settings/classes/1/credit", "/board"))
+	k.WaitForRevision(k.Change(nil, "/settings/classes/1/credit", "/board"))
 	hup()
 	l := <-links
 	_ = l.Close()
@@ -197,7 +197,7 @@
 		if got := f.figure(door, revisionFigure); got != int(last) {
 			t.Errorf("round %d: revision %d is in force where clients come, of %d", round, got, last)
 		}
-		k.UntilAt(last)
+		k.WaitForRevision(last)
 		f.serves(round + 1)
 		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -225,7 +225,7 @@
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	silent.Instead(func(http.ResponseWriter, *http.Request) { <-stop })
+	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
 	f := newKeepersFleet(t, k.Addr())
 	rev := k.Change(map[string]string{"/settings/over-share-worth": "0.5"})
 	for _, how := range []struct {
@@ -251,7 +251,7 @@
 			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			k.UntilAt(rev)
+			k.WaitForRevision(rev)
 		}
 		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -271,7 +271,7 @@
 	plain.start(doorB)
 	f.ready(doorA)
 	plain.ready(doorB)
-	k.UntilAt(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
+	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
 	if a, b := f.figure(doorA, revisionFigure), plain.figure(doorB, revisionFigure); a != 1 || b != -1 {
 		t.Errorf("revisions %d and %d", a, b)
 	}
@@ -287,7 +287,7 @@
 	doorA, doorB := freePort(t), freePort(t)
 	old := f.start(doorA)
 	f.ready(doorA)
-	k.UntilAt(k.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
+	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
 	// The new one knows a keeper only that is not there.
 	f.dir = t.TempDir() // nor the copy
 	f.follow(freePort(t))
@@ -306,7 +306,7 @@
 		t.Errorf("the new process accepts at revision %d, the old one was at %d before", got, before)
 	}
 	last := <-burst
-	k.UntilAt(last) // in the old one
+	k.WaitForRevision(last) // in the old one
 	f.waitFor("both obey the same revision", func() bool {
 		return f.figure(doorB, revisionFigure) == int(last) && f.figure(doorA, revisionFigure) == int(last)
 	})
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -239,7 +239,7 @@
 			if now.Dir != cfg.Dir {
 				kept, now.Dir = append(kept, "/keepers/dir"), cfg.Dir
 			}
-			if !slices.Equal(now.Addresses, cfg.Addresses) || now.HoldMS != cfg.HoldMS {
+			if !slices.Equal(now.Addresses, cfg.Addresses) || now.MaxPollWaitMS != cfg.MaxPollWaitMS {
 				cfg = *now
 				k.client.Configure(cfg)
 			}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -86,7 +86,7 @@
 		s.Records = &defaults
 	}
 	if sections["keepers"] != nil {
-		s.Keepers = &configclient.Config{HoldMS: configclient.DefaultHoldMS}
+		s.Keepers = &configclient.Config{MaxPollWaitMS: configclient.DefaultMaxPollWaitMS}
 	}
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, err
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if s.FlightSQL == nil || s.BGP == nil || s.BGP.HoldTimeS != 90 || s.BGP.Prefixes[0].String() != "127.0.0.1/32" ||
-		s.Keepers == nil || len(s.Keepers.Addresses) != 3 || s.Keepers.HoldMS != 2000 {
+		s.Keepers == nil || len(s.Keepers.Addresses) != 3 || s.Keepers.MaxPollWaitMS != 2000 {
 		t.Errorf("%+v", s)
 	}
 }
