--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -50,7 +50,7 @@
 	f := configlog.NewFollower("router-0001", configlog.Instance(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, fresh, err := p.ask(context.Background(), l.Addr().String(), f.Status(), 2000); fresh || err != nil {
+		if _, fresh, err := p.poll(context.Background(), l.Addr().String(), f.Status(), 2000); fresh || err != nil {
 			b.Fatal(fresh, err)
 		}
 	}
--- a/internal/configclient/disk.go
+++ b/internal/configclient/disk.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// head begins a copy's first line, which ends with the SHA-256 of what follows it.
-	head = "windflow configuration 1 "
+	// copyHeader begins a copy's first line, which ends with the SHA-256 of what follows it.
+	copyHeader = "windflow configuration 1 "
 	// mostCopy bounds what is read of a copy, in bytes.
 	mostCopy = mostAnswer + 4<<10
 	// againAfter is the wait before a copy that could not be written is tried again.
 	againAfter = 10 * time.Second
 )
 
-// disk keeps the copy of the last good revision, in a file of this router's own: two processes of it write the same one.
-type disk struct {
+// copyStore keeps the copy of the last good revision, in a file of this router's own: two processes of it write the same one.
+type copyStore struct {
 	path, name string
 	counters   *Counters
 	log        *slog.Logger
@@ -37,8 +37,8 @@
 	failing    bool
 }
 
-func newDisk(dir, name string, n *Counters, log *slog.Logger) *disk {
-	return &disk{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.Saved, 1)}
+func newCopyStore(dir, name string, n *Counters, log *slog.Logger) *copyStore {
+	return &copyStore{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.Saved, 1)}
 }
 
 // copied is what stands in the file, after its first line.
@@ -48,7 +48,7 @@
 }
 
 // load reads a copy: fs.ErrNotExist where there is none, ErrDamaged where it is not what was written.
-func (d *disk) load() (s configlog.Saved, err error) {
+func (d *copyStore) load() (s configlog.Saved, err error) {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return s, err
@@ -59,7 +59,7 @@
 		return s, err
 	}
 	line, rest, _ := bytes.Cut(text, []byte("\n"))
-	sum, ok := bytes.CutPrefix(line, []byte(head))
+	sum, ok := bytes.CutPrefix(line, []byte(copyHeader))
 	if !ok {
 		return s, fmt.Errorf("%w: it is no copy of a configuration", configlog.ErrDamaged)
 	}
@@ -77,7 +77,7 @@
 }
 
 // read gives the copy, if there is a good one; one that is not is set aside.
-func (d *disk) read() (configlog.Saved, bool) {
+func (d *copyStore) read() (configlog.Saved, bool) {
 	s, err := d.load()
 	switch {
 	case err == nil:
@@ -91,7 +91,7 @@
 }
 
 // setAside takes a copy that can't be used out of the way, for a look at it.
-func (d *disk) setAside(why error) {
+func (d *copyStore) setAside(why error) {
 	d.counters.CopiesSetAside.Add(1)
 	aside := d.path + ".aside"
 	err := os.Rename(d.path, aside)
@@ -99,7 +99,7 @@
 }
 
 // save has a revision written when the disk comes to it. A later one that comes before takes its place.
-func (d *disk) save(s configlog.Saved) {
+func (d *copyStore) save(s configlog.Saved) {
 	for {
 		select {
 		case d.next <- s:
@@ -114,7 +114,7 @@
 }
 
 // run writes what is to be saved, until the client ends. What came last is written then too.
-func (d *disk) run(ctx context.Context) {
+func (d *copyStore) run(ctx context.Context) {
 	var failed *configlog.Saved
 	again := time.NewTicker(againAfter)
 	defer again.Stop()
@@ -144,7 +144,7 @@
 }
 
 // keep writes a copy, and says once that it can't, and once that it can again.
-func (d *disk) keep(s configlog.Saved) bool {
+func (d *copyStore) keep(s configlog.Saved) bool {
 	err := d.write(s)
 	if err != nil {
 		d.counters.CopyWriteErrors.Add(1)
@@ -159,7 +159,7 @@
 }
 
 // write replaces the copy, whole or not at all. One that is later stays: the other process of this router wrote it.
-func (d *disk) write(s configlog.Saved) error {
+func (d *copyStore) write(s configlog.Saved) error {
 	if there, err := d.load(); err == nil && there.Revision > s.Revision {
 		return nil
 	}
@@ -176,7 +176,7 @@
 		return err
 	}
 	sum := sha256.Sum256(rest)
-	_, err = f.Write(append([]byte(head+hex.EncodeToString(sum[:])+"\n"), rest...))
+	_, err = f.Write(append([]byte(copyHeader+hex.EncodeToString(sum[:])+"\n"), rest...))
 	if err == nil {
 		err = f.Sync()
 	}
--- a/internal/configclient/follow.go
+++ b/internal/configclient/follow.go
@@ -82,22 +82,22 @@
 type Client struct {
 	Counters Counters
 
-	log    *slog.Logger
-	disk   *disk
-	poller *poller
-	state  *configlog.Follower // of the goroutine that runs, and of the starter before
-	apply  Apply
-	began  time.Time
-	lost   bool // the last call was
-
-	mu      sync.Mutex // over what follows
-	cfg     Config
-	given   *Revision // by the other process of this router, not taken yet
-	again   bool      // what was refused may fit now
-	cut     func()    // ends the call that is open
-	latest  Revision
-	tokens  float64 // changes that may come now; of the goroutine that runs
-	tokenAt time.Time
+	log            *slog.Logger
+	copies         *copyStore
+	poller         *poller
+	state          *configlog.Follower // of the goroutine that runs, and of the starter before
+	apply          Apply
+	began          time.Time
+	lastCallFailed bool // the last call was
+
+	mu               sync.Mutex // over what follows
+	cfg              Config
+	fromOtherProcess *Revision // by the other process of this router, not taken yet
+	retryRejected    bool      // what was refused may fit now
+	interruptPoll    func()    // ends the call that is open
+	latest           Revision
+	tokens           float64 // changes that may come now; of the goroutine that runs
+	tokenAt          time.Time
 
 	stop    context.CancelFunc
 	stopped context.Context
@@ -108,7 +108,7 @@
 func New(cfg Config, name, instance string, log *slog.Logger) *Client {
 	c := &Client{cfg: cfg, log: log, state: configlog.NewFollower(name, instance), began: time.Now(), tokens: 2, tokenAt: time.Now()}
 	c.stopped, c.stop = context.WithCancel(context.Background())
-	c.disk = newDisk(cfg.Dir, name, &c.Counters, log)
+	c.copies = newCopyStore(cfg.Dir, name, &c.Counters, log)
 	c.poller = &poller{}
 	return c
 }
@@ -125,7 +125,7 @@
 func (c *Client) Retry() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.again = true
+	c.retryRejected = true
 	c.interrupt()
 }
 
@@ -133,14 +133,14 @@
 func (c *Client) SetInForce(s Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given = &s
+	c.fromOtherProcess = &s
 	c.interrupt()
 }
 
 // interrupt ends the call that is open, so that the next one says what is new here. The lock is held.
 func (c *Client) interrupt() {
-	if c.cut != nil {
-		c.cut()
+	if c.interruptPoll != nil {
+		c.interruptPoll()
 	}
 }
 
@@ -158,11 +158,11 @@
 	ctx, cancel := context.WithTimeout(c.stopped, within)
 	defer cancel()
 	c.apply = apply
-	if s, ok := c.disk.read(); ok {
+	if s, ok := c.copies.read(); ok {
 		if entries, ok, err := c.state.Restore(s); ok {
-			c.settle(Revision{s.Revision, s.Hash, entries})
+			c.activate(Revision{s.Revision, s.Hash, entries})
 		} else if err != nil {
-			c.disk.setAside(err)
+			c.copies.setAside(err)
 		}
 	}
 	cfg := c.config()
@@ -170,10 +170,10 @@
 	hold := min(within*3/8, time.Duration(cfg.MaxPollWaitMS)*time.Millisecond)
 	for i := range n {
 		each, done := context.WithTimeout(ctx, within/time.Duration(min(n, 2)))
-		u, fresh, err := c.poller.ask(each, cfg.Addresses[c.state.Keeper(n)], c.state.Status(), int(hold.Milliseconds()))
+		u, fresh, err := c.poller.poll(each, cfg.Addresses[c.state.Keeper(n)], c.state.Status(), int(hold.Milliseconds()))
 		done()
 		if err == nil && fresh {
-			err = c.take(u)
+			err = c.applyUpdate(u)
 		}
 		if err == nil {
 			return
@@ -193,7 +193,7 @@
 	c.done.Add(2)
 	go func() {
 		defer c.done.Done()
-		c.disk.run(c.stopped)
+		c.copies.run(c.stopped)
 	}()
 	go func() {
 		defer c.done.Done()
@@ -234,7 +234,7 @@
 		}
 		if given != nil {
 			u := configlog.Update{To: given.Revision, Snapshot: true, Put: given.Entries, Hash: given.Hash}
-			if err := c.take(u); err != nil && !errors.Is(err, configlog.ErrStale) {
+			if err := c.applyUpdate(u); err != nil && !errors.Is(err, configlog.ErrStale) {
 				c.log.Warn("what the other process has can't be taken", "err", err)
 			}
 		}
@@ -247,8 +247,8 @@
 func (c *Client) begin(cut func()) (cfg Config, given *Revision, again bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
-	given, again, c.given, c.again = c.given, c.again, nil, false
+	c.interruptPoll = cut
+	given, again, c.fromOtherProcess, c.retryRejected = c.fromOtherProcess, c.retryRejected, nil, false
 	return c.cfg, given, again
 }
 
@@ -259,13 +259,13 @@
 	c.Counters.Polls.Add(1)
 	at := time.Now()
 	call, done := context.WithTimeout(ctx, hold+answerWithin)
-	u, fresh, err := c.poller.ask(call, addr, c.state.Status(), cfg.MaxPollWaitMS)
+	u, fresh, err := c.poller.poll(call, addr, c.state.Status(), cfg.MaxPollWaitMS)
 	done()
 	if ctx.Err() != nil {
 		return // cut short from here: no loss of the keeper's
 	}
-	if err == nil && c.lost {
-		c.lost = false
+	if err == nil && c.lastCallFailed {
+		c.lastCallFailed = false
 		c.log.Info("a keeper answers", "keeper", addr)
 	}
 	if err == nil && !fresh {
@@ -276,8 +276,8 @@
 		return
 	}
 	if err == nil {
-		if err = c.take(u); err == nil {
-			c.spend(ctx)
+		if err = c.applyUpdate(u); err == nil {
+			c.waitForToken(ctx)
 			return
 		}
 		c.Counters.UnusableAnswers.Add(1)
@@ -285,10 +285,10 @@
 	c.Counters.FailedCalls.Add(1)
 	wait := c.state.CallFailed(c.now(), rand.Float64())
 	level := slog.LevelDebug
-	if !c.lost { // the first is said; the next good answer is
+	if !c.lastCallFailed { // the first is said; the next good answer is
 		level = slog.LevelWarn
 	}
-	c.lost = true
+	c.lastCallFailed = true
 	c.log.Log(ctx, level, "keeper lost", "keeper", addr, "err", err, "wait_ms", int(wait))
 	if theirs, ahead := c.state.KeepersAreBehind(); ahead {
 		c.log.Log(ctx, level, "all keepers are behind this router, which keeps its revision", "revision", c.state.Status().Revision,
@@ -297,8 +297,8 @@
 	pause(ctx, time.Duration(wait*1e6))
 }
 
-// spend waits until another change may come.
-func (c *Client) spend(ctx context.Context) {
+// waitForToken waits until another change may come.
+func (c *Client) waitForToken(ctx context.Context) {
 	now := time.Now()
 	c.tokens = min(2, c.tokens+float64(now.Sub(c.tokenAt))/float64(bringEvery)) - 1
 	c.tokenAt = now
@@ -307,17 +307,17 @@
 	}
 }
 
-// take goes by a keeper's answer.
-func (c *Client) take(u configlog.Update) error {
+// applyUpdate goes by a keeper's answer.
+func (c *Client) applyUpdate(u configlog.Update) error {
 	entries, ok, err := c.state.Offer(u)
 	if ok {
-		c.settle(Revision{u.To, u.Hash, entries})
+		c.activate(Revision{u.To, u.Hash, entries})
 	}
 	return err
 }
 
-// settle brings the candidate in force, or refuses it.
-func (c *Client) settle(s Revision) {
+// activate brings the candidate in force, or refuses it.
+func (c *Client) activate(s Revision) {
 	err := c.apply(s)
 	if err == nil {
 		c.state.Accept()
@@ -329,7 +329,7 @@
 		if uint64(c.Counters.RejectedRevision.Load()) <= s.Revision {
 			c.Counters.RejectedRevision.Store(0)
 		}
-		c.disk.save(c.state.Saved())
+		c.copies.save(c.state.Saved())
 		return
 	}
 	if errors.Is(err, ErrShuttingDown) {
--- a/internal/configclient/follow_test.go
+++ b/internal/configclient/follow_test.go
@@ -364,7 +364,7 @@
 // A process that is older doesn't write over the copy of the one that took its place.
 func TestCopyNeverGoesBack(t *testing.T) {
 	dir := t.TempDir()
-	d := newDisk(dir, "n/0", &Counters{}, discard)
+	d := newCopyStore(dir, "n/0", &Counters{}, discard)
 	for _, rev := range []uint64{3, 9, 4} {
 		f := configlog.NewFollower("a", "b")
 		entries := map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -55,7 +55,7 @@
 func TestGoldenCopyIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	saved := goldenSaved(t)
-	if err := newDisk(dir, "n/0", &Counters{}, discard).write(saved); err != nil {
+	if err := newCopyStore(dir, "n/0", &Counters{}, discard).write(saved); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(dir)
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := newDisk(dir, "n/0", &Counters{}, discard).read(); ok {
+	if _, ok := newCopyStore(dir, "n/0", &Counters{}, discard).read(); ok {
 		t.Error("a damaged copy is read")
 	}
 	if _, err := os.Stat(filepath.Join(dir, goldenCopy+".aside")); err != nil {
@@ -154,7 +154,7 @@
 		goldentest.Equal(t, "answer-"+name+".json", append(text, '\n'))
 		address, call := answerOnce(t, goldentest.Read(t, "answer-"+name+".json"))
 		ctx, cancel := context.WithTimeout(context.Background(), goldenWithin)
-		got, fresh, err := (&poller{}).ask(ctx, address, report, 2000)
+		got, fresh, err := (&poller{}).poll(ctx, address, report, 2000)
 		cancel()
 		if diff := cmp.Diff(want, got); err != nil || !fresh || diff != "" {
 			t.Errorf("%s: %v %v %s", name, fresh, err, diff)
--- a/internal/configclient/poller.go
+++ b/internal/configclient/poller.go
@@ -29,11 +29,11 @@
 // poller makes the calls, one at a time over one connection that is kept. Requests and answers are net/http's; its Transport
 // would bring a TLS client and HTTP/2 into every router, 1.5 MB of it resident, for plain calls to one address.
 type poller struct {
-	addr  string
-	conn  net.Conn // nil for none
-	left  *io.LimitedReader
-	in    *bufio.Reader
-	fresh bool // nothing was asked on it yet
+	addr   string
+	conn   net.Conn // nil for none
+	left   *io.LimitedReader
+	in     *bufio.Reader
+	unused bool // nothing was asked on it yet
 }
 
 func (p *poller) close() {
@@ -53,15 +53,15 @@
 	if err != nil {
 		return err
 	}
-	p.addr, p.conn, p.fresh = addr, conn, true
+	p.addr, p.conn, p.unused = addr, conn, true
 	p.left = &io.LimitedReader{R: conn}
 	p.in = bufio.NewReader(p.left)
 	return nil
 }
 
-// ask says what this router has and hears what is new; not fresh where nothing is. The context, which has to have a deadline,
+// poll says what this router has and hears what is new; not fresh where nothing is. The context, which has to have a deadline,
 // bounds all of it.
-func (p *poller) ask(ctx context.Context, addr string, report configlog.FollowerStatus, holdMS int) (u configlog.Update, fresh bool, err error) {
+func (p *poller) poll(ctx context.Context, addr string, report configlog.FollowerStatus, holdMS int) (u configlog.Update, fresh bool, err error) {
 	body, err := json.Marshal(struct {
 		Report configlog.FollowerStatus `json:"report"`
 		WaitMS int                      `json:"wait_ms"`
@@ -73,7 +73,7 @@
 		if err := p.open(ctx, addr); err != nil {
 			return u, false, err
 		}
-		kept := !p.fresh
+		kept := !p.unused
 		status, text, err := p.call(ctx, body)
 		switch {
 		case kept && errors.Is(err, errClosed) && ctx.Err() == nil:
@@ -115,7 +115,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	p.fresh = false
+	p.unused = false
 	if err := r.Write(conn); err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", errClosed, err)
 	}
--- a/internal/keeper/calls.go
+++ b/internal/keeper/calls.go
@@ -27,8 +27,8 @@
 	body   any // as JSON; nothing for nil
 }
 
-// refusal is the body of an answer that isn't yes, where it is no rollout.Fault.
-type refusal struct {
+// errorBody is the body of an answer that isn't yes, where it is no rollout.Fault.
+type errorBody struct {
 	Kind   string `json:"kind"` // "malformed", "no-majority", "disk", "busy", "starting", "stopping", "not-there"
 	Reason string `json:"reason"`
 	// Done says what became of a change: "nothing", or "unknown": the same call again, with the same id, tells.
@@ -41,12 +41,12 @@
 )
 
 func refuse(status int, kind, format string, a ...any) answer {
-	return answer{status, refusal{Kind: kind, Reason: fmt.Sprintf(format, a...)}}
+	return answer{status, errorBody{Kind: kind, Reason: fmt.Sprintf(format, a...)}}
 }
 
 // unserved is a refusal of a change that another leader may take.
 func unserved(kind, done, format string, a ...any) answer {
-	return answer{http.StatusServiceUnavailable, refusal{Kind: kind, Reason: fmt.Sprintf(format, a...), Done: done}}
+	return answer{http.StatusServiceUnavailable, errorBody{Kind: kind, Reason: fmt.Sprintf(format, a...), Done: done}}
 }
 
 // faulty gives a fault of a change or a question its status.
@@ -72,7 +72,7 @@
 	for {
 		turned := k.leadership.after()
 		a := k.once(ctx, r.Method, path, body, local, passed)
-		no, again := a.body.(refusal)
+		no, again := a.body.(errorBody)
 		if !again || a.status != http.StatusServiceUnavailable || passed {
 			return a
 		}
@@ -147,7 +147,7 @@
 		return unserved("no-majority", doneUnknown, "the leader %s broke off: %v", p.ID, reason(err))
 	}
 	if a.StatusCode == http.StatusServiceUnavailable {
-		var no refusal
+		var no errorBody
 		if json.Unmarshal(text, &no) == nil && no.Kind != "" {
 			return answer{a.StatusCode, no}
 		}
--- a/internal/keeper/change.go
+++ b/internal/keeper/change.go
@@ -24,7 +24,7 @@
 // changes is `POST /v1/changes`.
 func (k *Keeper) changes(w http.ResponseWriter, r *http.Request) answer {
 	var c configlog.Change
-	body, no := readBody(w, r, mostBody, &c)
+	body, no := readBody(w, r, maxBodyBytes, &c)
 	if no != nil {
 		return *no
 	}
@@ -39,7 +39,7 @@
 		Expect *uint64 `json:"expect"`
 		Note   string  `json:"note"`
 	}
-	body, no := readBody(w, r, mostBody, &c)
+	body, no := readBody(w, r, maxBodyBytes, &c)
 	if no != nil {
 		return *no
 	}
@@ -91,9 +91,9 @@
 		if err != nil {
 			return k.unreplicated(err, doneUnknown)
 		}
-		out := got.(outcome)
+		out := got.(changeOutcome)
 		switch {
-		case out.Moved:
+		case out.BaseMoved:
 			continue
 		case out.Err != nil:
 			k.figures.changesRefused.Add(1)
@@ -103,13 +103,13 @@
 			k.figures.changesMade.Add(1)
 			k.log.Info("a revision is in the log", "revision", out.Revision, "change", c.ID)
 		}
-		return answer{http.StatusOK, changed{Revision: out.Revision, Repeated: out.Repeated}}
+		return answer{http.StatusOK, changeResult{Revision: out.Revision, Repeated: out.Repeated}}
 	}
 	return unserved("busy", doneNothing, "%v", errBusy)
 }
 
-// changed is the answer to a change that has a revision.
-type changed struct {
+// changeResult is the answer to a change that has a revision.
+type changeResult struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
 }
@@ -170,8 +170,8 @@
 	})
 }
 
-// content is what `GET /v1/config` gives.
-type content struct {
+// configContent is what `GET /v1/config` gives.
+type configContent struct {
 	Revision uint64                     `json:"revision"`
 	Hash     configlog.Hash             `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
@@ -190,7 +190,7 @@
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		c, fault, changed := k.machine.at(rev)
+		c, fault, changed := k.machine.contentAt(rev)
 		switch {
 		case fault == nil:
 			return answer{http.StatusOK, c}
@@ -219,7 +219,7 @@
 		return *no
 	}
 	first, n := uint64(0), uint64(20)
-	now := k.machine.stand()
+	now := k.machine.summary()
 	if most != nil {
 		n = min(*most, 1000)
 	}
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -12,13 +12,13 @@
 
 // command is one entry of the replicated log. Exactly one of its fields is set.
 type command struct {
-	Change *changeCommand `json:"change,omitempty"`
-	Join   []seat         `json:"join,omitempty"`   // followers' processes heard for the first time
-	Forget string         `json:"forget,omitempty"` // name of a follower that is gone for good
+	Change *changeCommand    `json:"change,omitempty"`
+	Join   []followerProcess `json:"join,omitempty"`   // followers' processes heard for the first time
+	Forget string            `json:"forget,omitempty"` // name of a follower that is gone for good
 }
 
-// seat is one process of a follower.
-type seat struct {
+// followerProcess is one process of a follower.
+type followerProcess struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 }
@@ -32,7 +32,7 @@
 // commandFormat is the first byte of each entry; then come a CRC-32C of the rest, and JSON.
 const commandFormat = 1
 
-const commandHead = 1 + 4
+const commandHeaderSize = 1 + 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -41,29 +41,29 @@
 	if err != nil {
 		return nil, err
 	}
-	out := make([]byte, commandHead, commandHead+len(body))
+	out := make([]byte, commandHeaderSize, commandHeaderSize+len(body))
 	out[0] = commandFormat
 	binary.BigEndian.PutUint32(out[1:], crc32.Checksum(body, castagnoli))
 	return append(out, body...), nil
 }
 
-// checkCommand tells whether an entry is as it was written.
-func checkCommand(data []byte) error {
-	if len(data) < commandHead {
+// verifyCommand tells whether an entry is as it was written.
+func verifyCommand(data []byte) error {
+	if len(data) < commandHeaderSize {
 		return errors.New("entry is cut off")
 	}
 	if data[0] != commandFormat {
 		return fmt.Errorf("entry has format %d, this program knows %d", data[0], commandFormat)
 	}
-	if crc32.Checksum(data[commandHead:], castagnoli) != binary.BigEndian.Uint32(data[1:]) {
+	if crc32.Checksum(data[commandHeaderSize:], castagnoli) != binary.BigEndian.Uint32(data[1:]) {
 		return errors.New("entry does not match its checksum")
 	}
 	return nil
 }
 
 func decodeCommand(data []byte) (c command, err error) {
-	if err := checkCommand(data); err != nil {
+	if err := verifyCommand(data); err != nil {
 		return c, err
 	}
-	return c, json.Unmarshal(data[commandHead:], &c)
+	return c, json.Unmarshal(data[commandHeaderSize:], &c)
 }
--- a/internal/keeper/encoded_test.go
+++ b/internal/keeper/encoded_test.go
@@ -8,7 +8,7 @@
 
 // encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
 func encodedTypes() []any {
-	return []any{command{}, seat{}, mark{}, refusal{}, changed{}, content{}, peerWord{}, leaderWord{}, verdict{}, held{}}
+	return []any{command{}, followerProcess{}, folderIdentity{}, errorBody{}, changeResult{}, configContent{}, peerStatus{}, leaderStatus{}, convergenceReport{}, keeperLeases{}}
 }
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -37,8 +37,8 @@
 	stageMember   = "member"
 )
 
-// mark is the content of markFile.
-type mark struct {
+// folderIdentity is the content of markFile.
+type folderIdentity struct {
 	Format  int    `json:"format"`
 	Cluster string `json:"cluster"`
 	ID      string `json:"id"`
@@ -47,10 +47,10 @@
 
 // folder is a keeper's place on disk, locked by this process.
 type folder struct {
-	dir  string
-	mark mark
-	lock *os.File
-	log  *slog.Logger
+	dir      string
+	identity folderIdentity
+	lock     *os.File
+	log      *slog.Logger
 }
 
 // openFolder locks a folder and looks at what is in it. What belongs to another keeper or group, or is damaged, is moved
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	f := &folder{dir: dir, lock: lock, log: log, mark: mark{Format: folderFormat, Cluster: cluster, ID: id, Stage: stageNew}}
+	f := &folder{dir: dir, lock: lock, log: log, identity: folderIdentity{Format: folderFormat, Cluster: cluster, ID: id, Stage: stageNew}}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
@@ -71,20 +71,20 @@
 		}
 		return nil, fmt.Errorf("--dir: %s: lock: %w", dir, err)
 	}
-	if err := f.look(); err != nil {
+	if err := f.inspect(); err != nil {
 		_ = lock.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// look reads what is there, and sets it aside where it must not be used.
-func (f *folder) look() error {
-	found, err := f.found()
+// inspect reads what is there, and sets it aside where it must not be used.
+func (f *folder) inspect() error {
+	found, err := f.existingFiles()
 	if err != nil || len(found) == 0 {
 		return err
 	}
-	why, err := f.wrong()
+	why, err := f.unusableReason()
 	if err != nil {
 		return fmt.Errorf("--dir: %s: %w", f.dir, err)
 	}
@@ -94,7 +94,7 @@
 	return f.setAside(found, why)
 }
 
-func (f *folder) found() (found []string, err error) {
+func (f *folder) existingFiles() (found []string, err error) {
 	for _, name := range ours {
 		switch _, err := os.Lstat(filepath.Join(f.dir, name)); {
 		case err == nil:
@@ -106,9 +106,9 @@
 	return found, nil
 }
 
-// wrong says why what is in the folder must not be used; "" if it may be. An error is one that setting aside would not
+// unusableReason says why what is in the folder must not be used; "" if it may be. An error is one that setting aside would not
 // mend, such as missing permission.
-func (f *folder) wrong() (string, error) {
+func (f *folder) unusableReason() (string, error) {
 	text, err := os.ReadFile(filepath.Join(f.dir, markFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -116,17 +116,17 @@
 	case err != nil:
 		return "", err
 	}
-	var m mark
+	var m folderIdentity
 	if err := json.Unmarshal(text, &m); err != nil {
 		return fmt.Sprintf("damaged: %s: %v", markFile, err), nil
 	}
 	switch {
 	case m.Format != folderFormat:
 		return fmt.Sprintf("foreign: format %d, this program knows %d", m.Format, folderFormat), nil
-	case m.Cluster != f.mark.Cluster:
-		return fmt.Sprintf("foreign: of cluster %q, not %q", m.Cluster, f.mark.Cluster), nil
-	case m.ID != f.mark.ID:
-		return fmt.Sprintf("foreign: of keeper %q, not %q", m.ID, f.mark.ID), nil
+	case m.Cluster != f.identity.Cluster:
+		return fmt.Sprintf("foreign: of cluster %q, not %q", m.Cluster, f.identity.Cluster), nil
+	case m.ID != f.identity.ID:
+		return fmt.Sprintf("foreign: of keeper %q, not %q", m.ID, f.identity.ID), nil
 	}
 	switch m.Stage {
 	case stageNew:
@@ -146,7 +146,7 @@
 	default:
 		return fmt.Sprintf("damaged: %s: stage %q", markFile, m.Stage), nil
 	}
-	f.mark = m
+	f.identity = m
 	return "", nil
 }
 
@@ -168,8 +168,8 @@
 	return syncDir(f.dir)
 }
 
-// aside lists what was ever set aside, with why.
-func (f *folder) aside() []string {
+// listAside lists what was ever set aside, with why.
+func (f *folder) listAside() []string {
 	list := []string{}
 	entries, _ := os.ReadDir(f.dir)
 	for _, e := range entries {
@@ -181,9 +181,9 @@
 	return list
 }
 
-// reach writes down how far the folder has come. It is on disk when this returns.
-func (f *folder) reach(stage string) error {
-	m := f.mark
+// recordStage writes down how far the folder has come. It is on disk when this returns.
+func (f *folder) recordStage(stage string) error {
+	m := f.identity
 	m.Stage = stage
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -196,7 +196,7 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
-	f.mark = m
+	f.identity = m
 	return syncDir(f.dir)
 }
 
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -12,8 +12,8 @@
 const (
 	mostReport = 64 << 10
 	// mostJoining bounds the processes that wait for their place on the roster, and joinAtOnce those in one entry.
-	mostJoining = configlog.MaxMembers
-	joinAtOnce  = 500
+	mostJoining  = configlog.MaxMembers
+	maxJoinBatch = 500
 	// The wait after a try that failed grows from joinAgain to joinLatest: with a full disk each try costs an election.
 	joinAgain  = 100 * time.Millisecond
 	joinLatest = 2 * time.Second
@@ -68,10 +68,10 @@
 	end := time.NewTimer(hold)
 	defer end.Stop()
 	for asked := false; ; {
-		u, known, changed := k.machine.next(report)
+		u, known, changed := k.machine.nextUpdate(report)
 		if !known && !asked {
 			// Once a call: several processes under one name, more than the roster keeps, would push each other out for ever.
-			k.joining.add(seat{report.Name, report.Instance})
+			k.joining.add(followerProcess{report.Name, report.Instance})
 			asked = true
 		}
 		if known && !u.Nothing() && !u.Behind {
@@ -91,13 +91,15 @@
 // joining are processes of followers that are not on the roster yet.
 type joining struct {
 	mu    sync.Mutex
-	seats map[seat]bool
+	seats map[followerProcess]bool
 	some  chan struct{}
 }
 
-func newJoining() joining { return joining{seats: map[seat]bool{}, some: make(chan struct{}, 1)} }
+func newJoining() joining {
+	return joining{seats: map[followerProcess]bool{}, some: make(chan struct{}, 1)}
+}
 
-func (j *joining) add(s seat) {
+func (j *joining) add(s followerProcess) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.seats) < mostJoining {
@@ -110,11 +112,11 @@
 }
 
 // take gives some of them, and takes them out.
-func (j *joining) take() (seats []seat) {
+func (j *joining) take() (seats []followerProcess) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for s := range j.seats {
-		if len(seats) == joinAtOnce {
+		if len(seats) == maxJoinBatch {
 			break
 		}
 		seats = append(seats, s)
@@ -128,7 +130,7 @@
 	again := joinAgain
 	for {
 		turned := k.leadership.after()
-		seats := k.machine.lacks(k.joining.take())
+		seats := k.machine.unregistered(k.joining.take())
 		if len(seats) == 0 {
 			select {
 			case <-ctx.Done():
@@ -155,7 +157,7 @@
 }
 
 // enrol puts processes on the roster, here or at the leader; false if that has to be tried again.
-func (k *Keeper) enrol(ctx context.Context, seats []seat) bool {
+func (k *Keeper) enrol(ctx context.Context, seats []followerProcess) bool {
 	id, self := k.leader()
 	if self {
 		_, err := k.replicate(command{Join: seats})
@@ -171,15 +173,15 @@
 
 // roster is `POST /v1/roster`, from keeper to keeper.
 func (k *Keeper) roster(w http.ResponseWriter, r *http.Request) answer {
-	var seats []seat
-	if _, no := readBody(w, r, mostBody, &seats); no != nil {
+	var seats []followerProcess
+	if _, no := readBody(w, r, maxBodyBytes, &seats); no != nil {
 		return *no
 	}
-	if len(seats) > joinAtOnce {
-		return refuse(http.StatusBadRequest, "malformed", "%d processes, at most %d at once", len(seats), joinAtOnce)
+	if len(seats) > maxJoinBatch {
+		return refuse(http.StatusBadRequest, "malformed", "%d processes, at most %d at once", len(seats), maxJoinBatch)
 	}
 	return k.once(r.Context(), r.Method, "", nil, func(context.Context) answer {
-		if seats = k.machine.lacks(seats); len(seats) > 0 {
+		if seats = k.machine.unregistered(seats); len(seats) > 0 {
 			if _, err := k.replicate(command{Join: seats}); err != nil {
 				return k.unreplicated(err, doneUnknown)
 			}
--- a/internal/keeper/golden_command_test.go
+++ b/internal/keeper/golden_command_test.go
@@ -27,7 +27,7 @@
 			ID: "change-9", RevertTo: pointerTo(uint64(7)),
 			Note: "back", AtMS: 1_796_000_000_456,
 		}}},
-		"command-join.bin":   {Join: []seat{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
+		"command-join.bin":   {Join: []followerProcess{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
 		"command-forget.bin": {Forget: "r2"},
 	}
 }
@@ -51,16 +51,16 @@
 }
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
-func sampleMachine(t *testing.T) *machine {
-	m := newMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
+func sampleMachine(t *testing.T) *stateMachine {
+	m := newStateMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
 	put := func(id, pointer, value string) configlog.Change {
 		return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
 	}
 	for i, c := range []command{
 		{Change: &changeCommand{Base: 0, Change: put("a", "/settings/over-share-worth", "1")}},
-		{Join: []seat{{"r1", "first"}, {"r2", "only"}, {"r3", "gone"}}},
+		{Join: []followerProcess{{"r1", "first"}, {"r2", "only"}, {"r3", "gone"}}},
 		{Change: &changeCommand{Base: 1, Change: put("b", "/board", `"board:7300"`)}},
-		{Join: []seat{{"r1", "second"}}},
+		{Join: []followerProcess{{"r1", "second"}}},
 		{Change: &changeCommand{Base: 2, Change: put("c", "/settings/parties/north", `{"share":2}`)}},
 		{Forget: "r3"},
 		{Change: &changeCommand{Base: 3, Change: configlog.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
@@ -79,8 +79,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, file, s.(state))
-	read := newMachine(configlog.Retention{})
+	goldentest.Equal(t, file, s.(snapshotState))
+	read := newStateMachine(configlog.Retention{})
 	if err := read.Restore(io.NopCloser(bytes.NewReader(goldentest.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, "snapshot.json", append(text, '\n'))
-	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(state), goldentest.Read(t, file)) {
+	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), goldentest.Read(t, file)) {
 		t.Errorf("a snapshot of what was read differs: %v", err)
 	}
 	if out := read.Apply(&raft.Log{Index: 9, Type: raft.LogCommand, Data: goldentest.Read(t, "command-forget.bin")}); out != true {
@@ -102,19 +102,19 @@
 	Oldest   uint64               `json:"oldest"`
 	Revision uint64               `json:"revision"`
 	History  []configlog.Revision `json:"history"`
-	Contents []content            `json:"contents"`
+	Contents []configContent      `json:"contents"`
 	Roster   []string             `json:"roster"`
-	Unknown  []seat               `json:"unknown"` // of the seats that were ever heard
+	Unknown  []followerProcess    `json:"unknown"` // of the seats that were ever heard
 }
 
-func contentOf(m *machine) machineContent {
-	now := m.stand()
+func contentOf(m *stateMachine) machineContent {
+	now := m.summary()
 	out := machineContent{
-		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.names(),
-		Unknown: m.lacks([]seat{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}}),
+		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
+		Unknown: m.unregistered([]followerProcess{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}}),
 	}
 	for rev := now.Oldest; rev <= now.Revision; rev++ {
-		c, _, _ := m.at(&rev)
+		c, _, _ := m.contentAt(&rev)
 		out.Contents = append(out.Contents, c)
 	}
 	return out
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer f.close()
-	fmt.Fprintf(out, "stage %s, aside %d\n", f.mark.Stage, len(f.aside()))
+	fmt.Fprintf(out, "stage %s, aside %d\n", f.identity.Stage, len(f.listAside()))
 	s, err := openStores(dir, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
@@ -198,13 +198,13 @@
 	last, _ := s.entries.LastIndex()
 	for i := first; i <= last; i++ {
 		var l raft.Log
-		if err := (checkedLog{s.entries}).GetLog(i, &l); err != nil {
+		if err := (checksummedLog{s.entries}).GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
 		what := ""
 		switch l.Type {
 		case raft.LogCommand:
-			what = string(l.Data[commandHead:])
+			what = string(l.Data[commandHeaderSize:])
 		case raft.LogConfiguration:
 			what = members(raft.DecodeConfiguration(l.Data))
 		}
@@ -223,7 +223,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := newMachine(configlog.Retention{})
+		m := newStateMachine(configlog.Retention{})
 		if err := m.Restore(content); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -31,7 +31,7 @@
 }
 
 // callsToPeer has a keeper make each call that keepers make to each other, and gives the requests as they came.
-func callsToPeer(t *testing.T) (requests []byte, word peerWord, leases []configlog.Lease, leader leaderWord) {
+func callsToPeer(t *testing.T) (requests []byte, word peerStatus, leases []configlog.Lease, leader leaderStatus) {
 	t.Helper()
 	var came bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 		in, out      any
 	}{
 		{http.MethodGet, "/v1/leader", nil, &leader},
-		{http.MethodPost, "/v1/roster", []seat{{"r1", "i"}, {"r2", "j"}}, &done},
+		{http.MethodPost, "/v1/roster", []followerProcess{{"r1", "i"}, {"r2", "j"}}, &done},
 	} {
 		if err := k.call(ctx, peer, time.Minute, call.method, call.path, call.in, call.out); err != nil {
 			t.Error(err)
@@ -74,10 +74,10 @@
 	if diff := cmp.Diff(wantLeases, leases); diff != "" {
 		t.Error(diff)
 	}
-	if want := (peerWord{Cluster: "golden", ID: "k2", Stage: "member", Leader: "k3"}); word != want {
+	if want := (peerStatus{Cluster: "golden", ID: "k2", Stage: "member", Leader: "k3"}); word != want {
 		t.Errorf("%+v, want %+v", word, want)
 	}
-	if want := (leaderWord{ID: "k2", LastIndex: 17}); leader != want {
+	if want := (leaderStatus{ID: "k2", LastIndex: 17}); leader != want {
 		t.Errorf("%+v, want %+v", leader, want)
 	}
 	goldentest.AllFieldsSet(t, word, leader, leases)
@@ -99,10 +99,10 @@
 	for _, stage := range []string{stageNew, stageFounding, stageJoining, stageMember} {
 		dir, file := t.TempDir(), "keeper-"+stage+".json"
 		f := openQuietly(t, dir)
-		if err := f.reach(stage); err != nil {
+		if err := f.recordStage(stage); err != nil {
 			t.Fatal(err)
 		}
-		goldentest.AllFieldsSet(t, f.mark)
+		goldentest.AllFieldsSet(t, f.identity)
 		written, err := os.ReadFile(filepath.Join(dir, "keeper.json"))
 		if err != nil {
 			t.Fatal(err)
@@ -113,8 +113,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), goldentest.Read(t, "keeper-new.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if f := openQuietly(t, dir); f.mark.Stage != stageNew || len(f.aside()) != 0 {
-		t.Errorf("read as %+v, set aside: %v", f.mark, f.aside())
+	if f := openQuietly(t, dir); f.identity.Stage != stageNew || len(f.listAside()) != 0 {
+		t.Errorf("read as %+v, set aside: %v", f.identity, f.listAside())
 	}
 }
 
@@ -139,6 +139,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintln(&tree, stamp.ReplaceAllString(strings.Join(f.aside(), "\n"), "aside-TIME"))
+	fmt.Fprintln(&tree, stamp.ReplaceAllString(strings.Join(f.listAside(), "\n"), "aside-TIME"))
 	goldentest.Equal(t, "aside.txt", tree.Bytes())
 }
--- a/internal/keeper/handler.go
+++ b/internal/keeper/handler.go
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// mostBody bounds what is read of a change: rollout.MaxChange in the longest way of writing it that makes sense.
-const mostBody = 4 << 20
+// maxBodyBytes bounds what is read of a change: rollout.MaxChange in the longest way of writing it that makes sense.
+const maxBodyBytes = 4 << 20
 
 const (
 	bodyWithin   = 10 * time.Second // for a caller to send a body
@@ -154,14 +154,14 @@
 
 // status is `GET /v1/status`: how this keeper is, by its own word.
 func (k *Keeper) status(http.ResponseWriter, *http.Request) answer {
-	f, now := &k.figures, k.machine.stand()
+	f, now := &k.figures, k.machine.summary()
 	leader, _ := k.leader()
 	h := k.held()
 	out := map[string]any{
 		"id": k.o.ID, "cluster": k.o.Cluster, "uptime_ms": int64(k.nowMS()), "leader": leader, "majority": leader != "",
 		"revision": now.Revision, "oldest": now.Oldest, "hash": now.Hash,
-		"followers": len(h.Leases), "settled": h.Settled, "roster": len(k.machine.names()),
-		"folder": map[string]any{"dir": k.o.Dir, "stage": k.stage.Load(), "votes": !k.muted.Load(), "aside": k.folder.aside()},
+		"followers": len(h.Leases), "settled": h.Settled, "roster": len(k.machine.followerNames()),
+		"folder": map[string]any{"dir": k.o.Dir, "stage": k.stage.Load(), "votes": !k.muted.Load(), "aside": k.folder.listAside()},
 		"counters": map[string]int64{
 			"calls": f.calls.Load(), "refused": f.refused.Load(), "bytes_in": f.bytesIn.Load(), "bytes_out": f.bytesOut.Load(),
 			"raft_bytes_in": f.raftIn.Load(), "raft_bytes_out": f.raftOut.Load(),
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -31,7 +31,7 @@
 	log     *slog.Logger
 	began   time.Time
 	folder  *folder
-	machine *machine
+	machine *stateMachine
 	stores  *stores
 	muted   atomic.Bool
 	client  *http.Client
@@ -55,12 +55,12 @@
 
 // Run is a keeper's life: it returns when ctx ends, after leadership was given up, or with what kept it from serving.
 func Run(ctx context.Context, o Options) error {
-	o, err := o.filled()
+	o, err := o.withDefaults()
 	if err != nil {
 		return err
 	}
 	k := &Keeper{
-		o: o, log: o.Log, began: time.Now(), machine: newMachine(o.Retention), begun: make(chan struct{}),
+		o: o, log: o.Log, began: time.Now(), machine: newStateMachine(o.Retention), begun: make(chan struct{}),
 		stopping: make(chan struct{}), changing: make(chan struct{}, 1),
 		leadership: newTurns(),
 		leases:     configlog.NewLeases(float64(o.LeaseDuration.Milliseconds())), joining: newJoining(),
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer k.folder.close()
-	if err := k.reach(k.folder.mark.Stage); err != nil {
+	if err := k.reach(k.folder.identity.Stage); err != nil {
 		return err
 	}
 	replication, err := net.Listen("tcp", o.RaftAddr)
@@ -90,7 +90,7 @@
 }
 
 func (k *Keeper) reach(stage string) error {
-	if err := k.folder.reach(stage); err != nil {
+	if err := k.folder.recordStage(stage); err != nil {
 		return err
 	}
 	k.stage.Store(stage)
--- a/internal/keeper/machine_test.go
+++ b/internal/keeper/machine_test.go
@@ -33,31 +33,31 @@
 
 // A change counts only on the content that it was checked against: two that are right each by itself may be wrong together.
 func TestChangeCountsOnItsBase(t *testing.T) {
-	m := newMachine(configlog.Retention{})
-	if out := m.Apply(entry(t, 1, changing("a", 0, "1"))).(outcome); out.Moved || out.Revision != 1 {
+	m := newStateMachine(configlog.Retention{})
+	if out := m.Apply(entry(t, 1, changing("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := m.Apply(entry(t, 2, changing("b", 0, "2"))).(outcome); !out.Moved || m.stand().Revision != 1 {
+	if out := m.Apply(entry(t, 2, changing("b", 0, "2"))).(changeOutcome); !out.BaseMoved || m.summary().Revision != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := m.Apply(entry(t, 3, changing("b", 1, "2"))).(outcome); out.Moved || out.Revision != 2 {
+	if out := m.Apply(entry(t, 3, changing("b", 1, "2"))).(changeOutcome); out.BaseMoved || out.Revision != 2 {
 		t.Errorf("%+v", out)
 	}
 }
 
 // A state that is written down and read again is the same, and goes on the same.
 func TestSnapshotHoldsAll(t *testing.T) {
-	m := newMachine(configlog.Retention{Revisions: 2})
-	for i, c := range []command{changing("a", 0, "1"), {Join: []seat{{"r2", "i"}, {"r1", "i"}}}, changing("b", 1, "2"), {Forget: "r2"}, changing("c", 2, "3")} {
+	m := newStateMachine(configlog.Retention{Revisions: 2})
+	for i, c := range []command{changing("a", 0, "1"), {Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}}, changing("b", 1, "2"), {Forget: "r2"}, changing("c", 2, "3")} {
 		m.Apply(entry(t, uint64(i+1), c))
 	}
 	s, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := newMachine(configlog.Retention{})
-	_, _, changed := other.at(nil)
-	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(state)))); err != nil {
+	other := newStateMachine(configlog.Retention{})
+	_, _, changed := other.contentAt(nil)
+	if err := other.Restore(io.NopCloser(bytes.NewReader(s.(snapshotState)))); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -65,14 +65,14 @@
 	default:
 		t.Error("who waits isn't woken by a snapshot")
 	}
-	if other.stand() != m.stand() || m.stand().Oldest != 1 || !slices.Equal(other.names(), []string{"r1"}) || len(other.lacks([]seat{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
-		t.Errorf("%+v, %+v, %v", m.stand(), other.stand(), other.names())
+	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) || len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
+		t.Errorf("%+v, %+v, %v", m.summary(), other.summary(), other.followerNames())
 	}
-	if out := other.Apply(entry(t, 9, changing("b", 3, "2"))).(outcome); !out.Repeated || out.Revision != 2 {
+	if out := other.Apply(entry(t, 9, changing("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
 		t.Errorf("a change from before the snapshot: %+v", out)
 	}
-	cut := s.(state)[:len(s.(state))-1]
-	if err := newMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(cut))); err == nil {
+	cut := s.(snapshotState)[:len(s.(snapshotState))-1]
+	if err := newStateMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(cut))); err == nil {
 		t.Error("a snapshot that is cut off is read")
 	}
 }
@@ -88,14 +88,14 @@
 		{append([]byte{9}, l.Data[1:]...), "format 9"},
 		{append(slices.Clone(l.Data[:len(l.Data)-1]), '!'), "checksum"},
 	} {
-		if err := checkCommand(c.data); err == nil || !strings.Contains(err.Error(), c.err) {
+		if err := verifyCommand(c.data); err == nil || !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%v, want %q", err, c.err)
 		}
 		store := raft.NewInmemStore()
 		if err := store.StoreLog(&raft.Log{Index: 1, Type: raft.LogCommand, Data: c.data}); err != nil {
 			t.Fatal(err)
 		}
-		if err := (checkedLog{store}).GetLog(1, new(raft.Log)); err == nil {
+		if err := (checksummedLog{store}).GetLog(1, new(raft.Log)); err == nil {
 			t.Error("a damaged entry is given out")
 		}
 		func() {
@@ -104,10 +104,10 @@
 					t.Errorf("%q: passed over", c.err)
 				}
 			}()
-			newMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
+			newStateMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
 		}()
 	}
-	if err := (checkedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound {
+	if err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound {
 		t.Errorf("raft compares %v with %v", err, raft.ErrLogNotFound)
 	}
 }
@@ -146,7 +146,7 @@
 			_, err = Options{
 				ID: "k1", Dir: "d", HTTPAddr: "h:1", RaftAddr: "h:2", Peers: peers,
 				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil },
-			}.filled()
+			}.withDefaults()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.err)
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// filled checks the options and gives them with the defaults. Errors name the flag.
-func (o Options) filled() (Options, error) {
+// withDefaults checks the options and gives them with the defaults. Errors name the flag.
+func (o Options) withDefaults() (Options, error) {
 	switch {
 	case o.ID == "":
 		return o, errors.New("--id: is missing")
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -114,8 +114,10 @@
 // plain leaves the fields out that have no JSON.
 func plain(o keeper.Options) map[string]any {
 	return map[string]any{
-		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTP": o.HTTPAddr, "Raft": o.RaftAddr, "Peers": o.Peers,
-		"Hold": o.MaxPollWait, "Lease": o.LeaseDuration, "Within": o.ChangeTimeout, "Waiting": o.MaxWaitingFollowers, "Keep": o.Retention, "Snapshots": o.SnapshotThreshold, "SnapshotEvery": o.SnapshotInterval, "AcceptLoss": o.AcceptLoss,
+		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTPAddr": o.HTTPAddr, "RaftAddr": o.RaftAddr, "Peers": o.Peers,
+		"MaxPollWait": o.MaxPollWait, "LeaseDuration": o.LeaseDuration, "ChangeTimeout": o.ChangeTimeout,
+		"MaxWaitingFollowers": o.MaxWaitingFollowers, "Retention": o.Retention, "AcceptLoss": o.AcceptLoss,
+		"SnapshotThreshold": o.SnapshotThreshold, "SnapshotInterval": o.SnapshotInterval,
 	}
 }
 
--- a/internal/keeper/replica.go
+++ b/internal/keeper/replica.go
@@ -25,7 +25,7 @@
 
 // begin finds out how to start, and starts the replication.
 func (k *Keeper) begin(ctx context.Context, listener net.Listener) (err error) {
-	stage := k.folder.mark.Stage
+	stage := k.folder.identity.Stage
 	if stage == stageNew {
 		if stage, err = k.found(ctx); err != nil {
 			return err
@@ -59,7 +59,7 @@
 		err = k.bootstrap(c, trans)
 	}
 	if err == nil {
-		k.raft, err = raft.NewRaft(c, k.machine, checkedLog{k.stores.entries}, k.stores.votes, k.stores.snapshots, trans)
+		k.raft, err = raft.NewRaft(c, k.machine, checksummedLog{k.stores.entries}, k.stores.votes, k.stores.snapshots, trans)
 	}
 	if err == nil {
 		err = k.sameGroup()
@@ -146,16 +146,16 @@
 	return nil
 }
 
-// peerWord is what keepers tell each other of themselves.
-type peerWord struct {
+// peerStatus is what keepers tell each other of themselves.
+type peerStatus struct {
 	Cluster string `json:"cluster"`
 	ID      string `json:"id"`
 	Stage   string `json:"stage"`
 	Leader  string `json:"leader"`
 }
 
-func (k *Keeper) word() peerWord {
-	w := peerWord{Cluster: k.o.Cluster, ID: k.o.ID, Stage: k.stage.Load().(string)}
+func (k *Keeper) word() peerStatus {
+	w := peerStatus{Cluster: k.o.Cluster, ID: k.o.ID, Stage: k.stage.Load().(string)}
 	w.Leader, _ = k.leader()
 	if w.Stage == stageFounding && k.replicates() && k.raft.LastIndex() > 1 {
 		w.Stage = stageMember
@@ -202,13 +202,13 @@
 }
 
 // askAll asks all others what they are, at once; those that don't answer are missing.
-func (k *Keeper) askAll(ctx context.Context) map[string]peerWord {
+func (k *Keeper) askAll(ctx context.Context) map[string]peerStatus {
 	var mu sync.Mutex
-	words := map[string]peerWord{}
+	words := map[string]peerStatus{}
 	var asked sync.WaitGroup
 	for _, p := range k.others() {
 		asked.Go(func() {
-			var w peerWord
+			var w peerStatus
 			if k.call(ctx, p, askWithin, http.MethodGet, "/v1/peer", nil, &w) == nil {
 				mu.Lock()
 				words[p.ID] = w
@@ -220,20 +220,20 @@
 	return words
 }
 
-// leaderWord is what the leader says of itself once a majority has confirmed that it leads.
-type leaderWord struct {
+// leaderStatus is what the leader says of itself once a majority has confirmed that it leads.
+type leaderStatus struct {
 	ID        string `json:"id"`
 	LastIndex uint64 `json:"last_index"`
 }
 
-func (k *Keeper) leaderWord() (leaderWord, error) {
+func (k *Keeper) leaderWord() (leaderStatus, error) {
 	if !k.replicates() {
-		return leaderWord{}, raft.ErrNotLeader
+		return leaderStatus{}, raft.ErrNotLeader
 	}
 	if err := k.raft.VerifyLeader().Error(); err != nil {
-		return leaderWord{}, err
+		return leaderStatus{}, err
 	}
-	return leaderWord{ID: k.o.ID, LastIndex: k.raft.LastIndex()}, nil
+	return leaderStatus{ID: k.o.ID, LastIndex: k.raft.LastIndex()}, nil
 }
 
 // caughtUp lets a keeper that lost its folder take part in elections again, once it holds all that the leader held at
@@ -245,7 +245,7 @@
 		return
 	}
 	// What is asked now may be reached only later; the next round asks anew, and a quiet moment ends it.
-	var w leaderWord
+	var w leaderStatus
 	if err := k.call(ctx, p, askWithin, http.MethodGet, "/v1/leader", nil, &w); err != nil || w.ID != id {
 		return
 	}
@@ -264,7 +264,7 @@
 
 func (k *Keeper) waitApplied(ctx context.Context, index uint64) error {
 	for k.raft.AppliedIndex() < index {
-		_, _, changed := k.machine.at(nil)
+		_, _, changed := k.machine.contentAt(nil)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/keeper/store.go
+++ b/internal/keeper/store.go
@@ -94,15 +94,15 @@
 	_ = s.votes.Close()
 }
 
-// checkedLog gives no entry out that differs from what was written: a damaged one must not go on to other keepers.
-type checkedLog struct{ raft.LogStore }
+// checksummedLog gives no entry out that differs from what was written: a damaged one must not go on to other keepers.
+type checksummedLog struct{ raft.LogStore }
 
-func (c checkedLog) GetLog(index uint64, l *raft.Log) error {
+func (c checksummedLog) GetLog(index uint64, l *raft.Log) error {
 	if err := c.LogStore.GetLog(index, l); err != nil {
 		return err // as it is: raft compares it with ErrLogNotFound
 	}
 	if l.Type == raft.LogCommand {
-		if err := checkCommand(l.Data); err != nil {
+		if err := verifyCommand(l.Data); err != nil {
 			return fmt.Errorf("entry %d: %w", index, err)
 		}
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
-	m := newMachine(configlog.Retention{})
+	m := newStateMachine(configlog.Retention{})
 	if err := m.Restore(r); err != nil {
 		return 0, fmt.Sprintf("snapshot %s: %v", list[0].ID, err), nil
 	}
@@ -240,7 +240,7 @@
 	if first > newest+1 {
 		return 0, 0, fmt.Sprintf("%s: entries %d to %d are missing", logFile, newest+1, first-1), nil
 	}
-	entries := checkedLog{store}
+	entries := checksummedLog{store}
 	for i := max(first, 1); i <= last; i++ {
 		var l raft.Log
 		if err := entries.GetLog(i, &l); err != nil {
--- a/internal/keeper/verdict.go
+++ b/internal/keeper/verdict.go
@@ -18,27 +18,27 @@
 	lookAgain = 100 * time.Millisecond
 )
 
-// verdict is what `GET /v1/rollout` gives. Everywhere is said only by a leader that a majority has confirmed after the
+// convergenceReport is what `GET /v1/rollout` gives. Everywhere is said only by a leader that a majority has confirmed after the
 // leases were gathered.
-type verdict struct {
+type convergenceReport struct {
 	configlog.ConvergenceStatus
 	Keeper   string `json:"keeper"` // whose verdict it is
 	Majority bool   `json:"majority"`
 	Why      string `json:"why,omitempty"` // why there is no majority's word
 }
 
-// held are the leases of one keeper.
-type held struct {
+// keeperLeases are the leases of one keeper.
+type keeperLeases struct {
 	Keeper  string            `json:"keeper"`
 	Settled bool              `json:"settled"` // false for a while after a start or a stop: not everyone has called yet
 	Leases  []configlog.Lease `json:"leases"`
 }
 
-func (k *Keeper) held() held {
+func (k *Keeper) held() keeperLeases {
 	k.leasesMu.Lock()
 	defer k.leasesMu.Unlock()
 	now := k.nowMS()
-	return held{Keeper: k.o.ID, Settled: k.leases.Settled(now), Leases: k.leases.Live(now)}
+	return keeperLeases{Keeper: k.o.ID, Settled: k.leases.Settled(now), Leases: k.leases.Live(now)}
 }
 
 // rollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms, and is judged by
@@ -91,7 +91,7 @@
 func (k *Keeper) watch(ctx context.Context, rev *uint64, until time.Time) answer {
 	for {
 		heard, unreached := k.gather(ctx)
-		if !k.machine.judge(rev, heard, unreached).Everywhere && time.Until(until) > 0 && k.pause(ctx, min(lookAgain, time.Until(until))) {
+		if !k.machine.convergence(rev, heard, unreached).Everywhere && time.Until(until) > 0 && k.pause(ctx, min(lookAgain, time.Until(until))) {
 			continue
 		}
 		// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on until
@@ -99,16 +99,16 @@
 		if err := k.raft.Barrier(enqueueWithin).Error(); err != nil {
 			return k.unreplicated(err, doneNothing)
 		}
-		return answer{http.StatusOK, verdict{ConvergenceStatus: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID, Majority: true}}
+		return answer{http.StatusOK, convergenceReport{ConvergenceStatus: k.machine.convergence(rev, heard, unreached), Keeper: k.o.ID, Majority: true}}
 	}
 }
 
 // unconfirmed is what this keeper sees by itself.
 func (k *Keeper) unconfirmed(ctx context.Context, rev *uint64, because answer) answer {
 	heard, unreached := k.gather(ctx)
-	v := verdict{ConvergenceStatus: k.machine.judge(rev, heard, unreached), Keeper: k.o.ID}
+	v := convergenceReport{ConvergenceStatus: k.machine.convergence(rev, heard, unreached), Keeper: k.o.ID}
 	v.Everywhere = false
-	if no, ok := because.body.(refusal); ok {
+	if no, ok := because.body.(errorBody); ok {
 		v.Why = no.Reason
 	}
 	return answer{http.StatusOK, v}
@@ -118,7 +118,7 @@
 // yet, counts as unreached; what it did hear counts.
 func (k *Keeper) gather(ctx context.Context) (heard []configlog.Lease, unreached []string) {
 	var mu sync.Mutex
-	add := func(id string, h held, ok bool) {
+	add := func(id string, h keeperLeases, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		heard = append(heard, h.Leases...)
@@ -129,7 +129,7 @@
 	var asked sync.WaitGroup
 	for _, p := range k.others() {
 		asked.Go(func() {
-			var h held
+			var h keeperLeases
 			err := k.call(ctx, p, askWithin, http.MethodGet, "/v1/leases", nil, &h)
 			add(p.ID, h, err == nil && h.Keeper == p.ID)
 		})
@@ -139,8 +139,8 @@
 	return heard, unreached
 }
 
-// judge gives the verdict on a revision; nil stands for the one in force.
-func (m *machine) judge(rev *uint64, heard []configlog.Lease, unreached []string) configlog.ConvergenceStatus {
+// convergence gives the verdict on a revision; nil stands for the one in force.
+func (m *stateMachine) convergence(rev *uint64, heard []configlog.Lease, unreached []string) configlog.ConvergenceStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.log.Revision()
