--- a/internal/decide/backoff/backoff_test.go
+++ b/internal/decide/backoff/backoff_test.go
@@ -9,13 +9,13 @@
 	for i, want := range []float64{250, 500, 1000, 1500, 1500} {
 		r.RecordFailure(now, 1, terms)
 		if !r.Active(now+want-1) || r.Active(now+want) {
-			t.Errorf("strike %d: rests till %v, want %v", i, r.till, now+want)
+			t.Errorf("strike %d: rests till %v, want %v", i, r.until, now+want)
 		}
 		now += want
 	}
 	r.RecordFailure(now, 0.5, terms)
 	if r.Active(now+750) || !r.Active(now+749) {
-		t.Error("jitter is not heeded:", r.till-now)
+		t.Error("jitter is not heeded:", r.until-now)
 	}
 	r.RecordSuccess()
 	if r.Active(now) {
--- a/internal/decide/pressure/demand.go
+++ b/internal/decide/pressure/demand.go
@@ -3,94 +3,109 @@
 import "math"
 
 const (
-	// life is the time over which demand is averaged, in milliseconds: of the loads of one group a router sees one in
-	// seconds.
-	life = 30_000.0
-	// settled is how long demand is watched before it says anything.
-	settled = 5000.0
-	// lockUse and coreUse are the shares of the time that a group may be held by loads on its engines, and of the cores
-	// that its readers may use on theirs: past them, those that come wait long.
-	lockUse, coreUse = 0.6, 0.6
-	// halfPart is the part of the engines that load a group where nothing asks for more.
-	halfPart = 0.5
-	// groupsMost bounds the groups whose demand is kept: statements may name any number.
-	groupsMost = 1024
-	// most bounds what one query counts, in milliseconds: one wild estimate would outweigh all others for minutes.
-	most = 600_000.0
+	// demandLife is the time over which demand is averaged, in milliseconds: a router sees a load of a given group
+	// once in seconds.
+	demandLife = 30_000.0
+	// minObservation is how long demand is observed before it counts, in milliseconds.
+	minObservation = 5000.0
+	// maxLockUtilization is the share of the time for which loads may lock a group on the engines that load it, and
+	// maxCoreUtilization the share of their cores that its readers may use on theirs: beyond, queries wait long.
+	maxLockUtilization, maxCoreUtilization = 0.6, 0.6
+	// usualLoaderShare is the share of the engines that load a group where its demand does not ask for more.
+	usualLoaderShare = 0.5
+	// maxDemandGroups bounds the groups whose demand is kept: statements may name any number.
+	maxDemandGroups = 1024
+	// maxQueryMS bounds what one query counts: one wild estimate would outweigh all others for minutes.
+	maxQueryMS = 600_000.0
+	// minGroupDemandMS is the demand below which a group is forgotten.
+	minGroupDemandMS = 1
 )
 
-// demand is what of a group came of late, in milliseconds, faded to the time that Demand has.
-type demand struct {
-	held float64 // that loads hold it
-	work float64 // of those that wait for loads, on one core
+// groupDemand is the recent demand of one group in milliseconds, decayed to the time of its Demand.
+type groupDemand struct {
+	lockTime float64 // for which loads lock the group
+	readWork float64 // of queries that loads block, on one core
 }
 
-// Demand keeps what comes to one router by table group, and divides the engines of a group between those that load it and
-// those that read it. All routers see about the same mix, so that they divide alike, give or take an engine.
+// Demand keeps the demand that reaches one router by table group, and divides the engines of a group into those that
+// load it and those that read it. All routers see about the same mix, so that their divisions agree within an engine.
 type Demand struct {
-	from, at float64
-	started  bool
-	groups   map[int64]demand
+	startedAt float64
+	decayedTo float64
+	started   bool
+	groups    map[int64]groupDemand
 }
 
-// Add notes a query of a group: the time for which it would hold the group, or the work on one core of one that waits.
-func (d *Demand) Add(group int64, held, work, now float64) {
-	if group == 0 || !(held >= 0) || !(work >= 0) {
+// Add counts a query of a group: the time for which it would lock the group, or the work on one core of a query that
+// loads block, both in milliseconds.
+func (d *Demand) Add(group int64, lockTime, readWork, now float64) {
+	if group == 0 || !(lockTime >= 0) || !(readWork >= 0) {
 		return
 	}
-	held, work = min(held, most), min(work, most)
+	lockTime, readWork = min(lockTime, maxQueryMS), min(readWork, maxQueryMS)
 	if !d.started {
-		d.started, d.from, d.at, d.groups = true, now, now, map[int64]demand{}
+		*d = Demand{startedAt: now, decayedTo: now, started: true, groups: map[int64]groupDemand{}}
 	}
-	if _, known := d.groups[group]; !known && len(d.groups) >= groupsMost {
-		d.Decay(now)
-		if len(d.groups) >= groupsMost {
-			return
-		}
+	if !d.hasRoomFor(group, now) {
+		return
 	}
-	g, up := d.groups[group], math.Exp((now-d.at)/life) // what comes later has faded less
-	if now-d.at > life {
+	sum, scale := d.groups[group], math.Exp((now-d.decayedTo)/demandLife) // later demand has decayed less
+	if now-d.decayedTo > demandLife {
 		d.Decay(now)
-		g, up = d.groups[group], 1
+		sum, scale = d.groups[group], 1
+	}
+	d.groups[group] = groupDemand{sum.lockTime + lockTime*scale, sum.readWork + readWork*scale}
+}
+
+// hasRoomFor tells whether demand of a group can be kept.
+func (d *Demand) hasRoomFor(group int64, now float64) bool {
+	if _, known := d.groups[group]; known || len(d.groups) < maxDemandGroups {
+		return true
 	}
-	d.groups[group] = demand{g.held + held*up, g.work + work*up}
+	d.Decay(now)
+	return len(d.groups) < maxDemandGroups
 }
 
-// Decay brings all demand to a time, and forgets what is next to nothing.
+// Decay decays all demand to a time, and forgets groups with next to none.
 func (d *Demand) Decay(now float64) {
-	down := math.Exp((d.at - now) / life)
-	for k, g := range d.groups {
-		if g.held, g.work = g.held*down, g.work*down; g.held+g.work < 1 {
-			delete(d.groups, k)
+	scale := math.Exp((d.decayedTo - now) / demandLife)
+	for id, group := range d.groups {
+		group.lockTime *= scale
+		group.readWork *= scale
+		if group.lockTime+group.readWork < minGroupDemandMS {
+			delete(d.groups, id)
 		} else {
-			d.groups[k] = g
+			d.groups[id] = group
 		}
 	}
-	d.at = now
+	d.decayedTo = now
 }
 
 // Fleet is what there is for a group.
 type Fleet struct {
 	Engines int     // of the fleet
 	Subset  int     // those of them that this router uses
-	Cores   float64 // of each of them
-	Routers int     // that share them, with about the same traffic
+	Cores   float64 // of each engine
+	Routers int     // that share the engines, with about the same traffic
 }
 
-// LoaderCount is the number of engines near that load a group; the others read it. It is half of them, rounded down and one at
-// least, and more where its loads would wait for each other while its readers leave room. With one engine there is no
-// dividing, and of a few out of many, which other routers share each with other neighbours, always half: what a group
-// asks of those few can't be told.
-func (d *Demand) LoaderCount(group int64, f Fleet, now float64) int {
-	half := max(int(halfPart*float64(f.Subset)), 1)
-	g, known := d.groups[group]
-	if !known || now-d.from < settled || !(f.Cores > 0) || f.Subset < f.Engines {
+// LoaderCount returns how many engines of the subset load a group; the others read it. It is half of them, rounded down
+// but at least one, and more where the group's loads would wait for each other while its readers leave capacity. One
+// engine is not divided. A subset of a larger fleet is always halved, since other routers share each of its engines
+// with other subsets: what a group asks of the subset is not known.
+func (d *Demand) LoaderCount(group int64, fleet Fleet, now float64) int {
+	half := max(int(usualLoaderShare*float64(fleet.Subset)), 1)
+	sum, known := d.groups[group]
+	observed := now - d.startedAt
+	if !known || observed < minObservation || !(fleet.Cores > 0) || fleet.Subset < fleet.Engines {
 		return half
 	}
-	// A flow that lasts for a time leaves its rate x life x (1 - exp(-time/life)) after fading.
-	down := math.Exp((d.at-now)/life) * float64(max(f.Routers, 1)) / (life * (1 - math.Exp((d.from-now)/life)))
-	loads, cores := g.held*down, g.work*down
-	readers := max(int(math.Ceil(min(cores/(coreUse*f.Cores), float64(f.Engines)))), 1)
-	want := int(math.Ceil(min(loads/lockUse, float64(f.Engines))))
-	return max(min(want, f.Engines-readers), half)
+	// A constant rate that is observed for a time has decayed to rate*life*(1-exp(-time/life)).
+	rate := math.Exp((d.decayedTo-now)/demandLife) * float64(max(fleet.Routers, 1)) /
+		(demandLife * (1 - math.Exp((d.startedAt-now)/demandLife)))
+	locked, busyCores := sum.lockTime*rate, sum.readWork*rate
+	engines := float64(fleet.Engines)
+	readers := max(int(math.Ceil(min(busyCores/(maxCoreUtilization*fleet.Cores), engines))), 1)
+	loaders := int(math.Ceil(min(locked/maxLockUtilization, engines)))
+	return max(min(loaders, fleet.Engines-readers), half)
 }
--- a/internal/decide/pressure/demand_test.go
+++ b/internal/decide/pressure/demand_test.go
@@ -92,7 +92,7 @@
 			now += rapid.SampledFrom([]float64{0, 1, 100, 1e7}).Draw(t, "gap")
 			d.Add(int64(rapid.IntRange(0, 1<<20).Draw(t, "group")), rapid.SampledFrom(odd).Draw(t, "held"), rapid.SampledFrom(odd).Draw(t, "work"), now)
 		}
-		if len(d.groups) > groupsMost {
+		if len(d.groups) > maxDemandGroups {
 			t.Fatalf("%d groups are remembered", len(d.groups))
 		}
 		n := rapid.IntRange(1, 60).Draw(t, "engines")
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -1,27 +1,32 @@
-// Package quota decides whether a tenant is past its share: a token bucket whose rate may change with every use. There is
-// no clock in here; times are handed in, in milliseconds.
+// Package quota decides whether a tenant exceeds its quota: a token bucket whose rate may change with every use. The
+// package has no clock: callers pass times in milliseconds.
 package quota
 
 const (
-	// burst is how much of a flow may come at once, in seconds of its rate, and spare is added to that: the least flows
-	// would be past their share with their first query.
-	burst, spare = 2.0, 5.0
+	// burstSeconds is how much may come at once, in seconds of the rate.
+	burstSeconds = 2.0
+	// minBurst is added to each burst: a tenant with the smallest rate would otherwise exceed it with its first
+	// request.
+	minBurst = 5.0
+	// msPerSecond converts times, which are in milliseconds, for rates, which are per second.
+	msPerSecond = 1000
 )
 
-// Bucket is one tenant's. The zero Bucket is full with its first use.
+// Bucket is the token bucket of one tenant. The zero Bucket is full at its first use.
 type Bucket struct {
-	tokens, at float64
-	used       bool
+	tokens   float64
+	filledAt float64
+	used     bool
 }
 
-// Take takes a token at that rate a second, and tells whether there was one.
+// Take takes a token from a bucket that fills at rate tokens a second, and tells whether there was one.
 func (b *Bucket) Take(rate, now float64) bool {
-	most := burst*max(rate, 0) + spare
+	size := burstSeconds*max(rate, 0) + minBurst
 	if !b.used {
-		b.tokens, b.at, b.used = most, now, true
+		b.tokens, b.filledAt, b.used = size, now, true
 	}
-	b.tokens = min(b.tokens+max(rate, 0)*max(now-b.at, 0)/1000, most)
-	b.at = max(b.at, now)
+	b.tokens = min(b.tokens+max(rate, 0)*max(now-b.filledAt, 0)/msPerSecond, size)
+	b.filledAt = max(b.filledAt, now)
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -54,7 +54,7 @@
 			}
 		}
 		// A clock that goes back before the first use may start it there.
-		if most := rate*(latest+500)/1000 + burst*rate + spare; through > most {
+		if most := rate*(latest+500)/1000 + burstSeconds*rate + minBurst; through > most {
 			t.Fatalf("%v of at most %v", through, most)
 		}
 	})
--- a/internal/decide/slowstart/budget.go
+++ b/internal/decide/slowstart/budget.go
@@ -1,67 +1,56 @@
-// Package slowstart deals a flow, or a row of items, out to many parties that know nothing of each other. Of a flow, each
-// one's part may be too small to be of use: a three-hundredth of what a cold engine may be sent in a second is less than one
-// query. A part adds up until it is worth a whole chunk, which the party may spend for a while; what is left then is void.
-//
-// Parties begin at points of their first chunk that lie evenly between nothing and a whole one. So what all of them are
-// given in any span of time is the flow in that span, give or take a chunk, and it comes evenly. One that starts anew
-// or hears late begins at its point again: it gets no more than the flow is worth, and no burst.
-//
-// A flow may change over time, as that of a cold engine does while it warms up. A chunk is due when the flow since the last
-// one sums up to it, however often anybody asks: so the few rations out of many that are due can be found by their times.
-//
-// There is no clock in here, and no chance: times are handed in, in milliseconds on any clock that does not go back.
 package slowstart
 
 import "math"
 
-// Budget is one party's part of a flow. It begins with Start, and has nothing until it is told its flow.
+// Budget is one router's part of a rate. A new Budget receives nothing until SetRate.
 type Budget struct {
-	flow  Rate
-	from  float64 // up to when it is reckoned
-	part  float64 // of the next chunk, from 0 to 1, by then
-	next  float64 // when that chunk is due
-	given float64 // when the last chunk was
-	any   bool    // whether there was one
+	rate       Rate
+	fractionAt float64 // up to when the fraction has been computed
+	fraction   float64 // of the next quantum that has accumulated by then, from 0 to 1
+	nextDue    float64 // when the next quantum is due
+	lastDue    float64 // when the last quantum was
+	received   bool    // there was one
 }
 
-// NewBudget gives the ration of a party from a time on. Parties are numbered from 0; those of one flow share a salt from 0 to 1,
-// which has other flows begin with another party.
-func NewBudget(party, parties int, salt, at float64) Budget {
-	_, part := math.Modf(float64(party)/float64(max(parties, 1)) + salt)
-	return Budget{part: math.Abs(part), from: at, next: math.Inf(1)}
+// NewBudget returns the budget of a router from a time on. Routers are numbered from 0; all use the same salt, from 0 to
+// 1, for the same engine: it makes the quanta of other engines begin with another router.
+func NewBudget(router, routers int, salt, now float64) Budget {
+	_, fraction := math.Modf(float64(router)/float64(max(routers, 1)) + salt)
+	return Budget{fraction: math.Abs(fraction), fractionAt: now, nextDue: math.Inf(1)}
 }
 
-// SetRate has the ration come by a flow from a time on. What came due until then by the former flow stays.
-func (r *Budget) SetRate(by Rate, now float64) {
-	r.reckon(now)
-	if now > r.from {
-		r.part = min(r.part+r.flow.sum(r.from, now), 1)
-		r.from = now
+// SetRate changes the rate from a time on. What has accumulated at the previous rate stays.
+func (b *Budget) SetRate(rate Rate, now float64) {
+	b.advance(now)
+	if now > b.fractionAt {
+		b.fraction = min(b.fraction+b.rate.integral(b.fractionAt, now), 1)
+		b.fractionAt = now
 	}
-	r.flow = by
-	r.next = by.when(r.from, 1-r.part)
+	b.rate = rate
+	b.nextDue = rate.timeOf(b.fractionAt, 1-b.fraction)
 }
 
-// NextDue tells when the next chunk is due, however often the ration is asked until then; infinite for never.
-func (r *Budget) NextDue() float64 { return r.next }
+// NextDue returns when the next quantum is due: infinity for never.
+func (b *Budget) NextDue() float64 { return b.nextDue }
 
-// Available tells since when the party has had the chunk that it may spend. It has none if the last one is older than life.
-// Several that came due since it last asked are one: a party that did not ask for long is owed no burst.
-func (r *Budget) Available(now, life float64) (since float64, ok bool) {
-	r.reckon(now)
-	return r.given, r.any && now-r.given <= life
+// Available returns since when the router has had its present quantum; ok is false if that is older than maxAge, or if
+// there was none. Of several that came due since the previous call only the last one counts: a router that was idle
+// gets no burst.
+func (b *Budget) Available(now, maxAge float64) (since float64, ok bool) {
+	b.advance(now)
+	return b.lastDue, b.received && now-b.lastDue <= maxAge
 }
 
-// reckon takes what has come due up to now.
-func (r *Budget) reckon(now float64) {
-	if now < r.next {
+// advance receives what has come due up to now.
+func (b *Budget) advance(now float64) {
+	if now < b.nextDue {
 		return
 	}
-	r.given, r.any = r.next, true
-	// All but the last of several are void, and need not be looked at one by one: a flow may be fast.
-	if more := math.Floor(r.flow.sum(r.next, now)); more >= 1 {
-		r.given = min(r.flow.when(r.next, more), now)
+	b.lastDue, b.received = b.nextDue, true
+	// All but the last of several have expired; they are skipped at once, since there may be many.
+	if more := math.Floor(b.rate.integral(b.nextDue, now)); more >= 1 {
+		b.lastDue = min(b.rate.timeOf(b.nextDue, more), now)
 	}
-	r.from, r.part = r.given, 0
-	r.next = max(r.flow.when(r.given, 1), math.Nextafter(now, math.Inf(1)))
+	b.fractionAt, b.fraction = b.lastDue, 0
+	b.nextDue = max(b.rate.timeOf(b.lastDue, 1), math.Nextafter(now, math.Inf(1)))
 }
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, flow := range []float64{0, -1} {
 		r.SetRate(Rate{}.WithPoint(0, flow), 9900)
-		if _, ok := r.Available(30_000-1000*flow, 700); ok || r.part < 0 || math.IsNaN(r.part) {
+		if _, ok := r.Available(30_000-1000*flow, 700); ok || r.fraction < 0 || math.IsNaN(r.fraction) {
 			t.Errorf("a flow of %v gave a chunk, or took one: %+v", flow, r)
 		}
 	}
--- a/internal/decide/slowstart/rate.go
+++ b/internal/decide/slowstart/rate.go
@@ -2,88 +2,100 @@
 
 import "math"
 
-// Rate is how many chunks a second come due to a party, over time: straight between its points, level before the first and
-// after the last. Points are in order of time, in milliseconds; rates are not below 0. The zero Flow is none at all.
+const (
+	// maxPoints bounds the points of a rate: where it sets in, where its slope changes twice, and where it levels off.
+	maxPoints = 4
+	// msPerSecond converts times, which are in milliseconds, for rates, which are per second.
+	msPerSecond = 1000
+)
+
+// Rate is how many quanta a second a router receives, over time: piecewise linear between its points, constant before
+// the first and after the last one. The points are in order of time, and no rate is below 0. The zero Rate is 0 at all
+// times.
 type Rate struct {
-	points [flowPoints]point
+	points [maxPoints]point
 	n      int
 }
 
-// flowPoints is what a flow has at most: where it sets in, where its slope changes, and where it levels off.
-const flowPoints = 4
-
+// point is the rate at one time, in milliseconds.
 type point struct{ at, rate float64 }
 
-// WithPoint adds a point, no earlier than the last one; a rate below 0, or that is no number, counts as 0. A flow has four points at
-// most: further ones are not taken.
-func (f Rate) WithPoint(at, rate float64) Rate {
-	if f.n < flowPoints {
+// piece is the part of a rate from some time to its next point.
+type piece struct {
+	start, end float64 // the rates at both ends
+	length     float64 // in milliseconds; infinite after the last point
+}
+
+// WithPoint returns the rate with one more point, no earlier than the last one. A rate below 0, or NaN, counts as 0.
+// Points beyond four are ignored.
+func (r Rate) WithPoint(at, rate float64) Rate {
+	if r.n < maxPoints {
 		if !(rate > 0) {
 			rate = 0
 		}
-		f.points[f.n] = point{at, rate}
-		f.n++
+		r.points[r.n] = point{at, rate}
+		r.n++
 	}
-	return f
+	return r
 }
 
-// next gives the piece of the flow that a time lies in, from that time on: its rates at both ends and how long it lasts.
-func (f *Rate) next(from float64) (rate, then, lasts float64) {
-	if f.n == 0 {
-		return 0, 0, math.Inf(1)
+// pieceFrom returns the piece that a time lies in, from that time on.
+func (r *Rate) pieceFrom(from float64) piece {
+	if r.n == 0 {
+		return piece{0, 0, math.Inf(1)}
 	}
-	first, last := f.points[0], f.points[f.n-1]
+	first, last := r.points[0], r.points[r.n-1]
 	if from < first.at {
-		return first.rate, first.rate, first.at - from
+		return piece{first.rate, first.rate, first.at - from}
 	}
 	if from >= last.at {
-		return last.rate, last.rate, math.Inf(1)
+		return piece{last.rate, last.rate, math.Inf(1)}
 	}
 	for i := 1; ; i++ {
-		a, b := f.points[i-1], f.points[i]
+		a, b := r.points[i-1], r.points[i]
 		if from < b.at {
-			return a.rate + (b.rate-a.rate)*(from-a.at)/(b.at-a.at), b.rate, b.at - from
+			return piece{a.rate + (b.rate-a.rate)*(from-a.at)/(b.at-a.at), b.rate, b.at - from}
 		}
 	}
 }
 
-// sum gives how many chunks come due between two times.
-func (f *Rate) sum(from, to float64) (chunks float64) {
+// integral returns how many quanta come due between two times.
+func (r *Rate) integral(from, to float64) (quanta float64) {
 	for from < to {
-		rate, then, lasts := f.next(from)
-		if d := to - from; d < lasts {
-			if !math.IsInf(lasts, 1) {
-				then = rate + (then-rate)*d/lasts
+		p := r.pieceFrom(from)
+		if d := to - from; d < p.length {
+			if !math.IsInf(p.length, 1) {
+				p.end = p.start + (p.end-p.start)*d/p.length
 			}
-			return chunks + (rate+then)/2*d/1000
+			return quanta + (p.start+p.end)/2*d/msPerSecond
 		}
-		chunks += (rate + then) / 2 * lasts / 1000
-		from += lasts
+		quanta += (p.start + p.end) / 2 * p.length / msPerSecond
+		from += p.length
 	}
-	return chunks
+	return quanta
 }
 
-// when gives the time at which that many chunks have come due since another one: infinite for never.
-func (f *Rate) when(from, chunks float64) float64 {
-	left := chunks * 1000
+// timeOf returns when so many quanta have come due since another time: infinity for never.
+func (r *Rate) timeOf(from, quanta float64) float64 {
+	left := quanta * msPerSecond
 	for {
-		rate, then, lasts := f.next(from)
-		if math.IsInf(lasts, 1) {
-			if rate <= 0 {
-				return lasts
+		p := r.pieceFrom(from)
+		if math.IsInf(p.length, 1) {
+			if p.start <= 0 {
+				return p.length
 			}
-			return from + left/rate
+			return from + left/p.start
 		}
-		if area := (rate + then) / 2 * lasts; area < left {
+		if area := (p.start + p.end) / 2 * p.length; area < left {
 			left -= area
-			from += lasts
+			from += p.length
 			continue
 		}
-		slope := (then - rate) / lasts
-		root := rate + math.Sqrt(max(rate*rate+2*slope*left, 0))
+		slope := (p.end - p.start) / p.length
+		root := p.start + math.Sqrt(max(p.start*p.start+2*slope*left, 0))
 		if root <= 0 {
 			return from
 		}
-		return from + min(2*left/root, lasts)
+		return from + min(2*left/root, p.length)
 	}
 }
--- a/internal/decide/slowstart/rate_test.go
+++ b/internal/decide/slowstart/rate_test.go
@@ -11,7 +11,7 @@
 // drawFlow is a flow of up to four points, some of them without any rate.
 func drawFlow(t *rapid.T, from float64) (f Rate) {
 	at := from + rapid.Float64Range(-3000, 3000).Draw(t, "from")
-	for range rapid.IntRange(0, flowPoints).Draw(t, "points") {
+	for range rapid.IntRange(0, maxPoints).Draw(t, "points") {
 		f = f.WithPoint(at, max(rapid.Float64Range(-1, 3).Draw(t, "rate"), 0))
 		at += rapid.SampledFrom([]float64{0, 1, 700, 5000}).Draw(t, "gap")
 	}
@@ -27,19 +27,19 @@
 		const steps = 4000
 		plain, step := 0.0, (to-from)/steps
 		for i := range steps {
-			rate, _, _ := f.next(from + (float64(i)+0.5)*step)
+			rate := f.pieceFrom(from + (float64(i)+0.5)*step).start
 			plain += rate * step / 1000
 		}
-		got := f.sum(from, to)
+		got := f.integral(from, to)
 		if math.Abs(got-plain) > 0.01*plain+0.02 { // a step at a point that stands twice is met to one step
 			t.Fatalf("%+v: %v chunks from %v to %v, want %v", f, got, from, to, plain)
 		}
 		if got < 1e-6 {
 			return
 		}
-		at := f.when(from, got*0.7)
-		if at < from || at > to || math.Abs(f.sum(from, at)-got*0.7) > 1e-6*(1+got) {
-			t.Fatalf("%+v: %v of %v chunks are due at %v, and by then %v were", f, got*0.7, got, at, f.sum(from, at))
+		at := f.timeOf(from, got*0.7)
+		if at < from || at > to || math.Abs(f.integral(from, at)-got*0.7) > 1e-6*(1+got) {
+			t.Fatalf("%+v: %v of %v chunks are due at %v, and by then %v were", f, got*0.7, got, at, f.integral(from, at))
 		}
 	})
 }
@@ -51,27 +51,27 @@
 		at := rapid.Float64Range(0, 1e6).Draw(t, "start")
 		f, party := drawFlow(t, at), rapid.IntRange(0, 99).Draw(t, "party")
 		often, seldom := NewBudget(party, 100, 0.3, at), NewBudget(party, 100, 0.3, at)
-		plain := often.part
+		plain := often.fraction
 		often.SetRate(f, at)
 		seldom.SetRate(f, at)
 		chunks := 0
 		last := math.Inf(-1)
 		for now := at; now < at+20_000; now += 5 {
 			since, _ := often.Available(now, math.Inf(1))
-			if often.any && since != last {
+			if often.received && since != last {
 				chunks, last = chunks+1, since
 			}
 			if rapid.IntRange(0, 400).Draw(t, "ask") != 0 {
 				continue
 			}
-			if due := seldom.NextDue(); due <= now != (seldom.given != since || seldom.any != often.any) {
-				t.Fatalf("due at %v by now %v, and the one asked often has its chunk since %v, the other %v", due, now, since, seldom.given)
+			if due := seldom.NextDue(); due <= now != (seldom.lastDue != since || seldom.received != often.received) {
+				t.Fatalf("due at %v by now %v, and the one asked often has its chunk since %v, the other %v", due, now, since, seldom.lastDue)
 			}
-			if got, _ := seldom.Available(now, math.Inf(1)); often.any && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
+			if got, _ := seldom.Available(now, math.Inf(1)); often.received && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
 				t.Fatalf("asked often it has a chunk since %v, asked seldom since %v", since, got)
 			}
 		}
-		if plain += f.sum(at, last); often.any && math.Abs(plain-float64(chunks)) > 1e-6 {
+		if plain += f.integral(at, last); often.received && math.Abs(plain-float64(chunks)) > 1e-6 {
 			t.Fatalf("%d chunks by %v, where the flow sums up to %v", chunks, last, plain)
 		}
 	})
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -60,8 +60,8 @@
 		for range 10 {
 			from := rng.Float64() * 10000
 			h.Step(1)
-			h.Float(f.sum(from, from+rng.ExpFloat64()*3000))
-			h.Float(f.when(from, rng.ExpFloat64()*3))
+			h.Float(f.integral(from, from+rng.ExpFloat64()*3000))
+			h.Float(f.timeOf(from, rng.ExpFloat64()*3))
 		}
 	}
 }
