--- a/internal/decide/backoff/trace_test.go
+++ b/internal/decide/backoff/trace_test.go
@@ -7,56 +7,64 @@
 	"windflow/internal/tracetest"
 )
 
-// When machines and groups rest stays as it was recorded in testdata/traces.txt.
+// When engines and zones are backed off from stays as it was recorded in testdata/traces.txt.
 func TestTraces(t *testing.T) {
-	tracetest.Check(t, []tracetest.Scenario{{Name: "machines", Run: traceMachines}, {Name: "groups", Run: traceGroups}})
+	tracetest.Check(t, []tracetest.Scenario{
+		{Name: "machines", Run: func(_ *testing.T, h *tracetest.Hash) { traceEngines(h) }},
+		{Name: "groups", Run: func(_ *testing.T, h *tracetest.Hash) { traceZones(h) }},
+	})
 }
 
-// traceTerms are terms with room to double, and some without.
-var traceTerms = []Policy{{Initial: 250, Max: 4000}, {Initial: 100, Max: 100}, {Initial: 0, Max: 1000}, {Initial: 800, Max: 300}}
+// tracePolicies are policies with room to double, and some without.
+var tracePolicies = []Policy{
+	{Initial: 250, Max: 4000},
+	{Initial: 100, Max: 100},
+	{Initial: 0, Max: 1000},
+	{Initial: 800, Max: 300},
+}
 
-func traceMachines(t *testing.T, h *tracetest.Hash) {
+func traceEngines(h *tracetest.Hash) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
-		terms := traceTerms[seed%4]
-		var r Backoff
+		policy := tracePolicies[seed%4]
+		var b Backoff
 		now := 0.0
 		for range 400 {
 			now += rng.ExpFloat64() * 300
 			switch n := rng.IntN(20); {
 			case n < 6:
-				r.RecordFailure(now, 0.75+rng.Float64()/2, terms)
+				b.RecordFailure(now, 0.75+rng.Float64()/2, policy)
 			case n == 6:
-				r.RecordSuccess()
+				b.RecordSuccess()
 			}
 			h.Step(1)
-			h.Bool(r.Active(now))
-			h.Bool(r.Active(now + 250))
-			h.Bool(r.Active(now + rng.ExpFloat64()*1000))
+			h.Bool(b.Active(now))
+			h.Bool(b.Active(now + 250))
+			h.Bool(b.Active(now + rng.ExpFloat64()*1000))
 		}
 	}
 }
 
-func traceGroups(t *testing.T, h *tracetest.Hash) {
+func traceZones(h *tracetest.Hash) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
-		terms := traceTerms[seed%4]
-		var g ZoneBackoff
+		policy := tracePolicies[seed%4]
+		var zone ZoneBackoff
 		now := 0.0
 		for range 400 {
 			now += rng.ExpFloat64() * 200
 			switch n := rng.IntN(20); {
 			case n < 8:
-				g.RecordFailure(int64(rng.IntN(6)), 1+rng.IntN(4), now, 0.75+rng.Float64()/2, terms)
+				zone.RecordFailure(int64(rng.IntN(6)), 1+rng.IntN(4), now, 0.75+rng.Float64()/2, policy)
 			case n < 12:
-				g.RecordAttempt(now, terms)
+				zone.RecordAttempt(now, policy)
 			case n == 12:
-				g.RecordSuccess()
+				zone.RecordSuccess()
 			}
 			h.Step(1)
-			h.Bool(g.Active(now))
-			h.Bool(g.Active(now + rng.ExpFloat64()*1000))
-			h.Bool(g.Suspect())
+			h.Bool(zone.Active(now))
+			h.Bool(zone.Active(now + rng.ExpFloat64()*1000))
+			h.Bool(zone.Suspect())
 		}
 	}
 }
--- a/internal/decide/doc.go
+++ b/internal/decide/doc.go
@@ -1,3 +1,3 @@
-// Package decide holds what the subsystems decide, each in a package of its own below this one: states and rules without
-// I/O, goroutines, clocks or chance, so that a test can bring about any order of events and play it again.
+// Package decide is the parent of the packages that make decisions for the subsystems, one package each: state and rules
+// without I/O, goroutines, clocks or randomness, so that a test can bring about any order of events and replay it.
 package decide
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -11,43 +11,46 @@
 	"testing"
 )
 
-// allowed are the packages of the standard library that compute and no more. Among them are none that read a clock, draw
-// chance, open anything or start goroutines; time is not, so that a decision can't ask for it.
-var allowed = []string{
+// computingPackages are the packages of the standard library that only compute. None of them reads a clock, draws random
+// numbers, opens anything or starts goroutines; time is not among them, so that no decision can ask for it.
+var computingPackages = []string{
 	"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash/fnv", "iter",
 	"maps", "math", "math/big", "math/bits", "slices", "sort", "strconv", "strings", "unicode", "unicode/utf8",
 }
 
-// What a package below internal/decide decides, it decides from what it is handed. It guards against decisions that can't
-// be played again.
+// Packages below internal/decide decide only from what their callers pass. It guards against decisions that can't be
+// replayed.
 func TestDecisionsDoNoIO(t *testing.T) {
 	files := 0
 	for _, dir := range []string{".", "../incident"} {
-		files += pure(t, dir)
+		files += checkImports(t, dir)
 	}
 	if files < 4 {
 		t.Error(files, "files")
 	}
 }
 
-// pure looks at the imports below a folder, and gives the number of its files.
-func pure(t *testing.T, dir string) (files int) {
+// checkImports checks the imports of all product files below a directory, and returns the number of these files.
+func checkImports(t *testing.T, dir string) (files int) {
 	t.Helper()
-	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		files++
 		set := token.NewFileSet()
-		f, err := parser.ParseFile(set, path, nil, parser.ParseComments)
+		file, err := parser.ParseFile(set, path, nil, parser.ParseComments)
 		if err != nil {
 			return err
 		}
-		for _, i := range f.Imports {
-			name, _ := strconv.Unquote(i.Path.Value)
-			if !slices.Contains(allowed, name) && !strings.HasPrefix(name, "windflow/internal/decide/") && name != "windflow/internal/record" {
-				t.Errorf("%s imports %s", set.Position(i.Pos()), name)
+		for _, spec := range file.Imports {
+			name, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				return err
+			}
+			if !mayImport(name) {
+				t.Errorf("%s imports %s", set.Position(spec.Pos()), name)
 			}
 		}
 		return nil
@@ -57,3 +60,10 @@
 	}
 	return files
 }
+
+// mayImport tells whether a decision package may import another package.
+func mayImport(name string) bool {
+	return slices.Contains(computingPackages, name) ||
+		strings.HasPrefix(name, "windflow/internal/decide/") ||
+		name == "windflow/internal/record"
+}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -7,55 +7,56 @@
 	"pgregory.net/rapid"
 )
 
-// A flow at its rate is never past its share, one at twice the rate is in half of its queries, and what was not used for long
-// allows no more than a burst.
-func TestFlows(t *testing.T) {
-	for _, k := range []struct {
-		name       string
-		rate, flow float64 // a second
-		idle       float64 // before it begins, in milliseconds
-		past       float64 // share of 10,000 queries
+// Traffic at the rate never exceeds the quota, traffic at twice the rate does in half of its requests, and a long idle
+// time allows no more than a burst.
+func TestShareOverQuota(t *testing.T) {
+	const requests = 10_000
+	for _, test := range []struct {
+		name          string
+		rate, traffic float64 // a second
+		idleMS        float64 // before the traffic begins
+		over          float64 // share of the requests
 	}{
 		{"at its rate", 20, 20, 0, 0},
 		{"below", 20, 7, 0, 0},
 		{"twice", 20, 40, 0, 0.5},
 		{"four times", 5, 20, 0, 0.75},
 		{"twice after a day", 20, 40, 86_400_000, 0.5},
-		{"of a tenant without a share", 0, 10, 0, 1},
+		{"of a tenant without a quota", 0, 10, 0, 1},
 		{"below zero", -5, 10, 0, 1},
 	} {
-		var b Bucket
-		past, now := 0, 1e9
-		b.Take(k.rate, now)
-		now += k.idle
-		for range 10_000 {
-			now += 1000 / k.flow
-			if !b.Take(k.rate, now) {
-				past++
+		var bucket Bucket
+		over, now := 0, 1e9
+		bucket.Take(test.rate, now)
+		now += test.idleMS
+		for range requests {
+			now += 1000 / test.traffic
+			if !bucket.Take(test.rate, now) {
+				over++
 			}
 		}
-		if got := float64(past) / 10_000; math.Abs(got-k.past) > 0.01 {
-			t.Errorf("%s: %.3f past the share, want %.3f", k.name, got, k.past)
+		if got := float64(over) / requests; math.Abs(got-test.over) > 0.01 {
+			t.Errorf("%s: %.3f over the quota, want %.3f", test.name, got, test.over)
 		}
 	}
 }
 
-// In any span no more is let through than the rate brings in it, and a burst.
+// In any span no more is admitted than the rate brings in it, and a burst.
 func TestNoMoreThanTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Bucket
+		var bucket Bucket
 		rate := rapid.Float64Range(0, 200).Draw(t, "rate")
-		now, latest, through := 0.0, 0.0, 0.0
+		now, latest, admitted := 0.0, 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "queries") {
 			now += rapid.Float64Range(-50, 500).Draw(t, "gap")
 			latest = max(latest, now)
-			if b.Take(rate, now) {
-				through++
+			if bucket.Take(rate, now) {
+				admitted++
 			}
 		}
 		// A clock that goes back before the first use may start it there.
-		if most := rate*(latest+500)/1000 + burstSeconds*rate + minBurst; through > most {
-			t.Fatalf("%v of at most %v", through, most)
+		if most := rate*(latest+500)/1000 + burstSeconds*rate + minBurst; admitted > most {
+			t.Fatalf("%v of at most %v", admitted, most)
 		}
 	})
 }
--- a/internal/decide/quota/trace_test.go
+++ b/internal/decide/quota/trace_test.go
@@ -10,15 +10,18 @@
 
 // What buckets answer stays as it was recorded in testdata/traces.txt.
 func TestTraces(t *testing.T) {
-	tracetest.Check(t, []tracetest.Scenario{{Name: "buckets", Run: traceBuckets}})
+	tracetest.Check(t, []tracetest.Scenario{
+		{Name: "buckets", Run: func(_ *testing.T, h *tracetest.Hash) { traceBuckets(h) }},
+	})
 }
 
-// traceBuckets takes tokens at rates and times of all kinds, some of them odd, and now and then at a time gone by.
-func traceBuckets(t *testing.T, h *tracetest.Hash) {
+// traceBuckets takes tokens at rates and times of all kinds, some of them invalid, and now and then at a time in the
+// past.
+func traceBuckets(h *tracetest.Hash) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
 		rates := []float64{rng.ExpFloat64() * 10, rng.ExpFloat64() * 0.1, rng.ExpFloat64() * 1000}
-		var b Bucket
+		var bucket Bucket
 		now := rng.Float64() * 1e6
 		for i := range 500 {
 			now += rng.ExpFloat64() * 100
@@ -30,7 +33,7 @@
 				at -= 500
 			}
 			h.Step(1)
-			h.Bool(b.Take(rate, at))
+			h.Bool(bucket.Take(rate, at))
 		}
 	}
 }
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -4,79 +4,180 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// sumCase is a number of routers that share a rate of one engine.
+type sumCase struct {
+	routers    int
+	perSecond  float64 // quanta for all routers
+	restarting bool    // seven in ten routers restart on the way
+}
+
+const (
+	sumMaxAge   = 1500.0
+	sumDuration = 12_000.0
+	sumRestart  = 5000.0 // when routers restart
 )
 
-// However many parties there are, and however often each asks: what all are given in a window is what the flow is worth
-// there, within one chunk. Where seven in ten start anew, chance comes to it.
-func TestSumOverParties(t *testing.T) {
-	const life, lasts = 1500.0, 12_000.0
-	for _, parties := range []int{40, 270, 300, 1000} {
-		for _, flow := range []float64{0.8, 5, 30} { // chunks a second for all
-			for _, restart := range []bool{false, true} {
-				rng := rand.New(rand.NewPCG(uint64(parties), uint64(flow)))
-				var given []float64
-				for i := range parties {
-					even := Rate{}.WithPoint(0, flow/float64(parties))
-					r := NewBudget(i, parties, 0.3, 0)
-					r.SetRate(even, 0)
-					every := float64(1 + rng.IntN(400)) // how often it asks
-					last := -1.0
-					anew := restart && rng.Float64() < 0.7
-					for now := 0.0; now < lasts; now += every {
-						if anew && now > 5000 {
-							r, anew = NewBudget(i, parties, 0.3, now), false
-							r.SetRate(even, now)
-						}
-						if since, ok := r.Available(now, life); ok && since != last {
-							given, last = append(given, since), since
-						}
-					}
-				}
-				// One that starts anew comes with another offset in time: chance takes the place of evenness.
-				slack := 1.01
-				if restart {
-					slack += 3 * math.Sqrt(flow*life/1000)
-				}
-				for from := 0.0; from < lasts-2*life; from += 100 {
-					n := 0.0
-					for _, at := range given {
-						if at > from && at <= from+life {
-							n++
-						}
-					}
-					if want := flow * life / 1000; math.Abs(n-want) > slack {
-						t.Errorf("%d parties, %v chunks a second, restart %v: %v chunks in the window from %v, want %.1f", parties, flow, restart, n, from, want)
-						break
-					}
-				}
+// received plays all routers and returns when each of their quanta came.
+func (c sumCase) received() (times []float64) {
+	rng := rand.New(rand.NewPCG(uint64(c.routers), uint64(c.perSecond)))
+	even := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
+	for i := range c.routers {
+		budget := NewBudget(i, c.routers, 0.3, 0)
+		budget.SetRate(even, 0)
+		interval := float64(1 + rng.IntN(400)) // between two calls
+		last := -1.0
+		restarts := c.restarting && rng.Float64() < 0.7
+		for now := 0.0; now < sumDuration; now += interval {
+			if restarts && now > sumRestart {
+				restarts = false
+				budget = NewBudget(i, c.routers, 0.3, now)
+				budget.SetRate(even, now)
 			}
+			if since, ok := budget.Available(now, sumMaxAge); ok && since != last {
+				times, last = append(times, since), since
+			}
+		}
+	}
+	return times
+}
+
+// countBetween counts the times after from, up to to.
+func countBetween(times []float64, from, to float64) (n float64) {
+	for _, at := range times {
+		if at > from && at <= to {
+			n++
+		}
+	}
+	return n
+}
+
+// However many routers there are, and however often each asks: what all of them receive in a window is what the rate
+// comes to there, within one quantum. Where seven in ten restart, chance is added to that.
+func TestSumOverRouters(t *testing.T) {
+	for _, routers := range []int{40, 270, 300, 1000} {
+		for _, perSecond := range []float64{0.8, 5, 30} {
+			for _, restarting := range []bool{false, true} {
+				checkSum(t, sumCase{routers, perSecond, restarting})
+			}
+		}
+	}
+}
+
+func checkSum(t *testing.T, c sumCase) {
+	t.Helper()
+	times := c.received()
+	want := c.perSecond * sumMaxAge / 1000
+	slack := 1.01
+	if c.restarting { // a router that restarts has another offset in time: chance takes the place of evenness
+		slack += 3 * math.Sqrt(want)
+	}
+	for from := 0.0; from < sumDuration-2*sumMaxAge; from += 100 {
+		if n := countBetween(times, from, from+sumMaxAge); math.Abs(n-want) > slack {
+			t.Errorf("%+v: %v quanta in the window from %v, want %.1f", c, n, from, want)
+			return
 		}
 	}
 }
 
-func TestChunkIsVoidAfterItsLife(t *testing.T) {
-	r := NewBudget(0, 1, 0, 0)
-	r.SetRate(Rate{}.WithPoint(0, 1), 0)
-	for _, k := range []struct {
-		at, life, since float64
-		ok              bool
+func TestQuantumExpires(t *testing.T) {
+	budget := NewBudget(0, 1, 0, 0)
+	budget.SetRate(Rate{}.WithPoint(0, 1), 0)
+	for _, test := range []struct {
+		at, maxAge, since float64
+		ok                bool
 	}{
 		{900, 1000, 0, false},
 		{1100, 800, 1000, true},
 		{1900, 800, 1000, false},
 		{2000, 800, 2000, true},
-		{1500, 800, 2000, true}, // a time that lies behind: nothing is reckoned twice
-		{9700, 800, 9000, true}, // seven came due: one
+		{1500, 800, 2000, true}, // a time in the past: nothing is received twice
+		{9700, 800, 9000, true}, // seven came due: one counts
 		{9800, 700, 9000, false},
 	} {
-		if since, ok := r.Available(k.at, k.life); ok != k.ok || math.Abs(since-k.since) > 0.001 {
-			t.Errorf("at %v: since %v, %v; want %v, %v", k.at, since, ok, k.since, k.ok)
+		if since, ok := budget.Available(test.at, test.maxAge); ok != test.ok || math.Abs(since-test.since) > 0.001 {
+			t.Errorf("at %v: since %v, %v; want %v, %v", test.at, since, ok, test.since, test.ok)
+		}
+	}
+	for _, rate := range []float64{0, -1} {
+		budget.SetRate(Rate{}.WithPoint(0, rate), 9900)
+		_, ok := budget.Available(30_000-1000*rate, 700)
+		if ok || budget.fraction < 0 || math.IsNaN(budget.fraction) {
+			t.Errorf("a rate of %v gave a quantum, or took one: %+v", rate, budget)
 		}
 	}
-	for _, flow := range []float64{0, -1} {
-		r.SetRate(Rate{}.WithPoint(0, flow), 9900)
-		if _, ok := r.Available(30_000-1000*flow, 700); ok || r.fraction < 0 || math.IsNaN(r.fraction) {
-			t.Errorf("a flow of %v gave a chunk, or took one: %+v", flow, r)
+}
+
+// A budget receives the same quanta at the same times however often it is asked, and those that adding up in small
+// steps gives. It guards against a router that asks seldom and gets more, or less.
+func TestQuantaDoNotDependOnCalls(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		start := rapid.Float64Range(0, 1e6).Draw(t, "start")
+		rate, router := drawRate(t, start), rapid.IntRange(0, 99).Draw(t, "router")
+		often, seldom := NewBudget(router, 100, 0.3, start), NewBudget(router, 100, 0.3, start)
+		fraction := often.fraction
+		often.SetRate(rate, start)
+		seldom.SetRate(rate, start)
+		quanta := 0
+		last := math.Inf(-1)
+		for now := start; now < start+20_000; now += 5 {
+			since, _ := often.Available(now, math.Inf(1))
+			if often.received && since != last {
+				quanta, last = quanta+1, since
+			}
+			if rapid.IntRange(0, 400).Draw(t, "ask") == 0 {
+				checkSameQuantum(t, &often, &seldom, now)
+			}
+		}
+		total := fraction + rate.integral(start, last)
+		if often.received && math.Abs(total-float64(quanta)) > 1e-6 {
+			t.Fatalf("%d quanta by %v, where the rate comes to %v", quanta, last, total)
 		}
+	})
+}
+
+// checkSameQuantum asks the budget that is asked seldom, and compares it with the other one.
+func checkSameQuantum(t *rapid.T, often, seldom *Budget, now float64) {
+	t.Helper()
+	since, _ := often.Available(now, math.Inf(1))
+	differs := seldom.lastDue != since || seldom.received != often.received
+	if due := seldom.NextDue(); due <= now != differs {
+		t.Fatalf("due at %v by now %v, and the one asked often has its quantum since %v, the other %v",
+			due, now, since, seldom.lastDue)
+	}
+	got, _ := seldom.Available(now, math.Inf(1))
+	if often.received && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
+		t.Fatalf("asked often it has a quantum since %v, asked seldom since %v", since, got)
+	}
+}
+
+// A rate that changes leaves what has accumulated until then.
+func TestSetRateKeepsTheFraction(t *testing.T) {
+	budget := NewBudget(0, 1, 0, 0)
+	budget.SetRate(Rate{}.WithPoint(0, 1), 0)
+	budget.SetRate(Rate{}.WithPoint(0, 2), 500) // half a quantum is there, the other half takes a quarter of a second
+	if budget.NextDue() != 750 {
+		t.Errorf("the quantum is due at %v, want 750", budget.NextDue())
+	}
+	budget.SetRate(Rate{}, 700)
+	if !math.IsInf(budget.NextDue(), 1) {
+		t.Errorf("without a rate one is due at %v", budget.NextDue())
+	}
+	budget.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 were there, and nothing came meanwhile
+	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
+		t.Errorf("the quantum is due at %v, want 10100", budget.NextDue())
+	}
+	if _, ok := budget.Available(10_050, 1e9); ok {
+		t.Error("a quantum before its time")
+	}
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 1000 { // however often the same rate is set
+		budget.SetRate(Rate{}.WithPoint(0, 1), 10_000+100*rng.Float64())
+	}
+	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
+		t.Errorf("set again and again, the quantum is due at %v, want 10100", budget.NextDue())
 	}
 }
--- a/internal/decide/slowstart/rate.go
+++ b/internal/decide/slowstart/rate.go
@@ -62,15 +62,15 @@
 // integral returns how many quanta come due between two times.
 func (r *Rate) integral(from, to float64) (quanta float64) {
 	for from < to {
-		p := r.pieceFrom(from)
-		if d := to - from; d < p.length {
-			if !math.IsInf(p.length, 1) {
-				p.end = p.start + (p.end-p.start)*d/p.length
+		part := r.pieceFrom(from)
+		if d := to - from; d < part.length {
+			if !math.IsInf(part.length, 1) {
+				part.end = part.start + (part.end-part.start)*d/part.length
 			}
-			return quanta + (p.start+p.end)/2*d/msPerSecond
+			return quanta + (part.start+part.end)/2*d/msPerSecond
 		}
-		quanta += (p.start + p.end) / 2 * p.length / msPerSecond
-		from += p.length
+		quanta += (part.start + part.end) / 2 * part.length / msPerSecond
+		from += part.length
 	}
 	return quanta
 }
@@ -79,23 +79,28 @@
 func (r *Rate) timeOf(from, quanta float64) float64 {
 	left := quanta * msPerSecond
 	for {
-		p := r.pieceFrom(from)
-		if math.IsInf(p.length, 1) {
-			if p.start <= 0 {
-				return p.length
+		part := r.pieceFrom(from)
+		if math.IsInf(part.length, 1) {
+			if part.start <= 0 {
+				return part.length
 			}
-			return from + left/p.start
+			return from + left/part.start
 		}
-		if area := (p.start + p.end) / 2 * p.length; area < left {
+		if area := (part.start + part.end) / 2 * part.length; area < left {
 			left -= area
-			from += p.length
+			from += part.length
 			continue
 		}
-		slope := (p.end - p.start) / p.length
-		root := p.start + math.Sqrt(max(p.start*p.start+2*slope*left, 0))
-		if root <= 0 {
-			return from
-		}
-		return from + min(2*left/root, p.length)
+		return from + part.timeOf(left)
+	}
+}
+
+// timeOf returns after how many milliseconds of the piece so much has come due, in thousandths of a quantum.
+func (p piece) timeOf(amount float64) float64 {
+	slope := (p.end - p.start) / p.length
+	root := p.start + math.Sqrt(max(p.start*p.start+2*slope*amount, 0))
+	if root <= 0 {
+		return 0
 	}
+	return min(2*amount/root, p.length)
 }
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -9,13 +9,17 @@
 	"windflow/internal/tracetest"
 )
 
-// When chunks are due, and how items are dealt, stays as it was recorded in testdata/traces.txt.
+// When quanta are due, and which items are chosen, stays as it was recorded in testdata/traces.txt.
 func TestTraces(t *testing.T) {
-	tracetest.Check(t, []tracetest.Scenario{{Name: "chunks", Run: traceChunks}, {Name: "flows", Run: traceFlows}, {Name: "deals", Run: traceDeals}})
+	tracetest.Check(t, []tracetest.Scenario{
+		{Name: "chunks", Run: func(_ *testing.T, h *tracetest.Hash) { traceBudgets(h) }},
+		{Name: "flows", Run: func(_ *testing.T, h *tracetest.Hash) { traceRates(h) }},
+		{Name: "deals", Run: func(_ *testing.T, h *tracetest.Hash) { traceSubsets(h) }},
+	})
 }
 
-// traceFlow gives a flow of up to five points, some with rates that do not count.
-func traceFlow(rng *rand.Rand, from float64) (f Rate) {
+// randomRate returns a rate of up to five points, some of them invalid.
+func randomRate(rng *rand.Rand, from float64) (r Rate) {
 	at := from - rng.Float64()*2000
 	for range rng.IntN(6) {
 		rate := rng.ExpFloat64() * 3
@@ -27,52 +31,52 @@
 		case 2:
 			rate = math.NaN()
 		}
-		f = f.WithPoint(at, rate)
+		r = r.WithPoint(at, rate)
 		at += 1 + rng.ExpFloat64()*4000
 	}
-	return f
+	return r
 }
 
-func traceChunks(t *testing.T, h *tracetest.Hash) {
+func traceBudgets(h *tracetest.Hash) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
 		now := rng.Float64() * 1e5
-		parties := rng.IntN(700)
-		r := NewBudget(rng.IntN(parties+1), parties, rng.Float64(), now)
+		routers := rng.IntN(700)
+		budget := NewBudget(rng.IntN(routers+1), routers, rng.Float64(), now)
 		for i := range 200 {
 			now += rng.ExpFloat64() * 400
 			if i%23 == 0 {
-				r.SetRate(traceFlow(rng, now), now)
+				budget.SetRate(randomRate(rng, now), now)
 			}
-			since, ok := r.Available(now, rng.ExpFloat64()*1500)
+			since, ok := budget.Available(now, rng.ExpFloat64()*1500)
 			h.Step(1)
 			h.Float(since)
 			h.Bool(ok)
-			h.Float(r.NextDue())
+			h.Float(budget.NextDue())
 		}
 	}
 }
 
-func traceFlows(t *testing.T, h *tracetest.Hash) {
+func traceRates(h *tracetest.Hash) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 2027))
-		f := traceFlow(rng, 1000)
+		rate := randomRate(rng, 1000)
 		for range 10 {
 			from := rng.Float64() * 10000
 			h.Step(1)
-			h.Float(f.integral(from, from+rng.ExpFloat64()*3000))
-			h.Float(f.timeOf(from, rng.ExpFloat64()*3))
+			h.Float(rate.integral(from, from+rng.ExpFloat64()*3000))
+			h.Float(rate.timeOf(from, rng.ExpFloat64()*3))
 		}
 	}
 }
 
-func traceDeals(t *testing.T, h *tracetest.Hash) {
+func traceSubsets(h *tracetest.Hash) {
 	rng := rand.New(rand.NewPCG(1, 2028))
 	for range 2000 {
-		parties := rng.IntN(700)
+		routers := rng.IntN(700)
 		h.Step(1)
-		for _, place := range subset.Choose(rng.IntN(parties+1), parties, rng.IntN(1500), rng.IntN(30)-1) {
-			h.Int(int64(place))
+		for _, item := range subset.Choose(rng.IntN(routers+1), routers, rng.IntN(1500), rng.IntN(30)-1) {
+			h.Int(int64(item))
 		}
 	}
 }
--- a/internal/tracetest/tracetest.go
+++ b/internal/tracetest/tracetest.go
@@ -1,9 +1,9 @@
-// Package tracetest compares what a package decides with a recorded trace. A scenario drives the package with fixed
-// seeds and writes every decision into a Hash, field by field; a data file holds one line for each scenario. A change
-// that is to leave all decisions as they are must leave the data file as it is.
+// Package tracetest compares the decisions of a package with a recorded trace. A scenario drives the package with fixed
+// seeds and writes each decision into a Hash, field by field; a data file holds one line for each scenario. A change that
+// must not alter any decision must not alter the data file.
 //
-// Only tests import this package. Values are encoded by hand, never with the names of Go types or fields, so that these
-// can be renamed without another trace.
+// Only tests import this package. Values are encoded field by field, never with the names of Go types or fields, so that
+// renaming these does not change a trace.
 package tracetest
 
 import (
@@ -23,13 +23,14 @@
 	"time"
 )
 
-// recordedOn is the architecture of the recorded traces: others round sums of products in another way.
+// recordedOn is the architecture of the recorded traces: others may round sums of products differently.
 const recordedOn = "amd64"
 
-// path is the data file, from the directory of the package that is tested.
-var path = filepath.Join("testdata", "traces.txt")
+// dataFile is the data file, relative to the directory of the tested package.
+var dataFile = filepath.Join("testdata", "traces.txt")
 
-var record = flag.Bool("record-traces", false, "append scenarios that have no line in testdata/traces.txt; no line is replaced")
+var record = flag.Bool("record-traces", false,
+	"append scenarios that have no line in testdata/traces.txt; no line is replaced")
 
 // Hash is the SHA-256 of a sequence of steps. The zero Hash is not usable; Check makes them.
 type Hash struct {
@@ -37,7 +38,7 @@
 	steps int
 }
 
-// Step begins a step, a decision most of the time, of a kind that the caller numbers.
+// Step begins a step, usually one decision. The caller numbers the kinds of steps.
 func (h *Hash) Step(kind int) {
 	h.steps++
 	h.Int(int64(kind))
@@ -45,21 +46,19 @@
 
 // Uint adds an unsigned number.
 func (h *Hash) Uint(v uint64) {
-	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], v)
-	h.sum.Write(b[:])
+	h.sum.Write(binary.LittleEndian.AppendUint64(nil, v))
 }
 
-// Int adds a signed number, or an enumeration by its number.
+// Int adds a signed number, or the number of an enumeration's value.
 func (h *Hash) Int(v int64) { h.Uint(uint64(v)) }
 
-// Float adds the bits of a number.
+// Float adds the bits of a floating-point number.
 func (h *Hash) Float(v float64) { h.Uint(math.Float64bits(v)) }
 
 // Duration adds a duration in nanoseconds.
 func (h *Hash) Duration(v time.Duration) { h.Int(int64(v)) }
 
-// Bool adds a truth value.
+// Bool adds a truth value, as 1 or 0.
 func (h *Hash) Bool(v bool) {
 	if v {
 		h.Int(1)
@@ -68,13 +67,13 @@
 	h.Int(0)
 }
 
-// String adds a text and its length.
+// String adds the length of a string and its bytes.
 func (h *Hash) String(s string) {
 	h.Int(int64(len(s)))
 	h.sum.Write([]byte(s))
 }
 
-// Bytes adds bytes and their number.
+// Bytes adds the length of a byte slice and its bytes.
 func (h *Hash) Bytes(b []byte) {
 	h.Int(int64(len(b)))
 	h.sum.Write(b)
@@ -86,32 +85,34 @@
 	Run  func(t *testing.T, h *Hash)
 }
 
-// line is what the data file says of a scenario.
-type line struct {
+// trace is the result of a scenario, one line of the data file.
+type trace struct {
 	steps int
-	sum   string
+	sum   string // in hexadecimal
 }
 
-// Check runs each scenario twice and compares it with the data file. It fails where the two runs differ, where the file
-// has no line for a scenario or another one, and where a line has no scenario.
+// Check runs each scenario twice and compares the results with the data file. It fails where the two runs differ, where
+// the file has no line or a different one for a scenario, and where a line has no scenario.
 func Check(t *testing.T, scenarios []Scenario) {
 	t.Helper()
-	lines, err := read(path)
+	traces, err := read(dataFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range scenarios {
-		want, known := lines[s.Name]
-		delete(lines, s.Name)
-		t.Run(s.Name, func(t *testing.T) { s.check(t, want, known) })
+	for _, scenario := range scenarios {
+		want, known := traces[scenario.Name]
+		delete(traces, scenario.Name)
+		t.Run(scenario.Name, func(t *testing.T) { scenario.check(t, want, known) })
 	}
-	for name := range lines {
-		t.Errorf("%s: %s has a line for it, and there is no such scenario", name, path)
+	for name := range traces {
+		t.Errorf("%s: %s has a line for it, and there is no such scenario", name, dataFile)
 	}
 }
 
-func (s Scenario) check(t *testing.T, want line, known bool) {
-	got, again := s.play(t), s.play(t)
+// check runs the scenario and compares it with its line, or records that where there is none and the flag is set.
+func (s Scenario) check(t *testing.T, want trace, known bool) {
+	t.Helper()
+	got, again := s.run(t), s.run(t)
 	if t.Failed() {
 		return
 	}
@@ -128,59 +129,63 @@
 		}
 		return
 	}
-	if err := appendLine(path, s.Name, got); err != nil {
+	if err := appendLine(dataFile, s.Name, got); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("recorded %d steps", got.steps)
 }
 
-// compare says what is wrong with a trace, or nothing. A line that is known is never recorded anew.
-func compare(got, want line, known bool) error {
+// compare returns an error that describes how a trace differs from the recorded one; known tells whether there is one.
+func compare(got, want trace, known bool) error {
 	switch {
 	case !known:
-		return fmt.Errorf("%s has no line for it: %d steps %s", path, got.steps, got.sum)
+		return fmt.Errorf("%s has no line for it: %d steps %s", dataFile, got.steps, got.sum)
 	case got != want:
-		return fmt.Errorf("%d steps %s, recorded are %d steps %s: a decision has changed", got.steps, got.sum, want.steps, want.sum)
+		return fmt.Errorf("%d steps %s, recorded are %d steps %s: a decision has changed",
+			got.steps, got.sum, want.steps, want.sum)
 	}
 	return nil
 }
 
-func (s Scenario) play(t *testing.T) line {
+func (s Scenario) run(t *testing.T) trace {
+	t.Helper()
 	h := &Hash{sum: sha256.New()}
 	s.Run(t, h)
-	return line{steps: h.steps, sum: hex.EncodeToString(h.sum.Sum(nil))}
+	return trace{steps: h.steps, sum: hex.EncodeToString(h.sum.Sum(nil))}
 }
 
-// read gives the lines of a data file by scenario; a file that is missing has none.
-func read(path string) (map[string]line, error) {
-	lines := map[string]line{}
+// read returns the traces of a data file by scenario; a missing file has none.
+func read(path string) (map[string]trace, error) {
+	traces := map[string]trace{}
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
-		return lines, nil
+		return traces, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	for in := bufio.NewScanner(file); in.Scan(); {
-		if strings.HasPrefix(in.Text(), "#") {
+	scanner := bufio.NewScanner(file)
+	for scanner.Scan() {
+		line := scanner.Text()
+		if strings.HasPrefix(line, "#") {
 			continue
 		}
 		var name string
-		var l line
-		if _, err := fmt.Sscanf(in.Text(), "%s %d %s", &name, &l.steps, &l.sum); err != nil {
-			return nil, fmt.Errorf("%s: %q: %w", path, in.Text(), err)
+		var recorded trace
+		if _, err := fmt.Sscanf(line, "%s %d %s", &name, &recorded.steps, &recorded.sum); err != nil {
+			return nil, fmt.Errorf("%s: %q: %w", path, line, err)
 		}
-		if _, twice := lines[name]; twice {
+		if _, duplicate := traces[name]; duplicate {
 			return nil, fmt.Errorf("%s: %s has two lines", path, name)
 		}
-		lines[name] = l
+		traces[name] = recorded
 	}
-	return lines, nil
+	return traces, scanner.Err()
 }
 
-// appendLine adds a line to a data file, and makes the file where there is none.
-func appendLine(path, name string, l line) error {
+// appendLine appends a line to a data file, and creates the file if it does not exist.
+func appendLine(path, name string, recorded trace) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
@@ -189,6 +194,6 @@
 		return err
 	}
 	defer file.Close()
-	_, err = fmt.Fprintf(file, "%s %d %s\n", name, l.steps, l.sum)
+	_, err = fmt.Fprintf(file, "%s %d %s\n", name, recorded.steps, recorded.sum)
 	return err
 }
