--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -63,7 +63,7 @@
 // played: NAME opens a caller and NAME TEXT has it send; 'wait MS' lets time go by; 'down WHY' and 'up' say whether the
 // router serves; 'crowd N' has N silent callers come.
 func TestExchanges(t *testing.T) {
-	routertest.Exchanges(t, func(t *testing.T) func(string) string {
+	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		now := &clock.Manual{MS: 1e12}
 		loop := router.NewLoop(now)
 		out := &strings.Builder{}
--- a/internal/enginehttp/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -202,7 +202,7 @@
 }
 
 func TestExchanges(t *testing.T) {
-	routertest.Exchanges(t, func(t *testing.T) func(string) string {
+	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		s := &stage{t: t, clock: &clock.Manual{MS: 1e12}}
 		s.loop = router.NewLoop(s.clock)
 		s.client = New(s.loop, s, Config{MaxConns: 2, ConnectTimeoutMS: 250, IdleMS: 30_000},
--- a/internal/enginehttp/page.go
+++ b/internal/enginehttp/page.go
@@ -47,7 +47,7 @@
 		size += len(p)
 		rows += bytes.Count(p, newline)
 	}
-	if size > router.MaxResult {
+	if size > router.MaxResultBytes {
 		return nil, fmt.Errorf("a result of %d bytes", size)
 	}
 	r := &router.Result{Columns: columns, Cells: make([]router.Cell, 0, rows*len(columns))}
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -196,7 +196,7 @@
 		q.ask(0)
 	case r.status == 200 && r.header["x-part-no"] == "":
 		parts, err := strconv.Atoi(r.header["x-parts"])
-		if err != nil || parts < 1 || parts > router.MaxResult {
+		if err != nil || parts < 1 || parts > router.MaxResultBytes {
 			q.spoilt(fmt.Sprintf("X-Parts %.20q is no number of pages", r.header["x-parts"]))
 			return
 		}
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -188,7 +188,7 @@
 
 func (h *simulatedRouter) totals() Totals {
 	c := h.core.Counters
-	return Totals{Taken: c.Taken, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed, Engines: h.core.ListedEngines()}
+	return Totals{Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed, Engines: h.core.ListedEngines()}
 }
 
 func (h *simulatedRouter) close() {
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -36,7 +36,7 @@
 	e.mu.Unlock()
 	end, ok := map[string]router.End{
 		"serve": {Outcome: dispatch.Served, Result: &router.Result{
-			Columns: []string{"a"}, Changed: 3,
+			Columns: []string{"a"}, ChangedRows: 3,
 			Cells: []router.Cell{{Text: "x"}, {Null: true}},
 		}},
 		"full":  {Outcome: dispatch.EngineFull},
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := routertest.Run(loop)
+	end := routertest.RunLoop(loop)
 	t.Cleanup(func() {
 		_ = c.Close()
 		f.Stop()
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -307,8 +307,8 @@
 				*size += len(cell.Text) + 1
 				into.Cells = append(into.Cells, cell)
 			}
-			if *size > router.MaxResult {
-				return fmt.Errorf("%w: a result of over %d bytes", errBad, router.MaxResult)
+			if *size > router.MaxResultBytes {
+				return fmt.Errorf("%w: a result of over %d bytes", errBad, router.MaxResultBytes)
 			}
 		}
 	}
@@ -369,7 +369,7 @@
 	}
 	n := told.GetRecordCount()
 	return &router.Result{
-		Columns: []string{"rows_changed"}, Changed: n,
+		Columns: []string{"rows_changed"}, ChangedRows: n,
 		Cells: []router.Cell{{Text: strconv.FormatInt(n, 10)}},
 	}, stream.Trailer(), nil
 }
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -95,7 +95,7 @@
 func attemptAt(addr string, once bool) router.End {
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 5000, 4, slog.New(slog.DiscardHandler))
-	defer routertest.Run(loop)()
+	defer routertest.RunLoop(loop)()
 	engine := router.Engine{ID: 7, Address: addr}
 	ended := make(chan router.End, 1)
 	loop.Post(func() {
@@ -137,7 +137,7 @@
 		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), dispatch.Served},
 		{"no Arrow at all", one, rows(noSchema), dispatch.EngineFailed},
 		{"rows without a schema", one, rows(whole[1:]), dispatch.EngineFailed},
-		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResult))), dispatch.EngineFailed},
+		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
 		{"nothing", one, rows(nil), dispatch.EngineFailed},
 		{"its own failure", one, fails(codes.Internal), dispatch.EngineFailed},
 		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), dispatch.EngineFull},
@@ -182,15 +182,15 @@
 		if end.Outcome != k.want {
 			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
 		}
-		if end.Outcome == dispatch.Served && end.Result.Changed != 5 {
-			t.Errorf("%s: %d rows changed", k.name, end.Result.Changed)
+		if end.Outcome == dispatch.Served && end.Result.ChangedRows != 5 {
+			t.Errorf("%s: %d rows changed", k.name, end.Result.ChangedRows)
 		}
 	}
 }
 
 // A refused connection proves that nothing ran, for a load too.
 func TestRefusedConnection(t *testing.T) {
-	addr := routertest.Refused(t, [4]byte{127, 0, 0, 1})
+	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	for _, once := range []bool{true, false} {
 		if end := attemptAt(addr, once); end.Outcome != dispatch.ConnectFailed {
 			t.Errorf("once %v: outcome %v (%s)", once, end.Outcome, end.Detail)
@@ -221,7 +221,7 @@
 	defer s.Stop()
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 5000, 1, slog.New(slog.DiscardHandler))
-	defer routertest.Run(loop)()
+	defer routertest.RunLoop(loop)()
 	start := func(waitMS float64) chan router.End {
 		ended := make(chan router.End, 1)
 		loop.Post(func() {
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -247,7 +247,7 @@
 		err = fmt.Errorf("the statement has %d bytes; at most %d are taken", len(statement), maxStatement)
 	}
 	if err == nil {
-		err = f.core.Check(r)
+		err = f.core.CheckNames(r)
 	}
 	if err != nil {
 		f.Counters.Malformed.Add(1)
@@ -447,8 +447,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if result.Changed > 0 {
-		return result.Changed, nil
+	if result.ChangedRows > 0 {
+		return result.ChangedRows, nil
 	}
 	return -1, nil
 }
@@ -496,7 +496,7 @@
 	case a.result != nil:
 		f.Counters.Served.Add(1)
 		return a.result, nil
-	case errors.Is(a.invalid, router.ErrInUse):
+	case errors.Is(a.invalid, router.ErrIDInUse):
 		f.Counters.Malformed.Add(1)
 		return nil, status.Error(codes.AlreadyExists, a.invalid.Error())
 	case a.invalid != nil:
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -74,7 +74,7 @@
 	defer server.Stop()
 	loop := router.NewLoop(clock.NewSystem())
 	client := NewClient(loop, 5000, 4, slog.New(slog.DiscardHandler))
-	defer routertest.Run(loop)()
+	defer routertest.RunLoop(loop)()
 	for _, c := range calls {
 		c.Engine = router.Engine{ID: 7, Address: listener.Addr().String()}
 		ended := make(chan router.End, 1)
@@ -96,7 +96,7 @@
 	e.refuses = true
 	refused := attempts(t, e, load)
 	goldentest.Equal(t, "engine-calls.txt", e.heard.Bytes())
-	changed := router.Result{Columns: []string{"rows_changed"}, Cells: []router.Cell{{Text: "3"}}, WorkMS: 12.5, NeedMB: 34.5, Changed: 3}
+	changed := router.Result{Columns: []string{"rows_changed"}, Cells: []router.Cell{{Text: "3"}}, WorkMS: 12.5, NeedMB: 34.5, ChangedRows: 3}
 	want := []router.End{
 		{Outcome: dispatch.Served, Result: &router.Result{
 			Columns: []string{"a"}, Cells: []router.Cell{{Text: "ab"}, {Text: "cd"}},
--- a/internal/flightsql/recall_test.go
+++ b/internal/flightsql/recall_test.go
@@ -25,7 +25,7 @@
 	defer lis.Close()
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.Run(loop))
+	t.Cleanup(routertest.RunLoop(loop))
 	heard := make(chan string, 8)
 	attempts := make(chan router.Attempt, 2)
 	loop.Post(func() {
@@ -84,7 +84,7 @@
 	defer s.Stop()
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.Run(loop))
+	t.Cleanup(routertest.RunLoop(loop))
 	ends, attempts := make(chan router.End, 1), make(chan router.Attempt, 1)
 	loop.Post(func() {
 		attempts <- c.Start(router.Call{
@@ -128,7 +128,7 @@
 	}()
 	loop := router.NewLoop(clock.NewSystem())
 	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.Run(loop))
+	t.Cleanup(routertest.RunLoop(loop))
 	ends := make(chan router.End, 4)
 	engine := router.Engine{ID: 7, Address: lis.Addr().String()}
 	wrote := make(chan struct{}, 4)
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -245,7 +245,7 @@
 // TestExchanges plays the recorded exchanges: each file holds lines of "play" with what they show indented
 // below them.
 func TestExchanges(t *testing.T) {
-	routertest.Exchanges(t, func(t *testing.T) func(string) string { return newStage(t).play })
+	routertest.RunExchanges(t, func(t *testing.T) func(string) string { return newStage(t).play })
 }
 
 // TestOverlongPacket: a header that announces more than is taken ends the session before anything is
--- a/internal/netio/finish_test.go
+++ b/internal/netio/finish_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := routertest.Run(loop)
+	end := routertest.RunLoop(loop)
 	defer n.Stop()
 	defer end()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -85,7 +85,7 @@
 		if ends {
 			n.End()
 		}
-		end := routertest.Run(loop)
+		end := routertest.RunLoop(loop)
 		clients := make([]net.Conn, 2*maxFinishing)
 		for i := range clients {
 			if clients[i], err = net.Dial("tcp", n.Addr()); err != nil {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -166,7 +166,7 @@
 		n.turns, err = newTurns(n.engine)
 	}
 	if err == nil {
-		loop.Behind = n.turns.pass
+		loop.OnStall = n.turns.pass
 	}
 	if err != nil {
 		if lis != nil {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := routertest.Run(loop)
+	end := routertest.RunLoop(loop)
 	t.Cleanup(func() {
 		end()
 		n.Stop()
@@ -50,7 +50,7 @@
 // it as open and, for IPv4, connects to 0.0.0.0.
 func TestDial(t *testing.T) {
 	n, loop := newNet(t, "", nil)
-	addr := routertest.Refused(t, [4]byte{127, 0, 0, 2})
+	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 2})
 	h := newTap()
 	loop.Post(func() { n.Dial(addr, 5000, h) })
 	if err := <-h.closed; !errors.Is(err, ErrNotConnected) || !errors.Is(err, syscall.ECONNREFUSED) {
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := routertest.Run(loop)
+	end := routertest.RunLoop(loop)
 	defer n.Stop()
 	defer end()
 	c, err := net.Dial("tcp", n.Addr())
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -50,7 +50,7 @@
 	for _, f := range []struct {
 		name string
 		n    int
-	}{{"outstanding", r.core.Open()}, {"discovered", r.core.ListedEngines()}, {"ejected", r.core.AvoidedEngines()}} {
+	}{{"outstanding", r.core.OpenRequests()}, {"discovered", r.core.ListedEngines()}, {"ejected", r.core.AvoidedEngines()}} {
 		fmt.Fprintf(&b, "svc.%s:%d|g\n", f.name, f.n)
 	}
 	if r.keepers != nil {
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -17,7 +17,7 @@
 		answer(false)
 		return
 	}
-	known := r.core.Knows(id)
+	known := r.core.KnowsEngine(id)
 	r.ban(id, exclude, known, func() { r.tellBan(id, exclude, known, answer) })
 }
 
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	records := record.DefaultConfig
 	records.Dir = t.TempDir()
-	nobody := routertest.Refused(t, [4]byte{127, 0, 0, 1})
+	nobody := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	return &site.Settings{
 		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
 		BGP: &bgp.Config{
@@ -43,7 +43,7 @@
 	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + noticeBoard(t) + `",
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[` +
-		member(routertest.Refused(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
+		member(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if n.failed != nil {
 		t.Fatal(n.failed)
 	}
-	end := routertest.Run(n.loop)
+	end := routertest.RunLoop(n.loop)
 	t.Cleanup(func() {
 		n.stopping.Do(func() { close(n.stop) })
 		end()
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -352,7 +352,7 @@
 	if r.keepers != nil && r.keepers.now.Revision > 0 {
 		s.Configuration = &r.keepers.now
 	}
-	r.log.Info("a successor has come", "open", r.core.Open())
+	r.log.Info("a successor has come", "open", r.core.OpenRequests())
 	return s, files
 }
 
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -260,7 +260,7 @@
 		if err := m.Decode(&b); err != nil {
 			return err
 		}
-		b.Known = r.core.Knows(b.ID)
+		b.Known = r.core.KnowsEngine(b.ID)
 		r.banThere(p, b, func() { p.link.Send(hotrestartipc.NewMessage(msgBanned, b)) })
 	case msgBanned:
 		var b ban
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -107,7 +107,7 @@
 		}
 		l.pause()
 	}
-	r.log.Info("the other process accepts", "listeners", r.theyTook, "sessions", r.front.Sessions(), "open", r.core.Open())
+	r.log.Info("the other process accepts", "listeners", r.theyTook, "sessions", r.front.Sessions(), "open", r.core.OpenRequests())
 }
 
 // provide gets a listener: the socket that the platform passed on, for clients; else the one of the process that this one
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -342,7 +342,7 @@
 	counts := make(chan [2]int64)
 	n.loop.Post(func() {
 		c := n.core.Counters
-		counts <- [2]int64{c.Taken, c.Served + c.Rejected + c.Failed + c.Abandoned}
+		counts <- [2]int64{c.Received, c.Served + c.Rejected + c.Failed + c.Abandoned}
 	})
 	if got := <-counts; got[0] != got[1] || got[0] != 2*workers*each {
 		t.Errorf("taken %d, answered %d, want %d of both", got[0], got[1], 2*workers*each)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -201,7 +201,7 @@
 	}
 	r.net.SetMaxInbound(b.inbound)
 	r.client = enginehttp.New(r.loop, r.net, b.fetch, log)
-	r.clients.Other = r.client
+	r.clients.Default = r.client
 	r.core = core
 	for _, p := range r.parts {
 		if p.start == nil {
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -264,10 +264,10 @@
 			open++
 		}
 	}
-	if w.core.Open() > 0 || w.front.Sessions() > 0 || open > 0 || w.client.Conns() > 0 {
-		w.bad("left: %d requests, %d sessions, %d connections, %d counted", w.core.Open(), w.front.Sessions(), open, w.client.Conns())
+	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.client.Conns() > 0 {
+		w.bad("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.client.Conns())
 	}
-	if n := w.loop.Timers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that is spent
+	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that is spent
 		w.bad("%d timers are left", n)
 	}
 }
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -239,7 +239,7 @@
 	}
 	w.core = core
 	w.client = enginehttp.New(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: ordersDial, IdleMS: 8000}, log)
-	clients.Other = w.client
+	clients.Default = w.client
 	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20}, func() [][2]string { return nil }, log)
 	for id := range 3 {
 		w.list(dispatch.EngineID(id+1), dispatch.Live)
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -186,7 +186,7 @@
 func (c *recorder) second() {
 	now := c.r.loop.Now()
 	s := &record.Interval{
-		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.r.core.Open(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
+		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.r.core.OpenRequests(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
 		EngineConnections: c.r.client.Conns(), ClientSessions: c.r.front.Sessions(),
 	}
 	s.Classes, s.Engines = c.meter.Collect()
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -131,8 +131,8 @@
 var benchSeq int
 
 func benchRequest(b *testing.B, r *node) {
-	if r.clients.Other != router.EngineClient(instant{r.loop}) {
-		r.clients.Other = instant{r.loop}
+	if r.clients.Default != router.EngineClient(instant{r.loop}) {
+		r.clients.Default = instant{r.loop}
 		list := dispatch.EndpointList{Mode: dispatch.ListComplete}
 		addrs := map[dispatch.EngineID]string{}
 		for id := dispatch.EngineID(1); id <= 8; id++ {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -22,12 +22,12 @@
 
 // busy tells whether anything is open.
 func (r *node) busy() bool {
-	return r.core.Open() > 0 || slices.ContainsFunc(r.parts, func(p *part) bool { return p.busy != nil && p.busy() })
+	return r.core.OpenRequests() > 0 || slices.ContainsFunc(r.parts, func(p *part) bool { return p.busy != nil && p.busy() })
 }
 
 // drain answers what comes until nothing is open: no other process is in this one's place.
 func (r *node) drain() {
-	r.log.Info("draining", "open", r.core.Open())
+	r.log.Info("draining", "open", r.core.OpenRequests())
 	r.leaving = false
 	patience := patienceAlone
 	if r.machine.Predecessor() != hotrestart.None || r.machine.Successor() != hotrestart.None {
@@ -93,7 +93,7 @@
 	r.rebound()
 	r.sendUse() // the sessions that were closed just now come to the other process at once
 	r.busyAt = r.loop.Now()
-	r.log.Info("leaving", "sessions", r.front.Sessions(), "open", r.core.Open())
+	r.log.Info("leaving", "sessions", r.front.Sessions(), "open", r.core.OpenRequests())
 	r.left()
 }
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -50,7 +50,7 @@
 	go func() { slow <- ask(early, 1, "slow") }()
 	open := make(chan int)
 	for taken := 0; taken == 0; taken = <-open {
-		n.loop.Post(func() { open <- n.core.Open() })
+		n.loop.Post(func() { open <- n.core.OpenRequests() })
 	}
 	signalled := make(chan struct{})
 	n.loop.Post(func() {
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -47,7 +47,7 @@
 		r.Stalls++
 		r.stood, r.until = r.beatAt, now
 		r.waking = true
-		r.log.Warn("the loop stood still", "ms", int(late), "open", r.core.Open(), "continued", r.Continued.Load())
+		r.log.Warn("the loop stood still", "ms", int(late), "open", r.core.OpenRequests(), "continued", r.Continued.Load())
 		r.core.HoldDecisions(true)
 		wake := func() {
 			r.loop.After(hearFor, func() {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -18,7 +18,7 @@
 // status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
 func (r *node) status() [][2]string {
 	rows := [][2]string{
-		{"core.open", strconv.Itoa(r.core.Open())},
+		{"core.open", strconv.Itoa(r.core.OpenRequests())},
 		{"fetch.connections", strconv.Itoa(r.client.Conns())},
 	}
 	parts := []counted{
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -223,7 +223,7 @@
 // ended reports an attempt's end to the module; the first good one answers the request.
 func (c *Core) ended(a *attempt, e End) {
 	if a.ended {
-		c.Counters.AfterDone++
+		c.Counters.EndsAfterEnd++
 		return
 	}
 	r := a.r
@@ -235,7 +235,7 @@
 	a.latest.Stop()
 	a.call.Abandon()
 	r.out--
-	c.Counters.Ends[e.Outcome]++
+	c.Counters.Outcomes[e.Outcome]++
 	if proven := e.Outcome == dispatch.EngineFull || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
 		if c.spent.has(r.ID) {
 			c.changed(r.ID, IDReleased)
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -22,15 +22,15 @@
 
 // Result is what an engine made: Cells holds the rows one after the other.
 type Result struct {
-	Columns []string
-	Cells   []Cell
-	WorkMS  float64 // that the query needed; 0 if the engine did not tell
-	NeedMB  float64
-	Changed int64 // rows that an update changed; -1 or 0 if the engine did not tell
+	Columns     []string
+	Cells       []Cell
+	WorkMS      float64 // that the query needed; 0 if the engine did not tell
+	NeedMB      float64
+	ChangedRows int64 // rows that an update changed; -1 or 0 if the engine did not tell
 }
 
-// MaxResult bounds the text of a result, in bytes.
-const MaxResult = 48_000
+// MaxResultBytes bounds the text of a result, in bytes.
+const MaxResultBytes = 48_000
 
 // Reason tells a front why a request failed.
 type Reason int
@@ -51,22 +51,22 @@
 
 // Counters count what the core took in, sent and answered.
 type Counters struct {
-	Taken     int64    `status:"taken"`
-	Served    int64    `status:"served"`
-	Rejected  int64    `status:"refused"`
-	Failed    int64    `status:"failed"`
-	Abandoned int64    `status:"abandoned"`
-	Malformed int64    `status:"malformed"`
-	Attempts  int64    `status:"sends"`
-	Late      int64    `status:"late"`
-	Overdue   int64    `status:"overdue"`
-	Lists     int64    `status:"lists"`
-	Ends      [8]int64 `status:"ends"` // by outcome
-	Handled   int64    `status:"handled"`
-	Actions   int64    `status:"actions"`
-	Steps     int64    `status:"steps"`
-	MaxOpen   int64    `status:"max_open"`
-	AfterDone int64    `status:"after_done"`
+	Received        int64    `status:"taken"`
+	Served          int64    `status:"served"`
+	Rejected        int64    `status:"refused"`
+	Failed          int64    `status:"failed"`
+	Abandoned       int64    `status:"abandoned"`
+	Malformed       int64    `status:"malformed"`
+	Attempts        int64    `status:"sends"`
+	Expired         int64    `status:"late"`
+	Overdue         int64    `status:"overdue"`
+	EndpointUpdates int64    `status:"lists"`
+	Outcomes        [8]int64 `status:"ends"` // by outcome
+	Events          int64    `status:"handled"`
+	Actions         int64    `status:"actions"`
+	Steps           int64    `status:"steps"`
+	MaxOpen         int64    `status:"max_open"`
+	EndsAfterEnd    int64    `status:"after_done"`
 }
 
 // ClassCounters count the requests of a class by their answers, and the attempts that were written whole to engines.
@@ -161,7 +161,7 @@
 		ByClass: map[string]*ClassCounters{}, elsewhere: map[string]bool{},
 	}
 	c.use(cfg)
-	loop.Settle = c.settle
+	loop.AfterStep = c.settle
 	return c, nil
 }
 
@@ -209,9 +209,9 @@
 	return k, ok
 }
 
-// Check tells whether the settings know what a request names; it may be called from anywhere. An engine can't use a
+// CheckNames tells whether the settings know what a request names; it may be called from anywhere. An engine can't use a
 // request that fails it, and would count what it was sent.
-func (c *Core) Check(q *Request) error {
+func (c *Core) CheckNames(q *Request) error {
 	n := c.names.Load()
 	if _, ok := n.classes[q.Class]; !ok {
 		return fmt.Errorf("field %s: unknown class %q", FieldClass, clip(q.Class))
@@ -222,20 +222,20 @@
 	return nil
 }
 
-// Open is the number of requests that are owed an answer.
-func (c *Core) Open() int { return len(c.byID) }
+// OpenRequests is the number of requests that are owed an answer.
+func (c *Core) OpenRequests() int { return len(c.byID) }
 
 // Handle names a request for Abandon.
 type Handle struct{ r *request }
 
-// ErrInUse says that a request with that id is still open, or may have run and must not run again.
-var ErrInUse = errors.New("field rid: a request with that id is still open, or may have run")
+// ErrIDInUse says that a request with that id is still open, or may have run and must not run again.
+var ErrIDInUse = errors.New("field rid: a request with that id is still open, or may have run")
 
 // Submit takes a request in. An error says that it was malformed and is owed nothing.
 func (c *Core) Submit(q *Request, asker ResponseHandler) (Handle, error) {
-	err := c.Check(q)
+	err := c.CheckNames(q)
 	if err == nil && (c.byID[q.ID] != nil || c.elsewhere[q.ID] || c.spent.has(q.ID)) {
-		err = ErrInUse
+		err = ErrIDInUse
 	}
 	if err != nil {
 		c.Counters.Malformed++
@@ -243,7 +243,7 @@
 	}
 	class, _ := c.Class(q.Class)
 	c.seq++
-	c.Counters.Taken++
+	c.Counters.Received++
 	if c.Observer != nil {
 		c.Observer.RequestArrived(q)
 	}
@@ -259,7 +259,7 @@
 	c.Counters.MaxOpen = max(c.Counters.MaxOpen, int64(len(c.byID)))
 	left := r.end - c.loop.Now()
 	if left <= 0 {
-		c.Counters.Late++
+		c.Counters.Expired++
 	}
 	c.guard(r)
 	begin := func() {
@@ -345,7 +345,7 @@
 		for _, ev := range events {
 			c.actions = c.module.Handle(now, ev, c.actions)
 		}
-		c.Counters.Handled += int64(len(events))
+		c.Counters.Events += int64(len(events))
 		c.Counters.Actions += int64(len(c.actions))
 		gone := c.gone
 		c.gone = nil
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -100,11 +100,11 @@
 		if len(a.answers) != len(k.want) || len(b.engines.calls) != k.calls {
 			t.Errorf("%s: answers %v, %d calls, want %d", k.name, a.answers, len(b.engines.calls), k.calls)
 		}
-		if b.core.Open() != 0 || len(b.core.requests) != 0 {
-			t.Errorf("%s: %d open, %d kept", k.name, b.core.Open(), len(b.core.requests))
+		if b.core.OpenRequests() != 0 || len(b.core.requests) != 0 {
+			t.Errorf("%s: %d open, %d kept", k.name, b.core.OpenRequests(), len(b.core.requests))
 		}
 		c := b.core.Counters
-		if c.Taken != c.Served+c.Rejected+c.Failed+c.Abandoned || c.Overdue != 0 {
+		if c.Received != c.Served+c.Rejected+c.Failed+c.Abandoned || c.Overdue != 0 {
 			t.Errorf("%s: counters %+v", k.name, c)
 		}
 	}
@@ -161,8 +161,8 @@
 		alone.run()
 	}
 	alone.wait(500)
-	if len(alone.engines.cancelled) != 1 || alone.core.Counters.Ends[dispatch.Cancelled] != 0 || len(alone.engines.calls) != 1 || !alone.engines.calls[0].Exclusive {
-		t.Errorf("told %v, ends %v, %d calls", alone.engines.cancelled, alone.core.Counters.Ends, len(alone.engines.calls))
+	if len(alone.engines.cancelled) != 1 || alone.core.Counters.Outcomes[dispatch.Cancelled] != 0 || len(alone.engines.calls) != 1 || !alone.engines.calls[0].Exclusive {
+		t.Errorf("told %v, ends %v, %d calls", alone.engines.cancelled, alone.core.Counters.Outcomes, len(alone.engines.calls))
 	}
 	load, _ := alone.ask("load", 3000, 0)
 	alone.end(1, End{Outcome: dispatch.ConnectionReset})
@@ -171,8 +171,8 @@
 	}
 	alone.end(0, End{Outcome: dispatch.Cancelled})
 	alone.wait(500)
-	if alone.core.Counters.Ends[dispatch.Cancelled] != 1 || len(alone.engines.calls) != 3 {
-		t.Errorf("after its end: ends %v, %d calls", alone.core.Counters.Ends, len(alone.engines.calls))
+	if alone.core.Counters.Outcomes[dispatch.Cancelled] != 1 || len(alone.engines.calls) != 3 {
+		t.Errorf("after its end: ends %v, %d calls", alone.core.Counters.Outcomes, len(alone.engines.calls))
 	}
 	b := newBed(t, func(cfg *dispatch.Config) { cfg.HedgingAllowed = true })
 	b.ask("lookup", 3000, 0)
@@ -180,8 +180,8 @@
 		b.loop.Post(func() { b.core.carryOut(dispatch.CancelAttempt{Request: "1", Attempt: 0}) })
 		b.run()
 	}
-	if len(b.engines.cancelled) != 1 || b.core.Counters.Ends[dispatch.Cancelled] != 1 {
-		t.Errorf("told %v, ends %v", b.engines.cancelled, b.core.Counters.Ends)
+	if len(b.engines.cancelled) != 1 || b.core.Counters.Outcomes[dispatch.Cancelled] != 1 {
+		t.Errorf("told %v, ends %v", b.engines.cancelled, b.core.Counters.Outcomes)
 	}
 	for _, unknown := range []dispatch.CancelAttempt{{Request: "9"}, {Request: "1", Attempt: 5}} {
 		b.core.carryOut(unknown)
@@ -282,7 +282,7 @@
 	if diff := cmp.Diff([]string{"refused 0"}, a.answers); diff != "" || len(b.engines.calls) != 1 {
 		t.Errorf("%d calls, %s", len(b.engines.calls), diff)
 	}
-	if err := b.core.Check(&Request{Class: "load", Tenant: "south"}); err == nil {
+	if err := b.core.CheckNames(&Request{Class: "load", Tenant: "south"}); err == nil {
 		t.Error("a tenant that the new settings don't name is still taken")
 	}
 	if k, _ := b.core.Class("load"); k.LatencyObjective != 2*time.Second {
@@ -354,7 +354,7 @@
 	b.loop.Post(func() { b.core.SetShutdownDeadline(b.now.MS + 500) })
 	c, _ := b.ask("lookup", 20_000, 0)
 	b.wait(520)
-	if len(a.answers) != 1 || len(c.answers) != 1 || b.core.Open() != 0 || b.core.Counters.Overdue != 0 {
+	if len(a.answers) != 1 || len(c.answers) != 1 || b.core.OpenRequests() != 0 || b.core.Counters.Overdue != 0 {
 		t.Errorf("answers %v and %v, %d overdue", a.answers, c.answers, b.core.Counters.Overdue)
 	}
 }
@@ -377,7 +377,7 @@
 				ID: fmt.Sprintf("%016x", id), Class: "lookup", Statement: "S",
 				SentAtMS: two.now.MS, BudgetMS: 3000,
 			}, &asker{})
-			no = err == ErrInUse
+			no = err == ErrIDInUse
 		})
 		two.run()
 		return no
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -35,8 +35,8 @@
 	if diff := cmp.Diff([]string{running}, b.engines.cancelled); diff != "" {
 		t.Error("cancelled:", diff)
 	}
-	if n := len(b.core.requests); n > 0 || b.core.Open() > 0 {
-		t.Errorf("%d requests are kept, %d open", n, b.core.Open())
+	if n := len(b.core.requests); n > 0 || b.core.OpenRequests() > 0 {
+		t.Errorf("%d requests are kept, %d open", n, b.core.OpenRequests())
 	}
 	if b.core.spent.has(loading) {
 		t.Error("a load that never began counts as one that may have run")
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -10,7 +10,7 @@
 // UpdateEndpoints tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
 // has heard of it: an event gathered ahead of this list may still have it send to one.
 func (c *Core) UpdateEndpoints(list dispatch.EndpointList, addrs map[dispatch.EngineID]string) {
-	c.Counters.Lists++
+	c.Counters.EndpointUpdates++
 	if c.Observer != nil {
 		c.Observer.EndpointsChanged()
 	}
@@ -61,7 +61,7 @@
 func (c *Core) Uncordon(id dispatch.EngineID) bool { return c.order(id, dispatch.Uncordon{Engine: id}) }
 
 func (c *Core) order(id dispatch.EngineID, word dispatch.Event) bool {
-	if !c.Knows(id) {
+	if !c.KnowsEngine(id) {
 		return false
 	}
 	c.words = append(c.words, word)
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Knows tells whether a list has named an engine.
-func (c *Core) Knows(id dispatch.EngineID) bool {
+// KnowsEngine tells whether a list has named an engine.
+func (c *Core) KnowsEngine(id dispatch.EngineID) bool {
 	c.settle() // a list that names the engine may just have come
 	return c.module.Knows(id)
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -12,11 +12,11 @@
 // goroutines post, then the timers that are due, then Settle. Nothing in a step may block.
 type Loop struct {
 	// Settle runs at the end of each step, when all that was ready has been gathered.
-	Settle func()
+	AfterStep func()
 	// Behind, where it is set, is called when the loop finds that it stood still: with the whole process, as a rule, so that
 	// what came meanwhile has not been posted yet. It has caughtUp called, from any goroutine, once that is done. Until then
 	// no timer runs: an answer that has come is not to be taken for one that did not.
-	Behind func(caughtUp func())
+	OnStall func(caughtUp func())
 
 	clock  clock.Clock
 	timers timerHeap
@@ -40,7 +40,7 @@
 
 // NewLoop returns a loop on that clock.
 func NewLoop(c clock.Clock) *Loop {
-	return &Loop{clock: c, wake: make(chan struct{}, 1), Settle: func() {}}
+	return &Loop{clock: c, wake: make(chan struct{}, 1), AfterStep: func() {}}
 }
 
 // Now is the loop's time in milliseconds.
@@ -88,8 +88,8 @@
 // After has f run once ms milliseconds have passed.
 func (l *Loop) After(ms float64, f func()) *Timer { return l.At(l.Now()+ms, f) }
 
-// Timers is the number of calls that are set for later; it is asked in the loop's goroutine.
-func (l *Loop) Timers() int { return len(l.timers) }
+// PendingTimers is the number of calls that are set for later; it is asked in the loop's goroutine.
+func (l *Loop) PendingTimers() int { return len(l.timers) }
 
 // Step runs all that is posted and due, then Settle, and tells whether there was anything to do.
 func (l *Loop) Step() bool {
@@ -118,7 +118,7 @@
 	}
 	l.due = due
 	if did {
-		l.Settle()
+		l.AfterStep()
 	}
 	return did
 }
@@ -130,9 +130,9 @@
 		return true
 	case l.heldTo > 0:
 		l.heldTo, l.heard = 0, now // it never said so
-	case l.Behind != nil && now-max(l.timers[0].at, l.heard) > stoodStill:
+	case l.OnStall != nil && now-max(l.timers[0].at, l.heard) > stoodStill:
 		l.heldTo = now + catchUp
-		l.Behind(func() {
+		l.OnStall(func() {
 			l.Post(func() { l.heldTo, l.heard = 0, l.Now() })
 		})
 		return true
--- a/internal/router/loop_test.go
+++ b/internal/router/loop_test.go
@@ -29,7 +29,7 @@
 			var saw []string
 			asked := 0
 			var caughtUp func()
-			l.Behind = func(f func()) { asked, caughtUp = asked+1, f }
+			l.OnStall = func(f func()) { asked, caughtUp = asked+1, f }
 			l.After(10, func() { saw = append(saw, "timer") })
 			now.MS += 10 + k.late
 			l.Step()
--- a/internal/router/mux.go
+++ b/internal/router/mux.go
@@ -2,15 +2,15 @@
 
 // ByKind hands each call to the client of its engine's kind, or to Other.
 type ByKind struct {
-	Kinds map[string]EngineClient
-	Other EngineClient
+	Kinds   map[string]EngineClient
+	Default EngineClient
 }
 
 func (m *ByKind) client(e Engine) EngineClient {
 	if c := m.Kinds[e.Kind]; c != nil {
 		return c
 	}
-	return m.Other
+	return m.Default
 }
 
 // Start implements EngineClient.
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -30,7 +30,7 @@
 	FieldID       = "rid"
 	FieldBudget   = "budget"
 	FieldTenant   = "acct"
-	FieldAgain    = "again"
+	FieldRetry    = "again"
 	FieldEstimate = "est"
 	FieldNeed     = "mem"
 )
@@ -71,12 +71,12 @@
 		}
 		*n.into = v
 	}
-	switch again := field(FieldAgain); again {
+	switch again := field(FieldRetry); again {
 	case "", "0":
 	case "1":
 		r.Retry = true
 	default:
-		return nil, fmt.Errorf("field %s: %q is neither 1 nor absent", FieldAgain, clip(again))
+		return nil, fmt.Errorf("field %s: %q is neither 1 nor absent", FieldRetry, clip(again))
 	}
 	switch {
 	case statement == "":
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -18,9 +18,9 @@
 
 var update = flag.Bool("update", false, "record the exchanges anew")
 
-// Exchanges plays the recorded exchanges of testdata. start sets up the stage for one of them; what it returns
+// RunExchanges plays the recorded exchanges of testdata. start sets up the stage for one of them; what it returns
 // carries out a line and tells what that shows, as lines that are indented by two spaces.
-func Exchanges(t *testing.T, start func(*testing.T) func(line string) string) {
+func RunExchanges(t *testing.T, start func(*testing.T) func(line string) string) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no exchanges:", err)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Run runs a loop in a goroutine of its own. The function that it returns ends it and waits for its last step.
-func Run(loop *router.Loop) (end func()) {
+// RunLoop runs a loop in a goroutine of its own. The function that it returns ends it and waits for its last step.
+func RunLoop(loop *router.Loop) (end func()) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -67,9 +67,9 @@
 	}
 }
 
-// Refused gives an address at which connections are refused for as long as the test runs: a socket that is bound
+// RefusingAddress gives an address at which connections are refused for as long as the test runs: a socket that is bound
 // to it and does not listen. One that has merely been free may be taken by another program before it is dialled.
-func Refused(t *testing.T, ip [4]byte) string {
+func RefusingAddress(t *testing.T, ip [4]byte) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
