--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -55,7 +55,7 @@
 }
 
 // NewServer opens a door on a listener, which it takes over.
-func NewServer(loop *router.Loop, n *netio.Net, lis net.Listener, ops Backend, log *slog.Logger) *Server {
+func NewServer(loop *router.Loop, n *netio.Poller, lis net.Listener, ops Backend, log *slog.Logger) *Server {
 	d := newDoor(loop, ops, log)
 	d.listener = n.Serve(lis, d.accept)
 	return d
@@ -69,7 +69,7 @@
 func (d *Server) Addr() string { return d.listener.Addr() }
 
 // Reopen opens a door that was closed.
-func (d *Server) Reopen(lis net.Listener) { d.listener = d.listener.Resume(lis) }
+func (d *Server) Reopen(lis net.Listener) { d.listener = d.listener.Replace(lis) }
 
 // File gives a copy of the listener's descriptor.
 func (d *Server) File() (*os.File, error) { return d.listener.File() }
@@ -188,7 +188,7 @@
 		c.conn.Close() // the call has been read whole
 		return
 	}
-	c.conn.Finish()
+	c.conn.CloseGracefully()
 }
 
 // carryOut does what a call asks. With 405 the text is the method that is allowed.
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -54,10 +54,10 @@
 		fmt.Fprintf(w.out, "  %s closed\n", w.name)
 	}
 }
-func (w *wire) Finish()                 { w.Close() }
-func (w *wire) Flushed(f func())        { f() }
+func (w *wire) CloseGracefully()        { w.Close() }
+func (w *wire) NotifyFlushed(f func())  { f() }
 func (w *wire) Detach(f func(*os.File)) { f(nil) }
-func (w *wire) Unread() bool            { return false }
+func (w *wire) HasUnread() bool         { return false }
 
 // Calls, good and bad, whole and in pieces, each get one answer; callers that stay silent shut nobody out. A line is
 // played: NAME opens a caller and NAME TEXT has it send; 'wait MS' lets time go by; 'down WHY' and 'up' say whether the
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -21,10 +21,10 @@
 	return nil
 }
 func (c *rawConn) Close()                  {}
-func (c *rawConn) Finish()                 {}
-func (c *rawConn) Flushed(f func())        { f() }
+func (c *rawConn) CloseGracefully()        {}
+func (c *rawConn) NotifyFlushed(f func())  { f() }
 func (c *rawConn) Detach(f func(*os.File)) { f(nil) }
-func (c *rawConn) Unread() bool            { return false }
+func (c *rawConn) HasUnread() bool         { return false }
 
 // goldenCalls are calls on each path, those that fail among them.
 var goldenCalls = []struct{ request, down string }{
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -368,7 +368,7 @@
 		why += ": " + n.Error()
 	}
 	p.speaker.log.Warn("bgp session ended", "peer", p.speaker.cfg.Peer, "state", was.String(), "why", why)
-	p.conn.Finish() // so that the neighbour can read why
+	p.conn.CloseGracefully() // so that the neighbour can read why
 	p.speaker.session = nil
 	if !p.speaker.stopped {
 		p.speaker.retry = p.speaker.loop.After(float64(p.speaker.cfg.ConnectRetryS)*1000, p.speaker.connect)
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -56,10 +56,10 @@
 	return nil
 }
 func (p *peer) Close()                  { p.closed = true }
-func (p *peer) Finish()                 { p.closed = true }
-func (p *peer) Flushed(f func())        { f() }
+func (p *peer) CloseGracefully()        { p.closed = true }
+func (p *peer) NotifyFlushed(f func())  { f() }
 func (p *peer) Detach(f func(*os.File)) { f(nil) }
-func (p *peer) Unread() bool            { return false }
+func (p *peer) HasUnread() bool         { return false }
 
 func (p *peer) wait(ms float64) {
 	for end := p.now.MS + ms; p.now.MS < end; p.now.MS += 100 {
--- a/internal/discovery/board_test.go
+++ b/internal/discovery/board_test.go
@@ -87,10 +87,10 @@
 	return nil
 }
 func (e *end) Close()                  {}
-func (e *end) Finish()                 {}
-func (e *end) Flushed(f func())        { f() }
+func (e *end) CloseGracefully()        {}
+func (e *end) NotifyFlushed(f func())  { f() }
 func (e *end) Detach(f func(*os.File)) { f(nil) }
-func (e *end) Unread() bool            { return false }
+func (e *end) HasUnread() bool         { return false }
 
 // A bad frame, a gap or silence ends the link, keeps the list, and the next link goes on from the last good
 // event.
--- a/internal/enginehttp/fetch.go
+++ b/internal/enginehttp/fetch.go
@@ -51,16 +51,16 @@
 
 // Counters count what was sent to engines and what came back.
 type Counters struct {
-	Posts      int64 `status:"posts"`
-	Polls      int64 `status:"polls"`
-	Pages      int64 `status:"pages"`
-	Priorities int64 `status:"priorities"`
-	Deletes    int64 `status:"deletes"`
-	Dials      int64 `status:"dials"`
-	BadAnswers int64 `status:"bad_answers"`
-	Broken     int64 `status:"broken"`
-	TimedOut   int64 `status:"silent"`
-	Retries    int64 `status:"asked_again"`
+	Posts        int64 `status:"posts"`
+	Polls        int64 `status:"polls"`
+	Pages        int64 `status:"pages"`
+	Priorities   int64 `status:"priorities"`
+	Deletes      int64 `status:"deletes"`
+	Dials        int64 `status:"dials"`
+	BadResponses int64 `status:"bad_answers"`
+	Unanswered   int64 `status:"broken"`
+	TimedOut     int64 `status:"silent"`
+	Retries      int64 `status:"asked_again"`
 }
 
 // Client implements router.EngineClient.
@@ -74,8 +74,8 @@
 	Counters       Counters
 }
 
-// New returns a client.
-func New(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Client {
+// NewClient returns a client.
+func NewClient(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Client {
 	c := &Client{loop: loop, dialer: dialer, log: log}
 	c.pool = &pool{client: c, idle: map[dispatch.EngineID][]*conn{}}
 	c.Configure(cfg)
@@ -97,8 +97,8 @@
 	c.loop.After(1000, c.sweep)
 }
 
-// Conns is the number of connections that are open or coming up.
-func (c *Client) Conns() int { return c.pool.total }
+// ConnCount is the number of connections that are open or coming up.
+func (c *Client) ConnCount() int { return c.pool.total }
 
 // Forget implements router.EngineClient.
 func (c *Client) Forget(e router.Engine) { c.pool.forget(e.ID) }
@@ -151,7 +151,7 @@
 	if k.begins {
 		k.about.last = c.loop.Now()
 		if k.about.call.OnSent != nil {
-			k.conn.c.Flushed(k.about.call.OnSent)
+			k.conn.c.NotifyFlushed(k.about.call.OnSent)
 		}
 	}
 	within := answerWithin
--- a/internal/enginehttp/fetch_test.go
+++ b/internal/enginehttp/fetch_test.go
@@ -61,10 +61,10 @@
 	return nil
 }
 
-func (l *link) Finish()                 { l.Close() }
-func (l *link) Flushed(f func())        { f() }
+func (l *link) CloseGracefully()        { l.Close() }
+func (l *link) NotifyFlushed(f func())  { f() }
 func (l *link) Detach(f func(*os.File)) { f(nil) }
-func (l *link) Unread() bool            { return l.unread }
+func (l *link) HasUnread() bool         { return l.unread }
 
 func (l *link) Close() {
 	if !l.closed {
@@ -205,7 +205,7 @@
 	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		s := &stage{t: t, clock: &clock.Manual{MS: 1e12}}
 		s.loop = router.NewLoop(s.clock)
-		s.client = New(s.loop, s, Config{MaxConns: 2, ConnectTimeoutMS: 250, IdleMS: 30_000},
+		s.client = NewClient(s.loop, s, Config{MaxConns: 2, ConnectTimeoutMS: 250, IdleMS: 30_000},
 			slog.New(slog.DiscardHandler))
 		return s.play
 	})
@@ -285,15 +285,15 @@
 		log := &lines{}
 		s := &stage{t: t, clock: &clock.Manual{MS: 1e12}}
 		s.loop = router.NewLoop(s.clock)
-		s.client = New(s.loop, s, Config{MaxConns: 2, ConnectTimeoutMS: 250, IdleMS: 30_000}, slog.New(log))
+		s.client = NewClient(s.loop, s, Config{MaxConns: 2, ConnectTimeoutMS: 250, IdleMS: 30_000}, slog.New(log))
 		s.play("start safe")
 		s.play("up 1")
 		for range 100 {
 			s.links[0].h.Data([]byte("HTTP/1.1 202 Accepted\r\n"+odd+"\r\nContent-Length: 0\r\n\r\n"), s.clock.MS)
 			s.run()
 		}
-		if log.n > 0 || s.client.Counters.BadAnswers > 0 {
-			t.Errorf("%s: %d lines, %d bad answers", odd, log.n, s.client.Counters.BadAnswers)
+		if log.n > 0 || s.client.Counters.BadResponses > 0 {
+			t.Errorf("%s: %d lines, %d bad answers", odd, log.n, s.client.Counters.BadResponses)
 		}
 	}
 }
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -64,7 +64,7 @@
 // its way to the loop is of no further use, and one to an address that the engine has left leads to another engine.
 func (k *conn) fits(c *call) bool {
 	return !c.fresh && k.engine.Address == c.engine.Address &&
-		(k.about == c.about || k.pool.client.loop.Now()-k.heard >= restFor) && !k.c.Unread()
+		(k.about == c.about || k.pool.client.loop.Now()-k.heard >= restFor) && !k.c.HasUnread()
 }
 
 // takeIdle takes a connection off the idle ones.
--- a/internal/enginehttp/query.go
+++ b/internal/enginehttp/query.go
@@ -285,7 +285,7 @@
 		q.lose(dispatch.ConnectionReset, "silent after a POST without an answer")
 		return
 	case errors.As(err, &bad):
-		q.c.Counters.BadAnswers++
+		q.c.Counters.BadResponses++
 		if q.bad++; q.bad >= maxBad {
 			q.c.log.Warn("bad answers from an engine", "engine", q.call.Engine.Address, "rid", q.call.ID, "why", err)
 			q.lose(dispatch.EngineFailed, err.Error())
@@ -298,7 +298,7 @@
 		q.lose(dispatch.ConnectionReset, "silent: "+err.Error())
 		return
 	}
-	q.c.Counters.Broken++
+	q.c.Counters.Unanswered++
 	again := func() {
 		if !q.over && !q.leaving {
 			q.c.Counters.Retries++
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -105,7 +105,7 @@
 	spec       SimulatedRouterSpec
 	config     *settings.Node
 	loop       *router.Loop
-	net        *netio.Net
+	net        *netio.Poller
 	core       *router.Core
 	watcher    *discovery.Watcher
 	stop       chan struct{}
--- a/internal/flightsql/bed_test.go
+++ b/internal/flightsql/bed_test.go
@@ -94,11 +94,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := New(Config{MaxConnections: 8}, core, loop, 5, 0, slog.New(slog.DiscardHandler))
+	f, err := NewFront(Config{MaxConnections: 8}, core, loop, 5, 0, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Accept(lis)
+	f.Serve(lis)
 	c, err := fsql.NewClient(f.Addr(), nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -42,10 +42,10 @@
 
 // ClientCounters count what was sent to engines.
 type ClientCounters struct {
-	Queries    atomic.Int64 `status:"queries"`
-	Updates    atomic.Int64 `status:"updates"`
-	Repeats    atomic.Int64 `status:"repeats"`
-	BadAnswers atomic.Int64 `status:"bad_answers"`
+	Queries            atomic.Int64 `status:"queries"`
+	Updates            atomic.Int64 `status:"updates"`
+	TransparentRetries atomic.Int64 `status:"repeats"`
+	BadResponses       atomic.Int64 `status:"bad_answers"`
 }
 
 // sharedIdle is how long a shared connection may be without a call before it is closed.
@@ -214,7 +214,7 @@
 		result, trailer, err = query(ctx, client, call.Statement)
 	}
 	if w.repeated.Load() {
-		c.Counters.Repeats.Add(1)
+		c.Counters.TransparentRetries.Add(1)
 	}
 	if err == nil {
 		result.WorkMS, result.NeedMB = number(trailer, metaWork), number(trailer, metaNeed)
@@ -222,7 +222,7 @@
 	}
 	end := router.End{Outcome: outcome(err, trailer, w), Detail: err.Error()}
 	if end.Outcome == dispatch.EngineFailed {
-		c.Counters.BadAnswers.Add(1)
+		c.Counters.BadResponses.Add(1)
 	}
 	return end
 }
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -95,10 +95,10 @@
 	Malformed  atomic.Int64 `status:"malformed"`
 	BadTickets atomic.Int64 `status:"bad_tickets"`
 	Served     atomic.Int64 `status:"served"`
-	Refused    atomic.Int64 `status:"refused"`
+	Rejected   atomic.Int64 `status:"refused"`
 	Failed     atomic.Int64 `status:"failed"`
-	Late       atomic.Int64 `status:"late"`
-	Left       atomic.Int64 `status:"left"`
+	TimedOut   atomic.Int64 `status:"late"`
+	Cancelled  atomic.Int64 `status:"left"`
 }
 
 // ticket is a query that a client described and may now fetch.
@@ -109,16 +109,16 @@
 
 // Ticket is a ticket as processes hand it to each other.
 type Ticket struct {
-	Handle  string         `json:"Handle"`
-	Request router.Request `json:"Request"`
-	End     float64        `json:"End"` // the latest end that the client's fields name; 0 for none
-	Expires float64        `json:"Expires"`
-	Once    bool           `json:"Once"`
+	Handle      string         `json:"Handle"`
+	Request     router.Request `json:"Request"`
+	DeadlineMS  float64        `json:"End"` // the latest end that the client's fields name; 0 for none
+	ExpiresAtMS float64        `json:"Expires"`
+	SingleUse   bool           `json:"Once"`
 }
 
-// New returns a front that accepts nothing yet; seed makes its tickets hard to guess, and two processes of one router
+// NewFront returns a front that accepts nothing yet; seed makes its tickets hard to guess, and two processes of one router
 // that share one differ in generation.
-func New(cfg Config, core *router.Core, loop *router.Loop, seed uint64, generation uint8, log *slog.Logger) (*Front, error) {
+func NewFront(cfg Config, core *router.Core, loop *router.Loop, seed uint64, generation uint8, log *slog.Logger) (*Front, error) {
 	var key [32]byte
 	for i := range key {
 		key[i] = byte(seed >> (8 * (i % 8)))
@@ -142,8 +142,8 @@
 	return f, nil
 }
 
-// Accept takes calls on a listener, which it takes over.
-func (f *Front) Accept(lis net.Listener) {
+// Serve takes calls on a listener, which it takes over.
+func (f *Front) Serve(lis net.Listener) {
 	f.listening.Lock()
 	if !f.opened { // later on calls read it
 		f.addr, f.opened = lis.Addr().String(), true
@@ -160,8 +160,8 @@
 	}()
 }
 
-// Pause stops accepting and gives a copy of the listener's descriptor to go on with; connections that are open stay.
-func (f *Front) Pause() (*os.File, error) {
+// StopAccepting stops accepting and gives a copy of the listener's descriptor to go on with; connections that are open stay.
+func (f *Front) StopAccepting() (*os.File, error) {
 	f.listening.Lock()
 	defer f.listening.Unlock()
 	file, err := f.file()
@@ -173,23 +173,23 @@
 	return file, err
 }
 
-// File gives a copy of the listener's descriptor.
-func (f *Front) File() (*os.File, error) {
+// ListenerFile gives a copy of the listener's descriptor.
+func (f *Front) ListenerFile() (*os.File, error) {
 	f.listening.Lock()
 	defer f.listening.Unlock()
 	return f.file()
 }
 
-func (f *Front) file() (*os.File, error) { return netio.Copy(f.lis) }
+func (f *Front) file() (*os.File, error) { return netio.ListenerFile(f.lis) }
 
-// Leave tells clients to go on at the other process, and lets calls that are at hand end.
-func (f *Front) Leave() { go f.server.GracefulStop() }
+// Drain tells clients to go on at the other process, and lets calls that are at hand end.
+func (f *Front) Drain() { go f.server.GracefulStop() }
 
 // Addr is where it listens.
 func (f *Front) Addr() string { return f.addr }
 
-// Active is the number of calls at hand.
-func (f *Front) Active() int { return int(f.active.Load()) }
+// ActiveCalls is the number of calls at hand.
+func (f *Front) ActiveCalls() int { return int(f.active.Load()) }
 
 // Stop closes the listener and all connections.
 func (f *Front) Stop() { f.server.Stop() }
@@ -277,9 +277,9 @@
 		return nil, err
 	}
 	class, _ := f.core.Class(r.Class)
-	t := &ticket{Ticket: Ticket{Request: *r, Expires: f.loop.Now() + ticketLife, Once: class.Semantics != dispatch.Idempotent}}
+	t := &ticket{Ticket: Ticket{Request: *r, ExpiresAtMS: f.loop.Now() + ticketLife, SingleUse: class.Semantics != dispatch.Idempotent}}
 	if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(router.FieldBudget)) > 0 {
-		t.End = r.SentAtMS + r.BudgetMS // a deadline of the call itself binds that call only
+		t.DeadlineMS = r.SentAtMS + r.BudgetMS // a deadline of the call itself binds that call only
 	}
 	if !f.keep(t) {
 		return nil, f.refusal(ctx, 1000)
@@ -311,7 +311,7 @@
 // put stores a ticket; f.mu is held.
 func (f *Front) put(t *ticket) bool {
 	now := f.loop.Now()
-	for e := f.order.Front(); e != nil && e.Value.(*ticket).Expires <= now; e = f.order.Front() {
+	for e := f.order.Front(); e != nil && e.Value.(*ticket).ExpiresAtMS <= now; e = f.order.Front() {
 		f.drop(e.Value.(*ticket))
 	}
 	if len(f.tickets) >= maxTickets || f.bytes+len(t.Request.Statement) > maxTicketBytes || f.tickets[t.Handle] != nil {
@@ -323,24 +323,24 @@
 	return true
 }
 
-// SetClaim says how to ask the other process of this router for a ticket that is not here; claim waits for the answer.
+// SetTicketClaimer says how to ask the other process of this router for a ticket that is not here; claim waits for the answer.
 // Each ticket is with one process at a time, so that none is spent twice.
-func (f *Front) SetClaim(claim func(handle string) *Ticket) { f.claim.Store(&claim) }
+func (f *Front) SetTicketClaimer(claim func(handle string) *Ticket) { f.claim.Store(&claim) }
 
-// Release gives a ticket up to the other process; nil says that it is not here.
-func (f *Front) Release(handle string) *Ticket {
+// ReleaseTicket gives a ticket up to the other process; nil says that it is not here.
+func (f *Front) ReleaseTicket(handle string) *Ticket {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.tickets[handle]
-	if t == nil || t.Expires <= f.loop.Now() {
+	if t == nil || t.ExpiresAtMS <= f.loop.Now() {
 		return nil
 	}
 	f.drop(t)
 	return &t.Ticket
 }
 
-// ReleaseAll gives all tickets up.
-func (f *Front) ReleaseAll() (all []Ticket) {
+// ReleaseAllTickets gives all tickets up.
+func (f *Front) ReleaseAllTickets() (all []Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.order.Len() > 0 {
@@ -351,8 +351,8 @@
 	return all
 }
 
-// Take takes tickets over that the other process gave up.
-func (f *Front) Take(all []Ticket) {
+// ImportTickets takes tickets over that the other process gave up.
+func (f *Front) ImportTickets(all []Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range all {
@@ -377,7 +377,7 @@
 		return t, ok
 	}
 	if t = (*claim)(handle); t != nil {
-		f.Take([]Ticket{*t})
+		f.ImportTickets([]Ticket{*t})
 	}
 	return f.redeemHere(handle) // where the other process has just ended, it came with all of its tickets
 }
@@ -386,10 +386,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.tickets[handle]
-	if t == nil || t.Expires <= f.loop.Now() {
+	if t == nil || t.ExpiresAtMS <= f.loop.Now() {
 		return nil, false
 	}
-	if t.Once {
+	if t.SingleUse {
 		f.drop(t)
 	}
 	return &t.Ticket, true
@@ -409,8 +409,8 @@
 	now := f.loop.Now()
 	left, bound := untilDeadline(ctx)
 	switch {
-	case t.End > 0 && (!bound || t.End < now+left):
-		r.BudgetMS = max(t.End-now, 0)
+	case t.DeadlineMS > 0 && (!bound || t.DeadlineMS < now+left):
+		r.BudgetMS = max(t.DeadlineMS-now, 0)
 	case bound:
 		r.BudgetMS = left
 	default:
@@ -485,7 +485,7 @@
 		return f.word(ctx, r, a)
 	case <-ctx.Done():
 		f.loop.Post(func() { f.core.Abandon(handle) })
-		f.Counters.Left.Add(1)
+		f.Counters.Cancelled.Add(1)
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -511,7 +511,7 @@
 	}
 	_ = grpc.SetTrailer(ctx, metadata.Pairs(metaRetry, advice))
 	if a.why == router.ReasonDeadline {
-		f.Counters.Late.Add(1)
+		f.Counters.TimedOut.Add(1)
 		return nil, status.Error(codes.DeadlineExceeded, "the time for the query ran out")
 	}
 	f.Counters.Failed.Add(1)
@@ -520,7 +520,7 @@
 
 // refusal words a refusal, with the time to stay away in the status's details, the trailer and the text.
 func (f *Front) refusal(ctx context.Context, backoffMS float64) error {
-	f.Counters.Refused.Add(1)
+	f.Counters.Rejected.Add(1)
 	_ = grpc.SetTrailer(ctx, metadata.Pairs(metaBackoff, strconv.FormatFloat(backoffMS, 'f', 0, 64),
 		metaRetry, "safe"))
 	s := status.New(codes.ResourceExhausted,
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -348,7 +348,7 @@
 	if err := <-first; status.Code(err) != codes.Canceled {
 		t.Errorf("the one that left: %v", err)
 	}
-	for f.Active() > 0 {
+	for f.ActiveCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != after {
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -198,7 +198,7 @@
 // Tickets that one process gives up to another have the same names and values as before, and can be redeemed there.
 func TestGoldenTickets(t *testing.T) {
 	want := []Ticket{{
-		Handle: "00112233445566778899aabbccddeeff", End: 1_796_000_009_000.5, Expires: 1e15, Once: true,
+		Handle: "00112233445566778899aabbccddeeff", DeadlineMS: 1_796_000_009_000.5, ExpiresAtMS: 1e15, SingleUse: true,
 		Request: router.Request{
 			ID: "0000000000000001", Class: "load", Tenant: "rckik-south", Statement: "serve", TableGroup: 7,
 			SentAtMS: 1_796_000_000_000.25, BudgetMS: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Retry: true, Update: true,
@@ -215,8 +215,8 @@
 		t.Fatal(err)
 	}
 	f, _, _ := newFront(t)
-	f.Take(got)
-	if back := f.ReleaseAll(); len(back) != 1 || back[0] != want[0] {
+	f.ImportTickets(got)
+	if back := f.ReleaseAllTickets(); len(back) != 1 || back[0] != want[0] {
 		t.Errorf("%+v, want %+v", back, want)
 	}
 }
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -71,9 +71,9 @@
 // Sessions is the number of those that are open.
 func (f *Front) Sessions() int { return len(f.sessions) }
 
-// Leave has the front end its sessions: at once those that have asked before and are idle, others with the answer that
+// Drain has the front end its sessions: at once those that have asked before and are idle, others with the answer that
 // they wait for. Those that have not asked yet are heard out. Another process takes the next request of these clients.
-func (f *Front) Leave() {
+func (f *Front) Drain() {
 	if f.leaving {
 		return
 	}
@@ -81,16 +81,16 @@
 	f.leave()
 }
 
-// End has the front end its sessions for good, as Leave does, and at once those too that have not asked yet: nobody goes
+// Shutdown has the front end its sessions for good, as Leave does, and at once those too that have not asked yet: nobody goes
 // on in this router's place. One whose client has sent something is heard first.
-func (f *Front) End() {
+func (f *Front) Shutdown() {
 	f.ending = true
-	f.Leave()
+	f.Drain()
 }
 
 func (f *Front) leave() {
 	for _, s := range f.sessions {
-		if (s.idle() && s.asked || f.ending && !s.busy && len(s.buf) == 0) && !s.conn.Unread() {
+		if (s.idle() && s.asked || f.ending && !s.busy && len(s.buf) == 0) && !s.conn.HasUnread() {
 			s.end()
 		}
 	}
@@ -147,7 +147,7 @@
 	})
 	least := all[0]
 	for _, c := range all[:min(len(all), evictLooks)] {
-		if !c.s.conn.Unread() { // else its client has just sent something
+		if !c.s.conn.HasUnread() { // else its client has just sent something
 			least = c
 			break
 		}
@@ -185,8 +185,8 @@
 // heard is when the client last sent something, or came.
 func (s *session) heard() float64 { return max(s.at, s.opened) }
 
-// Accept gives the handler of a new connection.
-func (f *Front) Accept() netio.Handler { return &session{front: f} }
+// NewSession gives the handler of a new connection.
+func (f *Front) NewSession() netio.Handler { return &session{front: f} }
 
 // Busy tells whether any session has bytes of which nothing has come yet.
 func (f *Front) Busy() bool {
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -114,7 +114,7 @@
 	case len(s.buf) == 0 && now-s.since >= idleFor:
 		text = "idle"
 	}
-	if text == "" || s.conn.Unread() { // what it was waited for is on its way to the session
+	if text == "" || s.conn.HasUnread() { // what it was waited for is on its way to the session
 		return
 	}
 	s.front.Counters.TimedOut++
@@ -221,7 +221,7 @@
 	switch {
 	case wasBusy && len(s.buf) > 0:
 		s.front.loop.Post(s.advance)
-	case wasBusy && s.front.leaving && !s.conn.Unread():
+	case wasBusy && s.front.leaving && !s.conn.HasUnread():
 		s.end()
 	}
 }
@@ -253,7 +253,7 @@
 // What the client sends from here on is dropped; it learns from the end that it was not taken.
 func (s *session) end() {
 	s.leave()
-	s.conn.Finish()
+	s.conn.CloseGracefully()
 }
 
 // leave takes the session out of the front's; its open request is not answered any more.
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -51,10 +51,10 @@
 	return nil
 }
 func (w *wire) Close()                  { w.closed = true }
-func (w *wire) Finish()                 { w.closed = true }
-func (w *wire) Flushed(f func())        { f() }
+func (w *wire) CloseGracefully()        { w.closed = true }
+func (w *wire) NotifyFlushed(f func())  { f() }
 func (w *wire) Detach(f func(*os.File)) { f(nil) }
-func (w *wire) Unread() bool            { return w.unread }
+func (w *wire) HasUnread() bool         { return w.unread }
 
 // stage plays an exchange: sessions by name on one front, on a clock that the exchange sets.
 type stage struct {
@@ -135,9 +135,9 @@
 			s.run()
 		}
 	case word[0] == "leave":
-		s.front.Leave()
+		s.front.Drain()
 	case word[0] == "end":
-		s.front.End()
+		s.front.Shutdown()
 	case word[0] == "generation":
 		s.front.SetGeneration(word[1][0] - '0')
 		s.front.RemoteKill = func(id uint32, query bool) bool {
@@ -164,7 +164,7 @@
 		s.engine.done = s.engine.done[1:]
 		s.loop.Post(func() { done(end) })
 	case word[1] == "open":
-		h, w := s.front.Accept(), &wire{}
+		h, w := s.front.NewSession(), &wire{}
 		s.handlers[word[0]], s.wires[word[0]] = h, w
 		s.loop.Post(func() { h.Opened(w) })
 	case word[1] == "unread":
--- a/internal/netio/finish_test.go
+++ b/internal/netio/finish_test.go
@@ -23,7 +23,7 @@
 func (o *owing) Opened(c Conn) {
 	o.conn = c
 	_ = c.Write(o.answer)
-	c.Finish()
+	c.CloseGracefully()
 }
 func (o *owing) Data([]byte, float64) { o.heard++ }
 func (o *owing) Closed(error)         { close(o.closed) }
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		if ends {
-			n.End()
+			n.BeginShutdown()
 		}
 		end := routertest.RunLoop(loop)
 		clients := make([]net.Conn, 2*maxFinishing)
@@ -96,7 +96,7 @@
 			}
 		}
 		left := make(chan int)
-		loop.Post(func() { left <- n.Finishing() })
+		loop.Post(func() { left <- n.ClosingConns() })
 		want := maxFinishing
 		if ends {
 			want = len(clients)
--- a/internal/netio/inherit.go
+++ b/internal/netio/inherit.go
@@ -134,8 +134,8 @@
 	return Inherit(f)
 }
 
-// Copy gives a copy of a listener's descriptor.
-func Copy(lis net.Listener) (*os.File, error) {
+// ListenerFile gives a copy of a listener's descriptor.
+func ListenerFile(lis net.Listener) (*os.File, error) {
 	if l, ok := lis.(interface{ File() (*os.File, error) }); ok {
 		return l.File()
 	}
--- a/internal/netio/inherit_test.go
+++ b/internal/netio/inherit_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Copy(lis)
+	f, err := ListenerFile(lis)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -14,7 +14,7 @@
 // Listener accepts connections until it is closed. Each has a bound of its own on those that the loop has not heard of
 // yet, so that a flood on one does not hold up another.
 type Listener struct {
-	net       *Net
+	net       *Poller
 	lis       net.Listener
 	accept    func() Handler
 	unsettled chan struct{} // holds one for each connection that the loop has not heard of yet
@@ -25,7 +25,7 @@
 }
 
 // Serve accepts on a listener, which it takes over; accept gives each new connection's handler.
-func (n *Net) Serve(lis net.Listener, accept func() Handler) *Listener {
+func (n *Poller) Serve(lis net.Listener, accept func() Handler) *Listener {
 	l := &Listener{
 		net: n, lis: lis, accept: accept, unsettled: make(chan struct{}, maxUnsettled),
 		done: make(chan struct{}), ended: make(chan struct{}),
@@ -37,17 +37,17 @@
 	return l
 }
 
-// Waiting is the number of connections that were accepted and that the loop has not heard of.
-func (l *Listener) Waiting() int { return int(l.accepted.Load()) }
+// Pending is the number of connections that were accepted and that the loop has not heard of.
+func (l *Listener) Pending() int { return int(l.accepted.Load()) }
 
 // Addr is where it listens.
 func (l *Listener) Addr() string { return l.lis.Addr().String() }
 
 // File gives a copy of the listener's descriptor.
-func (l *Listener) File() (*os.File, error) { return Copy(l.lis) }
+func (l *Listener) File() (*os.File, error) { return ListenerFile(l.lis) }
 
-// Resume accepts on another listener in place of this one, for the same handlers.
-func (l *Listener) Resume(lis net.Listener) *Listener { return l.net.Serve(lis, l.accept) }
+// Replace accepts on another listener in place of this one, for the same handlers.
+func (l *Listener) Replace(lis net.Listener) *Listener { return l.net.Serve(lis, l.accept) }
 
 // Close stops accepting; the loop hears of all that was accepted before. The socket itself is closed, never shut down:
 // another process may accept from the same queue.
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -26,15 +26,15 @@
 	// Finish ends the connection in order. Data is not heard any more; what was written is sent, then the peer is told that
 	// no more will come, and what it still sends is read and dropped until it closes too, or its time or bytes are up. It
 	// guards against a close that crosses what the peer sends, which would reset the connection over the last answer.
-	Finish()
+	CloseGracefully()
 	// Unread tells whether the peer has sent what the handler has not heard yet.
-	Unread() bool
+	HasUnread() bool
 	// Detach gives the connection up without closing it: f hears its descriptor, which it must close, once all that was
 	// read has been handed over, and nothing after. Where that can't be, f hears nil and the connection is as it was.
 	Detach(f func(*os.File))
 	// Flushed has f run in the loop once all that was written has left for the peer, which may be at once. It is
 	// never run if the connection ends before.
-	Flushed(f func())
+	NotifyFlushed(f func())
 }
 
 // Handler hears of a connection, always in the loop's goroutine. Closed is the last call; it is made also
@@ -73,8 +73,8 @@
 	maxFinishing = 32
 )
 
-// Net opens connections and listens.
-type Net struct {
+// Poller opens connections and listens.
+type Poller struct {
 	loop   *router.Loop
 	engine *nbio.Engine
 	log    *slog.Logger
@@ -96,7 +96,7 @@
 
 // Adopt takes a connection over that another process opened; it closes f. h hears Opened, and Data of what was not read
 // before.
-func (n *Net) Adopt(f *os.File, h Handler) error {
+func (n *Poller) Adopt(f *os.File, h Handler) error {
 	std, err := net.FileConn(f)
 	_ = f.Close()
 	if err != nil {
@@ -114,9 +114,9 @@
 }
 
 // New starts a poller. Where listen is not empty, accept gives each new connection's handler.
-func New(loop *router.Loop, listen string, accept func() Handler, log *slog.Logger) (*Net, error) {
+func New(loop *router.Loop, listen string, accept func() Handler, log *slog.Logger) (*Poller, error) {
 	pollerLog.Store(log)
-	n := &Net{loop: loop, log: log, maxInbound: maxInbound, done: make(chan struct{}), dropping: map[*nbio.Conn]int{}}
+	n := &Poller{loop: loop, log: log, maxInbound: maxInbound, done: make(chan struct{}), dropping: map[*nbio.Conn]int{}}
 	n.drained = sync.NewCond(&n.mu)
 	n.engine = nbio.NewEngine(nbio.Config{
 		Name: "windflow", Network: "tcp", NPoller: 1,
@@ -181,7 +181,7 @@
 }
 
 // Addr is where it listens; it is empty for a Net that only dials.
-func (n *Net) Addr() string {
+func (n *Poller) Addr() string {
 	if n.listener == nil {
 		return ""
 	}
@@ -192,14 +192,14 @@
 // it comes up), and engine.Stop would then wait for ever: a router that fails at its start would hang.
 const stopWithin = time.Second
 
-// End says that the program ends: connections may finish now whatever their number. It is called in the loop.
-func (n *Net) End() { n.ending = true }
+// BeginShutdown says that the program ends: connections may finish now whatever their number. It is called in the loop.
+func (n *Poller) BeginShutdown() { n.ending = true }
 
-// Finishing is the number of connections that finish. It is asked in the loop.
-func (n *Net) Finishing() int { return n.finishing }
+// ClosingConns is the number of connections that finish. It is asked in the loop.
+func (n *Poller) ClosingConns() int { return n.finishing }
 
 // Stop closes the listeners and all connections.
-func (n *Net) Stop() {
+func (n *Poller) Stop() {
 	n.mu.Lock()
 	n.stopped = true
 	n.drained.Broadcast()
@@ -225,7 +225,7 @@
 }
 
 // drop tells whether what came on a connection is dropped, and closes one that sends too much of that.
-func (n *Net) drop(c *nbio.Conn, size int) bool {
+func (n *Poller) drop(c *nbio.Conn, size int) bool {
 	n.mu.Lock()
 	left, drops := n.dropping[c]
 	if drops {
@@ -239,7 +239,7 @@
 }
 
 // SetMaxInbound bounds the bytes that were read and not yet handled.
-func (n *Net) SetMaxInbound(bytes int) {
+func (n *Poller) SetMaxInbound(bytes int) {
 	n.mu.Lock()
 	n.maxInbound = bytes
 	n.drained.Broadcast()
@@ -247,7 +247,7 @@
 }
 
 // admit waits in the poller's goroutine until the loop has caught up.
-func (n *Net) admit(size int) {
+func (n *Poller) admit(size int) {
 	n.mu.Lock()
 	for n.inbound > 0 && n.inbound+size > n.maxInbound && !n.stopped {
 		n.drained.Wait()
@@ -256,7 +256,7 @@
 	n.mu.Unlock()
 }
 
-func (n *Net) release(size int) {
+func (n *Poller) release(size int) {
 	n.mu.Lock()
 	n.inbound -= size
 	n.drained.Signal()
@@ -268,7 +268,7 @@
 //
 // The system dials here and nbio takes the connection over: nbio's own dialer reads the first four bytes of
 // an IPv4 address in its 16-byte form and so connects to 0.0.0.0, and it reports a refused connection as open.
-func (n *Net) Dial(addr string, timeout float64, h Handler) Conn {
+func (n *Poller) Dial(addr string, timeout float64, h Handler) Conn {
 	s := &socket{net: n, h: h}
 	s.dialing = n.loop.After(timeout, func() {
 		s.dialing = nil
@@ -283,7 +283,7 @@
 }
 
 // connect dials and has the poller take the connection; it runs in a goroutine of its own.
-func (n *Net) connect(addr string, timeout time.Duration, s *socket) error {
+func (n *Poller) connect(addr string, timeout time.Duration, s *socket) error {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	std, err := d.Dial("tcp", addr)
 	if err != nil {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -31,7 +31,7 @@
 func (h *tap) Data(b []byte, _ float64) { h.data <- b }
 func (h *tap) Closed(err error)         { h.closed <- err }
 
-func newNet(t *testing.T, listen string, accept func() Handler) (*Net, *router.Loop) {
+func newNet(t *testing.T, listen string, accept func() Handler) (*Poller, *router.Loop) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
 	n, err := New(loop, listen, accept, slog.New(slog.DiscardHandler))
@@ -162,8 +162,8 @@
 func (r *refuser) Data([]byte, float64) {
 	r.heard++
 	_ = r.conn.Write([]byte("no"))
-	r.conn.Finish()
-	r.conn.Finish()
+	r.conn.CloseGracefully()
+	r.conn.CloseGracefully()
 }
 
 // A client that is refused while it sends goes on sending, reads the refusal, and is not reset: a close with unread
@@ -272,11 +272,11 @@
 		s := conn.(*socket)
 		_ = s.c.SetWriteBuffer(8 << 10)
 		_ = s.Write([]byte("x"))
-		s.Flushed(func() { flushed <- "one byte" })
+		s.NotifyFlushed(func() { flushed <- "one byte" })
 		for queued(s.c) == 0 { // the peer does not read, so that the system's buffers fill
 			_ = s.Write(make([]byte, maxUnwritten/2))
 		}
-		s.Flushed(func() { flushed <- "all" })
+		s.NotifyFlushed(func() { flushed <- "all" })
 		flushed <- "queued"
 	})
 	if one, two := <-flushed, <-flushed; one != "one byte" || two != "queued" {
@@ -315,19 +315,19 @@
 		loop.Step()
 		runtime.Gosched()
 	}
-	if h.conn.Unread() {
+	if h.conn.HasUnread() {
 		t.Error("nothing was sent, and something is unread")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for !h.conn.Unread() {
+	for !h.conn.HasUnread() {
 		runtime.Gosched()
 	}
 	for len(h.data) == 0 {
 		loop.Step()
 	}
-	if h.conn.Unread() {
+	if h.conn.HasUnread() {
 		t.Error("all was heard, and something is unread")
 	}
 }
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -16,7 +16,7 @@
 
 // socket is one connection; all but c's own calls belongs to the loop's goroutine.
 type socket struct {
-	net      *Net
+	net      *Poller
 	c        *nbio.Conn // nil while it is being dialled, or adopted
 	h        Handler
 	dialing  *router.Timer
@@ -122,8 +122,8 @@
 	return err
 }
 
-// Unread implements Conn.
-func (s *socket) Unread() bool {
+// HasUnread implements Conn.
+func (s *socket) HasUnread() bool {
 	if s.closed || s.c == nil {
 		return false
 	}
@@ -138,8 +138,8 @@
 	return err == nil && waiting > 0 || s.posted.Load() > 0
 }
 
-// Flushed implements Conn.
-func (s *socket) Flushed(f func()) {
+// NotifyFlushed implements Conn.
+func (s *socket) NotifyFlushed(f func()) {
 	s.flushed = append(s.flushed, f)
 	s.unflushed.Store(true)
 	s.flush()
@@ -177,8 +177,8 @@
 	}
 }
 
-// Finish implements Conn.
-func (s *socket) Finish() {
+// CloseGracefully implements Conn.
+func (s *socket) CloseGracefully() {
 	switch {
 	case s.closed || s.finishes:
 	case s.c == nil || s.net.finishing >= maxFinishing && !s.net.ending:
@@ -190,7 +190,7 @@
 		s.net.dropping[s.c] = maxDropped
 		s.net.mu.Unlock()
 		s.ending = s.net.loop.After(owedFor, s.Close)
-		s.Flushed(s.endWrites)
+		s.NotifyFlushed(s.endWrites)
 	}
 }
 
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -52,7 +52,7 @@
 		if err := asks.write(0, append([]byte{3}, q...)); err != nil {
 			t.Error(err)
 		}
-		n.front.End()
+		n.front.Shutdown()
 	})
 	go func() {
 		rows, code, err := asks.answer()
@@ -84,7 +84,7 @@
 		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
-		for n.listening.Waiting() == 0 { // until it is accepted; the loop stands, so it has not heard of it
+		for n.listening.Pending() == 0 { // until it is accepted; the loop stands, so it has not heard of it
 			runtime.Gosched()
 		}
 		n.endAll(n.loop.Now())
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -129,9 +129,9 @@
 			ID: "000000000000000b", Class: "load", Tenant: "a-17", Statement: "SELECT 'ü' <&>", TableGroup: 81,
 			SentAtMS: 1796148879607.25, BudgetMS: 20000.5, EstimateMS: 82.5, NeedMB: 83.5, Retry: true, Update: true,
 		},
-		End:     1796148899607.5,
-		Expires: 1796148909607.75,
-		Once:    true,
+		DeadlineMS:  1796148899607.5,
+		ExpiresAtMS: 1796148909607.75,
+		SingleUse:   true,
 	}
 }
 
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -118,7 +118,7 @@
 }
 
 func (r *node) sendUse() {
-	r.tell(msgUse, use{Module: r.core.Usage(), Sessions: r.front.Sessions(), Conns: r.client.Conns(), Leaving: r.leaving})
+	r.tell(msgUse, use{Module: r.core.Usage(), Sessions: r.front.Sessions(), Conns: r.client.ConnCount(), Leaving: r.leaving})
 }
 
 // say sends a message of the machine's.
@@ -343,7 +343,7 @@
 	half := max(b.fetch.MaxConns/2-spareConns, 16)
 	switch {
 	case r.leaving:
-		b.fetch.MaxConns = max(min(r.client.Conns(), half), 16)
+		b.fetch.MaxConns = max(min(r.client.ConnCount(), half), 16)
 	case r.peer.Leaving:
 		b.fetch.MaxConns = max(b.fetch.MaxConns-max(r.peer.Conns, 16)-2*spareConns, half)
 	default:
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -85,7 +85,7 @@
 // listenerFile gives a copy of a listener's descriptor.
 func (r *node) listenerFile(l listening) (*os.File, error) {
 	if lis := r.idle[l.name]; lis != nil {
-		return netio.Copy(lis)
+		return netio.ListenerFile(lis)
 	}
 	return l.file()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -130,7 +130,7 @@
 	parts     []*part // that are on
 	clients   *router.ByKind
 	loop      *router.Loop
-	net       *netio.Net
+	net       *netio.Poller
 	core      *router.Core
 	client    *enginehttp.Client
 	front     *mysql.Front
@@ -200,7 +200,7 @@
 		return err
 	}
 	r.net.SetMaxInbound(b.inbound)
-	r.client = enginehttp.New(r.loop, r.net, b.fetch, log)
+	r.client = enginehttp.NewClient(r.loop, r.net, b.fetch, log)
 	r.clients.Default = r.client
 	r.core = core
 	for _, p := range r.parts {
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -86,7 +86,7 @@
 		w.loop.Post(func() { c.h.Closed(errors.New("closed by the client")) })
 	} else {
 		w.loop.Post(func() {
-			k := &stageClient{w: w, h: w.front.Accept()}
+			k := &stageClient{w: w, h: w.front.NewSession()}
 			k.h.Opened(k)
 			k.h.Data(packetOf(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00"...)...)), w.now.MS)
 			k.h.Data(packetOf(0, fmt.Appendf([]byte{3}, "KILL QUERY %d", c.session)), w.now.MS)
@@ -264,8 +264,8 @@
 			open++
 		}
 	}
-	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.client.Conns() > 0 {
-		w.bad("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.client.Conns())
+	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.client.ConnCount() > 0 {
+		w.bad("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.client.ConnCount())
 	}
 	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that is spent
 		w.bad("%d timers are left", n)
--- a/internal/node/orders_world_test.go
+++ b/internal/node/orders_world_test.go
@@ -83,10 +83,10 @@
 		p.w.loop.Post(func() { p.h.Closed(net.ErrClosed) })
 	}
 }
-func (p *stagePipe) Finish()                 { p.Close() }
-func (p *stagePipe) Unread() bool            { return len(p.unread) > 0 }
+func (p *stagePipe) CloseGracefully()        { p.Close() }
+func (p *stagePipe) HasUnread() bool         { return len(p.unread) > 0 }
 func (p *stagePipe) Detach(f func(*os.File)) { f(nil) }
-func (p *stagePipe) Flushed(f func())        { f() }
+func (p *stagePipe) NotifyFlushed(f func())  { f() }
 
 func header(head, name string) string {
 	for line := range strings.SplitSeq(head, "\r\n") {
@@ -195,10 +195,10 @@
 		c.w.loop.Post(func() { c.h.Closed(net.ErrClosed) })
 	}
 }
-func (c *stageClient) Finish()                 { c.Close() }
-func (c *stageClient) Unread() bool            { return false }
+func (c *stageClient) CloseGracefully()        { c.Close() }
+func (c *stageClient) HasUnread() bool         { return false }
 func (c *stageClient) Detach(f func(*os.File)) { f(nil) }
-func (c *stageClient) Flushed(f func())        { f() }
+func (c *stageClient) NotifyFlushed(f func())  { f() }
 
 type ordersWorld struct {
 	t       *rapid.T
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	w.core = core
-	w.client = enginehttp.New(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: ordersDial, IdleMS: 8000}, log)
+	w.client = enginehttp.NewClient(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: ordersDial, IdleMS: 8000}, log)
 	clients.Default = w.client
 	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20}, func() [][2]string { return nil }, log)
 	for id := range 3 {
@@ -328,7 +328,7 @@
 
 // ask has a new client log in and ask.
 func (w *ordersWorld) ask(class int, budget float64) {
-	c := &stageClient{w: w, h: w.front.Accept(), class: class, id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget}
+	c := &stageClient{w: w, h: w.front.NewSession(), class: class, id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget}
 	w.clients = append(w.clients, c)
 	w.byID[c.id] = c
 	c.h.Opened(c)
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -70,7 +70,7 @@
 func (r *node) listeners() []listening {
 	all := []listening{{
 		listenClients, "listen", r.cfg.Listen,
-		func(lis net.Listener) { r.listening = r.net.Serve(lis, r.front.Accept) },
+		func(lis net.Listener) { r.listening = r.net.Serve(lis, r.front.NewSession) },
 		func() (*os.File, error) { return r.listening.File() },
 		func() { r.listening.Close() },
 	}}
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -59,10 +59,10 @@
 		descriptors: cfg.MaxConnections + flightEngines,
 		listening: &listening{
 			listenFlight, "/flightsql/listen", cfg.Listen,
-			func(lis net.Listener) { f.front.Accept(lis) },
-			func() (*os.File, error) { return f.front.File() },
+			func(lis net.Listener) { f.front.Serve(lis) },
+			func() (*os.File, error) { return f.front.ListenerFile() },
 			func() {
-				if file, err := f.front.Pause(); err == nil {
+				if file, err := f.front.StopAccepting(); err == nil {
 					_ = file.Close()
 				}
 			},
@@ -70,10 +70,10 @@
 		start: func(b bounds) (err error) {
 			f.client = flightsql.NewClient(r.loop, b.fetch.ConnectTimeoutMS, flightLoads, r.log)
 			speak(cfg.EngineKinds)
-			if f.front, err = flightsql.New(*cfg, r.core, r.loop, r.cfg.SeedValue, r.generation, r.log); err != nil {
+			if f.front, err = flightsql.NewFront(*cfg, r.core, r.loop, r.cfg.SeedValue, r.generation, r.log); err != nil {
 				return err
 			}
-			f.front.SetClaim(f.claim)
+			f.front.SetTicketClaimer(f.claim)
 			r.log.Info("flight sql front", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
 			return nil
 		},
@@ -92,10 +92,10 @@
 		counters: func() []counted {
 			return []counted{{"flightsql", &f.front.Counters}, {"flightsql_engines", &f.client.Counters}}
 		},
-		busy:  func() bool { return f.front.Active() > 0 },
-		leave: func(*hotrestartipc.Link) { f.front.Leave() },
+		busy:  func() bool { return f.front.ActiveCalls() > 0 },
+		leave: func(*hotrestartipc.Link) { f.front.Drain() },
 		farewell: func(to *hotrestartipc.Link) {
-			if all := f.front.ReleaseAll(); len(all) > 0 {
+			if all := f.front.ReleaseAllTickets(); len(all) > 0 {
 				to.Send(hotrestartipc.NewMessage(msgTickets, all))
 			}
 		},
@@ -111,7 +111,7 @@
 				if err := m.Decode(&c); err != nil {
 					return err
 				}
-				c.Ticket = f.front.Release(c.Handle)
+				c.Ticket = f.front.ReleaseTicket(c.Handle)
 				from.Send(hotrestartipc.NewMessage(msgClaimed, c))
 				return nil
 			},
@@ -126,7 +126,7 @@
 			msgTickets: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
 				var all []flightsql.Ticket
 				err := m.Decode(&all)
-				f.front.Take(all)
+				f.front.ImportTickets(all)
 				return err
 			},
 		},
@@ -179,6 +179,6 @@
 	if ch != nil {
 		ch <- c.Ticket
 	} else if c.Ticket != nil {
-		f.front.Take([]flightsql.Ticket{*c.Ticket})
+		f.front.ImportTickets([]flightsql.Ticket{*c.Ticket})
 	}
 }
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -187,10 +187,10 @@
 	now := c.r.loop.Now()
 	s := &record.Interval{
 		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.r.core.OpenRequests(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
-		EngineConnections: c.r.client.Conns(), ClientSessions: c.r.front.Sessions(),
+		EngineConnections: c.r.client.ConnCount(), ClientSessions: c.r.front.Sessions(),
 	}
 	s.Classes, s.Engines = c.meter.Collect()
-	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadAnswers
+	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadResponses
 	s.RejectedSessions, s.InvalidResponses = turned-c.turned, spoilt-c.spoilt
 	c.turned, c.spoilt = turned, spoilt
 	if b := c.r.board; b != nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -70,13 +70,13 @@
 	if r.listening != nil {
 		r.listening.Close() // what was accepted before is heard; who comes now hears at once that nobody is here
 	}
-	r.net.End()
-	r.front.End()
+	r.net.BeginShutdown()
+	r.front.Shutdown()
 }
 
 // finished tells whether all clients have heard the end of their connections, or have had the time for it.
 func (r *node) finished(now float64) bool {
-	return r.front.Sessions()+r.net.Finishing() == 0 && now >= r.endBy-endWithin+lastWords || now >= r.closeAt+lateEnd ||
+	return r.front.Sessions()+r.net.ClosingConns() == 0 && now >= r.endBy-endWithin+lastWords || now >= r.closeAt+lateEnd ||
 		now >= r.endBy && !r.busy() && !r.front.Busy()
 }
 
@@ -84,7 +84,7 @@
 func (r *node) leave() {
 	r.leaving = true
 	r.closeBy(patienceUpgrade)
-	r.front.Leave()
+	r.front.Drain()
 	for _, part := range r.parts {
 		if part.leave != nil && r.with != nil {
 			part.leave(r.with.link)
@@ -103,7 +103,7 @@
 	switch {
 	case r.machine.Phase() == hotrestart.Draining:
 		return // the other process ended; this is a plain end now
-	case r.busy() || r.front.Sessions()+r.net.Finishing() > 0:
+	case r.busy() || r.front.Sessions()+r.net.ClosingConns() > 0:
 		r.busyAt = now
 	case now-r.busyAt >= lastWords:
 		for _, part := range r.parts {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -19,7 +19,7 @@
 func (r *node) status() [][2]string {
 	rows := [][2]string{
 		{"core.open", strconv.Itoa(r.core.OpenRequests())},
-		{"fetch.connections", strconv.Itoa(r.client.Conns())},
+		{"fetch.connections", strconv.Itoa(r.client.ConnCount())},
 	}
 	parts := []counted{
 		{"core", &r.core.Counters},
