--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -35,9 +35,9 @@
 
 // Counters count the calls by their answers, and the callers that gave none.
 type Counters struct {
-	Calls     int64 `status:"calls"`
-	Answered  int64 `status:"answered"`
-	Denied    int64 `status:"denied"`
+	Requests  int64 `status:"calls"`
+	Succeeded int64 `status:"answered"`
+	Rejected  int64 `status:"denied"`
 	Malformed int64 `status:"malformed"`
 	TimedOut  int64 `status:"timed_out"`
 	Evicted   int64 `status:"evicted"`
@@ -142,7 +142,7 @@
 		c.door.Counters.Malformed++
 		c.answer(400, err.Error())
 	case k != nil:
-		c.door.Counters.Calls++
+		c.door.Counters.Requests++
 		c.called = true
 		c.door.carryOut(k, c.answer)
 	}
@@ -170,9 +170,9 @@
 	switch {
 	case !c.called:
 	case code < 300:
-		c.door.Counters.Answered++
+		c.door.Counters.Succeeded++
 	default:
-		c.door.Counters.Denied++
+		c.door.Counters.Rejected++
 	}
 	if !strings.HasSuffix(text, "\n") {
 		text += "\n"
--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -10,18 +10,18 @@
 func TestNothingIsDueAfterTheEnd(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"looking": nil,
-		"asking":  {{Kind: PredecessorFound, Process: First}},
-		"taking":  {{Kind: PredecessorFound, Process: First}, {Kind: Received, Process: First, Message: State}},
+		"asking":  {{Kind: EventPredecessorFound, Process: FirstProcess}},
+		"taking":  {{Kind: EventPredecessorFound, Process: FirstProcess}, {Kind: EventMessageReceived, Process: FirstProcess, Message: MessageState}},
 	} {
-		m, _ := New(First+1, 1000, Defaults)
+		m, _ := New(FirstProcess+1, 1000, DefaultSettings)
 		for _, ev := range events {
 			m.Step(1001, ev)
 		}
 		if due := m.Due(); math.IsInf(due, 1) && name != "looking" {
 			t.Errorf("%s: nothing is due before its end", name)
 		}
-		m.Step(1002, Event{Kind: Stop})
-		if due := m.Due(); m.Phase() != Ended || !math.IsInf(due, 1) {
+		m.Step(1002, Event{Kind: EventStopRequested})
+		if due := m.Due(); m.Phase() != PhaseEnded || !math.IsInf(due, 1) {
 			t.Errorf("%s: %v, due at %v", name, m.Phase(), due)
 		}
 	}
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -23,13 +23,13 @@
 type note uint8
 
 const (
-	about note = 16         // the low bits say which attempt to begin the load a question or an answer belongs to
-	askID note = 32         // may I begin it?
-	yesID note = 64         //
-	noID  note = 128        //
-	told  note = about - 1  // it may have run here
-	asIs  note = 8          // added to State: the sender's snapshot has the id as one that may have run
-	kinds note = note(Back) // the greatest of the protocol
+	about note = 16                    // the low bits say which attempt to begin the load a question or an answer belongs to
+	askID note = 32                    // may I begin it?
+	yesID note = 64                    //
+	noID  note = 128                   //
+	told  note = about - 1             // it may have run here
+	asIs  note = 8                     // added to State: the sender's snapshot has the id as one that may have run
+	kinds note = note(MessageHandBack) // the greatest of the protocol
 )
 
 type queue struct {
@@ -81,30 +81,30 @@
 	fail string
 }
 
-func peer(i int) ProcessNumber  { return First + ProcessNumber(i) }
-func index(p ProcessNumber) int { return int(p - First) }
+func peer(i int) ProcessNumber  { return FirstProcess + ProcessNumber(i) }
+func index(p ProcessNumber) int { return int(p - FirstProcess) }
 
 func (x *model) step(i int, ev Event) {
 	p := &x.w.p[i]
 	now := 0.0
-	if ev.Kind == Tick {
+	if ev.Kind == EventTick {
 		now = p.m.Due()
-		if x.old && p.m.phase == AskingPredecessor { // as it was: a silent elder was taken for none
-			p.m.phase, p.m.elder = FindingPredecessor, None
-			ev = Event{Kind: PredecessorFound}
+		if x.old && p.m.phase == PhaseAwaitingState { // as it was: a silent elder was taken for none
+			p.m.phase, p.m.predecessor = PhaseFindingPredecessor, NoProcess
+			ev = Event{Kind: EventPredecessorFound}
 		}
 	}
 	before := p.m.phase
 	for _, e := range p.m.Step(now, ev) {
 		x.effect(i, e)
 	}
-	if before == Ended && p.m.phase != Ended {
+	if before == PhaseEnded && p.m.phase != PhaseEnded {
 		x.fail = "an ended process goes on"
 	}
 	// Times are left out of the state: every timer that is armed may run out.
-	p.m.askBy = 0
-	if p.m.askAt > 0 {
-		p.m.askAt = 1
+	p.m.awaitDeadline = 0
+	if p.m.nextHelloAt > 0 {
+		p.m.nextHelloAt = 1
 	}
 }
 
@@ -119,25 +119,25 @@
 
 func (x *model) effect(i int, e Effect) {
 	p := &x.w.p[i]
-	switch e.Do {
-	case FindPredecessor:
+	switch e.Action {
+	case ActionFindPredecessor:
 		p.looking = true
-	case Send:
+	case ActionSend:
 		m := note(e.Message)
-		if e.Message == State {
+		if e.Message == MessageState {
 			p.torn = false
 			if p.spent {
 				m |= asIs
 			}
 		}
 		x.send(i, index(e.Process), m)
-	case RestoreState:
+	case ActionRestoreState:
 		p.spent = p.spent || p.state
-	case StartAccepting:
+	case ActionStartAccepting:
 		p.accepts = true
-	case StopAccepting:
+	case ActionStopAccepting:
 		p.accepts = false
-	case End:
+	case ActionEnd:
 		x.end(i)
 	}
 }
@@ -154,22 +154,22 @@
 // end has a process end; what it has sent still arrives, and then its end does.
 func (x *model) end(i int) {
 	w := &x.w
-	if p := &w.p[i]; p.torn || p.m.newer == None && p.m.elder == None {
+	if p := &w.p[i]; p.torn || p.m.successor == NoProcess && p.m.predecessor == NoProcess {
 		w.lost = true // a plain end: who starts after it starts from nothing; so it is where a link broke and was not joined again
 	}
 	for j := range procs {
-		if q := &w.p[j]; q.alive && (q.up[i] || q.m.elder == peer(i) || q.m.newer == peer(i)) {
+		if q := &w.p[j]; q.alive && (q.up[i] || q.m.predecessor == peer(i) || q.m.successor == peer(i)) {
 			q.gone[i] = true
 		}
 		w.q[j][i] = queue{}
 	}
-	w.p[i] = proc{m: Machine{Self: peer(i), phase: Ended}}
+	w.p[i] = proc{m: Machine{Self: peer(i), phase: PhaseEnded}}
 	known := false
 	for j := range procs {
 		known = known || w.p[j].alive && w.p[j].spent
 		for k := range procs {
 			for _, m := range w.q[k][j].m[:w.q[k][j].n] {
-				known = known || m == told || m == note(State)|asIs || m&askID != 0
+				known = known || m == told || m == note(MessageState)|asIs || m&askID != 0
 			}
 		}
 	}
@@ -205,10 +205,10 @@
 			p.claim[i], p.spent = false, true
 		}
 	default:
-		if m&^asIs == note(State) {
+		if m&^asIs == note(MessageState) {
 			p.state = m&asIs != 0
 		}
-		x.step(j, Event{Kind: Received, Process: peer(i), Message: MessageKind(m &^ asIs)})
+		x.step(j, Event{Kind: EventMessageReceived, Process: peer(i), Message: MessageKind(m &^ asIs)})
 	}
 }
 
@@ -225,7 +225,7 @@
 	if !may || p.spent {
 		return
 	}
-	if ask != None {
+	if ask != NoProcess {
 		j := index(ask)
 		for k := range procs {
 			if p.claim[k] {
@@ -242,7 +242,7 @@
 	}
 	p.spent = true
 	x.run()
-	if n := p.m.newer; n != None {
+	if n := p.m.successor; n != NoProcess {
 		x.send(i, index(n), told)
 	}
 }
@@ -259,7 +259,7 @@
 	for i := range procs {
 		p := &w.p[i]
 		if !p.alive {
-			if w.left.starts > 0 && p.m.Self == None && (i == 0 || w.p[i-1].m.Self != None) {
+			if w.left.starts > 0 && p.m.Self == NoProcess && (i == 0 || w.p[i-1].m.Self != NoProcess) {
 				try(false, "start", i, 0, func(y *model) {
 					y.w.left.starts--
 					var effects []Effect
@@ -273,8 +273,8 @@
 					if !q.ban { // the folder of a router that nobody stands for is cleared as the place is taken
 						y.w.folder = y.w.folder && y.lives(i)
 					}
-					q.m, effects = New(peer(i), 0, Defaults)
-					q.m.askBy = 0
+					q.m, effects = New(peer(i), 0, DefaultSettings)
+					q.m.awaitDeadline = 0
 					for _, e := range effects {
 						y.effect(i, e)
 					}
@@ -285,8 +285,8 @@
 		if p.looking {
 			try(true, "looks", i, 0, func(y *model) {
 				y.w.p[i].looking = false
-				found := None
-				for j := i - 1; j >= 0 && found == None; j-- {
+				found := NoProcess
+				for j := i - 1; j >= 0 && found == NoProcess; j-- {
 					if w.p[j].alive {
 						found = peer(j)
 						if !w.p[i].up[j] {
@@ -295,7 +295,7 @@
 						}
 					}
 				}
-				y.step(i, Event{Kind: PredecessorFound, Process: found}) // an end that it shows is heard of as well: gone
+				y.step(i, Event{Kind: EventPredecessorFound, Process: found}) // an end that it shows is heard of as well: gone
 			})
 		}
 		if p.ban != w.folder {
@@ -317,12 +317,12 @@
 				try(true, "hears of the end of", i, j, func(y *model) {
 					q := &y.w.p[i]
 					q.gone[j], q.up[j], q.cut[j], q.claim[j] = false, false, false, false
-					y.step(i, Event{Kind: Gone, Process: peer(j)})
+					y.step(i, Event{Kind: EventProcessEnded, Process: peer(j)})
 				})
 			} else if p.cut[j] {
 				try(true, "hears of the broken link to", i, j, func(y *model) {
 					y.w.p[i].cut[j], y.w.p[i].claim[j] = false, false
-					y.step(i, Event{Kind: Cut, Process: peer(j)})
+					y.step(i, Event{Kind: EventLinkLost, Process: peer(j)})
 				})
 			}
 			if p.claim[j] {
@@ -340,25 +340,25 @@
 		}
 		// A process asks again and again; it is enough to have it ask when nothing of that is under way.
 		idle := true
-		if e := p.m.elder; e != None {
+		if e := p.m.predecessor; e != NoProcess {
 			idle = w.q[i][index(e)].n == 0 && w.q[index(e)][i].n == 0
 		}
-		if due := p.m.Due(); !p.looking && (p.m.phase == AskingPredecessor || p.m.phase == TakingOver || due < 1e300 && idle) {
-			if p.m.askAt > 0 && idle {
+		if due := p.m.Due(); !p.looking && (p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead || due < 1e300 && idle) {
+			if p.m.nextHelloAt > 0 && idle {
 				try(false, "asks again", i, 0, func(y *model) {
 					q := &y.w.p[i]
-					q.m.askBy = 1e6 // this time only the other timer runs out
-					y.step(i, Event{Kind: Tick})
+					q.m.awaitDeadline = 1e6 // this time only the other timer runs out
+					y.step(i, Event{Kind: EventTick})
 				})
 			}
-			if p.m.phase == AskingPredecessor || p.m.phase == TakingOver {
+			if p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead {
 				try(false, "has waited long", i, 0, func(y *model) {
 					q := &y.w.p[i]
-					again := q.m.askAt
-					q.m.askAt, q.m.askBy = 0, 1
-					y.step(i, Event{Kind: Tick})
-					if q.alive && q.m.askAt == 0 {
-						q.m.askAt = again
+					again := q.m.nextHelloAt
+					q.m.nextHelloAt, q.m.awaitDeadline = 0, 1
+					y.step(i, Event{Kind: EventTick})
+					if q.alive && q.m.nextHelloAt == 0 {
+						q.m.nextHelloAt = again
 					}
 				})
 			}
@@ -366,11 +366,11 @@
 		if w.left.kills > 0 {
 			try(false, "is killed", i, 0, func(y *model) { y.w.left.kills--; y.w.lost = true; y.end(i) })
 		}
-		if w.left.stops > 0 && !p.m.stop {
-			try(false, "is told to end", i, 0, func(y *model) { y.w.left.stops--; y.step(i, Event{Kind: Stop}) })
+		if w.left.stops > 0 && !p.m.stopRequested {
+			try(false, "is told to end", i, 0, func(y *model) { y.w.left.stops--; y.step(i, Event{Kind: EventStopRequested}) })
 		}
-		if p.m.phase == Leaving || p.m.phase == Draining {
-			try(false, "has nothing open", i, 0, func(y *model) { y.step(i, Event{Kind: Quiet}) })
+		if p.m.phase == PhaseFinishing || p.m.phase == PhaseDraining {
+			try(false, "has nothing open", i, 0, func(y *model) { y.step(i, Event{Kind: EventIdle}) })
 		}
 		if w.left.bans > 0 && p.accepts {
 			try(false, "is told of a ban", i, 0, func(y *model) {
@@ -378,13 +378,13 @@
 				y.w.folder, y.w.p[i].ban = true, true
 			})
 		}
-		if w.left.loads > 0 && (p.accepts || p.m.phase == Superseded || p.m.phase == Leaving) {
+		if w.left.loads > 0 && (p.accepts || p.m.phase == PhaseSuperseded || p.m.phase == PhaseFinishing) {
 			try(false, "gets the load", i, 0, func(y *model) { y.w.left.loads--; y.submit(i) })
 		}
 	}
 }
 
-var parts = [...]int{Nothing: 1, ReserveShare: 4, HalfShare: 40, FullShare: 80}
+var parts = [...]int{ShareNone: 1, ShareReserve: 4, ShareHalf: 40, ShareFull: 80}
 
 // limit is that of the platform for all processes of a router together, in the parts' unit.
 const limit = 90
@@ -401,7 +401,7 @@
 			continue
 		}
 		sum += parts[p.m.share]
-		if !p.m.stop {
+		if !p.m.stopRequested {
 			living++
 		}
 		if p.accepts {
@@ -410,10 +410,10 @@
 		if p.accepts != p.m.Accepts() {
 			return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.m.Accepts())
 		}
-		if p.m.phase == FindingPredecessor || p.m.phase == AskingPredecessor || p.m.phase == TakingOver {
+		if p.m.phase == PhaseFindingPredecessor || p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead {
 			coming++
 		}
-		if settled && p.ban != x.w.folder && p.m.begun {
+		if settled && p.ban != x.w.folder && p.m.hasAccepted {
 			return fmt.Sprintf("process %d keeps the ban: %t, and it is in force: %t", i, p.ban, x.w.folder)
 		}
 	}
--- a/internal/decide/hotrestart/step.go
+++ b/internal/decide/hotrestart/step.go
@@ -11,7 +11,7 @@
 
 func (s *step) do(e Effect) { s.out = append(s.out, e) }
 func (s *step) send(to ProcessNumber, what MessageKind) {
-	s.do(Effect{Do: Send, Process: to, Message: what})
+	s.do(Effect{Action: ActionSend, Process: to, Message: what})
 }
 
 func (s *step) to(p Phase) { s.phase = p }
@@ -19,93 +19,93 @@
 func (s *step) bound(share Share) {
 	if s.share != share {
 		s.share = share
-		s.do(Effect{Do: SetShare, Share: share})
+		s.do(Effect{Action: ActionSetShare, Share: share})
 	}
 }
 
 // accept begins to serve.
 func (s *step) accept() {
-	s.to(Serving)
-	s.begun = true
-	s.do(Effect{Do: StartAccepting})
+	s.to(PhaseServing)
+	s.hasAccepted = true
+	s.do(Effect{Action: ActionStartAccepting})
 }
 
 // ask has the newest living process before this one looked for, now and again.
 func (s *step) ask() {
-	s.askAt = s.now + s.set.HelloInterval
-	s.do(Effect{Do: FindPredecessor})
+	s.nextHelloAt = s.now + s.settings.HelloInterval
+	s.do(Effect{Action: ActionFindPredecessor})
 }
 
 // alone goes by the whole bounds once nobody else is there.
 func (s *step) alone() {
-	if s.elder == None && s.newer == None && s.begun && s.known {
-		s.bound(FullShare)
+	if s.predecessor == NoProcess && s.successor == NoProcess && s.hasAccepted && s.stateKnown {
+		s.bound(ShareFull)
 	}
 }
 
 // asks tells whether the elder's state is still awaited.
 func (s *step) asks() bool {
-	return s.phase == FindingPredecessor || s.phase == AskingPredecessor || s.phase == Degraded ||
-		!s.yielded && s.elder != None && (s.phase == TakingOver || s.phase == Serving)
+	return s.phase == PhaseFindingPredecessor || s.phase == PhaseAwaitingState || s.phase == PhaseDegraded ||
+		!s.goAheadReceived && s.predecessor != NoProcess && (s.phase == PhaseAwaitingGoAhead || s.phase == PhaseServing)
 }
 
 func (s *step) looked(p ProcessNumber) {
 	if !s.asks() {
-		s.askAt = 0
+		s.nextHelloAt = 0
 		return
 	}
-	if p < s.elder {
-		s.askAt = s.now + s.set.HelloInterval // it has ended; what it sent, and word of its end, are on their way
+	if p < s.predecessor {
+		s.nextHelloAt = s.now + s.settings.HelloInterval // it has ended; what it sent, and word of its end, are on their way
 		return
 	}
-	if p == None {
+	if p == NoProcess {
 		s.nobody()
 		return
 	}
-	if s.phase == TakingOver || s.phase == Serving {
-		if p != s.elder {
+	if s.phase == PhaseAwaitingGoAhead || s.phase == PhaseServing {
+		if p != s.predecessor {
 			return // the elder's end is still on its way
 		}
-	} else if p != s.elder {
-		s.elder, s.waits = p, false
+	} else if p != s.predecessor {
+		s.predecessor, s.helloPending = p, false
 	}
-	if s.phase == FindingPredecessor {
-		s.to(AskingPredecessor)
+	if s.phase == PhaseFindingPredecessor {
+		s.to(PhaseAwaitingState)
 	}
-	s.askAt = s.now + s.set.HelloInterval
-	if !s.waits { // one that is slow would else answer many in the end
-		s.waits = true
-		s.send(p, Hello)
+	s.nextHelloAt = s.now + s.settings.HelloInterval
+	if !s.helloPending { // one that is slow would else answer many in the end
+		s.helloPending = true
+		s.send(p, MessageHello)
 	}
 }
 
 // nobody goes on where no elder lives.
 func (s *step) nobody() {
-	s.elder, s.askAt, s.known = None, 0, true
+	s.predecessor, s.nextHelloAt, s.stateKnown = NoProcess, 0, true
 	switch s.phase {
-	case FindingPredecessor, AskingPredecessor, TakingOver:
-		s.bound(FullShare)
+	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead:
+		s.bound(ShareFull)
 		s.accept()
-	case Degraded:
-		s.to(Serving)
+	case PhaseDegraded:
+		s.to(PhaseServing)
 	}
 	s.alone()
 }
 
 func (s *step) tick() {
 	switch {
-	case s.now < s.askBy:
-	case s.phase == AskingPredecessor:
-		s.bound(ReserveShare)
-		s.to(Degraded)
-		s.begun = true
-		s.do(Effect{Do: StartAccepting})
-	case s.phase == TakingOver:
+	case s.now < s.awaitDeadline:
+	case s.phase == PhaseAwaitingState:
+		s.bound(ShareReserve)
+		s.to(PhaseDegraded)
+		s.hasAccepted = true
+		s.do(Effect{Action: ActionStartAccepting})
+	case s.phase == PhaseAwaitingGoAhead:
 		// The elder has gone to its half and has told all ids ahead; it reads that it is to yield when it reads on.
 		s.accept()
 	}
-	if s.askAt > 0 && s.now >= s.askAt {
-		if s.askAt = 0; s.asks() {
+	if s.nextHelloAt > 0 && s.now >= s.nextHelloAt {
+		if s.nextHelloAt = 0; s.asks() {
 			s.ask()
 		}
 	}
@@ -113,157 +113,157 @@
 
 func (s *step) received(p ProcessNumber, what MessageKind) {
 	switch what {
-	case Hello:
+	case MessageHello:
 		s.hello(p)
-	case Wait:
-		s.waits = s.waits && p != s.elder
-		if p == s.elder && s.phase == AskingPredecessor {
-			s.askBy = max(s.askBy, s.now+s.set.SilenceTimeout) // it lives and has its reasons
+	case MessageWait:
+		s.helloPending = s.helloPending && p != s.predecessor
+		if p == s.predecessor && s.phase == PhaseAwaitingState {
+			s.awaitDeadline = max(s.awaitDeadline, s.now+s.settings.SilenceTimeout) // it lives and has its reasons
 		}
-	case State:
+	case MessageState:
 		s.state(p)
-	case Ready:
+	case MessageReady:
 		s.ready(p)
-	case GoAhead:
-		if p == s.elder && (s.phase == TakingOver || s.phase == Serving) {
-			s.yielded, s.askAt = true, 0
-			if s.phase == TakingOver {
+	case MessageGoAhead:
+		if p == s.predecessor && (s.phase == PhaseAwaitingGoAhead || s.phase == PhaseServing) {
+			s.goAheadReceived, s.nextHelloAt = true, 0
+			if s.phase == PhaseAwaitingGoAhead {
 				s.accept()
 			}
 		}
-	case Back:
-		if p == s.newer && s.phase == Superseded && !s.back {
-			s.back = true
+	case MessageHandBack:
+		if p == s.successor && s.phase == PhaseSuperseded && !s.handedBack {
+			s.handedBack = true
 			s.accept()
-			s.send(p, Ready)
+			s.send(p, MessageReady)
 		}
 	}
 }
 
 // hello answers a newer process that asks.
 func (s *step) hello(p ProcessNumber) {
-	serves := (s.phase == Serving || s.phase == Draining) && s.known
-	hears := s.newer == p && (s.phase == Superseded || s.phase == Leaving) // it lost the link, and with it what was on its way
-	if !hears && (!serves || s.elder != None || s.back || s.newer != None && s.newer != p) {
-		s.send(p, Wait)
+	serves := (s.phase == PhaseServing || s.phase == PhaseDraining) && s.stateKnown
+	hears := s.successor == p && (s.phase == PhaseSuperseded || s.phase == PhaseFinishing) // it lost the link, and with it what was on its way
+	if !hears && (!serves || s.predecessor != NoProcess || s.handedBack || s.successor != NoProcess && s.successor != p) {
+		s.send(p, MessageWait)
 		return
 	}
-	s.newer = p
-	s.bound(HalfShare)
-	s.send(p, State)
+	s.successor = p
+	s.bound(ShareHalf)
+	s.send(p, MessageState)
 }
 
 // state goes on from the elder's state.
 func (s *step) state(p ProcessNumber) {
-	if p != s.elder || s.yielded {
+	if p != s.predecessor || s.goAheadReceived {
 		return
 	}
-	s.waits = false
+	s.helloPending = false
 	switch s.phase {
-	case AskingPredecessor:
-		s.to(TakingOver)
-		s.askBy = max(s.askBy, s.now+s.set.GoAheadTimeout)
-	case Degraded:
-		s.to(Serving)
-	case TakingOver, Serving: // the link broke in between
-	case Draining: // too late to take its place, but not to know what it knew
-		s.known = true
-		s.do(Effect{Do: RestoreState})
+	case PhaseAwaitingState:
+		s.to(PhaseAwaitingGoAhead)
+		s.awaitDeadline = max(s.awaitDeadline, s.now+s.settings.GoAheadTimeout)
+	case PhaseDegraded:
+		s.to(PhaseServing)
+	case PhaseAwaitingGoAhead, PhaseServing: // the link broke in between
+	case PhaseDraining: // too late to take its place, but not to know what it knew
+		s.stateKnown = true
+		s.do(Effect{Action: ActionRestoreState})
 		return
 	default:
 		return
 	}
-	s.known = true
-	s.do(Effect{Do: RestoreState})
-	s.bound(HalfShare)
-	s.send(p, Ready)
+	s.stateKnown = true
+	s.do(Effect{Action: ActionRestoreState})
+	s.bound(ShareHalf)
+	s.send(p, MessageReady)
 }
 
 // ready gives way: to the newer process, or back to the elder where this one is told to end.
 func (s *step) ready(p ProcessNumber) {
 	switch {
-	case p == s.newer && !s.back && (s.phase == Serving || s.phase == Draining):
-		s.do(Effect{Do: StopAccepting})
-		s.to(Superseded)
-		if s.stop {
-			s.to(Leaving)
-			s.do(Effect{Do: Leave})
+	case p == s.successor && !s.handedBack && (s.phase == PhaseServing || s.phase == PhaseDraining):
+		s.do(Effect{Action: ActionStopAccepting})
+		s.to(PhaseSuperseded)
+		if s.stopRequested {
+			s.to(PhaseFinishing)
+			s.do(Effect{Action: ActionFinish})
 		}
-	case p == s.newer && !s.back && (s.phase == Superseded || s.phase == Leaving):
-	case p == s.elder && p != None && s.phase == Draining:
-		s.do(Effect{Do: StopAccepting})
-		s.to(Leaving)
-		s.do(Effect{Do: Leave})
+	case p == s.successor && !s.handedBack && (s.phase == PhaseSuperseded || s.phase == PhaseFinishing):
+	case p == s.predecessor && p != NoProcess && s.phase == PhaseDraining:
+		s.do(Effect{Action: ActionStopAccepting})
+		s.to(PhaseFinishing)
+		s.do(Effect{Action: ActionFinish})
 	default:
 		return
 	}
-	s.send(p, GoAhead)
+	s.send(p, MessageGoAhead)
 }
 
 // cut goes on after a link that broke though the process at its other end lives.
 func (s *step) cut(p ProcessNumber) {
-	if p == s.elder && p != None && s.asks() {
-		s.waits = false
-		s.askAt = s.now + s.set.HelloInterval // an elder that hangs at its end would be asked without a pause
+	if p == s.predecessor && p != NoProcess && s.asks() {
+		s.helloPending = false
+		s.nextHelloAt = s.now + s.settings.HelloInterval // an elder that hangs at its end would be asked without a pause
 	}
 }
 
 // gone goes on after a process that ended.
 func (s *step) gone(p ProcessNumber) {
-	if p == None {
+	if p == NoProcess {
 		return
 	}
-	if p == s.elder {
-		s.elder, s.yielded, s.waits = None, false, false
+	if p == s.predecessor {
+		s.predecessor, s.goAheadReceived, s.helloPending = NoProcess, false, false
 		switch s.phase {
-		case AskingPredecessor:
-			s.to(FindingPredecessor)
+		case PhaseAwaitingState:
+			s.to(PhaseFindingPredecessor)
 			s.ask()
-		case Degraded:
+		case PhaseDegraded:
 			s.ask()
-		case TakingOver:
-			s.askAt = 0
+		case PhaseAwaitingGoAhead:
+			s.nextHelloAt = 0
 			s.accept()
 		default:
-			s.askAt = 0
+			s.nextHelloAt = 0
 		}
-		if s.phase != Degraded {
+		if s.phase != PhaseDegraded {
 			s.alone()
 		}
 	}
-	if p == s.newer {
-		s.newer = None
+	if p == s.successor {
+		s.successor = NoProcess
 		switch s.phase {
-		case Superseded:
+		case PhaseSuperseded:
 			s.accept()
-		case Leaving:
-			s.to(Draining)
-			s.do(Effect{Do: StartAccepting})
-			s.do(Effect{Do: Drain})
+		case PhaseFinishing:
+			s.to(PhaseDraining)
+			s.do(Effect{Action: ActionStartAccepting})
+			s.do(Effect{Action: ActionDrain})
 		}
-		s.back = false
+		s.handedBack = false
 		s.alone()
 	}
 }
 
 func (s *step) stopped() {
-	if s.stop {
+	if s.stopRequested {
 		return
 	}
-	s.stop = true
+	s.stopRequested = true
 	switch s.phase {
-	case FindingPredecessor, AskingPredecessor, TakingOver: // nothing was accepted; an elder that yielded hears of the end, and accepts again
-		s.to(Ended)
-		s.do(Effect{Do: End})
-	case Superseded:
-		s.to(Leaving)
-		s.do(Effect{Do: Leave})
-	case Serving, Degraded:
-		if s.elder != None && s.phase == Serving {
-			s.send(s.elder, Back) // taken back: where the elder is not told to end too, it accepts again
+	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead: // nothing was accepted; an elder that yielded hears of the end, and accepts again
+		s.to(PhaseEnded)
+		s.do(Effect{Action: ActionEnd})
+	case PhaseSuperseded:
+		s.to(PhaseFinishing)
+		s.do(Effect{Action: ActionFinish})
+	case PhaseServing, PhaseDegraded:
+		if s.predecessor != NoProcess && s.phase == PhaseServing {
+			s.send(s.predecessor, MessageHandBack) // taken back: where the elder is not told to end too, it accepts again
 		}
-		s.askAt = 0
-		s.to(Draining)
-		s.do(Effect{Do: Drain})
+		s.nextHelloAt = 0
+		s.to(PhaseDraining)
+		s.do(Effect{Action: ActionDrain})
 	}
 }
--- a/internal/decide/hotrestart/takeover.go
+++ b/internal/decide/hotrestart/takeover.go
@@ -21,24 +21,24 @@
 
 // Peers that have no place of their own.
 const (
-	None     ProcessNumber = 0
-	Unplaced ProcessNumber = 1              // a process of version 1 that was there before
-	First    ProcessNumber = 2              // the first place
-	Stranger ProcessNumber = math.MaxUint64 // a process of version 1 that came later
+	NoProcess         ProcessNumber = 0
+	LegacyPredecessor ProcessNumber = 1              // a process of version 1 that was there before
+	FirstProcess      ProcessNumber = 2              // the first place
+	LegacySuccessor   ProcessNumber = math.MaxUint64 // a process of version 1 that came later
 )
 
 // Versions of the protocol. Version 1 has hello, state, ready and go-ahead; its processes know neither of places nor of
 // a word to wait, and give up a silent elder after 2 s.
 const (
-	Version = 2
-	Oldest  = 1
+	ProtocolVersion       = 2
+	OldestProtocolVersion = 1
 )
 
-// Agree gives the version that two processes speak, each of which tells its newest; one that tells none is of version 1.
+// NegotiateVersion gives the version that two processes speak, each of which tells its newest; one that tells none is of version 1.
 // False says that they share none.
-func Agree(theirs int) (version int, ok bool) {
-	version = min(max(theirs, 1), Version)
-	return version, version >= Oldest
+func NegotiateVersion(theirs int) (version int, ok bool) {
+	version = min(max(theirs, 1), ProtocolVersion)
+	return version, version >= OldestProtocolVersion
 }
 
 // Phase is where a process stands.
@@ -46,15 +46,15 @@
 
 // Phases.
 const (
-	FindingPredecessor Phase = iota // whether anybody was there before
-	AskingPredecessor               // a living elder was met; its state is awaited
-	TakingOver                      // the state is here; the elder's go-ahead is awaited
-	Serving                         // it accepts
-	Degraded                        // it accepts within the reserve, since a living elder is silent
-	Superseded                      // the newer one accepts; what this one accepted goes on
-	Leaving                         // yielded, and told to end: it ends when nothing is open
-	Draining                        // told to end with nobody in its place: it accepts until nothing has been open for a while
-	Ended
+	PhaseFindingPredecessor Phase = iota // whether anybody was there before
+	PhaseAwaitingState                   // a living elder was met; its state is awaited
+	PhaseAwaitingGoAhead                 // the state is here; the elder's go-ahead is awaited
+	PhaseServing                         // it accepts
+	PhaseDegraded                        // it accepts within the reserve, since a living elder is silent
+	PhaseSuperseded                      // the newer one accepts; what this one accepted goes on
+	PhaseFinishing                       // yielded, and told to end: it ends when nothing is open
+	PhaseDraining                        // told to end with nobody in its place: it accepts until nothing has been open for a while
+	PhaseEnded
 )
 
 var phaseNames = [...]string{"looking", "asking", "taking", "serving", "guarded", "yielded", "leaving", "draining", "ended"}
@@ -66,10 +66,10 @@
 
 // Shares. A whole one and a reserve fit the limits together, and so do two halves.
 const (
-	Nothing Share = iota // it asks and holds what that takes
-	ReserveShare
-	HalfShare
-	FullShare
+	ShareNone Share = iota // it asks and holds what that takes
+	ShareReserve
+	ShareHalf
+	ShareFull
 )
 
 // MessageKind is that of a message between two processes.
@@ -77,30 +77,30 @@
 
 // Kinds of message.
 const (
-	Hello   MessageKind = iota // new: is there a state for me?
-	Wait                       // elder: not now; ask again
-	State                      // elder: bans, ids, warmth, listeners
-	Ready                      // it can accept: stop accepting
-	GoAhead                    // I accept no more
-	Back                       // new: I am told to end; accept again
+	MessageHello    MessageKind = iota // new: is there a state for me?
+	MessageWait                        // elder: not now; ask again
+	MessageState                       // elder: bans, ids, warmth, listeners
+	MessageReady                       // it can accept: stop accepting
+	MessageGoAhead                     // I accept no more
+	MessageHandBack                    // new: I am told to end; accept again
 )
 
-var kindNames = [...]string{"hello", "wait", "state", "ready", "go-ahead", "back"}
+var messageNames = [...]string{"hello", "wait", "state", "ready", "go-ahead", "back"}
 
-func (k MessageKind) String() string { return kindNames[k] }
+func (k MessageKind) String() string { return messageNames[k] }
 
 // EventKind is what an event tells.
 type EventKind uint8
 
 // Events.
 const (
-	Tick             EventKind = iota // time has passed
-	PredecessorFound                  // Peer is the newest living process before this one, or None; Gone comes besides for an elder that ended
-	Received                          // Message from Peer
-	Cut                               // the link to Peer broke, and Peer lives
-	Gone                              // Peer has ended
-	Stop                              // the process is told to end
-	Quiet                             // nothing has been open for a while
+	EventTick             EventKind = iota // time has passed
+	EventPredecessorFound                  // Peer is the newest living process before this one, or None; Gone comes besides for an elder that ended
+	EventMessageReceived                   // Message from Peer
+	EventLinkLost                          // the link to Peer broke, and Peer lives
+	EventProcessEnded                      // Peer has ended
+	EventStopRequested                     // the process is told to end
+	EventIdle                              // nothing has been open for a while
 )
 
 // Event is one event.
@@ -115,20 +115,20 @@
 
 // Effects.
 const (
-	FindPredecessor Action = iota // find the newest living process before this one, link up with it, and say Looked
-	Send                          // Message to Peer
-	RestoreState                  // go on from the state that came last; prepare to accept
-	StartAccepting                // begin, or begin again, to accept
-	StopAccepting                 // stop accepting, and keep what it takes to accept again
-	Leave                         // hear out what was accepted and close idle sessions
-	Drain                         // accept and answer until nothing is open
-	End                           // end the process
-	SetShare                      // go by Share
+	ActionFindPredecessor Action = iota // find the newest living process before this one, link up with it, and say Looked
+	ActionSend                          // Message to Peer
+	ActionRestoreState                  // go on from the state that came last; prepare to accept
+	ActionStartAccepting                // begin, or begin again, to accept
+	ActionStopAccepting                 // stop accepting, and keep what it takes to accept again
+	ActionFinish                        // hear out what was accepted and close idle sessions
+	ActionDrain                         // accept and answer until nothing is open
+	ActionEnd                           // end the process
+	ActionSetShare                      // go by Share
 )
 
 // Effect is one thing to do, in the order given.
 type Effect struct {
-	Do      Action
+	Action  Action
 	Process ProcessNumber
 	Message MessageKind
 	Share   Share
@@ -147,31 +147,31 @@
 	GoAheadTimeout float64
 }
 
-// Defaults are the settings in service.
-var Defaults = Settings{HelloTimeout: 5400, SilenceTimeout: 3000, HelloInterval: 150, GoAheadTimeout: 500}
+// DefaultSettings are the settings in service.
+var DefaultSettings = Settings{HelloTimeout: 5400, SilenceTimeout: 3000, HelloInterval: 150, GoAheadTimeout: 500}
 
 // Machine is one process's side. It is a plain value: a copy is another machine in the same state.
 type Machine struct {
-	Self    ProcessNumber
-	set     Settings
-	phase   Phase
-	share   Share
-	elder   ProcessNumber // the process before this one that is asked, or that this one goes on from; None when it has ended
-	newer   ProcessNumber // the process that has this one's state
-	yielded bool          // the elder has said that it accepts no more
-	back    bool          // the newer one was told to end, and gave the place back
-	known   bool          // the elder's state, or that there is nobody: ids that may have run are known
-	stop    bool          // told to end
-	waits   bool          // a hello has no answer yet
-	begun   bool          // it accepted at some time
-	askBy   float64
-	askAt   float64 // 0 while nothing is to be asked
+	Self            ProcessNumber
+	settings        Settings
+	phase           Phase
+	share           Share
+	predecessor     ProcessNumber // the process before this one that is asked, or that this one goes on from; None when it has ended
+	successor       ProcessNumber // the process that has this one's state
+	goAheadReceived bool          // the elder has said that it accepts no more
+	handedBack      bool          // the newer one was told to end, and gave the place back
+	stateKnown      bool          // the elder's state, or that there is nobody: ids that may have run are known
+	stopRequested   bool          // told to end
+	helloPending    bool          // a hello has no answer yet
+	hasAccepted     bool          // it accepted at some time
+	awaitDeadline   float64
+	nextHelloAt     float64 // 0 while nothing is to be asked
 }
 
 // New gives the machine of a process that has just taken its place.
 func New(self ProcessNumber, now float64, set Settings) (Machine, []Effect) {
-	m := Machine{Self: self, set: set, askBy: now + set.HelloTimeout}
-	return m, []Effect{{Do: FindPredecessor}}
+	m := Machine{Self: self, settings: set, awaitDeadline: now + set.HelloTimeout}
+	return m, []Effect{{Action: ActionFindPredecessor}}
 }
 
 // Phase is where it stands.
@@ -181,43 +181,43 @@
 func (m *Machine) Share() Share { return m.share }
 
 // Predecessor and Newer are the processes that it has to do with, or None.
-func (m *Machine) Predecessor() ProcessNumber { return m.elder }
+func (m *Machine) Predecessor() ProcessNumber { return m.predecessor }
 
 // Successor: see Elder.
-func (m *Machine) Successor() ProcessNumber { return m.newer }
+func (m *Machine) Successor() ProcessNumber { return m.successor }
 
 // Ready tells whether the process says yes to an operator who asks whether it serves.
-func (m *Machine) Ready() bool { return m.phase == Serving || m.phase == Degraded }
+func (m *Machine) Ready() bool { return m.phase == PhaseServing || m.phase == PhaseDegraded }
 
 // Accepts tells whether the process accepts clients now.
-func (m *Machine) Accepts() bool { return m.Ready() || m.phase == Draining }
+func (m *Machine) Accepts() bool { return m.Ready() || m.phase == PhaseDraining }
 
 // MustAsk tells whom a process must ask before it begins what must not run twice, and whether it may begin such work at
 // all. Before an elder has yielded, its word goes ahead of its go-ahead on the same link, so it needs to ask nobody;
 // afterwards both have open sessions, and either asks the other.
 func (m *Machine) MustAsk() (ask ProcessNumber, may bool) {
 	switch {
-	case m.phase == Degraded || !m.known:
-		return None, false
-	case m.elder != None:
-		return m.elder, true
-	case m.phase == Superseded || m.phase == Leaving || m.back:
-		return m.newer, true
+	case m.phase == PhaseDegraded || !m.stateKnown:
+		return NoProcess, false
+	case m.predecessor != NoProcess:
+		return m.predecessor, true
+	case m.phase == PhaseSuperseded || m.phase == PhaseFinishing || m.handedBack:
+		return m.successor, true
 	}
-	return None, true
+	return NoProcess, true
 }
 
 // Due is when Step wants a Tick; +Inf for never.
 func (m *Machine) Due() float64 {
 	due := math.Inf(1)
-	if m.phase == Ended {
+	if m.phase == PhaseEnded {
 		return due // Step takes nothing in any more, so that what is due would be so for ever
 	}
-	if m.askAt > 0 {
-		due = m.askAt
+	if m.nextHelloAt > 0 {
+		due = m.nextHelloAt
 	}
-	if m.phase == AskingPredecessor || m.phase == TakingOver {
-		due = min(due, m.askBy)
+	if m.phase == PhaseAwaitingState || m.phase == PhaseAwaitingGoAhead {
+		due = min(due, m.awaitDeadline)
 	}
 	return due
 }
@@ -225,27 +225,27 @@
 // Step takes one event in at that time, in milliseconds, and gives what is to be done. An event that makes no sense
 // where the process stands, as a message that comes late or twice, changes nothing.
 func (m *Machine) Step(now float64, ev Event) []Effect {
-	if m.phase == Ended {
+	if m.phase == PhaseEnded {
 		return nil
 	}
 	s := step{Machine: m, now: now}
 	switch ev.Kind {
-	case Tick:
+	case EventTick:
 		s.tick()
-	case PredecessorFound:
+	case EventPredecessorFound:
 		s.looked(ev.Process)
-	case Received:
+	case EventMessageReceived:
 		s.received(ev.Process, ev.Message)
-	case Cut:
+	case EventLinkLost:
 		s.cut(ev.Process)
-	case Gone:
+	case EventProcessEnded:
 		s.gone(ev.Process)
-	case Stop:
+	case EventStopRequested:
 		s.stopped()
-	case Quiet:
-		if m.phase == Leaving || m.phase == Draining {
-			s.to(Ended)
-			s.do(Effect{Do: End})
+	case EventIdle:
+		if m.phase == PhaseFinishing || m.phase == PhaseDraining {
+			s.to(PhaseEnded)
+			s.do(Effect{Action: ActionEnd})
 		}
 	}
 	return s.out
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -18,8 +18,8 @@
 			set     Settings
 			strange int // of a thousand events, that make no sense
 		}{
-			{"sound", Defaults, 0},
-			{"strange-events", Defaults, 150},
+			{"sound", DefaultSettings, 0},
+			{"strange-events", DefaultSettings, 150},
 			{"short-waits", Settings{HelloTimeout: 700, SilenceTimeout: 300, HelloInterval: 90, GoAheadTimeout: 120}, 20},
 		} {
 			all = append(all, chains(fmt.Sprintf("%d-processes/%s", procs, k.name), procs, k.set, k.strange))
@@ -47,7 +47,7 @@
 
 func traceVersions(t *testing.T, h *tracetest.Hash) {
 	for theirs := -1; theirs < 5; theirs++ {
-		version, ok := Agree(theirs)
+		version, ok := NegotiateVersion(theirs)
 		h.Step(1)
 		h.Int(int64(version))
 		h.Bool(ok)
@@ -79,7 +79,7 @@
 }
 
 func (c *chain) start() {
-	m, effects := New(First+ProcessNumber(c.started), c.now, c.set)
+	m, effects := New(FirstProcess+ProcessNumber(c.started), c.now, c.set)
 	c.started++
 	p := &traced{m: m}
 	c.procs = append(c.procs, p)
@@ -93,7 +93,7 @@
 
 func (c *chain) took(p *traced, effects []Effect) {
 	for _, e := range effects {
-		c.hash.Step(1 + int(e.Do))
+		c.hash.Step(1 + int(e.Action))
 		c.hash.Uint(uint64(e.Process))
 		c.hash.Int(int64(e.Message))
 		c.hash.Int(int64(e.Share))
@@ -118,13 +118,13 @@
 }
 
 func (c *chain) effect(p *traced, e Effect) {
-	switch e.Do {
-	case FindPredecessor:
+	switch e.Action {
+	case ActionFindPredecessor:
 		p.looking = true
-	case Send:
-		c.mail = append(c.mail, letter{e.Process, Event{Kind: Received, Process: p.m.Self, Message: e.Message}})
-	case End:
-		c.hash.Int(int64(len(p.m.Step(c.now, Event{Kind: Stop}))))
+	case ActionSend:
+		c.mail = append(c.mail, letter{e.Process, Event{Kind: EventMessageReceived, Process: p.m.Self, Message: e.Message}})
+	case ActionEnd:
+		c.hash.Int(int64(len(p.m.Step(c.now, Event{Kind: EventStopRequested}))))
 		c.end(p)
 	}
 }
@@ -135,7 +135,7 @@
 	for _, o := range c.procs {
 		if o != p {
 			left = append(left, o)
-			c.mail = append(c.mail, letter{o.m.Self, Event{Kind: Gone, Process: p.m.Self}})
+			c.mail = append(c.mail, letter{o.m.Self, Event{Kind: EventProcessEnded, Process: p.m.Self}})
 		}
 	}
 	c.procs = left
@@ -160,15 +160,15 @@
 	case n < 80:
 		c.tick(p)
 	case n < 84:
-		c.handle(p, Event{Kind: Tick})
+		c.handle(p, Event{Kind: EventTick})
 	case n < 88:
 		c.cut(p)
 	case n < 90:
 		c.end(p) // killed
 	case n < 92:
-		c.handle(p, Event{Kind: Stop})
+		c.handle(p, Event{Kind: EventStopRequested})
 	case n < 96:
-		c.handle(p, Event{Kind: Quiet})
+		c.handle(p, Event{Kind: EventIdle})
 	default:
 		c.now += float64(c.rng.IntN(4000))
 	}
@@ -180,13 +180,13 @@
 		return
 	}
 	p.looking = false
-	found := None
+	found := NoProcess
 	for _, o := range c.procs {
 		if o.m.Self < p.m.Self {
 			found = o.m.Self
 		}
 	}
-	c.handle(p, Event{Kind: PredecessorFound, Process: found})
+	c.handle(p, Event{Kind: EventPredecessorFound, Process: found})
 }
 
 // deliver hands over the first of what is on its way to some process, now and then twice.
@@ -222,7 +222,7 @@
 func (c *chain) tick(p *traced) {
 	if due := p.m.Due(); due < c.now+1e5 {
 		c.now = max(c.now, due)
-		c.handle(p, Event{Kind: Tick})
+		c.handle(p, Event{Kind: EventTick})
 	}
 }
 
@@ -240,16 +240,16 @@
 		}
 	}
 	c.mail = left
-	c.handle(p, Event{Kind: Cut, Process: elder.m.Self})
-	c.handle(elder, Event{Kind: Cut, Process: p.m.Self})
+	c.handle(p, Event{Kind: EventLinkLost, Process: elder.m.Self})
+	c.handle(elder, Event{Kind: EventLinkLost, Process: p.m.Self})
 }
 
 // nonsense gives any event from any process, those of version 1 among them.
 func (c *chain) nonsense(p *traced) {
-	peers := []ProcessNumber{None, Unplaced, Stranger, p.m.Self, p.m.Predecessor(), p.m.Successor(), First + ProcessNumber(c.rng.IntN(c.started+1))}
-	ev := Event{Kind: EventKind(c.rng.IntN(int(Quiet) + 1)), Process: peers[c.rng.IntN(len(peers))]}
-	if ev.Kind == Received {
-		ev.Message = MessageKind(c.rng.IntN(int(Back) + 1))
+	peers := []ProcessNumber{NoProcess, LegacyPredecessor, LegacySuccessor, p.m.Self, p.m.Predecessor(), p.m.Successor(), FirstProcess + ProcessNumber(c.rng.IntN(c.started+1))}
+	ev := Event{Kind: EventKind(c.rng.IntN(int(EventIdle) + 1)), Process: peers[c.rng.IntN(len(peers))]}
+	if ev.Kind == EventMessageReceived {
+		ev.Message = MessageKind(c.rng.IntN(int(MessageHandBack) + 1))
 	}
 	c.handle(p, ev)
 }
--- a/internal/discovery/board.go
+++ b/internal/discovery/board.go
@@ -50,8 +50,8 @@
 // Update is one event: engines, and where they listen.
 type Update = settings.EndpointEvents
 
-// Names are the lists of the settings that records point into.
-type Names struct{ Zones, Kinds []string }
+// RecordNames are the lists of the settings that records point into.
+type RecordNames struct{ Zones, Kinds []string }
 
 // frame is one parsed frame.
 type frame struct {
@@ -61,7 +61,7 @@
 }
 
 // parseFrame reads what follows the length.
-func parseFrame(b []byte, names Names) (frame, error) {
+func parseFrame(b []byte, names RecordNames) (frame, error) {
 	if len(b) < frameHead {
 		return frame{}, fmt.Errorf("frame of %d bytes is too short", len(b))
 	}
@@ -104,7 +104,7 @@
 	loop   *router.Loop
 	dialer netio.Dialer
 	addr   string
-	names  Names
+	names  RecordNames
 	last   uint64
 	tell   func(Update)
 	log    *slog.Logger
@@ -125,14 +125,14 @@
 
 // Counters count what the board sent.
 type Counters struct {
-	Links  int64 `status:"links"`
-	Frames int64 `status:"frames"`
-	Events int64 `status:"events"`
-	Bad    int64 `status:"bad"`
+	Links     int64 `status:"links"`
+	Frames    int64 `status:"frames"`
+	Events    int64 `status:"events"`
+	BadFrames int64 `status:"bad"`
 }
 
 // Watch opens the link; last is the number of the last event that is known, and waits are drawn from the seed.
-func Watch(loop *router.Loop, dialer netio.Dialer, addr string, names Names, last uint64, tell func(Update),
+func Watch(loop *router.Loop, dialer netio.Dialer, addr string, names RecordNames, last uint64, tell func(Update),
 	seed uint64, log *slog.Logger,
 ) *Watcher {
 	f := &Watcher{
@@ -146,7 +146,7 @@
 // Configure has the follower read records by other names and, where the address is a new one, follow there at
 // once, from the last event on. Whatever the old board still sends is not heard any more: its numbers go on at the
 // new one, so that an event from either is told once.
-func (f *Watcher) Configure(addr string, names Names) {
+func (f *Watcher) Configure(addr string, names RecordNames) {
 	f.names = names
 	if addr == f.addr {
 		return
@@ -249,7 +249,7 @@
 // bad drops a link whose frames can't be trusted. The list is kept, and the next link goes on from the last
 // good event.
 func (l *link) bad(err error) {
-	l.f.Counters.Bad++
+	l.f.Counters.BadFrames++
 	l.end("bad frame: " + err.Error())
 }
 
--- a/internal/discovery/board_test.go
+++ b/internal/discovery/board_test.go
@@ -17,7 +17,7 @@
 	"windflow/internal/router"
 )
 
-var names = Names{Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"std-8"}}
+var names = RecordNames{Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"std-8"}}
 
 const (
 	head    = "0000000000000005" // event 5
@@ -139,8 +139,8 @@
 				d.written[len(d.written)-1], s.links, s.asked)
 		}
 	}
-	if diff := cmp.Diff([]int{1, 0}, told); diff != "" || f.Counters.Bad != 2 {
-		t.Errorf("told %s, %d bad frames", diff, f.Counters.Bad)
+	if diff := cmp.Diff([]int{1, 0}, told); diff != "" || f.Counters.BadFrames != 2 {
+		t.Errorf("told %s, %d bad frames", diff, f.Counters.BadFrames)
 	}
 }
 
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -153,8 +153,8 @@
 	return simulated, err
 }
 
-func (h *simulatedRouter) names() discovery.Names {
-	return discovery.Names{Zones: h.config.Parsed.Zones, Kinds: h.config.Parsed.Kinds}
+func (h *simulatedRouter) names() discovery.RecordNames {
+	return discovery.RecordNames{Zones: h.config.Parsed.Zones, Kinds: h.config.Parsed.Kinds}
 }
 
 func (h *simulatedRouter) onUpdate(l discovery.Update) {
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -73,7 +73,7 @@
 func TestGoldenPaths(t *testing.T) {
 	got := ""
 	for _, name := range []string{"n0", "n0 127.0.0.1:3306", ""} {
-		path, err := Path("/run", name)
+		path, err := SocketPath("/run", name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hotrestartipc/golden_place_test.go
+++ b/internal/hotrestartipc/golden_place_test.go
@@ -87,7 +87,7 @@
 	ban(t, first, "s-00000003", false)
 	second := takeGoldenPlace(t, dir)
 	ban(t, second, "s-00c41f7a", true)
-	if err := second.Publish(); err != nil {
+	if err := second.PublishToLegacy(); err != nil {
 		t.Fatal(err)
 	}
 	golden.File(t, goldenFolder, txtar.Format(&txtar.Archive{Files: listFolder(t, dir)}))
@@ -121,7 +121,7 @@
 
 func holdLock(t *testing.T, dir string, peer hotrestart.ProcessNumber) {
 	t.Helper()
-	path, err := Path(dir, goldenRouter)
+	path, err := SocketPath(dir, goldenRouter)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,10 +138,10 @@
 // A process that finds the recorded folder takes the next place, knows who lives, and reads the bans.
 func TestGoldenFolderIsRead(t *testing.T) {
 	dir := shortFolder(t)
-	restoreFolder(t, dir, hotrestart.First+1)
+	restoreFolder(t, dir, hotrestart.FirstProcess+1)
 	p := takeGoldenPlace(t, dir)
-	if p.Process != hotrestart.First+2 || p.Predecessor() != hotrestart.First+1 || p.Alive(hotrestart.First) {
-		t.Errorf("place %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.First))
+	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.FirstProcess+1 || p.Alive(hotrestart.FirstProcess) {
+		t.Errorf("place %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.FirstProcess))
 	}
 	got, err := p.Cordoned()
 	if want := []string{"s-00000002", "s-00c41f7a"}; err != nil || !slices.Equal(got, want) {
@@ -154,7 +154,7 @@
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	p := takeGoldenPlace(t, dir)
-	if p.Process != hotrestart.First+2 || p.Predecessor() != hotrestart.None {
+	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.NoProcess {
 		t.Errorf("place %d, after %d", p.Process, p.Predecessor())
 	}
 	if got, err := p.Cordoned(); err != nil || len(got) > 0 {
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p := takeGoldenPlace(t, dir); p.Process != hotrestart.First+2 {
+	if p := takeGoldenPlace(t, dir); p.Process != hotrestart.FirstProcess+2 {
 		t.Errorf("place %d", p.Process)
 	}
 }
--- a/internal/hotrestartipc/link.go
+++ b/internal/hotrestartipc/link.go
@@ -60,8 +60,8 @@
 // Decode reads the message's body.
 func (m Message) Decode(into any) error { return json.Unmarshal(m.Body, into) }
 
-// Path is where the router of that name is found. The name is hashed: it may be of any length and hold anything.
-func Path(dir, name string) (string, error) {
+// SocketPath is where the router of that name is found. The name is hashed: it may be of any length and hold anything.
+func SocketPath(dir, name string) (string, error) {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	path := filepath.Join(dir, fmt.Sprintf("wf-%08x.sock", h.Sum32()))
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	path, err := Path(dir, "n0")
+	path, err := SocketPath(dir, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,11 +98,11 @@
 }
 
 func TestPathIsShort(t *testing.T) {
-	if _, err := Path("/"+strings.Repeat("x", 100), "n0"); err == nil {
+	if _, err := SocketPath("/"+strings.Repeat("x", 100), "n0"); err == nil {
 		t.Error("a path that no socket can have")
 	}
-	a, _ := Path("/tmp", "n0")
-	if b, _ := Path("/tmp", "n1"); a == b {
+	a, _ := SocketPath("/tmp", "n0")
+	if b, _ := SocketPath("/tmp", "n1"); a == b {
 		t.Error("two routers meet at the same place")
 	}
 }
--- a/internal/hotrestartipc/place.go
+++ b/internal/hotrestartipc/place.go
@@ -36,7 +36,7 @@
 // AcquireSlot takes the next place among the processes of the router of that name. Where none of them lives, what they
 // left behind is removed, their bans too: a plain restart starts from nothing.
 func AcquireSlot(dir, name string) (*ProcessSlot, error) {
-	path, err := Path(dir, name)
+	path, err := SocketPath(dir, name)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	// The greatest place ever given is kept: one that was given again would be taken for the process that had it.
-	last := hotrestart.First - 1
+	last := hotrestart.FirstProcess - 1
 	text := make([]byte, 32)
 	n, _ := roster.ReadAt(text, 0)
 	if v, err := strconv.ParseUint(strings.TrimSpace(string(text[:n])), 10, 48); err == nil {
@@ -98,7 +98,7 @@
 }
 
 func (p *ProcessSlot) socket(of hotrestart.ProcessNumber) string {
-	if of == hotrestart.Unplaced {
+	if of == hotrestart.LegacyPredecessor {
 		return p.base + ".sock"
 	}
 	return fmt.Sprintf("%s.%d.sock", p.base, of)
@@ -114,7 +114,7 @@
 	names, _ := filepath.Glob(p.base + ".*.lock")
 	for _, name := range names {
 		text := strings.TrimSuffix(strings.TrimPrefix(name, p.base+"."), ".lock")
-		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.ProcessNumber(n) >= hotrestart.First {
+		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.ProcessNumber(n) >= hotrestart.FirstProcess {
 			all = append(all, hotrestart.ProcessNumber(n))
 		}
 	}
@@ -124,7 +124,7 @@
 
 // Alive tells whether the process of a place lives; one that is stopped does.
 func (p *ProcessSlot) Alive(of hotrestart.ProcessNumber) bool {
-	if of == hotrestart.Unplaced {
+	if of == hotrestart.LegacyPredecessor {
 		return p.legacy()
 	}
 	f, err := os.Open(p.lockFile(of))
@@ -139,7 +139,7 @@
 // legacy tells whether a process of version 1 waits where those do. A placed process is published there under its own
 // socket's name, too, and does not count.
 func (p *ProcessSlot) legacy() bool {
-	at, err := os.Stat(p.socket(hotrestart.Unplaced))
+	at, err := os.Stat(p.socket(hotrestart.LegacyPredecessor))
 	if err != nil {
 		return false
 	}
@@ -148,7 +148,7 @@
 			return false
 		}
 	}
-	conn, err := Dial(p.socket(hotrestart.Unplaced), dialWithin)
+	conn, err := Dial(p.socket(hotrestart.LegacyPredecessor), dialWithin)
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist)
 	}
@@ -164,9 +164,9 @@
 		}
 	}
 	if p.legacy() {
-		return hotrestart.Unplaced
+		return hotrestart.LegacyPredecessor
 	}
-	return hotrestart.None
+	return hotrestart.NoProcess
 }
 
 // Connect connects to the process of a place.
@@ -174,14 +174,14 @@
 	return Dial(p.socket(of), dialWithin)
 }
 
-// Publish has processes of version 1 find this one.
-func (p *ProcessSlot) Publish() error {
+// PublishToLegacy has processes of version 1 find this one.
+func (p *ProcessSlot) PublishToLegacy() error {
 	mine := p.base + ".own"
 	_ = os.Remove(mine)
 	if err := os.Link(p.socket(p.Process), mine); err != nil {
 		return err
 	}
-	err := os.Rename(mine, p.socket(hotrestart.Unplaced))
+	err := os.Rename(mine, p.socket(hotrestart.LegacyPredecessor))
 	_ = os.Remove(mine) // a rename onto another name of the same file leaves both
 	return err
 }
@@ -192,8 +192,8 @@
 		_ = p.Listener.Close()
 	}
 	own, err := os.Stat(p.socket(p.Process))
-	if at, bad := os.Stat(p.socket(hotrestart.Unplaced)); err == nil && bad == nil && os.SameFile(at, own) {
-		_ = os.Remove(p.socket(hotrestart.Unplaced))
+	if at, bad := os.Stat(p.socket(hotrestart.LegacyPredecessor)); err == nil && bad == nil && os.SameFile(at, own) {
+		_ = os.Remove(p.socket(hotrestart.LegacyPredecessor))
 	}
 	_ = os.Remove(p.socket(p.Process))
 	_ = os.Remove(p.lockFile(p.Process))
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -25,7 +25,7 @@
 // Ready implements control.Operators.
 func (r *node) Ready() error {
 	switch {
-	case r.machine.Phase() == hotrestart.Superseded || r.leaving:
+	case r.machine.Phase() == hotrestart.PhaseSuperseded || r.leaving:
 		return errors.New("another process of this router accepts")
 	case !r.machine.Ready():
 		return errors.New(r.machine.Phase().String())
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -25,8 +25,8 @@
 		old, next := &node{}, &node{}
 		next.peer = use{Sessions: sockets / 3}
 		a, b := one, one
-		old.divide(&a, hotrestart.HalfShare)
-		next.divide(&b, hotrestart.HalfShare)
+		old.divide(&a, hotrestart.ShareHalf)
+		next.divide(&b, hotrestart.ShareHalf)
 		if n := sockets/3 + b.mysql.MaxSessions + a.fetch.MaxConns + b.fetch.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: two processes hold %d", sockets, n)
 		}
@@ -35,7 +35,7 @@
 		}
 		// One that hangs has all of its own, and the new one keeps to what is left for a successor.
 		guarded := one
-		next.divide(&guarded, hotrestart.ReserveShare)
+		next.divide(&guarded, hotrestart.ShareReserve)
 		if n := one.mysql.MaxSessions + one.fetch.MaxConns + guarded.mysql.MaxSessions + guarded.fetch.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: beside a process that hangs, both hold %d", sockets, n)
 		}
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -83,7 +83,7 @@
 // operators hear from a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var words strings.Builder
-	for p := hotrestart.FindingPredecessor; p <= hotrestart.Ended; p++ {
+	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
 		words.WriteString(p.String() + "\n")
 	}
 	golden.File(t, filepath.Join("testdata", "golden", "phases.txt"), []byte(words.String()))
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -31,7 +31,7 @@
 	one.Version, one.Configuration = 0, nil
 	return append(sharedSamples(),
 		messageSample{"v1/hello", "hello", hello{PID: 22071}, []string{"Place", "Version"}},
-		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: hotrestart.Version}, nil},
+		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: hotrestart.ProtocolVersion}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
 		messageSample{"v2/state", "state", two, nil},
 		messageSample{"v1/ban", msgBan, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
@@ -71,7 +71,7 @@
 func sampleState() state {
 	revision := sampleRevision()
 	return state{
-		Version:       hotrestart.Version,
+		Version:       hotrestart.ProtocolVersion,
 		Generation:    2,
 		Core:          router.State{OpenIDs: []string{"0000000000000001"}, ConsumedIDs: []string{"0000000000000002", "0000000000000003"}, Dispatch: sampleSnapshot()},
 		Listeners:     []string{"clients", "door"},
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -39,9 +39,9 @@
 
 // messages are those that the machine knows.
 var messages = map[string]hotrestart.MessageKind{
-	"hello": hotrestart.Hello, "wait": hotrestart.Wait, "state": hotrestart.State,
+	"hello": hotrestart.MessageHello, "wait": hotrestart.MessageWait, "state": hotrestart.MessageState,
 
-	"ready": hotrestart.Ready, "go-ahead": hotrestart.GoAhead, "back": hotrestart.Back,
+	"ready": hotrestart.MessageReady, "go-ahead": hotrestart.MessageGoAhead, "back": hotrestart.MessageHandBack,
 }
 
 const (
@@ -106,7 +106,7 @@
 	r.io = make(chan func(), 64)
 	r.beat()
 	go r.watchLoop()
-	self := hotrestart.First
+	self := hotrestart.FirstProcess
 	if placed {
 		var err error
 		if r.place, err = hotrestartipc.AcquireSlot(os.TempDir(), meeting(r.cfg)); err != nil {
@@ -120,12 +120,12 @@
 	go r.work() // it reads the place
 	r.generation = uint8(self % 16)
 	var effects []hotrestart.Effect
-	r.machine, effects = hotrestart.New(self, r.loop.Now(), hotrestart.Defaults)
+	r.machine, effects = hotrestart.New(self, r.loop.Now(), hotrestart.DefaultSettings)
 	for _, e := range effects {
 		r.carryOut(e)
 	}
 	if r.place == nil {
-		r.step(hotrestart.Event{Kind: hotrestart.PredecessorFound})
+		r.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound})
 	}
 }
 
@@ -178,24 +178,24 @@
 	if r.failed != nil {
 		return
 	}
-	switch e.Do {
-	case hotrestart.FindPredecessor:
+	switch e.Action {
+	case hotrestart.ActionFindPredecessor:
 		r.look()
-	case hotrestart.Send:
+	case hotrestart.ActionSend:
 		r.say(r.links[e.Process], e.Message)
-	case hotrestart.RestoreState:
+	case hotrestart.ActionRestoreState:
 		r.takeState()
-	case hotrestart.StartAccepting:
+	case hotrestart.ActionStartAccepting:
 		r.accept()
-	case hotrestart.StopAccepting:
+	case hotrestart.ActionStopAccepting:
 		r.yield()
-	case hotrestart.Leave:
+	case hotrestart.ActionFinish:
 		r.leave()
-	case hotrestart.Drain:
+	case hotrestart.ActionDrain:
 		r.drain()
-	case hotrestart.End:
+	case hotrestart.ActionEnd:
 		r.end()
-	case hotrestart.SetShare:
+	case hotrestart.ActionSetShare:
 		if r.core != nil {
 			r.rebound()
 			r.limit()
@@ -219,20 +219,20 @@
 	go func() {
 		found := r.place.Predecessor()
 		var conn *net.UnixConn
-		if found != hotrestart.None && !slices.Contains(linked, found) {
+		if found != hotrestart.NoProcess && !slices.Contains(linked, found) {
 			conn, _ = r.place.Connect(found) // an elder that can't be reached is one that is silent
 		}
 		r.loop.Post(func() {
 			r.looking = false
 			if conn != nil {
-				p := &peer{place: found, version: hotrestart.Version}
+				p := &peer{place: found, version: hotrestart.ProtocolVersion}
 				r.links[found] = p
 				r.connect(p, conn)
 			}
-			if e := r.machine.Predecessor(); e != hotrestart.None && e != found && r.links[e] == nil && !r.place.Alive(e) {
+			if e := r.machine.Predecessor(); e != hotrestart.NoProcess && e != found && r.links[e] == nil && !r.place.Alive(e) {
 				r.gone(e) // it could not be linked up with, so that no link's end tells of its own
 			}
-			r.step(hotrestart.Event{Kind: hotrestart.PredecessorFound, Process: found})
+			r.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound, Process: found})
 		})
 	}()
 }
@@ -268,16 +268,16 @@
 
 // ended goes on after a link that ended; what lives at its other end may not have.
 func (r *node) ended(p *peer, err error) {
-	if p.place == hotrestart.None || r.links[p.place] != p {
+	if p.place == hotrestart.NoProcess || r.links[p.place] != p {
 		return
 	}
 	delete(r.links, p.place)
 	if r.with == p {
 		r.settleAnswers()
 	}
-	if p.bye || p.place != hotrestart.Stranger && r.place.Alive(p.place) {
+	if p.bye || p.place != hotrestart.LegacySuccessor && r.place.Alive(p.place) {
 		r.log.Info("link ended", "place", uint64(p.place), "why", err)
-		r.step(hotrestart.Event{Kind: hotrestart.Cut, Process: p.place})
+		r.step(hotrestart.Event{Kind: hotrestart.EventLinkLost, Process: p.place})
 		if !p.bye {
 			r.watch(p.place)
 		}
@@ -301,8 +301,8 @@
 
 // gone goes on without a process that has ended.
 func (r *node) gone(who hotrestart.ProcessNumber) {
-	shared := who == r.machine.Predecessor() && r.machine.Phase() != hotrestart.AskingPredecessor || who == r.machine.Successor()
-	r.step(hotrestart.Event{Kind: hotrestart.Gone, Process: who})
+	shared := who == r.machine.Predecessor() && r.machine.Phase() != hotrestart.PhaseAwaitingState || who == r.machine.Successor()
+	r.step(hotrestart.Event{Kind: hotrestart.EventProcessEnded, Process: who})
 	if !shared || r.core == nil || r.failed != nil {
 		return
 	}
@@ -331,7 +331,7 @@
 
 // state gives a newer process of this router what it needs to go on in this one's place.
 func (r *node) state() (state, []*os.File) {
-	s := state{Version: hotrestart.Version, Generation: r.generation, Core: r.core.State(), At: map[string]string{}}
+	s := state{Version: hotrestart.ProtocolVersion, Generation: r.generation, Core: r.core.State(), At: map[string]string{}}
 	var files []*os.File
 	for _, l := range r.listeners() {
 		if l.name == listenClients && r.passed != nil {
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -81,9 +81,9 @@
 	var p *peer
 	if r.core != nil {
 		switch m := &r.machine; {
-		case m.Predecessor() != hotrestart.None && m.Phase() != hotrestart.AskingPredecessor && m.Phase() != hotrestart.Degraded:
+		case m.Predecessor() != hotrestart.NoProcess && m.Phase() != hotrestart.PhaseAwaitingState && m.Phase() != hotrestart.PhaseDegraded:
 			p = r.links[m.Predecessor()]
-		case m.Successor() != hotrestart.None:
+		case m.Successor() != hotrestart.NoProcess:
 			p = r.links[m.Successor()]
 		}
 	}
@@ -123,19 +123,19 @@
 
 // say sends a message of the machine's.
 func (r *node) say(p *peer, what hotrestart.MessageKind) {
-	if p == nil || p.version == 1 && (what == hotrestart.Wait || what == hotrestart.Back) {
+	if p == nil || p.version == 1 && (what == hotrestart.MessageWait || what == hotrestart.MessageHandBack) {
 		return
 	}
 	var body any
 	var files []*os.File
 	switch what {
-	case hotrestart.Hello:
-		body = hello{PID: os.Getpid(), Place: r.machine.Self, Version: hotrestart.Version}
-	case hotrestart.Wait:
+	case hotrestart.MessageHello:
+		body = hello{PID: os.Getpid(), Place: r.machine.Self, Version: hotrestart.ProtocolVersion}
+	case hotrestart.MessageWait:
 		body = wait{Phase: r.machine.Phase().String(), PID: os.Getpid()}
-	case hotrestart.State:
+	case hotrestart.MessageState:
 		body, files = r.state()
-	case hotrestart.Ready:
+	case hotrestart.MessageReady:
 		body = ready{Took: r.took}
 	}
 	p.link.Send(hotrestartipc.NewMessage(what.String(), body, files...))
@@ -154,7 +154,7 @@
 	var err error
 	if kind, ok := messages[m.Kind]; ok {
 		err = r.hearMachine(p, kind, &m)
-	} else if p.place != hotrestart.None && r.links[p.place] == p && r.core != nil {
+	} else if p.place != hotrestart.NoProcess && r.links[p.place] == p && r.core != nil {
 		err = r.hearOther(p, &m)
 	}
 	if err != nil {
@@ -165,33 +165,33 @@
 // hearMachine takes a message that is the machine's.
 func (r *node) hearMachine(p *peer, kind hotrestart.MessageKind, m *hotrestartipc.Message) error {
 	switch kind {
-	case hotrestart.Hello:
+	case hotrestart.MessageHello:
 		var h hello
 		if err := m.Decode(&h); err != nil {
 			return err
 		}
-		version, ok := hotrestart.Agree(h.Version)
+		version, ok := hotrestart.NegotiateVersion(h.Version)
 		if !ok {
 			p.link.Close()
-			return fmt.Errorf("process %d speaks version %d, this one %d to %d", h.PID, h.Version, hotrestart.Oldest, hotrestart.Version)
+			return fmt.Errorf("process %d speaks version %d, this one %d to %d", h.PID, h.Version, hotrestart.OldestProtocolVersion, hotrestart.ProtocolVersion)
 		}
 		who := h.Place
-		if who < hotrestart.First {
-			who = hotrestart.Stranger
+		if who < hotrestart.FirstProcess {
+			who = hotrestart.LegacySuccessor
 		}
 		if who <= r.machine.Self { // a folder that was tampered with: each asks only who was there before it
 			p.link.Close()
 			return fmt.Errorf("process %d has place %d, and this one %d", h.PID, who, r.machine.Self)
 		}
 		p.version = version
-		if p.place == hotrestart.None {
+		if p.place == hotrestart.NoProcess {
 			p.place = who
 			if old := r.links[who]; old != nil {
 				old.link.Close()
 			}
 			r.links[who] = p
 		}
-	case hotrestart.State:
+	case hotrestart.MessageState:
 		s := state{Version: 1}
 		if err := m.Decode(&s); err != nil {
 			return err
@@ -199,7 +199,7 @@
 		if len(m.Files) != len(s.Listeners) {
 			return errors.New("the descriptors don't match the listeners")
 		}
-		p.version, _ = hotrestart.Agree(s.Version)
+		p.version, _ = hotrestart.NegotiateVersion(s.Version)
 		if r.generation == s.Generation { // of a process of version 1, which counts by itself
 			r.generation = (s.Generation + 8) % 16
 		}
@@ -208,7 +208,7 @@
 			r.files[s.Listeners[i]] = f
 		}
 		defer clear(r.files)
-	case hotrestart.Ready:
+	case hotrestart.MessageReady:
 		var now ready
 		if err := m.Decode(&now); err != nil {
 			return err
@@ -216,7 +216,7 @@
 		r.theyTook = now.Took
 	}
 	if r.links[p.place] == p {
-		r.step(hotrestart.Event{Kind: hotrestart.Received, Process: p.place, Message: kind})
+		r.step(hotrestart.Event{Kind: hotrestart.EventMessageReceived, Process: p.place, Message: kind})
 	}
 	return nil
 }
@@ -302,10 +302,10 @@
 	ask, may := r.machine.MustAsk()
 	p := r.links[ask]
 	switch {
-	case !may || ask != hotrestart.None && p == nil:
+	case !may || ask != hotrestart.NoProcess && p == nil:
 		r.loop.After(0, func() { then(router.ClaimTimedOut) })
 		return
-	case ask == hotrestart.None || p.version == 1: // which knows no such question
+	case ask == hotrestart.NoProcess || p.version == 1: // which knows no such question
 		then(router.ClaimGranted)
 		return
 	}
@@ -334,7 +334,7 @@
 func (r *node) divide(b *bounds, share hotrestart.Share) {
 	b.inbound /= 2
 	b.mysql.MaxBuffered /= 2
-	if share != hotrestart.HalfShare {
+	if share != hotrestart.ShareHalf {
 		b.mysql.MaxSessions = min(b.mysql.MaxSessions, guardedSessions)
 		b.fetch.MaxConns = min(b.fetch.MaxConns, guardedConns)
 		return
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -105,7 +105,7 @@
 	door := freePort(t)
 	f.start(door)
 	f.ready(door)
-	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
 	conn, err := hotrestartipc.Dial(path, time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	old, next := recorded(t, "version 1")
 	one, two := newSlowEngine(), newSlowEngine()
 	f := newFleet(t, one, two)
-	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
 	lis, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -325,7 +325,7 @@
 func TestForeignAtTheMeetingPoint(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, newSlowEngine(), newSlowEngine())
-	path, _ := hotrestartipc.Path(f.dir(), "n0 "+f.clients.Addr().String())
+	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
 	base := strings.TrimSuffix(path, ".sock")
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: base + ".7.sock", Net: "unix"})
 	if err != nil {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -28,7 +28,7 @@
 	}
 	r.openIdle()
 	if r.place != nil {
-		if err := r.place.Publish(); err != nil {
+		if err := r.place.PublishToLegacy(); err != nil {
 			r.log.Warn("a process of version 1 would not find this one", "err", err)
 		}
 	}
@@ -114,7 +114,7 @@
 // takes over from, where the address is the same; else one of its own.
 func (r *node) provide(l listening) error {
 	lis, shared, err := r.listener(l)
-	if errors.Is(err, syscall.EADDRINUSE) && r.machine.Phase() == hotrestart.Degraded {
+	if errors.Is(err, syscall.EADDRINUSE) && r.machine.Phase() == hotrestart.PhaseDegraded {
 		r.missing = append(r.missing, l.name)
 		return nil
 	}
@@ -159,7 +159,7 @@
 		lis, err = netio.Listen(l.addr)
 		return err
 	}
-	if r.machine.Phase() == hotrestart.Degraded { // its holder hangs, and the loop has requests to serve
+	if r.machine.Phase() == hotrestart.PhaseDegraded { // its holder hangs, and the loop has requests to serve
 		err = bind()
 	} else {
 		err = retry(bind)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -244,5 +244,5 @@
 		}
 		return
 	}
-	r.step(hotrestart.Event{Kind: hotrestart.Stop})
+	r.step(hotrestart.Event{Kind: hotrestart.EventStopRequested})
 }
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -23,7 +23,7 @@
 		handsOver: true,
 		start: func(bounds) error {
 			// An elder that hangs may have a session; the neighbour would take a second one for a collision.
-			if r.machine.Predecessor() != hotrestart.None && (r.machine.Phase() == hotrestart.Degraded || slices.Contains(r.handed.Parts, "bgp")) {
+			if r.machine.Predecessor() != hotrestart.NoProcess && (r.machine.Phase() == hotrestart.PhaseDegraded || slices.Contains(r.handed.Parts, "bgp")) {
 				s = bgp.StartDeferred(r.loop, r.net, *r.site.BGP, r.log)
 			} else {
 				s = bgp.StartSpeaker(r.loop, r.net, *r.site.BGP, r.log)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -75,7 +75,7 @@
 // bounds are those of the configuration, or this process's part of them while another one stands for the same router.
 func (r *node) bounds(cfg *settings.Node) (bounds, error) {
 	b, err := boundsOf(cfg, r.setAside())
-	if s := r.machine.Share(); err == nil && s != hotrestart.FullShare {
+	if s := r.machine.Share(); err == nil && s != hotrestart.ShareFull {
 		r.divide(&b, s)
 	}
 	return b, err
@@ -109,8 +109,8 @@
 	}, err
 }
 
-func namesOf(cfg *settings.Node) discovery.Names {
-	return discovery.Names{Zones: cfg.Parsed.Zones, Kinds: cfg.Parsed.Kinds}
+func namesOf(cfg *settings.Node) discovery.RecordNames {
+	return discovery.RecordNames{Zones: cfg.Parsed.Zones, Kinds: cfg.Parsed.Kinds}
 }
 
 // limit keeps the runtime within what the deployment gives; two processes of one router have half of the memory each.
@@ -119,7 +119,7 @@
 		runtime.GOMAXPROCS(max(int(cores+0.5), 1))
 	}
 	if memory := r.cfg.Limits.MemoryMB << 20; memory > 0 {
-		if r.machine.Share() != hotrestart.FullShare {
+		if r.machine.Share() != hotrestart.ShareFull {
 			memory /= 2
 		}
 		debug.SetMemoryLimit(int64(float64(memory) * memoryShare))
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -30,7 +30,7 @@
 	r.log.Info("draining", "open", r.core.OpenRequests())
 	r.leaving = false
 	patience := patienceAlone
-	if r.machine.Predecessor() != hotrestart.None || r.machine.Successor() != hotrestart.None {
+	if r.machine.Predecessor() != hotrestart.NoProcess || r.machine.Successor() != hotrestart.NoProcess {
 		patience = patienceUpgrade
 	}
 	r.closeBy(patience)
@@ -47,7 +47,7 @@
 // come in whole on an accepted connection is taken, whenever it came. Once all must have been answered, nothing holds the
 // end up any more: a client that never finishes a packet would have the program killed.
 func (r *node) drained() {
-	if r.machine.Phase() != hotrestart.Draining {
+	if r.machine.Phase() != hotrestart.PhaseDraining {
 		return // another process accepts now
 	}
 	now := r.loop.Now()
@@ -58,7 +58,7 @@
 		r.endAll(now)
 	}
 	if r.endBy > 0 && r.finished(now) {
-		r.step(hotrestart.Event{Kind: hotrestart.Quiet})
+		r.step(hotrestart.Event{Kind: hotrestart.EventIdle})
 		return
 	}
 	r.loop.After(20, r.drained)
@@ -101,7 +101,7 @@
 func (r *node) left() {
 	now := r.loop.Now()
 	switch {
-	case r.machine.Phase() == hotrestart.Draining:
+	case r.machine.Phase() == hotrestart.PhaseDraining:
 		return // the other process ended; this is a plain end now
 	case r.busy() || r.front.Sessions()+r.net.ClosingConns() > 0:
 		r.busyAt = now
@@ -111,7 +111,7 @@
 				part.farewell(r.with.link)
 			}
 		}
-		r.step(hotrestart.Event{Kind: hotrestart.Quiet})
+		r.step(hotrestart.Event{Kind: hotrestart.EventIdle})
 		return
 	}
 	r.loop.After(10, r.left)
