--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -38,27 +38,34 @@
 // fullRecords are one of each kind, all fields set.
 func fullRecords() []record.Record {
 	row := record.ClassStats{
-		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2, Cancelled: 5,
+		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2,
+		Cancelled:  5,
 		EstimateMS: 812.5, P50MS: 11.5, P99MS: 93.25,
 	}
 	engine := record.EngineStats{
-		EngineID: "s-00000001", Sent: 50, Served: 43, Rejected: 2, Errored: 1, ConnectionFailed: 3, TimedOut: 4, InFlight: 7,
+		EngineID: "s-00000001", Sent: 50, Served: 43, Rejected: 2, Errored: 1, ConnectionFailed: 3, TimedOut: 4,
+		InFlight:    7,
 		BusyThreads: 2.5, P50MS: 10.5, P99MS: 88.75,
 	}
 	return []record.Record{
 		&record.EngineChange{
-			AtMS: zero + 1, EngineID: "s-00000001", State: record.Down, Previous: record.Slow, Slowness: 3.5, FailureRate: 0.125, ConnectionFailures: 6,
+			AtMS: zero + 1, EngineID: "s-00000001", State: record.Down, Previous: record.Slow, Slowness: 3.5,
+			FailureRate: 0.125, ConnectionFailures: 6,
 			WarmUpEndMS: zero + 9000, Zone: "z1", Kind: "large", LastEvent: 77,
 		},
 		&record.Interval{
-			AtMS: zero + 1000, DurationMS: 1000, Classes: []record.ClassStats{row}, Engines: []record.EngineStats{engine}, OpenRequests: 9, QueuedRequests: 2,
-			Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3, InvalidResponses: 4, LastEvent: 78, DiscoveryAgeMS: 250.5,
+			AtMS: zero + 1000, DurationMS: 1000, Classes: []record.ClassStats{row},
+			Engines: []record.EngineStats{engine}, OpenRequests: 9, QueuedRequests: 2,
+			Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3, InvalidResponses: 4,
+			LastEvent: 78, DiscoveryAgeMS: 250.5,
 		},
 		&record.RequestFailure{
 			AtMS: zero + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
 			Reason: "no room", EngineID: "s-00000001", AfterMS: 41.5,
 		},
-		&record.Event{AtMS: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"}},
+		&record.Event{
+			AtMS: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"},
+		},
 		&record.Gap{AtMS: zero + 1003, FromMS: zero + 900, Dropped: 21},
 	}
 }
@@ -82,7 +89,10 @@
 		{"records-cat.txt", []string{"records", "cat", full[0]}},
 		{"records-cat-kinds.txt", []string{"records", "cat", "--kind", "engine,header,gap", dir}},
 		{"records-check.txt", []string{"records", "check", dir}},
-		{"records-cut.txt", []string{"records", "cut", "--from", stamp(zero + 58_000), "--to", stamp(zero + 61_000), "-o", cut, dir}},
+		{
+			"records-cut.txt",
+			[]string{"records", "cut", "--from", stamp(zero + 58_000), "--to", stamp(zero + 61_000), "-o", cut, dir},
+		},
 		{"records-cut-cat.txt", []string{"records", "cat", cut}},
 		{"incident.txt", []string{"incident", dir}},
 	} {
@@ -134,7 +144,9 @@
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	var said bytes.Buffer
-	for _, args := range [][]string{{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"}} {
+	for _, args := range [][]string{
+		{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
+	} {
 		out, bad, err := run(t, append([]string{"door", "--door", address}, args...)...)
 		fmt.Fprintf(&said, "%v\n%s%s%v\n\n", args, out, bad, err)
 	}
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -13,16 +13,21 @@
 func recordSamples() []record.Record {
 	return []record.Record{
 		&record.Header{
-			Version: 1, Router: "n0", Incarnation: 2, ProcessID: "p-3", Program: "windflow v4", SegmentNumber: 5, ClockMS: 6.5,
-			WallMS: 7.5, Classes: []record.Class{{Name: "lookup", PriorityWeight: 8.5, LateWeightShare: 0.25, ObjectiveMS: 9.5}},
+			Version: 1, Router: "n0", Incarnation: 2, ProcessID: "p-3", Program: "windflow v4", SegmentNumber: 5,
+			ClockMS: 6.5,
+			WallMS:  7.5,
+			Classes: []record.Class{{Name: "lookup", PriorityWeight: 8.5, LateWeightShare: 0.25, ObjectiveMS: 9.5}},
 		},
 		&record.EngineChange{
-			AtMS: 11.5, EngineID: "s-00000001", State: record.Cordoned, Previous: record.Slow, Slowness: 12.5, FailureRate: 0.5, ConnectionFailures: 13,
+			AtMS: 11.5, EngineID: "s-00000001", State: record.Cordoned, Previous: record.Slow, Slowness: 12.5,
+			FailureRate: 0.5, ConnectionFailures: 13,
 			WarmUpEndMS: 14.5, Zone: "a", Kind: "arrow", LastEvent: 15,
 		},
 		&record.Interval{
-			AtMS: 21.5, DurationMS: 1000.5, Classes: []record.ClassStats{sampleRow()}, Engines: []record.EngineStats{sampleEngineRow()},
-			OpenRequests: 22, QueuedRequests: 23, Congestion: 0.75, EngineConnections: 24, ClientSessions: 25, RejectedSessions: 26, InvalidResponses: 27, LastEvent: 28, DiscoveryAgeMS: 29.5,
+			AtMS: 21.5, DurationMS: 1000.5, Classes: []record.ClassStats{sampleRow()},
+			Engines:      []record.EngineStats{sampleEngineRow()},
+			OpenRequests: 22, QueuedRequests: 23, Congestion: 0.75, EngineConnections: 24, ClientSessions: 25,
+			RejectedSessions: 26, InvalidResponses: 27, LastEvent: 28, DiscoveryAgeMS: 29.5,
 		},
 		&record.RequestFailure{
 			AtMS: 31.5, RequestID: "000000000000000b", Class: "load", Tenant: "a-17", Rejected: true, Reason: "no room",
@@ -42,7 +47,8 @@
 
 func sampleEngineRow() record.EngineStats {
 	return record.EngineStats{
-		EngineID: "s-00000001", Sent: 71, Served: 72, Rejected: 73, Errored: 74, ConnectionFailed: 75, TimedOut: 76, InFlight: 77,
+		EngineID: "s-00000001", Sent: 71, Served: 72, Rejected: 73, Errored: 74, ConnectionFailed: 75, TimedOut: 76,
+		InFlight:    77,
 		BusyThreads: 78.5, P50MS: 79.5, P99MS: 80.5,
 	}
 }
@@ -53,7 +59,7 @@
 	enc := json.NewEncoder(&out)
 	for _, r := range recordSamples() {
 		golden.Full(t, r)
-		if err := enc.Encode(line{kindOf(r), "n0", 2, "p-3", stamp(record.When(r)), r}); err != nil {
+		if err := enc.Encode(line{kindOf(r), "n0", 2, "p-3", stamp(r.TimeMS()), r}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -33,13 +34,20 @@
 				row.OnTime, row.Failed = 20, 30
 			}
 			if s == 60 {
-				w.Put(&record.EngineChange{AtMS: on(60_000), EngineID: "s-00000001", State: record.Down, Previous: record.Normal, ConnectionFailures: 6})
+				w.Put(&record.EngineChange{
+					AtMS: on(60_000), EngineID: "s-00000001", State: record.Down, Previous: record.Normal,
+					ConnectionFailures: 6,
+				})
 			}
 			if s == 70 {
-				w.Put(&record.EngineChange{AtMS: on(70_000), EngineID: "s-00000001", State: record.Normal, Previous: record.Down})
+				w.Put(&record.EngineChange{
+					AtMS: on(70_000), EngineID: "s-00000001", State: record.Normal, Previous: record.Down,
+				})
 			}
 			if s%20 == 5 {
-				w.Put(&record.EngineChange{AtMS: on(float64(1000 * s)), EngineID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone})
+				w.Put(&record.EngineChange{
+					AtMS: on(float64(1000 * s)), EngineID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone,
+				})
 			}
 			w.Put(&record.Interval{AtMS: on(float64(1000 * s)), DurationMS: 1000, Classes: []record.ClassStats{row}})
 		}
@@ -59,6 +67,33 @@
 	return a.String(), b.String(), err
 }
 
+// printedLine is a line of "records cat" as a reader decodes it.
+type printedLine struct {
+	Kind   string          `json:"kind"`
+	Time   string          `json:"time"`
+	Record json.RawMessage `json:"record"`
+}
+
+// decodeLine decodes a line and the record in it, which must have the fields of its kind and no others.
+func decodeLine(text string) (printedLine, error) {
+	var printed printedLine
+	if err := json.Unmarshal([]byte(text), &printed); err != nil {
+		return printed, err
+	}
+	var target record.Record
+	switch printed.Kind {
+	case "header":
+		target = &record.Header{}
+	case "engine":
+		target = &record.EngineChange{}
+	default:
+		return printed, fmt.Errorf("unexpected kind %q", printed.Kind)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(printed.Record))
+	decoder.DisallowUnknownFields()
+	return printed, decoder.Decode(target)
+}
+
 func TestRecordsCommands(t *testing.T) {
 	dir := write(t)
 	out, _, err := run(t, "records", "check", dir)
@@ -71,8 +106,8 @@
 		t.Error(len(lines), err)
 	}
 	for _, l := range lines {
-		var v line
-		if err := json.Unmarshal([]byte(l), &v); err != nil || v.Kind != "engine" && v.Kind != "header" || v.Time == "" {
+		printed, err := decodeLine(l)
+		if err != nil || printed.Kind != "engine" && printed.Kind != "header" || printed.Time == "" {
 			t.Errorf("%s: %v", l, err)
 		}
 	}
@@ -117,7 +152,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"clock off by +250.0 ms", "Incident 1", "lookup of rckik-south", "failed", "engine s-00000001: down at n0"} {
+	for _, want := range []string{
+		"clock off by +250.0 ms", "Incident 1", "lookup of rckik-south", "failed", "engine s-00000001: down at n0",
+	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is not in\n%s", want, out)
 		}
--- a/cmd/windflowctl/records.go
+++ b/cmd/windflowctl/records.go
@@ -85,7 +85,7 @@
 						return nil
 					}
 				}
-				return enc.Encode(line{kind, h.Router, h.Incarnation, h.ProcessID, stamp(record.When(r)), r})
+				return enc.Encode(line{kind, h.Router, h.Incarnation, h.ProcessID, stamp(r.TimeMS()), r})
 			}
 			last := ""
 			read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error {
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -16,7 +16,9 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		for name, text := range map[string]string{"stat": tid + " (wind) R (flow) " + state + " 1 71", "wchan": channel} {
+		for name, text := range map[string]string{
+			"stat": tid + " (wind) R (flow) " + state + " 1 71", "wchan": channel,
+		} {
 			if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -66,8 +66,16 @@
 		name  string
 		bytes []byte
 	}{
-		{"open", encodeOpen(openMessage{asNumber: 64513, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1")})},
-		{"open of a large system", encodeOpen(openMessage{asNumber: 4_200_000_001, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1")})},
+		{
+			"open",
+			encodeOpen(openMessage{asNumber: 64513, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1")}),
+		},
+		{
+			"open of a large system",
+			encodeOpen(openMessage{
+				asNumber: 4_200_000_001, holdTimeSeconds: 9, routerID: netip.MustParseAddr("10.0.0.1"),
+			}),
+		},
 		{"keepalive", encodeMessage(typeKeepalive, nil)},
 		{"announcement", encodeUpdate(cfg, true, false)},
 		{"announcement in 16 bits", encodeUpdate(cfg, false, false)},
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -187,9 +187,18 @@
 		{"short OPEN", false, encodeMessage(typeOpen, make([]byte, 9)), "0102001c"},
 		{"unknown type", false, edit(good, 18, 9), "010309"},
 		{"version", false, edit(good, 19, 3), "02010004"},
-		{"wrong system", false, encodeOpen(openMessage{asNumber: 1, holdTimeSeconds: 30, routerID: peerOpen.routerID}), "0202"},
-		{"id of zeros", false, encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.IPv4Unspecified()}), "0203"},
-		{"hold time of 2", false, encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 2, routerID: peerOpen.routerID}), "0206"},
+		{
+			"wrong system", false,
+			encodeOpen(openMessage{asNumber: 1, holdTimeSeconds: 30, routerID: peerOpen.routerID}), "0202",
+		},
+		{
+			"id of zeros", false,
+			encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.IPv4Unspecified()}), "0203",
+		},
+		{
+			"hold time of 2", false,
+			encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 2, routerID: peerOpen.routerID}), "0206",
+		},
 		{"parameters cut short", false, edit(good, 28, 99), "0200"},
 		{"capability cut short", false, edit(good, 32, 99), "0200"},
 		{"unknown parameter", false, edit(good, 29, 1), "0204"},
@@ -239,8 +248,14 @@
 		fourB bool
 		want  string
 	}{
-		{"within one system", inside, true, "0000" + "0015" + "40010100" + "400200" + "4003040a000001" + "40050400000064" + "20c000020a"},
-		{"to an old speaker", testConfig(), false, "0000" + "0012" + "40010100" + "4002040201fc01" + "4003040a000001" + "20c000020a"},
+		{
+			"within one system", inside, true,
+			"0000" + "0015" + "40010100" + "400200" + "4003040a000001" + "40050400000064" + "20c000020a",
+		},
+		{
+			"to an old speaker", testConfig(), false,
+			"0000" + "0012" + "40010100" + "4002040201fc01" + "4003040a000001" + "20c000020a",
+		},
 		{"a wide number to an old speaker", wide, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
 			"4003040a000001" + "c01106020100011170" + "100a01"},
 	} {
--- a/internal/incident/story.go
+++ b/internal/incident/story.go
@@ -45,13 +45,13 @@
 func (j *Joiner) Add(h *record.Header, r record.Record) {
 	p := j.processes[h.ProcessID]
 	if p == nil {
-		p = &process{head: *h, marks: map[mark]float64{}, from: record.When(r), to: record.When(r)}
+		p = &process{head: *h, marks: map[mark]float64{}, from: r.TimeMS(), to: r.TimeMS()}
 		j.processes[h.ProcessID] = p
 		for _, c := range h.Classes {
 			j.classes[c.Name] = c
 		}
 	}
-	at := record.When(r)
+	at := r.TimeMS()
 	p.from, p.to = min(p.from, at), max(p.to, at)
 	switch r := r.(type) {
 	case *record.EngineChange:
@@ -62,7 +62,10 @@
 		}
 		p.changes = append(p.changes, *r)
 	case *record.Interval:
-		s := second{at: r.AtMS, rows: make(map[key]record.ClassStats, len(r.Classes)), held: r.QueuedRequests, jam: r.Congestion}
+		s := second{
+			at: r.AtMS, rows: make(map[key]record.ClassStats, len(r.Classes)), held: r.QueuedRequests,
+			jam: r.Congestion,
+		}
 		for _, row := range r.Classes {
 			s.rows[key{row.Class, row.Tenant}] = row
 		}
--- a/internal/incident/story_test.go
+++ b/internal/incident/story_test.go
@@ -30,7 +30,10 @@
 		f.routers = append(f.routers, &clocked{
 			head: record.Header{
 				Version: 1, Router: fmt.Sprint("n", i), Incarnation: 2,
-				ProcessID: fmt.Sprint("p", i), Classes: []record.Class{{Name: "lookup", PriorityWeight: 1}, {Name: "report", PriorityWeight: 10, LateWeightShare: 0.4}},
+				ProcessID: fmt.Sprint("p", i),
+				Classes: []record.Class{
+					{Name: "lookup", PriorityWeight: 1}, {Name: "report", PriorityWeight: 10, LateWeightShare: 0.4},
+				},
 			},
 			offset: off, drift: drifts[i],
 		})
--- a/internal/record/extract.go
+++ b/internal/record/extract.go
@@ -2,91 +2,108 @@
 
 import (
 	"bufio"
+	"cmp"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 )
 
-// Extract writes the records from start to end, on their routers' clocks in milliseconds, to one segment a process in dir, and
-// gives their number. Each begins with the engines' states at the start, so that it can be understood alone.
-func Extract(files []string, dir string, start, end float64) (n int, err error) {
-	type out struct {
-		f      *os.File
-		w      *bufio.Writer
-		states map[string]*EngineChange // before the span
+// Extract copies the records from startMS to endMS, on their routers' clocks, into one segment per process in dir,
+// and returns their number. Each segment begins with the states that the engines had at startMS, so that it can be
+// read alone.
+func Extract(files []string, dir string, startMS, endMS float64) (records int, err error) {
+	e := &extraction{dir: dir, startMS: startMS, endMS: endMS, processes: map[string]*extractedProcess{}}
+	_, err = ReadSegments(files, e.add)
+	return e.records, cmp.Or(err, e.close())
+}
+
+// extraction copies a span of time.
+type extraction struct {
+	dir            string
+	startMS, endMS float64
+	processes      map[string]*extractedProcess // by process id
+	records        int
+}
+
+// extractedProcess is what is extracted of a process. It has no file until one of its records lies in the span.
+type extractedProcess struct {
+	file   *os.File
+	writer *bufio.Writer
+	buf    []byte
+	states map[string]*EngineChange // the last of each engine before the span
+}
+
+// add takes the next record of a process.
+func (e *extraction) add(header *Header, next Record) error {
+	process := e.processes[header.ProcessID]
+	if process == nil {
+		process = &extractedProcess{states: map[string]*EngineChange{}}
+		e.processes[header.ProcessID] = process
 	}
-	all := map[string]*out{}
-	defer func() {
-		for _, o := range all {
-			if o.f == nil {
-				continue
-			}
-			if e := o.w.Flush(); err == nil {
-				err = e
-			}
-			if e := o.f.Close(); err == nil {
-				err = e
-			}
+	switch at := next.TimeMS(); {
+	case at < e.startMS:
+		if change, ok := next.(*EngineChange); ok {
+			process.states[change.EngineID] = change
 		}
-	}()
-	var buf []byte
-	write := func(o *out, r Record) error {
-		b, err := appendFrame(buf[:0], r)
-		if err != nil {
+		return nil
+	case at > e.endMS:
+		return nil
+	}
+	if process.file == nil {
+		if err := e.begin(process, header); err != nil {
 			return err
 		}
-		buf = b
-		_, err = o.w.Write(b)
+	}
+	e.records++
+	return process.write(next)
+}
+
+// begin creates a process's segment, with the engines' states at the start of the span.
+func (e *extraction) begin(process *extractedProcess, header *Header) error {
+	name := fmt.Sprintf("%s-%013.0f-%d-cut%s", fileSafe(header.Router), e.startMS, header.Incarnation, Suffix)
+	file, err := os.OpenFile(filepath.Join(e.dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	if err != nil {
 		return err
 	}
-	_, err = ReadSegments(files, func(h *Header, r Record) error {
-		at := When(r)
-		o := all[h.ProcessID]
-		if o == nil {
-			o = &out{states: map[string]*EngineChange{}}
-			all[h.ProcessID] = o
-		}
-		if at < start {
-			if e, ok := r.(*EngineChange); ok {
-				o.states[e.EngineID] = e
-			}
-			return nil
+	process.file, process.writer = file, bufio.NewWriter(file)
+	first := *header
+	first.SegmentNumber, first.WallMS, first.ClockMS = 0, header.WallMS+e.startMS-header.ClockMS, e.startMS
+	if err := process.write(&first); err != nil {
+		return err
+	}
+	for _, id := range slices.Sorted(maps.Keys(process.states)) {
+		state := *process.states[id]
+		if state.State == Gone {
+			continue
 		}
-		if at > end {
-			return nil
+		state.AtMS, state.Previous = e.startMS, state.State
+		if err := process.write(&state); err != nil {
+			return err
 		}
-		if o.f == nil {
-			path := filepath.Join(dir, fmt.Sprintf("%s-%013.0f-%d-cut%s", safe(h.Router), start, h.Incarnation, Suffix))
-			var err error
-			if o.f, err = os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
-				return err
-			}
-			o.w = bufio.NewWriter(o.f)
-			head := *h
-			head.SegmentNumber, head.WallMS, head.ClockMS = 0, h.WallMS+start-h.ClockMS, start
-			if err := write(o, &head); err != nil {
-				return err
-			}
-			ids := make([]string, 0, len(o.states))
-			for id := range o.states {
-				ids = append(ids, id)
-			}
-			slices.Sort(ids)
-			for _, id := range ids {
-				e := *o.states[id]
-				if e.State == Gone {
-					continue
-				}
-				e.AtMS, e.Previous = start, e.State
-				if err := write(o, &e); err != nil {
-					return err
-				}
-				n++
-			}
+		e.records++
+	}
+	return nil
+}
+
+// close completes all segments and returns the first error.
+func (e *extraction) close() error {
+	var first error
+	for _, process := range e.processes {
+		if process.file != nil {
+			first = cmp.Or(first, process.writer.Flush(), process.file.Close())
 		}
-		n++
-		return write(o, r)
-	})
-	return n, err
+	}
+	return first
+}
+
+func (p *extractedProcess) write(next Record) error {
+	frame, err := appendFrame(p.buf[:0], next)
+	if err != nil {
+		return err
+	}
+	p.buf = frame
+	_, err = p.writer.Write(frame)
+	return err
 }
--- a/internal/record/log_handler.go
+++ b/internal/record/log_handler.go
@@ -5,51 +5,55 @@
 	"log/slog"
 )
 
-// NewLogHandler gives a handler that hands each line of the log, from Info up, on as an Event besides: the log and the records tell
-// the same, under the same names. put must not block.
-func NewLogHandler(h slog.Handler, now func() float64, put func(*Event)) slog.Handler {
-	return &tee{Handler: h, now: now, put: put}
+// NewLogHandler returns a handler that passes each line of level Info or above to put as an Event, under the same
+// names, and every line to next. nowMS is the router's clock. put must not block.
+func NewLogHandler(next slog.Handler, nowMS func() float64, put func(*Event)) slog.Handler {
+	return &logHandler{Handler: next, nowMS: nowMS, put: put}
 }
 
-type tee struct {
+type logHandler struct {
 	slog.Handler
-	now   func() float64
+	nowMS func() float64
 	put   func(*Event)
 	attrs []slog.Attr
 }
 
-// maxField bounds a field's text in a record; a longer one, such as stacks, is cut.
-const maxField = 512
+// maxFieldBytes bounds the text of an event's field; longer text, such as a stack trace, is truncated.
+const maxFieldBytes = 512
 
 // Handle implements slog.Handler.
-func (t *tee) Handle(ctx context.Context, r slog.Record) error {
-	if r.Level >= slog.LevelInfo {
-		e := &Event{AtMS: t.now(), Name: r.Message, Fields: map[string]string{}}
-		add := func(a slog.Attr) bool {
-			text := a.Value.Resolve().String()
-			e.Fields[a.Key] = text[:min(len(text), maxField)]
-			return true
-		}
-		for _, a := range t.attrs {
-			add(a)
-		}
-		r.Attrs(add)
-		t.put(e)
+func (h *logHandler) Handle(ctx context.Context, line slog.Record) error {
+	if line.Level >= slog.LevelInfo {
+		h.put(h.event(line))
 	}
-	return t.Handler.Handle(ctx, r)
+	return h.Handler.Handle(ctx, line)
+}
+
+func (h *logHandler) event(line slog.Record) *Event {
+	event := &Event{AtMS: h.nowMS(), Name: line.Message, Fields: map[string]string{}}
+	addField := func(attr slog.Attr) bool {
+		text := attr.Value.Resolve().String()
+		event.Fields[attr.Key] = text[:min(len(text), maxFieldBytes)]
+		return true
+	}
+	for _, attr := range h.attrs {
+		addField(attr)
+	}
+	line.Attrs(addField)
+	return event
 }
 
 // WithAttrs implements slog.Handler.
-func (t *tee) WithAttrs(attrs []slog.Attr) slog.Handler {
-	next := *t
-	next.Handler = t.Handler.WithAttrs(attrs)
-	next.attrs = append(append([]slog.Attr(nil), t.attrs...), attrs...)
-	return &next
+func (h *logHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	derived := *h
+	derived.Handler = h.Handler.WithAttrs(attrs)
+	derived.attrs = append(append([]slog.Attr(nil), h.attrs...), attrs...)
+	return &derived
 }
 
 // WithGroup implements slog.Handler.
-func (t *tee) WithGroup(name string) slog.Handler {
-	next := *t
-	next.Handler = t.Handler.WithGroup(name)
-	return &next
+func (h *logHandler) WithGroup(name string) slog.Handler {
+	derived := *h
+	derived.Handler = h.Handler.WithGroup(name)
+	return &derived
 }
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -1,6 +1,7 @@
 package record
 
 import (
+	"cmp"
 	"slices"
 	"strings"
 
@@ -8,214 +9,238 @@
 )
 
 const (
-	// Latencies are kept in steps of 1 in 100 between these, in milliseconds.
-	leastMS, mostMS, digits = 1, 120_000, 2
-	// maxRows and maxEngines bound the meter: what comes beyond is counted in one row without a name.
-	maxRows, maxEngines = 256, 1024
-	// maxHistogramBytes bounds what the histograms of all rows hold, in bytes; rows beyond go without quantiles.
+	// Latencies are recorded between these bounds, in milliseconds, to two significant digits.
+	minLatencyMS, maxLatencyMS, latencyDigits = 1, 120_000, 2
+	// maxClasses and maxEngines bound the meter: further classes, tenants and engines share one entry without a name.
+	maxClasses, maxEngines = 256, 1024
+	// maxHistogramBytes bounds the memory of all histograms; entries beyond it have no percentiles.
 	maxHistogramBytes = 3 << 20
 )
 
-// AttemptOutcome is how an attempt ended, as far as records tell.
-type AttemptOutcome uint8
-
-// Ends of attempts.
-const (
-	AttemptServed AttemptOutcome = iota
-	AttemptRejected
-	AttemptErrored
-	AttemptConnectionFailed // no connection, or lost it
-	AttemptTimedOut         // no answer in time
-	AttemptOther            // not sent, or cancelled
-)
-
 // RequestOutcome is how a request ended.
 type RequestOutcome uint8
 
-// Ends of requests.
+// Outcomes of requests.
 const (
-	RequestOnTime RequestOutcome = iota
-	RequestLate
+	RequestOnTime RequestOutcome = iota // served within the latency objective of its class
+	RequestLate                         // served after it
 	RequestRejected
 	RequestFailed
-	RequestCancelled
+	RequestCancelled // by the client
+)
+
+// AttemptOutcome is how an attempt ended.
+type AttemptOutcome uint8
+
+// Outcomes of attempts.
+const (
+	AttemptServed AttemptOutcome = iota
+	AttemptRejected
+	AttemptErrored
+	AttemptConnectionFailed // could not connect, or lost the connection
+	AttemptTimedOut
+	AttemptOther // not sent, or cancelled
 )
 
 type classKey struct{ class, tenant string }
 
 type classMeter struct {
 	ClassStats
-	times *hdrhistogram.Histogram // nil beyond MaxMeter
-	used  bool
+	latencies *hdrhistogram.Histogram // nil beyond maxHistogramBytes
+	used      bool                    // since the last Collect
 }
 
 type engineMeter struct {
 	EngineStats
-	times *hdrhistogram.Histogram
-	used  bool
+	latencies *hdrhistogram.Histogram // nil beyond maxHistogramBytes
+	used      bool                    // since the last Collect
 }
 
-// Meter adds up what happens in a second. It allocates only when it meets a class, tenant or engine for the first time.
+// Meter counts the requests and attempts of an interval. It allocates only for a class, tenant or engine that it has
+// not counted before. It is not safe for concurrent use.
 type Meter struct {
 	classes        map[classKey]*classMeter
 	engines        map[uint64]*engineMeter
-	histogramBytes int // bytes of histograms
+	histogramBytes int
 	formatEngineID func(uint64) string
 }
 
-// NewMeter returns a meter; name words an engine's id.
-func NewMeter(name func(uint64) string) *Meter {
-	return &Meter{classes: map[classKey]*classMeter{}, engines: map[uint64]*engineMeter{}, formatEngineID: name}
+// NewMeter returns an empty meter.
+func NewMeter(formatEngineID func(uint64) string) *Meter {
+	return &Meter{
+		classes: map[classKey]*classMeter{}, engines: map[uint64]*engineMeter{}, formatEngineID: formatEngineID,
+	}
 }
 
-func (m *Meter) histogram() *hdrhistogram.Histogram {
+func (m *Meter) newHistogram() *hdrhistogram.Histogram {
 	if m.histogramBytes >= maxHistogramBytes {
 		return nil
 	}
-	h := hdrhistogram.New(leastMS, mostMS, digits)
-	m.histogramBytes += h.ByteSize()
-	return h
+	histogram := hdrhistogram.New(minLatencyMS, maxLatencyMS, latencyDigits)
+	m.histogramBytes += histogram.ByteSize()
+	return histogram
 }
 
-func (m *Meter) row(class, tenant string) *classMeter {
+func (m *Meter) class(class, tenant string) *classMeter {
 	key := classKey{class, tenant}
-	r := m.classes[key]
-	if r == nil {
-		if len(m.classes) >= maxRows {
+	entry := m.classes[key]
+	if entry == nil {
+		if len(m.classes) >= maxClasses {
 			key = classKey{}
-			if r = m.classes[key]; r != nil {
-				return r
+			if entry = m.classes[key]; entry != nil {
+				return entry
 			}
 		}
-		r = &classMeter{ClassStats: ClassStats{Class: key.class, Tenant: key.tenant}, times: m.histogram()}
-		m.classes[key] = r
+		entry = &classMeter{ClassStats: ClassStats{Class: key.class, Tenant: key.tenant}, latencies: m.newHistogram()}
+		m.classes[key] = entry
 	}
-	r.used = true
-	return r
+	entry.used = true
+	return entry
 }
 
 func (m *Meter) engine(id uint64) *engineMeter {
-	e := m.engines[id]
-	if e == nil {
+	entry := m.engines[id]
+	if entry == nil {
 		if len(m.engines) >= maxEngines {
 			id = 0
-			if e = m.engines[id]; e != nil {
-				return e
+			if entry = m.engines[id]; entry != nil {
+				return entry
 			}
 		}
-		e = &engineMeter{EngineStats: EngineStats{EngineID: m.formatEngineID(id)}, times: m.histogram()}
-		m.engines[id] = e
+		entry = &engineMeter{EngineStats: EngineStats{EngineID: m.formatEngineID(id)}, latencies: m.newHistogram()}
+		m.engines[id] = entry
 	}
-	e.used = true
-	return e
+	entry.used = true
+	return entry
 }
 
-// RequestArrived counts a request that was taken in.
-func (m *Meter) RequestArrived(class, tenant string, again bool, workMS float64) {
-	r := m.row(class, tenant)
-	r.Arrived++
-	if again {
-		r.Retries++
+// RequestArrived counts a request; estimateMS is its estimated service time.
+func (m *Meter) RequestArrived(class, tenant string, retry bool, estimateMS float64) {
+	entry := m.class(class, tenant)
+	entry.Arrived++
+	if retry {
+		entry.Retries++
 	}
-	r.EstimateMS += workMS
+	entry.EstimateMS += estimateMS
 }
 
-// RequestEnded counts a request's end; tookMS is since its arrival.
-func (m *Meter) RequestEnded(class, tenant string, how RequestOutcome, tookMS float64) {
-	r := m.row(class, tenant)
-	switch how {
+// RequestEnded counts the end of a request, tookMS after its arrival.
+func (m *Meter) RequestEnded(class, tenant string, outcome RequestOutcome, tookMS float64) {
+	entry := m.class(class, tenant)
+	switch outcome {
 	case RequestOnTime:
-		r.OnTime++
+		entry.OnTime++
+		recordLatency(entry.latencies, tookMS)
 	case RequestLate:
-		r.Late++
+		entry.Late++
+		recordLatency(entry.latencies, tookMS)
 	case RequestRejected:
-		r.Rejected++
+		entry.Rejected++
 	case RequestFailed:
-		r.Failed++
+		entry.Failed++
 	case RequestCancelled:
-		r.Cancelled++
-	}
-	if r.times != nil && (how == RequestOnTime || how == RequestLate) {
-		_ = r.times.RecordValue(clamp(tookMS))
+		entry.Cancelled++
 	}
 }
 
-// AttemptStarted counts an attempt, and Ended its end.
+// AttemptStarted counts an attempt that was sent to an engine.
 func (m *Meter) AttemptStarted(engine uint64) { m.engine(engine).Sent++ }
 
-// AttemptEnded: see Sent.
-func (m *Meter) AttemptEnded(engine uint64, how AttemptOutcome, tookMS float64) {
-	e := m.engine(engine)
-	switch how {
+// AttemptEnded counts the end of an attempt, tookMS after its start.
+func (m *Meter) AttemptEnded(engine uint64, outcome AttemptOutcome, tookMS float64) {
+	entry := m.engine(engine)
+	switch outcome {
 	case AttemptServed:
-		e.Served++
-		if e.times != nil {
-			_ = e.times.RecordValue(clamp(tookMS))
-		}
+		entry.Served++
+		recordLatency(entry.latencies, tookMS)
 	case AttemptRejected:
-		e.Rejected++
+		entry.Rejected++
 	case AttemptErrored:
-		e.Errored++
+		entry.Errored++
 	case AttemptConnectionFailed:
-		e.ConnectionFailed++
+		entry.ConnectionFailed++
 	case AttemptTimedOut:
-		e.TimedOut++
+		entry.TimedOut++
+	case AttemptOther:
+		// The engine had no part in it.
 	}
 }
 
-func clamp(ms float64) int64 { return int64(min(max(ms, leastMS), mostMS)) }
+func recordLatency(latencies *hdrhistogram.Histogram, tookMS float64) {
+	if latencies != nil {
+		_ = latencies.RecordValue(int64(min(max(tookMS, minLatencyMS), maxLatencyMS)))
+	}
+}
 
-// SetInFlight notes what an engine has now.
-func (m *Meter) SetInFlight(engine uint64, running int, threads float64) {
-	if running > 0 || m.engines[engine] != nil {
-		e := m.engine(engine)
-		e.InFlight, e.BusyThreads = running, threads
-		e.used = e.used && (running > 0 || e.Sent+e.Served+e.Rejected+e.Errored+e.ConnectionFailed+e.TimedOut > 0)
+// SetInFlight notes the attempts that an engine has in flight, and its threads that they use.
+func (m *Meter) SetInFlight(engine uint64, attempts int, busyThreads float64) {
+	if attempts <= 0 && m.engines[engine] == nil {
+		return
 	}
+	entry := m.engine(engine)
+	entry.InFlight, entry.BusyThreads = attempts, busyThreads
+	entry.used = entry.used && (attempts > 0 || entry.hasAttempts())
 }
 
-// RemoveEngine drops an engine that is gone, once what it did has been taken.
+// hasAttempts reports whether an attempt started or ended in the interval.
+func (s *EngineStats) hasAttempts() bool {
+	return s.Sent+s.Served+s.Rejected+s.Errored+s.ConnectionFailed+s.TimedOut > 0
+}
+
+// RemoveEngine forgets an engine that left the fleet, unless it has counts that Collect has not returned yet.
 func (m *Meter) RemoveEngine(engine uint64) {
-	if e := m.engines[engine]; e != nil && !e.used {
-		if e.times != nil {
-			m.histogramBytes -= e.times.ByteSize()
-		}
-		delete(m.engines, engine)
+	entry := m.engines[engine]
+	if entry == nil || entry.used {
+		return
 	}
+	if entry.latencies != nil {
+		m.histogramBytes -= entry.latencies.ByteSize()
+	}
+	delete(m.engines, engine)
+}
+
+// Collect returns what was counted since the last call, sorted by name, and resets the counts.
+func (m *Meter) Collect() ([]ClassStats, []EngineStats) {
+	return m.collectClasses(), m.collectEngines()
 }
 
-// Collect gives what was counted since it was called last, the rows in the order of their names, and begins anew.
-func (m *Meter) Collect() (rows []ClassStats, engines []EngineStats) {
-	for _, r := range m.classes {
-		if !r.used {
+func (m *Meter) collectClasses() (classes []ClassStats) {
+	for _, entry := range m.classes {
+		if !entry.used {
 			continue
 		}
-		if r.times != nil && r.times.TotalCount() > 0 {
-			r.P50MS, r.P99MS = float64(r.times.ValueAtQuantile(50)), float64(r.times.ValueAtQuantile(99))
-			r.times.Reset()
-		}
-		rows = append(rows, r.ClassStats)
-		r.ClassStats = ClassStats{Class: r.Class, Tenant: r.Tenant}
-		r.used = false
+		entry.P50MS, entry.P99MS = takePercentiles(entry.latencies)
+		classes = append(classes, entry.ClassStats)
+		entry.ClassStats = ClassStats{Class: entry.Class, Tenant: entry.Tenant}
+		entry.used = false
 	}
-	for _, e := range m.engines {
-		if !e.used {
+	slices.SortFunc(classes, func(a, b ClassStats) int {
+		return cmp.Or(strings.Compare(a.Class, b.Class), strings.Compare(a.Tenant, b.Tenant))
+	})
+	return classes
+}
+
+func (m *Meter) collectEngines() (engines []EngineStats) {
+	for _, entry := range m.engines {
+		if !entry.used {
 			continue
 		}
-		if e.times != nil && e.times.TotalCount() > 0 {
-			e.P50MS, e.P99MS = float64(e.times.ValueAtQuantile(50)), float64(e.times.ValueAtQuantile(99))
-			e.times.Reset()
-		}
-		engines = append(engines, e.EngineStats)
-		e.EngineStats = EngineStats{EngineID: e.EngineID}
-		e.used = false
+		entry.P50MS, entry.P99MS = takePercentiles(entry.latencies)
+		engines = append(engines, entry.EngineStats)
+		entry.EngineStats = EngineStats{EngineID: entry.EngineID}
+		entry.used = false
 	}
-	slices.SortFunc(rows, func(a, b ClassStats) int {
-		if c := strings.Compare(a.Class, b.Class); c != 0 {
-			return c
-		}
-		return strings.Compare(a.Tenant, b.Tenant)
-	})
 	slices.SortFunc(engines, func(a, b EngineStats) int { return strings.Compare(a.EngineID, b.EngineID) })
-	return rows, engines
+	return engines
+}
+
+// takePercentiles returns the median and the 99th percentile in milliseconds, zeros where nothing was recorded, and
+// resets the histogram.
+func takePercentiles(latencies *hdrhistogram.Histogram) (p50MS, p99MS float64) {
+	if latencies == nil || latencies.TotalCount() == 0 {
+		return 0, 0
+	}
+	p50MS, p99MS = float64(latencies.ValueAtQuantile(50)), float64(latencies.ValueAtQuantile(99))
+	latencies.Reset()
+	return p50MS, p99MS
 }
--- /dev/null
+++ b/internal/record/meter_test.go
@@ -0,0 +1,81 @@
+package record
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The meter counts exactly, resets its counts when they are collected, and stays within its bounds with any names.
+func TestMeter(t *testing.T) {
+	m := NewMeter(func(id uint64) string { return fmt.Sprint("e", id) })
+	for i := range 100 {
+		m.RequestArrived("lookup", "a", i%10 == 0, 100)
+		m.RequestEnded("lookup", "a", RequestOnTime, float64(i+1))
+		m.AttemptStarted(1)
+		m.AttemptEnded(1, AttemptServed, 50)
+	}
+	m.RequestEnded("lookup", "a", RequestRejected, 1)
+	m.AttemptEnded(1, AttemptConnectionFailed, 1)
+	rows, engines := m.Collect()
+	if diff := cmp.Diff([]ClassStats{
+		{
+			Class: "lookup", Tenant: "a", Arrived: 100, Retries: 10, OnTime: 100, Rejected: 1, EstimateMS: 10000,
+			P50MS: 50, P99MS: 99,
+		},
+	}, rows); diff != "" {
+		t.Error(diff)
+	}
+	if diff := cmp.Diff([]EngineStats{
+		{EngineID: "e1", Sent: 100, Served: 100, ConnectionFailed: 1, P50MS: 50, P99MS: 50},
+	}, engines); diff != "" {
+		t.Error(diff)
+	}
+	if rows, engines = m.Collect(); len(rows)+len(engines) != 0 {
+		t.Error("what was taken is there again", rows, engines)
+	}
+	for i := range 10000 {
+		m.RequestArrived("lookup", fmt.Sprint(i), false, 1)
+		m.AttemptStarted(uint64(i + 1))
+	}
+	rows, engines = m.Collect()
+	arrived := 0
+	for _, r := range rows {
+		arrived += r.Arrived
+	}
+	tooMany := len(rows) > maxClasses+1 || len(engines) > maxEngines+1
+	if arrived != 10000 || tooMany || m.histogramBytes > maxHistogramBytes+1<<20 {
+		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(rows), arrived, len(engines), m.histogramBytes)
+	}
+}
+
+// Counting a request allocates nothing once its class and engine have an entry.
+func TestMeterAllocatesNothing(t *testing.T) {
+	m := NewMeter(func(uint64) string { return "e" })
+	one := func() {
+		m.RequestArrived("lookup", "a", false, 100)
+		m.AttemptStarted(1)
+		m.AttemptEnded(1, AttemptServed, 50)
+		m.RequestEnded("lookup", "a", RequestOnTime, 60)
+	}
+	one()
+	if n := testing.AllocsPerRun(100, one); n != 0 {
+		t.Errorf("%v allocations", n)
+	}
+}
+
+func TestLogHandler(t *testing.T) {
+	var got []*Event
+	var out strings.Builder
+	clock := func() float64 { return 7 }
+	log := slog.New(NewLogHandler(slog.NewTextHandler(&out, nil), clock, func(e *Event) { got = append(got, e) }))
+	log.With("name", "n0").Warn("the loop stood still", "ms", 500)
+	log.Debug("not this")
+	want := []*Event{{AtMS: 7, Name: "the loop stood still", Fields: map[string]string{"name": "n0", "ms": "500"}}}
+	if diff := cmp.Diff(want, got); diff != "" || !strings.Contains(out.String(), "ms=500") {
+		t.Error(diff, out.String())
+	}
+}
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -1,86 +1,31 @@
 package record
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-const (
-	frameHead = 8
-	// maxFrame bounds a record: a second of 4,096 engines and as many rows fits.
-	maxFrame = 1 << 20
-)
-
-var table = crc32.MakeTable(crc32.Castagnoli)
-
-func kindOf(r Record) Kind {
-	switch r.(type) {
-	case *Header:
-		return KindHeader
-	case *EngineChange:
-		return KindEngineChange
-	case *Interval:
-		return KindInterval
-	case *RequestFailure:
-		return KindRequestFailure
-	case *Event:
-		return KindEvent
-	case *Gap:
-		return KindGap
-	}
-	return 0
-}
-
-func empty(k Kind) Record {
-	switch k {
-	case KindHeader:
-		return &Header{}
-	case KindEngineChange:
-		return &EngineChange{}
-	case KindInterval:
-		return &Interval{}
-	case KindRequestFailure:
-		return &RequestFailure{}
-	case KindEvent:
-		return &Event{}
-	case KindGap:
-		return &Gap{}
-	}
-	return nil
-}
+// readChunkBytes is how much a Reader asks its source for at once.
+const readChunkBytes = 64 << 10
 
-// appendFrame appends a record's frame.
-func appendFrame(b []byte, r Record) ([]byte, error) {
-	payload, err := cbor.Marshal(r)
-	if err != nil {
-		return b, err
-	}
-	if len(payload) >= maxFrame {
-		return b, fmt.Errorf("a record of %d bytes", len(payload))
-	}
-	at := len(b)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)+1))
-	b = append(b, 0, 0, 0, 0, byte(kindOf(r)))
-	b = append(b, payload...)
-	binary.BigEndian.PutUint32(b[at+4:], crc32.Checksum(b[at+frameHead:], table))
-	return b, nil
-}
-
-// ErrNewerVersion says that a segment is of a later version of the format.
-var ErrNewerVersion = errors.New("of a newer version of the format")
+var (
+	// ErrNewerVersion is the error for a segment of a later version of the format.
+	ErrNewerVersion = errors.New("of a newer version of the format")
+	// ErrNoHeader is the error for data that does not begin with a Header.
+	ErrNoHeader = errors.New("no header: not a segment of records")
+)
 
-// Damage is a stretch of a segment that can't be read; what follows it is.
+// Damage is an unreadable range of a segment; the reader continues after it.
 type Damage struct {
-	Offset    int64 // of the segment, in bytes
+	Offset    int64 // in the segment, in bytes
 	Bytes     int64
-	Truncated bool // it is the segment's end: a kill, or a copy while it was written
+	Truncated bool // the range ends the segment: after a crash, or in a copy that was taken during a write
 }
 
+// String describes the damage as windflowctl prints it.
 func (d Damage) String() string {
 	if d.Truncated {
 		return fmt.Sprintf("cut off at byte %d, %d bytes of a record are there", d.Offset, d.Bytes)
@@ -88,122 +33,136 @@
 	return fmt.Sprintf("damaged from byte %d on, %d bytes passed over", d.Offset, d.Bytes)
 }
 
-// Reader reads one segment in memory of its own, whatever the segment's size.
+// Reader reads one segment in bounded memory, whatever the segment's size.
 type Reader struct {
-	src    io.Reader
-	buf    []byte
-	offset int64 // of buf[0] in the segment
-	eof    bool
-	bad    int64 // bytes passed over since the last good record
-	Header Header
-	Damage []Damage
+	source  io.Reader
+	buf     []byte
+	offset  int64 // of buf[0] in the segment
+	eof     bool
+	skipped int64 // bytes since the last readable record
+	Header  Header
+	Damage  []Damage
 }
 
-// NewReader reads a segment's header. An error says that there is none that can be used: ErrNewer, or io.EOF for a
-// segment that ends before its header does.
-func NewReader(src io.Reader) (*Reader, error) {
-	r := &Reader{src: src}
-	first, err := r.Next()
+// NewReader reads a segment's header. It fails with ErrNewerVersion, with ErrNoHeader, or with io.EOF for a segment
+// that ends before its header does. The reader that it returns with an error has the damage up to there.
+func NewReader(source io.Reader) (*Reader, error) {
+	reader := &Reader{source: source}
+	first, err := reader.Next()
 	if err != nil {
-		return r, err
+		return reader, err
 	}
-	h, ok := first.(*Header)
+	header, ok := first.(*Header)
 	if !ok {
-		return r, errors.New("no header: not a segment of records")
-	}
-	r.Header = *h
-	if h.Version > Version {
-		return r, fmt.Errorf("%w (%d; this program reads up to %d)", ErrNewerVersion, h.Version, Version)
+		return reader, ErrNoHeader
 	}
-	return r, nil
-}
-
-// fill reads until n bytes are there or the segment ends.
-func (r *Reader) fill(n int) error {
-	for len(r.buf) < n && !r.eof {
-		chunk := make([]byte, 64<<10)
-		m, err := r.src.Read(chunk)
-		r.buf = append(r.buf, chunk[:m]...)
-		if err == io.EOF {
-			r.eof = true
-		} else if err != nil {
-			return err
-		}
+	reader.Header = *header
+	if header.Version > Version {
+		return reader, fmt.Errorf("%w (%d; this program reads up to %d)", ErrNewerVersion, header.Version, Version)
 	}
-	return nil
+	return reader, nil
 }
 
-func (r *Reader) skip(n int) {
-	r.buf = r.buf[n:]
-	r.offset += int64(n)
-}
-
-// Next gives the next record that can be read; io.EOF at the segment's end. What it had to pass over is in Damage.
+// Next returns the next readable record, and io.EOF at the end of the segment. Damage lists the ranges that it skipped.
+// Records of unknown kinds are ignored.
 func (r *Reader) Next() (Record, error) {
 	for {
-		if err := r.fill(frameHead + 1); err != nil {
+		length, err := r.nextFrame()
+		if err != nil {
 			return nil, err
 		}
-		if len(r.buf) < frameHead+1 {
-			r.pass(len(r.buf), true)
-			return nil, io.EOF
-		}
-		n := int(binary.BigEndian.Uint32(r.buf))
-		if n < 1 || n > maxFrame {
-			r.pass(1, false)
+		if length == 0 {
+			r.skip(1)
 			continue
 		}
-		if err := r.fill(frameHead + n); err != nil {
-			return nil, err
-		}
-		if len(r.buf) < frameHead+n || crc32.Checksum(r.buf[frameHead:frameHead+n], table) != binary.BigEndian.Uint32(r.buf[4:]) {
-			if len(r.buf) < frameHead+n && r.bad == 0 && !r.resumes() {
-				r.pass(len(r.buf), true)
-				return nil, io.EOF
-			}
-			r.pass(1, false)
+		kind, payload := Kind(r.buf[frameHeaderBytes]), r.buf[minFrameBytes:length]
+		next := newRecord(kind)
+		if next != nil && cbor.Unmarshal(payload, next) != nil {
+			r.skip(1)
 			continue
 		}
-		k, payload := Kind(r.buf[frameHead]), r.buf[frameHead+1:frameHead+n]
-		rec := empty(k)
-		if rec != nil && cbor.Unmarshal(payload, rec) != nil {
-			r.pass(1, false)
-			continue
+		r.noteDamage(false)
+		r.advance(length)
+		if next != nil {
+			return next, nil
 		}
-		r.settle(false)
-		r.skip(frameHead + n)
-		if rec == nil {
-			continue // of a kind that came later
+	}
+}
+
+// nextFrame returns the length of the intact frame at the start of the buffer, 0 where there is none, and io.EOF
+// where the segment ends.
+func (r *Reader) nextFrame() (length int, err error) {
+	if err := r.fill(minFrameBytes); err != nil {
+		return 0, err
+	}
+	if len(r.buf) < minFrameBytes {
+		return 0, r.truncate()
+	}
+	length, ok := frameLength(r.buf)
+	if !ok {
+		return 0, nil
+	}
+	if err := r.fill(length); err != nil {
+		return 0, err
+	}
+	if len(r.buf) < length && r.skipped == 0 && !r.hasLaterFrame() {
+		return 0, r.truncate()
+	}
+	if !isIntactFrame(r.buf) {
+		return 0, nil
+	}
+	return length, nil
+}
+
+// fill reads until the buffer has n bytes or the segment ends.
+func (r *Reader) fill(n int) error {
+	for len(r.buf) < n && !r.eof {
+		chunk := make([]byte, readChunkBytes)
+		m, err := r.source.Read(chunk)
+		r.buf = append(r.buf, chunk[:m]...)
+		switch {
+		case errors.Is(err, io.EOF):
+			r.eof = true
+		case err != nil:
+			return err
 		}
-		return rec, nil
 	}
+	return nil
 }
 
-// resumes tells whether a whole frame follows in what is left of the segment: then its length is damaged, and it is not
-// merely cut off.
-func (r *Reader) resumes() bool {
-	for i := 1; i+frameHead < len(r.buf); i++ {
-		n := int(binary.BigEndian.Uint32(r.buf[i:]))
-		if n >= 1 && n <= maxFrame && i+frameHead+n <= len(r.buf) &&
-			crc32.Checksum(r.buf[i+frameHead:i+frameHead+n], table) == binary.BigEndian.Uint32(r.buf[i+4:]) {
+// hasLaterFrame reports whether an intact frame follows an incomplete one: then the length of the latter is damaged,
+// and the segment is not merely truncated.
+func (r *Reader) hasLaterFrame() bool {
+	for i := 1; i < len(r.buf); i++ {
+		if isIntactFrame(r.buf[i:]) {
 			return true
 		}
 	}
 	return false
 }
 
-// pass passes over bytes that can't be read.
-func (r *Reader) pass(n int, cut bool) {
-	r.skip(n)
-	r.bad += int64(n)
-	if cut {
-		r.settle(true)
-	}
+// skip drops unreadable bytes.
+func (r *Reader) skip(n int) {
+	r.advance(n)
+	r.skipped += int64(n)
+}
+
+// truncate skips the incomplete frame that ends the segment, and returns io.EOF.
+func (r *Reader) truncate() error {
+	r.skip(len(r.buf))
+	r.noteDamage(true)
+	return io.EOF
+}
+
+func (r *Reader) advance(n int) {
+	r.buf = r.buf[n:]
+	r.offset += int64(n)
 }
 
-func (r *Reader) settle(cut bool) {
-	if r.bad > 0 {
-		r.Damage = append(r.Damage, Damage{Offset: r.offset - r.bad, Bytes: r.bad, Truncated: cut})
-		r.bad = 0
+// noteDamage adds the bytes that were skipped up to here to Damage.
+func (r *Reader) noteDamage(truncated bool) {
+	if r.skipped > 0 {
+		r.Damage = append(r.Damage, Damage{Offset: r.offset - r.skipped, Bytes: r.skipped, Truncated: truncated})
+		r.skipped = 0
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,19 +1,67 @@
-// Package record keeps what a router saw and did, for the console and the incident report: typed records in segment files.
-// It never holds a statement's text, which may name donors; ids are those on the wire.
-//
-// A segment is a run of frames, length:4 sum:4 kind:1 payload, big-endian; length counts kind and payload, sum is their
-// CRC-32C (Castagnoli), and the payload is CBOR (RFC 8949) with whole numbers for keys. The first frame is a Header. A
-// segment that a kill cut off anywhere reads up to its last whole frame; docs/design/records.md has the options weighed.
 package record
 
-// Version of the format. A reader passes over segments of a newer one, and says so; a field may be added without a new
-// version, since readers ignore keys that they don't know.
+// Version is the version of the segment format. A reader rejects segments of a later one with ErrNewerVersion. A
+// field may be added without a new version, since readers ignore unknown keys.
 const Version = 1
 
-// Kind is that of a record.
+// Record is one record of any kind.
+//
+//sumtype:decl
+type Record interface {
+	// TimeMS returns the record's time on its router's clock, in milliseconds.
+	TimeMS() float64
+	// kind returns the kind that the record's frame carries, and seals the interface.
+	kind() Kind
+}
+
+// TimeMS implements Record.
+func (r *Header) TimeMS() float64 { return r.ClockMS }
+
+// TimeMS implements Record.
+func (r *EngineChange) TimeMS() float64 { return r.AtMS }
+
+// TimeMS implements Record.
+func (r *Interval) TimeMS() float64 { return r.AtMS }
+
+// TimeMS implements Record.
+func (r *RequestFailure) TimeMS() float64 { return r.AtMS }
+
+// TimeMS implements Record.
+func (r *Event) TimeMS() float64 { return r.AtMS }
+
+// TimeMS implements Record.
+func (r *Gap) TimeMS() float64 { return r.AtMS }
+
+func (r *Header) kind() Kind         { return KindHeader }
+func (r *EngineChange) kind() Kind   { return KindEngineChange }
+func (r *Interval) kind() Kind       { return KindInterval }
+func (r *RequestFailure) kind() Kind { return KindRequestFailure }
+func (r *Event) kind() Kind          { return KindEvent }
+func (r *Gap) kind() Kind            { return KindGap }
+
+// newRecord returns an empty record of a kind, and nil for a kind that this program does not know.
+func newRecord(kind Kind) Record {
+	switch kind {
+	case KindHeader:
+		return &Header{}
+	case KindEngineChange:
+		return &EngineChange{}
+	case KindInterval:
+		return &Interval{}
+	case KindRequestFailure:
+		return &RequestFailure{}
+	case KindEvent:
+		return &Event{}
+	case KindGap:
+		return &Gap{}
+	}
+	return nil
+}
+
+// Kind identifies a record's type in its frame.
 type Kind uint8
 
-// Kinds of record.
+// Kinds of records, as segments store them.
 const (
 	KindHeader Kind = 1 + iota
 	KindEngineChange
@@ -23,46 +71,49 @@
 	KindGap
 )
 
-// Header begins each segment. Times of all records are on the router's clock, in milliseconds since the Unix epoch as that
-// clock took it at the process's start; it never steps. WallMS is the system's clock at the same moment, which may.
+// Header is the first record of each segment. The times of all records are on the router's clock, in milliseconds
+// since the Unix epoch: that clock reads the system's clock once, at the start of the process, and is monotonic from
+// then on. WallMS is the system's clock at ClockMS, which may step.
 type Header struct {
 	Version       int     `cbor:"1,keyasint" json:"Version"`
 	Router        string  `cbor:"2,keyasint" json:"Router"`
-	Incarnation   uint64  `cbor:"3,keyasint" json:"Place"`   // of the process among those of the router, in the order of their starts
-	ProcessID     string  `cbor:"4,keyasint" json:"Process"` // unlike any other process's
+	Incarnation   uint64  `cbor:"3,keyasint" json:"Place"`   // counts the router's processes by start
+	ProcessID     string  `cbor:"4,keyasint" json:"Process"` // unique among all processes
 	Program       string  `cbor:"5,keyasint" json:"Program"`
-	SegmentNumber uint64  `cbor:"6,keyasint" json:"Segment"` // from 0 in each process
+	SegmentNumber uint64  `cbor:"6,keyasint" json:"Segment"` // counts from 0 in each process
 	ClockMS       float64 `cbor:"7,keyasint" json:"ClockMS"`
 	WallMS        float64 `cbor:"8,keyasint" json:"WallMS"`
 	Classes       []Class `cbor:"9,keyasint,omitempty" json:"Classes"`
 }
 
-// Class is a class of requests, as the settings have it.
+// Class is a request class of the settings.
 type Class struct {
 	Name            string  `cbor:"1,keyasint" json:"Name"`
 	PriorityWeight  float64 `cbor:"2,keyasint" json:"Worth"`
-	LateWeightShare float64 `cbor:"3,keyasint,omitempty" json:"LateWorth"` // share of it that an answer after the aim earns
+	LateWeightShare float64 `cbor:"3,keyasint,omitempty" json:"LateWorth"` // what a late answer earns of it
 	ObjectiveMS     float64 `cbor:"4,keyasint,omitempty" json:"AimMS"`
 }
 
-// State is an engine's, as the module sees it.
+// State is an engine's state as package dispatch sees it.
 type State uint8
 
-// States. An engine is in the first that holds, from the end: gone before out by hand before down, and so on.
+// States of an engine. Where several apply, the last of them is the engine's state: Gone before Cordoned before
+// Draining, and so on.
 const (
 	Unknown   State = iota
-	Normal          // listed, and like its peers
-	WarmingUp       // listed, and started not long ago
-	Slow            // its answers take much longer than its peers'
+	Normal          // listed, and as fast as its peers
+	WarmingUp       // listed, and started recently
+	Slow            // much slower than its peers
 	Ejected         // many of its attempts fail
-	Down            // several attempts in a row met no connection, or lost it
-	Draining        // the board says so
-	Cordoned        // by hand
-	Gone            // the board says so, or lists it no more
+	Down            // several attempts in a row could not connect or lost their connection
+	Draining        // by the endpoint list
+	Cordoned        // by an operator
+	Gone            // removed from the endpoint list
 )
 
 var stateNames = [...]string{"unknown", "warm", "cold", "slow", "failing", "down", "draining", "out by hand", "gone"}
 
+// String returns the name that windflowctl prints.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -70,70 +121,71 @@
 	return "unknown"
 }
 
-// EngineChange is a change of an engine's state, with what caused it.
+// EngineChange is a change of an engine's state with the measurements behind it.
 type EngineChange struct {
 	AtMS               float64 `cbor:"1,keyasint" json:"At"`
 	EngineID           string  `cbor:"2,keyasint" json:"ID"`
 	State              State   `cbor:"3,keyasint" json:"State"`
 	Previous           State   `cbor:"4,keyasint" json:"Was"`
-	Slowness           float64 `cbor:"5,keyasint,omitempty" json:"Slow"`   // its times over its peers'
-	FailureRate        float64 `cbor:"6,keyasint,omitempty" json:"Fail"`   // share of late attempts that failed
-	ConnectionFailures int     `cbor:"7,keyasint,omitempty" json:"Lost"`   // connections lost or not had, in a row
-	WarmUpEndMS        float64 `cbor:"8,keyasint,omitempty" json:"WarmAt"` // when it is to be warm
+	Slowness           float64 `cbor:"5,keyasint,omitempty" json:"Slow"`   // its latency relative to that of its peers
+	FailureRate        float64 `cbor:"6,keyasint,omitempty" json:"Fail"`   // share of recent attempts that failed
+	ConnectionFailures int     `cbor:"7,keyasint,omitempty" json:"Lost"`   // consecutive
+	WarmUpEndMS        float64 `cbor:"8,keyasint,omitempty" json:"WarmAt"` // when its warm-up is to end
 	Zone               string  `cbor:"9,keyasint,omitempty" json:"Zone"`
 	Kind               string  `cbor:"10,keyasint,omitempty" json:"Kind"`
-	LastEvent          uint64  `cbor:"11,keyasint,omitempty" json:"Event"` // the board's last event
+	LastEvent          uint64  `cbor:"11,keyasint,omitempty" json:"Event"` // number of the last endpoint event
 }
 
-// Interval is what happened in the second, or so, before At.
+// Interval sums up the time before AtMS, of about a second.
 type Interval struct {
 	AtMS              float64       `cbor:"1,keyasint" json:"At"`
 	DurationMS        float64       `cbor:"2,keyasint" json:"ForMS"`
 	Classes           []ClassStats  `cbor:"3,keyasint,omitempty" json:"Rows"`
 	Engines           []EngineStats `cbor:"4,keyasint,omitempty" json:"Engines"`
-	OpenRequests      int           `cbor:"5,keyasint,omitempty" json:"Open"`     // requests now
-	QueuedRequests    int           `cbor:"6,keyasint,omitempty" json:"Held"`     // of them not sent
-	Congestion        float64       `cbor:"7,keyasint,omitempty" json:"Jam"`      // 0 for none to 1
-	EngineConnections int           `cbor:"8,keyasint,omitempty" json:"Conns"`    // to engines
-	ClientSessions    int           `cbor:"9,keyasint,omitempty" json:"Session"`  // of clients
-	RejectedSessions  int64         `cbor:"10,keyasint,omitempty" json:"Turned"`  // sessions turned away or made room
-	InvalidResponses  int64         `cbor:"11,keyasint,omitempty" json:"Spoilt"`  // answers of engines that can't be used
-	LastEvent         uint64        `cbor:"12,keyasint,omitempty" json:"Event"`   // the board's last event
-	DiscoveryAgeMS    float64       `cbor:"13,keyasint,omitempty" json:"BoardMS"` // since the board was heard
+	OpenRequests      int           `cbor:"5,keyasint,omitempty" json:"Open"` // at AtMS
+	QueuedRequests    int           `cbor:"6,keyasint,omitempty" json:"Held"` // of the open requests
+	Congestion        float64       `cbor:"7,keyasint,omitempty" json:"Jam"`  // from 0, none, to 1
+	EngineConnections int           `cbor:"8,keyasint,omitempty" json:"Conns"`
+	ClientSessions    int           `cbor:"9,keyasint,omitempty" json:"Session"`
+	RejectedSessions  int64         `cbor:"10,keyasint,omitempty" json:"Turned"`  // rejected, or evicted to make room
+	InvalidResponses  int64         `cbor:"11,keyasint,omitempty" json:"Spoilt"`  // unusable responses of engines
+	LastEvent         uint64        `cbor:"12,keyasint,omitempty" json:"Event"`   // number of the last endpoint event
+	DiscoveryAgeMS    float64       `cbor:"13,keyasint,omitempty" json:"BoardMS"` // of the last contact
 }
 
-// ClassStats is a class and tenant in a second. Times are from a request's arrival to its answer.
+// ClassStats counts the requests of a class and tenant in an interval. Latencies are from arrival to answer.
 type ClassStats struct {
 	Class      string  `cbor:"1,keyasint" json:"Class"`
 	Tenant     string  `cbor:"2,keyasint,omitempty" json:"Tenant"`
 	Arrived    int     `cbor:"3,keyasint,omitempty" json:"Arrived"`
-	Retries    int     `cbor:"4,keyasint,omitempty" json:"Again"` // of them clients' retries
-	OnTime     int     `cbor:"5,keyasint,omitempty" json:"InAim"` // served in the class's aim
+	Retries    int     `cbor:"4,keyasint,omitempty" json:"Again"` // by clients, of the arrived
+	OnTime     int     `cbor:"5,keyasint,omitempty" json:"InAim"` // served within the class's latency objective
 	Late       int     `cbor:"6,keyasint,omitempty" json:"Late"`  // served after it
 	Rejected   int     `cbor:"7,keyasint,omitempty" json:"Refused"`
 	Failed     int     `cbor:"8,keyasint,omitempty" json:"Failed"`
-	Cancelled  int     `cbor:"9,keyasint,omitempty" json:"Left"`    // the client went
-	EstimateMS float64 `cbor:"10,keyasint,omitempty" json:"WorkMS"` // the arrivals' estimates
+	Cancelled  int     `cbor:"9,keyasint,omitempty" json:"Left"`    // by the client
+	EstimateMS float64 `cbor:"10,keyasint,omitempty" json:"WorkMS"` // total estimated service time of the arrived
 	P50MS      float64 `cbor:"11,keyasint,omitempty" json:"P50"`
 	P99MS      float64 `cbor:"12,keyasint,omitempty" json:"P99"`
 }
 
-// EngineStats is an engine in a second.
+// EngineStats counts the attempts at an engine in an interval.
 type EngineStats struct {
 	EngineID         string  `cbor:"1,keyasint" json:"ID"`
 	Sent             int     `cbor:"2,keyasint,omitempty" json:"Sent"`
 	Served           int     `cbor:"3,keyasint,omitempty" json:"Served"`
 	Rejected         int     `cbor:"4,keyasint,omitempty" json:"Full"`
 	Errored          int     `cbor:"5,keyasint,omitempty" json:"Errored"`
-	ConnectionFailed int     `cbor:"6,keyasint,omitempty" json:"Broken"`  // no connection, or lost
-	TimedOut         int     `cbor:"7,keyasint,omitempty" json:"Silent"`  // no answer in time
-	InFlight         int     `cbor:"8,keyasint,omitempty" json:"Running"` // own, now
-	BusyThreads      float64 `cbor:"9,keyasint,omitempty" json:"Threads"` // theirs
-	P50MS            float64 `cbor:"10,keyasint,omitempty" json:"P50"`    // of attempts that were served
+	ConnectionFailed int     `cbor:"6,keyasint,omitempty" json:"Broken"` // could not connect, or lost the connection
+	TimedOut         int     `cbor:"7,keyasint,omitempty" json:"Silent"`
+	InFlight         int     `cbor:"8,keyasint,omitempty" json:"Running"` // attempts of this router, at AtMS
+	BusyThreads      float64 `cbor:"9,keyasint,omitempty" json:"Threads"` // threads that they use
+	P50MS            float64 `cbor:"10,keyasint,omitempty" json:"P50"`    // of served attempts
 	P99MS            float64 `cbor:"11,keyasint,omitempty" json:"P99"`
 }
 
-// RequestFailure is a refusal or a failure. Beyond some a second they are counted in Row only.
+// RequestFailure is a request that was rejected or failed. Config.FailuresPerSecond bounds how many are written;
+// ClassStats counts all of them.
 type RequestFailure struct {
 	AtMS      float64 `cbor:"1,keyasint" json:"At"`
 	RequestID string  `cbor:"2,keyasint" json:"ID"`
@@ -145,41 +197,16 @@
 	AfterMS   float64 `cbor:"8,keyasint" json:"AfterMS"`
 }
 
-// Event is something else that happened: a reload, a phase of a takeover, a link to the board, an operator's word.
+// Event is a line of the log: a reload, a phase of a hot restart, a lost connection, an operator's command.
 type Event struct {
 	AtMS   float64           `cbor:"1,keyasint" json:"At"`
 	Name   string            `cbor:"2,keyasint" json:"Name"`
 	Fields map[string]string `cbor:"3,keyasint,omitempty" json:"Fields"`
 }
 
-// Gap says that records were dropped, since the queue was full or the disk could not be written.
+// Gap counts records that were dropped because the queue was full or the disk could not be written.
 type Gap struct {
 	AtMS    float64 `cbor:"1,keyasint" json:"At"`
 	FromMS  float64 `cbor:"2,keyasint" json:"From"`
 	Dropped int     `cbor:"3,keyasint" json:"Records"`
 }
-
-// Record is one record of any kind: a pointer to one of the types above.
-type Record any
-
-// when gives a record's time.
-func when(r Record) float64 {
-	switch r := r.(type) {
-	case *Header:
-		return r.ClockMS
-	case *EngineChange:
-		return r.AtMS
-	case *Interval:
-		return r.AtMS
-	case *RequestFailure:
-		return r.AtMS
-	case *Event:
-		return r.AtMS
-	case *Gap:
-		return r.AtMS
-	}
-	return 0
-}
-
-// When gives a record's time on its router's clock, in milliseconds.
-func When(r Record) float64 { return when(r) }
