--- a/cmd/windflowctl/incident.go
+++ b/cmd/windflowctl/incident.go
@@ -47,56 +47,56 @@
 }
 
 func tell(w io.Writer, s *incident.Timeline) {
-	fmt.Fprintf(w, "%s to %s, %.0f s\n\nProcesses\n", stamp(s.From), stamp(s.To), (s.To-s.From)/1000)
+	fmt.Fprintf(w, "%s to %s, %.0f s\n\nProcesses\n", stamp(s.FromMS), stamp(s.ToMS), (s.ToMS-s.FromMS)/1000)
 	for _, p := range s.Processes {
-		how := fmt.Sprintf("clock off by %+.1f ms, within %.0f ms, by %d marks", p.Clock.OffsetMS, p.Clock.Within, p.Clock.Marks)
+		how := fmt.Sprintf("clock off by %+.1f ms, within %.0f ms, by %d marks", p.Clock.OffsetMS, p.Clock.UncertaintyMS, p.Clock.SharedEvents)
 		if p.Clock.Drift != 0 {
 			how += fmt.Sprintf(", drifting %+.0f ppm", p.Clock.Drift*1e6)
 		}
-		if !p.Clock.Told {
-			how = fmt.Sprintf("clock not told by these records: taken to agree within %.0f ms", p.Clock.Within)
+		if !p.Clock.Measured {
+			how = fmt.Sprintf("clock not told by these records: taken to agree within %.0f ms", p.Clock.UncertaintyMS)
 		}
-		fmt.Fprintf(w, "  %s, place %d: %s to %s; %s\n", plain(p.Router), p.Place, stamp(p.From), stamp(p.To), how)
+		fmt.Fprintf(w, "  %s, place %d: %s to %s; %s\n", plain(p.Router), p.Incarnation, stamp(p.FromMS), stamp(p.ToMS), how)
 	}
-	for _, m := range s.Missing {
+	for _, m := range s.Gaps {
 		what := "nothing was written"
-		if m.Records > 0 {
-			what = fmt.Sprintf("%d records were dropped", m.Records)
+		if m.Dropped > 0 {
+			what = fmt.Sprintf("%d records were dropped", m.Dropped)
 		}
-		fmt.Fprintf(w, "  missing: %s, %s to %s: %s\n", plain(m.Router), stamp(m.From), stamp(m.To), what)
+		fmt.Fprintf(w, "  missing: %s, %s to %s: %s\n", plain(m.Router), stamp(m.FromMS), stamp(m.ToMS), what)
 	}
 	if len(s.Incidents) == 0 {
 		fmt.Fprintf(w, "\nNo incident: service stayed within %.0f%% of the calm.\n", 8.0)
 		return
 	}
 	for i, in := range s.Incidents {
-		fmt.Fprintf(w, "\nIncident %d: %s to %s, %.0f s: %.0f%% of the worth was lost, %.0f%% in the calm\n", i+1, stamp(in.From),
-			stamp(in.To), (in.To-in.From)/1000, 100*in.Loss, 100*s.Base)
-		for k, h := range in.Hurt {
-			if k == 8 || h.Part < 0.01 {
+		fmt.Fprintf(w, "\nIncident %d: %s to %s, %.0f s: %.0f%% of the worth was lost, %.0f%% in the calm\n", i+1, stamp(in.FromMS),
+			stamp(in.ToMS), (in.ToMS-in.FromMS)/1000, 100*in.Loss, 100*s.BaselineLoss)
+		for k, h := range in.Impacts {
+			if k == 8 || h.LossShare < 0.01 {
 				break
 			}
 			fmt.Fprintf(w, "  %s of %s: lost %.0f%% (calm %.0f%%), %.0f%% of all that was lost; of %d: %d late, %d refused, %d failed\n",
-				plain(h.Class), plain(or(h.Tenant, "no tenant")), 100*h.Loss, 100*h.Calm, 100*h.Part, h.Ended, h.Late, h.Refused, h.Failed)
+				plain(h.Class), plain(or(h.Tenant, "no tenant")), 100*h.Loss, 100*h.BaselineLoss, 100*h.LossShare, h.Ended, h.Late, h.Rejected, h.Failed)
 		}
 		for _, e := range s.Engines {
 			var spans []string
 			for _, span := range e.Spans {
-				if span.State == record.Normal || span.To < in.From || span.From > in.To {
+				if span.State == record.Normal || span.ToMS < in.FromMS || span.FromMS > in.ToMS {
 					continue
 				}
-				text := fmt.Sprintf("%s at %s from %+.1f s to %+.1f s", span.State, plain(span.Router), (span.From-in.From)/1000,
-					math.Min(span.To-in.From, in.To-in.From)/1000)
-				if span.Slow > 1.2 {
-					text += fmt.Sprintf(" (times %.1f)", span.Slow)
+				text := fmt.Sprintf("%s at %s from %+.1f s to %+.1f s", span.State, plain(span.Router), (span.FromMS-in.FromMS)/1000,
+					math.Min(span.ToMS-in.FromMS, in.ToMS-in.FromMS)/1000)
+				if span.Slowness > 1.2 {
+					text += fmt.Sprintf(" (times %.1f)", span.Slowness)
 				}
-				if span.Lost > 0 {
-					text += fmt.Sprintf(" (%d connections lost in a row)", span.Lost)
+				if span.ConnectionFailures > 0 {
+					text += fmt.Sprintf(" (%d connections lost in a row)", span.ConnectionFailures)
 				}
 				spans = append(spans, text)
 			}
 			if len(spans) > 0 {
-				fmt.Fprintf(w, "  engine %s: %s\n", plain(e.ID), strings.Join(spans, "; "))
+				fmt.Fprintf(w, "  engine %s: %s\n", plain(e.EngineID), strings.Join(spans, "; "))
 			}
 		}
 	}
--- a/internal/incident/clocks.go
+++ b/internal/incident/clock.go
@@ -13,18 +13,18 @@
 
 // Clock is what is known of a process's clock against that of the first router.
 type Clock struct {
-	OffsetMS float64 // to be taken off its times, at Zero
-	Drift    float64 // further milliseconds to be taken off for each of its own after Zero
-	Zero     float64
+	OffsetMS    float64 // to be taken off its times, at Zero
+	Drift       float64 // further milliseconds to be taken off for each of its own after Zero
+	ReferenceMS float64
 	// Within is how far a corrected time may be off, in milliseconds. Two moments that are closer than both their bounds
 	// are in no order.
-	Within float64
-	Marks  int  // moments that both saw
-	Told   bool // by marks; else the systems' clocks are taken to agree
+	UncertaintyMS float64
+	SharedEvents  int  // moments that both saw
+	Measured      bool // by marks; else the systems' clocks are taken to agree
 }
 
 // Correct gives a time of the process on the first router's clock.
-func (c Clock) Correct(at float64) float64 { return at - c.OffsetMS - c.Drift*(at-c.Zero) }
+func (c Clock) Correct(at float64) float64 { return at - c.OffsetMS - c.Drift*(at-c.ReferenceMS) }
 
 const (
 	// leastMS is what the way of news from the board and the look at the module add in any case, in milliseconds.
@@ -36,23 +36,23 @@
 	maxDrift              = 500e-6
 )
 
-// mark names a moment that every router sees: an engine's change on the board. Ids of engines are never used again.
-type mark struct {
+// sharedEvent names a moment that every router sees: an engine's change on the board. Ids of engines are never used again.
+type sharedEvent struct {
 	engine string
 	state  record.State
 }
 
 // markOf tells whether a change is the board's word.
-func markOf(e *record.EngineChange) (mark, bool) {
+func markOf(e *record.EngineChange) (sharedEvent, bool) {
 	switch e.State {
 	case record.Draining, record.Gone:
-		return mark{e.EngineID, e.State}, true
+		return sharedEvent{e.EngineID, e.State}, true
 	}
-	return mark{}, false
+	return sharedEvent{}, false
 }
 
 // estimate compares a process's marks with the reference's.
-func estimate(own, ref map[mark]float64) Clock {
+func estimate(own, ref map[sharedEvent]float64) Clock {
 	type pair struct{ at, off float64 }
 	var pairs []pair
 	for m, at := range own {
@@ -61,10 +61,10 @@
 		}
 	}
 	if len(pairs) == 0 {
-		return Clock{Within: untoldMS}
+		return Clock{UncertaintyMS: untoldMS}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int { return cmp.Compare(a.at, b.at) })
-	c := Clock{Zero: pairs[0].at, Marks: len(pairs), Told: true}
+	c := Clock{ReferenceMS: pairs[0].at, SharedEvents: len(pairs), Measured: true}
 	// Theil and Sen: the median of all slopes, which a few marks that came late don't move.
 	if span := pairs[len(pairs)-1].at - pairs[0].at; len(pairs) >= driftMarks && span >= driftSpan {
 		var slopes []float64
@@ -79,7 +79,7 @@
 	}
 	rest := make([]float64, len(pairs))
 	for i, p := range pairs {
-		rest[i] = p.off - c.Drift*(p.at-c.Zero)
+		rest[i] = p.off - c.Drift*(p.at-c.ReferenceMS)
 	}
 	c.OffsetMS = median(rest)
 	for i := range rest {
@@ -87,9 +87,9 @@
 	}
 	slices.Sort(rest)
 	// Nine of ten marks lie within; few marks say little of the rest.
-	c.Within = leastMS + rest[min(int(0.9*float64(len(rest))), len(rest)-1)]*(1+2/float64(len(rest)))
+	c.UncertaintyMS = leastMS + rest[min(int(0.9*float64(len(rest))), len(rest)-1)]*(1+2/float64(len(rest)))
 	if len(pairs) < 3 {
-		c.Within = max(c.Within, 50)
+		c.UncertaintyMS = max(c.UncertaintyMS, 50)
 	}
 	return c
 }
--- a/internal/incident/story.go
+++ b/internal/incident/timeline.go
@@ -18,7 +18,7 @@
 
 type process struct {
 	head    record.Header
-	marks   map[mark]float64
+	marks   map[sharedEvent]float64
 	changes []record.EngineChange
 	seconds []second
 	events  []record.Event
@@ -45,7 +45,7 @@
 func (j *Joiner) Add(h *record.Header, r record.Record) {
 	p := j.processes[h.ProcessID]
 	if p == nil {
-		p = &process{head: *h, marks: map[mark]float64{}, from: r.TimeMS(), to: r.TimeMS()}
+		p = &process{head: *h, marks: map[sharedEvent]float64{}, from: r.TimeMS(), to: r.TimeMS()}
 		j.processes[h.ProcessID] = p
 		for _, c := range h.Classes {
 			j.classes[c.Name] = c
@@ -79,64 +79,64 @@
 
 // Timeline is what records tell. All times are on the first router's clock, in milliseconds.
 type Timeline struct {
-	From, To  float64
-	Processes []Process
-	Engines   []EngineHistory
-	Incidents []Incident
-	Missing   []Missing
-	Loss      []float64 // of worth, 0 to 1, a value a second from From on; NaN where nothing ended
-	Base      float64   // in the calm
+	FromMS, ToMS float64
+	Processes    []Process
+	Engines      []EngineHistory
+	Incidents    []Incident
+	Gaps         []Gap
+	Loss         []float64 // of worth, 0 to 1, a value a second from From on; NaN where nothing ended
+	BaselineLoss float64   // in the calm
 }
 
 // Process is one process of a router.
 type Process struct {
-	Router   string
-	Place    uint64
-	Name     string
-	From, To float64
-	Clock    Clock
-	Records  int // seconds that it wrote
+	Router       string
+	Incarnation  uint64
+	ProcessID    string
+	FromMS, ToMS float64
+	Clock        Clock
+	Intervals    int // seconds that it wrote
 }
 
 // EngineHistory is what the routers held of an engine.
 type EngineHistory struct {
-	ID    string
-	Spans []Span
+	EngineID string
+	Spans    []Span
 }
 
 // Span is a state that an engine had, as one router saw it.
 type Span struct {
-	Router   string
-	From, To float64
-	Within   float64
-	State    record.State
-	Slow     float64
-	Fail     float64
-	Lost     int
+	Router             string
+	FromMS, ToMS       float64
+	UncertaintyMS      float64
+	State              record.State
+	Slowness           float64
+	FailureRate        float64
+	ConnectionFailures int
 }
 
 // Incident is a stretch in which service was worth less than in the calm.
 type Incident struct {
-	From, To float64
-	Loss     float64  // mean share of the worth that was lost
-	Hurt     []Impact // the worst first
+	FromMS, ToMS float64
+	Loss         float64  // mean share of the worth that was lost
+	Impacts      []Impact // the worst first
 }
 
 // Impact is a class and tenant in an incident.
 type Impact struct {
-	Class, Tenant         string
-	Late, Refused, Failed int
-	Ended                 int
-	Loss                  float64 // share of its own worth that was lost
-	Calm                  float64 // the same in the calm
-	Part                  float64 // of all that was lost
+	Class, Tenant          string
+	Late, Rejected, Failed int
+	Ended                  int
+	Loss                   float64 // share of its own worth that was lost
+	BaselineLoss           float64 // the same in the calm
+	LossShare              float64 // of all that was lost
 }
 
-// Missing is a stretch of which records don't tell.
-type Missing struct {
-	Router   string
-	From, To float64
-	Records  int // that were dropped; 0 where none were written
+// Gap is a stretch of which records don't tell.
+type Gap struct {
+	Router       string
+	FromMS, ToMS float64
+	Dropped      int // that were dropped; 0 where none were written
 }
 
 const (
@@ -152,7 +152,7 @@
 
 // Timeline joins what was added.
 func (j *Joiner) Timeline() *Timeline {
-	s := &Timeline{From: math.Inf(1), To: math.Inf(-1)}
+	s := &Timeline{FromMS: math.Inf(1), ToMS: math.Inf(-1)}
 	order := slices.SortedFunc(maps.Values(j.processes), func(a, b *process) int {
 		return cmp.Or(cmp.Compare(a.head.Router, b.head.Router), cmp.Compare(a.from, b.from), cmp.Compare(a.head.ProcessID, b.head.ProcessID))
 	})
@@ -163,22 +163,22 @@
 	for i, p := range order {
 		c := clocks[i]
 		s.Processes = append(s.Processes, Process{
-			Router: p.head.Router, Place: p.head.Incarnation, Name: p.head.ProcessID,
-			From: c.Correct(p.from), To: c.Correct(p.to), Clock: c, Records: len(p.seconds),
+			Router: p.head.Router, Incarnation: p.head.Incarnation, ProcessID: p.head.ProcessID,
+			FromMS: c.Correct(p.from), ToMS: c.Correct(p.to), Clock: c, Intervals: len(p.seconds),
 		})
-		s.From, s.To = min(s.From, c.Correct(p.from)), max(s.To, c.Correct(p.to))
+		s.FromMS, s.ToMS = min(s.FromMS, c.Correct(p.from)), max(s.ToMS, c.Correct(p.to))
 		for _, g := range p.gaps {
-			s.Missing = append(s.Missing, Missing{p.head.Router, c.Correct(g.FromMS), c.Correct(g.AtMS), g.Dropped})
+			s.Gaps = append(s.Gaps, Gap{p.head.Router, c.Correct(g.FromMS), c.Correct(g.AtMS), g.Dropped})
 		}
 		for k := 1; k < len(p.seconds); k++ {
 			if a, b := p.seconds[k-1].at, p.seconds[k].at; b-a > silentMS {
-				s.Missing = append(s.Missing, Missing{p.head.Router, c.Correct(a), c.Correct(b), 0})
+				s.Gaps = append(s.Gaps, Gap{p.head.Router, c.Correct(a), c.Correct(b), 0})
 			}
 		}
 	}
-	s.Engines = lives(order, clocks, s.To)
+	s.Engines = lives(order, clocks, s.ToMS)
 	j.service(s, order, clocks)
-	slices.SortFunc(s.Missing, func(a, b Missing) int { return cmp.Compare(a.From, b.From) })
+	slices.SortFunc(s.Gaps, func(a, b Gap) int { return cmp.Compare(a.FromMS, b.FromMS) })
 	return s
 }
 
@@ -194,7 +194,7 @@
 	}
 	// Marks that a process tied to the reference saw are the reference's, corrected: a process that ended early and one that
 	// started late are tied through a third.
-	known := map[mark]float64{}
+	known := map[sharedEvent]float64{}
 	tied := make([]bool, len(order))
 	tie := func(i int, c Clock) {
 		clocks[i], tied[i] = c, true
@@ -204,7 +204,7 @@
 			}
 		}
 	}
-	tie(ref, Clock{Told: true, Within: leastMS, Marks: len(order[ref].marks), Zero: order[ref].from})
+	tie(ref, Clock{Measured: true, UncertaintyMS: leastMS, SharedEvents: len(order[ref].marks), ReferenceMS: order[ref].from})
 	for {
 		best, most := -1, 0
 		for i, p := range order {
@@ -227,11 +227,11 @@
 		if tied[i] {
 			continue
 		}
-		clocks[i] = Clock{Within: untoldMS, Zero: p.from}
+		clocks[i] = Clock{UncertaintyMS: untoldMS, ReferenceMS: p.from}
 		for k, other := range order { // its machine's clock, if another process of the router is tied
 			if tied[k] && other.head.Router == p.head.Router {
 				c := clocks[k]
-				c.Marks, c.Within = 0, c.Within+leastMS+10
+				c.SharedEvents, c.UncertaintyMS = 0, c.UncertaintyMS+leastMS+10
 				clocks[i] = c
 				break
 			}
@@ -250,15 +250,15 @@
 		for _, e := range p.changes {
 			at := c.Correct(e.AtMS)
 			if k, there := open[e.EngineID]; there {
-				spans[e.EngineID][k].To = at
+				spans[e.EngineID][k].ToMS = at
 				delete(open, e.EngineID)
 			}
 			if e.State == record.Gone {
 				continue
 			}
 			spans[e.EngineID] = append(spans[e.EngineID], Span{
-				Router: p.head.Router, From: at, To: until, Within: c.Within, State: e.State,
-				Slow: e.Slowness, Fail: e.FailureRate, Lost: e.ConnectionFailures,
+				Router: p.head.Router, FromMS: at, ToMS: until, UncertaintyMS: c.UncertaintyMS, State: e.State,
+				Slowness: e.Slowness, FailureRate: e.FailureRate, ConnectionFailures: e.ConnectionFailures,
 			})
 			open[e.EngineID] = len(spans[e.EngineID]) - 1
 		}
@@ -267,9 +267,9 @@
 	for _, id := range slices.Sorted(maps.Keys(spans)) {
 		list := spans[id]
 		slices.SortStableFunc(list, func(a, b Span) int {
-			return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.From, b.From))
+			return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.FromMS, b.FromMS))
 		})
-		all = append(all, EngineHistory{ID: id, Spans: list})
+		all = append(all, EngineHistory{EngineID: id, Spans: list})
 	}
 	return all
 }
@@ -284,11 +284,11 @@
 
 // service finds the incidents: it goes by what ended in each second, so that long queries are not missed while they run.
 func (j *Joiner) service(s *Timeline, order []*process, clocks []Clock) {
-	n := int((s.To-s.From)/1000) + 1
+	n := int((s.ToMS-s.FromMS)/1000) + 1
 	buckets := make([]map[key]record.ClassStats, n)
 	for i, p := range order {
 		for _, sec := range p.seconds {
-			at := min(max(int((clocks[i].Correct(sec.at)-s.From)/1000), 0), n-1)
+			at := min(max(int((clocks[i].Correct(sec.at)-s.FromMS)/1000), 0), n-1)
 			if buckets[at] == nil {
 				buckets[at] = map[key]record.ClassStats{}
 			}
@@ -324,17 +324,17 @@
 		return
 	}
 	slices.Sort(calm)
-	s.Base = calm[int(calmQuantile*float64(len(calm)-1))]
+	s.BaselineLoss = calm[int(calmQuantile*float64(len(calm)-1))]
 	var found [][2]int
 	for i := 0; i < n; i++ {
-		if !(s.Loss[i] > s.Base+riseBy) {
+		if !(s.Loss[i] > s.BaselineLoss+riseBy) {
 			continue
 		}
 		last, good := i, 0
 		for k := i; k < n && good < fallS; k++ {
-			if math.IsNaN(s.Loss[k]) || s.Loss[k] > s.Base+fallBy {
+			if math.IsNaN(s.Loss[k]) || s.Loss[k] > s.BaselineLoss+fallBy {
 				good = 0
-				if s.Loss[k] > s.Base+fallBy {
+				if s.Loss[k] > s.BaselineLoss+fallBy {
 					last = k
 				}
 			} else {
@@ -368,7 +368,7 @@
 			continue
 		}
 		from := max(f[0]-windowS+1, 0) // what the window's first second looked back on
-		in := Incident{From: s.From + 1000*float64(from), To: s.From + 1000*float64(f[1]+1)}
+		in := Incident{FromMS: s.FromMS + 1000*float64(from), ToMS: s.FromMS + 1000*float64(f[1]+1)}
 		sums := map[key]record.ClassStats{}
 		for i := from; i <= f[1]; i++ {
 			for k, row := range buckets[i] {
@@ -380,27 +380,27 @@
 			got, most := value(k, row)
 			lost, all = lost+most-got, all+most
 			h := Impact{
-				Class: k.class, Tenant: k.tenant, Late: row.Late, Refused: row.Rejected, Failed: row.Failed,
+				Class: k.class, Tenant: k.tenant, Late: row.Late, Rejected: row.Rejected, Failed: row.Failed,
 				Ended: row.OnTime + row.Late + row.Rejected + row.Failed,
 			}
 			if most > 0 {
 				h.Loss = 1 - got/most
 			}
 			if got, most := value(k, quiet[k]); most > 0 {
-				h.Calm = 1 - got/most
+				h.BaselineLoss = 1 - got/most
 			}
-			h.Part = most - got
-			in.Hurt = append(in.Hurt, h)
+			h.LossShare = most - got
+			in.Impacts = append(in.Impacts, h)
 		}
 		if all == 0 || lost == 0 {
 			continue
 		}
 		in.Loss = lost / all
-		for i := range in.Hurt {
-			in.Hurt[i].Part /= lost
+		for i := range in.Impacts {
+			in.Impacts[i].LossShare /= lost
 		}
-		slices.SortFunc(in.Hurt, func(a, b Impact) int {
-			return cmp.Or(cmp.Compare(b.Part, a.Part), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
+		slices.SortFunc(in.Impacts, func(a, b Impact) int {
+			return cmp.Or(cmp.Compare(b.LossShare, a.LossShare), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
 		})
 		s.Incidents = append(s.Incidents, in)
 	}
--- a/internal/incident/story_test.go
+++ b/internal/incident/timeline_test.go
@@ -79,15 +79,15 @@
 	s := f.j.Timeline()
 	first := s.Processes[0].Clock
 	for i, p := range s.Processes {
-		if !p.Clock.Told || p.Clock.Within > 15 {
+		if !p.Clock.Measured || p.Clock.UncertaintyMS > 15 {
 			t.Errorf("%s: %+v", p.Router, p.Clock)
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
 			// The reference is one of the three; what counts is that they agree.
 			mine := p.Clock.Correct(zero + at + offsets[i] + drifts[i]*at)
 			ref := first.Correct(zero + at + offsets[0] + drifts[0]*at)
-			if off := math.Abs(mine - ref); off > p.Clock.Within+first.Within {
-				t.Errorf("%s at %v: off by %.1f ms, told within %.1f", p.Router, at, off, p.Clock.Within)
+			if off := math.Abs(mine - ref); off > p.Clock.UncertaintyMS+first.UncertaintyMS {
+				t.Errorf("%s at %v: off by %.1f ms, told within %.1f", p.Router, at, off, p.Clock.UncertaintyMS)
 			}
 		}
 	}
@@ -131,25 +131,25 @@
 		t.Fatalf("%+v", s.Incidents)
 	}
 	in := s.Incidents[0]
-	if from, to := (in.From-s.From)/1000, (in.To-s.From)/1000; math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
+	if from, to := (in.FromMS-s.FromMS)/1000, (in.ToMS-s.FromMS)/1000; math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
 		t.Errorf("from %.0f s to %.0f s", from, to)
 	}
-	if h := in.Hurt[0]; h.Class != "lookup" || h.Tenant != "a" || h.Part < 0.95 || h.Loss < 0.3 || h.Calm > 0.05 {
+	if h := in.Impacts[0]; h.Class != "lookup" || h.Tenant != "a" || h.LossShare < 0.95 || h.Loss < 0.3 || h.BaselineLoss > 0.05 {
 		t.Errorf("%+v", h)
 	}
 	missing := 0
-	for _, m := range s.Missing {
-		if m.Router == "n2" && m.To-m.From > 6000 {
+	for _, m := range s.Gaps {
+		if m.Router == "n2" && m.ToMS-m.FromMS > 6000 {
 			missing++
 		}
 	}
 	if missing != 1 {
-		t.Errorf("missing: %+v", s.Missing)
+		t.Errorf("missing: %+v", s.Gaps)
 	}
 	down := 0
 	for _, e := range s.Engines {
 		for _, span := range e.Spans {
-			if e.ID == "s-00000001" && span.State == record.Down && span.From < in.To && span.To > in.From {
+			if e.EngineID == "s-00000001" && span.State == record.Down && span.FromMS < in.ToMS && span.ToMS > in.FromMS {
 				down++
 			}
 		}
@@ -174,10 +174,10 @@
 		f.second(float64(1000*i), 0, -1)
 	}
 	s := f.j.Timeline()
-	if len(s.Processes) != 3 || s.Processes[2].Router != "n1" || s.Processes[2].Place != 3 {
+	if len(s.Processes) != 3 || s.Processes[2].Router != "n1" || s.Processes[2].Incarnation != 3 {
 		t.Fatalf("%+v", s.Processes)
 	}
-	if c := s.Processes[2].Clock; math.Abs(c.OffsetMS-s.Processes[1].Clock.OffsetMS) > 0.001 || c.Within <= s.Processes[1].Clock.Within {
+	if c := s.Processes[2].Clock; math.Abs(c.OffsetMS-s.Processes[1].Clock.OffsetMS) > 0.001 || c.UncertaintyMS <= s.Processes[1].Clock.UncertaintyMS {
 		t.Errorf("%+v after %+v", c, s.Processes[1].Clock)
 	}
 	if len(s.Incidents) != 0 {
