--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -5,24 +5,30 @@
 	"testing"
 )
 
-// A process that is told to end while it asks for an elder, or waits for its state, wants no tick any more: Step takes none, so
-// that it would be due for ever. It guards against a process that spins and never ends.
+// A process that is asked to end while it asks for its predecessor, or waits for its state, needs no tick any more:
+// Step ignores ticks then, so that the process would be due for ever. It guards against a process that spins and
+// never ends.
 func TestNothingIsDueAfterTheEnd(t *testing.T) {
-	for name, events := range map[string][]Event{
-		"looking": nil,
-		"asking":  {{Kind: EventPredecessorFound, Process: FirstProcess}},
-		"taking":  {{Kind: EventPredecessorFound, Process: FirstProcess}, {Kind: EventMessageReceived, Process: FirstProcess, Message: MessageState}},
+	found := Event{Kind: EventPredecessorFound, Process: FirstProcess}
+	state := Event{Kind: EventMessageReceived, Process: FirstProcess, Message: MessageState}
+	for phase, events := range map[Phase][]Event{
+		PhaseFindingPredecessor: nil,
+		PhaseAwaitingState:      {found},
+		PhaseAwaitingGoAhead:    {found, state},
 	} {
 		m, _ := New(FirstProcess+1, 1000, DefaultSettings)
-		for _, ev := range events {
-			m.Step(1001, ev)
+		for _, event := range events {
+			m.Step(1001, event)
 		}
-		if due := m.Due(); math.IsInf(due, 1) && name != "looking" {
-			t.Errorf("%s: nothing is due before its end", name)
+		if m.Phase() != phase {
+			t.Errorf("%v instead of %v", m.Phase(), phase)
+		}
+		if due := m.Due(); math.IsInf(due, 1) && phase != PhaseFindingPredecessor {
+			t.Errorf("%v: nothing is due before its end", phase)
 		}
 		m.Step(1002, Event{Kind: EventStopRequested})
 		if due := m.Due(); m.Phase() != PhaseEnded || !math.IsInf(due, 1) {
-			t.Errorf("%s: %v, due at %v", name, m.Phase(), due)
+			t.Errorf("%v: %v, due at %v", phase, m.Phase(), due)
 		}
 	}
 }
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -1,529 +1,337 @@
 package hotrestart
 
-import (
-	"fmt"
-	"hash/maphash"
-	"strings"
-	"testing"
-)
+import "fmt"
 
 // The model: up to three processes of a router, the links between them, a clock that may let any armed timer run out at
 // any moment (so that every process is as slow as it likes), and an adversary with a budget of kills, broken links,
-// messages that come twice, signals, one ban by hand, and one id of a load that clients send again and again.
+// duplicated messages, signals, one cordon, and one idempotency id of a request that clients send again and again.
 //
-// What the machine leaves to its caller is modelled as it is built: the folder of bans, which each process that has met
-// another one watches, and the word that is asked of the other process before a load begins.
+// What the machine leaves to its caller is modelled as it is built: the folder of cordons, which each process that
+// has met another one watches, and the consent that is asked of the other process before a request begins.
 
-const procs = 3
+const modelProcesses = 3
 
 // budget is what the adversary may do.
-type budget struct{ starts, kills, cuts, dups, stops, bans, loads int8 }
+type budget struct{ starts, kills, linkLosses, duplicates, stops, cordons, requests int8 }
 
-// note is what a message of the model carries: a message of the protocol, or one about the load's id.
-type note uint8
+// wireMessage is a message of the model: one of the protocol, or one about the idempotency id.
+type wireMessage uint8
 
 const (
-	about note = 16                    // the low bits say which attempt to begin the load a question or an answer belongs to
-	askID note = 32                    // may I begin it?
-	yesID note = 64                    //
-	noID  note = 128                   //
-	told  note = about - 1             // it may have run here
-	asIs  note = 8                     // added to State: the sender's snapshot has the id as one that may have run
-	kinds note = note(MessageHandBack) // the greatest of the protocol
+	// The low bits of claim, grant and denial say which attempt to begin the request they belong to.
+	mayHaveRun   wireMessage = claimAttempts - 1 // the request may have run at the sender
+	claimAttempt wireMessage = 32                // may the sender begin it?
+	claimGranted wireMessage = 64
+	claimDenied  wireMessage = 128
+	// idInState is added to MessageState: the id is one that may have run, by the sender's snapshot.
+	idInState wireMessage = 8
+	// lastProtocolMessage is the greatest message of the protocol.
+	lastProtocolMessage wireMessage = wireMessage(MessageHandBack)
+
+	claimAttempts = 16
 )
 
-type queue struct {
-	n uint8
-	m [6]note
+// messageQueue holds the messages on their way from one process to another.
+type messageQueue struct {
+	length   uint8
+	messages [6]wireMessage
 }
 
-func (q *queue) push(m note) bool {
-	if int(q.n) == len(q.m) {
+func (q *messageQueue) push(message wireMessage) bool {
+	if int(q.length) == len(q.messages) {
 		return false
 	}
-	q.m[q.n] = m
-	q.n++
+	q.messages[q.length] = message
+	q.length++
 	return true
 }
 
-func (q *queue) pop() note {
-	m := q.m[0]
-	copy(q.m[:], q.m[1:])
-	q.n--
-	q.m[q.n] = 0
-	return m
+func (q *messageQueue) pop() wireMessage {
+	first := q.messages[0]
+	copy(q.messages[:], q.messages[1:])
+	q.length--
+	q.messages[q.length] = 0
+	return first
 }
 
-type proc struct {
-	m                    Machine
-	alive, looking       bool
-	accepts, ban, spent  bool
-	torn                 bool // a link broke and was not joined again
-	state                bool // what the state that came last says of the id
-	asked, attempt       uint8
-	up, cut, gone, claim [procs]bool
+// modelProcess is one process of a world, with what its caller keeps.
+type modelProcess struct {
+	machine       Machine
+	alive         bool
+	searching     bool // it looks for its predecessor
+	accepts       bool
+	cordoned      bool                 // it knows of the cordon
+	consumed      bool                 // the id may have run, as far as it knows
+	linkTorn      bool                 // a link broke and was not joined again
+	idInLastState bool                 // what the state that came last says of the id
+	attempt       uint8                // the last attempt to begin the request
+	linked        [modelProcesses]bool // the link to that process is up
+	linkLost      [modelProcesses]bool // the loss of that link is still to be noticed
+	ended         [modelProcesses]bool // the end of that process is still to be noticed
+	claims        [modelProcesses]bool // that process was asked for its consent
 }
 
+// world is one state of the model.
 type world struct {
-	p      [procs]proc
-	q      [procs][procs]queue // from, to
-	folder bool
-	left   budget
-	runs   int8
-	lost   bool // what only killed processes knew is lost with them, as in any crash; a journal on disk is for that
-	broken bool // a queue ran over: the state is left out
+	processes      [modelProcesses]modelProcess
+	queues         [modelProcesses][modelProcesses]messageQueue // from, to
+	cordonInFolder bool
+	left           budget
+	runs           int8
+	// knowledgeLost says that what only killed processes knew is lost with them, as in any crash; a journal on disk is for
+	// that.
+	knowledgeLost bool
+	// queueOverflowing says that the state is left out.
+	queueOverflowing bool
 }
 
-// model explores worlds; old brings the fault back that the machine was written against.
+// model explores worlds; formerFault brings the fault back that the machine was written against.
 type model struct {
-	w    world
-	old  bool
-	fail string
+	world       world
+	formerFault bool
+	failure     string
 }
 
-func peer(i int) ProcessNumber  { return FirstProcess + ProcessNumber(i) }
-func index(p ProcessNumber) int { return int(p - FirstProcess) }
+func numberOf(i int) ProcessNumber      { return FirstProcess + ProcessNumber(i) }
+func indexOf(process ProcessNumber) int { return int(process - FirstProcess) }
 
-func (x *model) step(i int, ev Event) {
-	p := &x.w.p[i]
+// step hands an event to a process's machine and carries its effects out.
+func (x *model) step(i int, event Event) {
+	p := &x.world.processes[i]
 	now := 0.0
-	if ev.Kind == EventTick {
-		now = p.m.Due()
-		if x.old && p.m.phase == PhaseAwaitingState { // as it was: a silent elder was taken for none
-			p.m.phase, p.m.predecessor = PhaseFindingPredecessor, NoProcess
-			ev = Event{Kind: EventPredecessorFound}
+	if event.Kind == EventTick {
+		now = p.machine.Due()
+		if x.formerFault && p.machine.phase == PhaseAwaitingState { // a silent predecessor was taken for none
+			p.machine.phase, p.machine.predecessor = PhaseFindingPredecessor, NoProcess
+			event = Event{Kind: EventPredecessorFound}
 		}
 	}
-	before := p.m.phase
-	for _, e := range p.m.Step(now, ev) {
-		x.effect(i, e)
+	before := p.machine.phase
+	for _, effect := range p.machine.Step(now, event) {
+		x.carryOut(i, effect)
 	}
-	if before == PhaseEnded && p.m.phase != PhaseEnded {
-		x.fail = "an ended process goes on"
+	if before == PhaseEnded && p.machine.phase != PhaseEnded {
+		x.failure = "an ended process goes on"
 	}
 	// Times are left out of the state: every timer that is armed may run out.
-	p.m.awaitDeadline = 0
-	if p.m.nextHelloAt > 0 {
-		p.m.nextHelloAt = 1
+	p.machine.awaitDeadline = 0
+	if p.machine.nextHelloAt > 0 {
+		p.machine.nextHelloAt = 1
 	}
 }
 
-func (x *model) send(i, j int, m note) {
-	if !x.w.p[i].up[j] || !x.w.p[j].alive {
+func (x *model) send(i, j int, message wireMessage) {
+	if !x.world.processes[i].linked[j] || !x.world.processes[j].alive {
 		return
 	}
-	if !x.w.q[i][j].push(m) {
-		x.w.broken = true
+	if !x.world.queues[i][j].push(message) {
+		x.world.queueOverflowing = true
 	}
 }
 
-func (x *model) effect(i int, e Effect) {
-	p := &x.w.p[i]
-	switch e.Action {
+func (x *model) carryOut(i int, effect Effect) {
+	p := &x.world.processes[i]
+	switch effect.Action {
 	case ActionFindPredecessor:
-		p.looking = true
+		p.searching = true
 	case ActionSend:
-		m := note(e.Message)
-		if e.Message == MessageState {
-			p.torn = false
-			if p.spent {
-				m |= asIs
+		message := wireMessage(effect.Message)
+		if effect.Message == MessageState {
+			p.linkTorn = false
+			if p.consumed {
+				message |= idInState
 			}
 		}
-		x.send(i, index(e.Process), m)
+		x.send(i, indexOf(effect.Process), message)
 	case ActionRestoreState:
-		p.spent = p.spent || p.state
+		p.consumed = p.consumed || p.idInLastState
 	case ActionStartAccepting:
 		p.accepts = true
 	case ActionStopAccepting:
 		p.accepts = false
 	case ActionEnd:
 		x.end(i)
+	case ActionFinish, ActionDrain, ActionSetShare:
 	}
 }
 
-func (x *model) lives(but int) bool {
-	for j := range procs {
-		if j != but && x.w.p[j].alive {
+// othersLive reports whether a process other than i lives.
+func (x *model) othersLive(i int) bool {
+	for j := range modelProcesses {
+		if j != i && x.world.processes[j].alive {
 			return true
 		}
 	}
 	return false
 }
 
-// end has a process end; what it has sent still arrives, and then its end does.
+// end has a process end; what it has sent still arrives, and then its end is noticed.
 func (x *model) end(i int) {
-	w := &x.w
-	if p := &w.p[i]; p.torn || p.m.successor == NoProcess && p.m.predecessor == NoProcess {
-		w.lost = true // a plain end: who starts after it starts from nothing; so it is where a link broke and was not joined again
+	w := &x.world
+	p := &w.processes[i]
+	if p.linkTorn || p.machine.successor == NoProcess && p.machine.predecessor == NoProcess {
+		// A plain end: a process that starts after it starts from nothing. So it is where a link broke for good.
+		w.knowledgeLost = true
 	}
-	for j := range procs {
-		if q := &w.p[j]; q.alive && (q.up[i] || q.m.predecessor == peer(i) || q.m.successor == peer(i)) {
-			q.gone[i] = true
+	for j := range modelProcesses {
+		other := &w.processes[j]
+		concerned := other.linked[i] || other.machine.predecessor == numberOf(i) || other.machine.successor == numberOf(i)
+		if other.alive && concerned {
+			other.ended[i] = true
 		}
-		w.q[j][i] = queue{}
+		w.queues[j][i] = messageQueue{}
+	}
+	w.processes[i] = modelProcess{machine: Machine{Self: numberOf(i), phase: PhaseEnded}}
+	if w.knowledgeLost && !w.idKnown() {
+		w.runs = 0
 	}
-	w.p[i] = proc{m: Machine{Self: peer(i), phase: PhaseEnded}}
-	known := false
-	for j := range procs {
-		known = known || w.p[j].alive && w.p[j].spent
-		for k := range procs {
-			for _, m := range w.q[k][j].m[:w.q[k][j].n] {
-				known = known || m == told || m == note(MessageState)|asIs || m&askID != 0
+}
+
+// idKnown reports whether a living process knows that the id may have run, or is about to receive that it may.
+func (w *world) idKnown() bool {
+	for j := range modelProcesses {
+		if w.processes[j].alive && w.processes[j].consumed {
+			return true
+		}
+		for k := range modelProcesses {
+			queue := &w.queues[k][j]
+			for _, message := range queue.messages[:queue.length] {
+				if message == mayHaveRun || message == wireMessage(MessageState)|idInState || message&claimAttempt != 0 {
+					return true
+				}
 			}
 		}
 	}
-	if w.lost && !known {
-		w.runs = 0
-	}
+	return false
 }
 
 // deliver hands the next message of i to j.
 func (x *model) deliver(i, j int) {
-	m := x.w.q[i][j].pop()
-	p := &x.w.p[j]
+	message := x.world.queues[i][j].pop()
+	p := &x.world.processes[j]
 	switch {
-	case m == told:
-		p.spent = true
-	case m&askID != 0:
-		answer := yesID | m&^askID
-		switch {
-		case p.spent, p.claim[i]: // where both ask at once neither begins
-			answer = noID | m&^askID
-		default:
-			p.spent = true
+	case message == mayHaveRun:
+		p.consumed = true
+	case message&claimAttempt != 0:
+		answer := claimGranted
+		if p.consumed || p.claims[i] { // where both ask at once neither begins
+			answer = claimDenied
 		}
-		x.send(j, i, answer)
-	case m&yesID != 0:
-		if p.claim[i] && uint8(m&^yesID) == p.attempt {
-			p.claim[i] = false
-			p.spent = true
+		p.consumed = p.consumed || answer == claimGranted
+		x.send(j, i, answer|message&^claimAttempt)
+	case message&claimGranted != 0:
+		if p.claims[i] && uint8(message&^claimGranted) == p.attempt {
+			p.claims[i], p.consumed = false, true
 			x.run()
 		}
-	case m&noID != 0:
-		if p.claim[i] && uint8(m&^noID) == p.attempt {
-			p.claim[i], p.spent = false, true
+	case message&claimDenied != 0:
+		if p.claims[i] && uint8(message&^claimDenied) == p.attempt {
+			p.claims[i], p.consumed = false, true
 		}
 	default:
-		if m&^asIs == note(MessageState) {
-			p.state = m&asIs != 0
+		if message&^idInState == wireMessage(MessageState) {
+			p.idInLastState = message&idInState != 0
 		}
-		x.step(j, Event{Kind: EventMessageReceived, Process: peer(i), Message: MessageKind(m &^ asIs)})
+		kind := MessageKind(message &^ idInState)
+		x.step(j, Event{Kind: EventMessageReceived, Process: numberOf(i), Message: kind})
 	}
 }
 
 func (x *model) run() {
-	if x.w.runs++; x.w.runs > 1 {
-		x.fail = "a load ran twice"
+	if x.world.runs++; x.world.runs > 1 {
+		x.failure = "a request ran twice"
 	}
 }
 
-// submit has a client send the load to a process.
+// submit has a client send the request to a process.
 func (x *model) submit(i int) {
-	p := &x.w.p[i]
-	ask, may := p.m.MustAsk()
-	if !may || p.spent {
+	p := &x.world.processes[i]
+	ask, may := p.machine.MustAsk()
+	if !may || p.consumed {
 		return
 	}
 	if ask != NoProcess {
-		j := index(ask)
-		for k := range procs {
-			if p.claim[k] {
-				return // one at a time
-			}
-		}
-		if !p.up[j] || !x.w.p[j].alive {
-			return // refused: there is nobody to ask, and the end of that process has not been heard of
-		}
-		p.attempt++
-		p.claim[j] = true
-		x.send(i, j, askID|note(p.attempt))
+		x.claim(i, indexOf(ask))
 		return
 	}
-	p.spent = true
+	p.consumed = true
 	x.run()
-	if n := p.m.successor; n != NoProcess {
-		x.send(i, index(n), told)
+	if successor := p.machine.successor; successor != NoProcess {
+		x.send(i, indexOf(successor), mayHaveRun)
 	}
 }
 
-// each calls f with every world that may follow, and a name for what happened; prompt tells what must happen soon by
-// itself.
-func (x *model) each(f func(next *model, prompt bool, name string, i, j int)) {
-	w := x.w
-	try := func(prompt bool, name string, i, j int, do func(y *model)) {
-		y := &model{w: w, old: x.old}
-		do(y)
-		f(y, prompt, name, i, j)
+// claim has process i ask process j for its consent, unless a claim is open already.
+func (x *model) claim(i, j int) {
+	p := &x.world.processes[i]
+	if p.claims != [modelProcesses]bool{} {
+		return
 	}
-	for i := range procs {
-		p := &w.p[i]
-		if !p.alive {
-			if w.left.starts > 0 && p.m.Self == NoProcess && (i == 0 || w.p[i-1].m.Self != NoProcess) {
-				try(false, "start", i, 0, func(y *model) {
-					y.w.left.starts--
-					var effects []Effect
-					q := &y.w.p[i]
-					q.alive = true
-					for j := range procs {
-						if j != i && w.p[j].alive {
-							q.ban = w.folder
-						}
-					}
-					if !q.ban { // the folder of a router that nobody stands for is cleared as the place is taken
-						y.w.folder = y.w.folder && y.lives(i)
-					}
-					q.m, effects = New(peer(i), 0, DefaultSettings)
-					q.m.awaitDeadline = 0
-					for _, e := range effects {
-						y.effect(i, e)
-					}
-				})
-			}
-			continue
-		}
-		if p.looking {
-			try(true, "looks", i, 0, func(y *model) {
-				y.w.p[i].looking = false
-				found := NoProcess
-				for j := i - 1; j >= 0 && found == NoProcess; j-- {
-					if w.p[j].alive {
-						found = peer(j)
-						if !w.p[i].up[j] {
-							y.w.p[i].up[j], y.w.p[j].up[i] = true, true
-							y.w.p[i].torn = false
-						}
-					}
-				}
-				y.step(i, Event{Kind: EventPredecessorFound, Process: found}) // an end that it shows is heard of as well: gone
-			})
-		}
-		if p.ban != w.folder {
-			try(true, "sees the folder", i, 0, func(y *model) { y.w.p[i].ban = w.folder })
-		}
-		for j := range procs {
-			if w.q[j][i].n > 0 && p.up[j] {
-				try(true, "hears", i, j, func(y *model) { y.deliver(j, i) })
-				if m := w.q[j][i].m[0]; w.left.dups > 0 && m&^asIs <= kinds {
-					try(false, "hears twice", i, j, func(y *model) {
-						y.w.left.dups--
-						y.deliver(j, i)
-						if y.w.p[i].alive && y.w.p[j].alive {
-							y.w.q[j][i].push(m) // late as well: it comes after all that was sent since
-						}
-					})
-				}
-			} else if p.gone[j] {
-				try(true, "hears of the end of", i, j, func(y *model) {
-					q := &y.w.p[i]
-					q.gone[j], q.up[j], q.cut[j], q.claim[j] = false, false, false, false
-					y.step(i, Event{Kind: EventProcessEnded, Process: peer(j)})
-				})
-			} else if p.cut[j] {
-				try(true, "hears of the broken link to", i, j, func(y *model) {
-					y.w.p[i].cut[j], y.w.p[i].claim[j] = false, false
-					y.step(i, Event{Kind: EventLinkLost, Process: peer(j)})
-				})
-			}
-			if p.claim[j] {
-				try(false, "waits no longer for the word of", i, j, func(y *model) { y.w.p[i].claim[j] = false })
-			}
-			if j < i && p.up[j] && w.p[j].alive && w.left.cuts > 0 {
-				try(false, "loses the link to", i, j, func(y *model) {
-					y.w.left.cuts--
-					y.w.q[i][j], y.w.q[j][i] = queue{}, queue{}
-					y.w.p[i].up[j], y.w.p[j].up[i] = false, false
-					y.w.p[i].cut[j], y.w.p[j].cut[i] = true, true
-					y.w.p[i].torn, y.w.p[j].torn = true, true
-				})
-			}
-		}
-		// A process asks again and again; it is enough to have it ask when nothing of that is under way.
-		idle := true
-		if e := p.m.predecessor; e != NoProcess {
-			idle = w.q[i][index(e)].n == 0 && w.q[index(e)][i].n == 0
-		}
-		if due := p.m.Due(); !p.looking && (p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead || due < 1e300 && idle) {
-			if p.m.nextHelloAt > 0 && idle {
-				try(false, "asks again", i, 0, func(y *model) {
-					q := &y.w.p[i]
-					q.m.awaitDeadline = 1e6 // this time only the other timer runs out
-					y.step(i, Event{Kind: EventTick})
-				})
-			}
-			if p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead {
-				try(false, "has waited long", i, 0, func(y *model) {
-					q := &y.w.p[i]
-					again := q.m.nextHelloAt
-					q.m.nextHelloAt, q.m.awaitDeadline = 0, 1
-					y.step(i, Event{Kind: EventTick})
-					if q.alive && q.m.nextHelloAt == 0 {
-						q.m.nextHelloAt = again
-					}
-				})
-			}
-		}
-		if w.left.kills > 0 {
-			try(false, "is killed", i, 0, func(y *model) { y.w.left.kills--; y.w.lost = true; y.end(i) })
-		}
-		if w.left.stops > 0 && !p.m.stopRequested {
-			try(false, "is told to end", i, 0, func(y *model) { y.w.left.stops--; y.step(i, Event{Kind: EventStopRequested}) })
-		}
-		if p.m.phase == PhaseFinishing || p.m.phase == PhaseDraining {
-			try(false, "has nothing open", i, 0, func(y *model) { y.step(i, Event{Kind: EventIdle}) })
-		}
-		if w.left.bans > 0 && p.accepts {
-			try(false, "is told of a ban", i, 0, func(y *model) {
-				y.w.left.bans--
-				y.w.folder, y.w.p[i].ban = true, true
-			})
-		}
-		if w.left.loads > 0 && (p.accepts || p.m.phase == PhaseSuperseded || p.m.phase == PhaseFinishing) {
-			try(false, "gets the load", i, 0, func(y *model) { y.w.left.loads--; y.submit(i) })
-		}
+	if !p.linked[j] || !x.world.processes[j].alive {
+		return // rejected: there is nobody to ask, and the end of that process has not been noticed
 	}
+	p.attempt++
+	p.claims[j] = true
+	x.send(i, j, claimAttempt|wireMessage(p.attempt))
 }
 
-var parts = [...]int{ShareNone: 1, ShareReserve: 4, ShareHalf: 40, ShareFull: 80}
+// shareParts are the parts of the platform's limit that the shares allow.
+var shareParts = [...]int{ShareNone: 1, ShareReserve: 4, ShareHalf: 40, ShareFull: 80}
 
-// limit is that of the platform for all processes of a router together, in the parts' unit.
-const limit = 90
+// partsLimit is the platform's limit for all processes of a router together.
+const partsLimit = 90
 
-// check gives what is wrong with a world; settled says that nothing is under way.
+// check returns which rule a world breaks, or nothing; settled says that nothing is under way.
 func (x *model) check(settled bool) string {
-	if x.fail != "" {
-		return x.fail
+	if x.failure != "" {
+		return x.failure
 	}
 	sum, living, accepting, coming := 0, 0, 0, 0
-	for i := range procs {
-		p := &x.w.p[i]
+	for i := range modelProcesses {
+		p := &x.world.processes[i]
 		if !p.alive {
 			continue
 		}
-		sum += parts[p.m.share]
-		if !p.m.stopRequested {
+		sum += shareParts[p.machine.share]
+		if !p.machine.stopRequested {
 			living++
 		}
 		if p.accepts {
 			accepting++
 		}
-		if p.accepts != p.m.Accepts() {
-			return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.m.Accepts())
-		}
-		if p.m.phase == PhaseFindingPredecessor || p.m.phase == PhaseAwaitingState || p.m.phase == PhaseAwaitingGoAhead {
+		if p.isComing() {
 			coming++
 		}
-		if settled && p.ban != x.w.folder && p.m.hasAccepted {
-			return fmt.Sprintf("process %d keeps the ban: %t, and it is in force: %t", i, p.ban, x.w.folder)
+		if failure := x.checkProcess(i, settled); failure != "" {
+			return failure
 		}
 	}
-	if sum > limit {
-		return fmt.Sprintf("bounds of %d where %d is the limit", sum, limit)
+	if sum > partsLimit {
+		return fmt.Sprintf("shares of %d where %d is the limit", sum, partsLimit)
 	}
 	if settled && living > 0 && accepting+coming == 0 {
-		return "nobody accepts, or is about to"
+		return "no process accepts, or is about to"
 	}
 	return ""
 }
 
-var seed = maphash.MakeSeed()
-
-type came struct {
-	from uint64
-	by   string
-	i, j int8
-}
-
-// explore visits every world within depth steps of the start; it gives the number of worlds and the shortest way to the
-// first that is wrong.
-func explore(left budget, depth int, old bool) (seen int, deep int, wrong string) {
-	start := &model{w: world{left: left}, old: old}
-	at := maphash.Comparable(seed, start.w)
-	ways := map[uint64]came{at: {}}
-	type item struct {
-		w  world
-		at uint64
-	}
-	next := []item{{start.w, at}}
-	for ; deep < depth && len(next) > 0; deep++ {
-		now := next
-		next = nil
-		for _, here := range now {
-			x := &model{w: here.w, old: old}
-			settled := true
-			x.each(func(y *model, prompt bool, name string, i, j int) {
-				settled = settled && !prompt
-				if wrong != "" || y.w.broken {
-					return
-				}
-				to := maphash.Comparable(seed, y.w)
-				if _, known := ways[to]; known && y.fail == "" {
-					return
-				}
-				ways[to] = came{here.at, name, int8(i), int8(j)}
-				if bad := y.check(false); bad != "" {
-					wrong = bad + "\n" + history(ways, to)
-					return
-				}
-				next = append(next, item{y.w, to})
-			})
-			if bad := x.check(settled); bad != "" && wrong == "" {
-				wrong = bad + "\n" + history(ways, here.at)
-			}
-			if wrong != "" {
-				return len(ways), deep, wrong
-			}
-		}
-	}
-	return len(ways), deep, ""
+// isComing reports whether a process is about to accept.
+func (p *modelProcess) isComing() bool {
+	return p.machine.phase == PhaseFindingPredecessor || p.awaits()
 }
 
-func history(ways map[uint64]came, at uint64) string {
-	var lines []string
-	for len(lines) < 100 {
-		way := ways[at]
-		if way.by == "" {
-			break
-		}
-		lines = append(lines, fmt.Sprintf("  %d %s %d", way.i, way.by, way.j))
-		at = way.from
-	}
-	var b strings.Builder
-	for i := len(lines) - 1; i >= 0; i-- {
-		fmt.Fprintln(&b, lines[i])
-	}
-	return b.String()
+// awaits reports whether a process waits for its predecessor, for a limited time.
+func (p *modelProcess) awaits() bool {
+	return p.machine.phase == PhaseAwaitingState || p.machine.phase == PhaseAwaitingGoAhead
 }
 
-// Every interleaving, to the depth given, keeps the rules. They are: the bounds of all processes fit the limits at each
-// moment; a ban told to any is kept by all that serve; a load runs once; somebody accepts, or is about to.
-func TestModel(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		left  budget
-		depth int
-	}{
-		{"two processes, all there is to happen", budget{starts: 2, kills: 1, cuts: 1, dups: 1, stops: 2, bans: 1, loads: 2}, 16},
-		{"two processes, kills and bans", budget{starts: 2, kills: 2, stops: 1, bans: 2}, 60},
-		{"two processes, loads and broken links", budget{starts: 2, kills: 1, cuts: 2, stops: 1, loads: 3}, 60},
-		{"three processes, kills and signals", budget{starts: 3, kills: 2, stops: 2, bans: 1}, 60},
-		{"three processes, loads", budget{starts: 3, kills: 1, stops: 1, loads: 2}, 60},
-		{"three processes, broken links", budget{starts: 3, kills: 1, cuts: 1, stops: 1, bans: 1}, 60},
-		{"three processes, all there is to happen", budget{starts: 3, kills: 1, cuts: 1, dups: 1, stops: 1, bans: 1, loads: 2}, 12},
-	} {
-		seen, deep, wrong := explore(c.left, c.depth, false)
-		t.Logf("%s: %d states to depth %d (all there are: %t)", c.name, seen, deep, deep < c.depth)
-		if wrong != "" {
-			t.Errorf("%s: %s", c.name, wrong)
-		}
+func (x *model) checkProcess(i int, settled bool) string {
+	p := &x.world.processes[i]
+	if p.accepts != p.machine.Accepts() {
+		return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.machine.Accepts())
 	}
-}
-
-// With the mend taken out the model finds the fault: a silent elder that is taken for none.
-func TestModelFindsTheOldFault(t *testing.T) {
-	seen, deep, wrong := explore(budget{starts: 2, bans: 1}, 20, true)
-	if wrong == "" {
-		t.Fatalf("not found in %d states to depth %d", seen, deep)
+	if settled && p.cordoned != x.world.cordonInFolder && p.machine.hasAccepted {
+		return fmt.Sprintf("process %d keeps the cordon: %t, and it is in force: %t", i, p.cordoned, x.world.cordonInFolder)
 	}
-	t.Logf("%d states: %s", seen, wrong)
+	return ""
 }
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -8,25 +8,31 @@
 	"windflow/internal/tracetest"
 )
 
-// Every step of the machine stays as it was recorded in testdata/traces.txt, over chains of processes that come, fail and
-// are told to end at random. It guards against changes that are meant to leave decisions alone and do not.
+// Every step of the machine stays as it was recorded in testdata/traces.txt, over chains of processes that start, fail
+// and are asked to end at random. It guards against refactorings that change a decision.
 func TestTraces(t *testing.T) {
-	var all []tracetest.Scenario
-	for _, procs := range []int{2, 3} {
+	var scenarios []tracetest.Scenario
+	for _, processes := range []int{2, 3} {
 		for _, k := range []struct {
-			name    string
-			set     Settings
-			strange int // of a thousand events, that make no sense
+			name          string
+			settings      Settings
+			strayPerMille int // of a thousand events, those that do not fit the phase
 		}{
 			{"sound", DefaultSettings, 0},
 			{"strange-events", DefaultSettings, 150},
-			{"short-waits", Settings{HelloTimeout: 700, SilenceTimeout: 300, HelloInterval: 90, GoAheadTimeout: 120}, 20},
+			{"short-waits", Settings{
+				HelloTimeoutMS:   700,
+				SilenceTimeoutMS: 300,
+				HelloIntervalMS:  90,
+				GoAheadTimeoutMS: 120,
+			}, 20},
 		} {
-			all = append(all, chains(fmt.Sprintf("%d-processes/%s", procs, k.name), procs, k.set, k.strange))
+			c := chain{settings: k.settings, most: processes, strayPerMille: k.strayPerMille}
+			scenarios = append(scenarios, chains(fmt.Sprintf("%d-processes/%s", processes, k.name), c))
 		}
 	}
-	all = append(all, tracetest.Scenario{Name: "versions", Run: traceVersions})
-	tracetest.Check(t, all)
+	scenarios = append(scenarios, tracetest.Scenario{Name: "versions", Run: traceVersions})
+	tracetest.Check(t, scenarios)
 }
 
 const (
@@ -34,10 +40,14 @@
 	traceEvents = 250 // for each chain
 )
 
-func chains(name string, procs int, set Settings, strange int) tracetest.Scenario {
-	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
+// chains plays chains of processes with the settings of one, each with a seed of its own.
+func chains(name string, template chain) tracetest.Scenario {
+	return tracetest.Scenario{Name: name, Run: func(t *testing.T, hash *tracetest.Hash) {
+		t.Helper()
 		for seed := range uint64(traceChains) {
-			c := chain{hash: h, rng: rand.New(rand.NewPCG(seed, uint64(procs))), most: procs, set: set, strange: strange}
+			c := template
+			c.hash = hash
+			c.rng = rand.New(rand.NewPCG(seed, uint64(c.most)))
 			for range traceEvents {
 				c.step()
 			}
@@ -45,69 +55,71 @@
 	}}
 }
 
-func traceVersions(t *testing.T, h *tracetest.Hash) {
+func traceVersions(t *testing.T, hash *tracetest.Hash) {
+	t.Helper()
 	for theirs := -1; theirs < 5; theirs++ {
 		version, ok := NegotiateVersion(theirs)
-		h.Step(1)
-		h.Int(int64(version))
-		h.Bool(ok)
+		hash.Step(1)
+		hash.Int(int64(version))
+		hash.Bool(ok)
 	}
 }
 
-// chain is a row of processes, at most so many of which live at a time, and what is on its way between them.
+// chain is a row of processes, of which at most so many live at a time, and the events on their way to them.
 type chain struct {
-	hash    *tracetest.Hash
-	rng     *rand.Rand
-	set     Settings
-	most    int
-	strange int
-	now     float64
-	procs   []*traced // those that live, oldest first
-	started int
-	mail    []letter
+	hash          *tracetest.Hash
+	rng           *rand.Rand
+	settings      Settings
+	most          int
+	strayPerMille int
+	now           float64
+	processes     []*tracedProcess // those that live, oldest first
+	started       int
+	underWay      []delivery
 }
 
-type traced struct {
-	m       Machine
-	looking bool
+type tracedProcess struct {
+	machine   Machine
+	searching bool
 }
 
-// letter is an event on its way to a process.
-type letter struct {
-	to ProcessNumber
-	ev Event
+// delivery is an event on its way to a process.
+type delivery struct {
+	to    ProcessNumber
+	event Event
 }
 
 func (c *chain) start() {
-	m, effects := New(FirstProcess+ProcessNumber(c.started), c.now, c.set)
+	machine, effects := New(FirstProcess+ProcessNumber(c.started), c.now, c.settings)
 	c.started++
-	p := &traced{m: m}
-	c.procs = append(c.procs, p)
-	c.took(p, effects)
+	p := &tracedProcess{machine: machine}
+	c.processes = append(c.processes, p)
+	c.record(p, effects)
 }
 
-// handle has a process take an event, and writes what it does and where it stands.
-func (c *chain) handle(p *traced, ev Event) {
-	c.took(p, p.m.Step(c.now, ev))
+// handle has a process handle an event, and records what it does.
+func (c *chain) handle(p *tracedProcess, event Event) {
+	c.record(p, p.machine.Step(c.now, event))
 }
 
-func (c *chain) took(p *traced, effects []Effect) {
-	for _, e := range effects {
-		c.hash.Step(1 + int(e.Action))
-		c.hash.Uint(uint64(e.Process))
-		c.hash.Int(int64(e.Message))
-		c.hash.Int(int64(e.Share))
+// record writes effects and the state after them, and carries the effects out.
+func (c *chain) record(p *tracedProcess, effects []Effect) {
+	for _, effect := range effects {
+		c.hash.Step(1 + int(effect.Action))
+		c.hash.Uint(uint64(effect.Process))
+		c.hash.Int(int64(effect.Message))
+		c.hash.Int(int64(effect.Share))
 	}
-	c.state(&p.m)
-	for _, e := range effects {
-		c.effect(p, e)
+	c.recordState(&p.machine)
+	for _, effect := range effects {
+		c.carryOut(p, effect)
 	}
 }
 
-func (c *chain) state(m *Machine) {
+func (c *chain) recordState(m *Machine) {
 	ask, may := m.MustAsk()
-	for _, peer := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), ask} {
-		c.hash.Uint(uint64(peer))
+	for _, process := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), ask} {
+		c.hash.Uint(uint64(process))
 	}
 	c.hash.Int(int64(m.Phase()))
 	c.hash.Int(int64(m.Share()))
@@ -117,44 +129,47 @@
 	c.hash.Float(m.Due())
 }
 
-func (c *chain) effect(p *traced, e Effect) {
-	switch e.Action {
+func (c *chain) carryOut(p *tracedProcess, effect Effect) {
+	switch effect.Action {
 	case ActionFindPredecessor:
-		p.looking = true
+		p.searching = true
 	case ActionSend:
-		c.mail = append(c.mail, letter{e.Process, Event{Kind: EventMessageReceived, Process: p.m.Self, Message: e.Message}})
+		received := Event{Kind: EventMessageReceived, Process: p.machine.Self, Message: effect.Message}
+		c.underWay = append(c.underWay, delivery{effect.Process, received})
 	case ActionEnd:
-		c.hash.Int(int64(len(p.m.Step(c.now, Event{Kind: EventStopRequested}))))
+		c.hash.Int(int64(len(p.machine.Step(c.now, Event{Kind: EventStopRequested}))))
 		c.end(p)
+	case ActionRestoreState, ActionStartAccepting, ActionStopAccepting, ActionFinish, ActionDrain, ActionSetShare:
 	}
 }
 
-// end takes a process out, and has the others hear of it after what it sent.
-func (c *chain) end(p *traced) {
-	left := c.procs[:0]
-	for _, o := range c.procs {
-		if o != p {
-			left = append(left, o)
-			c.mail = append(c.mail, letter{o.m.Self, Event{Kind: EventProcessEnded, Process: p.m.Self}})
+// end removes a process, and has the others notice it after what it sent.
+func (c *chain) end(ended *tracedProcess) {
+	left := c.processes[:0]
+	for _, p := range c.processes {
+		if p != ended {
+			left = append(left, p)
+			event := Event{Kind: EventProcessEnded, Process: ended.machine.Self}
+			c.underWay = append(c.underWay, delivery{p.machine.Self, event})
 		}
 	}
-	c.procs = left
+	c.processes = left
 }
 
 func (c *chain) step() {
-	if len(c.procs) == 0 || len(c.procs) < c.most && c.rng.IntN(12) == 0 {
+	if len(c.processes) == 0 || len(c.processes) < c.most && c.rng.IntN(12) == 0 {
 		c.start()
 		return
 	}
 	c.now += float64(c.rng.IntN(60))
-	p := c.procs[c.rng.IntN(len(c.procs))]
-	if c.rng.IntN(1000) < c.strange {
-		c.nonsense(p)
+	p := c.processes[c.rng.IntN(len(c.processes))]
+	if c.rng.IntN(1000) < c.strayPerMille {
+		c.stray(p)
 		return
 	}
 	switch n := c.rng.IntN(100); {
 	case n < 20:
-		c.look(p)
+		c.search(p)
 	case n < 60:
 		c.deliver()
 	case n < 80:
@@ -162,7 +177,7 @@
 	case n < 84:
 		c.handle(p, Event{Kind: EventTick})
 	case n < 88:
-		c.cut(p)
+		c.loseLink(p)
 	case n < 90:
 		c.end(p) // killed
 	case n < 92:
@@ -174,82 +189,90 @@
 	}
 }
 
-// look tells a process that looks which is the newest living one before it.
-func (c *chain) look(p *traced) {
-	if !p.looking {
+// search answers a process that looks for the newest living one before it.
+func (c *chain) search(p *tracedProcess) {
+	if !p.searching {
 		return
 	}
-	p.looking = false
+	p.searching = false
 	found := NoProcess
-	for _, o := range c.procs {
-		if o.m.Self < p.m.Self {
-			found = o.m.Self
+	for _, other := range c.processes {
+		if other.machine.Self < p.machine.Self {
+			found = other.machine.Self
 		}
 	}
 	c.handle(p, Event{Kind: EventPredecessorFound, Process: found})
 }
 
-// deliver hands over the first of what is on its way to some process, now and then twice.
+// deliver hands some process its next event, now and then twice.
 func (c *chain) deliver() {
-	if len(c.mail) == 0 {
+	if len(c.underWay) == 0 {
 		return
 	}
-	to := c.mail[c.rng.IntN(len(c.mail))].to
-	for i, l := range c.mail {
-		if l.to != to {
+	to := c.underWay[c.rng.IntN(len(c.underWay))].to
+	for i, next := range c.underWay {
+		if next.to != to {
 			continue
 		}
 		if c.rng.IntN(20) > 0 {
-			c.mail = append(c.mail[:i:i], c.mail[i+1:]...)
+			c.underWay = append(c.underWay[:i:i], c.underWay[i+1:]...)
 		}
 		if p := c.find(to); p != nil {
-			c.handle(p, l.ev)
+			c.handle(p, next.event)
 		}
 		return
 	}
 }
 
-func (c *chain) find(peer ProcessNumber) *traced {
-	for _, p := range c.procs {
-		if p.m.Self == peer {
+func (c *chain) find(number ProcessNumber) *tracedProcess {
+	for _, p := range c.processes {
+		if p.machine.Self == number {
 			return p
 		}
 	}
 	return nil
 }
 
-// tick lets the time pass to when a process wants to be called.
-func (c *chain) tick(p *traced) {
-	if due := p.m.Due(); due < c.now+1e5 {
+// tick lets the time pass until a process is due.
+func (c *chain) tick(p *tracedProcess) {
+	if due := p.machine.Due(); due < c.now+1e5 {
 		c.now = max(c.now, due)
 		c.handle(p, Event{Kind: EventTick})
 	}
 }
 
-// cut loses what is on its way between a process and its elder, and tells both.
-func (c *chain) cut(p *traced) {
-	elder := c.find(p.m.Predecessor())
-	if elder == nil {
+// loseLink drops what is on its way between a process and its predecessor, and has both notice.
+func (c *chain) loseLink(p *tracedProcess) {
+	predecessor := c.find(p.machine.Predecessor())
+	if predecessor == nil {
 		return
 	}
-	var left []letter
-	for _, l := range c.mail {
-		between := l.to == p.m.Self && l.ev.Process == elder.m.Self || l.to == elder.m.Self && l.ev.Process == p.m.Self
-		if !between {
-			left = append(left, l)
+	var left []delivery
+	for _, d := range c.underWay {
+		if !d.between(p.machine.Self, predecessor.machine.Self) {
+			left = append(left, d)
 		}
 	}
-	c.mail = left
-	c.handle(p, Event{Kind: EventLinkLost, Process: elder.m.Self})
-	c.handle(elder, Event{Kind: EventLinkLost, Process: p.m.Self})
+	c.underWay = left
+	c.handle(p, Event{Kind: EventLinkLost, Process: predecessor.machine.Self})
+	c.handle(predecessor, Event{Kind: EventLinkLost, Process: p.machine.Self})
 }
 
-// nonsense gives any event from any process, those of version 1 among them.
-func (c *chain) nonsense(p *traced) {
-	peers := []ProcessNumber{NoProcess, LegacyPredecessor, LegacySuccessor, p.m.Self, p.m.Predecessor(), p.m.Successor(), FirstProcess + ProcessNumber(c.rng.IntN(c.started+1))}
-	ev := Event{Kind: EventKind(c.rng.IntN(int(EventIdle) + 1)), Process: peers[c.rng.IntN(len(peers))]}
-	if ev.Kind == EventMessageReceived {
-		ev.Message = MessageKind(c.rng.IntN(int(MessageHandBack) + 1))
+// between reports whether an event comes from one of two processes and goes to the other.
+func (d delivery) between(one, other ProcessNumber) bool {
+	return d.to == one && d.event.Process == other || d.to == other && d.event.Process == one
+}
+
+// stray gives any event from any process, those of version 1 among them.
+func (c *chain) stray(p *tracedProcess) {
+	processes := []ProcessNumber{
+		NoProcess, LegacyPredecessor, LegacySuccessor,
+		p.machine.Self, p.machine.Predecessor(), p.machine.Successor(),
+		FirstProcess + ProcessNumber(c.rng.IntN(c.started+1)),
+	}
+	event := Event{Kind: EventKind(c.rng.IntN(int(EventIdle) + 1)), Process: processes[c.rng.IntN(len(processes))]}
+	if event.Kind == EventMessageReceived {
+		event.Message = MessageKind(c.rng.IntN(int(MessageHandBack) + 1))
 	}
-	c.handle(p, ev)
+	c.handle(p, event)
 }
--- /dev/null
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -0,0 +1,175 @@
+package hotrestart
+
+// The transitions that concern the predecessor.
+
+// asksPredecessor reports whether the predecessor's state is still to be asked for.
+func (t *transition) asksPredecessor() bool {
+	switch t.phase {
+	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseDegraded:
+		return true
+	case PhaseAwaitingGoAhead, PhaseServing:
+		return !t.goAheadReceived && t.predecessor != NoProcess
+	case PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
+	}
+	return false
+}
+
+// scheduleHello arms the timer of the next question to the predecessor.
+func (t *transition) scheduleHello() { t.nextHelloAt = t.now + t.settings.HelloIntervalMS }
+
+// findPredecessor looks for the newest living process before this one, and arms the timer to do so again.
+func (t *transition) findPredecessor() {
+	t.scheduleHello()
+	t.emit(Effect{Action: ActionFindPredecessor})
+}
+
+// tick handles the timers that have run out.
+func (t *transition) tick() {
+	if t.now >= t.awaitDeadline {
+		t.awaitTimedOut()
+	}
+	if t.nextHelloAt > 0 && t.now >= t.nextHelloAt {
+		t.nextHelloAt = 0
+		if t.asksPredecessor() {
+			t.findPredecessor()
+		}
+	}
+}
+
+// awaitTimedOut serves without what a silent predecessor was to send.
+func (t *transition) awaitTimedOut() {
+	switch t.phase {
+	case PhaseAwaitingState:
+		t.setShare(ShareReserve)
+		t.serve(PhaseDegraded)
+	case PhaseAwaitingGoAhead:
+		// The predecessor uses its half and has sent all ids; it reads that it is to stop accepting when it reads on.
+		t.serve(PhaseServing)
+	case PhaseFindingPredecessor, PhaseServing, PhaseDegraded, PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
+	}
+}
+
+// predecessorFound handles the result of a search for the predecessor.
+func (t *transition) predecessorFound(found ProcessNumber) {
+	switch {
+	case !t.asksPredecessor():
+		t.nextHelloAt = 0
+	case found < t.predecessor:
+		t.scheduleHello() // the predecessor has ended; its messages and EventProcessEnded are still to come
+	case found == NoProcess:
+		t.noPredecessor()
+	default:
+		t.askPredecessor(found)
+	}
+}
+
+// noPredecessor serves where no predecessor lives.
+func (t *transition) noPredecessor() {
+	t.predecessor, t.nextHelloAt, t.stateKnown = NoProcess, 0, true
+	switch t.phase {
+	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead:
+		t.setShare(ShareFull)
+		t.serve(PhaseServing)
+	case PhaseDegraded:
+		t.enter(PhaseServing)
+	case PhaseServing, PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
+	}
+	t.useFullShareIfAlone()
+}
+
+// askPredecessor asks a living predecessor for its state.
+func (t *transition) askPredecessor(found ProcessNumber) {
+	if found != t.predecessor {
+		if t.phase == PhaseAwaitingGoAhead || t.phase == PhaseServing {
+			return // EventProcessEnded for the former predecessor is still to come
+		}
+		t.predecessor, t.helloPending = found, false
+	}
+	if t.phase == PhaseFindingPredecessor {
+		t.enter(PhaseAwaitingState)
+	}
+	t.scheduleHello()
+	if !t.helloPending { // a slow predecessor would otherwise have many hellos to answer
+		t.helloPending = true
+		t.send(found, MessageHello)
+	}
+}
+
+// waitReceived gives a predecessor that lives but has no state to give yet more time.
+func (t *transition) waitReceived(from ProcessNumber) {
+	if from != t.predecessor {
+		return
+	}
+	t.helloPending = false
+	if t.phase == PhaseAwaitingState {
+		t.awaitDeadline = max(t.awaitDeadline, t.now+t.settings.SilenceTimeoutMS)
+	}
+}
+
+// stateReceived restores the predecessor's state.
+func (t *transition) stateReceived(from ProcessNumber) {
+	if from != t.predecessor || t.goAheadReceived {
+		return
+	}
+	t.helloPending = false
+	switch t.phase {
+	case PhaseAwaitingState:
+		t.enter(PhaseAwaitingGoAhead)
+		t.awaitDeadline = max(t.awaitDeadline, t.now+t.settings.GoAheadTimeoutMS)
+	case PhaseDegraded:
+		t.enter(PhaseServing)
+	case PhaseAwaitingGoAhead, PhaseServing: // the link broke in between
+	case PhaseDraining: // too late to replace the predecessor, but its ids are needed
+		t.restoreState()
+		return
+	case PhaseFindingPredecessor, PhaseSuperseded, PhaseFinishing, PhaseEnded:
+		return
+	}
+	t.restoreState()
+	t.setShare(ShareHalf)
+	t.send(from, MessageReady)
+}
+
+func (t *transition) restoreState() {
+	t.stateKnown = true
+	t.emit(Effect{Action: ActionRestoreState})
+}
+
+// goAhead accepts clients, since the predecessor accepts no more.
+func (t *transition) goAhead(from ProcessNumber) {
+	if from != t.predecessor || t.phase != PhaseAwaitingGoAhead && t.phase != PhaseServing {
+		return
+	}
+	t.goAheadReceived, t.nextHelloAt = true, 0
+	if t.phase == PhaseAwaitingGoAhead {
+		t.serve(PhaseServing)
+	}
+}
+
+// linkLost asks a living predecessor again after its link broke. It waits for the next interval: a predecessor that
+// hangs at its end would otherwise be asked without a pause.
+func (t *transition) linkLost(process ProcessNumber) {
+	if process == t.predecessor && process != NoProcess && t.asksPredecessor() {
+		t.helloPending = false
+		t.scheduleHello()
+	}
+}
+
+// predecessorEnded continues without the predecessor.
+func (t *transition) predecessorEnded() {
+	t.predecessor, t.goAheadReceived, t.helloPending = NoProcess, false, false
+	switch t.phase {
+	case PhaseAwaitingState:
+		t.enter(PhaseFindingPredecessor)
+		t.findPredecessor()
+	case PhaseDegraded:
+		t.findPredecessor()
+		return // the share stays until it is known that there is no other predecessor
+	case PhaseAwaitingGoAhead:
+		t.nextHelloAt = 0
+		t.serve(PhaseServing)
+	case PhaseFindingPredecessor, PhaseServing, PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
+		t.nextHelloAt = 0
+	}
+	t.useFullShareIfAlone()
+}
--- /dev/null
+++ b/internal/decide/hotrestart/transition_successor.go
@@ -0,0 +1,78 @@
+package hotrestart
+
+// The transitions that concern the successor.
+
+// answerHello sends this process's state to a successor that asks for it, or has it wait.
+func (t *transition) answerHello(from ProcessNumber) {
+	if !t.givesStateTo(from) {
+		t.send(from, MessageWait)
+		return
+	}
+	t.successor = from
+	t.setShare(ShareHalf)
+	t.send(from, MessageState)
+}
+
+// givesStateTo reports whether a process that asks may have the state now.
+func (t *transition) givesStateTo(from ProcessNumber) bool {
+	if from == t.successor && (t.phase == PhaseSuperseded || t.phase == PhaseFinishing) {
+		return true // its link broke, and the messages under way were lost
+	}
+	isOnlySuccessor := t.successor == NoProcess || t.successor == from
+	return t.acceptsInFull() && t.stateKnown && t.predecessor == NoProcess && !t.handedBack && isOnlySuccessor
+}
+
+// acceptsInFull reports whether the process accepts clients without the bounds of the degraded phase.
+func (t *transition) acceptsInFull() bool {
+	return t.phase == PhaseServing || t.phase == PhaseDraining
+}
+
+// readyReceived stops accepting: for the successor, or for the predecessor where this process was asked to end.
+func (t *transition) readyReceived(from ProcessNumber) {
+	switch {
+	case from == t.successor && !t.handedBack && t.acceptsInFull():
+		t.yieldToSuccessor()
+	case from == t.successor && !t.handedBack && (t.phase == PhaseSuperseded || t.phase == PhaseFinishing):
+		// It asks again, since the link broke.
+	case from == t.predecessor && from != NoProcess && t.phase == PhaseDraining:
+		t.emit(Effect{Action: ActionStopAccepting})
+		t.finish()
+	default:
+		return
+	}
+	t.send(from, MessageGoAhead)
+}
+
+func (t *transition) yieldToSuccessor() {
+	t.emit(Effect{Action: ActionStopAccepting})
+	t.enter(PhaseSuperseded)
+	if t.stopRequested {
+		t.finish()
+	}
+}
+
+// acceptAgain accepts in the place of a successor that was asked to end.
+func (t *transition) acceptAgain(from ProcessNumber) {
+	if from != t.successor || t.phase != PhaseSuperseded || t.handedBack {
+		return
+	}
+	t.handedBack = true
+	t.serve(PhaseServing)
+	t.send(from, MessageReady)
+}
+
+// successorEnded continues without the successor.
+func (t *transition) successorEnded() {
+	t.successor = NoProcess
+	switch t.phase {
+	case PhaseSuperseded:
+		t.serve(PhaseServing)
+	case PhaseFinishing:
+		t.emit(Effect{Action: ActionStartAccepting})
+		t.drain()
+	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead, PhaseServing, PhaseDegraded, PhaseDraining,
+		PhaseEnded:
+	}
+	t.handedBack = false
+	t.useFullShareIfAlone()
+}
