--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -154,7 +154,7 @@
 	if m.Settings == nil {
 		return errors.New("field settings is missing")
 	}
-	cfg, err := m.Settings.Config(m.Nonce)
+	cfg, err := m.Settings.DispatchConfig(m.Nonce)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -61,7 +61,7 @@
 	if e.Executor == nil {
 		return dispatch.Endpoint{}, errors.New("executor is missing")
 	}
-	state, err := settings.Enum("condition", e.Condition, states)
+	state, err := settings.ParseEnum("condition", e.Condition, states)
 	return dispatch.Endpoint{
 		ID: dispatch.EngineID(*e.Executor), Cell: e.Block, Zone: e.Site, Kind: e.Flavor,
 		CapacityWeight: e.Units, State: state, StartedAt: time.Duration(e.Born),
@@ -124,7 +124,7 @@
 	}
 	switch name {
 	case "ENDPOINTS":
-		mode, err := settings.Enum("field mode", m.Mode, modes)
+		mode, err := settings.ParseEnum("field mode", m.Mode, modes)
 		if err != nil {
 			return nil, err
 		}
@@ -156,7 +156,7 @@
 		if err != nil {
 			return nil, err
 		}
-		outcome, err := settings.Enum("field disposition", m.Disposition, outcomes)
+		outcome, err := settings.ParseEnum("field disposition", m.Disposition, outcomes)
 		return dispatch.AttemptEnd{
 			Request: id, Attempt: m.Hop, Outcome: outcome,
 			Took: time.Duration(m.DelaySeen), Last: m.Last, Report: m.load(),
--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
+	"windflow/internal/installation"
 	"windflow/internal/node"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 	"windflow/internal/validate"
 )
 
@@ -86,7 +86,7 @@
 		},
 		&cobra.Command{
 			Use: "schema", Short: "Print the JSON Schema of the installation's settings", Args: cobra.NoArgs,
-			Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), string(site.Schema())) },
+			Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), string(installation.Schema())) },
 		},
 	)
 	return config
@@ -102,12 +102,12 @@
 		Listen *string `json:"listen"`
 	}
 	if err := settings.Decode(text, &platform); err == nil && platform.Listen != nil {
-		if err := validate.Platform(text); err != nil {
+		if err := validate.NodeConfig(text); err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
 		return nil
 	}
-	_, err = site.Read(file)
+	_, err = installation.Read(file)
 	return err
 }
 
--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -106,7 +106,7 @@
 	}
 	base, err := os.ReadFile(file)
 	if err == nil {
-		err = validate.Platform(base)
+		err = validate.NodeConfig(base)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("--base: %s: %w", file, err)
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -170,7 +170,7 @@
 	hold := min(within*3/8, time.Duration(cfg.MaxPollWaitMS)*time.Millisecond)
 	for i := range n {
 		each, done := context.WithTimeout(ctx, within/time.Duration(min(n, 2)))
-		u, fresh, err := c.poller.poll(each, cfg.Addresses[c.state.Keeper(n)], c.state.Status(), int(hold.Milliseconds()))
+		u, fresh, err := c.poller.poll(each, cfg.Addresses[c.state.SelectKeeper(n)], c.state.Status(), int(hold.Milliseconds()))
 		done()
 		if err == nil && fresh {
 			err = c.applyUpdate(u)
@@ -229,7 +229,7 @@
 		ctx, cancel := context.WithCancel(c.stopped)
 		cfg, given, again := c.begin(cancel)
 		if again {
-			c.state.Retry()
+			c.state.ClearRejections()
 			c.Counters.RejectedRevision.Store(0)
 		}
 		if given != nil {
@@ -255,7 +255,7 @@
 // poll makes one call and takes what it brings, or waits after a loss.
 func (c *Client) poll(ctx context.Context, cfg Config) {
 	hold := time.Duration(cfg.MaxPollWaitMS) * time.Millisecond
-	addr := cfg.Addresses[c.state.Keeper(len(cfg.Addresses))]
+	addr := cfg.Addresses[c.state.SelectKeeper(len(cfg.Addresses))]
 	c.Counters.Polls.Add(1)
 	at := time.Now()
 	call, done := context.WithTimeout(ctx, hold+answerWithin)
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -72,7 +72,7 @@
 
 func client(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
-	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.Instance(1, 1), discard)
+	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstance(1, 1), discard)
 	t.Cleanup(c.Stop)
 	return c
 }
@@ -149,7 +149,7 @@
 			_ = json.NewEncoder(w).Encode(configlog.Update{To: 5, Snapshot: true, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
 		}},
 		{"behind", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(configlog.Update{To: 0, Behind: true})
+			_ = json.NewEncoder(w).Encode(configlog.Update{To: 0, KeeperBehind: true})
 		}},
 		{"a delta from elsewhere", func(w http.ResponseWriter, _ *http.Request) {
 			_ = json.NewEncoder(w).Encode(configlog.Update{From: 4, To: 5, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
@@ -176,7 +176,7 @@
 				met <- struct{}{}
 				bad.h(w, r)
 			})
-			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0", configlog.Instance(1, 1), discard)
+			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0", configlog.NewInstance(1, 1), discard)
 			t.Cleanup(c.Stop)
 			c.Start(r.apply)
 			<-met // it was asked, whatever it answers
@@ -237,7 +237,7 @@
 	c.Start(r.apply)
 	k.WaitForRevision(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
-	c.SetInForce(Revision{7, configlog.HashOf(entries), entries})
+	c.SetInForce(Revision{7, configlog.HashEntries(entries), entries})
 	k.WaitForRevision(7)
 	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: left
 	r.until(t, 7)
@@ -368,7 +368,7 @@
 	for _, rev := range []uint64{3, 9, 4} {
 		f := configlog.NewFollower("a", "b")
 		entries := map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}
-		if _, ok, err := f.Offer(configlog.Update{To: rev, Snapshot: true, Put: entries, Hash: configlog.HashOf(entries)}); !ok {
+		if _, ok, err := f.Offer(configlog.Update{To: rev, Snapshot: true, Put: entries, Hash: configlog.HashEntries(entries)}); !ok {
 			t.Fatal(err)
 		}
 		f.Accept()
@@ -390,7 +390,7 @@
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
 	saved(t, k, dir)
-	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.Instance(2, 2), discard), newRouter()
+	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstance(2, 2), discard), newRouter()
 	t.Cleanup(c.Stop)
 	c.Restore(20*time.Second, r.apply)
 	if r.latest().Revision != rev || c.Counters.Changes.Load() != 1 {
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -33,22 +33,22 @@
 	path, name string
 	counters   *Counters
 	log        *slog.Logger
-	next       chan configlog.Saved // the latest that is not written yet
+	next       chan configlog.SavedRevision // the latest that is not written yet
 	failing    bool
 }
 
 func newCopyStore(dir, name string, n *Counters, log *slog.Logger) *copyStore {
-	return &copyStore{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.Saved, 1)}
+	return &copyStore{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.SavedRevision, 1)}
 }
 
 // copied is what stands in the file, after its first line.
 type copied struct {
-	Router string          `json:"router"`
-	Saved  configlog.Saved `json:"saved"`
+	Router string                  `json:"router"`
+	Saved  configlog.SavedRevision `json:"saved"`
 }
 
 // load reads a copy: fs.ErrNotExist where there is none, ErrDamaged where it is not what was written.
-func (d *copyStore) load() (s configlog.Saved, err error) {
+func (d *copyStore) load() (s configlog.SavedRevision, err error) {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return s, err
@@ -77,7 +77,7 @@
 }
 
 // read gives the copy, if there is a good one; one that is not is set aside.
-func (d *copyStore) read() (configlog.Saved, bool) {
+func (d *copyStore) read() (configlog.SavedRevision, bool) {
 	s, err := d.load()
 	switch {
 	case err == nil:
@@ -99,7 +99,7 @@
 }
 
 // save has a revision written when the disk comes to it. A later one that comes before takes its place.
-func (d *copyStore) save(s configlog.Saved) {
+func (d *copyStore) save(s configlog.SavedRevision) {
 	for {
 		select {
 		case d.next <- s:
@@ -115,10 +115,10 @@
 
 // run writes what is to be saved, until the client ends. What came last is written then too.
 func (d *copyStore) run(ctx context.Context) {
-	var failed *configlog.Saved
+	var failed *configlog.SavedRevision
 	again := time.NewTicker(againAfter)
 	defer again.Stop()
-	put := func(s configlog.Saved) {
+	put := func(s configlog.SavedRevision) {
 		failed = nil
 		if !d.keep(s) {
 			failed = &s
@@ -144,7 +144,7 @@
 }
 
 // keep writes a copy, and says once that it can't, and once that it can again.
-func (d *copyStore) keep(s configlog.Saved) bool {
+func (d *copyStore) keep(s configlog.SavedRevision) bool {
 	err := d.write(s)
 	if err != nil {
 		d.counters.CopyWriteErrors.Add(1)
@@ -159,7 +159,7 @@
 }
 
 // write replaces the copy, whole or not at all. One that is later stays: the other process of this router wrote it.
-func (d *copyStore) write(s configlog.Saved) error {
+func (d *copyStore) write(s configlog.SavedRevision) error {
 	if there, err := d.load(); err == nil && there.Revision > s.Revision {
 		return nil
 	}
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -40,10 +40,10 @@
 }
 
 // goldenSaved gives the copy of revision 12 as the follower's state has it.
-func goldenSaved(t *testing.T) configlog.Saved {
+func goldenSaved(t *testing.T) configlog.SavedRevision {
 	t.Helper()
-	f := configlog.NewFollower("n/0", configlog.Instance(10, 11))
-	update := configlog.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: configlog.HashOf(goldenEntries())}
+	f := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
+	update := configlog.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: configlog.HashEntries(goldenEntries())}
 	if _, ok, err := f.Offer(update); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
@@ -76,10 +76,10 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), goldentest.Read(t, goldenCopy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Config{Dir: dir}, "n/0", configlog.Instance(10, 11), discard)
+	c := New(Config{Dir: dir}, "n/0", configlog.NewInstance(10, 11), discard)
 	t.Cleanup(c.Stop)
 	c.Restore(time.Second, func(Revision) error { return nil })
-	want := Revision{Revision: 12, Hash: configlog.HashOf(goldenEntries()), Entries: goldenEntries()}
+	want := Revision{Revision: 12, Hash: configlog.HashEntries(goldenEntries()), Entries: goldenEntries()}
 	if diff := cmp.Diff(want, c.Latest()); diff != "" {
 		t.Error(diff)
 	}
@@ -136,14 +136,14 @@
 // What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
 func TestGoldenCall(t *testing.T) {
 	report := configlog.FollowerStatus{
-		Name: "n/0", Instance: configlog.Instance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
 		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
 	}
 	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
 	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
 		"whole": {From: 12, To: 14, Snapshot: true, Put: goldenEntries(), Hash: goldenHash(3)},
-		"none":  {From: 12, To: 9, Behind: true, Hash: goldenHash(3)},
+		"none":  {From: 12, To: 9, KeeperBehind: true, Hash: goldenHash(3)},
 	}
 	var all []any
 	for name, want := range answers {
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -135,13 +135,13 @@
 	late := time.After(time.Duration(ask.WaitMS) * time.Millisecond)
 	for {
 		k.mu.Lock()
-		u, changed, bad := k.log.Next(ask.Report), k.changed, k.instead != nil
+		u, changed, bad := k.log.NextUpdate(ask.Report), k.changed, k.instead != nil
 		text, err := json.Marshal(u)
 		k.mu.Unlock()
 		if err != nil {
 			panic(err)
 		}
-		if !u.Nothing() {
+		if !u.IsEmpty() {
 			_, _ = w.Write(text)
 			return
 		}
--- a/internal/configclient/poller.go
+++ b/internal/configclient/poller.go
@@ -17,7 +17,7 @@
 
 const (
 	// mostAnswer bounds what is read of an answer, in bytes: the largest document, each value escaped and with its pointer, fits.
-	mostAnswer = 2 * configlog.MaxDocument
+	mostAnswer = 2 * configlog.MaxDocumentBytes
 	// mostHeader bounds the head of an answer, in bytes.
 	mostHeader = 16 << 10
 	// dialWithin bounds the wait for a connection to a keeper.
@@ -88,7 +88,7 @@
 		if err := json.Unmarshal(text, &u); err != nil {
 			return u, false, fmt.Errorf("the answer can't be read: %w", err)
 		}
-		return u, !u.Nothing(), nil
+		return u, !u.IsEmpty(), nil
 	}
 }
 
--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -59,7 +59,7 @@
 		rev := l.Revision() - 1
 		h, _ := l.hashAt(rev)
 		for b.Loop() {
-			if u := l.Since(rev, h); u.Snapshot || len(u.Put) != 1 {
+			if u := l.UpdateSince(rev, h); u.Snapshot || len(u.Put) != 1 {
 				b.Fatal("no delta")
 			}
 		}
@@ -75,7 +75,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if u := l.Since(rev, h); u.Snapshot || len(u.Put) != 400 {
+		if u := l.UpdateSince(rev, h); u.Snapshot || len(u.Put) != 400 {
 			b.Fatal("no delta")
 		}
 	}
@@ -85,7 +85,7 @@
 func BenchmarkSinceSnapshot(b *testing.B) {
 	sizes(b, func(b *testing.B, l *Log, entries int) {
 		for b.Loop() {
-			if u := l.Since(0, Hash{1}); !u.Snapshot || len(u.Put) != entries {
+			if u := l.UpdateSince(0, Hash{1}); !u.Snapshot || len(u.Put) != entries {
 				b.Fatal("no snapshot")
 			}
 		}
@@ -106,7 +106,7 @@
 	b.Run("anew", func(b *testing.B) {
 		sizes(b, func(b *testing.B, l *Log, entries int) {
 			for b.Loop() {
-				if HashOf(l.entries) != l.hash {
+				if HashEntries(l.entries) != l.hash {
 					b.Fatal("another hash")
 				}
 			}
@@ -134,12 +134,12 @@
 	sizes(b, func(b *testing.B, l *Log, entries int) {
 		f := NewFollower("r", "1")
 		rev := l.Revision() - 1
-		content, _ := l.At(rev)
-		if _, ok, err := f.Offer(Update{To: rev, Snapshot: true, Put: content, Hash: HashOf(content)}); !ok {
+		content, _ := l.EntriesAt(rev)
+		if _, ok, err := f.Offer(Update{To: rev, Snapshot: true, Put: content, Hash: HashEntries(content)}); !ok {
 			b.Fatal(err)
 		}
 		f.Accept()
-		u := l.Next(f.Status())
+		u := l.NextUpdate(f.Status())
 		for b.Loop() {
 			if _, ok, err := f.Offer(u); !ok {
 				b.Fatal(err)
--- a/internal/decide/configlog/broken_test.go
+++ b/internal/decide/configlog/broken_test.go
@@ -50,21 +50,21 @@
 	{"judge that goes by names alone", notFalse, func(v *variant) {
 		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
 			verdict := l.Convergence(rev, heard, nil)
-			verdict.Everywhere = verdict.Everywhere && (len(unreached) == 0 || len(verdict.Gone) == 0)
+			verdict.Converged = verdict.Converged && (len(unreached) == 0 || len(verdict.Missing) == 0)
 			return verdict
 		}
 	}},
 	{"judge that ignores who is behind", notFalse, func(v *variant) {
 		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
 			verdict := l.Convergence(rev, heard, unreached)
-			verdict.Everywhere = len(verdict.InForce) > 0
+			verdict.Converged = len(verdict.InForce) > 0
 			return verdict
 		}
 	}},
 	{"judge that counts who is gone", allMeet, func(v *variant) {
 		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
 			verdict := l.Convergence(rev, heard, unreached)
-			verdict.Everywhere = verdict.Everywhere && len(verdict.Gone) == 0
+			verdict.Converged = verdict.Converged && len(verdict.Missing) == 0
 			return verdict
 		}
 	}},
@@ -75,14 +75,14 @@
 
 // take offers a content by force.
 func (f *Follower) take(rev uint64, entries map[string]json.RawMessage) (map[string]json.RawMessage, bool, error) {
-	f.next = &content{revision: rev, hash: HashOf(entries), entries: entries}
+	f.next = &content{revision: rev, hash: HashEntries(entries), entries: entries}
 	return entries, true, nil
 }
 
 type wrongBase struct{ *Follower }
 
 func (f wrongBase) Offer(u Update) (map[string]json.RawMessage, bool, error) {
-	if f.next != nil || u.Snapshot || u.Behind || u.To <= f.now.revision {
+	if f.next != nil || u.Snapshot || u.KeeperBehind || u.To <= f.now.revision {
 		return f.Follower.Offer(u)
 	}
 	entries := maps.Clone(f.now.entries)
@@ -109,7 +109,7 @@
 
 type trusting struct{ *Follower }
 
-func (f trusting) Restore(s Saved) (map[string]json.RawMessage, bool, error) {
+func (f trusting) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
 	if s.Revision == 0 {
 		return nil, false, nil
 	}
@@ -129,7 +129,7 @@
 
 func (f forgetful) Reject(pointer, reason string) {
 	f.Follower.Reject(pointer, reason)
-	f.Retry()
+	f.ClearRejections()
 }
 
 // stubborn holds on to the hash of a content that it doesn't have, and takes no whole.
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -87,17 +87,17 @@
 // are what differs. Hash is that of the whole content of To. Behind says that the keeper is at To, which is before the
 // follower's From, and has nothing for it.
 type Update struct {
-	From     uint64                     `json:"from"`
-	To       uint64                     `json:"to"`
-	Snapshot bool                       `json:"snapshot"`
-	Behind   bool                       `json:"behind"`
-	Put      map[string]json.RawMessage `json:"put,omitempty"`
-	Remove   []string                   `json:"remove,omitempty"`
-	Hash     Hash                       `json:"hash"`
+	From         uint64                     `json:"from"`
+	To           uint64                     `json:"to"`
+	Snapshot     bool                       `json:"snapshot"`
+	KeeperBehind bool                       `json:"behind"`
+	Put          map[string]json.RawMessage `json:"put,omitempty"`
+	Remove       []string                   `json:"remove,omitempty"`
+	Hash         Hash                       `json:"hash"`
 }
 
-// Nothing says that the update holds nothing new for the follower that it is for.
-func (u Update) Nothing() bool { return u.From == u.To && !u.Snapshot && !u.Behind }
+// IsEmpty says that the update holds nothing new for the follower that it is for.
+func (u Update) IsEmpty() bool { return u.From == u.To && !u.Snapshot && !u.KeeperBehind }
 
 // FollowerStatus is a follower's word to a keeper: it holds Revision with Hash in force (ACK), and refused Refused (NACK), if any.
 type FollowerStatus struct {
@@ -116,9 +116,9 @@
 	Reason   string `json:"reason"`
 }
 
-// Instance gives a process its name, from when it started (Unix milliseconds) and a random number: another in each life, and
+// NewInstance gives a process its name, from when it started (Unix milliseconds) and a random number: another in each life, and
 // greater in a later one of the same router unless the clock went back. Then a verdict is more careful for a while.
-func Instance(startedMS int64, random uint64) string {
+func NewInstance(startedMS int64, random uint64) string {
 	return fmt.Sprintf("%012x-%016x", max(startedMS, 0), random)
 }
 
@@ -130,8 +130,8 @@
 	if err := checkLabel("instance", r.Instance); err != nil {
 		return err
 	}
-	if f := r.Rejected; f != nil && (len(f.Pointer) > MaxPointer || len(f.Reason) > MaxNote) {
-		return fmt.Errorf("field refused: its pointer has more than %d bytes, or its reason more than %d", MaxPointer, MaxNote)
+	if f := r.Rejected; f != nil && (len(f.Pointer) > MaxPointerBytes || len(f.Reason) > MaxNoteBytes) {
+		return fmt.Errorf("field refused: its pointer has more than %d bytes, or its reason more than %d", MaxPointerBytes, MaxNoteBytes)
 	}
 	return nil
 }
--- a/internal/decide/configlog/courier.go
+++ b/internal/decide/configlog/courier.go
@@ -33,8 +33,8 @@
 	return courier{start: h.Sum32(), keepers: 1}
 }
 
-// Keeper says which of n keepers, 0 to n-1, is asked next: the same until one is lost.
-func (f *Follower) Keeper(n int) int {
+// SelectKeeper says which of n keepers, 0 to n-1, is asked next: the same until one is lost.
+func (f *Follower) SelectKeeper(n int) int {
 	f.keepers = max(n, 1)
 	return int((f.start + f.moves) % uint32(f.keepers))
 }
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -13,17 +13,17 @@
 
 // Bounds of what a Log takes, in bytes of UTF-8 unless said otherwise. A change beyond one is refused with FaultInvalid.
 const (
-	MaxID       = 128      // of a change's ID and of a follower's name
-	MaxNote     = 1024     // of a change's note, and of a refusal's reason
-	MaxPointer  = 512      // of one pointer
-	MaxValue    = 64 << 10 // of one value in its canonical form
-	MaxChange   = 1 << 20  // of all pointers and values of one change
-	MaxDocument = 4 << 20  // of all pointers and values of the document
-	MaxEntries  = 50_000   // entries of the document
-	MaxMembers  = 10_000   // names of followers that are remembered
-	MaxIDs      = 4_096    // latest IDs that are remembered, so that a repeated call is one change
-	maxDepth    = 64       // lists and objects within each other in a value
-	partiesPath = "/settings/parties/"
+	MaxIDBytes       = 128      // of a change's ID and of a follower's name
+	MaxNoteBytes     = 1024     // of a change's note, and of a refusal's reason
+	MaxPointerBytes  = 512      // of one pointer
+	MaxValueBytes    = 64 << 10 // of one value in its canonical form
+	MaxChangeBytes   = 1 << 20  // of all pointers and values of one change
+	MaxDocumentBytes = 4 << 20  // of all pointers and values of the document
+	MaxEntries       = 50_000   // entries of the document
+	MaxMembers       = 10_000   // names of followers that are remembered
+	MaxRememberedIDs = 4_096    // latest IDs that are remembered, so that a repeated call is one change
+	maxDepth         = 64       // lists and objects within each other in a value
+	partiesPath      = "/settings/parties/"
 )
 
 // own are the settings that belong to one router and can't be the same everywhere.
@@ -36,8 +36,8 @@
 	switch {
 	case pointer == "":
 		return fmt.Errorf("the whole document can't be put, only its entries")
-	case len(pointer) > MaxPointer:
-		return fmt.Errorf("the pointer has %d bytes, more than %d", len(pointer), MaxPointer)
+	case len(pointer) > MaxPointerBytes:
+		return fmt.Errorf("the pointer has %d bytes, more than %d", len(pointer), MaxPointerBytes)
 	case !utf8.ValidString(pointer):
 		return fmt.Errorf("the pointer is no UTF-8")
 	case pointer[0] != '/':
@@ -112,8 +112,8 @@
 // sorted, numbers in their shortest form. The form is also a fixed point of encoding/json, which escapes <, > and & where it
 // writes a RawMessage: a value arrives with the bytes that were hashed.
 func canonical(pointer string, raw json.RawMessage) (json.RawMessage, error) {
-	if len(raw) > MaxChange {
-		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(raw), MaxValue)
+	if len(raw) > MaxChangeBytes {
+		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(raw), MaxValueBytes)
 	}
 	if !utf8.Valid(raw) {
 		return nil, fmt.Errorf("the value is no UTF-8")
@@ -134,8 +134,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("the value can't be written: %w", err)
 	}
-	if len(out) > MaxValue {
-		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(out), MaxValue)
+	if len(out) > MaxValueBytes {
+		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(out), MaxValueBytes)
 	}
 	return out, nil
 }
@@ -236,8 +236,8 @@
 	switch {
 	case s == "":
 		return fmt.Errorf("field %s is missing", field)
-	case len(s) > MaxID:
-		return fmt.Errorf("field %s has %d bytes, more than %d", field, len(s), MaxID)
+	case len(s) > MaxIDBytes:
+		return fmt.Errorf("field %s has %d bytes, more than %d", field, len(s), MaxIDBytes)
 	case !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl):
 		return fmt.Errorf("field %s has a control character or is no UTF-8", field)
 	}
--- a/internal/decide/configlog/document_test.go
+++ b/internal/decide/configlog/document_test.go
@@ -21,7 +21,7 @@
 		"/Board", "/settings", "/settings/", "/settings/me", "/settings/zone", "/settings/Zone", "/settings/zone/x", "/settings/a//b",
 		"/settings/parties", "/settings/Parties/a", "/settings/parties/", "/settings/parties/a/quota-rps", "/settings/a~2", "/settings/a~",
 		"/settings/\x00", "/settings/parties/\n", "/settings/parties/\xff", "/settings/classes/-", "/settings/classes/01",
-		"/settings/parties/" + strings.Repeat("x", MaxPointer),
+		"/settings/parties/" + strings.Repeat("x", MaxPointerBytes),
 	} {
 		if err := CheckPointer(p); err == nil {
 			t.Errorf("%q is taken", p)
@@ -64,16 +64,16 @@
 		}
 	}
 	for in, pointer := range map[string]string{
-		"":                                     "/settings/x",
-		"{":                                    "/settings/x",
-		"1 2":                                  "/settings/x",
-		"null":                                 "/settings/x",
-		"1e400":                                "/settings/x",
-		"\"\xff\"":                             "/settings/x",
-		`{"a":1,"a":2}`:                        "/settings/x",
-		`"` + strings.Repeat("x", MaxValue):    "/settings/x",
-		strings.Repeat(" ", MaxChange+1):       "/settings/x",
-		`"` + strings.Repeat("x", 65536) + `"`: "/settings/x",
+		"":                                       "/settings/x",
+		"{":                                      "/settings/x",
+		"1 2":                                    "/settings/x",
+		"null":                                   "/settings/x",
+		"1e400":                                  "/settings/x",
+		"\"\xff\"":                               "/settings/x",
+		`{"a":1,"a":2}`:                          "/settings/x",
+		`"` + strings.Repeat("x", MaxValueBytes): "/settings/x",
+		strings.Repeat(" ", MaxChangeBytes+1):    "/settings/x",
+		`"` + strings.Repeat("x", 65536) + `"`:   "/settings/x",
 		strings.Repeat("[", 65) + strings.Repeat("]", 65): "/settings/x",
 		"7":                          "/board",
 		"[]":                         "/settings/parties/a",
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -26,15 +26,15 @@
 	ErrDamaged = errors.New("damaged")
 )
 
-// Saved is a follower's copy for its disk: the last revision that was in force.
-type Saved struct {
+// SavedRevision is a follower's copy for its disk: the last revision that was in force.
+type SavedRevision struct {
 	Revision uint64                     `json:"revision"`
 	Hash     Hash                       `json:"hash"`
-	Sum      Hash                       `json:"sum"` // of Revision and Hash, which the hash of the entries doesn't guard
+	Checksum Hash                       `json:"sum"` // of Revision and Hash, which the hash of the entries doesn't guard
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-func (s Saved) sum() Hash {
+func (s SavedRevision) sum() Hash {
 	return sha256.Sum256(append(binary.LittleEndian.AppendUint64([]byte("windflow saved\n"), s.Revision), s.Hash[:]...))
 }
 
@@ -86,14 +86,14 @@
 	if f.next != nil {
 		return nil, false, ErrPending
 	}
-	if u.Behind {
+	if u.KeeperBehind {
 		return nil, false, f.behind(u.To, f.now.revision)
 	}
 	if u.To < f.now.revision || !u.Snapshot && u.From != f.now.revision {
 		return nil, false, fmt.Errorf("%w: from %d to %d at %d", ErrStale, u.From, u.To, f.now.revision)
 	}
 	same := u.To == f.now.revision && u.Hash == f.now.hash
-	if u.Nothing() || same || f.hasRefused(u.To, u.Hash) {
+	if u.IsEmpty() || same || f.hasRefused(u.To, u.Hash) {
 		f.whole = f.whole && !same
 		f.Unchanged()
 		return nil, false, nil
@@ -118,7 +118,7 @@
 		if entries == nil {
 			entries = map[string]json.RawMessage{}
 		}
-		return entries, HashOf(entries), nil
+		return entries, HashEntries(entries), nil
 	}
 	entries, h := maps.Clone(f.now.entries), f.now.hash
 	for _, p := range u.Remove {
@@ -155,7 +155,7 @@
 	if f.next == nil {
 		return
 	}
-	r := Rejection{Revision: f.next.revision, Hash: f.next.hash, Pointer: cut(pointer, MaxPointer), Reason: cut(reason, MaxNote)}
+	r := Rejection{Revision: f.next.revision, Hash: f.next.hash, Pointer: cut(pointer, MaxPointerBytes), Reason: cut(reason, MaxNoteBytes)}
 	f.next = nil
 	at, _ := slices.BinarySearchFunc(f.refused, r, func(a, b Rejection) int { return cmp.Compare(a.Revision, b.Revision) })
 	f.refused = slices.Insert(f.refused, at, r)
@@ -179,23 +179,23 @@
 	return strings.ToValidUTF8(s, "")
 }
 
-// Retry forgets what was refused, so that it's offered once more: for when the router's own file has changed.
-func (f *Follower) Retry() { f.refused = nil }
+// ClearRejections forgets what was refused, so that it's offered once more: for when the router's own file has changed.
+func (f *Follower) ClearRejections() { f.refused = nil }
 
 // Saved gives the copy of what is in force.
-func (f *Follower) Saved() Saved {
-	s := Saved{Revision: f.now.revision, Hash: f.now.hash, Entries: f.now.entries}
-	s.Sum = s.sum()
+func (f *Follower) Saved() SavedRevision {
+	s := SavedRevision{Revision: f.now.revision, Hash: f.now.hash, Entries: f.now.entries}
+	s.Checksum = s.sum()
 	return s
 }
 
 // Restore offers a copy as Offer does an update, to be accepted or refused. ErrDamaged is one that isn't what was saved;
 // ErrStale one that isn't after what is in force; ErrPending as in Offer.
-func (f *Follower) Restore(s Saved) (entries map[string]json.RawMessage, ok bool, err error) {
+func (f *Follower) Restore(s SavedRevision) (entries map[string]json.RawMessage, ok bool, err error) {
 	switch {
 	case f.next != nil:
 		return nil, false, ErrPending
-	case s.Sum != s.sum() || HashOf(s.Entries) != s.Hash:
+	case s.Checksum != s.sum() || HashEntries(s.Entries) != s.Hash:
 		return nil, false, fmt.Errorf("%w: the copy of revision %d doesn't have the hash that it says", ErrDamaged, s.Revision)
 	case s.Revision == 0 && f.now.revision == 0:
 		return nil, false, nil
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -14,7 +14,7 @@
 func (f *Follower) holds(t testing.TB, rev uint64, content map[string]json.RawMessage) {
 	t.Helper()
 	s := f.Saved()
-	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) || s.Hash != HashOf(content) {
+	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) || s.Hash != HashEntries(content) {
 		t.Fatalf("it holds %d %v, not %d %v", s.Revision, s.Entries, rev, content)
 	}
 }
@@ -22,7 +22,7 @@
 // follow takes what the log has for the follower.
 func (f *Follower) follow(t testing.TB, l *Log) {
 	t.Helper()
-	if _, ok, err := f.Offer(l.Next(f.Status())); !ok || err != nil {
+	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	f.Accept()
@@ -35,17 +35,17 @@
 	f.holds(t, 0, nil)
 	f.follow(t, l)
 	l.made(t, put("a", "/settings/a", "1"))
-	if u := l.Next(f.Status()); u.Snapshot {
+	if u := l.NextUpdate(f.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, l)
-	if _, ok, err := f.Offer(l.Next(f.Status())); ok || err != nil {
+	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); ok || err != nil {
 		t.Error(ok, err)
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		l.made(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if u := l.Next(f.Status()); !u.Snapshot {
+	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, l)
@@ -56,11 +56,11 @@
 // What isn't for this follower, or isn't what it says, changes nothing and is told.
 func TestFollowerTakesNoOther(t *testing.T) {
 	l, f := filled(t, Retention{}), NewFollower("r", "1")
-	old := l.Next(f.Status())
+	old := l.NextUpdate(f.Status())
 	f.follow(t, l)
-	late := l.Since(f.now.revision, f.now.hash)
+	late := l.UpdateSince(f.now.revision, f.now.hash)
 	l.made(t, put("a", "/settings/a", "1"))
-	delta := l.Next(f.Status())
+	delta := l.NextUpdate(f.Status())
 	f.follow(t, l)
 	content := l.Entries()
 	refuses := func(why string, u Update, want error) {
@@ -74,18 +74,18 @@
 	refuses("nothing, from before", late, ErrStale)
 	refuses("a delta once more", delta, ErrStale)
 	refuses("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
-	refuses("behind", Update{From: 2, To: 1, Behind: true}, ErrBehind)
+	refuses("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
 	if f.Status().Hash != f.now.hash {
 		t.Error("the whole is asked for without need")
 	}
 	l.made(t, put("b", "/settings/a", "2"))
-	broken := l.Next(f.Status())
+	broken := l.NextUpdate(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
 	refuses("a value that isn't the one", broken, ErrMismatch)
 	if f.Status().Hash != (Hash{}) {
 		t.Error("the whole isn't asked for")
 	}
-	if u := l.Next(f.Status()); !u.Snapshot {
+	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	} else {
 		u.Put["/settings/x"] = json.RawMessage("1")
@@ -97,13 +97,13 @@
 		t.Error("the whole is still asked for")
 	}
 	l.made(t, put("c", "/settings/a", "4"))
-	if _, ok, err := f.Offer(l.Next(f.Status())); !ok || err != nil {
+	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	if _, ok, err := f.Offer(l.Next(f.Status())); ok || !errors.Is(err, ErrPending) {
+	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); ok || !errors.Is(err, ErrPending) {
 		t.Error(ok, err)
 	}
-	if _, _, err := f.Restore(Saved{Revision: 9}); !errors.Is(err, ErrPending) {
+	if _, _, err := f.Restore(SavedRevision{Revision: 9}); !errors.Is(err, ErrPending) {
 		t.Error(err)
 	}
 	f.Accept()
@@ -121,13 +121,13 @@
 	f.follow(t, l)
 	before := l.Entries()
 	l.made(t, put("a", "/settings/a", "1"))
-	u := l.Next(f.Status())
+	u := l.NextUpdate(f.Status())
 	refuse := func() {
 		t.Helper()
 		if _, ok, err := f.Offer(u); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
-		f.Reject("/settings/a", strings.Repeat("é", MaxNote))
+		f.Reject("/settings/a", strings.Repeat("é", MaxNoteBytes))
 		f.holds(t, 1, before)
 	}
 	refuse()
@@ -135,16 +135,16 @@
 	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() || r.Rejected.Pointer != "/settings/a" || r.Check() != nil {
 		t.Errorf("%+v", r.Rejected)
 	}
-	if u := l.Next(r); !u.Nothing() {
+	if u := l.NextUpdate(r); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
 	// Also from a keeper that doesn't know, and as a whole.
-	for _, again := range []Update{u, l.Since(0, Hash{})} {
+	for _, again := range []Update{u, l.UpdateSince(0, Hash{})} {
 		if _, ok, err := f.Offer(again); ok || err != nil {
 			t.Error(ok, err)
 		}
 	}
-	f.Retry()
+	f.ClearRejections()
 	if f.Status().Rejected != nil {
 		t.Error("still refused")
 	}
@@ -161,10 +161,10 @@
 	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	f.follow(t, l)
 	l.made(t, put("a", "/settings/a", "1"))
-	two := l.Next(f.Status())
+	two := l.NextUpdate(f.Status())
 	good := l.Entries()
 	l.made(t, put("b", "/settings/a", "2"))
-	three := l.Next(f.Status())
+	three := l.NextUpdate(f.Status())
 	offer := func(u Update, want bool) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok != want || err != nil {
@@ -180,16 +180,16 @@
 	if r := f.Status().Rejected; r == nil || r.Revision != 3 {
 		t.Errorf("%+v", r)
 	}
-	f.Retry()
+	f.ClearRejections()
 	offer(three, true)
 	f.Reject("/settings/a", "no")
 	offer(two, true)
 	f.Accept()
 	f.holds(t, 2, good)
-	offer(l.Since(2, f.now.hash), false)
+	offer(l.UpdateSince(2, f.now.hash), false)
 	for i := range 2 * refusals {
 		l.made(t, put(fmt.Sprint("c", i), "/settings/a", fmt.Sprint("1", i)))
-		offer(l.Next(f.Status()), true)
+		offer(l.NextUpdate(f.Status()), true)
 		f.Reject("/settings/a", "no")
 	}
 	if r := f.Status().Rejected; len(f.refused) != refusals || r.Revision != l.Revision() {
@@ -211,17 +211,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var saved Saved
+	var saved SavedRevision
 	if err := json.Unmarshal(text, &saved); err != nil {
 		t.Fatal(err)
 	}
 	next := NewFollower("r", "2")
-	damaged := map[string]func(*Saved){
-		"revision": func(s *Saved) { s.Revision++ },
-		"hash":     func(s *Saved) { s.Hash[3]++ },
-		"sum":      func(s *Saved) { s.Sum = Hash{} },
-		"value":    func(s *Saved) { s.Entries["/settings/a"] = json.RawMessage("2") },
-		"entry":    func(s *Saved) { delete(s.Entries, "/settings/a") },
+	damaged := map[string]func(*SavedRevision){
+		"revision": func(s *SavedRevision) { s.Revision++ },
+		"hash":     func(s *SavedRevision) { s.Hash[3]++ },
+		"sum":      func(s *SavedRevision) { s.Checksum = Hash{} },
+		"value":    func(s *SavedRevision) { s.Entries["/settings/a"] = json.RawMessage("2") },
+		"entry":    func(s *SavedRevision) { delete(s.Entries, "/settings/a") },
 	}
 	for name, damage := range damaged {
 		s := saved
@@ -252,7 +252,7 @@
 	third.Reject("/settings/a", "no")
 	third.holds(t, 0, nil)
 	l.made(t, put("b", "/settings/a", "2"))
-	if u := l.Next(next.Status()); u.Snapshot {
+	if u := l.NextUpdate(next.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	next.follow(t, l)
@@ -270,13 +270,13 @@
 	if err := restored.UnmarshalBinary(old); err != nil {
 		t.Fatal(err)
 	}
-	restored.Join("r", "1")
-	f.Keeper(3)
+	restored.AddMember("r", "1")
+	f.SelectKeeper(3)
 	for i := range 3 {
 		if _, ahead := f.KeepersAreBehind(); ahead {
 			t.Error("ahead of all after", i)
 		}
-		if _, ok, err := f.Offer(restored.Next(f.Status())); ok || !errors.Is(err, ErrBehind) {
+		if _, ok, err := f.Offer(restored.NextUpdate(f.Status())); ok || !errors.Is(err, ErrBehind) {
 			t.Fatal(ok, err)
 		}
 		f.CallFailed(float64(i)*10_000, 0)
@@ -285,23 +285,23 @@
 	if theirs, ahead := f.KeepersAreBehind(); !ahead || theirs != 1 {
 		t.Error(theirs, ahead)
 	}
-	if v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
+	if v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil); v.Converged || names(v.Diverged) != "r1" {
 		t.Errorf("%+v", v)
 	}
 	for i, id := range []string{"x", "y"} {
 		restored.made(t, put(id, "/settings/c", string(rune('1'+i))))
 	}
-	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); v.Everywhere || names(v.Foreign) != "r1" {
+	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); v.Converged || names(v.Diverged) != "r1" {
 		t.Errorf("%+v", v) // the same number, another content
 	}
-	if u := restored.Next(f.Status()); !u.Snapshot {
+	if u := restored.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.follow(t, restored)
 	if _, ahead := f.KeepersAreBehind(); ahead {
 		t.Error("still ahead")
 	}
-	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !v.Everywhere {
+	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !v.Converged {
 		t.Errorf("%+v", v)
 	}
 }
@@ -311,7 +311,7 @@
 	f := NewFollower("r", "1")
 	now, asked := 0.0, map[int]int{}
 	for i := range 3 {
-		asked[f.Keeper(3)]++
+		asked[f.SelectKeeper(3)]++
 		wait := f.CallFailed(now, 0.999)
 		if most := 100.0; i < 2 && wait >= most || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
@@ -336,22 +336,22 @@
 		t.Error(wait)
 	}
 	now += MaxBackoffMS
-	at := f.Keeper(3)
+	at := f.SelectKeeper(3)
 	f.Unchanged()
-	if f.Keeper(3) != at || f.CallFailed(now, 0) != 0 || f.Keeper(3) == at {
+	if f.SelectKeeper(3) != at || f.CallFailed(now, 0) != 0 || f.SelectKeeper(3) == at {
 		t.Error("an answer doesn't end it, or a loss doesn't move on")
 	}
 	// Followers spread over the keepers.
 	first := map[int]int{}
 	for i := range 600 {
-		first[NewFollower("r", "process "+strings.Repeat("i", i)).Keeper(5)]++
+		first[NewFollower("r", "process "+strings.Repeat("i", i)).SelectKeeper(5)]++
 	}
 	for k := range 5 {
 		if first[k] < 60 {
 			t.Error(first)
 		}
 	}
-	if NewFollower("r", "1").Keeper(0) != 0 {
+	if NewFollower("r", "1").SelectKeeper(0) != 0 {
 		t.Error("no keepers")
 	}
 }
@@ -361,7 +361,7 @@
 	for words, r := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
 		"instance": {Name: "r"},
-		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNote+1)}},
+		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNoteBytes+1)}},
 	} {
 		if err := r.Check(); err == nil || !strings.Contains(err.Error(), "field "+words) {
 			t.Error(words, err)
@@ -374,7 +374,7 @@
 
 // A hash is read as it's written, and nothing else is.
 func TestHashText(t *testing.T) {
-	h := HashOf(map[string]json.RawMessage{"/settings/a": json.RawMessage("1")})
+	h := HashEntries(map[string]json.RawMessage{"/settings/a": json.RawMessage("1")})
 	text, err := json.Marshal(h)
 	var back Hash
 	if err != nil || json.Unmarshal(text, &back) != nil || back != h || string(text) != `"`+h.String()+`"` {
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -22,7 +22,7 @@
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
 	remove := []string{"/settings/parties/north", "/settings/parties/south"}
 	refusal := &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
-	report := FollowerStatus{Name: "n/0", Instance: Instance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Rejected: refusal}
+	report := FollowerStatus{Name: "n/0", Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Rejected: refusal}
 	seats := []FollowerProcess{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal}}
 	fault := ChangeError{Kind: ChangeConflict, Pointer: "/board", Reason: "another one", Revision: 9}
 	return map[string]any{
@@ -30,14 +30,14 @@
 		"fault.json":    fault,
 		"result.json":   Result{Revision: 9, Repeated: true, Err: &fault},
 		"revision.json": Revision{Revision: 9, ID: "c", Note: "note", AtMS: 5, RevertTo: &revertTo, Hash: goldenHash(3), Put: put, Remove: remove},
-		"update.json":   Update{From: 8, To: 9, Snapshot: true, Behind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
+		"update.json":   Update{From: 8, To: 9, Snapshot: true, KeeperBehind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
 		"report.json":   report,
 		"lease.json":    Lease{FollowerStatus: report, UntilMS: 6000.25},
 		"verdict.json": ConvergenceStatus{
-			Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Foreign: seats, Gone: []string{"r1"},
-			Unreached: []string{"k2"}, Everywhere: true,
+			Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Diverged: seats, Missing: []string{"r1"},
+			UnreachedKeepers: []string{"k2"}, Converged: true,
 		},
-		"saved.json": Saved{Revision: 9, Hash: goldenHash(5), Sum: goldenHash(6), Entries: put},
+		"saved.json": SavedRevision{Revision: 9, Hash: goldenHash(5), Checksum: goldenHash(6), Entries: put},
 		"terms.json": Retention{Revisions: 2000, Bytes: 1 << 20},
 	}
 }
@@ -97,9 +97,9 @@
 			t.Fatal(r.Err)
 		}
 	}
-	l.Join("r1", "first")
-	l.Join("r1", "second")
-	l.Join("r2", "only")
+	l.AddMember("r1", "first")
+	l.AddMember("r1", "second")
+	l.AddMember("r2", "only")
 	state, err := l.MarshalBinary()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/decide/configlog/hash.go
+++ b/internal/decide/configlog/hash.go
@@ -55,9 +55,9 @@
 	return sha256.Sum256(b)
 }
 
-// HashOf reckons the hash of a whole document anew, at the cost of one digest an entry. The values have to be in the form
+// HashEntries reckons the hash of a whole document anew, at the cost of one digest an entry. The values have to be in the form
 // that a Log gives out; the same value in other words has another hash.
-func HashOf(entries map[string]json.RawMessage) (h Hash) {
+func HashEntries(entries map[string]json.RawMessage) (h Hash) {
 	for p, v := range entries {
 		h = h.plus(digest(p, v))
 	}
--- a/internal/decide/configlog/judge.go
+++ b/internal/decide/configlog/judge.go
@@ -24,11 +24,11 @@
 	Rejected []FollowerProcess `json:"refused"` // alive, before the revision, which or a later one they refused
 	// Foreign are alive, but hold what these keepers didn't give under that number, or no longer know: followers ahead of
 	// keepers that were restored from an older state, or about to get the whole. It can't be known that the revision is in it.
-	Foreign   []FollowerProcess `json:"foreign"`
-	Gone      []string          `json:"gone"`      // in the roster without a lease: gone or cut off, named and never counted
-	Unreached []string          `json:"unreached"` // keepers that weren't asked or whose leases aren't whole
+	Diverged         []FollowerProcess `json:"foreign"`
+	Missing          []string          `json:"gone"`      // in the roster without a lease: gone or cut off, named and never counted
+	UnreachedKeepers []string          `json:"unreached"` // keepers that weren't asked or whose leases aren't whole
 	// Everywhere says that each living process holds the revision or a later one.
-	Everywhere bool `json:"everywhere"`
+	Converged bool `json:"everywhere"`
 }
 
 // Convergence says where a revision is in force, by the leases of all keepers that were reached, as Live gives them, and the names of
@@ -41,11 +41,11 @@
 // never been answered.
 func (l *Log) Convergence(rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
 	v := ConvergenceStatus{
-		Revision: rev, InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{}, Foreign: []FollowerProcess{}, Gone: []string{},
-		Unreached: slices.Sorted(slices.Values(unreached)),
+		Revision: rev, InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{}, Diverged: []FollowerProcess{}, Missing: []string{},
+		UnreachedKeepers: slices.Sorted(slices.Values(unreached)),
 	}
-	if v.Unreached == nil {
-		v.Unreached = []string{}
+	if v.UnreachedKeepers == nil {
+		v.UnreachedKeepers = []string{}
 	}
 	names, seats := map[string]bool{}, map[seat]bool{}
 	for _, lease := range latest(heard) {
@@ -58,7 +58,7 @@
 		case lease.Revision < rev:
 			v.Behind = append(v.Behind, s)
 		case !l.gave(lease.FollowerStatus):
-			v.Foreign = append(v.Foreign, s)
+			v.Diverged = append(v.Diverged, s)
 		default:
 			v.InForce = append(v.InForce, s)
 		}
@@ -67,11 +67,11 @@
 	for _, name := range l.Members() {
 		missing = missing || !seats[seat{name, l.roster[name][0]}]
 		if !names[name] {
-			v.Gone = append(v.Gone, name)
+			v.Missing = append(v.Missing, name)
 		}
 	}
 	// Nobody at all is not everywhere: it would tell an operator that something is in force that no router has.
-	v.Everywhere = len(v.InForce) > 0 && len(v.Behind)+len(v.Rejected)+len(v.Foreign) == 0 &&
+	v.Converged = len(v.InForce) > 0 && len(v.Behind)+len(v.Rejected)+len(v.Diverged) == 0 &&
 		(len(unreached) == 0 || !missing)
 	return v
 }
--- a/internal/decide/configlog/judge_test.go
+++ b/internal/decide/configlog/judge_test.go
@@ -36,23 +36,23 @@
 func TestLeasesSettle(t *testing.T) {
 	l := NewLeases(6000)
 	for ms := 100.0; ms < 6100; ms += 1000 {
-		if l.Settled(ms) {
+		if l.IsComplete(ms) {
 			t.Fatal(ms)
 		}
 	}
-	if !l.Settled(6100) || !l.Settled(9100) {
+	if !l.IsComplete(6100) || !l.IsComplete(9100) {
 		t.Error("it isn't whole")
 	}
-	if l.Settled(12_101) { // stopped for more than half of a lease
+	if l.IsComplete(12_101) { // stopped for more than half of a lease
 		t.Error("whole at once after a stop")
 	}
 	for ms := 12_101.0; ms < 18_101; ms += 1500 {
 		l.Tick(ms)
-		if l.Settled(ms) {
+		if l.IsComplete(ms) {
 			t.Fatal(ms)
 		}
 	}
-	if !l.Settled(18_101) {
+	if !l.IsComplete(18_101) {
 		t.Error("it isn't whole again")
 	}
 }
@@ -66,7 +66,7 @@
 		hashes = append(hashes, l.Hash())
 	}
 	for _, n := range roster {
-		l.Join(n, "1")
+		l.AddMember(n, "1")
 	}
 	return l, func(name, instance string, rev uint64, until float64) Lease {
 		return Lease{FollowerStatus: FollowerStatus{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]}, UntilMS: until}
@@ -82,7 +82,7 @@
 	refusedBefore.Rejected = &Rejection{Revision: 4}
 	v := l.Convergence(5, []Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)}, nil)
 	if names(v.InForce) != "a1n1" || names(v.Behind) != "b1d1" || names(v.Rejected) != "c1" || v.Rejected[0].Rejected.Pointer != "/settings/a" ||
-		!reflect.DeepEqual(v.Gone, []string{"z"}) || v.Everywhere || v.Revision != 5 {
+		!reflect.DeepEqual(v.Missing, []string{"z"}) || v.Converged || v.Revision != 5 {
 		t.Errorf("%+v", v)
 	}
 	l, lease = judged(t, "a", "b")
@@ -104,7 +104,7 @@
 		"went to another keeper":                 {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), lease("b", "1", 5, 0)}, nil, true},
 		"a refusal that is later":                {[]Lease{past}, nil, true},
 	} {
-		if v := l.Convergence(5, c.heard, c.unreached); v.Everywhere != c.want {
+		if v := l.Convergence(5, c.heard, c.unreached); v.Converged != c.want {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
@@ -117,28 +117,28 @@
 // A follower counts only with the content that the log has under its revision.
 func TestLogJudgesByContent(t *testing.T) {
 	l := filled(t, Retention{Revisions: 2})
-	l.Join("a", "1")
+	l.AddMember("a", "1")
 	l.made(t, put("a", "/settings/a", "1"))
 	at := func(rev uint64, h Hash) []Lease {
 		return []Lease{{FollowerStatus: FollowerStatus{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
 	}
-	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Everywhere || names(v.InForce) != "a1" {
+	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Converged || names(v.InForce) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Convergence(2, at(2, Hash{}), nil); v.Everywhere || names(v.Foreign) != "a1" {
+	if v := l.Convergence(2, at(2, Hash{}), nil); v.Converged || names(v.Diverged) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Everywhere || names(v.Foreign) != "a1" {
+	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Converged || names(v.Diverged) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Convergence(3, at(3, l.Hash()), nil); v.Everywhere { // there is no revision 3
+	if v := l.Convergence(3, at(3, l.Hash()), nil); v.Converged { // there is no revision 3
 		t.Errorf("%+v", v)
 	}
 	h := l.Hash()
 	for _, id := range []string{"b", "c", "d"} {
 		l.made(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if v := l.Convergence(1, at(2, h), nil); v.Everywhere { // compacted: what it holds can't be known
+	if v := l.Convergence(1, at(2, h), nil); v.Converged { // compacted: what it holds can't be known
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/decide/configlog/leases.go
+++ b/internal/decide/configlog/leases.go
@@ -64,9 +64,9 @@
 	l.lastMS = max(l.lastMS, nowMS)
 }
 
-// Settled says whether each follower that lives and uses this keeper has had the time to be heard. Until then the keeper has
+// IsComplete says whether each follower that lives and uses this keeper has had the time to be heard. Until then the keeper has
 // to count as unreached in a verdict: it guards against 'everywhere' from one that has just started or woken.
-func (l *Leases) Settled(nowMS float64) bool {
+func (l *Leases) IsComplete(nowMS float64) bool {
 	l.Tick(nowMS)
 	return nowMS >= l.wholeMS
 }
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -84,8 +84,8 @@
 // Revision is the one in force; 0 before the first change.
 func (l *Log) Revision() uint64 { return l.oldest + uint64(len(l.records)) }
 
-// Oldest is the first revision whose content is kept.
-func (l *Log) Oldest() uint64 { return l.oldest }
+// OldestRevision is the first revision whose content is kept.
+func (l *Log) OldestRevision() uint64 { return l.oldest }
 
 // Hash is that of the content in force.
 func (l *Log) Hash() Hash { return l.hash }
@@ -96,8 +96,8 @@
 // Entries gives the content in force.
 func (l *Log) Entries() map[string]json.RawMessage { return maps.Clone(l.entries) }
 
-// At gives the content at a revision: FaultCompacted for one before Oldest, FaultInvalid for one that isn't there yet.
-func (l *Log) At(rev uint64) (map[string]json.RawMessage, *ChangeError) {
+// EntriesAt gives the content at a revision: FaultCompacted for one before Oldest, FaultInvalid for one that isn't there yet.
+func (l *Log) EntriesAt(rev uint64) (map[string]json.RawMessage, *ChangeError) {
 	if f := l.keeps(rev); f != nil {
 		return nil, f
 	}
@@ -234,7 +234,7 @@
 func (l *Log) remember(id string, m made) {
 	l.ids[id] = m
 	l.idOrder = append(l.idOrder, id)
-	if over := len(l.idOrder) - MaxIDs; over > 0 {
+	if over := len(l.idOrder) - MaxRememberedIDs; over > 0 {
 		for _, old := range l.idOrder[:over] {
 			delete(l.ids, old)
 		}
@@ -256,12 +256,12 @@
 	}
 }
 
-// Join notes a follower's process: a keeper that hears one that isn't Joined proposes it, and answers when it is. True if it
+// AddMember notes a follower's process: a keeper that hears one that isn't Joined proposes it, and answers when it is. True if it
 // is new. Of two processes the one with the greater instance is the later, whichever is noted first: a call of a process that
 // has ended can come late. A wrong name or instance, or a name beyond MaxRoster, is not noted.
-func (l *Log) Join(name, instance string) bool {
+func (l *Log) AddMember(name, instance string) bool {
 	seats, known := l.roster[name]
-	if l.Joined(name, instance) || !known && len(l.roster) >= MaxMembers || (FollowerStatus{Name: name, Instance: instance}).Check() != nil {
+	if l.HasMember(name, instance) || !known && len(l.roster) >= MaxMembers || (FollowerStatus{Name: name, Instance: instance}).Check() != nil {
 		return false
 	}
 	if instance > seats[0] {
@@ -271,14 +271,14 @@
 	return true
 }
 
-// Joined says whether a process is one of the two that are noted under its name: during a takeover both live.
-func (l *Log) Joined(name, instance string) bool {
+// HasMember says whether a process is one of the two that are noted under its name: during a takeover both live.
+func (l *Log) HasMember(name, instance string) bool {
 	seats, known := l.roster[name]
 	return known && instance != "" && (seats[0] == instance || seats[1] == instance)
 }
 
-// Forget takes the name of a follower that won't come back out; true if it was there.
-func (l *Log) Forget(name string) bool {
+// RemoveMember takes the name of a follower that won't come back out; true if it was there.
+func (l *Log) RemoveMember(name string) bool {
 	_, known := l.roster[name]
 	delete(l.roster, name)
 	return known
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -45,7 +45,7 @@
 	c.Expect = number(1)
 	l.made(t, c)
 	l.made(t, Change{ID: "c", RevertTo: number(1)})
-	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" || l.Hash() != HashOf(l.Entries()) {
+	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" || l.Hash() != HashEntries(l.Entries()) {
 		t.Error(l.Revision(), l.Entries())
 	}
 	if h := l.History(0, 10); len(h) != 3 || h[2].Remove[0] != "/board" || *h[2].RevertTo != 1 || h[2].Hash != h[0].Hash {
@@ -58,7 +58,7 @@
 	l := NewLog(Retention{})
 	l.made(t, Change{ID: "base", Put: map[string]json.RawMessage{"/settings/rules/cold-ns": json.RawMessage("1"), "/settings/list": json.RawMessage("[]")}})
 	before, _ := l.MarshalBinary()
-	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValue-2) + `"`)
+	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
 	many := Change{ID: "x", Put: map[string]json.RawMessage{}}
 	for i := range 17 {
 		many.Put[fmt.Sprint("/settings/x", i)] = huge
@@ -70,9 +70,9 @@
 		words   string
 	}{
 		"no id":           {Change{Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field id"},
-		"long id":         {put(strings.Repeat("x", MaxID+1), "/settings/a", "1"), ChangeInvalid, "", "field id"},
+		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), ChangeInvalid, "", "field id"},
 		"odd id":          {put("a\nb", "/settings/a", "1"), ChangeInvalid, "", "field id"},
-		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNote+1), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
+		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNoteBytes+1), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
 		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
 		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field at_ms"},
 		"nothing":         {Change{ID: "x"}, ChangeInvalid, "", "no put"},
@@ -115,12 +115,12 @@
 // The document has bounds, which a change can't pass bit by bit.
 func TestDocumentBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
-	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValue-2) + `"`)
+	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
 	var fault *ChangeError
 	for i := 0; fault == nil && i < 100; i++ {
 		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
 	}
-	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") || entries != MaxDocument/MaxValue-1 || size > MaxDocument {
+	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") || entries != MaxDocumentBytes/MaxValueBytes-1 || size > MaxDocumentBytes {
 		t.Error(fault, entries, size)
 	}
 	l = NewLog(Retention{Revisions: 2})
@@ -141,14 +141,14 @@
 func TestIDsAreRememberedWithinBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	l.made(t, put("first", "/settings/a", "0"))
-	for i := range MaxIDs - 1 {
+	for i := range MaxRememberedIDs - 1 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
 	if r := l.Apply(put("first", "/settings/a", "0")); !r.Repeated || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	l.made(t, put("one more", "/settings/a", "0"))
-	if len(l.ids) != MaxIDs || len(l.idOrder) != MaxIDs {
+	if len(l.ids) != MaxRememberedIDs || len(l.idOrder) != MaxRememberedIDs {
 		t.Error(len(l.ids), len(l.idOrder))
 	}
 	l.made(t, put("first", "/settings/a", "0"))
@@ -161,33 +161,33 @@
 // The roster takes each name once, with its two latest processes, and none that is wrong or beyond the bound.
 func TestRoster(t *testing.T) {
 	l := NewLog(Retention{})
-	if !l.Join("b", "1") || !l.Join("a", "1") || l.Join("b", "1") || l.Join("", "1") || l.Join("\x00", "1") || l.Join("c", "") {
+	if !l.AddMember("b", "1") || !l.AddMember("a", "1") || l.AddMember("b", "1") || l.AddMember("", "1") || l.AddMember("\x00", "1") || l.AddMember("c", "") {
 		t.Error(l.Members())
 	}
 	if r := l.Members(); !reflect.DeepEqual(r, []string{"a", "b"}) {
 		t.Error(r)
 	}
 	// Two that live side by side don't push each other out.
-	if !l.Join("a", "2") || l.Join("a", "1") || l.Join("a", "2") || !l.Join("a", "4") || l.Joined("a", "1") || !l.Joined("a", "2") || !l.Joined("a", "4") {
+	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") || l.HasMember("a", "1") || !l.HasMember("a", "2") || !l.HasMember("a", "4") {
 		t.Error(l.roster)
 	}
 	// A late word of an earlier process doesn't make it the latest.
-	if !l.Join("a", "3") || l.roster["a"] != [2]string{"4", "3"} || !l.Join("a", "2") || l.roster["a"] != [2]string{"4", "2"} {
+	if !l.AddMember("a", "3") || l.roster["a"] != [2]string{"4", "3"} || !l.AddMember("a", "2") || l.roster["a"] != [2]string{"4", "2"} {
 		t.Error(l.roster)
 	}
-	if Instance(1000, 7) >= Instance(1001, 3) || Instance(-5, 1) != Instance(0, 1) || len(Instance(1<<40, 1<<63)) > MaxID {
-		t.Error(Instance(1000, 7))
+	if NewInstance(1000, 7) >= NewInstance(1001, 3) || NewInstance(-5, 1) != NewInstance(0, 1) || len(NewInstance(1<<40, 1<<63)) > MaxIDBytes {
+		t.Error(NewInstance(1000, 7))
 	}
-	if l.Joined("b", "") || l.Joined("b", "2") || l.Joined("c", "1") {
+	if l.HasMember("b", "") || l.HasMember("b", "2") || l.HasMember("c", "1") {
 		t.Error(l.roster)
 	}
-	if !l.Forget("a") || l.Forget("a") || len(l.Members()) != 1 || l.Joined("a", "4") {
+	if !l.RemoveMember("a") || l.RemoveMember("a") || len(l.Members()) != 1 || l.HasMember("a", "4") {
 		t.Error(l.Members())
 	}
 	for i := range MaxMembers {
-		l.Join(fmt.Sprint(i), "1")
+		l.AddMember(fmt.Sprint(i), "1")
 	}
-	if len(l.Members()) != MaxMembers || l.Join("late", "1") || !l.Join("b", "2") {
+	if len(l.Members()) != MaxMembers || l.AddMember("late", "1") || !l.AddMember("b", "2") {
 		t.Error(len(l.Members()))
 	}
 }
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -156,11 +156,11 @@
 }
 
 func (m *model) compare(t *rapid.T, l *Log) {
-	if l.Revision() != m.revision() || l.Oldest() != m.oldest() || !maps.EqualFunc(l.Entries(), m.content(), equal) || l.Hash() != HashOf(m.content()) {
-		t.Fatalf("%d from %d %v, not %d from %d %v", l.Revision(), l.Oldest(), l.Entries(), m.revision(), m.oldest(), m.content())
+	if l.Revision() != m.revision() || l.OldestRevision() != m.oldest() || !maps.EqualFunc(l.Entries(), m.content(), equal) || l.Hash() != HashEntries(m.content()) {
+		t.Fatalf("%d from %d %v, not %d from %d %v", l.Revision(), l.OldestRevision(), l.Entries(), m.revision(), m.oldest(), m.content())
 	}
 	for rev, want := range m.contents {
-		got, fault := l.At(uint64(rev))
+		got, fault := l.EntriesAt(uint64(rev))
 		if uint64(rev) < m.oldest() {
 			if fault == nil || fault.Kind != RevisionCompacted || fault.Revision != m.oldest() {
 				t.Fatalf("%d: %v %v", rev, got, fault)
@@ -168,7 +168,7 @@
 		} else if fault != nil || !maps.EqualFunc(got, want, equal) {
 			t.Fatalf("%d: %v %v, not %v", rev, got, fault, want)
 		}
-		u := l.Since(uint64(rev), HashOf(want))
+		u := l.UpdateSince(uint64(rev), HashEntries(want))
 		to := maps.Clone(want)
 		if u.Snapshot {
 			to = u.Put
@@ -181,7 +181,7 @@
 			}
 			maps.Copy(to, u.Put)
 		}
-		if !maps.EqualFunc(to, m.content(), equal) || u.Hash != l.Hash() || u.To != m.revision() || u.Behind {
+		if !maps.EqualFunc(to, m.content(), equal) || u.Hash != l.Hash() || u.To != m.revision() || u.KeeperBehind {
 			t.Fatalf("from %d: %+v", rev, u)
 		}
 	}
--- a/internal/decide/configlog/orders_test.go
+++ b/internal/decide/configlog/orders_test.go
@@ -156,7 +156,7 @@
 	for rev := last - min(last, 1); rev <= last; rev++ {
 		v := w.verdict(rev)
 		for _, r := range w.routers {
-			if v.Everywhere && r.alive && r.heard && r.heardMS+leaseMS > w.nowMS && r.rev < rev {
+			if v.Converged && r.alive && r.heard && r.heardMS+leaseMS > w.nowMS && r.rev < rev {
 				return &violation{notFalse, fmt.Sprintf("%s is alive at %d, said of %d: %+v", r.name, r.rev, rev, v)}
 			}
 		}
@@ -229,7 +229,7 @@
 			return &violation{allMeet, fmt.Sprintf("%s is at %d of %d", r.name, r.rev, last)}
 		}
 	}
-	if v := w.verdict(last); v.Everywhere != (living > 0 && !refusing) || len(v.Rejected) > 0 != refusing || len(v.Gone) > len(w.routers)-living {
+	if v := w.verdict(last); v.Converged != (living > 0 && !refusing) || len(v.Rejected) > 0 != refusing || len(v.Missing) > len(w.routers)-living {
 		return &violation{allMeet, fmt.Sprintf("the leader says %+v", v)}
 	}
 	want, err := w.leader.MarshalBinary()
--- a/internal/decide/configlog/plan.go
+++ b/internal/decide/configlog/plan.go
@@ -76,8 +76,8 @@
 		return nil, invalid("", "%s", err)
 	}
 	switch {
-	case len(c.Note) > MaxNote:
-		return nil, invalid("", "field note has %d bytes, more than %d", len(c.Note), MaxNote)
+	case len(c.Note) > MaxNoteBytes:
+		return nil, invalid("", "field note has %d bytes, more than %d", len(c.Note), MaxNoteBytes)
 	case !utf8.ValidString(c.Note):
 		return nil, invalid("", "field note is no UTF-8")
 	case c.AtMS < 0:
@@ -114,8 +114,8 @@
 		seen[p] = true
 		size += len(p)
 	}
-	if size > MaxChange {
-		return nil, invalid("", "the change has %d bytes, more than %d", size, MaxChange)
+	if size > MaxChangeBytes {
+		return nil, invalid("", "the change has %d bytes, more than %d", size, MaxChangeBytes)
 	}
 	return put, nil
 }
@@ -168,8 +168,8 @@
 			return invalid(e.pointer, "there are entries below it")
 		}
 	}
-	if size > MaxDocument {
-		return invalid("", "the document would have %d bytes, more than %d", size, MaxDocument)
+	if size > MaxDocumentBytes {
+		return invalid("", "the document would have %d bytes, more than %d", size, MaxDocumentBytes)
 	}
 	if count > MaxEntries {
 		return invalid("", "the document would have %d entries, more than %d", count, MaxEntries)
--- a/internal/decide/configlog/since.go
+++ b/internal/decide/configlog/since.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Since gives what a follower needs that holds this revision with this hash: nothing, what differs, or the whole, whichever
+// UpdateSince gives what a follower needs that holds this revision with this hash: nothing, what differs, or the whole, whichever
 // has fewer bytes. It gives the whole to one whose content isn't that of its revision here, or whose revision is no longer
 // kept, and Behind to one that is ahead of this keeper.
-func (l *Log) Since(rev uint64, h Hash) Update {
+func (l *Log) UpdateSince(rev uint64, h Hash) Update {
 	now := l.Revision()
 	u := Update{From: rev, To: now, Hash: l.hash}
 	if rev > now {
-		u.Behind = true
+		u.KeeperBehind = true
 		return u
 	}
 	if here, ok := l.hashAt(rev); ok && here == h {
@@ -26,13 +26,13 @@
 	return u
 }
 
-// Next gives what the author of a report needs: as Since, but nothing while the revision in force is the one that it refused
+// NextUpdate gives what the author of a report needs: as Since, but nothing while the revision in force is the one that it refused
 // and still stands at what it has: asking again wouldn't change its mind.
-func (l *Log) Next(r FollowerStatus) Update {
+func (l *Log) NextUpdate(r FollowerStatus) Update {
 	if f := r.Rejected; f != nil && f.Revision == l.Revision() && f.Hash == l.hash && r.Revision <= f.Revision {
 		return Update{From: r.Revision, To: r.Revision, Hash: r.Hash}
 	}
-	return l.Since(r.Revision, r.Hash)
+	return l.UpdateSince(r.Revision, r.Hash)
 }
 
 // delta fills in what differs from u.From; false if that has no fewer bytes than the whole.
--- a/internal/decide/configlog/since_test.go
+++ b/internal/decide/configlog/since_test.go
@@ -23,21 +23,21 @@
 	l.made(t, put("a", "/settings/a", "1"))
 	l.made(t, put("b", "/settings/a", "2"))
 	l.made(t, Change{ID: "c", Put: map[string]json.RawMessage{"/settings/b": json.RawMessage("3")}, Remove: []string{"/settings/a"}})
-	if u := l.Since(4, l.Hash()); !u.Nothing() || u.Put != nil || u.Hash != l.Hash() {
+	if u := l.UpdateSince(4, l.Hash()); !u.IsEmpty() || u.Put != nil || u.Hash != l.Hash() {
 		t.Errorf("%+v", u)
 	}
 	// /settings/a came and went since: it isn't told.
-	if u := l.Since(one, h1); u.Snapshot || len(u.Put) != 1 || len(u.Remove) != 0 || u.From != 1 || u.To != 4 {
+	if u := l.UpdateSince(one, h1); u.Snapshot || len(u.Put) != 1 || len(u.Remove) != 0 || u.From != 1 || u.To != 4 {
 		t.Errorf("%+v", u)
 	}
-	_, h2 := l.At(2)
-	two, _ := l.At(2)
-	if u := l.Since(2, HashOf(two)); h2 != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
+	_, h2 := l.EntriesAt(2)
+	two, _ := l.EntriesAt(2)
+	if u := l.UpdateSince(2, HashEntries(two)); h2 != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
 		t.Errorf("%+v", u)
 	}
 	whole := func(rev uint64, h Hash, why string) {
 		t.Helper()
-		if u := l.Since(rev, h); !u.Snapshot || u.Behind || !maps.EqualFunc(u.Put, l.Entries(), equal) || u.Remove != nil || u.From != rev || u.To != l.Revision() {
+		if u := l.UpdateSince(rev, h); !u.Snapshot || u.KeeperBehind || !maps.EqualFunc(u.Put, l.Entries(), equal) || u.Remove != nil || u.From != rev || u.To != l.Revision() {
 			t.Errorf("%s: %+v", why, u)
 		}
 	}
@@ -45,9 +45,9 @@
 	whole(4, h1, "another content under the number in force")
 	whole(0, Hash{}, "compacted")
 	l.made(t, Change{ID: "d", Remove: []string{"/settings/filler"}})
-	three, _ := l.At(3)
-	whole(3, HashOf(three), "the delta has more bytes than the whole")
-	if u := l.Since(9, h1); !u.Behind || u.Snapshot || u.Put != nil || u.To != l.Revision() {
+	three, _ := l.EntriesAt(3)
+	whole(3, HashEntries(three), "the delta has more bytes than the whole")
+	if u := l.UpdateSince(9, h1); !u.KeeperBehind || u.Snapshot || u.Put != nil || u.To != l.Revision() {
 		t.Errorf("%+v", u)
 	}
 }
@@ -59,20 +59,20 @@
 	l := filled(t, Retention{})
 	r := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
 	l.made(t, put("a", "/settings/a", "1"))
-	if u := l.Next(r); u.Nothing() {
+	if u := l.NextUpdate(r); u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
 	r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
-	if u := l.Next(r); !u.Nothing() {
+	if u := l.NextUpdate(r); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
 	r.Rejected.Hash = Hash{1}
-	if u := l.Next(r); u.Nothing() {
+	if u := l.NextUpdate(r); u.IsEmpty() {
 		t.Error("other content under the refused number is kept from it")
 	}
 	r.Rejected.Hash = l.Hash()
 	l.made(t, put("b", "/settings/a", "2"))
-	if u := l.Next(r); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
+	if u := l.NextUpdate(r); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -83,13 +83,13 @@
 	for i := range 20 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
-	if l.Revision() != 20 || l.Oldest() != 15 || len(l.History(0, 100)) != 5 {
-		t.Error(l.Revision(), l.Oldest())
+	if l.Revision() != 20 || l.OldestRevision() != 15 || len(l.History(0, 100)) != 5 {
+		t.Error(l.Revision(), l.OldestRevision())
 	}
-	if c, f := l.At(15); f != nil || string(c["/settings/a"]) != "14" {
+	if c, f := l.EntriesAt(15); f != nil || string(c["/settings/a"]) != "14" {
 		t.Error(c, f)
 	}
-	if _, f := l.At(14); f == nil || f.Kind != RevisionCompacted || f.Revision != 15 {
+	if _, f := l.EntriesAt(14); f == nil || f.Kind != RevisionCompacted || f.Revision != 15 {
 		t.Error(f)
 	}
 	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Err == nil || r.Err.Kind != RevisionCompacted || r.Revision != 20 {
@@ -109,11 +109,11 @@
 			t.Fatal(i, sum, l.kept)
 		}
 	}
-	if kept := l.Revision() - l.Oldest(); kept < 2 || kept > 3 {
+	if kept := l.Revision() - l.OldestRevision(); kept < 2 || kept > 3 {
 		t.Error(kept)
 	}
 	l.made(t, put("large", "/settings/b", `"`+strings.Repeat("x", 9000)+`"`))
-	if l.Revision()-l.Oldest() != 1 {
-		t.Error(l.Oldest())
+	if l.Revision()-l.OldestRevision() != 1 {
+		t.Error(l.OldestRevision())
 	}
 }
--- a/internal/decide/configlog/state_test.go
+++ b/internal/decide/configlog/state_test.go
@@ -19,9 +19,9 @@
 	l.made(t, Change{ID: "c", RevertTo: number(2)})
 	l.made(t, put("d", "/settings/a", "1")) // changes nothing
 	l.made(t, put("e", "/settings/parties/p", `{"quota-rps":1}`))
-	l.Join("r1", "1")
-	l.Join("r2", "1")
-	l.Join("r2", "2")
+	l.AddMember("r1", "1")
+	l.AddMember("r2", "1")
+	l.AddMember("r2", "2")
 	return l
 }
 
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -106,21 +106,21 @@
 	return content, ok, err
 }
 
-func (f *tracedFollower) Restore(s Saved) (map[string]json.RawMessage, bool, error) {
+func (f *tracedFollower) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
 	traceSaved(f.h, s)
 	content, ok, err := f.Follower.Restore(s)
 	traceOffered(f.h, content, ok, err)
 	return content, ok, err
 }
 
-func (f *tracedFollower) Saved() Saved {
+func (f *tracedFollower) Saved() SavedRevision {
 	s := f.Follower.Saved()
 	traceSaved(f.h, s)
 	return s
 }
 
-func (f *tracedFollower) Keeper(n int) int {
-	keeper := f.Follower.Keeper(n)
+func (f *tracedFollower) SelectKeeper(n int) int {
+	keeper := f.Follower.SelectKeeper(n)
 	f.h.Step(stepKeeper)
 	f.h.Int(int64(keeper))
 	return keeper
@@ -190,13 +190,13 @@
 	h.Step(stepRoster)
 	switch draw(6, "roster") {
 	case 0:
-		h.Bool(l.Forget(name))
+		h.Bool(l.RemoveMember(name))
 	case 1:
-		h.Bool(l.Join("", instance))
+		h.Bool(l.AddMember("", instance))
 	default:
-		h.Bool(l.Join(name, instance))
+		h.Bool(l.AddMember(name, instance))
 	}
-	h.Bool(l.Joined(name, instance))
+	h.Bool(l.HasMember(name, instance))
 	for _, name := range l.Members() {
 		h.String(name)
 	}
@@ -207,15 +207,15 @@
 	var heard []Lease
 	for range draw(5, "leases") {
 		rev := uint64(draw(int(l.Revision())+3, "revision"))
-		content, fault := l.At(rev)
+		content, fault := l.EntriesAt(rev)
 		traceFault(h, fault)
 		traceEntries(h, content)
-		r := FollowerStatus{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashOf(content)}
+		r := FollowerStatus{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashEntries(content)}
 		if draw(3, "refuses") == 0 {
 			r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
-		traceUpdate(h, l.Since(rev, r.Hash))
-		traceUpdate(h, l.Next(r))
+		traceUpdate(h, l.UpdateSince(rev, r.Hash))
+		traceUpdate(h, l.NextUpdate(r))
 		heard = append(heard, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
@@ -237,16 +237,16 @@
 func traceCourier(t *testing.T, h *tracetest.Hash) {
 	for seed := range uint64(100) {
 		draw := byPCG(seed)
-		f := &tracedFollower{Follower: NewFollower("r", Instance(int64(seed)*1000, seed)), h: h}
+		f := &tracedFollower{Follower: NewFollower("r", NewInstance(int64(seed)*1000, seed)), h: h}
 		now := 0.0
 		for range 60 {
 			now += float64(draw(1500, "wait"))
-			f.Keeper(draw(6, "keepers"))
+			f.SelectKeeper(draw(6, "keepers"))
 			switch draw(5, "outcome") {
 			case 0:
 				f.Unchanged()
 			case 1:
-				_, _, _ = f.Offer(Update{From: 3, To: 2, Behind: true})
+				_, _, _ = f.Offer(Update{From: 3, To: 2, KeeperBehind: true})
 			default:
 				f.CallFailed(now, float64(draw(120, "jitter")-10)/100)
 			}
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -40,7 +40,7 @@
 func traceHead(h *tracetest.Hash, l *Log) {
 	h.Step(stepHead)
 	h.Uint(l.Revision())
-	h.Uint(l.Oldest())
+	h.Uint(l.OldestRevision())
 	hash := l.Hash()
 	h.Bytes(hash[:])
 	entries, bytes := l.Size()
@@ -73,8 +73,8 @@
 	h.Uint(u.From)
 	h.Uint(u.To)
 	h.Bool(u.Snapshot)
-	h.Bool(u.Behind)
-	h.Bool(u.Nothing())
+	h.Bool(u.KeeperBehind)
+	h.Bool(u.IsEmpty())
 	traceEntries(h, u.Put)
 	traceStrings(h, u.Remove)
 	h.Bytes(u.Hash[:])
@@ -127,18 +127,18 @@
 	return -1
 }
 
-func traceSaved(h *tracetest.Hash, s Saved) {
+func traceSaved(h *tracetest.Hash, s SavedRevision) {
 	h.Step(stepSaved)
 	h.Uint(s.Revision)
 	h.Bytes(s.Hash[:])
-	h.Bytes(s.Sum[:])
+	h.Bytes(s.Checksum[:])
 	traceEntries(h, s.Entries)
 }
 
 func traceVerdict(h *tracetest.Hash, v ConvergenceStatus) {
 	h.Step(stepVerdict)
 	h.Uint(v.Revision)
-	for _, seats := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Foreign} {
+	for _, seats := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
 		h.Int(int64(len(seats)))
 		for _, s := range seats {
 			h.String(s.Name)
@@ -148,9 +148,9 @@
 			traceRefusal(h, s.Rejected)
 		}
 	}
-	traceStrings(h, v.Gone)
-	traceStrings(h, v.Unreached)
-	h.Bool(v.Everywhere)
+	traceStrings(h, v.Missing)
+	traceStrings(h, v.UnreachedKeepers)
+	h.Bool(v.Converged)
 }
 
 func traceLeases(h *tracetest.Hash, leases []Lease) {
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -18,8 +18,8 @@
 	for seed := range uint64(60) {
 		draw := byPCG(seed)
 		l := NewLog(Retention{Revisions: 8})
-		f := &tracedFollower{Follower: NewFollower("r", Instance(1, seed)), h: h}
-		copies := []Saved{f.Saved()}
+		f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, seed)), h: h}
+		copies := []SavedRevision{f.Saved()}
 		for i := range 80 {
 			l.Apply(draw.change(fmt.Sprint("c", i), l.Revision()))
 			f.follow(draw, l, &copies)
@@ -28,21 +28,21 @@
 }
 
 // follow has a follower do one drawn thing.
-func (f *tracedFollower) follow(draw drawer, l *Log, copies *[]Saved) {
+func (f *tracedFollower) follow(draw drawer, l *Log, copies *[]SavedRevision) {
 	r := f.Status()
 	switch draw(12, "step") {
 	case 0, 1, 2:
-		_, _, _ = f.Offer(l.Next(r))
+		_, _, _ = f.Offer(l.NextUpdate(r))
 	case 3:
-		_, _, _ = f.Offer(damaged(draw, l.Since(r.Revision, r.Hash)))
+		_, _, _ = f.Offer(damaged(draw, l.UpdateSince(r.Revision, r.Hash)))
 	case 4:
-		_, _, _ = f.Offer(l.Since(uint64(draw(int(l.Revision())+2, "from")), Hash{}))
+		_, _, _ = f.Offer(l.UpdateSince(uint64(draw(int(l.Revision())+2, "from")), Hash{}))
 	case 5, 6, 7:
 		f.Accept()
 	case 8:
 		f.Reject("/settings/d", strings.Repeat("é", draw(1024, "reason")))
 	case 9:
-		f.Retry()
+		f.ClearRejections()
 	case 10:
 		*copies = append(*copies, f.Saved())
 	case 11:
@@ -124,11 +124,11 @@
 // traceRefusals has a follower refuse one revision after another, and offers it all of them again.
 func traceRefusals(t *testing.T, h *tracetest.Hash) {
 	l := NewLog(Retention{})
-	f := &tracedFollower{Follower: NewFollower("r", Instance(1, 1)), h: h}
+	f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, 1)), h: h}
 	var updates []Update
 	for i := range 24 {
 		l.Apply(Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i))}})
-		updates = append(updates, l.Next(f.Status()))
+		updates = append(updates, l.NextUpdate(f.Status()))
 		_, _, _ = f.Offer(updates[i])
 		f.Reject("/settings/d", "odd")
 	}
@@ -138,6 +138,6 @@
 			f.Reject("/settings/d", "still odd")
 		}
 	}
-	f.Retry()
+	f.ClearRejections()
 	_, _, _ = f.Offer(updates[5])
 }
--- a/internal/decide/configlog/world_test.go
+++ b/internal/decide/configlog/world_test.go
@@ -29,9 +29,9 @@
 	Offer(Update) (map[string]json.RawMessage, bool, error)
 	Accept()
 	Reject(pointer, reason string)
-	Restore(Saved) (map[string]json.RawMessage, bool, error)
-	Saved() Saved
-	Keeper(n int) int
+	Restore(SavedRevision) (map[string]json.RawMessage, bool, error)
+	Saved() SavedRevision
+	SelectKeeper(n int) int
 	CallFailed(nowMS, jitter float64) float64
 	Unchanged()
 }
@@ -50,7 +50,7 @@
 		follower: func(f *Follower) client { return f },
 		apply:    (*Log).Apply,
 		judge:    (*Log).Convergence,
-		settled:  (*Leases).Settled,
+		settled:  (*Leases).IsComplete,
 	}
 }
 
@@ -85,7 +85,7 @@
 	rev     uint64
 	pending map[string]json.RawMessage
 	offered bool
-	copy    *Saved // on its disk
+	copy    *SavedRevision // on its disk
 	heardMS float64
 	heard   bool           // answered in this life
 	refused map[string]int // times by revision and hash
@@ -146,7 +146,7 @@
 
 func (w *world) run(l *Log, c command) {
 	if c.name != "" {
-		l.Join(c.name, c.instance)
+		l.AddMember(c.name, c.instance)
 		return
 	}
 	w.apply(l, c.change)
@@ -155,7 +155,7 @@
 // begin starts a router's next life, with what its disk has.
 func (w *world) begin(r *router) {
 	r.life++
-	r.client = w.follower(NewFollower(r.name, Instance(int64(w.nowMS), uint64(r.life))))
+	r.client = w.follower(NewFollower(r.name, NewInstance(int64(w.nowMS), uint64(r.life))))
 	r.alive, r.heard, r.offered = true, false, false
 	r.inForce, r.rev, r.refused = map[string]json.RawMessage{}, 0, map[string]int{}
 	if r.copy != nil {
@@ -173,7 +173,7 @@
 	}
 	r.offered = false
 	if v := string(r.pending["/settings/d"]); r.picky && (v == "1" || v == "3") {
-		r.refused[fmt.Sprint(r.to, HashOf(r.pending))]++
+		r.refused[fmt.Sprint(r.to, HashEntries(r.pending))]++
 		r.client.Reject("/settings/d", "it is odd")
 		return
 	}
@@ -185,7 +185,7 @@
 func (w *world) call(i int) {
 	r := w.routers[i]
 	if r.alive && !r.offered {
-		w.mail = append(w.mail, message{router: i, life: r.life, keeper: r.client.Keeper(len(w.keepers)), report: r.client.Status()})
+		w.mail = append(w.mail, message{router: i, life: r.life, keeper: r.client.SelectKeeper(len(w.keepers)), report: r.client.Status()})
 	}
 }
 
@@ -221,7 +221,7 @@
 		return Update{}, false
 	}
 	k.leases.Renew(w.nowMS, m.report)
-	if !k.log.Joined(m.report.Name, m.report.Instance) {
+	if !k.log.HasMember(m.report.Name, m.report.Instance) {
 		if k.cut {
 			return Update{}, false
 		}
@@ -231,7 +231,7 @@
 	if r.alive && r.life == m.life {
 		r.heard, r.heardMS = true, w.nowMS
 	}
-	return k.log.Next(m.report), true
+	return k.log.NextUpdate(m.report), true
 }
 
 // wait lets time pass; keepers that run say so each second.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -75,7 +75,7 @@
 	case len(rest)%recordLength != 0:
 		return f, fmt.Errorf("payload of %d bytes is not whole records", len(rest))
 	}
-	f.list = Update{Events: dispatch.EndpointList{Mode: dispatch.ListIncremental}, Addrs: map[dispatch.EngineID]string{}}
+	f.list = Update{Events: dispatch.EndpointList{Mode: dispatch.ListIncremental}, Addresses: map[dispatch.EngineID]string{}}
 	if f.kind == kindWhole {
 		f.list.Events.Mode = dispatch.ListComplete
 	}
@@ -94,7 +94,7 @@
 			StartedAt: clock.Duration(float64(started)),
 		})
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(rest[4:8])), binary.BigEndian.Uint16(rest[8:]))
-		f.list.Addrs[id] = addr.String()
+		f.list.Addresses[id] = addr.String()
 	}
 	return f, nil
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -63,8 +63,8 @@
 		if diff := cmp.Diff(dispatch.EndpointList{Mode: k.mode, Endpoints: k.want}, f.list.Events); diff != "" {
 			t.Errorf("%s: %s", k.name, diff)
 		}
-		if len(k.want) > 0 && f.list.Addrs[engine.ID] != "127.8.0.1:8080" {
-			t.Errorf("%s: address %q", k.name, f.list.Addrs[engine.ID])
+		if len(k.want) > 0 && f.list.Addresses[engine.ID] != "127.8.0.1:8080" {
+			t.Errorf("%s: address %q", k.name, f.list.Addresses[engine.ID])
 		}
 	}
 }
@@ -238,7 +238,7 @@
 			return
 		}
 		for _, e := range fr.list.Events.Endpoints {
-			if _, ok := fr.list.Addrs[e.ID]; !ok || !slices.Contains(names.Zones, e.Zone) ||
+			if _, ok := fr.list.Addresses[e.ID]; !ok || !slices.Contains(names.Zones, e.Zone) ||
 				!slices.Contains(names.Kinds, e.Kind) || e.StartedAt < 0 {
 				t.Fatalf("%+v", e)
 			}
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -291,7 +291,7 @@
 	}
 	members := make([]member, len(engines))
 	for i, e := range engines {
-		members[i] = member{settings.FormatID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone, phases[e.State], 1, e.StartedMS}
+		members[i] = member{settings.FormatEngineID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone, phases[e.State], 1, e.StartedMS}
 	}
 	if len(engines) == 0 {
 		return json.RawMessage(`{"rev":0,"notices":[]}`)
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -121,11 +121,11 @@
 	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
 	}
-	decisions, err := simulated.config.Parsed.Config(simulated.config.SeedValue)
+	decisions, err := simulated.config.Settings.DispatchConfig(simulated.config.SeedValue)
 	if err != nil {
 		return nil, err
 	}
-	known, last, err := settings.ParseKnown(simulated.config.Known)
+	known, last, err := settings.ParseEndpoints(simulated.config.KnownEndpoints)
 	if err != nil {
 		return nil, err
 	}
@@ -136,9 +136,9 @@
 	if simulated.net, err = netio.New(simulated.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	simulated.core.UpdateEndpoints(known.Events, known.Addrs)
+	simulated.core.UpdateEndpoints(known.Events, known.Addresses)
 	simulated.loop.Post(func() {
-		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.Board, simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
+		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress, simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
 		if spec.StatementsPerSecond > 0 {
 			simulated.submitNext()
 		}
@@ -154,17 +154,17 @@
 }
 
 func (h *simulatedRouter) names() discovery.RecordNames {
-	return discovery.RecordNames{Zones: h.config.Parsed.Zones, Kinds: h.config.Parsed.Kinds}
+	return discovery.RecordNames{Zones: h.config.Settings.Zones, Kinds: h.config.Settings.Kinds}
 }
 
 func (h *simulatedRouter) onUpdate(l discovery.Update) {
-	h.core.UpdateEndpoints(l.Events, l.Addrs)
+	h.core.UpdateEndpoints(l.Events, l.Addresses)
 	h.out.write(statusMessage{Router: h.spec.Number, List: h.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
 // configure puts another configuration in force, as a router's reload does. After an error nothing has changed.
 func (h *simulatedRouter) configure(cfg *settings.Node) error {
-	decisions, err := cfg.Parsed.Config(h.config.SeedValue)
+	decisions, err := cfg.Settings.DispatchConfig(h.config.SeedValue)
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 		return err
 	}
 	h.config = cfg
-	h.watcher.Configure(cfg.Board, h.names())
+	h.watcher.Configure(cfg.DiscoveryAddress, h.names())
 	return nil
 }
 
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -19,10 +19,10 @@
 	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
 		return nil, err
 	}
-	instance := configlog.Instance(time.Now().UnixMilli(), rand.Uint64())
+	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
 	client := configclient.New(section, h.config.Name, instance, slog.New(slog.DiscardHandler))
 	client.Start(func(rev configclient.Revision) error {
-		cfg, fault := validate.Overlaid(h.spec.Config, rev.Entries)
+		cfg, fault := validate.Overlay(h.spec.Config, rev.Entries)
 		if fault != nil {
 			return &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
 		}
--- a/internal/site/encoded_test.go
+++ b/internal/installation/encoded_test.go
@@ -1,4 +1,4 @@
-package site
+package installation
 
 import (
 	"testing"
--- a/internal/site/site.go
+++ b/internal/installation/installation.go
@@ -1,6 +1,6 @@
-// Package site holds the settings of an installation that are no matter of the platform's: one JSON file, such as
+// Package installation holds the settings of an installation that are no matter of the platform's: one JSON file, such as
 // deploy/windflow.json, with a section for each part of the program. A part without its section is off.
-package site
+package installation
 
 import (
 	"bytes"
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -25,7 +25,7 @@
 		for i := range g.members { // each begins at another one
 			cfg.Addresses = append(cfg.Addresses, g.members[(n+i)%3].options.HTTPAddr)
 		}
-		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.Instance(int64(life), uint64(n)), log)
+		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.NewInstance(int64(life), uint64(n)), log)
 		apply := func(r configclient.Revision) error {
 			if r.Revision == refuses {
 				return &configclient.Rejection{Pointer: "/settings/over-share-worth", Reason: "no"}
@@ -54,7 +54,7 @@
 		v = g.verdict(0, "revision=3")
 		return len(v.Rejected) == 1 && len(v.InForce) == 2
 	})
-	if v.Everywhere || v.Rejected[0].Name != "r1" || v.Rejected[0].Rejected.Reason != "no" {
+	if v.Converged || v.Rejected[0].Name != "r1" || v.Rejected[0].Rejected.Reason != "no" {
 		t.Errorf("%+v", v)
 	}
 	g.everywhere(g.change(0, put("fourth", "/settings/over-share-worth", "4")))
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -38,7 +38,7 @@
 	k.leasesMu.Lock()
 	defer k.leasesMu.Unlock()
 	now := k.nowMS()
-	return keeperLeases{Keeper: k.o.ID, Settled: k.leases.Settled(now), Leases: k.leases.Live(now)}
+	return keeperLeases{Keeper: k.o.ID, Settled: k.leases.IsComplete(now), Leases: k.leases.Live(now)}
 }
 
 // rollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms, and is judged by
@@ -91,7 +91,7 @@
 func (k *Keeper) watch(ctx context.Context, rev *uint64, until time.Time) answer {
 	for {
 		heard, unreached := k.gather(ctx)
-		if !k.machine.convergence(rev, heard, unreached).Everywhere && time.Until(until) > 0 && k.pause(ctx, min(lookAgain, time.Until(until))) {
+		if !k.machine.convergence(rev, heard, unreached).Converged && time.Until(until) > 0 && k.pause(ctx, min(lookAgain, time.Until(until))) {
 			continue
 		}
 		// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on until
@@ -107,7 +107,7 @@
 func (k *Keeper) unconfirmed(ctx context.Context, rev *uint64, because answer) answer {
 	heard, unreached := k.gather(ctx)
 	v := convergenceReport{ConvergenceStatus: k.machine.convergence(rev, heard, unreached), Keeper: k.o.ID}
-	v.Everywhere = false
+	v.Converged = false
 	if no, ok := because.body.(errorBody); ok {
 		v.Why = no.Reason
 	}
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -53,7 +53,7 @@
 	}
 	if u.Snapshot {
 		k.figures.snapshotsSent.Add(1)
-	} else if !u.Behind {
+	} else if !u.KeeperBehind {
 		k.figures.deltasSent.Add(1)
 	}
 	return answer{http.StatusOK, u}
@@ -74,7 +74,7 @@
 			k.joining.add(followerProcess{report.Name, report.Instance})
 			asked = true
 		}
-		if known && !u.Nothing() && !u.Behind {
+		if known && !u.IsEmpty() && !u.KeeperBehind {
 			return u, true
 		}
 		select {
@@ -84,7 +84,7 @@
 		case <-k.stopping:
 		case <-ctx.Done():
 		}
-		return u, known && u.Behind
+		return u, known && u.KeeperBehind
 	}
 }
 
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -41,7 +41,7 @@
 		Name: f.name, Instance: f.instance,
 		Revision: f.revision, Hash: f.hash, Rejected: f.refused,
 	}}, &u)
-	if code != http.StatusOK || u.Behind {
+	if code != http.StatusOK || u.KeeperBehind {
 		return code
 	}
 	f.updates = append(f.updates, u)
@@ -58,7 +58,7 @@
 		delete(f.content, p)
 	}
 	f.revision, f.hash = u.To, u.Hash
-	if h := configlog.HashOf(f.content); h != u.Hash {
+	if h := configlog.HashEntries(f.content); h != u.Hash {
 		f.g.t.Errorf("%s: content of revision %d has hash %s, not %s", f.name, u.To, h, u.Hash)
 	}
 	return code
@@ -83,7 +83,7 @@
 	a.ack(0)
 	b.ack(2)
 	v := g.verdict(1, "revision=1&wait_ms=10000")
-	if !v.Everywhere || len(v.InForce) != 2 || !v.Majority {
+	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
 		t.Errorf("both have it: %+v", v)
 	}
 	// A call that waits gets the change; the verdict that waits gets the follower's word.
@@ -100,18 +100,18 @@
 	}
 	a.ack(1)
 	b.revision, b.refused = 1, &configlog.Rejection{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
-	b.hash = configlog.HashOf(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
+	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.call(2, 0); code != http.StatusNoContent {
 		t.Errorf("a follower that refused the revision is offered it again: %d", code)
 	}
 	v = g.verdict(0, "revision=2")
-	if v.Everywhere || len(v.InForce) != 1 || len(v.Rejected) != 1 || v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
+	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 || v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
 		t.Errorf("one refused: %+v", v)
 	}
 	wait(t, "a follower that doesn't call is gone", func() bool {
 		a.call(1, 0)
 		v = g.verdict(0, "")
-		return reflect.DeepEqual(v.Gone, []string{"rb"})
+		return reflect.DeepEqual(v.Missing, []string{"rb"})
 	})
 	if len(v.Rejected) != 0 || v.Revision != 2 {
 		t.Errorf("gone: %+v", v)
@@ -126,7 +126,7 @@
 		t.Errorf("forget again: %d %+v", code, forgotten)
 	}
 	a.call(1, 0)
-	if v = g.verdict(2, ""); len(v.Gone) != 0 {
+	if v = g.verdict(2, ""); len(v.Missing) != 0 {
 		t.Errorf("forgotten: %+v", v)
 	}
 }
@@ -146,10 +146,10 @@
 	a := follower{g: g, name: "ra", instance: "1"}
 	a.until(0, 1)
 	a.ack(0)
-	if v := g.verdict(1, ""); len(v.Unreached) != 3 {
+	if v := g.verdict(1, ""); len(v.UnreachedKeepers) != 3 {
 		t.Errorf("all have just started: %+v", v)
 	}
-	if v := g.verdict(1, "wait_ms=10000"); !v.Everywhere {
+	if v := g.verdict(1, "wait_ms=10000"); !v.Converged {
 		t.Errorf("the only follower is heard: %+v", v)
 	}
 }
@@ -207,7 +207,7 @@
 	if len(fresh.updates) != 1 || !reflect.DeepEqual(fresh.content, wide.content) {
 		t.Errorf("fresh: %d updates, %d entries", len(fresh.updates), len(fresh.content))
 	}
-	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: configlog.HashOf(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
+	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
 	first.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
 	first.until(2, 1050)
 	if len(first.updates) != 1 || !reflect.DeepEqual(first.content, wide.content) {
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -124,7 +124,7 @@
 const board = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, worth, rest string) string {
-	hash := configlog.HashOf(map[string]json.RawMessage{
+	hash := configlog.HashEntries(map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage(worth),
 		"/board":                     json.RawMessage(board),
 	})
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -118,7 +118,7 @@
 	conflict := g.send(old, http.MethodPost, "/v1/changes", configlog.Change{ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put})
 	repeated := g.send(old, http.MethodPost, "/v1/changes", put("second", "/settings/over-share-worth", "2"))
 	g.members[old].signal(syscall.SIGCONT)
-	if v := <-verdict; v.err != nil || v.code != 200 || v.Everywhere {
+	if v := <-verdict; v.err != nil || v.code != 200 || v.Converged {
 		t.Errorf("revision 2 is with no follower, and it says %+v", v)
 	}
 	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) || p.code != 200 && p.code != 503 {
@@ -239,11 +239,11 @@
 	there.until(many[1], 2)
 	there.ack(many[1])
 	var v rolloutReply
-	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Everywhere || !v.Majority || !slices.Contains(v.Unreached, g.members[few[0]].options.ID) || !slices.Contains(v.Unreached, g.members[few[1]].options.ID) {
+	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority || !slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) || !slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
 		t.Errorf("the majority doesn't know what the other region has, and says %d %+v", code, v)
 	}
 	v = rolloutReply{}
-	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Everywhere || v.Majority || v.Why == "" {
+	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
 		t.Errorf("the minority's verdict: %d %+v", code, v)
 	}
 	// A name that no majority has written down gets nothing: a verdict over there could not know of it.
@@ -264,7 +264,7 @@
 	newcomer.until(few[1], last)
 	newcomer.ack(few[1])
 	v = rolloutReply{}
-	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Everywhere || v.Revision != last || len(v.InForce) != 3 {
+	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last || len(v.InForce) != 3 {
 		t.Errorf("joined: %d %+v", code, v)
 	}
 }
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -19,12 +19,12 @@
 
 // follow plays a router with the state machine that routers have, until ctx ends.
 func (g *group) follow(ctx context.Context, n int) {
-	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.Instance(1, uint64(n+1)))
+	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
 	began := time.Now()
 	for ctx.Err() == nil {
-		to := g.members[f.Keeper(len(g.members))].options.HTTPAddr
+		to := g.members[f.SelectKeeper(len(g.members))].options.HTTPAddr
 		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Status()})
 		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/follow", bytes.NewReader(text))
 		var u configlog.Update
@@ -87,7 +87,7 @@
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
 		v := g.everywhere(rev)
 		if len(v.InForce) != *many {
-			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Gone), v.Unreached)
+			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing), v.UnreachedKeepers)
 		}
 		took = append(took, time.Since(sent).Round(time.Millisecond))
 	}
@@ -104,8 +104,8 @@
 	sent := time.Now()
 	rev := g.change((dead+1)%3, put("last", "/settings/over-share-worth", "99"))
 	v := g.everywhereAt((dead+1)%3, rev)
-	if len(v.InForce) != *many || !slices.Contains(v.Unreached, g.members[dead].options.ID) {
-		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Gone, v.Unreached)
+	if len(v.InForce) != *many || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
+		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
 	t.Logf("from the kill of the leader to the verdict that a change is everywhere: %v", time.Since(sent).Round(time.Millisecond))
 }
@@ -116,7 +116,7 @@
 	g.t.Helper()
 	wait(g.t, fmt.Sprintf("revision %d everywhere", rev), func() bool {
 		v = g.verdict(i, fmt.Sprintf("revision=%d&wait_ms=10000", rev))
-		return v.Everywhere
+		return v.Converged
 	})
 	return v
 }
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -44,10 +44,10 @@
 	case c.Change != nil:
 		out = m.applyChange(c.Change)
 	case c.Forget != "":
-		out = m.log.Forget(c.Forget)
+		out = m.log.RemoveMember(c.Forget)
 	default:
 		for _, s := range c.Join {
-			m.log.Join(s.Name, s.Instance)
+			m.log.AddMember(s.Name, s.Instance)
 		}
 	}
 	m.notify()
@@ -118,7 +118,7 @@
 func (m *stateMachine) summary() logSummary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return logSummary{Revision: m.log.Revision(), Oldest: m.log.Oldest(), Hash: m.log.Hash()}
+	return logSummary{Revision: m.log.Revision(), Oldest: m.log.OldestRevision(), Hash: m.log.Hash()}
 }
 
 func (m *stateMachine) preview(c configlog.Change) (base uint64, content map[string]json.RawMessage, fault *configlog.ChangeError) {
@@ -132,7 +132,7 @@
 func (m *stateMachine) nextUpdate(r configlog.FollowerStatus) (u configlog.Update, known bool, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.log.Next(r), m.log.Joined(r.Name, r.Instance), m.changed
+	return m.log.NextUpdate(r), m.log.HasMember(r.Name, r.Instance), m.changed
 }
 
 // contentAt gives the content at a revision; nil for the one in force. changed is closed when another one is in force.
@@ -143,7 +143,7 @@
 	if rev != nil {
 		c.Revision = *rev
 	}
-	if c.Entries, fault = m.log.At(c.Revision); fault != nil {
+	if c.Entries, fault = m.log.EntriesAt(c.Revision); fault != nil {
 		return c, fault, m.changed
 	}
 	c.Hash = m.log.Hash()
@@ -151,7 +151,7 @@
 		if h := m.log.History(c.Revision, 1); len(h) == 1 && h[0].Revision == c.Revision {
 			c.Hash = h[0].Hash
 		} else {
-			c.Hash = configlog.HashOf(c.Entries)
+			c.Hash = configlog.HashEntries(c.Entries)
 		}
 	}
 	return c, nil, m.changed
@@ -174,5 +174,5 @@
 func (m *stateMachine) unregistered(seats []followerProcess) []followerProcess {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(seats), func(s followerProcess) bool { return m.log.Joined(s.Name, s.Instance) })
+	return slices.DeleteFunc(slices.Clone(seats), func(s followerProcess) bool { return m.log.HasMember(s.Name, s.Instance) })
 }
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -12,7 +12,7 @@
 
 // order carries out an operator's word on an engine, and answers once it is in force in all processes of this router.
 func (r *node) order(engine string, exclude bool, answer func(bool)) {
-	id, err := settings.ParseID(engine)
+	id, err := settings.ParseEngineID(engine)
 	if err != nil {
 		answer(false)
 		return
@@ -39,7 +39,7 @@
 		apply()
 		return
 	}
-	engine := settings.FormatID(id)
+	engine := settings.FormatEngineID(id)
 	cant := func(err error) {
 		r.log.Warn("bans can't be noted for other processes of this router", "engine", engine, "err", err)
 		r.unnoted = true // the folder would undo it
@@ -79,7 +79,7 @@
 	}
 	now := map[dispatch.EngineID]bool{}
 	for _, name := range names {
-		if id, err := settings.ParseID(name); err == nil {
+		if id, err := settings.ParseEngineID(name); err == nil {
 			now[id] = true
 		}
 	}
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -13,19 +13,19 @@
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/flightsql"
 	"windflow/internal/golden"
+	"windflow/internal/installation"
 	"windflow/internal/record"
 	"windflow/internal/routertest"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // allParts are settings of an installation with each part, at addresses where nobody answers.
-func allParts(t *testing.T) *site.Settings {
+func allParts(t *testing.T) *installation.Settings {
 	t.Helper()
 	records := record.DefaultConfig
 	records.Dir = t.TempDir()
 	nobody := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
-	return &site.Settings{
+	return &installation.Settings{
 		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
 		BGP: &bgp.Config{
 			Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
--- a/internal/node/golden_slot_test.go
+++ b/internal/node/golden_slot_test.go
@@ -17,9 +17,9 @@
 	var got strings.Builder
 	fmt.Fprintf(&got, "meeting %q\n", meeting(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
 	for _, id := range []dispatch.EngineID{0, 2, 0xc41f7a, 0xffffffff} {
-		text := settings.FormatID(id)
+		text := settings.FormatEngineID(id)
 		fmt.Fprintf(&got, "ban of %d %q\n", id, text)
-		if back, err := settings.ParseID(text); err != nil || back != id {
+		if back, err := settings.ParseEngineID(text); err != nil || back != id {
 			t.Errorf("%q is read as %d, %v", text, back, err)
 		}
 	}
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -27,8 +27,8 @@
 	"google.golang.org/grpc/status"
 
 	"windflow/internal/flightsql"
+	"windflow/internal/installation"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // ledger counts what the stand-in engines ran, by request.
@@ -219,7 +219,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := &site.Settings{FlightSQL: &flightsql.Config{Listen: freePort(t), EngineKinds: []string{"arrow"}, MaxConnections: 32}}
+	own := &installation.Settings{FlightSQL: &flightsql.Config{Listen: freePort(t), EngineKinds: []string{"arrow"}, MaxConnections: 32}}
 	n, err := start(cfg, own, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,11 +18,11 @@
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/discovery"
 	"windflow/internal/enginehttp"
+	"windflow/internal/installation"
 	"windflow/internal/mysql"
 	"windflow/internal/netio"
 	"windflow/internal/router"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 	"windflow/internal/validate"
 )
 
@@ -124,8 +124,8 @@
 // node is the running program; all of it belongs to the loop's goroutine.
 type node struct {
 	log       *slog.Logger
-	cfg       *settings.Node // in force
-	site      *site.Settings // in force
+	cfg       *settings.Node         // in force
+	site      *installation.Settings // in force
 	opts      Options
 	parts     []*part // that are on
 	clients   *router.ByKind
@@ -151,7 +151,7 @@
 }
 
 // newNode returns a router that has nothing yet.
-func newNode(cfg *settings.Node, own *site.Settings, opts Options, log *slog.Logger) *node {
+func newNode(cfg *settings.Node, own *installation.Settings, opts Options, log *slog.Logger) *node {
 	r := &node{log: log, cfg: cfg, site: own, opts: opts, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{})}
 	if own.Records != nil {
 		r.log = r.records.tee(log, r.loop.Now)
@@ -160,7 +160,7 @@
 }
 
 // start wires the parts of a router that takes over from none and is found by none; the caller runs the loop.
-func start(cfg *settings.Node, own *site.Settings, log *slog.Logger) (*node, error) {
+func start(cfg *settings.Node, own *installation.Settings, log *slog.Logger) (*node, error) {
 	r := newNode(cfg, own, Options{}, log)
 	r.begin(false)
 	return r, r.failed
@@ -169,11 +169,11 @@
 // build wires the parts together. They accept no clients yet; operators are heard.
 func (r *node) build() error {
 	cfg, log := r.cfg, r.log
-	known, last, err := settings.ParseKnown(cfg.Known)
+	known, last, err := settings.ParseEndpoints(cfg.KnownEndpoints)
 	if err != nil {
 		return fmt.Errorf("field known: %w", err)
 	}
-	decisions, err := validate.Decisions(cfg, cfg.SeedValue)
+	decisions, err := validate.DispatchConfig(cfg, cfg.SeedValue)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
@@ -217,10 +217,10 @@
 		}
 	}
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
-	core.UpdateEndpoints(known.Events, known.Addrs)
+	core.UpdateEndpoints(known.Events, known.Addresses)
 	core.AdoptCordons(slices.Sorted(maps.Keys(r.out)))
-	r.board = discovery.Watch(r.loop, r.net, cfg.Board, namesOf(cfg), last,
-		func(l discovery.Update) { core.UpdateEndpoints(l.Events, l.Addrs) }, cfg.SeedValue, log)
+	r.board = discovery.Watch(r.loop, r.net, cfg.DiscoveryAddress, namesOf(cfg), last,
+		func(l discovery.Update) { core.UpdateEndpoints(l.Events, l.Addresses) }, cfg.SeedValue, log)
 	r.limit()
 	return nil
 }
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"windflow/internal/hotrestartipc"
-	"windflow/internal/site"
+	"windflow/internal/installation"
 )
 
 // part is a subsystem that adds itself to a router. It is off without its section of the settings, and this is all that the
@@ -17,7 +17,7 @@
 	handsOver   bool       // a process that takes over waits for what this part has to give
 
 	start     func(b bounds) error                                               // the core is there
-	configure func(s *site.Settings, b bounds) (kept []string)                   // other settings are in force; kept are the fields that can't change
+	configure func(s *installation.Settings, b bounds) (kept []string)           // other settings are in force; kept are the fields that can't change
 	counters  func() []counted                                                   // for the log and SHOW STATUS
 	busy      func() bool                                                        // something is open
 	drain     func()                                                             // the router is told to end, and nobody takes over
@@ -79,9 +79,9 @@
 			all = append(all, *p.listening)
 		}
 	}
-	if r.cfg.Control != "" {
+	if r.cfg.AdminAddress != "" {
 		all = append(all, listening{
-			listenDoor, "control", r.cfg.Control, r.openDoor,
+			listenDoor, "control", r.cfg.AdminAddress, r.openDoor,
 			func() (*os.File, error) { return r.door.File() }, func() { r.door.Close() },
 		})
 	}
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -7,7 +7,7 @@
 	"windflow/internal/bgp"
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/hotrestartipc"
-	"windflow/internal/site"
+	"windflow/internal/installation"
 )
 
 const msgBGP = "bgp" // bgp.Handed
@@ -31,7 +31,7 @@
 			s.Announce()
 			return nil
 		},
-		configure: func(now *site.Settings, _ bounds) []string {
+		configure: func(now *installation.Settings, _ bounds) []string {
 			s.Configure(*now.BGP)
 			return nil
 		},
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -8,8 +8,8 @@
 
 	"windflow/internal/flightsql"
 	"windflow/internal/hotrestartipc"
+	"windflow/internal/installation"
 	"windflow/internal/router"
-	"windflow/internal/site"
 )
 
 const (
@@ -77,7 +77,7 @@
 			r.log.Info("flight sql front", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
 			return nil
 		},
-		configure: func(s *site.Settings, b bounds) (kept []string) {
+		configure: func(s *installation.Settings, b bounds) (kept []string) {
 			now := s.FlightSQL
 			if now.Listen != cfg.Listen {
 				kept, now.Listen = append(kept, "/flightsql/listen"), cfg.Listen
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -9,8 +9,8 @@
 	"windflow/internal/configclient"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/hotrestartipc"
+	"windflow/internal/installation"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 	"windflow/internal/validate"
 )
 
@@ -39,7 +39,7 @@
 // life.
 func newKeepers(r *node, path string, own []byte) *keepers {
 	k := &keepers{r: r, path: path, own: own, reloads: make(chan struct{}, 1)}
-	k.client = configclient.New(*r.site.Keepers, r.cfg.Name, configlog.Instance(time.Now().UnixMilli(), rand.Uint64()), r.log)
+	k.client = configclient.New(*r.site.Keepers, r.cfg.Name, configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64()), r.log)
 	return k
 }
 
@@ -59,7 +59,7 @@
 
 // laid checks a revision over a text of the router's own file. Its error is a Refusal.
 func (k *keepers) laid(own []byte, rev configclient.Revision) (*settings.Node, error) {
-	cfg, fault := validate.Overlaid(own, rev.Entries)
+	cfg, fault := validate.Overlay(own, rev.Entries)
 	if fault != nil {
 		return nil, &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
 	}
@@ -138,7 +138,7 @@
 }
 
 // put brings a configuration in force, in the loop, and tells the other process of this router.
-func (k *keepers) put(cfg *settings.Node, s *site.Settings, own []byte, rev configclient.Revision) error {
+func (k *keepers) put(cfg *settings.Node, s *installation.Settings, own []byte, rev configclient.Revision) error {
 	if k.r.core == nil {
 		k.r.cfg, k.r.site = cfg, s // it has nothing yet that goes by others
 	} else if err := k.r.configure(cfg, s); err != nil {
@@ -160,7 +160,7 @@
 	if rev.Revision <= k.now.Revision {
 		return
 	}
-	if configlog.HashOf(rev.Entries) != rev.Hash {
+	if configlog.HashEntries(rev.Entries) != rev.Hash {
 		k.r.log.Error("the other process's configuration is damaged", "revision", rev.Revision)
 		return
 	}
@@ -192,7 +192,7 @@
 			return
 		}
 		cfg, own, err := readOwn(k.path)
-		var s *site.Settings
+		var s *installation.Settings
 		if err == nil {
 			s, err = readSite(k.r.opts.Settings)
 			if _, err := growTable(cfg.Limits.Sockets); err != nil {
@@ -234,7 +234,7 @@
 			k.client.Start(k.apply)
 			return nil
 		},
-		configure: func(s *site.Settings, _ bounds) (kept []string) {
+		configure: func(s *installation.Settings, _ bounds) (kept []string) {
 			now := s.Keepers
 			if now.Dir != cfg.Dir {
 				kept, now.Dir = append(kept, "/keepers/dir"), cfg.Dir
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -7,10 +7,10 @@
 
 	"windflow/dispatch"
 	"windflow/internal/clock"
+	"windflow/internal/installation"
 	"windflow/internal/record"
 	"windflow/internal/router"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 	"windflow/internal/validate"
 )
 
@@ -43,7 +43,7 @@
 		return nil
 	}
 	c := &recorder{r: r, states: map[dispatch.EngineID]record.State{}, seen: map[dispatch.EngineID]bool{}, most: cfg.FailuresPerSecond}
-	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatID(dispatch.EngineID(id)) })
+	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatEngineID(dispatch.EngineID(id)) })
 	return &part{
 		name:        "records",
 		descriptors: 2, // a segment, and the folder while it is swept
@@ -70,7 +70,7 @@
 			c.look()
 			return nil
 		},
-		configure: func(s *site.Settings, _ bounds) (kept []string) {
+		configure: func(s *installation.Settings, _ bounds) (kept []string) {
 			if s.Records.Dir != cfg.Dir {
 				kept, s.Records.Dir = append(kept, "/records/dir"), cfg.Dir
 			}
@@ -90,7 +90,7 @@
 }
 
 func classesOf(cfg *settings.Node) (all []record.Class) {
-	d, _ := validate.Decisions(cfg, 0)
+	d, _ := validate.DispatchConfig(cfg, 0)
 	for _, k := range d.Classes {
 		all = append(all, record.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateWeightShare: k.LateWeightShare, ObjectiveMS: clock.Millis(k.LatencyObjective)})
 	}
@@ -148,7 +148,7 @@
 
 func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
 	r := &record.EngineChange{
-		AtMS: now, EngineID: settings.FormatID(e.ID), State: state, Previous: c.states[e.ID], Slowness: e.Slowness, FailureRate: e.FailureShare,
+		AtMS: now, EngineID: settings.FormatEngineID(e.ID), State: state, Previous: c.states[e.ID], Slowness: e.Slowness, FailureRate: e.FailureShare,
 		ConnectionFailures: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind,
 	}
 	if state == record.WarmingUp {
@@ -226,7 +226,7 @@
 			Reason: what.Reason, AfterMS: what.TookMS,
 		}
 		if what.Engine != 0 {
-			a.EngineID = settings.FormatID(what.Engine)
+			a.EngineID = settings.FormatEngineID(what.Engine)
 		}
 		c.w.Put(a)
 	}
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -9,10 +9,10 @@
 	"testing"
 
 	"windflow/dispatch"
+	"windflow/internal/installation"
 	"windflow/internal/record"
 	"windflow/internal/router"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // A router with records on writes what it saw: the engines' states, the requests by class and tenant, the log's lines, and
@@ -84,7 +84,7 @@
 func BenchmarkRecords(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
-			own := &site.Settings{}
+			own := &installation.Settings{}
 			if on {
 				cfg := record.DefaultConfig
 				cfg.Dir = b.TempDir()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,9 +13,9 @@
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/discovery"
 	"windflow/internal/enginehttp"
+	"windflow/internal/installation"
 	"windflow/internal/mysql"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 	"windflow/internal/validate"
 )
 
@@ -67,8 +67,8 @@
 
 // complete adds what the environment has for a configuration.
 func complete(cfg *settings.Node) {
-	if cfg.Control == "" {
-		cfg.Control = os.Getenv("PROXY_CONTROL")
+	if cfg.AdminAddress == "" {
+		cfg.AdminAddress = os.Getenv("PROXY_CONTROL")
 	}
 }
 
@@ -98,19 +98,19 @@
 
 // boundsOf gives each part what the configuration has for it; taken are the descriptors of parts that it does not name.
 func boundsOf(cfg *settings.Node, taken int) (bounds, error) {
-	n, err := validate.BoundsOf(cfg, taken)
+	n, err := validate.DivideResources(cfg, taken)
 	return bounds{
-		inbound: n.Inbound,
-		mysql:   mysql.Config{MaxSessions: n.Sessions, MaxBuffered: n.Buffered},
+		inbound: n.InboundBytes,
+		mysql:   mysql.Config{MaxSessions: n.ClientSessions, MaxBuffered: n.BufferedBytes},
 		fetch: enginehttp.Config{
-			MaxConns: n.EngineConns, ConnectTimeoutMS: float64(cfg.Parsed.Limits.ConnectTimeout) / 1e6,
-			IdleMS: float64(cfg.Parsed.Limits.ConnIdle) / 1e6,
+			MaxConns: n.EngineConnections, ConnectTimeoutMS: float64(cfg.Settings.Limits.ConnectTimeout) / 1e6,
+			IdleMS: float64(cfg.Settings.Limits.ConnIdle) / 1e6,
 		},
 	}, err
 }
 
 func namesOf(cfg *settings.Node) discovery.RecordNames {
-	return discovery.RecordNames{Zones: cfg.Parsed.Zones, Kinds: cfg.Parsed.Kinds}
+	return discovery.RecordNames{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
 }
 
 // limit keeps the runtime within what the deployment gives; two processes of one router have half of the memory each.
@@ -134,13 +134,13 @@
 }
 
 // readSite reads the settings of the installation; without a file every part is off.
-func readSite(path string) (*site.Settings, error) {
+func readSite(path string) (*installation.Settings, error) {
 	if path == "" {
-		return &site.Settings{}, nil
+		return &installation.Settings{}, nil
 	}
-	var s *site.Settings
+	var s *installation.Settings
 	err := retry(func() (err error) {
-		s, err = site.Read(path)
+		s, err = installation.Read(path)
 		return err
 	})
 	return s, err
@@ -153,7 +153,7 @@
 		return
 	}
 	cfg, err := readConfig(path)
-	var s *site.Settings
+	var s *installation.Settings
 	if err == nil {
 		s, err = readSite(r.opts.Settings)
 		if _, err := growTable(cfg.Limits.Sockets); err != nil { // here too the loop may not wait
@@ -174,8 +174,8 @@
 
 // configure puts other settings in force, whole or, where they can't be used, not at all. Open requests, sessions and
 // connections are not touched. What can't change while running keeps its value, and the log names it.
-func (r *node) configure(cfg *settings.Node, s *site.Settings) error {
-	decisions, err := validate.Decisions(cfg, r.cfg.SeedValue)
+func (r *node) configure(cfg *settings.Node, s *installation.Settings) error {
+	decisions, err := validate.DispatchConfig(cfg, r.cfg.SeedValue)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
@@ -191,7 +191,7 @@
 		name    string
 		old     string
 		changed *string
-	}{{"name", r.cfg.Name, &cfg.Name}, {"listen", r.cfg.Listen, &cfg.Listen}, {"control", r.cfg.Control, &cfg.Control}} {
+	}{{"name", r.cfg.Name, &cfg.Name}, {"listen", r.cfg.Listen, &cfg.Listen}, {"control", r.cfg.AdminAddress, &cfg.AdminAddress}} {
 		if f.old != *f.changed {
 			kept, *f.changed = append(kept, f.name), f.old
 		}
@@ -203,10 +203,10 @@
 			kept = append(kept, p.configure(s, b)...)
 		}
 	}
-	r.board.Configure(cfg.Board, namesOf(cfg))
+	r.board.Configure(cfg.DiscoveryAddress, namesOf(cfg))
 	r.cfg, r.site = cfg, s
 	r.limit()
-	r.log.Info("reloaded", "board", cfg.Board, "sockets", cfg.Limits.Sockets, "memory_mb", cfg.Limits.MemoryMB)
+	r.log.Info("reloaded", "board", cfg.DiscoveryAddress, "sockets", cfg.Limits.Sockets, "memory_mb", cfg.Limits.MemoryMB)
 	if len(kept) > 0 {
 		r.log.Warn("unchanged until a restart", "fields", kept)
 	}
@@ -214,7 +214,7 @@
 }
 
 // sectionsKept gives the sections that came or went: a part is made at the start only. What was in force stays.
-func sectionsKept(old, now *site.Settings) (kept []string) {
+func sectionsKept(old, now *installation.Settings) (kept []string) {
 	if (old.FlightSQL == nil) != (now.FlightSQL == nil) {
 		kept, now.FlightSQL = append(kept, "/flightsql"), old.FlightSQL
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,8 +14,8 @@
 
 	"windflow/internal/bgp"
 	"windflow/internal/flightsql"
+	"windflow/internal/installation"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // listenBoard is a notice board that hands over each link once it has read from which event it goes on.
@@ -128,7 +128,7 @@
 		done := make(chan struct{})
 		n.loop.Post(func() {
 			n.log = slog.New(slog.NewTextHandler(&log, nil))
-			own := &site.Settings{
+			own := &installation.Settings{
 				FlightSQL: &flightsql.Config{Listen: "127.0.0.1:2", EngineKinds: []string{"std"}, MaxConnections: 32},
 				BGP:       &bgp.Config{},
 			}
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"windflow/internal/installation"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // pauses replaces the sleep of retry for the test: between is called in its place, with the number of the pause.
@@ -34,7 +34,7 @@
 			writeConfig(t, path, "127.0.0.1:1", mixedSettings)
 		}
 	})
-	if cfg, err := readConfig(path); err != nil || cfg.Board != "127.0.0.1:1" || *n != 2 {
+	if cfg, err := readConfig(path); err != nil || cfg.DiscoveryAddress != "127.0.0.1:1" || *n != 2 {
 		t.Errorf("%+v, %v after %d pauses", cfg, err, *n)
 	}
 	writeConfig(t, path, "nowhere", mixedSettings)
@@ -67,7 +67,7 @@
 			_ = before.Close()
 		}
 	})
-	r, err := start(cfg, &site.Settings{}, slog.New(slog.DiscardHandler))
+	r, err := start(cfg, &installation.Settings{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatalf("%v after %d pauses", err, *n)
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,7 +13,7 @@
 	}
 	r.closing = true
 	longest := 0.0
-	for _, k := range r.cfg.Parsed.Classes {
+	for _, k := range r.cfg.Settings.Classes {
 		longest = max(longest, float64(k.Deadline)/1e6)
 	}
 	r.closeAt = max(r.since()+min(longest, patience)+beforeKill, r.loop.Now())
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"testing"
 
+	"windflow/internal/installation"
 	"windflow/internal/settings"
-	"windflow/internal/site"
 )
 
 // After SIGTERM the router goes on taking and answering, on open and on new connections, for as long as a
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	cfg.Listen = "127.0.0.1:0"
-	n, err := start(cfg, &site.Settings{}, slog.New(slog.DiscardHandler))
+	n, err := start(cfg, &installation.Settings{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/known.go
+++ b/internal/settings/known.go
@@ -12,15 +12,15 @@
 
 // EndpointEvents is a list of engines, whole or what changed of it, and where they listen.
 type EndpointEvents struct {
-	Events dispatch.EndpointList
-	Addrs  map[dispatch.EngineID]string
+	Events    dispatch.EndpointList
+	Addresses map[dispatch.EngineID]string
 }
 
 var states = map[string]dispatch.EndpointState{"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed}
 
-// ParseKnown folds the events that the configuration holds into one complete list, and gives the number of
+// ParseEndpoints folds the events that the configuration holds into one complete list, and gives the number of
 // the last one.
-func ParseKnown(text []byte) (EndpointEvents, uint64, error) {
+func ParseEndpoints(text []byte) (EndpointEvents, uint64, error) {
 	var known struct {
 		Rev     uint64 `json:"rev"`
 		Notices []struct {
@@ -40,7 +40,7 @@
 			} `json:"pool"`
 		} `json:"notices"`
 	}
-	l := EndpointEvents{Events: dispatch.EndpointList{Mode: dispatch.ListCached}, Addrs: map[dispatch.EngineID]string{}}
+	l := EndpointEvents{Events: dispatch.EndpointList{Mode: dispatch.ListCached}, Addresses: map[dispatch.EngineID]string{}}
 	if len(text) == 0 {
 		return l, 0, nil
 	}
@@ -53,12 +53,12 @@
 			continue
 		}
 		if n.Pool.Complete {
-			l.Events.Endpoints, l.Addrs = nil, map[dispatch.EngineID]string{}
+			l.Events.Endpoints, l.Addresses = nil, map[dispatch.EngineID]string{}
 			clear(at)
 		}
 		for j, m := range n.Pool.Members {
 			field := fmt.Sprintf("notices[%d].pool.members[%d]", i, j)
-			id, err := ParseID(m.ID)
+			id, err := ParseEngineID(m.ID)
 			if err != nil {
 				return l, 0, fmt.Errorf("%s.id: %w", field, err)
 			}
@@ -79,17 +79,17 @@
 				at[id] = len(l.Events.Endpoints)
 				l.Events.Endpoints = append(l.Events.Endpoints, e)
 			}
-			l.Addrs[id] = m.HostPort
+			l.Addresses[id] = m.HostPort
 		}
 	}
 	return l, known.Rev, nil
 }
 
-// FormatID gives an engine's id as it stands in text.
-func FormatID(id dispatch.EngineID) string { return fmt.Sprintf("s-%08x", uint32(id)) }
+// FormatEngineID gives an engine's id as it stands in text.
+func FormatEngineID(id dispatch.EngineID) string { return fmt.Sprintf("s-%08x", uint32(id)) }
 
-// ParseID reads an engine's id as it stands in text.
-func ParseID(s string) (dispatch.EngineID, error) {
+// ParseEngineID reads an engine's id as it stands in text.
+func ParseEngineID(s string) (dispatch.EngineID, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
--- a/internal/settings/known_test.go
+++ b/internal/settings/known_test.go
@@ -15,7 +15,7 @@
 		return `{"id":"s-00c41f7a","host_port":"10.1.0.9:8080","locality":"hall-a","flavor":"std-8","cell":2,"phase":"` +
 			phase + `","size":4,"up_since_ms":1500}`
 	}
-	l, last, err := ParseKnown([]byte(`{"rev":41,"notices":[{"rev":40,"pool":{"complete":true,"members":[` +
+	l, last, err := ParseEndpoints([]byte(`{"rev":41,"notices":[{"rev":40,"pool":{"complete":true,"members":[` +
 		member("active") + `]}},{"rev":41,"pool":{"complete":false,"members":[` + member("leaving") + `]}}]}`))
 	want := dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{
 		ID: 0xc41f7a, Zone: "hall-a",
@@ -29,7 +29,7 @@
 		{`{"rev":1,"notices":[{"pool":{"members":[` + member("resting") + `]}}]}`, "members[0].phase"},
 		{`{"rev":"x"}`, "rev"},
 	} {
-		if _, _, err := ParseKnown([]byte(k.text)); err == nil || !strings.Contains(err.Error(), k.want) ||
+		if _, _, err := ParseEndpoints([]byte(k.text)); err == nil || !strings.Contains(err.Error(), k.want) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want %q", k.text, err, k.want)
 		}
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -21,12 +21,12 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Board    string              `json:"board"`
-	Control  string              `json:"control"` // the operators' door; empty where there is none
-	Known    jsoniter.RawMessage `json:"known"`
-	Settings jsoniter.RawMessage `json:"settings"`
+	DiscoveryAddress string              `json:"board"`
+	AdminAddress     string              `json:"control"` // the operators' door; empty where there is none
+	KnownEndpoints   jsoniter.RawMessage `json:"known"`
+	RawSettings      jsoniter.RawMessage `json:"settings"`
 	// Parsed is what Settings holds, and SeedValue what Seed does.
-	Parsed    Settings `json:"-"`
+	Settings  Settings `json:"-"`
 	SeedValue uint64   `json:"-"`
 }
 
@@ -45,13 +45,13 @@
 	if err := Decode(text, n); err != nil {
 		return nil, err
 	}
-	for _, f := range []struct{ name, value string }{{"listen", n.Listen}, {"board", n.Board}} {
+	for _, f := range []struct{ name, value string }{{"listen", n.Listen}, {"board", n.DiscoveryAddress}} {
 		if host, port, ok := strings.Cut(f.value, ":"); !ok || host == "" || port == "" {
 			return nil, fmt.Errorf("field %s: %q is no address:port", f.name, f.value)
 		}
 	}
-	if host, port, ok := strings.Cut(n.Control, ":"); n.Control != "" && (!ok || host == "" || port == "") {
-		return nil, fmt.Errorf("field control: %q is no address:port", n.Control)
+	if host, port, ok := strings.Cut(n.AdminAddress, ":"); n.AdminAddress != "" && (!ok || host == "" || port == "") {
+		return nil, fmt.Errorf("field control: %q is no address:port", n.AdminAddress)
 	}
 	if n.Seed != "" {
 		v, err := strconv.ParseUint(n.Seed, 16, 64)
@@ -63,10 +63,10 @@
 	if n.Limits.MemoryMB < 0 || n.Limits.Sockets < 0 {
 		return nil, errors.New("field limits: memory_mb or sockets is below zero")
 	}
-	if len(n.Settings) == 0 {
+	if len(n.RawSettings) == 0 {
 		return nil, errors.New("field settings is missing")
 	}
-	if err := Decode(n.Settings, &n.Parsed); err != nil {
+	if err := Decode(n.RawSettings, &n.Settings); err != nil {
 		return nil, fmt.Errorf("field settings: %w", err)
 	}
 	return n, nil
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -9,7 +9,7 @@
 	good := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"a","deadline-ns":5}],"later":1}}`
 	n, err := ParseNode([]byte(good))
-	if err != nil || n.SeedValue != 0x8c1f30d27a5be964 || n.Parsed.Classes[0].Deadline != 5 {
+	if err != nil || n.SeedValue != 0x8c1f30d27a5be964 || n.Settings.Classes[0].Deadline != 5 {
 		t.Fatalf("%+v, %v", n, err)
 	}
 	for _, k := range []struct{ from, to, want string }{
@@ -51,7 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = n.Parsed.Config(n.SeedValue)
+		_, err = n.Settings.DispatchConfig(n.SeedValue)
 		if (err == nil) != (k.want == "") || err != nil && !strings.HasPrefix(err.Error(), k.want) {
 			t.Errorf("%s: error %v, want %q", k.to, err, k.want)
 		}
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -58,7 +58,7 @@
 		t.Error(diff)
 	}
 	n, err := ParseNode(text)
-	if err != nil || n.Parsed.Tenants[1].Name != "west/two" || n.Parsed.Tenants[1].Quota != 3 {
+	if err != nil || n.Settings.Tenants[1].Name != "west/two" || n.Settings.Tenants[1].Quota != 3 {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-// Enum looks a wire word up in a table.
-func Enum[T any](field, w string, table map[string]T) (T, error) {
+// ParseEnum looks a wire word up in a table.
+func ParseEnum[T any](field, w string, table map[string]T) (T, error) {
 	v, ok := table[w]
 	if !ok {
 		return v, fmt.Errorf("%s: unknown value %q", field, w)
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Config translates the settings; nonce seeds the random numbers.
-func (s *Settings) Config(nonce uint64) (dispatch.Config, error) {
+// DispatchConfig translates the settings; nonce seeds the random numbers.
+func (s *Settings) DispatchConfig(nonce uint64) (dispatch.Config, error) {
 	if err := s.check(); err != nil {
 		return dispatch.Config{}, err
 	}
@@ -177,7 +177,7 @@
 			return dispatch.Config{}, err
 		}
 	}
-	shortage, err := Enum("specifics.overbooked", sp.Overbooked, shortages)
+	shortage, err := ParseEnum("specifics.overbooked", sp.Overbooked, shortages)
 	if err != nil {
 		return dispatch.Config{}, err
 	}
@@ -197,11 +197,11 @@
 		},
 	}
 	for i, c := range s.Classes {
-		sem, err := Enum(fmt.Sprintf("classes[%d].semantics", i), c.Semantics, semantics)
+		sem, err := ParseEnum(fmt.Sprintf("classes[%d].semantics", i), c.Semantics, semantics)
 		if err != nil {
 			return cfg, err
 		}
-		scope, err := Enum(fmt.Sprintf("classes[%d].dedup-scope", i), c.Scope, scopes)
+		scope, err := ParseEnum(fmt.Sprintf("classes[%d].dedup-scope", i), c.Scope, scopes)
 		if err != nil {
 			return cfg, err
 		}
--- a/internal/validate/bounds.go
+++ b/internal/validate/bounds.go
@@ -12,11 +12,11 @@
 	sessionShare = 0.4
 	// heldShare is the number of requests against the descriptors that may be held at once; see Decisions.
 	heldShare = 1.0 / 12
-	// Reserved descriptors are for the listeners, the board, the log, the poller, operators, and connections that stand
+	// ReservedDescriptors descriptors are for the listeners, the board, the log, the poller, operators, and connections that stand
 	// twice for a moment while they pass from the system's dialer to the poller; a third of them all where they are few.
-	Reserved = 64
-	// Starting descriptors are left for a successor, which needs them before the two have met; they count together.
-	Starting = 40
+	ReservedDescriptors = 64
+	// SuccessorDescriptors descriptors are left for a successor, which needs them before the two have met; they count together.
+	SuccessorDescriptors = 40
 	// leastEngineConns is the number of connections to engines below which a router can't work.
 	leastEngineConns = 16
 
@@ -24,38 +24,38 @@
 	defaultMemoryMB = 192
 )
 
-// Bounds are the numbers that a configuration gives the parts of a router: bytes, and how many of a thing at most.
-type Bounds struct {
-	Inbound     int // bytes read and not yet handled
-	Sessions    int // of clients
-	Buffered    int // bytes of answers that clients have not taken yet
-	EngineConns int // connections to engines
+// ResourceLimits are the numbers that a configuration gives the parts of a router: bytes, and how many of a thing at most.
+type ResourceLimits struct {
+	InboundBytes      int // bytes read and not yet handled
+	ClientSessions    int // of clients
+	BufferedBytes     int // bytes of answers that clients have not taken yet
+	EngineConnections int // connections to engines
 }
 
-// BoundsOf divides the descriptors; taken are those of parts that the configuration does not name. Its error names the
+// DivideResources divides the descriptors; taken are those of parts that the configuration does not name. Its error names the
 // field.
-func BoundsOf(cfg *settings.Node, taken int) (Bounds, error) {
+func DivideResources(cfg *settings.Node, taken int) (ResourceLimits, error) {
 	sockets := cfg.Limits.Sockets
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
-	kept := min(Reserved+Starting, sockets/3)
+	kept := min(ReservedDescriptors+SuccessorDescriptors, sockets/3)
 	memory := cfg.Limits.MemoryMB << 20
 	if memory == 0 {
 		memory = defaultMemoryMB << 20
 	}
-	b := Bounds{Inbound: min(max(memory/16, 256<<10), 4<<20), Sessions: int(sessionShare * float64(sockets)), Buffered: memory / 8}
-	b.EngineConns = sockets - b.Sessions - kept - taken
-	if b.EngineConns < leastEngineConns {
+	b := ResourceLimits{InboundBytes: min(max(memory/16, 256<<10), 4<<20), ClientSessions: int(sessionShare * float64(sockets)), BufferedBytes: memory / 8}
+	b.EngineConnections = sockets - b.ClientSessions - kept - taken
+	if b.EngineConnections < leastEngineConns {
 		return b, fmt.Errorf("field limits.sockets: %d leaves no connections for engines", sockets)
 	}
 	return b, nil
 }
 
-// Decisions gives what the module is told. Clients hold at most a third of the descriptors: were most of that taken by
+// DispatchConfig gives what the module is told. Clients hold at most a third of the descriptors: were most of that taken by
 // queries that are held with little hope, new ones could not even be asked.
-func Decisions(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
-	d, err := cfg.Parsed.Config(seed)
+func DispatchConfig(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
+	d, err := cfg.Settings.DispatchConfig(seed)
 	d.MaxQueued = int(heldShare * float64(cfg.Limits.Sockets))
 	return d, err
 }
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -13,14 +13,14 @@
 	"windflow/internal/settings"
 )
 
-// Platform reads a configuration of the platform's as a router would, and tells what can't be used: one line that names the
+// NodeConfig reads a configuration of the platform's as a router would, and tells what can't be used: one line that names the
 // field.
-func Platform(text []byte) error {
+func NodeConfig(text []byte) error {
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		return err
 	}
-	if _, _, err := settings.ParseKnown(cfg.Known); err != nil {
+	if _, _, err := settings.ParseEndpoints(cfg.KnownEndpoints); err != nil {
 		return fmt.Errorf("field known: %w", err)
 	}
 	return usable(cfg)
@@ -28,14 +28,14 @@
 
 // usable tells what the module, or the division of the descriptors, can't use.
 func usable(cfg *settings.Node) error {
-	d, err := Decisions(cfg, cfg.SeedValue)
+	d, err := DispatchConfig(cfg, cfg.SeedValue)
 	if err == nil {
 		err = d.Check()
 	}
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	_, err = BoundsOf(cfg, 0)
+	_, err = DivideResources(cfg, 0)
 	return err
 }
 
@@ -56,12 +56,12 @@
 // could use them. The entry at fault is that of the field which the check names; where it names none of them, the first, in
 // the order of their pointers, from which on the configuration can't be used: the same for the same entries, whoever asks.
 func Entries(base []byte, entries map[string]settings.Value) *Fault {
-	_, f := Overlaid(base, entries)
+	_, f := Overlay(base, entries)
 	return f
 }
 
-// Overlaid is Entries, and gives the configuration that it looked at.
-func Overlaid(base []byte, entries map[string]settings.Value) (*settings.Node, *Fault) {
+// Overlay is Entries, and gives the configuration that it looked at.
+func Overlay(base []byte, entries map[string]settings.Value) (*settings.Node, *Fault) {
 	text, err := settings.Overlay(base, entries)
 	if err != nil {
 		if e, ok := err.(*settings.EntryError); ok {
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -31,7 +31,7 @@
 		{`"settings"`, `"other"`, "field settings is missing"},
 		{`{`, `[`, "not valid JSON"},
 	} {
-		err := Platform([]byte(strings.Replace(good, k.from, k.to, 1)))
+		err := NodeConfig([]byte(strings.Replace(good, k.from, k.to, 1)))
 		if (err == nil) != (k.want == "") || err != nil && (!strings.HasPrefix(err.Error(), k.want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 		}
@@ -106,8 +106,8 @@
 	for _, k := range []struct{ sockets, sessions int }{{0, 409}, {1024, 409}, {4999, 1999}, {5000, 2000}, {8192, 3276}} {
 		cfg := &settings.Node{}
 		cfg.Limits.Sockets = k.sockets
-		if b, err := BoundsOf(cfg, 0); err != nil || b.Sessions != k.sessions {
-			t.Errorf("%d descriptors: %d sessions, %v; want %d", k.sockets, b.Sessions, err, k.sessions)
+		if b, err := DivideResources(cfg, 0); err != nil || b.ClientSessions != k.sessions {
+			t.Errorf("%d descriptors: %d sessions, %v; want %d", k.sockets, b.ClientSessions, err, k.sessions)
 		}
 	}
 }
