--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -79,16 +79,18 @@
 
 // congestion is how congested the fleet is, from 0 to 1, and the threads a core without congestion.
 func (c *capacityLimiter) congestion() (congestion, calmBound float64) {
-	estimate := &c.classes.preferred.estimate
-	ratio := 1 + (estimate.serviceTimeRatio()-1)*c.env.decay(estimate.observedAt, evidenceLife)
-	congestion, calmBound = (ratio-congestionFrom)/(congestionFull-congestionFrom), threadsPerCore
 	if c.largeFleet() {
 		excess := c.excess * c.env.decay(c.excessAt, evidenceLife)
-		congestion, calmBound = (excess-excessFrom)/(excessFull-excessFrom), largeFleetThreadsPerCore
+		return unitClamp((excess - excessFrom) / (excessFull - excessFrom)), largeFleetThreadsPerCore
 	}
-	return min(max(congestion, 0), 1), calmBound
+	estimate := &c.classes.preferred.estimate
+	ratio := 1 + (estimate.serviceTimeRatio()-1)*c.env.decay(estimate.observedAt, evidenceLife)
+	return unitClamp((ratio - congestionFrom) / (congestionFull - congestionFrom)), threadsPerCore
 }
 
+// unitClamp bounds a value to the range from 0 to 1.
+func unitClamp(value float64) float64 { return min(max(value, 0), 1) }
+
 // observeServiceTime takes the service time of one attempt over the best one of its class.
 func (c *capacityLimiter) observeServiceTime(ratio float64) {
 	excess := c.excess * c.env.decay(c.excessAt, evidenceLife)
