--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -13,7 +13,7 @@
 // command is one entry of the replicated log. Exactly one of its fields is set.
 type command struct {
 	Change *changeCommand    `json:"change,omitempty"`
-	Join   []followerProcess `json:"join,omitempty"`   // followers' processes heard for the first time
+	Join   []followerProcess `json:"join,omitempty"`   // processes that called for the first time
 	Forget string            `json:"forget,omitempty"` // name of a follower that is gone for good
 }
 
@@ -23,17 +23,20 @@
 	Instance string `json:"instance"`
 }
 
-// changeCommand is a change that was checked against the content at revision Base, and counts on no other one.
+// changeCommand is a change that was checked against the content at revision Base; on any other one it does nothing.
 type changeCommand struct {
 	Base   uint64           `json:"base"`
 	Change configlog.Change `json:"change"`
 }
 
-// commandFormat is the first byte of each entry; then come a CRC-32C of the rest, and JSON.
-const commandFormat = 1
-
-const commandHeaderSize = 1 + 4
+const (
+	// commandFormat is the first byte of each entry; a CRC-32C of the rest and JSON follow.
+	commandFormat = 1
+	// commandHeaderSize is the size of the format and the checksum.
+	commandHeaderSize = 1 + 4
+)
 
+// castagnoli is the table of CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func (c command) encode() ([]byte, error) {
@@ -47,7 +50,7 @@
 	return append(out, body...), nil
 }
 
-// verifyCommand tells whether an entry is as it was written.
+// verifyCommand returns an error for an entry that is not as it was written.
 func verifyCommand(data []byte) error {
 	if len(data) < commandHeaderSize {
 		return errors.New("entry is cut off")
--- /dev/null
+++ b/internal/keeper/config_reader.go
@@ -0,0 +1,89 @@
+package keeper
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"windflow/internal/decide/configlog"
+)
+
+const (
+	defaultHistoryLength = 20
+	maxHistoryLength     = 1000
+)
+
+// configReader answers queries from the local state, which may be behind the leader by a moment, or while this keeper is
+// cut off.
+type configReader struct {
+	stateMachine *stateMachine
+	stopping     <-chan struct{} // closed when calls have to end
+}
+
+// configContent is the answer to `GET /v1/config`.
+type configContent struct {
+	Revision uint64                     `json:"revision"`
+	Hash     configlog.Hash             `json:"hash"`
+	Entries  map[string]json.RawMessage `json:"entries"`
+}
+
+// revisionHistory is the answer to `GET /v1/revisions`. The fields are in the order of their keys, as they have always
+// been encoded.
+type revisionHistory struct {
+	Oldest    uint64               `json:"oldest"`
+	Revision  uint64               `json:"revision"`
+	Revisions []configlog.Revision `json:"revisions"`
+}
+
+// handleConfig is `GET /v1/config`. It waits up to wait_ms for a revision that doesn't exist yet.
+func (c *configReader) handleConfig(_ http.ResponseWriter, r *http.Request) response {
+	revision, wait, failure := queryRevisionAndWait(r)
+	if failure != nil {
+		return *failure
+	}
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
+	for {
+		content, err, changed := c.stateMachine.contentAt(revision)
+		switch {
+		case err == nil:
+			return okResponse(content)
+		case err.Kind != configlog.ChangeInvalid:
+			return changeErrorResponse(err)
+		}
+		select {
+		case <-changed:
+			continue
+		case <-timeout.C:
+		case <-c.stopping:
+		case <-r.Context().Done():
+		}
+		return response{http.StatusNotFound, err}
+	}
+}
+
+// handleRevisions is `GET /v1/revisions`: the latest ones, or those from a revision on.
+func (c *configReader) handleRevisions(_ http.ResponseWriter, r *http.Request) response {
+	from, failure := queryUint(r, "from")
+	if failure != nil {
+		return *failure
+	}
+	most, failure := queryUint(r, "most")
+	if failure != nil {
+		return *failure
+	}
+	now := c.stateMachine.summary()
+	count := uint64(defaultHistoryLength)
+	if most != nil {
+		count = min(*most, maxHistoryLength)
+	}
+	first := uint64(0)
+	switch {
+	case from != nil:
+		first = *from
+	case now.Revision >= count:
+		first = now.Revision - count + 1
+	}
+	history := c.stateMachine.history(first, int(count))
+	return okResponse(revisionHistory{Oldest: now.Oldest, Revision: now.Revision, Revisions: history})
+}
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -12,140 +12,136 @@
 )
 
 const (
-	// mostWait bounds how long a call may wait for something to come about.
-	mostWait = 30 * time.Second
-	// lookAgain is between two looks at all keepers' leases while an operator waits for a verdict.
-	lookAgain = 100 * time.Millisecond
+	// convergencePollInterval is between two looks at all keepers' leases while a caller waits for convergence.
+	convergencePollInterval = 100 * time.Millisecond
+
+	rolloutPath = "/v1/rollout"
 )
 
-// convergenceReport is what `GET /v1/rollout` gives. Everywhere is said only by a leader that a majority has confirmed after the
-// leases were gathered.
+// convergenceService tells at which followers a revision is in force.
+type convergenceService struct {
+	keeperID     string
+	stateMachine *stateMachine
+	replication  *replication
+	peers        *peerClient
+	proxy        *leaderProxy
+	leases       *leaseTable
+	stopping     <-chan struct{} // closed when calls have to end
+}
+
+// convergenceReport is the answer to `GET /v1/rollout`. Converged is true only from a leader that a majority has
+// confirmed after the leases were gathered.
 type convergenceReport struct {
 	configlog.ConvergenceStatus
-	Keeper   string `json:"keeper"` // whose verdict it is
+	Keeper   string `json:"keeper"` // the keeper that made the report
 	Majority bool   `json:"majority"`
-	Why      string `json:"why,omitempty"` // why there is no majority's word
+	Why      string `json:"why,omitempty"` // why no majority confirms the report
 }
 
-// keeperLeases are the leases of one keeper.
-type keeperLeases struct {
-	Keeper  string            `json:"keeper"`
-	Settled bool              `json:"settled"` // false for a while after a start or a stop: not everyone has called yet
-	Leases  []configlog.Lease `json:"leases"`
+// gatheredLeases are the leases of all keepers that could be asked.
+type gatheredLeases struct {
+	leases []configlog.Lease
+	// unreached keepers did not answer, or some of their followers may not have called yet.
+	unreached []string
 }
 
-func (k *Keeper) held() keeperLeases {
-	k.leasesMu.Lock()
-	defer k.leasesMu.Unlock()
-	now := k.nowMS()
-	return keeperLeases{Keeper: k.o.ID, Settled: k.leases.IsComplete(now), Leases: k.leases.Live(now)}
-}
-
-// rollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms, and is judged by
-// the leader; where none is to be had, this keeper says what it sees, and that no majority confirms it.
-func (k *Keeper) rollout(_ http.ResponseWriter, r *http.Request) answer {
-	rev, no := number(r, "revision")
-	if no != nil {
-		return *no
-	}
-	wait, no := k.waiting(r)
-	if no != nil {
-		return *no
+// handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The leader
+// makes the report; while there is none, this keeper reports what it sees, and that no majority confirms it.
+func (s *convergenceService) handleRollout(_ http.ResponseWriter, r *http.Request) response {
+	revision, wait, failure := queryRevisionAndWait(r)
+	if failure != nil {
+		return *failure
 	}
-	until := time.Now().Add(wait)
-	passed := r.Header.Get(fromKeeper) != ""
+	deadline := time.Now().Add(wait)
 	for {
-		ctx, cancel := context.WithTimeout(r.Context(), max(time.Until(until), 0)+3*askWithin)
-		path := "/v1/rollout?" + query(rev, max(time.Until(until), 0))
-		a := k.once(ctx, r.Method, path, nil, func(ctx context.Context) answer { return k.watch(ctx, rev, until) }, passed)
+		remaining := max(time.Until(deadline), 0)
+		ctx, cancel := context.WithTimeout(r.Context(), remaining+3*peerCallTimeout)
+		call := newLeaderCall(r, rolloutURL(revision, remaining), nil, func(ctx context.Context) response {
+			return s.reportAsLeader(ctx, revision, deadline)
+		})
+		result := s.proxy.attempt(ctx, call)
 		cancel()
-		if a.status != http.StatusServiceUnavailable || passed {
-			return a
+		if result.status != http.StatusServiceUnavailable || call.isForwarded {
+			return result
 		}
-		if time.Until(until) <= 0 || !k.pause(r.Context(), lookAgain) {
-			return k.unconfirmed(r.Context(), rev, a)
+		if time.Until(deadline) <= 0 || !s.sleep(r.Context(), convergencePollInterval) {
+			return s.reportUnconfirmed(r.Context(), revision, result)
 		}
 	}
 }
 
-func query(rev *uint64, wait time.Duration) string {
-	q := url.Values{"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	if rev != nil {
-		q.Set("revision", strconv.FormatUint(*rev, 10))
+func rolloutURL(revision *uint64, wait time.Duration) string {
+	query := url.Values{"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	if revision != nil {
+		query.Set("revision", strconv.FormatUint(*revision, 10))
 	}
-	return q.Encode()
+	return rolloutPath + "?" + query.Encode()
 }
 
-// pause waits; false if the call has to end.
-func (k *Keeper) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false if the call has to end.
+func (s *convergenceService) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
-	case <-k.stopping:
+	case <-s.stopping:
 	}
 	return false
 }
 
-// watch judges as the leader until the revision is everywhere or the time is up.
-func (k *Keeper) watch(ctx context.Context, rev *uint64, until time.Time) answer {
-	for {
-		heard, unreached := k.gather(ctx)
-		if !k.machine.convergence(rev, heard, unreached).Converged && time.Until(until) > 0 && k.pause(ctx, min(lookAgain, time.Until(until))) {
-			continue
-		}
-		// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on until
-		// then is applied here: no revision and no name that a keeper knew when it was asked is missing in the verdict.
-		if err := k.raft.Barrier(enqueueWithin).Error(); err != nil {
-			return k.unreplicated(err, doneNothing)
+// reportAsLeader reports once the revision is in force everywhere or the deadline is over.
+func (s *convergenceService) reportAsLeader(ctx context.Context, revision *uint64, deadline time.Time) response {
+	gathered := s.gatherLeases(ctx)
+	for !s.stateMachine.convergence(revision, gathered).Converged {
+		remaining := time.Until(deadline)
+		if remaining <= 0 || !s.sleep(ctx, min(convergencePollInterval, remaining)) {
+			break
 		}
-		return answer{http.StatusOK, convergenceReport{ConvergenceStatus: k.machine.convergence(rev, heard, unreached), Keeper: k.o.ID, Majority: true}}
+		gathered = s.gatherLeases(ctx)
+	}
+	// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on until then
+	// is applied here: no revision and no follower that a keeper knew when it was asked is missing in the report.
+	if err := s.replication.barrier(); err != nil {
+		return s.replication.failureResponse(err, effectNone)
 	}
+	return okResponse(convergenceReport{
+		ConvergenceStatus: s.stateMachine.convergence(revision, gathered),
+		Keeper:            s.keeperID,
+		Majority:          true,
+	})
 }
 
-// unconfirmed is what this keeper sees by itself.
-func (k *Keeper) unconfirmed(ctx context.Context, rev *uint64, because answer) answer {
-	heard, unreached := k.gather(ctx)
-	v := convergenceReport{ConvergenceStatus: k.machine.convergence(rev, heard, unreached), Keeper: k.o.ID}
-	v.Converged = false
-	if no, ok := because.body.(errorBody); ok {
-		v.Why = no.Reason
+// reportUnconfirmed is what this keeper sees by itself.
+func (s *convergenceService) reportUnconfirmed(ctx context.Context, revision *uint64, failed response) response {
+	status := s.stateMachine.convergence(revision, s.gatherLeases(ctx))
+	status.Converged = false
+	report := convergenceReport{ConvergenceStatus: status, Keeper: s.keeperID}
+	if failure, ok := failed.body.(errorBody); ok {
+		report.Why = failure.Reason
 	}
-	return answer{http.StatusOK, v}
+	return okResponse(report)
 }
 
-// gather asks all keepers for their leases, at once. A keeper that doesn't answer, or that may not have heard everyone
-// yet, counts as unreached; what it did hear counts.
-func (k *Keeper) gather(ctx context.Context) (heard []configlog.Lease, unreached []string) {
+// gatherLeases asks all keepers for their leases, concurrently.
+func (s *convergenceService) gatherLeases(ctx context.Context) (gathered gatheredLeases) {
 	var mu sync.Mutex
-	add := func(id string, h keeperLeases, ok bool) {
+	add := func(id string, answer keeperLeases, answered bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		heard = append(heard, h.Leases...)
-		if !ok || !h.Settled {
-			unreached = append(unreached, id)
+		gathered.leases = append(gathered.leases, answer.Leases...)
+		if !answered || !answer.Settled {
+			gathered.unreached = append(gathered.unreached, id)
 		}
 	}
-	var asked sync.WaitGroup
-	for _, p := range k.others() {
-		asked.Go(func() {
-			var h keeperLeases
-			err := k.call(ctx, p, askWithin, http.MethodGet, "/v1/leases", nil, &h)
-			add(p.ID, h, err == nil && h.Keeper == p.ID)
+	var calls sync.WaitGroup
+	for _, peer := range s.peers.others() {
+		calls.Go(func() {
+			var answer keeperLeases
+			err := s.peers.get(ctx, peer, leasesPath, &answer)
+			add(peer.ID, answer, err == nil && answer.Keeper == peer.ID)
 		})
 	}
-	add(k.o.ID, k.held(), true)
-	asked.Wait()
-	return heard, unreached
-}
-
-// convergence gives the verdict on a revision; nil stands for the one in force.
-func (m *stateMachine) convergence(rev *uint64, heard []configlog.Lease, unreached []string) configlog.ConvergenceStatus {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r := m.log.Revision()
-	if rev != nil {
-		r = *rev
-	}
-	return m.log.Convergence(r, heard, unreached)
+	add(s.keeperID, s.leases.live(), true)
+	calls.Wait()
+	return gathered
 }
--- /dev/null
+++ b/internal/keeper/counters.go
@@ -0,0 +1,27 @@
+package keeper
+
+import "sync/atomic"
+
+// counters count events since the keeper started; GET /v1/status reports them.
+type counters struct {
+	calls, callsRejected atomic.Int64
+	bytesIn, bytesOut    atomic.Int64 // of HTTP connections, headers included
+	raftIn, raftOut      atomic.Int64 // bytes of the replication
+
+	changesReceived, changesMade     atomic.Int64
+	changesRejected, changesUnserved atomic.Int64
+	forwarded                        atomic.Int64 // calls that were forwarded to the leader
+
+	polls, pollsRejected       atomic.Int64 // followers' calls
+	pollsOpen                  atomic.Int64 // now, not in all
+	snapshotsSent, updatesSent atomic.Int64
+
+	diskErrors    atomic.Int64
+	lastDiskError atomic.Pointer[string]
+}
+
+func (c *counters) recordDiskError(err error) {
+	c.diskErrors.Add(1)
+	text := err.Error()
+	c.lastDiskError.Store(&text)
+}
--- a/internal/keeper/encoded_test.go
+++ b/internal/keeper/encoded_test.go
@@ -8,7 +8,21 @@
 
 // encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
 func encodedTypes() []any {
-	return []any{command{}, followerProcess{}, folderIdentity{}, errorBody{}, changeResult{}, configContent{}, peerStatus{}, leaderStatus{}, convergenceReport{}, keeperLeases{}}
+	return []any{
+		command{},
+		followerProcess{},
+		folderIdentity{},
+		errorBody{},
+		changeResult{},
+		configContent{},
+		revisionHistory{},
+		forgetResult{},
+		peerStatus{},
+		leaderStatus{},
+		convergenceReport{},
+		keeperLeases{},
+		keeperStatus{},
+	}
 }
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
--- /dev/null
+++ b/internal/keeper/enrollment.go
@@ -0,0 +1,150 @@
+package keeper
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"windflow/internal/decide/configlog"
+)
+
+const (
+	// maxPendingFollowers bounds the processes that wait to be enrolled, and maxJoinBatch those in one log entry.
+	maxPendingFollowers = configlog.MaxMembers
+	maxJoinBatch        = 500
+	// The backoff after a failed attempt: with a full disk each attempt costs an election.
+	minJoinBackoff = 100 * time.Millisecond
+	maxJoinBackoff = 2 * time.Second
+)
+
+// enrollment puts the processes of followers on the replicated roster, and removes followers from it.
+type enrollment struct {
+	timeout      time.Duration
+	stateMachine *stateMachine
+	replication  *replication
+	peers        *peerClient
+	proxy        *leaderProxy
+	pending      *pendingFollowers
+}
+
+// pendingFollowers are processes of followers that are not on the roster yet.
+type pendingFollowers struct {
+	mu        sync.Mutex
+	processes map[followerProcess]bool
+	added     chan struct{} // holds a token after processes were added
+}
+
+func newPendingFollowers() *pendingFollowers {
+	return &pendingFollowers{processes: map[followerProcess]bool{}, added: make(chan struct{}, 1)}
+}
+
+func (p *pendingFollowers) add(processes ...followerProcess) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, process := range processes {
+		if len(p.processes) < maxPendingFollowers {
+			p.processes[process] = true
+		}
+	}
+	select {
+	case p.added <- struct{}{}:
+	default:
+	}
+}
+
+// takeBatch removes and returns up to maxJoinBatch processes.
+func (p *pendingFollowers) takeBatch() (batch []followerProcess) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for process := range p.processes {
+		if len(batch) == maxJoinBatch {
+			break
+		}
+		batch = append(batch, process)
+		delete(p.processes, process)
+	}
+	return batch
+}
+
+// run enrolls pending processes in batches, apart from the calls that brought them, until ctx ends.
+func (e *enrollment) run(ctx context.Context) {
+	backoff := minJoinBackoff
+	for {
+		leaderChanged := e.replication.leaderChanged.wait()
+		batch := e.stateMachine.unregistered(e.pending.takeBatch())
+		if len(batch) == 0 {
+			select {
+			case <-ctx.Done():
+				return
+			case <-e.pending.added:
+			}
+			continue
+		}
+		if e.enroll(ctx, batch) {
+			backoff = minJoinBackoff
+			continue
+		}
+		e.pending.add(batch...)
+		select {
+		case <-ctx.Done():
+			return
+		case <-leaderChanged:
+		case <-time.After(backoff):
+			backoff = min(2*backoff, maxJoinBackoff)
+		}
+	}
+}
+
+// enroll puts processes on the roster, here or at the leader; false if that has to be tried again.
+func (e *enrollment) enroll(ctx context.Context, batch []followerProcess) bool {
+	leader, isSelf := e.replication.leader()
+	if isSelf {
+		_, err := e.replication.apply(command{Join: batch})
+		return err == nil
+	}
+	peer, known := e.peers.peer(leader)
+	if !known || peer.ID == e.peers.ownID {
+		return false
+	}
+	var empty struct{}
+	return e.peers.post(ctx, peer, e.timeout, rosterPath, batch, &empty) == nil
+}
+
+// handleRoster is `POST /v1/roster`, from keeper to keeper.
+func (e *enrollment) handleRoster(w http.ResponseWriter, r *http.Request) response {
+	var batch []followerProcess
+	if _, failure := readBody(w, r, maxBodyBytes, &batch); failure != nil {
+		return *failure
+	}
+	if len(batch) > maxJoinBatch {
+		return malformedResponse("%d processes, at most %d at once", len(batch), maxJoinBatch)
+	}
+	join := func(context.Context) response {
+		if missing := e.stateMachine.unregistered(batch); len(missing) > 0 {
+			if _, err := e.replication.apply(command{Join: missing}); err != nil {
+				return e.replication.failureResponse(err, effectUnknown)
+			}
+		}
+		return okResponse(struct{}{})
+	}
+	return e.proxy.attempt(r.Context(), leaderCall{method: r.Method, local: join, isForwarded: true})
+}
+
+// forgetResult is the answer to `DELETE /v1/followers/NAME`.
+type forgetResult struct {
+	Forgotten bool `json:"forgotten"`
+}
+
+// handleForget is `DELETE /v1/followers/NAME`.
+func (e *enrollment) handleForget(_ http.ResponseWriter, r *http.Request) response {
+	name := r.PathValue("name")
+	call := newLeaderCall(r, r.URL.EscapedPath(), nil, func(context.Context) response {
+		forgotten, err := e.replication.apply(command{Forget: name})
+		if err != nil {
+			return e.replication.failureResponse(err, effectUnknown)
+		}
+		return okResponse(forgetResult{Forgotten: forgotten.(bool)})
+	})
+	return e.proxy.do(r.Context(), e.timeout, call)
+}
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -13,31 +13,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// What lies in a keeper's folder. Anything else there is left alone.
+// The files in a keeper's folder. Others are left alone.
 const (
-	markFile  = "keeper.json" // whose folder it is
-	logFile   = "raft.db"     // entries of the replicated log
-	voteFile  = "vote.db"     // term and vote
-	stateDir  = "snapshots"
-	lockFile  = "lock"
-	asideName = "aside-" // with a time: what was set aside
-	whyFile   = "why.txt"
+	identityFile = "keeper.json" // the keeper that the folder belongs to
+	logFile      = "raft.db"     // entries of the replicated log
+	voteFile     = "vote.db"     // term and vote
+	snapshotDir  = "snapshots"
+	lockFile     = "lock"
+	asidePrefix  = "aside-" // followed by a time: a folder with what was set aside
+	reasonFile   = "why.txt"
 )
 
-var ours = []string{markFile, logFile, voteFile, stateDir}
+// asideTimeFormat is the format of the time in the name of a folder that was set aside.
+const asideTimeFormat = "20060102T150405.000Z"
 
-// folderFormat is the version of all that; a folder with another one is foreign.
+// keeperFiles are set aside together.
+var keeperFiles = []string{identityFile, logFile, voteFile, snapshotDir}
+
+// folderFormat is the version of these files; a folder of another version is foreign.
 const folderFormat = 1
 
-// How far a keeper's folder has come.
+// Stages of a keeper's folder.
 const (
-	stageNew      = "new"      // nothing in it yet; the keeper doesn't know whether the group exists
-	stageFounding = "founding" // begun together with all others, which had nothing either
-	stageJoining  = "joining"  // lost and begun anew beside a living group; takes no part in elections yet
+	stageNew      = "new"      // empty; the keeper doesn't know whether the group exists
+	stageFounding = "founding" // founded the group together with all others, which were new, too
+	stageJoining  = "joining"  // lost and created again while the group exists; takes no part in elections yet
 	stageMember   = "member"
 )
 
-// folderIdentity is the content of markFile.
+// folderIdentity is the content of identityFile.
 type folderIdentity struct {
 	Format  int    `json:"format"`
 	Cluster string `json:"cluster"`
@@ -45,7 +49,7 @@
 	Stage   string `json:"stage"`
 }
 
-// folder is a keeper's place on disk, locked by this process.
+// folder is a keeper's directory, locked by this process.
 type folder struct {
 	dir      string
 	identity folderIdentity
@@ -53,8 +57,8 @@
 	log      *slog.Logger
 }
 
-// openFolder locks a folder and looks at what is in it. What belongs to another keeper or group, or is damaged, is moved
-// into a folder aside-TIME below it, and the keeper begins with nothing.
+// openFolder locks a folder and checks its files. Files that belong to another keeper or group, or are damaged, are moved
+// to a folder aside-TIME below it, and the keeper starts with an empty one. Errors name the flag --dir.
 func openFolder(dir, cluster, id string, log *slog.Logger) (*folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
@@ -63,7 +67,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	f := &folder{dir: dir, lock: lock, log: log, identity: folderIdentity{Format: folderFormat, Cluster: cluster, ID: id, Stage: stageNew}}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
@@ -71,151 +74,179 @@
 		}
 		return nil, fmt.Errorf("--dir: %s: lock: %w", dir, err)
 	}
-	if err := f.inspect(); err != nil {
+	identity := folderIdentity{Format: folderFormat, Cluster: cluster, ID: id, Stage: stageNew}
+	f := &folder{dir: dir, identity: identity, lock: lock, log: log}
+	if err := f.load(); err != nil {
 		_ = lock.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// inspect reads what is there, and sets it aside where it must not be used.
-func (f *folder) inspect() error {
-	found, err := f.existingFiles()
-	if err != nil || len(found) == 0 {
+// load reads the identity, and sets files aside that must not be used.
+func (f *folder) load() error {
+	existing, err := f.existingFiles()
+	if err != nil || len(existing) == 0 {
 		return err
 	}
-	why, err := f.unusableReason()
-	if err != nil {
-		return fmt.Errorf("--dir: %s: %w", f.dir, err)
-	}
-	if why == "" {
+	identity, err := f.verify()
+	var unusable *unusableError
+	switch {
+	case err == nil:
+		f.identity = identity
 		return nil
+	case errors.As(err, &unusable):
+		return f.setAside(existing, unusable.reason)
+	default:
+		return fmt.Errorf("--dir: %s: %w", f.dir, err)
 	}
-	return f.setAside(found, why)
 }
 
-func (f *folder) existingFiles() (found []string, err error) {
-	for _, name := range ours {
+func (f *folder) existingFiles() (existing []string, err error) {
+	for _, name := range keeperFiles {
 		switch _, err := os.Lstat(filepath.Join(f.dir, name)); {
 		case err == nil:
-			found = append(found, name)
+			existing = append(existing, name)
 		case !errors.Is(err, os.ErrNotExist):
 			return nil, fmt.Errorf("--dir: %w", err)
 		}
 	}
+	return existing, nil
+}
+
+// unusableError says why the files in a folder must not be used. Other errors of verify are such that setting the files
+// aside would not help, for example a missing permission.
+type unusableError struct{ reason string }
+
+func (e *unusableError) Error() string { return e.reason }
+
+func foreignFolder(format string, args ...any) error {
+	return &unusableError{"foreign: " + fmt.Sprintf(format, args...)}
+}
+
+func damagedFolder(format string, args ...any) error {
+	return &unusableError{"damaged: " + fmt.Sprintf(format, args...)}
+}
+
+// verify returns the identity of a folder whose files can be used.
+func (f *folder) verify() (folderIdentity, error) {
+	found, err := f.readIdentity()
+	if err != nil {
+		return folderIdentity{}, err
+	}
+	switch found.Stage {
+	case stageNew:
+		return found, nil
+	case stageFounding, stageJoining, stageMember:
+	default:
+		return folderIdentity{}, damagedFolder("%s: stage %q", identityFile, found.Stage)
+	}
+	lastIndex, err := verifyStores(f.dir)
+	var damage *damageError
+	if errors.As(err, &damage) {
+		return folderIdentity{}, damagedFolder("%s", damage.reason)
+	}
+	if err != nil {
+		return folderIdentity{}, err
+	}
+	// The stage is written a moment after the first entries. New keepers rely on it: if they learned that nobody has
+	// anything, they would found a second group.
+	if found.Stage == stageFounding && lastIndex > 1 {
+		found.Stage = stageMember
+	}
 	return found, nil
 }
 
-// unusableReason says why what is in the folder must not be used; "" if it may be. An error is one that setting aside would not
-// mend, such as missing permission.
-func (f *folder) unusableReason() (string, error) {
-	text, err := os.ReadFile(filepath.Join(f.dir, markFile))
+// readIdentity returns the identity in the folder if it is that of this keeper.
+func (f *folder) readIdentity() (found folderIdentity, err error) {
+	text, err := os.ReadFile(filepath.Join(f.dir, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return "foreign: " + markFile + " is missing", nil
+		return found, foreignFolder("%s is missing", identityFile)
 	case err != nil:
-		return "", err
+		return found, err
 	}
-	var m folderIdentity
-	if err := json.Unmarshal(text, &m); err != nil {
-		return fmt.Sprintf("damaged: %s: %v", markFile, err), nil
+	if err := json.Unmarshal(text, &found); err != nil {
+		return found, damagedFolder("%s: %v", identityFile, err)
 	}
 	switch {
-	case m.Format != folderFormat:
-		return fmt.Sprintf("foreign: format %d, this program knows %d", m.Format, folderFormat), nil
-	case m.Cluster != f.identity.Cluster:
-		return fmt.Sprintf("foreign: of cluster %q, not %q", m.Cluster, f.identity.Cluster), nil
-	case m.ID != f.identity.ID:
-		return fmt.Sprintf("foreign: of keeper %q, not %q", m.ID, f.identity.ID), nil
-	}
-	switch m.Stage {
-	case stageNew:
-	case stageFounding, stageJoining, stageMember:
-		last, why, err := sound(f.dir)
-		if err != nil {
-			return "", err
-		}
-		if why != "" {
-			return "damaged: " + why, nil
-		}
-		// The stage is written a moment after the first entries. Others that have nothing go by it: were they told that
-		// nobody has anything, they would found a second group.
-		if m.Stage == stageFounding && last > 1 {
-			m.Stage = stageMember
-		}
-	default:
-		return fmt.Sprintf("damaged: %s: stage %q", markFile, m.Stage), nil
+	case found.Format != folderFormat:
+		return found, foreignFolder("format %d, this program knows %d", found.Format, folderFormat)
+	case found.Cluster != f.identity.Cluster:
+		return found, foreignFolder("of cluster %q, not %q", found.Cluster, f.identity.Cluster)
+	case found.ID != f.identity.ID:
+		return found, foreignFolder("of keeper %q, not %q", found.ID, f.identity.ID)
 	}
-	f.identity = m
-	return "", nil
+	return found, nil
 }
 
-func (f *folder) setAside(found []string, why string) error {
-	stamp := asideName + time.Now().UTC().Format("20060102T150405.000Z")
-	to := filepath.Join(f.dir, stamp)
-	if err := os.Mkdir(to, 0o700); err != nil {
+func (f *folder) setAside(files []string, reason string) error {
+	name := asidePrefix + time.Now().UTC().Format(asideTimeFormat)
+	target := filepath.Join(f.dir, name)
+	if err := os.Mkdir(target, 0o700); err != nil {
 		return fmt.Errorf("--dir: set aside: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(to, whyFile), []byte(why+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(target, reasonFile), []byte(reason+"\n"), 0o600); err != nil {
 		return fmt.Errorf("--dir: set aside: %w", err)
 	}
-	for _, name := range found {
-		if err := os.Rename(filepath.Join(f.dir, name), filepath.Join(to, name)); err != nil {
+	for _, file := range files {
+		if err := os.Rename(filepath.Join(f.dir, file), filepath.Join(target, file)); err != nil {
 			return fmt.Errorf("--dir: set aside: %w", err)
 		}
 	}
-	f.log.Warn("the folder can't be used and is set aside; this keeper begins with nothing", "dir", f.dir, "aside", stamp, "why", why)
+	f.log.Warn("folder set aside", "dir", f.dir, "aside", name, "reason", reason)
 	return syncDir(f.dir)
 }
 
-// listAside lists what was ever set aside, with why.
+// listAside lists all that was ever set aside, as NAME: REASON.
 func (f *folder) listAside() []string {
 	list := []string{}
 	entries, _ := os.ReadDir(f.dir)
-	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), asideName) {
-			why, _ := os.ReadFile(filepath.Join(f.dir, e.Name(), whyFile))
-			list = append(list, e.Name()+": "+strings.TrimSpace(string(why)))
+	for _, entry := range entries {
+		if strings.HasPrefix(entry.Name(), asidePrefix) {
+			reason, _ := os.ReadFile(filepath.Join(f.dir, entry.Name(), reasonFile))
+			list = append(list, entry.Name()+": "+strings.TrimSpace(string(reason)))
 		}
 	}
 	return list
 }
 
-// recordStage writes down how far the folder has come. It is on disk when this returns.
+// recordStage writes the stage. It is on disk when this returns.
 func (f *folder) recordStage(stage string) error {
-	m := f.identity
-	m.Stage = stage
-	text, err := json.Marshal(m)
+	identity := f.identity
+	identity.Stage = stage
+	text, err := json.Marshal(identity)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(f.dir, markFile)
-	if err := writeSynced(path+".new", append(text, '\n')); err != nil {
+	path := filepath.Join(f.dir, identityFile)
+	temporary := path + ".new"
+	if err := writeSynced(temporary, append(text, '\n')); err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
-	if err := os.Rename(path+".new", path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
-	f.identity = m
+	f.identity = identity
 	return syncDir(f.dir)
 }
 
+// close releases the lock.
+func (f *folder) close() { _ = f.lock.Close() }
+
 func writeSynced(path string, text []byte) error {
-	w, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = w.Write(text)
-	return errors.Join(err, w.Sync(), w.Close())
+	_, err = file.Write(text)
+	return errors.Join(err, file.Sync(), file.Close())
 }
 
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
-
-// close gives the folder up.
-func (f *folder) close() { _ = f.lock.Close() }
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -118,7 +118,7 @@
 			t.Errorf("%s: aside %q, want %q", c.what, s.Folder.Aside, c.why)
 			continue
 		}
-		mustContain(t, p.said(), "is set aside")
+		mustContain(t, p.said(), "folder set aside")
 		name, _, _ := strings.Cut(s.Folder.Aside[0], ":")
 		for _, f := range before {
 			if _, err := os.Lstat(filepath.Join(p.options.Dir, name, f.Name())); err != nil && f.Name() != "lock" {
@@ -164,7 +164,7 @@
 		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.why) {
 			t.Errorf("aside %q, want %q", s.Folder.Aside, c.why)
 		}
-		mustContain(t, g.members[victim].said(), "is set aside", "catches up before it votes")
+		mustContain(t, g.members[victim].said(), "folder set aside", "joining existing group without a folder")
 		g.equal(g.change(victim, put(fmt.Sprint("after", n), "/settings/over-share-worth", "0")))
 	}
 }
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -31,38 +31,36 @@
 }
 
 // callsToPeer has a keeper make each call that keepers make to each other, and gives the requests as they came.
-func callsToPeer(t *testing.T) (requests []byte, word peerStatus, leases []configlog.Lease, leader leaderStatus) {
+func callsToPeer(t *testing.T) (requests []byte, status peerStatus, leases []configlog.Lease, leader leaderStatus) {
 	t.Helper()
-	var came bytes.Buffer
+	var received bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		fmt.Fprintf(&came, "%s %s Windflow-Keeper=%q\n%s\n", r.Method, r.URL, r.Header.Get("Windflow-Keeper"), body)
+		fmt.Fprintf(&received, "%s %s Windflow-Keeper=%q\n%s\n", r.Method, r.URL, r.Header.Get("Windflow-Keeper"), body)
 		_, _ = io.WriteString(w, peerAnswers[r.URL.Path])
 	}))
 	defer server.Close()
 	peer := Peer{ID: "k2", HTTPAddr: strings.TrimPrefix(server.URL, "http://")}
-	k := &Keeper{o: Options{ID: "k1", Peers: []Peer{{ID: "k1"}, peer}}, client: server.Client(), leases: configlog.NewLeases(1000)}
+	peers := newPeerClient("k1", []Peer{{ID: "k1"}, peer})
+	peers.http = server.Client()
+	convergence := &convergenceService{keeperID: "k1", peers: peers, leases: newLeaseTable("k1", time.Second)}
 	ctx := context.Background()
-	word = k.askAll(ctx)["k2"]
-	leases, _ = k.gather(ctx)
-	var done struct{}
-	for _, call := range []struct {
-		method, path string
-		in, out      any
-	}{
-		{http.MethodGet, "/v1/leader", nil, &leader},
-		{http.MethodPost, "/v1/roster", []followerProcess{{"r1", "i"}, {"r2", "j"}}, &done},
-	} {
-		if err := k.call(ctx, peer, time.Minute, call.method, call.path, call.in, call.out); err != nil {
-			t.Error(err)
-		}
+	status = peers.statuses(ctx)["k2"]
+	leases = convergence.gatherLeases(ctx).leases
+	if err := peers.get(ctx, peer, leaderPath, &leader); err != nil {
+		t.Error(err)
+	}
+	processes := []followerProcess{{"r1", "i"}, {"r2", "j"}}
+	var empty struct{}
+	if err := peers.post(ctx, peer, time.Minute, rosterPath, processes, &empty); err != nil {
+		t.Error(err)
 	}
-	return came.Bytes(), word, leases, leader
+	return received.Bytes(), status, leases, leader
 }
 
 // Keepers call each other as before, and read answers as they were given before.
 func TestGoldenCallsToPeers(t *testing.T) {
-	requests, word, leases, leader := callsToPeer(t)
+	requests, status, leases, leader := callsToPeer(t)
 	goldentest.Equal(t, "calls-to-peers.txt", requests)
 	var hash, refused configlog.Hash
 	copy(hash[:], bytes.Repeat([]byte{1}, 32))
@@ -74,13 +72,13 @@
 	if diff := cmp.Diff(wantLeases, leases); diff != "" {
 		t.Error(diff)
 	}
-	if want := (peerStatus{Cluster: "golden", ID: "k2", Stage: "member", Leader: "k3"}); word != want {
-		t.Errorf("%+v, want %+v", word, want)
+	if want := (peerStatus{Cluster: "golden", ID: "k2", Stage: "member", Leader: "k3"}); status != want {
+		t.Errorf("%+v, want %+v", status, want)
 	}
 	if want := (leaderStatus{ID: "k2", LastIndex: 17}); leader != want {
 		t.Errorf("%+v, want %+v", leader, want)
 	}
-	goldentest.AllFieldsSet(t, word, leader, leases)
+	goldentest.AllFieldsSet(t, status, leader, leases)
 }
 
 // openQuietly opens a folder of keeper k1 of the group "golden", and gives it up again.
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -164,8 +164,8 @@
 	}
 	before := timeouts()
 	g.members[leader].end(syscall.SIGTERM)
-	mustContain(t, g.members[leader].said(), "the keeper has ended")
-	if text := g.members[leader].said(); strings.Contains(text, "could not be handed over") {
+	mustContain(t, g.members[leader].said(), "keeper stopped")
+	if text := g.members[leader].said(); strings.Contains(text, "leadership transfer failed") {
 		t.Error(text)
 	}
 	if rev := g.change(other, put("second", "/settings/over-share-worth", "2")); rev != 2 {
--- /dev/null
+++ b/internal/keeper/membership.go
@@ -0,0 +1,180 @@
+package keeper
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"strings"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// discoveryInterval is between two rounds of asking the other keepers at the start.
+	discoveryInterval = 200 * time.Millisecond
+	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat timeouts:
+	// longer than any election in which it may have voted before the loss, which a candidate gives up after two of them.
+	quietHeartbeats = 5
+)
+
+// membership decides how this keeper becomes a member of the group, and records in the folder how far it has come.
+type membership struct {
+	options     *Options
+	log         *slog.Logger
+	folder      *folder
+	replication *replication
+	peers       *peerClient
+	startedAt   time.Time
+	recorded    atomic.Value // string; the stage in the folder, for readers in other goroutines
+}
+
+// peerStatus is what keepers tell each other about themselves.
+type peerStatus struct {
+	Cluster string `json:"cluster"`
+	ID      string `json:"id"`
+	Stage   string `json:"stage"`
+	Leader  string `json:"leader"`
+}
+
+func newMembership(
+	options *Options, folder *folder, replication *replication, peers *peerClient, startedAt time.Time,
+) *membership {
+	return &membership{
+		options: options, log: options.Log, folder: folder, replication: replication, peers: peers, startedAt: startedAt,
+	}
+}
+
+func (m *membership) stage() string { return m.recorded.Load().(string) }
+
+func (m *membership) recordStage(stage string) error {
+	if err := m.folder.recordStage(stage); err != nil {
+		return err
+	}
+	m.recorded.Store(stage)
+	return nil
+}
+
+// advance records a stage; a failure is logged, and tried again at the next check of the progress.
+func (m *membership) advance(stage string) bool {
+	if err := m.recordStage(stage); err != nil {
+		m.log.Error("folder stage write failed", "stage", stage, "error", err)
+		return false
+	}
+	return true
+}
+
+func (m *membership) status() peerStatus {
+	status := peerStatus{Cluster: m.options.Cluster, ID: m.options.ID, Stage: m.stage()}
+	status.Leader, _ = m.replication.leader()
+	if status.Stage == stageFounding && m.replication.hasEntries() {
+		status.Stage = stageMember
+	}
+	return status
+}
+
+// join finds out whether this keeper founds the group, joins it or belongs to it, and starts the replication.
+func (m *membership) join(ctx context.Context, listener net.Listener) error {
+	stage := m.folder.identity.Stage
+	if stage == stageNew {
+		var err error
+		if stage, err = m.discoverGroup(ctx); err != nil {
+			return err
+		}
+	}
+	logger := raftLog{target: m.log.With("part", "raft"), name: "raft"}
+	stores, err := openStores(m.options.Dir, logger)
+	if err != nil {
+		return err
+	}
+	if err := m.recordStage(stage); err != nil {
+		stores.close()
+		return err
+	}
+	m.replication.votingSuspended.Store(stage == stageJoining && !m.options.AcceptLoss)
+	if stage == stageJoining && m.options.AcceptLoss {
+		m.log.Warn("voting enabled without the lost folder")
+	}
+	return m.replication.start(listener, stores, logger, stage == stageFounding)
+}
+
+// discoverGroup waits until it is clear whether the group exists. It exists if any keeper belongs to it; then this one
+// joins. It is founded only when every keeper answers and none has anything: were a majority enough, then keepers that
+// lost their folders could found a second group while those that hold the first are down.
+func (m *membership) discoverGroup(ctx context.Context) (stage string, err error) {
+	lastReported := ""
+	for {
+		members, unanswered := m.surveyPeers(ctx)
+		if len(members) > 0 {
+			m.log.Warn("joining existing group without a folder", "peer", members[0])
+			return stageJoining, nil
+		}
+		if len(unanswered) == 0 {
+			m.log.Info("group founded", "keepers", len(m.options.Peers))
+			return stageFounding, nil
+		}
+		if now := strings.Join(unanswered, ", "); now != lastReported {
+			lastReported = now
+			m.log.Warn("waiting for other keepers", "unanswered", now)
+		}
+		select {
+		case <-ctx.Done():
+			return "", ctx.Err()
+		case <-time.After(discoveryInterval):
+		}
+	}
+}
+
+// surveyPeers asks the other keepers once, and returns those that belong to the group and those that gave no answer that
+// counts.
+func (m *membership) surveyPeers(ctx context.Context) (members, unanswered []string) {
+	statuses := m.peers.statuses(ctx)
+	for _, peer := range m.peers.others() {
+		status, answered := statuses[peer.ID]
+		switch {
+		case !answered:
+			unanswered = append(unanswered, peer.ID)
+		case status.Cluster != m.options.Cluster || status.ID != peer.ID:
+			unanswered = append(unanswered,
+				fmt.Sprintf("%s (%s answers as %q of cluster %q)", peer.ID, peer.HTTPAddr, status.ID, status.Cluster))
+		case status.Stage == stageMember || status.Stage == stageJoining:
+			members = append(members, peer.ID)
+		}
+	}
+	return members, unanswered
+}
+
+// checkProgress advances the stage when it is due.
+func (m *membership) checkProgress(ctx context.Context) {
+	switch m.stage() {
+	case stageFounding:
+		if m.replication.hasEntries() {
+			m.advance(stageMember)
+		}
+	case stageJoining:
+		m.resumeVoting(ctx)
+	}
+}
+
+// resumeVoting lets a keeper that lost its folder take part in elections again, once it holds all entries that the
+// leader held at some moment after the loss: they include whatever this keeper had confirmed before.
+func (m *membership) resumeVoting(ctx context.Context) {
+	id, _ := m.replication.leader()
+	peer, known := m.peers.peer(id)
+	if !known || time.Since(m.startedAt) < quietHeartbeats*m.options.Heartbeat {
+		return
+	}
+	// The index may be reached only later; the next check asks for a new one then.
+	var leader leaderStatus
+	if err := m.peers.get(ctx, peer, leaderPath, &leader); err != nil || leader.ID != id {
+		return
+	}
+	if err := m.replication.waitApplied(ctx, leader.LastIndex); err != nil {
+		return
+	}
+	if !m.advance(stageMember) {
+		return
+	}
+	m.replication.votingSuspended.Store(false)
+	m.log.Info("voting resumed", "index", leader.LastIndex)
+}
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -1,6 +1,3 @@
-// Package keeper holds the routers' configuration by revision. Up to five keepers on the control machines hold one log
-// of revisions (package rollout decides what is in it), replicated by hashicorp/raft; they take changes from operators
-// and hand them to the routers, by HTTP. See docs/configuration.md and docs/design/keepers.md.
 package keeper
 
 import (
@@ -8,157 +5,88 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
-	"strings"
 	"time"
 
 	"windflow/internal/decide/configlog"
 )
 
-// mostPeers bounds a group of keepers; more make each change slower and none safer in practice.
-const mostPeers = 5
-
-// mostID bounds a keeper's id and a cluster's name, in bytes.
-const mostID = 64
-
-// Peer is one keeper of the group, as the others reach it.
-type Peer struct {
-	ID       string
-	RaftAddr string // host:port of the replication
-	HTTPAddr string // host:port of the calls
-}
-
-// Check looks at the content that a change would give, before the change gets a revision; nil lets it pass.
+// Check validates the content that a change would give, before the change gets a revision; nil accepts it.
 type Check func(entries map[string]json.RawMessage) *configlog.ChangeError
 
-// Options are what one keeper is started with. Fields that are 0 get the value that their line names.
+// Options configure one keeper. A field that is zero gets the default that its comment names.
 type Options struct {
 	ID       string
-	Cluster  string // of the group, so that another group's folder is known as foreign; "windflow"
+	Cluster  string // name of the group, so that a folder of another group is recognized; "windflow"
 	Dir      string
-	HTTPAddr string // host:port to listen at for calls; required
-	RaftAddr string // host:port to listen at for the other keepers; required
-	Peers    []Peer // the whole group, this keeper among them
+	HTTPAddr string // host:port to listen on for HTTP calls; required
+	RaftAddr string // host:port to listen on for the other keepers; required
+	Peers    []Peer // the complete group, this keeper included
 	Check    Check
 	Log      *slog.Logger
-	OnReady  func(http string) // called once when calls are accepted, with the address
+	OnReady  func(httpAddr string) // called once, as soon as HTTP calls are accepted
 
-	// AcceptLoss lets a keeper that lost its folder vote at once. It is for a majority that is lost for good: what only the
-	// lost ones held is given up.
+	// AcceptLoss lets a keeper that lost its folder vote at once. It is meant for a majority that is lost for good: what
+	// only the lost keepers stored is given up.
 	AcceptLoss bool
 
-	Heartbeat           time.Duration       // a leader that is silent for so long is given up; 400 ms
-	MaxPollWait         time.Duration       // longest hold of a follower's call; 2 s
+	Heartbeat           time.Duration       // silence after which a leader is given up; 400 ms
+	MaxPollWait         time.Duration       // how long a follower's call is kept open by default; 2 s
 	LeaseDuration       time.Duration       // a follower that has not called for so long counts as gone; 6 s
-	ChangeTimeout       time.Duration       // longest time for a change, with all tries; 5 s
-	MaxWaitingFollowers int                 // followers' calls held at once at most; 2,000
-	Retention           configlog.Retention // how much of the past is kept; 2,000 revisions, 16 MB
-	SnapshotThreshold   uint64              // entries between two snapshots of the state; 1,024
-	SnapshotInterval    time.Duration       // how often it is looked whether a snapshot is due; 30 s
+	ChangeTimeout       time.Duration       // longest time for a change, with all attempts; 5 s
+	MaxWaitingFollowers int                 // most followers' calls that are open at once; 2,000
+	Retention           configlog.Retention // how much of the history is kept; 2,000 revisions, 16 MB
+	SnapshotThreshold   uint64              // log entries between two snapshots of the state; 1,024
+	SnapshotInterval    time.Duration       // time between two checks whether a snapshot is due; 30 s
 }
 
-// ParsePeers reads `k1=RAFT/HTTP,k2=RAFT/HTTP`.
-func ParsePeers(text string) ([]Peer, error) {
-	var peers []Peer
-	for part := range strings.SplitSeq(text, ",") {
-		id, addresses, ok := strings.Cut(part, "=")
-		raft, http, both := strings.Cut(addresses, "/")
-		if !ok || !both || id == "" {
-			return nil, fmt.Errorf("--peers: %q is not ID=RAFT/HTTP", part)
-		}
-		for _, a := range []string{raft, http} {
-			if err := address(a); err != nil {
-				return nil, fmt.Errorf("--peers: %s: %w", id, err)
-			}
-		}
-		peers = append(peers, Peer{ID: id, RaftAddr: raft, HTTPAddr: http})
+// withDefaults checks the options and returns them with the defaults. Errors name the flag.
+func (o Options) withDefaults() (Options, error) {
+	if err := o.requireFields(); err != nil {
+		return o, err
 	}
-	return peers, nil
-}
-
-func address(a string) error {
-	host, port, err := net.SplitHostPort(a)
-	if err != nil {
-		return err
+	if err := validatePeers(o.Peers, o.ID); err != nil {
+		return o, err
 	}
-	if host == "" || port == "" || port == "0" {
-		return fmt.Errorf("address %q needs a host and a port", a)
+	setDefault(&o.Cluster, "windflow")
+	if !validName(o.Cluster) {
+		return o, fmt.Errorf("--cluster: %q: 1 to %d letters, digits, '.', '_', '-'", o.Cluster, maxNameBytes)
 	}
-	return nil
+	setDefault(&o.Log, slog.Default())
+	setDefault(&o.Heartbeat, 400*time.Millisecond)
+	setDefault(&o.MaxPollWait, 2*time.Second)
+	setDefault(&o.LeaseDuration, 6*time.Second)
+	setDefault(&o.ChangeTimeout, 5*time.Second)
+	setDefault(&o.MaxWaitingFollowers, 2000)
+	setDefault(&o.Retention.Revisions, 2000)
+	setDefault(&o.Retention.Bytes, 16<<20)
+	setDefault(&o.SnapshotThreshold, 1024)
+	setDefault(&o.SnapshotInterval, 30*time.Second)
+	return o, nil
 }
 
-// withDefaults checks the options and gives them with the defaults. Errors name the flag.
-func (o Options) withDefaults() (Options, error) {
+func (o Options) requireFields() error {
 	switch {
 	case o.ID == "":
-		return o, errors.New("--id: is missing")
+		return errors.New("--id: is missing")
 	case o.Dir == "":
-		return o, errors.New("--dir: is missing")
+		return errors.New("--dir: is missing")
 	case o.HTTPAddr == "":
-		return o, errors.New("--http: is missing; without an address to listen at there is nothing to serve")
+		return errors.New("--http: is missing; without an address to listen at there is nothing to serve")
 	case o.RaftAddr == "":
-		return o, errors.New("--raft: is missing")
+		return errors.New("--raft: is missing")
 	case len(o.Peers) == 0:
-		return o, errors.New("--peers: is missing")
-	case len(o.Peers) > mostPeers:
-		return o, fmt.Errorf("--peers: %d keepers, at most %d make sense", len(o.Peers), mostPeers)
+		return errors.New("--peers: is missing")
+	case len(o.Peers) > maxPeers:
+		return fmt.Errorf("--peers: %d keepers, at most %d make sense", len(o.Peers), maxPeers)
 	case o.Check == nil:
-		return o, errors.New("--base: nothing to check changes against")
+		return errors.New("--base: nothing to check changes against")
 	}
-	seen := map[string]bool{}
-	for _, p := range o.Peers {
-		if !name(p.ID, mostID) {
-			return o, fmt.Errorf("--peers: id %q: 1 to %d letters, digits, '.', '_', '-'", p.ID, mostID)
-		}
-		if seen[p.ID] {
-			return o, fmt.Errorf("--peers: %s is named twice", p.ID)
-		}
-		seen[p.ID] = true
-	}
-	if !seen[o.ID] {
-		return o, fmt.Errorf("--id: %s is not among --peers", o.ID)
-	}
-	def(&o.Cluster, "windflow")
-	if !name(o.Cluster, mostID) {
-		return o, fmt.Errorf("--cluster: %q: 1 to %d letters, digits, '.', '_', '-'", o.Cluster, mostID)
-	}
-	def(&o.Log, slog.Default())
-	def(&o.Heartbeat, 400*time.Millisecond)
-	def(&o.MaxPollWait, 2*time.Second)
-	def(&o.LeaseDuration, 6*time.Second)
-	def(&o.ChangeTimeout, 5*time.Second)
-	def(&o.MaxWaitingFollowers, 2000)
-	def(&o.Retention.Revisions, 2000)
-	def(&o.Retention.Bytes, 16<<20)
-	def(&o.SnapshotThreshold, 1024)
-	def(&o.SnapshotInterval, 30*time.Second)
-	return o, nil
+	return nil
 }
 
-func def[T comparable](v *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = value
-	}
-}
-
-// name tells whether a text may name a keeper, a cluster or a follower.
-func name(s string, most int) bool {
-	for i := range len(s) {
-		c := s[i]
-		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '.' || c == '_' || c == '-') {
-			return false
-		}
-	}
-	return s != "" && len(s) <= most
-}
-
-// peer is the one with an id.
-func (o Options) peer(id string) (Peer, bool) {
-	for _, p := range o.Peers {
-		if p.ID == id {
-			return p, true
-		}
+	if *field == zero {
+		*field = value
 	}
-	return Peer{}, false
 }
--- /dev/null
+++ b/internal/keeper/peer_client.go
@@ -0,0 +1,145 @@
+package keeper
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	// forwardedByHeader marks a call from one keeper to another, with the id of the calling one.
+	forwardedByHeader = "Windflow-Keeper"
+	// maxPeerAnswerBytes bounds what is read of another keeper's answer: the leases of all followers fit.
+	maxPeerAnswerBytes = 64 << 20
+	// peerCallTimeout is for one call to another keeper that answers from memory.
+	peerCallTimeout = time.Second
+
+	maxIdleConnsPerPeer = 8
+	peerIdleTimeout     = time.Minute
+)
+
+// Paths of the calls between keepers.
+const (
+	leasesPath = "/v1/leases"
+	peerPath   = "/v1/peer"
+	leaderPath = "/v1/leader"
+	rosterPath = "/v1/roster"
+)
+
+// peerClient makes HTTP calls to the other keepers of the group.
+type peerClient struct {
+	ownID string
+	peers []Peer // this keeper included
+	http  *http.Client
+}
+
+func newPeerClient(ownID string, peers []Peer) *peerClient {
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleConnsPerPeer,
+		IdleConnTimeout:     peerIdleTimeout,
+		DialContext:         (&net.Dialer{Timeout: peerCallTimeout}).DialContext,
+	}
+	return &peerClient{ownID: ownID, peers: peers, http: &http.Client{Transport: transport}}
+}
+
+// peer finds a keeper by its id.
+func (c *peerClient) peer(id string) (Peer, bool) {
+	i := slices.IndexFunc(c.peers, func(peer Peer) bool { return peer.ID == id })
+	if i < 0 {
+		return Peer{}, false
+	}
+	return c.peers[i], true
+}
+
+// others returns all keepers but this one.
+func (c *peerClient) others() []Peer {
+	return slices.DeleteFunc(slices.Clone(c.peers), func(peer Peer) bool { return peer.ID == c.ownID })
+}
+
+func (c *peerClient) newRequest(ctx context.Context, peer Peer, method, path string, body []byte) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+peer.HTTPAddr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set(forwardedByHeader, c.ownID)
+	return request, nil
+}
+
+// get fetches path from a peer within peerCallTimeout and decodes the answer into out.
+func (c *peerClient) get(ctx context.Context, peer Peer, path string, out any) error {
+	return c.call(ctx, peer, peerCallTimeout, http.MethodGet, path, nil, out)
+}
+
+// post sends in as JSON and decodes the answer into out.
+func (c *peerClient) post(ctx context.Context, peer Peer, timeout time.Duration, path string, in, out any) error {
+	body, err := json.Marshal(in)
+	if err != nil {
+		return err
+	}
+	return c.call(ctx, peer, timeout, http.MethodPost, path, body, out)
+}
+
+// call fails on any status but 200.
+func (c *peerClient) call(
+	ctx context.Context, peer Peer, timeout time.Duration, method, path string, body []byte, out any,
+) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	request, err := c.newRequest(ctx, peer, method, path, body)
+	if err != nil {
+		return err
+	}
+	answer, err := c.http.Do(request)
+	if err != nil {
+		return withoutURL(err)
+	}
+	defer func() { _ = answer.Body.Close() }()
+	if answer.StatusCode != http.StatusOK {
+		return fmt.Errorf("keeper %s answers %s", peer.ID, answer.Status)
+	}
+	return json.NewDecoder(io.LimitReader(answer.Body, maxPeerAnswerBytes)).Decode(out)
+}
+
+// statuses asks all other keepers for their status, concurrently; those that don't answer are missing.
+func (c *peerClient) statuses(ctx context.Context) map[string]peerStatus {
+	var mu sync.Mutex
+	statuses := map[string]peerStatus{}
+	var calls sync.WaitGroup
+	for _, peer := range c.others() {
+		calls.Go(func() {
+			var status peerStatus
+			if err := c.get(ctx, peer, peerPath, &status); err != nil {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			statuses[peer.ID] = status
+		})
+	}
+	calls.Wait()
+	return statuses
+}
+
+// withoutURL takes the URL out of an error of http.Client.
+func withoutURL(err error) error {
+	var urlError *url.Error
+	if errors.As(err, &urlError) {
+		return urlError.Err
+	}
+	return err
+}
+
+// dialFailed reports whether a call failed before anything of it could be sent.
+func dialFailed(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
+}
--- a/internal/keeper/raft_log.go
+++ b/internal/keeper/raft_log.go
@@ -11,50 +11,53 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLog hands what the replication says to our own log. hashicorp/raft speaks to an hclog.Logger only.
+// raftLog writes the messages of hashicorp/raft, which takes an hclog.Logger only, to an slog.Logger.
 type raftLog struct {
-	to   *slog.Logger
-	name string
-	args []any
+	target *slog.Logger
+	name   string
+	args   []any
 }
 
 var _ hclog.Logger = raftLog{}
 
-func slogLevel(l hclog.Level) slog.Level {
-	switch l {
+func slogLevel(level hclog.Level) slog.Level {
+	switch level {
 	case hclog.Trace, hclog.Debug:
 		return slog.LevelDebug
 	case hclog.Warn:
 		return slog.LevelWarn
 	case hclog.Error:
 		return slog.LevelError
-	default:
+	case hclog.NoLevel, hclog.Info, hclog.Off:
 		return slog.LevelInfo
 	}
+	return slog.LevelInfo
 }
 
-func (l raftLog) Log(level hclog.Level, msg string, args ...any) { l.say(slogLevel(level), msg, args) }
+func (l raftLog) Log(level hclog.Level, msg string, args ...any) {
+	l.write(slogLevel(level), msg, args)
+}
 
-func (l raftLog) say(level slog.Level, msg string, args []any) {
+func (l raftLog) write(level slog.Level, msg string, args []any) {
 	if !l.enabled(level) {
 		return
 	}
 	args = slices.Clone(args)
-	for i, a := range args {
-		if f, ok := a.(hclog.Format); ok && len(f) > 0 {
-			args[i] = fmt.Sprintf(fmt.Sprint(f[0]), f[1:]...)
+	for i, arg := range args {
+		if format, ok := arg.(hclog.Format); ok && len(format) > 0 {
+			args[i] = fmt.Sprintf(fmt.Sprint(format[0]), format[1:]...)
 		}
 	}
-	l.to.Log(context.Background(), level, msg, args...)
+	l.target.Log(context.Background(), level, msg, args...)
 }
 
-func (l raftLog) enabled(level slog.Level) bool { return l.to.Enabled(context.Background(), level) }
+func (l raftLog) enabled(level slog.Level) bool { return l.target.Enabled(context.Background(), level) }
 
-func (l raftLog) Trace(msg string, args ...any) { l.say(slog.LevelDebug, msg, args) }
-func (l raftLog) Debug(msg string, args ...any) { l.say(slog.LevelDebug, msg, args) }
-func (l raftLog) Info(msg string, args ...any)  { l.say(slog.LevelInfo, msg, args) }
-func (l raftLog) Warn(msg string, args ...any)  { l.say(slog.LevelWarn, msg, args) }
-func (l raftLog) Error(msg string, args ...any) { l.say(slog.LevelError, msg, args) }
+func (l raftLog) Trace(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
+func (l raftLog) Debug(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
+func (l raftLog) Info(msg string, args ...any)  { l.write(slog.LevelInfo, msg, args) }
+func (l raftLog) Warn(msg string, args ...any)  { l.write(slog.LevelWarn, msg, args) }
+func (l raftLog) Error(msg string, args ...any) { l.write(slog.LevelError, msg, args) }
 func (l raftLog) IsTrace() bool                 { return false }
 func (l raftLog) IsDebug() bool                 { return l.enabled(slog.LevelDebug) }
 func (l raftLog) IsInfo() bool                  { return l.enabled(slog.LevelInfo) }
@@ -64,7 +67,7 @@
 func (l raftLog) Name() string                  { return l.name }
 
 func (l raftLog) With(args ...any) hclog.Logger {
-	return raftLog{to: l.to.With(args...), name: l.name, args: append(append([]any(nil), l.args...), args...)}
+	return raftLog{target: l.target.With(args...), name: l.name, args: append(append([]any(nil), l.args...), args...)}
 }
 
 func (l raftLog) Named(name string) hclog.Logger {
@@ -75,10 +78,10 @@
 }
 
 func (l raftLog) ResetNamed(name string) hclog.Logger {
-	return raftLog{to: l.to, name: name, args: l.args}
+	return raftLog{target: l.target, name: name, args: l.args}
 }
 
-// SetLevel does nothing: the level is that of our own log.
+// SetLevel does nothing: the level is that of the slog.Logger.
 func (l raftLog) SetLevel(hclog.Level) {}
 
 func (l raftLog) GetLevel() hclog.Level {
@@ -95,7 +98,7 @@
 }
 
 func (l raftLog) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
-	return slog.NewLogLogger(l.to.Handler(), slog.LevelInfo)
+	return slog.NewLogLogger(l.target.Handler(), slog.LevelInfo)
 }
 
 func (l raftLog) StandardWriter(o *hclog.StandardLoggerOptions) io.Writer {
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -4,220 +4,211 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
-	"net/http"
 	"slices"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/raft"
 )
 
-// quietBeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat timeouts: longer than
-// any election that its former self may have voted in, which a candidate gives up after two of them.
-const quietBeats = 5
+const (
+	// enqueueTimeout bounds the wait for raft to take an entry.
+	enqueueTimeout = time.Second
+	// replicationIOTimeout bounds one call between raft nodes.
+	replicationIOTimeout = 2 * time.Second
+	maxAppendEntries     = 16
+	raftConnsPerPeer     = 3
+	// appliedPollInterval bounds the wait for one more entry to be applied.
+	appliedPollInterval = 500 * time.Millisecond
+)
+
+// replication owns the raft node of a keeper. Its methods may be called before start; the keeper leads nothing then.
+type replication struct {
+	options      *Options
+	log          *slog.Logger
+	stateMachine *stateMachine
+	counters     *counters
+
+	// votingSuspended keeps the node out of elections; see electionTransport.
+	votingSuspended atomic.Bool
+	// leaderChanged notifies of each change of the leader, as far as this node knows.
+	leaderChanged *notifier
 
-// others are the keepers but this one.
-func (k *Keeper) others() []Peer {
-	return slices.DeleteFunc(slices.Clone(k.o.Peers), func(p Peer) bool { return p.ID == k.o.ID })
+	started     chan struct{} // closed once node and stores are set
+	node        *raft.Raft
+	stores      *stores
+	settledTerm atomic.Uint64 // the term in which all entries of former terms are known to be applied
 }
 
-// begin finds out how to start, and starts the replication.
-func (k *Keeper) begin(ctx context.Context, listener net.Listener) (err error) {
-	stage := k.folder.identity.Stage
-	if stage == stageNew {
-		if stage, err = k.found(ctx); err != nil {
-			return err
-		}
-	}
-	log := raftLog{to: k.log.With("part", "raft"), name: "raft"}
-	if k.stores, err = openStores(k.o.Dir, log); err != nil {
-		return err
-	}
-	if err := k.reach(stage); err != nil {
-		k.stores.close()
-		return err
+func newReplication(options *Options, machine *stateMachine, counters *counters) *replication {
+	return &replication{
+		options:       options,
+		log:           options.Log,
+		stateMachine:  machine,
+		counters:      counters,
+		leaderChanged: newNotifier(),
+		started:       make(chan struct{}),
 	}
-	k.muted.Store(stage == stageJoining && !k.o.AcceptLoss)
-	if stage == stageJoining && k.o.AcceptLoss {
-		k.log.Warn("this keeper votes without its folder, as it was told to: what only lost keepers held is given up")
-	}
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(k.o.ID)
-	c.HeartbeatTimeout, c.ElectionTimeout = k.o.Heartbeat, k.o.Heartbeat
-	c.LeaderLeaseTimeout = k.o.Heartbeat * 3 / 4
-	c.MaxAppendEntries = 16
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = k.o.SnapshotThreshold, k.o.SnapshotThreshold/2, k.o.SnapshotInterval
-	c.Logger = log
+}
+
+// start runs the raft node on the stores, which it owns from then on, also when it fails. With bootstrap the group is
+// founded with the keepers of the options.
+func (r *replication) start(listener net.Listener, stores *stores, logger raftLog, bootstrap bool) error {
+	r.stores = stores
+	config := r.raftConfig(logger)
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		ServerAddressProvider: addresses{&k.o}, Logger: log,
-		Stream: stream{counted{listener, &k.figures.raftIn, &k.figures.raftOut}}, MaxPool: 3, Timeout: 2 * time.Second,
+		ServerAddressProvider: addressProvider{r.options.Peers},
+		Logger:                logger,
+		Stream:                raftStream{countingListener{listener, &r.counters.raftIn, &r.counters.raftOut}},
+		MaxPool:               raftConnsPerPeer,
+		Timeout:               replicationIOTimeout,
 	})
-	trans := newTransport(network, &k.muted)
-	if stage == stageFounding {
-		err = k.bootstrap(c, trans)
-	}
-	if err == nil {
-		k.raft, err = raft.NewRaft(c, k.machine, checksummedLog{k.stores.entries}, k.stores.votes, k.stores.snapshots, trans)
-	}
-	if err == nil {
-		err = k.sameGroup()
-	}
-	if err != nil {
-		if k.raft != nil {
-			_ = k.raft.Shutdown().Error()
+	transport := newElectionTransport(network, &r.votingSuspended)
+	if err := r.startNode(config, transport, bootstrap); err != nil {
+		if r.node != nil {
+			_ = r.node.Shutdown().Error()
 		}
-		_ = trans.Close()
-		k.stores.close()
+		_ = transport.Close()
+		stores.close()
 		return fmt.Errorf("the replication can't start: %w", err)
 	}
-	k.raft.RegisterObserver(raft.NewObserver(nil, false, func(o *raft.Observation) bool {
-		switch o.Data.(type) {
+	r.node.RegisterObserver(raft.NewObserver(nil, false, func(observation *raft.Observation) bool {
+		switch observation.Data.(type) {
 		case raft.LeaderObservation, raft.RaftState:
-			k.leadership.turn()
+			r.leaderChanged.notify()
 		}
 		return false
 	}))
-	close(k.begun)
+	close(r.started)
 	return nil
 }
 
-// turns wakes whoever waits for something to change.
-type turns struct {
-	mu   sync.Mutex
-	next chan struct{}
+func (r *replication) raftConfig(logger raftLog) *raft.Config {
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(r.options.ID)
+	config.HeartbeatTimeout = r.options.Heartbeat
+	config.ElectionTimeout = r.options.Heartbeat
+	config.LeaderLeaseTimeout = r.options.Heartbeat * 3 / 4
+	config.MaxAppendEntries = maxAppendEntries
+	config.SnapshotThreshold = r.options.SnapshotThreshold
+	config.TrailingLogs = r.options.SnapshotThreshold / 2
+	config.SnapshotInterval = r.options.SnapshotInterval
+	config.Logger = logger
+	return config
 }
 
-func newTurns() turns { return turns{next: make(chan struct{})} }
-
-// turn wakes those that have asked so far.
-func (t *turns) turn() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	close(t.next)
-	t.next = make(chan struct{})
-}
-
-// after is closed at the next turn.
-func (t *turns) after() <-chan struct{} {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.next
+func (r *replication) startNode(config *raft.Config, transport raft.Transport, bootstrap bool) (err error) {
+	if bootstrap {
+		if err := r.bootstrap(config, transport); err != nil {
+			return err
+		}
+	}
+	entries := checksummedLog{r.stores.entries}
+	r.node, err = raft.NewRaft(config, r.stateMachine, entries, r.stores.votes, r.stores.snapshots, transport)
+	if err != nil {
+		return err
+	}
+	return r.checkMembers()
 }
 
 // bootstrap writes the list of keepers as the first entry, the same at each of them.
-func (k *Keeper) bootstrap(c *raft.Config, trans raft.Transport) error {
-	var list raft.Configuration
-	for _, p := range k.o.Peers {
-		// The ids stand for addresses too: see addresses.
-		list.Servers = append(list.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.ID)})
+func (r *replication) bootstrap(config *raft.Config, transport raft.Transport) error {
+	var group raft.Configuration
+	for _, peer := range r.options.Peers {
+		// The ids stand for addresses, too: see addressProvider.
+		server := raft.Server{ID: raft.ServerID(peer.ID), Address: raft.ServerAddress(peer.ID)}
+		group.Servers = append(group.Servers, server)
 	}
-	slices.SortFunc(list.Servers, func(a, b raft.Server) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	err := raft.BootstrapCluster(c, k.stores.entries, k.stores.votes, k.stores.snapshots, trans, list)
+	slices.SortFunc(group.Servers, func(a, b raft.Server) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	err := raft.BootstrapCluster(config, r.stores.entries, r.stores.votes, r.stores.snapshots, transport, group)
 	if errors.Is(err, raft.ErrCantBootstrap) { // done before a crash
 		return nil
 	}
 	return err
 }
 
-// sameGroup refuses a --peers that names other keepers than the group was founded with: each would count another majority.
-func (k *Keeper) sameGroup() error {
-	f := k.raft.GetConfiguration()
-	if err := f.Error(); err != nil {
+// checkMembers rejects a --peers that names other keepers than the group was founded with: each would count another
+// majority.
+func (r *replication) checkMembers() error {
+	future := r.node.GetConfiguration()
+	if err := future.Error(); err != nil {
 		return err
 	}
-	servers := f.Configuration().Servers
+	servers := future.Configuration().Servers
 	if len(servers) == 0 {
 		return nil
 	}
-	var was, is []string
-	for _, s := range servers {
-		was = append(was, string(s.ID))
+	var founded, configured []string
+	for _, server := range servers {
+		founded = append(founded, string(server.ID))
 	}
-	for _, p := range k.o.Peers {
-		is = append(is, p.ID)
+	for _, peer := range r.options.Peers {
+		configured = append(configured, peer.ID)
 	}
-	slices.Sort(was)
-	slices.Sort(is)
-	if !slices.Equal(was, is) {
-		return fmt.Errorf("--peers: names %s, but the group was founded with %s", strings.Join(is, ", "), strings.Join(was, ", "))
+	slices.Sort(founded)
+	slices.Sort(configured)
+	if !slices.Equal(founded, configured) {
+		return fmt.Errorf("--peers: names %s, but the group was founded with %s",
+			strings.Join(configured, ", "), strings.Join(founded, ", "))
 	}
 	return nil
 }
 
-// peerStatus is what keepers tell each other of themselves.
-type peerStatus struct {
-	Cluster string `json:"cluster"`
-	ID      string `json:"id"`
-	Stage   string `json:"stage"`
-	Leader  string `json:"leader"`
+// running reports whether the raft node has started.
+func (r *replication) running() bool {
+	select {
+	case <-r.started:
+		return true
+	default:
+		return false
+	}
 }
 
-func (k *Keeper) word() peerStatus {
-	w := peerStatus{Cluster: k.o.Cluster, ID: k.o.ID, Stage: k.stage.Load().(string)}
-	w.Leader, _ = k.leader()
-	if w.Stage == stageFounding && k.replicates() && k.raft.LastIndex() > 1 {
-		w.Stage = stageMember
+// leader returns the keeper that leads as far as this one knows, and whether that is this one.
+func (r *replication) leader() (id string, isSelf bool) {
+	if !r.running() {
+		return "", false
 	}
-	return w
+	_, leader := r.node.LeaderWithID()
+	return string(leader), string(leader) == r.options.ID && r.node.State() == raft.Leader
 }
 
-// found waits until it is clear whether the group exists. It exists if any keeper belongs to it; then this one joins. It
-// is founded only when every keeper answers and none has anything: were a majority enough, then keepers that lost their
-// folders could found a second group while those that hold the first are down.
-func (k *Keeper) found(ctx context.Context) (stage string, err error) {
-	said := ""
-	for {
-		fresh, silent := 0, []string{}
-		words := k.askAll(ctx)
-		for _, p := range k.others() {
-			w, ok := words[p.ID]
-			switch {
-			case !ok:
-				silent = append(silent, p.ID)
-			case w.Cluster != k.o.Cluster || w.ID != p.ID:
-				silent = append(silent, fmt.Sprintf("%s (%s answers as %q of cluster %q)", p.ID, p.HTTPAddr, w.ID, w.Cluster))
-			case w.Stage == stageMember || w.Stage == stageJoining:
-				k.log.Warn("the group exists and this keeper's folder is empty: it joins and catches up before it votes", "asked", p.ID)
-				return stageJoining, nil
-			default:
-				fresh++
-			}
-		}
-		if fresh == len(k.others()) {
-			k.log.Info("no keeper has anything yet: the group is founded", "keepers", len(k.o.Peers))
-			return stageFounding, nil
-		}
-		if now := strings.Join(silent, ", "); now != said {
-			said = now
-			k.log.Warn("this keeper's folder is empty; it waits until a member of the group or all others answer", "silent", now)
-		}
-		select {
-		case <-ctx.Done():
-			return "", ctx.Err()
-		case <-time.After(askAgain):
-		}
+// hasEntries reports whether the log holds more than the list of keepers that it was founded with.
+func (r *replication) hasEntries() bool { return r.running() && r.node.LastIndex() > 1 }
+
+// apply replicates a command, and returns what the state machine made of it once a majority holds it.
+func (r *replication) apply(entry command) (any, error) {
+	data, err := entry.encode()
+	if err != nil {
+		return nil, err
 	}
+	future := r.node.Apply(data, enqueueTimeout)
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	return future.Response(), nil
 }
 
-// askAll asks all others what they are, at once; those that don't answer are missing.
-func (k *Keeper) askAll(ctx context.Context) map[string]peerStatus {
-	var mu sync.Mutex
-	words := map[string]peerStatus{}
-	var asked sync.WaitGroup
-	for _, p := range k.others() {
-		asked.Go(func() {
-			var w peerStatus
-			if k.call(ctx, p, askWithin, http.MethodGet, "/v1/peer", nil, &w) == nil {
-				mu.Lock()
-				words[p.ID] = w
-				mu.Unlock()
-			}
-		})
+// barrier returns once a majority has confirmed that this keeper leads and all entries before are applied here.
+func (r *replication) barrier() error { return r.node.Barrier(enqueueTimeout).Error() }
+
+// verifyLeader returns nil once a majority has confirmed that this keeper leads.
+func (r *replication) verifyLeader() error { return r.node.VerifyLeader().Error() }
+
+// settle waits, once in each term that this keeper leads, until the entries of former leaders are applied here.
+func (r *replication) settle() error {
+	term := r.node.CurrentTerm()
+	if term == r.settledTerm.Load() {
+		return nil
+	}
+	if err := r.barrier(); err != nil {
+		return err
 	}
-	asked.Wait()
-	return words
+	r.settledTerm.Store(term)
+	return nil
 }
 
 // leaderStatus is what the leader says of itself once a majority has confirmed that it leads.
@@ -226,52 +217,68 @@
 	LastIndex uint64 `json:"last_index"`
 }
 
-func (k *Keeper) leaderWord() (leaderStatus, error) {
-	if !k.replicates() {
+func (r *replication) leaderStatus() (leaderStatus, error) {
+	if !r.running() {
 		return leaderStatus{}, raft.ErrNotLeader
 	}
-	if err := k.raft.VerifyLeader().Error(); err != nil {
+	if err := r.verifyLeader(); err != nil {
 		return leaderStatus{}, err
 	}
-	return leaderStatus{ID: k.o.ID, LastIndex: k.raft.LastIndex()}, nil
-}
-
-// caughtUp lets a keeper that lost its folder take part in elections again, once it holds all that the leader held at
-// some moment after the loss: whatever it had said yes to is in that.
-func (k *Keeper) caughtUp(ctx context.Context) {
-	id, _ := k.leader()
-	p, ok := k.o.peer(id)
-	if !ok || time.Since(k.began) < quietBeats*k.o.Heartbeat {
-		return
-	}
-	// What is asked now may be reached only later; the next round asks anew, and a quiet moment ends it.
-	var w leaderStatus
-	if err := k.call(ctx, p, askWithin, http.MethodGet, "/v1/leader", nil, &w); err != nil || w.ID != id {
-		return
-	}
-	if k.raft.AppliedIndex() < w.LastIndex {
-		if err := k.waitApplied(ctx, w.LastIndex); err != nil {
-			return
-		}
-	}
-	if err := k.reach(stageMember); err != nil {
-		k.log.Error("the folder's stage can't be written", "error", err)
-		return
-	}
-	k.muted.Store(false)
-	k.log.Info("this keeper has caught up and votes again", "index", w.LastIndex)
+	return leaderStatus{ID: r.options.ID, LastIndex: r.node.LastIndex()}, nil
 }
 
-func (k *Keeper) waitApplied(ctx context.Context, index uint64) error {
-	for k.raft.AppliedIndex() < index {
-		_, _, changed := k.machine.contentAt(nil)
+// waitApplied waits until the entry at index is applied here. It gives up when no entry is for appliedPollInterval.
+func (r *replication) waitApplied(ctx context.Context, index uint64) error {
+	for r.node.AppliedIndex() < index {
+		changed := r.stateMachine.nextChange()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case <-time.After(tick):
+		case <-time.After(appliedPollInterval):
 			return context.DeadlineExceeded
 		}
 	}
 	return nil
 }
+
+// transferLeadership hands leadership to another keeper, if this one leads, so that the others need no timeout to
+// notice that it stops.
+func (r *replication) transferLeadership() {
+	if !r.running() || r.node.State() != raft.Leader || len(r.options.Peers) == 1 {
+		return
+	}
+	if err := r.node.LeadershipTransfer().Error(); err != nil {
+		r.log.Warn("leadership transfer failed", "error", err)
+	}
+}
+
+// shutdown stops the raft node and closes the stores.
+func (r *replication) shutdown() error {
+	if !r.running() {
+		return nil
+	}
+	err := r.node.Shutdown().Error()
+	r.stores.close()
+	return err
+}
+
+// failureResponse answers a call whose entry could not be replicated. effect is what is said where the error doesn't
+// tell that nothing was done.
+func (r *replication) failureResponse(err error, effect changeEffect) response {
+	switch {
+	case errors.Is(err, raft.ErrNotLeader),
+		errors.Is(err, raft.ErrLeadershipTransferInProgress),
+		errors.Is(err, raft.ErrEnqueueTimeout):
+		return unavailableResponse(errorNoMajority, effectNone, "keeper %s: %v", r.options.ID, err)
+	case errors.Is(err, raft.ErrLeadershipLost),
+		errors.Is(err, raft.ErrRaftShutdown),
+		errors.Is(err, raft.ErrAbortedByRestore):
+		return unavailableResponse(errorNoMajority, effect, "keeper %s lost its majority: %v", r.options.ID, err)
+	}
+	// What is left are errors of writing the entry to the local disk.
+	r.counters.recordDiskError(err)
+	r.log.Error("log entry write failed", "error", err)
+	return unavailableResponse(errorDisk, effect,
+		"keeper %s can't write to its folder: %v; what is in force goes on being served", r.options.ID, err)
+}
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -12,71 +12,74 @@
 	"windflow/internal/decide/configlog"
 )
 
-// stateMachine is the replicated state: the log of revisions and the roster of followers. Raft alone changes it; the calls of
-// operators and followers read it. It holds only entries that a majority has.
+// maxSnapshotBytes bounds a snapshot that is read.
+const maxSnapshotBytes = 1 << 30
+
+// stateMachine is the replicated state: the log of revisions and the roster of followers. Raft alone changes it, by
+// entries that a majority holds; the calls of operators and followers read it.
 type stateMachine struct {
-	mu      sync.Mutex
-	log     *configlog.Log
-	changed chan struct{} // closed and replaced at each change
+	changed *notifier
+
+	mu  sync.Mutex
+	log *configlog.Log
 }
 
-func newStateMachine(t configlog.Retention) *stateMachine {
-	return &stateMachine{log: configlog.NewLog(t), changed: make(chan struct{})}
+func newStateMachine(retention configlog.Retention) *stateMachine {
+	return &stateMachine{log: configlog.NewLog(retention), changed: newNotifier()}
 }
 
-// changeOutcome is what Apply gives for a change.
+// nextChange returns a channel that is closed when the state changes.
+func (m *stateMachine) nextChange() <-chan struct{} { return m.changed.wait() }
+
+// changeOutcome is what Apply returns for a change.
 type changeOutcome struct {
 	configlog.Result
-	BaseMoved bool // the revision in force is no longer the one that the change was checked against; nothing was done
+	// BaseMoved says that the change was checked against a revision that is no longer in force; nothing was done.
+	BaseMoved bool
 }
 
-// Apply carries a committed entry out. An entry that can't be read stops the keeper: were it passed over, then this keeper
-// would hold something else than the others under the same revision.
-func (m *stateMachine) Apply(l *raft.Log) any {
-	c, err := decodeCommand(l.Data)
+// Apply implements raft.FSM: it carries a committed entry out. It returns a changeOutcome for a change, whether the
+// follower was known for a Forget, and nil for a Join. It panics on an entry that can't be decoded: were the entry
+// skipped, then this keeper would hold another content than the others under the same revision.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	decoded, err := decodeCommand(entry.Data)
 	if err != nil {
-		panic(fmt.Sprintf("keeper: entry %d: %v", l.Index, err))
+		panic(fmt.Sprintf("keeper: entry %d: %v", entry.Index, err))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out any
+	defer m.changed.notify()
 	switch {
-	case c.Change != nil:
-		out = m.applyChange(c.Change)
-	case c.Forget != "":
-		out = m.log.RemoveMember(c.Forget)
-	default:
-		for _, s := range c.Join {
-			m.log.AddMember(s.Name, s.Instance)
-		}
+	case decoded.Change != nil:
+		return m.applyChange(decoded.Change)
+	case decoded.Forget != "":
+		return m.log.RemoveMember(decoded.Forget)
 	}
-	m.notify()
-	return out
+	for _, process := range decoded.Join {
+		m.log.AddMember(process.Name, process.Instance)
+	}
+	return nil
 }
 
-func (m *stateMachine) applyChange(c *changeCommand) changeOutcome {
-	if c.Base != m.log.Revision() {
+func (m *stateMachine) applyChange(change *changeCommand) changeOutcome {
+	if change.Base != m.log.Revision() {
 		return changeOutcome{Result: configlog.Result{Revision: m.log.Revision()}, BaseMoved: true}
 	}
-	return changeOutcome{Result: m.log.Apply(c.Change)}
+	return changeOutcome{Result: m.log.Apply(change.Change)}
 }
 
-func (m *stateMachine) notify() {
-	close(m.changed)
-	m.changed = make(chan struct{})
-}
-
-// snapshotState is a snapshot's bytes.
+// snapshotState is the encoded state. It implements raft.FSMSnapshot.
 type snapshotState []byte
 
-// Snapshot copies the state; raft writes it out beside further entries.
+// Snapshot implements raft.FSM: it copies the state, which raft writes while it applies further entries.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	text, err := m.log.MarshalBinary()
-	return snapshotState(text), err
+	encoded, err := m.log.MarshalBinary()
+	return snapshotState(encoded), err
 }
 
+// Persist writes the state to the sink.
 func (s snapshotState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
@@ -85,34 +88,32 @@
 	return sink.Close()
 }
 
+// Release does nothing: the state is held by the garbage collector alone.
 func (s snapshotState) Release() {}
 
-// mostState bounds a snapshot that is read.
-const mostState = 1 << 30
-
-// Restore takes a snapshot's state in place of the present one.
-func (m *stateMachine) Restore(r io.ReadCloser) error {
-	defer func() { _ = r.Close() }()
-	text, err := io.ReadAll(io.LimitReader(r, mostState))
+// Restore implements raft.FSM: it replaces the state by that of a snapshot.
+func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer func() { _ = snapshot.Close() }()
+	encoded, err := io.ReadAll(io.LimitReader(snapshot, maxSnapshotBytes))
 	if err != nil {
 		return err
 	}
 	log := configlog.NewLog(configlog.Retention{})
-	if err := log.UnmarshalBinary(text); err != nil {
+	if err := log.UnmarshalBinary(encoded); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
+	defer m.changed.notify()
 	m.log = log
-	m.notify()
 	return nil
 }
 
-// logSummary is what is in force.
+// logSummary describes the log of revisions.
 type logSummary struct {
-	Revision uint64
-	Oldest   uint64
-	Hash     configlog.Hash
+	Revision uint64         // in force
+	Oldest   uint64         // that is kept
+	Hash     configlog.Hash // of the content in force
 }
 
 func (m *stateMachine) summary() logSummary {
@@ -121,58 +122,86 @@
 	return logSummary{Revision: m.log.Revision(), Oldest: m.log.OldestRevision(), Hash: m.log.Hash()}
 }
 
-func (m *stateMachine) preview(c configlog.Change) (base uint64, content map[string]json.RawMessage, fault *configlog.ChangeError) {
+// preview returns the content that a change would give, and the revision that the change would be applied to.
+func (m *stateMachine) preview(
+	change configlog.Change,
+) (base uint64, content map[string]json.RawMessage, changeErr *configlog.ChangeError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	content, fault = m.log.Preview(c)
-	return m.log.Revision(), content, fault
+	content, changeErr = m.log.Preview(change)
+	return m.log.Revision(), content, changeErr
 }
 
-// nextUpdate gives what a follower needs, whether its process is on the roster, and what is closed when that may differ.
-func (m *stateMachine) nextUpdate(r configlog.FollowerStatus) (u configlog.Update, known bool, changed <-chan struct{}) {
+// nextUpdate returns what a follower needs and whether its process is on the roster. changed is closed when either may
+// differ.
+func (m *stateMachine) nextUpdate(
+	status configlog.FollowerStatus,
+) (update configlog.Update, registered bool, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.log.NextUpdate(r), m.log.HasMember(r.Name, r.Instance), m.changed
+	return m.log.NextUpdate(status), m.log.HasMember(status.Name, status.Instance), m.changed.wait()
 }
 
-// contentAt gives the content at a revision; nil for the one in force. changed is closed when another one is in force.
-func (m *stateMachine) contentAt(rev *uint64) (c configContent, fault *configlog.ChangeError, changed <-chan struct{}) {
+// contentAt returns the content at a revision; nil stands for the one in force. changed is closed when another revision is
+// in force.
+func (m *stateMachine) contentAt(
+	revision *uint64,
+) (content configContent, changeErr *configlog.ChangeError, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c.Revision = m.log.Revision()
-	if rev != nil {
-		c.Revision = *rev
+	changed = m.changed.wait()
+	content.Revision = m.revisionOrCurrent(revision)
+	if content.Entries, changeErr = m.log.EntriesAt(content.Revision); changeErr != nil {
+		return content, changeErr, changed
 	}
-	if c.Entries, fault = m.log.EntriesAt(c.Revision); fault != nil {
-		return c, fault, m.changed
+	content.Hash = m.hashAt(content.Revision, content.Entries)
+	return content, nil, changed
+}
+
+func (m *stateMachine) revisionOrCurrent(revision *uint64) uint64 {
+	if revision != nil {
+		return *revision
+	}
+	return m.log.Revision()
+}
+
+func (m *stateMachine) hashAt(revision uint64, entries map[string]json.RawMessage) configlog.Hash {
+	if revision == m.log.Revision() {
+		return m.log.Hash()
 	}
-	c.Hash = m.log.Hash()
-	if c.Revision != m.log.Revision() {
-		if h := m.log.History(c.Revision, 1); len(h) == 1 && h[0].Revision == c.Revision {
-			c.Hash = h[0].Hash
-		} else {
-			c.Hash = configlog.HashEntries(c.Entries)
-		}
+	history := m.log.History(revision, 1)
+	if len(history) == 1 && history[0].Revision == revision {
+		return history[0].Hash
 	}
-	return c, nil, m.changed
+	return configlog.HashEntries(entries)
 }
 
-func (m *stateMachine) history(from uint64, most int) []configlog.Revision {
+// history returns up to count revisions, in order.
+func (m *stateMachine) history(from uint64, count int) []configlog.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.log.History(from, most)
+	return m.log.History(from, count)
 }
 
-// followerNames gives the roster.
+// followerNames returns the names on the roster.
 func (m *stateMachine) followerNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.Members()
 }
 
-// unregistered gives those of some processes that are not on the roster.
-func (m *stateMachine) unregistered(seats []followerProcess) []followerProcess {
+// unregistered returns those of some processes that are not on the roster.
+func (m *stateMachine) unregistered(processes []followerProcess) []followerProcess {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(processes), func(process followerProcess) bool {
+		return m.log.HasMember(process.Name, process.Instance)
+	})
+}
+
+// convergence tells at which followers a revision is in force; nil stands for the revision in force here.
+func (m *stateMachine) convergence(revision *uint64, gathered gatheredLeases) configlog.ConvergenceStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(seats), func(s followerProcess) bool { return m.log.HasMember(s.Name, s.Instance) })
+	return m.log.Convergence(m.revisionOrCurrent(revision), gathered.leases, gathered.unreached)
 }
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -115,7 +115,7 @@
 // What raft says comes into our log with its level, fields and formats.
 func TestRaftSpeaksToOurLog(t *testing.T) {
 	var out bytes.Buffer
-	l := raftLog{to: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
+	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
 	l.Debug("not heard")
 	l.Named("x").With("peer", "k2").Warn("heard", "list", hclog.Fmt("%+v", []int{1, 2}))
 	if text := out.String(); strings.Contains(text, "not heard") || !strings.Contains(text, "level=WARN msg=heard peer=k2 list=\"[1 2]\"") {
--- /dev/null
+++ b/internal/keeper/status.go
@@ -0,0 +1,147 @@
+package keeper
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"windflow/internal/decide/configlog"
+)
+
+// stateWaiting is the state of a keeper before its raft node starts.
+const stateWaiting = "Waiting"
+
+// statusService reports how this keeper sees itself.
+type statusService struct {
+	options      *Options
+	stateMachine *stateMachine
+	replication  *replication
+	membership   *membership
+	leases       *leaseTable
+	counters     *counters
+}
+
+// keeperStatus is the answer to `GET /v1/status`. The fields of this and the types below are in the order of their keys,
+// as they have always been encoded.
+type keeperStatus struct {
+	AppliedIndex *uint64        `json:"applied_index,omitempty"` // with a raft node only
+	Cluster      string         `json:"cluster"`
+	Counters     counterStatus  `json:"counters"`
+	DiskError    string         `json:"disk_error,omitempty"` // the latest
+	Folder       folderStatus   `json:"folder"`
+	Followers    int            `json:"followers"`
+	Hash         configlog.Hash `json:"hash"`
+	ID           string         `json:"id"`
+	LastIndex    *uint64        `json:"last_index,omitempty"` // with a raft node only
+	Leader       string         `json:"leader"`
+	Majority     bool           `json:"majority"` // whether a leader is in touch
+	Oldest       uint64         `json:"oldest"`   // revision that is kept
+	Revision     uint64         `json:"revision"`
+	Roster       int            `json:"roster"`
+	Settled      bool           `json:"settled"`
+	State        string         `json:"state"`
+	Term         uint64         `json:"term"`
+	UptimeMS     int64          `json:"uptime_ms"`
+}
+
+type folderStatus struct {
+	Aside []string `json:"aside"`
+	Dir   string   `json:"dir"`
+	Stage string   `json:"stage"`
+	Votes bool     `json:"votes"`
+}
+
+type counterStatus struct {
+	BytesIn         int64 `json:"bytes_in"`
+	BytesOut        int64 `json:"bytes_out"`
+	Calls           int64 `json:"calls"`
+	Changes         int64 `json:"changes"`
+	ChangesMade     int64 `json:"changes_made"`
+	ChangesRejected int64 `json:"changes_refused"`
+	ChangesUnserved int64 `json:"changes_unserved"`
+	UpdatesSent     int64 `json:"deltas_sent"`
+	DiskErrors      int64 `json:"disk_errors"`
+	Polls           int64 `json:"follows"`
+	PollsRejected   int64 `json:"follows_refused"`
+	Forwarded       int64 `json:"passed_on"`
+	RaftBytesIn     int64 `json:"raft_bytes_in"`
+	RaftBytesOut    int64 `json:"raft_bytes_out"`
+	Rejected        int64 `json:"refused"`
+	SnapshotsSent   int64 `json:"snapshots_sent"`
+	PollsOpen       int64 `json:"waiting"`
+}
+
+func (c *counters) status() counterStatus {
+	return counterStatus{
+		BytesIn:         c.bytesIn.Load(),
+		BytesOut:        c.bytesOut.Load(),
+		Calls:           c.calls.Load(),
+		Changes:         c.changesReceived.Load(),
+		ChangesMade:     c.changesMade.Load(),
+		ChangesRejected: c.changesRejected.Load(),
+		ChangesUnserved: c.changesUnserved.Load(),
+		UpdatesSent:     c.updatesSent.Load(),
+		DiskErrors:      c.diskErrors.Load(),
+		Polls:           c.polls.Load(),
+		PollsRejected:   c.pollsRejected.Load(),
+		Forwarded:       c.forwarded.Load(),
+		RaftBytesIn:     c.raftIn.Load(),
+		RaftBytesOut:    c.raftOut.Load(),
+		Rejected:        c.callsRejected.Load(),
+		SnapshotsSent:   c.snapshotsSent.Load(),
+		PollsOpen:       c.pollsOpen.Load(),
+	}
+}
+
+// handleStatus is `GET /v1/status`.
+func (s *statusService) handleStatus(http.ResponseWriter, *http.Request) response {
+	inForce := s.stateMachine.summary()
+	live := s.leases.live()
+	leader, _ := s.replication.leader()
+	status := keeperStatus{
+		Cluster:   s.options.Cluster,
+		Counters:  s.counters.status(),
+		Folder:    s.folderStatus(),
+		Followers: len(live.Leases),
+		Hash:      inForce.Hash,
+		ID:        s.options.ID,
+		Leader:    leader,
+		Majority:  leader != "",
+		Oldest:    inForce.Oldest,
+		Revision:  inForce.Revision,
+		Roster:    len(s.stateMachine.followerNames()),
+		Settled:   live.Settled,
+		State:     stateWaiting,
+		UptimeMS:  s.leases.uptime().Milliseconds(),
+	}
+	if s.replication.running() {
+		s.addRaftStatus(&status)
+	}
+	if text := s.counters.lastDiskError.Load(); text != nil {
+		status.DiskError = *text
+	}
+	return okResponse(status)
+}
+
+func (s *statusService) folderStatus() folderStatus {
+	return folderStatus{
+		Aside: s.membership.folder.listAside(),
+		Dir:   s.options.Dir,
+		Stage: s.membership.stage(),
+		Votes: !s.replication.votingSuspended.Load(),
+	}
+}
+
+func (s *statusService) addRaftStatus(status *keeperStatus) {
+	node := s.replication.node
+	state, lastIndex, appliedIndex := node.State(), node.LastIndex(), node.AppliedIndex()
+	status.State = state.String()
+	status.Term = node.CurrentTerm()
+	status.LastIndex, status.AppliedIndex = &lastIndex, &appliedIndex
+	// A leader without a majority steps down by itself within its lease; a follower may still name a leader that has been
+	// silent for a while.
+	if state != raft.Leader && time.Since(node.LastContact()) > 2*s.options.Heartbeat {
+		status.Majority = false
+	}
+}
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -4,131 +4,127 @@
 	"errors"
 	"fmt"
 	"net"
+	"slices"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/raft"
 )
 
-// counted is a listener whose connections count what goes through them, headers with it.
-type counted struct {
-	net.Listener
-	in, out *atomic.Int64
-}
+// raftStream is what the transport of the replication dials and accepts with. It implements raft.StreamLayer.
+type raftStream struct{ countingListener }
 
-func (l counted) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+// Dial implements raft.StreamLayer.
+func (s raftStream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", string(address), timeout)
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.in, l.out}, nil
+	return countingConn{conn, s.in, s.out}, nil
 }
 
-type countedConn struct {
-	net.Conn
-	in, out *atomic.Int64
-}
+// addressProvider finds a keeper's address by its id. The replicated list of the group holds ids only, so that a keeper
+// that moves needs another --peers and no change to that list.
+type addressProvider struct{ peers []Peer }
 
-func (c countedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.in.Add(int64(n))
-	return n, err
-}
-
-func (c countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.out.Add(int64(n))
-	return n, err
-}
-
-// stream is what the replication's transport dials and accepts with.
-type stream struct{ counted }
-
-func (s stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", string(address), timeout)
-	if err != nil {
-		return nil, err
-	}
-	return countedConn{c, s.in, s.out}, nil
-}
-
-// addresses gives a keeper's address by its id. The replicated list of the group holds ids only, so that a keeper that
-// moves needs another --peers and no change to that list.
-type addresses struct{ o *Options }
-
-func (a addresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	p, ok := a.o.peer(string(id))
-	if !ok {
+// ServerAddr implements raft.ServerAddressProvider.
+func (p addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+	i := slices.IndexFunc(p.peers, func(peer Peer) bool { return peer.ID == string(id) })
+	if i < 0 {
 		return "", fmt.Errorf("keeper %s is not among --peers", id)
 	}
-	return raft.ServerAddress(p.RaftAddr), nil
+	return raft.ServerAddress(p.peers[i].RaftAddr), nil
 }
 
-var errMuted = errors.New("this keeper has lost its folder and takes no part in elections until it has caught up")
+// errVotingSuspended answers votes that a keeper takes no part in.
+var errVotingSuspended = errors.New(
+	"this keeper has lost its folder and takes no part in elections until it has caught up")
 
-// transport is the network transport with elections shut off while muted is set. A keeper whose folder was lost has
-// forgotten which entries it said yes to; were it to vote, or stand, with what it has left, then an entry that was
-// accepted by its word could be lost.
-type transport struct {
+// electionTransport is the network transport without elections while voting is suspended. A keeper whose folder was lost
+// no longer knows which entries it has confirmed; were it to vote, or to be a candidate, with what it has left, then an
+// entry that was accepted with its confirmation could be lost.
+type electionTransport struct {
 	*raft.NetworkTransport
-	muted *atomic.Bool
-	calls chan raft.RPC
-	done  chan struct{}
+	votingSuspended *atomic.Bool
+	requests        chan raft.RPC
+	done            chan struct{}
+	filtering       sync.WaitGroup
 }
 
-func newTransport(n *raft.NetworkTransport, muted *atomic.Bool) *transport {
-	t := &transport{NetworkTransport: n, muted: muted, calls: make(chan raft.RPC), done: make(chan struct{})}
-	go t.sift()
+// newElectionTransport starts a goroutine that ends with Close.
+func newElectionTransport(network *raft.NetworkTransport, votingSuspended *atomic.Bool) *electionTransport {
+	t := &electionTransport{
+		NetworkTransport: network,
+		votingSuspended:  votingSuspended,
+		requests:         make(chan raft.RPC),
+		done:             make(chan struct{}),
+	}
+	t.filtering.Go(t.filter)
 	return t
 }
 
-func (t *transport) sift() {
+// filter passes requests on, but for those that rejectElection answers.
+func (t *electionTransport) filter() {
 	for {
-		var call raft.RPC
+		var request raft.RPC
 		select {
 		case <-t.done:
 			return
-		case call = <-t.NetworkTransport.Consumer():
+		case request = <-t.NetworkTransport.Consumer():
 		}
-		if t.muted.Load() {
-			switch call.Command.(type) {
-			case *raft.RequestVoteRequest:
-				call.Respond(&raft.RequestVoteResponse{}, errMuted)
-				continue
-			case *raft.RequestPreVoteRequest:
-				call.Respond(&raft.RequestPreVoteResponse{}, errMuted)
-				continue
-			case *raft.TimeoutNowRequest:
-				call.Respond(&raft.TimeoutNowResponse{}, errMuted)
-				continue
-			}
+		if t.votingSuspended.Load() && rejectElection(request) {
+			continue
 		}
 		select {
 		case <-t.done:
 			return
-		case t.calls <- call:
+		case t.requests <- request:
 		}
 	}
 }
 
-func (t *transport) Consumer() <-chan raft.RPC { return t.calls }
+// rejectElection answers a request that belongs to an election; false for any other.
+func rejectElection(request raft.RPC) bool {
+	switch request.Command.(type) {
+	case *raft.RequestVoteRequest:
+		request.Respond(&raft.RequestVoteResponse{}, errVotingSuspended)
+	case *raft.RequestPreVoteRequest:
+		request.Respond(&raft.RequestPreVoteResponse{}, errVotingSuspended)
+	case *raft.TimeoutNowRequest:
+		request.Respond(&raft.TimeoutNowResponse{}, errVotingSuspended)
+	default:
+		return false
+	}
+	return true
+}
+
+// Consumer implements raft.Transport.
+func (t *electionTransport) Consumer() <-chan raft.RPC { return t.requests }
 
-func (t *transport) RequestVote(id raft.ServerID, target raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
-	if t.muted.Load() {
-		return errMuted
+// RequestVote implements raft.Transport.
+func (t *electionTransport) RequestVote(
+	id raft.ServerID, target raft.ServerAddress, request *raft.RequestVoteRequest, answer *raft.RequestVoteResponse,
+) error {
+	if t.votingSuspended.Load() {
+		return errVotingSuspended
 	}
-	return t.NetworkTransport.RequestVote(id, target, q, a)
+	return t.NetworkTransport.RequestVote(id, target, request, answer)
 }
 
-func (t *transport) RequestPreVote(id raft.ServerID, target raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
-	if t.muted.Load() {
-		return errMuted
+// RequestPreVote implements raft.WithPreVote.
+func (t *electionTransport) RequestPreVote(
+	id raft.ServerID, target raft.ServerAddress, request *raft.RequestPreVoteRequest, answer *raft.RequestPreVoteResponse,
+) error {
+	if t.votingSuspended.Load() {
+		return errVotingSuspended
 	}
-	return t.NetworkTransport.RequestPreVote(id, target, q, a)
+	return t.NetworkTransport.RequestPreVote(id, target, request, answer)
 }
 
-// Close ends the sifting with the transport. It is called once, by raft.
-func (t *transport) Close() error {
+// Close implements raft.WithClose. It must be called once; raft does so.
+func (t *electionTransport) Close() error {
 	close(t.done)
+	t.filtering.Wait()
 	return t.NetworkTransport.Close()
 }
