--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -1,7 +1,6 @@
 package enginehttp
 
 import (
-	"errors"
 	"slices"
 
 	"windflow/dispatch"
@@ -9,97 +8,135 @@
 	"windflow/internal/router"
 )
 
-// conn is one connection to an engine; it carries one call at a time.
-type conn struct {
-	pool   *pool
-	engine router.Engine
-	c      netio.Conn
-	call   *call  // nil while idle
-	about  *query // the query of its last call
-	buf    []byte
-	up     bool
-	heard  float64 // when it was last read from, or came up
-	before int     // interim responses before the answer
-	dead   bool
-}
-
 // pool keeps the connections to all engines under one limit.
 type pool struct {
-	client  *Client
-	max     int
+	loop     *router.Loop
+	dialer   netio.Dialer
+	counters *Counters
+
+	maxConns         int
+	connectTimeoutMS float64
+	idleTimeoutMS    float64
+
 	total   int
-	idle    map[dispatch.EngineID][]*conn // latest used last
-	dialing []*conn                       // in the order of their dials: what is done to them must not go by chance
-	waiting []*call                       // those that may wait behind the others last
+	idle    map[dispatch.EngineID][]*conn // most recently used last
+	dialing []*conn                       // in the order of their dials, so that the order of effects is deterministic
+	queue   []*request                    // low-priority requests last
 }
 
-// submit has a call written to its engine: on an idle connection, a new one, or once one is free.
-func (p *pool) submit(c *call) {
-	idle := p.idle[c.engine.ID]
+// configure replaces the bounds, closes idle connections over the new limit and uses what room it gives.
+func (p *pool) configure(cfg Config) {
+	p.connectTimeoutMS = cfg.ConnectTimeoutMS
+	p.idleTimeoutMS = min(cfg.IdleMS/2, maxIdleMS)
+	p.maxConns = cfg.MaxConns
+	for p.total > p.maxConns && p.evict() {
+	}
+	p.serveQueue()
+}
+
+// submit sends a request on an idle connection or a new one, or queues it until a connection is free.
+func (p *pool) submit(req *request) {
+	idle := p.idle[req.engine.ID]
 	for i := len(idle) - 1; i >= 0; i-- {
-		if k := idle[i]; k.fits(c) {
-			p.takeIdle(k)
-			k.start(c)
+		if c := idle[i]; c.usableFor(req) {
+			p.removeIdle(c)
+			c.start(req)
 			return
 		}
 	}
-	if p.total >= p.max && !p.evict() {
-		p.wait(c)
+	if p.total >= p.maxConns && !p.evict() {
+		p.enqueue(req)
 		return
 	}
-	p.dial(c)
+	p.dial(req)
 }
 
-// wait queues a call. A question that may wait stands behind all others: the engine answers it late anyway, and keeps
-// the query meanwhile.
-func (p *pool) wait(c *call) {
-	i := len(p.waiting)
-	for !c.later && i > 0 && p.waiting[i-1].later {
+// enqueue queues a request. A low-priority one stands behind all others: it is a long poll, which the engine answers
+// late anyway, and the engine keeps the query meanwhile.
+func (p *pool) enqueue(r *request) {
+	i := len(p.queue)
+	for !r.lowPriority && i > 0 && p.queue[i-1].lowPriority {
 		i--
 	}
-	p.waiting = slices.Insert(p.waiting, i, c)
+	p.queue = slices.Insert(p.queue, i, r)
 }
 
-// fits tells whether a call may be written to an idle connection; see restFor. One on which something has come that is on
-// its way to the loop is of no further use, and one to an address that the engine has left leads to another engine.
-func (k *conn) fits(c *call) bool {
-	return !c.fresh && k.engine.Address == c.engine.Address &&
-		(k.about == c.about || k.pool.client.loop.Now()-k.heard >= restFor) && !k.c.HasUnread()
+// serveQueue submits queued requests for as long as there is room for them.
+func (p *pool) serveQueue() {
+	for {
+		// Aborted requests are dropped first: no connection is closed to make room for them.
+		for len(p.queue) > 0 && p.queue[0].done {
+			p.queue = p.queue[1:]
+		}
+		if len(p.queue) == 0 || p.total >= p.maxConns && !p.evict() {
+			return
+		}
+		r := p.queue[0]
+		p.queue = p.queue[1:]
+		p.submit(r)
+	}
 }
 
-// takeIdle takes a connection off the idle ones.
-func (p *pool) takeIdle(k *conn) {
-	list := p.idle[k.engine.ID]
-	if i := slices.Index(list, k); i >= 0 {
-		list = slices.Delete(list, i, i+1)
+// dequeueFor takes the first queued request that the connection may carry off the queue; nil if there is none.
+func (p *pool) dequeueFor(c *conn) *request {
+	if len(p.queue) == 0 {
+		return nil
 	}
-	if p.idle[k.engine.ID] = list; len(list) == 0 {
-		delete(p.idle, k.engine.ID) // engines come and go for good
+	i := slices.IndexFunc(p.queue, func(r *request) bool {
+		return !r.done && r.engine.ID == c.engine.ID && c.usableFor(r)
+	})
+	if i < 0 {
+		return nil
 	}
+	r := p.queue[i]
+	p.queue = slices.Delete(p.queue, i, i+1)
+	return r
 }
 
-func (p *pool) dial(c *call) {
+func (p *pool) dial(r *request) {
 	p.total++
-	p.client.Counters.Dials++
-	k := &conn{pool: p, engine: c.engine, call: c}
-	c.conn = k
-	p.dialing = append(p.dialing, k)
-	k.c = p.client.dialer.Dial(c.engine.Address, p.client.connectTimeout, k)
+	p.counters.Dials++
+	c := &conn{pool: p, loop: p.loop, engine: r.engine, request: r}
+	r.conn = c
+	p.dialing = append(p.dialing, c)
+	c.netConn = p.dialer.Dial(r.engine.Address, p.connectTimeoutMS, c)
 }
 
-// dialed takes a connection off those that are coming up.
-func (p *pool) dialed(k *conn) {
-	if i := slices.Index(p.dialing, k); i >= 0 {
+// removeDialing takes a connection off those that are being dialed.
+func (p *pool) removeDialing(c *conn) {
+	if i := slices.Index(p.dialing, c); i >= 0 {
 		p.dialing = slices.Delete(p.dialing, i, i+1)
 	}
 }
 
-// evict closes the idle connection that was silent longest.
+func (p *pool) addIdle(c *conn) {
+	p.idle[c.engine.ID] = append(p.idle[c.engine.ID], c)
+}
+
+// removeIdle takes a connection off the idle ones.
+func (p *pool) removeIdle(c *conn) {
+	list := p.idle[c.engine.ID]
+	if i := slices.Index(list, c); i >= 0 {
+		list = slices.Delete(list, i, i+1)
+	}
+	p.idle[c.engine.ID] = list
+	if len(list) == 0 {
+		delete(p.idle, c.engine.ID) // engines are replaced by others with new ids
+	}
+}
+
+// remove takes a connection that is closing out of the pool.
+func (p *pool) remove(c *conn) {
+	p.removeDialing(c)
+	p.total--
+	p.removeIdle(c)
+}
+
+// evict closes the idle connection that was not read from for the longest time; false: there is none.
 func (p *pool) evict() bool {
 	var oldest *conn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].heard < oldest.heard ||
-			list[0].heard == oldest.heard && list[0].engine.ID < oldest.engine.ID) {
+		if len(list) > 0 && (oldest == nil || list[0].idleBefore(oldest)) {
 			oldest = list[0]
 		}
 	}
@@ -110,200 +147,39 @@
 	return true
 }
 
-// next gives freed room to those that wait.
-func (p *pool) next() {
-	for {
-		// Nobody waits any more for those that were given up; no connection is closed for them.
-		for len(p.waiting) > 0 && p.waiting[0].done {
-			p.waiting = p.waiting[1:]
-		}
-		if len(p.waiting) == 0 || p.total >= p.max && !p.evict() {
-			return
-		}
-		c := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		p.submit(c)
-	}
-}
-
-// sweep closes connections that were idle for as long as an engine might keep them: a call that crosses the
-// engine's own close would be lost.
-func (p *pool) sweep() {
-	now := p.client.loop.Now()
+// closeExpired closes connections that were idle for so long that an engine might close them: a request that crosses
+// the engine's close would be lost.
+func (p *pool) closeExpired() {
+	now := p.loop.Now()
 	for _, list := range p.idle {
-		for _, k := range slices.Clone(list) {
-			if now-k.heard > p.client.idleFor {
-				k.close()
+		for _, c := range slices.Clone(list) {
+			if now-c.lastReadMS > p.idleTimeoutMS {
+				c.close()
 			}
 		}
 	}
 }
 
-// forget closes the idle connections to an engine that is gone: its address may pass to a new one.
-func (p *pool) forget(id dispatch.EngineID) {
-	for _, k := range slices.Clone(p.idle[id]) {
-		k.close()
+// closeIdle closes the idle connections to an engine that is gone: its address may pass to a new one.
+func (p *pool) closeIdle(id dispatch.EngineID) {
+	for _, c := range slices.Clone(p.idle[id]) {
+		c.close()
 	}
 }
 
-var (
-	errWithheld = errors.New("the engine gets nothing more, or is elsewhere")
-	errTooLate  = errors.New("it was not begun in time")
-)
-
-// withhold ends the calls that would start a statement on an engine and of which nothing was written. It guards
-// against work that reaches an engine after its ban was confirmed, or long after word of its drain or end: calls wait for a
-// connection, or for it to come up.
-func (p *pool) withhold(id dispatch.EngineID) {
-	calls := slices.Clone(p.waiting)
-	for _, k := range p.dialing {
-		if k.call != nil {
-			calls = append(calls, k.call)
+// cancelUnstarted aborts the requests that would start a statement on an engine and of which nothing was written. They
+// wait for a connection, queued or dialing, and would otherwise reach an engine after its cordon was confirmed, or long
+// after it was removed or moved.
+func (p *pool) cancelUnstarted(id dispatch.EngineID) {
+	requests := slices.Clone(p.queue)
+	for _, c := range p.dialing {
+		if c.request != nil {
+			requests = append(requests, c.request)
 		}
 	}
-	for _, c := range calls {
-		if c.engine.ID == id && c.begins && !c.begun {
-			c.abort(errWithheld)
+	for _, r := range requests {
+		if r.engine.ID == id && r.isStart && !r.writeStarted {
+			r.abort(errCancelled)
 		}
 	}
 }
-
-// start writes a call.
-func (k *conn) start(c *call) {
-	if latest := c.latest(); latest > 0 && k.pool.client.loop.Now() > latest {
-		k.call, c.conn = nil, nil
-		k.pool.client.loop.Post(func() { c.finish(nil, errTooLate) }) // the caller does not expect it before it has returned
-		k.free()
-		return
-	}
-	k.call, k.about, c.conn, c.begun = c, c.about, k, true
-	k.before = 0
-	if !c.once {
-		k.write(c, c.text)
-		return
-	}
-	last := len(c.text) - 1
-	if err := k.c.Write(c.text[:last]); err != nil {
-		k.unwritten(err)
-		return
-	}
-	c.timer = k.pool.client.loop.After(holdBack, func() { k.write(c, c.text[last:]) })
-}
-
-// write writes the rest of a call, after which it may have been read.
-func (k *conn) write(c *call, rest []byte) {
-	if err := k.c.Write(rest); err != nil {
-		k.unwritten(err)
-		return
-	}
-	c.wrote(k.pool.client)
-}
-
-// unwritten fails a call that was not written whole, which proves that it never ran. The end is posted: the caller does
-// not expect it before it has returned.
-func (k *conn) unwritten(err error) { k.pool.client.loop.Post(func() { k.fail(err) }) }
-
-// Opened implements netio.Handler.
-func (k *conn) Opened(c netio.Conn) {
-	k.c, k.up, k.heard = c, true, k.pool.client.loop.Now()
-	k.pool.dialed(k)
-	if k.call == nil || k.call.done { // given up while it came up
-		k.free()
-		return
-	}
-	k.start(k.call)
-}
-
-// Data implements netio.Handler.
-func (k *conn) Data(b []byte, at float64) {
-	if k.dead {
-		return
-	}
-	k.heard = at
-	if k.call == nil {
-		// Of a whole answer or of half a line, it is the same: what comes next would be read behind it.
-		k.fail(&badAnswer{errors.New("bytes on a connection that has no call")})
-		return
-	}
-	k.buf = append(k.buf, b...)
-	for len(k.buf) > 0 && !k.dead {
-		r, n, err := parseResponse(k.buf)
-		switch {
-		case err != nil:
-			k.fail(&badAnswer{err})
-			return
-		case r == nil:
-			return
-		}
-		k.buf = k.buf[n:]
-		if r.status < 200 { // an interim response
-			if k.before++; k.before > maxInterim {
-				k.fail(&badAnswer{errors.New("interim responses without end")})
-			}
-			continue
-		}
-		c := k.call
-		r.more = len(k.buf) > 0
-		if r.close || r.more || !c.written { // an engine may answer before it has read the whole call
-			k.close()
-		} else {
-			k.buf = nil
-			k.free()
-		}
-		c.finish(r, nil)
-	}
-}
-
-// Closed implements netio.Handler.
-func (k *conn) Closed(err error) {
-	if err == nil {
-		err = errors.New("closed by the engine")
-	}
-	k.fail(err)
-}
-
-// free puts the connection back.
-func (k *conn) free() {
-	k.call = nil
-	p := k.pool
-	if len(p.waiting) > 0 {
-		if i := slices.IndexFunc(p.waiting, func(c *call) bool {
-			return !c.done && c.engine.ID == k.engine.ID && k.fits(c)
-		}); i >= 0 {
-			c := p.waiting[i]
-			p.waiting = slices.Delete(p.waiting, i, i+1)
-			k.start(c)
-			return
-		}
-	}
-	p.idle[k.engine.ID] = append(p.idle[k.engine.ID], k)
-	p.next()
-}
-
-// fail ends the connection and its call.
-func (k *conn) fail(err error) {
-	if k.dead {
-		return
-	}
-	c := k.call
-	k.close()
-	if c != nil {
-		c.finish(nil, err)
-	}
-}
-
-func (k *conn) close() {
-	if k.dead {
-		return
-	}
-	k.dead = true
-	k.call = nil
-	p := k.pool
-	p.dialed(k)
-	p.total--
-	p.takeIdle(k)
-	if k.c != nil {
-		k.c.Close()
-	}
-	p.client.loop.Post(p.next)
-}
--- a/internal/enginehttp/progress.go
+++ b/internal/enginehttp/progress.go
@@ -2,48 +2,109 @@
 
 import (
 	"math"
+	"net/http"
 	"strconv"
 	"strings"
 
 	"windflow/dispatch"
 )
 
-// maxReport bounds a figure of a load report: more is no load but a fault of who tells it.
-const maxReport = 1e6
+// Headers of an engine's responses, in lower case as response keeps them.
+const (
+	headerLoad       = "backend-load"
+	headerNotStarted = "not-begun"
+	headerPageCount  = "x-parts"
+	headerPageNumber = "x-part-no"
+	headerWork       = "x-cpu-ms"
+	headerMemory     = "x-mem-used"
+	headerDetail     = "detail"
+	headerAmount     = "x-amount"
+)
+
+const (
+	// maxLoadValue bounds a value of a load report; a larger one is taken for a fault.
+	maxLoadValue = 1e6
+	// maxAmount bounds any other number of an engine.
+	maxAmount = 1e9
+	// unknownLoad is a value that a load report does not hold.
+	unknownLoad = -1
+)
+
+// provesNotStarted reports whether the engine states that it rejected the statement without starting it.
+func (r *response) provesNotStarted() bool {
+	return (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout) &&
+		r.header[headerNotStarted] == "1"
+}
+
+// parseAmount reads a number of an engine; one that is missing or out of bounds is 0.
+func parseAmount(text string) float64 {
+	amount, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(amount >= 0 && amount < maxAmount) {
+		return 0
+	}
+	return amount
+}
 
-// parseLoad reads a load report, as in 'inflight:7;util:0.61'. What it does not name, or what makes no sense, is
-// unknown; without any figure that does there is no report.
+// parseLoad reads a load report, as in 'inflight:7;util:0.61'. A value that is missing or out of bounds is unknown; nil
+// means that the report holds no valid value.
 func parseLoad(text string) *dispatch.LoadReport {
-	l := dispatch.LoadReport{InFlight: -1, Waiting: -1, Busy: -1, Disk: -1, Memory: -1, Failing: -1}
-	places := map[string]*float64{
-		"inflight": &l.InFlight, "rif": &l.InFlight, "queue": &l.Waiting, "q": &l.Waiting,
-		"util": &l.Busy, "busy": &l.Busy, "x1": &l.Disk, "x0": &l.Memory, "eps": &l.Failing, "fail_rate": &l.Failing,
+	report := dispatch.LoadReport{
+		InFlight: unknownLoad, Waiting: unknownLoad, Busy: unknownLoad, Disk: unknownLoad, Memory: unknownLoad,
+		Failing: unknownLoad,
 	}
 	known := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
-		place := places[strings.TrimSpace(name)]
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if !ok || place == nil || err != nil || math.IsNaN(v) || v < 0 || v > maxReport {
+		field := loadField(&report, strings.TrimSpace(name))
+		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		if !ok || field == nil || err != nil || math.IsNaN(number) || number < 0 || number > maxLoadValue {
 			continue
 		}
-		*place, known = v, true
+		*field, known = number, true
 	}
 	if !known {
 		return nil
 	}
-	return &l
+	return &report
+}
+
+// loadField returns the field of a load report that a name on the wire stands for; nil for an unknown name.
+func loadField(report *dispatch.LoadReport, name string) *float64 {
+	switch name {
+	case "inflight", "rif":
+		return &report.InFlight
+	case "queue", "q":
+		return &report.Waiting
+	case "util", "busy":
+		return &report.Busy
+	case "x1":
+		return &report.Disk
+	case "x0":
+		return &report.Memory
+	case "eps", "fail_rate":
+		return &report.Failing
+	}
+	return nil
 }
 
-// notes are the forms of a note on a query that is not yet over.
-var notes = map[string]dispatch.ProgressKind{"frac": dispatch.ProgressFraction, "missing": dispatch.ProgressSpilling, "parked": dispatch.ProgressBlocked}
+// Amounts of dispatch.ProgressBlocked.
+const (
+	blockedOnMemory = 1
+	blockedOnLoad   = 2
+)
+
+// progressKinds are the names of the kinds of progress on the wire.
+var progressKinds = map[string]dispatch.ProgressKind{
+	"frac": dispatch.ProgressFraction, "missing": dispatch.ProgressSpilling, "parked": dispatch.ProgressBlocked,
+}
 
-// parseNote reads the note of an answer; without one, or with one that makes no sense, the answer says only that the
-// query is not over.
-func parseNote(header map[string]string) (dispatch.ProgressKind, float64) {
-	kind, amount := notes[strings.ToLower(header["detail"])], number(header["x-amount"])
+// parseProgress reads the progress of a running query. Where it is missing or invalid, the response says only that the
+// query is alive.
+func parseProgress(header map[string]string) (dispatch.ProgressKind, float64) {
+	kind, amount := progressKinds[strings.ToLower(header[headerDetail])], parseAmount(header[headerAmount])
 	switch {
-	case kind == dispatch.ProgressFraction && amount > 1, kind == dispatch.ProgressBlocked && amount != 1 && amount != 2,
+	case kind == dispatch.ProgressFraction && amount > 1,
+		kind == dispatch.ProgressBlocked && amount != blockedOnMemory && amount != blockedOnLoad,
 		kind == dispatch.ProgressSpilling && amount == 0:
 		return dispatch.ProgressAlive, 0
 	}
--- a/internal/enginehttp/response.go
+++ b/internal/enginehttp/response.go
@@ -4,25 +4,37 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
+// Bounds on responses, in bytes.
 const (
-	maxHead = 8 << 10
-	maxPage = 6000
-	maxBody = 16 << 10 // an error may be longer than a page
-	// maxInterim is how many interim responses may stand before an answer.
-	maxInterim = 8
+	maxHead      = 8 << 10
+	maxPage      = 6000
+	maxBody      = 16 << 10 // an error may be longer than a page
+	maxChunkLine = 64
 )
 
-// response is one answer of an engine.
+// maxInterim is how many interim responses may stand before a response.
+const maxInterim = 8
+
+// response is one HTTP response of an engine.
 type response struct {
-	status int
-	header map[string]string // names in lower case
-	body   []byte
-	close  bool // the engine closes the connection after it
-	more   bool // further bytes came with it, which belong to no call
+	status        int
+	header        map[string]string // names in lower case
+	body          []byte
+	close         bool // the engine closes the connection after it
+	trailingBytes bool // further bytes came with it, which belong to no request
+}
+
+// interim reports whether the engine has yet to send the final response (1xx).
+func (r *response) interim() bool { return r.status < http.StatusOK }
+
+// hasBody reports whether the status allows for a body.
+func (r *response) hasBody() bool {
+	return !r.interim() && r.status != http.StatusNoContent && r.status != http.StatusNotModified
 }
 
 var (
@@ -30,89 +42,98 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// parseResponse reads one whole response from the start of b and gives its length; 0 means that more bytes
-// are needed. An error means that the framing is lost.
-func parseResponse(b []byte) (*response, int, error) {
-	end := bytes.Index(b, headEnd)
+// parseResponse reads one complete response from the start of data and returns its length; 0 means that more bytes are
+// needed. An error means that the end of the response cannot be found.
+func parseResponse(data []byte) (*response, int, error) {
+	end := bytes.Index(data, headEnd)
 	if end < 0 {
-		if len(b) > maxHead {
-			return nil, 0, errors.New("a response head without end")
+		if len(data) > maxHead {
+			return nil, 0, errors.New("response head without end")
 		}
 		return nil, 0, nil
 	}
-	lines := strings.Split(string(b[:end]), "\r\n")
+	resp, err := parseHead(string(data[:end]))
+	if err != nil {
+		return nil, 0, err
+	}
+	bodyStart := end + len(headEnd)
+	if !resp.hasBody() {
+		return resp, bodyStart, nil
+	}
+	if strings.EqualFold(resp.header["transfer-encoding"], "chunked") {
+		return parseChunks(resp, data, bodyStart)
+	}
+	text, ok := resp.header["content-length"]
+	length, err := strconv.Atoi(text)
+	if !ok || err != nil || length < 0 || length > maxBody {
+		return nil, 0, fmt.Errorf("content-length %.20q is missing, no number or over %d", text, maxBody)
+	}
+	bodyEnd := bodyStart + length
+	if len(data) < bodyEnd {
+		return nil, 0, nil
+	}
+	resp.body = data[bodyStart:bodyEnd:bodyEnd]
+	return resp, bodyEnd, nil
+}
+
+// parseHead reads the status line and the headers.
+func parseHead(head string) (*response, error) {
+	lines := strings.Split(head, "\r\n")
 	proto, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
-		return nil, 0, fmt.Errorf("bad status line %.60q", lines[0])
+		return nil, fmt.Errorf("bad status line %.60q", lines[0])
 	}
-	r := &response{status: status, header: map[string]string{}, close: proto == "HTTP/1.0"}
+	resp := &response{status: status, header: map[string]string{}, close: proto == "HTTP/1.0"}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.TrimSpace(name) != name {
-			return nil, 0, fmt.Errorf("bad header line %.60q", line)
+			return nil, fmt.Errorf("bad header line %.60q", line)
 		}
 		name, value = strings.ToLower(name), strings.TrimSpace(value)
-		if old, twice := r.header[name]; twice && name == "content-length" && old != value {
-			return nil, 0, fmt.Errorf("two lengths, %.20q and %.20q", old, value)
+		if old, repeated := resp.header[name]; repeated && name == "content-length" && old != value {
+			return nil, fmt.Errorf("two lengths, %.20q and %.20q", old, value)
 		}
-		r.header[name] = value
-	}
-	if token, ok := r.header["connection"]; ok {
-		r.close = strings.EqualFold(token, "close")
-	}
-	at := end + len(headEnd)
-	if status == 204 || status == 304 || status < 200 {
-		return r, at, nil
+		resp.header[name] = value
 	}
-	if strings.EqualFold(r.header["transfer-encoding"], "chunked") {
-		return parseChunks(r, b, at)
-	}
-	length, ok := r.header["content-length"]
-	n, err := strconv.Atoi(length)
-	if !ok || err != nil || n < 0 || n > maxBody {
-		return nil, 0, fmt.Errorf("content-length %.20q is missing, no number or over %d", length, maxBody)
-	}
-	if len(b) < at+n {
-		return nil, 0, nil
+	if token, ok := resp.header["connection"]; ok {
+		resp.close = strings.EqualFold(token, "close")
 	}
-	r.body = b[at : at+n : at+n]
-	return r, at + n, nil
+	return resp, nil
 }
 
-// parseChunks reads a chunked body that starts at that place.
-func parseChunks(r *response, b []byte, at int) (*response, int, error) {
+// parseChunks reads a chunked body that starts at the offset.
+func parseChunks(resp *response, data []byte, offset int) (*response, int, error) {
 	for {
-		eol := bytes.Index(b[at:], crlf)
-		if eol < 0 {
-			if len(b)-at > 64 {
-				return nil, 0, errors.New("a chunk size without end")
+		lineLength := bytes.Index(data[offset:], crlf)
+		if lineLength < 0 {
+			if len(data)-offset > maxChunkLine {
+				return nil, 0, errors.New("chunk size without end")
 			}
 			return nil, 0, nil
 		}
-		size, _, _ := strings.Cut(string(b[at:at+eol]), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(r.body)+int(n) > maxBody {
-			return nil, 0, fmt.Errorf("bad chunk size %.20q", size)
+		text, _, _ := strings.Cut(string(data[offset:offset+lineLength]), ";")
+		size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+		if err != nil || len(resp.body)+int(size) > maxBody {
+			return nil, 0, fmt.Errorf("bad chunk size %.20q", text)
 		}
-		at += eol + len(crlf)
-		if n == 0 {
-			if len(b) < at+len(crlf) {
-				return nil, 0, nil
-			}
-			if !bytes.HasPrefix(b[at:], crlf) {
+		offset += lineLength + len(crlf)
+		chunkEnd := offset + int(size)
+		next := chunkEnd + len(crlf)
+		if len(data) < next {
+			return nil, 0, nil
+		}
+		if size == 0 {
+			if !bytes.HasPrefix(data[offset:], crlf) {
 				return nil, 0, errors.New("trailers after the last chunk")
 			}
-			return r, at + len(crlf), nil
-		}
-		if len(b) < at+int(n)+len(crlf) {
-			return nil, 0, nil
+			return resp, next, nil
 		}
-		r.body = append(r.body, b[at:at+int(n)]...)
-		if !bytes.HasPrefix(b[at+int(n):], crlf) {
-			return nil, 0, errors.New("a chunk longer than its size")
+		resp.body = append(resp.body, data[offset:chunkEnd]...)
+		if !bytes.HasPrefix(data[chunkEnd:], crlf) {
+			return nil, 0, errors.New("chunk longer than its size")
 		}
-		at += int(n) + len(crlf)
+		offset = next
 	}
 }
