--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -1,8 +1,8 @@
 package netio
 
 import (
+	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"syscall"
 	"testing"
@@ -12,41 +12,98 @@
 	"windflow/internal/routertest"
 )
 
-// owing has an answer written and the connection finished as soon as it is up.
-type owing struct {
-	answer []byte
+// rejectingHandler answers the first data with a rejection and closes gracefully, twice.
+type rejectingHandler struct {
 	conn   Conn
-	closed chan struct{}
-	heard  int
+	calls  int      // of Data
+	closed chan int // receives calls
 }
 
-func (o *owing) Opened(c Conn) {
-	o.conn = c
-	_ = c.Write(o.answer)
-	c.CloseGracefully()
+func (h *rejectingHandler) Opened(conn Conn) { h.conn = conn }
+func (h *rejectingHandler) Closed(error)     { h.closed <- h.calls }
+func (h *rejectingHandler) Data([]byte, float64) {
+	h.calls++
+	_ = h.conn.Write([]byte("no"))
+	h.conn.CloseGracefully()
+	h.conn.CloseGracefully()
 }
-func (o *owing) Data([]byte, float64) { o.heard++ }
-func (o *owing) Closed(error)         { close(o.closed) }
 
-// What was written before a Finish comes whole, however late its client reads, and then the end; what the client sends
-// meanwhile is heard by nobody and resets nothing. The clock stands until the client has what it is owed: no time ends the
-// connection. It guards against an answer that is cut off in the write queue, and a close that crosses a request.
-func TestFinishSendsWhatIsOwed(t *testing.T) {
+// A client that is rejected while it sends goes on sending, reads the rejection, and is not reset: a close with unread
+// input would make its writes fail and might lose the rejection. The clock stands, so that nothing but the client ends
+// the connection here.
+func TestGracefulClose(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1})
-	o := &owing{answer: make([]byte, maxUnwritten-1), closed: make(chan struct{})}
-	n, err := New(loop, "127.0.0.1:0", func() Handler { return o }, slog.New(slog.DiscardHandler))
-	if err != nil {
+	h := &rejectingHandler{closed: make(chan int, 1)}
+	p := newPoller(t, loop, "127.0.0.1:0", func() Handler { return h })
+	t.Cleanup(routertest.RunLoop(loop))
+	c := dial(t, p.Addr())
+	if _, err := c.Write([]byte("hello")); err != nil {
 		t.Fatal(err)
 	}
-	end := routertest.RunLoop(loop)
-	defer n.Stop()
-	defer end()
-	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+	answer := make([]byte, 2)
+	if _, err := io.ReadFull(c, answer); err != nil || string(answer) != "no" {
+		t.Fatalf("%q, %v", answer, err)
+	}
+	if _, err := c.Write(make([]byte, maxLingerBytes/2)); err != nil {
+		t.Error("what the client goes on sending:", err)
+	}
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+	if calls := <-h.closed; calls != 1 {
+		t.Errorf("the handler received data %d times", calls)
+	}
+	closing := make(chan int)
+	loop.Post(func() { closing <- p.ClosingConns() })
+	if n := <-closing; n != 0 {
+		t.Errorf("%d connections are counted as closing", n)
+	}
+}
+
+// Time ends a graceful close where the client does not, and so do too many bytes.
+func TestGracefulCloseIsLimited(t *testing.T) {
+	h := &rejectingHandler{closed: make(chan int, 1)}
+	p, _ := startPoller(t, "127.0.0.1:0", func() Handler { return h })
+	for _, more := range []int{0, 4 * maxLingerBytes} {
+		c := dial(t, p.Addr())
+		_, _ = c.Write(make([]byte, 5+more)) // it may be reset; that is not under test here
+		<-h.closed
+		_ = c.Close()
+	}
+}
+
+// answeringHandler writes an answer and closes gracefully as soon as the connection is open.
+type answeringHandler struct {
+	answer []byte
+	closed chan struct{}
+	calls  int // of Data
+}
+
+func newAnsweringHandler(answer []byte) *answeringHandler {
+	return &answeringHandler{answer: answer, closed: make(chan struct{})}
+}
+
+func (h *answeringHandler) Opened(conn Conn) {
+	_ = conn.Write(h.answer)
+	conn.CloseGracefully()
+}
+func (h *answeringHandler) Data([]byte, float64) { h.calls++ }
+func (h *answeringHandler) Closed(error)         { close(h.closed) }
+
+// What was written before a graceful close arrives completely, however late its client reads, and then the end; what
+// the client sends meanwhile is dropped and resets nothing. The clock stands until the client has read all: no time
+// ends the connection. Otherwise an answer would be cut off in the write queue, or by a close that crosses a request.
+func TestGracefulCloseSendsQueuedBytes(t *testing.T) {
+	loop := router.NewLoop(&clock.Manual{MS: 1})
+	h := newAnsweringHandler(make([]byte, maxUnwritten-1))
+	p := newPoller(t, loop, "127.0.0.1:0", func() Handler { return h })
+	t.Cleanup(routertest.RunLoop(loop))
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { // a small window, so that most of the answer waits in the router
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 	}}
-	c, err := d.Dial("tcp", n.Addr())
+	c, err := dialer.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,62 +112,57 @@
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(c)
-	if err != nil || len(got) != len(o.answer) {
-		t.Fatalf("%d of %d bytes, %v", len(got), len(o.answer), err)
+	if err != nil || len(got) != len(h.answer) {
+		t.Fatalf("%d of %d bytes, %v", len(got), len(h.answer), err)
 	}
 	if _, err := c.Write([]byte("one that was sent before the end was read")); err != nil {
-		t.Error("after the end of what was owed:", err)
+		t.Error("after the end of the stream:", err)
 	}
 	_ = c.Close()
-	<-o.closed
-	if o.heard > 0 {
-		t.Error("bytes after the Finish were heard")
+	<-h.closed
+	if h.calls > 0 {
+		t.Error("the handler received bytes after the graceful close")
 	}
 }
 
-// Beyond maxFinishing at once, connections are closed without a Finish, for the descriptors' sake; at the end of the program
-// all of them finish.
-func TestFinishIsBounded(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		loop := router.NewLoop(&clock.Manual{MS: 1})
-		var all []*owing
-		n, err := New(loop, "127.0.0.1:0", func() Handler {
-			o := &owing{answer: []byte("x"), closed: make(chan struct{})}
-			all = append(all, o)
-			return o
-		}, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if ends {
-			n.BeginShutdown()
-		}
-		end := routertest.RunLoop(loop)
-		clients := make([]net.Conn, 2*maxFinishing)
-		for i := range clients {
-			if clients[i], err = net.Dial("tcp", n.Addr()); err != nil {
-				t.Fatal(err)
-			}
-			if b, err := io.ReadAll(clients[i]); err != nil || string(b) != "x" {
-				t.Error(string(b), err)
-			}
-		}
-		left := make(chan int)
-		loop.Post(func() { left <- n.ClosingConns() })
-		want := maxFinishing
-		if ends {
-			want = len(clients)
-		}
-		if got := <-left; got != want {
-			t.Errorf("end %v: %d finish, want %d", ends, got, want)
-		}
-		for _, c := range clients {
-			_ = c.Close()
-		}
-		for _, o := range all {
-			<-o.closed
+// Beyond maxGracefulCloses at once, connections are closed at once, because of their descriptors; in a shutdown all of
+// them close gracefully.
+func TestGracefulClosesAreBounded(t *testing.T) {
+	for _, shutdown := range []bool{false, true} {
+		t.Run(fmt.Sprintf("shutdown %v", shutdown), func(t *testing.T) { closeMany(t, shutdown) })
+	}
+}
+
+func closeMany(t *testing.T, shutdown bool) {
+	t.Helper()
+	loop := router.NewLoop(&clock.Manual{MS: 1})
+	var handlers []*answeringHandler
+	p := newPoller(t, loop, "127.0.0.1:0", func() Handler {
+		handlers = append(handlers, newAnsweringHandler([]byte("x")))
+		return handlers[len(handlers)-1]
+	})
+	want := maxGracefulCloses
+	clients := make([]net.Conn, 2*maxGracefulCloses)
+	if shutdown {
+		p.BeginShutdown()
+		want = len(clients)
+	}
+	t.Cleanup(routertest.RunLoop(loop))
+	for i := range clients {
+		clients[i] = dial(t, p.Addr())
+		if b, err := io.ReadAll(clients[i]); err != nil || string(b) != "x" {
+			t.Error(string(b), err)
 		}
-		end()
-		n.Stop()
+	}
+	closing := make(chan int)
+	loop.Post(func() { closing <- p.ClosingConns() })
+	if got := <-closing; got != want {
+		t.Errorf("%d connections close gracefully, want %d", got, want)
+	}
+	for _, c := range clients {
+		_ = c.Close()
+	}
+	for _, h := range handlers {
+		<-h.closed
 	}
 }
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"net"
 	"os"
 	"sync"
@@ -11,104 +12,115 @@
 	"github.com/lesismal/nbio"
 )
 
-// Listener accepts connections until it is closed. Each has a bound of its own on those that the loop has not heard of
-// yet, so that a flood on one does not hold up another.
+// acceptRetryDelay is the wait after a failed accept: short of descriptors, every call fails at once.
+const acceptRetryDelay = 20 * time.Millisecond
+
+// Listener accepts connections until it is closed. Each has its own bound on those that the loop has not handled yet,
+// so that a flood on one does not stall another.
 type Listener struct {
-	net       *Poller
-	lis       net.Listener
-	accept    func() Handler
-	unsettled chan struct{} // holds one for each connection that the loop has not heard of yet
-	done      chan struct{}
-	closing   sync.Once
-	ended     chan struct{}
-	accepted  atomic.Int32 // see Waiting
+	poller *Poller
+	log    *slog.Logger
+	lis    net.Listener
+	accept func() Handler
+
+	slots     chan struct{} // holds one for each connection that the loop has not handled yet
+	pending   atomic.Int32  // see Pending
+	done      chan struct{} // closed by Close
+	closeOnce sync.Once
+	ended     chan struct{} // closed when serve returns
 }
 
-// Serve accepts on a listener, which it takes over; accept gives each new connection's handler.
-func (n *Poller) Serve(lis net.Listener, accept func() Handler) *Listener {
+// Serve accepts connections on a listener, which it takes over; accept returns the handler of each.
+func (p *Poller) Serve(lis net.Listener, accept func() Handler) *Listener {
 	l := &Listener{
-		net: n, lis: lis, accept: accept, unsettled: make(chan struct{}, maxUnsettled),
+		poller: p, log: p.log, lis: lis, accept: accept, slots: make(chan struct{}, maxPendingAccepts),
 		done: make(chan struct{}), ended: make(chan struct{}),
 	}
-	n.mu.Lock()
-	n.listeners = append(n.listeners, l)
-	n.mu.Unlock()
-	go l.serve()
+	p.mu.Lock()
+	p.listeners = append(p.listeners, l)
+	p.mu.Unlock()
+	go l.serve() // Close ends it
 	return l
 }
 
-// Pending is the number of connections that were accepted and that the loop has not heard of.
-func (l *Listener) Pending() int { return int(l.accepted.Load()) }
+// Pending returns the number of connections that were accepted and that the loop has not handled yet.
+func (l *Listener) Pending() int { return int(l.pending.Load()) }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (l *Listener) Addr() string { return l.lis.Addr().String() }
 
-// File gives a copy of the listener's descriptor.
+// File returns a copy of the listener's descriptor.
 func (l *Listener) File() (*os.File, error) { return ListenerFile(l.lis) }
 
-// Replace accepts on another listener in place of this one, for the same handlers.
-func (l *Listener) Replace(lis net.Listener) *Listener { return l.net.Serve(lis, l.accept) }
+// Replace accepts on another listener for the same handlers.
+func (l *Listener) Replace(lis net.Listener) *Listener { return l.poller.Serve(lis, l.accept) }
 
-// Close stops accepting; the loop hears of all that was accepted before. The socket itself is closed, never shut down:
-// another process may accept from the same queue.
+// Close stops accepting; the loop handles all connections that were accepted before. The socket itself is closed, never
+// shut down: another process may accept from the same queue.
 func (l *Listener) Close() {
-	l.closing.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.done)
 		_ = l.lis.Close()
 	})
 }
 
-// acceptPause is how long serve waits after a failed accept: short of descriptors, every call fails at once.
-const acceptPause = 20 * time.Millisecond
-
-// serve accepts until the listener is closed and hands each connection to the poller.
+// serve accepts until the listener is closed and registers each connection with the poller.
 //
-// nbio's own acceptor is not used: it clears its stop mark as it comes up, so that a stop right after the start
-// is lost, and then, as on any other error of accept, it tries again without a pause and logs each failure.
+// nbio's own acceptor is not used: it clears its stop mark as it comes up, so that a stop right after the start is
+// lost, and then, as on any other error of accept, it retries without a pause and logs each failure.
 func (l *Listener) serve() {
 	defer close(l.ended)
 	for {
 		select {
-		case l.unsettled <- struct{}{}:
+		case l.slots <- struct{}{}:
 		case <-l.done:
 			return
 		}
-		c, err := l.lis.Accept()
+		netConn, err := l.lis.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			err = l.take(c)
+			err = l.register(netConn)
 		}
 		if err != nil {
-			<-l.unsettled
-			l.net.log.Warn("accept failed", "err", err)
-			time.Sleep(acceptPause)
+			<-l.slots
+			l.log.Warn("listener accept failed", "error", err)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// take hands a connection to the poller.
-func (l *Listener) take(std net.Conn) error {
-	c, err := nbio.NBConn(std)
+// register registers a connection with the poller and has the loop open it.
+func (l *Listener) register(netConn net.Conn) error {
+	conn, err := nbio.NBConn(netConn)
 	if err != nil {
-		return errors.Join(err, std.Close()) // nbio leaves it open where it could not copy the descriptor
+		return errors.Join(err, netConn.Close()) // nbio leaves it open where it could not copy the descriptor
 	}
-	_ = c.SetNoDelay(true)
-	s := &socket{net: l.net, c: c}
-	c.SetSession(s)
-	l.accepted.Add(1)
-	l.net.turns.add(c, func(err error) {
-		l.net.loop.Post(func() {
-			<-l.unsettled
-			l.accepted.Add(-1)
-			if err != nil {
-				l.net.log.Warn("accept failed", "err", err) // nbio has closed it
-				return
-			}
-			s.h = l.accept()
-			s.h.Opened(s)
-		})
-	})
+	_ = conn.SetNoDelay(true)
+	s := l.poller.newSocket(nil)
+	s.conn = conn
+	conn.SetSession(s)
+	l.pending.Add(1)
+	l.poller.accepted(conn, func(err error) { l.open(s, err) })
 	return nil
 }
+
+// accepted registers a connection and calls open in the loop after that.
+func (p *Poller) accepted(conn *nbio.Conn, open func(error)) {
+	p.registrar.register(conn, func(err error) {
+		p.loop.Post(func() { open(err) })
+	})
+}
+
+// open gives a connection its handler, unless it could not be registered. It is called in the loop's goroutine.
+func (l *Listener) open(s *socket, err error) {
+	<-l.slots
+	l.pending.Add(-1)
+	if err != nil {
+		l.log.Warn("listener accept failed", "error", err) // nbio has closed it
+		return
+	}
+	s.handler = l.accept()
+	s.handler.Opened(s)
+}
--- a/internal/netio/log.go
+++ b/internal/netio/log.go
@@ -10,24 +10,24 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// pollerLog is where nbio's warnings go. nbio has one logger for the whole process and reads it from its own
-// goroutines, so that is set once, here, and only what stands behind it changes.
+// pollerLog is the destination of nbio's warnings. nbio has one logger for the whole process and reads it from its own
+// goroutines, so that logger is set once, here, and only its destination changes.
 var pollerLog atomic.Pointer[slog.Logger]
 
-func init() { logging.SetLogger(quiet{}) }
+func init() { logging.SetLogger(nbioLogger{}) }
 
-// quiet passes nbio's warnings on to the log and drops its chatter.
-type quiet struct{}
+// nbioLogger passes nbio's warnings and errors on and drops the other messages.
+type nbioLogger struct{}
 
-func (quiet) Debug(string, ...any) {}
+func (nbioLogger) Debug(string, ...any) {}
 
-func (quiet) Info(string, ...any) {}
+func (nbioLogger) Info(string, ...any) {}
 
-func (quiet) Warn(format string, v ...any) { tell(slog.LevelWarn, format, v) }
+func (nbioLogger) Warn(format string, v ...any) { logPoller(slog.LevelWarn, format, v) }
 
-func (quiet) Error(format string, v ...any) { tell(slog.LevelError, format, v) }
+func (nbioLogger) Error(format string, v ...any) { logPoller(slog.LevelError, format, v) }
 
-func tell(level slog.Level, format string, v []any) {
+func logPoller(level slog.Level, format string, v []any) {
 	if log := pollerLog.Load(); log != nil {
 		log.Log(context.Background(), level, "poller", "text", strings.TrimSpace(fmt.Sprintf(format, v...)))
 	}
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -1,171 +1,132 @@
 package netio
 
 import (
-	"errors"
 	"net"
-	"os"
 	"sync"
-	"syscall"
 
 	"github.com/lesismal/nbio"
 )
 
-// turns hands new connections to the poller, each in the poller's own goroutine and only when it is through with all events
-// that it had in hand when the connection came.
+// registrar registers new connections with the poller, in the poller's own goroutine and only after it has handled all
+// events that it had gathered when the connection came.
 //
-// nbio knows a connection by its descriptor's number, and the poller gathers events for many numbers at once. The loop may
-// close a connection whose event is in hand and not handled yet; the system gives its number to the next connection, and
-// nbio would take the event, the end of the former one, for that one's. It guards against connections of clients and engines
-// that end right after they came up, though nobody has closed them.
-type turns struct {
-	engine *nbio.Engine
-	own    net.Conn // what is written here, the poller hears as an event of its own
+// nbio identifies a connection by its descriptor, and the poller gathers events for many descriptors at once. The
+// loop may close a connection whose event was gathered and not handled yet; the system gives its descriptor to the
+// next connection, and nbio would take the event, the end of the former connection, for one of the new connection.
+// Without the deferral, connections of clients and engines end right after they were opened, though nobody has closed
+// them.
+//
+// The poller's goroutine is entered by a byte on a connection of the registrar's own. Each such wake-up is a turn: a
+// registration is due in the second turn after it came, because the events of the turn that follows it may have been
+// gathered before.
+type registrar struct {
+	engine   *nbio.Engine
+	wakeConn net.Conn // what is written here is read by the poller
 
-	mu      sync.Mutex
-	come    []newcomer // since the last turn
-	next    []newcomer // these came before the last turn, and so before what the poller gathers after it
-	woken   bool       // a byte is on its way to the poller
-	stopped bool
+	mu          sync.Mutex
+	arrived     []registration // since the last turn
+	due         []registration // in the next turn
+	wakePending bool           // a byte is on its way to the poller
+	closed      bool
 }
 
-type newcomer struct {
-	c    *nbio.Conn // nil for one that only waits; see pass
-	then func(error)
+// registration is a connection to register; conn is nil for one that only waits for its turn.
+type registration struct {
+	conn *nbio.Conn
+	done func(error)
 }
 
-// newTurns begins the turns of a poller; it takes two descriptors.
-func newTurns(engine *nbio.Engine) (*turns, error) {
-	ends, err := pair()
+// newRegistrar returns the registrar of a poller; it uses two descriptors.
+func newRegistrar(engine *nbio.Engine) (*registrar, error) {
+	ends, err := newSocketPair()
 	if err != nil {
 		return nil, err
 	}
-	c, err := nbio.NBConn(ends[1])
+	conn, err := nbio.NBConn(ends[1])
 	if err != nil {
 		return nil, err
 	}
-	t := &turns{engine: engine, own: ends[0]}
-	if _, err := engine.AddConn(c); err != nil { // nothing has been closed yet, so that no number has been another's
+	r := &registrar{engine: engine, wakeConn: ends[0]}
+	if _, err := engine.AddConn(conn); err != nil { // nothing was closed yet, so that no descriptor is a former one
 		return nil, err
 	}
-	return t, nil
-}
-
-// pair gives two ends of one connection. Where the system gives no Unix sockets, they are TCP over loopback.
-func pair() (ends [2]net.Conn, err error) {
-	if ends, err = unixPair(); err == nil {
-		return ends, nil
-	}
-	return tcpPair()
-}
-
-func tcpPair() (ends [2]net.Conn, err error) {
-	lis, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		return ends, err
-	}
-	defer lis.Close()
-	if ends[0], err = net.Dial("tcp4", lis.Addr().String()); err != nil {
-		return ends, err
-	}
-	for { // another process may have come first
-		if ends[1], err = lis.Accept(); err != nil {
-			return ends, errors.Join(err, ends[0].Close())
-		}
-		if ends[1].RemoteAddr().String() == ends[0].LocalAddr().String() {
-			return ends, nil
-		}
-		_ = ends[1].Close()
-	}
+	return r, nil
 }
 
-func unixPair() (ends [2]net.Conn, err error) {
-	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
-	if err != nil {
-		return ends, os.NewSyscallError("socketpair", err)
-	}
-	for i, fd := range fds {
-		f := os.NewFile(uintptr(fd), "turns")
-		conn, bad := net.FileConn(f)
-		_ = f.Close()
-		if err = errors.Join(err, bad); bad == nil {
-			ends[i] = conn
-		}
-	}
-	if err == nil {
-		return ends, nil
-	}
-	for _, c := range ends {
-		if c != nil {
-			_ = c.Close()
-		}
+// register registers a connection and calls done in the poller's goroutine, before anything that was read on it is
+// handed on. With an error the connection was closed.
+func (r *registrar) register(conn *nbio.Conn, done func(error)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
+		_ = conn.Close()
+		return
 	}
-	return [2]net.Conn{}, err
+	r.enqueue(registration{conn, done})
 }
 
-// add has the poller take a connection, and calls then in the poller's goroutine, before anything that is read on it is
-// heard of. With an error the connection has been closed.
-func (t *turns) add(c *nbio.Conn, then func(error)) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.stopped {
-		_ = c.Close()
+// afterPending calls fn once the poller has handed on what had come on its connections by now, or has been stopped.
+func (r *registrar) afterPending(fn func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
+		fn()
 		return
 	}
-	t.come = append(t.come, newcomer{c, then})
-	t.wake()
+	r.enqueue(registration{done: func(error) { fn() }})
 }
 
-// pass calls f once the poller has handed on what had come on its connections by now, or has been stopped.
-func (t *turns) pass(f func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.stopped {
-		f()
-		return
-	}
-	t.come = append(t.come, newcomer{then: func(error) { f() }})
-	t.wake()
+// enqueue adds a registration and makes sure of a turn to come; r.mu is held.
+func (r *registrar) enqueue(reg registration) {
+	r.arrived = append(r.arrived, reg)
+	r.wake()
 }
 
-// wake sees to it that there is a turn to come.
-func (t *turns) wake() {
-	if !t.woken {
-		t.woken = true
-		_, _ = t.own.Write([]byte{0}) // at most one byte waits there, so that it never blocks
+// wake makes sure of a turn to come; r.mu is held.
+func (r *registrar) wake() {
+	if !r.wakePending {
+		r.wakePending = true
+		_, _ = r.wakeConn.Write([]byte{0}) // at most one byte is unread, so that it never blocks
 	}
 }
 
-// turn is called in the poller's goroutine, once for each byte. Those that came before the turn before this one are due: the
-// events that the poller has in hand now were gathered after that turn, and the former connections of these numbers had been
-// closed by then. Those that came later may have come since the events were gathered, and wait for another turn.
-func (t *turns) turn() {
-	t.mu.Lock()
-	due := t.next
-	t.next, t.come = t.come, nil
-	t.woken = false
-	if len(t.next) > 0 {
-		t.wake()
-	}
-	t.mu.Unlock()
-	for _, n := range due {
+// handleWake takes a turn. It is called in the poller's goroutine, once for each byte. Registrations that came before
+// the previous turn are due: the events that the poller handles now were gathered after that turn, and the former
+// connections of these descriptors had been closed by then. Those that came later may have come after the events were
+// gathered, and wait for another turn.
+func (r *registrar) handleWake() {
+	for _, reg := range r.nextTurn() {
 		var err error
-		if n.c != nil {
-			_, err = t.engine.AddConn(n.c)
+		if reg.conn != nil {
+			_, err = r.engine.AddConn(reg.conn)
 		}
-		n.then(err)
+		reg.done(err)
 	}
 }
 
-// close ends the turns; connections that the poller has not taken are closed.
-func (t *turns) close() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.stopped = true
-	for _, n := range append(t.next, t.come...) {
-		if n.c != nil {
-			_ = n.c.Close()
+// nextTurn returns the registrations that are due and makes those that arrived since the last turn due in the next one.
+func (r *registrar) nextTurn() []registration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	due := r.due
+	r.due, r.arrived = r.arrived, nil
+	r.wakePending = false
+	if len(r.due) > 0 {
+		r.wake()
+	}
+	return due
+}
+
+// close ends the turns and closes connections that are not registered yet.
+func (r *registrar) close() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.closed = true
+	for _, reg := range append(r.due, r.arrived...) {
+		if reg.conn != nil {
+			_ = reg.conn.Close()
 		}
 	}
-	t.next, t.come = nil, nil
-	_ = t.own.Close()
+	r.due, r.arrived = nil, nil
+	_ = r.wakeConn.Close()
 }
--- a/internal/netio/inherit_test.go
+++ b/internal/netio/shared_listener_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A listener whose socket another process makes block, again and again, as net.FileListener does, and from whose queue
-// that one takes the connections. It guards against an accept that waits in the kernel, and a Close that waits for it.
-func TestInheritedNeverWaitsInTheKernel(t *testing.T) {
+// Another process makes the socket of a listener block, again and again, as net.FileListener does, and takes
+// connections from its queue: an accept must not wait in the kernel, nor a Close for that accept.
+func TestSharedListenerNeverBlocks(t *testing.T) {
 	lis, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
-	// The other process accepts on.
+	// The other process goes on accepting.
 	next, err := Inherit(f)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -14,193 +14,205 @@
 	"windflow/internal/router"
 )
 
-// socket is one connection; all but c's own calls belongs to the loop's goroutine.
+// socket implements Conn. Its fields belong to the loop's goroutine, but for the atomic ones and calls of conn.
 type socket struct {
-	net      *Poller
-	c        *nbio.Conn // nil while it is being dialled, or adopted
-	h        Handler
-	dialing  *router.Timer
-	adopts   bool   // it is up, and the poller has not taken it yet
-	early    []byte // written until then
-	closed   bool
-	finishes bool
-	ending   *router.Timer // of a Finish
-
-	posted    atomic.Int32 // reads that the loop has not handled
-	unflushed atomic.Bool  // somebody waits for the write queue to run empty
-	flushed   []func()
-	detached  func() // runs in place of the handler's Closed
-}
-
-func (s *socket) up(c *nbio.Conn) {
-	s.dialing.Stop()
+	loop    *router.Loop
+	closes  *gracefulCloses
+	conn    *nbio.Conn // nil until it is registered with the poller
+	handler Handler    // nil until the loop has accepted the connection
+
+	dialTimer   *router.Timer
+	adopting    bool   // it is up and not registered yet
+	earlyWrites []byte // written until it is registered
+	closed      bool
+	closing     bool          // it closes gracefully
+	closeTimer  *router.Timer // of the graceful close
+
+	pendingReads atomic.Int32 // reads that the loop has not handled
+	flushWanted  atomic.Bool  // onFlushed is not empty
+	onFlushed    []func()
+	onDetached   func() // called in place of the handler's Closed
+}
+
+func (p *Poller) newSocket(handler Handler) *socket {
+	return &socket{loop: p.loop, closes: p.closes, handler: handler}
+}
+
+// connected takes the connection of a dial that has been registered.
+func (s *socket) connected(conn *nbio.Conn) {
+	s.dialTimer.Stop()
 	if s.closed {
-		_ = c.Close()
+		_ = conn.Close()
 		return
 	}
-	s.c = c
-	s.h.Opened(s)
+	s.conn = conn
+	s.handler.Opened(s)
 }
 
-// adopted goes on with a connection of another process that the poller has taken, or that it could not take.
-func (s *socket) adopted(c *nbio.Conn, err error) {
-	s.adopts = false
+// adopted takes a connection of another process that was registered, or could not be.
+func (s *socket) adopted(conn *nbio.Conn, err error) {
+	s.adopting = false
 	switch {
 	case err != nil:
-		s.shut(err)
+		s.handleClosed(err)
 	case s.closed:
-		_ = c.Close()
+		_ = conn.Close()
 	default:
-		s.c = c
-		if len(s.early) > 0 {
-			_ = s.Write(s.early)
+		s.conn = conn
+		if len(s.earlyWrites) > 0 {
+			_ = s.Write(s.earlyWrites)
 		}
-		s.early = nil
+		s.earlyWrites = nil
 		s.flush()
 	}
 }
 
-// fail ends a dial; a connection that comes up later is closed by up.
-func (s *socket) fail(err error) {
-	if s.c == nil {
-		s.shut(fmt.Errorf("%w: %w", ErrNotConnected, err))
+// failDial ends a dial. A connection that is established later is closed by connected.
+func (s *socket) failDial(err error) {
+	if s.conn == nil {
+		s.handleClosed(fmt.Errorf("%w: %w", ErrNotConnected, err))
+	}
+}
+
+// deliver hands data to the handler.
+func (s *socket) deliver(data []byte, atMS float64) {
+	if s.handler != nil && !s.closed && !s.closing {
+		s.handler.Data(data, atMS)
 	}
 }
 
-func (s *socket) shut(err error) {
-	s.dialing.Stop()
+// handleClosed handles the end of the connection, once.
+func (s *socket) handleClosed(err error) {
+	s.dialTimer.Stop()
 	if s.closed {
 		return
 	}
 	s.closed = true
-	if s.finishes {
-		s.net.finishing--
-		s.ending.Stop()
-		s.net.mu.Lock()
-		delete(s.net.dropping, s.c)
-		s.net.mu.Unlock()
-	}
-	if s.detached != nil {
-		s.detached()
+	if s.closing {
+		s.closeTimer.Stop()
+		s.closes.end(s.conn)
+	}
+	if s.onDetached != nil {
+		s.onDetached()
 		return
 	}
-	if s.h != nil {
-		s.h.Closed(err)
+	if s.handler != nil {
+		s.handler.Closed(err)
 	}
 }
 
 // Detach implements Conn. The poller closes its descriptor, which leaves the connection to the copy.
-func (s *socket) Detach(f func(*os.File)) {
-	if s.closed || s.finishes || s.c == nil || queued(s.c) > 0 {
-		f(nil)
+func (s *socket) Detach(fn func(*os.File)) {
+	if s.closed || s.closing || s.conn == nil || queuedBytes(s.conn) > 0 {
+		fn(nil)
 		return
 	}
-	s.c.Lock() // so that the poller does not close the descriptor meanwhile
 	fd, err := -1, net.ErrClosed
-	if closed, _ := s.c.IsClosed(); !closed {
-		fd, err = syscall.Dup(s.c.Hash())
-	}
-	s.c.Unlock()
+	s.withDescriptor(func(own int) { fd, err = syscall.Dup(own) })
 	if err != nil {
-		f(nil)
+		fn(nil)
 		return
 	}
 	syscall.CloseOnExec(fd)
-	s.detached = func() { f(os.NewFile(uintptr(fd), "connection")) }
-	_ = s.c.Close() // the loop hears of that behind all that was read
+	s.onDetached = func() { fn(os.NewFile(uintptr(fd), "connection")) }
+	_ = s.conn.Close() // the loop learns of it after all that was read
+}
+
+// withDescriptor calls fn with the connection's descriptor unless the poller has closed it, and keeps the poller from
+// closing it meanwhile.
+func (s *socket) withDescriptor(fn func(fd int)) {
+	s.conn.Lock()
+	defer s.conn.Unlock()
+	if closed, _ := s.conn.IsClosed(); !closed {
+		fn(s.conn.Hash())
+	}
 }
 
+// Write implements Conn.
 func (s *socket) Write(b []byte) error {
-	if s.adopts && !s.closed {
-		s.early = append(s.early, b...)
+	if s.adopting && !s.closed {
+		s.earlyWrites = append(s.earlyWrites, b...)
 		return nil
 	}
-	if s.c == nil || s.closed {
+	if s.conn == nil || s.closed {
 		return net.ErrClosed
 	}
-	_, err := s.c.Write(b) // nbio takes all of it or, with an error, nothing; the error closes the connection
+	_, err := s.conn.Write(b) // nbio takes all of it or, with an error, nothing; the error closes the connection
 	return err
 }
 
 // HasUnread implements Conn.
 func (s *socket) HasUnread() bool {
-	if s.closed || s.c == nil {
+	if s.closed || s.conn == nil {
 		return false
 	}
-	s.c.Lock() // so that the poller does not close the descriptor meanwhile
-	defer s.c.Unlock()
-	if closed, _ := s.c.IsClosed(); closed {
-		return false
-	}
-	waiting, err := unix.IoctlGetInt(s.c.Hash(), unix.TIOCINQ)
-	// In this order: the poller counts what it has read after it has read it. Between the two it is in neither figure,
-	// for less than a microsecond.
-	return err == nil && waiting > 0 || s.posted.Load() > 0
+	unread := false
+	s.withDescriptor(func(fd int) {
+		inKernel, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
+		// In this order: the poller counts what it has read after the read. Between the two it is in neither figure,
+		// for less than a microsecond.
+		unread = err == nil && inKernel > 0 || s.pendingReads.Load() > 0
+	})
+	return unread
 }
 
 // NotifyFlushed implements Conn.
-func (s *socket) NotifyFlushed(f func()) {
-	s.flushed = append(s.flushed, f)
-	s.unflushed.Store(true)
+func (s *socket) NotifyFlushed(fn func()) {
+	s.onFlushed = append(s.onFlushed, fn)
+	s.flushWanted.Store(true)
 	s.flush()
 }
 
-// flush runs those that wait for the write queue to be empty, if it is.
+// flush calls the functions that wait for the write queue to be empty, if it is.
 func (s *socket) flush() {
-	if s.closed || s.c == nil || queued(s.c) > 0 {
+	if s.closed || s.conn == nil || queuedBytes(s.conn) > 0 {
 		return
 	}
-	s.unflushed.Store(false)
-	waiting := s.flushed
-	s.flushed = nil
-	for _, f := range waiting {
-		f()
+	s.flushWanted.Store(false)
+	waiting := s.onFlushed
+	s.onFlushed = nil
+	for _, fn := range waiting {
+		fn()
 	}
 }
 
-// queued is how many bytes wait in nbio's queue of a connection. nbio tells of what it takes off that queue but neither
-// of what it writes at once nor how much is left, so the figure is read where it keeps it; a test guards the name.
-func queued(c *nbio.Conn) int {
-	c.Lock()
-	defer c.Unlock()
-	return int(reflect.ValueOf(c).Elem().FieldByName("left").Int())
+// queuedBytes returns how many bytes wait in nbio's write queue of a connection. nbio reports what it takes off the
+// queue, but neither what it writes at once nor how much is left, so the figure is read from nbio's own field; a test
+// guards the field's name.
+func queuedBytes(conn *nbio.Conn) int {
+	conn.Lock()
+	defer conn.Unlock()
+	return int(reflect.ValueOf(conn).Elem().FieldByName("left").Int())
 }
 
-// Close closes at once; what the system has taken before is still sent.
+// Close implements Conn. What the system has taken before is still sent.
 func (s *socket) Close() {
 	if s.closed {
 		return
 	}
-	s.net.loop.Post(func() { s.shut(net.ErrClosed) })
-	if s.c != nil {
-		_ = s.c.Close()
+	s.loop.Post(func() { s.handleClosed(net.ErrClosed) })
+	if s.conn != nil {
+		_ = s.conn.Close()
 	}
 }
 
 // CloseGracefully implements Conn.
 func (s *socket) CloseGracefully() {
-	switch {
-	case s.closed || s.finishes:
-	case s.c == nil || s.net.finishing >= maxFinishing && !s.net.ending:
+	if s.closed || s.closing {
+		return
+	}
+	if s.conn == nil || !s.closes.begin(s.conn) {
 		s.Close()
-	default:
-		s.net.finishing++
-		s.finishes = true
-		s.net.mu.Lock()
-		s.net.dropping[s.c] = maxDropped
-		s.net.mu.Unlock()
-		s.ending = s.net.loop.After(owedFor, s.Close)
-		s.NotifyFlushed(s.endWrites)
+		return
 	}
+	s.closing = true
+	s.closeTimer = s.loop.After(flushTimeoutMS, s.Close)
+	s.NotifyFlushed(s.closeWrite)
 }
 
-// endWrites tells the peer that no more will come, once all that was written has left.
-func (s *socket) endWrites() {
-	s.ending.Stop()
-	s.ending = s.net.loop.After(lingerFor, s.Close)
-	s.c.Lock() // so that the poller does not close the descriptor meanwhile
-	defer s.c.Unlock()
-	if closed, _ := s.c.IsClosed(); !closed {
-		_ = unix.Shutdown(s.c.Hash(), unix.SHUT_WR)
-	}
+// closeWrite ends the outgoing stream once all that was written has been sent.
+func (s *socket) closeWrite() {
+	s.closeTimer.Stop()
+	s.closeTimer = s.loop.After(lingerTimeoutMS, s.Close)
+	s.withDescriptor(func(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) })
 }
