--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -1,6 +1,3 @@
-// Package incident joins the records of routers and tells what happened: whose clock is off by how much, each engine's
-// states over time, and when service was worse than in the calm before, for whom. It is pure: records are handed in, no
-// file is opened and no clock read.
 package incident
 
 import (
@@ -11,97 +8,122 @@
 	"windflow/internal/record"
 )
 
-// Clock is what is known of a process's clock against that of the first router.
+const (
+	// minUncertaintyMS is the uncertainty that the delivery of an endpoint event and the interval of observation add.
+	minUncertaintyMS = 3.0
+	// fewEventsUncertaintyMS is the least uncertainty of a clock with fewer than fewEvents shared events.
+	fewEventsUncertaintyMS = 50.0
+	fewEvents              = 3
+	// unsynchronizedUncertaintyMS is the uncertainty of clocks without shared events: that of maintained system clocks.
+	unsynchronizedUncertaintyMS = 500.0
+	// sameRouterUncertaintyMS is added for a clock that is taken from another process of the router.
+	sameRouterUncertaintyMS = 10.0
+	// A drift is estimated from minDriftEvents on that span minDriftSpanMS. That of a quartz is below maxDrift.
+	minDriftEvents, minDriftSpanMS = 6, 20_000.0
+	maxDrift                       = 500e-6
+	// uncertaintyQuantile of the shared events lie within the uncertainty.
+	uncertaintyQuantile = 0.9
+)
+
+// Clock is the offset of a process's clock from that of the reference process.
 type Clock struct {
-	OffsetMS    float64 // to be taken off its times, at Zero
-	Drift       float64 // further milliseconds to be taken off for each of its own after Zero
+	OffsetMS    float64 // at ReferenceMS, ahead of the reference
+	Drift       float64 // further offset per unit of the process's time after ReferenceMS
 	ReferenceMS float64
-	// Within is how far a corrected time may be off, in milliseconds. Two moments that are closer than both their bounds
-	// are in no order.
+	// UncertaintyMS bounds the error of a corrected time. The order of two moments that are closer than the sum of
+	// their uncertainties is unknown.
 	UncertaintyMS float64
-	SharedEvents  int  // moments that both saw
-	Measured      bool // by marks; else the systems' clocks are taken to agree
+	SharedEvents  int  // with the reference
+	Measured      bool // by shared events; otherwise the system clocks are assumed to agree
 }
 
-// Correct gives a time of the process on the first router's clock.
-func (c Clock) Correct(at float64) float64 { return at - c.OffsetMS - c.Drift*(at-c.ReferenceMS) }
-
-const (
-	// leastMS is what the way of news from the board and the look at the module add in any case, in milliseconds.
-	leastMS = 3.0
-	// untoldMS bounds clocks that no mark ties together: those of systems whose clocks are kept.
-	untoldMS = 500.0
-	// A drift is estimated from driftMarks on that lie driftSpan apart; a quartz's is under maxDrift.
-	driftMarks, driftSpan = 6, 20_000.0
-	maxDrift              = 500e-6
-)
+// Correct converts a time of the process to the reference clock.
+func (c Clock) Correct(atMS float64) float64 { return atMS - c.OffsetMS - c.Drift*(atMS-c.ReferenceMS) }
 
-// sharedEvent names a moment that every router sees: an engine's change on the board. Ids of engines are never used again.
+// sharedEvent is an event that all routers see at about the same time: the change of an engine in the endpoint list. An
+// engine's id is never reused.
 type sharedEvent struct {
-	engine string
-	state  record.State
+	engineID string
+	state    record.State
 }
 
-// markOf tells whether a change is the board's word.
-func markOf(e *record.EngineChange) (sharedEvent, bool) {
-	switch e.State {
-	case record.Draining, record.Gone:
-		return sharedEvent{e.EngineID, e.State}, true
+// sharedEventOf reports whether a change comes from the endpoint list.
+func sharedEventOf(change *record.EngineChange) (sharedEvent, bool) {
+	if change.State != record.Draining && change.State != record.Gone {
+		return sharedEvent{}, false
 	}
-	return sharedEvent{}, false
+	return sharedEvent{change.EngineID, change.State}, true
 }
 
-// estimate compares a process's marks with the reference's.
-func estimate(own, ref map[sharedEvent]float64) Clock {
-	type pair struct{ at, off float64 }
-	var pairs []pair
-	for m, at := range own {
-		if there, ok := ref[m]; ok {
-			pairs = append(pairs, pair{at, at - there})
+// offsetSample is the offset of a clock at a shared event.
+type offsetSample struct{ atMS, offsetMS float64 }
+
+// estimateClock estimates the clock that saw the events of own against the one that saw those of reference.
+func estimateClock(own, reference map[sharedEvent]float64) Clock {
+	var samples []offsetSample
+	for event, atMS := range own {
+		if referenceMS, ok := reference[event]; ok {
+			samples = append(samples, offsetSample{atMS, atMS - referenceMS})
 		}
 	}
-	if len(pairs) == 0 {
-		return Clock{UncertaintyMS: untoldMS}
+	if len(samples) == 0 {
+		return Clock{UncertaintyMS: unsynchronizedUncertaintyMS}
+	}
+	slices.SortFunc(samples, func(a, b offsetSample) int { return cmp.Compare(a.atMS, b.atMS) })
+	clock := Clock{
+		ReferenceMS: samples[0].atMS, SharedEvents: len(samples), Measured: true, Drift: estimateDrift(samples),
 	}
-	slices.SortFunc(pairs, func(a, b pair) int { return cmp.Compare(a.at, b.at) })
-	c := Clock{ReferenceMS: pairs[0].at, SharedEvents: len(pairs), Measured: true}
-	// Theil and Sen: the median of all slopes, which a few marks that came late don't move.
-	if span := pairs[len(pairs)-1].at - pairs[0].at; len(pairs) >= driftMarks && span >= driftSpan {
-		var slopes []float64
-		for i, a := range pairs {
-			for _, b := range pairs[i+1:] {
-				if b.at-a.at >= driftSpan/4 {
-					slopes = append(slopes, (b.off-a.off)/(b.at-a.at))
-				}
+	residuals := make([]float64, len(samples))
+	for i, sample := range samples {
+		residuals[i] = sample.offsetMS - clock.Drift*(sample.atMS-clock.ReferenceMS)
+	}
+	clock.OffsetMS = median(residuals)
+	clock.UncertaintyMS = uncertainty(residuals, clock.OffsetMS)
+	return clock
+}
+
+// estimateDrift returns the Theil-Sen estimate, the median of all slopes, which a few events that arrived late don't
+// move. The samples are sorted by time. It returns 0 for samples that are too few or too close.
+func estimateDrift(samples []offsetSample) float64 {
+	span := samples[len(samples)-1].atMS - samples[0].atMS
+	if len(samples) < minDriftEvents || span < minDriftSpanMS {
+		return 0
+	}
+	var slopes []float64
+	for i, first := range samples {
+		for _, second := range samples[i+1:] {
+			if apart := second.atMS - first.atMS; apart >= minDriftSpanMS/4 {
+				slopes = append(slopes, (second.offsetMS-first.offsetMS)/apart)
 			}
 		}
-		c.Drift = min(max(median(slopes), -maxDrift), maxDrift)
-	}
-	rest := make([]float64, len(pairs))
-	for i, p := range pairs {
-		rest[i] = p.off - c.Drift*(p.at-c.ReferenceMS)
 	}
-	c.OffsetMS = median(rest)
-	for i := range rest {
-		rest[i] = math.Abs(rest[i] - c.OffsetMS)
+	return min(max(median(slopes), -maxDrift), maxDrift)
+}
+
+// uncertainty returns the bound for a clock whose offset was sampled with those values. It is wider for few samples.
+func uncertainty(offsets []float64, offsetMS float64) float64 {
+	deviations := make([]float64, len(offsets))
+	for i, sample := range offsets {
+		deviations[i] = math.Abs(sample - offsetMS)
 	}
-	slices.Sort(rest)
-	// Nine of ten marks lie within; few marks say little of the rest.
-	c.UncertaintyMS = leastMS + rest[min(int(0.9*float64(len(rest))), len(rest)-1)]*(1+2/float64(len(rest)))
-	if len(pairs) < 3 {
-		c.UncertaintyMS = max(c.UncertaintyMS, 50)
+	slices.Sort(deviations)
+	count := float64(len(deviations))
+	typical := deviations[min(int(uncertaintyQuantile*count), len(deviations)-1)]
+	bound := minUncertaintyMS + typical*(1+2/count)
+	if len(deviations) < fewEvents {
+		return max(bound, fewEventsUncertaintyMS)
 	}
-	return c
+	return bound
 }
 
-func median(v []float64) float64 {
-	if len(v) == 0 {
+func median(values []float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	v = slices.Clone(v)
-	slices.Sort(v)
-	if n := len(v); n%2 == 0 {
-		return (v[n/2-1] + v[n/2]) / 2
+	sorted := slices.Sorted(slices.Values(values))
+	middle := len(sorted) / 2
+	if len(sorted)%2 == 0 {
+		return (sorted[middle-1] + sorted[middle]) / 2
 	}
-	return v[len(v)/2]
+	return sorted[middle]
 }
--- /dev/null
+++ b/internal/incident/synchronize.go
@@ -0,0 +1,88 @@
+package incident
+
+// clockSync relates the clocks of processes to that of a reference process, by the events that they share with it or
+// with a process that is synchronized already: one that ended early and one that started late are related through a
+// third.
+type clockSync struct {
+	processes    []*process
+	clocks       []Clock
+	synchronized []bool
+	events       map[sharedEvent]float64 // on the reference clock
+}
+
+// synchronizeClocks returns the clock of each process. The reference is the process with the most shared events.
+func synchronizeClocks(processes []*process) []Clock {
+	sync := &clockSync{
+		processes:    processes,
+		clocks:       make([]Clock, len(processes)),
+		synchronized: make([]bool, len(processes)),
+		events:       map[sharedEvent]float64{},
+	}
+	reference := mostSharedEvents(processes)
+	sync.set(reference, Clock{
+		Measured: true, UncertaintyMS: minUncertaintyMS,
+		SharedEvents: len(processes[reference].sharedEvents), ReferenceMS: processes[reference].fromMS,
+	})
+	for next := sync.next(); next >= 0; next = sync.next() {
+		sync.set(next, estimateClock(processes[next].sharedEvents, sync.events))
+	}
+	for i := range processes {
+		if !sync.synchronized[i] {
+			sync.clocks[i] = sync.assumedClock(processes[i])
+		}
+	}
+	return sync.clocks
+}
+
+func mostSharedEvents(processes []*process) (index int) {
+	for i, process := range processes {
+		if len(process.sharedEvents) > len(processes[index].sharedEvents) {
+			index = i
+		}
+	}
+	return index
+}
+
+// set notes a process's clock, and with it its events on the reference clock.
+func (s *clockSync) set(index int, clock Clock) {
+	s.clocks[index], s.synchronized[index] = clock, true
+	for event, atMS := range s.processes[index].sharedEvents {
+		if _, known := s.events[event]; !known {
+			s.events[event] = clock.Correct(atMS)
+		}
+	}
+}
+
+// next returns the process that shares the most events with the synchronized ones, and -1 where none shares any.
+func (s *clockSync) next() int {
+	best, most := -1, 0
+	for i, process := range s.processes {
+		if s.synchronized[i] {
+			continue
+		}
+		shared := 0
+		for event := range process.sharedEvents {
+			if _, known := s.events[event]; known {
+				shared++
+			}
+		}
+		if shared > most {
+			best, most = i, shared
+		}
+	}
+	return best
+}
+
+// assumedClock returns the clock of a process without shared events: that of another process of its router, which
+// runs on the same machine but read the system clock at its own start, and otherwise one without offset.
+func (s *clockSync) assumedClock(of *process) Clock {
+	for i, other := range s.processes {
+		if s.synchronized[i] && other.header.Router == of.header.Router {
+			clock := s.clocks[i]
+			clock.SharedEvents = 0
+			clock.UncertaintyMS += minUncertaintyMS + sameRouterUncertaintyMS
+			return clock
+		}
+	}
+	return Clock{UncertaintyMS: unsynchronizedUncertaintyMS, ReferenceMS: of.fromMS}
+}
--- a/internal/incident/timeline_test.go
+++ b/internal/incident/timeline_test.go
@@ -9,15 +9,15 @@
 	"windflow/internal/record"
 )
 
-// fleet plays routers that write records: each has a clock of its own, and all see the same engines.
+// fleet simulates routers that write records. Each has its own clock, and all see the same engines.
 type fleet struct {
 	rng     *rand.Rand
-	j       *Joiner
-	routers []*clocked
+	joiner  *Joiner
+	routers []*testRouter
 }
 
-type clocked struct {
-	head   record.Header
+type testRouter struct {
+	header record.Header
 	offset float64
 	drift  float64
 }
@@ -25,10 +25,10 @@
 const zero = 1_796_000_000_000.0
 
 func newFleet(seed uint64, offsets, drifts []float64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), j: NewJoiner()}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), joiner: NewJoiner()}
 	for i, off := range offsets {
-		f.routers = append(f.routers, &clocked{
-			head: record.Header{
+		f.routers = append(f.routers, &testRouter{
+			header: record.Header{
 				Version: 1, Router: fmt.Sprint("n", i), Incarnation: 2,
 				ProcessID: fmt.Sprint("p", i),
 				Classes: []record.Class{
@@ -41,75 +41,79 @@
 	return f
 }
 
-// on gives a true time on a router's clock, with what the way of news adds.
-func (f *fleet) on(r *clocked, at float64) float64 {
+// on converts a true time to a router's clock, with a random delay of delivery.
+func (f *fleet) on(r *testRouter, at float64) float64 {
 	return zero + at + r.offset + r.drift*at + 2*f.rng.Float64()
 }
 
 func (f *fleet) change(at float64, id string, state record.State) {
 	for _, r := range f.routers {
-		f.j.Add(&r.head, &record.EngineChange{AtMS: f.on(r, at), EngineID: id, State: state})
+		f.joiner.Add(&r.header, &record.EngineChange{AtMS: f.on(r, at), EngineID: id, State: state})
 	}
 }
 
-// second has each router serve for a second; hurt is the share of look-ups that are refused.
-func (f *fleet) second(at float64, hurt float64, skip int) {
+// second has each router but skip serve for a second; rejected is the share of lookups that it rejects.
+func (f *fleet) second(at float64, rejectedShare float64, skip int) {
 	for i, r := range f.routers {
 		if i == skip {
 			continue
 		}
 		n := 80 + f.rng.IntN(10)
-		refused := int(hurt * float64(n))
-		f.j.Add(&r.head, &record.Interval{AtMS: f.on(r, at), DurationMS: 1000, Classes: []record.ClassStats{
-			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - refused - n/50, Late: n / 50, Rejected: refused},
+		rejected := int(rejectedShare * float64(n))
+		f.joiner.Add(&r.header, &record.Interval{AtMS: f.on(r, at), DurationMS: 1000, Classes: []record.ClassStats{
+			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
 			{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
 		}})
 	}
 }
 
-// Clocks up to 400 ms apart and drifting are tied together by what their routers saw, within the bound that is told, and no
-// two moments that are closer than it are put in an order.
-func TestClocksAreTied(t *testing.T) {
+// Clocks up to 400 ms apart and drifting are synchronized by the events that their routers share, within the
+// uncertainty that is reported.
+func TestClocksAreSynchronized(t *testing.T) {
 	offsets, drifts := []float64{0, 400, -250}, []float64{0, 100e-6, -200e-6}
 	f := newFleet(7, offsets, drifts)
 	for i := range 20 {
 		f.change(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
 		f.second(float64(6000*i), 0, -1)
 	}
-	s := f.j.Timeline()
-	first := s.Processes[0].Clock
-	for i, p := range s.Processes {
+	timeline := f.joiner.Timeline()
+	first := timeline.Processes[0].Clock
+	for i, p := range timeline.Processes {
 		if !p.Clock.Measured || p.Clock.UncertaintyMS > 15 {
 			t.Errorf("%s: %+v", p.Router, p.Clock)
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
-			// The reference is one of the three; what counts is that they agree.
+			// The reference may be any of the three; they have to agree.
 			mine := p.Clock.Correct(zero + at + offsets[i] + drifts[i]*at)
 			ref := first.Correct(zero + at + offsets[0] + drifts[0]*at)
 			if off := math.Abs(mine - ref); off > p.Clock.UncertaintyMS+first.UncertaintyMS {
-				t.Errorf("%s at %v: off by %.1f ms, told within %.1f", p.Router, at, off, p.Clock.UncertaintyMS)
+				t.Errorf("%s at %v: off by %.1f ms, reported within %.1f", p.Router, at, off, p.Clock.UncertaintyMS)
 			}
 		}
 	}
 }
 
-// A calm run names no incident, and one that has an incident names it, when and for whom; the second of two is its own.
-func TestIncidentsAreFound(t *testing.T) {
+// A run without losses has no incident.
+func TestCalmRunHasNoIncident(t *testing.T) {
 	for seed := range uint64(20) {
 		calm := newFleet(seed, []float64{0, 5}, []float64{0, 0})
 		for i := range 120 {
 			calm.second(float64(1000*i), 0.01, -1)
 		}
-		if s := calm.j.Timeline(); len(s.Incidents) != 0 {
-			t.Fatalf("seed %d: a calm run has %+v", seed, s.Incidents)
+		if timeline := calm.joiner.Timeline(); len(timeline.Incidents) != 0 {
+			t.Fatalf("seed %d: a calm run has %+v", seed, timeline.Incidents)
 		}
 	}
-	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
+}
+
+// playTwoIncidents has requests rejected from second 60 to 75, while an engine is down, and from 150 to 156. The
+// records of router n2 are missing for half of the first.
+func playTwoIncidents(f *fleet) {
 	f.change(500, "s-00000001", record.Normal)
 	for i := range 200 {
-		hurt := 0.0
+		rejected := 0.0
 		if i >= 60 && i < 75 || i >= 150 && i < 156 {
-			hurt = 0.5
+			rejected = 0.5
 		}
 		if i == 60 {
 			f.change(60_000, "s-00000001", record.Down)
@@ -119,51 +123,72 @@
 		}
 		skip := -1
 		if i >= 65 && i < 72 {
-			skip = 2 // one router's records are missing for half of it
+			skip = 2
 		}
 		if i%10 == 5 {
 			f.change(float64(1000*i), fmt.Sprintf("s-1%07x", i), record.Gone)
 		}
-		f.second(float64(1000*i), hurt, skip)
-	}
-	s := f.j.Timeline()
-	if len(s.Incidents) != 2 {
-		t.Fatalf("%+v", s.Incidents)
+		f.second(float64(1000*i), rejected, skip)
 	}
-	in := s.Incidents[0]
-	if from, to := (in.FromMS-s.FromMS)/1000, (in.ToMS-s.FromMS)/1000; math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
+}
+
+// Each of two incidents is found, with its time, whom it affected, the engine that was down, and the gap in the
+// records.
+func TestIncidentsAreFound(t *testing.T) {
+	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
+	playTwoIncidents(f)
+	timeline := f.joiner.Timeline()
+	if len(timeline.Incidents) != 2 {
+		t.Fatalf("%+v", timeline.Incidents)
+	}
+	first := timeline.Incidents[0]
+	from, to := (first.FromMS-timeline.FromMS)/1000, (first.ToMS-timeline.FromMS)/1000
+	if math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
 		t.Errorf("from %.0f s to %.0f s", from, to)
 	}
-	if h := in.Impacts[0]; h.Class != "lookup" || h.Tenant != "a" || h.LossShare < 0.95 || h.Loss < 0.3 || h.BaselineLoss > 0.05 {
-		t.Errorf("%+v", h)
+	worst := first.Impacts[0]
+	if worst.Class != "lookup" || worst.Tenant != "a" {
+		t.Errorf("%+v", worst)
 	}
-	missing := 0
-	for _, m := range s.Gaps {
-		if m.Router == "n2" && m.ToMS-m.FromMS > 6000 {
-			missing++
-		}
+	if worst.LossShare < 0.95 || worst.Loss < 0.3 || worst.BaselineLoss > 0.05 {
+		t.Errorf("%+v", worst)
 	}
-	if missing != 1 {
-		t.Errorf("missing: %+v", s.Gaps)
+	if gaps := countGaps(timeline, "n2", 6000); gaps != 1 {
+		t.Errorf("gaps: %+v", timeline.Gaps)
 	}
-	down := 0
-	for _, e := range s.Engines {
-		for _, span := range e.Spans {
-			if e.EngineID == "s-00000001" && span.State == record.Down && span.FromMS < in.ToMS && span.ToMS > in.FromMS {
-				down++
-			}
+	if down := countDown(timeline, "s-00000001", first); down != 3 {
+		t.Errorf("the engine was down for %d routers", down)
+	}
+}
+
+// countGaps counts the gaps of a router that are longer than leastMS.
+func countGaps(timeline *Timeline, router string, leastMS float64) (gaps int) {
+	for _, gap := range timeline.Gaps {
+		if gap.Router == router && gap.ToMS-gap.FromMS > leastMS {
+			gaps++
 		}
 	}
-	if down != 3 {
-		t.Errorf("the engine was down in the eyes of %d routers", down)
+	return gaps
+}
+
+// countDown counts the spans of an incident in which an engine was down.
+func countDown(timeline *Timeline, engineID string, in Incident) (spans int) {
+	for _, engine := range timeline.Engines {
+		for _, span := range engine.Spans {
+			overlaps := span.FromMS < in.ToMS && span.ToMS > in.FromMS
+			if engine.EngineID == engineID && span.State == record.Down && overlaps {
+				spans++
+			}
+		}
 	}
+	return spans
 }
 
-// Two processes of an upgrade have one router's name, and the newer one may share no mark with anybody.
+// Two processes of a hot restart have one router's name, and the successor may share no event with any other.
 func TestTwoProcessesOfARouter(t *testing.T) {
 	f := newFleet(5, []float64{0, 300}, []float64{0, 0})
-	next := &clocked{head: f.routers[1].head, offset: 300}
-	next.head.ProcessID, next.head.Incarnation = "p1b", 3
+	next := &testRouter{header: f.routers[1].header, offset: 300}
+	next.header.ProcessID, next.header.Incarnation = "p1b", 3
 	for i := range 60 {
 		if i == 30 {
 			f.routers[1] = next
@@ -173,20 +198,21 @@
 		}
 		f.second(float64(1000*i), 0, -1)
 	}
-	s := f.j.Timeline()
-	if len(s.Processes) != 3 || s.Processes[2].Router != "n1" || s.Processes[2].Incarnation != 3 {
-		t.Fatalf("%+v", s.Processes)
+	timeline := f.joiner.Timeline()
+	if len(timeline.Processes) != 3 || timeline.Processes[2].Router != "n1" || timeline.Processes[2].Incarnation != 3 {
+		t.Fatalf("%+v", timeline.Processes)
 	}
-	if c := s.Processes[2].Clock; math.Abs(c.OffsetMS-s.Processes[1].Clock.OffsetMS) > 0.001 || c.UncertaintyMS <= s.Processes[1].Clock.UncertaintyMS {
-		t.Errorf("%+v after %+v", c, s.Processes[1].Clock)
+	before, after := timeline.Processes[1].Clock, timeline.Processes[2].Clock
+	if math.Abs(after.OffsetMS-before.OffsetMS) > 0.001 || after.UncertaintyMS <= before.UncertaintyMS {
+		t.Errorf("%+v after %+v", after, before)
 	}
-	if len(s.Incidents) != 0 {
-		t.Errorf("%+v", s.Incidents)
+	if len(timeline.Incidents) != 0 {
+		t.Errorf("%+v", timeline.Incidents)
 	}
 }
 
-func TestNothing(t *testing.T) {
-	if s := NewJoiner().Timeline(); len(s.Processes)+len(s.Incidents) != 0 {
-		t.Errorf("%+v", s)
+func TestTimelineWithoutRecords(t *testing.T) {
+	if timeline := NewJoiner().Timeline(); len(timeline.Processes)+len(timeline.Incidents) != 0 {
+		t.Errorf("%+v", timeline)
 	}
 }
