--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -15,12 +15,13 @@
 	"windflow/internal/record"
 )
 
-// goldenSegments holds the segments of three routers: two that write has write, and one with each kind of record.
+// goldenSegments has the segments of three routers: the two of writeIncident, and one with each kind of record.
 const goldenSegments = "segments.tar.gz"
 
 // recordSegments writes the golden segments with this program.
 func recordSegments(t *testing.T) {
-	dir := write(t)
+	t.Helper()
+	dir := writeIncident(t)
 	cfg := record.DefaultConfig
 	cfg.Dir = dir
 	at := zero
@@ -70,7 +71,7 @@
 	}
 }
 
-// What is printed of segments that an earlier program wrote is what was printed then.
+// The output for segments that an earlier program wrote is what that program printed.
 func TestGoldenRecords(t *testing.T) {
 	goldentest.AllFieldsSet(t, fullRecords())
 	if goldentest.Recording(t, goldenSegments) {
@@ -91,18 +92,21 @@
 		{"records-check.txt", []string{"records", "check", dir}},
 		{
 			"records-cut.txt",
-			[]string{"records", "cut", "--from", stamp(zero + 58_000), "--to", stamp(zero + 61_000), "-o", cut, dir},
+			[]string{
+				"records", "cut", "--from", formatTime(zero + 58_000), "--to", formatTime(zero + 61_000), "-o", cut,
+				dir,
+			},
 		},
 		{"records-cut-cat.txt", []string{"records", "cat", cut}},
 		{"incident.txt", []string{"incident", dir}},
 	} {
 		out, bad, err := run(t, k.args...)
-		said := fmt.Sprintf("%s%s%v\n", out, bad, err)
-		goldentest.Equal(t, k.file, []byte(strings.ReplaceAll(said, dir, "DIR")))
+		printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
+		goldentest.Equal(t, k.file, []byte(strings.ReplaceAll(printed, dir, "DIR")))
 	}
 }
 
-// What is told of a segment that is cut off, one that is damaged and one that is none is what was told before.
+// The output for a truncated segment, a damaged one and a file that is none is what an earlier program printed.
 func TestGoldenRecordsDamaged(t *testing.T) {
 	dir := goldentest.Unpack(t, goldentest.Read(t, goldenSegments))
 	files, err := record.SegmentFiles(dir)
@@ -127,7 +131,8 @@
 		}
 	}
 	out, bad, err := run(t, "records", "check", dir)
-	goldentest.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(fmt.Sprintf("%s%s%v\n", out, bad, err), dir, "DIR")))
+	printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
+	goldentest.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(printed, dir, "DIR")))
 }
 
 // The calls at a door, and what is printed of its answers, are what they were.
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -59,7 +59,7 @@
 	enc := json.NewEncoder(&out)
 	for _, r := range recordSamples() {
 		golden.Full(t, r)
-		if err := enc.Encode(line{kindOf(r), "n0", 2, "p-3", stamp(r.TimeMS()), r}); err != nil {
+		if err := enc.Encode(printedRecord{kindName(r), "n0", 2, "p-3", formatTime(r.TimeMS()), r}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -14,8 +14,9 @@
 
 const zero = 1_796_000_000_000.0
 
-// write has two routers, 250 ms apart, write two minutes of records, in the middle of which an engine is down.
-func write(t *testing.T) string {
+// writeIncident writes two minutes of records of two routers whose clocks are 250 ms apart. An engine is down for ten
+// seconds in the middle.
+func writeIncident(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i, offset := range []float64{0, 250} {
@@ -95,7 +96,7 @@
 }
 
 func TestRecordsCommands(t *testing.T) {
-	dir := write(t)
+	dir := writeIncident(t)
 	out, _, err := run(t, "records", "check", dir)
 	if err != nil || strings.Count(out, ": ok\n") != 2 {
 		t.Error(out, err)
@@ -111,21 +112,24 @@
 			t.Errorf("%s: %v", l, err)
 		}
 	}
-	if _, _, err := run(t, "records", "cat", "--kind", "x", dir); err == nil || !strings.Contains(err.Error(), "--kind") {
+	_, _, err = run(t, "records", "cat", "--kind", "x", dir)
+	if err == nil || !strings.Contains(err.Error(), "--kind") {
 		t.Error(err)
 	}
 	cut := filepath.Join(t.TempDir(), "cut")
-	out, _, err = run(t, "records", "cut", "--from", "2026-11-30T00:00:00Z", "--to", "2026-11-30T00:00:00Z", "-o", cut, dir)
+	const at = "2026-11-30T00:00:00Z"
+	out, _, err = run(t, "records", "cut", "--from", at, "--to", at, "-o", cut, dir)
 	if err == nil || !strings.Contains(err.Error(), "--to") {
 		t.Error(out, err)
 	}
-	if out, _, err = run(t, "records", "cut", "--from", stamp(zero+50_000), "--to", stamp(zero+80_000), "-o", cut, dir); err != nil {
+	from, to := formatTime(zero+50_000), formatTime(zero+80_000)
+	if out, _, err = run(t, "records", "cut", "--from", from, "--to", to, "-o", cut, dir); err != nil {
 		t.Error(out, err)
 	}
 	if out, _, err = run(t, "incident", cut); err != nil || !strings.Contains(out, "Incident 1") {
 		t.Error(out, err)
 	}
-	// A damaged file is told of and fails the check; a cut one does not.
+	// A damaged file is reported and fails the check; a truncated one is reported alone.
 	files, _ := record.SegmentFiles(dir)
 	text, _ := os.ReadFile(files[0])
 	if err := os.WriteFile(files[0], text[:len(text)-3], 0o600); err != nil {
@@ -141,14 +145,16 @@
 	if out, _, err = run(t, "records", "check", dir); err == nil || !strings.Contains(out, "damaged from byte") {
 		t.Error(out, err)
 	}
-	if _, _, err = run(t, "records", "check", t.TempDir()); err == nil || !strings.Contains(err.Error(), "no segments") {
+	_, _, err = run(t, "records", "check", t.TempDir())
+	if err == nil || !strings.Contains(err.Error(), "no segments") {
 		t.Error(err)
 	}
 }
 
-// The incident, whose clock is off, who was hurt and the engine are named; no escape code of a hostile name passes.
+// The report names the incident, the clock's offset, who was affected and the engine. It has no escape code of a
+// router's name.
 func TestIncidentCommand(t *testing.T) {
-	out, _, err := run(t, "incident", write(t))
+	out, _, err := run(t, "incident", writeIncident(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A thread that stands in a wait is told with its length, also where its name holds brackets, and where the process ends in it.
+// A thread's wait is printed with its length, also where the thread's name has parentheses and where the process ends
+// in the wait.
 func TestThreads(t *testing.T) {
 	proc := t.TempDir()
 	put := func(tid, state, channel string) {
@@ -25,7 +26,7 @@
 		}
 	}
 	var out strings.Builder
-	w := newWatch(300 * time.Millisecond)
+	w := newThreadWatch(300*time.Millisecond, &out)
 	for i := range 10 {
 		put("71", "S", "ep_poll")
 		put("72", "S", "futex_wait_queue")
@@ -35,13 +36,13 @@
 		if err := os.WriteFile(filepath.Join(proc, "71", "comm"), []byte("windflow\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		w.take(time.Duration(i)*100*time.Millisecond, sample(proc, "windflow", nil), &out)
-		if got := sample(proc, "other", nil); len(got) != 0 {
+		w.add(time.Duration(i)*100*time.Millisecond, sampleThreads(proc, "windflow", nil))
+		if got := sampleThreads(proc, "other", nil); len(got) != 0 {
 			t.Fatal(got)
 		}
 	}
-	w.take(time.Second, nil, &out)
-	if err := w.report(&out); err != nil {
+	w.add(time.Second, nil)
+	if err := w.summarize(); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -54,8 +55,9 @@
 	}
 }
 
-func TestThreadsOfNobody(t *testing.T) {
-	if _, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms"); err == nil || !strings.Contains(err.Error(), "no such process") {
+func TestThreadsWithoutProcess(t *testing.T) {
+	_, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms")
+	if err == nil || !strings.Contains(err.Error(), "no such process") {
 		t.Error(err)
 	}
 	if _, _, err := run(t, "threads", "--every", "0s"); err == nil || !strings.Contains(err.Error(), "--every") {
