--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"windflow/internal/decide/configlog"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/keeper"
 	"windflow/internal/validate"
 )
@@ -111,11 +111,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("--base: %s: %w", file, err)
 	}
-	return func(entries map[string]json.RawMessage) *configlog.ChangeError {
-		if f := validate.Entries(base, entries); f != nil {
-			return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: f.Pointer, Reason: f.Reason}
-		}
-		return nil
+	return func(entries map[string]json.RawMessage) *configerror.Error {
+		return configerror.From(validate.Entries(base, entries))
 	}, nil
 }
 
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -44,16 +45,6 @@
 // ErrShuttingDown says that the router ends: nothing is said of the revision then.
 var ErrShuttingDown = errors.New("the router ends")
 
-// Rejection is why a revision can't be in force, with the JSON pointer of the entry at fault, empty where it is none of them.
-type Rejection struct{ Pointer, Reason string }
-
-func (r *Rejection) Error() string {
-	if r.Pointer == "" {
-		return r.Reason
-	}
-	return r.Pointer + ": " + r.Reason
-}
-
 // Revision is the content of a revision. The entries may not be written to.
 type Revision struct {
 	Revision uint64                     `json:"revision"`
@@ -61,7 +52,7 @@
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// Apply brings a revision in force, whole or not at all; a Refusal is then said to the keepers.
+// Apply brings a revision in force, whole or not at all; an error is reported to the keepers, with the pointer of a *configerror.Error.
 type Apply func(Revision) error
 
 // Counters count what happened; the last two are figures that stand.
@@ -336,10 +327,7 @@
 		c.stop()
 		return
 	}
-	var r *Rejection
-	if !errors.As(err, &r) {
-		r = &Rejection{Reason: err.Error()}
-	}
+	r := configerror.From(err)
 	c.state.Reject(r.Pointer, r.Reason)
 	if errors.Is(err, ErrSuperseded) {
 		return
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"windflow/internal/configclient/keepertest"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -22,12 +23,12 @@
 type router struct {
 	mu     sync.Mutex
 	put    []Revision
-	refuse map[uint64]*Rejection
+	refuse map[uint64]*configerror.Error
 	came   chan uint64
 }
 
 func newRouter() *router {
-	return &router{refuse: map[uint64]*Rejection{}, came: make(chan uint64, 4096)}
+	return &router{refuse: map[uint64]*configerror.Error{}, came: make(chan uint64, 4096)}
 }
 
 func (r *router) apply(rev Revision) error {
@@ -88,7 +89,7 @@
 	if r.latest().Revision != first {
 		t.Fatalf("at the start revision %d is in force", r.latest().Revision)
 	}
-	r.refuse[first+1] = &Rejection{Pointer: "/settings/over-share-worth", Reason: "too much"}
+	r.refuse[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
 	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
@@ -112,7 +113,7 @@
 // What was refused is offered again when the router's own file is another one.
 func TestRetry(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	r.refuse[1] = &Rejection{Reason: "not yet"}
+	r.refuse[1] = &configerror.Error{Reason: "not yet"}
 	c := client(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
@@ -318,7 +319,7 @@
 	rev := k.Change(worth("0.7"))
 	saved(t, k, dir)
 	c, r := client(t, dir, "127.0.0.1:1"), newRouter()
-	r.refuse[rev] = &Rejection{Reason: "does not fit"}
+	r.refuse[rev] = &configerror.Error{Reason: "does not fit"}
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != 0 || c.Counters.RejectedRevision.Load() != int64(rev) {
 		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -7,6 +7,8 @@
 import (
 	"encoding/json"
 	"fmt"
+
+	"windflow/internal/decide/configerror"
 )
 
 // Change is a proposal for a revision, as operators send it in JSON. It puts and removes entries, or reverts to the content of
@@ -28,46 +30,12 @@
 	AtMS int64 `json:"at_ms"`
 }
 
-// ChangeErrorKind says what kind of wrong a Fault is.
-type ChangeErrorKind string
-
-const (
-	// ChangeInvalid is a change that is wrong in itself or doesn't fit the document.
-	ChangeInvalid ChangeErrorKind = "invalid"
-	// ChangeConflict is a change that expects another revision; Fault.Revision is the one in force.
-	ChangeConflict ChangeErrorKind = "conflict"
-	// RevisionCompacted asks for a revision that is no longer kept; Fault.Revision is the oldest that is.
-	RevisionCompacted ChangeErrorKind = "compacted"
-	// ChangeIDReused is an ID that another change has had; Fault.Revision is that one's revision.
-	ChangeIDReused ChangeErrorKind = "reused"
-)
-
-// ChangeError is why a change or a question got no revision. It implements error.
-type ChangeError struct {
-	Kind     ChangeErrorKind `json:"kind"`
-	Pointer  string          `json:"pointer,omitempty"` // the entry at fault, where it is one
-	Reason   string          `json:"reason"`            // in plain words, with the field
-	Revision uint64          `json:"revision"`          // what it is depends on the kind
-}
-
-// Error gives the fault in one line.
-func (f *ChangeError) Error() string {
-	if f.Pointer != "" {
-		return fmt.Sprintf("%s: %s: %s", f.Kind, f.Pointer, f.Reason)
-	}
-	return fmt.Sprintf("%s: %s", f.Kind, f.Reason)
-}
-
-func invalid(pointer, format string, a ...any) *ChangeError {
-	return &ChangeError{Kind: ChangeInvalid, Pointer: pointer, Reason: fmt.Sprintf(format, a...)}
-}
-
 // Result is what became of a Change. Where Fault is nil, Revision is the one that the change made, now or (Repeated) at a former
 // call; otherwise nothing was made and Revision is the one in force.
 type Result struct {
-	Revision uint64       `json:"revision"`
-	Repeated bool         `json:"repeated"`
-	Err      *ChangeError `json:"fault,omitempty"`
+	Revision uint64             `json:"revision"`
+	Repeated bool               `json:"repeated"`
+	Err      *configerror.Error `json:"fault,omitempty"`
 }
 
 // Revision is one change that was made, as History shows it. Put and Remove are what differs from the revision before, also
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/goldentest"
 )
 
@@ -24,7 +25,7 @@
 	refusal := &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
 	report := FollowerStatus{Name: "n/0", Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Rejected: refusal}
 	seats := []FollowerProcess{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal}}
-	fault := ChangeError{Kind: ChangeConflict, Pointer: "/board", Reason: "another one", Revision: 9}
+	fault := configerror.Error{Kind: configerror.Conflict, Pointer: "/board", Reason: "another one", Revision: 9}
 	return map[string]any{
 		"change.json":   Change{ID: "c", Expect: &expect, Put: put, Remove: remove, RevertTo: &revertTo, Note: "note", AtMS: 1_796_000_000_123},
 		"fault.json":    fault,
@@ -63,7 +64,7 @@
 
 // Words that stand in messages for kinds of faults.
 func TestGoldenFaultKinds(t *testing.T) {
-	text, err := json.Marshal([]ChangeErrorKind{ChangeInvalid, ChangeConflict, RevisionCompacted, ChangeIDReused})
+	text, err := json.Marshal([]configerror.Kind{configerror.Invalid, configerror.Conflict, configerror.Compacted, configerror.IDReused})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -6,6 +6,8 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"windflow/internal/decide/configerror"
 )
 
 // Retention bound how much of the past a Log keeps for deltas, history and reverts. All keepers need the same, because they
@@ -97,7 +99,7 @@
 func (l *Log) Entries() map[string]json.RawMessage { return maps.Clone(l.entries) }
 
 // EntriesAt gives the content at a revision: FaultCompacted for one before Oldest, FaultInvalid for one that isn't there yet.
-func (l *Log) EntriesAt(rev uint64) (map[string]json.RawMessage, *ChangeError) {
+func (l *Log) EntriesAt(rev uint64) (map[string]json.RawMessage, *configerror.Error) {
 	if f := l.keeps(rev); f != nil {
 		return nil, f
 	}
@@ -132,7 +134,7 @@
 
 // Preview gives the content that a change would give, and makes none. A change that was made already gives the content in
 // force.
-func (l *Log) Preview(c Change) (map[string]json.RawMessage, *ChangeError) {
+func (l *Log) Preview(c Change) (map[string]json.RawMessage, *configerror.Error) {
 	p, fault := l.plan(c)
 	if fault != nil {
 		return nil, fault
@@ -169,16 +171,16 @@
 }
 
 // keeps says why the content at a revision can't be given.
-func (l *Log) keeps(rev uint64) *ChangeError {
+func (l *Log) keeps(rev uint64) *configerror.Error {
 	switch {
 	case rev < l.oldest:
-		return &ChangeError{
-			Kind: RevisionCompacted, Revision: l.oldest,
+		return &configerror.Error{
+			Kind: configerror.Compacted, Revision: l.oldest,
 			Reason: fmt.Sprintf("revision %d is no longer kept, the oldest is %d", rev, l.oldest),
 		}
 	case rev > l.Revision():
-		return &ChangeError{
-			Kind: ChangeInvalid, Revision: l.Revision(),
+		return &configerror.Error{
+			Kind: configerror.Invalid, Revision: l.Revision(),
 			Reason: fmt.Sprintf("there is no revision %d yet, the latest is %d", rev, l.Revision()),
 		}
 	}
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -7,6 +7,8 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"windflow/internal/decide/configerror"
 )
 
 func put(id, pointer, value string) Change {
@@ -34,12 +36,12 @@
 	if r := l.Apply(put("a", "/settings/over-share-worth", " 0.50 ")); r.Err != nil || !r.Repeated || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
-	if r := l.Apply(put("a", "/settings/over-share-worth", "0.6")); r.Err == nil || r.Err.Kind != ChangeIDReused || r.Err.Revision != 1 {
+	if r := l.Apply(put("a", "/settings/over-share-worth", "0.6")); r.Err == nil || r.Err.Kind != configerror.IDReused || r.Err.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	c := put("b", "/board", `"127.0.0.1:1"`)
 	c.Expect = number(0)
-	if r := l.Apply(c); r.Err == nil || r.Err.Kind != ChangeConflict || r.Err.Revision != 1 || r.Revision != 1 {
+	if r := l.Apply(c); r.Err == nil || r.Err.Kind != configerror.Conflict || r.Err.Revision != 1 || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	c.Expect = number(1)
@@ -65,31 +67,31 @@
 	}
 	for name, c := range map[string]struct {
 		Change
-		kind    ChangeErrorKind
+		kind    configerror.Kind
 		pointer string
 		words   string
 	}{
-		"no id":           {Change{Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field id"},
-		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), ChangeInvalid, "", "field id"},
-		"odd id":          {put("a\nb", "/settings/a", "1"), ChangeInvalid, "", "field id"},
-		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNoteBytes+1), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
-		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field note"},
-		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field at_ms"},
-		"nothing":         {Change{ID: "x"}, ChangeInvalid, "", "no put"},
-		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: []string{"/settings/list"}}, ChangeInvalid, "", "field revert_to"},
-		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, ChangeInvalid, "", "field revert_to"},
-		"place":           {put("x", "/listen", `"a:1"`), ChangeInvalid, "/listen", "own"},
-		"value":           {put("x", "/settings/a", "{"), ChangeInvalid, "/settings/a", "JSON"},
-		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, ChangeInvalid, "/seed", "own"},
-		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, ChangeInvalid, "/settings/a", "no such entry"},
-		"remove twice":    {Change{ID: "x", Remove: []string{"/settings/list", "/settings/list"}}, ChangeInvalid, "/settings/list", "twice"},
-		"put and remove":  {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/list": json.RawMessage("1")}, Remove: []string{"/settings/list"}}, ChangeInvalid, "/settings/list", "put and removed"},
-		"within an entry": {put("x", "/settings/list/0", "1"), ChangeInvalid, "/settings/list/0", "/settings/list"},
-		"above an entry":  {put("x", "/settings/rules", "{}"), ChangeInvalid, "/settings/rules", "below"},
-		"within itself":   {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/q": json.RawMessage("1"), "/settings/q/r": json.RawMessage("1")}}, ChangeInvalid, "/settings/q/r", "/settings/q"},
-		"large change":    {many, ChangeInvalid, "", "bytes"},
-		"conflict":        {Change{ID: "x", Expect: number(7), Remove: []string{"/settings/list"}}, ChangeConflict, "", "field expect"},
-		"reused":          {Change{ID: "base", Remove: []string{"/settings/list"}}, ChangeIDReused, "", "field id"},
+		"no id":           {Change{Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field id"},
+		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), configerror.Invalid, "", "field id"},
+		"odd id":          {put("a\nb", "/settings/a", "1"), configerror.Invalid, "", "field id"},
+		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNoteBytes+1), Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field note"},
+		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field note"},
+		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field at_ms"},
+		"nothing":         {Change{ID: "x"}, configerror.Invalid, "", "no put"},
+		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field revert_to"},
+		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, configerror.Invalid, "", "field revert_to"},
+		"place":           {put("x", "/listen", `"a:1"`), configerror.Invalid, "/listen", "own"},
+		"value":           {put("x", "/settings/a", "{"), configerror.Invalid, "/settings/a", "JSON"},
+		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, configerror.Invalid, "/seed", "own"},
+		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, configerror.Invalid, "/settings/a", "no such entry"},
+		"remove twice":    {Change{ID: "x", Remove: []string{"/settings/list", "/settings/list"}}, configerror.Invalid, "/settings/list", "twice"},
+		"put and remove":  {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/list": json.RawMessage("1")}, Remove: []string{"/settings/list"}}, configerror.Invalid, "/settings/list", "put and removed"},
+		"within an entry": {put("x", "/settings/list/0", "1"), configerror.Invalid, "/settings/list/0", "/settings/list"},
+		"above an entry":  {put("x", "/settings/rules", "{}"), configerror.Invalid, "/settings/rules", "below"},
+		"within itself":   {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/q": json.RawMessage("1"), "/settings/q/r": json.RawMessage("1")}}, configerror.Invalid, "/settings/q/r", "/settings/q"},
+		"large change":    {many, configerror.Invalid, "", "bytes"},
+		"conflict":        {Change{ID: "x", Expect: number(7), Remove: []string{"/settings/list"}}, configerror.Conflict, "", "field expect"},
+		"reused":          {Change{ID: "base", Remove: []string{"/settings/list"}}, configerror.IDReused, "", "field id"},
 	} {
 		r := l.Apply(c.Change)
 		if r.Err == nil || r.Err.Kind != c.kind || r.Err.Pointer != c.pointer || !strings.Contains(r.Err.Error(), c.words) || r.Revision != 1 {
@@ -116,7 +118,7 @@
 func TestDocumentBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
-	var fault *ChangeError
+	var fault *configerror.Error
 	for i := 0; fault == nil && i < 100; i++ {
 		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
 	}
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -10,6 +10,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"windflow/internal/decide/configerror"
 )
 
 // model is the plain reckoning of a log: each revision's whole content, and no bounds but the number of revisions.
@@ -36,26 +38,26 @@
 	text, _ := json.Marshal(c)
 	if said, ok := m.ids[c.ID]; ok {
 		if said != string(text) {
-			return string(ChangeIDReused), m.revs[c.ID]
+			return string(configerror.IDReused), m.revs[c.ID]
 		}
 		return "repeated", m.revs[c.ID]
 	}
 	if c.Expect != nil && *c.Expect != m.revision() {
-		return string(ChangeConflict), m.revision()
+		return string(configerror.Conflict), m.revision()
 	}
 	next := maps.Clone(m.content())
 	if c.RevertTo != nil {
 		switch {
 		case *c.RevertTo > m.revision():
-			return string(ChangeInvalid), m.revision()
+			return string(configerror.Invalid), m.revision()
 		case *c.RevertTo < m.oldest():
-			return string(RevisionCompacted), m.revision()
+			return string(configerror.Compacted), m.revision()
 		}
 		next = maps.Clone(m.contents[*c.RevertTo])
 	}
 	for _, p := range c.Remove {
 		if _, ok := next[p]; !ok {
-			return string(ChangeInvalid), m.revision()
+			return string(configerror.Invalid), m.revision()
 		}
 		delete(next, p)
 	}
@@ -63,7 +65,7 @@
 	for p := range next {
 		for q := range next {
 			if strings.HasPrefix(q, p+"/") {
-				return string(ChangeInvalid), m.revision()
+				return string(configerror.Invalid), m.revision()
 			}
 		}
 	}
@@ -162,7 +164,7 @@
 	for rev, want := range m.contents {
 		got, fault := l.EntriesAt(uint64(rev))
 		if uint64(rev) < m.oldest() {
-			if fault == nil || fault.Kind != RevisionCompacted || fault.Revision != m.oldest() {
+			if fault == nil || fault.Kind != configerror.Compacted || fault.Revision != m.oldest() {
 				t.Fatalf("%d: %v %v", rev, got, fault)
 			}
 		} else if fault != nil || !maps.EqualFunc(got, want, equal) {
--- a/internal/decide/configlog/plan.go
+++ b/internal/decide/configlog/plan.go
@@ -9,6 +9,8 @@
 	"slices"
 	"strings"
 	"unicode/utf8"
+
+	"windflow/internal/decide/configerror"
 )
 
 // plan is what a change would do: its edits, or what it has made at a former call.
@@ -19,7 +21,7 @@
 }
 
 // plan checks a change and says what it would do. Faults are looked for in a fixed order, so that all keepers give the same.
-func (l *Log) plan(c Change) (plan, *ChangeError) {
+func (l *Log) plan(c Change) (plan, *configerror.Error) {
 	put, fault := checkChange(c)
 	if fault != nil {
 		return plan{}, fault
@@ -27,8 +29,8 @@
 	p := plan{sum: c.sum(put)}
 	if m, ok := l.ids[c.ID]; ok {
 		if m.sum != p.sum {
-			return p, &ChangeError{
-				Kind: ChangeIDReused, Revision: m.revision,
+			return p, &configerror.Error{
+				Kind: configerror.IDReused, Revision: m.revision,
 				Reason: fmt.Sprintf("field id: %q was another change, which made revision %d", c.ID, m.revision),
 			}
 		}
@@ -36,8 +38,8 @@
 		return p, nil
 	}
 	if now := l.Revision(); c.Expect != nil && *c.Expect != now {
-		return p, &ChangeError{
-			Kind: ChangeConflict, Revision: now,
+		return p, &configerror.Error{
+			Kind: configerror.Conflict, Revision: now,
 			Reason: fmt.Sprintf("field expect: the revision in force is %d, not %d", now, *c.Expect),
 		}
 	}
@@ -52,7 +54,7 @@
 	to := maps.Clone(put)
 	for _, r := range c.Remove {
 		if l.entries[r] == nil {
-			return p, invalid(r, "there is no such entry to remove")
+			return p, configerror.Invalidf(r, "there is no such entry to remove")
 		}
 		to[r] = nil
 	}
@@ -71,31 +73,31 @@
 }
 
 // checkChange guards what can be said of a change without the document, and gives its values in canonical form.
-func checkChange(c Change) (put map[string]json.RawMessage, _ *ChangeError) {
+func checkChange(c Change) (put map[string]json.RawMessage, _ *configerror.Error) {
 	if err := checkLabel("id", c.ID); err != nil {
-		return nil, invalid("", "%s", err)
+		return nil, configerror.Invalidf("", "%s", err)
 	}
 	switch {
 	case len(c.Note) > MaxNoteBytes:
-		return nil, invalid("", "field note has %d bytes, more than %d", len(c.Note), MaxNoteBytes)
+		return nil, configerror.Invalidf("", "field note has %d bytes, more than %d", len(c.Note), MaxNoteBytes)
 	case !utf8.ValidString(c.Note):
-		return nil, invalid("", "field note is no UTF-8")
+		return nil, configerror.Invalidf("", "field note is no UTF-8")
 	case c.AtMS < 0:
-		return nil, invalid("", "field at_ms is below zero")
+		return nil, configerror.Invalidf("", "field at_ms is below zero")
 	case c.RevertTo != nil && len(c.Put)+len(c.Remove) > 0:
-		return nil, invalid("", "field revert_to: a revert has no put and no remove beside it")
+		return nil, configerror.Invalidf("", "field revert_to: a revert has no put and no remove beside it")
 	case c.RevertTo == nil && len(c.Put)+len(c.Remove) == 0:
-		return nil, invalid("", "the change has no put, no remove and no revert_to")
+		return nil, configerror.Invalidf("", "the change has no put, no remove and no revert_to")
 	}
 	put = make(map[string]json.RawMessage, len(c.Put))
 	size := 0
 	for _, p := range slices.Sorted(maps.Keys(c.Put)) {
 		if err := CheckPointer(p); err != nil {
-			return nil, invalid(p, "%s", err)
+			return nil, configerror.Invalidf(p, "%s", err)
 		}
 		v, err := canonical(p, c.Put[p])
 		if err != nil {
-			return nil, invalid(p, "%s", err)
+			return nil, configerror.Invalidf(p, "%s", err)
 		}
 		put[p] = v
 		size += len(p) + len(v)
@@ -103,19 +105,19 @@
 	seen := make(map[string]bool, len(c.Remove))
 	for _, p := range c.Remove {
 		if err := CheckPointer(p); err != nil {
-			return nil, invalid(p, "%s", err)
+			return nil, configerror.Invalidf(p, "%s", err)
 		}
 		if put[p] != nil {
-			return nil, invalid(p, "it is put and removed in one change")
+			return nil, configerror.Invalidf(p, "it is put and removed in one change")
 		}
 		if seen[p] {
-			return nil, invalid(p, "it is removed twice in one change")
+			return nil, configerror.Invalidf(p, "it is removed twice in one change")
 		}
 		seen[p] = true
 		size += len(p)
 	}
 	if size > MaxChangeBytes {
-		return nil, invalid("", "the change has %d bytes, more than %d", size, MaxChangeBytes)
+		return nil, configerror.Invalidf("", "the change has %d bytes, more than %d", size, MaxChangeBytes)
 	}
 	return put, nil
 }
@@ -132,7 +134,7 @@
 }
 
 // fits says whether the document would be sound after the edits: no pointer the prefix of another's, within its bounds.
-func (l *Log) fits(edits []edit) *ChangeError {
+func (l *Log) fits(edits []edit) *configerror.Error {
 	added, freed := map[string]bool{}, map[string]int{}
 	size, count := l.size, len(l.entries)
 	for _, e := range edits {
@@ -161,18 +163,18 @@
 		}
 		for a := range above(e.pointer) {
 			if added[a] || l.entries[a] != nil && !removed(a) {
-				return invalid(e.pointer, "it lies within the entry %s", a)
+				return configerror.Invalidf(e.pointer, "it lies within the entry %s", a)
 			}
 		}
 		if l.inner[e.pointer] > freed[e.pointer] {
-			return invalid(e.pointer, "there are entries below it")
+			return configerror.Invalidf(e.pointer, "there are entries below it")
 		}
 	}
 	if size > MaxDocumentBytes {
-		return invalid("", "the document would have %d bytes, more than %d", size, MaxDocumentBytes)
+		return configerror.Invalidf("", "the document would have %d bytes, more than %d", size, MaxDocumentBytes)
 	}
 	if count > MaxEntries {
-		return invalid("", "the document would have %d entries, more than %d", count, MaxEntries)
+		return configerror.Invalidf("", "the document would have %d entries, more than %d", count, MaxEntries)
 	}
 	return nil
 }
--- a/internal/decide/configlog/since_test.go
+++ b/internal/decide/configlog/since_test.go
@@ -7,6 +7,8 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"windflow/internal/decide/configerror"
 )
 
 // filled gives a log whose whole is larger than any delta of these tests.
@@ -89,10 +91,10 @@
 	if c, f := l.EntriesAt(15); f != nil || string(c["/settings/a"]) != "14" {
 		t.Error(c, f)
 	}
-	if _, f := l.EntriesAt(14); f == nil || f.Kind != RevisionCompacted || f.Revision != 15 {
+	if _, f := l.EntriesAt(14); f == nil || f.Kind != configerror.Compacted || f.Revision != 15 {
 		t.Error(f)
 	}
-	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Err == nil || r.Err.Kind != RevisionCompacted || r.Revision != 20 {
+	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Err == nil || r.Err.Kind != configerror.Compacted || r.Revision != 20 {
 		t.Errorf("%+v", r)
 	}
 	if h := l.History(17, 2); len(h) != 2 || h[0].Revision != 17 || h[1].ID != "17" {
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/tracetest"
 )
 
@@ -49,7 +50,7 @@
 	traceEntries(h, l.Entries())
 }
 
-func traceFault(h *tracetest.Hash, f *ChangeError) {
+func traceFault(h *tracetest.Hash, f *configerror.Error) {
 	h.Step(stepFault)
 	h.Bool(f != nil)
 	if f == nil {
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"windflow/internal/configclient"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/settings"
 	"windflow/internal/validate"
@@ -22,12 +23,12 @@
 	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
 	client := configclient.New(section, h.config.Name, instance, slog.New(slog.DiscardHandler))
 	client.Start(func(rev configclient.Revision) error {
-		cfg, fault := validate.Overlay(h.spec.Config, rev.Entries)
-		if fault != nil {
-			return &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
+		cfg, err := validate.Overlay(h.spec.Config, rev.Entries)
+		if err != nil {
+			return err
 		}
 		if err := h.applyInLoop(cfg); err != nil {
-			return &configclient.Rejection{Reason: err.Error()}
+			return configerror.Invalidf("", "%s", err)
 		}
 		h.out.write(statusMessage{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(), AtNS: time.Now().UnixNano()})
 		return nil
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -148,7 +149,7 @@
 	return okResponse(changeResult{Revision: outcome.Revision, Repeated: outcome.Repeated}), true
 }
 
-func (s *changeService) reject(err *configlog.ChangeError) response {
+func (s *changeService) reject(err *configerror.Error) response {
 	s.counters.changesRejected.Add(1)
 	return changeErrorResponse(err)
 }
--- a/internal/keeper/config_reader.go
+++ b/internal/keeper/config_reader.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -48,7 +49,7 @@
 		switch {
 		case err == nil:
 			return okResponse(content)
-		case err.Kind != configlog.ChangeInvalid:
+		case err.Kind != configerror.Invalid:
 			return changeErrorResponse(err)
 		}
 		select {
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"windflow/internal/configclient"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/keeper"
 )
@@ -28,7 +29,7 @@
 		c := configclient.New(cfg, fmt.Sprint("r", n), configlog.NewInstance(int64(life), uint64(n)), log)
 		apply := func(r configclient.Revision) error {
 			if r.Revision == refuses {
-				return &configclient.Rejection{Pointer: "/settings/over-share-worth", Reason: "no"}
+				return &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "no"}
 			}
 			return nil
 		}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
@@ -67,12 +68,12 @@
 }
 
 // refusesEight is a check of content that has something against the number 8.
-func refusesEight(entries map[string]json.RawMessage) *configlog.ChangeError {
+func refusesEight(entries map[string]json.RawMessage) *configerror.Error {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
 		return nil
 	}
-	return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: pointer, Reason: "is 8", Revision: 4}
+	return &configerror.Error{Kind: configerror.Invalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
 // converse makes the calls in turn and gives what was said, but for what varies.
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -20,6 +20,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/goldentest"
 )
@@ -74,7 +75,7 @@
 		c.addresses = append(c.addresses, p.HTTPAddr)
 		o := Options{
 			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTPAddr: p.HTTPAddr, RaftAddr: p.RaftAddr, Peers: peers,
-			Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil }, Log: slog.New(slog.DiscardHandler),
+			Check: func(map[string]json.RawMessage) *configerror.Error { return nil }, Log: slog.New(slog.DiscardHandler),
 			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond, ChangeTimeout: goldenWithin,
 		}
 		running.Go(func() {
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -7,11 +7,12 @@
 	"log/slog"
 	"time"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
 // Check validates the content that a change would give, before the change gets a revision; nil accepts it.
-type Check func(entries map[string]json.RawMessage) *configlog.ChangeError
+type Check func(entries map[string]json.RawMessage) *configerror.Error
 
 // Options configure one keeper. A field that is zero gets the default that its comment names.
 type Options struct {
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"windflow/internal/decide/configlog"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/keeper"
 )
 
@@ -43,9 +43,9 @@
 	}
 	signal.Ignore(syscall.SIGXFSZ)
 	o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
-	o.Check = func(entries map[string]json.RawMessage) *configlog.ChangeError {
+	o.Check = func(entries map[string]json.RawMessage) *configerror.Error {
 		if v, ok := entries[refusedPointer]; ok && string(v) == "-1" {
-			return &configlog.ChangeError{Kind: configlog.ChangeInvalid, Pointer: refusedPointer, Reason: "is below zero"}
+			return &configerror.Error{Kind: configerror.Invalid, Pointer: refusedPointer, Reason: "is below zero"}
 		}
 		return nil
 	}
--- a/internal/keeper/response.go
+++ b/internal/keeper/response.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net/http"
 
-	"windflow/internal/decide/configlog"
+	"windflow/internal/decide/configerror"
 )
 
 // response is the answer to an HTTP call, from here or from the leader.
@@ -13,7 +13,7 @@
 	body   any // encoded as JSON; nil for no body
 }
 
-// errorBody is the body of an error response, where it is no configlog.ChangeError.
+// errorBody is the body of an error response, where it is no configerror.Error.
 type errorBody struct {
 	Kind   errorKind `json:"kind"`
 	Reason string    `json:"reason"`
@@ -60,13 +60,13 @@
 }
 
 // changeErrorResponse maps the error of a change or a query to a status.
-func changeErrorResponse(err *configlog.ChangeError) response {
+func changeErrorResponse(err *configerror.Error) response {
 	switch err.Kind {
-	case configlog.ChangeConflict, configlog.ChangeIDReused:
+	case configerror.Conflict, configerror.IDReused:
 		return response{http.StatusConflict, err}
-	case configlog.RevisionCompacted:
+	case configerror.Compacted:
 		return response{http.StatusGone, err}
-	case configlog.ChangeInvalid:
+	case configerror.Invalid:
 		return response{http.StatusUnprocessableEntity, err}
 	default:
 		return response{http.StatusUnprocessableEntity, err}
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -9,6 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -125,7 +126,7 @@
 // preview returns the content that a change would give, and the revision that the change would be applied to.
 func (m *stateMachine) preview(
 	change configlog.Change,
-) (base uint64, content map[string]json.RawMessage, changeErr *configlog.ChangeError) {
+) (base uint64, content map[string]json.RawMessage, changeErr *configerror.Error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	content, changeErr = m.log.Preview(change)
@@ -146,7 +147,7 @@
 // in force.
 func (m *stateMachine) contentAt(
 	revision *uint64,
-) (content configContent, changeErr *configlog.ChangeError, changed <-chan struct{}) {
+) (content configContent, changeErr *configerror.Error, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	changed = m.changed.wait()
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 )
 
@@ -145,7 +146,7 @@
 		if err == nil {
 			_, err = Options{
 				ID: "k1", Dir: "d", HTTPAddr: "h:1", RaftAddr: "h:2", Peers: peers,
-				Check: func(map[string]json.RawMessage) *configlog.ChangeError { return nil },
+				Check: func(map[string]json.RawMessage) *configerror.Error { return nil },
 			}.withDefaults()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.err) {
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"windflow/internal/configclient"
+	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
 	"windflow/internal/hotrestartipc"
 	"windflow/internal/installation"
@@ -57,11 +58,11 @@
 	go k.runReloads()
 }
 
-// laid checks a revision over a text of the router's own file. Its error is a Refusal.
+// laid checks a revision over a text of the router's own file. Its error is a *configerror.Error.
 func (k *keepers) laid(own []byte, rev configclient.Revision) (*settings.Node, error) {
-	cfg, fault := validate.Overlay(own, rev.Entries)
-	if fault != nil {
-		return nil, &configclient.Rejection{Pointer: fault.Pointer, Reason: fault.Reason}
+	cfg, err := validate.Overlay(own, rev.Entries)
+	if err != nil {
+		return nil, configerror.From(err)
 	}
 	complete(cfg)
 	return cfg, nil
@@ -130,7 +131,7 @@
 		}
 		return func() error {
 			if err := k.put(cfg, k.r.site, at.own, rev); err != nil {
-				return &configclient.Rejection{Reason: err.Error()}
+				return configerror.Invalidf("", "%s", err)
 			}
 			return nil
 		}, nil
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -12,16 +12,13 @@
 	"strings"
 
 	jsoniter "github.com/json-iterator/go"
+
+	"windflow/internal/decide/configerror"
 )
 
 // Value is the JSON text of an entry's value.
 type Value = json.RawMessage
 
-// EntryError is what is wrong with an entry: at its JSON pointer (RFC 6901).
-type EntryError struct{ Pointer, Reason string }
-
-func (e *EntryError) Error() string { return e.Pointer + ": " + e.Reason }
-
 // partiesAt is where the parties are put by their names.
 const partiesAt = "/settings/parties/"
 
@@ -29,7 +26,7 @@
 var own = []string{"/name", "/listen", "/seed", "/limits", "/control", "/known", "/settings/me", "/settings/zone"}
 
 // Overlay gives a platform file with entries laid over it: JSON pointer (RFC 6901) to value. Without entries that is the
-// file itself, byte for byte. An error that is an entry's is an EntryError.
+// file itself, byte for byte. The error of an entry is a *configerror.Error.
 //
 // An entry may name `/board` and what is below `/settings` and known to this program; what is each router's own may not be
 // named. The parties are named one by one, `/settings/parties/NAME`; with any such entry the list consists of these only, by
@@ -53,7 +50,7 @@
 				continue
 			}
 			if _, above := entries[pointer[:i]]; above {
-				return nil, &EntryError{pointer, "is part of the entry " + pointer[:i]}
+				return nil, configerror.Invalidf(pointer, "is part of the entry %s", pointer[:i])
 			}
 		}
 		steps := stepsOf(pointer)
@@ -62,7 +59,7 @@
 			continue
 		}
 		if err := doc.put(steps, value); err != nil {
-			return nil, &EntryError{pointer, err.Error()}
+			return nil, configerror.Invalidf(pointer, "%s", err)
 		}
 	}
 	if len(parties) > 0 {
@@ -71,16 +68,16 @@
 			return nil, err
 		}
 		if err := doc.put([]string{"settings", "parties"}, list); err != nil {
-			return nil, &EntryError{partiesAt + escape(slices.Sorted(maps.Keys(parties))[0]), err.Error()}
+			return nil, configerror.Invalidf(partiesAt+escape(slices.Sorted(maps.Keys(parties))[0]), "%s", err)
 		}
 	}
 	return doc.append(nil), nil
 }
 
 // CheckEntry tells whether an entry may be, whatever it is laid over: its pointer names a field that entries may set, and
-// its value is JSON of the field's type. The error is an EntryError.
+// its value is JSON of the field's type. The error is a *configerror.Error.
 func CheckEntry(pointer string, value Value) error {
-	fault := func(form string, args ...any) error { return &EntryError{pointer, fmt.Sprintf(form, args...)} }
+	fault := func(form string, args ...any) error { return configerror.Invalidf(pointer, form, args...) }
 	steps := stepsOf(pointer)
 	if len(steps) == 0 {
 		return fault("is no JSON pointer (RFC 6901) below the whole")
@@ -138,7 +135,7 @@
 }
 
 // fits tells whether a value can be read as a type, whole: what would not be heeded is not put in force either. The error is
-// an EntryError.
+// a *configerror.Error.
 func fits(pointer string, value Value, form reflect.Type) error {
 	d := json.NewDecoder(bytes.NewReader(value))
 	d.DisallowUnknownFields()
@@ -148,11 +145,11 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &te) && te.Field == "":
-		return &EntryError{pointer, fmt.Sprintf("a %s does not fit", te.Value)}
+		return configerror.Invalidf(pointer, "a %s does not fit", te.Value)
 	case errors.As(err, &te):
-		return &EntryError{pointer, fmt.Sprintf("field %s: a %s does not fit", te.Field, te.Value)}
+		return configerror.Invalidf(pointer, "field %s: a %s does not fit", te.Field, te.Value)
 	}
-	return &EntryError{pointer, strings.TrimPrefix(err.Error(), "json: ")}
+	return configerror.Invalidf(pointer, "%s", strings.TrimPrefix(err.Error(), "json: "))
 }
 
 // party is what may stand in a party's entry.
@@ -165,7 +162,7 @@
 // strict is the quick reader of the many parties; what it refuses is worded by fits.
 var strict = jsoniter.Config{DisallowUnknownFields: true}.Froze()
 
-// checkParty tells whether a party may be put. The error is an EntryError.
+// checkParty tells whether a party may be put. The error is a *configerror.Error.
 func checkParty(pointer, name string, value Value) error {
 	var p party
 	if strict.Unmarshal(value, &p) != nil {
@@ -173,10 +170,10 @@
 			return err
 		}
 		if err := json.Unmarshal(value, &p); err != nil {
-			return &EntryError{pointer, err.Error()}
+			return configerror.Invalidf(pointer, "%s", err)
 		}
 	}
-	fault := func(reason string) error { return &EntryError{pointer, reason} }
+	fault := func(reason string) error { return configerror.Invalidf(pointer, "%s", reason) }
 	switch {
 	case p.Name != nil && *p.Name != name:
 		return fault(fmt.Sprintf("field name: %q is not the name in the pointer", *p.Name))
@@ -196,7 +193,7 @@
 	for i, name := range slices.Sorted(maps.Keys(parties)) {
 		text, err := json.Marshal(name)
 		if err != nil {
-			return nil, &EntryError{partiesAt + escape(name), err.Error()}
+			return nil, configerror.Invalidf(partiesAt+escape(name), "%s", err)
 		}
 		if i > 0 {
 			list = append(list, ',')
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"windflow/internal/decide/configerror"
 )
 
 func example(t *testing.T) []byte {
@@ -109,7 +111,7 @@
 		{"/settings/parties/a", `{"quota-rps":"x"}`, "field quota-rps: a string does not fit"},
 	} {
 		_, err := Overlay(own, map[string]Value{"/settings/over-share-worth": Value(`0.5`), k.pointer: Value(k.value)})
-		var e *EntryError
+		var e *configerror.Error
 		if !errors.As(err, &e) || e.Pointer != k.pointer || !strings.Contains(e.Reason, k.want) ||
 			strings.Contains(e.Reason, "\n") {
 			t.Errorf("%s %s: %v, want %q", k.pointer, k.value, err, k.want)
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -4,12 +4,14 @@
 package validate
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
 	"sort"
 	"strings"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/settings"
 )
 
@@ -39,35 +41,25 @@
 	return err
 }
 
-// Fault is an entry that can't be in force.
-type Fault struct {
-	Pointer string // of the entry at fault; empty where the base is at fault by itself
-	Reason  string
-}
-
-func (f *Fault) Error() string {
-	if f.Pointer == "" {
-		return "the base configuration: " + f.Reason
-	}
-	return f.Pointer + ": " + f.Reason
-}
-
-// Entries tells what is wrong with entries laid over a base configuration, the platform file of a router; nil where a router
-// could use them. The entry at fault is that of the field which the check names; where it names none of them, the first, in
-// the order of their pointers, from which on the configuration can't be used: the same for the same entries, whoever asks.
-func Entries(base []byte, entries map[string]settings.Value) *Fault {
-	_, f := Overlay(base, entries)
-	return f
+// Entries checks entries laid over a base configuration, the platform file of a router; nil where a router could use them.
+// The entry at fault is the one that holds the field which the check names; where it names none of them, the first, in the
+// order of their pointers, from which on the configuration can't be used: the same for the same entries, whoever asks.
+//
+// The error is or wraps a *configerror.Error of kind Invalid, whose pointer is empty where the base is at fault by itself.
+func Entries(base []byte, entries map[string]settings.Value) error {
+	_, err := Overlay(base, entries)
+	return err
 }
 
-// Overlay is Entries, and gives the configuration that it looked at.
-func Overlay(base []byte, entries map[string]settings.Value) (*settings.Node, *Fault) {
+// Overlay checks as Entries does, and returns the configuration that it checked.
+func Overlay(base []byte, entries map[string]settings.Value) (*settings.Node, error) {
 	text, err := settings.Overlay(base, entries)
 	if err != nil {
-		if e, ok := err.(*settings.EntryError); ok {
-			return nil, &Fault{Pointer: e.Pointer, Reason: e.Reason}
+		var rejected *configerror.Error
+		if errors.As(err, &rejected) {
+			return nil, err
 		}
-		return nil, &Fault{Reason: err.Error()}
+		return nil, baseError(err)
 	}
 	cfg, err := settings.ParseNode(text)
 	if err == nil {
@@ -80,7 +72,15 @@
 	if pointer == "" {
 		pointer = culprit(base, entries)
 	}
-	return nil, &Fault{Pointer: pointer, Reason: err.Error()}
+	if pointer == "" {
+		return nil, baseError(err)
+	}
+	return nil, configerror.Invalidf(pointer, "%s", err)
+}
+
+// baseError says that the base configuration is at fault and none of the entries.
+func baseError(err error) error {
+	return fmt.Errorf("the base configuration: %w", configerror.Invalidf("", "%s", err))
 }
 
 // named gives the pointer of the entry that holds the field which a reason begins with, or lies in it; empty for none:
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"windflow/internal/decide/configerror"
 	"windflow/internal/settings"
 )
 
@@ -64,7 +65,7 @@
 				entries[p] = v
 			}
 		}
-		f := Entries([]byte(example(t)), entries)
+		f := configerror.From(Entries([]byte(example(t)), entries))
 		if f == nil || f.Pointer != k.pointer || !strings.Contains(f.Reason, k.reason) {
 			t.Errorf("%s: %+v, want %q", k.pointer, f, k.reason)
 		}
@@ -79,7 +80,7 @@
 		"/settings/specifics/kind-memory-mb": settings.Value(`[1,2,3]`),
 		"/settings/specifics/note-period-ns": settings.Value(`5`),
 	}
-	f := Entries([]byte(example(t)), entries)
+	f := configerror.From(Entries([]byte(example(t)), entries))
 	if f == nil || f.Pointer != "/settings/specifics/kind-memory-mb" {
 		t.Fatalf("%+v", f)
 	}
@@ -91,9 +92,10 @@
 
 func TestEntriesOverABadBase(t *testing.T) {
 	bad := strings.Replace(example(t), `"cold-from": 0.36`, `"cold-from": -1`, 1)
-	f := Entries([]byte(bad), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
-	if f == nil || f.Pointer != "" || !strings.Contains(f.Error(), "base configuration: field settings: rules.cold-from") {
-		t.Errorf("%+v", f)
+	err := Entries([]byte(bad), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
+	if err == nil || configerror.From(err).Pointer != "" ||
+		!strings.Contains(err.Error(), "base configuration: field settings: rules.cold-from") {
+		t.Errorf("%+v", err)
 	}
 	// Entries may mend it.
 	if f := Entries([]byte(bad), map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}); f != nil {
