--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -1,275 +1,238 @@
 package router
 
 import (
+	"log/slog"
+	"sync/atomic"
+
 	"windflow/dispatch"
 	"windflow/internal/clock"
 )
 
-// Engine is an engine as the list names it.
-type Engine struct {
-	ID      dispatch.EngineID
-	Address string
-	Kind    string
-}
-
-// Call is one attempt for an engine client to carry out.
-type Call struct {
-	Engine     Engine
-	ID         string
-	Class      string
-	Statement  string
-	WaitMS     float64 // how long the router will wait
-	GrantMB    float64 // 0: the engine's own choice
-	Priority   int
-	Update     bool // the client asked for an update, not for rows
-	AtMostOnce bool // it must not run twice: proof that it never ran is worth a new connection
-	// Alone says that no second attempt of the request may begin while an engine may have this one under way: its end is
-	// reported once the engine has none of it any more, and not before. Deletes says that the engine may be told to give it up.
-	Exclusive, CancelAllowed bool
-	// Latest is when it may begin at the latest, on the loop's clock; 0: at any time.
-	LatestStartMS float64
-	// Wrote is called in the loop, once at most, when the last byte of the attempt has left for the engine.
-	OnSent func()
-	// Heard, where it is set, is called in the loop with each answer of the engine that can be read.
-	OnProgress func(AttemptProgress)
-}
-
-// AttemptProgress is what an answer of an engine tells beside an end: of the attempt, that it is under way, and of the engine, its
-// load where it reports that.
-type AttemptProgress struct {
-	Kind   dispatch.ProgressKind
-	Amount float64
-	Report *dispatch.LoadReport
-	Final  bool // the answer is the attempt's end: there is no note
-}
-
-// End is how an attempt ended; Result is set where Outcome is Served.
-type End struct {
-	Outcome dispatch.Outcome
-	Result  *Result
-	Detail  string // for the log
+// attempt is one attempt of a request at an engine.
+type attempt struct {
+	request    *request
+	number     int // among the request's attempts, from 0
+	engine     dispatch.EngineID
+	startedAt  float64
+	progressAt float64 // when its progress was last passed to the module
+	call       Attempt // nil until the engine client has started it
+	timeout    *Timer
+	startLimit *Timer // at its latest start, if it has one
+	exclusive  bool   // see Call
+	canceled   bool   // the engine was asked to cancel it
+	ended      bool
+	outcome    dispatch.Outcome // once it has ended
 }
 
-// Attempt is an attempt that is out.
-type Attempt interface {
-	SetPriority(int)
-	// Cancel tells the engine to give the query up. Drop follows or, where the call is Alone, the end once that is done.
-	Cancel()
-	// Drop ends the interest in it: its end is not reported any more.
-	Abandon()
-	// Recall takes back an attempt that was not written whole, so that it never runs; false says that it is too late. As
-	// after Drop, its end is not reported.
-	CancelUnsent() bool
+// attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch module.
+type attemptTracker struct {
+	loop       *Loop
+	log        *slog.Logger
+	client     EngineClient
+	settings   *atomic.Pointer[settings]
+	hooks      *Hooks
+	statistics *Statistics
+	queue      *eventQueue
+	requests   *requestTable
+	ids        *requestIDs
+	endpoints  *endpointTable
+	// onServed is called with an attempt that served its request, if that is still open.
+	onServed func(*attempt, *Result)
 }
 
-// EngineClient carries attempts out. done is called at most once, in the loop, and never from within Start.
-type EngineClient interface {
-	Start(call Call, done func(End)) Attempt
-	// Forget is told that an engine is gone: connections kept for it are of no more use.
-	Forget(Engine)
-	// Withhold is told that an engine gets nothing more, or that it is elsewhere: each attempt of which nothing was
-	// written ends as ConnectFailed. What has been begun goes on.
-	CancelUnstarted(Engine)
+// start starts an attempt. One that can no longer be sent ends at once, in a way that proves that it never ran.
+func (t *attemptTracker) start(action dispatch.StartAttempt) {
+	r := t.requests.byKey[action.Request]
+	if r == nil {
+		t.log.Error("attempt for unknown request", "request", action.Request)
+		return
+	}
+	now := t.loop.Now()
+	a := &attempt{request: r, number: len(r.attempts), engine: action.Engine, startedAt: now}
+	r.attempts = append(r.attempts, a)
+	r.outstanding++
+	wait := r.deadline - now
+	if action.Timeout > 0 {
+		wait = min(wait, clock.Millis(action.Timeout))
+	}
+	engine, listed := t.endpoints.engines[action.Engine]
+	maxAttempts := t.settings.Load().maxAttempts
+	switch {
+	case !r.open(), !listed, wait <= 0, maxAttempts > 0 && len(r.attempts) > maxAttempts:
+		a.call = unstartedAttempt{}
+		t.end(a, End{Outcome: dispatch.NotSent})
+	case t.endpoints.unavailable[action.Engine]:
+		// Two events about the engine came in one step: the module decided after the first one.
+		a.call = unstartedAttempt{}
+		t.end(a, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
+	default:
+		t.send(a, engine, wait, clock.Millis(action.StartWithin))
+	}
 }
 
-func (c *Core) carryOut(a dispatch.Action) {
-	switch a := a.(type) {
-	case dispatch.StartAttempt:
-		c.send(a)
-	case dispatch.SetResources:
-		r := c.requests[a.Request]
-		if r == nil {
-			return
-		}
-		r.grant = a.GrantMB
-		if a.Priority != r.priority {
-			r.priority = a.Priority
-			for _, at := range r.attempts {
-				if !at.ended {
-					at.call.SetPriority(a.Priority)
-				}
-			}
-		}
-	case dispatch.CancelAttempt:
-		if r := c.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
-			c.cancel(r.attempts[a.Attempt])
-		}
-	case dispatch.Reject:
-		if r := c.requests[a.Request]; r != nil && r.asker != nil {
-			asker := r.asker
-			c.finish(r)
-			c.Counters.Rejected++
-			c.ByClass[r.Class].Rejected++
-			c.watched(r, Answer{Kind: AnswerRejected, Reason: c.whyRefused(r)})
-			asker.Rejected(clock.Millis(a.RetryAfter))
-		}
-	case dispatch.FailRequest:
-		if r := c.requests[a.Request]; r != nil && r.asker != nil {
-			why := ReasonEngine
-			if c.loop.Now() >= r.end-1 {
-				why = ReasonDeadline
-			}
-			c.fail(r, why)
-		}
-	case dispatch.SetTimer:
-		c.loop.After(clock.Millis(a.After), func() {
-			c.events = append(c.events, dispatch.TimerFired{Tag: a.Tag})
+// send passes an attempt to the engine client. A startWithin over 0 limits the time until the attempt starts.
+func (t *attemptTracker) send(a *attempt, engine Engine, wait, startWithin float64) {
+	r, current := a.request, t.settings.Load()
+	t.statistics.Counters.Attempts++
+	if t.hooks.Observer != nil {
+		t.hooks.Observer.AttemptStarted(a.engine)
+	}
+	semantics := current.classes[r.Class].Semantics
+	// An at-most-once request that may have run gets no further attempt, and its end is due at once.
+	a.exclusive = current.exclusive && semantics != dispatch.AtMostOnce
+	if semantics == dispatch.AtMostOnce {
+		t.ids.consume(r.ID)
+	}
+	call := Call{
+		Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
+		GrantMB: r.grantMB, Priority: r.priority, Update: r.Update,
+		AtMostOnce: semantics != dispatch.Idempotent, Exclusive: a.exclusive, CancelAllowed: current.cancelAllowed,
+		OnSent:     func() { t.statistics.ByClass[r.Class].Forwards++ },
+		OnProgress: func(progress AttemptProgress) { t.progress(a, progress) },
+	}
+	if startWithin > 0 {
+		call.LatestStartMS = a.startedAt + startWithin
+	}
+	a.call = t.client.Start(call, func(end End) { t.end(a, end) })
+	t.endAt(a, a.startedAt+wait, "no answer in time")
+	if startWithin > 0 {
+		a.startLimit = t.loop.After(startWithin, func() {
+			t.cancelUnsent(a, dispatch.ConnectFailed, "not started in time")
 		})
-	case dispatch.Subscribe: // the notice board pushes its changes unasked
 	}
 }
 
-// send starts an attempt. What can no longer be sent ends as NotSent, which proves that it never ran.
-func (c *Core) send(s dispatch.StartAttempt) {
-	r := c.requests[s.Request]
+// endAt sets when an attempt times out.
+func (t *attemptTracker) endAt(a *attempt, at float64, detail string) {
+	a.timeout.Stop()
+	a.timeout = t.loop.At(at, func() { t.end(a, End{Outcome: dispatch.TimedOut, Detail: detail}) })
+}
+
+// setResources sets the memory grant of a request's next attempts, and the priority of all of them.
+func (t *attemptTracker) setResources(action dispatch.SetResources) {
+	r := t.requests.byKey[action.Request]
 	if r == nil {
-		c.log.Error("send for an unknown request", "request", s.Request)
-		return
-	}
-	now := c.loop.Now()
-	a := &attempt{r: r, hop: len(r.attempts), at: now, engine: s.Engine}
-	r.attempts = append(r.attempts, a)
-	r.out++
-	wait := r.end - now
-	if s.Timeout > 0 {
-		wait = min(wait, clock.Millis(s.Timeout))
-	}
-	engine, ok := c.engines[s.Engine]
-	if r.asker == nil || !ok || wait <= 0 || c.max > 0 && len(r.attempts) > c.max {
-		a.call = noAttempt{}
-		c.ended(a, End{Outcome: dispatch.NotSent})
 		return
 	}
-	if c.leaving[s.Engine] {
-		// Two words of an engine came in one batch: the module went by the first one.
-		a.call = noAttempt{}
-		c.ended(a, End{Outcome: dispatch.ConnectFailed, Detail: "the engine leaves"})
+	r.grantMB = action.GrantMB
+	if action.Priority == r.priority {
 		return
 	}
-	c.Counters.Attempts++
-	if c.Observer != nil {
-		c.Observer.AttemptStarted(s.Engine)
-	}
-	latest := 0.0
-	if s.StartWithin > 0 {
-		latest = now + clock.Millis(s.StartWithin)
-	}
-	class, _ := c.Class(r.Class)
-	a.alone = c.alone && class.Semantics != dispatch.AtMostOnce // after what may have run there is no other, and its end is due at once
-	if class.Semantics == dispatch.AtMostOnce {
-		c.spent.add(r.ID)
-		c.changed(r.ID, IDConsumed)
-	}
-	a.call = c.client.Start(Call{
-		Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
-		GrantMB: r.grant, Priority: r.priority, Update: r.Update, AtMostOnce: class.Semantics != dispatch.Idempotent,
-		LatestStartMS: latest, Exclusive: a.alone, CancelAllowed: c.deletes, OnSent: func() { c.ByClass[r.Class].Forwards++ }, OnProgress: func(n AttemptProgress) { c.heard(a, n) },
-	},
-		func(e End) { c.ended(a, e) })
-	a.timeout = c.loop.At(now+wait, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "no answer in time"}) })
-	if s.StartWithin > 0 {
-		a.latest = c.loop.After(clock.Millis(s.StartWithin), func() { c.recall(a, dispatch.ConnectFailed, "not begun in time") })
+	r.priority = action.Priority
+	for _, a := range r.attempts {
+		if !a.ended {
+			a.call.SetPriority(action.Priority)
+		}
 	}
 }
 
-// cancel has an engine give an attempt up. Where no second copy is allowed, it is out until the engine has.
-func (c *Core) cancel(a *attempt) {
-	if a.ended || a.cancelled {
+// cancel cancels an attempt. An exclusive one stays outstanding until the engine has canceled it.
+func (t *attemptTracker) cancel(action dispatch.CancelAttempt) {
+	r := t.requests.byKey[action.Request]
+	if r == nil || action.Attempt >= len(r.attempts) {
 		return
 	}
-	if c.recall(a, dispatch.ConnectFailed, "taken back"); a.ended {
+	a := r.attempts[action.Attempt]
+	if a.ended || a.canceled {
 		return
 	}
-	a.cancelled = true
-	if a.call.Cancel(); !a.alone {
-		c.ended(a, End{Outcome: dispatch.Cancelled})
+	t.cancelUnsent(a, dispatch.ConnectFailed, "canceled before it was sent")
+	if a.ended {
+		return
+	}
+	a.canceled = true
+	a.call.Cancel()
+	if !a.exclusive {
+		t.end(a, End{Outcome: dispatch.Cancelled})
 	}
 }
 
-// recall ends an attempt that was not written whole, as one that never ran. It guards against attempts that begin long
-// after the module decided on them: they wait for a connection, or for it to come up.
-func (c *Core) recall(a *attempt, o dispatch.Outcome, why string) {
+// cancelUnsent ends an attempt that was not sent completely, as one that never ran. It guards against attempts that
+// start long after the module decided on them, because they wait for a connection or for a dial.
+func (t *attemptTracker) cancelUnsent(a *attempt, outcome dispatch.Outcome, detail string) {
 	if !a.ended && a.call != nil && a.call.CancelUnsent() {
-		c.ended(a, End{Outcome: o, Detail: why})
+		t.end(a, End{Outcome: outcome, Detail: detail})
 	}
 }
 
-// reportEvery is how often the module is told of a load report that stays the same, in milliseconds: every answer
-// of an engine brings one.
-const reportEvery = 250.0
+// cancelAllUnsent ends those attempts of an answered request that were not sent completely.
+func (t *attemptTracker) cancelAllUnsent(r *request) {
+	for _, a := range r.attempts {
+		t.cancelUnsent(a, dispatch.NotSent, "request answered or abandoned")
+	}
+}
 
-// report is an engine's last word of its load, and when the module was told.
-type report struct {
-	load dispatch.LoadReport
-	at   float64
+// limitTimeouts has the outstanding attempts of a request time out at the shutdown deadline.
+func (t *attemptTracker) limitTimeouts(r *request, shutdownAt float64) {
+	for _, a := range r.attempts {
+		if !a.ended && a.timeout != nil {
+			t.endAt(a, shutdownAt, "router shuts down")
+		}
+	}
 }
 
-// heard tells the module how an engine says it is loaded and, where engines send notes, what they say of an attempt. An
-// answer that says no more than that the attempt is under way is told twice in the time between notes.
-func (c *Core) heard(a *attempt, n AttemptProgress) {
-	now := c.loop.Now()
-	last, told := c.reports[a.engine]
-	if _, listed := c.engines[a.engine]; listed && n.Report != nil && (!told || last.load != *n.Report || now-last.at >= reportEvery) {
-		c.reports[a.engine] = report{*n.Report, now}
-		c.events = append(c.events, dispatch.EngineLoad{Engine: a.engine, Report: *n.Report})
+// progress passes an engine's load report to the module and, if engines report progress, that of an attempt. An answer
+// that says only that the attempt is alive is passed on twice per progress interval at most.
+func (t *attemptTracker) progress(a *attempt, progress AttemptProgress) {
+	now := t.loop.Now()
+	if progress.Report != nil && t.endpoints.recordLoad(a.engine, *progress.Report, now) {
+		t.queue.add(dispatch.EngineLoad{Engine: a.engine, Report: *progress.Report})
+	}
+	interval := t.settings.Load().progressIntervalMS
+	if a.ended || progress.Final || interval <= 0 {
+		return
 	}
-	if a.ended || n.Final || c.noteEvery <= 0 || n.Kind == dispatch.ProgressAlive && now-a.noted < c.noteEvery/2 {
+	if progress.Kind == dispatch.ProgressAlive && now-a.progressAt < interval/2 {
 		return
 	}
-	a.noted = now
-	c.events = append(c.events, dispatch.AttemptProgress{Request: a.r.key, Attempt: a.hop, Kind: n.Kind, Amount: n.Amount})
+	a.progressAt = now
+	t.queue.add(dispatch.AttemptProgress{
+		Request: a.request.key, Attempt: a.number, Kind: progress.Kind, Amount: progress.Amount,
+	})
 }
 
-// ended reports an attempt's end to the module; the first good one answers the request.
-func (c *Core) ended(a *attempt, e End) {
+// end ends an attempt and reports that to the module. The first attempt that is served answers the request.
+func (t *attemptTracker) end(a *attempt, end End) {
 	if a.ended {
-		c.Counters.EndsAfterEnd++
+		t.statistics.Counters.EndsAfterEnd++
 		return
 	}
-	r := a.r
-	a.ended, a.outcome = true, e.Outcome
-	if c.Observer != nil {
-		c.Observer.AttemptEnded(a.engine, e.Outcome, c.loop.Now()-a.at)
+	r := a.request
+	a.ended, a.outcome = true, end.Outcome
+	if t.hooks.Observer != nil {
+		t.hooks.Observer.AttemptEnded(a.engine, end.Outcome, t.loop.Now()-a.startedAt)
 	}
 	a.timeout.Stop()
-	a.latest.Stop()
+	a.startLimit.Stop()
 	a.call.Abandon()
-	r.out--
-	c.Counters.Outcomes[e.Outcome]++
-	if proven := e.Outcome == dispatch.EngineFull || e.Outcome == dispatch.ConnectFailed || e.Outcome == dispatch.NotSent; proven {
-		if c.spent.has(r.ID) {
-			c.changed(r.ID, IDReleased)
-		}
-		c.spent.remove(r.ID) // no earlier attempt may have run: the module would not have sent this one
-	}
-	if e.Outcome != dispatch.Served {
-		c.log.Debug("attempt ended", "rid", r.ID, "class", r.Class, "outcome", e.Outcome, "detail", e.Detail,
-			"took", c.loop.Now()-a.at)
-	}
-	if e.Outcome == dispatch.Served && r.asker != nil {
-		asker := r.asker
-		c.finish(r)
-		c.Counters.Served++
-		c.ByClass[r.Class].Served++
-		c.watched(r, Answer{Kind: AnswerServed, ObjectiveMS: c.aim(r, e.Result), Engine: a.engine})
-		asker.Served(e.Result)
-	}
-	end := dispatch.AttemptEnd{
-		Request: r.key, Attempt: a.hop, Outcome: e.Outcome,
-		Took: clock.Duration(c.loop.Now() - a.at), Last: r.asker == nil,
-	}
-	if e.Result != nil {
-		end.Work, end.NeedMB = clock.Duration(e.Result.WorkMS), e.Result.NeedMB
+	r.outstanding--
+	t.statistics.Counters.Outcomes[end.Outcome]++
+	if provesNotRun(end.Outcome) {
+		t.ids.release(r.ID) // no earlier attempt may have run: the module would not have started this one
+	}
+	if end.Outcome != dispatch.Served {
+		t.log.Debug("attempt ended", "request_id", r.ID, "class", r.Class, "outcome", end.Outcome,
+			"detail", end.Detail, "took", t.loop.Now()-a.startedAt)
+	} else if r.open() {
+		t.onServed(a, end.Result)
+	}
+	t.reportEnd(a, end.Result)
+	t.requests.removeEnded(r)
+}
+
+// reportEnd queues the end of an attempt for the module.
+func (t *attemptTracker) reportEnd(a *attempt, result *Result) {
+	event := dispatch.AttemptEnd{
+		Request: a.request.key, Attempt: a.number, Outcome: a.outcome,
+		Took: clock.Duration(t.loop.Now() - a.startedAt), Last: !a.request.open(),
 	}
-	c.events = append(c.events, end)
-	if r.asker == nil && r.out == 0 {
-		delete(c.requests, r.key)
+	if result != nil {
+		event.Work, event.NeedMB = clock.Duration(result.WorkMS), result.NeedMB
 	}
+	t.queue.add(event)
 }
 
-type noAttempt struct{}
-
-func (noAttempt) SetPriority(int)    {}
-func (noAttempt) Cancel()            {}
-func (noAttempt) Abandon()           {}
-func (noAttempt) CancelUnsent() bool { return false }
+// provesNotRun reports whether an outcome proves that the attempt never ran.
+func provesNotRun(outcome dispatch.Outcome) bool {
+	return outcome == dispatch.EngineFull || outcome == dispatch.ConnectFailed || outcome == dispatch.NotSent
+}
--- a/internal/router/client_by_kind.go
+++ b/internal/router/client_by_kind.go
@@ -1,25 +1,25 @@
 package router
 
-// ByKind hands each call to the client of its engine's kind, or to Other.
+// ByKind is an EngineClient that passes each call to the client for the engine's kind, or to Default if there is none.
 type ByKind struct {
 	Kinds   map[string]EngineClient
 	Default EngineClient
 }
 
-func (m *ByKind) client(e Engine) EngineClient {
-	if c := m.Kinds[e.Kind]; c != nil {
-		return c
+func (b *ByKind) client(engine Engine) EngineClient {
+	if client := b.Kinds[engine.Kind]; client != nil {
+		return client
 	}
-	return m.Default
+	return b.Default
 }
 
 // Start implements EngineClient.
-func (m *ByKind) Start(call Call, done func(End)) Attempt {
-	return m.client(call.Engine).Start(call, done)
+func (b *ByKind) Start(call Call, done func(End)) Attempt {
+	return b.client(call.Engine).Start(call, done)
 }
 
 // Forget implements EngineClient.
-func (m *ByKind) Forget(e Engine) { m.client(e).Forget(e) }
+func (b *ByKind) Forget(engine Engine) { b.client(engine).Forget(engine) }
 
 // CancelUnstarted implements EngineClient.
-func (m *ByKind) CancelUnstarted(e Engine) { m.client(e).CancelUnstarted(e) }
+func (b *ByKind) CancelUnstarted(engine Engine) { b.client(engine).CancelUnstarted(engine) }
--- /dev/null
+++ b/internal/router/decide.go
@@ -0,0 +1,51 @@
+package router
+
+import (
+	"windflow/dispatch"
+	"windflow/internal/clock"
+)
+
+// decide passes the gathered events to the module and carries out the actions that it returns, until no event is left.
+func (c *Core) decide() {
+	c.Counters.Steps++
+	if c.holding {
+		return
+	}
+	for !c.queue.empty() {
+		now := clock.Duration(c.loop.Now())
+		events := c.queue.take()
+		c.actions = c.actions[:0]
+		for _, event := range events {
+			c.actions = c.module.Handle(now, event, c.actions)
+		}
+		c.Counters.Events += int64(len(events))
+		c.Counters.Actions += int64(len(c.actions))
+		removed := c.endpoints.takeRemoved()
+		for _, action := range c.actions {
+			c.execute(action)
+		}
+		c.endpoints.delete(removed)
+		c.requests.arrived()
+	}
+}
+
+// execute carries out an action of the module.
+func (c *Core) execute(action dispatch.Action) {
+	switch action := action.(type) {
+	case dispatch.StartAttempt:
+		c.attempts.start(action)
+	case dispatch.SetResources:
+		c.attempts.setResources(action)
+	case dispatch.CancelAttempt:
+		c.attempts.cancel(action)
+	case dispatch.Reject:
+		c.responder.reject(c.requests.byKey[action.Request], clock.Millis(action.RetryAfter))
+	case dispatch.FailRequest:
+		c.responder.failByModule(c.requests.byKey[action.Request])
+	case dispatch.SetTimer:
+		c.loop.After(clock.Millis(action.After), func() {
+			c.queue.add(dispatch.TimerFired{Tag: action.Tag})
+		})
+	case dispatch.Subscribe: // discovery pushes changes of the list unasked
+	}
+}
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -4,93 +4,114 @@
 	"slices"
 
 	"windflow/dispatch"
-	"windflow/internal/clock"
 )
 
-// UpdateEndpoints tells the module of the list, and keeps the addresses. Those of engines that left are kept until the module
-// has heard of it: an event gathered ahead of this list may still have it send to one.
-func (c *Core) UpdateEndpoints(list dispatch.EndpointList, addrs map[dispatch.EngineID]string) {
-	c.Counters.EndpointUpdates++
-	if c.Observer != nil {
-		c.Observer.EndpointsChanged()
+// endpointTable holds the listed engines with their addresses, and their latest load reports.
+type endpointTable struct {
+	client  EngineClient
+	engines map[dispatch.EngineID]Engine
+	// removed engines stay in the table until the module has handled their removal: an event that was gathered ahead of
+	// it may still have the module start an attempt there.
+	removed []dispatch.EngineID
+	// unavailable engines are draining or removed by the latest event, which the module may not have handled yet.
+	unavailable map[dispatch.EngineID]bool
+	loads       map[dispatch.EngineID]reportedLoad
+}
+
+// reportedLoad is an engine's latest load report, and when it was passed to the module.
+type reportedLoad struct {
+	report dispatch.LoadReport
+	at     float64
+}
+
+// loadReportIntervalMS is how often the module gets a load report that stays the same: every answer of an engine
+// brings one.
+const loadReportIntervalMS = 250.0
+
+func newEndpointTable(client EngineClient) *endpointTable {
+	return &endpointTable{
+		client:      client,
+		engines:     map[dispatch.EngineID]Engine{},
+		unavailable: map[dispatch.EngineID]bool{},
+		loads:       map[dispatch.EngineID]reportedLoad{},
 	}
-	if list.Mode == dispatch.ListComplete {
-		// An engine that a whole list leaves out is gone; its address may pass to another.
-		for id, e := range c.engines {
-			if !slices.ContainsFunc(list.Endpoints, func(n dispatch.Endpoint) bool { return n.ID == id }) {
-				c.client.Forget(e)
-				c.client.CancelUnstarted(e)
-				c.leaving[id] = true
-				c.gone = append(c.gone, id)
-			}
+}
+
+// removeUnlisted removes the engines that a complete list leaves out; their addresses may pass to others.
+func (t *endpointTable) removeUnlisted(endpoints []dispatch.Endpoint) {
+	for id, engine := range t.engines {
+		if slices.ContainsFunc(endpoints, func(e dispatch.Endpoint) bool { return e.ID == id }) {
+			continue
 		}
+		t.client.Forget(engine)
+		t.client.CancelUnstarted(engine)
+		t.unavailable[id] = true
+		t.removed = append(t.removed, id)
 	}
-	c.words = append(c.words, list)
-	for _, e := range list.Endpoints {
-		old, known := c.engines[e.ID]
-		if delete(c.leaving, e.ID); e.State != dispatch.Live && (known || e.State == dispatch.Draining) {
-			c.leaving[e.ID] = true
-		}
-		moved := known && old.Address != addrs[e.ID]
-		switch {
-		case e.State == dispatch.Removed:
-			if known {
-				c.client.Forget(old)
-				c.gone = append(c.gone, e.ID)
-			}
-		default:
-			if moved {
-				c.client.Forget(old)
-			}
-			c.engines[e.ID] = Engine{ID: e.ID, Address: addrs[e.ID], Kind: e.Kind}
-			c.gone = slices.DeleteFunc(c.gone, func(id dispatch.EngineID) bool { return id == e.ID })
+}
+
+// update applies the state and the address of an endpoint.
+func (t *endpointTable) update(endpoint dispatch.Endpoint, address string) {
+	id := endpoint.ID
+	old, known := t.engines[id]
+	live := endpoint.State == dispatch.Live
+	delete(t.unavailable, id)
+	if !live && (known || endpoint.State == dispatch.Draining) {
+		t.unavailable[id] = true
+	}
+	moved := known && old.Address != address
+	if endpoint.State == dispatch.Removed {
+		if known {
+			t.client.Forget(old)
+			t.removed = append(t.removed, id)
 		}
-		if known && (moved || e.State != dispatch.Live) {
-			// The module chose it when it was live, and there. What has not begun may begin much later, when the time for
-			// that is over, or another engine has the address.
-			c.client.CancelUnstarted(old)
+	} else {
+		if moved {
+			t.client.Forget(old)
 		}
+		t.engines[id] = Engine{ID: id, Address: address, Kind: endpoint.Kind}
+		t.removed = slices.DeleteFunc(t.removed, func(r dispatch.EngineID) bool { return r == id })
+	}
+	if known && (moved || !live) {
+		// The module chose the engine while it was live, at its old address. Unstarted attempts could start much
+		// later, when that no longer holds or another engine has the address.
+		t.client.CancelUnstarted(old)
 	}
 }
 
-// Cordon keeps new work from an engine, by an operator's word, until Include; once it returns, nothing more is begun
-// there. Both say no to an engine that no list has named.
-func (c *Core) Cordon(id dispatch.EngineID) bool { return c.order(id, dispatch.Cordon{Engine: id}) }
-
-// Uncordon ends an Exclude.
-func (c *Core) Uncordon(id dispatch.EngineID) bool { return c.order(id, dispatch.Uncordon{Engine: id}) }
-
-func (c *Core) order(id dispatch.EngineID, word dispatch.Event) bool {
-	if !c.KnowsEngine(id) {
-		return false
+// cancelUnstarted has the attempts end that have not been started at an engine, if it is in the table.
+func (t *endpointTable) cancelUnstarted(id dispatch.EngineID) {
+	if engine, ok := t.engines[id]; ok {
+		t.client.CancelUnstarted(engine)
 	}
-	c.words = append(c.words, word)
-	c.settle()
-	if e, ok := c.engines[id]; ok && c.module.Cordoned(id) {
-		c.client.CancelUnstarted(e)
-	}
-	return true
 }
 
-// ListedEngines is the number of engines in the list, and Avoided that of those among them which get no work now, by an
-// operator's word or by the module's choice.
-func (c *Core) ListedEngines() int { return len(c.engines) }
+// takeRemoved returns the removed engines that are still in the table, and starts a new list of them.
+func (t *endpointTable) takeRemoved() []dispatch.EngineID {
+	removed := t.removed
+	t.removed = nil
+	return removed
+}
 
-// AvoidedEngines: see Listed.
-func (c *Core) AvoidedEngines() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
+// delete drops engines from the table; their ids need not return.
+func (t *endpointTable) delete(ids []dispatch.EngineID) {
+	for _, id := range ids {
+		delete(t.engines, id)
+		delete(t.unavailable, id)
+		delete(t.loads, id)
+	}
+}
 
-// HoldDecisions has the core gather events and hand none to the module, until it is called with false: then what it heard of
-// engines goes first. It is for a process that stood still, and guards against queries that waited with it being sent by
-// an old view of the fleet.
-func (c *Core) HoldDecisions(on bool) {
-	c.hearing = on
-	if on {
-		return
+// recordLoad keeps an engine's load report and tells whether it is due for the module: it has changed, or the last one
+// was passed on some time ago.
+func (t *endpointTable) recordLoad(id dispatch.EngineID, report dispatch.LoadReport, now float64) bool {
+	if _, listed := t.engines[id]; !listed {
+		return false
 	}
-	c.settle()
-	for id, e := range c.engines {
-		if c.module.Cordoned(id) {
-			c.client.CancelUnstarted(e)
-		}
+	last, known := t.loads[id]
+	if known && last.report == report && now-last.at < loadReportIntervalMS {
+		return false
 	}
+	t.loads[id] = reportedLoad{report: report, at: now}
+	return true
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -10,60 +10,66 @@
 	"windflow/internal/clock"
 )
 
-// engines is a stand-in for the engine client.
-type engines struct {
-	calls     []Call
-	done      []func(End)
-	gone      []Engine
-	withheld  []Engine
-	cancelled []string
-	unbegun   map[string]bool // ids of which nothing is written
-	recalled  []string
+// fakeEngineClient is a stand-in for the engine client.
+type fakeEngineClient struct {
+	calls             []Call
+	done              []func(End)
+	forgotten         []Engine
+	unstartedCanceled []Engine
+	canceled          []string
+	unsent            map[string]bool // ids of which nothing is written
+	unsentCanceled    []string
 }
 
-func (e *engines) Start(c Call, done func(End)) Attempt {
+func (e *fakeEngineClient) Start(c Call, done func(End)) Attempt {
 	e.calls, e.done = append(e.calls, c), append(e.done, done)
-	return out{noAttempt{}, e, c.ID}
+	return fakeAttempt{unstartedAttempt{}, e, c.ID}
 }
 
-type out struct {
-	noAttempt
-	e  *engines
-	id string
+type fakeAttempt struct {
+	unstartedAttempt
+	client *fakeEngineClient
+	id     string
 }
 
-func (o out) Cancel() { o.e.cancelled = append(o.e.cancelled, o.id) }
-func (o out) CancelUnsent() bool {
-	if !o.e.unbegun[o.id] {
+func (o fakeAttempt) Cancel() { o.client.canceled = append(o.client.canceled, o.id) }
+func (o fakeAttempt) CancelUnsent() bool {
+	if !o.client.unsent[o.id] {
 		return false
 	}
-	o.e.recalled = append(o.e.recalled, o.id)
+	o.client.unsentCanceled = append(o.client.unsentCanceled, o.id)
 	return true
 }
-func (e *engines) Forget(g Engine)          { e.gone = append(e.gone, g) }
-func (e *engines) CancelUnstarted(g Engine) { e.withheld = append(e.withheld, g) }
+func (e *fakeEngineClient) Forget(g Engine) { e.forgotten = append(e.forgotten, g) }
+func (e *fakeEngineClient) CancelUnstarted(g Engine) {
+	e.unstartedCanceled = append(e.unstartedCanceled, g)
+}
 
-// asker keeps the answers to one request.
-type asker struct{ answers []string }
+// recordingHandler keeps the answers to one request.
+type recordingHandler struct{ answers []string }
 
-func (a *asker) Served(*Result)      { a.answers = append(a.answers, "served") }
-func (a *asker) Rejected(ms float64) { a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms)) }
+func (a *recordingHandler) Served(*Result) { a.answers = append(a.answers, "served") }
+func (a *recordingHandler) Rejected(ms float64) {
+	a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms))
+}
 
-func (a *asker) Failed(why Reason) { a.answers = append(a.answers, fmt.Sprintf("failed %d", why)) }
+func (a *recordingHandler) Failed(why Reason) {
+	a.answers = append(a.answers, fmt.Sprintf("failed %d", why))
+}
 
-type bed struct {
-	t       *testing.T
-	now     *clock.Manual
-	loop    *Loop
-	core    *Core
-	engines *engines
-	ids     int
+type harness struct {
+	t      *testing.T
+	clock  *clock.Manual
+	loop   *Loop
+	core   *Core
+	client *fakeEngineClient
+	lastID int
 }
 
-func newBed(t *testing.T, change ...func(*dispatch.Config)) *bed {
+func newHarness(t *testing.T, change ...func(*dispatch.Config)) *harness {
 	t.Helper()
-	b := &bed{t: t, now: &clock.Manual{MS: 1e12}, engines: &engines{}}
-	b.loop = NewLoop(b.now)
+	b := &harness{t: t, clock: &clock.Manual{MS: 1e12}, client: &fakeEngineClient{}}
+	b.loop = NewLoop(b.clock)
 	var err error
 	cfg := dispatch.Config{
 		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
@@ -79,54 +85,54 @@
 	for _, f := range change {
 		f(&cfg)
 	}
-	b.core, err = New(b.loop, cfg, b.engines, slog.New(slog.DiscardHandler))
+	b.core, err = New(b.loop, cfg, b.client, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.list(dispatch.ListCached, dispatch.Live, "10.0.0.1:1")
+	b.updateEndpoint(dispatch.ListCached, dispatch.Live, "10.0.0.1:1")
 	return b
 }
 
-func (b *bed) list(mode dispatch.ListMode, state dispatch.EndpointState, addr string) {
+func (b *harness) updateEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, addr string) {
 	b.loop.Post(func() {
 		b.core.UpdateEndpoints(dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
 			map[dispatch.EngineID]string{7: addr})
 	})
-	b.run()
+	b.runLoop()
 }
 
-func (b *bed) run() {
+func (b *harness) runLoop() {
 	for b.loop.Step() {
 	}
 }
 
-func (b *bed) wait(ms float64) {
-	for end := b.now.MS + ms; b.now.MS < end; b.now.MS++ {
-		b.run()
+func (b *harness) advance(ms float64) {
+	for end := b.clock.MS + ms; b.clock.MS < end; b.clock.MS++ {
+		b.runLoop()
 	}
 }
 
-// ask submits a request; sent is how long ago its client sent it.
-func (b *bed) ask(class string, budget, sent float64) (*asker, Handle) {
+// submit submits a request; sent is how long ago its client sent it.
+func (b *harness) submit(class string, budget, sent float64) (*recordingHandler, Handle) {
 	b.t.Helper()
-	b.ids++
-	a := &asker{}
+	b.lastID++
+	a := &recordingHandler{}
 	var h Handle
 	b.loop.Post(func() {
 		var err error
 		h, err = b.core.Submit(&Request{
-			ID: fmt.Sprintf("%016x", b.ids), Class: class, Statement: "S",
-			SentAtMS: b.now.MS - sent, BudgetMS: budget,
+			ID: fmt.Sprintf("%016x", b.lastID), Class: class, Statement: "S",
+			SentAtMS: b.clock.MS - sent, BudgetMS: budget,
 		}, a)
 		if err != nil {
 			b.t.Error(err)
 		}
 	})
-	b.run()
+	b.runLoop()
 	return a, h
 }
 
-func (b *bed) end(i int, e End) {
-	b.loop.Post(func() { b.engines.done[i](e) })
-	b.run()
+func (b *harness) endAttempt(i int, e End) {
+	b.loop.Post(func() { b.client.done[i](e) })
+	b.runLoop()
 }
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -8,174 +8,108 @@
 	"windflow/internal/clock"
 )
 
-// IDChange is news of a client's id, for another process that stands for the same router.
-type IDChange struct {
-	ID     string   `json:"id"`
-	Status IDStatus `json:"what"`
-}
-
-// IDStatus is what has become of an id.
-type IDStatus int
-
-// What becomes of ids: a request is open or done; what must not run twice may have run, or is proven not to have.
-const (
-	IDOpen IDStatus = iota
-	IDDone
-	IDConsumed
-	IDReleased
-)
-
-// State is what another process needs to go on in a router's place.
+// State is what another process needs to go on in place of this one.
 type State struct {
 	OpenIDs     []string          `json:"open"`
 	ConsumedIDs []string          `json:"spent"`
 	Dispatch    dispatch.Snapshot `json:"module"`
 }
 
-func (c *Core) changed(id string, what IDStatus) {
-	if c.OnIDChange != nil {
-		c.OnIDChange(IDChange{id, what})
-	}
-}
+// ClaimReply is the other process's reply to the claim of an id, before an at-most-once request with it starts here.
+type ClaimReply int
 
-// State gives the core's; it is called in the loop.
-func (c *Core) State() State {
-	c.settle()
-	return State{OpenIDs: slices.Sorted(maps.Keys(c.byID)), ConsumedIDs: c.spent.list(), Dispatch: c.module.Snapshot()}
-}
+// Replies to a claim.
+const (
+	ClaimGranted  ClaimReply = iota // the request may start
+	ClaimDenied                     // it may have run in the other process
+	ClaimTimedOut                   // there was no reply in time
+)
 
-// RestoreState goes on from another process's state; one that comes again takes the place of what came before.
-func (c *Core) RestoreState(s State) {
-	clear(c.elsewhere)
-	for _, id := range s.OpenIDs {
-		c.elsewhere[id] = true
-	}
-	for _, id := range s.ConsumedIDs {
-		c.spent.add(id)
+// claimRetryAfterMS is the Retry-After of a request that is rejected because its claim timed out.
+const claimRetryAfterMS = 500.0
+
+// State returns the core's state.
+func (c *Core) State() State {
+	c.decide()
+	return State{
+		OpenIDs:     slices.Sorted(maps.Keys(c.requests.open)),
+		ConsumedIDs: c.ids.consumed.list(),
+		Dispatch:    c.module.Snapshot(),
 	}
-	c.words = append(c.words, dispatch.RestoreSnapshot{Snapshot: s.Dispatch})
-	c.settle()
 }
 
-// SetShutdownDeadline says that the process ends at that time, in milliseconds: every request has its answer by then. It guards
-// against answers that are cut off by the kill at the end of a planned restart.
-func (c *Core) SetShutdownDeadline(at float64) {
-	c.closeAt = at
-	for _, r := range c.byID {
-		if r.end <= at {
-			continue
-		}
-		r.end = at
-		c.guard(r)
-		for _, a := range r.attempts {
-			if !a.ended && a.timeout != nil {
-				a.timeout.Stop()
-				a.timeout = c.loop.At(at, func() { c.ended(a, End{Outcome: dispatch.TimedOut, Detail: "the router ends"}) })
-			}
-		}
-	}
-	c.events = append(c.events, dispatch.ShutdownDeadline{At: clock.Duration(at)})
+// RestoreState continues from another process's state. A later state replaces an earlier one.
+func (c *Core) RestoreState(state State) {
+	c.ids.restore(state.OpenIDs, state.ConsumedIDs)
+	c.queue.addEngineEvent(dispatch.RestoreSnapshot{Snapshot: state.Dispatch})
+	c.decide()
 }
 
-// OtherProcessChanged takes news of an id from the other process: one that is open there can't be opened here.
-func (c *Core) OtherProcessChanged(n IDChange) {
-	switch n.Status {
-	case IDOpen:
-		c.elsewhere[n.ID] = true
-	case IDDone:
-		delete(c.elsewhere, n.ID)
-	case IDConsumed:
-		c.spent.add(n.ID)
-	case IDReleased:
-		c.spent.remove(n.ID)
+// SetShutdownDeadline says when the process ends, in milliseconds on the loop's clock: each request is answered by
+// then. It guards against answers that are cut off by the kill at the end of a planned restart.
+func (c *Core) SetShutdownDeadline(at float64) {
+	c.shutdownAt = at
+	for _, r := range c.requests.open {
+		c.responder.limitDeadline(r, at)
 	}
+	c.queue.add(dispatch.ShutdownDeadline{At: clock.Duration(at)})
 }
 
-// ClaimReply is what the other process says of an id before a request that must not run twice is begun here.
-type ClaimReply int
+// OtherProcessChanged applies a change of an id in the other process: one that is open there can't be opened here.
+func (c *Core) OtherProcessChanged(change IDChange) { c.ids.applyChange(change) }
 
-// Words: it may begin; it may have run there; nothing was said.
-const (
-	ClaimGranted ClaimReply = iota
-	ClaimDenied
-	ClaimTimedOut
-)
-
-// claimBackoffMS is the advice with a refusal for want of the other process's word, in milliseconds.
-const claimBackoffMS = 500.0
-
-// claim asks the other process, where there is one, before a request that must not run twice is begun. It guards against
-// an id that a client sends to both: news of it may be on its way. Nothing of the request has been sent until then.
-func (c *Core) claim(r *request, begin func()) {
+// claim asks the other process, if there is one, before an at-most-once request starts. It guards against an id that a
+// client sends to both processes while the change that says so is on its way. Nothing of the request is sent until then.
+func (c *Core) claim(r *request) {
 	if c.ClaimID == nil {
-		begin()
+		c.arrive(r)
 		return
 	}
-	c.ClaimID(r.ID, func(w ClaimReply) {
-		switch {
-		case r.asker == nil: // the client left
-		case w == ClaimGranted:
-			begin()
-		case w == ClaimDenied:
-			c.fail(r, ReasonEngine)
-		default:
-			asker := r.asker
-			c.finish(r)
-			c.Counters.Rejected++
-			c.ByClass[r.Class].Rejected++
-			c.watched(r, Answer{Kind: AnswerRejected, Reason: "no word of the router's other process"})
-			asker.Rejected(c.advice(claimBackoffMS))
+	c.ClaimID(r.ID, func(reply ClaimReply) {
+		if !r.open() { // the client is gone
+			return
+		}
+		switch reply {
+		case ClaimGranted:
+			c.arrive(r)
+		case ClaimDenied:
+			c.responder.fail(r, ReasonEngine)
+		case ClaimTimedOut:
+			c.responder.rejectUnclaimed(r)
 		}
 	})
 }
 
-// GrantClaim answers the other process's claim. From then on the id counts here as one that may have run.
+// GrantClaim answers the other process's claim of an id. An id that is granted counts here as one that may have run.
 func (c *Core) GrantClaim(id string) bool {
-	if c.byID[id] != nil || c.spent.has(id) {
+	if c.requests.open[id] != nil || c.ids.consumed.has(id) {
 		return false
 	}
-	c.spent.add(id)
+	c.ids.consumed.add(id)
 	return true
 }
 
-// KnowsEngine tells whether a list has named an engine.
-func (c *Core) KnowsEngine(id dispatch.EngineID) bool {
-	c.settle() // a list that names the engine may just have come
-	return c.module.Knows(id)
-}
-
-// AdoptCordons keeps work from engines that operators have excluded in another process, whether a list has named them or not.
-func (c *Core) AdoptCordons(out []dispatch.EngineID) {
-	c.words = append(c.words, dispatch.RestoreSnapshot{Snapshot: dispatch.Snapshot{Known: out, Cordoned: out, CompletedWork: -1}})
-	c.settle()
-	for _, id := range out {
-		if e, ok := c.engines[id]; ok {
-			c.client.CancelUnstarted(e)
-		}
+// AdoptCordons cordons engines that operators have cordoned in another process, whether a list has named them or not.
+func (c *Core) AdoptCordons(cordoned []dispatch.EngineID) {
+	c.queue.addEngineEvent(dispatch.RestoreSnapshot{
+		Snapshot: dispatch.Snapshot{Known: cordoned, Cordoned: cordoned, CompletedWork: -1},
+	})
+	c.decide()
+	for _, id := range cordoned {
+		c.endpoints.cancelUnstarted(id)
 	}
 }
 
-// Usage gives what this process has running on each engine.
+// Usage returns what this process has running on each engine.
 func (c *Core) Usage() dispatch.OtherProcessUsage {
 	return c.module.Usage(clock.Duration(c.loop.Now()))
 }
 
-// SetOtherProcessUsage takes in what the other process has running there.
-func (c *Core) SetOtherProcessUsage(use dispatch.OtherProcessUsage) { c.events = append(c.events, use) }
+// SetOtherProcessUsage sets what the other process has running on each engine.
+func (c *Core) SetOtherProcessUsage(usage dispatch.OtherProcessUsage) { c.queue.add(usage) }
 
-// OtherProcessEnded says that the other process has ended: nothing runs there any more, and no id is open.
+// OtherProcessEnded says that the other process has ended: nothing of it runs any more, and none of its ids is open.
 func (c *Core) OtherProcessEnded() {
-	clear(c.elsewhere)
+	clear(c.ids.otherProcess)
 	c.SetOtherProcessUsage(dispatch.OtherProcessUsage{})
 }
-
-// list gives the ids, the oldest first.
-func (s *spent) list() []string {
-	var ids []string
-	for i := range maxSpent {
-		if id := s.ids[(s.next+i)%maxSpent]; id != "" {
-			ids = append(ids, id)
-		}
-	}
-	return ids
-}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -8,34 +8,36 @@
 	"windflow/internal/clock"
 )
 
-// Loop runs everything that touches state, one step after the other, in one goroutine: what other
-// goroutines post, then the timers that are due, then Settle. Nothing in a step may block.
+// Loop runs everything that touches the router's state in one goroutine, step by step: the functions that other
+// goroutines have posted, then the timers that are due, then AfterStep. Nothing in a step may block.
 type Loop struct {
-	// Settle runs at the end of each step, when all that was ready has been gathered.
+	// AfterStep runs at the end of each step, when all that was ready has run.
 	AfterStep func()
-	// Behind, where it is set, is called when the loop finds that it stood still: with the whole process, as a rule, so that
-	// what came meanwhile has not been posted yet. It has caughtUp called, from any goroutine, once that is done. Until then
-	// no timer runs: an answer that has come is not to be taken for one that did not.
+	// OnStall, if set, is called when the loop finds that it stood still: usually with the whole process, so that what
+	// came meanwhile has not been posted yet. It has caughtUp called, from any goroutine, when that is done. Until then
+	// no timer runs, so that an answer that has come is not taken for one that is missing.
 	OnStall func(caughtUp func())
 
-	clock  clock.Clock
-	timers timerHeap
-	due    []*Timer // of the step at hand
-	seq    uint64
-	heldTo float64 // when timers run again at the latest; 0: they do
-	heard  float64 // when the loop had last caught up, or given that up
+	clock        clock.Clock
+	timers       timerHeap
+	due          []*Timer // of the current step
+	lastSequence uint64
+	pausedUntil  float64 // when timers run again at the latest; 0 if they are not paused
+	caughtUpAt   float64 // when the last pause of the timers ended
 
 	mu    sync.Mutex
 	inbox []func()
-	spare []func()
+	spare []func() // the inbox of the step before, for reuse
 	wake  chan struct{}
 }
 
 const (
-	// stoodStill is how late a timer has to be, in milliseconds, for the loop to count as having stood still.
-	stoodStill = 400.0
-	// catchUp bounds how long timers wait then, in milliseconds.
-	catchUp = 200.0
+	// stallThresholdMS is how late a timer has to be for the loop to count as having stood still.
+	stallThresholdMS = 400.0
+	// maxCatchUpMS bounds how long timers are paused then.
+	maxCatchUpMS = 200.0
+	// maxSleep is how long Run sleeps if no timer is set.
+	maxSleep = time.Hour
 )
 
 // NewLoop returns a loop on that clock.
@@ -43,14 +45,14 @@
 	return &Loop{clock: c, wake: make(chan struct{}, 1), AfterStep: func() {}}
 }
 
-// Now is the loop's time in milliseconds.
+// Now returns the loop's time in milliseconds.
 func (l *Loop) Now() float64 { return l.clock.Now() }
 
-// Post has f run in the loop's goroutine, after what was posted before it. It never blocks and may be
-// called from anywhere.
-func (l *Loop) Post(f func()) {
+// Post has fn run in the loop's goroutine, after what was posted before it. It never blocks and may be called from any
+// goroutine.
+func (l *Loop) Post(fn func()) {
 	l.mu.Lock()
-	l.inbox = append(l.inbox, f)
+	l.inbox = append(l.inbox, fn)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -58,82 +60,72 @@
 	}
 }
 
-// Timer is a call set for later; only the loop's goroutine may stop it.
-type Timer struct {
-	at    float64
-	seq   uint64
-	index int // -1 once it has run or was stopped
-	f     func()
-	loop  *Loop
+// At has fn run in the loop's goroutine once the clock shows that time in milliseconds.
+func (l *Loop) At(ms float64, fn func()) *Timer {
+	l.lastSequence++
+	timer := &Timer{at: ms, sequence: l.lastSequence, fn: fn, loop: l}
+	heap.Push(&l.timers, timer)
+	return timer
 }
 
-// Stop takes the timer back; a nil or spent timer is left alone.
-func (t *Timer) Stop() {
-	if t == nil {
-		return
-	}
-	if t.f = nil; t.index >= 0 {
-		heap.Remove(&t.loop.timers, t.index)
-	}
-}
-
-// At has f run in the loop's goroutine once the clock shows ms.
-func (l *Loop) At(ms float64, f func()) *Timer {
-	l.seq++
-	t := &Timer{at: ms, seq: l.seq, f: f, loop: l}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// After has f run once ms milliseconds have passed.
-func (l *Loop) After(ms float64, f func()) *Timer { return l.At(l.Now()+ms, f) }
+// After has fn run in the loop's goroutine once that many milliseconds have passed.
+func (l *Loop) After(ms float64, fn func()) *Timer { return l.At(l.Now()+ms, fn) }
 
-// PendingTimers is the number of calls that are set for later; it is asked in the loop's goroutine.
+// PendingTimers is the number of timers that are set. It must be called in the loop's goroutine.
 func (l *Loop) PendingTimers() int { return len(l.timers) }
 
-// Step runs all that is posted and due, then Settle, and tells whether there was anything to do.
+// Step runs all that is posted and due, then AfterStep, and reports whether there was anything to do.
 func (l *Loop) Step() bool {
+	posted := l.runPosted()
+	fired := l.runTimers()
+	if !posted && !fired {
+		return false
+	}
+	l.AfterStep()
+	return true
+}
+
+// runPosted runs what was posted before the call, and reports whether that was anything.
+func (l *Loop) runPosted() bool {
 	l.mu.Lock()
-	ready := l.inbox
+	posted := l.inbox
 	l.inbox = l.spare[:0]
 	l.mu.Unlock()
-	for i, f := range ready {
-		f()
-		ready[i] = nil
+	for i, fn := range posted {
+		fn()
+		posted[i] = nil
 	}
-	l.spare = ready
-	did := len(ready) > 0
-	// Timers that are set meanwhile wait for the next step, also where they are due: one that sets itself anew for a time that
-	// has passed would hold the loop for ever.
+	l.spare = posted
+	return len(posted) > 0
+}
+
+// runTimers runs the timers that are due, and reports whether there were any. Timers that are set meanwhile wait for the
+// next step, even if they are due: one that sets itself anew for a time in the past would never let the loop go on.
+func (l *Loop) runTimers() bool {
 	due := l.due[:0]
-	for now := l.Now(); len(l.timers) > 0 && l.timers[0].at <= now && !l.held(now); did = true {
+	for now := l.Now(); len(l.timers) > 0 && l.timers[0].at <= now && !l.timersPaused(now); {
 		due = append(due, heap.Pop(&l.timers).(*Timer))
 	}
-	for i, t := range due {
-		if f := t.f; f != nil { // else it was stopped meanwhile
-			t.f = nil
-			f()
-		}
+	for i, timer := range due {
+		timer.run()
 		due[i] = nil
 	}
 	l.due = due
-	if did {
-		l.AfterStep()
-	}
-	return did
+	return len(due) > 0
 }
 
-// held tells whether timers that are due have to wait, since the loop stood still and what came meanwhile is on its way.
-func (l *Loop) held(now float64) bool {
+// timersPaused reports whether timers that are due have to wait, because the loop stood still and what came meanwhile
+// has not been posted yet.
+func (l *Loop) timersPaused(now float64) bool {
 	switch {
-	case l.heldTo > now:
+	case l.pausedUntil > now:
 		return true
-	case l.heldTo > 0:
-		l.heldTo, l.heard = 0, now // it never said so
-	case l.OnStall != nil && now-max(l.timers[0].at, l.heard) > stoodStill:
-		l.heldTo = now + catchUp
+	case l.pausedUntil > 0: // caughtUp was not called in time
+		l.pausedUntil, l.caughtUpAt = 0, now
+	case l.OnStall != nil && now-max(l.timers[0].at, l.caughtUpAt) > stallThresholdMS:
+		l.pausedUntil = now + maxCatchUpMS
 		l.OnStall(func() {
-			l.Post(func() { l.heldTo, l.heard = 0, l.Now() })
+			l.Post(func() { l.pausedUntil, l.caughtUpAt = 0, l.Now() })
 		})
 		return true
 	}
@@ -153,11 +145,7 @@
 		if l.Step() {
 			continue
 		}
-		wait := time.Hour
-		if len(l.timers) > 0 {
-			wait = max(clock.Duration(max(l.timers[0].at, l.heldTo)-l.Now()), 0)
-		}
-		sleep.Reset(wait)
+		sleep.Reset(l.untilNextTimer())
 		select {
 		case <-stop:
 			return
@@ -167,29 +155,10 @@
 	}
 }
 
-type timerHeap []*Timer
-
-func (h timerHeap) Len() int { return len(h) }
-func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
-}
-
-func (h timerHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
-}
-
-func (h *timerHeap) Push(x any) {
-	t := x.(*Timer)
-	t.index = len(*h)
-	*h = append(*h, t)
-}
-
-func (h *timerHeap) Pop() any {
-	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	t.index = -1
-	return t
+// untilNextTimer is how long the loop may sleep.
+func (l *Loop) untilNextTimer() time.Duration {
+	if len(l.timers) == 0 {
+		return maxSleep
+	}
+	return max(clock.Duration(max(l.timers[0].at, l.pausedUntil)-l.Now()), 0)
 }
--- a/internal/router/loop_test.go
+++ b/internal/router/loop_test.go
@@ -10,7 +10,7 @@
 // A loop that stood still hears what came meanwhile before its timers run, which may say that it did not come. It guards against
 // an answer that is there, and a load that is failed for want of it; and against timers that wait for ever, or wait where
 // nothing stood.
-func TestTimersWaitForWhatCameInAStandstill(t *testing.T) {
+func TestTimersWaitForInboxAfterStall(t *testing.T) {
 	for _, k := range []struct {
 		name    string
 		late    float64 // of the timer
@@ -41,7 +41,7 @@
 				l.Step()
 				l.Step()
 			} else {
-				now.MS += catchUp - 1
+				now.MS += maxCatchUpMS - 1
 				if l.Step(); len(saw) > 0 {
 					t.Errorf("saw %v while the loop waits", saw)
 				}
--- a/internal/router/progress_test.go
+++ b/internal/router/progress_test.go
@@ -10,7 +10,7 @@
 // What answers say beside an end reaches the module: notes where engines send them, load reports from all. It guards against
 // attempts that are taken for lost, and given up with their work, while their engine says all along that they are under
 // way; and against a flood of events: each answer brings the same report again, and every question four answers a second.
-func TestNewsOfEnginesReachTheModule(t *testing.T) {
+func TestProgressReachesDispatch(t *testing.T) {
 	notes := func(cfg *dispatch.Config) { cfg.ProgressInterval, cfg.CancelAllowed = time.Second, true }
 	load := dispatch.LoadReport{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
 	for _, k := range []struct {
@@ -29,26 +29,26 @@
 		{"an end", notes, AttemptProgress{Final: true}, 250, 1, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			b := newBed(t, k.change)
+			b := newHarness(t, k.change)
 			for range 20 { // the class's times are known by then
-				b.ask("lookup", 3000, 0)
-				b.wait(200)
-				b.end(len(b.engines.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
+				b.submit("lookup", 3000, 0)
+				b.advance(200)
+				b.endAttempt(len(b.client.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
 			}
-			b.ask("lookup", 5000, 0)
-			call := b.engines.calls[len(b.engines.calls)-1]
+			b.submit("lookup", 5000, 0)
+			call := b.client.calls[len(b.client.calls)-1]
 			told := 0
 			for range int(4000 / k.gap) {
-				b.wait(k.gap)
+				b.advance(k.gap)
 				b.loop.Post(func() {
-					before := len(b.core.events)
+					before := len(b.core.queue.events)
 					call.OnProgress(k.tell)
-					told += len(b.core.events) - before
+					told += len(b.core.queue.events) - before
 				})
-				b.run()
+				b.runLoop()
 			}
-			b.wait(4000 - k.gap*float64(int(4000/k.gap)))
-			if got := len(b.engines.cancelled); got != k.cancelled {
+			b.advance(4000 - k.gap*float64(int(4000/k.gap)))
+			if got := len(b.client.canceled); got != k.cancelled {
 				t.Errorf("%d attempts were taken back, want %d", got, k.cancelled)
 			}
 			if told > k.told {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -9,19 +8,19 @@
 	"windflow/dispatch"
 )
 
-// Request is a query as a front hands it over, in no wire's terms.
+// Request is a query as a front submits it, independent of the wire protocol.
 type Request struct {
 	ID         string  `json:"ID"` // the client's, 16 hex digits
 	Class      string  `json:"Class"`
 	Tenant     string  `json:"Tenant"`
 	Statement  string  `json:"Statement"` // without the fields
-	TableGroup int64   `json:"Group"`     // group of tables, as dispatch.GroupOf numbers it; 0 if there is none
+	TableGroup int64   `json:"Group"`     // as dispatch.TableGroupOf numbers it; 0 if there is none
 	SentAtMS   float64 `json:"Sent"`
-	BudgetMS   float64 `json:"Budget"`     // milliseconds from Sent that the client waits
+	BudgetMS   float64 `json:"Budget"`     // how long the client waits from SentAtMS on
 	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
 	NeedMB     float64 `json:"NeedMB"`     // 0 if unknown
-	Retry      bool    `json:"Again"`
-	Update     bool    `json:"Update"` // the client asked for an update, not for rows
+	Retry      bool    `json:"Again"`      // the client sends the request again
+	Update     bool    `json:"Update"`     // the client asked for an update, not for rows
 }
 
 // The names of a request's fields, the same on every front.
@@ -35,63 +34,87 @@
 	FieldNeed     = "mem"
 )
 
-// maxBudget bounds what a client may ask for, in milliseconds: an hour.
-const maxBudget = 3_600_000
+const (
+	// maxBudgetMS bounds a request's budget to an hour.
+	maxBudgetMS = 3_600_000
+	// maxEstimate bounds the estimates of a request, in milliseconds and MB.
+	maxEstimate = 1e9
+	// requestIDLength is the number of hex digits of a request id.
+	requestIDLength = 16
+	// maxClippedBytes is how much of foreign text an error or a log line quotes.
+	maxClippedBytes = 40
+)
 
-// NewRequest checks the fields and reads the statement's group of tables. field gives a field's text, or ""
-// where it is absent. Its error names the field; such a request must never reach an engine.
-func NewRequest(field func(string) string, statement string, sent float64) (*Request, error) {
+// NewRequest checks the fields and reads the table group of the statement. field returns the text of a field, or "" if
+// it is absent. A request with an error must not reach an engine; the error of a field is a FieldError.
+func NewRequest(field func(string) string, statement string, sentAtMS float64) (*Request, error) {
 	r := &Request{
 		Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
-		Statement: statement, SentAtMS: sent,
+		Statement: statement, SentAtMS: sentAtMS,
 	}
 	if r.Class == "" {
-		return nil, fmt.Errorf("field %s is missing", FieldClass)
+		return nil, &FieldError{Field: FieldClass, Err: ErrFieldMissing}
 	}
 	if !isRequestID(r.ID) {
-		return nil, fmt.Errorf("field %s: %q is not 16 hex digits", FieldID, clip(r.ID))
+		return nil, &FieldError{Field: FieldID, Err: fmt.Errorf("%q is not 16 hex digits", clip(r.ID))}
+	}
+	if err := r.readNumbers(field); err != nil {
+		return nil, err
 	}
-	for _, n := range []struct {
+	if err := r.readRetry(field(FieldRetry)); err != nil {
+		return nil, err
+	}
+	switch {
+	case statement == "":
+		return nil, ErrEmptyStatement
+	case hasSeveralStatements(statement):
+		return nil, ErrSeveralStatements
+	}
+	if number, ok := tableGroup(statement); ok {
+		r.TableGroup = dispatch.TableGroupOf(number)
+	}
+	return r, nil
+}
+
+// readNumbers reads the fields that are numbers.
+func (r *Request) readNumbers(field func(string) string) error {
+	for _, number := range []struct {
 		name     string
-		into     *float64
+		value    *float64
 		required bool
-		most     float64
+		limit    float64
 	}{
-		{FieldBudget, &r.BudgetMS, true, maxBudget},
-		{FieldEstimate, &r.EstimateMS, false, 1e9},
-		{FieldNeed, &r.NeedMB, false, 1e9},
+		{FieldBudget, &r.BudgetMS, true, maxBudgetMS},
+		{FieldEstimate, &r.EstimateMS, false, maxEstimate},
+		{FieldNeed, &r.NeedMB, false, maxEstimate},
 	} {
-		text := field(n.name)
-		if text == "" && !n.required {
+		text := field(number.name)
+		if text == "" && !number.required {
 			continue
 		}
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || math.IsNaN(v) || v < 0 || v > n.most || n.required && v == 0 {
-			return nil, fmt.Errorf("field %s: %q is not a number from 0 to %g", n.name, clip(text), n.most)
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) || value < 0 || value > number.limit || number.required && value == 0 {
+			err := fmt.Errorf("%q is not a number from 0 to %g", clip(text), number.limit)
+			return &FieldError{Field: number.name, Err: err}
 		}
-		*n.into = v
+		*number.value = value
 	}
-	switch again := field(FieldRetry); again {
+	return nil
+}
+
+func (r *Request) readRetry(text string) error {
+	switch text {
 	case "", "0":
 	case "1":
 		r.Retry = true
 	default:
-		return nil, fmt.Errorf("field %s: %q is neither 1 nor absent", FieldRetry, clip(again))
+		return &FieldError{Field: FieldRetry, Err: fmt.Errorf("%q is neither 1 nor absent", clip(text))}
 	}
-	switch {
-	case statement == "":
-		return nil, errors.New("the statement is empty")
-	case severalStatements(statement):
-		return nil, errors.New("several statements; a query is one")
-	}
-	if n, ok := tableGroup(statement); ok {
-		r.TableGroup = dispatch.TableGroupOf(n)
-	}
-	return r, nil
+	return nil
 }
 
 func isRequestID(id string) bool {
-	if len(id) != 16 {
+	if len(id) != requestIDLength {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -103,9 +126,9 @@
 }
 
 // clip shortens foreign text for an error or a log line.
-func clip(s string) string {
-	if len(s) > 40 {
-		return s[:40] + "..."
+func clip(text string) string {
+	if len(text) > maxClippedBytes {
+		return text[:maxClippedBytes] + "..."
 	}
-	return s
+	return text
 }
--- /dev/null
+++ b/internal/router/request_table.go
@@ -0,0 +1,87 @@
+package router
+
+import (
+	"strconv"
+
+	"windflow/dispatch"
+)
+
+// request is a submitted request, with its attempts.
+type request struct {
+	*Request
+	key         dispatch.RequestID
+	handler     ResponseHandler // nil once the request is answered or abandoned
+	deadline    float64
+	attempts    []*attempt
+	outstanding int // attempts that have not ended
+	grantMB     float64
+	priority    int
+	guard       *Timer // see answerGuardMS
+	arriving    bool   // the module has not handled the arrival yet, and may still start attempts
+}
+
+// open reports whether the request is still to be answered.
+func (r *request) open() bool { return r.handler != nil }
+
+func (r *request) lastAttempt() *attempt {
+	if n := len(r.attempts); n > 0 {
+		return r.attempts[n-1]
+	}
+	return nil
+}
+
+// requestTable holds requests from their submission until they are answered and their attempts have ended.
+type requestTable struct {
+	byKey    map[dispatch.RequestID]*request
+	open     map[string]*request // by the client's id
+	arriving []*request
+	lastKey  uint64
+}
+
+func newRequestTable() *requestTable {
+	return &requestTable{byKey: map[dispatch.RequestID]*request{}, open: map[string]*request{}}
+}
+
+// add opens a request under a key of its own.
+func (t *requestTable) add(submitted *Request, handler ResponseHandler, deadline float64) *request {
+	t.lastKey++
+	r := &request{
+		Request:  submitted,
+		key:      dispatch.RequestID(strconv.FormatUint(t.lastKey, 10)),
+		handler:  handler,
+		deadline: deadline,
+		priority: 1,
+	}
+	t.byKey[r.key], t.open[r.ID] = r, r
+	return r
+}
+
+// arrive marks a request whose arrival is queued for the module.
+func (t *requestTable) arrive(r *request) {
+	r.arriving = true
+	t.arriving = append(t.arriving, r)
+}
+
+// arrived is called when the module has handled the queued arrivals.
+func (t *requestTable) arrived() {
+	for _, r := range t.arriving {
+		r.arriving = false
+		t.removeEnded(r)
+	}
+	t.arriving = t.arriving[:0]
+}
+
+// close marks a request as answered or abandoned, and returns its handler.
+func (t *requestTable) close(r *request) ResponseHandler {
+	handler := r.handler
+	r.handler = nil
+	delete(t.open, r.ID)
+	return handler
+}
+
+// removeEnded removes a request that is not open and has no outstanding attempt.
+func (t *requestTable) removeEnded(r *request) {
+	if !r.open() && r.outstanding == 0 {
+		delete(t.byKey, r.key)
+	}
+}
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -56,7 +56,7 @@
 		"SELECT 1 /* ;x */": false, "SELECT 1;;": false, "SELECT 1; DROP TABLE staging.batch": true, "; SELECT 1": true,
 		"SELECT `a;b` FROM c": false, "": false,
 	} {
-		if got := severalStatements(statement); got != want {
+		if got := hasSeveralStatements(statement); got != want {
 			t.Errorf("%q: %v", statement, got)
 		}
 	}
--- /dev/null
+++ b/internal/router/settings.go
@@ -0,0 +1,57 @@
+package router
+
+import (
+	"fmt"
+
+	"windflow/dispatch"
+	"windflow/internal/clock"
+)
+
+// settings are the parts of the dispatch configuration that the core itself uses. A value does not change once it is
+// in force; it is replaced as a whole.
+type settings struct {
+	classes     map[string]dispatch.Class
+	tenants     map[string]bool // if empty, requests may name any tenant
+	maxAttempts int             // for a request; 0 for no limit
+	// progressIntervalMS is the time between progress reports of outstanding attempts; 0 if engines send none.
+	progressIntervalMS float64
+	exclusive          bool // no two attempts of a request may be outstanding at the same time
+	cancelAllowed      bool
+	// maxRetryAfterMS bounds the Retry-After of a rejection to what clients honour; 0 if they honour none.
+	maxRetryAfterMS float64
+}
+
+func newSettings(cfg dispatch.Config) *settings {
+	s := &settings{
+		classes:            make(map[string]dispatch.Class, len(cfg.Classes)),
+		tenants:            make(map[string]bool, len(cfg.Tenants)),
+		maxAttempts:        cfg.MaxAttempts,
+		progressIntervalMS: clock.Millis(cfg.ProgressInterval),
+		exclusive:          !cfg.HedgingAllowed,
+		cancelAllowed:      cfg.CancelAllowed,
+	}
+	for _, class := range cfg.Classes {
+		s.classes[class.Name] = class
+	}
+	for _, tenant := range cfg.Tenants {
+		s.tenants[tenant.Name] = true
+	}
+	if cfg.RetryAfterAllowed {
+		s.maxRetryAfterMS = clock.Millis(cfg.MaxRetryAfter)
+	}
+	return s
+}
+
+// checkNames returns a FieldError if the settings do not know the class or the tenant of a request.
+func (s *settings) checkNames(request *Request) error {
+	if _, ok := s.classes[request.Class]; !ok {
+		return &FieldError{Field: FieldClass, Err: fmt.Errorf("unknown class %q", clip(request.Class))}
+	}
+	if request.Tenant != "" && len(s.tenants) > 0 && !s.tenants[request.Tenant] {
+		return &FieldError{Field: FieldTenant, Err: fmt.Errorf("unknown tenant %q", clip(request.Tenant))}
+	}
+	return nil
+}
+
+// retryAfter bounds a Retry-After in milliseconds to what clients honour.
+func (s *settings) retryAfter(ms float64) float64 { return min(ms, s.maxRetryAfterMS) }
