--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -42,189 +42,189 @@
 
 // start starts an attempt. One that can no longer be sent ends at once, in a way that proves that it never ran.
 func (t *attemptTracker) start(action dispatch.StartAttempt) {
-	r := t.requests.byKey[action.Request]
-	if r == nil {
+	request := t.requests.byKey[action.Request]
+	if request == nil {
 		t.log.Error("attempt for unknown request", "request", action.Request)
 		return
 	}
 	now := t.loop.Now()
-	a := &attempt{request: r, number: len(r.attempts), engine: action.Engine, startedAt: now}
-	r.attempts = append(r.attempts, a)
-	r.outstanding++
-	wait := r.deadline - now
+	next := &attempt{request: request, number: len(request.attempts), engine: action.Engine, startedAt: now}
+	request.attempts = append(request.attempts, next)
+	request.outstanding++
+	wait := request.deadline - now
 	if action.Timeout > 0 {
 		wait = min(wait, clock.Millis(action.Timeout))
 	}
 	engine, listed := t.endpoints.engines[action.Engine]
 	maxAttempts := t.settings.Load().maxAttempts
 	switch {
-	case !r.open(), !listed, wait <= 0, maxAttempts > 0 && len(r.attempts) > maxAttempts:
-		a.call = unstartedAttempt{}
-		t.end(a, End{Outcome: dispatch.NotSent})
+	case !request.open(), !listed, wait <= 0, maxAttempts > 0 && len(request.attempts) > maxAttempts:
+		next.call = unstartedAttempt{}
+		t.end(next, End{Outcome: dispatch.NotSent})
 	case t.endpoints.unavailable[action.Engine]:
 		// Two events about the engine came in one step: the module decided after the first one.
-		a.call = unstartedAttempt{}
-		t.end(a, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
+		next.call = unstartedAttempt{}
+		t.end(next, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
 	default:
-		t.send(a, engine, wait, clock.Millis(action.StartWithin))
+		t.send(next, engine, wait, clock.Millis(action.StartWithin))
 	}
 }
 
 // send passes an attempt to the engine client. A startWithin over 0 limits the time until the attempt starts.
-func (t *attemptTracker) send(a *attempt, engine Engine, wait, startWithin float64) {
-	r, current := a.request, t.settings.Load()
+func (t *attemptTracker) send(attempt *attempt, engine Engine, wait, startWithin float64) {
+	request, current := attempt.request, t.settings.Load()
 	t.statistics.Counters.Attempts++
 	if t.hooks.Observer != nil {
-		t.hooks.Observer.AttemptStarted(a.engine)
+		t.hooks.Observer.AttemptStarted(attempt.engine)
 	}
-	semantics := current.classes[r.Class].Semantics
+	semantics := current.classes[request.Class].Semantics
 	// An at-most-once request that may have run gets no further attempt, and its end is due at once.
-	a.exclusive = current.exclusive && semantics != dispatch.AtMostOnce
+	attempt.exclusive = current.exclusive && semantics != dispatch.AtMostOnce
 	if semantics == dispatch.AtMostOnce {
-		t.ids.consume(r.ID)
+		t.ids.consume(request.ID)
 	}
 	call := Call{
-		Engine: engine, ID: r.ID, Class: r.Class, Statement: r.Statement, WaitMS: wait,
-		GrantMB: r.grantMB, Priority: r.priority, Update: r.Update,
-		AtMostOnce: semantics != dispatch.Idempotent, Exclusive: a.exclusive, CancelAllowed: current.cancelAllowed,
-		OnSent:     func() { t.statistics.ByClass[r.Class].Forwards++ },
-		OnProgress: func(progress AttemptProgress) { t.progress(a, progress) },
+		Engine: engine, ID: request.ID, Class: request.Class, Statement: request.Statement, WaitMS: wait,
+		GrantMB: request.grantMB, Priority: request.priority, Update: request.Update,
+		AtMostOnce: semantics != dispatch.Idempotent, Exclusive: attempt.exclusive, CancelAllowed: current.cancelAllowed,
+		OnSent:     func() { t.statistics.ByClass[request.Class].Forwards++ },
+		OnProgress: func(progress AttemptProgress) { t.progress(attempt, progress) },
 	}
 	if startWithin > 0 {
-		call.LatestStartMS = a.startedAt + startWithin
+		call.LatestStartMS = attempt.startedAt + startWithin
 	}
-	a.call = t.client.Start(call, func(end End) { t.end(a, end) })
-	t.endAt(a, a.startedAt+wait, "no answer in time")
+	attempt.call = t.client.Start(call, func(end End) { t.end(attempt, end) })
+	t.endAt(attempt, attempt.startedAt+wait, "no answer in time")
 	if startWithin > 0 {
-		a.startLimit = t.loop.After(startWithin, func() {
-			t.cancelUnsent(a, dispatch.ConnectFailed, "not started in time")
+		attempt.startLimit = t.loop.After(startWithin, func() {
+			t.cancelUnsent(attempt, dispatch.ConnectFailed, "not started in time")
 		})
 	}
 }
 
 // endAt sets when an attempt times out.
-func (t *attemptTracker) endAt(a *attempt, at float64, detail string) {
-	a.timeout.Stop()
-	a.timeout = t.loop.At(at, func() { t.end(a, End{Outcome: dispatch.TimedOut, Detail: detail}) })
+func (t *attemptTracker) endAt(attempt *attempt, at float64, detail string) {
+	attempt.timeout.Stop()
+	attempt.timeout = t.loop.At(at, func() { t.end(attempt, End{Outcome: dispatch.TimedOut, Detail: detail}) })
 }
 
 // setResources sets the memory grant of a request's next attempts, and the priority of all of them.
 func (t *attemptTracker) setResources(action dispatch.SetResources) {
-	r := t.requests.byKey[action.Request]
-	if r == nil {
+	request := t.requests.byKey[action.Request]
+	if request == nil {
 		return
 	}
-	r.grantMB = action.GrantMB
-	if action.Priority == r.priority {
+	request.grantMB = action.GrantMB
+	if action.Priority == request.priority {
 		return
 	}
-	r.priority = action.Priority
-	for _, a := range r.attempts {
-		if !a.ended {
-			a.call.SetPriority(action.Priority)
+	request.priority = action.Priority
+	for _, attempt := range request.attempts {
+		if !attempt.ended {
+			attempt.call.SetPriority(action.Priority)
 		}
 	}
 }
 
 // cancel cancels an attempt. An exclusive one stays outstanding until the engine has canceled it.
 func (t *attemptTracker) cancel(action dispatch.CancelAttempt) {
-	r := t.requests.byKey[action.Request]
-	if r == nil || action.Attempt >= len(r.attempts) {
+	request := t.requests.byKey[action.Request]
+	if request == nil || action.Attempt >= len(request.attempts) {
 		return
 	}
-	a := r.attempts[action.Attempt]
-	if a.ended || a.canceled {
+	attempt := request.attempts[action.Attempt]
+	if attempt.ended || attempt.canceled {
 		return
 	}
-	t.cancelUnsent(a, dispatch.ConnectFailed, "canceled before it was sent")
-	if a.ended {
+	t.cancelUnsent(attempt, dispatch.ConnectFailed, "canceled before it was sent")
+	if attempt.ended {
 		return
 	}
-	a.canceled = true
-	a.call.Cancel()
-	if !a.exclusive {
-		t.end(a, End{Outcome: dispatch.Cancelled})
+	attempt.canceled = true
+	attempt.call.Cancel()
+	if !attempt.exclusive {
+		t.end(attempt, End{Outcome: dispatch.Cancelled})
 	}
 }
 
 // cancelUnsent ends an attempt that was not sent completely, as one that never ran. It guards against attempts that
 // start long after the module decided on them, because they wait for a connection or for a dial.
-func (t *attemptTracker) cancelUnsent(a *attempt, outcome dispatch.Outcome, detail string) {
-	if !a.ended && a.call != nil && a.call.CancelUnsent() {
-		t.end(a, End{Outcome: outcome, Detail: detail})
+func (t *attemptTracker) cancelUnsent(attempt *attempt, outcome dispatch.Outcome, detail string) {
+	if !attempt.ended && attempt.call != nil && attempt.call.CancelUnsent() {
+		t.end(attempt, End{Outcome: outcome, Detail: detail})
 	}
 }
 
 // cancelAllUnsent ends those attempts of an answered request that were not sent completely.
-func (t *attemptTracker) cancelAllUnsent(r *request) {
-	for _, a := range r.attempts {
-		t.cancelUnsent(a, dispatch.NotSent, "request answered or abandoned")
+func (t *attemptTracker) cancelAllUnsent(request *request) {
+	for _, attempt := range request.attempts {
+		t.cancelUnsent(attempt, dispatch.NotSent, "request answered or abandoned")
 	}
 }
 
 // limitTimeouts has the outstanding attempts of a request time out at the shutdown deadline.
-func (t *attemptTracker) limitTimeouts(r *request, shutdownAt float64) {
-	for _, a := range r.attempts {
-		if !a.ended && a.timeout != nil {
-			t.endAt(a, shutdownAt, "router shuts down")
+func (t *attemptTracker) limitTimeouts(request *request, shutdownAt float64) {
+	for _, attempt := range request.attempts {
+		if !attempt.ended && attempt.timeout != nil {
+			t.endAt(attempt, shutdownAt, "router shuts down")
 		}
 	}
 }
 
 // progress passes an engine's load report to the module and, if engines report progress, that of an attempt. An answer
 // that says only that the attempt is alive is passed on twice per progress interval at most.
-func (t *attemptTracker) progress(a *attempt, progress AttemptProgress) {
+func (t *attemptTracker) progress(attempt *attempt, progress AttemptProgress) {
 	now := t.loop.Now()
-	if progress.Report != nil && t.endpoints.recordLoad(a.engine, *progress.Report, now) {
-		t.queue.add(dispatch.EngineLoad{Engine: a.engine, Report: *progress.Report})
+	if progress.Report != nil && t.endpoints.recordLoad(attempt.engine, *progress.Report, now) {
+		t.queue.add(dispatch.EngineLoad{Engine: attempt.engine, Report: *progress.Report})
 	}
 	interval := t.settings.Load().progressIntervalMS
-	if a.ended || progress.Final || interval <= 0 {
+	if attempt.ended || progress.Final || interval <= 0 {
 		return
 	}
-	if progress.Kind == dispatch.ProgressAlive && now-a.progressAt < interval/2 {
+	if progress.Kind == dispatch.ProgressAlive && now-attempt.progressAt < interval/2 {
 		return
 	}
-	a.progressAt = now
+	attempt.progressAt = now
 	t.queue.add(dispatch.AttemptProgress{
-		Request: a.request.key, Attempt: a.number, Kind: progress.Kind, Amount: progress.Amount,
+		Request: attempt.request.key, Attempt: attempt.number, Kind: progress.Kind, Amount: progress.Amount,
 	})
 }
 
 // end ends an attempt and reports that to the module. The first attempt that is served answers the request.
-func (t *attemptTracker) end(a *attempt, end End) {
-	if a.ended {
+func (t *attemptTracker) end(attempt *attempt, end End) {
+	if attempt.ended {
 		t.statistics.Counters.EndsAfterEnd++
 		return
 	}
-	r := a.request
-	a.ended, a.outcome = true, end.Outcome
+	request := attempt.request
+	attempt.ended, attempt.outcome = true, end.Outcome
 	if t.hooks.Observer != nil {
-		t.hooks.Observer.AttemptEnded(a.engine, end.Outcome, t.loop.Now()-a.startedAt)
+		t.hooks.Observer.AttemptEnded(attempt.engine, end.Outcome, t.loop.Now()-attempt.startedAt)
 	}
-	a.timeout.Stop()
-	a.startLimit.Stop()
-	a.call.Abandon()
-	r.outstanding--
+	attempt.timeout.Stop()
+	attempt.startLimit.Stop()
+	attempt.call.Abandon()
+	request.outstanding--
 	t.statistics.Counters.Outcomes[end.Outcome]++
 	if provesNotRun(end.Outcome) {
-		t.ids.release(r.ID) // no earlier attempt may have run: the module would not have started this one
+		t.ids.release(request.ID) // no earlier attempt may have run: the module would not have started this one
 	}
 	if end.Outcome != dispatch.Served {
-		t.log.Debug("attempt ended", "request_id", r.ID, "class", r.Class, "outcome", end.Outcome,
-			"detail", end.Detail, "took", t.loop.Now()-a.startedAt)
-	} else if r.open() {
-		t.onServed(a, end.Result)
+		t.log.Debug("attempt ended", "request_id", request.ID, "class", request.Class, "outcome", end.Outcome,
+			"detail", end.Detail, "took", t.loop.Now()-attempt.startedAt)
+	} else if request.open() {
+		t.onServed(attempt, end.Result)
 	}
-	t.reportEnd(a, end.Result)
-	t.requests.removeEnded(r)
+	t.reportEnd(attempt, end.Result)
+	t.requests.removeEnded(request)
 }
 
 // reportEnd queues the end of an attempt for the module.
-func (t *attemptTracker) reportEnd(a *attempt, result *Result) {
+func (t *attemptTracker) reportEnd(attempt *attempt, result *Result) {
 	event := dispatch.AttemptEnd{
-		Request: a.request.key, Attempt: a.number, Outcome: a.outcome,
-		Took: clock.Duration(t.loop.Now() - a.startedAt), Last: !a.request.open(),
+		Request: attempt.request.key, Attempt: attempt.number, Outcome: attempt.outcome,
+		Took: clock.Duration(t.loop.Now() - attempt.startedAt), Last: !attempt.request.open(),
 	}
 	if result != nil {
 		event.Work, event.NeedMB = clock.Duration(result.WorkMS), result.NeedMB
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -35,26 +35,26 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{
+	core := &Core{
 		Statistics: Statistics{ByClass: map[string]*ClassCounters{}},
 		loop:       loop,
 		module:     module,
 		requests:   newRequestTable(),
 		endpoints:  newEndpointTable(client),
 	}
-	c.ids = newRequestIDs(&c.Hooks)
-	c.attempts = &attemptTracker{
-		loop: loop, log: log, client: client, settings: &c.settings, hooks: &c.Hooks, statistics: &c.Statistics,
-		queue: &c.queue, requests: c.requests, ids: c.ids, endpoints: c.endpoints,
+	core.ids = newRequestIDs(&core.Hooks)
+	core.attempts = &attemptTracker{
+		loop: loop, log: log, client: client, settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
+		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
 	}
-	c.responder = &responder{
-		loop: loop, log: log, settings: &c.settings, hooks: &c.Hooks, statistics: &c.Statistics,
-		queue: &c.queue, requests: c.requests, ids: c.ids, endpoints: c.endpoints, attempts: c.attempts,
+	core.responder = &responder{
+		loop: loop, log: log, settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
+		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints, attempts: core.attempts,
 	}
-	c.attempts.onServed = c.responder.serve
-	c.use(cfg)
-	loop.AfterStep = c.decide
-	return c, nil
+	core.attempts.onServed = core.responder.serve
+	core.use(cfg)
+	loop.AfterStep = core.decide
+	return core, nil
 }
 
 // Configure puts a changed configuration in force; open requests are not touched. It returns the names of the parts that
@@ -105,19 +105,19 @@
 	if c.shutdownAt > 0 {
 		deadline = min(deadline, c.shutdownAt)
 	}
-	r := c.requests.add(submitted, handler, deadline)
-	c.ids.publish(r.ID, IDOpen)
+	request := c.requests.add(submitted, handler, deadline)
+	c.ids.publish(request.ID, IDOpen)
 	c.Counters.MaxOpen = max(c.Counters.MaxOpen, int64(c.OpenRequests()))
 	if deadline <= c.loop.Now() {
 		c.Counters.Expired++
 	}
-	c.responder.armGuard(r)
+	c.responder.armGuard(request)
 	if class.Semantics == dispatch.AtMostOnce {
-		c.claim(r)
+		c.claim(request)
 	} else {
-		c.arrive(r)
+		c.arrive(request)
 	}
-	return Handle{r}, nil
+	return Handle{request}, nil
 }
 
 // checkRequest checks what a request names, and that its id is not in use.
@@ -132,17 +132,17 @@
 }
 
 // arrive queues the arrival of a request for the module.
-func (c *Core) arrive(r *request) {
-	c.requests.arrive(r)
+func (c *Core) arrive(request *request) {
+	c.requests.arrive(request)
 	c.queue.add(dispatch.Arrival{
-		Request: r.key, Class: r.Class, Tenant: r.Tenant, TableGroup: r.TableGroup,
-		Estimate: clock.Duration(r.EstimateMS), NeedMB: r.NeedMB,
-		TimeLeft: clock.Duration(max(r.deadline-c.loop.Now(), 0)), Resent: r.Retry,
+		Request: request.key, Class: request.Class, Tenant: request.Tenant, TableGroup: request.TableGroup,
+		Estimate: clock.Duration(request.EstimateMS), NeedMB: request.NeedMB,
+		TimeLeft: clock.Duration(max(request.deadline-c.loop.Now(), 0)), Resent: request.Retry,
 	})
 }
 
 // Abandon says that the client is gone: its request gets no answer. It does nothing once the request is answered.
-func (c *Core) Abandon(h Handle) { c.responder.abandon(h.request) }
+func (c *Core) Abandon(handle Handle) { c.responder.abandon(handle.request) }
 
 // UpdateEndpoints applies an endpoint list with the addresses of its engines, and queues it for the module.
 func (c *Core) UpdateEndpoints(list dispatch.EndpointList, addresses map[dispatch.EngineID]string) {
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -49,8 +49,8 @@
 // then. It guards against answers that are cut off by the kill at the end of a planned restart.
 func (c *Core) SetShutdownDeadline(at float64) {
 	c.shutdownAt = at
-	for _, r := range c.requests.open {
-		c.responder.limitDeadline(r, at)
+	for _, request := range c.requests.open {
+		c.responder.limitDeadline(request, at)
 	}
 	c.queue.add(dispatch.ShutdownDeadline{At: clock.Duration(at)})
 }
@@ -60,22 +60,22 @@
 
 // claim asks the other process, if there is one, before an at-most-once request starts. It guards against an id that a
 // client sends to both processes while the change that says so is on its way. Nothing of the request is sent until then.
-func (c *Core) claim(r *request) {
+func (c *Core) claim(request *request) {
 	if c.ClaimID == nil {
-		c.arrive(r)
+		c.arrive(request)
 		return
 	}
-	c.ClaimID(r.ID, func(reply ClaimReply) {
-		if !r.open() { // the client is gone
+	c.ClaimID(request.ID, func(reply ClaimReply) {
+		if !request.open() { // the client is gone
 			return
 		}
 		switch reply {
 		case ClaimGranted:
-			c.arrive(r)
+			c.arrive(request)
 		case ClaimDenied:
-			c.responder.fail(r, ReasonEngine)
+			c.responder.fail(request, ReasonEngine)
 		case ClaimTimedOut:
-			c.responder.rejectUnclaimed(r)
+			c.responder.rejectUnclaimed(request)
 		}
 	})
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -48,20 +48,20 @@
 // NewRequest checks the fields and reads the table group of the statement. field returns the text of a field, or "" if
 // it is absent. A request with an error must not reach an engine; the error of a field is a FieldError.
 func NewRequest(field func(string) string, statement string, sentAtMS float64) (*Request, error) {
-	r := &Request{
+	request := &Request{
 		Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
 		Statement: statement, SentAtMS: sentAtMS,
 	}
-	if r.Class == "" {
+	if request.Class == "" {
 		return nil, &FieldError{Field: FieldClass, Err: ErrFieldMissing}
 	}
-	if !isRequestID(r.ID) {
-		return nil, &FieldError{Field: FieldID, Err: fmt.Errorf("%q is not 16 hex digits", clip(r.ID))}
+	if !isRequestID(request.ID) {
+		return nil, &FieldError{Field: FieldID, Err: fmt.Errorf("%q is not 16 hex digits", clip(request.ID))}
 	}
-	if err := r.readNumbers(field); err != nil {
+	if err := request.readNumbers(field); err != nil {
 		return nil, err
 	}
-	if err := r.readRetry(field(FieldRetry)); err != nil {
+	if err := request.readRetry(field(FieldRetry)); err != nil {
 		return nil, err
 	}
 	switch {
@@ -71,9 +71,9 @@
 		return nil, ErrSeveralStatements
 	}
 	if number, ok := tableGroup(statement); ok {
-		r.TableGroup = dispatch.TableGroupOf(number)
+		request.TableGroup = dispatch.TableGroupOf(number)
 	}
-	return r, nil
+	return request, nil
 }
 
 // readNumbers reads the fields that are numbers.
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -45,43 +45,43 @@
 // add opens a request under a key of its own.
 func (t *requestTable) add(submitted *Request, handler ResponseHandler, deadline float64) *request {
 	t.lastKey++
-	r := &request{
+	added := &request{
 		Request:  submitted,
 		key:      dispatch.RequestID(strconv.FormatUint(t.lastKey, 10)),
 		handler:  handler,
 		deadline: deadline,
 		priority: 1,
 	}
-	t.byKey[r.key], t.open[r.ID] = r, r
-	return r
+	t.byKey[added.key], t.open[added.ID] = added, added
+	return added
 }
 
 // arrive marks a request whose arrival is queued for the module.
-func (t *requestTable) arrive(r *request) {
-	r.arriving = true
-	t.arriving = append(t.arriving, r)
+func (t *requestTable) arrive(request *request) {
+	request.arriving = true
+	t.arriving = append(t.arriving, request)
 }
 
 // arrived is called when the module has handled the queued arrivals.
 func (t *requestTable) arrived() {
-	for _, r := range t.arriving {
-		r.arriving = false
-		t.removeEnded(r)
+	for _, request := range t.arriving {
+		request.arriving = false
+		t.removeEnded(request)
 	}
 	t.arriving = t.arriving[:0]
 }
 
 // close marks a request as answered or abandoned, and returns its handler.
-func (t *requestTable) close(r *request) ResponseHandler {
-	handler := r.handler
-	r.handler = nil
-	delete(t.open, r.ID)
+func (t *requestTable) close(request *request) ResponseHandler {
+	handler := request.handler
+	request.handler = nil
+	delete(t.open, request.ID)
 	return handler
 }
 
 // removeEnded removes a request that is not open and has no outstanding attempt.
-func (t *requestTable) removeEnded(r *request) {
-	if !r.open() && r.outstanding == 0 {
-		delete(t.byKey, r.key)
+func (t *requestTable) removeEnded(request *request) {
+	if !request.open() && request.outstanding == 0 {
+		delete(t.byKey, request.key)
 	}
 }
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -51,126 +51,126 @@
 }
 
 // armGuard sets the answer guard of a request by its deadline.
-func (p *responder) armGuard(r *request) {
-	r.guard.Stop()
-	r.guard = p.loop.At(max(r.deadline, p.loop.Now())+answerGuardMS, func() { p.failOverdue(r) })
+func (p *responder) armGuard(request *request) {
+	request.guard.Stop()
+	request.guard = p.loop.At(max(request.deadline, p.loop.Now())+answerGuardMS, func() { p.failOverdue(request) })
 }
 
 // serve answers a request with the result of one of its attempts.
-func (p *responder) serve(a *attempt, result *Result) {
-	r := a.request
-	handler := p.close(r)
+func (p *responder) serve(attempt *attempt, result *Result) {
+	request := attempt.request
+	handler := p.close(request)
 	p.statistics.Counters.Served++
-	p.statistics.ByClass[r.Class].Served++
-	p.observe(r, Answer{Kind: AnswerServed, ObjectiveMS: p.objective(r, result), Engine: a.engine})
+	p.statistics.ByClass[request.Class].Served++
+	p.observe(request, Answer{Kind: AnswerServed, ObjectiveMS: p.objective(request, result), Engine: attempt.engine})
 	handler.Served(result)
 }
 
 // reject rejects a request as the module decided.
-func (p *responder) reject(r *request, retryAfterMS float64) {
-	if r == nil || !r.open() {
+func (p *responder) reject(request *request, retryAfterMS float64) {
+	if request == nil || !request.open() {
 		return
 	}
-	handler := p.close(r)
-	p.sendRejection(r, handler, p.rejectionReason(r), retryAfterMS)
+	handler := p.close(request)
+	p.sendRejection(request, handler, p.rejectionReason(request), retryAfterMS)
 }
 
 // rejectUnclaimed rejects a request because the other process did not answer the claim of its id.
-func (p *responder) rejectUnclaimed(r *request) {
-	handler := p.close(r)
+func (p *responder) rejectUnclaimed(request *request) {
+	handler := p.close(request)
 	retryAfterMS := p.settings.Load().retryAfter(claimRetryAfterMS)
-	p.sendRejection(r, handler, "no word of the router's other process", retryAfterMS)
+	p.sendRejection(request, handler, "no word of the router's other process", retryAfterMS)
 }
 
-func (p *responder) sendRejection(r *request, handler ResponseHandler, reason string, retryAfterMS float64) {
+func (p *responder) sendRejection(request *request, handler ResponseHandler, reason string, retryAfterMS float64) {
 	p.statistics.Counters.Rejected++
-	p.statistics.ByClass[r.Class].Rejected++
-	p.observe(r, Answer{Kind: AnswerRejected, Reason: reason})
+	p.statistics.ByClass[request.Class].Rejected++
+	p.observe(request, Answer{Kind: AnswerRejected, Reason: reason})
 	handler.Rejected(retryAfterMS)
 }
 
 // failByModule fails a request as the module decided.
-func (p *responder) failByModule(r *request) {
-	if r == nil || !r.open() {
+func (p *responder) failByModule(request *request) {
+	if request == nil || !request.open() {
 		return
 	}
 	reason := ReasonEngine
-	if p.loop.Now() >= r.deadline-deadlineToleranceMS {
+	if p.loop.Now() >= request.deadline-deadlineToleranceMS {
 		reason = ReasonDeadline
 	}
-	p.fail(r, reason)
+	p.fail(request, reason)
 }
 
-func (p *responder) fail(r *request, reason Reason) {
-	handler := p.close(r)
+func (p *responder) fail(request *request, reason Reason) {
+	handler := p.close(request)
 	p.statistics.Counters.Failed++
-	p.statistics.ByClass[r.Class].Failed++
-	p.observe(r, Answer{Kind: AnswerFailed, Reason: failureReason(r, reason)})
+	p.statistics.ByClass[request.Class].Failed++
+	p.observe(request, Answer{Kind: AnswerFailed, Reason: failureReason(request, reason)})
 	handler.Failed(reason)
 }
 
 // failOverdue answers in place of the module; see answerGuardMS.
-func (p *responder) failOverdue(r *request) {
-	if !r.open() {
+func (p *responder) failOverdue(request *request) {
+	if !request.open() {
 		return
 	}
 	p.statistics.Counters.Overdue++
-	p.log.Error("request overdue", "request_id", r.ID, "class", r.Class, "outstanding", r.outstanding)
-	p.fail(r, ReasonDeadline)
-	p.queue.add(dispatch.ClientGone{Request: r.key})
+	p.log.Error("request overdue", "request_id", request.ID, "class", request.Class, "outstanding", request.outstanding)
+	p.fail(request, ReasonDeadline)
+	p.queue.add(dispatch.ClientGone{Request: request.key})
 }
 
 // abandon ends a request whose client is gone; it gets no answer.
-func (p *responder) abandon(r *request) {
-	if r == nil || !r.open() {
+func (p *responder) abandon(request *request) {
+	if request == nil || !request.open() {
 		return
 	}
 	p.statistics.Counters.Abandoned++
-	p.close(r)
-	p.queue.add(dispatch.ClientGone{Request: r.key})
-	p.observe(r, Answer{Kind: AnswerClientGone})
+	p.close(request)
+	p.queue.add(dispatch.ClientGone{Request: request.key})
+	p.observe(request, Answer{Kind: AnswerClientGone})
 }
 
 // close closes a request and returns its handler. Attempts that were sent go on being reported to the module; the others
 // are taken back, because no client waits for them.
-func (p *responder) close(r *request) ResponseHandler {
-	handler := p.requests.close(r)
-	r.guard.Stop()
-	p.ids.publish(r.ID, IDDone)
-	p.attempts.cancelAllUnsent(r)
-	if !r.arriving {
-		p.requests.removeEnded(r)
+func (p *responder) close(request *request) ResponseHandler {
+	handler := p.requests.close(request)
+	request.guard.Stop()
+	p.ids.publish(request.ID, IDDone)
+	p.attempts.cancelAllUnsent(request)
+	if !request.arriving {
+		p.requests.removeEnded(request)
 	}
 	return handler
 }
 
 // limitDeadline moves the deadline of a request to the shutdown deadline, if that comes first.
-func (p *responder) limitDeadline(r *request, shutdownAt float64) {
-	if r.deadline <= shutdownAt {
+func (p *responder) limitDeadline(request *request, shutdownAt float64) {
+	if request.deadline <= shutdownAt {
 		return
 	}
-	r.deadline = shutdownAt
-	p.armGuard(r)
-	p.attempts.limitTimeouts(r, shutdownAt)
+	request.deadline = shutdownAt
+	p.armGuard(request)
+	p.attempts.limitTimeouts(request, shutdownAt)
 }
 
 // observe reports an answer to the observer.
-func (p *responder) observe(r *request, answer Answer) {
+func (p *responder) observe(request *request, answer Answer) {
 	if p.hooks.Observer == nil {
 		return
 	}
-	answer.TookMS = p.loop.Now() - r.SentAtMS
-	if last := r.lastAttempt(); answer.Engine == 0 && last != nil {
+	answer.TookMS = p.loop.Now() - request.SentAtMS
+	if last := request.lastAttempt(); answer.Engine == 0 && last != nil {
 		answer.Engine = last.engine
 	}
-	p.hooks.Observer.RequestAnswered(r.Request, answer)
+	p.hooks.Observer.RequestAnswered(request.Request, answer)
 }
 
 // objective is the time in milliseconds within which an answer meets the class's latency objective, by the work that the
 // engine reported, else by the client's estimate.
-func (p *responder) objective(r *request, result *Result) float64 {
-	class := p.settings.Load().classes[r.Class]
-	work := r.EstimateMS
+func (p *responder) objective(request *request, result *Result) float64 {
+	class := p.settings.Load().classes[request.Class]
+	work := request.EstimateMS
 	if result != nil && result.WorkMS > 0 {
 		work = result.WorkMS
 	}
@@ -185,9 +185,9 @@
 }
 
 // failureReason is the text of a failure in records.
-func failureReason(r *request, reason Reason) string {
+func failureReason(request *request, reason Reason) string {
 	text := "no attempt"
-	if last := r.lastAttempt(); last != nil {
+	if last := request.lastAttempt(); last != nil {
 		text = "no answer yet"
 		if last.ended {
 			text = outcomeReasons[last.outcome]
@@ -200,8 +200,8 @@
 }
 
 // rejectionReason is the text in records of a rejection by the module, by what the core knows of it.
-func (p *responder) rejectionReason(r *request) string {
-	switch last := r.lastAttempt(); {
+func (p *responder) rejectionReason(request *request) string {
+	switch last := request.lastAttempt(); {
 	case last != nil:
 		return "turned away: " + outcomeReasons[last.outcome]
 	case len(p.endpoints.engines) == 0:
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -22,7 +22,7 @@
 }
 
 func newSettings(cfg dispatch.Config) *settings {
-	s := &settings{
+	created := &settings{
 		classes:            make(map[string]dispatch.Class, len(cfg.Classes)),
 		tenants:            make(map[string]bool, len(cfg.Tenants)),
 		maxAttempts:        cfg.MaxAttempts,
@@ -31,15 +31,15 @@
 		cancelAllowed:      cfg.CancelAllowed,
 	}
 	for _, class := range cfg.Classes {
-		s.classes[class.Name] = class
+		created.classes[class.Name] = class
 	}
 	for _, tenant := range cfg.Tenants {
-		s.tenants[tenant.Name] = true
+		created.tenants[tenant.Name] = true
 	}
 	if cfg.RetryAfterAllowed {
-		s.maxRetryAfterMS = clock.Millis(cfg.MaxRetryAfter)
+		created.maxRetryAfterMS = clock.Millis(cfg.MaxRetryAfter)
 	}
-	return s
+	return created
 }
 
 // checkNames returns a FieldError if the settings do not know the class or the tenant of a request.
