--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -24,7 +24,8 @@
 	outcome    dispatch.Outcome // once it has ended
 }
 
-// attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch module.
+// attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch
+// module.
 type attemptTracker struct {
 	loop       *Loop
 	log        *slog.Logger
@@ -86,7 +87,8 @@
 	call := Call{
 		Engine: engine, ID: request.ID, Class: request.Class, Statement: request.Statement, WaitMS: wait,
 		GrantMB: request.grantMB, Priority: request.priority, Update: request.Update,
-		AtMostOnce: semantics != dispatch.Idempotent, Exclusive: attempt.exclusive, CancelAllowed: current.cancelAllowed,
+		AtMostOnce: semantics != dispatch.Idempotent,
+		Exclusive:  attempt.exclusive, CancelAllowed: current.cancelAllowed,
 		OnSent:     func() { t.statistics.ByClass[request.Class].Forwards++ },
 		OnProgress: func(progress AttemptProgress) { t.progress(attempt, progress) },
 	}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -44,12 +44,15 @@
 	}
 	core.ids = newRequestIDs(&core.Hooks)
 	core.attempts = &attemptTracker{
-		loop: loop, log: log, client: client, settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
+		loop: loop, log: log, client: client,
+		settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
 		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
 	}
 	core.responder = &responder{
-		loop: loop, log: log, settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
-		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints, attempts: core.attempts,
+		loop: loop, log: log,
+		settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
+		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
+		attempts: core.attempts,
 	}
 	core.attempts.onServed = core.responder.serve
 	core.use(cfg)
@@ -57,8 +60,8 @@
 	return core, nil
 }
 
-// Configure puts a changed configuration in force; open requests are not touched. It returns the names of the parts that
-// can't change while the router runs and stayed as they were. After an error nothing has changed.
+// Configure puts a changed configuration in force; open requests are not touched. It returns the names of the parts
+// that can't change while the router runs and stayed as they were. After an error nothing has changed.
 func (c *Core) Configure(cfg dispatch.Config) (kept []string, err error) {
 	inForce, kept, err := c.module.Configure(cfg)
 	if err == nil {
--- a/internal/router/encoded_test.go
+++ b/internal/router/encoded_test.go
@@ -6,12 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
+// encodedTypes are the types of this package that leave the process or outlive it as JSON, without the types that these
+// contain.
 func encodedTypes() []any {
 	return []any{State{}, IDChange{}, Request{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has its key in a tag, so that its name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.Tagged(t, "json", encodedTypes()...)
 }
--- a/internal/router/engine_client.go
+++ b/internal/router/engine_client.go
@@ -20,8 +20,8 @@
 	Priority   int
 	Update     bool // the client asked for an update, not for rows
 	AtMostOnce bool // it must not run twice: proof that it never ran justifies a new connection
-	// Exclusive says that no further attempt of the request may start while an engine may have this one in progress: its
-	// end is reported when the engine has none of it any more, and not before.
+	// Exclusive says that no further attempt of the request may start while an engine may have this one in progress:
+	// its end is reported when the engine has none of it any more, and not before.
 	Exclusive bool
 	// CancelAllowed says that the engine may be asked to cancel the attempt.
 	CancelAllowed bool
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -10,129 +10,152 @@
 	"windflow/internal/clock"
 )
 
-// fakeEngineClient is a stand-in for the engine client.
+// fakeEngineClient records what the core asks of an engine client. Tests end its attempts by calling done.
 type fakeEngineClient struct {
 	calls             []Call
-	done              []func(End)
+	done              []func(End) // of each call
 	forgotten         []Engine
 	unstartedCanceled []Engine
-	canceled          []string
-	unsent            map[string]bool // ids of which nothing is written
-	unsentCanceled    []string
+	canceled          []string        // request ids
+	unsent            map[string]bool // ids of requests whose attempts are never sent
+	unsentCanceled    []string        // request ids
 }
 
-func (e *fakeEngineClient) Start(c Call, done func(End)) Attempt {
-	e.calls, e.done = append(e.calls, c), append(e.done, done)
-	return fakeAttempt{unstartedAttempt{}, e, c.ID}
+func (c *fakeEngineClient) Start(call Call, done func(End)) Attempt {
+	c.calls, c.done = append(c.calls, call), append(c.done, done)
+	return fakeAttempt{client: c, id: call.ID}
 }
 
+func (c *fakeEngineClient) Forget(engine Engine) { c.forgotten = append(c.forgotten, engine) }
+
+func (c *fakeEngineClient) CancelUnstarted(engine Engine) {
+	c.unstartedCanceled = append(c.unstartedCanceled, engine)
+}
+
+// fakeAttempt is an attempt of fakeEngineClient.
 type fakeAttempt struct {
 	unstartedAttempt
 	client *fakeEngineClient
-	id     string
+	id     string // the request's
 }
 
-func (o fakeAttempt) Cancel() { o.client.canceled = append(o.client.canceled, o.id) }
-func (o fakeAttempt) CancelUnsent() bool {
-	if !o.client.unsent[o.id] {
+func (a fakeAttempt) Cancel() { a.client.canceled = append(a.client.canceled, a.id) }
+
+func (a fakeAttempt) CancelUnsent() bool {
+	if !a.client.unsent[a.id] {
 		return false
 	}
-	o.client.unsentCanceled = append(o.client.unsentCanceled, o.id)
+	a.client.unsentCanceled = append(a.client.unsentCanceled, a.id)
 	return true
 }
-func (e *fakeEngineClient) Forget(g Engine) { e.forgotten = append(e.forgotten, g) }
-func (e *fakeEngineClient) CancelUnstarted(g Engine) {
-	e.unstartedCanceled = append(e.unstartedCanceled, g)
-}
 
 // recordingHandler keeps the answers to one request.
 type recordingHandler struct{ answers []string }
 
-func (a *recordingHandler) Served(*Result) { a.answers = append(a.answers, "served") }
-func (a *recordingHandler) Rejected(ms float64) {
-	a.answers = append(a.answers, fmt.Sprintf("refused %.0f", ms))
+func (r *recordingHandler) Served(*Result) { r.answers = append(r.answers, "served") }
+
+func (r *recordingHandler) Rejected(ms float64) {
+	r.answers = append(r.answers, fmt.Sprintf("refused %.0f", ms))
 }
 
-func (a *recordingHandler) Failed(why Reason) {
-	a.answers = append(a.answers, fmt.Sprintf("failed %d", why))
+func (r *recordingHandler) Failed(reason Reason) {
+	r.answers = append(r.answers, fmt.Sprintf("failed %d", reason))
 }
 
+// harnessEngine is the engine that each harness lists.
+const harnessEngine dispatch.EngineID = 7
+
+// harness is a core with one engine, on a clock that the test sets.
 type harness struct {
 	t      *testing.T
 	clock  *clock.Manual
 	loop   *Loop
 	core   *Core
 	client *fakeEngineClient
-	lastID int
+	lastID int // of the requests that submit submitted
 }
 
+// newHarness returns a harness; the functions change its configuration.
 func newHarness(t *testing.T, change ...func(*dispatch.Config)) *harness {
 	t.Helper()
-	b := &harness{t: t, clock: &clock.Manual{MS: 1e12}, client: &fakeEngineClient{}}
-	b.loop = NewLoop(b.clock)
-	var err error
+	h := &harness{t: t, clock: &clock.Manual{MS: 1e12}, client: &fakeEngineClient{}}
+	h.loop = NewLoop(h.clock)
 	cfg := dispatch.Config{
 		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
-		Tenants: []dispatch.Tenant{{Name: "south"}}, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Tenants:           []dispatch.Tenant{{Name: "south"}},
+		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
+		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []dispatch.Class{
 			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{
-				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
-				Semantics: dispatch.AtMostOnce,
+				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2,
+				LateWeightShare: 0.5, Semantics: dispatch.AtMostOnce,
 			},
 		},
 	}
-	for _, f := range change {
-		f(&cfg)
+	for _, apply := range change {
+		apply(&cfg)
 	}
-	b.core, err = New(b.loop, cfg, b.client, slog.New(slog.DiscardHandler))
+	var err error
+	h.core, err = New(h.loop, cfg, h.client, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.updateEndpoint(dispatch.ListCached, dispatch.Live, "10.0.0.1:1")
-	return b
+	h.updateEndpoint(dispatch.ListCached, dispatch.Live, "10.0.0.1:1")
+	return h
 }
 
-func (b *harness) updateEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, addr string) {
-	b.loop.Post(func() {
-		b.core.UpdateEndpoints(dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
-			map[dispatch.EngineID]string{7: addr})
-	})
-	b.runLoop()
+// updateEndpoint lists the engine in that state at that address, in a step of its own.
+func (h *harness) updateEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, address string) {
+	h.loop.Post(func() { h.applyEndpoint(mode, state, address) })
+	h.runLoop()
 }
 
-func (b *harness) runLoop() {
-	for b.loop.Step() {
+// applyEndpoint lists the engine in that state at that address. It is called in the loop.
+func (h *harness) applyEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, address string) {
+	endpoint := dispatch.Endpoint{ID: harnessEngine, Kind: "k", CapacityWeight: 1, State: state}
+	list := dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{endpoint}}
+	h.core.UpdateEndpoints(list, map[dispatch.EngineID]string{harnessEngine: address})
+}
+
+// runLoop steps until nothing is left to do.
+func (h *harness) runLoop() {
+	for h.loop.Step() {
 	}
 }
 
-func (b *harness) advance(ms float64) {
-	for end := b.clock.MS + ms; b.clock.MS < end; b.clock.MS++ {
-		b.runLoop()
+// advance moves the clock on, a millisecond at a time.
+func (h *harness) advance(ms float64) {
+	for end := h.clock.MS + ms; h.clock.MS < end; h.clock.MS++ {
+		h.runLoop()
 	}
 }
 
-// submit submits a request; sent is how long ago its client sent it.
-func (b *harness) submit(class string, budget, sent float64) (*recordingHandler, Handle) {
-	b.t.Helper()
-	b.lastID++
-	a := &recordingHandler{}
-	var h Handle
-	b.loop.Post(func() {
+// submit submits a request that its client sent ageMS ago.
+func (h *harness) submit(class string, budgetMS, ageMS float64) (*recordingHandler, Handle) {
+	h.t.Helper()
+	h.lastID++
+	handler := &recordingHandler{}
+	var handle Handle
+	h.loop.Post(func() {
 		var err error
-		h, err = b.core.Submit(&Request{
-			ID: fmt.Sprintf("%016x", b.lastID), Class: class, Statement: "S",
-			SentAtMS: b.clock.MS - sent, BudgetMS: budget,
-		}, a)
+		handle, err = h.core.Submit(&Request{
+			ID: h.requestID(), Class: class, Statement: "S",
+			SentAtMS: h.clock.MS - ageMS, BudgetMS: budgetMS,
+		}, handler)
 		if err != nil {
-			b.t.Error(err)
+			h.t.Error(err)
 		}
 	})
-	b.runLoop()
-	return a, h
+	h.runLoop()
+	return handler, handle
 }
 
-func (b *harness) endAttempt(i int, e End) {
-	b.loop.Post(func() { b.client.done[i](e) })
-	b.runLoop()
+// requestID is the id of the latest request that submit submitted.
+func (h *harness) requestID() string { return fmt.Sprintf("%016x", h.lastID) }
+
+// endAttempt ends an attempt, by its place among the calls.
+func (h *harness) endAttempt(call int, end End) {
+	h.loop.Post(func() { h.client.done[call](end) })
+	h.runLoop()
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -99,8 +99,9 @@
 	return len(posted) > 0
 }
 
-// runTimers runs the timers that are due, and reports whether there were any. Timers that are set meanwhile wait for the
-// next step, even if they are due: one that sets itself anew for a time in the past would never let the loop go on.
+// runTimers runs the timers that are due, and reports whether there were any. Timers that are set meanwhile wait for
+// the next step, even if they are due: one that sets itself anew for a time in the past would never let the loop go
+// on.
 func (l *Loop) runTimers() bool {
 	due := l.due[:0]
 	for now := l.Now(); len(l.timers) > 0 && l.timers[0].at <= now && !l.timersPaused(now); {
--- a/internal/router/progress_test.go
+++ b/internal/router/progress_test.go
@@ -7,52 +7,61 @@
 	"windflow/dispatch"
 )
 
-// What answers say beside an end reaches the module: notes where engines send them, load reports from all. It guards against
-// attempts that are taken for lost, and given up with their work, while their engine says all along that they are under
-// way; and against a flood of events: each answer brings the same report again, and every question four answers a second.
+// What answers say besides an end reaches the module: progress of engines that report it, load reports of all. It
+// guards against attempts that are taken for lost and canceled while their engine reports that they are in progress,
+// and against a flood of events: each answer repeats the load report, and each attempt may bring four answers a
+// second.
 func TestProgressReachesDispatch(t *testing.T) {
-	notes := func(cfg *dispatch.Config) { cfg.ProgressInterval, cfg.CancelAllowed = time.Second, true }
+	reporting := func(cfg *dispatch.Config) { cfg.ProgressInterval, cfg.CancelAllowed = time.Second, true }
 	load := dispatch.LoadReport{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
-	for _, k := range []struct {
-		name      string
-		change    func(*dispatch.Config)
-		tell      AttemptProgress
-		gap       float64 // between two answers, in milliseconds
-		cancelled int
-		told      int // events for the module, at most
+	for _, test := range []struct {
+		name       string
+		change     func(*dispatch.Config)
+		progress   AttemptProgress
+		intervalMS float64 // between two answers
+		canceled   int
+		maxEvents  int // for the module
 	}{
-		{"a silent engine", notes, AttemptProgress{}, 1e9, 1, 0},
-		{"under way", notes, AttemptProgress{}, 250, 0, 9},
-		{"under way with a report that stays the same", notes, AttemptProgress{Report: &load}, 100, 0, 9 + 17},
-		{"a share", notes, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
-		{"no notes in the settings", func(*dispatch.Config) {}, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 0},
-		{"an end", notes, AttemptProgress{Final: true}, 250, 1, 0},
+		{"a silent engine", reporting, AttemptProgress{}, 1e9, 1, 0},
+		{"in progress", reporting, AttemptProgress{}, 250, 0, 9},
+		{
+			"in progress with a load report that stays the same", reporting,
+			AttemptProgress{Report: &load},
+			100, 0, 9 + 17,
+		},
+		{"a fraction done", reporting, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
+		{
+			"no progress reports in the configuration", func(*dispatch.Config) {},
+			AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5},
+			250, 0, 0,
+		},
+		{"an end", reporting, AttemptProgress{Final: true}, 250, 1, 0},
 	} {
-		t.Run(k.name, func(t *testing.T) {
-			b := newHarness(t, k.change)
-			for range 20 { // the class's times are known by then
-				b.submit("lookup", 3000, 0)
-				b.advance(200)
-				b.endAttempt(len(b.client.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, test.change)
+			for range 20 { // the module learns the class's service times
+				h.submit("lookup", 3000, 0)
+				h.advance(200)
+				h.endAttempt(len(h.client.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
 			}
-			b.submit("lookup", 5000, 0)
-			call := b.client.calls[len(b.client.calls)-1]
-			told := 0
-			for range int(4000 / k.gap) {
-				b.advance(k.gap)
-				b.loop.Post(func() {
-					before := len(b.core.queue.events)
-					call.OnProgress(k.tell)
-					told += len(b.core.queue.events) - before
+			h.submit("lookup", 5000, 0)
+			call := h.client.calls[len(h.client.calls)-1]
+			events := 0
+			for range int(4000 / test.intervalMS) {
+				h.advance(test.intervalMS)
+				h.loop.Post(func() {
+					before := len(h.core.queue.events)
+					call.OnProgress(test.progress)
+					events += len(h.core.queue.events) - before
 				})
-				b.runLoop()
+				h.runLoop()
 			}
-			b.advance(4000 - k.gap*float64(int(4000/k.gap)))
-			if got := len(b.client.canceled); got != k.cancelled {
-				t.Errorf("%d attempts were taken back, want %d", got, k.cancelled)
+			h.advance(4000 - test.intervalMS*float64(int(4000/test.intervalMS)))
+			if got := len(h.client.canceled); got != test.canceled {
+				t.Errorf("%d attempts were canceled, want %d", got, test.canceled)
 			}
-			if told > k.told {
-				t.Errorf("the module was told %d times, want %d at most", told, k.told)
+			if events > test.maxEvents {
+				t.Errorf("the module got %d events, want %d at most", events, test.maxEvents)
 			}
 		})
 	}
--- a/internal/router/races_test.go
+++ b/internal/router/races_test.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -10,120 +9,134 @@
 	"windflow/dispatch"
 )
 
-// A client that has gone gets no attempt any more, neither one that was handed to the engine client and waits for its
-// connection, nor a further one that was decided on in the same batch. What has begun goes on, and is cancelled where the
-// settings allow that.
+// An abandoned request gets no attempt any more: neither one that the engine client has and that waits for its
+// connection, nor one that the module decided on in the same step. What has started goes on, and is canceled if the
+// configuration allows that.
 func TestAbandonedRequestGetsNoAttempt(t *testing.T) {
-	b := newHarness(t, func(cfg *dispatch.Config) { cfg.CancelAllowed, cfg.HedgingAllowed, cfg.MaxAttempts = true, true, 5 })
-	_, waits := b.submit("lookup", 3000, 0)
-	waiting := fmt.Sprintf("%016x", b.lastID)
-	b.client.unsent = map[string]bool{waiting: true}
-	_, runs := b.submit("lookup", 3000, 0)
-	running := fmt.Sprintf("%016x", b.lastID)
-	_, load := b.submit("load", 3000, 0)
-	loading := fmt.Sprintf("%016x", b.lastID)
-	b.client.unsent[loading] = true
-	b.loop.Post(func() {
-		for _, h := range []Handle{waits, runs, load} {
-			b.core.Abandon(h)
+	h := newHarness(t, func(cfg *dispatch.Config) {
+		cfg.CancelAllowed, cfg.HedgingAllowed, cfg.MaxAttempts = true, true, 5
+	})
+	_, unsent := h.submit("lookup", 3000, 0)
+	unsentID := h.requestID()
+	h.client.unsent = map[string]bool{unsentID: true}
+	_, running := h.submit("lookup", 3000, 0)
+	runningID := h.requestID()
+	_, load := h.submit("load", 3000, 0)
+	loadID := h.requestID()
+	h.client.unsent[loadID] = true
+	h.loop.Post(func() {
+		for _, handle := range []Handle{unsent, running, load} {
+			h.core.Abandon(handle)
 		}
 	})
-	b.runLoop()
-	if diff := cmp.Diff([]string{waiting, loading}, b.client.unsentCanceled); diff != "" {
-		t.Error("taken back:", diff)
+	h.runLoop()
+	if diff := cmp.Diff([]string{unsentID, loadID}, h.client.unsentCanceled); diff != "" {
+		t.Error("canceled before they were sent:", diff)
 	}
-	if diff := cmp.Diff([]string{running}, b.client.canceled); diff != "" {
-		t.Error("cancelled:", diff)
+	if diff := cmp.Diff([]string{runningID}, h.client.canceled); diff != "" {
+		t.Error("canceled:", diff)
 	}
-	if n := len(b.core.requests.byKey); n > 0 || b.core.OpenRequests() > 0 {
-		t.Errorf("%d requests are kept, %d open", n, b.core.OpenRequests())
+	if n := len(h.core.requests.byKey); n > 0 || h.core.OpenRequests() > 0 {
+		t.Errorf("%d requests are in the table, %d open", n, h.core.OpenRequests())
 	}
-	if b.core.ids.consumed.has(loading) {
-		t.Error("a load that never began counts as one that may have run")
+	if h.core.ids.consumed.has(loadID) {
+		t.Error("a load that was never sent counts as one that may have run")
 	}
-	// An attempt ends, and its client leaves, before the module has heard of either.
-	_, h := b.submit("lookup", 3000, 0)
-	calls := len(b.client.calls)
-	b.loop.Post(func() {
-		b.client.done[calls-1](End{Outcome: dispatch.EngineFull})
-		b.core.Abandon(h)
+	// An attempt ends and its client goes away before the module has handled either.
+	_, handle := h.submit("lookup", 3000, 0)
+	calls := len(h.client.calls)
+	h.loop.Post(func() {
+		h.client.done[calls-1](End{Outcome: dispatch.EngineFull})
+		h.core.Abandon(handle)
 	})
-	b.advance(1000)
-	if len(b.client.calls) != calls {
-		t.Error("a further attempt for a client that has gone")
+	h.advance(1000)
+	if len(h.client.calls) != calls {
+		t.Error("a retry for a client that is gone")
 	}
 }
 
-// Word that an engine drains, is gone or elsewhere takes back what was not begun there, and it goes elsewhere; word that
-// comes in one batch with a query counts ahead of it.
+// When an engine drains, is removed or moves, the attempts that were not started there are canceled and retried
+// elsewhere. An event about an engine that comes in one step with a request goes ahead of it.
 func TestEndpointEventCancelsUnstartedAttempts(t *testing.T) {
-	for _, k := range []struct {
-		name  string
-		state dispatch.EndpointState
-		addr  string
-	}{{"drains", dispatch.Draining, "10.0.0.1:1"}, {"gone", dispatch.Removed, "10.0.0.1:1"}, {"elsewhere", dispatch.Live, "10.0.0.2:1"}} {
-		b := newHarness(t)
-		b.submit("lookup", 3000, 0)
-		b.loop.Post(func() {
-			_, _ = b.core.Submit(&Request{ID: "f", Class: "lookup", Statement: "S", SentAtMS: b.clock.MS, BudgetMS: 3000}, &recordingHandler{})
-			b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: k.state}}},
-				map[dispatch.EngineID]string{7: k.addr})
+	for _, test := range []struct {
+		name    string
+		state   dispatch.EndpointState
+		address string
+	}{
+		{"draining", dispatch.Draining, "10.0.0.1:1"},
+		{"removed", dispatch.Removed, "10.0.0.1:1"},
+		{"moved", dispatch.Live, "10.0.0.2:1"},
+	} {
+		h := newHarness(t)
+		h.submit("lookup", 3000, 0)
+		h.loop.Post(func() {
+			request := &Request{ID: "f", Class: "lookup", Statement: "S", SentAtMS: h.clock.MS, BudgetMS: 3000}
+			_, _ = h.core.Submit(request, &recordingHandler{})
+			h.applyEndpoint(dispatch.ListIncremental, test.state, test.address)
 		})
-		b.runLoop()
-		if diff := cmp.Diff([]Engine{{ID: 7, Address: "10.0.0.1:1", Kind: "k"}}, b.client.unstartedCanceled); diff != "" {
-			t.Errorf("%s: withheld: %s", k.name, diff)
+		h.runLoop()
+		want := []Engine{{ID: harnessEngine, Address: "10.0.0.1:1", Kind: "k"}}
+		if diff := cmp.Diff(want, h.client.unstartedCanceled); diff != "" {
+			t.Errorf("%s: unstarted attempts canceled at: %s", test.name, diff)
+		}
+		calls := h.client.calls
+		if test.state != dispatch.Live && len(calls) != 1 {
+			t.Errorf("%s: sent by an outdated view: %+v", test.name, calls)
 		}
-		if n := len(b.client.calls); k.state != dispatch.Live && n != 1 || k.state == dispatch.Live && b.client.calls[n-1].Engine.Address != k.addr {
-			t.Errorf("%s: sent by an old view: %+v", k.name, b.client.calls)
+		if test.state == dispatch.Live && calls[len(calls)-1].Engine.Address != test.address {
+			t.Errorf("%s: sent to the former address: %+v", test.name, calls)
 		}
 	}
 }
 
-// A further attempt of what may run twice only within a window does not begin after it, however late its connection comes
-// up: it ends as never run, and the module hears so.
+// A retry of a request that is idempotent only within a window does not start after the window, even if its connection
+// comes up later: it ends as one that never ran, and the module gets that end.
 func TestLatestStart(t *testing.T) {
-	b := newHarness(t, func(cfg *dispatch.Config) {
+	h := newHarness(t, func(cfg *dispatch.Config) {
 		cfg.Classes = append(cfg.Classes, dispatch.Class{
 			Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1,
 			Semantics: dispatch.IdempotentByKey, IdempotencyWindow: 300 * time.Millisecond,
 		})
 	})
-	a, _ := b.submit("keyed", 3000, 0)
-	b.client.unsent = map[string]bool{fmt.Sprintf("%016x", b.lastID): true}
-	b.advance(100)
-	b.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
-	if n := len(b.client.calls); n != 2 || b.client.calls[0].LatestStartMS != 0 {
-		t.Fatalf("%d calls, the first to begin by %v", n, b.client.calls[0].LatestStartMS)
+	handler, _ := h.submit("keyed", 3000, 0)
+	h.client.unsent = map[string]bool{h.requestID(): true}
+	h.advance(100)
+	h.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
+	if n := len(h.client.calls); n != 2 || h.client.calls[0].LatestStartMS != 0 {
+		t.Fatalf("%d calls, the latest start of the first %v", n, h.client.calls[0].LatestStartMS)
 	}
-	if left := b.client.calls[1].LatestStartMS - b.clock.MS; left <= 0 || left > 200 {
-		t.Errorf("the second may begin within %v ms", left)
+	if left := h.client.calls[1].LatestStartMS - h.clock.MS; left <= 0 || left > 200 {
+		t.Errorf("the latest start of the second in %v ms", left)
 	}
-	b.advance(250)
-	if len(b.client.unsentCanceled) != 1 || len(b.client.calls) != 2 || len(a.answers) != 1 {
-		t.Errorf("taken back %v, %d calls, answers %v", b.client.unsentCanceled, len(b.client.calls), a.answers)
+	h.advance(250)
+	if len(h.client.unsentCanceled) != 1 || len(h.client.calls) != 2 || len(handler.answers) != 1 {
+		t.Errorf("canceled before they were sent %v, %d calls, answers %v",
+			h.client.unsentCanceled, len(h.client.calls), handler.answers)
 	}
 }
 
-// Two words of an engine in one batch: the module goes by the first, and releases what it held; nothing is begun by it.
+// Of two events about an engine in one step the module decides by the first, and releases queued requests; no attempt
+// is started by that decision.
 func TestTwoEndpointEventsInOneStep(t *testing.T) {
 	for _, second := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
-		b := newHarness(t)
-		b.updateEndpoint(dispatch.ListIncremental, dispatch.Draining, "10.0.0.1:1")
-		a, _ := b.submit("lookup", 3000, 0) // waits for an engine
-		b.loop.Post(func() {
+		h := newHarness(t)
+		h.updateEndpoint(dispatch.ListIncremental, dispatch.Draining, "10.0.0.1:1")
+		handler, _ := h.submit("lookup", 3000, 0) // waits for an engine
+		h.loop.Post(func() {
 			for _, state := range []dispatch.EndpointState{dispatch.Live, second} {
-				b.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1, State: state}}},
-					map[dispatch.EngineID]string{7: "10.0.0.1:1"})
+				h.applyEndpoint(dispatch.ListIncremental, state, "10.0.0.1:1")
 			}
 		})
-		b.runLoop()
-		if len(b.client.calls) > 0 {
-			t.Errorf("%d: begun at an engine that leaves", second)
+		h.runLoop()
+		if len(h.client.calls) > 0 {
+			t.Errorf("%d: started at an engine that is draining or removed", second)
 		}
-		b.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
-		b.advance(500)
-		if len(b.client.calls) != 1 || len(a.answers) > 0 || len(b.core.endpoints.unavailable) > 0 {
-			t.Errorf("%d: %d calls after it is back, answers %v, leaving %v", second, len(b.client.calls), a.answers, b.core.endpoints.unavailable)
+		h.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
+		h.advance(500)
+		unavailable := h.core.endpoints.unavailable
+		if len(h.client.calls) != 1 || len(handler.answers) > 0 || len(unavailable) > 0 {
+			t.Errorf("%d: %d calls after it is back, answers %v, unavailable %v",
+				second, len(h.client.calls), handler.answers, unavailable)
 		}
 	}
 }
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -1,7 +1,7 @@
 package router
 
 import (
-	"strings"
+	"errors"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -10,7 +10,7 @@
 )
 
 func TestTableGroup(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		statement string
 		want      int64 // -1 for none
 	}{
@@ -41,11 +41,11 @@
 		{"``", -1},
 	} {
 		got := int64(-1)
-		if n, ok := tableGroup(k.statement); ok {
+		if n, ok := tableGroup(test.statement); ok {
 			got = int64(n)
 		}
-		if got != k.want {
-			t.Errorf("%q: group %d, want %d", k.statement, got, k.want)
+		if got != test.want {
+			t.Errorf("%q: group %d, want %d", test.statement, got, test.want)
 		}
 	}
 }
@@ -76,29 +76,31 @@
 		"method": "lookup", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "a",
 		"est": "820.0", "mem": "96", "again": "1",
 	}
-	r, err := NewRequest(func(n string) string { return good[n] }, "SELECT 1 FROM s_3.t", 5)
+	request, err := NewRequest(func(n string) string { return good[n] }, "SELECT 1 FROM s_3.t", 5)
 	want := &Request{
-		ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t", TableGroup: dispatch.TableGroupOf(3),
-		SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true,
+		ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t",
+		TableGroup: dispatch.TableGroupOf(3), SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true,
 	}
-	if diff := cmp.Diff(want, r); diff != "" || err != nil {
+	if diff := cmp.Diff(want, request); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
-	for field, bad := range map[string]string{
-		"method": "", "rid": "9b1f03aa5c7e2d4g", "budget": "0", "est": "-1",
-		"mem": "1e99", "again": "yes",
+	for _, test := range []struct{ field, bad, text string }{
+		{"method", "", "field method is missing"},
+		{"rid", "9b1f03aa5c7e2d4g", `field rid: "9b1f03aa5c7e2d4g" is not 16 hex digits`},
+		{"budget", "0", `field budget: "0" is not a number from 0 to 3.6e+06`},
+		{"est", "-1", `field est: "-1" is not a number from 0 to 1e+09`},
+		{"mem", "1e99", `field mem: "1e99" is not a number from 0 to 1e+09`},
+		{"again", "yes", `field again: "yes" is neither 1 nor absent`},
 	} {
-		_, err := NewRequest(func(n string) string {
-			if n == field {
-				return bad
+		_, err := NewRequest(func(name string) string {
+			if name == test.field {
+				return test.bad
 			}
-			return good[n]
+			return good[name]
 		}, "SELECT 1", 5)
-		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s=%q: error %v", field, bad, err)
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.text {
+			t.Errorf("%s=%q: error %v", test.field, test.bad, err)
 		}
 	}
 }
-
-// What the settings don't know reaches no engine, and neither does the id of a request that is open or, for what must
-// not run twice, of one that may have run. The first with that id is not disturbed.
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -27,7 +27,8 @@
 }
 
 const (
-	// answerMarginMS is kept before the client's deadline, so that the final answer is sent while the client still waits.
+	// answerMarginMS is kept before the client's deadline, so that the final answer is sent while the client still
+	// waits.
 	answerMarginMS = 30.0
 	// answerGuardMS is when, after a request's deadline, the core answers in place of the module. It guards against a
 	// request without an answer, whatever the cause; it never fires while the module does its work.
@@ -131,8 +132,8 @@
 	p.observe(request, Answer{Kind: AnswerClientGone})
 }
 
-// close closes a request and returns its handler. Attempts that were sent go on being reported to the module; the others
-// are taken back, because no client waits for them.
+// close closes a request and returns its handler. Attempts that were sent go on being reported to the module; the
+// others are taken back, because no client waits for them.
 func (p *responder) close(request *request) ResponseHandler {
 	handler := p.requests.close(request)
 	request.guard.Stop()
@@ -166,8 +167,8 @@
 	p.hooks.Observer.RequestAnswered(request.Request, answer)
 }
 
-// objective is the time in milliseconds within which an answer meets the class's latency objective, by the work that the
-// engine reported, else by the client's estimate.
+// objective is the time in milliseconds within which an answer meets the class's latency objective, by the work that
+// the engine reported, else by the client's estimate.
 func (p *responder) objective(request *request, result *Result) float64 {
 	class := p.settings.Load().classes[request.Class]
 	work := request.EstimateMS
@@ -179,9 +180,13 @@
 
 // outcomeReasons are the texts of records for how the last attempt ended.
 var outcomeReasons = map[dispatch.Outcome]string{
-	dispatch.EngineFailed: "the engine failed", dispatch.EngineFull: "the engine was full",
-	dispatch.TimedOut: "the engine did not answer in time", dispatch.ConnectFailed: "no connection to the engine",
-	dispatch.ConnectionReset: "the connection to the engine broke", dispatch.Cancelled: "given up", dispatch.NotSent: "not sent",
+	dispatch.EngineFailed:    "the engine failed",
+	dispatch.EngineFull:      "the engine was full",
+	dispatch.TimedOut:        "the engine did not answer in time",
+	dispatch.ConnectFailed:   "no connection to the engine",
+	dispatch.ConnectionReset: "the connection to the engine broke",
+	dispatch.Cancelled:       "given up",
+	dispatch.NotSent:         "not sent",
 }
 
 // failureReason is the text of a failure in records.
