--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -43,7 +43,7 @@
 
 // start starts an attempt. One that can no longer be sent ends at once, in a way that proves that it never ran.
 func (t *attemptTracker) start(action dispatch.StartAttempt) {
-	request := t.requests.byKey[action.Request]
+	request := t.requests.get(action.Request)
 	if request == nil {
 		t.log.Error("attempt for unknown request", "request", action.Request)
 		return
@@ -112,7 +112,7 @@
 
 // setResources sets the memory grant of a request's next attempts, and the priority of all of them.
 func (t *attemptTracker) setResources(action dispatch.SetResources) {
-	request := t.requests.byKey[action.Request]
+	request := t.requests.get(action.Request)
 	if request == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // cancel cancels an attempt. An exclusive one stays outstanding until the engine has canceled it.
 func (t *attemptTracker) cancel(action dispatch.CancelAttempt) {
-	request := t.requests.byKey[action.Request]
+	request := t.requests.get(action.Request)
 	if request == nil || action.Attempt >= len(request.attempts) {
 		return
 	}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -88,7 +88,7 @@
 func (c *Core) CheckNames(request *Request) error { return c.settings.Load().checkNames(request) }
 
 // OpenRequests is the number of requests that are to be answered.
-func (c *Core) OpenRequests() int { return len(c.requests.open) }
+func (c *Core) OpenRequests() int { return c.requests.openCount() }
 
 // Handle names a submitted request for Abandon.
 type Handle struct{ request *request }
@@ -128,7 +128,7 @@
 	if err := c.CheckNames(submitted); err != nil {
 		return err
 	}
-	if c.requests.open[submitted.ID] != nil || c.ids.inUse(submitted.ID) {
+	if c.requests.isOpen(submitted.ID) || c.ids.inUse(submitted.ID) {
 		return &FieldError{Field: FieldID, Err: ErrIDInUse}
 	}
 	return nil
@@ -190,7 +190,7 @@
 }
 
 // ListedEngines is the number of engines in the list.
-func (c *Core) ListedEngines() int { return len(c.endpoints.engines) }
+func (c *Core) ListedEngines() int { return c.endpoints.count() }
 
 // AvoidedEngines is the number of listed engines that get no work now, because of a cordon or by the module's choice.
 func (c *Core) AvoidedEngines() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
--- a/internal/router/decide.go
+++ b/internal/router/decide.go
@@ -39,9 +39,9 @@
 	case dispatch.CancelAttempt:
 		c.attempts.cancel(action)
 	case dispatch.Reject:
-		c.responder.reject(c.requests.byKey[action.Request], clock.Millis(action.RetryAfter))
+		c.responder.reject(c.requests.get(action.Request), clock.Millis(action.RetryAfter))
 	case dispatch.FailRequest:
-		c.responder.failByModule(c.requests.byKey[action.Request])
+		c.responder.failByModule(c.requests.get(action.Request))
 	case dispatch.SetTimer:
 		c.loop.After(clock.Millis(action.After), func() {
 			c.queue.add(dispatch.TimerFired{Tag: action.Tag})
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -37,6 +37,9 @@
 	}
 }
 
+// count is the number of engines in the table.
+func (t *endpointTable) count() int { return len(t.engines) }
+
 // removeUnlisted removes the engines that a complete list leaves out; their addresses may pass to others.
 func (t *endpointTable) removeUnlisted(endpoints []dispatch.Endpoint) {
 	for id, engine := range t.engines {
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -1,9 +1,6 @@
 package router
 
 import (
-	"maps"
-	"slices"
-
 	"windflow/dispatch"
 	"windflow/internal/clock"
 )
@@ -32,8 +29,8 @@
 func (c *Core) State() State {
 	c.decide()
 	return State{
-		OpenIDs:     slices.Sorted(maps.Keys(c.requests.open)),
-		ConsumedIDs: c.ids.consumed.list(),
+		OpenIDs:     c.requests.openIDs(),
+		ConsumedIDs: c.ids.consumedIDs(),
 		Dispatch:    c.module.Snapshot(),
 	}
 }
@@ -83,11 +80,7 @@
 
 // GrantClaim answers the other process's claim of an id. An id that is granted counts here as one that may have run.
 func (c *Core) GrantClaim(id string) bool {
-	if c.requests.open[id] != nil || c.ids.consumed.has(id) {
-		return false
-	}
-	c.ids.consumed.add(id)
-	return true
+	return !c.requests.isOpen(id) && c.ids.grant(id)
 }
 
 // AdoptCordons cordons engines that operators have cordoned in another process, whether a list has named them or not.
@@ -111,6 +104,6 @@
 
 // OtherProcessEnded says that the other process has ended: nothing of it runs any more, and none of its ids is open.
 func (c *Core) OtherProcessEnded() {
-	clear(c.ids.otherProcess)
+	c.ids.otherProcessEnded()
 	c.SetOtherProcessUsage(dispatch.OtherProcessUsage{})
 }
--- a/internal/router/request_ids.go
+++ b/internal/router/request_ids.go
@@ -57,6 +57,22 @@
 	d.consumed.remove(id)
 }
 
+// grant consumes an id that the other process claims, unless it is consumed already. The other process knows of it, so
+// the change is not published.
+func (d *requestIDs) grant(id string) bool {
+	if d.consumed.has(id) {
+		return false
+	}
+	d.consumed.add(id)
+	return true
+}
+
+// consumedIDs returns the ids of requests that may have run, the oldest first.
+func (d *requestIDs) consumedIDs() []string { return d.consumed.list() }
+
+// otherProcessEnded forgets the ids that were open in the other process.
+func (d *requestIDs) otherProcessEnded() { clear(d.otherProcess) }
+
 // applyChange applies a change that the other process published.
 func (d *requestIDs) applyChange(change IDChange) {
 	switch change.Status {
@@ -73,7 +89,7 @@
 
 // restore takes the ids of another process's state; its open ids replace those of an earlier state.
 func (d *requestIDs) restore(open, consumed []string) {
-	clear(d.otherProcess)
+	d.otherProcessEnded()
 	for _, id := range open {
 		d.otherProcess[id] = true
 	}
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -1,6 +1,8 @@
 package router
 
 import (
+	"maps"
+	"slices"
 	"strconv"
 
 	"windflow/dispatch"
@@ -56,6 +58,18 @@
 	return added
 }
 
+// get returns a request by its key, or nil.
+func (t *requestTable) get(key dispatch.RequestID) *request { return t.byKey[key] }
+
+// isOpen reports whether a request with the client's id is open.
+func (t *requestTable) isOpen(id string) bool { return t.open[id] != nil }
+
+// openCount is the number of open requests.
+func (t *requestTable) openCount() int { return len(t.open) }
+
+// openIDs returns the clients' ids of the open requests, sorted.
+func (t *requestTable) openIDs() []string { return slices.Sorted(maps.Keys(t.open)) }
+
 // arrive marks a request whose arrival is queued for the module.
 func (t *requestTable) arrive(request *request) {
 	request.arriving = true
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -209,7 +209,7 @@
 	switch last := request.lastAttempt(); {
 	case last != nil:
 		return "turned away: " + outcomeReasons[last.outcome]
-	case len(p.endpoints.engines) == 0:
+	case p.endpoints.count() == 0:
 		return "no engine is listed"
 	}
 	return "no room in time"
