--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock holds the one clock of the program: milliseconds since the Unix epoch as a float64. Only at
-// the decision module's door is a time converted to a time.Duration.
+// Package clock is the program's one clock: milliseconds since the Unix epoch as a float64. Times are converted to a
+// time.Duration only for the dispatch module.
 package clock
 
 import "time"
@@ -7,11 +7,11 @@
 // Clock tells the time in milliseconds since the Unix epoch.
 type Clock interface{ Now() float64 }
 
-// System is the machine's clock. It reads the wall clock once and the monotonic clock from then on, so that
-// a step of the wall clock never moves a deadline.
+// System is the machine's clock. It reads the wall clock once and the monotonic clock from then on, so that a step of
+// the wall clock never moves a deadline.
 type System struct{ start time.Time }
 
-// NewSystem starts a system clock.
+// NewSystem returns a system clock.
 func NewSystem() *System { return &System{start: time.Now()} }
 
 // Now implements Clock.
@@ -25,8 +25,8 @@
 // Now implements Clock.
 func (m *Manual) Now() float64 { return m.MS }
 
-// Duration converts milliseconds for the decision module.
+// Duration converts milliseconds to a duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Millis converts a duration of the decision module.
+// Millis converts a duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
