--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -5,14 +5,14 @@
 const (
 	// badPlanFactor is how many times slower than expected an attempt has to be to count as a bad plan.
 	badPlanFactor = 4.0
-	// badPlanRemainder is how many times the expected time it has to take still.
+	// badPlanRemainder is how many times the expected time it still has to take.
 	badPlanRemainder = 2
 	// silentIntervals is after how many progress intervals without a report an attempt counts as silent; reports come
 	// also from the engine's queue.
 	silentIntervals = 1.6
-	// silentFactor is the multiple of the expected time after which it does where engines send no progress.
+	// silentFactor is the multiple of the expected time after which it counts as silent where engines send no progress.
 	silentFactor = 6.0
-	// minFraction bounds a reported share done, which the total time is computed from.
+	// minFraction bounds a reported fraction done, which the total time is computed from.
 	minFraction = 0.01
 	// maxEngineErrors is how many engines may answer a request with an error before the request is taken to be at
 	// fault: usual ones err in a few of a thousand answers, and each further error would speak against one more
@@ -52,9 +52,9 @@
 	req.attempts = append(req.attempts, next)
 	req.outstanding++
 	t.capacity.attemptStarted(next)
-	t.outliers.recordTry(target)
+	t.outliers.recordAttempt(target)
 	t.warmUps.recordSent(next)
-	t.deadlines.lookAgainAt(t.nextLook(req))
+	t.deadlines.checkAt(t.nextCheck(req))
 	t.emitStart(next)
 }
 
@@ -76,8 +76,8 @@
 	t.env.emit(CancelAttempt{Request: a.request.id, Attempt: a.index})
 }
 
-// reroute cancels an attempt that takes far too long, so that the request runs elsewhere. It helps against bad plans,
-// stuck engines and lost answers; it hurts when the estimate, not the run, was wrong.
+// reroute cancels an attempt that takes far too long, so that the request runs on another engine. It helps against
+// bad plans, stuck engines and lost answers; it hurts when the estimate, not the run, was wrong.
 func (t *requestTracker) reroute(a *attempt) {
 	req := a.request
 	if req.finished || a.cancelled || a.streaming || t.env.now+req.expectedTime(t.env) > req.deadline {
@@ -88,14 +88,14 @@
 	}
 }
 
-// isSilent tells whether nothing was heard of an attempt for too long: a link is cut, an engine is stuck, or an answer
-// never comes.
+// isSilent reports whether no progress of an attempt was reported for too long: a link is cut, an engine is stuck, or
+// an answer is lost.
 func (t *requestTracker) isSilent(a *attempt) bool {
 	return !a.ended && !a.attributed && !a.streaming && t.env.now > t.silentAt(a)
 }
 
-// silentAt is when an attempt counts as silent if nothing more is heard of it. After a pause of this process the time
-// starts anew.
+// silentAt is when an attempt counts as silent if no further progress is reported. A pause of this process restarts the
+// time.
 func (t *requestTracker) silentAt(a *attempt) time.Duration {
 	limit := seconds(silentFactor * a.request.expectedTime(t.env).Seconds() * a.engine.health.currentSlowness(t.env))
 	if interval := t.env.config.ProgressInterval; interval > 0 {
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -9,15 +9,15 @@
 	// threadsPerCore is the bound on running threads a core: cores and disks overlap up to about there, and queries
 	// of the preferred class run beside it. Under congestion it goes down to congestedThreadsPerCore.
 	threadsPerCore, congestedThreadsPerCore = 2.0, 1.2
-	// congestionFrom and congestionFull are the service time ratios of the preferred class at which congestion begins
-	// and is complete.
+	// congestionFrom and congestionFull are the service time ratios of the preferred class at which congestion is 0 and
+	// 1.
 	congestionFrom, congestionFull = 1.2, 2.2
 	// largeFleetThreadsPerCore is the bound in a large fleet without congestion: shares are small there, and uneven.
-	// excessFrom and excessFull are the excess service times of all classes at which congestion begins and is complete
-	// there; excessGain is the weight of one observation.
+	// excessFrom and excessFull are the excess service times of all classes at which congestion is 0 and 1 there;
+	// excessGain is the weight of one observation.
 	largeFleetThreadsPerCore           = 3.0
 	excessGain, excessFrom, excessFull = 0.1, 0.1, 0.5
-	// calmFactor is how far the bound gives way on a calm engine; reports lag, so it never opens wholly.
+	// calmFactor is how far the bound gives way on a calm engine; reports lag, so it is never lifted.
 	calmFactor = 2.0
 	// preferredFactor is how far preferred queries may exceed the bound: they are short and go first.
 	preferredFactor = 2.0
@@ -26,16 +26,16 @@
 	maxSlownessFactor = 3.0
 	// grantHeadroom is granted over the corrected estimate: estimates scatter, and spilling costs most.
 	grantHeadroom = 1.25
-	// recountInterval is how long sums stand at most: it bounds what a fault in keeping them could cost.
+	// recountInterval is how long sums hold at most: it bounds what a fault in updating them could cost.
 	recountInterval = 10 * time.Second
-	// grantUnitMB is what sums of grants count in: whole units leave nothing behind when all is given back.
+	// grantUnitMB is the unit of sums of grants: sums of integers leave no rounding error behind.
 	grantUnitMB = 1.0 / 1024
 )
 
 // resources are what engines have, and what this router has running there.
 type resources struct{ cores, memoryMB, threads, grantedMB float64 }
 
-// capacityLimiter tells how much this router may run, on each engine and in all.
+// capacityLimiter bounds what this router runs, on each engine and in total.
 type capacityLimiter struct {
 	env       *environment
 	endpoints *endpointTable
@@ -56,14 +56,14 @@
 	excessAt time.Duration
 }
 
-// largeFleet tells whether so many routers share the fleet that an even share of an engine is a fraction of a query.
+// largeFleet reports whether so many routers share the fleet that an even share of an engine is a fraction of a query.
 func (c *capacityLimiter) largeFleet() bool {
 	cores, _ := c.endpoints.total()
 	widest := float64(len(c.endpoints.listedEngines()) * c.classes.widestThreads)
 	return 4*threadsPerCore*cores*c.env.fleetShare() < widest
 }
 
-// roundsUp tells whether an even share of an engine is half of a query or more: then each engine may run one, else
+// roundsUp reports whether an even share of an engine is half of a query or more: then each engine may run one, else
 // the share counts over all engines together. It goes by even shares, since all routers would round up at once.
 func (c *capacityLimiter) roundsUp(req *request) bool {
 	cores, _ := c.endpoints.total()
@@ -98,7 +98,7 @@
 	c.excessAt = c.env.now
 }
 
-// fits tells whether this router may run one more request at all: its share of the fleet's threads and memory.
+// fits reports whether this router may run one more request at all: its share of the fleet's threads and memory.
 func (c *capacityLimiter) fits(req *request) bool {
 	usable := c.usable()
 	grant := c.wantedGrant(req)
@@ -113,7 +113,7 @@
 	return usable.threads+threads <= calmFactor*c.threadBound()*usable.cores+calmFactor*threads
 }
 
-// hasHeadroom tells whether an engine may take one more request: it goes by backoff and ejection, by the memory that
+// hasHeadroom reports whether an engine may take one more request: it goes by backoff and ejection, by the memory that
 // this router may grant, by loads that would block the request, and by the thread bound, which gives way on a calm
 // engine. spread is by how much this router's share grows on an engine since it uses few of them.
 func (c *capacityLimiter) hasHeadroom(target *engine, req *request, spread float64) bool {
@@ -130,7 +130,7 @@
 	return c.threadsAllow(target, req, spread)
 }
 
-// pressureAllows tells whether neither a lock nor a lack of memory on an engine speaks against a request.
+// pressureAllows reports whether neither a lock nor a lack of memory on an engine speaks against a request.
 func (c *capacityLimiter) pressureAllows(e *engine, req *request) bool {
 	limits := c.endpoints.limits(e)
 	headroom := e.pressure.Headroom(req.query(), limits, c.env.nowMS())
@@ -141,7 +141,7 @@
 	return req.class == c.classes.preferred || len(e.running) == 0 || !short
 }
 
-// threadsAllow tells whether the thread bound allows a request on an engine.
+// threadsAllow reports whether the thread bound allows a request on an engine.
 func (c *capacityLimiter) threadsAllow(target *engine, req *request, spread float64) bool {
 	bound, roundsUp := c.threadBound(), c.roundsUp(req)
 	if target.pressure.Calm(target.cores, c.env.nowMS()) {
@@ -196,7 +196,7 @@
 	c.count(a, 1)
 }
 
-// attemptEnded takes an attempt off its engine again.
+// attemptEnded removes an attempt from its engine.
 func (c *capacityLimiter) attemptEnded(a *attempt) {
 	a.engine.running = without(a.engine.running, a)
 	a.engine.pressure.AttemptEnded(a.request.query())
@@ -223,7 +223,7 @@
 	c.usageChanged(e, before)
 }
 
-// usageChanged keeps the sums over the warm engines.
+// usageChanged updates the sums over the warm engines.
 func (c *capacityLimiter) usageChanged(e *engine, before engineUsage) {
 	if e.usage.countedWarm {
 		c.warm.threads += e.usage.threads - before.threads
@@ -241,7 +241,7 @@
 	return resources{cores, memoryMB, c.threads, c.grantedMB}
 }
 
-// warmResources sums up the warm engines; in a large fleet those of lost zones are left out: others bear their part.
+// warmResources sums up the warm engines; in a large fleet those of lost zones are left out: others serve their part.
 func (c *capacityLimiter) warmResources() resources {
 	c.refresh()
 	sum := c.warm
@@ -249,10 +249,10 @@
 	return sum
 }
 
-// invalidate has the sums computed anew when they are needed next.
+// invalidate has the sums recomputed when they are needed next.
 func (c *capacityLimiter) invalidate() { c.recountAt = 0 }
 
-// endpointsChanged has the sums computed anew over other engines.
+// endpointsChanged has the sums recomputed over the changed engines.
 func (c *capacityLimiter) endpointsChanged() {
 	for _, e := range c.endpoints.engines() {
 		e.usage.countedWarm = false
@@ -260,8 +260,8 @@
 	c.invalidate()
 }
 
-// refresh computes the sums anew if they do not hold any more: the endpoint list or the settings have changed, an
-// engine has become warm or cold, or a zone is lost or found.
+// refresh recomputes the sums if they do not hold any more: the endpoint list or the settings have changed, an
+// engine has become warm or has restarted, or a zone is lost or found.
 func (c *capacityLimiter) refresh() {
 	if c.env.now >= c.recountAt {
 		c.recount()
--- a/dispatch/classes.go
+++ b/dispatch/classes.go
@@ -19,6 +19,26 @@
 	return &class{Class: settings, estimate: newServiceEstimate(settings)}
 }
 
+// allowsEngine reports whether a class may be placed on an engine.
+func (k *class) allowsEngine(e *engine) bool {
+	if len(k.Zones) > 0 && !slices.Contains(k.Zones, e.Zone) {
+		return false
+	}
+	return len(k.Kinds) == 0 || slices.Contains(k.Kinds, e.Kind)
+}
+
+// sameScope reports whether two engines drop repeats of each other's requests of a class.
+func (k *class) sameScope(a, b *engine) bool {
+	switch k.IdempotencyScope {
+	case ScopeZone:
+		return a.Zone == b.Zone
+	case ScopeCell:
+		return a.Cell == b.Cell
+	case ScopeAll:
+	}
+	return true
+}
+
 // classSet holds the classes of the settings and what follows from all of them.
 type classSet struct {
 	all              []*class
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -77,7 +77,7 @@
 // startDelay is the time after its decision within which a retry has to start; 0 without a budget.
 func (b RetryBudget) startDelay() time.Duration { return min(maxRetryStartDelay, b.Window/4) }
 
-// Config is what a router's controller is told when it is created.
+// Config holds the settings of a router's controller.
 type Config struct {
 	Seed        uint64
 	RouterIndex int
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -4,8 +4,8 @@
 
 // Controller decides for one router. It is not safe for concurrent use.
 //
-// It coordinates the parts of the decision: each event is handed to the parts that learn from it, and what follows for
-// requests is done here.
+// It coordinates the parts of the decision: it passes each event to the parts that learn from it, and then has queued
+// requests released.
 type Controller struct {
 	env       *environment
 	endpoints *endpointTable
@@ -54,13 +54,13 @@
 	}
 	c.warmUps.capacity = c.capacity
 	c.selector = &selector{
-		subsetting: newSubsetting(c.env, c.endpoints, c.classes, c.capacity),
-		outliers:   c.outliers,
-		warmUps:    c.warmUps,
+		subsetChooser: newSubsetChooser(c.env, c.endpoints, c.classes, c.capacity),
+		outliers:      c.outliers,
+		warmUps:       c.warmUps,
 	}
 	c.fleet = &fleetState{
 		env: c.env, endpoints: c.endpoints, outliers: c.outliers,
-		warmUps: c.warmUps, capacity: c.capacity, subsets: &c.selector.subsetting,
+		warmUps: c.warmUps, capacity: c.capacity, subsets: &c.selector.subsetChooser,
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// Configure has a running controller go by changed settings and returns those in force. What is queued, running and
+// Configure applies changed settings to a running controller and returns those in force. What is queued, running and
 // learned stays. The names, semantics and shape of the classes stay too, since open requests belong to them; settings
 // that were not taken for that reason are named in kept. After an error nothing has changed.
 func (c *Controller) Configure(config Config) (inForce Config, kept []string, err error) {
@@ -97,7 +97,7 @@
 	c.classes.derive()
 	c.quotas.configure()
 	c.queues.setLimit(config.MaxQueued)
-	c.fleet.equip()
+	c.fleet.applyKinds()
 	return config, kept, nil
 }
 
@@ -117,7 +117,7 @@
 	c.started = true
 	c.quotas.start()
 	c.warmUps.start()
-	c.deadlines.start()
+	c.deadlines.reset()
 	c.poll.subscribe()
 }
 
@@ -184,10 +184,10 @@
 	c.requests.release()
 }
 
-// Knows tells whether an endpoint list has named an engine.
+// Knows reports whether an endpoint list has named an engine.
 func (c *Controller) Knows(id EngineID) bool { return c.endpoints.cordons.knows(id) }
 
-// Cordoned tells whether an engine gets no work by an operator's order.
+// Cordoned reports whether an engine gets no work by an operator's order.
 func (c *Controller) Cordoned(id EngineID) bool { return c.endpoints.cordons.isCordoned(id) }
 
 // AvoidedEngines counts the engines in the endpoint list that get no ordinary work at that time: they drain, are
--- a/dispatch/deadlines.go
+++ b/dispatch/deadlines.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// housekeepingInterval is the time in which queued requests are looked at twice.
+	// housekeepingInterval is the time in which queued requests are checked twice.
 	housekeepingInterval = 20 * time.Millisecond
 	// pauseThreshold is how late a timer fires after a pause of this process.
 	pauseThreshold = 5 * housekeepingInterval
@@ -14,21 +14,21 @@
 	housekeepingTag = 1
 )
 
-// deadlines keeps the one timer of a controller.
+// deadlines manages the one timer of a controller.
 type deadlines struct {
-	env      *environment
-	timerAt  time.Duration // when the timer fires
-	nextLook time.Duration // when an open request has to be looked at
-	pausedAt time.Duration // when a pause of this process ended
+	env       *environment
+	timerAt   time.Duration // when the timer fires
+	nextCheck time.Duration // when an open request has to be checked
+	pausedAt  time.Duration // when a pause of this process ended
 }
 
-// start starts without a timer.
-func (d *deadlines) start() { d.timerAt, d.nextLook = math.MaxInt64, math.MaxInt64 }
+// reset forgets the timer, and when open requests have to be checked.
+func (d *deadlines) reset() { d.timerAt, d.nextCheck = math.MaxInt64, math.MaxInt64 }
 
-// lookAgainAt has the open requests looked at again at a time, or earlier.
-func (d *deadlines) lookAgainAt(at time.Duration) { d.nextLook = min(d.nextLook, at) }
+// checkAt has the open requests checked at a time, or earlier.
+func (d *deadlines) checkAt(at time.Duration) { d.nextCheck = min(d.nextCheck, at) }
 
-// fired tells whether a timer that fired is the one that was set last; then none is set any more. Hosts may round a
+// fired reports whether a timer that fired is the one that was set last; then none is set any more. Hosts may round a
 // time down, so one that fires a tick early is in time.
 func (d *deadlines) fired(event TimerFired) bool {
 	if event.Tag != housekeepingTag || d.env.now+d.env.config.Tick < d.timerAt {
@@ -37,14 +37,14 @@
 	if d.env.now-d.timerAt > pauseThreshold {
 		d.pausedAt = d.env.now
 	}
-	d.start()
+	d.reset()
 	return true
 }
 
-// setTimer sets a timer for the next thing due, unless an earlier one is set: queued requests look for capacity often,
-// for others only silence and the client's deadline matter.
+// setTimer sets a timer for what is due next, unless an earlier one is set: queued requests are checked often for
+// capacity, others only for silence and their deadline.
 func (d *deadlines) setTimer(anyQueued bool, nextPoll time.Duration) {
-	due := min(d.nextLook, nextPoll)
+	due := min(d.nextCheck, nextPoll)
 	if anyQueued {
 		due = min(due, d.env.now+housekeepingInterval/2)
 	}
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,9 +1,9 @@
-// Package dispatch decides for one router of a front of query engines with limited memory: which engine runs a query,
-// when, with what memory grant and priority, and when to retry, cancel, reject or fail it.
+// Package dispatch makes the decisions of one router in front of query engines with limited memory: which engine runs a
+// query, when, with what memory grant and priority, and when to retry, cancel, reject or fail it.
 //
-// A Controller is handed one event at a time, together with the time, and returns the actions to carry out. It does no
-// I/O, starts no goroutine and reads no clock; its randomness comes from the seed in Config. Each part of the decision
-// keeps its own state in a file of its own:
+// A Controller handles one event at a time, together with the time, and returns the actions to carry out. It does no
+// I/O, starts no goroutine and reads no clock; its randomness comes from the seed in Config. Each part of the
+// decision has its state in a file of its own:
 //
 //   - endpoints.go, cordons.go: the endpoint list and the engines cordoned by operators
 //   - estimates.go: service time estimates of each class
@@ -15,9 +15,9 @@
 //   - selection.go, subset.go: engine selection by subset, affinity and power of two choices
 //   - retries.go, ordering.go: what may be sent, sent again or rejected
 //   - deadlines.go, polling.go: timers and deadlines, polling of discovery
-//   - hotrestart.go: what two processes of one router tell each other
+//   - hotrestart.go: the state that two processes of one router exchange
 //
-// Controller, in controller.go, hands each event to the parts it concerns: requestTracker (requests.go, attempts.go)
-// follows requests, fleetState (fleet.go) keeps the parts that know engines in step, and outcomeLearner (outcomes.go)
-// learns from attempts. Mechanisms that stand alone are in the packages under internal/decide.
+// Controller, in controller.go, passes each event to the parts it concerns: requestTracker (requests.go, attempts.go)
+// follows requests, fleetState (fleet.go) synchronizes the parts that know engines, and outcomeLearner (outcomes.go)
+// learns from attempts. Independent mechanisms are in the packages under internal/decide.
 package dispatch
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -62,7 +62,7 @@
 // total is what all listed engines have.
 func (t *endpointTable) total() (cores, memoryMB float64) { return t.cores, t.memoryMB }
 
-// setCordoned cordons or uncordons an engine and returns it; nil says that nothing changed, or that it is not known.
+// setCordoned cordons or uncordons an engine and returns it, or nil if nothing changed or the engine is unknown.
 func (t *endpointTable) setCordoned(id EngineID, cordoned bool) *engine {
 	if !t.cordons.set(id, cordoned) {
 		return nil
@@ -74,7 +74,7 @@
 	return e
 }
 
-// removeAll takes all engines for removed, until a complete list has named them again.
+// removeAll marks all engines as removed, until a complete list names them again.
 func (t *endpointTable) removeAll() {
 	for _, e := range t.all {
 		e.listed = false
@@ -92,7 +92,7 @@
 			startedAt, restarted = t.env.now, true
 		}
 	}
-	newStart := entry.StartedAt != e.StartedAt || e.warmUp.never()
+	newStart := entry.StartedAt != e.StartedAt || e.warmUp.alwaysWarm()
 	if entry.StartedAt > 0 && newStart && entry.StartedAt+t.env.config.WarmUpDuration > t.env.now {
 		startedAt, restarted = entry.StartedAt, true
 	}
@@ -108,15 +108,15 @@
 
 func (t *endpointTable) add(entry Endpoint) *engine {
 	e := &engine{Endpoint: entry, cores: max(entry.CapacityWeight, 1), health: newHealth()}
-	t.equip(e)
+	t.applyKind(e)
 	t.byID[entry.ID] = e
 	t.all = append(t.all, e)
 	t.unsorted = true
 	return e
 }
 
-// equip gives an engine the cores and the memory of its kind.
-func (t *endpointTable) equip(e *engine) {
+// applyKind gives an engine the cores and the memory of its kind.
+func (t *endpointTable) applyKind(e *engine) {
 	for _, kind := range t.env.config.Kinds {
 		if kind.Name == e.Kind && kind.Cores > 0 {
 			e.cores = kind.Cores
@@ -125,10 +125,10 @@
 	}
 }
 
-// equipAll takes changed kinds of engine.
-func (t *endpointTable) equipAll() {
+// applyKinds applies changed kinds of engine.
+func (t *endpointTable) applyKinds() {
 	for _, e := range t.all {
-		t.equip(e)
+		t.applyKind(e)
 	}
 }
 
@@ -142,7 +142,7 @@
 	return z
 }
 
-// refresh computes the listed engines and their sums anew, and forgets engines that were removed and run nothing any
+// refresh recomputes the listed engines and their sums, and forgets engines that were removed and run nothing any
 // more. It returns the forgotten ones.
 func (t *endpointTable) refresh() (forgotten []*engine) {
 	forgotten = t.forgetRemoved()
@@ -199,7 +199,7 @@
 // averageCores is the cores of a listed engine in the mean.
 func (t *endpointTable) averageCores() float64 { return t.cores / float64(len(t.listed)) }
 
-// allZonesBackedOff tells whether all zones with listed engines are backed off from.
+// allZonesBackedOff reports whether all zones with listed engines are backed off from.
 func (t *endpointTable) allZonesBackedOff() bool { return t.zonesBackedOff() >= len(t.activeZones) }
 
 // zonesBackedOff counts the zones that are backed off from.
@@ -212,8 +212,8 @@
 	return n
 }
 
-// zonesLost tells whether so many zones give no answer that their engines are rather lost than cut off: where few zones
-// or most of them are silent, routers beyond the cut link leave these engines their part.
+// zonesLost reports whether so many zones give no answer that their engines are rather lost than cut off. Where few
+// zones or most of them are silent, routers beyond a cut link may still use these engines.
 func (t *endpointTable) zonesLost() bool {
 	suspect := 0
 	for _, z := range t.activeZones {
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -26,7 +26,7 @@
 
 func (env *environment) emit(action Action) { env.actions = append(env.actions, action) }
 
-// takeActions returns the collected actions and starts with none again.
+// takeActions returns the collected actions and clears them.
 func (env *environment) takeActions() []Action {
 	actions := env.actions
 	env.actions = nil
@@ -41,7 +41,7 @@
 	return math.Exp(-(env.now - since).Seconds() / timeConstant.Seconds())
 }
 
-// fleetShare is this router's share of the fleet: the same for all routers, so that all shares add up to the whole.
+// fleetShare is this router's share of the fleet: the same for all routers, so that their shares add up to 1.
 func (env *environment) fleetShare() float64 { return 1 / float64(max(env.config.Routers, 1)) }
 
 // answerMargin is kept before a client's deadline, so that a queued request is answered in time.
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -47,8 +47,8 @@
 	return serviceEstimate{mean: guess, bounded: guess, best: guess, clientEstimate: 1, grantCorrection: 1}
 }
 
-// current is the mean, which fades to the best one while nothing is observed: a class that congestion made look
-// hopeless is tried again in time.
+// current is the mean, which decays to the best one while nothing is observed: a class that congestion made look
+// too slow is tried again in time.
 func (s *serviceEstimate) current(env *environment) float64 {
 	return s.best + (s.mean-s.best)*env.decay(s.observedAt, evidenceLife)
 }
@@ -60,7 +60,7 @@
 func (s *serviceEstimate) serviceTimeRatio() float64 { return s.bounded / s.best }
 
 // learnClientEstimate takes a client's estimate of its request's work in seconds and returns it, bounded.
-// longest is the work that takes the whole latency objective.
+// longest is the work that takes as long as the latency objective.
 func (s *serviceEstimate) learnClientEstimate(estimate, longest float64) float64 {
 	if s.observations == 0 {
 		s.clientEstimate = min(max(estimate, longest/maxEstimateFactor), longest)
@@ -140,7 +140,7 @@
 	}
 }
 
-// finiteOrZero is a client's figure, or 0 for one that is not known or no finite number.
+// finiteOrZero returns a client's figure, or 0 if it is unknown, not finite or not above 0.
 func finiteOrZero(figure float64) float64 {
 	if !(figure > 0) || math.IsInf(figure, 1) {
 		return 0
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fleetState holds the parts that know the engines, and keeps them in step when engines come, go, start anew or are
+// fleetState holds the parts that know the engines, and synchronizes them when engines join, leave, restart or are
 // cordoned.
 type fleetState struct {
 	env       *environment
@@ -10,7 +10,7 @@
 	outliers  *outlierDetector
 	warmUps   *warmUpLimiter
 	capacity  *capacityLimiter
-	subsets   *subsetting
+	subsets   *subsetChooser
 }
 
 // update takes an endpoint list from discovery.
@@ -27,7 +27,7 @@
 	f.refresh()
 }
 
-// refresh has all parts go by a changed list of engines.
+// refresh updates all parts after a change of the engines.
 func (f *fleetState) refresh() {
 	for _, e := range f.endpoints.refresh() {
 		f.capacity.setOtherProcess(e, EngineUsage{})
@@ -38,7 +38,7 @@
 	f.outliers.invalidate()
 }
 
-// restartWarmUp treats an engine as started at a time: what was known of it does not hold any more.
+// restartWarmUp treats an engine as started at a time: what was learned of it does not hold any more.
 func (f *fleetState) restartWarmUp(e *engine, at time.Duration) {
 	e.health.restart()
 	f.warmUps.begin(e, at)
@@ -46,8 +46,8 @@
 	f.outliers.invalidate()
 }
 
-// setCordoned keeps work from an engine, or ends that: it has been restarted by then, and gets a first request soon.
-// false says that nothing changed for an engine that is known.
+// setCordoned cordons or uncordons an engine; an uncordoned one has been restarted, and gets a first request soon. It
+// returns false if nothing changed for a known engine.
 func (f *fleetState) setCordoned(id EngineID, cordoned bool) bool {
 	e := f.endpoints.setCordoned(id, cordoned)
 	if e == nil {
@@ -59,9 +59,9 @@
 	return true
 }
 
-// equip has all parts go by changed kinds of engine.
-func (f *fleetState) equip() {
-	f.endpoints.equipAll()
+// applyKinds updates all parts after a change of the engine kinds.
+func (f *fleetState) applyKinds() {
+	f.endpoints.applyKinds()
 	f.refresh()
 }
 
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -19,7 +19,7 @@
 	fullBackoff = 250 * time.Millisecond
 )
 
-// health is what attempts have told of one engine. Its evidence fades when nothing renews it.
+// health is what has been learned of one engine from attempts. Evidence decays when nothing renews it.
 type health struct {
 	slowness           float64 // its service times over the usual ones
 	slownessAt         time.Duration
@@ -34,7 +34,7 @@
 
 func newHealth() health { return health{slowness: 1} }
 
-// restart forgets what concerns an engine's earlier life, as it starts anew.
+// restart forgets what concerns the engine's previous incarnation.
 func (h *health) restart() {
 	h.slowness = 1
 	h.failureShare = 0
@@ -90,20 +90,20 @@
 // recordServed ends probation.
 func (h *health) recordServed() { h.onProbation = false }
 
-// down tells whether no connection to the engine comes up any more.
+// down reports whether no connection to the engine comes up any more.
 func (h *health) down() bool { return h.connectionFailures >= maxConnectionFailures }
 
-// ejected tells whether so many attempts fail that other engines are preferred.
+// ejected reports whether so many attempts fail that other engines are preferred.
 func (h *health) ejected(env *environment) bool {
 	return h.currentFailureShare(env) >= ejectionThreshold
 }
 
-// failedLately tells whether evidence of failure came a moment ago.
+// failedLately reports whether evidence of failure came a moment ago.
 func (h *health) failedLately(env *environment) bool {
 	return env.now-h.failureShareAt < 2*fullBackoff
 }
 
-// fullLately tells whether the engine was full a moment ago.
+// fullLately reports whether the engine was full a moment ago.
 func (h *health) fullLately(env *environment) bool {
 	return h.fullAt > 0 && env.now-h.fullAt < fullBackoff
 }
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Snapshot is what a controller knows of the fleet, for the controller of another process that takes its place. Times
-// are on the clock that both share.
+// Snapshot is what a controller knows of the fleet, for the controller of the process that replaces it. Times are on a
+// clock that both use.
 //
 // The JSON names are those that earlier versions of the program read and write.
 type Snapshot struct {
@@ -134,7 +134,7 @@
 	return usage
 }
 
-// setOtherProcessUsage takes what the other process has running in place of what it had.
+// setOtherProcessUsage replaces what the other process has running and queued.
 func (c *Controller) setOtherProcessUsage(event OtherProcessUsage) {
 	c.queues.setOtherLength(event.Queued, c.env.config.MaxQueued)
 	c.fleet.setOtherProcessUsage(event.Engines)
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -53,7 +53,7 @@
 	key.cooldownEnd = max(key.cooldownEnd, o.env.now+o.env.config.KeyCooldown)
 }
 
-// blocks tells whether a request has to wait for its key.
+// blocks reports whether a request has to wait for its key.
 func (o *keyOrder) blocks(req *request) bool {
 	if !req.ordered {
 		return false
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -6,7 +6,7 @@
 	fleet *fleetState
 }
 
-// learn takes what an outcome tells of an engine and of the request's class.
+// learn learns from an outcome about the engine and the request's class.
 func (l *outcomeLearner) learn(ended *attempt, event AttemptEnd) {
 	if event.Report != nil {
 		l.fleet.endpoints.recordReport(ended.engine, *event.Report)
@@ -35,7 +35,7 @@
 	}
 }
 
-// learnServed takes what a served attempt tells.
+// learnServed learns from a served attempt.
 func (l *outcomeLearner) learnServed(a *attempt, event AttemptEnd) {
 	l.fleet.outliers.recordAnswer(a.engine)
 	l.fleet.outliers.recordBreak(0)
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -43,7 +43,7 @@
 	breakShare float64 // share of attempts that break, over all engines
 }
 
-// invalidate has the ejected engines counted anew.
+// invalidate has the ejected engines counted again.
 func (d *outlierDetector) invalidate() { d.countUntil = 0 }
 
 // forget drops an engine that was removed.
@@ -65,8 +65,9 @@
 	d.track(e)
 }
 
-// recordTry renews the evidence against an engine that is down: it is tried once in each backoff, whenever that ends.
-func (d *outlierDetector) recordTry(e *engine) {
+// recordAttempt renews the evidence against an engine that is down: it is tried once in each backoff, whenever that
+// ends.
+func (d *outlierDetector) recordAttempt(e *engine) {
 	e.zone.RecordAttempt(d.env.nowMS(), zoneBackoff)
 	if e.health.down() {
 		e.health.renewFailure(d.env)
@@ -82,7 +83,8 @@
 
 // recordOutcome counts an outcome for the backoff from the engine and its zone: a router of a large fleet backs off
 // from an engine that gave no connection, no answer or no capacity, and from a zone where several gave none in a row.
-// Its tries are few, and all routers' are many. zoneChanged says that the zone is suspect now, or not any more.
+// One router tries seldom, but all routers together try often. zoneChanged says that the zone is suspect now, or not
+// any more.
 func (d *outlierDetector) recordOutcome(a *attempt, outcome Outcome, largeFleet bool) (zoneChanged bool) {
 	target, now := a.engine, d.env.nowMS()
 	timedOut := outcome == TimedOut && !a.attributed && d.env.now+d.env.answerMargin() < a.request.deadline
@@ -102,8 +104,8 @@
 	return target.zone.Suspect() != suspect
 }
 
-// backedOff tells whether an engine was full a moment ago, or is backed off from, alone or with its zone; where that is
-// so of all zones, it is no reason.
+// backedOff reports whether an engine was full a moment ago, or is backed off from, alone or with its zone; a zone
+// does not count while all zones are backed off from.
 func (d *outlierDetector) backedOff(e *engine) bool {
 	if e.health.fullLately(d.env) || e.health.backoff.Active(d.env.nowMS()) {
 		return true
@@ -111,7 +113,7 @@
 	return e.zone.Active(d.env.nowMS()) && !d.endpoints.allZonesBackedOff()
 }
 
-// accepts tells whether an engine may take work as far as its failures go.
+// accepts reports whether an engine's failures allow that it gets work.
 func (d *outlierDetector) accepts(target *engine) bool {
 	if d.backedOff(target) {
 		return false
@@ -127,7 +129,7 @@
 	return idle || !d.ejectionAllowed()
 }
 
-// ejectionAllowed tells whether few enough engines are ejected for the others to carry the traffic.
+// ejectionAllowed reports whether few enough engines are ejected for the others to carry the traffic.
 func (d *outlierDetector) ejectionAllowed() bool {
 	return d.ejectedCount() <= maxEjectedShare*float64(len(d.endpoints.listedEngines()))
 }
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxReleaseRatio is the paper's Rmax; its field experiment used 7:1.
+	// maxReleaseRatio is Rmax of the delay-ratio control (see the package comment); its field experiment used 7:1.
 	maxReleaseRatio = 7.0
 	// deferFactor is the multiple of the expected time past which a queued request is deferred: what is started too
 	// late earns little and slows those in time.
@@ -26,8 +26,8 @@
 	deferred []*request // over quota, heavy, or past their objective: released when no queue has a ready one
 }
 
-// list is the list that a request belongs to.
-func (q *classQueue) list(req *request) *[]*request {
+// listOf is the list that a request belongs to.
+func (q *classQueue) listOf(req *request) *[]*request {
 	if req.deferred {
 		return &q.deferred
 	}
@@ -74,19 +74,19 @@
 
 func (q *classQueues) overLimit() bool { return q.length > q.limit }
 
-func (q *classQueues) of(k *class) *classQueue {
+func (q *classQueues) queueOf(k *class) *classQueue {
 	i := slices.IndexFunc(q.queues, func(queue *classQueue) bool { return queue.class == k })
 	return q.queues[i]
 }
 
-// isEmpty tells whether no ready request of a class is queued.
-func (q *classQueues) isEmpty(k *class) bool { return len(q.of(k).ready) == 0 }
+// isEmpty reports whether no ready request of a class is queued.
+func (q *classQueues) isEmpty(k *class) bool { return len(q.queueOf(k).ready) == 0 }
 
 // push queues a request: at the end, or in front.
 func (q *classQueues) push(req *request, front bool) {
 	q.length++
 	req.queued = true
-	list := q.of(req.class).list(req)
+	list := q.queueOf(req.class).listOf(req)
 	if front {
 		*list = slices.Insert(*list, 0, req)
 	} else {
@@ -101,7 +101,7 @@
 	}
 	req.queued = false
 	q.length--
-	list := q.of(req.class).list(req)
+	list := q.queueOf(req.class).listOf(req)
 	*list = without(*list, req)
 }
 
@@ -161,7 +161,7 @@
 		p.releaseDeferred()
 		return nil
 	case others == 0:
-		return p.of(p.classes.preferred)
+		return p.queueOf(p.classes.preferred)
 	case preferred == 0:
 		return p.longestWaiting()
 	}
@@ -172,7 +172,7 @@
 	}
 	p.credit--
 	if (p.credit > 0) == p.creditToPreferred {
-		return p.of(p.classes.preferred)
+		return p.queueOf(p.classes.preferred)
 	}
 	return p.longestWaiting()
 }
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"windflow/internal/decide/pressure"
@@ -37,12 +36,12 @@
 	engine     *engine
 	index      int
 	startedAt  time.Duration
-	progressAt time.Duration // when it was last heard of
+	progressAt time.Duration // of the last report
 	work       float64       // estimated, in core seconds
 	grantMB    float64
 	ended      bool
 	cancelled  bool
-	streaming  bool // its answer flows to the client
+	streaming  bool // its answer is being sent to the client
 	preferred  bool // its class was the preferred one when it started
 	mayHaveRun bool
 	spilled    bool
@@ -139,14 +138,14 @@
 // threadTimeMS is the usual time of the request on its threads, in milliseconds.
 func (r *request) threadTimeMS() float64 { return 1000 * r.work() / float64(r.class.Threads) }
 
-// cannotFinishInTime tells whether a request that has just come is not worth starting: it came after its deadline or,
-// in a large fleet, would end too late. Engines go on running what nobody waits for any more, which adds up over all
+// cannotFinishInTime reports whether a new request should not be started at all: it arrived after its deadline or, in
+// a large fleet, would end too late. Engines go on running queries whose clients have left, which adds up over all
 // routers.
 func (t *requestTracker) cannotFinishInTime(req *request) bool {
 	if t.env.now >= req.deadline {
 		return true
 	}
-	if !t.capacity.largeFleet() || !t.lately(req.class) {
+	if !t.capacity.largeFleet() || !t.observedLately(req.class) {
 		return false
 	}
 	estimate := &req.class.estimate
@@ -155,12 +154,12 @@
 	return end >= req.deadline || req.class.LateWeightShare == 0 && end > req.objective
 }
 
-// lately tells whether a class was observed not long ago; a class that was not has to be tried again.
-func (t *requestTracker) lately(k *class) bool {
+// observedLately reports whether a class was observed recently; one that was not has to be tried again.
+func (t *requestTracker) observedLately(k *class) bool {
 	return t.env.now-k.estimate.observedAt < 2*evidenceLife
 }
 
-// missesObjective tells whether a request that is started now would miss its latency objective.
+// missesObjective reports whether a request that is started now would miss its latency objective.
 func (t *requestTracker) missesObjective(req *request) bool {
 	return t.env.now+seconds(deferFactor*req.expectedTime(t.env).Seconds()) > req.objective
 }
@@ -226,14 +225,14 @@
 	t.release()
 }
 
-// sweepOpen looks at each open request once and drops those that are finished.
+// sweepOpen checks each open request once and drops those that are finished.
 func (t *requestTracker) sweepOpen() {
 	open := t.open[:0]
 	for _, req := range t.open {
 		t.sweep(req)
 		if !req.finished {
 			open = append(open, req)
-			t.deadlines.lookAgainAt(t.nextLook(req))
+			t.deadlines.checkAt(t.nextCheck(req))
 		}
 	}
 	clear(t.open[len(open):])
@@ -263,7 +262,7 @@
 	}
 }
 
-// mustLeaveQueue tells whether a queued request has to be rejected now.
+// mustLeaveQueue reports whether a queued request has to be rejected now.
 func (t *requestTracker) mustLeaveQueue(req *request) bool {
 	if t.env.now+t.env.answerMargin() >= req.deadline || !t.retries.mayRepeat(req) {
 		return true
@@ -271,8 +270,8 @@
 	return t.missesObjective(req) && (req.class.LateWeightShare == 0 || t.queues.overLimit())
 }
 
-// nextLook is when an open request has to be looked at again.
-func (t *requestTracker) nextLook(req *request) time.Duration {
+// nextCheck is when an open request has to be checked again.
+func (t *requestTracker) nextCheck(req *request) time.Duration {
 	next := req.deadline
 	for _, a := range req.attempts {
 		if !a.ended && !a.attributed && !a.streaming {
@@ -282,7 +281,7 @@
 	return next
 }
 
-// onResponseStarted notes that an attempt's answer flows: the deadline binds no more.
+// onResponseStarted notes that the answer of an attempt is streamed: the deadline does not apply any more.
 func (t *requestTracker) onResponseStarted(event ResponseStarted) {
 	if a := t.attempt(event.Request, event.Attempt); a != nil {
 		a.streaming = true
@@ -296,15 +295,7 @@
 		req.deadline = min(req.deadline, at)
 		req.objective = min(req.objective, at)
 	}
-	t.deadlines.lookAgainAt(t.env.now)
-}
-
-// allows tells whether a class may be placed on an engine.
-func (k *class) allows(e *engine) bool {
-	if len(k.Zones) > 0 && !slices.Contains(k.Zones, e.Zone) {
-		return false
-	}
-	return len(k.Kinds) == 0 || slices.Contains(k.Kinds, e.Kind)
+	t.deadlines.checkAt(t.env.now)
 }
 
 // release starts queued requests for as long as an engine has headroom for one.
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -18,13 +18,13 @@
 
 func (rules *retryRules) recordRetry() { rules.retries = append(rules.retries, rules.env.now) }
 
-// allows tells whether the request's next attempt may start on an engine now: it keeps drains, placement, the number
-// of attempts, idempotency, the retry budget and the engine's slow start.
+// allows reports whether the request's next attempt may start on an engine now: it respects draining, placement, the
+// number of attempts, idempotency, the retry budget and the engine's slow start.
 func (rules *retryRules) allows(req *request, target *engine) bool {
 	switch {
 	case req.finished || !target.listed || rules.env.now >= req.deadline:
 		return false
-	case !req.class.allows(target):
+	case !req.class.allowsEngine(target):
 		return false
 	case req.outstanding > 0 && !rules.env.config.HedgingAllowed:
 		return false
@@ -41,7 +41,7 @@
 	return limit > 0 && len(req.attempts) >= limit
 }
 
-// mayReject tells whether a rejection may promise the client that a retry is harmless.
+// mayReject reports whether a rejection may promise the client that a retry is harmless.
 func (rules *retryRules) mayReject(req *request) bool {
 	if req.class.Semantics == Idempotent {
 		return true
@@ -58,7 +58,7 @@
 	return true
 }
 
-// mayRepeat tells whether any engine could take a further attempt.
+// mayRepeat reports whether any engine could take a further attempt.
 func (rules *retryRules) mayRepeat(req *request) bool {
 	for _, a := range req.attempts {
 		if a.mayHaveRun {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// mayRepeatOn tells whether a further attempt on an engine can't have an effect that an earlier one had already.
+// mayRepeatOn reports whether a further attempt on an engine can't have an effect that an earlier one had already.
 func (rules *retryRules) mayRepeatOn(req *request, e *engine) bool {
 	if req.class.Semantics == Idempotent {
 		return true
@@ -85,31 +85,19 @@
 	return true
 }
 
-// sameScope tells whether two engines drop repeats of each other's requests of a class.
-func (k *class) sameScope(a, b *engine) bool {
-	switch k.IdempotencyScope {
-	case ScopeZone:
-		return a.Zone == b.Zone
-	case ScopeCell:
-		return a.Cell == b.Cell
-	case ScopeAll:
-	}
-	return true
-}
-
-// mayRetry tells whether a request that has no attempt outstanding any more is to be queued for a retry.
+// mayRetry reports whether a request that has no attempt outstanding any more is to be queued for a retry.
 func (rules *retryRules) mayRetry(req *request, outcome Outcome) bool {
 	tooLate := rules.env.now+rules.env.config.Tick >= req.deadline
 	return !tooLate && !rules.attemptsExhausted(req) && outcome != NotSent && rules.mayRepeat(req)
 }
 
-// mayReroute tells whether an outstanding attempt may be cancelled so that the request runs elsewhere.
+// mayReroute reports whether an outstanding attempt may be cancelled so that the request runs elsewhere.
 func (rules *retryRules) mayReroute(req *request) bool {
 	return rules.env.config.CancelAllowed && req.class.Semantics != AtMostOnce && !rules.attemptsExhausted(req) &&
 		rules.budgetAllows()
 }
 
-// budgetAllows tells whether the retry budget has one retry left, whenever within its allowed delay that starts.
+// budgetAllows reports whether the retry budget has one retry left, even if that starts as late as it may.
 func (rules *retryRules) budgetAllows() bool {
 	budget := rules.env.config.RetryBudget
 	if budget.Window <= 0 {
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -1,16 +1,17 @@
 package dispatch
 
 const (
-	// draws is how many engines are drawn for two with headroom, and looked at when queued requests are released.
-	draws = 8
-	// wideDraws is how many are looked at, at most, where zones are cut off.
-	wideDraws = 96
-	// failureWeight scales an engine's cost by its failure share over the breaks of all, so that failing fast never
-	// looks idle. It also keeps retries from the same engine, and sends a first request to one on probation.
+	// sampleSize is how many engines are drawn for two with headroom, and looked at when queued requests are released.
+	sampleSize = 8
+	// wideSampleSize is how many are looked at, at most, where zones are cut off.
+	wideSampleSize = 96
+	// failureWeight scales an engine's cost by its failure share over the breaks of all, so that an engine that fails
+	// fast does not look idle. It also keeps retries off the same engine, and sends a first request to one on
+	// probation.
 	failureWeight = 20.0
-	// minOwnZoneEngines is from how many calm engines of its own zone on a request stays in its zone: crossing zones
-	// has its price. They are calm up to maxOwnZoneThreads a core of this router's share, maxCalmSlowness and
-	// maxCalmFailureShare.
+	// minOwnZoneEngines is from how many calm engines of its own zone on a request stays in its zone, since traffic
+	// between zones is slower. They are calm up to maxOwnZoneThreads a core of this router's share, maxCalmSlowness
+	// and maxCalmFailureShare.
 	minOwnZoneEngines, maxOwnZoneThreads = 2, 2.0
 	maxCalmSlowness, maxCalmFailureShare = 1.5, 0.1
 	// minCostSlowness bounds how much a fast engine is favoured.
@@ -19,7 +20,7 @@
 
 // selector chooses the engine for a request: of two random ones with headroom, the one with less of this router's work.
 type selector struct {
-	subsetting
+	subsetChooser
 	outliers *outlierDetector
 	warmUps  *warmUpLimiter
 	retries  *retryRules
@@ -42,7 +43,7 @@
 		}
 	}
 	var first *engine
-	for range draws {
+	for range sampleSize {
 		e := candidates[s.env.random.IntN(len(candidates))]
 		if e == first || !s.eligible(e, req) {
 			continue
@@ -63,7 +64,7 @@
 	return s.cheapest(req)
 }
 
-// eligible tells whether a request may start on an engine now, by the rules and by the engine's headroom.
+// eligible reports whether a request may start on an engine now, by the rules and by the engine's headroom.
 func (s *selector) eligible(e *engine, req *request) bool {
 	return s.retries.allows(req, e) && s.capacity.hasHeadroom(e, req, s.spread())
 }
@@ -79,7 +80,7 @@
 	return s.ownZone
 }
 
-// isCalm tells whether an engine is warm, healthy and has little of this router's work.
+// isCalm reports whether an engine is warm, healthy and has little of this router's work.
 func (s *selector) isCalm(e *engine) bool {
 	if e.warmUp.active(s.env.now) || e.health.currentSlowness(s.env) > maxCalmSlowness ||
 		e.health.currentFailureShare(s.env) > maxCalmFailureShare {
@@ -100,19 +101,19 @@
 	}
 	candidates := s.forRequest(req)
 	e := s.cheapestOf(req, candidates, len(candidates))
-	if e != nil || len(candidates) == len(listed) || s.bound(req, candidates) {
+	if e != nil || len(candidates) == len(listed) || s.boundToTableGroup(req, candidates) {
 		return e
 	}
-	looks := draws
+	samples := sampleSize
 	if s.endpoints.zonesBackedOff() > 0 {
-		looks = max(draws, min(len(listed), wideDraws))
+		samples = max(sampleSize, min(len(listed), wideSampleSize))
 	}
-	return s.cheapestOf(req, listed, looks)
+	return s.cheapestOf(req, listed, samples)
 }
 
-// bound tells whether a request has to keep to the engines of its table group, for as long as half of them accept work:
-// on others, loads and the requests that they block would stop each other.
-func (s *selector) bound(req *request, candidates []*engine) bool {
+// boundToTableGroup reports whether a request has to keep to the engines of its table group, for as long as half of
+// them accept work: on other engines, loads and the requests that they block would delay each other.
+func (s *selector) boundToTableGroup(req *request, candidates []*engine) bool {
 	accepting := 0
 	for _, e := range candidates {
 		if s.outliers.accepts(e) {
@@ -134,15 +135,15 @@
 
 // cheapestOf looks at some of the candidates, from a random one on, so that ties fall on any of them; many looks are
 // spread evenly, since neighbours may have failed together.
-func (s *selector) cheapestOf(req *request, candidates []*engine, looks int) *engine {
+func (s *selector) cheapestOf(req *request, candidates []*engine, samples int) *engine {
 	var best *engine
 	lowest := 0.0
 	first := s.env.random.IntN(max(len(candidates), 1))
 	step := 1
-	if looks > draws {
-		step = max(len(candidates)/looks, 1)
+	if samples > sampleSize {
+		step = max(len(candidates)/samples, 1)
 	}
-	for i := range looks {
+	for i := range samples {
 		e := candidates[(first+i*step)%len(candidates)]
 		if !s.eligible(e, req) {
 			continue
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -15,7 +15,7 @@
 	// minAffinitySubset is from how many engines on a subset is divided into those that load a table group and those
 	// that read it; in a large fleet from minLargeFleetAffinity on.
 	minAffinitySubset, minLargeFleetAffinity = 3, 5
-	// affinityLife is how long that division stands at least: demand shifts slowly.
+	// affinityLife is how long that division is used at least: demand shifts slowly.
 	affinityLife = 5 * time.Second
 	// maxAffinities bounds the table groups whose engines are remembered: statements may name any number.
 	maxAffinities = 1024
@@ -27,37 +27,37 @@
 	load       bool
 }
 
-// subsetting tells which engines this router uses: all of a small fleet, else a subset, and of these some for each
+// subsetChooser tells which engines this router uses: all of a small fleet, else a subset, and of these some for each
 // table group.
-type subsetting struct {
+type subsetChooser struct {
 	env        *environment
 	endpoints  *endpointTable
 	classes    *classSet
 	capacity   *capacityLimiter
 	subset     []*engine
-	size       int // of the subset; 0 has it chosen anew
+	size       int // of the subset; 0 has it chosen again
 	demand     pressure.Demand
 	affinities map[affinityKey][]*engine
 	dividedAt  time.Duration
 }
 
-func newSubsetting(
+func newSubsetChooser(
 	env *environment, endpoints *endpointTable, classes *classSet, capacity *capacityLimiter,
-) subsetting {
-	return subsetting{
+) subsetChooser {
+	return subsetChooser{
 		env: env, endpoints: endpoints, classes: classes, capacity: capacity,
 		affinities: map[affinityKey][]*engine{},
 	}
 }
 
-// endpointsChanged has the subset and its division chosen anew.
-func (s *subsetting) endpointsChanged() {
+// endpointsChanged has the subset and its division chosen again.
+func (s *subsetChooser) endpointsChanged() {
 	s.size = 0
 	clear(s.affinities)
 }
 
 // recordDemand counts what a request asks of its table group.
-func (s *subsetting) recordDemand(req *request) {
+func (s *subsetChooser) recordDemand(req *request) {
 	lockTime, readWork := 0.0, 0.0
 	if req.class.LocksTableGroup {
 		lockTime = req.threadTimeMS()
@@ -69,9 +69,9 @@
 }
 
 // engines returns the subset: all engines of a small fleet, else as many as the threads that this router may run, and
-// in a large one as many as it may run of the widest queries. Subsets are dealt out evenly by the routers' numbers: own
-// counts tell the more of what an engine runs the fewer routers share it.
-func (s *subsetting) engines() []*engine {
+// in a large one as many as it may run of the widest queries. Subsets are distributed evenly by the routers' numbers:
+// the fewer routers share an engine, the more of its queries each of them knows.
+func (s *subsetChooser) engines() []*engine {
 	listed := s.endpoints.listedEngines()
 	cores, _ := s.endpoints.total()
 	share := s.env.fleetShare()
@@ -91,14 +91,14 @@
 }
 
 // spread is by how much this router's share of an engine grows since it uses few of them.
-func (s *subsetting) spread() float64 {
+func (s *subsetChooser) spread() float64 {
 	return float64(len(s.endpoints.listedEngines())) / float64(max(len(s.subset), 1))
 }
 
 // forRequest returns the engines of the subset that a request's table group is read from or, for a load, loaded on:
 // readers take one end of the group's order of engines, loads the other. A subset of few is not divided: halves of
-// three or four would be congested.
-func (s *subsetting) forRequest(req *request) []*engine {
+// three or four engines would be congested.
+func (s *subsetChooser) forRequest(req *request) []*engine {
 	subset := s.engines()
 	tooFew := len(subset) < minAffinitySubset || s.capacity.largeFleet() && len(subset) < minLargeFleetAffinity
 	if req.tableGroup == 0 || tooFew {
@@ -119,7 +119,7 @@
 }
 
 // divide returns the engines of a subset that belong to one side of a table group.
-func (s *subsetting) divide(subset []*engine, key affinityKey) []*engine {
+func (s *subsetChooser) divide(subset []*engine, key affinityKey) []*engine {
 	ranked := slices.Clone(subset)
 	slices.SortFunc(ranked, func(a, b *engine) int {
 		return cmp.Compare(rank(key.tableGroup, a.ID), rank(key.tableGroup, b.ID))
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -23,7 +23,7 @@
 	u.grantedMB = max(u.grantedMB+sign*a.grantMB, 0)
 }
 
-// replaceOtherProcess counts a new usage of the other process in place of its former one.
+// replaceOtherProcess replaces the usage of the other process.
 func (u *engineUsage) replaceOtherProcess(usage EngineUsage) {
 	former := u.otherProcess
 	u.otherProcess = usage
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -10,7 +10,7 @@
 
 const (
 	// warmRateMargin is the part of the rate of warm engines that a warming one's slice is computed from, and
-	// warmUpBudgetShare the part of its present capacity that is handed out as budgets.
+	// warmUpBudgetShare the part of its present capacity that budgets divide.
 	warmRateMargin, warmUpBudgetShare = 0.8, 0.95
 	// capacityUtilization is how busy the cores of an engine are at its capacity, as the platform counts it.
 	capacityUtilization = 0.85
@@ -52,8 +52,8 @@
 // extend has the warm-up end no earlier than at a time.
 func (w *warmUp) extend(end time.Duration) { w.end = max(end, w.end) }
 
-// never tells whether the engine has always been warm.
-func (w *warmUp) never() bool { return w.end == 0 }
+// alwaysWarm reports whether the engine never had to warm up.
+func (w *warmUp) alwaysWarm() bool { return w.end == 0 }
 
 // sentSince adds up the work that was sent from a time on.
 func (w *warmUp) sentSince(since time.Duration, sum float64) float64 {
@@ -65,9 +65,9 @@
 	return sum
 }
 
-// warmUpLimiter keeps what all routers together send to a warming engine within what it can take. In a small fleet each
-// router has a slice of it. In a large one, a slice is less than one query: it adds up until it is worth a query of the
-// largest class, the quantum, which may be spent within a window.
+// warmUpLimiter keeps what all routers together send to a warming engine within what it can take. In a small fleet
+// each router has a slice of it. In a large one, a slice is less than one query: it accumulates until it covers a
+// query of the largest class, the quantum, which may be used within a window.
 type warmUpLimiter struct {
 	env             *environment
 	classes         *classSet
@@ -148,7 +148,7 @@
 	return l.env.config.WarmUpOverloadWindow / warmUpStartFraction
 }
 
-// allows tells whether an engine's slow start leaves room for one more request.
+// allows reports whether an engine's slow start leaves room for one more request.
 func (l *warmUpLimiter) allows(req *request, target *engine) bool {
 	config := &l.env.config
 	if !target.warmUp.active(l.env.now) || config.WarmUpOverloadFactor <= 0 {
