--- /dev/null
+++ b/internal/mysql/answer.go
@@ -0,0 +1,62 @@
+package mysql
+
+import (
+	"fmt"
+
+	"windflow/internal/router"
+)
+
+// Served implements router.ResponseHandler.
+func (s *session) Served(result *router.Result) {
+	w := packetWriter{seq: s.seq}
+	w.result(result)
+	s.answer(w.buffer)
+}
+
+// Rejected implements router.ResponseHandler.
+func (s *session) Rejected(backoffMS float64) {
+	w := packetWriter{seq: s.seq}
+	text := "refused, nothing was done; try again later"
+	if backoffMS > 0 { // else the settings allow no advice
+		text += fmt.Sprintf(": backoff=%.0f", backoffMS)
+	}
+	w.err(errTooManyConns, text)
+	s.answer(w.buffer)
+}
+
+// Failed implements router.ResponseHandler.
+func (s *session) Failed(reason router.Reason) {
+	w := packetWriter{seq: s.seq}
+	switch reason {
+	case router.ReasonDeadline:
+		w.err(errTimeout, "the time for the query ran out")
+	case router.ReasonEngine:
+		w.err(errUnknown, "the query failed; it may have run")
+	}
+	s.answer(w.buffer)
+}
+
+// answer writes the one answer to the open command and goes on with what the client sent meanwhile.
+func (s *session) answer(packets []byte) {
+	wasBusy := s.busy
+	s.busy, s.waitingSinceMS = false, s.loop.Now()
+	_ = s.conn.Write(packets)
+	switch {
+	case wasBusy && len(s.buffer) > 0:
+		s.loop.Post(s.advance)
+	case wasBusy && s.front.draining && !s.conn.HasUnread():
+		s.end()
+	}
+}
+
+func (s *session) writeOK() {
+	w := packetWriter{seq: s.seq}
+	w.ok()
+	_ = s.conn.Write(w.buffer)
+}
+
+func (s *session) writeError(code int, text string) {
+	w := packetWriter{seq: s.seq}
+	w.err(code, text)
+	_ = s.conn.Write(w.buffer)
+}
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -8,122 +8,153 @@
 	"windflow/internal/router"
 )
 
-func (s *session) command(com byte, body []byte) {
-	switch com {
+// maxVariables bounds the variables of one SELECT: a long list would make a far longer answer.
+const maxVariables = 16
+
+// handleCommand handles a command of a client that is logged in.
+func (s *session) handleCommand(command byte, body []byte) {
+	switch command {
 	case comQuit:
 		s.end()
 	case comPing:
-		s.front.Counters.Pings++
-		s.ok()
+		s.counters.Pings++
+		s.writeOK()
 	case comResetConn:
-		s.ok()
+		s.writeOK()
 	case comInitDB:
 		if string(body) != database {
-			s.fail(errUnknownDB, fmt.Sprintf("unknown database %q", body))
+			s.writeError(errUnknownDB, fmt.Sprintf("unknown database %q", body))
 			return
 		}
-		s.ok()
+		s.writeOK()
 	case comStatistics:
-		w := writer{seq: s.seq}
-		w.begin()
-		for _, kv := range s.front.status() {
-			w.b = fmt.Appendf(w.b, "%s: %s  ", kv[0], kv[1])
-		}
-		w.end()
-		_ = s.conn.Write(w.b)
+		s.writeStatistics()
 	case comQuery:
-		s.query(string(body))
+		s.handleQuery(string(body))
 	default:
-		s.fail(errUnknownCom, fmt.Sprintf("unknown command %d", com))
+		s.writeError(errUnknownCom, fmt.Sprintf("unknown command %d", command))
+	}
+}
+
+// writeStatistics answers with the rows of SHOW STATUS as one text.
+func (s *session) writeStatistics() {
+	w := packetWriter{seq: s.seq}
+	w.begin()
+	for _, row := range s.front.status() {
+		w.buffer = fmt.Appendf(w.buffer, "%s: %s  ", row[0], row[1])
 	}
+	w.end()
+	_ = s.conn.Write(w.buffer)
 }
 
-// query takes a request, or one of the few statements that clients send without fields.
-func (s *session) query(text string) {
+// handleQuery submits a request, or answers one of the few statements that clients send without fields.
+func (s *session) handleQuery(text string) {
 	fields, statement, found, err := parseFields(text)
 	if err == nil && !found {
-		s.plain(strings.TrimRight(strings.TrimSpace(text), "; \t\r\n"))
+		s.handleStatement(strings.TrimRight(strings.TrimSpace(text), "; \t\r\n"))
 		return
 	}
-	var r *router.Request
 	if err == nil {
-		r, err = router.NewRequest(func(name string) string { return fields[name] }, statement, s.at)
+		err = s.submit(fields, statement)
 	}
 	if err != nil {
-		s.front.Counters.BadFields++
-		s.fail(errParse, err.Error())
-		return
-	}
-	s.busy = true
-	if s.handle, err = s.front.core.Submit(r, s); err != nil {
 		s.busy = false
-		s.front.Counters.BadFields++
-		s.fail(errParse, err.Error())
+		s.counters.BadFields++
+		s.writeError(errParse, err.Error())
+	}
+}
+
+// submit submits a request to the core. The session is busy from before the call, because the core may answer in it.
+func (s *session) submit(fields map[string]string, statement string) error {
+	field := func(name string) string { return fields[name] }
+	request, err := router.NewRequest(field, statement, s.lastDataMS)
+	if err != nil {
+		return err
 	}
+	s.busy = true
+	s.handle, err = s.core.Submit(request, s)
+	return err
 }
 
-// plain answers statements that carry no fields and reach no engine.
-func (s *session) plain(text string) {
+// handleStatement answers statements that have no fields and reach no engine.
+func (s *session) handleStatement(text string) {
 	words := strings.Fields(text)
+	verb := func(name string) bool { return len(words) > 1 && strings.EqualFold(words[0], name) }
 	switch {
-	case len(words) >= 2 && strings.EqualFold(words[0], "KILL"):
-		s.kill(words)
-	case len(words) == 2 && strings.EqualFold(words[0], "USE") && strings.Trim(words[1], "`") == database,
-		len(words) > 1 && strings.EqualFold(words[0], "SET"):
-		s.ok()
-	case len(words) >= 2 && strings.EqualFold(words[0], "SHOW") && strings.EqualFold(words[len(words)-1], "STATUS"):
-		r := &router.Result{Columns: []string{"Variable_name", "Value"}}
-		for _, kv := range s.front.status() {
-			r.Cells = append(r.Cells, router.Cell{Text: kv[0]}, router.Cell{Text: kv[1]})
-		}
-		s.Served(r)
-	case len(words) > 1 && strings.EqualFold(words[0], "SELECT") && s.about(text):
+	case verb("KILL"):
+		s.handleKill(words)
+	case verb("USE") && len(words) == 2 && strings.Trim(words[1], "`") == database, verb("SET"):
+		s.writeOK()
+	case verb("SHOW") && strings.EqualFold(words[len(words)-1], "STATUS"):
+		s.answerStatus()
+	case verb("SELECT") && s.answerVariables(words[1:]):
 	default:
-		s.fail(errParse, "no fields: a query starts with /* method=CLASS,rid=ID,budget=MS */")
+		s.writeError(errParse, "no fields: a query starts with /* method=CLASS,rid=ID,budget=MS */")
+	}
+}
+
+// answerStatus answers SHOW STATUS.
+func (s *session) answerStatus() {
+	result := &router.Result{Columns: []string{"Variable_name", "Value"}}
+	for _, row := range s.front.status() {
+		result.Cells = append(result.Cells, router.Cell{Text: row[0]}, router.Cell{Text: row[1]})
 	}
+	s.Served(result)
 }
 
-// about answers what stock clients ask of a server when they connect, and the id that KILL takes. It says no to
-// a SELECT that asks for anything else.
-func (s *session) about(text string) bool {
-	list := strings.ToLower(strings.Join(strings.Fields(text)[1:], " "))
-	r := &router.Result{}
-	const most = 16 // a long list would make a far longer answer
-	items := strings.Split(strings.TrimSuffix(list, " limit 1"), ",")
-	if len(items) > most {
+// answerVariables answers a SELECT of what stock clients ask of a server when they connect, and of the id that KILL
+// takes. It reports false, without an answer, for any other SELECT.
+func (s *session) answerVariables(words []string) bool {
+	list := strings.ToLower(strings.Join(words, " "))
+	names := strings.Split(strings.TrimSuffix(list, " limit 1"), ",")
+	if len(names) > maxVariables {
 		return false
 	}
-	for _, item := range items {
-		item = strings.TrimSpace(item)
-		value, ok := map[string]string{
-			"version()": serverVersion, "@@version": serverVersion, "@@version_comment": "windflow query router",
-			"connection_id()": strconv.FormatUint(uint64(s.id), 10), "@@max_allowed_packet": strconv.Itoa(maxPacket),
-			"database()": database, "schema()": database, "user()": user + "@%", "current_user()": user + "@%",
-		}[item]
+	result := &router.Result{}
+	for _, name := range names {
+		name = strings.TrimSpace(name)
+		value, ok := s.variable(name)
 		if !ok {
 			return false
 		}
-		r.Columns = append(r.Columns, item)
-		r.Cells = append(r.Cells, router.Cell{Text: value})
+		result.Columns = append(result.Columns, name)
+		result.Cells = append(result.Cells, router.Cell{Text: value})
 	}
-	s.Served(r)
+	s.Served(result)
 	return true
 }
 
-// kill ends the open query of another session: KILL QUERY id. Its client waits no longer, so the module is
-// told that no answer is owed; the session itself stays usable.
-func (s *session) kill(words []string) {
+// variable returns the value of a variable or function, by its name in lower case.
+func (s *session) variable(name string) (value string, ok bool) {
+	switch name {
+	case "version()", "@@version":
+		return serverVersion, true
+	case "@@version_comment":
+		return versionComment, true
+	case "connection_id()":
+		return strconv.FormatUint(uint64(s.id), 10), true
+	case "@@max_allowed_packet":
+		return strconv.Itoa(maxPacket), true
+	case "database()", "schema()":
+		return database, true
+	case "user()", "current_user()":
+		return user + "@%", true
+	}
+	return "", false
+}
+
+// handleKill ends the open query of another session, or that session: KILL [QUERY|CONNECTION] id. After KILL QUERY the
+// session stays usable.
+func (s *session) handleKill(words []string) {
 	id, err := strconv.ParseUint(words[len(words)-1], 10, 32)
 	if err != nil || len(words) > 3 {
-		s.fail(errParse, "KILL takes QUERY or CONNECTION and a connection id")
+		s.writeError(errParse, "KILL takes QUERY or CONNECTION and a connection id")
 		return
 	}
-	s.front.Counters.Kills++
-	query := strings.EqualFold(words[1], "QUERY")
-	f := s.front
-	if !f.Kill(uint32(id), query) && (uint32(id)>>idBits == f.base>>idBits || f.RemoteKill == nil || !f.RemoteKill(uint32(id), query)) {
-		s.fail(errNoSuchThread, fmt.Sprintf("unknown thread id: %d", id))
+	s.counters.Kills++
+	if !s.front.killAnywhere(uint32(id), strings.EqualFold(words[1], "QUERY")) {
+		s.writeError(errNoSuchThread, fmt.Sprintf("unknown thread id: %d", id))
 		return
 	}
-	s.ok()
+	s.writeOK()
 }
--- a/internal/mysql/fields.go
+++ b/internal/mysql/fields.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// parseFields takes the comment with the fields off a query. found tells whether there is one.
+// parseFields splits a query into the fields of its leading comment and the statement. found reports whether there is
+// such a comment.
 func parseFields(text string) (fields map[string]string, statement string, found bool, err error) {
 	rest := strings.TrimLeft(text, " \t\r\n")
 	if !strings.HasPrefix(rest, "/*") || strings.HasPrefix(rest, "/*!") {
@@ -17,13 +18,13 @@
 		return nil, "", true, errors.New("the comment with the fields has no end")
 	}
 	fields = map[string]string{}
-	for _, part := range strings.Split(comment, ",") {
+	for part := range strings.SplitSeq(comment, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok {
 			return nil, "", true, fmt.Errorf("%.40q in the comment is no name=value", part)
 		}
 		name = strings.TrimSpace(name)
-		if _, twice := fields[name]; twice {
+		if _, repeated := fields[name]; repeated {
 			return nil, "", true, fmt.Errorf("field %.40s stands twice", name)
 		}
 		fields[name] = strings.TrimSpace(value)
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -1,43 +1,30 @@
 package mysql
 
 import (
-	"cmp"
 	"log/slog"
-	"slices"
 
 	"windflow/internal/netio"
 	"windflow/internal/router"
 )
 
-// evictLooks is how many sessions are looked at for one whose client has sent nothing that is on its way.
-const evictLooks = 8
-
-// Front hands the requests of its sessions to the core.
-type Front struct {
-	core     *router.Core
-	loop     *router.Loop
-	log      *slog.Logger
-	status   func() [][2]string
-	cfg      Config
-	sessions map[uint32]*session
-	base     uint32 // the ids' upper bits; see SetGeneration
-	next     uint32
-	leaving  bool
-	ending   bool
-	buffered int // bytes in the buffers of all sessions
-	// Elsewhere, where it is set, passes a KILL on to the other process of this router, and tells whether there is one
-	// that may have the session.
-	RemoteKill func(id uint32, query bool) bool
-	Counters   Counters
-}
+const (
+	// sweepIntervalMS is the time between two checks of the sessions' time limits.
+	sweepIntervalMS = 250.0
+	// drainIntervalMS is the time between two searches of a draining front for sessions that may end.
+	drainIntervalMS = 20.0
+	// generationBits are the upper bits of a session's id, which name the process; see SetGeneration.
+	generationBits = 4
+	// counterBits are the bits of a session's id that count.
+	counterBits = 32 - generationBits
+)
 
 // Config bounds the front.
 type Config struct {
 	MaxSessions int
-	MaxBuffered int // bytes of all sessions together that wait for the rest of a packet or for their turn
+	MaxBuffered int // bytes of all sessions together that wait for the rest of a packet or for an answer
 }
 
-// Counters count what the front took in.
+// Counters count sessions, and what their clients sent.
 type Counters struct {
 	Sessions   int64 `status:"sessions"`
 	Rejected   int64 `status:"turned_away"`
@@ -51,149 +38,133 @@
 	Kills      int64 `status:"kills"`
 }
 
-// NewFront returns a front; status gives the rows of SHOW STATUS.
+// Front holds the sessions and submits their requests to the core.
+type Front struct {
+	core     *router.Core
+	loop     *router.Loop
+	log      *slog.Logger
+	status   func() [][2]string
+	cfg      Config
+	sessions map[uint32]*session
+	idBase   uint32 // the upper bits of new ids; see SetGeneration
+	idCount  uint32
+	draining bool
+	shutdown bool
+	buffered int // bytes in the buffers of all sessions
+	// RemoteKill, where it is set, passes a KILL on to the other process of this router, and reports whether there is
+	// one that may have the session.
+	RemoteKill func(id uint32, query bool) bool
+	Counters   Counters
+}
+
+// NewFront returns a front; status returns the rows of SHOW STATUS, as name and value.
 func NewFront(core *router.Core, loop *router.Loop, cfg Config, status func() [][2]string, log *slog.Logger) *Front {
 	f := &Front{core: core, loop: loop, cfg: cfg, status: status, log: log, sessions: map[uint32]*session{}}
 	f.sweep()
 	return f
 }
 
-// Configure has the front go by other bounds from now on; sessions that are open stay.
+// Configure replaces the front's bounds; open sessions stay.
 func (f *Front) Configure(cfg Config) { f.cfg = cfg }
 
-// idBits are the bits of a session's id that count; those above name the process; see SetGeneration.
-const idBits = 28
+// SetGeneration sets the upper bits of the ids of new sessions: two processes of one router, of different generations,
+// never give the same id.
+func (f *Front) SetGeneration(g uint8) { f.idBase = uint32(g%(1<<generationBits)) << counterBits }
+
+// nextID returns the id of a new session.
+func (f *Front) nextID() uint32 {
+	f.idCount = (f.idCount + 1) % (1 << counterBits)
+	return f.idBase | f.idCount
+}
 
-// SetGeneration gives the ids of sessions from now on their upper bits: two processes of one router, of different
-// generations, never give the same id.
-func (f *Front) SetGeneration(g uint8) { f.base = uint32(g%16) << idBits }
+// ownsID reports whether the id is one of this process's sessions, open or not.
+func (f *Front) ownsID(id uint32) bool { return id>>counterBits == f.idBase>>counterBits }
 
-// Sessions is the number of those that are open.
+// Sessions returns the number of open sessions.
 func (f *Front) Sessions() int { return len(f.sessions) }
 
-// Drain has the front end its sessions: at once those that have asked before and are idle, others with the answer that
-// they wait for. Those that have not asked yet are heard out. Another process takes the next request of these clients.
+// NewSession returns the handler of a new connection.
+func (f *Front) NewSession() netio.Handler {
+	return &session{front: f, core: f.core, loop: f.loop, log: f.log, counters: &f.Counters}
+}
+
+// add adds a session, if need be in place of another; false: there is no room.
+func (f *Front) add(s *session) bool {
+	if len(f.sessions) >= f.cfg.MaxSessions && !f.evict() {
+		return false
+	}
+	f.sessions[s.id] = s
+	return true
+}
+
+// overBuffered reports whether the sessions buffer more than they may together.
+func (f *Front) overBuffered() bool { return f.buffered > f.cfg.MaxBuffered }
+
+// Drain ends the sessions: at once those that have sent a command before and are idle, others with the answer that they
+// wait for. Those that have sent no command yet may send one. Another process accepts these clients' next connections.
 func (f *Front) Drain() {
-	if f.leaving {
+	if f.draining {
 		return
 	}
-	f.leaving = true
-	f.leave()
+	f.draining = true
+	f.endIdle()
 }
 
-// Shutdown has the front end its sessions for good, as Leave does, and at once those too that have not asked yet: nobody goes
-// on in this router's place. One whose client has sent something is heard first.
+// Shutdown ends the sessions as Drain does, and at once those, too, that have sent no command yet: no other process
+// replaces this router. A session whose client has sent something handles that first.
 func (f *Front) Shutdown() {
-	f.ending = true
+	f.shutdown = true
 	f.Drain()
 }
 
-func (f *Front) leave() {
+// endIdle ends the sessions that may end, and repeats that.
+func (f *Front) endIdle() {
 	for _, s := range f.sessions {
-		if (s.idle() && s.asked || f.ending && !s.busy && len(s.buf) == 0) && !s.conn.HasUnread() {
+		mayEnd := s.idle() && s.sentCommand || f.shutdown && !s.busy && len(s.buffer) == 0
+		if mayEnd && !s.conn.HasUnread() {
 			s.end()
 		}
 	}
-	f.loop.After(leaveEvery, f.leave)
+	f.loop.After(drainIntervalMS, f.endIdle)
 }
 
-// Kill ends the open query of a session, or the session, and tells whether there is one of that id.
+// Kill ends the open query of a session, and the session, too, unless query is set. It reports whether there is a
+// session of that id.
 func (f *Front) Kill(id uint32, query bool) bool {
 	s := f.sessions[id]
 	if s == nil {
 		return false
 	}
-	if s.busy {
-		f.core.Abandon(s.handle)
-		s.busy = false
-		s.fail(errInterrupted, "query execution was interrupted")
-		s.advance()
-	}
+	s.interrupt()
 	if !query {
 		s.end()
 	}
 	return true
 }
 
-// sweep ends the sessions whose time is up.
-func (f *Front) sweep() {
-	now := f.loop.Now()
-	for _, s := range f.sessions {
-		s.expire(now)
+// killAnywhere ends a query or session of this process or of the router's other one, and reports whether it may exist.
+func (f *Front) killAnywhere(id uint32, query bool) bool {
+	if f.Kill(id, query) {
+		return true
 	}
-	f.loop.After(sweepEvery, f.sweep)
+	return !f.ownsID(id) && f.RemoteKill != nil && f.RemoteKill(id, query)
 }
 
-// evict ends the session that is missed least, to make room for a new one. It guards against connections that say
-// nothing, or that were used once and kept, shutting everybody else out; and against ending those of clients that are
-// merely slow to write, which may take 2 s for a request.
-func (f *Front) evict() bool {
-	type candidate struct {
-		s    *session
-		rank int
-	}
-	var all []candidate
-	now := f.loop.Now()
+// Busy reports whether any session has an open request or buffered bytes.
+func (f *Front) Busy() bool {
 	for _, s := range f.sessions {
-		if rank, ok := s.missed(now); ok {
-			all = append(all, candidate{s, rank})
-		}
-	}
-	if len(all) == 0 {
-		return false
-	}
-	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.s.heard(), b.s.heard()), cmp.Compare(a.s.id, b.s.id))
-	})
-	least := all[0]
-	for _, c := range all[:min(len(all), evictLooks)] {
-		if !c.s.conn.HasUnread() { // else its client has just sent something
-			least = c
-			break
+		if s.busy || len(s.buffer) > 0 {
+			return true
 		}
 	}
-	f.Counters.Evicted++
-	f.log.Debug("session evicted", "session", least.s.id, "rank", least.rank, "quiet_ms", now-least.s.heard())
-	if !least.s.loggedIn {
-		least.s.fail(errTooManyConns, "too many connections")
-	}
-	least.s.end()
-	return true
-}
-
-// missed ranks a session by what its client would miss, the least first; false says that it stays. Within a rank the one
-// that was quiet longest goes first.
-func (s *session) missed(now float64) (rank int, ok bool) {
-	quiet := now - s.heard()
-	switch {
-	case s.busy:
-		return 0, false
-	case s.at == 0 && quiet >= silentFor:
-		return 0, true // a login takes a round trip or two, and a slow client has begun by now
-	case s.loggedIn && len(s.buf) == 0 && s.asked:
-		return 1, true // such may be closed at any time
-	case s.loggedIn && len(s.buf) == 0:
-		return 2, true
-	case s.at == 0 && quiet >= greetFor:
-		return 3, true
-	case s.at > 0:
-		return 4, true // a packet has begun
-	}
-	return 5, true // in a crowd there is hardly another kind that has said nothing
+	return false
 }
 
-// heard is when the client last sent something, or came.
-func (s *session) heard() float64 { return max(s.at, s.opened) }
-
-// NewSession gives the handler of a new connection.
-func (f *Front) NewSession() netio.Handler { return &session{front: f} }
-
-// Busy tells whether any session has bytes of which nothing has come yet.
-func (f *Front) Busy() bool {
+// sweep ends the sessions that exceed a time limit, and repeats that.
+func (f *Front) sweep() {
+	now := f.loop.Now()
 	for _, s := range f.sessions {
-		if s.busy || len(s.buf) > 0 {
-			return true
-		}
+		s.expire(now)
 	}
-	return false
+	f.loop.After(sweepIntervalMS, f.sweep)
 }
--- /dev/null
+++ b/internal/mysql/harness_test.go
@@ -0,0 +1,292 @@
+package mysql
+
+import (
+	"encoding/hex"
+	"fmt"
+	"log/slog"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"windflow/dispatch"
+	"windflow/internal/clock"
+	"windflow/internal/netio"
+	"windflow/internal/router"
+)
+
+// fakeEngine is an engine client whose attempts wait until the exchange ends them.
+type fakeEngine struct {
+	calls []router.Call
+	onEnd []func(router.End)
+}
+
+func (e *fakeEngine) Start(call router.Call, onEnd func(router.End)) router.Attempt {
+	e.calls, e.onEnd = append(e.calls, call), append(e.onEnd, onEnd)
+	return fakeAttempt{}
+}
+func (e *fakeEngine) Forget(router.Engine)          {}
+func (e *fakeEngine) CancelUnstarted(router.Engine) {}
+
+type fakeAttempt struct{}
+
+func (fakeAttempt) SetPriority(int)    {}
+func (fakeAttempt) Cancel()            {}
+func (fakeAttempt) Abandon()           {}
+func (fakeAttempt) CancelUnsent() bool { return false }
+
+// fakeConn is a connection that keeps what the session writes.
+type fakeConn struct {
+	written []byte
+	closed  bool
+	unread  bool // the client has sent bytes that the session has not read
+}
+
+func (c *fakeConn) Write(b []byte) error {
+	if !c.closed {
+		c.written = append(c.written, b...)
+	}
+	return nil
+}
+func (c *fakeConn) Close()                  { c.closed = true }
+func (c *fakeConn) CloseGracefully()        { c.closed = true }
+func (c *fakeConn) NotifyFlushed(f func())  { f() }
+func (c *fakeConn) Detach(f func(*os.File)) { f(nil) }
+func (c *fakeConn) HasUnread() bool         { return c.unread }
+
+// harness replays an exchange: sessions by name on one front, on a clock that the exchange sets.
+type harness struct {
+	t        *testing.T
+	clock    *clock.Manual
+	loop     *router.Loop
+	engine   *fakeEngine
+	front    *Front
+	handlers map[string]netio.Handler
+	conns    map[string]*fakeConn
+	remote   strings.Builder // what was passed on to the other process
+}
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	h := &harness{
+		t: t, clock: &clock.Manual{MS: 1e12}, engine: &fakeEngine{}, handlers: map[string]netio.Handler{},
+		conns: map[string]*fakeConn{},
+	}
+	h.loop = router.NewLoop(h.clock)
+	cfg := dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfterAllowed: true,
+		MaxRetryAfter: 2 * time.Second, Priorities: true,
+		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{
+				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2,
+				Semantics: dispatch.AtMostOnce,
+			},
+		},
+	}
+	core, err := router.New(h.loop, cfg, h.engine, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.front = NewFront(core, h.loop, Config{MaxSessions: 3, MaxBuffered: 100_000},
+		func() [][2]string { return [][2]string{{"taken", "1"}} }, slog.New(slog.DiscardHandler))
+	core.UpdateEndpoints(
+		dispatch.EndpointList{
+			Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}},
+		},
+		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
+	h.run()
+	return h
+}
+
+func (h *harness) run() {
+	for h.loop.Step() {
+	}
+}
+
+// play executes one line of an exchange and returns what it shows:
+//
+//	NAME open|leave        a client connects, or closes its connection
+//	NAME login             it logs in
+//	NAME send SEQ TEXT     it sends a packet; \xNN is a byte
+//	NAME raw HEX           it sends bytes without a header
+//	NAME unread yes        it has sent bytes that the session has not read; without yes, it has not
+//	engine served TEXT     the oldest attempt ends with rows; \t and \n as usual
+//	engine OUTCOME         the oldest attempt ends with the outcome
+//	wait MS                time passes
+//	leave, end             the front drains, or shuts down
+//	generation N           the process is of generation N; kills are passed on to another one
+func (h *harness) play(line string) string {
+	h.t.Helper()
+	words := strings.SplitN(line, " ", 4)
+	if !h.playProcess(line, words) {
+		h.playClient(line, words)
+	}
+	h.run()
+	return h.shown()
+}
+
+// text unquotes a line from the given word on.
+func (h *harness) text(line string, words []string, from int) string {
+	h.t.Helper()
+	if from >= len(words) {
+		return ""
+	}
+	quoted := `"` + strings.ReplaceAll(strings.Join(words[from:], " "), `"`, `\"`) + `"`
+	text, err := strconv.Unquote(quoted)
+	if err != nil {
+		h.t.Fatalf("%s: %v", line, err)
+	}
+	return text
+}
+
+// playProcess executes a line on the front, the engine or the clock; false: the line is another one.
+func (h *harness) playProcess(line string, words []string) bool {
+	h.t.Helper()
+	switch words[0] {
+	case "wait":
+		h.wait(words[1])
+	case "leave":
+		h.front.Drain()
+	case "end":
+		h.front.Shutdown()
+	case "generation":
+		h.front.SetGeneration(words[1][0] - '0')
+		h.front.RemoteKill = func(id uint32, query bool) bool {
+			fmt.Fprintf(&h.remote, "  elsewhere: kill %#x, query %v\n", id, query)
+			return true
+		}
+	case "engine":
+		h.endAttempt(line, words[1], h.text(line, words, 2))
+	default:
+		return false
+	}
+	return true
+}
+
+func (h *harness) wait(text string) {
+	h.t.Helper()
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	for end := h.clock.MS + ms; h.clock.MS < end; h.clock.MS++ {
+		h.run()
+	}
+}
+
+// outcomes are the outcomes by their names in the recorded exchanges.
+var outcomes = map[string]dispatch.Outcome{
+	"served": dispatch.Served, "errored": dispatch.EngineFailed,
+	"full": dispatch.EngineFull, "reset": dispatch.ConnectionReset, "refused": dispatch.ConnectFailed,
+}
+
+// endAttempt ends the oldest attempt.
+func (h *harness) endAttempt(line, outcome, rows string) {
+	h.t.Helper()
+	if len(h.engine.onEnd) == 0 {
+		h.t.Fatalf("%s: no attempt is running", line)
+	}
+	end := router.End{Outcome: outcomes[outcome]}
+	if end.Outcome == dispatch.Served {
+		end.Result = &router.Result{Columns: []string{"a", "b"}}
+		for row := range strings.SplitSeq(strings.TrimSuffix(rows, "\n"), "\n") {
+			for cell := range strings.SplitSeq(row, "\t") {
+				end.Result.Cells = append(end.Result.Cells, router.Cell{Text: cell})
+			}
+		}
+	}
+	onEnd := h.engine.onEnd[0]
+	h.engine.onEnd = h.engine.onEnd[1:]
+	h.loop.Post(func() { onEnd(end) })
+}
+
+// playClient executes a line on a client.
+func (h *harness) playClient(line string, words []string) {
+	h.t.Helper()
+	name := words[0]
+	switch words[1] {
+	case "open":
+		handler, conn := h.front.NewSession(), &fakeConn{}
+		h.handlers[name], h.conns[name] = handler, conn
+		h.loop.Post(func() { handler.Opened(conn) })
+	case "unread":
+		h.conns[name].unread = len(words) > 2
+	case "leave":
+		h.loop.Post(func() { h.handlers[name].Closed(nil) })
+	default:
+		b := h.sentBytes(line, words)
+		h.loop.Post(func() { h.handlers[name].Data(b, h.clock.MS) })
+	}
+}
+
+// sentBytes returns the bytes that a client sends.
+func (h *harness) sentBytes(line string, words []string) []byte {
+	h.t.Helper()
+	switch words[1] {
+	case "login":
+		return packet(1, "\x0d\xa2\x0f\x00\x00\x00\x00\x01\x2d"+strings.Repeat("\x00", 23)+
+			"app\x00\x00warehouse\x00mysql_native_password\x00")
+	case "raw":
+		b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(words[2:], ""), " ", ""))
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		return b
+	case "send":
+		seq, err := strconv.Atoi(words[2])
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		return packet(byte(seq), h.text(line, words, 3))
+	}
+	h.t.Fatalf("unknown line %q", line)
+	return nil
+}
+
+func packet(seq byte, body string) []byte {
+	return append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...)
+}
+
+// shown returns what was written and sent since the last line, in the order of the sessions' names.
+func (h *harness) shown() string {
+	var b strings.Builder
+	for _, name := range []string{"a", "b", "c", "d"} {
+		c := h.conns[name]
+		if c == nil {
+			continue
+		}
+		for p := c.written; len(p) >= 4; {
+			n := int(p[0]) | int(p[1])<<8 | int(p[2])<<16
+			fmt.Fprintf(&b, "  %s < %d %s\n", name, p[3], describe(p[4:4+n]))
+			p = p[4+n:]
+		}
+		c.written = nil
+		if c.closed {
+			fmt.Fprintf(&b, "  %s closed\n", name)
+			delete(h.conns, name)
+		}
+	}
+	b.WriteString(h.remote.String())
+	h.remote.Reset()
+	for _, c := range h.engine.calls {
+		fmt.Fprintf(&b, "  > %s %s within %.0f priority %d: %s\n", c.Class, c.ID, c.WaitMS, c.Priority, c.Statement)
+	}
+	h.engine.calls = nil
+	return b.String()
+}
+
+// describe makes the body of a packet readable.
+func describe(body []byte) string {
+	switch {
+	case len(body) > 0 && body[0] == headerError:
+		return fmt.Sprintf("error %d %s", int(body[1])|int(body[2])<<8, body[4:])
+	case len(body) == 7 && body[0] == headerOK:
+		return "ok"
+	case len(body) == 5 && body[0] == headerEOF:
+		return "eof"
+	}
+	return strings.Trim(strconv.Quote(string(body)), `"`)
+}
--- /dev/null
+++ b/internal/mysql/login.go
@@ -0,0 +1,105 @@
+package mysql
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// loginHeaderLength is the length of the fixed fields of a HandshakeResponse41.
+const loginHeaderLength = 32
+
+var (
+	errShortLogin   = errors.New("the login packet is cut short")
+	errOldProtocol  = errors.New("the client does not speak protocol 4.1")
+	errNoEncryption = errors.New("this server uses no encryption")
+)
+
+// login is a HandshakeResponse41 of a client.
+type login struct {
+	caps        uint32
+	user        string
+	database    string
+	hasPassword bool
+}
+
+// parseLogin reads a HandshakeResponse41.
+func parseLogin(packet []byte) (login, error) {
+	if len(packet) < 4 {
+		return login{}, errShortLogin
+	}
+	parsed := login{caps: binary.LittleEndian.Uint32(packet)}
+	switch {
+	case parsed.caps&capProtocol41 == 0:
+		return login{}, errOldProtocol
+	case parsed.caps&capSSL != 0 && len(packet) <= loginHeaderLength:
+		return login{}, errNoEncryption
+	case len(packet) < loginHeaderLength:
+		return login{}, errShortLogin
+	}
+	rest := packet[loginHeaderLength:]
+	var ok bool
+	if parsed.user, rest, ok = cutNul(rest); !ok {
+		return login{}, errShortLogin
+	}
+	if parsed.hasPassword, rest, ok = cutPassword(rest, parsed.caps); !ok {
+		return login{}, errShortLogin
+	}
+	if parsed.caps&capConnectWithDB != 0 && len(rest) > 0 {
+		if parsed.database, _, ok = cutNul(rest); !ok {
+			return login{}, errShortLogin
+		}
+	}
+	return parsed, nil
+}
+
+// cutPassword reads the answer to the salt and reports whether the client has a password; ok is false where it is cut
+// short.
+func cutPassword(packet []byte, caps uint32) (hasPassword bool, rest []byte, ok bool) {
+	if caps&(capLenencAuth|capSecure) == 0 {
+		var password string
+		password, rest, ok = cutNul(packet)
+		return password != "", rest, ok
+	}
+	// A length of 251 and more takes further bytes; no password scheme is that long.
+	if len(packet) < 1 || packet[0] > 250 || len(packet) < 1+int(packet[0]) {
+		return false, nil, false
+	}
+	length := int(packet[0])
+	empty := length == 0 || length == 1 && packet[1] == 0
+	return !empty, packet[1+length:], true
+}
+
+// cutNul cuts a string that ends with a zero byte off a packet.
+func cutNul(packet []byte) (text string, rest []byte, ok bool) {
+	before, rest, ok := bytes.Cut(packet, []byte{0})
+	if !ok {
+		return "", nil, false
+	}
+	return string(before), rest, true
+}
+
+// handleLogin handles the client's answer to the greeting.
+func (s *session) handleLogin(seq byte, body []byte) {
+	request, err := parseLogin(body)
+	var code int
+	var text string
+	switch {
+	case seq != 1:
+		code, text = errPacketOrder, fmt.Sprintf("login packet with number %d", seq)
+	case err != nil:
+		code, text = errHandshake, "bad handshake: "+err.Error()
+	case request.user != user || request.hasPassword:
+		code, text = errAccessDenied, fmt.Sprintf("access denied for user %q; %s has an empty password", request.user, user)
+	case request.database != "" && request.database != database:
+		code, text = errUnknownDB, fmt.Sprintf("unknown database %q", request.database)
+	default:
+		s.counters.Logins++
+		s.loggedIn = true
+		s.writeOK()
+		return
+	}
+	s.counters.BadLogins++
+	s.fail(code, text)
+}
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -1,5 +1,3 @@
-// Package mysql is the platform's front: client sessions of the MySQL client protocol 4.1. It parses packets,
-// logins and the fields of requests, hands requests to the core and writes what the core answers.
 package mysql
 
 import (
@@ -11,262 +9,190 @@
 	"windflow/internal/router"
 )
 
+// The time limits of a session, checked every sweepIntervalMS. Clients connect when they have a statement to send,
+// and one that cannot be served is due an answer or a close within 3 s.
 const (
-	user     = "app"
-	database = "warehouse"
-	// maxBuffered bounds what a session may pile up ahead of its answer.
-	maxBuffered = 2*maxPacket + 2*headerLength
-
-	// The time limits of a session, in milliseconds. Clients connect when they have something to ask, and one that
-	// can't be served is owed an answer or a close within 3 s: so a session has askWithin from its opening for the
-	// login and its first command, and packetWithin for a packet whose first byte has come. After that it may be
-	// idle; the platform's own clients close after 4 s of that. The limits are looked at every sweepEvery.
-	askWithin    = 2200.0
-	packetWithin = 2000.0
-	idleFor      = 10_000.0
-	greetFor     = 50.0
-	silentFor    = 500.0
-	sweepEvery   = 250.0
-	// leaveEvery is how often a front that leaves looks for sessions that are done.
-	leaveEvery = 20.0
+	// firstCommandTimeoutMS bounds the time from the connection to the first command, login included.
+	firstCommandTimeoutMS = 2200.0
+	// packetTimeoutMS bounds the time from the first byte of a packet to its last.
+	packetTimeoutMS = 2000.0
+	// idleTimeoutMS bounds the time without a command; the platform's own clients close after 4 s of it.
+	idleTimeoutMS = 10_000.0
 )
 
 // session is one client connection.
 type session struct {
 	front    *Front
-	conn     netio.Conn
-	id       uint32
-	loggedIn bool
-	shut     bool
-	busy     bool // a request is open
-	handle   router.Handle
-	seq      byte // of the answer's next packet
-	buf      []byte
-	at       float64 // when the last bytes came
-	opened   float64
-	since    float64 // when it began to wait for the client: for a login, a command, or the rest of a packet
-	asked    bool    // a command has come
-}
-
-func (s *session) Opened(c netio.Conn) {
-	f := s.front
-	s.conn = c
-	f.next = (f.next + 1) % (1 << idBits)
-	s.id = f.base | f.next
-	f.Counters.Sessions++
-	s.opened = f.loop.Now()
-	s.since = s.opened
-	if len(f.sessions) >= f.cfg.MaxSessions && !f.evict() {
-		f.Counters.Rejected++
-		s.fatal(errTooManyConns, "too many connections")
+	core     *router.Core
+	loop     *router.Loop
+	log      *slog.Logger
+	counters *Counters
+
+	conn        netio.Conn
+	id          uint32
+	loggedIn    bool
+	sentCommand bool
+	closed      bool
+	busy        bool // a request is open
+	handle      router.Handle
+	seq         byte // of the answer's next packet
+	buffer      []byte
+
+	openedMS       float64
+	lastDataMS     float64 // when the last bytes came; 0: none did
+	waitingSinceMS float64 // since when it waits for the client: for the login, a command, or the rest of a packet
+}
+
+// Opened implements netio.Handler.
+func (s *session) Opened(conn netio.Conn) {
+	s.conn = conn
+	s.id = s.front.nextID()
+	s.counters.Sessions++
+	s.openedMS = s.loop.Now()
+	s.waitingSinceMS = s.openedMS
+	if !s.front.add(s) {
+		s.counters.Rejected++
+		s.fail(errTooManyConns, "too many connections")
 		return
 	}
-	f.sessions[s.id] = s
-	w := writer{}
-	w.greeting(s.id, "windflow-needs-no-pw") // 20 bytes; the password is empty, so the salt protects nothing
-	_ = c.Write(w.b)
+	w := packetWriter{}
+	w.greeting(s.id)
+	_ = conn.Write(w.buffer)
 	s.seq = w.seq + 1 // the client's login stands between
 }
 
-func (s *session) Closed(error) {
-	s.leave()
-}
+// Closed implements netio.Handler.
+func (s *session) Closed(error) { s.leave() }
 
-func (s *session) Data(b []byte, at float64) {
-	if s.shut {
+// Data implements netio.Handler.
+func (s *session) Data(b []byte, atMS float64) {
+	if s.closed {
 		return
 	}
-	if len(s.buf) == 0 {
-		s.since = at
+	if len(s.buffer) == 0 {
+		s.waitingSinceMS = atMS
 	}
-	s.keep(append(s.buf, b...))
-	s.at = at
+	s.setBuffer(append(s.buffer, b...))
+	s.lastDataMS = atMS
 	s.advance()
 	switch {
-	case s.shut:
-	case len(s.buf) > maxBuffered:
-		s.fatal(errPacketTooBig, "too much sent ahead of the answer")
-	case s.front.buffered > s.front.cfg.MaxBuffered:
-		s.fatal(errTooManyConns, "too many packets are under way")
+	case s.closed:
+	case len(s.buffer) > maxSessionBuffer:
+		s.fail(errPacketTooBig, "too much sent ahead of the answer")
+	case s.front.overBuffered():
+		s.fail(errTooManyConns, "too many packets are under way")
 	}
 }
 
-// keep sets the buffer; an empty one holds no memory.
-func (s *session) keep(b []byte) {
-	s.front.buffered += len(b) - len(s.buf)
-	if s.buf = b; len(b) == 0 {
-		s.buf = nil
+// setBuffer sets the buffer; an empty one holds no memory.
+func (s *session) setBuffer(b []byte) {
+	s.front.buffered += len(b) - len(s.buffer)
+	s.buffer = b
+	if len(b) == 0 {
+		s.buffer = nil
 	}
 }
 
-// idle tells whether nothing is open and nothing has begun to come.
-func (s *session) idle() bool { return s.loggedIn && !s.busy && len(s.buf) == 0 }
+// idle reports whether no request is open and no byte of one has come.
+func (s *session) idle() bool { return s.loggedIn && !s.busy && len(s.buffer) == 0 }
 
-// expire ends the session if the client has let its time go by.
+// expire ends the session if it exceeds a time limit.
 func (s *session) expire(now float64) {
 	text := ""
 	switch {
 	case s.busy:
-	case !s.asked && now-s.opened >= askWithin:
+	case !s.sentCommand && now-s.openedMS >= firstCommandTimeoutMS:
 		text = "no whole command came after the connection"
-	case len(s.buf) > 0 && now-s.since >= packetWithin:
+	case len(s.buffer) > 0 && now-s.waitingSinceMS >= packetTimeoutMS:
 		text = "the rest of a packet did not come"
-	case len(s.buf) == 0 && now-s.since >= idleFor:
+	case len(s.buffer) == 0 && now-s.waitingSinceMS >= idleTimeoutMS:
 		text = "idle"
 	}
-	if text == "" || s.conn.HasUnread() { // what it was waited for is on its way to the session
+	if text == "" || s.conn.HasUnread() { // what it waits for has come and was not read yet
 		return
 	}
-	s.front.Counters.TimedOut++
-	s.front.log.Debug("session timed out", "session", s.id, "text", text)
-	if !s.loggedIn || len(s.buf) > 0 { // else an error packet could pass for the answer to a command that is just under way
-		s.fail(errReadTimeout, text)
+	s.counters.TimedOut++
+	s.log.Debug("session timed out", "session", s.id, "text", text)
+	if !s.loggedIn || len(s.buffer) > 0 { // else the error could pass for the answer to a command that is on its way
+		s.writeError(errReadTimeout, text)
 	}
 	s.end()
 }
 
-// advance handles whole packets until a request is open.
+// advance handles complete packets until a request is open.
 func (s *session) advance() {
-	for !s.shut && !s.busy && len(s.buf) >= headerLength {
-		n := int(s.buf[0]) | int(s.buf[1])<<8 | int(s.buf[2])<<16
+	for !s.closed && !s.busy && len(s.buffer) >= headerLength {
+		n := int(s.buffer[0]) | int(s.buffer[1])<<8 | int(s.buffer[2])<<16
 		if n > maxPacket {
-			s.front.Counters.BadPackets++
-			s.fatal(errPacketTooBig, fmt.Sprintf("packet of %d bytes; at most %d are taken", n, maxPacket))
+			s.counters.BadPackets++
+			s.fail(errPacketTooBig, fmt.Sprintf("packet of %d bytes; at most %d are taken", n, maxPacket))
 			return
 		}
-		if len(s.buf) < headerLength+n {
+		if len(s.buffer) < headerLength+n {
 			return
 		}
-		seq, body := s.buf[3], s.buf[headerLength:headerLength+n]
-		s.keep(s.buf[headerLength+n:])
-		s.since = s.front.loop.Now()
+		seq, body := s.buffer[3], s.buffer[headerLength:headerLength+n]
+		s.setBuffer(s.buffer[headerLength+n:])
+		s.waitingSinceMS = s.loop.Now()
 		s.seq = seq + 1
-		s.packet(seq, body)
+		s.handlePacket(seq, body)
 	}
 }
 
-func (s *session) packet(seq byte, body []byte) {
-	first := !s.loggedIn
+func (s *session) handlePacket(seq byte, body []byte) {
+	if !s.loggedIn {
+		s.handleLogin(seq, body)
+		return
+	}
 	switch {
-	case !s.loggedIn:
-		s.login(seq, body)
 	case seq != 0:
-		s.front.Counters.BadPackets++
-		s.fatal(errPacketOrder, fmt.Sprintf("packet number %d opens a command", seq))
+		s.counters.BadPackets++
+		s.fail(errPacketOrder, fmt.Sprintf("packet number %d opens a command", seq))
 	case len(body) == 0:
-		s.front.Counters.BadPackets++
-		s.fail(errUnknownCom, "an empty command")
-	default:
-		s.command(body[0], body[1:])
-	}
-	s.asked = s.asked || s.loggedIn && !first
-}
-
-func (s *session) login(seq byte, body []byte) {
-	l, err := parseLogin(body)
-	f := s.front
-	f.Counters.BadLogins++
-	switch {
-	case seq != 1:
-		s.fatal(errPacketOrder, fmt.Sprintf("login packet with number %d", seq))
-	case err != nil:
-		s.fatal(errHandshake, "bad handshake: "+err.Error())
-	case l.user != user || l.password:
-		s.fatal(errAccessDenied, fmt.Sprintf("access denied for user %q; %s has an empty password", l.user, user))
-	case l.db != "" && l.db != database:
-		s.fatal(errUnknownDB, fmt.Sprintf("unknown database %q", l.db))
-	default:
-		f.Counters.BadLogins--
-		f.Counters.Logins++
-		s.loggedIn = true
-		s.ok()
-	}
-}
-
-// Served implements router.Asker.
-func (s *session) Served(r *router.Result) {
-	w := writer{seq: s.seq}
-	w.result(r)
-	s.answer(w.b)
-}
-
-// Rejected implements router.Asker.
-func (s *session) Rejected(backoffMS float64) {
-	w := writer{seq: s.seq}
-	text := "refused, nothing was done; try again later"
-	if backoffMS > 0 { // else the settings allow no advice
-		text += fmt.Sprintf(": backoff=%.0f", backoffMS)
-	}
-	w.err(errTooManyConns, text)
-	s.answer(w.b)
-}
-
-// Failed implements router.Asker.
-func (s *session) Failed(why router.Reason) {
-	w := writer{seq: s.seq}
-	switch why {
-	case router.ReasonDeadline:
-		w.err(errTimeout, "the time for the query ran out")
+		s.counters.BadPackets++
+		s.writeError(errUnknownCom, "an empty command")
 	default:
-		w.err(errUnknown, "the query failed; it may have run")
+		s.handleCommand(body[0], body[1:])
 	}
-	s.answer(w.b)
+	s.sentCommand = true
 }
 
-// answer writes the one answer to the command at hand and goes on with what the client sent meanwhile.
-func (s *session) answer(b []byte) {
-	wasBusy := s.busy
-	s.busy, s.since = false, s.front.loop.Now()
-	_ = s.conn.Write(b)
-	switch {
-	case wasBusy && len(s.buf) > 0:
-		s.front.loop.Post(s.advance)
-	case wasBusy && s.front.leaving && !s.conn.HasUnread():
-		s.end()
+// interrupt answers the open request, if there is one, with an error.
+func (s *session) interrupt() {
+	if !s.busy {
+		return
 	}
+	s.core.Abandon(s.handle)
+	s.busy = false
+	s.writeError(errInterrupted, "query execution was interrupted")
+	s.advance()
 }
 
-func (s *session) ok() {
-	w := writer{seq: s.seq}
-	w.ok()
-	_ = s.conn.Write(w.b)
-}
-
+// fail answers with an error and closes: the framing is lost, or the client may not go on.
 func (s *session) fail(code int, text string) {
-	w := writer{seq: s.seq}
-	w.err(code, text)
-	_ = s.conn.Write(w.b)
-}
-
-// fatal answers with an error and closes: the framing is lost, or the client may not go on.
-func (s *session) fatal(code int, text string) {
 	level := slog.LevelWarn
 	if code == errTooManyConns {
-		level = slog.LevelDebug // a flood would fill the log; the counters tell
+		level = slog.LevelDebug // a flood would fill the log; the counters show it
 	}
-	s.front.log.Log(context.Background(), level, "session closed", "session", s.id, "code", code, "text", text)
-	s.fail(code, text)
+	s.log.Log(context.Background(), level, "session closed", "session", s.id, "code", code, "text", text)
+	s.writeError(code, text)
 	s.end()
 }
 
-// end is the one way in which a session closes: what it was owed is sent, then the client is told that no more will come.
-// What the client sends from here on is dropped; it learns from the end that it was not taken.
+// end is the one way in which a session closes: queued answers are sent, then the end of the stream. What the client
+// sends from here on is dropped; it learns from the end that it was not handled.
 func (s *session) end() {
 	s.leave()
 	s.conn.CloseGracefully()
 }
 
-// leave takes the session out of the front's; its open request is not answered any more.
+// leave takes the session out of the front; its open request is not answered any more.
 func (s *session) leave() {
-	s.forget()
+	delete(s.front.sessions, s.id)
+	s.closed = true
+	s.setBuffer(nil)
 	if s.busy {
 		s.busy = false
-		s.front.core.Abandon(s.handle)
+		s.core.Abandon(s.handle)
 	}
 }
-
-func (s *session) forget() {
-	delete(s.front.sessions, s.id)
-	s.shut = true
-	s.keep(nil)
-}
