--- a/internal/bgp/config.go
+++ b/internal/bgp/config.go
@@ -1,11 +1,12 @@
 package bgp
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 )
 
-// Config is the section bgp of the settings (package site, whose schema says what is allowed).
+// Config is the section "bgp" of the settings; the schema in package site bounds its values.
 type Config struct {
 	Peer          string         `json:"peer"`
 	PeerAS        uint32         `json:"peer_as"`
@@ -17,16 +18,16 @@
 	ConnectRetryS int            `json:"connect_retry_s"`
 }
 
-// Check tells what can't be used; the schema of the settings has said the rest.
+// Check returns an error that names the first field with an unusable value.
 func (c Config) Check() error {
 	if _, err := netip.ParseAddrPort(c.Peer); err != nil {
 		return fmt.Errorf("field peer: %q is no address:port", c.Peer)
 	}
 	switch {
 	case c.PeerAS == 0:
-		return fmt.Errorf("field peer_as is missing")
+		return errors.New("field peer_as is missing")
 	case c.LocalAS == 0:
-		return fmt.Errorf("field local_as is missing")
+		return errors.New("field local_as is missing")
 	case !c.RouterID.Is4() || c.RouterID.IsUnspecified():
 		return fmt.Errorf("field router_id: %v is no IPv4 address", c.RouterID)
 	case !c.NextHop.Is4() || c.NextHop.IsUnspecified():
@@ -38,9 +39,9 @@
 	case c.ConnectRetryS < 1:
 		return fmt.Errorf("field connect_retry_s: %d is below 1", c.ConnectRetryS)
 	}
-	for _, p := range c.Prefixes {
-		if !p.Addr().Is4() || p.Masked() != p {
-			return fmt.Errorf("field prefixes: %v is no IPv4 prefix without host bits", p)
+	for _, prefix := range c.Prefixes {
+		if !prefix.Addr().Is4() || prefix.Masked() != prefix {
+			return fmt.Errorf("field prefixes: %v is no IPv4 prefix without host bits", prefix)
 		}
 	}
 	return nil
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -9,33 +9,34 @@
 	"windflow/internal/goldentest"
 )
 
-// said gives what the speaker has written since the last call, whole, as hexadecimal digits with a name.
-func (p *peer) said(step string) string {
+// takeHex returns what the speaker has written since the last call as hexadecimal digits, after the step's name.
+func (p *peer) takeHex(step string) string {
 	written := p.written
 	p.written = nil
 	return fmt.Sprintf("%s: %x\n", step, written)
 }
 
-// converse has a speaker go through a session and gives the bytes that it wrote at each step.
+// converse runs a session of a speaker and returns the bytes that it wrote at each step.
 func converse(t *testing.T, cfg Config, neighbourOpen []byte) string {
+	t.Helper()
 	p := newPeer(t, cfg)
 	p.handler.Opened(p)
-	text := p.said("opened")
+	text := p.takeHex("opened")
 	p.handler.Data(neighbourOpen, 0)
-	text += p.said("heard open")
+	text += p.takeHex("heard open")
 	p.handler.Data(encodeMessage(typeKeepalive, nil), 0)
-	text += p.said("established")
+	text += p.takeHex("established")
 	p.speaker.Announce()
-	text += p.said("announced")
+	text += p.takeHex("announced")
 	p.wait(float64(cfg.HoldTimeS) * 1000 / 2)
-	text += p.said("waited for a keepalive")
+	text += p.takeHex("waited for a keepalive")
 	p.speaker.Withdraw()
-	text += p.said("withdrawn")
+	text += p.takeHex("withdrawn")
 	p.handler.Data(encodeMessage(9, nil), 0)
-	return text + p.said("heard an unknown message")
+	return text + p.takeHex("heard an unknown message")
 }
 
-// The speaker writes the same bytes as before: to a neighbour of another system, of its own, and to an old one.
+// The speaker writes the recorded bytes to a neighbour of another AS, of its own, and to an old one.
 func TestGoldenSession(t *testing.T) {
 	external := testConfig()
 	external.Prefixes = append(external.Prefixes, netip.MustParsePrefix("198.51.100.0/25"))
@@ -43,7 +44,7 @@
 	internal.LocalAS = internal.PeerAS
 	large := testConfig()
 	large.LocalAS = 4_200_000_001
-	// An old neighbour says nothing of numbers of 32 bits: its OPEN has no parameters.
+	// The OPEN of an old neighbour has no parameters, so no capability of AS numbers of 32 bits.
 	current := encodeOpen(peerOpen)
 	const parameters = headerLength + 9
 	old := encodeMessage(typeOpen, append(bytes.Clone(current[headerLength:parameters]), 0))
@@ -58,7 +59,7 @@
 	goldentest.Equal(t, "sessions.txt", text.Bytes())
 }
 
-// Each message has the same bytes as before.
+// Each message has the recorded bytes.
 func TestGoldenMessages(t *testing.T) {
 	cfg := testConfig()
 	var text bytes.Buffer
@@ -77,9 +78,9 @@
 			}),
 		},
 		{"keepalive", encodeMessage(typeKeepalive, nil)},
-		{"announcement", encodeUpdate(cfg, true, false)},
-		{"announcement in 16 bits", encodeUpdate(cfg, false, false)},
-		{"withdrawal", encodeUpdate(cfg, true, true)},
+		{"announcement", encodeAnnouncement(cfg, true)},
+		{"announcement in 16 bits", encodeAnnouncement(cfg, false)},
+		{"withdrawal", encodeWithdrawal(cfg.Prefixes)},
 		{"notification", encodeNotification(&NotificationError{Code: 6, Subcode: 2, Data: []byte{1, 2}})},
 	} {
 		fmt.Fprintf(&text, "%s: %x\n", m.name, m.bytes)
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// peer is a stand-in for the neighbour: it keeps what the speaker writes.
+// peer is a fake neighbour that stores what the speaker writes.
 type peer struct {
 	t       *testing.T
 	now     *clock.Manual
@@ -68,28 +68,28 @@
 	}
 }
 
-// heard words what the speaker has written since the last call.
-func (p *peer) heard() string {
+// takeMessages describes what the speaker has written since the last call.
+func (p *peer) takeMessages() string {
 	p.t.Helper()
-	var words []string
+	var messages []string
 	for len(p.written) > 0 {
-		kind, body, n, err := decodeMessage(p.written)
+		decoded, n, err := decodeMessage(p.written)
 		if err != nil || n == 0 {
 			p.t.Fatalf("the speaker wrote % x", p.written)
 		}
-		name := map[byte]string{
+		name := map[messageType]string{
 			typeOpen: "open", typeUpdate: "update", typeNotification: "notification",
 			typeKeepalive: "keepalive",
-		}[kind]
-		words = append(words, strings.TrimSpace(fmt.Sprintf("%s %x", name, body)))
+		}[decoded.kind]
+		messages = append(messages, strings.TrimSpace(fmt.Sprintf("%s %x", name, decoded.body)))
 		p.written = p.written[n:]
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(messages, ", ")
 }
 
 var peerOpen = openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.MustParseAddr("10.0.0.2")}
 
-// establish brings a session up.
+// establish opens a session.
 func (p *peer) establish() {
 	p.handler.Opened(p)
 	p.handler.Data(encodeOpen(peerOpen), 0)
@@ -104,44 +104,44 @@
 func TestSession(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.handler.Opened(p)
-	if got, want := p.heard(), "open 04fc0100090a0000010e020c01040001000141040000fc01"; got != want {
+	if got, want := p.takeMessages(), "open 04fc0100090a0000010e020c01040001000141040000fc01"; got != want {
 		t.Errorf("wrote %s, want %s", got, want)
 	}
-	p.speaker.Announce() // before the session is up: announced once it is
+	p.speaker.Announce() // before the session is established: announced once it is
 	b := encodeOpen(peerOpen)
 	p.handler.Data(b[:5], 0)
 	p.handler.Data(append(b[5:], encodeMessage(typeKeepalive, nil)...), 0)
-	if got, want := p.heard(), "keepalive, "+announced; got != want || p.speaker.State() != Established {
+	if got, want := p.takeMessages(), "keepalive, "+announced; got != want || p.speaker.State() != Established {
 		t.Errorf("state %v, wrote %s, want %s", p.speaker.State(), got, want)
 	}
 	p.wait(3100) // a third of the lower hold time
-	if got := p.heard(); got != "keepalive" {
+	if got := p.takeMessages(); got != "keepalive" {
 		t.Errorf("after a third of the hold time: wrote %q", got)
 	}
 	p.handler.Data(encodeMessage(typeUpdate, []byte{0, 0, 0, 0}), 0)
 	p.speaker.Withdraw()
 	p.speaker.Withdraw()
-	if got := p.heard(); got != withdrawn {
+	if got := p.takeMessages(); got != withdrawn {
 		t.Errorf("wrote %s, want %s", got, withdrawn)
 	}
 	p.speaker.Close()
-	if got := p.heard(); got != "notification 0602" || !p.closed {
+	if got := p.takeMessages(); got != "notification 0602" || !p.closed {
 		t.Errorf("at the end: wrote %q, closed %v", got, p.closed)
 	}
 	p.wait(60_000)
 	if p.dials != 1 {
-		t.Errorf("dialled %d times after Stop", p.dials)
+		t.Errorf("dialled %d times after Close", p.dials)
 	}
 }
 
-// Without a word for the hold time, the session ends and is opened again, and the addresses with it.
+// A session in which nothing arrives for the hold time ends and is opened again, and the addresses are announced again.
 func TestHoldTimerAndReconnect(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.speaker.Announce()
 	p.establish()
-	p.heard()
+	p.takeMessages()
 	p.wait(9200)
-	if got := p.heard(); !strings.HasSuffix(got, "notification 0400") || !p.closed {
+	if got := p.takeMessages(); !strings.HasSuffix(got, "notification 0400") || !p.closed {
 		t.Errorf("wrote %q, closed %v", got, p.closed)
 	}
 	p.wait(5100)
@@ -149,7 +149,7 @@
 		t.Fatalf("dialled %d times", p.dials)
 	}
 	p.establish()
-	if got := p.heard(); !strings.HasSuffix(got, announced) {
+	if got := p.takeMessages(); !strings.HasSuffix(got, announced) {
 		t.Errorf("after reconnection: wrote %q", got)
 	}
 	p.handler.Closed(os.ErrClosed)
@@ -159,7 +159,16 @@
 	}
 }
 
-func TestMalformedMessages(t *testing.T) {
+type malformedMessage struct {
+	name        string
+	established bool // the session that it arrives in
+	send        []byte
+	want        string // code, subcode and data
+}
+
+// malformedMessages are messages that end a session, with the NOTIFICATION that answers each.
+func malformedMessages(t *testing.T) []malformedMessage {
+	t.Helper()
 	edit := func(b []byte, at int, v ...byte) []byte {
 		b = bytes.Clone(b)
 		copy(b[at:], v)
@@ -174,12 +183,7 @@
 		}
 		return encodeMessage(typeUpdate, b)
 	}
-	for _, k := range []struct {
-		name        string
-		established bool
-		send        []byte
-		want        string
-	}{
+	return []malformedMessage{
 		{"marker", false, edit(good, 3, 0), "0101"},
 		{"length below a header", false, edit(good, 16, 0, 18), "01020012"},
 		{"length over the most", false, edit(good, 16, 0x10, 1), "01021001"},
@@ -188,7 +192,7 @@
 		{"unknown type", false, edit(good, 18, 9), "010309"},
 		{"version", false, edit(good, 19, 3), "02010004"},
 		{
-			"wrong system", false,
+			"wrong AS", false,
 			encodeOpen(openMessage{asNumber: 1, holdTimeSeconds: 30, routerID: peerOpen.routerID}), "0202",
 		},
 		{
@@ -210,16 +214,20 @@
 		{"attribute cut short", true, update("00000004" + "400109ff"), "0301"},
 		{"prefix of 33 bits", true, update("00000000" + "210a000000ff"), "030a"},
 		{"prefix cut short", true, update("00000000" + "200a"), "030a"},
-	} {
+	}
+}
+
+func TestMalformedMessages(t *testing.T) {
+	for _, k := range malformedMessages(t) {
 		p := newPeer(t, testConfig())
 		if k.established {
 			p.establish()
 		} else {
 			p.handler.Opened(p)
 		}
-		p.heard()
+		p.takeMessages()
 		p.handler.Data(k.send, 0)
-		if got := p.heard(); got != "notification "+k.want || !p.closed || p.speaker.State() != Idle {
+		if got := p.takeMessages(); got != "notification "+k.want || !p.closed || p.speaker.State() != Idle {
 			t.Errorf("%s: wrote %q, closed %v, state %v; want notification %s", k.name, got, p.closed,
 				p.speaker.State(), k.want)
 		}
@@ -230,9 +238,9 @@
 func TestNotificationIsNotAnswered(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.establish()
-	p.heard()
+	p.takeMessages()
 	p.handler.Data(encodeNotification(&NotificationError{Code: 6, Subcode: 4}), 0)
-	if got := p.heard(); got != "" || !p.closed || p.speaker.Counters.Notified != 1 {
+	if got := p.takeMessages(); got != "" || !p.closed || p.speaker.Counters.Notified != 1 {
 		t.Errorf("wrote %q, closed %v, counted %d", got, p.closed, p.speaker.Counters.Notified)
 	}
 }
@@ -243,13 +251,13 @@
 	wide.LocalAS = 70000
 	wide.Prefixes = []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}
 	for _, k := range []struct {
-		name  string
-		cfg   Config
-		fourB bool
-		want  string
+		name       string
+		cfg        Config
+		fourByteAS bool
+		want       string
 	}{
 		{
-			"within one system", inside, true,
+			"within one AS", inside, true,
 			"0000" + "0015" + "40010100" + "400200" + "4003040a000001" + "40050400000064" + "20c000020a",
 		},
 		{
@@ -259,7 +267,7 @@
 		{"a wide number to an old speaker", wide, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
 			"4003040a000001" + "c01106020100011170" + "100a01"},
 	} {
-		got := hex.EncodeToString(encodeUpdate(k.cfg, k.fourB, false)[headerLength:])
+		got := hex.EncodeToString(encodeAnnouncement(k.cfg, k.fourByteAS)[headerLength:])
 		if diff := cmp.Diff(k.want, got); diff != "" {
 			t.Errorf("%s: %s", k.name, diff)
 		}
@@ -270,29 +278,30 @@
 	}
 }
 
-// A reload tells other prefixes in the session that is up, and opens a new one where the session's own terms change.
+// Other prefixes are sent in the established session; a change of the session's own parameters opens a new one.
 func TestConfigure(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.speaker.Announce()
 	p.establish()
-	p.heard()
+	p.takeMessages()
 	p.speaker.Configure(testConfig())
-	if got := p.heard(); got != "" {
+	if got := p.takeMessages(); got != "" {
 		t.Errorf("for the same configuration: %s", got)
 	}
 	cfg := testConfig()
 	cfg.Prefixes = []netip.Prefix{netip.MustParsePrefix("192.0.2.11/32")}
 	p.speaker.Configure(cfg)
-	if got, want := p.heard(), withdrawn+", "+strings.Replace(announced, "20c000020a", "20c000020b", 1); got != want {
+	want := withdrawn + ", " + strings.Replace(announced, "20c000020a", "20c000020b", 1)
+	if got := p.takeMessages(); got != want {
 		t.Errorf("for another prefix: %s, want %s", got, want)
 	}
 	cfg.HoldTimeS = 30
 	p.speaker.Configure(cfg)
-	if got, want := p.heard(), "notification 0606"; got != want || p.dials != 2 {
+	if got, want := p.takeMessages(), "notification 0606"; got != want || p.dials != 2 {
 		t.Errorf("for another hold time: %s, %d dials", got, p.dials)
 	}
 	p.establish()
-	if got := p.heard(); !strings.Contains(got, "20c000020b") || p.speaker.State() != Established {
+	if got := p.takeMessages(); !strings.Contains(got, "20c000020b") || p.speaker.State() != Established {
 		t.Errorf("in the new session: %s", got)
 	}
 	p.wait(6000)
