--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -16,7 +16,7 @@
 var columns = []string{"role", "what", "figure", "budget", "says", "from", "carried by"}
 
 // Table is the text of a scenario's table.
-func (m Measured) Table(s Scenario) string {
+func (m Measurements) Table(s Scenario) string {
 	var b strings.Builder
 	b.WriteString("| " + strings.Join(columns, " | ") + " |\n|" + strings.Repeat(" --- |", len(columns)) + "\n")
 	for _, r := range s.Rows {
@@ -25,9 +25,9 @@
 	return b.String()
 }
 
-func (m Measured) cells(r Row) []string {
-	f := m.Reckon(r)
-	return []string{r.Role, r.What, r.value(f), r.budget(), r.Says(f), r.From(), r.carriedBy()}
+func (m Measurements) cells(r Row) []string {
+	f := m.Compute(r)
+	return []string{r.Role, r.Subject, r.value(f), r.budget(), r.Status(f), r.Source(), r.carriedBy()}
 }
 
 func (r Row) carriedBy() string {
@@ -43,9 +43,9 @@
 }
 
 // Update writes the tables between their marks. A scenario without its marks, or marks without their scenario, are an error.
-func (m Measured) Update(page string, scenarios []Scenario) (string, error) {
+func (m Measurements) Update(page string, scenarios []Scenario) (string, error) {
 	lines := strings.Split(page, "\n")
-	places, faults := marks(lines, scenarios)
+	places, faults := findTables(lines, scenarios)
 	if len(faults) > 0 {
 		return "", fmt.Errorf("%s", strings.Join(faults, "; "))
 	}
@@ -59,13 +59,13 @@
 	return strings.Join(append(out, lines[last:]...), "\n"), nil
 }
 
-type place struct {
+type tablePosition struct {
 	scenario   Scenario
 	begin, end int // lines of the marks
 }
 
-// marks finds the tables' places, in the page's order.
-func marks(lines []string, scenarios []Scenario) (places []place, faults []string) {
+// findTables finds the tables' places, in the page's order.
+func findTables(lines []string, scenarios []Scenario) (places []tablePosition, faults []string) {
 	found := map[string]bool{}
 	for i := 0; i < len(lines); i++ {
 		key, ok := strings.CutPrefix(lines[i], beginMark)
@@ -86,7 +86,7 @@
 		for _, s := range scenarios {
 			if s.Key == key {
 				known = true
-				places = append(places, place{s, begin, i})
+				places = append(places, tablePosition{s, begin, i})
 			}
 		}
 		switch {
@@ -108,22 +108,22 @@
 // Check recomputes each row of a page's tables and gives what is wrong: a figure that differs, a budget that is passed, an
 // extrapolation past FarthestReckoned and a missing measurement that the row does not say, a row without its mechanism, one
 // that is missing or that nothing defines. packageExists tells whether a package is there.
-func (m Measured) Check(page string, scenarios []Scenario, packageExists func(string) bool) (faults []string) {
+func (m Measurements) Check(page string, scenarios []Scenario, packageExists func(string) bool) (faults []string) {
 	lines := strings.Split(page, "\n")
-	places, faults := marks(lines, scenarios)
+	places, faults := findTables(lines, scenarios)
 	for _, p := range places {
 		faults = append(faults, m.checkTable(lines[p.begin+1:p.end], p.scenario, packageExists)...)
 	}
 	return faults
 }
 
-func (m Measured) checkTable(lines []string, s Scenario, packageExists func(string) bool) (faults []string) {
+func (m Measurements) checkTable(lines []string, s Scenario, packageExists func(string) bool) (faults []string) {
 	onPage := map[string][]string{}
 	for i, line := range lines {
 		if i < 2 { // the head
 			continue
 		}
-		cells := split(line)
+		cells := splitCells(line)
 		if len(cells) != len(columns) {
 			faults = append(faults, fmt.Sprintf("%s, line %d: %d cells, want %d", s.Key, i+1, len(cells), len(columns)))
 			continue
@@ -134,11 +134,11 @@
 		}
 		onPage[id] = cells
 	}
-	if len(lines) < 2 || strings.Join(split(lines[0]), "|") != strings.Join(columns, "|") {
+	if len(lines) < 2 || strings.Join(splitCells(lines[0]), "|") != strings.Join(columns, "|") {
 		faults = append(faults, s.Key+": the table's head is not "+strings.Join(columns, ", "))
 	}
 	for _, r := range s.Rows {
-		id := r.Role + ": " + r.What
+		id := r.Role + ": " + r.Subject
 		got := onPage[id]
 		delete(onPage, id)
 		if got == nil {
@@ -155,8 +155,8 @@
 	return faults
 }
 
-func (m Measured) checkRow(r Row, got []string, packageExists func(string) bool) (faults []string) {
-	f, want := m.Reckon(r), m.cells(r)
+func (m Measurements) checkRow(r Row, got []string, packageExists func(string) bool) (faults []string) {
+	f, want := m.Compute(r), m.cells(r)
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	says := got[4]
 	if got[2] != want[2] {
@@ -166,15 +166,15 @@
 		fault("the budget is %q, it was set to %q", got[3], want[3])
 	}
 	// What the page itself shows is judged too: its figure beside its budget, whatever the measurements are now.
-	figure, budget := leading(got[2]), leading(got[3])
-	if (f.Over || budget > 0 && figure > budget) && !strings.Contains(says, saysOver) {
+	figure, budget := leadingNumber(got[2]), leadingNumber(got[3])
+	if (f.OverBudget || budget > 0 && figure > budget) && !strings.Contains(says, statusOverBudget) {
 		fault("is over its budget and does not say so")
 	}
-	if len(f.Missing) > 0 && !strings.Contains(says, saysUnmeasured) {
+	if len(f.Missing) > 0 && !strings.Contains(says, statusUnmeasured) {
 		fault("is unmeasured (%s) and does not say so", strings.Join(f.Missing, ", "))
 	}
-	if f.Far > FarthestReckoned && !strings.Contains(says, saysExtrapolated) {
-		fault("is extrapolated to %s times the largest size measured and does not say so", number(f.Far))
+	if f.Extrapolation > MaxExtrapolation && !strings.Contains(says, statusExtrapolated) {
+		fault("is extrapolated to %s times the largest size measured and does not say so", formatNumber(f.Extrapolation))
 	}
 	if says != want[4] {
 		fault("says %q, want %q", says, want[4])
@@ -196,14 +196,14 @@
 	return faults
 }
 
-// leading is the number that a cell begins with, else 0.
-func leading(cell string) float64 {
+// leadingNumber is the number that a cell begins with, else 0.
+func leadingNumber(cell string) float64 {
 	word, _, _ := strings.Cut(cell, " ")
 	x, _ := strconv.ParseFloat(strings.ReplaceAll(word, ",", ""), 64)
 	return x
 }
 
-func split(line string) []string {
+func splitCells(line string) []string {
 	cells := strings.Split(strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(line), "|"), "|"), "|")
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -22,7 +22,7 @@
 	return text
 }
 
-func measured(t *testing.T) Measured {
+func measured(t *testing.T) Measurements {
 	t.Helper()
 	slopes, err := ParseSlopes(read(t, "docs", "capacity", "slopes.json"))
 	if err != nil {
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Measured{slopes, scales}
+	return Measurements{slopes, scales}
 }
 
 func packageExists(path string) bool {
@@ -68,7 +68,7 @@
 			count := map[string]int{}
 			for _, s := range p.scenarios() {
 				for _, r := range s.Rows {
-					word, _, _ := strings.Cut(r.Says(m.Reckon(r)), " ")
+					word, _, _ := strings.Cut(r.Status(m.Compute(r)), " ")
 					count[strings.Trim(word, ",;:")]++
 				}
 			}
@@ -85,8 +85,8 @@
 	for _, s := range slices.Concat(Scenarios(), Options()) {
 		seen := map[string]bool{}
 		for _, r := range s.Rows {
-			id := s.Key + ", " + r.Role + ": " + r.What
-			if seen[id] || r.Role == "" || r.What == "" || len(r.Terms) == 0 || strings.Contains(id+r.Mechanism, "|") {
+			id := s.Key + ", " + r.Role + ": " + r.Subject
+			if seen[id] || r.Role == "" || r.Subject == "" || len(r.Terms) == 0 || strings.Contains(id+r.Mechanism, "|") {
 				t.Error(id, "is there twice, has an empty field, or a bar")
 			}
 			seen[id] = true
@@ -95,20 +95,20 @@
 }
 
 // example is a small page of known measurements: a slope of 2 a router from 100 to 400, and a day of 600 routers.
-func example(t *testing.T) (Measured, []Scenario, string) {
+func example(t *testing.T) (Measurements, []Scenario, string) {
 	t.Helper()
 	s, err := NewSlope("a", "router", "routers", "ms", [][2]float64{{100, 210}, {200, 410}, {300, 610}, {400, 810}}, "c", "T")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := Measured{[]Slope{s}, []Scale{{Name: "day", Routers: Routers, Engines: Engines, Zones: Zones, Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T"}}}
+	m := Measurements{[]Slope{s}, []Scale{{Name: "day", Routers: Routers, Engines: Engines, Zones: Zones, Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T"}}}
 	row := func(what string, budget float64, terms ...Term) Row {
-		return Row{Role: "router", What: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"dispatch"}}
+		return Row{Role: "router", Subject: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"dispatch"}}
 	}
 	rows := []Scenario{{"one", []Row{
 		row("within", 900, Line("a", 400)), row("over", 900, Line("a", 450)), row("far", 0, Line("a", 1601)),
-		row("rise", 0, Rise("a", 400).By(0.5)), row("missing", 5, Line("b", 1)), row("day", 1, Played("day", "served")), row("size", 0, Given(12345.6, "sum")),
-		{Role: "relay", What: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)}, Mechanism: "a hop", Packages: []string{NotBuilt}},
+		row("rise", 0, Rise("a", 400).Times(0.5)), row("missing", 5, Line("b", 1)), row("day", 1, Simulated("day", "served")), row("size", 0, Given(12345.6, "sum")),
+		{Role: "relay", Subject: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)}, Mechanism: "a hop", Packages: []string{NotBuilt}},
 	}}}
 	page, err := m.Update("head\n"+beginMark+"one"+markTail+"\nold\n"+endMark+"\ntail\n", rows)
 	if err != nil {
@@ -189,7 +189,7 @@
 		t.Error(faults)
 	}
 	m, rows, page = example(t)
-	m.Scales[0].Routers = Routers / 5
+	m.Simulations[0].Routers = Routers / 5
 	if faults := m.Check(page, rows, packageExists); !strings.Contains(strings.Join(faults, "\n"), `day: is extrapolated to 5 times the largest size measured and does not say so`) {
 		t.Error(faults)
 	}
@@ -207,7 +207,7 @@
 		x    float64
 		want string
 	}{{0, "0"}, {0.012345, "0.0123"}, {0.1, "0.1"}, {1.005, "1"}, {2.345, "2.35"}, {99.96, "100"}, {999.6, "1,000"}, {1234567, "1,230,000"}, {-1234, "-1,230"}, {600, "600"}, {128, "128"}} {
-		if got := number(k.x); got != k.want {
+		if got := formatNumber(k.x); got != k.want {
 			t.Errorf("%v: %s, want %s", k.x, got, k.want)
 		}
 	}
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// FarthestReckoned is how many times the largest size measured a slope may be followed before a row has to say that its
+// MaxExtrapolation is how many times the largest size measured a slope may be followed before a row has to say that its
 // figure is extrapolated.
-const FarthestReckoned = 4
+const MaxExtrapolation = 4
 
 // Row is a line of the page: what a role carries in a scenario.
 type Row struct {
 	Role      string // router, board, keeper, control machine, engine, operator
-	What      string // unique in its scenario and role
+	Subject   string // unique in its scenario and role
 	Unit      string
 	Terms     []Term
 	Budget    float64  // at most; 0: none is set
@@ -48,8 +48,8 @@
 // Rise is what a size adds, by a slope's line without its intercept: what is there at none of it is in another term.
 func Rise(slope string, at float64) Term { return Term{slope: slope, at: at, rise: true, times: 1} }
 
-// Played is a figure of a day that was played.
-func Played(scale, figure string) Term { return Term{scale: scale, figure: figure, times: 1} }
+// Simulated is a figure of a day that was played.
+func Simulated(scale, figure string) Term { return Term{scale: scale, figure: figure, times: 1} }
 
 // Given is a figure that follows from the size alone, or that a page or a setting says.
 func Given(value float64, why string) Term { return Term{times: value, why: why} }
@@ -57,29 +57,29 @@
 // Assumed is a figure that nobody has measured and nothing says.
 func Assumed(value float64, why string) Term { return Term{times: value, why: why, assumed: true} }
 
-// By takes a term several times: per second for each event, or for each of several others.
-func (t Term) By(times float64) Term {
+// Times takes a term several times: per second for each event, or for each of several others.
+func (t Term) Times(times float64) Term {
 	t.times *= times
 	return t
 }
 
-// Measured is what rows are reckoned from.
-type Measured struct {
-	Slopes []Slope
-	Scales []Scale
+// Measurements is what rows are reckoned from.
+type Measurements struct {
+	Slopes      []Slope
+	Simulations []Scale
 }
 
 // Figure is a row's figure and what has to be said of it.
 type Figure struct {
-	Value   float64
-	Missing []string // slopes and figures that nobody has measured; then there is no value
-	Far     float64  // how many times the largest size measured the farthest term is at
-	Plain   bool     // one slope at a size, or one figure of a day, as it is
-	Over    bool     // the budget is passed
+	Value         float64
+	Missing       []string // slopes and figures that nobody has measured; then there is no value
+	Extrapolation float64  // how many times the largest size measured the farthest term is at
+	Direct        bool     // one slope at a size, or one figure of a day, as it is
+	OverBudget    bool     // the budget is passed
 }
 
-// Reckon gives a row's figure.
-func (m Measured) Reckon(r Row) Figure {
+// Compute gives a row's figure.
+func (m Measurements) Compute(r Row) Figure {
 	var f Figure
 	for _, t := range r.Terms {
 		switch {
@@ -95,28 +95,28 @@
 			}
 			f.Value += y * t.times
 			if most := s.Largest(); most > 0 {
-				f.Far = max(f.Far, t.at/most)
+				f.Extrapolation = max(f.Extrapolation, t.at/most)
 			} else if t.at > 0 {
-				f.Far = math.Inf(1)
+				f.Extrapolation = math.Inf(1)
 			}
 		case t.scale != "":
-			y, size, ok := m.played(t.scale, t.figure)
+			y, size, ok := m.simulated(t.scale, t.figure)
 			if !ok {
 				f.Missing = append(f.Missing, t.scale+": "+t.figure)
 				continue
 			}
 			f.Value += y * t.times
-			f.Far = max(f.Far, max(float64(Routers)/float64(size.Routers), float64(Engines)/float64(size.Engines)))
+			f.Extrapolation = max(f.Extrapolation, max(float64(Routers)/float64(size.Routers), float64(Engines)/float64(size.Engines)))
 		default:
 			f.Value += t.times
 		}
 	}
-	f.Plain = len(r.Terms) == 1 && r.Terms[0].times == 1 && r.Terms[0].why == ""
-	f.Over = len(f.Missing) == 0 && r.Budget > 0 && f.Value > r.Budget
+	f.Direct = len(r.Terms) == 1 && r.Terms[0].times == 1 && r.Terms[0].why == ""
+	f.OverBudget = len(f.Missing) == 0 && r.Budget > 0 && f.Value > r.Budget
 	return f
 }
 
-func (m Measured) slope(name string) (Slope, bool) {
+func (m Measurements) slope(name string) (Slope, bool) {
 	for _, s := range m.Slopes {
 		if s.Name == name {
 			return s, true
@@ -125,8 +125,8 @@
 	return Slope{}, false
 }
 
-func (m Measured) played(name, figure string) (float64, Scale, bool) {
-	for _, s := range m.Scales {
+func (m Measurements) simulated(name, figure string) (float64, Scale, bool) {
+	for _, s := range m.Simulations {
 		if s.Name == name {
 			y, ok := s.Figures[figure]
 			return y, s, ok
@@ -137,18 +137,18 @@
 
 // What rows say of their figures; a check looks for these words.
 const (
-	saysUnmeasured   = "unmeasured"
-	saysExtrapolated = "extrapolated"
-	saysOver         = "over its budget"
-	saysMeasured     = "measured"
-	saysReckoned     = "reckoned"
-	saysPlayed       = "played"
-	saysGiven        = "given"
-	saysAssumed      = "assumed"
+	statusUnmeasured   = "unmeasured"
+	statusExtrapolated = "extrapolated"
+	statusOverBudget   = "over its budget"
+	statusMeasured     = "measured"
+	statusComputed     = "reckoned"
+	statusSimulated    = "played"
+	statusGiven        = "given"
+	statusAssumed      = "assumed"
 )
 
-// Says is the row's word on where its figure comes from, and on its budget.
-func (r Row) Says(f Figure) string {
+// Status is the row's word on where its figure comes from, and on its budget.
+func (r Row) Status(f Figure) string {
 	var words []string
 	played, assumed := false, false
 	given := len(r.Terms) > 0
@@ -159,48 +159,48 @@
 	}
 	switch {
 	case len(f.Missing) > 0:
-		words = append(words, saysUnmeasured+": "+strings.Join(f.Missing, ", "))
+		words = append(words, statusUnmeasured+": "+strings.Join(f.Missing, ", "))
 	case assumed:
-		words = append(words, saysAssumed)
-	case f.Far > FarthestReckoned:
-		words = append(words, fmt.Sprintf("%s to %s times the largest size measured", saysExtrapolated, number(f.Far)))
-	case f.Far > 1.005: // sizes such as rates are measured as they came out, not to the last digit
-		words = append(words, fmt.Sprintf("%s, at %s times the largest size measured", saysReckoned, number(f.Far)))
+		words = append(words, statusAssumed)
+	case f.Extrapolation > MaxExtrapolation:
+		words = append(words, fmt.Sprintf("%s to %s times the largest size measured", statusExtrapolated, formatNumber(f.Extrapolation)))
+	case f.Extrapolation > 1.005: // sizes such as rates are measured as they came out, not to the last digit
+		words = append(words, fmt.Sprintf("%s, at %s times the largest size measured", statusComputed, formatNumber(f.Extrapolation)))
 	case given:
-		words = append(words, saysGiven)
-	case f.Plain && played:
-		words = append(words, saysPlayed)
-	case f.Plain:
-		words = append(words, saysMeasured)
+		words = append(words, statusGiven)
+	case f.Direct && played:
+		words = append(words, statusSimulated)
+	case f.Direct:
+		words = append(words, statusMeasured)
 	default:
-		words = append(words, saysReckoned)
+		words = append(words, statusComputed)
 	}
-	if assumed && len(f.Missing) == 0 && f.Far > FarthestReckoned {
-		words = append(words, fmt.Sprintf("%s to %s times the largest size measured", saysExtrapolated, number(f.Far)))
+	if assumed && len(f.Missing) == 0 && f.Extrapolation > MaxExtrapolation {
+		words = append(words, fmt.Sprintf("%s to %s times the largest size measured", statusExtrapolated, formatNumber(f.Extrapolation)))
 	}
-	if f.Over {
-		words = append(words, saysOver)
+	if f.OverBudget {
+		words = append(words, statusOverBudget)
 	}
 	return strings.Join(words, "; ")
 }
 
-// From is how the figure is reckoned.
-func (r Row) From() string {
+// Source is how the figure is reckoned.
+func (r Row) Source() string {
 	var parts []string
 	for _, t := range r.Terms {
 		var s string
 		switch {
 		case t.slope != "" && t.rise:
-			s = fmt.Sprintf("rise of `%s` by %s", t.slope, number(t.at))
+			s = fmt.Sprintf("rise of `%s` by %s", t.slope, formatNumber(t.at))
 		case t.slope != "":
-			s = fmt.Sprintf("`%s` at %s", t.slope, number(t.at))
+			s = fmt.Sprintf("`%s` at %s", t.slope, formatNumber(t.at))
 		case t.scale != "":
 			s = fmt.Sprintf("day `%s`, `%s`", t.scale, t.figure)
 		default:
 			s = t.why
 		}
 		if t.why == "" && t.times != 1 {
-			s += " × " + number(t.times)
+			s += " × " + formatNumber(t.times)
 		}
 		parts = append(parts, s)
 	}
@@ -212,18 +212,18 @@
 	if len(f.Missing) > 0 {
 		return "-"
 	}
-	return strings.TrimSpace(number(f.Value) + " " + r.Unit)
+	return strings.TrimSpace(formatNumber(f.Value) + " " + r.Unit)
 }
 
 func (r Row) budget() string {
 	if r.Budget == 0 {
 		return "-"
 	}
-	return strings.TrimSpace(number(r.Budget) + " " + r.Unit)
+	return strings.TrimSpace(formatNumber(r.Budget) + " " + r.Unit)
 }
 
-// number writes three figures that count, thousands apart, no exponents.
-func number(x float64) string {
+// formatNumber writes three figures that count, thousands apart, no exponents.
+func formatNumber(x float64) string {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return strconv.FormatFloat(x, 'f', -1, 64)
 	}
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -31,7 +31,7 @@
 		var s Scale
 		var named struct{ Name any }
 		_ = json.Unmarshal(item, &named) // for the place alone: what is wrong with the item is said below
-		err := fields(item, map[string]any{
+		err := decodeObject(item, map[string]any{
 			"name": &s.Name, "routers": &s.Routers, "engines": &s.Engines, "zones": &s.Zones,
 			"figures": &s.Figures, "conditions": &s.Conditions, "test": &s.Test,
 		})
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -128,7 +128,7 @@
 		var s Slope
 		var named struct{ Name any }
 		_ = json.Unmarshal(item, &named) // for the place alone: what is wrong with the item is said below
-		err := fields(item, map[string]any{
+		err := decodeObject(item, map[string]any{
 			"name": &s.Name, "of": &s.Of, "x": &s.X, "y": &s.Y, "points": &s.Points,
 			"intercept": &s.Intercept, "slope": &s.Slope, "largest_residual": &s.Residual, "conditions": &s.Conditions, "test": &s.Test,
 		})
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// fields reads an object that has all of the fields wanted and no others.
-func fields(text []byte, want map[string]any) error {
+// decodeObject reads an object that has all of the fields wanted and no others.
+func decodeObject(text []byte, want map[string]any) error {
 	var got map[string]json.RawMessage
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
