--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -46,7 +46,7 @@
 	scenarios func() []Scenario
 }{{"docs/CAPACITY.md", Scenarios}, {"docs/design/capacity.md", Options}}
 
-// The pages are what the measurements give: each figure, what is said of it, and what carries it.
+// Each row of the pages has the figure, the status and the mechanism that the measurements give.
 func TestCapacityPages(t *testing.T) {
 	m := measured(t)
 	for _, p := range pages {
@@ -80,13 +80,14 @@
 	}
 }
 
-// Rows refer to slopes and days by name: two rows in one table may not have one name, and each has terms.
-func TestRowsAreWhole(t *testing.T) {
+// Each row has its fields, and a subject that is unique in its table.
+func TestRowsAreComplete(t *testing.T) {
 	for _, s := range slices.Concat(Scenarios(), Options()) {
 		seen := map[string]bool{}
 		for _, r := range s.Rows {
 			id := s.Key + ", " + r.Role + ": " + r.Subject
-			if seen[id] || r.Role == "" || r.Subject == "" || len(r.Terms) == 0 || strings.Contains(id+r.Mechanism, "|") {
+			incomplete := r.Role == "" || r.Subject == "" || len(r.Terms) == 0
+			if seen[id] || incomplete || strings.Contains(id+r.Mechanism, "|") {
 				t.Error(id, "is there twice, has an empty field, or a bar")
 			}
 			seen[id] = true
@@ -94,21 +95,39 @@
 	}
 }
 
-// example is a small page of known measurements: a slope of 2 a router from 100 to 400, and a day of 600 routers.
+// example returns a small page of known measurements: a slope of 2 ms a router from 100 to 400, and a day of 600
+// routers.
 func example(t *testing.T) (Measurements, []Scenario, string) {
 	t.Helper()
-	s, err := NewSlope("a", "router", "routers", "ms", [][2]float64{{100, 210}, {200, 410}, {300, 610}, {400, 810}}, "c", "T")
+	s, err := NewSlope("a", "router", "routers", "ms", [][2]float64{
+		{100, 210}, {200, 410}, {300, 610}, {400, 810},
+	}, "c", "T")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := Measurements{[]Slope{s}, []Scale{{Name: "day", Routers: Routers, Engines: Engines, Zones: Zones, Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T"}}}
+	m := Measurements{
+		[]Slope{s},
+		[]Scale{
+			{
+				Name: "day", Routers: Routers, Engines: Engines, Zones: Zones,
+				Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T",
+			},
+		},
+	}
 	row := func(what string, budget float64, terms ...Term) Row {
-		return Row{Role: "router", Subject: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop", Packages: []string{"dispatch"}}
+		return Row{
+			Role: "router", Subject: what, Unit: "ms", Budget: budget, Terms: terms, Mechanism: "a loop",
+			Packages: []string{"dispatch"},
+		}
 	}
 	rows := []Scenario{{"one", []Row{
 		row("within", 900, Line("a", 400)), row("over", 900, Line("a", 450)), row("far", 0, Line("a", 1601)),
-		row("rise", 0, Rise("a", 400).Times(0.5)), row("missing", 5, Line("b", 1)), row("day", 1, Simulated("day", "served")), row("size", 0, Given(12345.6, "sum")),
-		{Role: "relay", Subject: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)}, Mechanism: "a hop", Packages: []string{NotBuilt}},
+		row("rise", 0, Rise("a", 400).Times(0.5)), row("missing", 5, Line("b", 1)),
+		row("day", 1, Simulated("day", "served")), row("size", 0, Given(12345.6, "sum")),
+		{
+			Role: "relay", Subject: "to come", Terms: []Term{Assumed(7, "a guess"), Line("a", 1601)},
+			Mechanism: "a hop", Packages: []string{NotBuilt},
+		},
 	}}}
 	page, err := m.Update("head\n"+beginMark+"one"+markTail+"\nold\n"+endMark+"\ntail\n", rows)
 	if err != nil {
@@ -121,14 +140,14 @@
 	m, rows, page := example(t)
 	want := `head
 <!-- capacity: one -->
-| role | what | figure | budget | says | from | carried by |
+| role | what | figure | budget | status | from | carried by |
 | --- | --- | --- | --- | --- | --- | --- |
 | router | within | 810 ms | 900 ms | measured | ` + "`a`" + ` at 400 | a loop ` + "`dispatch`" + ` |
-| router | over | 910 ms | 900 ms | reckoned, at 1.13 times the largest size measured; over its budget | ` + "`a`" + ` at 450 | a loop ` + "`dispatch`" + ` |
+| router | over | 910 ms | 900 ms | computed, at 1.13 times the largest size measured; over its budget | ` + "`a`" + ` at 450 | a loop ` + "`dispatch`" + ` |
 | router | far | 3,210 ms | - | extrapolated to 4 times the largest size measured | ` + "`a`" + ` at 1,600 | a loop ` + "`dispatch`" + ` |
-| router | rise | 400 ms | - | reckoned | rise of ` + "`a`" + ` by 400 × 0.5 | a loop ` + "`dispatch`" + ` |
+| router | rise | 400 ms | - | computed | rise of ` + "`a`" + ` by 400 × 0.5 | a loop ` + "`dispatch`" + ` |
 | router | missing | - | 5 ms | unmeasured: b | ` + "`b`" + ` at 1 | a loop ` + "`dispatch`" + ` |
-| router | day | 0.987 ms | 1 ms | played | day ` + "`day`, `served`" + ` | a loop ` + "`dispatch`" + ` |
+| router | day | 0.987 ms | 1 ms | simulated | day ` + "`day`, `served`" + ` | a loop ` + "`dispatch`" + ` |
 | router | size | 12,300 ms | - | given | sum | a loop ` + "`dispatch`" + ` |
 | relay | to come | 3,220 | - | assumed; extrapolated to 4 times the largest size measured | a guess + ` + "`a`" + ` at 1,600 | a hop (not built) |
 <!-- /capacity -->
@@ -142,38 +161,68 @@
 	}
 }
 
-// The check catches each kind of fault that it is there for, and says where it is.
-func TestCheckCatches(t *testing.T) {
-	for _, k := range []struct{ name, old, new, want string }{
-		{"a wrong figure", "810 ms", "801 ms", `one, router: within: the figure is "801 ms", the measurements give "810 ms"`},
-		{"another unit", "810 ms", "810 s", `the figure is "810 s"`},
-		{"another budget", "900 ms | measured", "950 ms | measured", `the budget is "950 ms", it was set to "900 ms"`},
-		{"an unsaid overrun", "; over its budget", "", `one, router: over: is over its budget and does not say so`},
-		{"an overrun on the page alone", "810 ms", "910 ms", `one, router: within: is over its budget and does not say so`},
-		{"an unsaid extrapolation", "extrapolated to 4 times the largest size measured", "measured", `one, router: far: is extrapolated to 4 times the largest size measured and does not say so`},
-		{"an unsaid gap", "unmeasured: b", "measured", `one, router: missing: is unmeasured (b) and does not say so`},
-		{"an extrapolation behind an assumption", "assumed; extrapolated to 4 times the largest size measured", "assumed", `one, relay: to come: is extrapolated to 4 times`},
-		{"an assumption called given", "assumed;", "given;", `one, relay: to come: says "given;`},
-		{"another place for what is not built", "a hop (not built)", "a hop `dispatch`", "one, relay: to come: is said to be carried by \"a hop `dispatch`\""},
-		{"a reckoned figure called measured", "| reckoned |", "| measured |", `one, router: rise: says "measured", want "reckoned"`},
-		{"another source", "`a` at 400 |", "`a` at 100 |", `one, router: within: is said to come from "` + "`a` at 100"},
-		{"a row without its mechanism", "a loop `dispatch` |\n| router | over", "|\n| router | over", `one, router: within: names no mechanism with its package`},
-		{"a row that is missing", "| router | size |", "| router | sizes |", `one, router: size: is not on the page`},
-		{"a row that nothing defines", "| router | size |", "| router | sizes |", `one, router: sizes: no row is defined for it`},
-		{"a row twice", "| router | over |", "| router | within |", `one, router: within: is there twice`},
-		{"a cell too few", "| played ", "", `one, line 8: 6 cells, want 7`},
-		{"another head", "| role |", "| who |", `one: the table's head is not role`},
-		{"a table under another name", "capacity: one", "capacity: two", `table "two": no rows are defined for it`},
-		{"a table that is missing", "capacity: one", "capacity: two", `table "one": is not on the page`},
-		{"a table without its end", "<!-- /capacity -->\n", "", `table "one": has no end`},
-	} {
+// pageFaults are changes of the example's page, with the fault that the check reports of each.
+var pageFaults = []struct{ name, old, new, want string }{
+	{
+		"a wrong figure", "810 ms", "801 ms",
+		`one, router: within: the figure is "801 ms", the measurements give "810 ms"`,
+	},
+	{"another unit", "810 ms", "810 s", `the figure is "810 s"`},
+	{"another budget", "900 ms | measured", "950 ms | measured", `the budget is "950 ms", it was set to "900 ms"`},
+	{"an unsaid overrun", "; over its budget", "", `one, router: over: is over its budget and does not say so`},
+	{
+		"an overrun on the page alone", "810 ms", "910 ms",
+		`one, router: within: is over its budget and does not say so`,
+	},
+	{
+		"an unsaid extrapolation", "extrapolated to 4 times the largest size measured", "measured",
+		`one, router: far: is extrapolated to 4 times the largest size measured and does not say so`,
+	},
+	{"an unsaid gap", "unmeasured: b", "measured", `one, router: missing: is unmeasured (b) and does not say so`},
+	{
+		"an extrapolation behind an assumption", "assumed; extrapolated to 4 times the largest size measured",
+		"assumed", `one, relay: to come: is extrapolated to 4 times`,
+	},
+	{"an assumption called given", "assumed;", "given;", `one, relay: to come: the status is "given;`},
+	{
+		"another place for what is not built", "a hop (not built)", "a hop `dispatch`",
+		"one, relay: to come: is said to be carried by \"a hop `dispatch`\"",
+	},
+	{
+		"a computed figure called measured", "| computed |", "| measured |",
+		`one, router: rise: the status is "measured", want "computed"`,
+	},
+	{
+		"another source", "`a` at 400 |", "`a` at 100 |",
+		`one, router: within: is said to come from "` + "`a` at 100",
+	},
+	{
+		"a row without its mechanism", "a loop `dispatch` |\n| router | over", "|\n| router | over",
+		`one, router: within: names no mechanism with its package`,
+	},
+	{"a row that is missing", "| router | size |", "| router | sizes |", `one, router: size: is not on the page`},
+	{
+		"a row that nothing defines", "| router | size |", "| router | sizes |",
+		`one, router: sizes: no row is defined for it`,
+	},
+	{"a row twice", "| router | over |", "| router | within |", `one, router: within: is there twice`},
+	{"a cell too few", "| simulated ", "", `one, line 8: 6 cells, want 7`},
+	{"another head", "| role |", "| who |", `one: the table's head is not role`},
+	{"a table under another name", "capacity: one", "capacity: two", `table "two": no rows are defined for it`},
+	{"a table that is missing", "capacity: one", "capacity: two", `table "one": is not on the page`},
+	{"a table without its end", "<!-- /capacity -->\n", "", `table "one": has no end`},
+}
+
+// The check finds each kind of fault and reports its row.
+func TestCheckFindsFaults(t *testing.T) {
+	for _, k := range pageFaults {
 		t.Run(k.name, func(t *testing.T) {
 			m, rows, page := example(t)
-			spoilt := strings.Replace(page, k.old, k.new, 1)
-			if spoilt == page {
+			changed := strings.Replace(page, k.old, k.new, 1)
+			if changed == page {
 				t.Fatal(k.old, "is not on the page")
 			}
-			faults := strings.Join(m.Check(spoilt, rows, packageExists), "\n")
+			faults := strings.Join(m.Check(changed, rows, packageExists), "\n")
 			if !strings.Contains(faults, k.want) {
 				t.Errorf("%q, want %q", faults, k.want)
 			}
@@ -181,23 +230,31 @@
 	}
 }
 
-// What the measurements or the rows change, the page that stayed as it was is caught on.
-func TestCheckCatchesANewMeasurement(t *testing.T) {
+// The check finds a page that differs from changed measurements or rows.
+func TestCheckFindsOutdatedPage(t *testing.T) {
 	m, rows, page := example(t)
 	m.Slopes[0].Slope = 2.5
-	if faults := m.Check(page, rows, packageExists); !strings.Contains(strings.Join(faults, "\n"), `within: is over its budget and does not say so`) {
-		t.Error(faults)
-	}
+	checkFinds(t, m, page, rows, `within: is over its budget and does not say so`)
 	m, rows, page = example(t)
 	m.Simulations[0].Routers = Routers / 5
-	if faults := m.Check(page, rows, packageExists); !strings.Contains(strings.Join(faults, "\n"), `day: is extrapolated to 5 times the largest size measured and does not say so`) {
-		t.Error(faults)
-	}
+	checkFinds(t, m, page, rows, `day: is extrapolated to 5 times the largest size measured and does not say so`)
 	m, rows, page = example(t)
-	rows[0].Rows[0].Mechanism, rows[0].Rows[1].Packages, rows[0].Rows[2].Packages = "", []string{"internal/nowhere"}, []string{"dispatch", NotBuilt}
-	faults := strings.Join(m.Check(page, rows, packageExists), "\n")
-	if !strings.Contains(faults, "within: names no mechanism with its package") || !strings.Contains(faults, "over: there is no package internal/nowhere") ||
-		!strings.Contains(faults, "far: there is no package (not built)") {
+	rows[0].Rows[0].Mechanism = ""
+	rows[0].Rows[1].Packages = []string{"internal/nowhere"}
+	rows[0].Rows[2].Packages = []string{"dispatch", NotBuilt}
+	for _, want := range []string{
+		"within: names no mechanism with its package",
+		"over: there is no package internal/nowhere",
+		"far: there is no package (not built)",
+	} {
+		checkFinds(t, m, page, rows, want)
+	}
+}
+
+// checkFinds checks that the check reports a fault.
+func checkFinds(t *testing.T, m Measurements, page string, rows []Scenario, want string) {
+	t.Helper()
+	if faults := strings.Join(m.Check(page, rows, packageExists), "\n"); !strings.Contains(faults, want) {
 		t.Error(faults)
 	}
 }
@@ -206,7 +263,19 @@
 	for _, k := range []struct {
 		x    float64
 		want string
-	}{{0, "0"}, {0.012345, "0.0123"}, {0.1, "0.1"}, {1.005, "1"}, {2.345, "2.35"}, {99.96, "100"}, {999.6, "1,000"}, {1234567, "1,230,000"}, {-1234, "-1,230"}, {600, "600"}, {128, "128"}} {
+	}{
+		{0, "0"},
+		{0.012345, "0.0123"},
+		{0.1, "0.1"},
+		{1.005, "1"},
+		{2.345, "2.35"},
+		{99.96, "100"},
+		{999.6, "1,000"},
+		{1234567, "1,230,000"},
+		{-1234, "-1,230"},
+		{600, "600"},
+		{128, "128"},
+	} {
 		if got := formatNumber(k.x); got != k.want {
 			t.Errorf("%v: %s, want %s", k.x, got, k.want)
 		}
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Scale is what a day played at one size gave.
+// Scale has the figures of a day that a test simulated at one size.
 type Scale struct {
 	Name       string             `json:"name"` // of the day, unique in the file; what rows refer to
 	Routers    int                `json:"routers"`
@@ -19,8 +19,8 @@
 	Test       string             `json:"test"`
 }
 
-// ParseScales reads the text of scale.json: a list of days with all fields and no others, names unique. An error names the
-// place in the list, the day and the field.
+// ParseScales reads the text of scale.json: a list of days with all fields and no others, names unique. An error
+// names the place in the list, the day and the field.
 func ParseScales(text []byte) ([]Scale, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
@@ -28,33 +28,33 @@
 	}
 	var out []Scale
 	for i, item := range items {
-		var s Scale
+		var parsed Scale
 		var named struct{ Name any }
-		_ = json.Unmarshal(item, &named) // for the place alone: what is wrong with the item is said below
+		_ = json.Unmarshal(item, &named) // for the error message; the errors of the item are found below
 		err := decodeObject(item, map[string]any{
-			"name": &s.Name, "routers": &s.Routers, "engines": &s.Engines, "zones": &s.Zones,
-			"figures": &s.Figures, "conditions": &s.Conditions, "test": &s.Test,
+			"name": &parsed.Name, "routers": &parsed.Routers, "engines": &parsed.Engines, "zones": &parsed.Zones,
+			"figures": &parsed.Figures, "conditions": &parsed.Conditions, "test": &parsed.Test,
 		})
 		switch {
 		case err != nil:
-		case s.Name == "" || s.Test == "" || s.Conditions == "":
+		case parsed.Name == "" || parsed.Test == "" || parsed.Conditions == "":
 			err = fmt.Errorf("name, conditions or test: is empty")
-		case s.Routers < 1 || s.Engines < 1 || s.Zones < 1:
+		case parsed.Routers < 1 || parsed.Engines < 1 || parsed.Zones < 1:
 			err = fmt.Errorf("routers, engines or zones: is below 1")
-		case len(s.Figures) == 0:
+		case len(parsed.Figures) == 0:
 			err = fmt.Errorf("figures: are none")
-		case slices.ContainsFunc(out, func(o Scale) bool { return o.Name == s.Name }):
+		case slices.ContainsFunc(out, func(o Scale) bool { return o.Name == parsed.Name }):
 			err = fmt.Errorf("name: is there twice")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("scales[%d] %q: %w", i, fmt.Sprint(named.Name), err)
 		}
-		out = append(out, s)
+		out = append(out, parsed)
 	}
 	return out, nil
 }
 
-// FormatScales is the text of scale.json, sorted by name. Days that ParseScales would not take are an error.
+// FormatScales returns the text of scale.json, sorted by name. It fails for days that ParseScales rejects.
 func FormatScales(scales []Scale) ([]byte, error) {
 	scales = slices.SortedFunc(slices.Values(scales), func(a, b Scale) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
@@ -70,7 +70,7 @@
 	return out.Bytes(), nil
 }
 
-// MergeScales puts fresh days in the place of those with their names, and beside the others.
+// MergeScales returns the old days with fresh ones added; those with the same names are replaced.
 func MergeScales(old, fresh []Scale) []Scale {
 	out := slices.DeleteFunc(slices.Clone(old), func(s Scale) bool {
 		return slices.ContainsFunc(fresh, func(f Scale) bool { return f.Name == s.Name })
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -13,7 +13,9 @@
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
 		t.Fatal(days, err)
 	}
-	text, err := FormatScales(MergeScales(days, []Scale{{Name: "n", Routers: 1, Engines: 1, Zones: 1, Figures: map[string]float64{"a": 1}, Conditions: "c", Test: "T"}}))
+	text, err := FormatScales(MergeScales(days, []Scale{
+		{Name: "n", Routers: 1, Engines: 1, Zones: 1, Figures: map[string]float64{"a": 1}, Conditions: "c", Test: "T"},
+	}))
 	if back, e := ParseScales(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
 		t.Error(string(text), err, e)
 	}
@@ -25,12 +27,14 @@
 		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: are none`},
 		{`"test":"T"`, `"test":""`, `scales[0] "n": name, conditions or test: is empty`},
 	} {
-		spoilt := strings.Replace(oneDay, k.old, k.new, 1)
-		if _, err := ParseScales([]byte("[" + spoilt + "]")); spoilt == oneDay || err == nil || !strings.HasPrefix(err.Error(), k.want) {
+		changed := strings.Replace(oneDay, k.old, k.new, 1)
+		_, err := ParseScales([]byte("[" + changed + "]"))
+		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), k.want) {
 			t.Errorf("%s: %v, want %s", k.new, err, k.want)
 		}
 	}
-	if _, err := ParseScales([]byte("[" + oneDay + "," + oneDay + "]")); err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is there twice`) {
+	_, err = ParseScales([]byte("[" + oneDay + "," + oneDay + "]"))
+	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is there twice`) {
 		t.Error(err)
 	}
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,9 +1,8 @@
-// Package capacity reckons what a fleet of a given size asks of each role, from slopes that tests measured. It is pure: it
-// computes from the text of docs/capacity/slopes.json and docs/capacity/scale.json, and reads no files of its own.
 package capacity
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"math"
@@ -16,14 +15,14 @@
 // Slope is a cost against a size, as a test measured it.
 type Slope struct {
 	Name       string  `json:"name"` // unique in the file; what rows refer to
-	Of         string  `json:"of"`   // whose cost: router, keeper, board
+	Of         string  `json:"of"`   // whose cost: router, keeper or board
 	X          string  `json:"x"`    // the size, with its unit
 	Y          string  `json:"y"`    // the cost, with its unit
 	Points     Points  `json:"points"`
 	Intercept  float64 `json:"intercept"`        // of Fit, in the unit of Y
 	Slope      float64 `json:"slope"`            // of Fit, Y by X
 	Residual   float64 `json:"largest_residual"` // of Fit, in the unit of Y
-	Conditions string  `json:"conditions"`       // what else was the case: machine, other sizes, span
+	Conditions string  `json:"conditions"`       // machine, other sizes and duration of the measurement
 	Test       string  `json:"test"`             // the test that measured it
 }
 
@@ -42,24 +41,25 @@
 	return most
 }
 
-// Fit lays a line through points by least squares. The largest residual is the largest distance in y of a point from it, in
+// Fit fits a line to points by least squares. The largest residual is the largest distance in y of a point from it, in
 // the unit of y. Points that are all at one x give a level line through their mean; no points give zeros.
 func Fit(points [][2]float64) (intercept, slope, largestResidual float64) {
 	if len(points) == 0 {
 		return 0, 0, 0
 	}
-	n, mx, my := float64(len(points)), 0.0, 0.0
+	n, meanX, meanY := float64(len(points)), 0.0, 0.0
 	for _, p := range points {
-		mx, my = mx+p[0]/n, my+p[1]/n
+		meanX, meanY = meanX+p[0]/n, meanY+p[1]/n
 	}
-	sxx, sxy := 0.0, 0.0
+	sumXX, sumXY := 0.0, 0.0
 	for _, p := range points {
-		sxx, sxy = sxx+(p[0]-mx)*(p[0]-mx), sxy+(p[0]-mx)*(p[1]-my)
+		sumXX += (p[0] - meanX) * (p[0] - meanX)
+		sumXY += (p[0] - meanX) * (p[1] - meanY)
 	}
-	if sxx > 0 {
-		slope = sxy / sxx
+	if sumXX > 0 {
+		slope = sumXY / sumXX
 	}
-	intercept = my - slope*mx
+	intercept = meanY - slope*meanX
 	for _, p := range points {
 		largestResidual = max(largestResidual, math.Abs(p[1]-intercept-slope*p[0]))
 	}
@@ -73,7 +73,7 @@
 	return s, s.check()
 }
 
-// check says what makes a slope unfit to reckon with.
+// check returns an error for a slope that can't be computed with.
 func (s Slope) check() error {
 	for _, k := range []struct{ field, value string }{
 		{"name", s.Name},
@@ -116,8 +116,9 @@
 	return nil
 }
 
-// ParseSlopes reads the text of slopes.json: a list of slopes with all fields and no others, each from at least MinSizes
-// sizes, with the fit that its points give, names unique. An error names the place in the list, the slope and the field.
+// ParseSlopes reads the text of slopes.json: a list of slopes with all fields and no others, each from at least
+// MinSizes sizes, with the fit that its points give, names unique. An error names the place in the list, the slope
+// and the field.
 func ParseSlopes(text []byte) ([]Slope, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
@@ -125,31 +126,32 @@
 	}
 	var slopes []Slope
 	for i, item := range items {
-		var s Slope
+		var parsed Slope
 		var named struct{ Name any }
-		_ = json.Unmarshal(item, &named) // for the place alone: what is wrong with the item is said below
+		_ = json.Unmarshal(item, &named) // for the error message; the errors of the item are found below
 		err := decodeObject(item, map[string]any{
-			"name": &s.Name, "of": &s.Of, "x": &s.X, "y": &s.Y, "points": &s.Points,
-			"intercept": &s.Intercept, "slope": &s.Slope, "largest_residual": &s.Residual, "conditions": &s.Conditions, "test": &s.Test,
+			"name": &parsed.Name, "of": &parsed.Of, "x": &parsed.X, "y": &parsed.Y, "points": &parsed.Points,
+			"intercept": &parsed.Intercept, "slope": &parsed.Slope, "largest_residual": &parsed.Residual,
+			"conditions": &parsed.Conditions, "test": &parsed.Test,
 		})
 		if err == nil {
-			err = s.check()
+			err = parsed.check()
 		}
 		if err != nil {
 			return nil, fmt.Errorf("slopes[%d] %q: %w", i, fmt.Sprint(named.Name), err)
 		}
-		if slices.ContainsFunc(slopes, func(o Slope) bool { return o.Name == s.Name }) {
-			return nil, fmt.Errorf("slopes[%d] %q: name: is there twice", i, s.Name)
+		if slices.ContainsFunc(slopes, func(o Slope) bool { return o.Name == parsed.Name }) {
+			return nil, fmt.Errorf("slopes[%d] %q: name: is there twice", i, parsed.Name)
 		}
-		slopes = append(slopes, s)
+		slopes = append(slopes, parsed)
 	}
 	return slopes, nil
 }
 
-// FormatSlopes is the text of slopes.json, sorted by name, so that a new measurement changes its own lines alone. Slopes
-// that ParseSlopes would not take are an error.
+// FormatSlopes returns the text of slopes.json, sorted by name, so that a new measurement changes its own lines
+// alone. It fails for slopes that ParseSlopes rejects.
 func FormatSlopes(slopes []Slope) ([]byte, error) {
-	slopes = slices.SortedFunc(slices.Values(slopes), func(a, b Slope) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
+	slopes = slices.SortedFunc(slices.Values(slopes), func(a, b Slope) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
@@ -163,7 +165,7 @@
 	return out.Bytes(), nil
 }
 
-// MergeSlopes puts fresh slopes in the place of those with their names, and beside the others.
+// MergeSlopes returns the old slopes with fresh ones added; those with the same names are replaced.
 func MergeSlopes(old, fresh []Slope) []Slope {
 	out := slices.DeleteFunc(slices.Clone(old), func(s Slope) bool {
 		return slices.ContainsFunc(fresh, func(f Slope) bool { return f.Name == s.Name })
@@ -171,7 +173,7 @@
 	return append(out, fresh...)
 }
 
-// MarshalJSON writes a pair on each line.
+// MarshalJSON implements json.Marshaler. It writes an empty list for nil.
 func (p Points) MarshalJSON() ([]byte, error) {
 	if p == nil {
 		return []byte("[]"), nil
@@ -179,7 +181,8 @@
 	return json.Marshal([][2]float64(p))
 }
 
-// UnmarshalJSON takes pairs only: the standard reading fills a short pair with zeros and drops what is too much.
+// UnmarshalJSON implements json.Unmarshaler. It accepts pairs only: the default decoding fills a short pair with
+// zeros and truncates a long one.
 func (p *Points) UnmarshalJSON(text []byte) error {
 	var rows [][]float64
 	if err := json.Unmarshal(text, &rows); err != nil {
@@ -195,7 +198,7 @@
 	return nil
 }
 
-// decodeObject reads an object that has all of the fields wanted and no others.
+// decodeObject decodes an object that has all of the wanted fields and no others into the values of want.
 func decodeObject(text []byte, want map[string]any) error {
 	var got map[string]json.RawMessage
 	if err := json.Unmarshal(text, &got); err != nil {
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -60,9 +60,10 @@
 	}
 }
 
-const oneSlope = `{"name":"n","of":"router","x":"engines","y":"ms","points":[[1,2],[2,4],[3,6],[4,8]],"intercept":0,"slope":2,"largest_residual":0,"conditions":"c","test":"T"}`
+const oneSlope = `{"name":"n","of":"router","x":"engines","y":"ms","points":[[1,2],[2,4],[3,6],[4,8]],` +
+	`"intercept":0,"slope":2,"largest_residual":0,"conditions":"c","test":"T"}`
 
-// What is missing, unknown or wrong in the file is named with its place.
+// The error for a field that is missing, unknown or wrong names its position in the file.
 func TestSlopesAreReadStrictly(t *testing.T) {
 	slopes, err := ParseSlopes([]byte("[" + oneSlope + "]"))
 	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].Largest() != 4 {
@@ -91,7 +92,8 @@
 		if text == other {
 			t.Fatal(k.old, "is not there")
 		}
-		if _, err := ParseSlopes([]byte("[" + oneSlope + "," + text + "]")); err == nil || !strings.HasPrefix(err.Error(), k.want) {
+		_, err := ParseSlopes([]byte("[" + oneSlope + "," + text + "]"))
+		if err == nil || !strings.HasPrefix(err.Error(), k.want) {
 			t.Errorf("%s: %v, want %s", k.new, err, k.want)
 		}
 	}
@@ -100,7 +102,7 @@
 	}
 }
 
-// A new measurement takes the place of the one with its name; what is unfit is not written.
+// A new measurement replaces the one with its name, and invalid slopes are not written.
 func TestSlopesMerge(t *testing.T) {
 	at := func(name string, y float64) Slope {
 		s, err := NewSlope(name, "router", "engines", "ms", [][2]float64{{1, y}, {2, y}, {3, y}, {4, y}}, "c", "T")
