--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,7 +10,7 @@
 // moment after a zone or a region has come back.
 func benchFleet(tb testing.TB, engines int, cold float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
-	cfg := fleetConfig(fleetDay{seed: 1, gateways: 600, cores: 8}, 7)
+	cfg := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
 	cfg.WarmUpDuration = 1000 * time.Hour
 	c, err := New(cfg)
 	if err != nil {
@@ -29,37 +29,37 @@
 	return c, now, list
 }
 
-// traffic is what the classes of the fleet world send, 450 statements a second at this router, each answered after a while.
-type traffic struct {
-	c    *Controller
-	now  time.Duration
-	n    int
-	open []RequestID
-	buf  []Action
+// benchTraffic is what the classes of the fleet world send, 450 statements a second at this router, each answered after a while.
+type benchTraffic struct {
+	controller *Controller
+	now        time.Duration
+	statements int
+	open       []RequestID
+	actions    []Action
 }
 
 // arrive has one statement arrive.
-func (t *traffic) arrive() {
+func (t *benchTraffic) arrive() {
 	t.now += time.Second / 450
-	t.n++
+	t.statements++
 	class, est := "lookup", 85*ms
 	switch {
-	case t.n%16 == 0:
+	case t.statements%16 == 0:
 		class, est = "load", 900*ms
-	case t.n%6 == 0:
+	case t.statements%6 == 0:
 		class, est = "report", 900*ms
 	}
-	id := RequestID(fmt.Sprint(t.n))
+	id := RequestID(fmt.Sprint(t.statements))
 	t.open = append(t.open, id)
-	t.buf = t.c.Handle(t.now, Arrival{Request: id, Class: class, TableGroup: int64(t.n%40 + 1), TimeLeft: 2 * time.Second, Estimate: est, NeedMB: 64}, t.buf[:0])
+	t.actions = t.controller.Handle(t.now, Arrival{Request: id, Class: class, TableGroup: int64(t.statements%40 + 1), TimeLeft: 2 * time.Second, Estimate: est, NeedMB: 64}, t.actions[:0])
 }
 
 // end has the oldest one end, whatever became of it.
-func (t *traffic) end() {
+func (t *benchTraffic) end() {
 	id := t.open[0]
 	t.open = t.open[1:]
-	t.buf = t.c.Handle(t.now, AttemptEnd{Request: id, Outcome: Served, Last: true}, t.buf[:0])
-	t.buf = t.c.Handle(t.now, ClientGone{Request: id}, t.buf[:0])
+	t.actions = t.controller.Handle(t.now, AttemptEnd{Request: id, Outcome: Served, Last: true}, t.actions[:0])
+	t.actions = t.controller.Handle(t.now, ClientGone{Request: id}, t.actions[:0])
 }
 
 var benchSizes = []int{30, 300, 1200, 4800}
@@ -70,7 +70,7 @@
 		for _, cold := range []float64{0, 0.1, 0.17, 0.5} {
 			b.Run(fmt.Sprintf("engines=%d/cold=%.0f%%", n, 100*cold), func(b *testing.B) {
 				c, now, _ := benchFleet(b, n, cold)
-				t := &traffic{c: c, now: now}
+				t := &benchTraffic{controller: c, now: now}
 				for range 16 {
 					t.arrive()
 				}
@@ -78,8 +78,8 @@
 				for range b.N {
 					t.arrive()
 					t.end()
-					if t.n%4 == 0 {
-						t.buf = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.buf[:0])
+					if t.statements%4 == 0 {
+						t.actions = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.actions[:0])
 					}
 				}
 			})
@@ -109,7 +109,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			c, now, _ := benchFleet(b, n, 0.17)
-			t := &traffic{c: c, now: now}
+			t := &benchTraffic{controller: c, now: now}
 			for range 16 {
 				t.arrive()
 			}
@@ -117,7 +117,7 @@
 			for range b.N {
 				t.now += 5 * time.Microsecond
 				c.deadlines.timerAt = t.now
-				t.buf = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.buf[:0])
+				t.actions = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.actions[:0])
 			}
 		})
 	}
--- a/dispatch/brain_test.go
+++ b/dispatch/brain_test.go
@@ -32,7 +32,7 @@
 
 // TestReleaseOrder fills queues and reads the order in which classes are picked.
 func TestReleaseOrder(t *testing.T) {
-	three := twoClasses()
+	three := twoClassConfig()
 	three.Classes = append(three.Classes, Class{
 		Name: "load", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second,
 		Threads: 2,
@@ -80,12 +80,12 @@
 }
 
 func TestPreferredPriority(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(3)...)
-	w.ask("quick", "")
-	w.ask("big", "")
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(3)...)
+	w.arrive("quick", "")
+	w.arrive("big", "")
 	var got []int
-	for _, a := range w.acts {
+	for _, a := range w.actions {
 		if terms, ok := a.(SetResources); ok {
 			got = append(got, terms.Priority)
 		}
@@ -97,73 +97,73 @@
 
 // An arrival with no time left gets its answer in the call that brings it.
 func TestExpiredArrivalAnsweredAtOnce(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(2)...)
-	if tr := w.askFor(Arrival{Class: "big"}); tr.answers != 1 || len(w.sends) != 0 {
-		t.Errorf("answers %d, sends %d", tr.answers, len(w.sends))
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(2)...)
+	if tr := w.arriveWith(Arrival{Class: "big"}); tr.answers != 1 || len(w.starts) != 0 {
+		t.Errorf("answers %d, sends %d", tr.answers, len(w.starts))
 	}
 }
 
 func TestNoEngines(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	tr := w.ask("big", "")
-	w.tick(20 * time.Second)
+	w := newHarness(t, twoClassConfig())
+	tr := w.arrive("big", "")
+	w.advance(20 * time.Second)
 	if tr.answers != 1 {
 		t.Errorf("%d answers with no engine", tr.answers)
 	}
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(2)...)
-	gone := engines(2)[0]
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(2)...)
+	gone := testEngines(2)[0]
 	gone.State = Draining
-	w.list(ListIncremental, gone)
+	w.updateEndpoints(ListIncremental, gone)
 	for range 20 {
 		w.now += 20 * ms
-		w.end(w.ask("quick", ""), Served)
+		w.endLatest(w.arrive("quick", ""), Served)
 	}
-	w.list(ListComplete, engines(1)...)
+	w.updateEndpoints(ListComplete, testEngines(1)...)
 	for range 20 {
 		w.now += 20 * ms
-		w.end(w.ask("quick", ""), Served)
+		w.endLatest(w.arrive("quick", ""), Served)
 	}
-	if len(w.sends) != 40 {
-		t.Errorf("%d sends, want 40", len(w.sends))
+	if len(w.starts) != 40 {
+		t.Errorf("%d sends, want 40", len(w.starts))
 	}
 }
 
 func TestOrderByKeyRests(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.Classes[0].OrderByKey, cfg.Classes[0].Deadline, cfg.KeyCooldown = true, 10*time.Second, time.Second
 	cfg.Classes[0].LateWeightShare = 0.5
-	w := newWorld(t, cfg)
-	w.list(ListComplete, engines(3)...)
-	a, b := w.ask("quick", "t"), w.ask("quick", "t")
-	other := w.ask("quick", "u")
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, testEngines(3)...)
+	a, b := w.arrive("quick", "t"), w.arrive("quick", "t")
+	other := w.arrive("quick", "u")
 	if len(a.engines) != 1 || len(b.engines) != 0 || len(other.engines) != 1 {
 		t.Fatal("one key must run one at a time, others freely")
 	}
 	w.handle(ClientGone{Request: a.id})
-	a.aborted = true
-	w.end(a, ConnectionReset)
-	w.tick(900 * ms)
+	a.gone = true
+	w.endLatest(a, ConnectionReset)
+	w.advance(900 * ms)
 	if len(b.engines) != 0 {
 		t.Fatal("sent during the rest")
 	}
-	w.tick(200 * ms)
+	w.advance(200 * ms)
 	if len(b.engines) != 1 {
 		t.Error("not sent after the rest")
 	}
 }
 
 func TestSubscribesAndBacksOff(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.PolledDiscovery, cfg.DiscoveryTimeout = true, 10*time.Second
-	w := newWorld(t, cfg)
-	w.list(ListCached, engines(2)...)
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListCached, testEngines(2)...)
 	count := func() (n int) {
-		for _, a := range w.acts {
+		for _, a := range w.actions {
 			if _, ok := a.(Subscribe); ok {
 				n++
 			}
@@ -173,11 +173,11 @@
 	if count() != 1 {
 		t.Fatal("no subscription at start")
 	}
-	w.list(ListFailed)
+	w.updateEndpoints(ListFailed)
 	if count() != 1 {
 		t.Fatal("asked again at once")
 	}
-	w.tick(3 * time.Second)
+	w.advance(3 * time.Second)
 	if count() != 2 {
 		t.Errorf("%d subscriptions after a failure, want 2", count())
 	}
@@ -186,25 +186,25 @@
 // A cold engine gets no more than this gateway's slice in any window.
 func TestColdSlice(t *testing.T) {
 	for _, gateways := range []int{1, 4} {
-		cfg := twoClasses()
+		cfg := twoClassConfig()
 		cfg.Routers, cfg.WarmUpInitialShare, cfg.WarmUpDuration = gateways, 0.4, 10*time.Second
 		cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2, time.Second
-		w := newWorld(t, cfg)
-		cold := engines(1)[0]
+		w := newHarness(t, cfg)
+		cold := testEngines(1)[0]
 		cold.StartedAt = w.now - time.Second
-		w.list(ListCached, cold)
+		w.updateEndpoints(ListCached, cold)
 		for range 200 {
 			w.now += 10 * ms
-			if tr := w.ask("quick", ""); len(tr.engines) > 0 {
-				w.end(tr, Served)
+			if tr := w.arrive("quick", ""); len(tr.engines) > 0 {
+				w.endLatest(tr, Served)
 			}
 		}
 		// 8 cores at 85% busy, times 0.4, times 2, a window of 1 s, and an even part of it.
 		limit := 8 * 0.85 * 0.4 * 2 / float64(gateways)
-		work := w.c.classes.all[0].estimate.usualWork()
+		work := w.controller.classes.all[0].estimate.usualWork()
 		worst := 0
-		for i := range w.cold[1] {
-			worst = max(worst, since(w.cold[1][:i+1], w.cold[1][i]-time.Second))
+		for i := range w.warmingStarts[1] {
+			worst = max(worst, countAfter(w.warmingStarts[1][:i+1], w.warmingStarts[1][i]-time.Second))
 		}
 		if worst == 0 || float64(worst)*work > limit*1.3 {
 			t.Errorf("%d gateways: %d queries of %.3f s in a window, limit %.2f s", gateways, worst, work, limit)
@@ -221,7 +221,7 @@
 		"cold-for":         func(c *Config) { c.WarmUpDuration = -1 },
 		"kinds[0]":         func(c *Config) { c.Kinds[0].Cores = -1 },
 	} {
-		cfg := twoClasses()
+		cfg := twoClassConfig()
 		spoil(&cfg)
 		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
@@ -231,16 +231,16 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() []Action {
-		w := newWorld(t, twoClasses())
-		w.list(ListComplete, engines(7)...)
+		w := newHarness(t, twoClassConfig())
+		w.updateEndpoints(ListComplete, testEngines(7)...)
 		for i := range 300 {
 			w.now += 7 * ms
-			tr := w.ask([]string{"quick", "big"}[i%2], "")
+			tr := w.arrive([]string{"quick", "big"}[i%2], "")
 			if i%3 == 0 && len(tr.engines) > 0 {
-				w.end(tr, Served)
+				w.endLatest(tr, Served)
 			}
 		}
-		return w.acts
+		return w.actions
 	}
 	if !reflect.DeepEqual(play(), play()) {
 		t.Error("the same events gave other actions")
--- a/dispatch/fleetworld_test.go
+++ b/dispatch/fleetworld_test.go
@@ -12,88 +12,88 @@
 // This file plays a whole fleet: hundreds of controllers that know nothing of each other, engines that share their cores
 // among what they run, clients that come again. What it checks shows in the sum only.
 
-// fleetDay is a day on a fleet.
-type fleetDay struct {
-	seed              uint64
-	gateways, engines int
-	cores             int     // of an engine
-	load              float64 // asked of the capacity of all engines
-	lasts             time.Duration
-	bad               float64 // share of the engines that take three times as long
-	join              float64 // share of the engines that are replaced between joinAt and joinAt + joinFor
-	restart           float64 // share of the gateways that start anew at joinAt
-	zone              bool    // zone z0 is lost at joinAt, silent, and back cold after joinFor
-	zones             int
-	told              time.Duration // how long after that lists say so; 0: never
-	split             bool          // a zone is cut off from the others for as long: its gateways reach its engines alone
-	joinAt, joinFor   time.Duration
-	wide              int     // that many zones are lost, or cut off from the others, with their gateways, and are told of in one list; 0: z0, its engines alone, each told of by itself
-	rack              int     // that many engines of z0, and half as many of its gateways, are lost at joinAt, or only the engines drained; told of as zones are
-	drained           bool    // the rack's engines are told of as draining at joinAt, and die 3 s later
-	roll, replace     int     // gateways that are restarted, and engines that are replaced, in a row from joinAt on for joinFor
-	hasty             float64 // share of clients that give up early from joinAt on
-	burst             float64 // traffic between the two, over the usual
-	heavy             float64 // traffic of the first gateway, over the mean; 0: as it falls
+// fleetScenario is a day on a fleet.
+type fleetScenario struct {
+	seed                                 uint64
+	routers, engines                     int
+	cores                                int     // of an engine
+	load                                 float64 // asked of the capacity of all engines
+	duration                             time.Duration
+	slowShare                            float64 // share of the engines that take three times as long
+	replacedShare                        float64 // share of the engines that are replaced between joinAt and joinAt + joinFor
+	restartedShare                       float64 // share of the gateways that start anew at joinAt
+	zoneLost                             bool    // zone z0 is lost at joinAt, silent, and back cold after joinFor
+	zones                                int
+	listDelay                            time.Duration // how long after that lists say so; 0: never
+	partitioned                          bool          // a zone is cut off from the others for as long: its gateways reach its engines alone
+	faultAt, faultFor                    time.Duration
+	lostZones                            int     // that many zones are lost, or cut off from the others, with their gateways, and are told of in one list; 0: z0, its engines alone, each told of by itself
+	rackSize                             int     // that many engines of z0, and half as many of its gateways, are lost at joinAt, or only the engines drained; told of as zones are
+	rackDrained                          bool    // the rack's engines are told of as draining at joinAt, and die 3 s later
+	rollingRestarts, rollingReplacements int     // gateways that are restarted, and engines that are replaced, in a row from joinAt on for joinFor
+	impatientShare                       float64 // share of clients that give up early from joinAt on
+	burstFactor                          float64 // traffic between the two, over the usual
+	heavyRouterFactor                    float64 // traffic of the first gateway, over the mean; 0: as it falls
 	// pile has connections to cold engines come up together, once in that time, with all that waits for them; what has to
 	// begin sooner ends as never run.
-	pile time.Duration
+	connectInterval time.Duration
 }
 
 const (
-	fleetTick  = 5 * ms
-	fleetSlots = 4   // queries a core at most
-	fleetKnee  = 2.0 // threads a core past which an engine does less
-	fleetIO    = 1.5 // a query's work over the part of it that needs a core: the rest waits for disks
+	fleetTick           = 5 * ms
+	fleetQueriesPerCore = 4   // queries a core at most
+	fleetThreadsPerCore = 2.0 // threads a core past which an engine does less
+	fleetDiskFactor     = 1.5 // a query's work over the part of it that needs a core: the rest waits for disks
 )
 
 var fleetClasses = []struct {
 	part, work, spread float64 // share of requests, core seconds, sigma of its logarithm
 }{{0.78, 0.085, 0.8}, {0.16, 0.9, 1.0}, {0.06, 0.9, 0.6}}
 
-type fleetQuery struct {
-	router  *fleetRouter
-	life    int // of the router
-	id      RequestID
-	hop     int
-	class   int
-	work    float64
-	left    float64
-	threads float64
-	prefer  bool
-	late    bool // its connection does not come up by the time at which it has to begin
+type fleetAttempt struct {
+	router        *fleetRouter
+	incarnation   int // of the router
+	id            RequestID
+	index         int
+	class         int
+	work          float64
+	workLeft      float64
+	threads       float64
+	preferred     bool
+	startsTooLate bool // its connection does not come up by the time at which it has to begin
 }
 
 type fleetEngine struct {
 	Endpoint
-	speed    float64
-	dead     bool
-	silent   bool
-	fell     bool
-	running  []*fleetQuery
-	arrived  []sentWork
-	coldSent float64
+	speed     float64
+	dead      bool
+	silent    bool
+	collapsed bool
+	running   []*fleetAttempt
+	received  []sentWork
+	coldSent  float64
 }
 
 type fleetRouter struct {
-	c      *Controller
-	cfg    Config
-	life   int
-	weight float64
-	down   bool
-	wake   time.Duration
-	open   map[RequestID]*fleetAsk
+	controller  *Controller
+	config      Config
+	incarnation int
+	weight      float64
+	down        bool
+	timerAt     time.Duration
+	open        map[RequestID]*fleetRequest
 }
 
-// fleetAsk is a client's try.
-type fleetAsk struct {
-	id       RequestID
-	class    int
-	work     float64
-	first    time.Duration
-	aim, end time.Duration
-	tries    int
-	hops     int
-	prefer   bool
+// fleetRequest is a client's try.
+type fleetRequest struct {
+	id                  RequestID
+	class               int
+	work                float64
+	arrivedAt           time.Duration
+	objective, deadline time.Duration
+	tries               int
+	attempts            int
+	preferred           bool
 }
 
 type fleetEvent struct {
@@ -121,48 +121,48 @@
 	return x
 }
 
-// fleetSpan is what happened in one second.
-type fleetSpan struct {
-	asked, gained       float64 // worth
-	askedBy, gainedBy   [3]float64
-	tries, sends, fulls int
-	refused, failed     int
+// fleetSecond is what happened in one second.
+type fleetSecond struct {
+	offered, earned                float64 // worth
+	offeredBy, earnedBy            [3]float64
+	arrivals, starts, answeredFull int
+	rejected, failed               int
 }
 
-type fleet struct {
-	t       *testing.T
-	day     fleetDay
-	rng     *rand.Rand
-	now     time.Duration
-	routers []*fleetRouter
-	engines []*fleetEngine
-	byID    map[EngineID]*fleetEngine
-	heap    fleetHeap
-	n, ids  int
-	spans   []fleetSpan
-	fell    int
-	cut     bool    // zone z0 from the others
-	most    float64 // work sent to a cold engine in a window, over what it may be sent
-	sent    func(*fleetRouter, *fleetEngine, int)
-	acted   func(*fleetRouter, Action)
-	beyond  float64 // the most of it past that, in calls of mean work, over 2 root of N + 2, N being what it may be sent
+type fleetSimulation struct {
+	t                 *testing.T
+	scenario          fleetScenario
+	rng               *rand.Rand
+	now               time.Duration
+	routers           []*fleetRouter
+	engines           []*fleetEngine
+	byID              map[EngineID]*fleetEngine
+	events            fleetHeap
+	lastEvent, lastID int
+	seconds           []fleetSecond
+	collapsed         int
+	partitioned       bool    // zone z0 from the others
+	maxWarmingLoad    float64 // work sent to a cold engine in a window, over what it may be sent
+	onStart           func(*fleetRouter, *fleetEngine, int)
+	onAction          func(*fleetRouter, Action)
+	maxWarmingExcess  float64 // the most of it past that, in calls of mean work, over 2 root of N + 2, N being what it may be sent
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.n++
-	heap.Push(&f.heap, fleetEvent{f.now + d, f.n, do})
+func (f *fleetSimulation) schedule(d time.Duration, do func()) {
+	f.lastEvent++
+	heap.Push(&f.events, fleetEvent{f.now + d, f.lastEvent, do})
 }
 
-func (f *fleet) span() *fleetSpan { return f.spanAt(f.now) }
+func (f *fleetSimulation) currentSecond() *fleetSecond { return f.secondAt(f.now) }
 
-func (f *fleet) spanAt(at time.Duration) *fleetSpan {
-	i := min(int((at-time.Hour)/time.Second), len(f.spans)-1)
-	return &f.spans[i]
+func (f *fleetSimulation) secondAt(at time.Duration) *fleetSecond {
+	i := min(int((at-time.Hour)/time.Second), len(f.seconds)-1)
+	return &f.seconds[i]
 }
 
-func fleetConfig(day fleetDay, i int) Config {
+func fleetConfig(day fleetScenario, i int) Config {
 	cfg := Config{
-		Seed: day.seed*1000 + uint64(i), RouterIndex: i, Routers: day.gateways, Tick: 1 * ms, MaxAttempts: 5, Priorities: true,
+		Seed: day.seed*1000 + uint64(i), RouterIndex: i, Routers: day.routers, Tick: 1 * ms, MaxAttempts: 5, Priorities: true,
 		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, HedgingAllowed: true, MaxQueued: 50, OverQuotaWeight: 0.1,
 		Kinds: []EngineKind{{Name: "k", Cores: float64(day.cores), MemoryMB: 1 << 16}}, MaxGrantShare: 0.4,
 		WarmUpInitialShare: 0.36, WarmUpDuration: 12 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: 1500 * ms,
@@ -175,27 +175,27 @@
 	return cfg
 }
 
-func newFleetWorld(t *testing.T, day fleetDay) *fleet {
-	f := &fleet{
-		t: t, day: day, rng: rand.New(rand.NewPCG(day.seed, 77)), now: time.Hour, byID: map[EngineID]*fleetEngine{},
-		spans: make([]fleetSpan, int(day.lasts/time.Second)+1),
+func newFleetSimulation(t *testing.T, day fleetScenario) *fleetSimulation {
+	f := &fleetSimulation{
+		t: t, scenario: day, rng: rand.New(rand.NewPCG(day.seed, 77)), now: time.Hour, byID: map[EngineID]*fleetEngine{},
+		seconds: make([]fleetSecond, int(day.duration/time.Second)+1),
 	}
 	for i := range day.engines {
 		f.addEngine(EngineID(i+1), i)
 	}
-	for i := range day.gateways {
-		r := &fleetRouter{cfg: fleetConfig(day, i), weight: math.Exp(0.6 * f.rng.NormFloat64())}
+	for i := range day.routers {
+		r := &fleetRouter{config: fleetConfig(day, i), weight: math.Exp(0.6 * f.rng.NormFloat64())}
 		f.routers = append(f.routers, r)
-		if f.startRouter(r); i == 0 && day.heavy > 0 {
-			r.weight = day.heavy * math.Exp(0.6*0.6/2)
+		if f.startRouter(r); i == 0 && day.heavyRouterFactor > 0 {
+			r.weight = day.heavyRouterFactor * math.Exp(0.6*0.6/2)
 		}
 	}
 	return f
 }
 
-func (f *fleet) addEngine(id EngineID, i int) *fleetEngine {
-	e := &fleetEngine{Endpoint: Endpoint{ID: id, Kind: "k", Zone: fmt.Sprint("z", i%f.day.zones), Cell: i % f.day.zones, CapacityWeight: 1}, speed: 0.9 + 0.2*f.rng.Float64()}
-	if f.rng.Float64() < f.day.bad {
+func (f *fleetSimulation) addEngine(id EngineID, i int) *fleetEngine {
+	e := &fleetEngine{Endpoint: Endpoint{ID: id, Kind: "k", Zone: fmt.Sprint("z", i%f.scenario.zones), Cell: i % f.scenario.zones, CapacityWeight: 1}, speed: 0.9 + 0.2*f.rng.Float64()}
+	if f.rng.Float64() < f.scenario.slowShare {
 		e.speed /= 3
 	}
 	f.engines = append(f.engines, e)
@@ -203,73 +203,73 @@
 	return e
 }
 
-func (f *fleet) startRouter(r *fleetRouter) {
-	c, err := New(r.cfg)
+func (f *fleetSimulation) startRouter(r *fleetRouter) {
+	c, err := New(r.config)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	r.c, r.life, r.open = c, r.life+1, map[RequestID]*fleetAsk{}
+	r.controller, r.incarnation, r.open = c, r.incarnation+1, map[RequestID]*fleetRequest{}
 	var list []Endpoint
 	for _, e := range f.engines {
 		if !e.dead {
 			list = append(list, e.Endpoint)
 		}
 	}
-	f.tell(r, EndpointList{Mode: ListComplete, Endpoints: list})
+	f.handle(r, EndpointList{Mode: ListComplete, Endpoints: list})
 }
 
-func (f *fleet) tell(r *fleetRouter, ev Event) {
+func (f *fleetSimulation) handle(r *fleetRouter, ev Event) {
 	if r.down {
 		return
 	}
-	for _, a := range r.c.Handle(f.now, ev, nil) {
-		f.act(r, a)
+	for _, a := range r.controller.Handle(f.now, ev, nil) {
+		f.carryOut(r, a)
 	}
 }
 
 // announce tells all routers of engines, each after a time of its own.
-func (f *fleet) announce(late time.Duration, list ...Endpoint) {
+func (f *fleetSimulation) announce(late time.Duration, list ...Endpoint) {
 	for _, r := range f.routers {
-		f.after(late+time.Duration(f.rng.Float64()*float64(300*ms)), func() { f.tell(r, EndpointList{Mode: ListIncremental, Endpoints: list}) })
+		f.schedule(late+time.Duration(f.rng.Float64()*float64(300*ms)), func() { f.handle(r, EndpointList{Mode: ListIncremental, Endpoints: list}) })
 	}
 }
 
-func (f *fleet) act(r *fleetRouter, a Action) {
-	if f.acted != nil {
-		f.acted(r, a)
+func (f *fleetSimulation) carryOut(r *fleetRouter, a Action) {
+	if f.onAction != nil {
+		f.onAction(r, a)
 	}
 	switch a := a.(type) {
 	case SetTimer:
 		at := f.now + a.After
-		r.wake = at
-		life := r.life
-		f.after(a.After, func() {
-			if r.life == life && r.wake == at {
-				f.tell(r, TimerFired{Tag: a.Tag})
+		r.timerAt = at
+		life := r.incarnation
+		f.schedule(a.After, func() {
+			if r.incarnation == life && r.timerAt == at {
+				f.handle(r, TimerFired{Tag: a.Tag})
 			}
 		})
 	case SetResources:
 		if q := r.open[a.Request]; q != nil {
-			q.prefer = a.Priority == 2
+			q.preferred = a.Priority == 2
 		}
 	case StartAttempt:
-		f.span().sends++
+		f.currentSecond().starts++
 		q := r.open[a.Request]
-		x := &fleetQuery{
-			router: r, life: r.life, id: a.Request, hop: q.hops, class: q.class, work: q.work, left: q.work,
-			threads: float64(r.cfg.Classes[q.class].Threads), prefer: q.prefer,
+		x := &fleetAttempt{
+			router: r, incarnation: r.incarnation, id: a.Request, index: q.attempts, class: q.class, work: q.work, workLeft: q.work,
+			threads: float64(r.config.Classes[q.class].Threads), preferred: q.preferred,
 		}
-		q.hops++
+		q.attempts++
 		e := f.byID[a.Engine]
-		if f.sent != nil {
-			f.sent(r, e, q.class)
+		if f.onStart != nil {
+			f.onStart(r, e, q.class)
 		}
-		f.after(ms+f.dial(e, x, a.StartWithin), func() { f.reach(e, x) })
+		f.schedule(ms+f.connectTime(e, x, a.StartWithin), func() { f.reachEngine(e, x) })
 	case Reject:
-		f.span().refused++
-		f.over(r, a.Request, a.RetryAfter)
+		f.currentSecond().rejected++
+		f.endWithoutResult(r, a.Request, a.RetryAfter)
 	case FailRequest:
-		f.span().failed++
-		f.over(r, a.Request, 0)
+		f.currentSecond().failed++
+		f.endWithoutResult(r, a.Request, 0)
 	}
 }
--- a/dispatch/locks_test.go
+++ b/dispatch/locks_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// withLoads has queries that stand still while a load holds their table group, and loads that must not run twice.
-func withLoads() Config {
-	cfg := twoClasses()
+// loadConfig has queries that stand still while a load holds their table group, and loads that must not run twice.
+func loadConfig() Config {
+	cfg := twoClassConfig()
 	cfg.Classes[0].BlockedByLoad = true
 	cfg.Classes = append(cfg.Classes, Class{
 		Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, PriorityWeight: 4,
@@ -24,18 +24,18 @@
 	for _, n := range []int{2, 3, 5, 6, 7, 10} {
 		reads, loads := map[int64]map[EngineID]bool{}, map[int64]map[EngineID]bool{}
 		for gateway := range 3 {
-			cfg := withLoads()
+			cfg := loadConfig()
 			cfg.Routers, cfg.RouterIndex, cfg.Seed = 3, gateway, uint64(7+gateway)
-			w, rng := newWorld(t, cfg), rand.New(rand.NewPCG(uint64(n), uint64(gateway)))
-			w.list(ListComplete, engines(n)...)
-			var out []*track
+			w, rng := newHarness(t, cfg), rand.New(rand.NewPCG(uint64(n), uint64(gateway)))
+			w.updateEndpoints(ListComplete, testEngines(n)...)
+			var out []*clientRequest
 			for range 3000 {
 				w.now += time.Duration(rng.IntN(12)) * ms
 				group, class := TableGroupOf(uint32(rng.IntN(2))), "quick"
 				if rng.IntN(10) == 0 {
 					class = "load"
 				}
-				tr := w.askFor(Arrival{Class: class, TableGroup: group, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
+				tr := w.arriveWith(Arrival{Class: class, TableGroup: group, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
 				tr.key = string(rune('0' + group))
 				out = append(out, tr)
 				for _, tr := range out {
@@ -53,13 +53,13 @@
 					used[group][e] = true
 				}
 				if i := rng.IntN(len(out)); len(out) > 40 {
-					if len(out[i].engines) > 0 && out[i].outcome[0] == isOut {
-						w.end(out[i], Served)
+					if len(out[i].engines) > 0 && out[i].outcomes[0] == outstanding {
+						w.endLatest(out[i], Served)
 					}
 					out = append(out[:i], out[i+1:]...)
 				}
 				held := map[[2]int64]int{}
-				for _, e := range w.c.endpoints.all {
+				for _, e := range w.controller.endpoints.all {
 					for _, a := range e.running {
 						if key := [2]int64{int64(e.ID), a.request.tableGroup}; a.request.class.LocksTableGroup {
 							if held[key]++; held[key] > 1 {
@@ -89,11 +89,11 @@
 
 // Where most of a group's engines are down, its readers go elsewhere: kept apart for good, they would all be refused.
 func TestReadersLeaveHomesThatAreDown(t *testing.T) {
-	w := newWorld(t, withLoads())
-	w.list(ListComplete, engines(6)...)
-	w.c.env.now = w.now
-	r := &request{class: w.c.classes.all[0], tableGroup: 9, estimate: 1, deadline: w.now + time.Second}
-	homes := w.c.selector.forRequest(r)
+	w := newHarness(t, loadConfig())
+	w.updateEndpoints(ListComplete, testEngines(6)...)
+	w.controller.env.now = w.now
+	r := &request{class: w.controller.classes.all[0], tableGroup: 9, estimate: 1, deadline: w.now + time.Second}
+	homes := w.controller.selector.forRequest(r)
 	down := map[EngineID]bool{}
 	for i, e := range homes {
 		if i > 0 {
@@ -102,12 +102,12 @@
 	}
 	elsewhere := 0
 	for range 200 { // none that is sent to an engine that is up ends, so that the one home left fills up
-		w.tick(20 * ms)
-		tr := w.askFor(Arrival{Class: "quick", TableGroup: 9, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
-		for tr.answers == 0 && len(tr.engines) > 0 && tr.outcome[len(tr.outcome)-1] == isOut {
+		w.advance(20 * ms)
+		tr := w.arriveWith(Arrival{Class: "quick", TableGroup: 9, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
+		for tr.answers == 0 && len(tr.engines) > 0 && tr.outcomes[len(tr.outcomes)-1] == outstanding {
 			e := tr.engines[len(tr.engines)-1]
 			if down[e] {
-				w.end(tr, ConnectFailed)
+				w.endLatest(tr, ConnectFailed)
 				continue
 			}
 			if e != homes[0].ID {
--- a/dispatch/odd_test.go
+++ b/dispatch/odd_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// oddConfig are settings as an installation might give them by mistake or by leaving things out: no kinds, kinds without
+// incompleteConfig are settings as an installation might give them by mistake or by leaving things out: no kinds, kinds without
 // memory or cores, no zones or five, classes without threads, no limits, notes that never come.
-func oddConfig(rng *rand.Rand) Config {
+func incompleteConfig(rng *rand.Rand) Config {
 	cfg := randomConfig(rng)
 	cfg.MemoryShortage, cfg.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
 	cfg.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
@@ -33,8 +33,8 @@
 	return cfg
 }
 
-func oddEngines(rng *rand.Rand, n int) []Endpoint {
-	list := engines(n)
+func incompleteEngines(rng *rand.Rand, n int) []Endpoint {
+	list := testEngines(n)
 	zones := []int{1, 1, 5}[rng.IntN(3)]
 	for i := range list {
 		list[i].Zone = ""
@@ -46,15 +46,15 @@
 	return list
 }
 
-var oddFigures = []float64{0, 0.5, 1, 3.9, -1, -1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}
+var extremeFigures = []float64{0, 0.5, 1, 3.9, -1, -1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}
 
-func odd(rng *rand.Rand) float64 { return oddFigures[rng.IntN(len(oddFigures))] }
+func extremeFigure(rng *rand.Rand) float64 { return extremeFigures[rng.IntN(len(extremeFigures))] }
 
-func oddLoad(rng *rand.Rand) *LoadReport {
+func extremeReport(rng *rand.Rand) *LoadReport {
 	if rng.IntN(4) == 0 {
 		return nil
 	}
-	return &LoadReport{InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng), Disk: odd(rng), Memory: odd(rng), Failing: odd(rng)}
+	return &LoadReport{InFlight: extremeFigure(rng), Waiting: extremeFigure(rng), Busy: extremeFigure(rng), Disk: extremeFigure(rng), Memory: extremeFigure(rng), Failing: extremeFigure(rng)}
 }
 
 // Whatever engines say of themselves and of attempts, and whatever is missing from settings and queries: no rule is broken,
@@ -63,79 +63,79 @@
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 11))
-			w := newWorld(t, oddConfig(rng))
-			list := oddEngines(rng, 1+rng.IntN(6))
-			w.list(ListComplete, list...)
+			w := newHarness(t, incompleteConfig(rng))
+			list := incompleteEngines(rng, 1+rng.IntN(6))
+			w.updateEndpoints(ListComplete, list...)
 			for range 300 {
-				w.oddStep(rng)
+				w.invalidStep(rng)
 			}
 			for round := 0; round < 20; round++ { // all that is out is answered, until all is over
-				w.tick(time.Second)
-				for _, tr := range w.order {
-					for hop, o := range tr.outcome {
-						if o == isOut {
-							w.endHop(tr, hop, Served, nil)
+				w.advance(time.Second)
+				for _, tr := range w.clients {
+					for hop, o := range tr.outcomes {
+						if o == outstanding {
+							w.endAttempt(tr, hop, Served, nil)
 						}
 					}
 				}
 			}
-			for _, tr := range w.order {
-				if tr.answers != 1 && !tr.aborted {
+			for _, tr := range w.clients {
+				if tr.answers != 1 && !tr.gone {
 					t.Fatalf("%s has %d answers", tr.id, tr.answers)
 				}
 			}
-			for _, e := range w.c.endpoints.all {
-				for _, cl := range w.c.classes.all {
+			for _, e := range w.controller.endpoints.all {
+				for _, cl := range w.controller.classes.all {
 					r := &request{class: cl, estimate: 1, deadline: w.now + time.Second}
-					if cost := w.c.selector.cost(e, r); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
+					if cost := w.controller.selector.cost(e, r); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
 						t.Errorf("engine %d costs %v for a %s", e.ID, cost, cl.Name)
 					}
 				}
 			}
-			w.tick(30 * time.Second)
-			for _, cl := range w.cfg.Classes {
-				tr := w.askFor(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
-				w.tick(100 * ms)
-				if len(tr.engines) == 0 && len(w.c.capacity.warming) > 0 {
+			w.advance(30 * time.Second)
+			for _, cl := range w.config.Classes {
+				tr := w.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
+				w.advance(100 * ms)
+				if len(tr.engines) == 0 && len(w.controller.capacity.warming) > 0 {
 					// One that was down has answered the query before, and is held to be cold: the next that comes once it is
 					// warm is sent, at once.
-					w.tick(w.cfg.WarmUpDuration)
-					tr = w.askFor(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
+					w.advance(w.config.WarmUpDuration)
+					tr = w.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
 				}
 				if len(tr.engines) == 0 {
 					t.Errorf("all engines are idle, and a %s is not sent", cl.Name)
 					continue
 				}
-				w.end(tr, Served)
+				w.endLatest(tr, Served)
 			}
 		})
 	}
 }
 
-func (w *world) oddStep(rng *rand.Rand) {
+func (w *harness) invalidStep(rng *rand.Rand) {
 	w.t.Helper()
-	w.tick(10 * ms * time.Duration(rng.IntN(3)))
+	w.advance(10 * ms * time.Duration(rng.IntN(3)))
 	switch rng.IntN(8) {
 	case 0, 1, 2:
-		k := w.cfg.Classes[rng.IntN(len(w.cfg.Classes))]
-		w.askFor(Arrival{
-			Class: k.Name, Tenant: "nobody", TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: odd(rng),
+		k := w.config.Classes[rng.IntN(len(w.config.Classes))]
+		w.arriveWith(Arrival{
+			Class: k.Name, Tenant: "nobody", TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: extremeFigure(rng),
 			Estimate: time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
 			TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline)),
 		})
 	case 3:
 		w.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{
-			InFlight: odd(rng), Waiting: odd(rng), Busy: odd(rng),
-			Disk: odd(rng), Memory: odd(rng),
+			InFlight: extremeFigure(rng), Waiting: extremeFigure(rng), Busy: extremeFigure(rng),
+			Disk: extremeFigure(rng), Memory: extremeFigure(rng),
 		}})
 	case 4: // a note on an attempt that may have ended, or never was
-		id := RequestID(fmt.Sprint("r", rng.IntN(w.next+2)))
-		w.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: odd(rng)})
+		id := RequestID(fmt.Sprint("r", rng.IntN(w.lastID+2)))
+		w.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: extremeFigure(rng)})
 	default:
-		for _, tr := range slices.Backward(w.order) {
-			for hop, o := range tr.outcome {
-				if o == isOut && rng.IntN(3) > 0 {
-					w.endHop(tr, hop, Outcome(rng.IntN(int(NotSent))), oddLoad(rng))
+		for _, tr := range slices.Backward(w.clients) {
+			for hop, o := range tr.outcomes {
+				if o == outstanding && rng.IntN(3) > 0 {
+					w.endAttempt(tr, hop, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
 					return
 				}
 			}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// halfBusy is the report that random outcomes carry.
-var halfBusy = &LoadReport{InFlight: -1, Waiting: -1, Busy: 0.5, Disk: 0.5, Memory: -1}
+// halfBusyReport is the report that random outcomes carry.
+var halfBusyReport = &LoadReport{InFlight: -1, Waiting: -1, Busy: 0.5, Disk: 0.5, Memory: -1}
 
 // randomConfig varies every setting that a rule depends on.
 func randomConfig(rng *rand.Rand) Config {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.Seed, cfg.Routers = rng.Uint64(), 1+rng.IntN(4)
 	cfg.MaxAttempts = rng.IntN(5)
 	cfg.CancelAllowed, cfg.HedgingAllowed, cfg.PolledDiscovery = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
@@ -40,90 +40,90 @@
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 7))
-			w := newWorld(t, randomConfig(rng))
-			w.list(ListCached, engines(2+rng.IntN(4))...)
+			w := newHarness(t, randomConfig(rng))
+			w.updateEndpoints(ListCached, testEngines(2+rng.IntN(4))...)
 			for range 600 {
 				w.randomStep(rng)
 			}
-			for _, tr := range w.order { // whatever is out now ends when its client does
-				for i, o := range tr.outcome {
-					if o == isOut {
-						w.tick(10 * ms)
-						w.endHop(tr, i, TimedOut, halfBusy)
+			for _, tr := range w.clients { // whatever is out now ends when its client does
+				for i, o := range tr.outcomes {
+					if o == outstanding {
+						w.advance(10 * ms)
+						w.endAttempt(tr, i, TimedOut, halfBusyReport)
 					}
 				}
 			}
-			w.tick(16 * time.Second)
-			for _, tr := range w.order {
-				for i, o := range tr.outcome {
-					if o == isOut {
-						w.endHop(tr, i, ConnectionReset, halfBusy)
+			w.advance(16 * time.Second)
+			for _, tr := range w.clients {
+				for i, o := range tr.outcomes {
+					if o == outstanding {
+						w.endAttempt(tr, i, ConnectionReset, halfBusyReport)
 					}
 				}
 			}
-			w.tick(16 * time.Second)
-			for _, tr := range w.order {
-				if tr.answers != 1 && !tr.aborted {
+			w.advance(16 * time.Second)
+			for _, tr := range w.clients {
+				if tr.answers != 1 && !tr.gone {
 					t.Fatalf("%s has %d answers", tr.id, tr.answers)
 				}
 			}
-			if len(w.sends) == 0 {
+			if len(w.starts) == 0 {
 				t.Fatal("nothing was ever sent")
 			}
 		})
 	}
 }
 
-func (w *world) randomStep(rng *rand.Rand) {
+func (w *harness) randomStep(rng *rand.Rand) {
 	w.t.Helper()
-	w.tick(10 * ms * time.Duration(rng.IntN(3)))
+	w.advance(10 * ms * time.Duration(rng.IntN(3)))
 	switch n := rng.IntN(20); {
 	case n < 9:
-		k := w.cfg.Classes[rng.IntN(len(w.cfg.Classes))]
+		k := w.config.Classes[rng.IntN(len(w.config.Classes))]
 		key := ""
 		if k.OrderByKey {
 			key = fmt.Sprint("k", rng.IntN(3))
 		}
-		w.askFor(Arrival{
+		w.arriveWith(Arrival{
 			Class: k.Name, Key: key, TableGroup: int64(rng.IntN(4)), NeedMB: float64(rng.IntN(3) * 300),
 			Estimate: time.Duration(rng.IntN(3)*200) * ms, TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline)),
 		})
 	case n < 17:
 		w.randomOutcome(rng)
 	case n == 17:
-		tr := w.order[max(len(w.order)-1-rng.IntN(5), 0):]
+		tr := w.clients[max(len(w.clients)-1-rng.IntN(5), 0):]
 		if len(tr) > 0 && tr[0].answers == 0 {
-			tr[0].aborted = true
+			tr[0].gone = true
 			w.handle(ClientGone{Request: tr[0].id})
 		}
 	case n == 18:
-		e := engines(6)[rng.IntN(6)]
+		e := testEngines(6)[rng.IntN(6)]
 		e.State = EndpointState(rng.IntN(3))
 		if rng.IntN(2) == 0 {
 			e.StartedAt = w.now
 		}
-		w.list(ListIncremental, e)
+		w.updateEndpoints(ListIncremental, e)
 	default:
 		if rng.IntN(3) == 0 {
-			w.list(ListFailed)
+			w.updateEndpoints(ListFailed)
 			return
 		}
-		w.list(ListComplete, engines(1+rng.IntN(6))...)
+		w.updateEndpoints(ListComplete, testEngines(1+rng.IntN(6))...)
 	}
 }
 
-func (w *world) randomOutcome(rng *rand.Rand) {
+func (w *harness) randomOutcome(rng *rand.Rand) {
 	w.t.Helper()
-	for i := len(w.order) - 1; i >= 0; i-- {
-		tr := w.order[i]
-		for hop, o := range tr.outcome {
-			if o != isOut || rng.IntN(3) == 0 {
+	for i := len(w.clients) - 1; i >= 0; i-- {
+		tr := w.clients[i]
+		for hop, o := range tr.outcomes {
+			if o != outstanding || rng.IntN(3) == 0 {
 				continue
 			}
 			if rng.IntN(3) == 0 {
 				w.handle(AttemptProgress{Request: tr.id, Attempt: hop, Kind: ProgressKind(rng.IntN(4)), Amount: rng.Float64() * 2})
 			}
-			w.endHop(tr, hop, Outcome(rng.IntN(int(NotSent))), halfBusy)
+			w.endAttempt(tr, hop, Outcome(rng.IntN(int(NotSent))), halfBusyReport)
 			return
 		}
 	}
@@ -131,34 +131,34 @@
 
 // A crash while the list is silent: own outcomes tell of it, and the engine is cold when it answers again.
 func TestCrashDuringListOutage(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
-	w := newWorld(t, cfg)
-	w.list(ListComplete, engines(3)...)
-	tr := w.ask("quick", "")
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, testEngines(3)...)
+	tr := w.arrive("quick", "")
 	dead := tr.engines[0]
-	w.end(tr, ConnectionReset)
+	w.endLatest(tr, ConnectionReset)
 	if len(tr.engines) != 2 || tr.engines[1] == dead {
 		t.Fatalf("not run elsewhere: %v", tr.engines)
 	}
-	w.end(tr, Served)
-	e := w.c.endpoints.byID[dead]
+	w.endLatest(tr, Served)
+	e := w.controller.endpoints.byID[dead]
 	// Six at a time, so that the others have work and it is looked at.
 	six := func(down bool) (tries int) {
-		w.tick(20 * ms)
-		var open []*track
+		w.advance(20 * ms)
+		var open []*clientRequest
 		for range 6 {
-			open = append(open, w.askFor(Arrival{Class: "quick", TableGroup: int64(w.next), TimeLeft: 3 * time.Second}))
+			open = append(open, w.arriveWith(Arrival{Class: "quick", TableGroup: int64(w.lastID), TimeLeft: 3 * time.Second}))
 		}
 		for len(open) > 0 {
 			tr := open[0]
 			open = open[1:]
 			if down && tr.engines[len(tr.engines)-1] == dead {
 				tries++
-				w.end(tr, ConnectFailed)
+				w.endLatest(tr, ConnectFailed)
 				open = append(open, tr)
 			} else {
-				w.end(tr, Served)
+				w.endLatest(tr, Served)
 			}
 		}
 		return tries
@@ -184,25 +184,25 @@
 // A network that resets one attempt in eight, whatever the engine, ejects none and leaves all warm: it guards
 // against taking chance for a sick fleet, which would then refuse work.
 func TestResetsByChanceEjectNobody(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.MaxAttempts = 5
 	cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
-	w := newWorld(t, cfg)
-	w.list(ListComplete, engines(5)...)
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, testEngines(5)...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	shut := 0
 	for range 2000 {
 		w.now += 10 * ms
-		tr := w.askFor(Arrival{Class: "quick", TableGroup: int64(w.next), TimeLeft: 3 * time.Second})
-		for tr.answers == 0 && tr.outcome[len(tr.outcome)-1] == isOut {
+		tr := w.arriveWith(Arrival{Class: "quick", TableGroup: int64(w.lastID), TimeLeft: 3 * time.Second})
+		for tr.answers == 0 && tr.outcomes[len(tr.outcomes)-1] == outstanding {
 			o := Served
 			if rng.IntN(8) == 0 {
 				o = []Outcome{ConnectionReset, ConnectFailed}[rng.IntN(2)]
 			}
-			w.end(tr, o)
+			w.endLatest(tr, o)
 		}
-		for _, e := range w.c.endpoints.all {
-			if e.health.currentFailureShare(w.c.env) >= ejectionThreshold || w.now < e.warmUp.end {
+		for _, e := range w.controller.endpoints.all {
+			if e.health.currentFailureShare(w.controller.env) >= ejectionThreshold || w.now < e.warmUp.end {
 				shut++
 			}
 		}
@@ -214,15 +214,15 @@
 
 // Two loads on one table group must not share an engine while another is free.
 func TestLoadsOnOneGroupSpread(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.Classes[1].LocksTableGroup = true
 	for seed := range uint64(20) {
 		cfg.Seed = seed
-		w := newWorld(t, cfg)
-		w.list(ListComplete, engines(4)...)
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, testEngines(4)...)
 		used := map[EngineID]bool{}
 		for range 4 {
-			tr := w.askFor(Arrival{Class: "big", TableGroup: 9, TimeLeft: 15 * time.Second})
+			tr := w.arriveWith(Arrival{Class: "big", TableGroup: 9, TimeLeft: 15 * time.Second})
 			used[tr.engines[0]] = true
 		}
 		if len(used) < 4 {
@@ -233,20 +233,20 @@
 
 // A restarted gateway with a stale list learns from outcomes and from the full list that follows.
 func TestRestartWithStaleList(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListCached, engines(3)...)
-	tr := w.ask("quick", "")
-	w.end(tr, ConnectFailed)
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListCached, testEngines(3)...)
+	tr := w.arrive("quick", "")
+	w.endLatest(tr, ConnectFailed)
 	if len(tr.engines) != 2 || tr.engines[0] == tr.engines[1] {
 		t.Fatalf("tried %v", tr.engines)
 	}
-	w.end(tr, Served)
-	w.list(ListComplete, engines(3)[1:]...)
+	w.endLatest(tr, Served)
+	w.updateEndpoints(ListComplete, testEngines(3)[1:]...)
 	for range 30 {
 		w.now += 50 * ms
-		w.end(w.ask("quick", ""), Served)
+		w.endLatest(w.arrive("quick", ""), Served)
 	}
-	for _, s := range w.sends[2:] {
+	for _, s := range w.starts[2:] {
 		if s.Engine == 1 {
 			t.Fatal("sent to an engine that the full list no longer has")
 		}
@@ -255,9 +255,9 @@
 
 // A tenant past its share stands aside, others don't.
 func TestOverShareStandsAside(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
-	w := newWorld(t, cfg)
+	w := newHarness(t, cfg)
 	over := map[string]int{}
 	for i := range 400 {
 		w.now += 20 * ms
@@ -265,8 +265,8 @@
 		if i%10 == 0 {
 			tenant = "b"
 		}
-		tr := w.askFor(Arrival{Class: "big", Tenant: tenant, TimeLeft: 15 * time.Second})
-		if w.c.requests.byID[tr.id].overQuota {
+		tr := w.arriveWith(Arrival{Class: "big", Tenant: tenant, TimeLeft: 15 * time.Second})
+		if w.controller.requests.byID[tr.id].overQuota {
 			over[tenant]++
 		}
 	}
@@ -279,20 +279,20 @@
 // own traffic over the tenants' quotas: in a burst each gateway then took up to all of the fleet, and the jam
 // outlived the burst.
 func TestBoundDoesNotGrowWithTraffic(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.Routers, cfg.Tenants = 2, []Tenant{{Name: "a", Quota: 5}}
-	w := newWorld(t, cfg)
-	w.list(ListComplete, engines(3)...)
-	calm := w.c.capacity.threadBound()
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, testEngines(3)...)
+	calm := w.controller.capacity.threadBound()
 	for range 300 {
-		w.askFor(Arrival{Class: "quick", Tenant: "a", TimeLeft: time.Second})
-		w.tick(10 * ms)
+		w.arriveWith(Arrival{Class: "quick", Tenant: "a", TimeLeft: time.Second})
+		w.advance(10 * ms)
 	}
-	if got := w.c.capacity.threadBound(); got != calm || got != threadsPerCore/2 {
+	if got := w.controller.capacity.threadBound(); got != calm || got != threadsPerCore/2 {
 		t.Errorf("bound %v a core under load, %v before, want %v", got, calm, threadsPerCore/2)
 	}
-	if w.c.quotas.trafficShare() <= 0.5 {
-		t.Errorf("own traffic %v of the quotas: the load of this test is too small", w.c.quotas.trafficShare())
+	if w.controller.quotas.trafficShare() <= 0.5 {
+		t.Errorf("own traffic %v of the quotas: the load of this test is too small", w.controller.quotas.trafficShare())
 	}
 }
 
@@ -301,18 +301,18 @@
 func TestReadersAndLoadsOfAGroupPart(t *testing.T) {
 	seen := map[bool][]EngineID{}
 	for gateway := range 3 {
-		cfg := twoClasses()
+		cfg := twoClassConfig()
 		cfg.Seed, cfg.RouterIndex, cfg.Routers = uint64(gateway)+7, gateway, 3
 		cfg.Classes[0].BlockedByLoad, cfg.Classes[1].LocksTableGroup = true, true
-		w := newWorld(t, cfg)
-		w.list(ListComplete, engines(8)...)
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, testEngines(8)...)
 		for _, load := range []bool{false, true} {
-			cl := w.c.classes.all[0]
+			cl := w.controller.classes.all[0]
 			if load {
-				cl = w.c.classes.all[1]
+				cl = w.controller.classes.all[1]
 			}
 			var ids []EngineID
-			for _, e := range w.c.selector.forRequest(&request{class: cl, tableGroup: 17}) {
+			for _, e := range w.controller.selector.forRequest(&request{class: cl, tableGroup: 17}) {
 				ids = append(ids, e.ID)
 			}
 			if gateway > 0 && !slices.Equal(ids, seen[load]) {
@@ -332,69 +332,69 @@
 // included. Then it counts as cold and yet gets a query while others are idle. Repeats change nothing, and an id that
 // was once listed stays known.
 func TestExcludeHoldsUntilInclude(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
-	w := newWorld(t, cfg)
-	w.list(ListComplete, engines(4)...)
-	w.tick(20 * time.Second)
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, testEngines(4)...)
+	w.advance(20 * time.Second)
 	sent := func(n int) (to3 int) {
 		for range n {
-			tr := w.ask("quick", "")
-			w.tick(20 * ms)
+			tr := w.arrive("quick", "")
+			w.advance(20 * ms)
 			for hop, id := range tr.engines {
 				if id == 3 {
 					to3++
 				}
-				if tr.outcome[hop] == isOut {
-					w.endHop(tr, hop, Served, nil)
+				if tr.outcomes[hop] == outstanding {
+					w.endAttempt(tr, hop, Served, nil)
 				}
 			}
-			w.tick(20 * ms)
+			w.advance(20 * ms)
 		}
 		return to3
 	}
 	if sent(60) == 0 {
 		t.Error("engine 3 was never used")
 	}
-	if w.handle(Cordon{Engine: 9}); w.c.Knows(9) || w.c.AvoidedEngines(w.now) != 0 {
+	if w.handle(Cordon{Engine: 9}); w.controller.Knows(9) || w.controller.AvoidedEngines(w.now) != 0 {
 		t.Error("an engine that was never listed was excluded")
 	}
-	back := engines(4)[2]
+	back := testEngines(4)[2]
 	for _, word := range []func(){
 		func() { w.handle(Cordon{Engine: 3}) },
 		func() { w.handle(Cordon{Engine: 3}) },
-		func() { back.State = Removed; w.list(ListIncremental, back) },
-		func() { back.State, back.StartedAt = Live, w.now; w.list(ListIncremental, back) },
-		func() { w.list(ListComplete, engines(4)...) },
+		func() { back.State = Removed; w.updateEndpoints(ListIncremental, back) },
+		func() { back.State, back.StartedAt = Live, w.now; w.updateEndpoints(ListIncremental, back) },
+		func() { w.updateEndpoints(ListComplete, testEngines(4)...) },
 	} {
 		if word(); sent(40) != 0 {
 			t.Fatal("an excluded engine got work")
 		}
 	}
-	if n := w.c.AvoidedEngines(w.now); n != 1 {
+	if n := w.controller.AvoidedEngines(w.now); n != 1 {
 		t.Errorf("%d engines are avoided", n)
 	}
 	w.handle(Uncordon{Engine: 3})
-	if e := w.c.endpoints.byID[3]; e.warmUp.end <= w.now || sent(20) == 0 {
+	if e := w.controller.endpoints.byID[3]; e.warmUp.end <= w.now || sent(20) == 0 {
 		t.Errorf("after the word back: warm at %v of %v, or no work in 0.8 s", e.warmUp.end, w.now)
 	}
 	back.State = Removed
-	w.list(ListIncremental, back)
-	if !w.c.Knows(3) || w.c.Cordoned(3) {
+	w.updateEndpoints(ListIncremental, back)
+	if !w.controller.Knows(3) || w.controller.Cordoned(3) {
 		t.Error("an engine that has gone is not known any more, or excluded")
 	}
 }
 
 // The ids that were listed are remembered within a bound, the excluded ones for good.
 func TestIDsAreBounded(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(2)...)
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(2)...)
 	w.handle(Cordon{Engine: 1})
 	for i := range maxKnownEngines + 10 {
-		w.c.endpoints.cordons.add(EngineID(100 + i))
+		w.controller.endpoints.cordons.add(EngineID(100 + i))
 	}
-	if n := len(w.c.endpoints.cordons.cordoned); n != maxKnownEngines || len(w.c.endpoints.cordons.order) != maxKnownEngines || !w.c.Cordoned(1) || w.c.Knows(2) {
-		t.Errorf("%d ids are remembered, at most %d should be; 1 is excluded: %v", n, maxKnownEngines, w.c.Cordoned(1))
+	if n := len(w.controller.endpoints.cordons.cordoned); n != maxKnownEngines || len(w.controller.endpoints.cordons.order) != maxKnownEngines || !w.controller.Cordoned(1) || w.controller.Knows(2) {
+		t.Errorf("%d ids are remembered, at most %d should be; 1 is excluded: %v", n, maxKnownEngines, w.controller.Cordoned(1))
 	}
 }
 
@@ -402,34 +402,34 @@
 // held queries that take the clients' connections from those that could still be served. Both processes of an upgrade
 // count.
 func TestHeldAreBounded(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	cfg.MaxQueued = 10
 	for _, k := range []struct{ peer, want int }{{0, 10}, {4, 6}, {40, 0}} {
-		w := newWorld(t, cfg)
-		w.list(ListComplete, engines(2)...)
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, testEngines(2)...)
 		w.handle(OtherProcessUsage{Queued: k.peer})
 		for range 60 {
-			w.askFor(Arrival{Class: "big", Estimate: 20 * time.Second, TimeLeft: 15 * time.Second})
+			w.arriveWith(Arrival{Class: "big", Estimate: 20 * time.Second, TimeLeft: 15 * time.Second})
 		}
-		w.tick(5 * time.Second)
+		w.advance(5 * time.Second)
 		answered := 0
-		for _, tr := range w.order {
+		for _, tr := range w.clients {
 			answered += tr.answers
 		}
-		if w.c.queues.length != k.want || answered != 60-k.want-len(w.sends) {
-			t.Errorf("%d held and %d answered with %d sent; %d are held elsewhere", w.c.queues.length, answered, len(w.sends), k.peer)
+		if w.controller.queues.length != k.want || answered != 60-k.want-len(w.starts) {
+			t.Errorf("%d held and %d answered with %d sent; %d are held elsewhere", w.controller.queues.length, answered, len(w.starts), k.peer)
 		}
 	}
 }
 
 // Avoided is what the module goes by: engines that fail count until so many do that all are used again.
 func TestAvoidedFollowsTheFloor(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(4)...)
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(4)...)
 	for i, want := range []int{1, 2, 0, 0} {
-		w.c.env.now = w.now
-		w.c.outliers.attributeFailure(w.c.endpoints.all[i], 1)
-		if got := w.c.AvoidedEngines(w.now); got != want {
+		w.controller.env.now = w.now
+		w.controller.outliers.attributeFailure(w.controller.endpoints.all[i], 1)
+		if got := w.controller.AvoidedEngines(w.now); got != want {
 			t.Errorf("%d engines fail: %d avoided, want %d", i+1, got, want)
 		}
 	}
--- a/dispatch/scale_test.go
+++ b/dispatch/scale_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func largeFleet(gateways, n, instance int) (Config, []Endpoint) {
-	cfg := twoClasses()
+func largeFleetConfig(gateways, n, instance int) (Config, []Endpoint) {
+	cfg := twoClassConfig()
 	cfg.Routers, cfg.RouterIndex, cfg.Seed = gateways, instance, uint64(instance)
-	return cfg, engines(n)
+	return cfg, testEngines(n)
 }
 
 // Gateways of a large fleet use a few engines each; every engine is used by as many gateways, give or take a few.
@@ -19,10 +19,10 @@
 	for _, k := range []struct{ gateways, engines, most int }{{250, 60, 3}, {80, 18, 3}, {4, 8, 8}, {1, 10, 10}} {
 		users := map[EngineID]int{}
 		for i := range k.gateways {
-			cfg, list := largeFleet(k.gateways, k.engines, i)
-			w := newWorld(t, cfg)
-			w.list(ListComplete, list...)
-			near := w.c.selector.engines()
+			cfg, list := largeFleetConfig(k.gateways, k.engines, i)
+			w := newHarness(t, cfg)
+			w.updateEndpoints(ListComplete, list...)
+			near := w.controller.selector.engines()
 			if len(near) != k.most {
 				t.Fatalf("%d gateways, %d engines: %d nearby, want %d", k.gateways, k.engines, len(near), k.most)
 			}
@@ -41,18 +41,18 @@
 
 // When those nearby can take nothing, the rest of the fleet is used.
 func TestRestOfTheFleetWhenNearbyIsLost(t *testing.T) {
-	cfg, list := largeFleet(250, 60, 3)
-	w := newWorld(t, cfg)
-	w.list(ListComplete, list...)
-	w.c.env.now = w.now
+	cfg, list := largeFleetConfig(250, 60, 3)
+	w := newHarness(t, cfg)
+	w.updateEndpoints(ListComplete, list...)
+	w.controller.env.now = w.now
 	near := map[EngineID]bool{}
-	for _, e := range w.c.selector.engines() {
+	for _, e := range w.controller.selector.engines() {
 		near[e.ID] = true
 		e.health.fullAt = w.now
 	}
-	tr := w.ask("quick", "")
+	tr := w.arrive("quick", "")
 	for range 20 {
-		w.tick(10 * ms)
+		w.advance(10 * ms)
 	}
 	if len(tr.engines) == 0 || near[tr.engines[0]] {
 		t.Errorf("sent to %v, want an engine that is not nearby", tr.engines)
@@ -62,21 +62,21 @@
 // A heavy query rounds up on each engine only where an even part of an engine is half of one.
 func TestHeavyRoundsUpOnceInALargeFleet(t *testing.T) {
 	for _, k := range []struct{ gateways, want int }{{4, 4}, {250, 1}} {
-		cfg, list := largeFleet(k.gateways, 4, 0)
-		w := newWorld(t, cfg)
-		w.list(ListComplete, list...)
+		cfg, list := largeFleetConfig(k.gateways, 4, 0)
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, list...)
 		for range 8 {
-			w.ask("big", "")
+			w.arrive("big", "")
 		}
-		if len(w.sends) != k.want {
-			t.Errorf("%d gateways: %d heavy queries run, want %d", k.gateways, len(w.sends), k.want)
+		if len(w.starts) != k.want {
+			t.Errorf("%d gateways: %d heavy queries run, want %d", k.gateways, len(w.starts), k.want)
 		}
 	}
 }
 
 // Events that come in every tick must not push on a wake that is already due.
 func TestWakeIsNotPushedOn(t *testing.T) {
-	cfg := twoClasses()
+	cfg := twoClassConfig()
 	c, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 			}
 		}
 	}
-	handle(EndpointList{Mode: ListComplete, Endpoints: engines(1)})
+	handle(EndpointList{Mode: ListComplete, Endpoints: testEngines(1)})
 	handle(Arrival{Request: "x", Class: "quick", TimeLeft: time.Second})
 	for range 220 { // its attempt is silent; another event comes in every tick
 		now += 5 * ms
@@ -110,16 +110,16 @@
 
 // Gone engines with nothing out are forgotten.
 func TestGoneEnginesAreForgotten(t *testing.T) {
-	w := newWorld(t, twoClasses())
+	w := newHarness(t, twoClassConfig())
 	for i := range 200 {
-		e := engines(1)[0]
+		e := testEngines(1)[0]
 		e.ID = EngineID(i + 1)
-		w.list(ListComplete, e)
+		w.updateEndpoints(ListComplete, e)
 		w.now += 100 * ms
-		w.end(w.ask("quick", ""), Served)
+		w.endLatest(w.arrive("quick", ""), Served)
 	}
-	if len(w.c.endpoints.all) > 2 || len(w.c.endpoints.byID) > 2 {
-		t.Errorf("%d engines remembered, %d by id", len(w.c.endpoints.all), len(w.c.endpoints.byID))
+	if len(w.controller.endpoints.all) > 2 || len(w.controller.endpoints.byID) > 2 {
+		t.Errorf("%d engines remembered, %d by id", len(w.controller.endpoints.all), len(w.controller.endpoints.byID))
 	}
 }
 
@@ -133,7 +133,7 @@
 		windows := map[string]float64{}
 		now, born := 30*time.Second, 40*time.Second
 		for i := range gateways {
-			cfg, list := largeFleet(gateways, warm, i)
+			cfg, list := largeFleetConfig(gateways, warm, i)
 			cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 12*time.Second, 2.5, 2*time.Second
 			cfg.Seed = seed*1000 + uint64(i)
 			c, err := New(cfg)
@@ -145,7 +145,7 @@
 			n := 0
 			for at := now; at < born+10*time.Second; at += seconds(rng.ExpFloat64() / rate) {
 				if n > 0 && at > born && len(c.endpoints.listed) == warm {
-					fresh := engines(warm + cold)[warm:]
+					fresh := testEngines(warm + cold)[warm:]
 					for j := range fresh {
 						fresh[j].StartedAt = born
 					}
@@ -184,7 +184,7 @@
 // What an event allocates does not grow with the fleet.
 func TestAllocationsDoNotGrowWithTheFleet(t *testing.T) {
 	allocs := func(n int) float64 {
-		cfg, list := largeFleet(1, n, 0)
+		cfg, list := largeFleetConfig(1, n, 0)
 		c, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -214,14 +214,14 @@
 		at := born + time.Second + time.Duration(burst)*100*ms
 		var sends []time.Duration
 		for i := range gateways {
-			cfg, _ := largeFleet(gateways, 1, i)
+			cfg, _ := largeFleetConfig(gateways, 1, i)
 			cfg.WarmUpInitialShare, cfg.WarmUpDuration, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 0.4, 12*time.Second, 2, window
 			cfg.Classes[1].LatencyObjective, cfg.MaxAttempts = 4*time.Second, 0
 			c, err := New(cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
-			cold := engines(1)
+			cold := testEngines(1)
 			cold[0].StartedAt = born
 			c.Handle(born+time.Second, EndpointList{Mode: ListComplete, Endpoints: cold}, nil)
 			for now := at; now < at+window; now += 50 * ms {
@@ -247,37 +247,37 @@
 // A gateway of a large fleet keeps off what gave no answer, alone or as a zone; not where all that is listed rests, not after a
 // ban has ended, and an engine that is no longer listed has no say.
 func TestRestsInALargeFleet(t *testing.T) {
-	cfg, list := largeFleet(300, 8, 0)
-	strikes := func() *world {
-		w := newWorld(t, cfg)
-		w.list(ListComplete, list...)
+	cfg, list := largeFleetConfig(300, 8, 0)
+	strikes := func() *harness {
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, list...)
 		for range 12 {
-			for _, e := range w.c.endpoints.listed {
+			for _, e := range w.controller.endpoints.listed {
 				if e.Zone == "z0" {
-					w.c.fleet.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
+					w.controller.fleet.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
 				}
 			}
 		}
 		return w
 	}
 	w := strikes()
-	if e, other := w.c.endpoints.byID[1], w.c.endpoints.byID[2]; !w.c.outliers.backedOff(e) || w.c.outliers.backedOff(other) {
+	if e, other := w.controller.endpoints.byID[1], w.controller.endpoints.byID[2]; !w.controller.outliers.backedOff(e) || w.controller.outliers.backedOff(other) {
 		t.Fatal("zone z0 does not rest, or z1 does")
 	}
-	if w.c.endpoints.byID[7].health.backoff.RecordSuccess(); !w.c.outliers.backedOff(w.c.endpoints.byID[7]) {
+	if w.controller.endpoints.byID[7].health.backoff.RecordSuccess(); !w.controller.outliers.backedOff(w.controller.endpoints.byID[7]) {
 		t.Error("an engine of a zone that rests is used")
 	}
 	gone := list[0] // the last of z1 is gone, and z0 rests
 	left := []Endpoint{gone, list[2], list[4]}
-	w.list(ListComplete, left...)
-	w.c.endpoints.byID[3].health.backoff.RecordSuccess()
-	if w.c.outliers.backedOff(w.c.endpoints.byID[3]) {
+	w.updateEndpoints(ListComplete, left...)
+	w.controller.endpoints.byID[3].health.backoff.RecordSuccess()
+	if w.controller.outliers.backedOff(w.controller.endpoints.byID[3]) {
 		t.Error("all zones that are listed rest, and the router keeps off all")
 	}
 	w = strikes()
 	w.handle(Cordon{Engine: 1})
 	w.handle(Uncordon{Engine: 1})
-	if w.c.endpoints.byID[1].health.backoff.Active(milliseconds(w.now)) {
+	if w.controller.endpoints.byID[1].health.backoff.Active(milliseconds(w.now)) {
 		t.Error("an engine rests after its ban has ended")
 	}
 }
@@ -289,17 +289,17 @@
 	for k := range 40 {
 		spent := 0
 		for i := range 40 {
-			cfg, list := largeFleet(300, 8, 7*i)
+			cfg, list := largeFleetConfig(300, 8, 7*i)
 			cfg.WarmUpDuration, cfg.WarmUpInitialShare, cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
-			w := newWorld(t, cfg)
+			w := newHarness(t, cfg)
 			w.now += time.Duration(k) * 10 * time.Second
-			w.list(ListComplete, list...)
+			w.updateEndpoints(ListComplete, list...)
 			w.handle(RestoreSnapshot{Snapshot: Snapshot{Engines: []EngineSnapshot{{ID: 1, WarmUpStart: w.now, WarmUpEnd: w.now + 12*time.Second, Slowness: 1}}}})
 			for range 100 {
 				w.now += 100 * ms
-				w.ask("big", "")
+				w.arrive("big", "")
 			}
-			if slices.ContainsFunc(w.sends, func(s StartAttempt) bool { return s.Engine == 1 }) {
+			if slices.ContainsFunc(w.starts, func(s StartAttempt) bool { return s.Engine == 1 }) {
 				spent++
 			}
 		}
@@ -314,13 +314,13 @@
 // zones, or of most. What a gateway saw of an engine alone does not undo that.
 func TestBoundWithoutLostZones(t *testing.T) {
 	for _, k := range []struct{ zones, silent, want int }{{5, 0, 60}, {5, 1, 60}, {5, 2, 36}, {5, 3, 60}, {5, 4, 60}, {2, 1, 30}, {2, 2, 60}, {1, 1, 60}} {
-		cfg, list := largeFleet(250, 60, 3)
+		cfg, list := largeFleetConfig(250, 60, 3)
 		for i := range list {
 			list[i].Zone = fmt.Sprint("z", i%k.zones)
 		}
-		w := newWorld(t, cfg)
-		w.list(ListComplete, list...)
-		c := w.c
+		w := newHarness(t, cfg)
+		w.updateEndpoints(ListComplete, list...)
+		c := w.controller
 		c.env.now = w.now
 		if !c.capacity.largeFleet() {
 			t.Fatal("the fleet is not large")
--- a/dispatch/scalemoves_test.go
+++ b/dispatch/scalemoves_test.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// moved sees how loads leave the engines of a rack: the last that is sent there, and when each gateway that had sent it loads, and
+// loadMigration sees how loads leave the engines of a rack: the last that is sent there, and when each gateway that had sent it loads, and
 // is still up, sends its first to another.
-type moved struct {
-	f       *fleet
-	from    time.Duration
-	old     map[*fleetEngine]bool
-	used    map[*fleetRouter]bool // before it
-	first   map[*fleetRouter]time.Duration
-	lastOld time.Duration
+type loadMigration struct {
+	simulation     *fleetSimulation
+	beganAt        time.Duration
+	oldEngines     map[*fleetEngine]bool
+	users          map[*fleetRouter]bool // before it
+	firstElsewhere map[*fleetRouter]time.Duration
+	lastAtOld      time.Duration
 }
 
-func (m *moved) sent(r *fleetRouter, e *fleetEngine, load bool) {
+func (m *loadMigration) recordStart(r *fleetRouter, e *fleetEngine, load bool) {
 	if !load {
 		return
 	}
-	if m.old == nil { // the rack's engines are known from the day alone
-		m.old, m.used, m.first = map[*fleetEngine]bool{}, map[*fleetRouter]bool{}, map[*fleetRouter]time.Duration{}
-		engines, _ := m.f.rack()
+	if m.oldEngines == nil { // the rack's engines are known from the day alone
+		m.oldEngines, m.users, m.firstElsewhere = map[*fleetEngine]bool{}, map[*fleetRouter]bool{}, map[*fleetRouter]time.Duration{}
+		engines, _ := m.simulation.rack()
 		for _, e := range engines {
-			m.old[e] = true
+			m.oldEngines[e] = true
 		}
 	}
 	switch {
-	case m.from == 0 && m.old[e]:
-		m.used[r] = true
-	case m.from == 0:
-	case m.old[e]:
-		m.lastOld = m.f.now
+	case m.beganAt == 0 && m.oldEngines[e]:
+		m.users[r] = true
+	case m.beganAt == 0:
+	case m.oldEngines[e]:
+		m.lastAtOld = m.simulation.now
 	default:
-		if _, ok := m.first[r]; !ok {
-			m.first[r] = m.f.now
+		if _, ok := m.firstElsewhere[r]; !ok {
+			m.firstElsewhere[r] = m.simulation.now
 		}
 	}
 }
 
-func (m *moved) begin() { m.from = m.f.now }
+func (m *loadMigration) begin() { m.beganAt = m.simulation.now }
 
-// end wants the last load at the old engines, and the first elsewhere of the last gateway, within a time.
-func (m *moved) end(t *testing.T, within float64, figures map[string]float64) {
+// check wants the last load at the old engines, and the first elsewhere of the last gateway, within a time.
+func (m *loadMigration) check(t *testing.T, within float64, figures map[string]float64) {
 	first, last, users := 0.0, 0.0, 0
-	for r := range m.used {
+	for r := range m.users {
 		if r.down {
 			continue
 		}
 		users++
-		at, ok := m.first[r]
+		at, ok := m.firstElsewhere[r]
 		if !ok {
-			t.Errorf("gateway %d sent no load elsewhere", r.cfg.RouterIndex)
+			t.Errorf("gateway %d sent no load elsewhere", r.config.RouterIndex)
 			continue
 		}
-		s := (at - m.from).Seconds()
+		s := (at - m.beganAt).Seconds()
 		if last = max(last, s); first == 0 || s < first {
 			first = s
 		}
 	}
-	old := max(0, (m.lastOld - m.from).Seconds())
+	old := max(0, (m.lastAtOld - m.beganAt).Seconds())
 	if users == 0 || old > within || last > within {
 		t.Errorf("the last load to the old engines after %.2f s, the first elsewhere of the last of %d gateways after %.2f s, want %.2f", old, users, last, within)
 	}
--- a/dispatch/scalenear_test.go
+++ b/dispatch/scalenear_test.go
@@ -13,7 +13,7 @@
 // its figures are those of the capacity page.
 func TestNearSetsOfALargeFleet(t *testing.T) {
 	const gateways, engines = 600, 1200
-	cfg := fleetConfig(fleetDay{gateways: gateways, engines: engines, cores: 24, zones: 6}, 0)
+	cfg := fleetConfig(fleetScenario{routers: gateways, engines: engines, cores: 24, zones: 6}, 0)
 	list := make([]Endpoint, engines)
 	for i := range list {
 		list[i] = Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: "z", CapacityWeight: 1}
@@ -54,7 +54,7 @@
 		for i, e := range left {
 			counts[i] = users[e.ID]
 		}
-		idle, most, deviation := spreadOf(counts)
+		idle, most, deviation := spreadOfCounts(counts)
 		if idle > k.idle || most > k.most || len(left) != engines-k.dead {
 			t.Errorf("%s: %d engines, %d that nobody is near to, want at most %d; most %.2f of the mean, want at most %.2f", k.name, len(left), idle, k.idle, most, k.most)
 		}
--- a/dispatch/sums_test.go
+++ b/dispatch/sums_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// plainWarm is what warm is to be, added up over all engines.
-func (c *Controller) plainWarm() (sum resources) {
+// recountWarm is what warm is to be, added up over all engines.
+func (c *Controller) recountWarm() (sum resources) {
 	lost := c.capacity.largeFleet() && c.endpoints.zonesLost()
 	granted := int64(0)
 	for _, e := range c.endpoints.listed {
@@ -24,8 +24,8 @@
 	return sum
 }
 
-// plainChunked are the cold engines that have a ration, looked for one by one.
-func (c *Controller) plainChunked() (ids []EngineID) {
+// recountBudgeted are the cold engines that have a ration, looked for one by one.
+func (c *Controller) recountBudgeted() (ids []EngineID) {
 	for _, e := range c.endpoints.listed {
 		if c.env.now < e.warmUp.end && c.capacity.largeFleet() && c.env.config.WarmUpOverloadFactor > 0 {
 			if _, ok := c.warmUps.budget(e).Available(milliseconds(c.env.now), milliseconds(c.env.config.WarmUpOverloadWindow)); ok {
@@ -36,7 +36,7 @@
 	return ids
 }
 
-func (c *Controller) plainEjected() (n float64) {
+func (c *Controller) recountEjected() (n float64) {
 	for _, e := range c.endpoints.listed {
 		if e.health.currentFailureShare(c.env) >= ejectionThreshold {
 			n++
@@ -45,57 +45,57 @@
 	return n
 }
 
-// twins are two controllers that are told the same. One keeps its sums, the other reckons all of them anew before each event.
-type twins struct {
+// mirroredControllers are two controllers that are told the same. One keeps its sums, the other reckons all of them anew before each event.
+type mirroredControllers struct {
 	*rapid.T
-	kept, plain *Controller
-	now         time.Duration
-	out         []StartAttempt
-	hops        map[RequestID]int
-	timer       time.Duration
-	named       map[EngineID]Endpoint
-	n           int
+	incremental, recounting *Controller
+	now                     time.Duration
+	outstanding             []StartAttempt
+	attempts                map[RequestID]int
+	timerAt                 time.Duration
+	endpoints               map[EngineID]Endpoint
+	lastID                  int
 }
 
-func (w *twins) handle(ev Event) {
-	w.plain.capacity.recountAt, w.plain.outliers.countUntil, w.plain.endpoints.unsorted, w.plain.endpoints.anyRemoved = 0, 0, true, true
-	got, want := w.kept.Handle(w.now, ev, nil), w.plain.Handle(w.now, ev, nil)
+func (w *mirroredControllers) handle(ev Event) {
+	w.recounting.capacity.recountAt, w.recounting.outliers.countUntil, w.recounting.endpoints.unsorted, w.recounting.endpoints.anyRemoved = 0, 0, true, true
+	got, want := w.incremental.Handle(w.now, ev, nil), w.recounting.Handle(w.now, ev, nil)
 	if !reflect.DeepEqual(got, want) {
 		w.Fatalf("%#v at %v: %v, and %v where all is reckoned anew", ev, w.now, got, want)
 	}
 	for _, a := range got {
 		switch a := a.(type) {
 		case StartAttempt:
-			w.out = append(w.out, a)
-			w.hops[a.Request]++
+			w.outstanding = append(w.outstanding, a)
+			w.attempts[a.Request]++
 		case SetTimer:
-			w.timer = w.now + a.After
+			w.timerAt = w.now + a.After
 		}
 	}
-	c := w.kept
-	if got, want := c.capacity.warmResources(), c.plainWarm(); got != want {
+	c := w.incremental
+	if got, want := c.capacity.warmResources(), c.recountWarm(); got != want {
 		w.Fatalf("%#v at %v: warm engines have %+v, want %+v", ev, w.now, got, want)
 	}
-	if got, want := c.outliers.ejectedCount(), c.plainEjected(); got != want {
+	if got, want := c.outliers.ejectedCount(), c.recountEjected(); got != want {
 		w.Fatalf("%#v at %v: %v engines are ejected, want %v", ev, w.now, got, want)
 	}
 	var ids []EngineID
 	for _, e := range c.warmUps.withBudget() {
 		ids = append(ids, e.ID)
 	}
-	if want := c.plainChunked(); !slices.Equal(ids, want) {
+	if want := c.recountBudgeted(); !slices.Equal(ids, want) {
 		w.Fatalf("%#v at %v: rations of %v, want those of %v", ev, w.now, ids, want)
 	}
-	w.plain.capacity.warmResources()
-	w.plain.warmUps.withBudget()
-	w.plain.plainChunked()
-	w.plain.outliers.ejectedCount()
+	w.recounting.capacity.warmResources()
+	w.recounting.warmUps.withBudget()
+	w.recounting.recountBudgeted()
+	w.recounting.outliers.ejectedCount()
 }
 
-// change draws what a list says of an engine.
-func (w *twins) change() Endpoint {
+// changedEndpoint draws what a list says of an engine.
+func (w *mirroredControllers) changedEndpoint() Endpoint {
 	id := EngineID(rapid.IntRange(1, 60).Draw(w.T, "engine"))
-	e, known := w.named[id]
+	e, known := w.endpoints[id]
 	if !known {
 		e = Endpoint{ID: id, Kind: "k", Zone: fmt.Sprint("z", int(id)%5), Cell: int(id) % 5, CapacityWeight: 1}
 	}
@@ -105,23 +105,23 @@
 	case rapid.IntRange(0, 9).Draw(w.T, "moved") == 0:
 		e.Zone = fmt.Sprint("z", rapid.IntRange(0, 6).Draw(w.T, "zone"))
 	}
-	w.named[id] = e
+	w.endpoints[id] = e
 	return e
 }
 
-// end has an attempt end, nearly always without a connection where its zone is dead.
-func (w *twins) end(dead map[string]bool) {
-	if len(w.out) == 0 {
+// endAttempt has an attempt end, nearly always without a connection where its zone is dead.
+func (w *mirroredControllers) endAttempt(dead map[string]bool) {
+	if len(w.outstanding) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.out)-1).Draw(w.T, "which")
-	s := w.out[i]
-	w.out = slices.Delete(w.out, i, i+1)
+	i := rapid.IntRange(0, len(w.outstanding)-1).Draw(w.T, "which")
+	s := w.outstanding[i]
+	w.outstanding = slices.Delete(w.outstanding, i, i+1)
 	o := rapid.SampledFrom([]Outcome{Served, Served, Served, EngineFailed, ConnectFailed, ConnectFailed, ConnectionReset, EngineFull, TimedOut}).Draw(w.T, "outcome")
-	if e := w.kept.endpoints.byID[s.Engine]; e != nil && dead[e.Zone] && rapid.IntRange(0, 9).Draw(w.T, "through") > 0 {
+	if e := w.incremental.endpoints.byID[s.Engine]; e != nil && dead[e.Zone] && rapid.IntRange(0, 9).Draw(w.T, "through") > 0 {
 		o = ConnectFailed
 	}
-	w.handle(AttemptEnd{Request: s.Request, Attempt: w.hops[s.Request] - 1, Outcome: o, Last: o == Served})
+	w.handle(AttemptEnd{Request: s.Request, Attempt: w.attempts[s.Request] - 1, Outcome: o, Last: o == Served})
 }
 
 // The sums that are kept give the same decisions, draw for draw, as adding up all engines anew at each event, whatever order
@@ -129,10 +129,10 @@
 func TestKeptSumsDecideAsPlainOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "gateways")
-		cfg := fleetConfig(fleetDay{seed: 1, gateways: gateways, cores: 8}, 7)
+		cfg := fleetConfig(fleetScenario{seed: 1, routers: gateways, cores: 8}, 7)
 		cfg.Grants = true
-		w := &twins{T: t, now: time.Hour, hops: map[RequestID]int{}, named: map[EngineID]Endpoint{}}
-		for _, c := range []**Controller{&w.kept, &w.plain} {
+		w := &mirroredControllers{T: t, now: time.Hour, attempts: map[RequestID]int{}, endpoints: map[EngineID]Endpoint{}}
+		for _, c := range []**Controller{&w.incremental, &w.recounting} {
 			var err error
 			if *c, err = New(cfg); err != nil {
 				t.Fatal(err)
@@ -145,22 +145,22 @@
 		busy := rapid.IntRange(0, 40).Draw(t, "busy") // how much more there is of statements than of the rest
 		var list []Endpoint
 		for range rapid.IntRange(1, 40).Draw(t, "first") {
-			list = append(list, w.change())
+			list = append(list, w.changedEndpoint())
 		}
 		w.handle(EndpointList{Mode: ListComplete, Endpoints: list})
 		for range rapid.IntRange(20, 250).Draw(t, "events") {
 			w.now += rapid.SampledFrom([]time.Duration{0, 0, ms, 3 * ms, 20 * ms, 150 * ms, 1500 * ms, 15 * time.Second}).Draw(t, "passes")
-			if w.timer > 0 && w.now >= w.timer {
-				w.timer = 0
+			if w.timerAt > 0 && w.now >= w.timerAt {
+				w.timerAt = 0
 				w.handle(TimerFired{Tag: housekeepingTag})
 			}
 			switch kind := rapid.IntRange(0, 14+busy).Draw(t, "kind"); kind {
 			case 0, 14:
-				w.handle(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{w.change(), w.change()}})
+				w.handle(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{w.changedEndpoint(), w.changedEndpoint()}})
 			case 1:
 				list = list[:0]
 				for range rapid.IntRange(0, 60).Draw(t, "whole") {
-					list = append(list, w.change())
+					list = append(list, w.changedEndpoint())
 				}
 				w.handle(EndpointList{Mode: ListComplete, Endpoints: list})
 			case 2:
@@ -176,20 +176,20 @@
 			case 5:
 				changed := cfg
 				changed.Routers, changed.WarmUpOverloadFactor = rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "now"), rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(t, "factor")
-				for _, c := range []*Controller{w.kept, w.plain} {
+				for _, c := range []*Controller{w.incremental, w.recounting} {
 					if _, _, err := c.Configure(changed); err != nil {
 						t.Fatal(err)
 					}
 				}
 			default:
 				if kind%2 == 0 {
-					w.end(dead)
+					w.endAttempt(dead)
 					continue
 				}
-				w.n++
+				w.lastID++
 				class := rapid.SampledFrom([]string{"lookup", "report", "load"}).Draw(t, "class")
 				w.handle(Arrival{
-					Request: RequestID(fmt.Sprint(w.n)), Class: class, TableGroup: int64(rapid.IntRange(0, 5).Draw(t, "group")), TimeLeft: 3 * time.Second,
+					Request: RequestID(fmt.Sprint(w.lastID)), Class: class, TableGroup: int64(rapid.IntRange(0, 5).Draw(t, "group")), TimeLeft: 3 * time.Second,
 					Estimate: time.Duration(rapid.IntRange(1, 4000).Draw(t, "estimate")) * ms, NeedMB: rapid.Float64Range(0, 900).Draw(t, "need"),
 				})
 			}
@@ -199,15 +199,15 @@
 
 // An engine that starts anew while it is cold comes by a ration again, by its new start: the twins above share the code that says so.
 func TestRationBeginsAnewWithTheEngine(t *testing.T) {
-	cfg := fleetConfig(fleetDay{seed: 1, gateways: 60, cores: 8}, 7)
-	w := newWorld(t, cfg)
-	list := engines(40)
+	cfg := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
+	w := newHarness(t, cfg)
+	list := testEngines(40)
 	for _, born := range []time.Duration{w.now - time.Second, w.now + 2*time.Second} {
 		w.now = born + time.Second
 		list[0].StartedAt = born
-		w.list(ListComplete, list...)
-		w.c.capacity.warmResources()
-		e := w.c.endpoints.byID[1]
+		w.updateEndpoints(ListComplete, list...)
+		w.controller.capacity.warmResources()
+		e := w.controller.endpoints.byID[1]
 		if due := e.warmUp.budget.NextDue(); due <= milliseconds(born) || due > milliseconds(e.warmUp.end) {
 			t.Errorf("started at %v, its next chunk is due at %v ms", born, due)
 		}
@@ -216,23 +216,23 @@
 
 // A try of an engine that is down renews the evidence against it, and it counts among those that fail.
 func TestTryOfAnEngineThatIsDownCounts(t *testing.T) {
-	w := newWorld(t, twoClasses())
-	w.list(ListComplete, engines(1)...)
-	w.c.env.now = w.now
-	e := w.c.endpoints.listed[0]
+	w := newHarness(t, twoClassConfig())
+	w.updateEndpoints(ListComplete, testEngines(1)...)
+	w.controller.env.now = w.now
+	e := w.controller.endpoints.listed[0]
 	for range maxConnectionFailures + 1 {
-		w.c.outliers.attributeFailure(e, failureGain)
+		w.controller.outliers.attributeFailure(e, failureGain)
 		e.health.connectionFailures++
 	}
 	w.now += evidenceLife
-	w.c.env.now = w.now
-	if got := w.c.outliers.ejectedCount(); got != 0 || e.health.currentFailureShare(w.c.env) >= ejectionThreshold {
+	w.controller.env.now = w.now
+	if got := w.controller.outliers.ejectedCount(); got != 0 || e.health.currentFailureShare(w.controller.env) >= ejectionThreshold {
 		t.Fatalf("%v engines are ejected after the evidence has faded", got)
 	}
-	if w.ask("quick", ""); len(w.sends) != 1 {
+	if w.arrive("quick", ""); len(w.starts) != 1 {
 		t.Fatal("the engine was not tried")
 	}
-	if got, want := w.c.outliers.ejectedCount(), w.c.plainEjected(); got != want || want != 1 {
+	if got, want := w.controller.outliers.ejectedCount(), w.controller.recountEjected(); got != want || want != 1 {
 		t.Errorf("%v engines are ejected, %v fail, want 1", got, want)
 	}
 }
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -15,10 +15,10 @@
 	for i, s := range traceSettings {
 		all = append(all, randomTrace(s, uint64(i+1)))
 	}
-	all = append(all, upgradeTrace("upgrade/warm", func(*Config) {}))
-	all = append(all, upgradeTrace("upgrade/large-fleet", func(c *Config) { c.Routers, c.RouterIndex = 600, 55 }))
-	for _, d := range traceDays() {
-		all = append(all, fleetTrace(d.name, d.day))
+	all = append(all, hotRestartTrace("upgrade/warm", func(*Config) {}))
+	all = append(all, hotRestartTrace("upgrade/large-fleet", func(c *Config) { c.Routers, c.RouterIndex = 600, 55 }))
+	for _, d := range traceFleets() {
+		all = append(all, fleetTrace(d.name, d.scenario))
 	}
 	tracetest.Check(t, all)
 }
@@ -27,10 +27,10 @@
 
 // traceSetting is a change of traceConfig.
 type traceSetting struct {
-	name    string
-	change  func(*Config)
-	engines int    // 0 for traceEngines
-	lost    string // zone whose engines do not answer
+	name     string
+	change   func(*Config)
+	engines  int    // 0 for traceEngines
+	lostZone string // zone whose engines do not answer
 }
 
 var traceSettings = []traceSetting{
@@ -69,8 +69,8 @@
 			c.Classes[i].Threads = 1
 		}
 	}},
-	{name: "random/zone-lost", engines: 30, lost: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 12, 5 }},
-	{name: "random/large-fleet-zone-lost", engines: 300, lost: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 600, 77 }},
+	{name: "random/zone-lost", engines: 30, lostZone: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 12, 5 }},
+	{name: "random/large-fleet-zone-lost", engines: 300, lostZone: "z1", change: func(c *Config) { c.Routers, c.RouterIndex = 600, 77 }},
 }
 
 func setTraceScope(c *Config, scope IdempotencyScope) {
@@ -103,62 +103,62 @@
 	return tracetest.Scenario{Name: s.name, Run: func(t *testing.T, h *tracetest.Hash) {
 		cfg := traceConfig()
 		s.change(&cfg)
-		w := newTraceWorld(t, h, cfg, seed, cmp.Or(s.engines, traceEngines))
-		w.lost = s.lost
+		w := newTraceDriver(t, h, cfg, seed, cmp.Or(s.engines, traceEngines))
+		w.lostZone = s.lostZone
 		w.run(traceSteps)
 	}}
 }
 
-// upgradeTrace has controllers take over from each other.
-func upgradeTrace(name string, change func(*Config)) tracetest.Scenario {
+// hotRestartTrace has controllers take over from each other.
+func hotRestartTrace(name string, change func(*Config)) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
 		cfg := traceConfig()
 		change(&cfg)
-		newTraceWorld(t, h, cfg, 99, traceEngines).upgrades(8, 400)
+		newTraceDriver(t, h, cfg, 99, traceEngines).hotRestarts(8, 400)
 	}}
 }
 
 // fleetTrace writes what all controllers of a fleet do, in order.
-func fleetTrace(name string, day fleetDay) tracetest.Scenario {
+func fleetTrace(name string, day fleetScenario) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
-		f := newFleetWorld(t, day)
-		f.acted = func(r *fleetRouter, a Action) { traceAction(h, r.cfg.RouterIndex, a) }
+		f := newFleetSimulation(t, day)
+		f.onAction = func(r *fleetRouter, a Action) { traceAction(h, r.config.RouterIndex, a) }
 		f.run()
 		for _, r := range f.routers[:min(len(f.routers), 3)] {
-			traceOfSnapshot(h, r.c.Snapshot())
+			traceSnapshotOf(h, r.controller.Snapshot())
 		}
 	}}
 }
 
-type traceDay struct {
-	name string
-	day  fleetDay
+type traceFleet struct {
+	name     string
+	scenario fleetScenario
 }
 
-// traceDays are days on a small fleet, one of the middle and a large one.
-func traceDays() []traceDay {
+// traceFleets are days on a small fleet, one of the middle and a large one.
+func traceFleets() []traceFleet {
 	s := time.Second
-	few := fleetDay{
-		seed: 5, gateways: 2, engines: 6, cores: 8, zones: 2, load: 0.7, lasts: 12 * s, bad: 0.2,
-		joinAt: 3 * s, joinFor: 4 * s, burst: 1.4, pile: 700 * ms,
+	few := fleetScenario{
+		seed: 5, routers: 2, engines: 6, cores: 8, zones: 2, load: 0.7, duration: 12 * s, slowShare: 0.2,
+		faultAt: 3 * s, faultFor: 4 * s, burstFactor: 1.4, connectInterval: 700 * ms,
 	}
-	some := fleetDay{
-		seed: 6, gateways: 30, engines: 24, cores: 8, zones: 3, load: 0.7, lasts: 9 * s, bad: 0.1,
-		joinAt: 2 * s, joinFor: 3 * s,
+	some := fleetScenario{
+		seed: 6, routers: 30, engines: 24, cores: 8, zones: 3, load: 0.7, duration: 9 * s, slowShare: 0.1,
+		faultAt: 2 * s, faultFor: 3 * s,
 	}
-	many := fleetDay{
-		seed: 7, gateways: 600, engines: 48, cores: 16, zones: 6, load: 0.6, lasts: 4 * s, bad: 0.1,
-		joinAt: s, joinFor: s,
+	many := fleetScenario{
+		seed: 7, routers: 600, engines: 48, cores: 16, zones: 6, load: 0.6, duration: 4 * s, slowShare: 0.1,
+		faultAt: s, faultFor: s,
 	}
-	changed := func(d fleetDay, change func(*fleetDay)) fleetDay { change(&d); return d }
-	return []traceDay{
-		{"fleet/2-join", changed(few, func(d *fleetDay) { d.join, d.hasty = 0.6, 0.3 })},
-		{"fleet/2-zone-lost", changed(few, func(d *fleetDay) { d.zone, d.told = true, 2*s })},
-		{"fleet/30-join-restart", changed(some, func(d *fleetDay) { d.join, d.restart, d.burst = 0.5, 0.3, 1.5 })},
-		{"fleet/30-split", changed(some, func(d *fleetDay) { d.split = true })},
-		{"fleet/30-region-lost", changed(some, func(d *fleetDay) { d.zone, d.wide, d.told = true, 1, s })},
-		{"fleet/600-restart", changed(many, func(d *fleetDay) { d.join, d.restart = 0.2, 0.2 })},
-		{"fleet/600-rack-drained", changed(many, func(d *fleetDay) { d.rack, d.drained = 4, true })},
-		{"fleet/600-replaced", changed(many, func(d *fleetDay) { d.roll, d.replace = 60, 10 })},
+	changed := func(d fleetScenario, change func(*fleetScenario)) fleetScenario { change(&d); return d }
+	return []traceFleet{
+		{"fleet/2-join", changed(few, func(d *fleetScenario) { d.replacedShare, d.impatientShare = 0.6, 0.3 })},
+		{"fleet/2-zone-lost", changed(few, func(d *fleetScenario) { d.zoneLost, d.listDelay = true, 2*s })},
+		{"fleet/30-join-restart", changed(some, func(d *fleetScenario) { d.replacedShare, d.restartedShare, d.burstFactor = 0.5, 0.3, 1.5 })},
+		{"fleet/30-split", changed(some, func(d *fleetScenario) { d.partitioned = true })},
+		{"fleet/30-region-lost", changed(some, func(d *fleetScenario) { d.zoneLost, d.lostZones, d.listDelay = true, 1, s })},
+		{"fleet/600-restart", changed(many, func(d *fleetScenario) { d.replacedShare, d.restartedShare = 0.2, 0.2 })},
+		{"fleet/600-rack-drained", changed(many, func(d *fleetScenario) { d.rackSize, d.rackDrained = 4, true })},
+		{"fleet/600-replaced", changed(many, func(d *fleetScenario) { d.rollingRestarts, d.rollingReplacements = 60, 10 })},
 	}
 }
--- a/dispatch/tracecode_test.go
+++ b/dispatch/tracecode_test.go
@@ -57,7 +57,7 @@
 	h.Int(int64(controller))
 }
 
-func traceOfSnapshot(h *tracetest.Hash, s Snapshot) {
+func traceSnapshotOf(h *tracetest.Hash, s Snapshot) {
 	h.Step(traceSnapshot)
 	traceIDs(h, s.Known)
 	traceIDs(h, s.Cordoned)
@@ -93,7 +93,7 @@
 	}
 }
 
-func traceOfUse(h *tracetest.Hash, use OtherProcessUsage) {
+func traceUsageOf(h *tracetest.Hash, use OtherProcessUsage) {
 	h.Step(traceUse)
 	h.Int(int64(use.Queued))
 	h.Int(int64(len(use.Engines)))
@@ -105,7 +105,7 @@
 	}
 }
 
-func traceOfView(h *tracetest.Hash, v *View) {
+func traceViewOf(h *tracetest.Hash, v *View) {
 	h.Step(traceView)
 	h.Int(int64(v.Queued))
 	h.Float(v.Congestion)
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -4,8 +4,8 @@
 
 // This file has the events of a traceWorld that are not of one request: lists, bans, settings, a second controller.
 
-// change has an engine drain, go, or start, and tells one controller or all.
-func (w *traceWorld) change(s *traceSide) {
+// changeEngine has an engine drain, go, or start, and tells one controller or all.
+func (w *traceDriver) changeEngine(s *traceController) {
 	at := w.rng.IntN(len(w.engines))
 	e := &w.engines[at]
 	switch {
@@ -15,7 +15,7 @@
 		e.State = Draining
 	case e.State == Draining && w.rng.IntN(3) > 0:
 		e.State = Removed
-	case e.State == Removed && w.rng.IntN(2) == 0 && len(w.engines) < w.most:
+	case e.State == Removed && w.rng.IntN(2) == 0 && len(w.engines) < w.maxEngines:
 		fresh := w.newEngine(EngineID(len(w.engines) + 1))
 		fresh.StartedAt = w.now - time.Duration(w.rng.IntN(int(time.Second)))
 		w.engines = append(w.engines, fresh)
@@ -23,20 +23,20 @@
 	default:
 		e.State, e.StartedAt = Live, w.now
 	}
-	w.tellAll(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{*e}})
+	w.handleAll(EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{*e}})
 	if w.rng.IntN(10) == 0 {
 		w.handle(s, EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{*e}})
 	}
 }
 
-func (w *traceWorld) tellAll(ev Event) {
-	for _, s := range w.sides {
+func (w *traceDriver) handleAll(ev Event) {
+	for _, s := range w.controllers {
 		w.handle(s, ev)
 	}
 }
 
-// lists gives a list of any mode.
-func (w *traceWorld) lists(s *traceSide) {
+// sendList gives a list of any mode.
+func (w *traceDriver) sendList(s *traceController) {
 	switch mode := ListMode(w.rng.IntN(int(ListFailed) + 1)); mode {
 	case ListFailed:
 		w.handle(s, EndpointList{Mode: mode})
@@ -49,67 +49,67 @@
 	}
 }
 
-func (w *traceWorld) exclude(s *traceSide) {
+func (w *traceDriver) toggleCordon(s *traceController) {
 	id := w.anyEngine()
-	if s.c.Cordoned(id) || w.rng.IntN(3) == 0 {
-		w.tellAll(Uncordon{Engine: id})
+	if s.controller.Cordoned(id) || w.rng.IntN(3) == 0 {
+		w.handleAll(Uncordon{Engine: id})
 		return
 	}
-	w.tellAll(Cordon{Engine: id})
+	w.handleAll(Cordon{Engine: id})
 }
 
-// peers starts a second controller, has the two tell each other what they have running, and in the end closes the first.
-func (w *traceWorld) peers(s *traceSide) {
+// hotRestart starts a second controller, has the two tell each other what they have running, and in the end closes the first.
+func (w *traceDriver) hotRestart(s *traceController) {
 	switch {
-	case len(w.sides) == 1 && w.rng.IntN(3) == 0:
+	case len(w.controllers) == 1 && w.rng.IntN(3) == 0:
 		fresh := w.start()
-		snapshot := s.c.Snapshot()
-		traceOfSnapshot(w.hash, snapshot)
+		snapshot := s.controller.Snapshot()
+		traceSnapshotOf(w.hash, snapshot)
 		w.handle(fresh, RestoreSnapshot{Snapshot: snapshot})
-		w.exchange()
-	case len(w.sides) == 1:
+		w.exchangeUsage()
+	case len(w.controllers) == 1:
 	case w.rng.IntN(3) == 0:
-		w.handle(w.sides[0], ShutdownDeadline{At: w.now + time.Duration(w.rng.IntN(int(time.Second)))})
+		w.handle(w.controllers[0], ShutdownDeadline{At: w.now + time.Duration(w.rng.IntN(int(time.Second)))})
 	case w.rng.IntN(4) == 0:
-		w.handle(w.sides[1], OtherProcessUsage{})
-		w.sides = w.sides[1:]
-		w.sides[0].index = 0
+		w.handle(w.controllers[1], OtherProcessUsage{})
+		w.controllers = w.controllers[1:]
+		w.controllers[0].index = 0
 	default:
-		w.exchange()
+		w.exchangeUsage()
 	}
 }
 
-// upgrades has one controller take over from another again and again, with much told between them.
-func (w *traceWorld) upgrades(rounds, steps int) {
+// hotRestarts has one controller take over from another again and again, with much told between them.
+func (w *traceDriver) hotRestarts(rounds, steps int) {
 	for range rounds {
 		w.run(steps)
-		old, fresh := w.sides[len(w.sides)-1], w.start()
-		w.sides = []*traceSide{old, fresh}
+		old, fresh := w.controllers[len(w.controllers)-1], w.start()
+		w.controllers = []*traceController{old, fresh}
 		fresh.index = 1 - old.index
-		w.handle(fresh, RestoreSnapshot{Snapshot: old.c.Snapshot()})
+		w.handle(fresh, RestoreSnapshot{Snapshot: old.controller.Snapshot()})
 		for range steps / 10 {
 			w.run(10)
-			if len(w.sides) == 2 {
-				w.exchange()
+			if len(w.controllers) == 2 {
+				w.exchangeUsage()
 			}
 		}
 		w.handle(old, ShutdownDeadline{At: w.now + 100*ms})
 	}
 }
 
-// exchange has each controller count what the other one has running.
-func (w *traceWorld) exchange() {
-	uses := []OtherProcessUsage{w.sides[0].c.Usage(w.now), w.sides[1].c.Usage(w.now)}
-	for i, s := range w.sides {
-		traceOfUse(w.hash, uses[1-i])
+// exchangeUsage has each controller count what the other one has running.
+func (w *traceDriver) exchangeUsage() {
+	uses := []OtherProcessUsage{w.controllers[0].controller.Usage(w.now), w.controllers[1].controller.Usage(w.now)}
+	for i, s := range w.controllers {
+		traceUsageOf(w.hash, uses[1-i])
 		w.handle(s, uses[1-i])
 	}
 }
 
 // configure changes settings of a running controller, some to what is refused or kept as it was.
-func (w *traceWorld) configure(s *traceSide) {
-	cfg := w.cfg
-	cfg.Classes = append([]Class(nil), w.cfg.Classes...)
+func (w *traceDriver) configure(s *traceController) {
+	cfg := w.config
+	cfg.Classes = append([]Class(nil), w.config.Classes...)
 	cfg.Classes[w.rng.IntN(len(cfg.Classes))].LatencyObjective += time.Duration(w.rng.IntN(int(100 * ms)))
 	switch w.rng.IntN(8) {
 	case 0:
@@ -130,7 +130,7 @@
 	case 7:
 		cfg.PolledDiscovery = !cfg.PolledDiscovery
 	}
-	now, kept, err := s.c.Configure(cfg)
+	now, kept, err := s.controller.Configure(cfg)
 	w.hash.Step(traceConfigure)
 	w.hash.Int(int64(len(kept)))
 	w.hash.Bool(err != nil)
@@ -145,8 +145,8 @@
 	}
 }
 
-// strange sends what makes no sense: the controller must leave it aside.
-func (w *traceWorld) strange(s *traceSide) {
+// sendInvalid sends what makes no sense: the controller must leave it aside.
+func (w *traceDriver) sendInvalid(s *traceController) {
 	switch w.rng.IntN(8) {
 	case 0:
 		w.handle(s, AttemptProgress{Request: "nobody's", Attempt: 1, Kind: ProgressFraction, Amount: 0.5})
@@ -163,8 +163,8 @@
 	case 6:
 		w.handle(s, Arrival{Request: "odd", Class: "no such class", TimeLeft: time.Second})
 	case 7:
-		if r, at := w.out(s); r != nil {
-			w.handle(s, AttemptEnd{Request: r.id, Attempt: r.out[at] + 7, Outcome: ConnectionReset})
+		if r, at := w.outstanding(s); r != nil {
+			w.handle(s, AttemptEnd{Request: r.id, Attempt: r.outstanding[at] + 7, Outcome: ConnectionReset})
 		}
 	}
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -9,50 +9,50 @@
 
 const ms = time.Millisecond
 
-// world plays the part of clients, engines and the list for one controller, and checks the rules.
-type world struct {
-	t     *testing.T
-	c     *Controller
-	cfg   Config
-	now   time.Duration
-	sends []StartAttempt
-	acts  []Action
-	reqs  map[RequestID]*track
-	told  map[EngineID]Endpoint
-	taken []time.Duration
-	extra []time.Duration
-	order []*track
-	cold  map[EngineID][]time.Duration
-	next  int
+// harness plays the part of clients, engines and the list for one controller, and checks the rules.
+type harness struct {
+	t             *testing.T
+	controller    *Controller
+	config        Config
+	now           time.Duration
+	starts        []StartAttempt
+	actions       []Action
+	requests      map[RequestID]*clientRequest
+	endpoints     map[EngineID]Endpoint
+	arrivals      []time.Duration
+	retries       []time.Duration
+	clients       []*clientRequest
+	warmingStarts map[EngineID][]time.Duration
+	lastID        int
 }
 
-type track struct {
-	id      RequestID
-	class   Class
-	key     string
-	end     time.Duration
-	engines []EngineID
-	sentAt  []time.Duration
-	outcome []Outcome // -1 while out
-	answers int
-	aborted bool
+type clientRequest struct {
+	id        RequestID
+	class     Class
+	key       string
+	deadline  time.Duration
+	engines   []EngineID
+	startedAt []time.Duration
+	outcomes  []Outcome // -1 while out
+	answers   int
+	gone      bool
 }
 
-var isOut = Outcome(-1)
+var outstanding = Outcome(-1)
 
-func newWorld(t *testing.T, cfg Config) *world {
+func newHarness(t *testing.T, cfg Config) *harness {
 	t.Helper()
 	c, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{
-		t: t, c: c, cfg: cfg, reqs: map[RequestID]*track{}, told: map[EngineID]Endpoint{}, now: time.Hour,
-		cold: map[EngineID][]time.Duration{},
+	return &harness{
+		t: t, controller: c, config: cfg, requests: map[RequestID]*clientRequest{}, endpoints: map[EngineID]Endpoint{}, now: time.Hour,
+		warmingStarts: map[EngineID][]time.Duration{},
 	}
 }
 
-func twoClasses() Config {
+func twoClassConfig() Config {
 	return Config{
 		Seed: 1, Routers: 1, Tick: 5 * ms, MaxAttempts: 3, Priorities: true, Grants: true,
 		Kinds: []EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, MaxGrantShare: 0.5,
@@ -63,31 +63,31 @@
 	}
 }
 
-func (w *world) handle(ev Event) []Action {
+func (w *harness) handle(ev Event) []Action {
 	w.t.Helper()
-	acts := w.c.Handle(w.now, ev, nil)
-	w.acts = append(w.acts, acts...)
+	acts := w.controller.Handle(w.now, ev, nil)
+	w.actions = append(w.actions, acts...)
 	for _, a := range acts {
-		w.check(a)
+		w.checkAction(a)
 	}
 	return acts
 }
 
-func (w *world) list(mode ListMode, engines ...Endpoint) {
+func (w *harness) updateEndpoints(mode ListMode, engines ...Endpoint) {
 	w.t.Helper()
 	if mode == ListComplete || mode == ListCached {
-		for id, e := range w.told {
+		for id, e := range w.endpoints {
 			e.State = Removed
-			w.told[id] = e
+			w.endpoints[id] = e
 		}
 	}
 	for _, e := range engines {
-		w.told[e.ID] = e
+		w.endpoints[e.ID] = e
 	}
 	w.handle(EndpointList{Mode: mode, Endpoints: engines})
 }
 
-func engines(n int) []Endpoint {
+func testEngines(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%2), Cell: i % 2, CapacityWeight: 1})
@@ -95,49 +95,49 @@
 	return list
 }
 
-func (w *world) ask(class, key string) *track {
+func (w *harness) arrive(class, key string) *clientRequest {
 	w.t.Helper()
-	for _, k := range w.cfg.Classes {
+	for _, k := range w.config.Classes {
 		if k.Name == class {
-			return w.askFor(Arrival{Class: class, Key: key, TimeLeft: k.Deadline})
+			return w.arriveWith(Arrival{Class: class, Key: key, TimeLeft: k.Deadline})
 		}
 	}
 	w.t.Fatal("no class", class)
 	return nil
 }
 
-func (w *world) askFor(a Arrival) *track {
+func (w *harness) arriveWith(a Arrival) *clientRequest {
 	w.t.Helper()
-	w.next++
-	a.Request = RequestID(fmt.Sprint("r", w.next))
-	tr := &track{id: a.Request, key: a.Key, end: w.now + a.TimeLeft}
-	for _, k := range w.cfg.Classes {
+	w.lastID++
+	a.Request = RequestID(fmt.Sprint("r", w.lastID))
+	tr := &clientRequest{id: a.Request, key: a.Key, deadline: w.now + a.TimeLeft}
+	for _, k := range w.config.Classes {
 		if k.Name == a.Class {
 			tr.class = k
 		}
 	}
-	w.reqs[a.Request] = tr
-	w.order = append(w.order, tr)
-	w.taken = append(w.taken, w.now)
+	w.requests[a.Request] = tr
+	w.clients = append(w.clients, tr)
+	w.arrivals = append(w.arrivals, w.now)
 	w.handle(a)
 	return tr
 }
 
-func (w *world) end(tr *track, o Outcome) {
+func (w *harness) endLatest(tr *clientRequest, o Outcome) {
 	w.t.Helper()
-	w.endHop(tr, len(tr.outcome)-1, o, nil)
+	w.endAttempt(tr, len(tr.outcomes)-1, o, nil)
 }
 
-func (w *world) endHop(tr *track, hop int, o Outcome, load *LoadReport) {
+func (w *harness) endAttempt(tr *clientRequest, hop int, o Outcome, load *LoadReport) {
 	w.t.Helper()
-	tr.outcome[hop] = o
-	if o == Served && tr.answers == 0 && !tr.aborted {
+	tr.outcomes[hop] = o
+	if o == Served && tr.answers == 0 && !tr.gone {
 		tr.answers = 1
 	}
-	w.handle(AttemptEnd{Request: tr.id, Attempt: hop, Outcome: o, Last: tr.answers > 0 || tr.aborted, Report: load})
+	w.handle(AttemptEnd{Request: tr.id, Attempt: hop, Outcome: o, Last: tr.answers > 0 || tr.gone, Report: load})
 }
 
-func (w *world) tick(d time.Duration) {
+func (w *harness) advance(d time.Duration) {
 	w.t.Helper()
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * ms
@@ -145,118 +145,118 @@
 	}
 }
 
-// check holds the rules against one action.
-func (w *world) check(a Action) {
+// checkAction holds the rules against one action.
+func (w *harness) checkAction(a Action) {
 	w.t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
-		w.sends = append(w.sends, a)
-		w.checkBegin(w.reqs[a.Request], w.told[a.Engine], a.StartWithin)
-		w.checkSend(w.reqs[a.Request], w.told[a.Engine])
+		w.starts = append(w.starts, a)
+		w.checkStartWithin(w.requests[a.Request], w.endpoints[a.Engine], a.StartWithin)
+		w.checkStart(w.requests[a.Request], w.endpoints[a.Engine])
 	case Reject:
-		tr := w.reqs[a.Request]
-		for i, o := range tr.outcome {
-			if mayRun(o) && (tr.class.Semantics == AtMostOnce || tr.class.Semantics == IdempotentByKey &&
-				(tr.class.IdempotencyScope != ScopeAll || w.now > tr.sentAt[i]+tr.class.IdempotencyWindow)) {
+		tr := w.requests[a.Request]
+		for i, o := range tr.outcomes {
+			if outcomeMayHaveRun(o) && (tr.class.Semantics == AtMostOnce || tr.class.Semantics == IdempotentByKey &&
+				(tr.class.IdempotencyScope != ScopeAll || w.now > tr.startedAt[i]+tr.class.IdempotencyWindow)) {
 				w.t.Fatalf("%s refused though it may have run", tr.id)
 			}
 		}
-		w.answer(tr)
+		w.recordAnswer(tr)
 	case FailRequest:
-		w.answer(w.reqs[a.Request])
+		w.recordAnswer(w.requests[a.Request])
 	case CancelAttempt:
-		if !w.cfg.CancelAllowed {
+		if !w.config.CancelAllowed {
 			w.t.Fatal("cancel where it is not allowed")
 		}
 	}
 }
 
-func (w *world) answer(tr *track) {
+func (w *harness) recordAnswer(tr *clientRequest) {
 	w.t.Helper()
-	if tr.aborted {
+	if tr.gone {
 		return
 	}
 	tr.answers++
-	if tr.answers > 1 || w.now > tr.end+20*ms {
-		w.t.Fatalf("%s: %d answers, the last %v after its end", tr.id, tr.answers, w.now-tr.end)
+	if tr.answers > 1 || w.now > tr.deadline+20*ms {
+		w.t.Fatalf("%s: %d answers, the last %v after its end", tr.id, tr.answers, w.now-tr.deadline)
 	}
 }
 
-func mayRun(o Outcome) bool { return o != EngineFull && o != ConnectFailed && o != NotSent }
+func outcomeMayHaveRun(o Outcome) bool { return o != EngineFull && o != ConnectFailed && o != NotSent }
 
-func (w *world) checkSend(tr *track, e Endpoint) {
+func (w *harness) checkStart(tr *clientRequest, e Endpoint) {
 	w.t.Helper()
 	bad := func(f string, args ...any) {
 		w.t.Helper()
 		w.t.Fatalf("%s to engine %d: %s", tr.id, e.ID, fmt.Sprintf(f, args...))
 	}
-	if tr.answers > 0 || tr.aborted {
+	if tr.answers > 0 || tr.gone {
 		bad("sent after its end")
 	}
 	if e.ID == 0 || e.State != Live {
 		bad("draining, gone or unknown")
 	}
-	if w.cfg.MaxAttempts > 0 && len(tr.engines) >= w.cfg.MaxAttempts {
+	if w.config.MaxAttempts > 0 && len(tr.engines) >= w.config.MaxAttempts {
 		bad("past the attempt cap")
 	}
 	if len(tr.class.Zones) > 0 && !slices.Contains(tr.class.Zones, e.Zone) ||
 		len(tr.class.Kinds) > 0 && !slices.Contains(tr.class.Kinds, e.Kind) {
 		bad("placed in %s on %s", e.Zone, e.Kind)
 	}
-	for i, o := range tr.outcome {
-		if o == isOut && !w.cfg.HedgingAllowed {
+	for i, o := range tr.outcomes {
+		if o == outstanding && !w.config.HedgingAllowed {
 			bad("two attempts out")
 		}
-		first := w.told[tr.engines[i]]
-		if !mayRun(o) || tr.class.Semantics == Idempotent {
+		first := w.endpoints[tr.engines[i]]
+		if !outcomeMayHaveRun(o) || tr.class.Semantics == Idempotent {
 			continue
 		}
-		if tr.class.Semantics == AtMostOnce || w.now > tr.sentAt[i]+tr.class.IdempotencyWindow ||
+		if tr.class.Semantics == AtMostOnce || w.now > tr.startedAt[i]+tr.class.IdempotencyWindow ||
 			tr.class.IdempotencyScope == ScopeZone && first.Zone != e.Zone ||
 			tr.class.IdempotencyScope == ScopeCell && first.Cell != e.Cell {
 			bad("its effect may happen twice")
 		}
 	}
 	if tr.class.OrderByKey && tr.key != "" {
-		for _, o := range w.order {
+		for _, o := range w.clients {
 			if o == tr {
 				break
 			}
 			if o.class.OrderByKey && o.key == tr.key {
-				w.checkEarlier(o, bad)
+				w.checkKeyOrder(o, bad)
 			}
 		}
 	}
-	if len(tr.engines) > 0 && w.cfg.RetryBudget.Window > 0 {
-		w.extra = append(w.extra, w.now)
-		for _, begins := range []time.Duration{w.now, w.now + w.cfg.RetryBudget.startDelay()} { // now, or as late as it may
-			allowed := w.cfg.RetryBudget.Free + w.cfg.RetryBudget.PerRequest*float64(since(w.taken, begins-w.cfg.RetryBudget.Window))
-			if float64(since(w.extra, w.now-w.cfg.RetryBudget.Window-w.cfg.RetryBudget.startDelay())) > allowed {
+	if len(tr.engines) > 0 && w.config.RetryBudget.Window > 0 {
+		w.retries = append(w.retries, w.now)
+		for _, begins := range []time.Duration{w.now, w.now + w.config.RetryBudget.startDelay()} { // now, or as late as it may
+			allowed := w.config.RetryBudget.Free + w.config.RetryBudget.PerRequest*float64(countAfter(w.arrivals, begins-w.config.RetryBudget.Window))
+			if float64(countAfter(w.retries, w.now-w.config.RetryBudget.Window-w.config.RetryBudget.startDelay())) > allowed {
 				bad("past the budget of %v", allowed)
 			}
 		}
 	}
-	if e.StartedAt > 0 && w.now < e.StartedAt+w.cfg.WarmUpDuration && w.cfg.WarmUpOverloadFactor > 0 {
-		w.cold[e.ID] = append(w.cold[e.ID], w.now)
+	if e.StartedAt > 0 && w.now < e.StartedAt+w.config.WarmUpDuration && w.config.WarmUpOverloadFactor > 0 {
+		w.warmingStarts[e.ID] = append(w.warmingStarts[e.ID], w.now)
 	}
 	tr.engines = append(tr.engines, e.ID)
-	tr.sentAt = append(tr.sentAt, w.now)
-	tr.outcome = append(tr.outcome, isOut)
+	tr.startedAt = append(tr.startedAt, w.now)
+	tr.outcomes = append(tr.outcomes, outstanding)
 }
 
-func (w *world) checkEarlier(o *track, bad func(string, ...any)) {
+func (w *harness) checkKeyOrder(o *clientRequest, bad func(string, ...any)) {
 	w.t.Helper()
-	if o.answers == 0 && !o.aborted {
+	if o.answers == 0 && !o.gone {
 		bad("ahead of %s of its key", o.id)
 	}
-	for _, out := range o.outcome {
-		if out == isOut {
+	for _, out := range o.outcomes {
+		if out == outstanding {
 			bad("while %s of its key is out", o.id)
 		}
 	}
 }
 
-func since(list []time.Duration, at time.Duration) int {
+func countAfter(list []time.Duration, at time.Duration) int {
 	n := 0
 	for _, t := range list {
 		if t > at {
@@ -266,20 +266,20 @@
 	return n
 }
 
-// checkBegin holds the time within which an attempt has to begin against the window of earlier ones that may have run, and
+// checkStartWithin holds the time within which an attempt has to begin against the window of earlier ones that may have run, and
 // against the budget of a cold engine.
-func (w *world) checkBegin(tr *track, e Endpoint, within time.Duration) {
+func (w *harness) checkStartWithin(tr *clientRequest, e Endpoint, within time.Duration) {
 	w.t.Helper()
 	most := time.Duration(0) // 0: any time
-	for i, o := range tr.outcome {
-		if left := tr.sentAt[i] + tr.class.IdempotencyWindow - w.now; tr.class.Semantics == IdempotentByKey && mayRun(o) && (most == 0 || left < most) {
+	for i, o := range tr.outcomes {
+		if left := tr.startedAt[i] + tr.class.IdempotencyWindow - w.now; tr.class.Semantics == IdempotentByKey && outcomeMayHaveRun(o) && (most == 0 || left < most) {
 			most = max(left, 1)
 		}
 	}
-	if e.StartedAt > 0 && w.now < e.StartedAt+w.cfg.WarmUpDuration && (most == 0 || w.cfg.WarmUpOverloadWindow/warmUpStartFraction < most) {
-		most = w.cfg.WarmUpOverloadWindow / warmUpStartFraction
+	if e.StartedAt > 0 && w.now < e.StartedAt+w.config.WarmUpDuration && (most == 0 || w.config.WarmUpOverloadWindow/warmUpStartFraction < most) {
+		most = w.config.WarmUpOverloadWindow / warmUpStartFraction
 	}
-	if late := w.cfg.RetryBudget.startDelay(); late > 0 && len(tr.outcome) > 0 && (most == 0 || late < most) {
+	if late := w.config.RetryBudget.startDelay(); late > 0 && len(tr.outcomes) > 0 && (most == 0 || late < most) {
 		most = late
 	}
 	if most > 0 && (within <= 0 || within > most) {
