--- /dev/null
+++ b/internal/hotrestartipc/cordons.go
@@ -0,0 +1,48 @@
+package hotrestartipc
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+)
+
+// cordonFolder stores the cordons of a router as empty files, named for the engines, in a folder that all processes
+// of the router read: a cordon is in force for a process that starts while the one that an operator told of it hangs.
+type cordonFolder string
+
+// set stores that an engine is cordoned, or that it is not any more; either may be stored twice.
+func (f cordonFolder) set(engine string, cordoned bool) error {
+	path := filepath.Join(string(f), engine)
+	if !cordoned {
+		err := os.Remove(path)
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil
+		}
+		return err
+	}
+	if err := os.MkdirAll(string(f), 0o700); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE, 0o600)
+	if err != nil {
+		return err
+	}
+	return file.Close()
+}
+
+// list returns the engines that are cordoned.
+func (f cordonFolder) list() ([]string, error) {
+	entries, err := os.ReadDir(string(f))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	var engines []string
+	for _, entry := range entries {
+		engines = append(engines, entry.Name())
+	}
+	return engines, err
+}
+
+// clear ends all cordons.
+func (f cordonFolder) clear() { _ = os.RemoveAll(string(f)) }
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -18,9 +18,9 @@
 
 // A link writes frames as it did when the golden file was recorded.
 func TestGoldenFramesAreWritten(t *testing.T) {
-	path, lis := meet(t)
+	path, lis := listen(t)
 	here, there := dial(t, path, lis)
-	e := newEnd(here)
+	e := startLinkEnd(here)
 	for _, m := range frameSamples() {
 		e.link.Send(m)
 	}
@@ -41,17 +41,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path, lis := meet(t)
+	path, lis := listen(t)
 	here, there := dial(t, path, lis)
 	defer there.Close()
-	e := newEnd(here)
+	e := startLinkEnd(here)
 	defer e.link.Close()
 	if _, err := there.Write(text); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range frameSamples() {
 		select {
-		case got := <-e.got:
+		case got := <-e.received:
 			if got.Kind != want.Kind || bodyText(got) != bodyText(want) {
 				t.Errorf("read %s %s, not %s %s", got.Kind, got.Body, want.Kind, want.Body)
 			}
@@ -69,7 +69,7 @@
 	return string(m.Body)
 }
 
-// The names by which processes of a router find each other depend on its name alone.
+// The paths by which processes of a router find each other depend on its name alone.
 func TestGoldenPaths(t *testing.T) {
 	got := ""
 	for _, name := range []string{"n0", "n0 127.0.0.1:3306", ""} {
--- a/internal/hotrestartipc/golden_slot_test.go
+++ b/internal/hotrestartipc/golden_slot_test.go
@@ -21,7 +21,7 @@
 	goldenRouter = "n0 127.0.0.1:3306"
 )
 
-// shortFolder gives an empty folder whose path is short enough for a Unix socket.
+// shortFolder returns an empty folder whose path is short enough for a Unix socket.
 func shortFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "wf")
@@ -32,7 +32,7 @@
 	return dir
 }
 
-func takeGoldenPlace(t *testing.T, dir string) *ProcessSlot {
+func acquireGoldenSlot(t *testing.T, dir string) *ProcessSlot {
 	t.Helper()
 	p, err := AcquireSlot(dir, goldenRouter)
 	if err != nil {
@@ -42,15 +42,15 @@
 	return p
 }
 
-// ban has a ban noted, or its end.
-func ban(t *testing.T, p *ProcessSlot, engine string, out bool) {
+// setCordon stores a cordon, or its end.
+func setCordon(t *testing.T, p *ProcessSlot, engine string, cordoned bool) {
 	t.Helper()
-	if err := p.SetCordon(engine, out); err != nil {
+	if err := p.SetCordon(engine, cordoned); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// listFolder gives the files below a folder, each named "PATH MODE", with their content.
+// listFolder returns the files below a folder, each named "PATH MODE", with their content.
 func listFolder(t *testing.T, dir string) []txtar.File {
 	t.Helper()
 	var files []txtar.File
@@ -78,23 +78,23 @@
 	return files
 }
 
-// Two processes take places and note bans, and leave the recorded files, byte for byte and with the same modes.
+// Two processes acquire slots and store cordons, and leave the recorded files, byte for byte and with the same modes.
 func TestGoldenFolderIsWritten(t *testing.T) {
 	dir := shortFolder(t)
-	first := takeGoldenPlace(t, dir)
-	ban(t, first, "s-00000002", true)
-	ban(t, first, "s-00000003", true)
-	ban(t, first, "s-00000003", false)
-	second := takeGoldenPlace(t, dir)
-	ban(t, second, "s-00c41f7a", true)
+	first := acquireGoldenSlot(t, dir)
+	setCordon(t, first, "s-00000002", true)
+	setCordon(t, first, "s-00000003", true)
+	setCordon(t, first, "s-00000003", false)
+	second := acquireGoldenSlot(t, dir)
+	setCordon(t, second, "s-00c41f7a", true)
 	if err := second.PublishToLegacy(); err != nil {
 		t.Fatal(err)
 	}
 	golden.File(t, goldenFolder, txtar.Format(&txtar.Archive{Files: listFolder(t, dir)}))
 }
 
-// restoreFolder writes the regular files of the recorded folder, and has those of the places given locked, as a living
-// process has them.
+// restoreFolder writes the regular files of the recorded folder, and locks those of the living processes, as they do
+// themselves.
 func restoreFolder(t *testing.T, dir string, living ...hotrestart.ProcessNumber) {
 	t.Helper()
 	archive, err := txtar.ParseFile(goldenFolder)
@@ -114,18 +114,18 @@
 			t.Fatal(err)
 		}
 	}
-	for _, peer := range living {
-		holdLock(t, dir, peer)
+	for _, process := range living {
+		holdLock(t, dir, process)
 	}
 }
 
-func holdLock(t *testing.T, dir string, peer hotrestart.ProcessNumber) {
+func holdLock(t *testing.T, dir string, process hotrestart.ProcessNumber) {
 	t.Helper()
 	path, err := SocketPath(dir, goldenRouter)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lock, err := os.OpenFile(fmt.Sprintf("%s.%d.lock", strings.TrimSuffix(path, ".sock"), peer), os.O_RDWR, 0)
+	lock, err := os.OpenFile(fmt.Sprintf("%s.%d.lock", strings.TrimSuffix(path, ".sock"), process), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,34 +135,35 @@
 	}
 }
 
-// A process that finds the recorded folder takes the next place, knows who lives, and reads the bans.
+// A process that finds the recorded folder acquires the next slot, knows who lives, and reads the cordons.
 func TestGoldenFolderIsRead(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir, hotrestart.FirstProcess+1)
-	p := takeGoldenPlace(t, dir)
-	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.FirstProcess+1 || p.Alive(hotrestart.FirstProcess) {
-		t.Errorf("place %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.FirstProcess))
+	p := acquireGoldenSlot(t, dir)
+	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.FirstProcess+1 ||
+		p.Alive(hotrestart.FirstProcess) {
+		t.Errorf("process %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.FirstProcess))
 	}
 	got, err := p.Cordoned()
 	if want := []string{"s-00000002", "s-00c41f7a"}; err != nil || !slices.Equal(got, want) {
-		t.Errorf("out are %q, %v, not %q", got, err, want)
+		t.Errorf("cordoned are %q, %v, not %q", got, err, want)
 	}
 }
 
-// Where nobody of the recorded folder lives, its bans end and its places are not given again.
-func TestGoldenFolderOfTheDead(t *testing.T) {
+// Where no process of the recorded folder lives, its cordons end and its numbers are not used again.
+func TestGoldenFolderOfEndedProcesses(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
-	p := takeGoldenPlace(t, dir)
+	p := acquireGoldenSlot(t, dir)
 	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.NoProcess {
-		t.Errorf("place %d, after %d", p.Process, p.Predecessor())
+		t.Errorf("process %d, after %d", p.Process, p.Predecessor())
 	}
 	if got, err := p.Cordoned(); err != nil || len(got) > 0 {
-		t.Errorf("out are %q, %v", got, err)
+		t.Errorf("cordoned are %q, %v", got, err)
 	}
 }
 
-// The roster alone keeps a place from being given again.
+// The roster alone keeps a number from being used again.
 func TestGoldenRosterIsRead(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
@@ -175,7 +176,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p := takeGoldenPlace(t, dir); p.Process != hotrestart.FirstProcess+2 {
-		t.Errorf("place %d", p.Process)
+	if p := acquireGoldenSlot(t, dir); p.Process != hotrestart.FirstProcess+2 {
+		t.Errorf("process %d", p.Process)
 	}
 }
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"strings"
@@ -14,28 +13,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// end is one end of a link under test.
-type end struct {
-	link *Link
-	got  chan Message
-	gone chan error
+// linkEnd is one end of a link under test.
+type linkEnd struct {
+	link     *Link
+	received chan Message
+	ended    chan error
 }
 
-func newEnd(conn *net.UnixConn) *end {
-	e := &end{got: make(chan Message, 16), gone: make(chan error, 2)}
-	e.link = StartLink(conn, func(m Message) { e.got <- m }, func(err error) { e.gone <- err }, slog.New(slog.DiscardHandler))
+func startLinkEnd(conn *net.UnixConn) *linkEnd {
+	e := &linkEnd{received: make(chan Message, 16), ended: make(chan error, 2)}
+	e.link = StartLink(conn, func(m Message) { e.received <- m }, func(err error) { e.ended <- err })
 	return e
 }
 
-// meet gives a path in a short folder, with somebody who waits there.
-func meet(t *testing.T) (string, *net.UnixListener) {
+// listen listens on a socket in a folder whose path is short.
+func listen(t *testing.T) (string, *net.UnixListener) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "wf")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	path, err := SocketPath(dir, "n0")
+	path, err := SocketPath(shortFolder(t), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,28 +53,28 @@
 	return here, there
 }
 
-// Messages go both ways, whole and in order, with their descriptors; Close lets what was sent before arrive.
+// Messages go both ways, complete and in order, with their descriptors; Close lets what was sent before arrive.
 func TestMessagesAndDescriptors(t *testing.T) {
-	path, lis := meet(t)
+	path, lis := listen(t)
 	a, b := dial(t, path, lis)
-	one, two := newEnd(a), newEnd(b)
+	one, two := startLinkEnd(a), startLinkEnd(b)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	one.link.Send(NewMessage("big", strings.Repeat("x", 300_000)))
 	one.link.Send(NewMessage("file", "pipe", w))
-	_ = w.Close() // the link has its own copy
+	_ = w.Close() // the link has a duplicate
 	two.link.Send(NewMessage("back", 5))
-	if m := <-one.got; m.Kind != "back" {
+	if m := <-one.received; m.Kind != "back" {
 		t.Errorf("got %+v", m)
 	}
 	one.link.Close()
 	var text string
-	if m := <-two.got; m.Kind != "big" || m.Decode(&text) != nil || len(text) != 300_000 || len(m.Files) != 0 {
+	if m := <-two.received; m.Kind != "big" || m.Decode(&text) != nil || len(text) != 300_000 || len(m.Files) != 0 {
 		t.Errorf("%s with %d bytes, %d files", m.Kind, len(text), len(m.Files))
 	}
-	m := <-two.got
+	m := <-two.received
 	if m.Kind != "file" || len(m.Files) != 1 {
 		t.Fatalf("got %+v", m)
 	}
@@ -91,70 +85,86 @@
 	if got, err := io.ReadAll(r); string(got) != "through" || err != nil {
 		t.Errorf("%q came through the descriptor: %v", got, err)
 	}
-	if err := <-two.gone; err == nil {
-		t.Error("the end of the link was not heard")
+	if err := <-two.ended; err == nil {
+		t.Error("the link ended without an error")
+	}
+	if err := <-one.ended; err == nil {
+		t.Error("the link that was closed ended without an error")
 	}
-	<-one.gone
 }
 
-func TestPathIsShort(t *testing.T) {
+func TestSocketPathIsShort(t *testing.T) {
 	if _, err := SocketPath("/"+strings.Repeat("x", 100), "n0"); err == nil {
-		t.Error("a path that no socket can have")
+		t.Error("a path that is too long for a socket")
 	}
 	a, _ := SocketPath("/tmp", "n0")
 	if b, _ := SocketPath("/tmp", "n1"); a == b {
-		t.Error("two routers meet at the same place")
+		t.Error("two routers have the same path")
 	}
 }
 
-// What can't be read, or is of another version, ends the link; a peer that does not read ends it too, and blocks nobody.
+// What can't be read, or is of another version, ends the link.
 func TestBadPeers(t *testing.T) {
-	frame := func(framing byte, text string) []byte {
-		b := binary.BigEndian.AppendUint32(nil, uint32(len(text)+2))
-		return append(append(b, framing, 0), text...)
-	}
-	for name, b := range map[string][]byte{
-		"another version": frame(framing+1, `{"kind":"x"}`), "no JSON": frame(framing, "x"), "no kind": frame(framing, "{}"),
-		"too long": {0xff, 0xff, 0xff, 0xff, framing, 0}, "too short": {0, 0, 0, 1, framing, 0},
-		"a descriptor that is not there": {0, 0, 0, 14, framing, 1, '{', '"', 'k', 'i', 'n', 'd', '"', ':', '"', 'x', '"', '}'},
+	frame := func(version byte, text string) []byte {
+		b := binary.BigEndian.AppendUint32(nil, uint32(len(text)+lengthOfRest))
+		return append(append(b, version, 0), text...)
+	}
+	for _, c := range []struct {
+		name  string
+		frame []byte
+		want  error
+	}{
+		{"another version", frame(frameVersion+1, `{"kind":"x"}`), errFrameVersion},
+		{"no JSON", frame(frameVersion, "x"), errMalformedFrame},
+		{"no kind", frame(frameVersion, "{}"), errMalformedFrame},
+		{"too long", []byte{0xff, 0xff, 0xff, 0xff, frameVersion, 0}, errFrameLength},
+		{"too short", []byte{0, 0, 0, 1, frameVersion, 0}, errFrameLength},
+		{
+			"a descriptor that is not there",
+			append([]byte{0, 0, 0, 14, frameVersion, 1}, `{"kind":"x"}`...), errMissingDescriptors,
+		},
 	} {
-		path, lis := meet(t)
-		a, b2 := dial(t, path, lis)
-		e := newEnd(a)
-		if _, err := b2.Write(b); err != nil {
+		path, lis := listen(t)
+		here, there := dial(t, path, lis)
+		e := startLinkEnd(here)
+		if _, err := there.Write(c.frame); err != nil {
 			t.Fatal(err)
 		}
-		if err := <-e.gone; err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", name, err)
+		if err := <-e.ended; errors.Is(err, io.EOF) || !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
-		if len(e.got) != 0 {
-			t.Errorf("%s: was heard", name)
+		if len(e.received) != 0 {
+			t.Errorf("%s: was received", c.name)
 		}
-		_ = b2.Close()
+		_ = there.Close()
 	}
-	path, lis := meet(t)
+}
+
+// A peer that does not read ends the link, and blocks nobody.
+func TestPeerThatDoesNotRead(t *testing.T) {
+	path, lis := listen(t)
 	a, b := dial(t, path, lis)
 	defer b.Close()
-	e := newEnd(a)
+	e := startLinkEnd(a)
 	for range 2 * maxQueued { // more than the system's buffers and the queue hold
 		e.link.Send(NewMessage("x", strings.Repeat("y", 1000)))
 	}
-	if err := <-e.gone; err == nil {
-		t.Error("a peer that does not read holds the link open")
+	if err := <-e.ended; !errors.Is(err, errPeerNotReading) {
+		t.Errorf("the link ended for another reason: %v", err)
 	}
 }
 
-// However a frame is cut up on the road, it is read once, and whole.
-func TestParse(t *testing.T) {
+// However a frame is split, it is read once, and completely.
+func TestParseFrame(t *testing.T) {
 	want := Message{Kind: "a", Body: []byte("5")}
-	b := binary.BigEndian.AppendUint32(nil, 2+21)
-	b = append(append(b, framing, 0), `{"kind":"a","body":5}`...)
+	b := binary.BigEndian.AppendUint32(nil, lengthOfRest+21)
+	b = append(append(b, frameVersion, 0), `{"kind":"a","body":5}`...)
 	for i := range b {
-		if m, _, err := parse(b[:i]); m != nil || err != nil {
+		if m, _, err := parseFrame(b[:i]); m != nil || err != nil {
 			t.Errorf("after %d bytes: %v, %v", i, m, err)
 		}
 	}
-	m, n, err := parse(append(b, "more"...))
+	m, n, err := parseFrame(append(b, "more"...))
 	if err != nil || n != len(b) {
 		t.Fatal(n, err)
 	}
--- a/internal/hotrestartipc/slot.go
+++ b/internal/hotrestartipc/slot.go
@@ -2,153 +2,124 @@
 
 import (
 	"errors"
-	"fmt"
 	"io/fs"
 	"net"
 	"os"
-	"path/filepath"
 	"slices"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
 	"windflow/internal/decide/hotrestart"
 )
 
-// ProcessSlot is a process's place in the order of the processes of one router, and the folder that they share. Of each place
-// there is a socket, on which newer processes find this one, and a file that the process keeps locked while it lives: the
-// system gives the lock up with the process, whatever becomes of it, and one that is stopped keeps it.
+// dialTimeout bounds a dial; a process that is stopped still has connections established by the kernel.
+const dialTimeout = time.Second
+
+// ProcessSlot is a process's position in the order of the processes of one router, and the folder that they share.
+// Each slot has a socket, on which later processes find this one, and a file that the process keeps locked while it
+// lives: the system releases the lock with the process, whatever becomes of it, and a process that is stopped keeps
+// it.
 type ProcessSlot struct {
 	Process  hotrestart.ProcessNumber
 	Listener *net.UnixListener
-	base     string
+	paths    slotPaths
 	lock     *os.File
 }
 
-const (
-	// rosterWithin bounds the wait for another process that is taking its place.
-	rosterWithin = 2 * time.Second
-	// dialWithin bounds a dial; a process that is stopped still has its connections come up.
-	dialWithin = time.Second
-)
-
-// AcquireSlot takes the next place among the processes of the router of that name. Where none of them lives, what they
-// left behind is removed, their bans too: a plain restart starts from nothing.
+// AcquireSlot acquires the next slot among the processes of the router of that name in a folder. Where none of them
+// lives, what they left behind is removed, the cordons too: a plain restart starts from nothing.
 func AcquireSlot(dir, name string) (*ProcessSlot, error) {
-	path, err := SocketPath(dir, name)
+	paths, err := newSlotPaths(dir, name)
 	if err != nil {
 		return nil, err
 	}
-	p := &ProcessSlot{base: strings.TrimSuffix(path, ".sock")}
-	roster, err := os.OpenFile(p.base+".roster", os.O_RDWR|os.O_CREATE, 0o600)
+	roster, err := lockRoster(paths.roster())
 	if err != nil {
 		return nil, err
 	}
-	defer roster.Close() // gives the lock up
-	for until := time.Now().Add(rosterWithin); ; time.Sleep(10 * time.Millisecond) {
-		if err = flock(roster, syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-			break
-		}
-		if time.Now().After(until) {
-			return nil, fmt.Errorf("%s: another process is taking its place and does not go on: %w", roster.Name(), err)
-		}
-	}
-	// The greatest place ever given is kept: one that was given again would be taken for the process that had it.
-	last := hotrestart.FirstProcess - 1
-	text := make([]byte, 32)
-	n, _ := roster.ReadAt(text, 0)
-	if v, err := strconv.ParseUint(strings.TrimSpace(string(text[:n])), 10, 48); err == nil {
-		last = max(last, hotrestart.ProcessNumber(v))
-	}
-	anybody := p.legacy()
-	for _, there := range p.places() {
-		last = max(last, there)
-		if p.Alive(there) {
-			anybody = true
-			continue
-		}
-		_ = os.Remove(p.socket(there))
-		_ = os.Remove(p.lockFile(there))
-	}
-	if !anybody {
-		_ = os.RemoveAll(p.bans())
-	}
-	p.Process = last + 1
-	if _, err := roster.WriteAt([]byte(fmt.Sprintf("%-20d\n", p.Process)), 0); err != nil {
+	defer roster.unlock()
+	slot := &ProcessSlot{paths: paths}
+	last := max(hotrestart.FirstProcess-1, roster.last(), slot.removeDead())
+	slot.Process = last + 1
+	if err := roster.setLast(slot.Process); err != nil {
 		return nil, err
 	}
-	if p.lock, err = os.OpenFile(p.lockFile(p.Process), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if err := slot.open(); err != nil {
 		return nil, err
 	}
-	err = flock(p.lock, syscall.LOCK_EX)
-	if err == nil {
-		_ = os.Remove(p.socket(p.Process))
-		p.Listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: p.socket(p.Process), Net: "unix"})
-	}
-	if err == nil {
-		p.Listener.SetUnlinkOnClose(false)
-		err = os.Chmod(p.socket(p.Process), 0o600)
+	return slot, nil
+}
+
+// removeDead removes the files of processes that have ended, and returns the greatest number that has files.
+func (s *ProcessSlot) removeDead() (last hotrestart.ProcessNumber) {
+	anyAlive := s.legacyAlive()
+	for _, process := range s.paths.processes() {
+		last = max(last, process)
+		if s.Alive(process) {
+			anyAlive = true
+			continue
+		}
+		_ = os.Remove(s.paths.socket(process))
+		_ = os.Remove(s.paths.lockFile(process))
 	}
-	if err != nil {
-		p.Close()
-		return nil, err
+	if !anyAlive {
+		s.paths.cordons().clear()
 	}
-	return p, nil
+	return last
 }
 
-func (p *ProcessSlot) socket(of hotrestart.ProcessNumber) string {
-	if of == hotrestart.LegacyPredecessor {
-		return p.base + ".sock"
+// open locks the slot's file and listens on its socket.
+func (s *ProcessSlot) open() (err error) {
+	if s.lock, err = os.OpenFile(s.paths.lockFile(s.Process), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+		return err
+	}
+	if err = flock(s.lock, syscall.LOCK_EX); err == nil {
+		err = s.listen()
+	}
+	if err != nil {
+		s.Close()
 	}
-	return fmt.Sprintf("%s.%d.sock", p.base, of)
+	return err
 }
 
-func (p *ProcessSlot) lockFile(of hotrestart.ProcessNumber) string {
-	return fmt.Sprintf("%s.%d.lock", p.base, of)
-}
-func (p *ProcessSlot) bans() string { return p.base + ".bans" }
-
-// places gives those that have a file, living or not, in their order.
-func (p *ProcessSlot) places() (all []hotrestart.ProcessNumber) {
-	names, _ := filepath.Glob(p.base + ".*.lock")
-	for _, name := range names {
-		text := strings.TrimSuffix(strings.TrimPrefix(name, p.base+"."), ".lock")
-		if n, err := strconv.ParseUint(text, 10, 48); err == nil && hotrestart.ProcessNumber(n) >= hotrestart.FirstProcess {
-			all = append(all, hotrestart.ProcessNumber(n))
-		}
+func (s *ProcessSlot) listen() (err error) {
+	path := s.paths.socket(s.Process)
+	_ = os.Remove(path)
+	if s.Listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"}); err != nil {
+		return err
 	}
-	slices.Sort(all)
-	return all
+	s.Listener.SetUnlinkOnClose(false)
+	return os.Chmod(path, 0o600)
 }
 
-// Alive tells whether the process of a place lives; one that is stopped does.
-func (p *ProcessSlot) Alive(of hotrestart.ProcessNumber) bool {
-	if of == hotrestart.LegacyPredecessor {
-		return p.legacy()
+// Alive reports whether a process lives; one that is stopped does.
+func (s *ProcessSlot) Alive(process hotrestart.ProcessNumber) bool {
+	if process == hotrestart.LegacyPredecessor {
+		return s.legacyAlive()
 	}
-	f, err := os.Open(p.lockFile(of))
+	file, err := os.Open(s.paths.lockFile(process))
 	if err != nil {
-		// Short of descriptors it can't be told, and must not pass for an end.
+		// Short of descriptors it can't be known, and must not pass for an end.
 		return !errors.Is(err, fs.ErrNotExist)
 	}
-	defer f.Close()
-	return flock(f, syscall.LOCK_SH|syscall.LOCK_NB) != nil
+	defer file.Close()
+	return flock(file, syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-// legacy tells whether a process of version 1 waits where those do. A placed process is published there under its own
-// socket's name, too, and does not count.
-func (p *ProcessSlot) legacy() bool {
-	at, err := os.Stat(p.socket(hotrestart.LegacyPredecessor))
+// legacyAlive reports whether a process of version 1 listens on the socket of those. A process with a slot that is
+// published there does not count.
+func (s *ProcessSlot) legacyAlive() bool {
+	legacyPath := s.paths.socket(hotrestart.LegacyPredecessor)
+	legacy, err := os.Stat(legacyPath)
 	if err != nil {
 		return false
 	}
-	for _, there := range p.places() {
-		if own, err := os.Stat(p.socket(there)); err == nil && os.SameFile(at, own) {
+	for _, process := range s.paths.processes() {
+		if own, err := os.Stat(s.paths.socket(process)); err == nil && os.SameFile(legacy, own) {
 			return false
 		}
 	}
-	conn, err := Dial(p.socket(hotrestart.LegacyPredecessor), dialWithin)
+	conn, err := Dial(legacyPath, dialTimeout)
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist)
 	}
@@ -156,93 +127,58 @@
 	return true
 }
 
-// Predecessor gives the newest living process before this one, or None.
-func (p *ProcessSlot) Predecessor() hotrestart.ProcessNumber {
-	for _, there := range slices.Backward(p.places()) {
-		if there < p.Process && p.Alive(there) {
-			return there
+// Predecessor returns the newest living process before this one, or NoProcess.
+func (s *ProcessSlot) Predecessor() hotrestart.ProcessNumber {
+	for _, process := range slices.Backward(s.paths.processes()) {
+		if process < s.Process && s.Alive(process) {
+			return process
 		}
 	}
-	if p.legacy() {
+	if s.legacyAlive() {
 		return hotrestart.LegacyPredecessor
 	}
 	return hotrestart.NoProcess
 }
 
-// Connect connects to the process of a place.
-func (p *ProcessSlot) Connect(of hotrestart.ProcessNumber) (*net.UnixConn, error) {
-	return Dial(p.socket(of), dialWithin)
+// Connect connects to a process.
+func (s *ProcessSlot) Connect(process hotrestart.ProcessNumber) (*net.UnixConn, error) {
+	return Dial(s.paths.socket(process), dialTimeout)
 }
 
-// PublishToLegacy has processes of version 1 find this one.
-func (p *ProcessSlot) PublishToLegacy() error {
-	mine := p.base + ".own"
-	_ = os.Remove(mine)
-	if err := os.Link(p.socket(p.Process), mine); err != nil {
+// PublishToLegacy lets processes of version 1 find this one.
+func (s *ProcessSlot) PublishToLegacy() error {
+	prepared := s.paths.published()
+	_ = os.Remove(prepared)
+	if err := os.Link(s.paths.socket(s.Process), prepared); err != nil {
 		return err
 	}
-	err := os.Rename(mine, p.socket(hotrestart.LegacyPredecessor))
-	_ = os.Remove(mine) // a rename onto another name of the same file leaves both
+	err := os.Rename(prepared, s.paths.socket(hotrestart.LegacyPredecessor))
+	_ = os.Remove(prepared) // a rename onto another name of the same file leaves both
 	return err
 }
 
-// Close gives the place up.
-func (p *ProcessSlot) Close() {
-	if p.Listener != nil {
-		_ = p.Listener.Close()
-	}
-	own, err := os.Stat(p.socket(p.Process))
-	if at, bad := os.Stat(p.socket(hotrestart.LegacyPredecessor)); err == nil && bad == nil && os.SameFile(at, own) {
-		_ = os.Remove(p.socket(hotrestart.LegacyPredecessor))
-	}
-	_ = os.Remove(p.socket(p.Process))
-	_ = os.Remove(p.lockFile(p.Process))
-	if p.lock != nil {
-		_ = p.lock.Close()
-	}
+// SetCordon stores that an engine is cordoned, or that it is not any more; either may be stored twice.
+func (s *ProcessSlot) SetCordon(engine string, cordoned bool) error {
+	return s.paths.cordons().set(engine, cordoned)
 }
 
-// A ban by hand is an empty file, named for the engine, in a folder that all processes of the router read: it is in
-// force for a process that starts while the one that was told of it hangs.
+// Cordoned returns the engines that are cordoned.
+func (s *ProcessSlot) Cordoned() ([]string, error) { return s.paths.cordons().list() }
 
-// SetCordon notes that an engine is out by hand, or is not any more; it may be told twice.
-func (p *ProcessSlot) SetCordon(engine string, out bool) error {
-	if !out {
-		err := os.Remove(filepath.Join(p.bans(), engine))
-		if errors.Is(err, fs.ErrNotExist) {
-			return nil
-		}
-		return err
+// Close gives the slot up.
+func (s *ProcessSlot) Close() {
+	if s.Listener != nil {
+		_ = s.Listener.Close()
 	}
-	if err := os.MkdirAll(p.bans(), 0o700); err != nil {
-		return err
-	}
-	f, err := os.OpenFile(filepath.Join(p.bans(), engine), os.O_WRONLY|os.O_CREATE, 0o600)
-	if err != nil {
-		return err
-	}
-	return f.Close()
-}
-
-// Cordoned lists the engines that are out by hand.
-func (p *ProcessSlot) Cordoned() ([]string, error) {
-	entries, err := os.ReadDir(p.bans())
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
+	socket, legacySocket := s.paths.socket(s.Process), s.paths.socket(hotrestart.LegacyPredecessor)
+	own, ownErr := os.Stat(socket)
+	legacy, legacyErr := os.Stat(legacySocket)
+	if ownErr == nil && legacyErr == nil && os.SameFile(legacy, own) {
+		_ = os.Remove(legacySocket)
 	}
-	var all []string
-	for _, e := range entries {
-		all = append(all, e.Name())
+	_ = os.Remove(socket)
+	_ = os.Remove(s.paths.lockFile(s.Process))
+	if s.lock != nil {
+		_ = s.lock.Close()
 	}
-	return all, err
-}
-
-func flock(f *os.File, how int) error {
-	return withFD(f, func(fd int) error {
-		for {
-			if err := syscall.Flock(fd, how); err != syscall.EINTR {
-				return err
-			}
-		}
-	})
 }
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -246,7 +246,7 @@
 	}, func(err error) {
 		<-started
 		r.loop.Post(func() { r.ended(p, err) })
-	}, r.log)
+	})
 	close(started)
 }
 
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -27,7 +27,7 @@
 			case <-a.gone:
 			}
 		}
-	}, func(error) { close(a.gone) }, discard)
+	}, func(error) { close(a.gone) })
 	return a
 }
 
