--- a/internal/decide/hotrestart/doc.go
+++ b/internal/decide/hotrestart/doc.go
@@ -8,9 +8,9 @@
 // retry (MessageWait). The invariants are:
 //
 //   - A process that has found a living predecessor never serves as if there were none. While the predecessor is
-//     silent, the process reports that it is not ready. When the silence has lasted too long it serves within the reserve that
-//     every process leaves for a successor (PhaseDegraded), with all cordons in force (they are stored in a folder that
-//     the processes share), and takes no work that must not run twice.
+//     silent, the process reports that it is not ready. When the silence has lasted too long it serves within the
+//     reserve that every process leaves for a successor (PhaseDegraded), with all cordons in force (they are stored in
+//     a folder that the processes share), and takes no work that must not run twice.
 //   - The predecessor stops accepting because of a message only. The successor accepts once it has the predecessor's
 //     go-ahead, once the predecessor has ended, or once the predecessor has been silent for so long that it hangs.
 //   - While two processes accept work that must not run twice, each begins it only with the other one's consent
