--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -13,7 +13,7 @@
 	"windflow/internal/router"
 )
 
-// rawConn notes what is written, as it is.
+// rawConn keeps what is written, as it is.
 type rawConn struct{ text strings.Builder }
 
 func (c *rawConn) Write(b []byte) error {
@@ -26,14 +26,14 @@
 func (c *rawConn) Detach(f func(*os.File)) { f(nil) }
 func (c *rawConn) HasUnread() bool         { return false }
 
-// goldenCalls are calls on each path, those that fail among them.
-var goldenCalls = []struct{ request, down string }{
+// goldenRequests are requests on each path, those that fail among them.
+var goldenRequests = []struct{ request, notReady string }{
 	{request: "GET /api/ready HTTP/1.1\r\nHost: n0\r\n\r\n"},
-	{request: "GET /api/ready HTTP/1.1\r\n\r\n", down: "draining"},
+	{request: "GET /api/ready HTTP/1.1\r\n\r\n", notReady: "draining"},
 	{request: "POST /api/ready HTTP/1.1\r\n\r\n"},
 	{request: "HEAD /api/ready HTTP/1.1\r\n\r\n"},
 	{request: "GET /api/telemetry HTTP/1.1\r\n\r\n"},
-	{request: "GET /api/telemetry HTTP/1.0\r\n\r\n", down: "draining"},
+	{request: "GET /api/telemetry HTTP/1.0\r\n\r\n", notReady: "draining"},
 	{request: "PUT /api/telemetry HTTP/1.1\r\n\r\n"},
 	{request: "POST /api/exclude/s-00c41f7a HTTP/1.1\r\n\r\n"},
 	{request: "POST /api/exclude/s-00000001 HTTP/1.1\r\n\r\n"},
@@ -52,36 +52,36 @@
 	{request: "GET /api/rea"}, // and no more
 }
 
-// Each answer of the operators' door is as it was when the golden file was recorded, whole and byte for byte.
+// Each response is as it was when the golden file was recorded, complete and byte for byte.
 func TestGoldenAnswers(t *testing.T) {
 	var got strings.Builder
-	for _, c := range goldenCalls {
+	for _, c := range goldenRequests {
 		fmt.Fprintf(&got, "> %q", c.request)
-		if c.down != "" {
-			fmt.Fprintf(&got, " while %s", c.down)
+		if c.notReady != "" {
+			fmt.Fprintf(&got, " while %s", c.notReady)
 		}
 		got.WriteByte('\n')
-		for line := range strings.Lines(answerTo(c.request, c.down)) {
+		for line := range strings.Lines(responseTo(c.request, c.notReady)) {
 			fmt.Fprintf(&got, "< %q\n", line)
 		}
 	}
 	golden.File(t, "testdata/golden/answers.txt", []byte(got.String()))
 }
 
-// answerTo gives the answer to a call, or what is said once its time is up.
-func answerTo(request, down string) string {
+// responseTo returns the response to a request, or what is sent once its time is up.
+func responseTo(request, notReady string) string {
 	now := &clock.Manual{MS: 1e12}
 	loop := router.NewLoop(now)
-	ops := &desk{out: &strings.Builder{}}
-	if down != "" {
-		ops.down = errors.New(down)
+	backend := &fakeBackend{out: &strings.Builder{}}
+	if notReady != "" {
+		backend.notReady = errors.New(notReady)
 	}
 	conn := &rawConn{}
-	caller := newDoor(loop, ops, slog.New(slog.DiscardHandler)).accept()
-	caller.Opened(conn)
-	caller.Data([]byte(request), now.MS)
+	connection := newServer(loop, backend, slog.New(slog.DiscardHandler)).accept()
+	connection.Opened(conn)
+	connection.Data([]byte(request), now.MS)
 	loop.Step()
-	now.MS += callWithin + 1
+	now.MS += requestTimeoutMS + 1
 	loop.Step()
 	return conn.text.String()
 }
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -8,75 +8,67 @@
 	"strings"
 )
 
-// maxCall bounds a call, its head and its body together; operators send neither long heads nor bodies.
-const maxCall = 8 << 10
+// maxRequest bounds a request, its head and its body together; operators send neither long heads nor bodies.
+const maxRequest = 8 << 10
 
-// call is one HTTP/1.1 request.
-type call struct {
+// lengthBits bounds a body's length to what an int holds on every platform.
+const lengthBits = 31
+
+// request is one HTTP/1.1 request.
+type request struct {
 	method string
 	path   string // decoded, without the query
 }
 
+// The texts are part of the API: they are the bodies of responses.
 var (
-	errMalformed = errors.New("malformed call")
-	errTooLong   = errors.New("call too long")
+	errMalformedRequest = errors.New("malformed call")
+	errRequestTooLong   = errors.New("call too long")
 )
 
-// parseCall reads a whole request; it gives nil while more is to come.
-func parseCall(b []byte) (*call, error) {
-	head, body, whole := cutHead(b)
-	if !whole {
-		if len(b) > maxCall {
-			return nil, errTooLong
-		}
-		// What can't become a call is told at once, not when its time is up.
-		line, _, ended := bytes.Cut(b, []byte("\n"))
-		if !ended && len(line) > 0 && !isToken(line[:1]) {
-			return nil, errMalformed
-		}
-		if ended {
-			if _, err := parseLine(string(line)); err != nil {
-				return nil, err
-			}
-		}
-		return nil, nil
+// parseRequest parses a request; it returns nil while the request is incomplete.
+func parseRequest(b []byte) (*request, error) {
+	head, body, complete := cutHead(b)
+	if !complete {
+		return nil, checkIncomplete(b)
 	}
 	lines := strings.Split(string(head), "\n")
-	c, err := parseLine(lines[0])
+	parsed, err := parseRequestLine(lines[0])
 	if err != nil {
 		return nil, err
 	}
-	length := 0
-	seen := false
-	for _, line := range lines[1:] {
-		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), ":")
-		if !ok || name == "" || !isToken([]byte(name)) {
-			return nil, errMalformed
-		}
-		value = strings.TrimSpace(value)
-		switch strings.ToLower(name) {
-		case "content-length":
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || seen && int(n) != length {
-				return nil, errMalformed
-			}
-			length, seen = int(n), true
-		case "transfer-encoding":
-			return nil, errMalformed // no call has a body that would need it
-		}
+	length, err := bodyLength(lines[1:])
+	if err != nil {
+		return nil, err
 	}
-	if len(head)+length > maxCall {
-		return nil, errTooLong
+	if len(head)+length > maxRequest {
+		return nil, errRequestTooLong
 	}
 	if len(body) < length {
 		return nil, nil
 	}
-	return c, nil
+	return parsed, nil
 }
 
-// cutHead cuts a head off at the empty line behind it; lines may end in a bare line feed.
-func cutHead(b []byte) (head, body []byte, whole bool) {
-	for i := 0; i < len(b) && i <= maxCall; i++ {
+// checkIncomplete rejects what can't become a request at once, instead of when its time is up.
+func checkIncomplete(b []byte) error {
+	if len(b) > maxRequest {
+		return errRequestTooLong
+	}
+	line, _, ended := bytes.Cut(b, []byte("\n"))
+	if ended {
+		_, err := parseRequestLine(string(line))
+		return err
+	}
+	if len(line) > 0 && !isToken(line[:1]) {
+		return errMalformedRequest
+	}
+	return nil
+}
+
+// cutHead cuts the head off at the empty line behind it; lines may end in a bare line feed.
+func cutHead(b []byte) (head, body []byte, complete bool) {
+	for i := 0; i < len(b) && i <= maxRequest; i++ {
 		if b[i] != '\n' {
 			continue
 		}
@@ -91,21 +83,46 @@
 	return nil, nil, false
 }
 
-// parseLine reads a request line.
-func parseLine(line string) (*call, error) {
+// bodyLength returns the length that the header lines of a head state, or 0.
+func bodyLength(lines []string) (int, error) {
+	length, stated := 0, false
+	for _, line := range lines {
+		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), ":")
+		if !ok || name == "" || !isToken([]byte(name)) {
+			return 0, errMalformedRequest
+		}
+		switch strings.ToLower(name) {
+		case "content-length":
+			n, err := strconv.ParseUint(strings.TrimSpace(value), 10, lengthBits)
+			if err != nil || stated && int(n) != length {
+				return 0, errMalformedRequest
+			}
+			length, stated = int(n), true
+		case "transfer-encoding":
+			return 0, errMalformedRequest // no request has a body that would need it
+		}
+	}
+	return length, nil
+}
+
+// parseRequestLine parses the first line of a request.
+func parseRequestLine(line string) (*request, error) {
 	parts := strings.Split(strings.TrimSuffix(line, "\r"), " ")
-	if len(parts) != 3 || parts[0] == "" || !isToken([]byte(parts[0])) ||
-		parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return nil, errMalformed
+	if len(parts) != 3 {
+		return nil, errMalformedRequest
+	}
+	method, target, version := parts[0], parts[1], parts[2]
+	if method == "" || !isToken([]byte(method)) || version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return nil, errMalformedRequest
 	}
-	u, err := url.ParseRequestURI(parts[1])
+	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return nil, errMalformed
+		return nil, errMalformedRequest
 	}
-	return &call{method: parts[0], path: u.Path}, nil
+	return &request{method: method, path: u.Path}, nil
 }
 
-// isToken tells whether b is of the characters that HTTP allows in methods and names.
+// isToken reports whether b consists of the characters that HTTP allows in methods and names of headers.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		letter := c|0x20 >= 'a' && c|0x20 <= 'z'
--- /dev/null
+++ b/internal/admin/routes.go
@@ -0,0 +1,65 @@
+package admin
+
+import "strings"
+
+// The paths of the API.
+const (
+	pathReady          = "/api/ready"
+	pathTelemetry      = "/api/telemetry"
+	pathPrefixCordon   = "/api/exclude/"
+	pathPrefixUncordon = "/api/include/"
+)
+
+// The methods of the API.
+const (
+	methodGet  = "GET"
+	methodPost = "POST"
+)
+
+// handle answers a request.
+func (s *Server) handle(r *request, respond func(response)) {
+	if id, ok := strings.CutPrefix(r.path, pathPrefixCordon); ok {
+		s.handleOrder(r, id, s.backend.Cordon, respond)
+		return
+	}
+	if id, ok := strings.CutPrefix(r.path, pathPrefixUncordon); ok {
+		s.handleOrder(r, id, s.backend.Uncordon, respond)
+		return
+	}
+	respond(s.query(r))
+}
+
+// handleOrder has an operator's order on an engine carried out, and answers once it is.
+func (s *Server) handleOrder(r *request, id string, order func(string, func(bool)), respond func(response)) {
+	if r.method != methodPost {
+		respond(methodNotAllowed(methodPost))
+		return
+	}
+	order(id, func(known bool) {
+		s.log.Info("operator order", "path", r.path, "known", known)
+		if !known {
+			respond(response{status: statusNotFound, text: "no engine of that id was ever listed"})
+			return
+		}
+		respond(response{status: statusOK, text: "done"})
+	})
+}
+
+// query answers a request that changes nothing.
+func (s *Server) query(r *request) response {
+	switch {
+	case r.path != pathReady && r.path != pathTelemetry:
+		return response{
+			status: statusNotFound,
+			text:   "there is /api/ready, /api/telemetry, /api/exclude/ID and /api/include/ID",
+		}
+	case r.method != methodGet:
+		return methodNotAllowed(methodGet)
+	case r.path == pathTelemetry:
+		return response{status: statusOK, text: s.backend.Telemetry()}
+	}
+	if err := s.backend.Ready(); err != nil {
+		return response{status: statusServiceUnavailable, text: err.Error()}
+	}
+	return response{status: statusOK, text: "ready"}
+}
