--- a/cmd/windflowctl/admin.go
+++ b/cmd/windflowctl/admin.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -10,67 +11,113 @@
 	"github.com/spf13/cobra"
 )
 
-// doorWithin bounds one call at a door, which answers within a second.
-const doorWithin = 3 * time.Second
+const (
+	// adminTimeout bounds one request to a router, which answers within a second.
+	adminTimeout = 3 * time.Second
+	// maxAdminResponse bounds what is printed of a response.
+	maxAdminResponse = 64 << 10
 
-// doorCommand speaks to routers' doors for operators; a word on an engine goes to all that are named.
-func doorCommand() *cobra.Command {
-	var doors []string
-	call := func(c *cobra.Command, method, path string) error {
-		if len(doors) == 0 {
-			return fmt.Errorf("--door: no router is named")
+	adminName       = "admin"
+	formerAdminName = "door"
+)
+
+// errNoRouter rejects a call without the flag that names routers.
+var errNoRouter = errors.New("--door: no router is named")
+
+// adminCommand asks routers over their admin API and cordons engines at them; an order goes to all routers that are named.
+func adminCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: adminName, Short: "Ask routers and cordon engines, over the routers' admin API"}
+	var routers []string
+	cmd.PersistentFlags().StringSliceVar(&routers, "door", nil,
+		"`address:port` of a router's admin API; several, with commas or the flag again")
+	cmd.AddCommand(
+		adminQuery("ready", "Ask whether they are ready to serve", "/api/ready", &routers),
+		adminQuery("figures", "Print their metrics", "/api/telemetry", &routers),
+		adminOrder("exclude ENGINE", "Cordon an engine: none of them sends it more", "/api/exclude/", &routers),
+		adminOrder("include ENGINE", "Uncordon an engine", "/api/include/", &routers),
+	)
+	return cmd
+}
+
+// formerAdminCommand is the admin command under its former name, which it says on standard error.
+func formerAdminCommand() *cobra.Command {
+	cmd := adminCommand()
+	cmd.Use = formerAdminName
+	cmd.Short = "Former name of " + adminName
+	cmd.Hidden = true
+	cmd.PersistentPreRun = func(cmd *cobra.Command, _ []string) {
+		fmt.Fprintf(cmd.ErrOrStderr(), "windflowctl: the command %q is called %q now\n", formerAdminName, adminName)
+	}
+	return cmd
+}
+
+// adminQuery is a command that changes nothing.
+func adminQuery(use, short, path string, routers *[]string) *cobra.Command {
+	return &cobra.Command{
+		Use: use, Short: short, Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return callRouters(cmd.OutOrStdout(), *routers, http.MethodGet, path)
+		},
+	}
+}
+
+// adminOrder is a command on an engine, which the path ends in.
+func adminOrder(use, short, pathPrefix string, routers *[]string) *cobra.Command {
+	return &cobra.Command{
+		Use: use, Short: short, Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return callRouters(cmd.OutOrStdout(), *routers, http.MethodPost, pathPrefix+args[0])
+		},
+	}
+}
+
+// callRouters sends a request to each router and prints the responses; the error says how many did not succeed.
+func callRouters(out io.Writer, routers []string, method, path string) error {
+	if len(routers) == 0 {
+		return errNoRouter
+	}
+	client := &http.Client{Timeout: adminTimeout}
+	failed := 0
+	for _, router := range routers {
+		request, err := http.NewRequest(method, "http://"+router+path, nil)
+		if err != nil {
+			return fmt.Errorf("--door %s: %w", router, err)
 		}
-		client := &http.Client{Timeout: doorWithin}
-		no := 0
-		for _, door := range doors {
-			r, err := http.NewRequest(method, "http://"+door+path, nil)
-			if err != nil {
-				return fmt.Errorf("--door %s: %w", door, err)
-			}
-			r.Close = true
-			status, text := "", ""
-			answer, err := client.Do(r)
-			if err == nil {
-				var body []byte
-				body, err = io.ReadAll(io.LimitReader(answer.Body, 64<<10))
-				_ = answer.Body.Close()
-				status, text = answer.Status, strings.TrimSpace(string(body))
-			}
-			if err != nil {
-				status = err.Error()
-			}
-			if err != nil || answer.StatusCode/100 != 2 {
-				no++
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", door, status)
-			if text != "" {
-				fmt.Fprintln(c.OutOrStdout(), text)
-			}
+		request.Close = true
+		result := callRouter(client, request)
+		if !result.succeeded {
+			failed++
 		}
-		if no > 0 {
-			return fmt.Errorf("%d of %d routers did not say yes", no, len(doors))
+		fmt.Fprintf(out, "%s: %s\n", router, result.status)
+		if result.text != "" {
+			fmt.Fprintln(out, result.text)
 		}
-		return nil
 	}
-	cmd := &cobra.Command{Use: "door", Short: "Ask routers, and tell them of engines, at their doors"}
-	cmd.PersistentFlags().StringSliceVar(&doors, "door", nil, "`address:port` of a router's door; several, with commas or the flag again")
-	for _, sub := range []struct{ use, short, method, path string }{
-		{"ready", "Ask whether they are ready to serve", http.MethodGet, "/api/ready"},
-		{"figures", "Print their figures", http.MethodGet, "/api/telemetry"},
-	} {
-		cmd.AddCommand(&cobra.Command{
-			Use: sub.use, Short: sub.short, Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return call(c, sub.method, sub.path) },
-		})
+	if failed > 0 {
+		return fmt.Errorf("%d of %d routers did not say yes", failed, len(routers))
 	}
-	for _, sub := range []struct{ use, short, path string }{
-		{"exclude ENGINE", "Have no more sent to an engine, by all of them", "/api/exclude/"},
-		{"include ENGINE", "Put an engine back", "/api/include/"},
-	} {
-		cmd.AddCommand(&cobra.Command{
-			Use: sub.use, Short: sub.short, Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return call(c, http.MethodPost, sub.path+args[0]) },
-		})
+	return nil
+}
+
+// callResult is what is printed of a request to one router.
+type callResult struct {
+	succeeded bool
+	status    string // of the response, or why there is none
+	text      string
+}
+
+func callRouter(client *http.Client, request *http.Request) callResult {
+	response, err := client.Do(request)
+	if err != nil {
+		return callResult{status: err.Error()}
 	}
-	return cmd
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAdminResponse))
+	_ = response.Body.Close()
+	result := callResult{status: response.Status, text: strings.TrimSpace(string(body))}
+	if err != nil {
+		result.status = err.Error()
+		return result
+	}
+	result.succeeded = response.StatusCode/100 == 2
+	return result
 }
--- /dev/null
+++ b/cmd/windflowctl/admin_test.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"windflow/internal/goldentest"
+)
+
+// adminCalls are calls of the admin command, one of which fails.
+var adminCalls = [][]string{
+	{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
+}
+
+// adminRouter stands for a router's admin API and keeps the requests that it gets.
+type adminRouter struct {
+	address  string
+	requests bytes.Buffer
+}
+
+func startAdminRouter(t *testing.T) *adminRouter {
+	t.Helper()
+	router := &adminRouter{}
+	server := httptest.NewServer(router)
+	t.Cleanup(server.Close)
+	router.address = strings.TrimPrefix(server.URL, "http://")
+	return router
+}
+
+func (a *adminRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	fmt.Fprintf(&a.requests, "%s %s %q\n", r.Method, r.URL, body)
+	if strings.HasSuffix(r.URL.Path, "/unknown") {
+		w.WriteHeader(http.StatusNotFound)
+	}
+	_, _ = io.WriteString(w, `{"said":"yes"}`+"\n")
+}
+
+// The requests to a router, and what is printed of its responses, are what they were.
+func TestGoldenAdmin(t *testing.T) {
+	router := startAdminRouter(t)
+	var printed bytes.Buffer
+	for _, args := range adminCalls {
+		out, bad, err := run(t, append([]string{adminName, "--door", router.address}, args...)...)
+		fmt.Fprintf(&printed, "%v\n%s%s%v\n\n", args, out, bad, err)
+	}
+	_, _, err := run(t, adminName, "ready")
+	fmt.Fprintf(&printed, "no door: %v\n", err)
+	goldentest.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
+	goldentest.Equal(t, "door-calls.txt", router.requests.Bytes())
+}
+
+// Under its former name the command does and prints the same, and says on standard error what it is called now.
+func TestFormerNameOfAdmin(t *testing.T) {
+	router := startAdminRouter(t)
+	const notice = "windflowctl: the command \"door\" is called \"admin\" now\n"
+	var printed bytes.Buffer
+	for _, args := range adminCalls {
+		out, bad, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
+		if bad != notice {
+			t.Errorf("%v: standard error has %q", args, bad)
+		}
+		fmt.Fprintf(&printed, "%v\n%s%v\n\n", args, out, err)
+	}
+	_, bad, err := run(t, formerAdminName, "ready")
+	if bad != notice {
+		t.Errorf("without a router: standard error has %q", bad)
+	}
+	fmt.Fprintf(&printed, "no door: %v\n", err)
+	goldentest.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
+	goldentest.Equal(t, "door-calls.txt", router.requests.Bytes())
+}
--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -1,11 +1,7 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
-	"io"
-	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
@@ -134,29 +130,3 @@
 	printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
 	goldentest.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(printed, dir, "DIR")))
 }
-
-// The calls at a door, and what is printed of its answers, are what they were.
-func TestGoldenDoor(t *testing.T) {
-	var calls bytes.Buffer
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		fmt.Fprintf(&calls, "%s %s %q\n", r.Method, r.URL, body)
-		if strings.HasSuffix(r.URL.Path, "/unknown") {
-			w.WriteHeader(http.StatusNotFound)
-		}
-		_, _ = io.WriteString(w, `{"said":"yes"}`+"\n")
-	}))
-	defer server.Close()
-	address := strings.TrimPrefix(server.URL, "http://")
-	var said bytes.Buffer
-	for _, args := range [][]string{
-		{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
-	} {
-		out, bad, err := run(t, append([]string{"door", "--door", address}, args...)...)
-		fmt.Fprintf(&said, "%v\n%s%s%v\n\n", args, out, bad, err)
-	}
-	_, _, err := run(t, "door", "ready")
-	fmt.Fprintf(&said, "no door: %v\n", err)
-	goldentest.Equal(t, "door.txt", bytes.ReplaceAll(said.Bytes(), []byte(address), []byte("DOOR")))
-	goldentest.Equal(t, "door-calls.txt", calls.Bytes())
-}
--- a/cmd/windflowctl/main.go
+++ b/cmd/windflowctl/main.go
@@ -23,6 +23,8 @@
 		SilenceUsage:  true,
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(doorCommand(), recordsCommand(), incidentCommand(), threadsCommand())
+	root.AddCommand(
+		adminCommand(), formerAdminCommand(), recordsCommand(), incidentCommand(), threadsCommand(),
+	)
 	return root
 }
