--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -65,7 +65,7 @@
 	if err != nil || read[0].Err != nil || len(read[0].Damage) > 0 {
 		t.Fatal(err, read)
 	}
-	if served != 50 || out != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator's call"] != 1 {
+	if served != 50 || out != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator order"] != 1 {
 		t.Errorf("%d served, out %d times, events %v", served, out, events)
 	}
 	if head.Router != "n0" || head.Incarnation == 0 || head.WallMS == 0 {
