--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// grown gives a log with so many parties, as a large site has them, put in changes of at most 5,000, and then 100 changes of
-// one each.
+// grown gives a log with so many parties, as a large site has them, put in changes of at most 5,000, and then 100
+// changes of one each.
 func grown(b *testing.B, entries int) *Log {
 	b.Helper()
 	l := NewLog(Retention{})
@@ -24,7 +24,7 @@
 	return l
 }
 
-func party(n int) string { return fmt.Sprintf("%stenant-%05d", partiesPath, n) }
+func party(n int) string { return fmt.Sprintf("%stenant-%05d", tenantsPath, n) }
 
 func sizes(b *testing.B, run func(b *testing.B, l *Log, entries int)) {
 	for _, entries := range []int{10, 100, 1_000, 10_000} {
@@ -57,7 +57,7 @@
 func BenchmarkSinceDelta(b *testing.B) {
 	sizes(b, func(b *testing.B, l *Log, entries int) {
 		rev := l.Revision() - 1
-		h, _ := l.hashAt(rev)
+		h, _ := l.history.hashAt(rev)
 		for b.Loop() {
 			if u := l.UpdateSince(rev, h); u.Snapshot || len(u.Put) != 1 {
 				b.Fatal("no delta")
@@ -106,7 +106,7 @@
 	b.Run("anew", func(b *testing.B) {
 		sizes(b, func(b *testing.B, l *Log, entries int) {
 			for b.Loop() {
-				if HashEntries(l.entries) != l.hash {
+				if HashEntries(l.document.entries) != l.document.hash {
 					b.Fatal("another hash")
 				}
 			}
@@ -144,7 +144,7 @@
 			if _, ok, err := f.Offer(u); !ok {
 				b.Fatal(err)
 			}
-			f.next = nil
+			f.candidate = nil
 		}
 	})
 }
--- /dev/null
+++ b/internal/decide/configlog/codec.go
@@ -0,0 +1,132 @@
+package configlog
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+)
+
+// errEndsEarly is a state that has fewer bytes than its lengths say.
+var errEndsEarly = errors.New("it ends early")
+
+// encoder appends numbers, texts and records to a buffer.
+type encoder struct{ buffer []byte }
+
+func (e *encoder) number(n uint64) { e.buffer = binary.AppendUvarint(e.buffer, n) }
+
+// bytes appends bytes whose number the decoder knows.
+func (e *encoder) bytes(b []byte) { e.buffer = append(e.buffer, b...) }
+
+func (e *encoder) text(s string) {
+	e.number(uint64(len(s)))
+	e.buffer = append(e.buffer, s...)
+}
+
+// optional distinguishes nil from an empty value.
+func (e *encoder) optional(value json.RawMessage) {
+	if value == nil {
+		e.number(0)
+		return
+	}
+	e.number(uint64(len(value)) + 1)
+	e.bytes(value)
+}
+
+func (e *encoder) record(r record) {
+	e.text(r.id)
+	e.text(r.note)
+	e.number(uint64(r.atMS))
+	if r.revertTo == nil {
+		e.number(0)
+	} else {
+		e.number(1)
+		e.number(*r.revertTo)
+	}
+	e.bytes(r.hash[:])
+	e.number(uint64(len(r.edits)))
+	for _, change := range r.edits {
+		e.text(change.pointer)
+		e.optional(change.before)
+		e.optional(change.after)
+	}
+}
+
+// decoder reads what encoder wrote. After its first error it returns zero values.
+type decoder struct {
+	buffer []byte // not read yet
+	err    error
+}
+
+func (d *decoder) number() uint64 {
+	n, size := binary.Uvarint(d.buffer)
+	if size <= 0 {
+		d.fail()
+		return 0
+	}
+	d.buffer = d.buffer[size:]
+	return n
+}
+
+// count reads a number of items, each of which has at least one byte: a wrong number can't ask for more than there is.
+func (d *decoder) count() uint64 {
+	n := d.number()
+	if n > uint64(len(d.buffer)) {
+		d.fail()
+		return 0
+	}
+	return n
+}
+
+func (d *decoder) bytes(n uint64) []byte {
+	if n > uint64(len(d.buffer)) {
+		d.fail()
+		return nil
+	}
+	out := d.buffer[:n]
+	d.buffer = d.buffer[n:]
+	return out
+}
+
+func (d *decoder) text() string { return string(d.bytes(d.number())) }
+
+func (d *decoder) optional() json.RawMessage {
+	n := d.number()
+	if n == 0 {
+		return nil
+	}
+	return append(json.RawMessage{}, d.bytes(n-1)...)
+}
+
+func (d *decoder) hash() (h Hash) {
+	copy(h[:], d.bytes(uint64(len(h))))
+	return h
+}
+
+func (d *decoder) record() record {
+	out := record{id: d.text(), note: d.text(), atMS: int64(d.number())}
+	if d.number() == 1 {
+		revertTo := d.number()
+		out.revertTo = &revertTo
+	}
+	out.hash = d.hash()
+	for range d.count() {
+		out.edits = append(out.edits, edit{pointer: d.text(), before: d.optional(), after: d.optional()})
+	}
+	return out
+}
+
+// finish returns the first error, or one for bytes that are left.
+func (d *decoder) finish() error {
+	if d.err == nil && len(d.buffer) > 0 {
+		return fmt.Errorf("%d bytes are left over", len(d.buffer))
+	}
+	return d.err
+}
+
+func (d *decoder) fail() {
+	if d.err == nil {
+		d.err = errEndsEarly
+	}
+	d.buffer = nil
+}
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -64,7 +64,7 @@
 	}
 	refused("foreign", bytes.Repeat([]byte("raft"), 100), "no state")
 	form := bytes.Clone(state)
-	form[len(magic)-1]++
+	form[len(stateMagic)-1]++
 	refused("later form", form, "form 2")
 	refused("longer", append(bytes.Clone(state), 0), "checksum")
 	// With a checksum that fits, as a faulty program would write it.
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"crypto/sha256"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,200 +10,213 @@
 	"strings"
 )
 
-// Why a follower doesn't take an update. After each of them, call Lost: another keeper is asked, after a wait.
+// Why a follower doesn't use an update. After each of them, CallFailed has to be called: another keeper is asked,
+// after a wait.
 var (
-	// ErrBehind is a keeper that is before the follower, which keeps what it has; see Ahead.
+	// ErrBehind is a keeper that is before the follower, which keeps its revision; see KeepersAreBehind.
 	ErrBehind = errors.New("the keeper is behind")
-	// ErrStale is an answer to a former question: it begins elsewhere or ends before what is in force.
+	// ErrStale is an answer to an earlier call: it begins at another revision or ends before what is in force.
 	ErrStale = errors.New("the update doesn't begin where this follower is")
 	// ErrMismatch is an update whose content doesn't have the hash that it says.
 	ErrMismatch = errors.New("the content doesn't have the hash that was said")
-	// ErrPending is an update that comes before the one before was accepted or refused.
+	// ErrPending is an update that comes before the one before was accepted or rejected.
 	ErrPending = errors.New("the update before is neither accepted nor refused")
 	// ErrDamaged is a copy or a state that isn't what was written.
 	ErrDamaged = errors.New("damaged")
 )
 
-// SavedRevision is a follower's copy for its disk: the last revision that was in force.
-type SavedRevision struct {
-	Revision uint64                     `json:"revision"`
-	Hash     Hash                       `json:"hash"`
-	Checksum Hash                       `json:"sum"` // of Revision and Hash, which the hash of the entries doesn't guard
-	Entries  map[string]json.RawMessage `json:"entries"`
-}
-
-func (s SavedRevision) sum() Hash {
-	return sha256.Sum256(append(binary.LittleEndian.AppendUint64([]byte("windflow saved\n"), s.Revision), s.Hash[:]...))
-}
+// maxRejections is how many rejections a follower remembers: those of the latest revisions.
+const maxRejections = 16
 
-// content is a revision with all its entries. It is never written to once made, so that who was handed it may go on reading.
+// content is a revision with all its entries. It is never changed, so that callers can go on reading the entries.
 type content struct {
 	revision uint64
 	hash     Hash
 	entries  map[string]json.RawMessage
 }
 
-// Follower is the router's side: what it holds, what it is offered, and whom it asks when. It holds the content of one revision,
-// or a candidate beside it, never a mix, and its revision doesn't go back while it lives.
+// Follower is the router's side: what it has in force, what it is offered, and which keeper it calls when. It has the
+// content of exactly one revision in force, beside at most one candidate, and its revision never goes back.
 type Follower struct {
 	name, instance string
-	now            content
-	next           *content    // offered, neither accepted nor refused
-	refused        []Rejection // after what is in force, by revision
-	whole          bool        // an update didn't fit: the whole is asked for
-	courier
+	current        content
+	candidate      *content    // offered, neither accepted nor rejected
+	rejections     []Rejection // of revisions after the current one, by revision
+	needsSnapshot  bool        // an update didn't fit
+	selection      keeperSelection
 }
 
-// NewFollower gives a follower at revision 0, which is the router's own file alone. The instance is another in
-// each life; see Instance.
+// NewFollower returns a follower at revision 0, which is the router's own file alone. The instance is that of
+// NewInstance.
 func NewFollower(name, instance string) *Follower {
 	return &Follower{
-		name: name, instance: instance, now: content{entries: map[string]json.RawMessage{}},
-		courier: newCourier(instance),
+		name: name, instance: instance,
+		current:   content{entries: map[string]json.RawMessage{}},
+		selection: newKeeperSelection(instance),
 	}
 }
 
-// Status gives what the next call says to a keeper, which is also the ACK or NACK of what the last one brought. After an update
-// that didn't fit, the hash is left out, which makes a keeper send the whole.
+// Status returns what the next call reports to a keeper, which is also the ACK or NACK of what the last one brought.
+// After an update that didn't fit, the hash is left out, so that a keeper answers with a snapshot.
 func (f *Follower) Status() FollowerStatus {
-	r := FollowerStatus{Name: f.name, Instance: f.instance, Revision: f.now.revision, Hash: f.now.hash}
-	if n := len(f.refused); n > 0 {
-		last := f.refused[n-1]
-		r.Rejected = &last
+	status := FollowerStatus{Name: f.name, Instance: f.instance, Revision: f.current.revision, Hash: f.current.hash}
+	if n := len(f.rejections); n > 0 {
+		latest := f.rejections[n-1]
+		status.Rejected = &latest
 	}
-	if f.whole {
-		r.Hash = Hash{}
+	if f.needsSnapshot {
+		status.Hash = Hash{}
 	}
-	return r
+	return status
 }
 
-// Offer takes a keeper's answer. With ok, the content is a candidate: bring it in force and call Accept, or Refuse if that
-// fails. Without ok and error there is nothing to do. The content mustn't be written to. Errors: ErrBehind, ErrStale,
-// ErrMismatch, ErrPending; the follower holds the same as before then.
-func (f *Follower) Offer(u Update) (entries map[string]json.RawMessage, ok bool, err error) {
-	if f.next != nil {
+// Offer takes a keeper's answer. With ok, the content is a candidate: apply it and call Accept, or Reject if that
+// fails. Without ok and error there is nothing to do. The content must not be changed. After an error (ErrBehind,
+// ErrStale, ErrMismatch, ErrPending) the follower has the same content as before.
+func (f *Follower) Offer(update Update) (entries map[string]json.RawMessage, ok bool, err error) {
+	if f.candidate != nil {
 		return nil, false, ErrPending
 	}
-	if u.KeeperBehind {
-		return nil, false, f.behind(u.To, f.now.revision)
+	if update.KeeperBehind {
+		return nil, false, f.keeperBehind(update.To)
 	}
-	if u.To < f.now.revision || !u.Snapshot && u.From != f.now.revision {
-		return nil, false, fmt.Errorf("%w: from %d to %d at %d", ErrStale, u.From, u.To, f.now.revision)
+	if update.To < f.current.revision || !update.Snapshot && update.From != f.current.revision {
+		return nil, false, fmt.Errorf("%w: from %d to %d at %d", ErrStale, update.From, update.To, f.current.revision)
 	}
-	same := u.To == f.now.revision && u.Hash == f.now.hash
-	if u.IsEmpty() || same || f.hasRefused(u.To, u.Hash) {
-		f.whole = f.whole && !same
+	same := update.To == f.current.revision && update.Hash == f.current.hash
+	if update.IsEmpty() || same || f.hasRejected(update.To, update.Hash) {
+		f.needsSnapshot = f.needsSnapshot && !same
 		f.Unchanged()
 		return nil, false, nil
 	}
-	next := content{revision: u.To}
-	if next.entries, next.hash, err = f.apply(u); err == nil && next.hash != u.Hash {
-		err = fmt.Errorf("%w: revision %d", ErrMismatch, u.To)
-	}
+	candidate, err := f.current.apply(update)
 	if err != nil {
-		f.whole = true
+		f.needsSnapshot = true
 		return nil, false, err
 	}
 	f.Unchanged()
-	f.next = &next
-	return next.entries, true, nil
+	f.candidate = &candidate
+	return candidate.entries, true, nil
 }
 
-// apply gives the content that an update makes, with its hash, beside the one in force.
-func (f *Follower) apply(u Update) (map[string]json.RawMessage, Hash, error) {
-	if u.Snapshot {
-		entries := maps.Clone(u.Put)
-		if entries == nil {
-			entries = map[string]json.RawMessage{}
-		}
-		return entries, HashEntries(entries), nil
+// apply returns the content that an update makes, and an error that wraps ErrMismatch if it isn't what the update says.
+func (c content) apply(update Update) (content, error) {
+	next, err := c.withUpdate(update)
+	if err != nil {
+		return content{}, err
 	}
-	entries, h := maps.Clone(f.now.entries), f.now.hash
-	for _, p := range u.Remove {
-		was, ok := entries[p]
+	if next.hash != update.Hash {
+		return content{}, fmt.Errorf("%w: revision %d", ErrMismatch, update.To)
+	}
+	return next, nil
+}
+
+func (c content) withUpdate(update Update) (content, error) {
+	if update.Snapshot {
+		return newContent(update.To, update.Put), nil
+	}
+	return c.withDelta(update)
+}
+
+// newContent copies the entries.
+func newContent(revision uint64, entries map[string]json.RawMessage) content {
+	entries = maps.Clone(entries)
+	if entries == nil {
+		entries = map[string]json.RawMessage{}
+	}
+	return content{revision: revision, hash: HashEntries(entries), entries: entries}
+}
+
+// withDelta returns the content after an update that is no snapshot.
+func (c content) withDelta(update Update) (content, error) {
+	next := content{revision: update.To, hash: c.hash, entries: maps.Clone(c.entries)}
+	for _, pointer := range update.Remove {
+		value, ok := next.entries[pointer]
 		if !ok {
-			return nil, h, fmt.Errorf("%w: revision %d removes %s, which isn't there", ErrMismatch, u.To, p)
+			return next, fmt.Errorf("%w: revision %d removes %s, which isn't there", ErrMismatch, update.To, pointer)
 		}
-		h = h.minus(digest(p, was))
-		delete(entries, p)
+		next.hash = next.hash.minus(digest(pointer, value))
+		delete(next.entries, pointer)
 	}
-	for p, v := range u.Put {
-		if was, ok := entries[p]; ok {
-			h = h.minus(digest(p, was))
+	for pointer, value := range update.Put {
+		if before, ok := next.entries[pointer]; ok {
+			next.hash = next.hash.minus(digest(pointer, before))
 		}
-		h = h.plus(digest(p, v))
-		entries[p] = v
+		next.hash = next.hash.plus(digest(pointer, value))
+		next.entries[pointer] = value
 	}
-	return entries, h, nil
+	return next, nil
 }
 
-// Accept says that the candidate is in force. Without a candidate it does nothing.
+// Accept tells that the candidate is in force. Without a candidate it does nothing.
 func (f *Follower) Accept() {
-	if f.next == nil {
+	if f.candidate == nil {
 		return
 	}
-	f.now, f.next, f.whole = *f.next, nil, false
-	f.refused = slices.DeleteFunc(f.refused, func(r Rejection) bool { return r.Revision <= f.now.revision })
+	f.current, f.candidate, f.needsSnapshot = *f.candidate, nil, false
+	f.rejections = slices.DeleteFunc(f.rejections, func(r Rejection) bool { return r.Revision <= f.current.revision })
 }
 
-// Reject says that the candidate couldn't be brought in force, at which pointer and why; the one before stays. The same content
-// under the same number isn't taken again in this life until Retry, also if a keeper that is late has offered another between.
-// Without a candidate it does nothing.
+// Reject tells that the candidate couldn't be applied, at which pointer and why; the revision before stays in force.
+// The same content under the same number isn't offered again by this process until ClearRejections, even if a keeper
+// that is behind has offered another one in between. Without a candidate it does nothing.
 func (f *Follower) Reject(pointer, reason string) {
-	if f.next == nil {
+	if f.candidate == nil {
 		return
 	}
-	r := Rejection{Revision: f.next.revision, Hash: f.next.hash, Pointer: cut(pointer, MaxPointerBytes), Reason: cut(reason, MaxNoteBytes)}
-	f.next = nil
-	at, _ := slices.BinarySearchFunc(f.refused, r, func(a, b Rejection) int { return cmp.Compare(a.Revision, b.Revision) })
-	f.refused = slices.Insert(f.refused, at, r)
-	if over := len(f.refused) - refusals; over > 0 {
-		f.refused = slices.Delete(f.refused, 0, over)
+	rejected := Rejection{
+		Revision: f.candidate.revision, Hash: f.candidate.hash,
+		Pointer: truncate(pointer, MaxPointerBytes), Reason: truncate(reason, MaxNoteBytes),
+	}
+	f.candidate = nil
+	byRevision := func(a, b Rejection) int { return cmp.Compare(a.Revision, b.Revision) }
+	index, _ := slices.BinarySearchFunc(f.rejections, rejected, byRevision)
+	f.rejections = slices.Insert(f.rejections, index, rejected)
+	if excess := len(f.rejections) - maxRejections; excess > 0 {
+		f.rejections = slices.Delete(f.rejections, 0, excess)
 	}
 }
 
-// refusals is how many a follower remembers: those of the latest revisions.
-const refusals = 16
-
-func (f *Follower) hasRefused(rev uint64, h Hash) bool {
-	return slices.ContainsFunc(f.refused, func(r Rejection) bool { return r.Revision == rev && r.Hash == h })
+func (f *Follower) hasRejected(revision uint64, hash Hash) bool {
+	return slices.ContainsFunc(f.rejections, func(r Rejection) bool { return r.Revision == revision && r.Hash == hash })
 }
 
-// cut gives at most so many bytes of a text, and no part of a character.
-func cut(s string, most int) string {
-	if len(s) > most {
-		s = s[:most]
+// truncate returns at most limit bytes of a text, without a part of a character.
+func truncate(text string, limit int) string {
+	if len(text) > limit {
+		text = text[:limit]
 	}
-	return strings.ToValidUTF8(s, "")
+	return strings.ToValidUTF8(text, "")
 }
 
-// ClearRejections forgets what was refused, so that it's offered once more: for when the router's own file has changed.
-func (f *Follower) ClearRejections() { f.refused = nil }
+// ClearRejections forgets what was rejected, so that it is offered once more: for when the router's own file has
+// changed.
+func (f *Follower) ClearRejections() { f.rejections = nil }
 
-// Saved gives the copy of what is in force.
+// Saved returns the copy of what is in force.
 func (f *Follower) Saved() SavedRevision {
-	s := SavedRevision{Revision: f.now.revision, Hash: f.now.hash, Entries: f.now.entries}
-	s.Checksum = s.sum()
-	return s
+	saved := SavedRevision{Revision: f.current.revision, Hash: f.current.hash, Entries: f.current.entries}
+	saved.Checksum = saved.checksum()
+	return saved
 }
 
-// Restore offers a copy as Offer does an update, to be accepted or refused. ErrDamaged is one that isn't what was saved;
-// ErrStale one that isn't after what is in force; ErrPending as in Offer.
-func (f *Follower) Restore(s SavedRevision) (entries map[string]json.RawMessage, ok bool, err error) {
-	switch {
-	case f.next != nil:
+// Restore offers a copy as Offer does an update, to be accepted or rejected. The error wraps ErrDamaged for one that
+// isn't what was saved, ErrStale for one that isn't after what is in force, and ErrPending as in Offer.
+func (f *Follower) Restore(saved SavedRevision) (entries map[string]json.RawMessage, ok bool, err error) {
+	if f.candidate != nil {
 		return nil, false, ErrPending
-	case s.Checksum != s.sum() || HashEntries(s.Entries) != s.Hash:
-		return nil, false, fmt.Errorf("%w: the copy of revision %d doesn't have the hash that it says", ErrDamaged, s.Revision)
-	case s.Revision == 0 && f.now.revision == 0:
-		return nil, false, nil
-	case s.Revision <= f.now.revision:
-		return nil, false, fmt.Errorf("%w: the copy has revision %d, in force is %d", ErrStale, s.Revision, f.now.revision)
 	}
-	next := content{revision: s.Revision, hash: s.Hash, entries: maps.Clone(s.Entries)}
-	if next.entries == nil {
-		next.entries = map[string]json.RawMessage{}
+	candidate := newContent(saved.Revision, saved.Entries)
+	switch {
+	case saved.Checksum != saved.checksum() || saved.Hash != candidate.hash:
+		return nil, false, fmt.Errorf("%w: the copy of revision %d doesn't have the hash that it says",
+			ErrDamaged, saved.Revision)
+	case saved.Revision == 0 && f.current.revision == 0:
+		return nil, false, nil
+	case saved.Revision <= f.current.revision:
+		return nil, false, fmt.Errorf("%w: the copy has revision %d, in force is %d",
+			ErrStale, saved.Revision, f.current.revision)
 	}
-	f.next = &next
-	return next.entries, true, nil
+	f.candidate = &candidate
+	return candidate.entries, true, nil
 }
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -58,7 +58,7 @@
 	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	old := l.NextUpdate(f.Status())
 	f.follow(t, l)
-	late := l.UpdateSince(f.now.revision, f.now.hash)
+	late := l.UpdateSince(f.current.revision, f.current.hash)
 	l.made(t, put("a", "/settings/a", "1"))
 	delta := l.NextUpdate(f.Status())
 	f.follow(t, l)
@@ -75,7 +75,7 @@
 	refuses("a delta once more", delta, ErrStale)
 	refuses("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
 	refuses("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
-	if f.Status().Hash != f.now.hash {
+	if f.Status().Hash != f.current.hash {
 		t.Error("the whole is asked for without need")
 	}
 	l.made(t, put("b", "/settings/a", "2"))
@@ -186,19 +186,19 @@
 	offer(two, true)
 	f.Accept()
 	f.holds(t, 2, good)
-	offer(l.UpdateSince(2, f.now.hash), false)
-	for i := range 2 * refusals {
+	offer(l.UpdateSince(2, f.current.hash), false)
+	for i := range 2 * maxRejections {
 		l.made(t, put(fmt.Sprint("c", i), "/settings/a", fmt.Sprint("1", i)))
 		offer(l.NextUpdate(f.Status()), true)
 		f.Reject("/settings/a", "no")
 	}
-	if r := f.Status().Rejected; len(f.refused) != refusals || r.Revision != l.Revision() {
-		t.Errorf("%d, %+v", len(f.refused), r)
+	if r := f.Status().Rejected; len(f.rejections) != maxRejections || r.Revision != l.Revision() {
+		t.Errorf("%d, %+v", len(f.rejections), r)
 	}
 	l.made(t, put("d", "/settings/a", "9"))
 	f.follow(t, l)
-	if f.Status().Rejected != nil || len(f.refused) != 0 {
-		t.Error(f.refused)
+	if f.Status().Rejected != nil || len(f.rejections) != 0 {
+		t.Error(f.rejections)
 	}
 }
 
@@ -258,8 +258,8 @@
 	next.follow(t, l)
 }
 
-// Keepers that were restored from an older state are behind a follower: it keeps what it has, says so, and takes theirs when
-// they are past it, as a whole.
+// Keepers that were restored from an older state are behind a follower: it keeps what it has, says so, and takes
+// theirs when they are past it, as a whole.
 func TestKeepersFromAnOlderState(t *testing.T) {
 	l, f := filled(t, Retention{}), NewFollower("r", "1")
 	old, _ := l.MarshalBinary()
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// A log has the bytes that an earlier program gave it. What is read from them has the same content and past, and knows the
-// changes that were made, so that none is made twice.
+// A log has the bytes that an earlier program gave it. What is read from them has the same content and past, and
+// knows the changes that were made, so that none is made twice.
 func TestGoldenLog(t *testing.T) {
 	const file = "log.bin"
 	l := NewLog(Retention{Revisions: 3, Bytes: 1 << 20})
@@ -110,7 +110,7 @@
 	if err := read.UnmarshalBinary(goldentest.Read(t, file)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(l, read, cmp.AllowUnexported(Log{}, record{}, edit{}, made{})); diff != "" {
+	if diff := cmp.Diff(l, read, cmp.AllowUnexported(Log{}, document{}, history{}, record{}, edit{}, changeIDs{}, appliedChange{}, memberProcesses{})); diff != "" {
 		t.Error(diff)
 	}
 	for i, c := range goldenChanges() {
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -7,73 +7,95 @@
 
 // Waits between calls, in milliseconds.
 const (
-	// firstWaitMS is the most that is waited after a loss while there is a keeper that wasn't asked since the last answer.
-	firstWaitMS = 100
-	// leastWaitMS is the wait after each keeper has failed once; it doubles for each round after that.
-	leastWaitMS = 500
+	// maxFailoverWaitMS bounds the wait after a failure while there is a keeper that wasn't called since the last
+	// answer.
+	maxFailoverWaitMS = 100
+	// minBackoffMS is the longest wait after each keeper has failed once; it doubles with each further round.
+	minBackoffMS = 500
 	// MaxBackoffMS bounds the wait. It is below the usual lease of 6,000, so that a follower that finds a keeper again
-	// wasn't gone for longer than the others took to answer.
+	// wasn't missing for longer than the others took to answer.
 	MaxBackoffMS = 4_000
 )
 
-// courier is what a follower knows of the keepers: which one is asked, and how long is waited after a failure.
-type courier struct {
-	start   uint32 // another for each process, so that followers spread over the keepers
-	moves   uint32
-	keepers int // as told last
-	losses  int // in a row
-	behinds int // answers in a row of keepers that are behind
-	theirs  uint64
-	untilMS float64 // the end of the wait after the latest loss
+// keeperSelection decides which keeper a follower calls, and how long it waits after a failed call.
+type keeperSelection struct {
+	start          uint32 // differs between processes, so that followers spread over the keepers
+	moves          uint32
+	keepers        int     // number of keepers at the latest selection
+	failures       int     // in a row
+	behindAnswers  int     // answers in a row of keepers that are behind
+	behindRevision uint64  // the highest revision among those
+	untilMS        float64 // end of the wait after the latest failure
 }
 
-func newCourier(instance string) courier {
+func newKeeperSelection(instance string) keeperSelection {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
-	return courier{start: h.Sum32(), keepers: 1}
+	return keeperSelection{start: h.Sum32(), keepers: 1}
 }
 
-// SelectKeeper says which of n keepers, 0 to n-1, is asked next: the same until one is lost.
-func (f *Follower) SelectKeeper(n int) int {
-	f.keepers = max(n, 1)
-	return int((f.start + f.moves) % uint32(f.keepers))
+func (s *keeperSelection) selectKeeper(keepers int) int {
+	s.keepers = max(keepers, 1)
+	return int((s.start + s.moves) % uint32(s.keepers))
 }
 
-// Unchanged says that a keeper answered that there is nothing new. Offer says it by itself for what it takes.
-func (f *Follower) Unchanged() { f.losses, f.behinds, f.theirs = 0, 0, 0 }
+// answered resets the counts of failures and of keepers that are behind.
+func (s *keeperSelection) answered() { s.failures, s.behindAnswers, s.behindRevision = 0, 0, 0 }
 
-// CallFailed says that a call failed, or that its answer couldn't be taken, and gives the milliseconds to wait before the next, which
-// goes to another keeper. A loss that is told during the wait changes nothing: the next keeper hasn't been asked yet. jitter is
-// evenly drawn from 0 up to 1. nowMS is of a clock that doesn't go back.
-func (f *Follower) CallFailed(nowMS, jitter float64) (waitMS float64) {
-	if nowMS < f.untilMS {
-		return f.untilMS - nowMS
+// answeredBehind counts an answer of a keeper that is behind the follower.
+func (s *keeperSelection) answeredBehind(keeperRevision uint64) {
+	s.behindAnswers++
+	s.behindRevision = max(s.behindRevision, keeperRevision)
+}
+
+func (s *keeperSelection) callFailed(nowMS, jitter float64) (waitMS float64) {
+	if nowMS < s.untilMS {
+		return s.untilMS - nowMS
 	}
-	f.moves++
-	f.losses++
+	s.moves++
+	s.failures++
 	jitter = min(max(jitter, 0), 1)
-	if f.losses < f.keepers {
-		waitMS = jitter * firstWaitMS
+	if s.failures < s.keepers {
+		waitMS = jitter * maxFailoverWaitMS
 	} else {
-		most := float64(leastWaitMS)
-		for i := f.losses / f.keepers; i > 1 && most < MaxBackoffMS; i-- {
-			most *= 2
-		}
-		most = min(most, MaxBackoffMS)
-		waitMS = most/2 + jitter*most/2
+		backoffMS := s.backoffMS()
+		waitMS = backoffMS/2 + jitter*backoffMS/2
 	}
-	f.untilMS = nowMS + waitMS
+	s.untilMS = nowMS + waitMS
 	return waitMS
 }
 
-// KeepersAreBehind says that as many answers in a row as there are keepers came from keepers that are behind, and the highest revision
-// among them: the keepers were restored from an older state. The follower keeps what it has until they are past it.
-func (f *Follower) KeepersAreBehind() (theirs uint64, ahead bool) {
-	return f.theirs, f.behinds >= f.keepers
+// backoffMS returns the longest wait after the present number of failures.
+func (s *keeperSelection) backoffMS() float64 {
+	backoffMS := float64(minBackoffMS)
+	for round := s.failures / s.keepers; round > 1 && backoffMS < MaxBackoffMS; round-- {
+		backoffMS *= 2
+	}
+	return min(backoffMS, MaxBackoffMS)
+}
+
+// SelectKeeper returns which of n keepers, 0 to n-1, is called next: the same until a call fails.
+func (f *Follower) SelectKeeper(n int) int { return f.selection.selectKeeper(n) }
+
+// Unchanged tells that a keeper answered that there is nothing new. Offer includes it for what it accepts.
+func (f *Follower) Unchanged() { f.selection.answered() }
+
+// CallFailed tells that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
+// before the next, which goes to another keeper. A failure that is told during the wait changes nothing: the next
+// keeper hasn't been called yet. jitter is uniform from 0 to 1. nowMS is of a monotonic clock.
+func (f *Follower) CallFailed(nowMS, jitter float64) (waitMS float64) {
+	return f.selection.callFailed(nowMS, jitter)
+}
+
+// KeepersAreBehind returns whether as many answers in a row as there are keepers came from keepers that are behind,
+// and the highest revision among them: the keepers were restored from an older state. The follower keeps its revision
+// until they are past it.
+func (f *Follower) KeepersAreBehind() (keeperRevision uint64, behind bool) {
+	return f.selection.behindRevision, f.selection.behindAnswers >= f.selection.keepers
 }
 
-func (f *Follower) behind(theirs, ours uint64) error {
-	f.behinds++
-	f.theirs = max(f.theirs, theirs)
-	return fmt.Errorf("%w: it is at revision %d, this follower at %d", ErrBehind, theirs, ours)
+// keeperBehind counts the answer of a keeper that is behind and returns the error for it.
+func (f *Follower) keeperBehind(keeperRevision uint64) error {
+	f.selection.answeredBehind(keeperRevision)
+	return fmt.Errorf("%w: it is at revision %d, this follower at %d", ErrBehind, keeperRevision, f.current.revision)
 }
--- a/internal/decide/configlog/leases.go
+++ b/internal/decide/configlog/leases.go
@@ -2,71 +2,75 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 )
 
-// Lease is a follower's latest word, and until when it counts as living, in milliseconds of the hearing keeper's clock.
+// Lease is the latest status of a follower process, and until when the process counts as running, in milliseconds of
+// the clock of the keeper that it called.
 type Lease struct {
 	FollowerStatus
 	UntilMS float64 `json:"until_ms"`
 }
 
-// seat is one process: a name can have two while the next takes over from the one before.
-type seat struct{ name, instance string }
+// processKey identifies a process: a name has two while a successor takes over from its predecessor.
+type processKey struct{ name, instance string }
 
-// Leases are the followers that one keeper hears. They are that keeper's alone and are lost with it, and so have to be
-// whole before a verdict may rest on them: see Settled. All times are milliseconds of one clock that doesn't go back.
+func (l Lease) key() processKey { return processKey{l.Name, l.Instance} }
+
+// compareProcesses orders leases by name and instance.
+func compareProcesses(a, b Lease) int {
+	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Instance, b.Instance))
+}
+
+// Leases are the leases of the followers that call one keeper. They are not replicated and are lost with the keeper,
+// so Convergence may rely on them only once they are complete; see IsComplete. All times are milliseconds of one
+// monotonic clock.
 type Leases struct {
-	length  float64
-	seats   map[seat]Lease
-	began   bool
-	lastMS  float64 // the latest call
-	wholeMS float64 // from here on, whoever lives has been heard
+	lengthMS       float64
+	byProcess      map[processKey]Lease
+	started        bool
+	lastCallMS     float64
+	completeFromMS float64 // from then on, each running process that uses this keeper has called
 }
 
-// NewLeases gives leases of that length in milliseconds.
+// NewLeases returns leases of that length in milliseconds.
 func NewLeases(lengthMS float64) *Leases {
-	return &Leases{length: lengthMS, seats: map[seat]Lease{}}
+	return &Leases{lengthMS: lengthMS, byProcess: map[processKey]Lease{}}
 }
 
-// Renew takes a follower's word and says whether it had no lease: then its name has to be in the roster before it's answered.
-func (l *Leases) Renew(nowMS float64, r FollowerStatus) (first bool) {
+// Renew takes a follower's status and returns whether its process had no lease: then it has to become a member of the
+// log before it is answered.
+func (l *Leases) Renew(nowMS float64, status FollowerStatus) (first bool) {
 	l.Tick(nowMS)
-	key := seat{r.Name, r.Instance}
-	old, known := l.seats[key]
-	l.seats[key] = Lease{FollowerStatus: r, UntilMS: nowMS + l.length}
-	return !known || old.UntilMS <= nowMS
+	lease := Lease{FollowerStatus: status, UntilMS: nowMS + l.lengthMS}
+	before, known := l.byProcess[lease.key()]
+	l.byProcess[lease.key()] = lease
+	return !known || before.UntilMS <= nowMS
 }
 
-// Live gives the leases that count, by name and instance, and forgets the others.
+// Live returns the leases that have not ended, by name and instance, and forgets the others.
 func (l *Leases) Live(nowMS float64) []Lease {
 	l.Tick(nowMS)
-	out := make([]Lease, 0, len(l.seats))
-	for key, lease := range l.seats {
-		if lease.UntilMS <= nowMS {
-			delete(l.seats, key)
-			continue
-		}
-		out = append(out, lease)
-	}
-	slices.SortFunc(out, func(a, b Lease) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Instance, b.Instance))
-	})
-	return out
+	maps.DeleteFunc(l.byProcess, func(_ processKey, lease Lease) bool { return lease.UntilMS <= nowMS })
+	live := slices.AppendSeq(make([]Lease, 0, len(l.byProcess)), maps.Values(l.byProcess))
+	slices.SortFunc(live, compareProcesses)
+	return live
 }
 
-// Tick says that the keeper runs. Some call has to come each quarter of a lease; a gap of more than a half is taken for a
-// keeper that was stopped and woken, whose leases ran out with nobody's fault.
+// Tick tells that the keeper runs. Some method has to be called each quarter of a lease; after a gap of more than a
+// half the keeper is taken to have been suspended, so that leases have ended without fault of the followers.
 func (l *Leases) Tick(nowMS float64) {
-	if !l.began || nowMS-l.lastMS > l.length/2 {
-		l.began, l.wholeMS = true, nowMS+l.length
+	if !l.started || nowMS-l.lastCallMS > l.lengthMS/2 {
+		l.started, l.completeFromMS = true, nowMS+l.lengthMS
 	}
-	l.lastMS = max(l.lastMS, nowMS)
+	l.lastCallMS = max(l.lastCallMS, nowMS)
 }
 
-// IsComplete says whether each follower that lives and uses this keeper has had the time to be heard. Until then the keeper has
-// to count as unreached in a verdict: it guards against 'everywhere' from one that has just started or woken.
+// IsComplete returns whether each running follower that uses this keeper has had the time to call. Until then
+// Convergence has to count the keeper as unreached, so that one that has just started or resumed does not make a
+// revision converged.
 func (l *Leases) IsComplete(nowMS float64) bool {
 	l.Tick(nowMS)
-	return nowMS >= l.wholeMS
+	return nowMS >= l.completeFromMS
 }
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -150,8 +150,8 @@
 		t.Errorf("%+v", r)
 	}
 	l.made(t, put("one more", "/settings/a", "0"))
-	if len(l.ids) != MaxRememberedIDs || len(l.idOrder) != MaxRememberedIDs {
-		t.Error(len(l.ids), len(l.idOrder))
+	if len(l.ids.applied) != MaxRememberedIDs || len(l.ids.order) != MaxRememberedIDs {
+		t.Error(len(l.ids.applied), len(l.ids.order))
 	}
 	l.made(t, put("first", "/settings/a", "0"))
 	// A preview of what was made is the content in force, and no fault.
@@ -171,17 +171,17 @@
 	}
 	// Two that live side by side don't push each other out.
 	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") || l.HasMember("a", "1") || !l.HasMember("a", "2") || !l.HasMember("a", "4") {
-		t.Error(l.roster)
+		t.Error(l.members)
 	}
 	// A late word of an earlier process doesn't make it the latest.
-	if !l.AddMember("a", "3") || l.roster["a"] != [2]string{"4", "3"} || !l.AddMember("a", "2") || l.roster["a"] != [2]string{"4", "2"} {
-		t.Error(l.roster)
+	if !l.AddMember("a", "3") || l.members["a"] != (memberProcesses{"4", "3"}) || !l.AddMember("a", "2") || l.members["a"] != (memberProcesses{"4", "2"}) {
+		t.Error(l.members)
 	}
 	if NewInstance(1000, 7) >= NewInstance(1001, 3) || NewInstance(-5, 1) != NewInstance(0, 1) || len(NewInstance(1<<40, 1<<63)) > MaxIDBytes {
 		t.Error(NewInstance(1000, 7))
 	}
 	if l.HasMember("b", "") || l.HasMember("b", "2") || l.HasMember("c", "1") {
-		t.Error(l.roster)
+		t.Error(l.members)
 	}
 	if !l.RemoveMember("a") || l.RemoveMember("a") || len(l.Members()) != 1 || l.HasMember("a", "4") {
 		t.Error(l.Members())
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -30,8 +30,8 @@
 func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.keep)) }
 func (m *model) content() map[string]json.RawMessage { return m.contents[len(m.contents)-1] }
 
-// apply gives the kind of fault, "repeated" or nothing, and the revision. Its changes have canonical values and places that
-// can be put.
+// apply gives the kind of fault, "repeated" or nothing, and the revision. Its changes have canonical values and
+// places that can be put.
 func (m *model) apply(c Change) (string, uint64) {
 	c.AtMS = 0
 	c.Remove = slices.Sorted(slices.Values(c.Remove))
@@ -74,7 +74,8 @@
 	return "", m.revision()
 }
 
-// drawer draws a number from 0 to n-1: by rapid, or from a fixed row of numbers where a broken variant has to be caught.
+// drawer draws a number from 0 to n-1: by rapid, or from a fixed row of numbers where a broken variant has to be
+// caught.
 type drawer func(n int, what string) int
 
 func byRapid(t *rapid.T) drawer {
@@ -100,7 +101,7 @@
 		switch {
 		case p == "/board":
 			v = `"b:` + v + `"`
-		case strings.HasPrefix(p, partiesPath):
+		case strings.HasPrefix(p, tenantsPath):
 			v = `{"share":` + v + `}`
 		}
 		c.Put[p] = json.RawMessage(v)
@@ -124,8 +125,8 @@
 	rapid.Check(t, prop)
 }
 
-// The log does what the plain reckoning does: results, contents of all revisions kept, and what every follower gets from
-// whatever revision leads to the content in force. Its state comes back the same at any step.
+// The log does what the plain reckoning does: results, contents of all revisions kept, and what every follower gets
+// from whatever revision leads to the content in force. Its state comes back the same at any step.
 func TestLogAgainstPlainReckoning(t *testing.T) {
 	drawn(t, "200", func(t *rapid.T) {
 		draw := byRapid(t)
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -30,13 +30,13 @@
 	}},
 	{"log without a memory of IDs", onceOnly, func(v *variant) {
 		v.apply = func(l *Log, c Change) Result {
-			delete(l.ids, c.ID)
+			delete(l.ids.applied, c.ID)
 			return l.Apply(c)
 		}
 	}},
 	{"log that doesn't compare before it sets", onceOnly, func(v *variant) {
 		v.apply = func(l *Log, c Change) Result {
-			if c.Expect = nil; l.ids[c.ID] != (made{}) {
+			if c.Expect = nil; l.ids.applied[c.ID] != (appliedChange{}) {
 				return Result{Repeated: true}
 			}
 			return l.Apply(c)
@@ -75,17 +75,17 @@
 
 // take offers a content by force.
 func (f *Follower) take(rev uint64, entries map[string]json.RawMessage) (map[string]json.RawMessage, bool, error) {
-	f.next = &content{revision: rev, hash: HashEntries(entries), entries: entries}
+	f.candidate = &content{revision: rev, hash: HashEntries(entries), entries: entries}
 	return entries, true, nil
 }
 
 type wrongBase struct{ *Follower }
 
 func (f wrongBase) Offer(u Update) (map[string]json.RawMessage, bool, error) {
-	if f.next != nil || u.Snapshot || u.KeeperBehind || u.To <= f.now.revision {
+	if f.candidate != nil || u.Snapshot || u.KeeperBehind || u.To <= f.current.revision {
 		return f.Follower.Offer(u)
 	}
-	entries := maps.Clone(f.now.entries)
+	entries := maps.Clone(f.current.entries)
 	for _, p := range u.Remove {
 		delete(entries, p)
 	}
@@ -100,7 +100,7 @@
 	if ok && !u.Snapshot && len(u.Remove) > 0 {
 		next := maps.Clone(entries)
 		for _, p := range u.Remove {
-			next[p] = f.now.entries[p]
+			next[p] = f.current.entries[p]
 		}
 		return f.take(u.To, next)
 	}
@@ -119,7 +119,7 @@
 type goesBack struct{ *Follower }
 
 func (f goesBack) Offer(u Update) (map[string]json.RawMessage, bool, error) {
-	if f.next == nil && u.Snapshot && u.To < f.now.revision {
+	if f.candidate == nil && u.Snapshot && u.To < f.current.revision {
 		return f.take(u.To, u.Put)
 	}
 	return f.Follower.Offer(u)
@@ -136,7 +136,7 @@
 type stubborn struct{ *Follower }
 
 func (f stubborn) Offer(u Update) (map[string]json.RawMessage, bool, error) {
-	if u.Snapshot && f.now.revision > 0 {
+	if u.Snapshot && f.current.revision > 0 {
 		return nil, false, ErrStale
 	}
 	return f.Follower.Offer(u)
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -49,11 +49,11 @@
 		`[true,false,null,{"x":1e0}]`: `[true,false,null,{"x":1}]`,
 		`1e300`:                       `1e+300`,
 	} {
-		got, err := canonical("/settings/x", json.RawMessage(in))
+		got, err := canonicalValue("/settings/x", json.RawMessage(in))
 		if err != nil || string(got) != want {
 			t.Errorf("%s: %s, %v, not %s", in, got, err, want)
 		}
-		again, err := canonical("/settings/x", got)
+		again, err := canonicalValue("/settings/x", got)
 		if err != nil || string(again) != want {
 			t.Errorf("%s is no fixed point: %s, %v", want, again, err)
 		}
@@ -79,7 +79,7 @@
 		"[]":                         "/settings/parties/a",
 		`{"quota-rps":1,"Name":"b"}`: "/settings/parties/a",
 	} {
-		if got, err := canonical(pointer, json.RawMessage(in)); err == nil {
+		if got, err := canonicalValue(pointer, json.RawMessage(in)); err == nil {
 			t.Errorf("%.40s at %s is taken as %.40s", in, pointer, got)
 		}
 	}
--- a/internal/decide/configlog/randomorder_test.go
+++ b/internal/decide/configlog/randomorder_test.go
@@ -97,7 +97,8 @@
 	w.decide(r)
 }
 
-// routerFails ends a router's life or begins its next, with and without the copy on its disk, or cuts it off and joins it.
+// routerFails ends a router's life or begins its next, with and without the copy on its disk, or cuts it off and
+// joins it.
 func (w *world) routerFails(r *router) {
 	switch what := w.draw(6, "router fails"); {
 	case what == 5:
@@ -119,8 +120,8 @@
 	}
 }
 
-// keeperFails crashes a keeper or starts it, cuts it from the majority or joins it, or has it write its snapshot. A majority
-// stays, because without one nothing happens.
+// keeperFails crashes a keeper or starts it, cuts it from the majority or joins it, or has it write its snapshot. A
+// majority stays, because without one nothing happens.
 func (w *world) keeperFails(k *keeper) error {
 	others := 0
 	for _, o := range w.keepers {
@@ -185,15 +186,15 @@
 		}
 	}
 	for _, k := range w.keepers {
-		if rev := k.log.Revision(); rev > w.truth.revision() || !maps.EqualFunc(k.log.entries, w.truth.contents[rev], equal) {
-			return &violation{onceOnly, fmt.Sprintf("%s at %d of %d has %v", k.name, rev, w.truth.revision(), k.log.entries)}
+		if rev := k.log.Revision(); rev > w.truth.revision() || !maps.EqualFunc(k.log.document.entries, w.truth.contents[rev], equal) {
+			return &violation{onceOnly, fmt.Sprintf("%s at %d of %d has %v", k.name, rev, w.truth.revision(), k.log.document.entries)}
 		}
 	}
 	return nil
 }
 
-// calm ends all faults but those of routers that are dead, and sees that everyone comes to the last revision, and that it's
-// said to be in force everywhere unless a living router refuses it.
+// calm ends all faults but those of routers that are dead, and sees that everyone comes to the last revision, and
+// that it's said to be in force everywhere unless a living router refuses it.
 func (w *world) calm() error {
 	w.mail = nil
 	for _, k := range w.keepers {
@@ -259,9 +260,9 @@
 	return w.calm()
 }
 
-// In any order of calls that are lost, doubled and late, of keepers and routers that crash, are cut off and come back with or
-// without their disks, each router has one revision whole, none goes back within a life, nobody says 'everywhere' falsely, a
-// repeated change is one, nothing refused is taken again, and all meet when the faults stop.
+// In any order of calls that are lost, doubled and late, of keepers and routers that crash, are cut off and come back
+// with or without their disks, each router has one revision whole, none goes back within a life, nobody says
+// 'everywhere' falsely, a repeated change is one, nothing refused is taken again, and all meet when the faults stop.
 func TestRandomOrders(t *testing.T) {
 	drawn(t, "200", func(t *rapid.T) {
 		if err := play(byRapid(t), whole(), 120); err != nil {
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -18,7 +18,8 @@
 	return l
 }
 
-// What a follower gets: nothing, what differs, or the whole by cost, by a foreign hash and by compaction; Behind if it's ahead.
+// What a follower gets: nothing, what differs, or the whole by cost, by a foreign hash and by compaction; Behind if
+// it's ahead.
 func TestSince(t *testing.T) {
 	l := filled(t, Retention{Revisions: 3})
 	one, h1 := l.Revision(), l.Hash()
@@ -104,11 +105,11 @@
 	for i := range 20 {
 		l.made(t, put(fmt.Sprint(i), "/settings/a", `"`+strings.Repeat("x", 400+i)+`"`))
 		sum := 0
-		for _, r := range l.records {
+		for _, r := range l.history.records {
 			sum += r.bytes()
 		}
-		if sum != l.kept || sum > 3000 {
-			t.Fatal(i, sum, l.kept)
+		if sum != l.history.bytes || sum > 3000 {
+			t.Fatal(i, sum, l.history.bytes)
 		}
 	}
 	if kept := l.Revision() - l.OldestRevision(); kept < 2 || kept > 3 {
