--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -3,65 +3,110 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"net"
+	"os"
 	"slices"
 	"strings"
 
 	"windflow/internal/admin"
 	"windflow/internal/decide/hotrestart"
+	"windflow/internal/router"
 )
 
-// openDoor has operators heard on a listener, for the first time or again.
-func (r *node) openDoor(lis net.Listener) {
-	if r.door != nil {
-		r.door.Reopen(lis)
+// Why a router is not ready; one that has not been built yet gives its phase.
+var (
+	errOtherAccepts = errors.New("another process of this router accepts")
+	errAddressHeld  = errors.New("its address is held by a process that does not answer")
+)
+
+// adminBackend serves operators: it implements admin.Backend.
+type adminBackend struct {
+	log      *slog.Logger
+	loop     *router.Loop
+	services *services
+	machine  *hotrestart.Machine
+	accepted *listeners
+	leaving  func() bool
+	cordons  *cordonStore
+	keepers  func() *keeperSync // nil for none
+	server   *admin.Server      // nil until turned on
+}
+
+// open has operators served on a listener, for the first time or again.
+func (a *adminBackend) open(lis net.Listener) {
+	if a.server != nil {
+		a.server.Reopen(lis)
 		return
 	}
-	r.door = admin.NewServer(r.loop, r.net, lis, r, r.log)
-	r.log.Info("operators' door", "control", r.door.Addr())
+	a.server = admin.NewServer(a.loop, a.services.net, lis, a, a.log)
+	a.log.Info("operators' door", "control", a.server.Addr())
+}
+
+// acceptor is where operators are served.
+func (a *adminBackend) acceptor(address string) acceptor {
+	return acceptor{
+		name: adminListener, field: "control", address: address, accept: a.open,
+		file:  func() (*os.File, error) { return a.server.File() },
+		pause: func() { a.server.Close() },
+	}
+}
+
+// counters are those of the server, where it is on.
+func (a *adminBackend) counters() []counterGroup {
+	if a.server == nil {
+		return nil
+	}
+	return []counterGroup{{"control", &a.server.Counters}}
 }
 
-// Ready implements control.Operators.
-func (r *node) Ready() error {
+// Ready implements admin.Backend.
+func (a *adminBackend) Ready() error {
+	phase := a.machine.Phase()
 	switch {
-	case r.machine.Phase() == hotrestart.PhaseSuperseded || r.leaving:
-		return errors.New("another process of this router accepts")
-	case !r.machine.Ready():
-		return errors.New(r.machine.Phase().String())
-	case len(r.missing) > 0:
-		return errors.New("its address is held by a process that does not answer")
+	case phase == hotrestart.PhaseSuperseded || a.leaving():
+		return errOtherAccepts
+	case !a.machine.Ready():
+		return errors.New(phase.String())
+	case a.accepted.incomplete():
+		return errAddressHeld
 	}
 	return nil
 }
 
-// Telemetry implements control.Operators. The figures are the core's.
-func (r *node) Telemetry() string {
-	var b strings.Builder
-	for _, class := range slices.Sorted(maps.Keys(r.core.ByClass)) {
-		n := r.core.ByClass[class]
-		for _, f := range []struct {
-			name string
-			n    int64
-		}{{"succeeded", n.Served}, {"declined", n.Rejected}, {"aborted", n.Failed}, {"forwards", n.Forwards}} {
-			fmt.Fprintf(&b, "svc.%s.%s:%d|c\n", f.name, class, f.n)
+// Telemetry implements admin.Backend. The figures are the core's.
+func (a *adminBackend) Telemetry() string {
+	core := a.services.core
+	var text strings.Builder
+	for _, class := range slices.Sorted(maps.Keys(core.ByClass)) {
+		counters := core.ByClass[class]
+		for _, figure := range []struct {
+			name  string
+			value int64
+		}{
+			{"succeeded", counters.Served},
+			{"declined", counters.Rejected},
+			{"aborted", counters.Failed},
+			{"forwards", counters.Forwards},
+		} {
+			fmt.Fprintf(&text, "svc.%s.%s:%d|c\n", figure.name, class, figure.value)
 		}
 	}
-	for _, f := range []struct {
-		name string
-		n    int
-	}{{"outstanding", r.core.OpenRequests()}, {"discovered", r.core.ListedEngines()}, {"ejected", r.core.AvoidedEngines()}} {
-		fmt.Fprintf(&b, "svc.%s:%d|g\n", f.name, f.n)
-	}
-	if r.keepers != nil {
-		fmt.Fprintf(&b, "svc.configuration_revision:%d|g\nsvc.configuration_refused:%d|g\n", r.keepers.now.Revision,
-			r.keepers.client.Counters.RejectedRevision.Load())
+	fmt.Fprintf(&text, "svc.outstanding:%d|g\n", core.OpenRequests())
+	fmt.Fprintf(&text, "svc.discovered:%d|g\n", core.ListedEngines())
+	fmt.Fprintf(&text, "svc.ejected:%d|g\n", core.AvoidedEngines())
+	if keepers := a.keepers(); keepers != nil {
+		fmt.Fprintf(&text, "svc.configuration_revision:%d|g\n", keepers.revision())
+		fmt.Fprintf(&text, "svc.configuration_refused:%d|g\n", keepers.rejectedRevision())
 	}
-	return b.String()
+	return text.String()
 }
 
-// Cordon implements control.Operators.
-func (r *node) Cordon(id string, answer func(bool)) { r.order(id, true, answer) }
+// Cordon implements admin.Backend.
+func (a *adminBackend) Cordon(id string, answer func(known bool)) { a.cordons.order(id, true, answer) }
 
-// Uncordon implements control.Operators.
-func (r *node) Uncordon(id string, answer func(bool)) { r.order(id, false, answer) }
+// Uncordon implements admin.Backend.
+func (a *adminBackend) Uncordon(id string, answer func(known bool)) {
+	a.cordons.order(id, false, answer)
+}
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -13,21 +13,20 @@
 	for _, sockets := range []int{96, 128, 192, 256, 384, 1024} {
 		cfg := &settings.Node{}
 		cfg.Limits.Sockets, cfg.Limits.MemoryMB = sockets, 64
-		one, err := boundsOf(cfg, 0)
+		one, err := limitsOf(cfg, 0)
 		if err != nil {
 			t.Errorf("%d descriptors: %v", sockets, err)
 			continue
 		}
-		if n := one.mysql.MaxSessions + one.fetch.MaxConns; n >= sockets || one.mysql.MaxSessions < sockets/3 {
-			t.Errorf("%d descriptors: %d sessions and %d connections", sockets, one.mysql.MaxSessions, one.fetch.MaxConns)
+		if n := one.mysql.MaxSessions + one.engines.MaxConns; n >= sockets || one.mysql.MaxSessions < sockets/3 {
+			t.Errorf("%d descriptors: %d sessions and %d connections", sockets, one.mysql.MaxSessions, one.engines.MaxConns)
 		}
 		// The old process has sessions that use it up to the clients' third, and accepts no more.
-		old, next := &node{}, &node{}
-		next.peer = use{Sessions: sockets / 3}
+		partner := usageMessage{Sessions: sockets / 3}
 		a, b := one, one
-		old.divide(&a, hotrestart.ShareHalf)
-		next.divide(&b, hotrestart.ShareHalf)
-		if n := sockets/3 + b.mysql.MaxSessions + a.fetch.MaxConns + b.fetch.MaxConns; n > sockets {
+		a.restrict(processShare{share: hotrestart.ShareHalf})
+		b.restrict(processShare{share: hotrestart.ShareHalf, partner: partner})
+		if n := sockets/3 + b.mysql.MaxSessions + a.engines.MaxConns + b.engines.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: two processes hold %d", sockets, n)
 		}
 		if a.mysql.MaxBuffered+b.mysql.MaxBuffered > one.mysql.MaxBuffered || a.inbound+b.inbound > one.inbound {
@@ -35,15 +34,15 @@
 		}
 		// One that hangs has all of its own, and the new one keeps to what is left for a successor.
 		guarded := one
-		next.divide(&guarded, hotrestart.ShareReserve)
-		if n := one.mysql.MaxSessions + one.fetch.MaxConns + guarded.mysql.MaxSessions + guarded.fetch.MaxConns; n > sockets {
+		guarded.restrict(processShare{share: hotrestart.ShareReserve, partner: partner})
+		if n := one.mysql.MaxSessions + one.engines.MaxConns + guarded.mysql.MaxSessions + guarded.engines.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: beside a process that hangs, both hold %d", sockets, n)
 		}
-		if sockets >= 192 && b.fetch.MaxConns < 16 {
-			t.Errorf("%d descriptors: %d connections to engines", sockets, b.fetch.MaxConns)
+		if sockets >= 192 && b.engines.MaxConns < 16 {
+			t.Errorf("%d descriptors: %d connections to engines", sockets, b.engines.MaxConns)
 		}
 	}
-	if _, err := boundsOf(&settings.Node{}, 0); err != nil {
+	if _, err := limitsOf(&settings.Node{}, 0); err != nil {
 		t.Error("without limits:", err)
 	}
 }
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -33,11 +33,11 @@
 // close over unread bytes, which loses the request, and with it an answer that the client has not read.
 func TestEndCrossesARequest(t *testing.T) {
 	n := startRouter(t, []string{member(newSlowEngine().serve(t))})
-	asks, err := dialMySQL(n.clientsAt)
+	asks, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rests, err := dialMySQL(n.clientsAt)
+	rests, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 		if err := asks.write(0, append([]byte{3}, q...)); err != nil {
 			t.Error(err)
 		}
-		n.front.Shutdown()
+		n.services.front.Shutdown()
 	})
 	go func() {
 		rows, code, err := asks.answer()
@@ -74,7 +74,7 @@
 	n := startRouter(t, []string{member(newSlowEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
 	inLoop(n, func() {
-		c, err := net.Dial("tcp", n.clientsAt)
+		c, err := net.Dial("tcp", n.listeners.clientsAddress)
 		if err != nil {
 			t.Error(err)
 			close(accepted)
@@ -84,10 +84,10 @@
 		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
-		for n.listening.Pending() == 0 { // until it is accepted; the loop stands, so it has not heard of it
+		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop stands, so it has not heard of it
 			runtime.Gosched()
 		}
-		n.endAll(n.loop.Now())
+		n.shutdown.closeConnections(n.loop.Now())
 		accepted <- m
 	})
 	m := <-accepted
@@ -99,7 +99,7 @@
 	if rows, code, err := m.answer(); rows != 1 || code != 0 || err != nil {
 		t.Error("accepted before the end:", rows, code, err)
 	}
-	if _, err := net.Dial("tcp", n.clientsAt); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.Dial("tcp", n.listeners.clientsAddress); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("who comes after the end: %v", err)
 	}
 }
@@ -115,7 +115,7 @@
 	for range 3 {
 		go func() {
 			for {
-				c, err := net.Dial("tcp", n.clientsAt)
+				c, err := net.Dial("tcp", n.listeners.clientsAddress)
 				if err != nil {
 					return
 				}
@@ -141,12 +141,12 @@
 		n.signal(syscall.SIGTERM)
 	})
 	select {
-	case <-n.stop:
+	case <-n.life.done:
 	case <-time.After(20 * time.Second):
 		t.Fatal("it does not end while clients are half open")
 	}
 	// The loop has ended: its state may be read.
-	if by := n.closeAt + lateEnd - at; by >= 300+700 {
+	if by := n.shutdown.answeredBy + endSlackMS - at; by >= 300+700 {
 		t.Errorf("the end is %.0f ms after the signal; a kill may come after 1000", by)
 	}
 }
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -2,123 +2,221 @@
 
 import (
 	"errors"
+	"log/slog"
 	"maps"
 	"slices"
+	"time"
 
 	"windflow/dispatch"
+	"windflow/internal/hotrestartipc"
 	"windflow/internal/router"
 	"windflow/internal/settings"
 )
 
-// order carries out an operator's word on an engine, and answers once it is in force in all processes of this router.
-func (r *node) order(engine string, exclude bool, answer func(bool)) {
+const (
+	msgCordon      = "ban"    // cordonMessage: an operator's order
+	msgCordonReply = "banned" // cordonMessage: it is in force
+	// cordonTimeoutMS bounds the wait for the other process's reply to a cordon; the operator is answered then.
+	cordonTimeoutMS = 300.0
+	// cordonPollInterval is how often the folder of cordons is read. The rule on cordons leaves a second.
+	cordonPollInterval = 250 * time.Millisecond
+	// maxQueuedFolderWork is how much work with the folder waits at most.
+	maxQueuedFolderWork = 64
+)
+
+// errFolderBlocked says that earlier work with the folder of cordons does not come to an end.
+var errFolderBlocked = errors.New("the disk does not answer")
+
+// cordonMessage passes an operator's order to the other process, which sends it back with its answer.
+type cordonMessage struct {
+	Number     int               `json:"n"`
+	ID         dispatch.EngineID `json:"id"`
+	Cordon     bool              `json:"exclude"`
+	Known      bool              `json:"known"`
+	MemoryOnly bool              `json:"unnoted,omitempty"` // it is in no folder; since version 2
+}
+
+// cordonStore keeps the engines that operators cordoned. A cordon is stored in a folder that all processes of the router
+// read, so that it is in force in each of them, and is passed on as a message too, so that an operator's answer is true in
+// both at once.
+type cordonStore struct {
+	log        *slog.Logger
+	loop       *router.Loop
+	slot       *hotrestartipc.ProcessSlot // has the folder; nil for none
+	services   *services
+	partner    *partnerLink
+	cordoned   map[dispatch.EngineID]bool // as the folder has them
+	memoryOnly bool                       // the folder can't be written: cordons go by messages alone
+	work       chan func()                // work with the folder, in order
+	pending    pendingReplies[bool]
+}
+
+func newCordonStore(log *slog.Logger, loop *router.Loop, services *services, partner *partnerLink) *cordonStore {
+	return &cordonStore{
+		log: log, loop: loop, services: services, partner: partner,
+		cordoned: map[dispatch.EngineID]bool{},
+		work:     make(chan func(), maxQueuedFolderWork),
+		pending:  newPendingReplies[bool](loop),
+	}
+}
+
+// list gives the engines that are cordoned, by their ids.
+func (s *cordonStore) list() []dispatch.EngineID { return slices.Sorted(maps.Keys(s.cordoned)) }
+
+// run does what waits for files, so that the loop does not, until done is closed.
+func (s *cordonStore) run(done <-chan struct{}) {
+	poll := time.NewTicker(cordonPollInterval)
+	defer poll.Stop()
+	for {
+		select {
+		case f := <-s.work:
+			f()
+		case <-poll.C:
+			if s.slot != nil {
+				s.read()
+			}
+		case <-done:
+			return
+		}
+	}
+}
+
+// enqueue has work done with the folder after what was asked for before; where that does not come to an end, it calls
+// blocked instead.
+func (s *cordonStore) enqueue(do, blocked func()) {
+	select {
+	case s.work <- do:
+	default:
+		blocked()
+	}
+}
+
+// order carries out an operator's order on an engine, and answers once it is in force in all processes of this router:
+// false for an engine that none of them knows.
+func (s *cordonStore) order(engine string, cordon bool, answer func(known bool)) {
 	id, err := settings.ParseEngineID(engine)
 	if err != nil {
 		answer(false)
 		return
 	}
-	known := r.core.KnowsEngine(id)
-	r.ban(id, exclude, known, func() { r.tellBan(id, exclude, known, answer) })
+	known := s.services.core.KnowsEngine(id)
+	s.store(id, cordon, known, func() { s.passOn(id, cordon, known, answer) })
 }
 
-// ban notes a ban, or its end, where all processes of this router see it, then carries it out here, then goes on.
-func (r *node) ban(id dispatch.EngineID, exclude, known bool, then func()) {
+// store writes a cordon, or its end, where all processes of this router see it, then applies it here, then goes on.
+func (s *cordonStore) store(id dispatch.EngineID, cordon, known bool, done func()) {
 	apply := func() {
 		if known {
-			if exclude {
-				r.core.Cordon(id)
-				r.out[id] = true
-			} else {
-				r.core.Uncordon(id)
-				delete(r.out, id)
-			}
+			s.apply(id, cordon)
 		}
-		then()
+		done()
 	}
-	if r.place == nil || !known {
+	if s.slot == nil || !known {
 		apply()
 		return
 	}
 	engine := settings.FormatEngineID(id)
-	cant := func(err error) {
-		r.log.Warn("bans can't be noted for other processes of this router", "engine", engine, "err", err)
-		r.unnoted = true // the folder would undo it
+	notStored := func(err error) {
+		s.log.Warn("bans can't be noted for other processes of this router", "engine", engine, "err", err)
+		s.memoryOnly = true // the folder would undo it
 		apply()
 	}
-	r.inOrder(func() {
-		err := r.place.SetCordon(engine, exclude)
-		r.loop.Post(func() {
+	s.enqueue(func() {
+		err := s.slot.SetCordon(engine, cordon)
+		s.loop.Post(func() {
 			if err != nil {
-				cant(err)
+				notStored(err)
 				return
 			}
 			apply()
 		})
-	}, func() { cant(errors.New("the disk does not answer")) })
+	}, func() { notStored(errFolderBlocked) })
 }
 
-// banThere carries out a ban that the other process was told. One of version 2 has noted it, and must not be overtaken by
-// a second note of this one's; what is read of the folder from now on has it.
-func (r *node) banThere(p *peer, b ban, then func()) {
-	if p.version < 2 || b.Unnoted || r.unnoted {
-		r.unnoted = r.unnoted || b.Unnoted
-		r.ban(b.ID, b.Exclude, b.Known, then)
+func (s *cordonStore) apply(id dispatch.EngineID, cordon bool) {
+	if cordon {
+		s.services.core.Cordon(id)
+		s.cordoned[id] = true
 		return
 	}
-	r.inOrder(func() {
-		r.readBans()
-		r.loop.Post(then)
-	}, then)
+	s.services.core.Uncordon(id)
+	delete(s.cordoned, id)
 }
 
-// readBans has the loop go by the bans that are noted. It is called where files may be waited for.
-func (r *node) readBans() {
-	names, err := r.place.Cordoned()
-	if err != nil {
+// passOn tells the other process of an operator's order, and answers the operator once it is in force there too.
+func (s *cordonStore) passOn(id dispatch.EngineID, cordon, known bool, answer func(known bool)) {
+	if !s.partner.connected() {
+		answer(known)
 		return
 	}
-	now := map[dispatch.EngineID]bool{}
-	for _, name := range names {
-		if id, err := settings.ParseEngineID(name); err == nil {
-			now[id] = true
-		}
+	number := s.pending.add(cordonTimeoutMS, false, func(knownThere bool) { answer(known || knownThere) })
+	s.partner.send(msgCordon, cordonMessage{Number: number, ID: id, Cordon: cordon, MemoryOnly: s.memoryOnly})
+}
+
+// ordered carries out an order that an operator gave the other process, and replies once it is in force here.
+func (s *cordonStore) ordered(from *peer, order cordonMessage) {
+	order.Known = s.services.core.KnowsEngine(order.ID)
+	reply := func() { from.send(msgCordonReply, order) }
+	if from.version >= 2 && !order.MemoryOnly && !s.memoryOnly {
+		// The other process has stored it, and must not be overtaken by a second note of this one's; what is read of the
+		// folder from now on has it.
+		s.refresh(reply)
+		return
 	}
-	r.loop.Post(func() { r.goBy(now) })
+	s.memoryOnly = s.memoryOnly || order.MemoryOnly
+	s.store(order.ID, order.Cordon, order.Known, reply)
+}
+
+// replied takes the other process's answer to an order.
+func (s *cordonStore) replied(_ *peer, order cordonMessage) {
+	s.pending.resolve(order.Number, order.Known)
 }
 
-// goBy carries out the bans that other processes of this router were told.
-func (r *node) goBy(now map[dispatch.EngineID]bool) {
-	if r.unnoted || maps.Equal(now, r.out) {
+// partnerLost ends the wait for a process whose link has ended.
+func (s *cordonStore) partnerLost() { s.pending.resolveAll(false) }
+
+// refresh reads the folder, where there is one, and calls done in the loop once what it has is in force.
+func (s *cordonStore) refresh(done func()) {
+	if s.slot == nil {
+		done()
 		return
 	}
-	old := r.out
-	r.out = now
-	if r.core == nil {
-		return // build goes by them
+	s.enqueue(func() {
+		s.read()
+		s.loop.Post(done)
+	}, done)
+}
+
+// read has the loop adopt the cordons that are stored. It is called where files may be waited for.
+func (s *cordonStore) read() {
+	names, err := s.slot.Cordoned()
+	if err != nil {
+		return
 	}
-	for id := range old {
-		if !now[id] {
-			r.core.Uncordon(id)
+	stored := map[dispatch.EngineID]bool{}
+	for _, name := range names {
+		if id, err := settings.ParseEngineID(name); err == nil {
+			stored[id] = true
 		}
 	}
-	r.core.AdoptCordons(slices.Sorted(maps.Keys(now)))
-	r.log.Info("bans", "excluded", len(now))
+	s.loop.Post(func() { s.adopt(stored) })
 }
 
-// tellBan tells the other process of an operator's word, and answers the operator once it is in force there too.
-func (r *node) tellBan(id dispatch.EngineID, exclude, known bool, answer func(bool)) {
-	if r.with == nil {
-		answer(known)
+// adopt carries out the cordons that operators gave other processes of this router.
+func (s *cordonStore) adopt(stored map[dispatch.EngineID]bool) {
+	if s.memoryOnly || maps.Equal(stored, s.cordoned) {
 		return
 	}
-	r.seq++
-	n := r.seq
-	var late *router.Timer
-	r.answers[n] = func(there bool) {
-		delete(r.answers, n)
-		late.Stop()
-		answer(known || there)
+	former := s.cordoned
+	s.cordoned = stored
+	if !s.services.built() {
+		return // they are in force once it is built
+	}
+	for id := range former {
+		if !stored[id] {
+			s.services.core.Uncordon(id)
+		}
 	}
-	late = r.loop.After(banWithin, func() { r.answers[n](false) })
-	r.tell(msgBan, ban{N: n, ID: id, Exclude: exclude, Unnoted: r.unnoted})
+	s.services.core.AdoptCordons(s.list())
+	s.log.Info("bans", "excluded", len(stored))
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -62,7 +62,7 @@
 		sockets int
 		limit   uint64
 		want    int
-	}{{1024, 1 << 20, 1024}, {1024, 256, 256}, {0, 512, 512}, {0, 1 << 30, mostDescriptors}, {1 << 30, ^uint64(0), mostDescriptors}, {5, 0, 1}} {
+	}{{1024, 1 << 20, 1024}, {1024, 256, 256}, {0, 512, 512}, {0, 1 << 30, maxTableSize}, {1 << 30, ^uint64(0), maxTableSize}, {5, 0, 1}} {
 		if n := tableSize(k.sockets, k.limit); n != k.want {
 			t.Errorf("sockets %d, limit %d: %d, want %d", k.sockets, k.limit, n, k.want)
 		}
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -48,15 +48,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := newNode(cfg, allParts(t), Options{}, slog.New(slog.DiscardHandler))
-	n.keepers = newKeepers(n, filepath.Join(t.TempDir(), "router.json"), text)
+	n := newNode(cfg, allParts(t), slog.New(slog.DiscardHandler))
+	n.keepers = newKeeperSync(n, n.newReloader(filepath.Join(t.TempDir(), "router.json"), ""), text)
 	n.begin(false)
-	if n.failed != nil {
-		t.Fatal(n.failed)
+	if n.life.err != nil {
+		t.Fatal(n.life.err)
 	}
 	end := routertest.RunLoop(n.loop)
 	t.Cleanup(func() {
-		n.stopping.Do(func() { close(n.stop) })
+		n.life.stop()
 		end()
 		n.close()
 	})
@@ -70,8 +70,8 @@
 	n := startAllParts(t)
 	var telemetry, names string
 	inLoop(n, func() {
-		telemetry = n.Telemetry()
-		for _, row := range n.status() {
+		telemetry = n.admin.Telemetry()
+		for _, row := range n.status.rows() {
 			names += row[0] + "\n"
 		}
 	})
@@ -93,15 +93,15 @@
 func TestGoldenFiguresHaveEachPart(t *testing.T) {
 	n := startAllParts(t)
 	inLoop(n, func() {
-		if len(n.parts) != len(makers) {
-			t.Errorf("%d parts of %d", len(n.parts), len(makers))
+		if len(n.parts.all) != len(partConstructors) {
+			t.Errorf("%d parts of %d", len(n.parts.all), len(partConstructors))
 		}
 		var groups []string
-		for _, row := range n.status() {
+		for _, row := range n.status.rows() {
 			group, _, _ := strings.Cut(row[0], ".")
 			groups = append(groups, group)
 		}
-		for _, p := range n.parts {
+		for _, p := range n.parts.all {
 			if p.counters != nil && !slices.Contains(groups, p.counters()[0].name) {
 				t.Errorf("part %s has no counters", p.name)
 			}
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -82,14 +82,14 @@
 		kinds[s.kind] = true
 		files[s.path()] = true
 	}
-	for kind := range messages {
+	for kind := range machineMessages {
 		if !kinds[kind] {
 			t.Errorf("message %q has no sample", kind)
 		}
 	}
 	for _, kind := range []string{
-		msgID, msgClaimID, msgWord, msgUse, msgBan, msgBanned, msgKill, msgBye, msgBGP, msgClaim,
-		msgClaimed, msgTickets, msgConfiguration,
+		msgIDChange, msgClaimID, msgClaimIDReply, msgUsage, msgCordon, msgCordonReply, msgKill, msgBye, msgBGP, msgTicketClaim,
+		msgTicketClaimReply, msgTickets, msgConfiguration,
 	} {
 		if !kinds[kind] {
 			t.Errorf("message %q has no sample", kind)
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -30,19 +30,19 @@
 	one, two := sampleState(), sampleState()
 	one.Version, one.Configuration = 0, nil
 	return append(sharedSamples(),
-		messageSample{"v1/hello", "hello", hello{PID: 22071}, []string{"Place", "Version"}},
-		messageSample{"v2/hello", "hello", hello{PID: 22129, Place: 3, Version: hotrestart.ProtocolVersion}, nil},
+		messageSample{"v1/hello", "hello", helloMessage{PID: 22071}, []string{"Process", "Version"}},
+		messageSample{"v2/hello", "hello", helloMessage{PID: 22129, Process: 3, Version: hotrestart.ProtocolVersion}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
 		messageSample{"v2/state", "state", two, nil},
-		messageSample{"v1/ban", msgBan, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
-		messageSample{"v2/ban", msgBan, ban{N: 8, ID: 3, Exclude: true, Known: true, Unnoted: true}, nil},
-		messageSample{"v1/banned", msgBanned, ban{N: 7, ID: 2, Exclude: true, Known: true}, []string{"Unnoted"}},
-		messageSample{"v2/banned", msgBanned, ban{N: 8, ID: 3, Exclude: true, Known: true, Unnoted: true}, nil},
+		messageSample{"v1/ban", msgCordon, cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true}, []string{"MemoryOnly"}},
+		messageSample{"v2/ban", msgCordon, cordonMessage{Number: 8, ID: 3, Cordon: true, Known: true, MemoryOnly: true}, nil},
+		messageSample{"v1/banned", msgCordonReply, cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true}, []string{"MemoryOnly"}},
+		messageSample{"v2/banned", msgCordonReply, cordonMessage{Number: 8, ID: 3, Cordon: true, Known: true, MemoryOnly: true}, nil},
 		messageSample{"v1/bye", msgBye, nil, nil},
-		messageSample{"v2/wait", "wait", wait{Phase: "serving", PID: 22130}, nil},
+		messageSample{"v2/wait", "wait", waitMessage{Phase: "serving", PID: 22130}, nil},
 		messageSample{"v2/back", "back", nil, nil},
-		messageSample{"v2/may", msgClaimID, claimID{N: 9, ID: "00000000000000ff", OK: true}, nil},
-		messageSample{"v2/word", msgWord, claimID{N: 9, ID: "00000000000000ff", OK: true}, nil},
+		messageSample{"v2/may", msgClaimID, idClaimMessage{Number: 9, ID: "00000000000000ff", Granted: true}, nil},
+		messageSample{"v2/word", msgClaimIDReply, idClaimMessage{Number: 9, ID: "00000000000000ff", Granted: true}, nil},
 		messageSample{"v2/configuration", msgConfiguration, sampleRevision(), nil},
 	)
 }
@@ -51,31 +51,31 @@
 func sharedSamples() []messageSample {
 	ticket := sampleTicket()
 	return []messageSample{
-		{"both/ready", "ready", ready{Took: []string{"clients", "door"}}, nil},
+		{"both/ready", "ready", readyMessage{Taken: []string{"clients", "door"}}, nil},
 		{"both/go-ahead", "go-ahead", nil, nil},
-		{"both/id-open", msgID, router.IDChange{ID: "0000000000000007", Status: router.IDOpen}, []string{"Status"}},
-		{"both/id-done", msgID, router.IDChange{ID: "0000000000000008", Status: router.IDDone}, nil},
-		{"both/id-spent", msgID, router.IDChange{ID: "0000000000000009", Status: router.IDConsumed}, nil},
-		{"both/id-unspent", msgID, router.IDChange{ID: "000000000000000a", Status: router.IDReleased}, nil},
-		{"both/use", msgUse, use{Module: samplePeerUse(), Sessions: 41, Conns: 42, Leaving: true}, nil},
-		{"both/kill", msgKill, kill{ID: 305419896, Query: true}, nil},
+		{"both/id-open", msgIDChange, router.IDChange{ID: "0000000000000007", Status: router.IDOpen}, []string{"Status"}},
+		{"both/id-done", msgIDChange, router.IDChange{ID: "0000000000000008", Status: router.IDDone}, nil},
+		{"both/id-spent", msgIDChange, router.IDChange{ID: "0000000000000009", Status: router.IDConsumed}, nil},
+		{"both/id-unspent", msgIDChange, router.IDChange{ID: "000000000000000a", Status: router.IDReleased}, nil},
+		{"both/use", msgUsage, usageMessage{Dispatch: sampleUsage(), Sessions: 41, EngineConns: 42, Leaving: true}, nil},
+		{"both/kill", msgKill, killMessage{SessionID: 305419896, QueryOnly: true}, nil},
 		{"both/bgp", msgBGP, sampleSession(), nil},
-		{"both/claim-asked", msgClaim, claim{N: 12, Handle: "5a0000000000000c"}, []string{"Ticket"}},
-		{"both/claimed-none", msgClaimed, claim{N: 13, Handle: "5a0000000000000d"}, []string{"Ticket"}},
-		{"both/claimed", msgClaimed, claim{N: 12, Handle: ticket.Handle, Ticket: &ticket}, nil},
+		{"both/claim-asked", msgTicketClaim, ticketClaimMessage{Number: 12, Handle: "5a0000000000000c"}, []string{"Ticket"}},
+		{"both/claimed-none", msgTicketClaimReply, ticketClaimMessage{Number: 13, Handle: "5a0000000000000d"}, []string{"Ticket"}},
+		{"both/claimed", msgTicketClaimReply, ticketClaimMessage{Number: 12, Handle: ticket.Handle, Ticket: &ticket}, nil},
 		{"both/tickets", msgTickets, []flightsql.Ticket{ticket, otherTicket()}, nil},
 		{"both/bgp-none", msgBGP, bgp.SessionState{}, []string{""}},
 	}
 }
 
-func sampleState() state {
+func sampleState() stateMessage {
 	revision := sampleRevision()
-	return state{
+	return stateMessage{
 		Version:       hotrestart.ProtocolVersion,
 		Generation:    2,
 		Core:          router.State{OpenIDs: []string{"0000000000000001"}, ConsumedIDs: []string{"0000000000000002", "0000000000000003"}, Dispatch: sampleSnapshot()},
 		Listeners:     []string{"clients", "door"},
-		At:            map[string]string{"door": "127.0.0.1:8002", "clients": "127.0.0.1:3307"},
+		Addresses:     map[string]string{"door": "127.0.0.1:8002", "clients": "127.0.0.1:3307"},
 		Parts:         []string{"bgp"},
 		Configuration: &revision,
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func samplePeerUse() dispatch.OtherProcessUsage {
+func sampleUsage() dispatch.OtherProcessUsage {
 	return dispatch.OtherProcessUsage{
 		Engines: []dispatch.EngineUsage{
 			{ID: 1, Threads: 1.5, PreferredThreads: 2.5, Work: 3.5, GrantedMB: 4.5, WarmUpWork: 5.5},
--- a/internal/node/golden_slot_test.go
+++ b/internal/node/golden_slot_test.go
@@ -15,7 +15,7 @@
 // be the same in the next program.
 func TestGoldenMeetingAndBans(t *testing.T) {
 	var got strings.Builder
-	fmt.Fprintf(&got, "meeting %q\n", meeting(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
+	fmt.Fprintf(&got, "meeting %q\n", slotName(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
 	for _, id := range []dispatch.EngineID{0, 2, 0xc41f7a, 0xffffffff} {
 		text := settings.FormatEngineID(id)
 		fmt.Fprintf(&got, "ban of %d %q\n", id, text)
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"slices"
@@ -11,161 +12,259 @@
 
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/netio"
+	"windflow/internal/router"
 )
 
-// accept has clients come in, for the first time or again.
-func (r *node) accept() {
-	if r.core == nil {
-		if err := r.build(); err != nil {
-			r.fail(err)
-			return
-		}
-	}
-	for which := range r.idle {
-		if !slices.Contains(r.took, which) {
-			r.took = append(r.took, which)
+// passedSocketEnv names the variable with the number of the clients' socket, where the platform holds that.
+const passedSocketEnv = "PROXY_PASSED_SOCKET"
+
+// bindRetryMS is how often an address is tried that a process which hangs has not given up.
+const bindRetryMS = 250.0
+
+// The names of listeners between processes.
+const (
+	clientListener = "clients"
+	flightListener = "flight"
+	adminListener  = "door"
+)
+
+// acceptor is an address at which a router accepts.
+type acceptor struct {
+	name    string // between processes
+	field   string // of the settings
+	address string
+	accept  func(net.Listener)       // for the first time or again; it takes the listener over
+	file    func() (*os.File, error) // a copy of its descriptor
+	pause   func()                   // accept no more; what is open stays
+}
+
+// listeners are the sockets on which the router accepts: opened, inherited from a predecessor, or passed on by the
+// platform.
+type listeners struct {
+	log       *slog.Logger
+	loop      *router.Loop
+	life      *lifecycle
+	machine   *hotrestart.Machine
+	received  *handover // what a predecessor has given
+	acceptors func() []acceptor
+
+	idle           map[string]net.Listener // listeners on which this process does not accept, by name
+	missing        []string                // listeners whose address can't be had yet
+	taken          []string                // listeners on which another process accepts too, or did
+	passed         *os.File                // the clients' socket, where the platform holds it
+	clients        *netio.Listener         // on which clients are accepted; nil until then
+	clientsAddress string
+	listedEngines  func() int // for the log
+}
+
+// open gets all listeners; none accepts clients yet.
+func (l *listeners) open() error {
+	for _, acceptor := range l.acceptors() {
+		if err := l.provide(acceptor); err != nil {
+			return err
 		}
 	}
-	r.openIdle()
-	if r.place != nil {
-		if err := r.place.PublishToLegacy(); err != nil {
-			r.log.Warn("a process of version 1 would not find this one", "err", err)
+	return nil
+}
+
+// accept has clients come in, for the first time or again.
+func (l *listeners) accept() {
+	for name := range l.idle {
+		if !slices.Contains(l.taken, name) {
+			l.taken = append(l.taken, name)
 		}
 	}
-	if len(r.missing) == 0 {
-		r.log.Info("ready", "listen", r.clientsAt, "engines", r.core.ListedEngines(), "phase", r.machine.Phase().String())
-	} else {
-		r.log.Warn("addresses are held by a process that does not answer", "listeners", r.missing)
-		r.loop.After(bindEvery, r.bindAgain)
+	l.acceptIdle()
+}
+
+// reportReady logs that clients are accepted, or tries for the addresses that are missing.
+func (l *listeners) reportReady() {
+	if len(l.missing) == 0 {
+		l.log.Info("ready", "listen", l.clientsAddress, "engines", l.listedEngines(), "phase", l.machine.Phase().String())
+		return
 	}
+	l.log.Warn("addresses are held by a process that does not answer", "listeners", l.missing)
+	l.loop.After(bindRetryMS, l.retryMissing)
 }
 
-// bindAgain tries for the addresses that a process which hangs has not given up.
-func (r *node) bindAgain() {
-	if len(r.missing) == 0 || r.failed != nil {
+// incomplete reports whether the address of a listener can't be had yet.
+func (l *listeners) incomplete() bool { return len(l.missing) > 0 }
+
+// retryMissing tries for the addresses that a process which hangs has not given up.
+func (l *listeners) retryMissing() {
+	if len(l.missing) == 0 || l.life.failed() {
 		return
 	}
-	if r.openMissing(); len(r.missing) > 0 {
-		r.loop.After(bindEvery, r.bindAgain)
+	if l.openMissing(); len(l.missing) > 0 {
+		l.loop.After(bindRetryMS, l.retryMissing)
 		return
 	}
-	r.log.Info("ready", "listen", r.clientsAt, "phase", r.machine.Phase().String())
+	l.log.Info("ready", "listen", l.clientsAddress, "phase", l.machine.Phase().String())
 }
 
-func (r *node) openMissing() {
-	missing := r.missing
-	r.missing = nil
-	for _, l := range r.listeners() {
-		if !slices.Contains(missing, l.name) {
+// openMissing gets the listeners whose address could not be had before.
+func (l *listeners) openMissing() {
+	missing := l.missing
+	l.missing = nil
+	for _, acceptor := range l.acceptors() {
+		if !slices.Contains(missing, acceptor.name) {
 			continue
 		}
-		if err := r.provide(l); err != nil {
-			r.fail(err)
+		if err := l.provide(acceptor); err != nil {
+			l.life.fail(err)
 			return
 		}
 	}
-	if r.machine.Accepts() {
-		r.openIdle()
+	if l.machine.Accepts() {
+		l.acceptIdle()
 	}
 }
 
-// openIdle accepts on all listeners that it has.
-func (r *node) openIdle() {
-	for _, l := range r.listeners() {
-		if lis := r.idle[l.name]; lis != nil {
-			l.accept(lis)
+// acceptIdle accepts on all listeners that it has.
+func (l *listeners) acceptIdle() {
+	for _, acceptor := range l.acceptors() {
+		if idle := l.idle[acceptor.name]; idle != nil {
+			acceptor.accept(idle)
 		}
 	}
-	clear(r.idle)
-	if len(r.missing) == 0 {
-		r.tellReady()
+	clear(l.idle)
+	if len(l.missing) > 0 {
+		return
+	}
+	if err := notifyReady(l.log); err != nil {
+		l.life.fail(err)
+	}
+}
+
+// fileOf gives a copy of a listener's descriptor.
+func (l *listeners) fileOf(acceptor acceptor) (*os.File, error) {
+	if idle := l.idle[acceptor.name]; idle != nil {
+		return netio.ListenerFile(idle)
 	}
+	return acceptor.file()
 }
 
-// listenerFile gives a copy of a listener's descriptor.
-func (r *node) listenerFile(l listening) (*os.File, error) {
-	if lis := r.idle[l.name]; lis != nil {
-		return netio.ListenerFile(lis)
+// export adds the listeners to the state for a successor, and gives copies of their descriptors. The clients' socket is
+// left out where the platform passes it on itself.
+func (l *listeners) export(state *stateMessage) (files []*os.File) {
+	state.Addresses = map[string]string{}
+	for _, acceptor := range l.acceptors() {
+		if acceptor.name == clientListener && l.passed != nil {
+			continue
+		}
+		file, err := l.fileOf(acceptor)
+		if err != nil {
+			l.log.Warn("a listener can't be handed over", "listener", acceptor.name, "err", err)
+			continue
+		}
+		files = append(files, file)
+		state.Listeners = append(state.Listeners, acceptor.name)
+		state.Addresses[acceptor.name] = acceptor.address
 	}
-	return l.file()
+	return files
 }
 
-// yield stops accepting where the other process does. What it takes to accept again is kept, in case that ends first.
-func (r *node) yield() {
-	for _, l := range r.listeners() {
-		if r.idle[l.name] != nil || !slices.Contains(r.theyTook, l.name) {
+// release stops accepting where the other process does. What it takes to accept again is kept, in case that ends first.
+func (l *listeners) release(taken []string) {
+	for _, acceptor := range l.acceptors() {
+		if l.idle[acceptor.name] != nil || !slices.Contains(taken, acceptor.name) {
 			continue
 		}
-		f, err := r.listenerFile(l)
+		file, err := l.fileOf(acceptor)
 		if err == nil {
-			r.idle[l.name], err = netio.Inherit(f)
-			_ = f.Close()
+			l.idle[acceptor.name], err = netio.Inherit(file)
+			_ = file.Close()
 		}
 		if err != nil {
-			delete(r.idle, l.name)
-			r.log.Warn("a listener can't be kept", "listener", l.name, "err", err)
+			delete(l.idle, acceptor.name)
+			l.log.Warn("a listener can't be kept", "listener", acceptor.name, "err", err)
 		}
-		l.pause()
+		acceptor.pause()
 	}
-	r.log.Info("the other process accepts", "listeners", r.theyTook, "sessions", r.front.Sessions(), "open", r.core.OpenRequests())
 }
 
-// provide gets a listener: the socket that the platform passed on, for clients; else the one of the process that this one
-// takes over from, where the address is the same; else one of its own.
-func (r *node) provide(l listening) error {
-	lis, shared, err := r.listener(l)
-	if errors.Is(err, syscall.EADDRINUSE) && r.machine.Phase() == hotrestart.PhaseDegraded {
-		r.missing = append(r.missing, l.name)
+// provide gets one listener. That of operators accepts at once: one may ask whether the router is ready. An address that a
+// process which hangs holds is missing for now.
+func (l *listeners) provide(acceptor acceptor) error {
+	opened, shared, err := l.listen(acceptor)
+	if errors.Is(err, syscall.EADDRINUSE) && l.machine.Phase() == hotrestart.PhaseDegraded {
+		l.missing = append(l.missing, acceptor.name)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if shared {
-		r.took = append(r.took, l.name)
+		l.taken = append(l.taken, acceptor.name)
 	}
-	switch l.name {
-	case listenDoor: // heard at once: an operator may ask whether it is ready
-		l.accept(lis)
+	switch acceptor.name {
+	case adminListener:
+		acceptor.accept(opened)
 		return nil
-	case listenClients:
-		r.clientsAt = lis.Addr().String()
+	case clientListener:
+		l.clientsAddress = opened.Addr().String()
 	}
-	r.idle[l.name] = lis
+	l.idle[acceptor.name] = opened
 	return nil
 }
 
-// listener gives where to accept, and whether another process accepts there too.
-func (r *node) listener(l listening) (lis net.Listener, shared bool, err error) {
-	if fd := os.Getenv(passedEnv); fd != "" && l.name == listenClients {
-		n, err := strconv.Atoi(fd)
-		if err != nil || n < 3 {
-			return nil, false, fmt.Errorf("%s: %q is no descriptor", passedEnv, fd)
-		}
-		syscall.CloseOnExec(n)
-		r.passed = os.NewFile(uintptr(n), "passed socket")
-		if lis, err = netio.Inherit(r.passed); err != nil {
-			return nil, false, fmt.Errorf("%s: descriptor %d: %w", passedEnv, n, err)
-		}
-		return lis, true, nil
+// listen gives the socket that the platform passed on, for clients; else that of the predecessor, where the address is the
+// same; else one of its own. shared reports whether another process accepts there too.
+func (l *listeners) listen(acceptor acceptor) (opened net.Listener, shared bool, err error) {
+	if descriptor := os.Getenv(passedSocketEnv); descriptor != "" && acceptor.name == clientListener {
+		opened, err = l.passedSocket(descriptor)
+		return opened, err == nil, err
 	}
-	if f := r.files[l.name]; f != nil && r.handed.At[l.name] == l.addr {
-		if lis, err = netio.Inherit(f); err == nil {
-			return lis, true, nil
+	file := l.received.files[acceptor.name]
+	if file != nil && l.received.state.Addresses[acceptor.name] == acceptor.address {
+		if opened, err = netio.Inherit(file); err == nil {
+			return opened, true, nil
 		}
-		r.log.Warn("a listener that was handed over can't be used", "field", l.field, "err", err)
+		l.log.Warn("a listener that was handed over can't be used", "field", acceptor.field, "err", err)
 	}
 	bind := func() (err error) {
-		lis, err = netio.Listen(l.addr)
+		opened, err = netio.Listen(acceptor.address)
 		return err
 	}
-	if r.machine.Phase() == hotrestart.PhaseDegraded { // its holder hangs, and the loop has requests to serve
+	if l.machine.Phase() == hotrestart.PhaseDegraded { // its holder hangs, and the loop has requests to serve
 		err = bind()
 	} else {
 		err = retry(bind)
 	}
 	if err != nil {
-		return nil, false, fmt.Errorf("field %s: %w", l.field, err)
+		return nil, false, fmt.Errorf("field %s: %w", acceptor.field, err)
+	}
+	return opened, false, nil
+}
+
+// passedSocket gives the clients' listener of the platform, by the text of its descriptor.
+func (l *listeners) passedSocket(descriptor string) (net.Listener, error) {
+	fd, err := strconv.Atoi(descriptor)
+	if err != nil || fd < firstPassedDescriptor {
+		return nil, fmt.Errorf("%s: %q is no descriptor", passedSocketEnv, descriptor)
+	}
+	syscall.CloseOnExec(fd)
+	l.passed = os.NewFile(uintptr(fd), "passed socket")
+	opened, err := netio.Inherit(l.passed)
+	if err != nil {
+		return nil, fmt.Errorf("%s: descriptor %d: %w", passedSocketEnv, fd, err)
+	}
+	return opened, nil
+}
+
+// closeClients accepts no client any more. Those accepted before are served; who comes now is refused at once.
+func (l *listeners) closeClients() {
+	if l.clients != nil {
+		l.clients.Close()
+	}
+}
+
+// close closes what this process does not accept on.
+func (l *listeners) close() {
+	for _, idle := range l.idle {
+		_ = idle.Close()
+	}
+	if l.passed != nil {
+		_ = l.passed.Close()
 	}
-	return lis, false, nil
 }
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -3,35 +3,55 @@
 import (
 	"bytes"
 	"io"
+	"log/slog"
+	"os"
 	"sync/atomic"
 	"time"
 )
 
 const (
-	// maxLines is how many lines of the log wait at most for whoever reads them; what comes beyond is dropped and counted.
-	maxLines = 1024
-	// flushWithin bounds the wait for the last lines at the end.
-	flushWithin = 500 * time.Millisecond
+	// maxQueuedLines is how many lines of the log wait at most for whoever reads them; what comes beyond is dropped and
+	// counted.
+	maxQueuedLines = 1024
+	// flushTimeout bounds the wait for the last lines at the end.
+	flushTimeout = 500 * time.Millisecond
 )
 
-// lines writes the log in a goroutine of its own. It guards against a loop that stands still for as long as the pipe or
-// disk that the log goes to does not take more.
-type lines struct {
-	to      io.Writer
-	queue   chan []byte
-	flushed chan chan struct{}
-	dropped atomic.Int64
-	tell    func(dropped int64) // of lines that were dropped, once there is room again
+// logger makes the program's log, and what flushes its last lines.
+func (o Options) logger() (log *slog.Logger, flush func()) {
+	out := newLogWriter(os.Stderr)
+	level := slog.LevelInfo
+	if o.Debug {
+		level = slog.LevelDebug
+	}
+	options := &slog.HandlerOptions{Level: level}
+	if log = slog.New(slog.NewTextHandler(out, options)); o.JSON {
+		log = slog.New(slog.NewJSONHandler(out, options))
+	}
+	out.onDropped = func(n int64) { log.Warn("log lines were dropped", "lines", n) }
+	return log, out.flush
 }
 
-func newLines(to io.Writer) *lines {
-	l := &lines{to: to, queue: make(chan []byte, maxLines), flushed: make(chan chan struct{}), tell: func(int64) {}}
+// logWriter writes the log in a goroutine of its own. It guards against a loop that stands still for as long as the pipe
+// or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its end.
+type logWriter struct {
+	to        io.Writer
+	queue     chan []byte
+	flushes   chan chan struct{}
+	dropped   atomic.Int64
+	onDropped func(lines int64) // called once there is room again
+}
+
+func newLogWriter(to io.Writer) *logWriter {
+	l := &logWriter{
+		to: to, queue: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{}), onDropped: func(int64) {},
+	}
 	go l.run()
 	return l
 }
 
 // Write implements io.Writer; it never blocks.
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logWriter) Write(b []byte) (int, error) {
 	select {
 	case l.queue <- bytes.Clone(b):
 	default:
@@ -40,38 +60,38 @@
 	return len(b), nil
 }
 
-func (l *lines) run() {
+func (l *logWriter) run() {
 	for {
 		select {
 		case line := <-l.queue:
-			l.put(line)
-		case done := <-l.flushed:
+			l.write(line)
+		case done := <-l.flushes:
 			for len(l.queue) > 0 {
-				l.put(<-l.queue)
+				l.write(<-l.queue)
 			}
 			close(done)
 		}
 	}
 }
 
-func (l *lines) put(line []byte) {
+func (l *logWriter) write(line []byte) {
 	_, _ = l.to.Write(line)
 	if n := l.dropped.Swap(0); n > 0 {
-		l.tell(n)
+		l.onDropped(n)
 	}
 }
 
 // flush waits until what was written so far has gone out, or its time is up.
-func (l *lines) flush() {
+func (l *logWriter) flush() {
 	done := make(chan struct{})
-	late := time.After(flushWithin)
+	timeout := time.After(flushTimeout)
 	select {
-	case l.flushed <- done:
-	case <-late:
+	case l.flushes <- done:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-done:
-	case <-late:
+	case <-timeout:
 	}
 }
--- a/internal/node/log_writer_test.go
+++ b/internal/node/log_writer_test.go
@@ -9,10 +9,10 @@
 // A log that nobody reads holds up nobody who writes it; what does not fit is counted and told once it is read again.
 func TestLogNeverBlocks(t *testing.T) {
 	r, w := io.Pipe() // takes nothing until it is read
-	l := newLines(w)
+	l := newLogWriter(w)
 	told := make(chan int64, 1)
-	l.tell = func(n int64) { told <- n }
-	for range 2 * maxLines {
+	l.onDropped = func(n int64) { told <- n }
+	for range 2 * maxQueuedLines {
 		if _, err := l.Write([]byte("a line\n")); err != nil {
 			t.Fatal(err)
 		}
@@ -26,7 +26,7 @@
 	dropped := <-told
 	l.flush()
 	_ = w.Close()
-	if n := int64(strings.Count(<-got, "a line\n")); n+dropped != 2*maxLines || dropped == 0 {
-		t.Errorf("%d lines and %d dropped of %d", n, dropped, 2*maxLines)
+	if n := int64(strings.Count(<-got, "a line\n")); n+dropped != 2*maxQueuedLines || dropped == 0 {
+		t.Errorf("%d lines and %d dropped of %d", n, dropped, 2*maxQueuedLines)
 	}
 }
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -227,10 +227,10 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		n.loop.Run(n.stop)
+		n.loop.Run(n.life.done)
 	}()
 	t.Cleanup(func() {
-		n.stopping.Do(func() { close(n.stop) })
+		n.life.stop()
 		<-ended
 		n.close()
 	})
@@ -275,7 +275,7 @@
 		idsB, loadB := plan()
 		go func() {
 			defer wg.Done()
-			c, err := dialMySQL(n.clientsAt)
+			c, err := dialMySQL(n.listeners.clientsAddress)
 			if err != nil {
 				t.Error("mysql:", err)
 				return
@@ -300,7 +300,7 @@
 		}()
 		go func() {
 			defer wg.Done()
-			c, err := fsql.NewClient(n.part("flightsql").listening.addr, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
+			c, err := fsql.NewClient(n.parts.named("flightsql").acceptor.address, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
 			if err != nil {
 				t.Error("flight:", err)
 				return
@@ -341,7 +341,7 @@
 	}
 	counts := make(chan [2]int64)
 	n.loop.Post(func() {
-		c := n.core.Counters
+		c := n.services.core.Counters
 		counts <- [2]int64{c.Received, c.Served + c.Rejected + c.Failed + c.Abandoned}
 	})
 	if got := <-counts; got[0] != got[1] || got[0] != 2*workers*each {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,21 +1,12 @@
-// Package node is a running router: it wires the parts together, hears signals, and goes from its start to its end. A
-// subsystem adds itself in one place, as a part (part.go).
 package node
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
+	"net"
 	"os"
-	"os/signal"
-	"slices"
-	"sync"
-	"syscall"
 
-	"windflow/internal/admin"
 	"windflow/internal/clock"
-	"windflow/internal/decide/hotrestart"
 	"windflow/internal/discovery"
 	"windflow/internal/enginehttp"
 	"windflow/internal/installation"
@@ -26,223 +17,215 @@
 	"windflow/internal/validate"
 )
 
-const (
-	// memoryShare is the share of the memory limit that the runtime is told to keep within: stacks, the
-	// poller's buffers and the kernel's view of freed pages need the rest.
-	memoryShare = 0.7
-	// graceMS is how long after SIGTERM requests may still come, in milliseconds; PROTOCOL says 600.
-	graceMS = 1000.0
-	// After SIGTERM a kill comes no sooner than the longest deadline, counted as patienceAlone at most, or in an upgrade
-	// as patienceUpgrade, and 700 ms. What is open is answered beforeKill after that deadline: before the kill does.
-	patienceAlone   = 3000.0
-	patienceUpgrade = 5000.0
-	beforeKill      = 450.0
-	// quietMS is how long nothing may have been open before the program ends after SIGTERM.
-	quietMS = 200.0
-	// endWithin is how long clients have to close when the program ends, and lateEnd how long past the time at which all is
-	// answered at the latest: the kill comes 250 ms after that.
-	endWithin, lateEnd = 300.0, 120.0
-)
+// node wires the types that make up a running router. It belongs to the loop's goroutine.
+type node struct {
+	log          *slog.Logger
+	loop         *router.Loop
+	life         *lifecycle
+	active       activeSettings
+	services     services
+	parts        partSet
+	recordedLog  recordedLog
+	limiter      limiter
+	configurator configurator
+	keepers      *keeperSync // nil unless turned on
+	restart      *coordinator
+	listeners    listeners
+	cordons      *cordonStore
+	claims       *idClaims
+	usage        usageExchange
+	shutdown     shutdownSequence
+	stalls       stallDetector
+	admin        adminBackend
+	status       statusReporter
+}
 
-// Options are what the command line says.
-type Options struct {
-	Settings string // file of the installation's settings; empty for none
-	Debug    bool   // log each attempt that does not end well
-	JSON     bool   // log as JSON
+// newNode wires a router that has no services yet.
+func newNode(cfg *settings.Node, own *installation.Settings, log *slog.Logger) *node {
+	n := &node{
+		loop: router.NewLoop(clock.NewSystem()), life: newLifecycle(),
+		active: activeSettings{platform: cfg, site: own}, services: services{byKind: &router.ByKind{}},
+	}
+	n.log = log
+	if own.Records != nil {
+		n.log = n.recordedLog.tee(log, n.loop.Now)
+	}
+	n.wireHotRestart()
+	n.wireServing()
+	n.restart.handle(map[string]messageHandler{
+		msgIDChange:     decoded(func(_ *peer, change router.IDChange) { n.services.core.OtherProcessChanged(change) }),
+		msgKill:         decoded(func(_ *peer, kill killMessage) { n.services.front.Kill(kill.SessionID, kill.QueryOnly) }),
+		msgUsage:        decoded(func(_ *peer, usage usageMessage) { n.usage.update(usage); n.limiter.update() }),
+		msgClaimID:      decoded(n.claims.grant),
+		msgClaimIDReply: decoded(n.claims.replied),
+		msgCordon:       decoded(n.cordons.ordered),
+		msgCordonReply:  decoded(n.cordons.replied),
+	})
+	return n
 }
 
-// logger is the program's, and what has its last lines written.
-func (o Options) logger() (log *slog.Logger, flush func()) {
-	out := newLines(os.Stderr)
-	level := slog.LevelInfo
-	if o.Debug {
-		level = slog.LevelDebug
-	}
-	how := &slog.HandlerOptions{Level: level}
-	if log = slog.New(slog.NewTextHandler(out, how)); o.JSON {
-		log = slog.New(slog.NewJSONHandler(out, how))
-	}
-	out.tell = func(n int64) { log.Warn("log lines were dropped", "lines", n) }
-	return log, out.flush
+// wireHotRestart wires what two processes of this router have to do with each other.
+func (n *node) wireHotRestart() {
+	n.restart = newCoordinator(n.log, n.loop, n.life, n)
+	n.cordons = newCordonStore(n.log, n.loop, &n.services, n.restart.partner)
+	n.claims = newIDClaims(n.loop, &n.services, n.restart.idGrantor)
+	n.usage = usageExchange{
+		loop: n.loop, services: &n.services, partner: n.restart.partner, leaving: n.leaving,
+	}
+	n.listeners = listeners{
+		log: n.log, loop: n.loop, life: n.life, machine: &n.restart.machine, received: &n.restart.received,
+		acceptors: n.acceptors, idle: map[string]net.Listener{},
+		listedEngines: func() int { return n.services.core.ListedEngines() },
+	}
+	n.shutdown = shutdownSequence{
+		log: n.log, loop: n.loop, active: &n.active, services: &n.services, parts: &n.parts, restart: n.restart,
+		accepted: &n.listeners, since: n.stalls.since,
+		reduce: func() { n.limiter.update(); n.usage.report() },
+	}
 }
 
-// Run is a router from its start to its end. The platform's configuration is the file that PROXY_CONFIG names. An error
-// is one line for each fault, which names the file and the field.
-func Run(opts Options) error {
-	path := os.Getenv("PROXY_CONFIG")
-	if path == "" {
-		return errors.New("PROXY_CONFIG: the path of the configuration is not set")
-	}
-	// Heard from the first on: a signal that comes before the router is ready waits, where its default would end it.
-	signals := make(chan os.Signal, 16)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGCONT)
-	cfg, text, err := readOwn(path)
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+// wireServing wires the limits, the settings, and what operators are answered.
+func (n *node) wireServing() {
+	n.limiter = limiter{
+		active: &n.active, services: &n.services, parts: &n.parts, share: n.restart.share,
+		partner: func() usageMessage { return n.usage.theirs }, leaving: n.leaving,
 	}
-	own, err := readSite(opts.Settings)
-	if err != nil {
-		return err
+	n.configurator = configurator{
+		log: n.log, active: &n.active, services: &n.services, parts: &n.parts, limiter: &n.limiter,
 	}
-	log, flush := opts.logger()
-	defer flush()
-	go func() { // beside the start, which needs few: the wait may take longer than an upgrade may
-		if _, err := growTable(cfg.Limits.Sockets); err != nil {
-			log.Warn("the table of descriptors was not grown", "err", err)
-		}
-	}()
-	r := newNode(cfg, own, opts, log.With("name", cfg.Name))
-	if own.Keepers != nil {
-		r.keepers = newKeepers(r, path, text)
-		r.keepers.restore()
-	}
-	r.begin(true)
-	go func() {
-		for s := range signals {
-			switch s {
-			case syscall.SIGHUP:
-				r.reload(path) // reads the files here: the loop may not wait for a disk
-				continue
-			case syscall.SIGCONT:
-				r.Continued.Add(1)
-				continue
-			}
-			r.loop.Post(func() { r.signal(s) })
-		}
-	}()
-	r.loop.Run(r.stop)
-	if r.core != nil {
-		r.printCounters("counters at exit")
+	n.stalls.log, n.stalls.loop, n.stalls.services, n.stalls.refresh = n.log, n.loop, &n.services, n.cordons.refresh
+	n.admin = adminBackend{
+		log: n.log, loop: n.loop, services: &n.services, machine: &n.restart.machine, accepted: &n.listeners,
+		leaving: n.leaving, cordons: n.cordons, keepers: func() *keeperSync { return n.keepers },
 	}
-	r.close()
-	if r.failed != nil {
-		return fmt.Errorf("%s: %w", path, r.failed)
+	n.status = statusReporter{
+		log: n.log, services: &n.services, parts: &n.parts, stalls: &n.stalls.counters, admin: &n.admin,
 	}
-	return nil
-}
-
-// node is the running program; all of it belongs to the loop's goroutine.
-type node struct {
-	log       *slog.Logger
-	cfg       *settings.Node         // in force
-	site      *installation.Settings // in force
-	opts      Options
-	parts     []*part // that are on
-	clients   *router.ByKind
-	loop      *router.Loop
-	net       *netio.Poller
-	core      *router.Core
-	client    *enginehttp.Client
-	front     *mysql.Front
-	board     *discovery.Watcher
-	door      *admin.Server // nil unless turned on
-	stop      chan struct{}
-	stopping  sync.Once
-	failed    error // why it can't serve
-	busyAt    float64
-	closeAt   float64         // when what is open has been answered, once that is known
-	endBy     float64         // when the connections that finish are given up; 0 until the end has begun
-	clientsAt string          // where clients connect
-	listening *netio.Listener // for them; nil while this process does not accept
-	records   records
-	keepers   *keepers // nil unless turned on
-	upgrade
-	stall
 }
 
-// newNode returns a router that has nothing yet.
-func newNode(cfg *settings.Node, own *installation.Settings, opts Options, log *slog.Logger) *node {
-	r := &node{log: log, cfg: cfg, site: own, opts: opts, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{})}
-	if own.Records != nil {
-		r.log = r.records.tee(log, r.loop.Now)
+// newReloader reads the files again, those that the router was started with.
+func (n *node) newReloader(path, settingsPath string) *reloader {
+	return &reloader{
+		log: n.log, loop: n.loop, path: path, settingsPath: settingsPath, configurator: &n.configurator,
 	}
-	return r
 }
 
-// start wires the parts of a router that takes over from none and is found by none; the caller runs the loop.
-func start(cfg *settings.Node, own *installation.Settings, log *slog.Logger) (*node, error) {
-	r := newNode(cfg, own, Options{}, log)
-	r.begin(false)
-	return r, r.failed
+// begin starts the coordinator, in a process slot where hotRestart says so, and what runs beside the loop; the caller runs
+// the loop.
+func (n *node) begin(hotRestart bool) {
+	n.stalls.beat()
+	go n.stalls.watch(n.life.done)
+	if hotRestart {
+		n.restart.acquireSlot(n.active.platform)
+	}
+	if n.cordons.slot = n.restart.slot; n.cordons.slot != nil {
+		n.cordons.read()
+		go n.restart.awaitSuccessors()
+	}
+	go n.cordons.run(n.life.done)
+	n.restart.start()
 }
 
-// build wires the parts together. They accept no clients yet; operators are heard.
-func (r *node) build() error {
-	cfg, log := r.cfg, r.log
-	known, last, err := settings.ParseEndpoints(cfg.KnownEndpoints)
+// build makes the services and starts the parts. They accept no clients yet; operators are answered.
+func (n *node) build() error {
+	cfg := n.active.platform
+	known, lastEvent, err := settings.ParseEndpoints(cfg.KnownEndpoints)
 	if err != nil {
 		return fmt.Errorf("field known: %w", err)
 	}
-	decisions, err := validate.DispatchConfig(cfg, cfg.SeedValue)
-	if err != nil {
-		return fmt.Errorf("field settings: %w", err)
-	}
-	for _, make := range makers {
-		if p := make(r); p != nil {
-			r.parts = append(r.parts, p)
-		}
-	}
-	b, err := r.bounds(cfg)
-	if err != nil {
-		return err
-	}
-	r.clients = &router.ByKind{}
-	core, err := router.New(r.loop, decisions, r.clients, log)
+	n.makeParts()
+	bounds, err := n.buildServices(cfg)
 	if err != nil {
-		return fmt.Errorf("field settings: %w", err)
-	}
-	core.ClaimID = r.claimID
-	core.OnIDChange = func(n router.IDChange) { r.tell(msgID, n) }
-	r.front = mysql.NewFront(core, r.loop, b.mysql, r.status, log)
-	r.front.SetGeneration(r.generation)
-	r.front.RemoteKill = r.kill
-	if r.net, err = netio.New(r.loop, "", nil, log); err != nil {
 		return err
 	}
-	r.net.SetMaxInbound(b.inbound)
-	r.client = enginehttp.NewClient(r.loop, r.net, b.fetch, log)
-	r.clients.Default = r.client
-	r.core = core
-	for _, p := range r.parts {
+	for _, p := range n.parts.all {
 		if p.start == nil {
 			continue
 		}
-		if err := p.start(b); err != nil {
+		if err := p.start(bounds); err != nil {
 			return fmt.Errorf("/%s: %w", p.name, err)
 		}
 	}
-	for _, l := range r.listeners() {
-		if err := r.provide(l); err != nil {
-			return err
-		}
+	if err := n.listeners.open(); err != nil {
+		return err
 	}
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
+	core := n.services.core
 	core.UpdateEndpoints(known.Events, known.Addresses)
-	core.AdoptCordons(slices.Sorted(maps.Keys(r.out)))
-	r.board = discovery.Watch(r.loop, r.net, cfg.DiscoveryAddress, namesOf(cfg), last,
-		func(l discovery.Update) { core.UpdateEndpoints(l.Events, l.Addresses) }, cfg.SeedValue, log)
-	r.limit()
+	core.AdoptCordons(n.cordons.list())
+	n.services.endpoints = discovery.Watch(n.loop, n.services.net, cfg.DiscoveryAddress, endpointNames(cfg), lastEvent,
+		func(update discovery.Update) { core.UpdateEndpoints(update.Events, update.Addresses) }, cfg.SeedValue, n.log)
+	n.limiter.applyToRuntime()
 	return nil
 }
 
-func (r *node) close() {
-	r.closeUpgrade()
-	for _, p := range r.parts {
-		if p.stop != nil {
-			p.stop()
+func (n *node) makeParts() {
+	for _, construct := range partConstructors {
+		if p := construct(n); p != nil {
+			n.parts.all = append(n.parts.all, p)
+			n.restart.handle(p.handlers)
 		}
 	}
-	if r.net != nil {
-		r.net.Stop()
+}
+
+// buildServices makes the core, the MySQL front, the connections and the client of engines.
+func (n *node) buildServices(cfg *settings.Node) (limits, error) {
+	decisions, err := validate.DispatchConfig(cfg, cfg.SeedValue)
+	if err != nil {
+		return limits{}, fmt.Errorf("field settings: %w", err)
+	}
+	bounds, err := n.limiter.of(cfg)
+	if err != nil {
+		return limits{}, err
 	}
+	core, err := router.New(n.loop, decisions, n.services.byKind, n.log)
+	if err != nil {
+		return limits{}, fmt.Errorf("field settings: %w", err)
+	}
+	core.ClaimID = n.claims.claim
+	core.OnIDChange = func(change router.IDChange) { n.restart.partner.send(msgIDChange, change) }
+	front := mysql.NewFront(core, n.loop, bounds.mysql, n.status.rows, n.log)
+	front.SetGeneration(n.restart.generation)
+	front.RemoteKill = n.killRemote
+	n.services.front = front
+	if n.services.net, err = netio.New(n.loop, "", nil, n.log); err != nil {
+		return limits{}, err
+	}
+	n.services.net.SetMaxInbound(bounds.inbound)
+	n.services.engines = enginehttp.NewClient(n.loop, n.services.net, bounds.engines, n.log)
+	n.services.byKind.Default = n.services.engines
+	n.services.core = core
+	return bounds, nil
 }
 
-func (r *node) signal(s os.Signal) {
-	if s == syscall.SIGUSR1 {
-		if r.core != nil {
-			r.printCounters("counters")
-		}
-		return
+// killRemote passes a KILL on to the other process; false says that there is none.
+func (n *node) killRemote(sessionID uint32, queryOnly bool) bool {
+	partner := n.restart.partner
+	partner.send(msgKill, killMessage{SessionID: sessionID, QueryOnly: queryOnly})
+	return partner.connected()
+}
+
+// acceptors are where this router accepts.
+func (n *node) acceptors() []acceptor {
+	all := []acceptor{{
+		name: clientListener, field: "listen", address: n.active.platform.Listen,
+		accept: func(lis net.Listener) { n.listeners.clients = n.services.net.Serve(lis, n.services.front.NewSession) },
+		file:   func() (*os.File, error) { return n.listeners.clients.File() },
+		pause:  n.listeners.closeClients,
+	}}
+	all = append(all, n.parts.acceptors()...)
+	if control := n.active.platform.AdminAddress; control != "" {
+		all = append(all, n.admin.acceptor(control))
+	}
+	return all
+}
+
+// close stops the parts and gives up what the process has. The loop has ended.
+func (n *node) close() {
+	n.restart.close()
+	n.listeners.close()
+	n.parts.stop()
+	if n.services.net != nil {
+		n.services.net.Stop()
 	}
-	r.step(hotrestart.Event{Kind: hotrestart.EventStopRequested})
 }
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -1,64 +1,40 @@
 package node
 
 import (
-	"net"
-	"os"
-
-	"windflow/internal/hotrestartipc"
 	"windflow/internal/installation"
 )
 
-// part is a subsystem that adds itself to a router. It is off without its section of the settings, and this is all that the
-// rest of the router knows of it; what it does not need it leaves nil. All of it is called in the loop.
+// part is a subsystem that adds itself to a router. It is off without its section of the settings, and this is all that
+// the remaining router knows of it; what it does not need it leaves nil. All of it is called in the loop.
 type part struct {
-	name        string     // of its section
-	descriptors int        // that it may hold, taken off the connections to engines
-	listening   *listening // where it accepts; nil for nowhere
-	handsOver   bool       // a process that takes over waits for what this part has to give
-
-	start     func(b bounds) error                                               // the core is there
-	configure func(s *installation.Settings, b bounds) (kept []string)           // other settings are in force; kept are the fields that can't change
-	counters  func() []counted                                                   // for the log and SHOW STATUS
-	busy      func() bool                                                        // something is open
-	drain     func()                                                             // the router is told to end, and nobody takes over
-	leave     func(to *hotrestartipc.Link)                                       // another process has taken over
-	farewell  func(to *hotrestartipc.Link)                                       // nothing is open any more
-	end       func()                                                             // the router ends, and nobody has taken over
-	stop      func()                                                             // the process ends
-	sharing   func(with *hotrestartipc.Link)                                     // another process shares the router; nil: none does
-	alone     func()                                                             // that has ended, or has nothing to give
-	hear      map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error // messages of that one, by kind
-}
+	name        string    // of its section
+	descriptors int       // that it may hold, taken off the connections to engines
+	acceptor    *acceptor // where it accepts; nil for nowhere
+	handsOver   bool      // a successor waits for what this part has to hand over
 
-// makers make the parts whose section is there; the order is that in which they start.
-var makers = []func(*node) *part{recordPart, flightPart, bgpPart, keepersPart}
-
-// counted is a set of counters: a pointer to a struct of int64 and atomic.Int64.
-type counted struct {
-	name string
-	of   any
+	start          func(l limits) error                                     // the core is there
+	configure      func(s *installation.Settings, l limits) (kept []string) // other settings come in force; kept are the fields that can't change
+	counters       func() []counterGroup                                    // for the log and SHOW STATUS
+	busy           func() bool                                              // something is open
+	drain          func()                                                   // the router is told to end, and there is no successor
+	leave          func(to *peer)                                           // a successor accepts
+	farewell       func(to *peer)                                           // nothing is open any more
+	end            func()                                                   // the router ends, and there is no successor
+	stop           func()                                                   // the process ends
+	partnerChanged func(partner *peer)                                      // another process shares the router; nil: none does
+	alone          func()                                                   // that has ended, or has nothing to hand over
+	handlers       map[string]messageHandler                                // messages of that process, by kind
 }
 
-// listening is a place where a router accepts.
-type listening struct {
-	name   string // between processes
-	field  string // of the settings
-	addr   string
-	accept func(net.Listener)       // for the first time or again; it takes the listener over
-	file   func() (*os.File, error) // a copy of its descriptor
-	pause  func()                   // accept no more; what is open stays
-}
+// partConstructors make the parts whose section is there, nil for the others; the order is that in which they start.
+var partConstructors = []func(*node) *part{recordPart, flightPart, bgpPart, keeperPart}
 
-// The names of listeners between processes.
-const (
-	listenClients = "clients"
-	listenFlight  = "flight"
-	listenDoor    = "door"
-)
+// partSet are the parts that are on.
+type partSet struct{ all []*part }
 
-// part gives a part that is on, by its section's name.
-func (r *node) part(name string) *part {
-	for _, p := range r.parts {
+// named gives the part of that section, nil where it is off.
+func (s *partSet) named(name string) *part {
+	for _, p := range s.all {
 		if p.name == name {
 			return p
 		}
@@ -66,24 +42,120 @@
 	return nil
 }
 
-// listeners are the places where this router accepts.
-func (r *node) listeners() []listening {
-	all := []listening{{
-		listenClients, "listen", r.cfg.Listen,
-		func(lis net.Listener) { r.listening = r.net.Serve(lis, r.front.NewSession) },
-		func() (*os.File, error) { return r.listening.File() },
-		func() { r.listening.Close() },
-	}}
-	for _, p := range r.parts {
-		if p.listening != nil {
-			all = append(all, *p.listening)
+// descriptors are those that parts may hold.
+func (s *partSet) descriptors() (n int) {
+	for _, p := range s.all {
+		n += p.descriptors
+	}
+	return n
+}
+
+// acceptors are where parts accept.
+func (s *partSet) acceptors() (all []acceptor) {
+	for _, p := range s.all {
+		if p.acceptor != nil {
+			all = append(all, *p.acceptor)
+		}
+	}
+	return all
+}
+
+// configure hands other settings on, and gives the fields that can't change.
+func (s *partSet) configure(now *installation.Settings, l limits) (kept []string) {
+	for _, p := range s.all {
+		if p.configure != nil {
+			kept = append(kept, p.configure(now, l)...)
 		}
 	}
-	if r.cfg.AdminAddress != "" {
-		all = append(all, listening{
-			listenDoor, "control", r.cfg.AdminAddress, r.openDoor,
-			func() (*os.File, error) { return r.door.File() }, func() { r.door.Close() },
-		})
+	return kept
+}
+
+// counters are those of all parts.
+func (s *partSet) counters() (all []counterGroup) {
+	for _, p := range s.all {
+		if p.counters != nil {
+			all = append(all, p.counters()...)
+		}
 	}
 	return all
 }
+
+// busy reports whether a part has something open.
+func (s *partSet) busy() bool {
+	for _, p := range s.all {
+		if p.busy != nil && p.busy() {
+			return true
+		}
+	}
+	return false
+}
+
+// handingOver names the parts that have something to hand over.
+func (s *partSet) handingOver() (names []string) {
+	for _, p := range s.all {
+		if p.handsOver {
+			names = append(names, p.name)
+		}
+	}
+	return names
+}
+
+func (s *partSet) drain() {
+	for _, p := range s.all {
+		if p.drain != nil {
+			p.drain()
+		}
+	}
+}
+
+// leave has parts hand over what the successor needs at once; nil for one that can't be reached.
+func (s *partSet) leave(to *peer) {
+	for _, p := range s.all {
+		if p.leave != nil && to != nil {
+			p.leave(to)
+		}
+	}
+}
+
+// farewell has parts hand over what is left when nothing is open any more.
+func (s *partSet) farewell(to *peer) {
+	for _, p := range s.all {
+		if p.farewell != nil && to != nil {
+			p.farewell(to)
+		}
+	}
+}
+
+func (s *partSet) end() {
+	for _, p := range s.all {
+		if p.end != nil {
+			p.end()
+		}
+	}
+}
+
+func (s *partSet) stop() {
+	for _, p := range s.all {
+		if p.stop != nil {
+			p.stop()
+		}
+	}
+}
+
+// partnerChanged tells the parts with whom this process shares the router, nil for nobody.
+func (s *partSet) partnerChanged(partner *peer) {
+	for _, p := range s.all {
+		if p.partnerChanged != nil {
+			p.partnerChanged(partner)
+		}
+	}
+}
+
+// alone tells the parts that the other process has ended.
+func (s *partSet) alone() {
+	for _, p := range s.all {
+		if p.alone != nil {
+			p.alone()
+		}
+	}
+}
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -10,56 +10,65 @@
 	"windflow/internal/installation"
 )
 
-const msgBGP = "bgp" // bgp.Handed
+const msgBGP = "bgp" // bgp.SessionState
 
-// bgpPart announces the service addresses. In an upgrade its session goes over open, so that nothing is withdrawn.
-func bgpPart(r *node) *part {
-	if r.site.BGP == nil {
+const bgpPartName = "bgp"
+
+// bgpPart announces the service addresses. In a hot restart its session goes over open, so that nothing is withdrawn.
+func bgpPart(n *node) *part {
+	if n.active.site.BGP == nil {
 		return nil
 	}
-	var s *bgp.Speaker
+	active, services, restart := &n.active, &n.services, n.restart
+	var speaker *bgp.Speaker
 	return &part{
-		name:      "bgp",
+		name:      bgpPartName,
 		handsOver: true,
-		start: func(bounds) error {
-			// An elder that hangs may have a session; the neighbour would take a second one for a collision.
-			if r.machine.Predecessor() != hotrestart.NoProcess && (r.machine.Phase() == hotrestart.PhaseDegraded || slices.Contains(r.handed.Parts, "bgp")) {
-				s = bgp.StartDeferred(r.loop, r.net, *r.site.BGP, r.log)
-			} else {
-				s = bgp.StartSpeaker(r.loop, r.net, *r.site.BGP, r.log)
+		start: func(limits) error {
+			start := bgp.StartSpeaker
+			if predecessorHasSession(restart) {
+				start = bgp.StartDeferred
 			}
-			s.Announce()
+			speaker = start(n.loop, services.net, *active.site.BGP, n.log)
+			speaker.Announce()
 			return nil
 		},
-		configure: func(now *installation.Settings, _ bounds) []string {
-			s.Configure(*now.BGP)
+		configure: func(now *installation.Settings, _ limits) []string {
+			speaker.Configure(*now.BGP)
 			return nil
 		},
-		counters: func() []counted { return []counted{{"bgp", &s.Counters}} },
-		drain:    func() { s.Withdraw() }, // first of all, so that new clients go elsewhere
-		leave: func(to *hotrestartipc.Link) {
-			s.Migrate(func(h bgp.SessionState, f *os.File) {
-				if f == nil {
-					to.Send(hotrestartipc.NewMessage(msgBGP, h))
+		counters: func() []counterGroup { return []counterGroup{{bgpPartName, &speaker.Counters}} },
+		drain:    func() { speaker.Withdraw() }, // first of all, so that new clients go to other routers
+		leave: func(to *peer) {
+			speaker.Migrate(func(session bgp.SessionState, conn *os.File) {
+				if conn == nil {
+					to.send(msgBGP, session)
 					return
 				}
-				to.Send(hotrestartipc.NewMessage(msgBGP, h, f))
-				_ = f.Close()
+				to.send(msgBGP, session, conn)
+				_ = conn.Close()
 			})
 		},
-		end:   func() { s.Close() },
-		alone: func() { s.Adopt(r.net, bgp.SessionState{}, nil) }, // connects, if it waited for the old process's session
-		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
-			msgBGP: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var h bgp.SessionState
-				err := m.Decode(&h)
-				var f *os.File
+		end:   func() { speaker.Close() },
+		alone: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) }, // connects, if it waited for the other's session
+		handlers: map[string]messageHandler{
+			msgBGP: func(_ *peer, m *hotrestartipc.Message) error {
+				var session bgp.SessionState
+				err := m.Decode(&session)
+				var conn *os.File
 				if len(m.Files) > 0 {
-					f, m.Files = m.Files[0], m.Files[1:]
+					conn, m.Files = m.Files[0], m.Files[1:]
 				}
-				s.Adopt(r.net, h, f)
+				speaker.Adopt(services.net, session, conn)
 				return err
 			},
 		},
 	}
 }
+
+// predecessorHasSession reports whether a predecessor has a session, or may have one since it hangs; the neighbour would
+// take a second session for a collision.
+func predecessorHasSession(restart *coordinator) bool {
+	return restart.hasPredecessor() &&
+		(restart.phase() == hotrestart.PhaseDegraded || slices.Contains(restart.received.state.Parts, bgpPartName))
+}
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -13,71 +13,49 @@
 )
 
 const (
-	msgClaim   = "claim"   // claim
-	msgClaimed = "claimed" // claim
-	msgTickets = "tickets" // []flightsql.Ticket
-	// claimWithin bounds the wait for a ticket of the other process.
-	claimWithin = time.Second
-	// flightEngines are reserved for connections to engines that speak Flight SQL: one shared one each, and up to
-	// flightLoads for what must not run twice.
-	flightEngines = 64
-	flightLoads   = 32
+	msgTicketClaim      = "claim"   // ticketClaimMessage: the question
+	msgTicketClaimReply = "claimed" // ticketClaimMessage: the reply
+	msgTickets          = "tickets" // []flightsql.Ticket
+	// ticketClaimTimeout bounds the wait for a ticket of the other process.
+	ticketClaimTimeout = time.Second
+	// flightEngineDescriptors are reserved for connections to engines that speak Flight SQL: one shared one each, and up to
+	// maxFlightLoads for what must not run twice.
+	flightEngineDescriptors = 64
+	maxFlightLoads          = 32
 )
 
-type claim struct {
-	N      int64             `json:"n"`
+// ticketClaimMessage asks the other process for a ticket, and brings it; nil for one that it does not have.
+type ticketClaimMessage struct {
+	Number int64             `json:"n"`
 	Handle string            `json:"handle"`
 	Ticket *flightsql.Ticket `json:"ticket"`
 }
 
-// flightState is the Arrow Flight SQL part.
-type flightState struct {
-	front  *flightsql.Front
-	client *flightsql.Client
-
-	claims  sync.Mutex // over what follows: gRPC's goroutines claim tickets
-	claimN  int64
-	claimed map[int64]chan *flightsql.Ticket
-	claimOn *hotrestartipc.Link // where to ask
-}
-
-func flightPart(r *node) *part {
-	cfg := r.site.FlightSQL
+// flightPart is the Arrow Flight SQL front, and the client of engines that speak it.
+func flightPart(n *node) *part {
+	cfg := n.active.site.FlightSQL
 	if cfg == nil {
 		return nil
 	}
-	f := &flightState{claimed: map[int64]chan *flightsql.Ticket{}}
-	// Attempts that are out go on as they are.
-	speak := func(kinds []string) {
-		r.clients.Kinds = map[string]router.EngineClient{}
-		for _, kind := range kinds {
-			r.clients.Kinds[kind] = f.client
-		}
-	}
+	services, restart := &n.services, n.restart
+	flight := &flightService{claims: ticketClaims{waiting: map[int64]chan *flightsql.Ticket{}}}
 	return &part{
 		name:        "flightsql",
-		descriptors: cfg.MaxConnections + flightEngines,
-		listening: &listening{
-			listenFlight, "/flightsql/listen", cfg.Listen,
-			func(lis net.Listener) { f.front.Serve(lis) },
-			func() (*os.File, error) { return f.front.ListenerFile() },
-			func() {
-				if file, err := f.front.StopAccepting(); err == nil {
-					_ = file.Close()
-				}
-			},
-		},
-		start: func(b bounds) (err error) {
-			f.client = flightsql.NewClient(r.loop, b.fetch.ConnectTimeoutMS, flightLoads, r.log)
-			speak(cfg.EngineKinds)
-			if f.front, err = flightsql.NewFront(*cfg, r.core, r.loop, r.cfg.SeedValue, r.generation, r.log); err != nil {
+		descriptors: cfg.MaxConnections + flightEngineDescriptors,
+		acceptor:    flight.acceptor(cfg.Listen),
+		start: func(l limits) (err error) {
+			flight.client = flightsql.NewClient(n.loop, l.engines.ConnectTimeoutMS, maxFlightLoads, n.log)
+			services.byKind.Kinds = flight.clientsOf(cfg.EngineKinds)
+			seed := n.active.platform.SeedValue
+			flight.front, err = flightsql.NewFront(*cfg, services.core, n.loop, seed, restart.generation, n.log)
+			if err != nil {
 				return err
 			}
-			f.front.SetTicketClaimer(f.claim)
-			r.log.Info("flight sql front", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
+			flight.front.SetTicketClaimer(flight.claims.claim)
+			n.log.Info("flight sql front", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
 			return nil
 		},
-		configure: func(s *installation.Settings, b bounds) (kept []string) {
+		configure: func(s *installation.Settings, l limits) (kept []string) {
 			now := s.FlightSQL
 			if now.Listen != cfg.Listen {
 				kept, now.Listen = append(kept, "/flightsql/listen"), cfg.Listen
@@ -85,100 +63,141 @@
 			if now.MaxConnections != cfg.MaxConnections {
 				kept, now.MaxConnections = append(kept, "/flightsql/max_connections"), cfg.MaxConnections
 			}
-			f.client.Configure(b.fetch.ConnectTimeoutMS)
-			speak(now.EngineKinds)
+			flight.client.Configure(l.engines.ConnectTimeoutMS)
+			services.byKind.Kinds = flight.clientsOf(now.EngineKinds)
 			return kept
 		},
-		counters: func() []counted {
-			return []counted{{"flightsql", &f.front.Counters}, {"flightsql_engines", &f.client.Counters}}
-		},
-		busy:  func() bool { return f.front.ActiveCalls() > 0 },
-		leave: func(*hotrestartipc.Link) { f.front.Drain() },
-		farewell: func(to *hotrestartipc.Link) {
-			if all := f.front.ReleaseAllTickets(); len(all) > 0 {
-				to.Send(hotrestartipc.NewMessage(msgTickets, all))
+		counters: func() []counterGroup {
+			return []counterGroup{
+				{"flightsql", &flight.front.Counters}, {"flightsql_engines", &flight.client.Counters},
 			}
 		},
-		stop: func() {
-			if f.front != nil {
-				f.front.Stop()
+		busy:           func() bool { return flight.front.ActiveCalls() > 0 },
+		leave:          func(*peer) { flight.front.Drain() },
+		farewell:       flight.releaseTickets,
+		stop:           flight.stop,
+		partnerChanged: flight.claims.setPartner,
+		handlers:       flight.handlers(),
+	}
+}
+
+// flightService is the front and the client of the part; they are there once it has started.
+type flightService struct {
+	front  *flightsql.Front
+	client *flightsql.Client
+	claims ticketClaims
+}
+
+// clientsOf gives the clients of engines by kind. Attempts that are out go on as they are.
+func (f *flightService) clientsOf(kinds []string) map[string]router.EngineClient {
+	clients := map[string]router.EngineClient{}
+	for _, kind := range kinds {
+		clients[kind] = f.client
+	}
+	return clients
+}
+
+func (f *flightService) acceptor(address string) *acceptor {
+	return &acceptor{
+		name: flightListener, field: "/flightsql/listen", address: address,
+		accept: func(lis net.Listener) { f.front.Serve(lis) },
+		file:   func() (*os.File, error) { return f.front.ListenerFile() },
+		pause: func() {
+			if file, err := f.front.StopAccepting(); err == nil {
+				_ = file.Close()
 			}
 		},
-		sharing: f.sharing,
-		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
-			msgClaim: func(from *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var c claim
-				if err := m.Decode(&c); err != nil {
-					return err
-				}
-				c.Ticket = f.front.ReleaseTicket(c.Handle)
-				from.Send(hotrestartipc.NewMessage(msgClaimed, c))
-				return nil
-			},
-			msgClaimed: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var c claim
-				if err := m.Decode(&c); err != nil {
-					return err
-				}
-				f.settle(c)
-				return nil
-			},
-			msgTickets: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var all []flightsql.Ticket
-				err := m.Decode(&all)
-				f.front.ImportTickets(all)
-				return err
-			},
+	}
+}
+
+// releaseTickets gives all tickets to the other process.
+func (f *flightService) releaseTickets(to *peer) {
+	if tickets := f.front.ReleaseAllTickets(); len(tickets) > 0 {
+		to.send(msgTickets, tickets)
+	}
+}
+
+func (f *flightService) stop() {
+	if f.front != nil {
+		f.front.Stop()
+	}
+}
+
+func (f *flightService) handlers() map[string]messageHandler {
+	return map[string]messageHandler{
+		msgTicketClaim: decoded(func(from *peer, claim ticketClaimMessage) {
+			claim.Ticket = f.front.ReleaseTicket(claim.Handle)
+			from.send(msgTicketClaimReply, claim)
+		}),
+		msgTicketClaimReply: decoded(func(_ *peer, claim ticketClaimMessage) {
+			// A ticket for which nobody waits any more is kept.
+			if !f.claims.resolve(claim) && claim.Ticket != nil {
+				f.front.ImportTickets([]flightsql.Ticket{*claim.Ticket})
+			}
+		}),
+		msgTickets: func(_ *peer, m *hotrestartipc.Message) error {
+			var tickets []flightsql.Ticket
+			err := m.Decode(&tickets)
+			f.front.ImportTickets(tickets)
+			return err
 		},
 	}
 }
 
-// sharing says where to ask for tickets that this process does not have.
-func (f *flightState) sharing(with *hotrestartipc.Link) {
-	f.claims.Lock()
-	defer f.claims.Unlock()
-	f.claimOn = with
-	if with == nil {
-		for _, ch := range f.claimed {
-			close(ch)
+// ticketClaims asks the other process of this router for tickets that this one does not have. gRPC's goroutines use it.
+type ticketClaims struct {
+	mu      sync.Mutex
+	last    int64 // number
+	waiting map[int64]chan *flightsql.Ticket
+	partner *peer // nil for none
+}
+
+// setPartner says where to ask; without another process all claims end without a ticket.
+func (c *ticketClaims) setPartner(partner *peer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.partner = partner
+	if partner == nil {
+		for _, waiting := range c.waiting {
+			close(waiting)
 		}
-		clear(f.claimed)
+		clear(c.waiting)
 	}
 }
 
-// claim asks the other process for a ticket; it is called in gRPC's goroutines.
-func (f *flightState) claim(handle string) *flightsql.Ticket {
-	f.claims.Lock()
-	link := f.claimOn
-	if link == nil {
-		f.claims.Unlock()
+// claim asks the other process for a ticket, nil where it has none or does not answer in time.
+func (c *ticketClaims) claim(handle string) *flightsql.Ticket {
+	c.mu.Lock()
+	partner := c.partner
+	if partner == nil {
+		c.mu.Unlock()
 		return nil
 	}
-	f.claimN++
-	n, ch := f.claimN, make(chan *flightsql.Ticket, 1)
-	f.claimed[n] = ch
-	f.claims.Unlock()
-	link.Send(hotrestartipc.NewMessage(msgClaim, claim{N: n, Handle: handle}))
+	c.last++
+	number, reply := c.last, make(chan *flightsql.Ticket, 1)
+	c.waiting[number] = reply
+	c.mu.Unlock()
+	partner.send(msgTicketClaim, ticketClaimMessage{Number: number, Handle: handle})
 	select {
-	case t := <-ch:
-		return t
-	case <-time.After(claimWithin):
-		f.claims.Lock()
-		delete(f.claimed, n)
-		f.claims.Unlock()
+	case ticket := <-reply:
+		return ticket
+	case <-time.After(ticketClaimTimeout):
+		c.mu.Lock()
+		delete(c.waiting, number)
+		c.mu.Unlock()
 		return nil
 	}
 }
 
-// settle hands a ticket to who asked for it, or keeps it where nobody waits any more.
-func (f *flightState) settle(c claim) {
-	f.claims.Lock()
-	ch := f.claimed[c.N]
-	delete(f.claimed, c.N)
-	f.claims.Unlock()
-	if ch != nil {
-		ch <- c.Ticket
-	} else if c.Ticket != nil {
-		f.front.ImportTickets([]flightsql.Ticket{*c.Ticket})
+// resolve hands a ticket to who asked for it; false says that nobody waits any more.
+func (c *ticketClaims) resolve(claim ticketClaimMessage) bool {
+	c.mu.Lock()
+	reply := c.waiting[claim.Number]
+	delete(c.waiting, claim.Number)
+	c.mu.Unlock()
+	if reply == nil {
+		return false
 	}
+	reply <- claim.Ticket
+	return true
 }
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -9,128 +10,153 @@
 	"windflow/internal/configclient"
 	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
-	"windflow/internal/hotrestartipc"
 	"windflow/internal/installation"
+	"windflow/internal/router"
 	"windflow/internal/settings"
 	"windflow/internal/validate"
 )
 
 const (
-	// msgConfiguration tells the other process of this router which revision is in force here: follow.Revision.
+	// msgConfiguration tells the other process of this router which revision is in force here: configclient.Revision.
 	msgConfiguration = "configuration"
-	// startWithin bounds what the start waits for keepers.
-	startWithin = 800 * time.Millisecond
+	// keeperStartTimeout bounds what the start waits for keepers.
+	keeperStartTimeout = 800 * time.Millisecond
+	// keeperDescriptors are a connection to a keeper, the copy that is read and the one that is written, and their folder.
+	keeperDescriptors = 4
 )
 
-// keepers is the configuration by revision: the router's own file, with the entries that the keepers have laid over it. What
-// is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's revision or a SIGHUP, reads
-// and checks beside the loop, and begins anew if the other one was faster: neither is lost, and no mix of them is in force.
-type keepers struct {
-	r       *node
-	path    string // of the router's own file
-	client  *configclient.Client
-	reloads chan struct{} // a SIGHUP that was not taken yet
+// keeperSync keeps the configuration by revision in force: the router's own file, overlaid with the entries of the keepers.
+// What is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's revision or a
+// SIGHUP, reads and checks beside the loop, and begins anew if the other one was faster: neither is lost, and no mix of
+// them comes in force.
+type keeperSync struct {
+	log          *slog.Logger
+	loop         *router.Loop
+	done         <-chan struct{} // closed at the end of the loop
+	active       *activeSettings
+	configurator *configurator
+	files        *reloader
+	partner      *partnerLink
+	client       *configclient.Client
+	reloads      chan struct{} // a SIGHUP that was not taken yet
 
-	own  []byte                // the text of that file, as it is in force
-	now  configclient.Revision // laid over it; 0 for nothing
-	turn int                   // counts what came in force
+	inForce configurationInForce
 }
 
-// newKeepers makes what follows the keepers. The name is that of the platform's configuration, the instance another in each
-// life.
-func newKeepers(r *node, path string, own []byte) *keepers {
-	k := &keepers{r: r, path: path, own: own, reloads: make(chan struct{}, 1)}
-	k.client = configclient.New(*r.site.Keepers, r.cfg.Name, configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64()), r.log)
-	return k
+// configurationInForce is the configuration that is in force, as someone found it.
+type configurationInForce struct {
+	own     []byte                // text of the router's own file
+	overlay configclient.Revision // of the keepers over it; 0 for none
+	changes int                   // how often it has changed
 }
 
-// restore is the start: what the copy on the disk has, and what a keeper has that answers soon, is in force before the router
-// is built. The loop does not run yet.
-func (k *keepers) restore() {
-	k.client.Restore(startWithin, func(rev configclient.Revision) error {
-		cfg, err := k.laid(k.own, rev)
+// newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration does,
+// with an instance that is another one in each incarnation. own is the text of the router's own file.
+func newKeeperSync(n *node, files *reloader, own []byte) *keeperSync {
+	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
+	return &keeperSync{
+		log: n.log, loop: n.loop, done: n.life.done, active: &n.active, configurator: &n.configurator, files: files,
+		partner: n.restart.partner,
+		client:  configclient.New(*n.active.site.Keepers, n.active.platform.Name, instance, n.log),
+		reloads: make(chan struct{}, 1),
+		inForce: configurationInForce{own: own},
+	}
+}
+
+// revision is that in force, 0 for the router's own file alone.
+func (k *keeperSync) revision() uint64 { return k.inForce.overlay.Revision }
+
+// rejectedRevision is the latest that this router could not use and that no later one replaced, 0 for none.
+func (k *keeperSync) rejectedRevision() int64 { return k.client.Counters.RejectedRevision.Load() }
+
+// exported gives the revision in force for a successor, nil for none.
+func (k *keeperSync) exported() *configclient.Revision {
+	if k.inForce.overlay.Revision == 0 {
+		return nil
+	}
+	return &k.inForce.overlay
+}
+
+// restore is the start: what the copy on the disk has, and what a keeper has that answers soon, is in force before the
+// router is built. The loop does not run yet.
+func (k *keeperSync) restore() {
+	k.client.Restore(keeperStartTimeout, func(revision configclient.Revision) error {
+		cfg, err := overlaid(k.inForce.own, revision)
 		if err == nil {
-			k.r.cfg, k.now = cfg, rev
+			k.active.platform, k.inForce.overlay = cfg, revision
 		}
 		return err
 	})
-	k.r.log.Info("configuration at the start", "revision", k.now.Revision)
+	k.log.Info("configuration at the start", "revision", k.revision())
 	go k.runReloads()
 }
 
-// laid checks a revision over a text of the router's own file. Its error is a *configerror.Error.
-func (k *keepers) laid(own []byte, rev configclient.Revision) (*settings.Node, error) {
-	cfg, err := validate.Overlay(own, rev.Entries)
+// overlaid checks a revision over a text of the router's own file. Its error is a *configerror.Error.
+func overlaid(own []byte, revision configclient.Revision) (*settings.Node, error) {
+	cfg, err := validate.Overlay(own, revision.Entries)
 	if err != nil {
 		return nil, configerror.From(err)
 	}
-	complete(cfg)
+	completeFromEnvironment(cfg)
 	return cfg, nil
 }
 
 // inLoop has a thing done in the loop and waits for it; false says that the router ends.
-func (k *keepers) inLoop(f func()) bool {
+func (k *keeperSync) inLoop(f func()) bool {
 	done := make(chan struct{})
-	k.r.loop.Post(func() {
+	k.loop.Post(func() {
 		f()
 		close(done)
 	})
 	select {
 	case <-done:
 		return true
-	case <-k.r.stop:
+	case <-k.done:
 		return false
 	}
 }
 
-// held is what was in force when someone looked.
-type held struct {
-	own  []byte
-	now  configclient.Revision
-	turn int
-}
-
-// change has a change of what is in force prepared beside the loop, and made in it, unless another one came between: then it
-// is prepared anew.
-func (k *keepers) change(prepare func(held) (make func() error, err error)) error {
+// change has a change of what is in force prepared beside the loop, and made in it, unless another one came between: then
+// it is prepared anew.
+func (k *keeperSync) change(prepare func(configurationInForce) (commit func() error, err error)) error {
 	for {
-		var at held
-		if !k.inLoop(func() { at = held{k.own, k.now, k.turn} }) {
+		var base configurationInForce
+		if !k.inLoop(func() { base = k.inForce }) {
 			return configclient.ErrShuttingDown
 		}
-		make, err := prepare(at)
-		if err != nil || make == nil {
+		commit, err := prepare(base)
+		if err != nil || commit == nil {
 			return err
 		}
-		moved := false
+		conflict := false
 		if !k.inLoop(func() {
-			if moved = k.turn != at.turn; !moved {
-				err = make()
+			if conflict = k.inForce.changes != base.changes; !conflict {
+				err = commit()
 			}
 		}) {
 			return configclient.ErrShuttingDown
 		}
-		if !moved {
+		if !conflict {
 			return err
 		}
 	}
 }
 
 // apply brings a keeper's revision in force; it is called in the client's goroutine.
-func (k *keepers) apply(rev configclient.Revision) error {
-	return k.change(func(at held) (func() error, error) {
+func (k *keeperSync) apply(revision configclient.Revision) error {
+	return k.change(func(base configurationInForce) (func() error, error) {
 		switch {
-		case rev.Revision < at.now.Revision:
+		case revision.Revision < base.overlay.Revision:
 			return nil, configclient.ErrSuperseded
-		case rev.Revision == at.now.Revision && rev.Hash == at.now.Hash:
+		case revision.Revision == base.overlay.Revision && revision.Hash == base.overlay.Hash:
 			return nil, nil // from the other process
 		}
-		cfg, err := k.laid(at.own, rev)
+		cfg, err := overlaid(base.own, revision)
 		if err != nil {
 			return nil, err
 		}
 		return func() error {
-			if err := k.put(cfg, k.r.site, at.own, rev); err != nil {
+			if err := k.commit(cfg, k.active.site, base.own, revision); err != nil {
 				return configerror.Invalidf("", "%s", err)
 			}
 			return nil
@@ -138,130 +164,121 @@
 	})
 }
 
-// put brings a configuration in force, in the loop, and tells the other process of this router.
-func (k *keepers) put(cfg *settings.Node, s *installation.Settings, own []byte, rev configclient.Revision) error {
-	if k.r.core == nil {
-		k.r.cfg, k.r.site = cfg, s // it has nothing yet that goes by others
-	} else if err := k.r.configure(cfg, s); err != nil {
+// commit brings a configuration in force, in the loop, and tells the other process of this router.
+func (k *keeperSync) commit(
+	cfg *settings.Node, own *installation.Settings, text []byte, revision configclient.Revision,
+) error {
+	if err := k.configurator.apply(cfg, own); err != nil {
 		return err
 	}
-	later := rev.Revision > k.now.Revision
-	k.own, k.now = own, rev
-	k.turn++
+	later := revision.Revision > k.revision()
+	k.inForce = configurationInForce{own: text, overlay: revision, changes: k.inForce.changes + 1}
 	if later {
-		k.r.log.Info("configuration in force", "revision", rev.Revision, "entries", len(rev.Entries))
-		k.r.tell(msgConfiguration, rev)
+		k.log.Info("configuration in force", "revision", revision.Revision, "entries", len(revision.Entries))
+		k.partner.send(msgConfiguration, revision)
 	}
 	return nil
 }
 
-// adopt takes a later revision that is in force in the other process. It is checked here and now, in the loop: this process
-// may be about to accept clients, which the other one has served by it.
-func (k *keepers) adopt(rev configclient.Revision) {
-	if rev.Revision <= k.now.Revision {
+// adopt takes a later revision that is in force in the other process. It is checked here and now, in the loop: this
+// process may be about to accept clients, which the other one has served by it.
+func (k *keeperSync) adopt(revision configclient.Revision) {
+	if revision.Revision <= k.revision() {
 		return
 	}
-	if configlog.HashEntries(rev.Entries) != rev.Hash {
-		k.r.log.Error("the other process's configuration is damaged", "revision", rev.Revision)
+	if configlog.HashEntries(revision.Entries) != revision.Hash {
+		k.log.Error("the other process's configuration is damaged", "revision", revision.Revision)
 		return
 	}
-	cfg, err := k.laid(k.own, rev)
+	cfg, err := overlaid(k.inForce.own, revision)
 	if err == nil {
-		err = k.put(cfg, k.r.site, k.own, rev)
+		err = k.commit(cfg, k.active.site, k.inForce.own, revision)
 	}
 	if err != nil {
-		k.r.log.Error("the other process's configuration can't be in force here", "revision", rev.Revision, "err", err)
+		k.log.Error("the other process's configuration can't be in force here", "revision", revision.Revision, "err", err)
 		return
 	}
-	k.client.SetInForce(rev)
+	k.client.SetInForce(revision)
 }
 
 // reload has the router's own file read again. It does not wait.
-func (k *keepers) reload() {
+func (k *keeperSync) reload() {
 	select {
 	case k.reloads <- struct{}{}:
 	default: // one that was not taken yet reads the file as it is now
 	}
 }
 
-// runReloads reads the files again each time that this is asked for, and lays the entries in force over the router's own.
-func (k *keepers) runReloads() {
+// runReloads reads the files again each time that this is asked for, until the loop ends.
+func (k *keeperSync) runReloads() {
 	for {
 		select {
 		case <-k.reloads:
-		case <-k.r.stop:
+		case <-k.done:
 			return
 		}
-		cfg, own, err := readOwn(k.path)
-		var s *installation.Settings
-		if err == nil {
-			s, err = readSite(k.r.opts.Settings)
-			if _, err := growTable(cfg.Limits.Sockets); err != nil {
-				k.r.log.Warn("the table of descriptors was not grown", "err", err)
-			}
-		}
-		if err == nil {
-			err = k.change(func(at held) (func() error, error) {
-				cfg, err := k.laid(own, at.now)
-				if err != nil {
-					return nil, err
-				}
-				copied := *s // configure keeps in it what can't change
-				return func() error { return k.put(cfg, &copied, own, at.now) }, nil
-			})
-		}
+		err := k.reloadOnce()
 		if errors.Is(err, configclient.ErrShuttingDown) {
 			return
 		}
 		if err != nil {
-			k.r.log.Error("reload refused", "file", k.path, "err", err)
+			k.files.rejected(err)
 			continue
 		}
-		k.client.Retry() // what was refused may fit now
+		k.client.Retry() // what was rejected may fit now
+	}
+}
+
+// reloadOnce reads the files and overlays the router's own with the entries in force.
+func (k *keeperSync) reloadOnce() error {
+	_, text, own, err := k.files.read()
+	if err != nil {
+		return err
 	}
+	return k.change(func(base configurationInForce) (func() error, error) {
+		cfg, err := overlaid(text, base.overlay)
+		if err != nil {
+			return nil, err
+		}
+		copied := *own // what can't change is put back in it
+		return func() error { return k.commit(cfg, &copied, text, base.overlay) }, nil
+	})
 }
 
-// keepersPart follows the keepers of the configuration.
-func keepersPart(r *node) *part {
-	k := r.keepers
-	if k == nil {
+// keeperPart follows the keepers of the configuration.
+func keeperPart(n *node) *part {
+	keepers := n.keepers
+	if keepers == nil {
 		return nil
 	}
-	cfg := *r.site.Keepers
+	cfg := *n.active.site.Keepers
 	return &part{
 		name:        "keepers",
-		descriptors: 4, // a connection to a keeper, the copy that is read and the one that is written, and their folder
-		start: func(bounds) error {
-			k.client.Start(k.apply)
+		descriptors: keeperDescriptors,
+		start: func(limits) error {
+			keepers.client.Start(keepers.apply)
 			return nil
 		},
-		configure: func(s *installation.Settings, _ bounds) (kept []string) {
+		configure: func(s *installation.Settings, _ limits) (kept []string) {
 			now := s.Keepers
 			if now.Dir != cfg.Dir {
 				kept, now.Dir = append(kept, "/keepers/dir"), cfg.Dir
 			}
 			if !slices.Equal(now.Addresses, cfg.Addresses) || now.MaxPollWaitMS != cfg.MaxPollWaitMS {
 				cfg = *now
-				k.client.Configure(cfg)
+				keepers.client.Configure(cfg)
 			}
 			return kept
 		},
-		counters: func() []counted { return []counted{{"keepers", &k.client.Counters}} },
-		stop:     k.client.Stop,
-		sharing: func(with *hotrestartipc.Link) {
-			if with != nil && k.now.Revision > 0 {
-				with.Send(hotrestartipc.NewMessage(msgConfiguration, k.now))
+		counters: func() []counterGroup { return []counterGroup{{"keepers", &keepers.client.Counters}} },
+		stop:     keepers.client.Stop,
+		partnerChanged: func(partner *peer) {
+			if partner != nil && keepers.revision() > 0 {
+				partner.send(msgConfiguration, keepers.inForce.overlay)
 			}
 		},
-		hear: map[string]func(*hotrestartipc.Link, *hotrestartipc.Message) error{
-			msgConfiguration: func(_ *hotrestartipc.Link, m *hotrestartipc.Message) error {
-				var rev configclient.Revision
-				if err := m.Decode(&rev); err != nil {
-					return err
-				}
-				k.adopt(rev)
-				return nil
-			},
+		handlers: map[string]messageHandler{
+			msgConfiguration: decoded(func(_ *peer, revision configclient.Revision) { keepers.adopt(revision) }),
 		},
 	}
 }
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -15,236 +15,264 @@
 )
 
 const (
-	// lookEvery is how often the module is asked for its view of engines, in milliseconds, and secondEvery how often what
-	// was counted is written.
-	lookEvery   = 250.0
-	secondEvery = 1000.0
+	// observeIntervalMS is how often the module is asked for its view of engines, and recordIntervalMS how often what was
+	// counted is written.
+	observeIntervalMS = 250.0
+	recordIntervalMS  = 1000.0
+	// recordDescriptors are a segment, and the folder while it is swept.
+	recordDescriptors = 2
+	// slowThreshold is from where on an engine counts as slow against its peers, as a factor.
+	slowThreshold = 1.5
 )
 
-// recorder is the part that writes records.
+// recorder writes records of what the router sees and does: it implements router.Observer.
 type recorder struct {
-	r       *node
-	w       *record.Writer
-	meter   *record.Meter
-	view    dispatch.View
-	states  map[dispatch.EngineID]record.State
-	seen    map[dispatch.EngineID]bool
-	takenAt float64
-	samples int // left in this second
-	most    int
-	turned  int64
-	spoilt  int64
+	loop     *router.Loop
+	services *services
+	log      *recordedLog
+	writer   *record.Writer
+	meter    *record.Meter
+	view     dispatch.View
+	states   map[dispatch.EngineID]record.State
+	seen     map[dispatch.EngineID]bool
+	takenAt  float64
+	samples  int // of answers, left in this second
+	// maxSamples is how many answers are sampled in a second.
+	maxSamples int
+	rejected   int64 // sessions, as counted at takenAt
+	badAnswers int64 // of engines, as counted at takenAt
 }
 
 // recordPart writes records of what the router sees and does.
-func recordPart(r *node) *part {
-	cfg := r.site.Records
+func recordPart(n *node) *part {
+	cfg := n.active.site.Records
 	if cfg == nil {
 		return nil
 	}
-	c := &recorder{r: r, states: map[dispatch.EngineID]record.State{}, seen: map[dispatch.EngineID]bool{}, most: cfg.FailuresPerSecond}
-	c.meter = record.NewMeter(func(id uint64) string { return settings.FormatEngineID(dispatch.EngineID(id)) })
+	rec := &recorder{
+		loop: n.loop, services: &n.services, log: &n.recordedLog, states: map[dispatch.EngineID]record.State{},
+		seen: map[dispatch.EngineID]bool{}, maxSamples: cfg.FailuresPerSecond,
+		meter: record.NewMeter(func(id uint64) string { return settings.FormatEngineID(dispatch.EngineID(id)) }),
+	}
 	return &part{
 		name:        "records",
-		descriptors: 2, // a segment, and the folder while it is swept
-		start: func(bounds) error {
-			program := "windflow"
-			if info, ok := debug.ReadBuildInfo(); ok {
-				program += " " + info.Main.Version
-			}
-			now := r.loop.Now
-			plain := r.log // what the writer has to say of its disk can't go to that disk
-			c.w = record.StartWriter(*cfg, record.Header{
-				Router: r.cfg.Name, Incarnation: uint64(r.machine.Self),
-				ProcessID: record.NewProcessID(now()), Program: program, Classes: classesOf(r.cfg),
-			}, now, func(err error) {
-				if err != nil {
-					plain.Error("records can't be written; serving goes on", "dir", cfg.Dir, "err", err)
-				} else {
-					plain.Info("records are written again", "dir", cfg.Dir)
-				}
-			})
-			r.records.put.Store(&c.w)
-			r.core.Observer = c
-			c.takenAt, c.samples = now(), c.most
-			c.look()
+		descriptors: recordDescriptors,
+		start: func(limits) error {
+			platform := n.active.platform
+			rec.start(*cfg, record.Header{
+				Router: platform.Name, Incarnation: uint64(n.restart.machine.Self),
+				ProcessID: record.NewProcessID(n.loop.Now()), Program: programVersion(), Classes: recordedClasses(platform),
+			}, n.log)
 			return nil
 		},
-		configure: func(s *installation.Settings, _ bounds) (kept []string) {
+		configure: func(s *installation.Settings, _ limits) (kept []string) {
 			if s.Records.Dir != cfg.Dir {
 				kept, s.Records.Dir = append(kept, "/records/dir"), cfg.Dir
 			}
-			c.most = s.Records.FailuresPerSecond
-			c.w.Configure(*s.Records)
+			rec.maxSamples = s.Records.FailuresPerSecond
+			rec.writer.Configure(*s.Records)
 			return kept
 		},
-		counters: func() []counted { return []counted{{"records", &c.w.Counters}} },
+		counters: func() []counterGroup { return []counterGroup{{"records", &rec.writer.Counters}} },
 		stop: func() {
-			if c.w != nil {
-				c.second()
-				r.records.put.Store(nil)
-				c.w.Close()
+			if rec.writer != nil {
+				rec.writeSecond()
+				rec.log.writer.Store(nil)
+				rec.writer.Close()
 			}
 		},
 	}
 }
 
-func classesOf(cfg *settings.Node) (all []record.Class) {
-	d, _ := validate.DispatchConfig(cfg, 0)
-	for _, k := range d.Classes {
-		all = append(all, record.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateWeightShare: k.LateWeightShare, ObjectiveMS: clock.Millis(k.LatencyObjective)})
+// start begins to write.
+func (c *recorder) start(cfg record.Config, header record.Header, log *slog.Logger) {
+	c.writer = record.StartWriter(cfg, header, c.loop.Now, func(err error) {
+		if err != nil {
+			log.Error("records can't be written; serving goes on", "dir", cfg.Dir, "err", err)
+		} else {
+			log.Info("records are written again", "dir", cfg.Dir)
+		}
+	})
+	c.log.writer.Store(c.writer)
+	c.services.core.Observer = c
+	c.takenAt, c.samples = c.loop.Now(), c.maxSamples
+	c.sample()
+}
+
+// programVersion names the program and the version that it was built from.
+func programVersion() string {
+	program := "windflow"
+	if info, ok := debug.ReadBuildInfo(); ok {
+		program += " " + info.Main.Version
+	}
+	return program
+}
+
+func recordedClasses(cfg *settings.Node) (all []record.Class) {
+	decisions, _ := validate.DispatchConfig(cfg, 0)
+	for _, class := range decisions.Classes {
+		all = append(all, record.Class{
+			Name: class.Name, PriorityWeight: class.PriorityWeight, LateWeightShare: class.LateWeightShare,
+			ObjectiveMS: clock.Millis(class.LatencyObjective),
+		})
 	}
 	return all
 }
 
-// records joins the log to the records, once there is a writer.
-type records struct {
-	put atomic.Pointer[*record.Writer]
+// recordedLog joins the log to the records, once there is a writer.
+type recordedLog struct {
+	writer atomic.Pointer[record.Writer]
 }
 
 // tee has the log's lines recorded, where records are on.
-func (r *records) tee(log *slog.Logger, now func() float64) *slog.Logger {
+func (l *recordedLog) tee(log *slog.Logger, now func() float64) *slog.Logger {
 	return slog.New(record.NewLogHandler(log.Handler(), now, func(e *record.Event) {
-		if w := r.put.Load(); w != nil {
-			(*w).Put(e)
+		if writer := l.writer.Load(); writer != nil {
+			writer.Put(e)
 		}
 	}))
 }
 
-// look is what the recorder does now and again.
-func (c *recorder) look() {
+// sample observes the engines again and again, and writes what was counted once a second.
+func (c *recorder) sample() {
 	c.observe()
-	if c.r.loop.Now()-c.takenAt >= secondEvery {
-		c.second()
+	if c.loop.Now()-c.takenAt >= recordIntervalMS {
+		c.writeSecond()
 	}
-	c.r.loop.After(lookEvery, c.look)
+	c.loop.After(observeIntervalMS, c.sample)
 }
 
-// EndpointsChanged implements router.Watcher. The change is written in the next step, when the module has been told: all routers
-// hear of it at much the same time, so that it ties their clocks together.
-func (c *recorder) EndpointsChanged() { c.r.loop.After(0, c.observe) }
+// EndpointsChanged implements router.Observer. The change is written in the next step, when the module knows it: all
+// routers learn of it at much the same time, so that it ties their clocks together.
+func (c *recorder) EndpointsChanged() { c.loop.After(0, c.observe) }
 
 // observe writes how engines' states changed.
 func (c *recorder) observe() {
-	now := c.r.loop.Now()
-	c.r.core.FillView(&c.view)
+	now := c.loop.Now()
+	c.services.core.FillView(&c.view)
 	clear(c.seen)
 	for i := range c.view.Engines {
-		e := &c.view.Engines[i]
-		c.seen[e.ID] = true
-		if state := stateOf(e); state != c.states[e.ID] {
-			c.change(now, e, state)
+		engine := &c.view.Engines[i]
+		c.seen[engine.ID] = true
+		if state := engineState(engine); state != c.states[engine.ID] {
+			c.writeState(now, engine, state)
 		}
-		c.meter.SetInFlight(uint64(e.ID), e.Running, e.Threads)
+		c.meter.SetInFlight(uint64(engine.ID), engine.Running, engine.Threads)
 	}
 	for id := range c.states {
 		if !c.seen[id] {
-			c.change(now, &dispatch.EngineView{ID: id}, record.Gone)
+			c.writeState(now, &dispatch.EngineView{ID: id}, record.Gone)
 			delete(c.states, id)
 			c.meter.RemoveEngine(uint64(id))
 		}
 	}
 }
 
-func (c *recorder) change(now float64, e *dispatch.EngineView, state record.State) {
-	r := &record.EngineChange{
-		AtMS: now, EngineID: settings.FormatEngineID(e.ID), State: state, Previous: c.states[e.ID], Slowness: e.Slowness, FailureRate: e.FailureShare,
-		ConnectionFailures: e.ConnectionFailures, Zone: e.Zone, Kind: e.Kind,
+func (c *recorder) writeState(now float64, engine *dispatch.EngineView, state record.State) {
+	written := &record.EngineChange{
+		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID], Slowness: engine.Slowness,
+		FailureRate: engine.FailureShare, ConnectionFailures: engine.ConnectionFailures, Zone: engine.Zone, Kind: engine.Kind,
 	}
 	if state == record.WarmingUp {
-		r.WarmUpEndMS = clock.Millis(e.WarmUpEnd)
+		written.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
 	}
-	if c.r.board != nil {
-		r.LastEvent = c.r.board.LastEvent()
+	if c.services.endpoints != nil {
+		written.LastEvent = c.services.endpoints.LastEvent()
 	}
-	c.states[e.ID] = state
-	c.w.Put(r)
+	c.states[engine.ID] = state
+	c.writer.Put(written)
 }
 
-// slowAt is from where on an engine counts as slow against its peers.
-const slowAt = 1.5
-
-func stateOf(e *dispatch.EngineView) record.State {
+func engineState(engine *dispatch.EngineView) record.State {
 	switch {
-	case e.Cordoned:
+	case engine.Cordoned:
 		return record.Cordoned
-	case e.State == dispatch.Draining:
+	case engine.State == dispatch.Draining:
 		return record.Draining
-	case e.Down:
+	case engine.Down:
 		return record.Down
-	case e.Ejected:
+	case engine.Ejected:
 		return record.Ejected
-	case e.WarmingUp:
+	case engine.WarmingUp:
 		return record.WarmingUp
-	case e.Slowness >= slowAt:
+	case engine.Slowness >= slowThreshold:
 		return record.Slow
 	}
 	return record.Normal
 }
 
-// second writes what was counted since it did so last.
-func (c *recorder) second() {
-	now := c.r.loop.Now()
-	s := &record.Interval{
-		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.r.core.OpenRequests(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
-		EngineConnections: c.r.client.ConnCount(), ClientSessions: c.r.front.Sessions(),
+// writeSecond writes what was counted since it did so last.
+func (c *recorder) writeSecond() {
+	now := c.loop.Now()
+	front, engines := c.services.front, c.services.engines
+	second := &record.Interval{
+		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.services.core.OpenRequests(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
+		EngineConnections: engines.ConnCount(), ClientSessions: front.Sessions(),
 	}
-	s.Classes, s.Engines = c.meter.Collect()
-	turned, spoilt := c.r.front.Counters.Rejected+c.r.front.Counters.Evicted, c.r.client.Counters.BadResponses
-	s.RejectedSessions, s.InvalidResponses = turned-c.turned, spoilt-c.spoilt
-	c.turned, c.spoilt = turned, spoilt
-	if b := c.r.board; b != nil {
-		s.LastEvent, s.DiscoveryAgeMS = b.LastEvent(), now-b.LastContactMS()
+	second.Classes, second.Engines = c.meter.Collect()
+	rejected, badAnswers := front.Counters.Rejected+front.Counters.Evicted, engines.Counters.BadResponses
+	second.RejectedSessions, second.InvalidResponses = rejected-c.rejected, badAnswers-c.badAnswers
+	c.rejected, c.badAnswers = rejected, badAnswers
+	if endpoints := c.services.endpoints; endpoints != nil {
+		second.LastEvent, second.DiscoveryAgeMS = endpoints.LastEvent(), now-endpoints.LastContactMS()
 	}
-	c.takenAt, c.samples = now, c.most
-	c.w.Put(s)
+	c.takenAt, c.samples = now, c.maxSamples
+	c.writer.Put(second)
 }
 
-// RequestArrived implements router.Watcher.
+// RequestArrived implements router.Observer.
 func (c *recorder) RequestArrived(q *router.Request) {
 	c.meter.RequestArrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
 }
 
-// RequestAnswered implements router.Watcher.
-func (c *recorder) RequestAnswered(q *router.Request, what router.Answer) {
-	how := record.RequestFailed
-	switch what.Kind {
+// RequestAnswered implements router.Observer.
+func (c *recorder) RequestAnswered(request *router.Request, answer router.Answer) {
+	end := requestEnd(answer)
+	c.meter.RequestEnded(request.Class, request.Tenant, end, answer.TookMS)
+	if end != record.RequestRejected && end != record.RequestFailed || c.samples == 0 {
+		return
+	}
+	c.samples--
+	written := &record.RequestFailure{
+		AtMS: c.loop.Now(), RequestID: request.ID, Class: request.Class, Tenant: request.Tenant, Rejected: end == record.RequestRejected,
+		Reason: answer.Reason, AfterMS: answer.TookMS,
+	}
+	if answer.Engine != 0 {
+		written.EngineID = settings.FormatEngineID(answer.Engine)
+	}
+	c.writer.Put(written)
+}
+
+// requestEnd is how an answered request is counted.
+func requestEnd(answer router.Answer) record.RequestOutcome {
+	switch answer.Kind {
 	case router.AnswerServed:
-		if how = record.RequestOnTime; what.TookMS > what.ObjectiveMS {
-			how = record.RequestLate
+		if answer.TookMS > answer.ObjectiveMS {
+			return record.RequestLate
 		}
+		return record.RequestOnTime
 	case router.AnswerRejected:
-		how = record.RequestRejected
+		return record.RequestRejected
 	case router.AnswerClientGone:
-		how = record.RequestCancelled
-	}
-	c.meter.RequestEnded(q.Class, q.Tenant, how, what.TookMS)
-	if (how == record.RequestRejected || how == record.RequestFailed) && c.samples > 0 {
-		c.samples--
-		a := &record.RequestFailure{
-			AtMS: c.r.loop.Now(), RequestID: q.ID, Class: q.Class, Tenant: q.Tenant, Rejected: how == record.RequestRejected,
-			Reason: what.Reason, AfterMS: what.TookMS,
-		}
-		if what.Engine != 0 {
-			a.EngineID = settings.FormatEngineID(what.Engine)
-		}
-		c.w.Put(a)
+		return record.RequestCancelled
+	case router.AnswerFailed:
 	}
+	return record.RequestFailed
 }
 
-// AttemptStarted implements router.Watcher.
+// AttemptStarted implements router.Observer.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
-var ends = map[dispatch.Outcome]record.AttemptOutcome{
+var attemptEnds = map[dispatch.Outcome]record.AttemptOutcome{
 	dispatch.Served: record.AttemptServed, dispatch.EngineFull: record.AttemptRejected, dispatch.EngineFailed: record.AttemptErrored,
 	dispatch.ConnectFailed: record.AttemptConnectionFailed, dispatch.ConnectionReset: record.AttemptConnectionFailed, dispatch.TimedOut: record.AttemptTimedOut,
 }
 
-// AttemptEnded implements router.Watcher.
+// AttemptEnded implements router.Observer.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
-	how, ok := ends[outcome]
+	end, ok := attemptEnds[outcome]
 	if !ok {
-		how = record.AttemptOther
+		end = record.AttemptOther
 	}
-	c.meter.AttemptEnded(uint64(e), how, tookMS)
+	c.meter.AttemptEnded(uint64(e), end, tookMS)
 }
--- /dev/null
+++ b/internal/node/pending.go
@@ -0,0 +1,42 @@
+package node
+
+import "windflow/internal/router"
+
+// pendingReplies are the questions to the other process of this router that await its reply, by their number.
+type pendingReplies[T any] struct {
+	loop    *router.Loop
+	last    int
+	waiting map[int]func(T)
+}
+
+func newPendingReplies[T any](loop *router.Loop) pendingReplies[T] {
+	return pendingReplies[T]{loop: loop, waiting: map[int]func(T){}}
+}
+
+// add registers a question and gives its number. done is called once: with the reply, or with timedOut after timeoutMS.
+func (p *pendingReplies[T]) add(timeoutMS float64, timedOut T, done func(T)) (number int) {
+	p.last++
+	number = p.last
+	var timeout *router.Timer
+	p.waiting[number] = func(reply T) {
+		delete(p.waiting, number)
+		timeout.Stop()
+		done(reply)
+	}
+	timeout = p.loop.After(timeoutMS, func() { p.resolve(number, timedOut) })
+	return number
+}
+
+// resolve hands a reply to the question of that number; one that nobody awaits any more is dropped.
+func (p *pendingReplies[T]) resolve(number int, reply T) {
+	if done := p.waiting[number]; done != nil {
+		done(reply)
+	}
+}
+
+// resolveAll ends all questions with the same reply, when there is nobody left to answer them.
+func (p *pendingReplies[T]) resolveAll(reply T) {
+	for _, done := range p.waiting {
+		done(reply)
+	}
+}
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -21,7 +21,7 @@
 		for _, f := range m.Files {
 			_ = f.Close()
 		}
-		if _, known := messages[m.Kind]; known {
+		if _, known := machineMessages[m.Kind]; known {
 			select {
 			case a.heard <- m:
 			case <-a.gone:
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -130,32 +130,32 @@
 
 var benchSeq int
 
-func benchRequest(b *testing.B, r *node) {
-	if r.clients.Default != router.EngineClient(instant{r.loop}) {
-		r.clients.Default = instant{r.loop}
+func benchRequest(b *testing.B, n *node) {
+	if n.services.byKind.Default != router.EngineClient(instant{n.loop}) {
+		n.services.byKind.Default = instant{n.loop}
 		list := dispatch.EndpointList{Mode: dispatch.ListComplete}
 		addrs := map[dispatch.EngineID]string{}
 		for id := dispatch.EngineID(1); id <= 8; id++ {
 			list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: id, Zone: "a", Kind: "std", CapacityWeight: 1})
 			addrs[id] = "127.0.0.1:1"
 		}
-		r.core.UpdateEndpoints(list, addrs)
-		r.loop.Post(func() {})
-		r.loop.Step()
+		n.services.core.UpdateEndpoints(list, addrs)
+		n.loop.Post(func() {})
+		n.loop.Step()
 	}
 	benchSeq++
 	a := &answered{}
-	now := r.loop.Now()
-	_, err := r.core.Submit(&router.Request{
+	now := n.loop.Now()
+	_, err := n.services.core.Submit(&router.Request{
 		ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
 		BudgetMS: 5000, EstimateMS: 1,
 	}, a)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.loop.Post(func() {})
+	n.loop.Post(func() {})
 	for range 100 {
-		if r.loop.Step(); a.n > 0 {
+		if n.loop.Step(); a.n > 0 {
 			return
 		}
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -127,12 +127,12 @@
 		}
 		done := make(chan struct{})
 		n.loop.Post(func() {
-			n.log = slog.New(slog.NewTextHandler(&log, nil))
+			n.configurator.log = slog.New(slog.NewTextHandler(&log, nil))
 			own := &installation.Settings{
 				FlightSQL: &flightsql.Config{Listen: "127.0.0.1:2", EngineKinds: []string{"std"}, MaxConnections: 32},
 				BGP:       &bgp.Config{},
 			}
-			err = n.configure(cfg, own)
+			err = n.configurator.apply(cfg, own)
 			close(done)
 		})
 		<-done
@@ -149,7 +149,7 @@
 	if err := configure(text(160, mixedSettings)); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
 		t.Errorf("too few descriptors: %v", err)
 	}
-	if n.cfg.Listen == "127.0.0.1:1" || log.Len() > 0 {
+	if n.active.platform.Listen == "127.0.0.1:1" || log.Len() > 0 {
 		t.Errorf("a refused reload left traces: %s", log.String())
 	}
 	better := strings.Replace(mixedSettings, `"attempts-cap":5`, `"attempts-cap":1`, 1)
@@ -162,14 +162,14 @@
 		}
 	}
 	kinds := make(chan int, 1)
-	n.loop.Post(func() { kinds <- len(n.clients.Kinds) })
-	if got := <-kinds; got != 1 || n.clients.Kinds["std"] == nil {
+	n.loop.Post(func() { kinds <- len(n.services.byKind.Kinds) })
+	if got := <-kinds; got != 1 || n.services.byKind.Kinds["std"] == nil {
 		t.Errorf("%d kinds of engine speak Flight SQL", got)
 	}
-	if load, _ := n.core.Class("load"); load.Semantics != 2 {
+	if load, _ := n.services.core.Class("load"); load.Semantics != 2 {
 		t.Errorf("a reload made loads repeatable: %+v", load)
 	}
-	if now, _ := n.core.Class("lookup"); now.Name != "lookup" {
+	if now, _ := n.services.core.Class("lookup"); now.Name != "lookup" {
 		t.Errorf("class lookup is now %+v", now)
 	}
 }
--- /dev/null
+++ b/internal/node/restart_actions.go
@@ -0,0 +1,130 @@
+package node
+
+import (
+	"os"
+	"slices"
+
+	"windflow/internal/decide/hotrestart"
+)
+
+// What the coordinator has the router do: node implements restartActions.
+
+// serving implements restartActions.
+func (n *node) serving() bool { return n.services.built() }
+
+// leaving reports whether another process accepts, and this one finishes what it accepted.
+func (n *node) leaving() bool { return n.shutdown.leaving }
+
+// exportState implements restartActions.
+func (n *node) exportState() (stateMessage, []*os.File) {
+	state := stateMessage{
+		Version: hotrestart.ProtocolVersion, Generation: n.restart.generation, Core: n.services.core.State(),
+		Parts: n.parts.handingOver(),
+	}
+	files := n.listeners.export(&state)
+	if n.keepers != nil {
+		state.Configuration = n.keepers.exported()
+	}
+	n.log.Info("a successor has come", "open", n.services.core.OpenRequests())
+	return state, files
+}
+
+// restoreState implements restartActions.
+func (n *node) restoreState(from *handover) {
+	state := &from.state
+	if state.Configuration != nil && n.keepers != nil {
+		n.keepers.adopt(*state.Configuration) // before it is built, and may accept
+	}
+	if !n.services.built() {
+		if !n.tryBuild() {
+			return
+		}
+	} else {
+		n.listeners.openMissing() // with the predecessor's listeners
+		for _, p := range n.parts.all {
+			if p.handsOver && !slices.Contains(state.Parts, p.name) {
+				p.alone() // the predecessor has nothing to hand over
+			}
+		}
+	}
+	core := state.Core
+	n.services.core.RestoreState(core)
+	n.log.Info("taking over", "engines", len(core.Dispatch.Engines), "open", len(core.OpenIDs),
+		"excluded", len(core.Dispatch.Cordoned), "spent", len(core.ConsumedIDs))
+}
+
+// tryBuild builds the router; one that can't be built ends the process.
+func (n *node) tryBuild() bool {
+	err := n.build()
+	if err != nil {
+		n.life.fail(err)
+	}
+	return err == nil
+}
+
+// takenListeners implements restartActions.
+func (n *node) takenListeners() []string { return n.listeners.taken }
+
+// startAccepting implements restartActions.
+func (n *node) startAccepting() {
+	if !n.services.built() && !n.tryBuild() {
+		return
+	}
+	n.listeners.accept()
+	n.restart.publish()
+	n.listeners.reportReady()
+}
+
+// stopAccepting implements restartActions.
+func (n *node) stopAccepting(taken []string) {
+	n.listeners.release(taken)
+	n.log.Info("the other process accepts", "listeners", taken, "sessions", n.services.front.Sessions(),
+		"open", n.services.core.OpenRequests())
+}
+
+// leave implements restartActions.
+func (n *node) leave() { n.shutdown.leave(n.restart.partnerPeer()) }
+
+// drain implements restartActions.
+func (n *node) drain() { n.shutdown.drain() }
+
+// end implements restartActions.
+func (n *node) end() {
+	if !n.leaving() {
+		n.parts.end()
+	}
+	n.restart.end()
+}
+
+// shareChanged implements restartActions.
+func (n *node) shareChanged() {
+	if n.services.built() {
+		n.limiter.update()
+		n.limiter.applyToRuntime()
+	}
+}
+
+// partnerChanged implements restartActions.
+func (n *node) partnerChanged(partner *peer) {
+	n.parts.partnerChanged(partner)
+	if partner != nil {
+		n.usage.start(partner)
+	}
+}
+
+// partnerLost implements restartActions.
+func (n *node) partnerLost() {
+	n.cordons.partnerLost()
+	n.claims.partnerLost()
+	n.parts.partnerChanged(nil)
+}
+
+// partnerEnded implements restartActions.
+func (n *node) partnerEnded() {
+	n.usage.partnerEnded()
+	n.services.core.OtherProcessEnded()
+	n.limiter.update()
+	n.limiter.applyToRuntime()
+	n.log.Info("alone", "phase", n.restart.phase().String())
+	n.parts.alone()
+}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -25,7 +25,7 @@
 	if err := os.WriteFile(f.config, []byte(strings.Replace(string(text), f.clients.Addr().String(), addr, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.env = slices.DeleteFunc(f.env, func(s string) bool { return strings.HasPrefix(s, passedEnv) })
+	f.env = slices.DeleteFunc(f.env, func(s string) bool { return strings.HasPrefix(s, passedSocketEnv) })
 	door := freePort(t)
 	var last *exec.Cmd
 	for round := range 12 {
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -34,17 +34,17 @@
 			writeConfig(t, path, "127.0.0.1:1", mixedSettings)
 		}
 	})
-	if cfg, err := readConfig(path); err != nil || cfg.DiscoveryAddress != "127.0.0.1:1" || *n != 2 {
+	if cfg, _, err := readPlatform(path); err != nil || cfg.DiscoveryAddress != "127.0.0.1:1" || *n != 2 {
 		t.Errorf("%+v, %v after %d pauses", cfg, err, *n)
 	}
 	writeConfig(t, path, "nowhere", mixedSettings)
-	if _, err := readConfig(path); err == nil || *n != 2 {
+	if _, _, err := readPlatform(path); err == nil || *n != 2 {
 		t.Errorf("a bad field: %v after %d pauses", err, *n)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := readConfig(path); err == nil || *n != 2+patience-1 {
+	if _, _, err := readPlatform(path); err == nil || *n != 2+maxFileTries-1 {
 		t.Errorf("no file at all: %v after %d pauses", err, *n)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -1,162 +1,145 @@
 package node
 
 import (
-	"slices"
+	"log/slog"
 
 	"windflow/internal/decide/hotrestart"
+	"windflow/internal/router"
 )
 
-// closeBy tells what is open when the process ends at the latest.
-func (r *node) closeBy(patience float64) {
-	if r.closing {
+const (
+	// graceMS is how long after SIGTERM requests may still come; the platform's protocol says 600.
+	graceMS = 1000.0
+	// After SIGTERM a kill comes no sooner than the longest deadline, counted as patienceAloneMS at most, or in a hot
+	// restart as patienceRestartMS, and 700 ms. What is open is answered answerSlackMS after that deadline: before the
+	// kill comes.
+	patienceAloneMS   = 3000.0
+	patienceRestartMS = 5000.0
+	answerSlackMS     = 450.0
+	// quietMS is how long nothing may have been open before a process that drains ends.
+	quietMS = 200.0
+	// closeTimeoutMS is how long clients have to close when the process ends, and endSlackMS how long past the time at
+	// which all is answered at the latest: the kill comes 250 ms after that.
+	closeTimeoutMS, endSlackMS = 300.0, 120.0
+	// settleMS is how long nothing may have been open before a process that leaves ends: connections that were accepted
+	// last are still on their way to the loop, and answers on theirs out of the poller's queues.
+	settleMS = 50.0
+	// drainPollMS and leavePollMS are how often a process that ends looks whether anything is open.
+	drainPollMS = 20.0
+	leavePollMS = 10.0
+)
+
+// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts in its
+// place, when it leaves.
+type shutdownSequence struct {
+	log      *slog.Logger
+	loop     *router.Loop
+	active   *activeSettings
+	services *services
+	parts    *partSet
+	restart  *coordinator
+	accepted *listeners
+	since    func() float64 // when a signal that is noticed now may have come
+	reduce   func()         // shrinks the limits of a process that leaves, and reports its usage
+
+	leaving     bool    // the other process accepts; this one finishes what it accepted
+	deadlineSet bool    // open requests know when the process ends
+	busyAt      float64 // when something was open last
+	answeredBy  float64 // when what is open has been answered at the latest, once deadlineSet
+	closeBy     float64 // when clients that do not close are given up; 0 until connections are closed
+}
+
+// setDeadline tells open requests, once, when the process ends at the latest.
+func (s *shutdownSequence) setDeadline(patienceMS float64) {
+	if s.deadlineSet {
 		return
 	}
-	r.closing = true
+	s.deadlineSet = true
 	longest := 0.0
-	for _, k := range r.cfg.Settings.Classes {
-		longest = max(longest, float64(k.Deadline)/1e6)
+	for _, class := range s.active.platform.Settings.Classes {
+		longest = max(longest, float64(class.Deadline)/1e6)
 	}
-	r.closeAt = max(r.since()+min(longest, patience)+beforeKill, r.loop.Now())
-	r.core.SetShutdownDeadline(r.closeAt)
+	s.answeredBy = max(s.since()+min(longest, patienceMS)+answerSlackMS, s.loop.Now())
+	s.services.core.SetShutdownDeadline(s.answeredBy)
 }
 
-// busy tells whether anything is open.
-func (r *node) busy() bool {
-	return r.core.OpenRequests() > 0 || slices.ContainsFunc(r.parts, func(p *part) bool { return p.busy != nil && p.busy() })
-}
+// busy reports whether requests are open.
+func (s *shutdownSequence) busy() bool { return s.services.core.OpenRequests() > 0 || s.parts.busy() }
 
 // drain answers what comes until nothing is open: no other process is in this one's place.
-func (r *node) drain() {
-	r.log.Info("draining", "open", r.core.OpenRequests())
-	r.leaving = false
-	patience := patienceAlone
-	if r.machine.Predecessor() != hotrestart.NoProcess || r.machine.Successor() != hotrestart.NoProcess {
-		patience = patienceUpgrade
-	}
-	r.closeBy(patience)
-	for _, p := range r.parts {
-		if p.drain != nil {
-			p.drain()
-		}
-	}
-	r.busyAt = r.loop.Now()
-	r.loop.After(max(min(graceMS, r.closeAt-r.busyAt), 0), r.drained)
+func (s *shutdownSequence) drain() {
+	s.log.Info("draining", "open", s.services.core.OpenRequests())
+	s.leaving = false
+	patience := patienceAloneMS
+	if s.restart.hasOther() {
+		patience = patienceRestartMS
+	}
+	s.setDeadline(patience)
+	s.parts.drain()
+	s.busyAt = s.loop.Now()
+	s.loop.After(max(min(graceMS, s.answeredBy-s.busyAt), 0), s.checkDrained)
 }
 
-// drained ends the program once nothing has been open for a while. Until then it goes on accepting and answering: what has
-// come in whole on an accepted connection is taken, whenever it came. Once all must have been answered, nothing holds the
-// end up any more: a client that never finishes a packet would have the program killed.
-func (r *node) drained() {
-	if r.machine.Phase() != hotrestart.PhaseDraining {
+// checkDrained ends the process once nothing has been open for a while. Until then it goes on accepting and answering:
+// each request that has come in complete on an accepted connection is taken, whenever it came. Once all must have been
+// answered, nothing delays the end any more: a client that never finishes a packet would have the process killed.
+func (s *shutdownSequence) checkDrained() {
+	if s.restart.phase() != hotrestart.PhaseDraining {
 		return // another process accepts now
 	}
-	now := r.loop.Now()
-	if r.busy() || r.front.Busy() {
-		r.busyAt = now
+	now := s.loop.Now()
+	if s.busy() || s.services.front.Busy() {
+		s.busyAt = now
 	}
-	if r.endBy == 0 && (now-r.busyAt >= quietMS || now >= r.closeAt) {
-		r.endAll(now)
+	if s.closeBy == 0 && (now-s.busyAt >= quietMS || now >= s.answeredBy) {
+		s.closeConnections(now)
 	}
-	if r.endBy > 0 && r.finished(now) {
-		r.step(hotrestart.Event{Kind: hotrestart.EventIdle})
+	if s.closeBy > 0 && s.finished(now) {
+		s.restart.quiet()
 		return
 	}
-	r.loop.After(20, r.drained)
+	s.loop.After(drainPollMS, s.checkDrained)
 }
 
-// endAll begins the end of all connections of clients.
-func (r *node) endAll(now float64) {
-	r.endBy = now + endWithin
-	if r.listening != nil {
-		r.listening.Close() // what was accepted before is heard; who comes now hears at once that nobody is here
-	}
-	r.net.BeginShutdown()
-	r.front.Shutdown()
+// closeConnections begins the end of all connections of clients.
+func (s *shutdownSequence) closeConnections(now float64) {
+	s.closeBy = now + closeTimeoutMS
+	s.accepted.closeClients()
+	s.services.net.BeginShutdown()
+	s.services.front.Shutdown()
 }
 
-// finished tells whether all clients have heard the end of their connections, or have had the time for it.
-func (r *node) finished(now float64) bool {
-	return r.front.Sessions()+r.net.ClosingConns() == 0 && now >= r.endBy-endWithin+lastWords || now >= r.closeAt+lateEnd ||
-		now >= r.endBy && !r.busy() && !r.front.Busy()
+// finished reports whether all clients have read the end of their connections, or have had the time for it.
+func (s *shutdownSequence) finished(now float64) bool {
+	open := s.services.front.Sessions() + s.services.net.ClosingConns()
+	return open == 0 && now >= s.closeBy-closeTimeoutMS+settleMS || now >= s.answeredBy+endSlackMS ||
+		now >= s.closeBy && !s.busy() && !s.services.front.Busy()
 }
 
-// leave hears out what this process accepted and ends as soon as nothing is left: the other one has the rest.
-func (r *node) leave() {
-	r.leaving = true
-	r.closeBy(patienceUpgrade)
-	r.front.Drain()
-	for _, part := range r.parts {
-		if part.leave != nil && r.with != nil {
-			part.leave(r.with.link)
-		}
-	}
-	r.rebound()
-	r.sendUse() // the sessions that were closed just now come to the other process at once
-	r.busyAt = r.loop.Now()
-	r.log.Info("leaving", "sessions", r.front.Sessions(), "open", r.core.OpenRequests())
-	r.left()
+// leave finishes what this process accepted and ends as soon as nothing is left: the other process serves everything else.
+func (s *shutdownSequence) leave(to *peer) {
+	s.leaving = true
+	s.setDeadline(patienceRestartMS)
+	s.services.front.Drain()
+	s.parts.leave(to)
+	s.reduce() // the sessions that were closed just now come to the other process at once
+	s.busyAt = s.loop.Now()
+	s.log.Info("leaving", "sessions", s.services.front.Sessions(), "open", s.services.core.OpenRequests())
+	s.checkLeft()
 }
 
-// left ends the process once nothing has been left to hear out for a while.
-func (r *node) left() {
-	now := r.loop.Now()
+// checkLeft ends the process once nothing that it accepted has been open for a while.
+func (s *shutdownSequence) checkLeft() {
+	now := s.loop.Now()
 	switch {
-	case r.machine.Phase() == hotrestart.PhaseDraining:
-		return // the other process ended; this is a plain end now
-	case r.busy() || r.front.Sessions()+r.net.ClosingConns() > 0:
-		r.busyAt = now
-	case now-r.busyAt >= lastWords:
-		for _, part := range r.parts {
-			if part.farewell != nil && r.with != nil {
-				part.farewell(r.with.link)
-			}
-		}
-		r.step(hotrestart.Event{Kind: hotrestart.EventIdle})
+	case s.restart.phase() == hotrestart.PhaseDraining:
+		return // the other process ended; this is a shutdown without a successor now
+	case s.busy() || s.services.front.Sessions()+s.services.net.ClosingConns() > 0:
+		s.busyAt = now
+	case now-s.busyAt >= settleMS:
+		s.parts.farewell(s.restart.partnerPeer())
+		s.restart.quiet()
 		return
 	}
-	r.loop.After(10, r.left)
-}
-
-// end ends the process once what it sent to others is written, or its time is up.
-func (r *node) end() {
-	for _, part := range r.parts {
-		if part.end != nil && !r.leaving {
-			part.end()
-		}
-	}
-	for _, p := range r.links {
-		p.link.Close()
-	}
-	if len(r.links) == 0 {
-		r.halt()
-		return
-	}
-	clear(r.links) // their ends are this process's own doing
-	r.loop.After(farewellWithin, r.halt)
-}
-
-func (r *node) halt() { r.stopping.Do(func() { close(r.stop) }) }
-
-const (
-	// lastWords is how long nothing may have been open, in milliseconds: connections that were accepted last are still on
-	// their way to the loop, and answers on theirs out of the poller's queues.
-	lastWords = 50.0
-	// farewellWithin is the time for the last messages.
-	farewellWithin = 100.0
-)
-
-// closeUpgrade gives up what an upgrade needs.
-func (r *node) closeUpgrade() {
-	if r.place != nil {
-		r.place.Close()
-	}
-	for _, p := range r.links {
-		p.link.Close()
-	}
-	for _, lis := range r.idle {
-		_ = lis.Close()
-	}
-	if r.passed != nil {
-		_ = r.passed.Close()
-	}
+	s.loop.After(leavePollMS, s.checkLeft)
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,7 +35,7 @@
 	n := startRouter(t, []string{fmt.Sprintf(
 		`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`, lis.Addr())})
 
-	early, err := dialMySQL(n.clientsAt)
+	early, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	go func() { slow <- ask(early, 1, "slow") }()
 	open := make(chan int)
 	for taken := 0; taken == 0; taken = <-open {
-		n.loop.Post(func() { open <- n.core.OpenRequests() })
+		n.loop.Post(func() { open <- n.services.core.OpenRequests() })
 	}
 	signalled := make(chan struct{})
 	n.loop.Post(func() {
@@ -59,7 +59,7 @@
 		close(signalled)
 	})
 	<-signalled
-	late, err := dialMySQL(n.clientsAt)
+	late, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal("a new connection after SIGTERM:", err)
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	select {
-	case <-n.stop:
+	case <-n.life.done:
 		t.Fatal("ended with a request open")
 	default:
 	}
@@ -77,7 +77,7 @@
 	if err := <-slow; err != nil {
 		t.Error("the request that was open:", err)
 	}
-	<-n.stop // ends by itself
+	<-n.life.done // ends by itself
 }
 
 // The README starts with the example, so it must stay usable.
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -5,102 +5,109 @@
 	"runtime"
 	"sync/atomic"
 	"time"
+
+	"windflow/internal/router"
 )
 
 const (
-	// beatEvery is how often the loop shows that it goes on, in milliseconds; stalledAfter is the silence after which
-	// what it knows is old: the rule on drains and bans leaves a second, of which some is needed to hear of them.
-	beatEvery    = 100.0
-	stalledAfter = 400.0
-	// hearFor is how long a loop that stood still hears, and sends nothing, in milliseconds.
-	hearFor = 100.0
-	// watchEvery is how often the loop is looked at from outside.
-	watchEvery = 250 * time.Millisecond
-	// maxStack bounds the stacks in the log.
-	maxStack = 32 << 10
+	// loopBeatIntervalMS is how often the loop shows that it goes on, and stallThresholdMS the delay after which what it
+	// knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
+	loopBeatIntervalMS = 100.0
+	stallThresholdMS   = 400.0
+	// catchUpMS is how long a loop that stood still takes in what came, and sends nothing.
+	catchUpMS = 100.0
+	// blockedAfterMS is how late the loop may be before its stacks are logged.
+	blockedAfterMS = 1000.0
+	// watchInterval is how often the loop is looked at from outside.
+	watchInterval = 250 * time.Millisecond
+	// maxLoggedStack bounds the stacks in the log, in bytes.
+	maxLoggedStack = 32 << 10
 )
 
-// stall is what a router keeps for noticing that it stood still.
-type stall struct {
-	beatAt float64      // of the loop
-	stood  float64      // when the last standstill began, and
-	until  float64      // when it ended
-	seen   atomic.Int64 // the same for the watch, in microseconds
-	waking bool         // it hears, and sends nothing
-
-	stallCounters
-}
-
-// stallCounters count standstills, and the SIGCONTs that tell that the process had been stopped by a signal.
+// stallCounters count stalls of the loop, and the SIGCONTs that show that a signal had stopped the process.
 type stallCounters struct {
 	Stalls    int64        `status:"stalls"`
 	Continued atomic.Int64 `status:"continued"`
 }
 
-// beat notices that the loop stood still: the process was stopped, or got no processor. Then clients' queries wait that
-// came meanwhile, and so does word of drains and bans. It guards against the one being sent before the other is heard:
-// what came is handed to the module only after the loop has heard for a while, and read the folder of bans.
-func (r *node) beat() {
-	now := r.loop.Now()
-	late := now - r.beatAt - beatEvery
-	if r.beatAt > 0 && late > stalledAfter && !r.waking && r.core != nil {
-		r.Stalls++
-		r.stood, r.until = r.beatAt, now
-		r.waking = true
-		r.log.Warn("the loop stood still", "ms", int(late), "open", r.core.OpenRequests(), "continued", r.Continued.Load())
-		r.core.HoldDecisions(true)
-		wake := func() {
-			r.loop.After(hearFor, func() {
-				r.waking = false
-				r.core.HoldDecisions(false)
-			})
-		}
-		if r.place == nil {
-			wake()
-		} else {
-			r.inOrder(func() {
-				r.readBans()
-				r.loop.Post(wake)
-			}, wake)
-		}
+// stallDetector notices that the loop stood still: the process was stopped, or got no processor.
+type stallDetector struct {
+	log      *slog.Logger
+	loop     *router.Loop
+	services *services
+	refresh  func(done func()) // reads the stored cordons
+
+	beatAt     float64      // last beat of the loop
+	began      float64      // when the last stall began, and
+	ended      float64      // when it ended; 0 before the first one
+	beatMicros atomic.Int64 // beatAt for the watch, in microseconds
+	catchingUp bool         // what came is taken in, and nothing sent
+	counters   stallCounters
+}
+
+// beat notices a stall. After one, clients' queries wait that came meanwhile, and so do drains and cordons. It guards
+// against sending the first before the others are known: what came is handed to the module only after the loop has taken
+// in messages for a while, and the stored cordons have been read.
+func (d *stallDetector) beat() {
+	now := d.loop.Now()
+	late := now - d.beatAt - loopBeatIntervalMS
+	if d.beatAt > 0 && late > stallThresholdMS && !d.catchingUp && d.services.built() {
+		d.catchUp(now, late)
 	}
-	r.beatAt = now
-	r.seen.Store(int64(now * 1e3))
-	r.loop.After(beatEvery, r.beat)
+	d.beatAt = now
+	d.beatMicros.Store(int64(now * 1e3))
+	d.loop.After(loopBeatIntervalMS, d.beat)
+}
+
+func (d *stallDetector) catchUp(now, late float64) {
+	d.counters.Stalls++
+	d.began, d.ended = d.beatAt, now
+	d.catchingUp = true
+	d.log.Warn("the loop stood still", "ms", int(late), "open", d.services.core.OpenRequests(),
+		"continued", d.counters.Continued.Load())
+	d.services.core.HoldDecisions(true)
+	d.refresh(func() {
+		d.loop.After(catchUpMS, func() {
+			d.catchingUp = false
+			d.services.core.HoldDecisions(false)
+		})
+	})
 }
 
-// since is when what is heard of now may have happened: a signal that is found after a standstill may have come at its
+// since is when what is noticed now may have happened: a signal that is found after a stall may have come at its
 // beginning, and a kill is due by that time.
-func (r *node) since() float64 {
-	now := r.loop.Now()
-	if r.until > 0 && now-r.until < stalledAfter {
-		return r.stood
+func (d *stallDetector) since() float64 {
+	now := d.loop.Now()
+	if d.ended > 0 && now-d.ended < stallThresholdMS {
+		return d.began
 	}
 	return now
 }
 
-// watchLoop logs where the loop stands when it does not go on though the process does.
-func (r *node) watchLoop() {
-	tick := time.NewTicker(watchEvery)
+// watch logs the stacks when the loop does not go on though the process does, until done is closed. It runs in a
+// goroutine of its own.
+func (d *stallDetector) watch(done <-chan struct{}) {
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	last, told := time.Now(), false
+	last, logged := time.Now(), false
 	for {
 		select {
-		case <-r.stop:
+		case <-done:
 			return
 		case <-tick.C:
 		}
-		own := time.Since(last)
+		pause := time.Since(last)
 		last = time.Now()
-		late := r.loop.Now() - float64(r.seen.Load())/1e3
-		if own > 2*watchEvery || late < 1000 {
-			told = false
+		late := d.loop.Now() - float64(d.beatMicros.Load())/1e3
+		if pause > 2*watchInterval || late < blockedAfterMS {
+			logged = false
 			continue
 		}
-		if !told {
-			told = true
-			text := make([]byte, maxStack)
-			r.log.Error("the loop does not go on", "ms", int(late), slog.String("stacks", string(text[:runtime.Stack(text, true)])))
+		if !logged {
+			logged = true
+			text := make([]byte, maxLoggedStack)
+			stacks := string(text[:runtime.Stack(text, true)])
+			d.log.Error("the loop does not go on", "ms", int(late), slog.String("stacks", stacks))
 		}
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,56 +9,77 @@
 	"windflow/dispatch"
 )
 
-var outcomes = map[dispatch.Outcome]string{
+var outcomeNames = map[dispatch.Outcome]string{
 	dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
 	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.ConnectionReset: "reset",
 	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent",
 }
 
-// status lists the counters of all parts, each under the name in its field's "status" tag, and what is open now.
-func (r *node) status() [][2]string {
+// counterGroup is a set of counters under one name: counters points to a struct whose fields are int64, atomic.Int64 or,
+// by outcome, [8]int64, each with its name in a "status" tag.
+type counterGroup struct {
+	name     string
+	counters any
+}
+
+// statusReporter lists the figures of all services and parts for SHOW STATUS and the log.
+type statusReporter struct {
+	log      *slog.Logger
+	services *services
+	parts    *partSet
+	stalls   *stallCounters
+	admin    *adminBackend
+}
+
+// rows lists the figures, each with its name.
+func (s *statusReporter) rows() [][2]string {
 	rows := [][2]string{
-		{"core.open", strconv.Itoa(r.core.OpenRequests())},
-		{"fetch.connections", strconv.Itoa(r.client.ConnCount())},
-	}
-	parts := []counted{
-		{"core", &r.core.Counters},
-		{"mysql", &r.front.Counters},
-		{"fetch", &r.client.Counters},
-		{"board", &r.board.Counters},
-		{"loop", &r.stallCounters},
+		{"core.open", strconv.Itoa(s.services.core.OpenRequests())},
+		{"fetch.connections", strconv.Itoa(s.services.engines.ConnCount())},
 	}
-	for _, p := range r.parts {
-		if p.counters != nil {
-			parts = append(parts, p.counters()...)
-		}
+	for _, group := range s.groups() {
+		rows = append(rows, group.rows()...)
 	}
-	if r.door != nil {
-		parts = append(parts, counted{"control", &r.door.Counters})
+	return rows
+}
+
+func (s *statusReporter) groups() []counterGroup {
+	groups := []counterGroup{
+		{"core", &s.services.core.Counters},
+		{"mysql", &s.services.front.Counters},
+		{"fetch", &s.services.engines.Counters},
+		{"board", &s.services.endpoints.Counters},
+		{"loop", s.stalls},
 	}
-	for _, p := range parts {
-		v := reflect.ValueOf(p.of).Elem()
-		for i := range v.NumField() {
-			name := p.name + "." + v.Type().Field(i).Tag.Get("status")
-			switch field := v.Field(i).Addr().Interface().(type) {
-			case *int64:
-				rows = append(rows, [2]string{name, strconv.FormatInt(*field, 10)})
-			case *atomic.Int64:
-				rows = append(rows, [2]string{name, strconv.FormatInt(field.Load(), 10)})
-			case *[8]int64: // by outcome
-				for o, n := range field {
-					rows = append(rows, [2]string{name + "." + outcomes[dispatch.Outcome(o)], strconv.FormatInt(n, 10)})
-				}
+	groups = append(groups, s.parts.counters()...)
+	return append(groups, s.admin.counters()...)
+}
+
+func (g counterGroup) rows() (rows [][2]string) {
+	all := reflect.ValueOf(g.counters).Elem()
+	for i := range all.NumField() {
+		name := g.name + "." + all.Type().Field(i).Tag.Get("status")
+		switch field := all.Field(i).Addr().Interface().(type) {
+		case *int64:
+			rows = append(rows, [2]string{name, strconv.FormatInt(*field, 10)})
+		case *atomic.Int64:
+			rows = append(rows, [2]string{name, strconv.FormatInt(field.Load(), 10)})
+		case *[8]int64: // by outcome
+			for outcome, count := range field {
+				rows = append(rows, [2]string{
+					name + "." + outcomeNames[dispatch.Outcome(outcome)], strconv.FormatInt(count, 10),
+				})
 			}
 		}
 	}
 	return rows
 }
 
-func (r *node) printCounters(why string) {
+// write logs the figures.
+func (s *statusReporter) write(line string) {
 	var attrs []any
-	for _, kv := range r.status() {
-		attrs = append(attrs, slog.String(kv[0], kv[1]))
+	for _, row := range s.rows() {
+		attrs = append(attrs, slog.String(row[0], row[1]))
 	}
-	r.log.Info(why, attrs...)
+	s.log.Info(line, attrs...)
 }
