--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// member is an entry of the list of engines.
-func member(addr string) string {
+// listedEngine is an entry of the list of engines.
+func listedEngine(addr string) string {
 	return fmt.Sprintf(`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`, addr)
 }
 
@@ -31,8 +31,8 @@
 // A request that has come to a resting connection when the router ends its sessions, and that the loop has not heard of, is
 // taken and answered; then the client hears the end, as one that rests does at once. Neither is reset. It guards against a
 // close over unread bytes, which loses the request, and with it an answer that the client has not read.
-func TestEndCrossesARequest(t *testing.T) {
-	n := startRouter(t, []string{member(newSlowEngine().serve(t))})
+func TestRequestDuringConnectionEnd(t *testing.T) {
+	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
 	asks, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
@@ -62,16 +62,14 @@
 		t.Errorf("the request that crossed the end: %+v", a)
 	}
 	for name, c := range map[string]*mysqlClient{"asks": asks, "rests": rests} {
-		if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v, want the end", name, err)
-		}
+		checkClosed(t, name, c)
 	}
 }
 
 // A client whose connection was accepted before the router stops listening, and of which the loop has not heard, is served;
 // one that comes after is refused at once. It guards against connections that are taken and dropped at the end.
-func TestEndHearsWhoWasAccepted(t *testing.T) {
-	n := startRouter(t, []string{member(newSlowEngine().serve(t))})
+func TestAcceptedClientServedAtEnd(t *testing.T) {
+	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
 	inLoop(n, func() {
 		c, err := net.Dial("tcp", n.listeners.clientsAddress)
@@ -80,7 +78,7 @@
 			close(accepted)
 			return
 		}
-		m := &mysqlClient{c: c, r: bufio.NewReader(c)}
+		m := &mysqlClient{conn: c, reader: bufio.NewReader(c)}
 		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
@@ -96,9 +94,7 @@
 			t.Fatal(err)
 		}
 	}
-	if rows, code, err := m.answer(); rows != 1 || code != 0 || err != nil {
-		t.Error("accepted before the end:", rows, code, err)
-	}
+	checkServedAnswer(t, m, "accepted before the end:")
 	if _, err := net.Dial("tcp", n.listeners.clientsAddress); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("who comes after the end: %v", err)
 	}
@@ -106,9 +102,9 @@
 
 // A client that never finishes a packet, and comes again whenever its time is up, does not hold the end up past the time by
 // which everything is answered: a kill follows then. It guards against a router that has to be killed.
-func TestHalfOpenClientsDoNotHoldTheEndUp(t *testing.T) {
+func TestHalfOpenClientsDoNotDelayShutdown(t *testing.T) {
 	short := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
-	n := startWith(t, []string{member(newSlowEngine().serve(t))}, short)
+	n := startRouterWith(t, []string{listedEngine(newBlockingEngine().serve(t))}, short)
 	stop := make(chan struct{})
 	defer close(stop)
 	begun := make(chan struct{}, 16)
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// tableOf is how many descriptors a process's table has room for.
-func tableOf(t *testing.T, pid int) int {
+// descriptorTableSize is how many descriptors a process's table has room for.
+func descriptorTableSize(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -31,20 +31,20 @@
 
 // A router that serves never grows its table of descriptors, which may take the kernel seconds: it has room for all that
 // the limit allows from its start on, and after a reload that allows more.
-func TestTableOfDescriptors(t *testing.T) {
-	f := newFleet(t, newSlowEngine())
-	door := freePort(t)
-	router := f.start(door)
-	f.ready(door)
-	if n := tableOf(t, router.Process.Pid); n < 1024 {
+func TestDescriptorTable(t *testing.T) {
+	harness := newRouterHarness(t, newBlockingEngine())
+	adminAddress := freePort(t)
+	router := harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	if n := descriptorTableSize(t, router.Process.Pid); n < 1024 {
 		t.Errorf("room for %d descriptors of 1024", n)
 	}
-	text, err := os.ReadFile(f.config)
+	text, err := os.ReadFile(harness.config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	more := strings.Replace(string(text), `"sockets":1024`, `"sockets":9000`, 1)
-	if err := os.WriteFile(f.config, []byte(more), 0o600); err != nil {
+	if err := os.WriteFile(harness.config, []byte(more), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := router.Process.Signal(syscall.SIGHUP); err != nil {
@@ -54,7 +54,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	f.waitFor("room for more after a reload", func() bool { return tableOf(t, router.Process.Pid) >= tableSize(9000, limit.Cur) })
+	harness.waitFor("room for more after a reload", func() bool { return descriptorTableSize(t, router.Process.Pid) >= tableSize(9000, limit.Cur) })
 }
 
 func TestTableSize(t *testing.T) {
--- /dev/null
+++ b/internal/node/discovery_server_test.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"encoding/binary"
+	"io"
+	"net"
+	"net/netip"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// startIdleDiscovery is a stand-in that has nothing new to tell.
+func startIdleDiscovery(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				if _, err := io.ReadFull(c, make([]byte, 8)); err != nil {
+					return
+				}
+				for {
+					if _, err := c.Write([]byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 1, 0}); err != nil {
+						return
+					}
+					time.Sleep(500 * time.Millisecond)
+				}
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// listenDiscovery is a notice board that hands over each link once it has read from which event it goes on.
+func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	links = make(chan discoveryLink, 8)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			var last [8]byte
+			if _, err := io.ReadFull(c, last[:]); err == nil {
+				links <- discoveryLink{c, binary.BigEndian.Uint64(last[:])}
+			}
+		}
+	}()
+	return l.Addr().String(), links
+}
+
+type discoveryLink struct {
+	net.Conn
+	lastEvent uint64
+}
+
+// closedDiscovery is a notice board at which connections are refused until it is opened.
+type closedDiscovery struct {
+	t    *testing.T
+	fd   int
+	addr string
+}
+
+func newClosedDiscovery(t *testing.T) *closedDiscovery {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &closedDiscovery{t: t, fd: fd}
+	b.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port)).String()
+	return b
+}
+
+// open takes connections and tells each of them that an engine is gone.
+func (b *closedDiscovery) open(gone uint32) {
+	b.t.Helper()
+	if err := syscall.Listen(b.fd, 16); err != nil {
+		b.t.Fatal(err)
+	}
+	record := binary.BigEndian.AppendUint32(nil, gone)
+	record = append(record, make([]byte, 6)...)
+	record = append(record, 2)
+	record = append(record, make([]byte, 16)...)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(9+len(record)))
+	frame = binary.BigEndian.AppendUint64(frame, 2)
+	frame = append(append(frame, 2), record...)
+	go func() {
+		for {
+			fd, _, err := syscall.Accept(b.fd)
+			if err != nil {
+				return
+			}
+			_, _ = syscall.Write(fd, frame)
+		}
+	}()
+	b.t.Cleanup(func() { _ = syscall.Close(b.fd) })
+}
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// startAllParts runs a router that has each part, with an operators' door, and ends it with the test.
+// startAllParts runs a router that has each part, with an admin API, and ends it with the test.
 func startAllParts(t *testing.T) *node {
 	t.Helper()
 	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
-		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + noticeBoard(t) + `",
+		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + startIdleDiscovery(t) + `",
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[` +
-		member(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
+		listedEngine(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -21,11 +21,11 @@
 
 var discard = slog.New(slog.DiscardHandler)
 
-// script is one process of a recorded exchange: what it says, by kind of message, in its order.
-type script []hotrestartipc.Message
+// recordedMessages is one process of a recorded exchange: what it says, by kind of message, in its order.
+type recordedMessages []hotrestartipc.Message
 
-// recorded reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes sent them.
-func recorded(t *testing.T, name string) (old, new script) {
+// readExchange reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes sent them.
+func readExchange(t *testing.T, name string) (old, new recordedMessages) {
 	t.Helper()
 	a, err := txtar.ParseFile("testdata/takeover.txtar")
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil, nil
 }
 
-func (s script) of(t *testing.T, kind string) hotrestartipc.Message {
+func (s recordedMessages) byKind(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for _, m := range s {
 		if m.Kind == kind {
@@ -65,28 +65,28 @@
 	return hotrestartipc.Message{}
 }
 
-// hello is the recorded one, from the place that the test has.
-func (s script) hello(t *testing.T, p *hotrestartipc.ProcessSlot) hotrestartipc.Message {
+// helloFrom is the recorded one, from the place that the test has.
+func (s recordedMessages) helloFrom(t *testing.T, p *hotrestartipc.ProcessSlot) hotrestartipc.Message {
 	t.Helper()
-	h := s.of(t, "hello")
+	h := s.byKind(t, "hello")
 	h.Body = jsoniter.RawMessage(strings.Replace(string(h.Body), `"place":3`, fmt.Sprintf(`"place":%d`, p.Process), 1))
 	return h
 }
 
-func (f *fleet) dir() string { return strings.TrimPrefix(f.env[1], "TMPDIR=") }
+func (h *routerHarness) slotDir() string { return strings.TrimPrefix(h.env[1], "TMPDIR=") }
 
-// place takes a place among the processes of the fleet's router.
-func (f *fleet) place() *hotrestartipc.ProcessSlot {
-	f.t.Helper()
-	p, err := hotrestartipc.AcquireSlot(f.dir(), "n0 "+f.clients.Addr().String())
+// acquireSlot takes a place among the processes of the fleet's router.
+func (h *routerHarness) acquireSlot() *hotrestartipc.ProcessSlot {
+	h.t.Helper()
+	p, err := hotrestartipc.AcquireSlot(h.slotDir(), "n0 "+h.clientListener.Addr().String())
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Cleanup(p.Close)
+	h.t.Cleanup(p.Close)
 	return p
 }
 
-func keys(t *testing.T, m hotrestartipc.Message) []string {
+func bodyFields(t *testing.T, m hotrestartipc.Message) []string {
 	t.Helper()
 	var all map[string]any
 	if len(m.Body) == 0 || string(m.Body) == "null" {
@@ -99,59 +99,59 @@
 }
 
 // A process of version 1 that comes later finds this one, understands its state, and takes its place.
-func TestVersion1TakesOver(t *testing.T) {
-	old, next := recorded(t, "version 1")
-	f := newFleet(t, newSlowEngine(), newSlowEngine())
-	door := freePort(t)
-	f.start(door)
-	f.ready(door)
-	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
+func TestVersion1Successor(t *testing.T) {
+	old, next := readExchange(t, "version 1")
+	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	path, _ := hotrestartipc.SocketPath(harness.slotDir(), "n0 "+harness.clientListener.Addr().String())
 	conn, err := hotrestartipc.Dial(path, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := act(conn)
-	a.link.Send(next.of(t, "hello"))
-	state := a.want(t, "state")
-	theirs := keys(t, state)
-	for _, key := range keys(t, old.of(t, "state")) {
+	a := startProtocolPeer(conn)
+	a.link.Send(next.byKind(t, "hello"))
+	state := a.expect(t, "state")
+	theirs := bodyFields(t, state)
+	for _, key := range bodyFields(t, old.byKind(t, "state")) {
 		if !slices.Contains(theirs, key) {
 			t.Errorf("the state has no %s", key)
 		}
 	}
-	a.link.Send(next.of(t, "ready"))
-	a.want(t, "go-ahead")
-	if got := f.call("GET", door, "/api/ready"); got != 503 {
+	a.link.Send(next.byKind(t, "ready"))
+	a.expect(t, "go-ahead")
+	if got := harness.callAdmin("GET", adminAddress, "/api/ready"); got != 503 {
 		t.Errorf("it says %d when asked whether it is ready", got)
 	}
 	a.link.Close() // the new one ends
-	f.ready(door)
+	harness.waitReady(adminAddress)
 }
 
 // A process of version 1 that serves is found, and gone on from.
-func TestVersion1IsTakenOver(t *testing.T) {
-	old, next := recorded(t, "version 1")
-	one, two := newSlowEngine(), newSlowEngine()
-	f := newFleet(t, one, two)
-	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
+func TestVersion1Predecessor(t *testing.T) {
+	old, next := readExchange(t, "version 1")
+	one, two := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, two)
+	path, _ := hotrestartipc.SocketPath(harness.slotDir(), "n0 "+harness.clientListener.Addr().String())
 	lis, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lis.Close()
-	door := freePort(t)
-	f.start(door)
-	var a *actor
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	var a *protocolPeer
 	for a == nil {
 		conn, err := lis.AcceptUnix()
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := act(conn)
+		b := startProtocolPeer(conn)
 		if m, ok := b.next(); ok && m.Kind == "hello" { // others only look whether somebody lives
 			a = b
-			for _, key := range keys(t, next.of(t, "hello")) {
-				if !slices.Contains(keys(t, m), key) {
+			for _, key := range bodyFields(t, next.byKind(t, "hello")) {
+				if !slices.Contains(bodyFields(t, m), key) {
 					t.Errorf("the hello has no %s", key)
 				}
 			}
@@ -164,36 +164,34 @@
 			}
 		}
 	}()
-	a.link.Send(old.of(t, "state")) // s-00000002 is out by hand in it
-	a.want(t, "ready")
-	a.link.Send(old.of(t, "go-ahead"))
-	f.ready(door)
-	c := f.client()
+	a.link.Send(old.byKind(t, "state")) // s-00000002 is out by hand in it
+	a.expect(t, "ready")
+	a.link.Send(old.byKind(t, "go-ahead"))
+	harness.waitReady(adminAddress)
+	c := harness.dial()
 	for id := range 40 {
-		if rows, code, err := c.ask(query("lookup", id, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-			t.Fatal(rows, code, err)
-		}
+		requireServed(t, c, query("lookup", id, "SELECT 1"))
 	}
-	if two.total() > 0 || one.total() != 40 {
-		t.Error("the ban of the process of version 1 was forgotten")
+	if two.totalRuns() > 0 || one.totalRuns() != 40 {
+		t.Error("the cordon of the process of version 1 was forgotten")
 	}
 }
 
 // The exchange of this version is as it was recorded: a message that changes its fields, or its place in the order, needs
 // a new version.
-func TestExchange(t *testing.T) {
-	old, next := recorded(t, "version 2")
-	f := newFleet(t, newSlowEngine(), newSlowEngine())
-	door := freePort(t)
-	f.start(door)
-	f.ready(door)
-	p := f.place()
+func TestProtocolExchange(t *testing.T) {
+	old, next := readExchange(t, "version 2")
+	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	p := harness.acquireSlot()
 	conn, err := p.Connect(p.Predecessor())
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := act(conn)
-	a.link.Send(next.hello(t, p))
+	a := startProtocolPeer(conn)
+	a.link.Send(next.helloFrom(t, p))
 	type said struct {
 		Kind string
 		Keys []string
@@ -203,14 +201,14 @@
 		if m.Kind == "wait" { // the exchange has a third process's
 			continue
 		}
-		want = append(want, said{m.Kind, keys(t, m)})
-		g := a.want(t, m.Kind)
-		got = append(got, said{g.Kind, keys(t, g)})
+		want = append(want, said{m.Kind, bodyFields(t, m)})
+		g := a.expect(t, m.Kind)
+		got = append(got, said{g.Kind, bodyFields(t, g)})
 		if m.Kind == "state" {
-			a.link.Send(next.of(t, "ready"))
+			a.link.Send(next.byKind(t, "ready"))
 		}
 		if m.Kind == "go-ahead" {
-			a.link.Send(next.of(t, "back"))
+			a.link.Send(next.byKind(t, "back"))
 		}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -221,35 +219,35 @@
 // The process before this one dies, or falls silent, at each step. It guards against a new process that never serves, and
 // against one that serves too early.
 func TestPredecessorAtEachStep(t *testing.T) {
-	old, _ := recorded(t, "version 2")
+	old, _ := readExchange(t, "version 2")
 	for step, name := range []string{"before it accepts", "after hello", "after state", "after ready", "after go-ahead"} {
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silent %t", name, silent), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(t, newSlowEngine(), newSlowEngine())
-				p := f.place()
-				door := freePort(t)
-				f.start(door)
-				var a *actor
+				harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
+				p := harness.acquireSlot()
+				adminAddress := freePort(t)
+				harness.startProcess(adminAddress)
+				var a *protocolPeer
 				if step > 0 {
 					conn, err := p.Listener.AcceptUnix()
 					if err != nil {
 						t.Fatal(err)
 					}
-					a = act(conn)
-					a.want(t, "hello")
+					a = startProtocolPeer(conn)
+					a.expect(t, "hello")
 				}
-				if step < 4 && f.call("GET", door, "/api/ready") == 200 {
+				if step < 4 && harness.callAdmin("GET", adminAddress, "/api/ready") == 200 {
 					t.Error("it serves before its time")
 				}
 				if step > 1 {
-					a.link.Send(old.of(t, "state"))
+					a.link.Send(old.byKind(t, "state"))
 				}
 				if step > 2 {
-					a.want(t, "ready")
+					a.expect(t, "ready")
 				}
 				if step > 3 {
-					a.link.Send(old.of(t, "go-ahead"))
+					a.link.Send(old.byKind(t, "go-ahead"))
 				}
 				if !silent {
 					if a != nil {
@@ -257,10 +255,8 @@
 					}
 					p.Close()
 				}
-				f.ready(door)
-				if rows, code, err := f.client().ask(query("lookup", 1, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-					t.Error(rows, code, err)
-				}
+				harness.waitReady(adminAddress)
+				checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
 			})
 		}
 	}
@@ -269,35 +265,35 @@
 // The process after this one dies at each step, or breaks the link and takes it up again. It guards against a router on
 // which nobody accepts.
 func TestSuccessorAtEachStep(t *testing.T) {
-	_, next := recorded(t, "version 2")
+	_, next := readExchange(t, "version 2")
 	for step, name := range []string{"before hello", "after hello", "after state", "after ready", "after go-ahead"} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, newSlowEngine(), newSlowEngine())
-			door := freePort(t)
-			f.start(door)
-			f.ready(door)
+			harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
+			adminAddress := freePort(t)
+			harness.startProcess(adminAddress)
+			harness.waitReady(adminAddress)
 			for round := range 2 { // the link breaks, then the process ends
-				p := f.place()
+				p := harness.acquireSlot()
 				conn, err := p.Connect(p.Predecessor())
 				if err != nil {
 					t.Fatal(err)
 				}
-				a := act(conn)
-				h := next.hello(t, p)
+				a := startProtocolPeer(conn)
+				h := next.helloFrom(t, p)
 				play := func() {
-					a.ask = func() { a.link.Send(h) }
+					a.repeatHello = func() { a.link.Send(h) }
 					if step > 0 {
 						a.link.Send(h)
 						a.link.Send(h) // twice
 					}
 					if step > 1 {
-						a.want(t, "state")
+						a.expect(t, "state")
 					}
 					if step > 2 {
-						a.link.Send(next.of(t, "ready"))
+						a.link.Send(next.byKind(t, "ready"))
 					}
 					if step > 3 {
-						a.want(t, "go-ahead")
+						a.expect(t, "go-ahead")
 					}
 				}
 				play()
@@ -306,15 +302,13 @@
 					if conn, err = p.Connect(p.Predecessor()); err != nil {
 						t.Fatal(err)
 					}
-					a = act(conn)
+					a = startProtocolPeer(conn)
 					play()
 				}
 				a.link.Close()
 				p.Close()
-				f.ready(door)
-				if rows, code, err := f.client().ask(query("lookup", 1+round, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-					t.Error(rows, code, err)
-				}
+				harness.waitReady(adminAddress)
+				checkServed(t, harness.dial(), query("lookup", 1+round, "SELECT 1"))
 			}
 		})
 	}
@@ -322,10 +316,10 @@
 
 // Where the processes meet there may be anything: a dead process's socket, a foreign listener that never speaks, a lock
 // file that nobody holds. It guards against a router that does not start.
-func TestForeignAtTheMeetingPoint(t *testing.T) {
+func TestForeignFilesInSlotDirectory(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, newSlowEngine(), newSlowEngine())
-	path, _ := hotrestartipc.SocketPath(f.dir(), "n0 "+f.clients.Addr().String())
+	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
+	path, _ := hotrestartipc.SocketPath(harness.slotDir(), "n0 "+harness.clientListener.Addr().String())
 	base := strings.TrimSuffix(path, ".sock")
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: base + ".7.sock", Net: "unix"})
 	if err != nil {
@@ -343,12 +337,10 @@
 		t.Fatal(err)
 	}
 	defer foreign.Close()
-	door := freePort(t)
-	f.start(door)
-	f.ready(door) // guarded, after its time: something lives there
-	if rows, code, err := f.client().ask(query("lookup", 1, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-		t.Error(rows, code, err)
-	}
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress) // guarded, after its time: something lives there
+	checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
 	if _, err := os.Stat(filepath.Join(base + ".7.sock")); err == nil {
 		t.Error("a dead process's socket was left")
 	}
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -20,15 +20,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// neighbour is a stand-in for the BGP neighbour: it takes sessions and notes what comes on them.
-type neighbour struct {
+// bgpNeighbour is a stand-in for the BGP neighbour: it takes sessions and notes what comes on them.
+type bgpNeighbour struct {
 	sessions chan int      // numbered from 1
 	updates  chan string   // "announce" or "withdraw"
 	beats    chan struct{} // KEEPALIVEs
 	ended    chan int
 }
 
-func (n *neighbour) serve(t *testing.T) string {
+func (n *bgpNeighbour) serve(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 	return lis.Addr().String()
 }
 
-func (n *neighbour) speak(c net.Conn, i int) {
+func (n *bgpNeighbour) speak(c net.Conn, i int) {
 	defer func() { n.ended <- i }()
 	defer c.Close()
 	say := func(kind byte, body ...byte) {
@@ -86,16 +86,16 @@
 }
 
 // An upgrade with two real processes. It guards against all that would show that they are two: a request turned away or
-// left without its answer, a ban that is forgotten, an id that runs twice, a kill that does not arrive, a ticket that is
+// left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a ticket that is
 // spent twice, a BGP session that ends.
-func TestUpgrade(t *testing.T) {
-	one, two := newSlowEngine(), newSlowEngine()
-	f := newFleet(t, one, two)
-	peer := &neighbour{
+func TestHotRestart(t *testing.T) {
+	one, two := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, two)
+	peer := &bgpNeighbour{
 		sessions: make(chan int, 8), updates: make(chan string, 8), beats: make(chan struct{}, 64),
 		ended: make(chan int, 8),
 	}
-	dir := filepath.Dir(f.config)
+	dir := filepath.Dir(harness.config)
 	flightAt := freePort(t)
 	own := filepath.Join(dir, "windflow.json")
 	if err := os.WriteFile(own, []byte(fmt.Sprintf(`{"flightsql": {"listen": %q}, "bgp": {"peer": %q, "peer_as": 64512,
@@ -103,21 +103,19 @@
 		flightAt, peer.serve(t))), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.env = append(f.env, "WINDFLOW_TEST_ROUTER=settings="+own)
+	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+own)
 
-	doorA, doorB := freePort(t), freePort(t)
-	old := f.start(doorA)
-	f.ready(doorA)
+	oldAdmin, newAdmin := freePort(t), freePort(t)
+	old := harness.startProcess(oldAdmin)
+	harness.waitReady(oldAdmin)
 	if what := <-peer.updates; what != "announce" || <-peer.sessions != 1 {
 		t.Fatal("the first update is a", what)
 	}
-	if f.call("POST", doorA, "/api/exclude/s-00000002") != 200 || f.call("POST", doorA, "/api/exclude/s-00000009") != 404 {
-		t.Error("a ban was not taken, or one of an engine that was never listed was")
-	}
-	slow, killed, idle := f.client(), f.client(), f.client()
-	if rows, code, err := idle.ask(query("load", 7, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-		t.Fatal(rows, code, err)
+	if harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000002") != 200 || harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000009") != 404 {
+		t.Error("a cordon was not taken, or one of an engine that was never listed was")
 	}
+	slow, killed, idle := harness.dial(), harness.dial(), harness.dial()
+	requireServed(t, idle, query("load", 7, "SELECT 1"))
 	answer := make(chan error, 2)
 	ask := func(c *mysqlClient, id, wantRows, wantCode int) {
 		go func() {
@@ -154,12 +152,12 @@
 		t.Fatal(err)
 	}
 
-	f.start(doorB)
-	f.ready(doorB)
-	if got := f.call("GET", doorA, "/api/ready"); got != 503 {
+	harness.startProcess(newAdmin)
+	harness.waitReady(newAdmin)
+	if got := harness.callAdmin("GET", oldAdmin, "/api/ready"); got != 503 {
 		t.Errorf("the old process says %d when asked whether it is ready", got)
 	}
-	fresh := f.client() // the old process accepts no more, so this one is the new one's
+	fresh := harness.dial() // the old process accepts no more, so this one is the new one's
 	if err := fresh.write(0, append([]byte{3}, "KILL QUERY "+killedID...)); err != nil {
 		t.Fatal(err)
 	}
@@ -184,14 +182,12 @@
 			t.Errorf("the id of %s: error %d, %v", why, code, err)
 		}
 	}
-	before := two.total()
+	before := two.totalRuns()
 	for id := 100; id < 130; id++ {
-		if rows, code, err := fresh.ask(query("lookup", id, "SELECT 3")); rows != 1 || code != 0 || err != nil {
-			t.Fatal(rows, code, err)
-		}
+		requireServed(t, fresh, query("lookup", id, "SELECT 3"))
 	}
-	if before != 0 || two.total() != 0 {
-		t.Error("the ban was forgotten")
+	if before != 0 || two.totalRuns() != 0 {
+		t.Error("the cordon was forgotten")
 	}
 
 	// A ticket of the old process, fetched from the new one, is spent in both.
@@ -229,15 +225,13 @@
 	if err := old.Wait(); err != nil {
 		t.Error("the old process:", err)
 	}
-	if f.call("POST", doorB, "/api/include/s-00000002") != 200 {
+	if harness.callAdmin("POST", newAdmin, "/api/include/s-00000002") != 200 {
 		t.Error("the new process does not know the engine that was excluded in the old one")
 	}
 	for range 30 {
-		if rows, code, err := fresh.ask(query("lookup", 1000+two.total()+one.total(), "SELECT 4")); rows != 1 || code != 0 || err != nil {
-			t.Fatal(rows, code, err)
-		}
+		requireServed(t, fresh, query("lookup", 1000+two.totalRuns()+one.totalRuns(), "SELECT 4"))
 	}
-	if two.total() == 0 {
+	if two.totalRuns() == 0 {
 		t.Error("the engine got nothing after the word back")
 	}
 	for len(peer.beats) > 0 {
@@ -261,20 +255,20 @@
 }
 
 // Should the new process end first, the old one goes on as before: it accepts, is ready, and can be upgraded. So it does
-// where the door is on the same address in both.
+// where the admin API is on the same address in both.
 func TestSuccessorEnds(t *testing.T) {
-	one := newSlowEngine()
-	f := newFleet(t, one)
-	door := freePort(t)
-	f.start(door)
-	f.ready(door)
-	f.client()
+	one := newBlockingEngine()
+	harness := newRouterHarness(t, one)
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	harness.dial()
 	for round := range 2 {
-		next := f.start(door)
-		// The door is the same for both, so the log of the processes would tell which one answers; the meeting point
+		next := harness.startProcess(adminAddress)
+		// The address is the same for both, so the log of the processes would tell which one answers; the meeting point
 		// does too: the new one has taken it once it can be killed in the old one's place.
-		f.waitFor("the successor's socket", func() bool {
-			paths, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(f.env[1], "TMPDIR="), "wf-????????.sock"))
+		harness.waitFor("the successor's socket", func() bool {
+			paths, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "wf-????????.sock"))
 			if len(paths) != 1 {
 				return false
 			}
@@ -292,14 +286,12 @@
 			})
 			return pid == next.Process.Pid
 		})
-		f.ready(door)
+		harness.waitReady(adminAddress)
 		if err := next.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
 		_ = next.Wait()
-		f.ready(door)
-		if rows, code, err := f.client().ask(query("lookup", 1+round, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-			t.Errorf("round %d, after the successor's end: %d rows, error %d, %v", round, rows, code, err)
-		}
+		harness.waitReady(adminAddress)
+		checkServed(t, harness.dial(), query("lookup", 1+round, "SELECT 1"))
 	}
 }
--- /dev/null
+++ b/internal/node/interleaving_harness_test.go
@@ -0,0 +1,345 @@
+package node
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"windflow/dispatch"
+	"windflow/internal/clock"
+	"windflow/internal/enginehttp"
+	"windflow/internal/mysql"
+	"windflow/internal/netio"
+	"windflow/internal/router"
+)
+
+// This file is the stage of TestEventInterleavings: the real sessions, core, module and engine connections on a clock that the test
+// drives, between stand-ins for clients' and engines' sockets, which hold back each event until the test lets it happen.
+
+const (
+	interleavingDialTimeoutMS = 250.0 // ms
+	interleavingWindow        = 600 * time.Millisecond
+	cancelSlackMS             = 100.0 // a client that has gone gets no attempt this long after
+)
+
+// simulatedConn is a connection to an engine.
+type simulatedConn struct {
+	harness  *interleavingHarness
+	engine   int // as the address says
+	handler  netio.Handler
+	up, shut bool
+	spoilt   bool // it brought what belongs to no call, and must not be used again
+	in       []byte
+	begun    string // the id of a POST of which some has come
+	requests []string
+	unread   []byte // sent by the engine and not yet heard
+}
+
+func (p *simulatedConn) Write(b []byte) error {
+	if p.shut || !p.up {
+		return net.ErrClosed
+	}
+	if p.spoilt {
+		p.harness.fail("written to a connection that brought what belongs to no call: %.40q", b)
+	}
+	if len(p.in) == 0 && bytes.HasPrefix(b, []byte("POST")) {
+		p.begun = header(string(b), "Call-Id")
+		p.harness.checkBegin(p)
+	}
+	p.in = append(p.in, b...)
+	for {
+		head, rest, whole := strings.Cut(string(p.in), "\r\n\r\n")
+		n, _ := strconv.Atoi(header(head, "Content-Length"))
+		if !whole || len(rest) < n {
+			return nil
+		}
+		p.requests = append(p.requests, head)
+		switch post := p.harness.attempt(idOf(head), p.engine); {
+		case strings.HasPrefix(head, "GET"):
+			post.polledAt = p.harness.now.MS
+		case strings.HasPrefix(head, "DELETE"):
+			post.ended = true
+		}
+		p.in = append([]byte(nil), rest[n:]...)
+		if p.begun != "" {
+			p.harness.checkComplete(p)
+			p.begun = ""
+		}
+	}
+}
+
+func (p *simulatedConn) Close() {
+	if !p.shut {
+		p.shut = true
+		p.harness.loop.Post(func() { p.handler.Closed(net.ErrClosed) })
+	}
+}
+func (p *simulatedConn) CloseGracefully()        { p.Close() }
+func (p *simulatedConn) HasUnread() bool         { return len(p.unread) > 0 }
+func (p *simulatedConn) Detach(f func(*os.File)) { f(nil) }
+func (p *simulatedConn) NotifyFlushed(f func())  { f() }
+
+func header(head, name string) string {
+	for line := range strings.SplitSeq(head, "\r\n") {
+		if value, ok := strings.CutPrefix(line, name+": "); ok {
+			return value
+		}
+	}
+	return ""
+}
+
+// simulatedClient is a client's connection, with one request on it.
+type simulatedClient struct {
+	harness       *interleavingHarness
+	handler       netio.Handler
+	id            string
+	class         int
+	session       uint32
+	cancelledAt   float64 // when it left, or cancelled; 0 while it waits
+	shut          bool
+	loggedIn      bool
+	end           float64
+	answers       int
+	answerPackets int // packets of the answer under way
+	buffered      []byte
+	attempts      []*simulatedAttempt
+}
+
+// simulatedAttempt is a POST that has come whole to an engine.
+type simulatedAttempt struct {
+	startedAt, polledAt float64
+	engine              int
+	neverRan            bool // the engine has said that it never ran
+	ended               bool // the engine has none of it any more
+}
+
+// running tells whether the engine may have it under way: it forgets a query that nobody asks for.
+func (p *simulatedAttempt) running(now float64) bool {
+	return !p.ended && !p.neverRan && now < p.polledAt+2000
+}
+
+// attempt is the one of a client's id at an engine.
+func (w *interleavingHarness) attempt(id string, engine int) *simulatedAttempt {
+	if c := w.byID[id]; c != nil {
+		for _, post := range slices.Backward(c.attempts) {
+			if post.engine == engine {
+				return post
+			}
+		}
+	}
+	return &simulatedAttempt{ended: true}
+}
+
+// idOf is the id that a call is about.
+func idOf(head string) string {
+	if id := header(head, "Call-Id"); id != "" {
+		return id
+	}
+	_, path, _ := strings.Cut(head, "/fetch/")
+	return path[:16]
+}
+
+// mayHaveRun is the first attempt that may have run.
+func (c *simulatedClient) mayHaveRun() *simulatedAttempt {
+	for _, post := range c.attempts {
+		if !post.neverRan {
+			return post
+		}
+	}
+	return nil
+}
+
+func (c *simulatedClient) Write(b []byte) error {
+	if c.shut {
+		return net.ErrClosed
+	}
+	c.buffered = append(c.buffered, b...)
+	for len(c.buffered) >= 4 {
+		n := int(c.buffered[0]) | int(c.buffered[1])<<8 | int(c.buffered[2])<<16
+		if len(c.buffered) < 4+n {
+			break
+		}
+		c.packet(c.buffered[4 : 4+n])
+		c.buffered = c.buffered[4+n:]
+	}
+	return nil
+}
+
+// packet counts answers to the query: an error, or a result set, which ends in its second EOF.
+func (c *simulatedClient) packet(body []byte) {
+	switch {
+	case !c.loggedIn:
+		if c.session == 0 && body[0] == 10 {
+			at := bytes.IndexByte(body, 0) + 1
+			c.session = uint32(body[at]) | uint32(body[at+1])<<8 | uint32(body[at+2])<<16 | uint32(body[at+3])<<24
+		}
+	case body[0] == 0xff:
+		c.answers++
+	case body[0] == 0xfe && len(body) < 9:
+		if c.answerPackets++; c.answerPackets == 2 {
+			c.answers, c.answerPackets = c.answers+1, 0
+		}
+	}
+}
+
+func (c *simulatedClient) Close() {
+	if !c.shut {
+		c.shut = true
+		c.harness.loop.Post(func() { c.handler.Closed(net.ErrClosed) })
+	}
+}
+func (c *simulatedClient) CloseGracefully()        { c.Close() }
+func (c *simulatedClient) HasUnread() bool         { return false }
+func (c *simulatedClient) Detach(f func(*os.File)) { f(nil) }
+func (c *simulatedClient) NotifyFlushed(f func())  { f() }
+
+type interleavingHarness struct {
+	t           *rapid.T
+	now         *clock.Manual
+	loop        *router.Loop
+	core        *router.Core
+	engines     *enginehttp.Client
+	front       *mysql.Front
+	conns       []*simulatedConn
+	clients     []*simulatedClient
+	byID        map[string]*simulatedClient
+	closed      map[int]float64 // engines to which nothing new may go, and since when
+	addresses   map[dispatch.EngineID]int
+	cordoned    map[dispatch.EngineID]float64 // since when
+	lastAddress int
+	noHedging   bool // no second copy is allowed
+}
+
+var interleavingClasses = []dispatch.Class{
+	{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+	{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.IdempotentByKey, IdempotencyWindow: interleavingWindow},
+	{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true, Semantics: dispatch.AtMostOnce},
+}
+
+func newInterleavingHarness(t *rapid.T) *interleavingHarness {
+	w := &interleavingHarness{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*simulatedClient{}, closed: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordoned: map[dispatch.EngineID]float64{}}
+	w.loop = router.NewLoop(w.now)
+	log := slog.New(slog.DiscardHandler)
+	clients := &router.ByKind{}
+	w.noHedging = rapid.Bool().Draw(t, "no second copies")
+	core, err := router.New(w.loop, dispatch.Config{
+		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
+		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
+		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second,
+	}, clients, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.core = core
+	w.engines = enginehttp.NewClient(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: interleavingDialTimeoutMS, IdleMS: 8000}, log)
+	clients.Default = w.engines
+	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20}, func() [][2]string { return nil }, log)
+	for id := range 3 {
+		w.updateEndpoint(dispatch.EngineID(id+1), dispatch.Live)
+	}
+	return w
+}
+
+func (w *interleavingHarness) fail(f string, args ...any) { w.t.Fatalf(f, args...) }
+
+func (w *interleavingHarness) run() {
+	for w.loop.Step() {
+	}
+}
+
+func (w *interleavingHarness) wait(ms float64) {
+	for end := w.now.MS + ms; w.now.MS < end; w.now.MS++ {
+		w.run()
+	}
+}
+
+// Dial implements netio.Dialer.
+func (w *interleavingHarness) Dial(addr string, timeout float64, h netio.Handler) netio.Conn {
+	n, _ := strconv.Atoi(addr)
+	p := &simulatedConn{harness: w, engine: n, handler: h}
+	w.conns = append(w.conns, p)
+	w.loop.After(timeout, func() {
+		if !p.up && !p.shut {
+			p.shut = true
+			p.handler.Closed(errors.Join(netio.ErrNotConnected, os.ErrDeadlineExceeded))
+		}
+	})
+	return p
+}
+
+// updateEndpoint tells of an engine; one that comes anew does so at another address.
+func (w *interleavingHarness) updateEndpoint(id dispatch.EngineID, state dispatch.EndpointState) {
+	if state == dispatch.Live && w.addresses[id] == 0 || state == dispatch.Live && w.closed[w.addresses[id]] > 0 {
+		w.lastAddress++
+		w.addresses[id] = w.lastAddress
+	}
+	if state != dispatch.Live {
+		w.closed[w.addresses[id]] = w.now.MS
+	}
+	w.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}}},
+		map[dispatch.EngineID]string{id: strconv.Itoa(w.addresses[id])})
+}
+
+// checkBegin checks a POST whose first byte is written.
+func (w *interleavingHarness) checkBegin(p *simulatedConn) {
+	c := w.byID[p.begun]
+	for id, since := range w.cordoned {
+		if w.addresses[id] == p.engine && w.now.MS > since {
+			w.fail("%s begins at an engine %.0f ms after its ban", c.id, w.now.MS-since)
+		}
+	}
+	switch now := w.now.MS; {
+	case c.cancelledAt > 0 && now > c.cancelledAt+cancelSlackMS:
+		w.fail("%s begins %.0f ms after its client has gone", c.id, now-c.cancelledAt)
+	case c.answers > 0:
+		w.fail("%s begins after its answer", c.id)
+	case w.closed[p.engine] > 0 && now > w.closed[p.engine]:
+		w.fail("%s begins at an engine %.0f ms after word of its end", c.id, now-w.closed[p.engine])
+	case now > c.end:
+		w.fail("%s begins after its end", c.id)
+	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil && now > c.mayHaveRun().startedAt+clock.Millis(interleavingWindow):
+		w.fail("%s begins %.0f ms after its first attempt", c.id, now-c.mayHaveRun().startedAt)
+	}
+}
+
+// checkComplete checks a POST that has come whole.
+func (w *interleavingHarness) checkComplete(p *simulatedConn) {
+	c := w.byID[p.begun]
+	if interleavingClasses[c.class].Semantics == dispatch.AtMostOnce && c.mayHaveRun() != nil {
+		w.fail("load %s has come whole twice", c.id)
+	}
+	for _, post := range c.attempts {
+		if w.noHedging && post.running(w.now.MS) {
+			w.fail("%s has come to engine %d while engine %d may have it", c.id, p.engine, post.engine)
+		}
+		if post.engine == p.engine { // the engine takes it for the same query
+			post.ended = true
+		}
+	}
+	c.attempts = append(c.attempts, &simulatedAttempt{startedAt: w.now.MS, polledAt: w.now.MS, engine: p.engine})
+}
+
+// startRequest has a new client log in and ask.
+func (w *interleavingHarness) startRequest(class int, budget float64) {
+	c := &simulatedClient{harness: w, handler: w.front.NewSession(), class: class, id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget}
+	w.clients = append(w.clients, c)
+	w.byID[c.id] = c
+	c.handler.Opened(c)
+	login := append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...)
+	c.handler.Data(packetOf(1, login), w.now.MS)
+	c.loggedIn = true
+	c.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "/* method=%s,rid=%s,budget=%.0f */ SELECT 1 FROM a_%d.b", interleavingClasses[class].Name, c.id, budget, class)), w.now.MS)
+}
+
+func packetOf(seq byte, body []byte) []byte {
+	return append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...)
+}
--- /dev/null
+++ b/internal/node/interleaving_test.go
@@ -0,0 +1,273 @@
+package node
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"strings"
+	"syscall"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"windflow/dispatch"
+	"windflow/internal/netio"
+)
+
+// In any order of what clients, engines, lists and clocks do, each request gets one answer, nothing begins for a client that
+// has gone, at an engine that nothing new may go to, past a window or an end, no load runs twice, no connection that is spoilt
+// is used again, and nothing is left behind. The real sessions, core, module and engine connections run here; each event
+// happens when the draw says so, none by a race.
+func TestEventInterleavings(t *testing.T) {
+	// The draws are the same in every run, unless the command line says otherwise.
+	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "1500", "rapid.steps": "80"} {
+		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
+			if err := flag.Set(name, value); err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = flag.Set(name, f.DefValue) }()
+		}
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		w := newInterleavingHarness(t)
+		w.run()
+		t.Repeat(map[string]func(*rapid.T){
+			"ask":          func(t *rapid.T) { w.clientAsks(t) },
+			"ask again":    func(t *rapid.T) { w.clientAsks(t) },
+			"client":       func(t *rapid.T) { w.clientCancels(t) },
+			"dial":         func(t *rapid.T) { w.dialCompletes(t) },
+			"engine":       func(t *rapid.T) { w.engineActs(t) },
+			"engine again": func(t *rapid.T) { w.engineActs(t) },
+			"list":         func(t *rapid.T) { w.endpointsChange(t) },
+			"ban":          func(t *rapid.T) { w.operatorCordons(t) },
+			"wait":         func(t *rapid.T) { w.wait(float64(rapid.SampledFrom([]int{1, 11, 60, 130, 260, 700}).Draw(t, "ms"))) },
+			"":             func(*rapid.T) { w.checkAnswers(false) },
+		})
+		w.wait(9000)
+		w.checkAnswers(true)
+		for _, c := range w.clients {
+			if !c.shut {
+				c.shut = true
+				c.handler.Closed(errors.New("closed by the client"))
+			}
+		}
+		w.wait(12_000)
+		w.checkNothingLeft()
+	})
+}
+
+func (w *interleavingHarness) clientAsks(t *rapid.T) {
+	w.startRequest(rapid.IntRange(0, len(interleavingClasses)-1).Draw(t, "class"), float64(rapid.SampledFrom([]int{200, 900, 4000}).Draw(t, "budget")))
+	w.runOrBatch(t)
+}
+
+// runOrBatch lets the loop run, or leaves what has come for one batch with what comes next.
+func (w *interleavingHarness) runOrBatch(t *rapid.T) {
+	if rapid.Bool().Draw(t, "at once") {
+		w.run()
+	}
+}
+
+// clientCancels has a client that waits close, or cancel on another session.
+func (w *interleavingHarness) clientCancels(t *rapid.T) {
+	var wait []*simulatedClient
+	for _, c := range w.clients {
+		if !c.shut && c.cancelledAt == 0 && c.answers == 0 {
+			wait = append(wait, c)
+		}
+	}
+	if len(wait) == 0 {
+		return
+	}
+	c := rapid.SampledFrom(wait).Draw(t, "client")
+	c.cancelledAt = w.now.MS
+	if rapid.Bool().Draw(t, "closes") {
+		c.shut = true
+		w.loop.Post(func() { c.handler.Closed(errors.New("closed by the client")) })
+	} else {
+		w.loop.Post(func() {
+			k := &simulatedClient{harness: w, handler: w.front.NewSession()}
+			k.handler.Opened(k)
+			k.handler.Data(packetOf(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00"...)...)), w.now.MS)
+			k.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "KILL QUERY %d", c.session)), w.now.MS)
+			k.Close()
+		})
+	}
+	w.runOrBatch(t)
+}
+
+// dialCompletes has a connection come up, or be refused.
+func (w *interleavingHarness) dialCompletes(t *rapid.T) {
+	var dials []*simulatedConn
+	for _, p := range w.conns {
+		if !p.up && !p.shut {
+			dials = append(dials, p)
+		}
+	}
+	if len(dials) == 0 {
+		return
+	}
+	p := rapid.SampledFrom(dials).Draw(t, "dial")
+	refused := rapid.IntRange(0, 4).Draw(t, "refused") == 0
+	w.loop.Post(func() {
+		switch {
+		case p.shut || p.up: // that has been decided
+		case refused:
+			p.shut = true
+			for _, c := range w.clients { // nobody runs there
+				for _, post := range c.attempts {
+					post.ended = post.ended || post.engine == p.engine
+				}
+			}
+			p.handler.Closed(errors.Join(netio.ErrNotConnected, syscall.ECONNREFUSED))
+		default:
+			p.up = true
+			p.handler.Opened(p)
+		}
+	})
+	w.runOrBatch(t)
+}
+
+const good = "HTTP/1.1 200 OK\r\nX-Parts: 1\r\nX-Cpu-Ms: 5\r\nContent-Length: 6\r\n\r\n1\t2\t3\n"
+
+// engineActs has an engine answer what it was asked, well or not, or do something on a connection that rests.
+func (w *interleavingHarness) engineActs(t *rapid.T) {
+	var open []*simulatedConn
+	for _, p := range w.conns {
+		if p.up && !p.shut {
+			open = append(open, p)
+		}
+	}
+	if len(open) == 0 {
+		return
+	}
+	p := rapid.SampledFrom(open).Draw(t, "connection")
+	if len(p.requests) == 0 {
+		switch rapid.IntRange(0, 5).Draw(t, "on a resting connection") {
+		case 0:
+			w.close(p)
+		case 1:
+			if p.begun == "" {
+				w.engineSends(p, "HTTP/1.1 20", true)
+			}
+		}
+		w.runOrBatch(t)
+		return
+	}
+	head := p.requests[0]
+	p.requests = p.requests[1:]
+	if strings.HasPrefix(head, "DELETE") || strings.HasPrefix(head, "PUT") {
+		if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+			w.close(p)
+		} else {
+			w.engineSends(p, "HTTP/1.1 204 No Content\r\n\r\n", false)
+		}
+		w.runOrBatch(t)
+		return
+	}
+	post := w.attempt(idOf(head), p.engine)
+	switch rapid.SampledFrom([]string{"good", "good", "later", "later", "full", "error", "reset", "half", "second", "noise", "silent"}).Draw(t, "answer") {
+	case "good":
+		post.ended = true
+		w.engineSends(p, good, false)
+	case "later":
+		w.engineSends(p, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", false)
+	case "full":
+		proof := ""
+		if post.ended = true; strings.HasPrefix(head, "POST") {
+			post.neverRan, proof = true, "Not-Begun: 1\r\n"
+		}
+		w.engineSends(p, "HTTP/1.1 503 Full\r\n"+proof+"Content-Length: 0\r\n\r\n", false)
+	case "error":
+		post.ended = true
+		w.engineSends(p, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n", false)
+	case "reset":
+		w.close(p)
+	case "half":
+		post.ended = true
+		w.engineSends(p, good[:30], false)
+		w.close(p)
+	case "second":
+		post.ended = true
+		w.engineSends(p, good, false)
+		w.engineSends(p, good, true)
+	case "noise":
+		w.engineSends(p, "no engine says that\r\n\r\n", true)
+	}
+	w.runOrBatch(t)
+}
+
+// engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once it is heard.
+func (w *interleavingHarness) engineSends(p *simulatedConn, text string, stray bool) {
+	p.unread = append(p.unread, text...)
+	w.loop.Post(func() {
+		p.unread = p.unread[len(text):]
+		if !p.shut {
+			p.handler.Data([]byte(text), w.now.MS)
+			p.spoilt = p.spoilt || stray
+		}
+	})
+}
+
+func (w *interleavingHarness) close(p *simulatedConn) {
+	w.loop.Post(func() {
+		if !p.shut {
+			p.shut = true
+			p.handler.Closed(syscall.ECONNRESET)
+		}
+	})
+}
+
+// endpointsChange has a list say that an engine drains, is gone, or is there.
+func (w *interleavingHarness) endpointsChange(t *rapid.T) {
+	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
+	state := rapid.SampledFrom([]dispatch.EndpointState{dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Removed}).Draw(t, "state")
+	w.loop.Post(func() { w.updateEndpoint(id, state) })
+	w.runOrBatch(t)
+}
+
+// operatorCordons has an operator exclude an engine, or include it again; it counts from the moment of the answer.
+func (w *interleavingHarness) operatorCordons(t *rapid.T) {
+	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
+	exclude := rapid.Bool().Draw(t, "exclude")
+	w.loop.Post(func() {
+		if !exclude {
+			delete(w.cordoned, id)
+			w.core.Uncordon(id)
+		} else if w.core.Cordon(id) {
+			w.cordoned[id] = w.now.MS
+		}
+	})
+	w.runOrBatch(t)
+}
+
+// checkAnswers holds every client's answers; late says that all time is up.
+func (w *interleavingHarness) checkAnswers(late bool) {
+	for _, c := range w.clients {
+		if c.answers > 1 {
+			w.fail("%s has %d answers", c.id, c.answers)
+		}
+		if c.cancelledAt == 0 && c.answers == 0 && (late || w.now.MS > c.end+20 && !w.loop.Step()) {
+			w.run()
+			if c.answers == 0 {
+				w.fail("%s has no answer %.0f ms after its end", c.id, w.now.MS-c.end)
+			}
+		}
+	}
+}
+
+// checkNothingLeft holds that nothing is left once all have gone.
+func (w *interleavingHarness) checkNothingLeft() {
+	open := 0
+	for _, p := range w.conns {
+		if !p.shut {
+			open++
+		}
+	}
+	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.engines.ConnCount() > 0 {
+		w.fail("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.engines.ConnCount())
+	}
+	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that is spent
+		w.fail("%d timers are left", n)
+	}
+}
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -15,73 +14,45 @@
 	"windflow/internal/decide/configlog"
 )
 
-// keepersFleet is a fleet whose routers follow keepers.
-type keepersFleet struct {
-	*fleet
-	own string // path of the installation's settings
-	dir string // of the copies
+// keeperHarness is a fleet whose routers follow keepers.
+type keeperHarness struct {
+	*routerHarness
+	settingsPath string // path of the installation's settings
+	copyDir      string // of the copies
 }
 
-func newKeepersFleet(t *testing.T, addrs ...string) *keepersFleet {
+func newKeeperHarness(t *testing.T, addrs ...string) *keeperHarness {
 	t.Helper()
-	f := &keepersFleet{fleet: newFleet(t, newSlowEngine(), newSlowEngine()), dir: t.TempDir()}
-	f.own = filepath.Join(filepath.Dir(f.config), "windflow.json")
-	f.follow(addrs...)
-	f.env = append(f.env, "WINDFLOW_TEST_ROUTER=settings="+f.own)
-	return f
+	h := &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine()), copyDir: t.TempDir()}
+	h.settingsPath = filepath.Join(filepath.Dir(h.config), "windflow.json")
+	h.configureKeepers(addrs...)
+	h.env = append(h.env, "WINDFLOW_TEST_ROUTER=settings="+h.settingsPath)
+	return h
 }
 
-// follow writes which keepers are to be followed.
-func (f *keepersFleet) follow(addrs ...string) {
-	f.t.Helper()
+// configureKeepers writes which keepers are to be followed.
+func (h *keeperHarness) configureKeepers(addrs ...string) {
+	h.t.Helper()
 	list, err := json.Marshal(addrs)
 	if err == nil {
-		err = os.WriteFile(f.own, fmt.Appendf(nil, `{"keepers": {"addresses": %s, "dir": %q, "hold_ms": 1000}}`, list, f.dir), 0o600)
+		err = os.WriteFile(h.settingsPath, fmt.Appendf(nil, `{"keepers": {"addresses": %s, "dir": %q, "hold_ms": 1000}}`, list, h.copyDir), 0o600)
 	}
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-// figure gives a figure of the door, -1 where it is not there.
-func (f *keepersFleet) figure(door, name string) int {
-	f.t.Helper()
-	answer, err := http.Get("http://" + door + "/api/telemetry")
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		var n int
-		if _, err := fmt.Sscanf(line, name+":%d|g", &n); err == nil {
-			return n
-		}
-	}
-	return -1
-}
-
-const (
-	revisionFigure = "svc.configuration_revision"
-	refusedFigure  = "svc.configuration_refused"
-)
-
-// serves tells whether requests are served.
-func (f *keepersFleet) serves(id int) {
-	f.t.Helper()
-	c := f.client()
-	if rows, code, err := c.ask(query("lookup", id, "SELECT 1")); rows != 1 || code != 0 || err != nil {
-		f.t.Error(rows, code, err)
-	}
+// requireServing tells whether requests are served.
+func (h *keeperHarness) requireServing(id int) {
+	h.t.Helper()
+	c := h.dial()
+	checkServed(h.t, c, query("lookup", id, "SELECT 1"))
 }
 
 // boardAt waits until a router follows a board, which only one with that configuration does.
 func boardAt(t *testing.T) (addr string, reached func()) {
 	t.Helper()
-	addr, links := listenBoard(t)
+	addr, links := listenDiscovery(t)
 	return addr, func() {
 		t.Helper()
 		l := <-links
@@ -93,45 +64,45 @@
 // former one stays; the next good one is in force again.
 func TestRevisionInForce(t *testing.T) {
 	k := keepertest.New(t)
-	f := newKeepersFleet(t, k.Addr())
-	door := freePort(t)
-	f.start(door)
-	f.ready(door)
-	if got := f.figure(door, revisionFigure); got != 0 {
+	harness := newKeeperHarness(t, k.Addr())
+	adminAddress := freePort(t)
+	harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	if got := harness.figure(adminAddress, revisionFigure); got != 0 {
 		t.Errorf("at the start revision %d", got)
 	}
 	addr, reached := boardAt(t)
 	first := k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
 	k.WaitForRevision(first)
 	reached()
-	f.serves(1)
+	harness.requireServing(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
 	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if said.Revision != first || said.Rejected.Revision != bad || said.Rejected.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
-	if a, b := f.figure(door, revisionFigure), f.figure(door, refusedFigure); a != int(first) || b != int(bad) {
+	if a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure); a != int(first) || b != int(bad) {
 		t.Errorf("in force %d, refused %d", a, b)
 	}
-	f.serves(2)
+	harness.requireServing(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
 	if said := k.WaitForRevision(last); said.Rejected != nil || said.Name != "n0" {
 		t.Errorf("%+v", said)
 	}
-	if a, b := f.figure(door, revisionFigure), f.figure(door, refusedFigure); a != int(last) || b != 0 {
+	if a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure); a != int(last) || b != 0 {
 		t.Errorf("in force %d, refused %d", a, b)
 	}
-	f.serves(3)
+	harness.requireServing(3)
 }
 
 // A router reads its own file again while revisions come: the entries in force stay laid over it, and a file that does not fit
 // with them is refused while what was in force stays.
-func TestReloadAmidRevisions(t *testing.T) {
+func TestReloadWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
-	f := newKeepersFleet(t, k.Addr())
-	door := freePort(t)
-	p := f.start(door)
-	f.ready(door)
+	harness := newKeeperHarness(t, k.Addr())
+	adminAddress := freePort(t)
+	p := harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
 	hup := func() {
 		t.Helper()
 		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
@@ -142,19 +113,19 @@
 	addr, reached := boardAt(t)
 	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
-	elsewhere, links := listenBoard(t)
+	elsewhere, links := listenDiscovery(t)
 	var last uint64
 	for i := range 20 {
 		last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+1)})
 		if i%4 == 0 {
-			f.edit(func(s string) string { return strings.Replace(s, `"memory_mb":1`, `"memory_mb":11`, 1) })
+			harness.editConfig(func(s string) string { return strings.Replace(s, `"memory_mb":1`, `"memory_mb":11`, 1) })
 			hup()
 		}
 	}
 	k.WaitForRevision(last)
 	// A file that has no class for the entry does not fit.
 	k.WaitForRevision(k.Change(map[string]string{"/settings/classes/1/credit": "9"}))
-	text, err := os.ReadFile(f.config)
+	text, err := os.ReadFile(harness.config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +138,7 @@
 	s["specifics"] = map[string]any{}
 	doc["board"] = elsewhere
 	text, _ = json.Marshal(doc)
-	f.edit(func(string) string { return string(text) })
+	harness.editConfig(func(string) string { return string(text) })
 	hup()
 	// It is refused: revisions go on over the file that was in force, which has two classes.
 	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
@@ -179,33 +150,33 @@
 	hup()
 	l := <-links
 	_ = l.Close()
-	f.serves(1)
+	harness.requireServing(1)
 }
 
 // A router that starts without its folder, or with a copy that is a thousand revisions old, has the latest one before it is ready.
-func TestRestartFarBehind(t *testing.T) {
+func TestStartManyRevisionsBehind(t *testing.T) {
 	k := keepertest.New(t)
-	f := newKeepersFleet(t, k.Addr())
+	harness := newKeeperHarness(t, k.Addr())
 	for i := range 5 {
 		k.Change(map[string]string{fmt.Sprintf("/settings/parties/t%d", i): `{"quota-rps":5}`})
 	}
 	var last uint64 = 5
 	for round := range 3 {
-		door := freePort(t)
-		p := f.start(door)
-		f.ready(door)
-		if got := f.figure(door, revisionFigure); got != int(last) {
+		adminAddress := freePort(t)
+		p := harness.startProcess(adminAddress)
+		harness.waitReady(adminAddress)
+		if got := harness.figure(adminAddress, revisionFigure); got != int(last) {
 			t.Errorf("round %d: revision %d is in force where clients come, of %d", round, got, last)
 		}
 		k.WaitForRevision(last)
-		f.serves(round + 1)
+		harness.requireServing(round + 1)
 		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.Wait(); err != nil {
 			t.Error(err)
 		}
-		copies, _ := filepath.Glob(filepath.Join(f.dir, "*.revision"))
+		copies, _ := filepath.Glob(filepath.Join(harness.copyDir, "*.revision"))
 		if len(copies) != 1 {
 			t.Fatalf("copies: %v", copies)
 		}
@@ -213,7 +184,7 @@
 			for i := range 1000 {
 				last = k.Change(map[string]string{fmt.Sprintf("/settings/parties/t%d", i%50): fmt.Sprintf(`{"quota-rps":%d}`, i+1)})
 			}
-		} else if err := os.RemoveAll(f.dir); err != nil {
+		} else if err := os.RemoveAll(harness.copyDir); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -226,28 +197,28 @@
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
-	f := newKeepersFleet(t, k.Addr())
+	harness := newKeeperHarness(t, k.Addr())
 	rev := k.Change(map[string]string{"/settings/over-share-worth": "0.5"})
 	for _, how := range []struct {
 		name    string
 		keepers []string
 		want    uint64
 	}{{"a keeper", []string{k.Addr()}, rev}, {"a copy", []string{silent.Addr(), freePort(t)}, rev}, {"nothing", []string{silent.Addr()}, 0}} {
-		f.follow(how.keepers...)
+		harness.configureKeepers(how.keepers...)
 		if how.want == 0 {
-			if err := os.RemoveAll(f.dir); err != nil {
+			if err := os.RemoveAll(harness.copyDir); err != nil {
 				t.Fatal(err)
 			}
 		}
-		door := freePort(t)
-		p := f.start(door)
-		f.ready(door)
-		if got := f.figure(door, revisionFigure); got != int(how.want) {
+		adminAddress := freePort(t)
+		p := harness.startProcess(adminAddress)
+		harness.waitReady(adminAddress)
+		if got := harness.figure(adminAddress, revisionFigure); got != int(how.want) {
 			t.Errorf("%s: revision %d", how.name, got)
 		}
-		f.serves(1)
+		harness.requireServing(1)
 		if how.want == 0 { // keepers come back: a SIGHUP tells of another address
-			f.follow(k.Addr())
+			harness.configureKeepers(k.Addr())
 			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
@@ -265,32 +236,32 @@
 // A router that knows no keepers has its own file in force, and no figure of a revision, beside one that follows them.
 func TestRouterWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
-	f, plain := newKeepersFleet(t, k.Addr()), &keepersFleet{fleet: newFleet(t, newSlowEngine(), newSlowEngine())}
-	doorA, doorB := freePort(t), freePort(t)
-	f.start(doorA)
-	plain.start(doorB)
-	f.ready(doorA)
-	plain.ready(doorB)
+	harness, plain := newKeeperHarness(t, k.Addr()), &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
+	oldAdmin, newAdmin := freePort(t), freePort(t)
+	harness.startProcess(oldAdmin)
+	plain.startProcess(newAdmin)
+	harness.waitReady(oldAdmin)
+	plain.waitReady(newAdmin)
 	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
-	if a, b := f.figure(doorA, revisionFigure), plain.figure(doorB, revisionFigure); a != 1 || b != -1 {
+	if a, b := harness.figure(oldAdmin, revisionFigure), plain.figure(newAdmin, revisionFigure); a != 1 || b != -1 {
 		t.Errorf("revisions %d and %d", a, b)
 	}
-	f.serves(1)
-	plain.serves(1)
+	harness.requireServing(1)
+	plain.requireServing(1)
 }
 
 // An upgrade while revisions arrive: the new process is ready with no earlier revision than the old one had, also where it
 // reaches no keeper itself, and both obey the same one in the end.
-func TestUpgradeWhileRevisionsArrive(t *testing.T) {
+func TestHotRestartWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
-	f := newKeepersFleet(t, k.Addr())
-	doorA, doorB := freePort(t), freePort(t)
-	old := f.start(doorA)
-	f.ready(doorA)
+	harness := newKeeperHarness(t, k.Addr())
+	oldAdmin, newAdmin := freePort(t), freePort(t)
+	old := harness.startProcess(oldAdmin)
+	harness.waitReady(oldAdmin)
 	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
 	// The new one knows a keeper only that is not there.
-	f.dir = t.TempDir() // nor the copy
-	f.follow(freePort(t))
+	harness.copyDir = t.TempDir() // nor the copy
+	harness.configureKeepers(freePort(t))
 	burst := make(chan uint64, 1)
 	go func() {
 		var last uint64
@@ -299,22 +270,22 @@
 		}
 		burst <- last
 	}()
-	before := f.figure(doorA, revisionFigure)
-	f.start(doorB)
-	f.ready(doorB)
-	if got := f.figure(doorB, revisionFigure); got < before || before == 0 {
+	before := harness.figure(oldAdmin, revisionFigure)
+	harness.startProcess(newAdmin)
+	harness.waitReady(newAdmin)
+	if got := harness.figure(newAdmin, revisionFigure); got < before || before == 0 {
 		t.Errorf("the new process accepts at revision %d, the old one was at %d before", got, before)
 	}
 	last := <-burst
 	k.WaitForRevision(last) // in the old one
-	f.waitFor("both obey the same revision", func() bool {
-		return f.figure(doorB, revisionFigure) == int(last) && f.figure(doorA, revisionFigure) == int(last)
+	harness.waitFor("both obey the same revision", func() bool {
+		return harness.figure(newAdmin, revisionFigure) == int(last) && harness.figure(oldAdmin, revisionFigure) == int(last)
 	})
-	f.serves(1)
+	harness.requireServing(1)
 	// The new one alone goes on from there.
-	f.end(old)
-	if got := f.figure(doorB, revisionFigure); got != int(last) {
+	harness.terminate(old)
+	if got := harness.figure(newAdmin, revisionFigure); got != int(last) {
 		t.Errorf("alone at revision %d", got)
 	}
-	f.serves(2)
+	harness.requireServing(2)
 }
--- a/internal/node/bounds_test.go
+++ b/internal/node/limits_test.go
@@ -9,7 +9,7 @@
 
 // What the parts may hold stays within the descriptors, however few there are, and for two processes of one router
 // together. It guards against a small limit that was once taken for none, and against an upgrade that doubles all.
-func TestBoundsFitTheDescriptors(t *testing.T) {
+func TestLimitsFitDescriptors(t *testing.T) {
 	for _, sockets := range []int{96, 128, 192, 256, 384, 1024} {
 		cfg := &settings.Node{}
 		cfg.Limits.Sockets, cfg.Limits.MemoryMB = sockets, 64
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -6,14 +6,12 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"github.com/apache/arrow-go/v18/arrow"
 	"github.com/apache/arrow-go/v18/arrow/array"
@@ -31,22 +29,22 @@
 	"windflow/internal/settings"
 )
 
-// ledger counts what the stand-in engines ran, by request.
-type ledger struct {
-	mu   sync.Mutex
-	runs map[string]int
-	by   map[string]int // by kind of engine
+// executionLog counts what the stand-in engines ran, by request.
+type executionLog struct {
+	mu     sync.Mutex
+	runs   map[string]int
+	byKind map[string]int // by kind of engine
 }
 
-func (l *ledger) ran(id, kind string) {
+func (l *executionLog) add(id, kind string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
-	l.by[kind]++
+	l.byKind[kind]++
 }
 
-// fetchEngine is a stand-in that speaks fetch: 200 at once, three pages.
-func fetchEngine(l *ledger) http.Handler {
+// newHTTPEngine is a stand-in that speaks fetch: 200 at once, three pages.
+func newHTTPEngine(l *executionLog) http.Handler {
 	mux := http.NewServeMux()
 	page := func(id string, n int) string { return strings.Repeat(fmt.Sprintf("%s\t%d\tx\n", id, n), 20) }
 	mux.HandleFunc("POST /fetch", func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +57,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		l.ran(id, "fetch")
+		l.add(id, "fetch")
 		w.Header().Set("X-Parts", "3")
 		fmt.Fprint(w, page(id, 0))
 	})
@@ -86,7 +84,7 @@
 // flightEngine is a stand-in that speaks Flight SQL: three batches for a query, a count for an update.
 type flightEngine struct {
 	fsql.BaseServer
-	l *ledger
+	executions *executionLog
 }
 
 func incoming(ctx context.Context, name string) string {
@@ -110,7 +108,7 @@
 	<-chan flight.StreamChunk, error,
 ) {
 	id := string(cmd.GetStatementHandle())
-	e.l.ran(id, "flight")
+	e.executions.add(id, "flight")
 	schema := arrow.NewSchema([]arrow.Field{
 		{Name: "id", Type: arrow.BinaryTypes.String},
 		{Name: "n", Type: arrow.PrimitiveTypes.Int64},
@@ -134,41 +132,10 @@
 		_ = grpc.SetTrailer(ctx, metadata.Pairs("not-begun", "1"))
 		return 0, status.Error(codes.ResourceExhausted, "full")
 	}
-	e.l.ran(id, "flight")
+	e.executions.add(id, "flight")
 	return 7, nil
 }
 
-// noticeBoard is a stand-in that has nothing new to tell.
-func noticeBoard(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				if _, err := io.ReadFull(c, make([]byte, 8)); err != nil {
-					return
-				}
-				for {
-					if _, err := c.Write([]byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 1, 0}); err != nil {
-						return
-					}
-					time.Sleep(500 * time.Millisecond)
-				}
-			}()
-		}
-	}()
-	return l.Addr().String()
-}
-
 const mixedSettings = `{"balancers":1,"classes":[
  {"name":"lookup","goal-time-ns":1000000000,"deadline-ns":5000000000,"semantics":"idempotent"},
  {"name":"load","goal-time-ns":3000000000,"deadline-ns":25000000000,"semantics":"at_most_once"}],
@@ -179,20 +146,20 @@
  "specifics":{"cores-by-kind":[8,8],"kind-memory-mb":[16384,16384],"width-by-class":[1,2],
   "class-load":[false,true],"yields-to-loads":[true,false],"priorities":true,"grants-count":true}}`
 
-// startNode runs a router in this process against two engines of either kind.
-func startNode(t *testing.T, l *ledger, kills *atomic.Int64) *node {
+// startMixedRouter runs a router in this process against two engines of either kind.
+func startMixedRouter(t *testing.T, l *executionLog, kills *atomic.Int64) *node {
 	t.Helper()
 	var members []string
 	for i := range 4 {
-		kind, lis := "std", listenFragile(t, uint64(i)+100, kills)
+		kind, lis := "std", listenUnreliable(t, uint64(i)+100, kills)
 		if i%2 == 0 {
-			s := &http.Server{Handler: fetchEngine(l)}
+			s := &http.Server{Handler: newHTTPEngine(l)}
 			go func() { _ = s.Serve(lis) }()
 			t.Cleanup(func() { _ = s.Close() })
 		} else {
 			kind = "arrow"
 			s := grpc.NewServer()
-			flight.RegisterFlightServiceServer(s, fsql.NewFlightServer(&flightEngine{l: l}))
+			flight.RegisterFlightServiceServer(s, fsql.NewFlightServer(&flightEngine{executions: l}))
 			go func() { _ = s.Serve(lis) }()
 			t.Cleanup(s.Stop)
 		}
@@ -206,16 +173,16 @@
 // startRouter runs a router in this process with those members of the list, and ends it with the test.
 func startRouter(t *testing.T, members []string) *node {
 	t.Helper()
-	return startWith(t, members, mixedSettings)
+	return startRouterWith(t, members, mixedSettings)
 }
 
-// startWith runs a router in this process, by the platform's settings that are given.
-func startWith(t *testing.T, members []string, platform string) *node {
+// startRouterWith runs a router in this process, by the platform's settings that are given.
+func startRouterWith(t *testing.T, members []string, platform string) *node {
 	t.Helper()
 	cfg, err := settings.ParseNode(fmt.Appendf(nil,
 		`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 		"board":"%s","known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[%s]}}]},
-		"settings":%s}`, noticeBoard(t), strings.Join(members, ","), platform))
+		"settings":%s}`, startIdleDiscovery(t), strings.Join(members, ","), platform))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,9 +209,9 @@
 // answer, whole or an error, and each load must have run at most once.
 func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
 	const workers, each = 6, 25
-	book := &ledger{runs: map[string]int{}, by: map[string]int{}}
+	book := &executionLog{runs: map[string]int{}, byKind: map[string]int{}}
 	var kills atomic.Int64
-	n := startNode(t, book, &kills)
+	n := startMixedRouter(t, book, &kills)
 
 	var mu sync.Mutex
 	answers, loads := map[string]int{}, map[string]bool{}
@@ -280,7 +247,7 @@
 				t.Error("mysql:", err)
 				return
 			}
-			defer c.c.Close()
+			defer c.conn.Close()
 			for i, id := range idsA {
 				class := map[bool]string{true: "load", false: "lookup"}[loadA[i]]
 				rows, code, err := c.ask(fmt.Sprintf("/* method=%s,rid=%s,budget=20000 */ SELECT 1 FROM s_%d.t",
@@ -335,9 +302,9 @@
 		}
 	}
 	// The test shows something only if both fronts, both kinds of engine and the kills had their part.
-	if served["mysql"] == 0 || served["flight"] == 0 || book.by["fetch"] == 0 || book.by["flight"] == 0 ||
+	if served["mysql"] == 0 || served["flight"] == 0 || book.byKind["fetch"] == 0 || book.byKind["flight"] == 0 ||
 		kills.Load() == 0 {
-		t.Errorf("served %v, ran %v, %d connections killed: some part was not met", served, book.by, kills.Load())
+		t.Errorf("served %v, ran %v, %d connections killed: some part was not met", served, book.byKind, kills.Load())
 	}
 	counts := make(chan [2]int64)
 	n.loop.Post(func() {
--- a/internal/node/mysql_client_test.go
+++ b/internal/node/mysql_client_test.go
@@ -3,15 +3,17 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"testing"
 )
 
 // mysqlClient is a bare client of the MySQL protocol.
 type mysqlClient struct {
-	c net.Conn
-	r *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 func dialMySQL(addr string) (*mysqlClient, error) {
@@ -19,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &mysqlClient{c: c, r: bufio.NewReader(c)}
+	m := &mysqlClient{conn: c, reader: bufio.NewReader(c)}
 	if err := m.login(); err != nil {
 		return nil, err
 	}
@@ -40,17 +42,17 @@
 }
 
 func (m *mysqlClient) write(seq byte, body []byte) error {
-	_, err := m.c.Write(append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...))
+	_, err := m.conn.Write(append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...))
 	return err
 }
 
 func (m *mysqlClient) packet() ([]byte, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(m.r, head[:]); err != nil {
+	if _, err := io.ReadFull(m.reader, head[:]); err != nil {
 		return nil, err
 	}
 	body := make([]byte, int(head[0])|int(head[1])<<8|int(head[2])<<16)
-	_, err := io.ReadFull(m.r, body)
+	_, err := io.ReadFull(m.reader, body)
 	return body, err
 }
 
@@ -87,8 +89,42 @@
 		return err
 	}
 	p, err := m.packet()
-	if err == nil && (p[0] != 0 || m.r.Buffered() > 0) {
-		err = fmt.Errorf("% x and %d bytes came instead of one OK", p[:min(len(p), 8)], m.r.Buffered())
+	if err == nil && (p[0] != 0 || m.reader.Buffered() > 0) {
+		err = fmt.Errorf("% x and %d bytes came instead of one OK", p[:min(len(p), 8)], m.reader.Buffered())
 	}
 	return err
 }
+
+// requireServed sends a query and ends the test unless one row is the whole answer.
+func requireServed(t *testing.T, c *mysqlClient, query string) {
+	t.Helper()
+	if rows, code, err := c.ask(query); rows != 1 || code != 0 || err != nil {
+		t.Fatalf("%s: %d rows, error %d, %v", query, rows, code, err)
+	}
+}
+
+// checkServed sends a query and fails the test unless one row is the whole answer.
+func checkServed(t *testing.T, c *mysqlClient, query string) {
+	t.Helper()
+	if err := c.write(0, append([]byte{3}, query...)); err != nil {
+		t.Error(query, err)
+		return
+	}
+	checkServedAnswer(t, c, query)
+}
+
+// checkServedAnswer fails the test unless one row is the whole answer to the query that was sent.
+func checkServedAnswer(t *testing.T, c *mysqlClient, what string) {
+	t.Helper()
+	if rows, code, err := c.answer(); rows != 1 || code != 0 || err != nil {
+		t.Errorf("%s: %d rows, error %d, %v", what, rows, code, err)
+	}
+}
+
+// checkClosed fails the test unless the connection ends in order, with nothing unread.
+func checkClosed(t *testing.T, name string, c *mysqlClient) {
+	t.Helper()
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("%s: %v, want the end", name, err)
+	}
+}
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
-	"io"
 	"net"
 	"syscall"
 	"testing"
@@ -12,30 +10,30 @@
 // Requests that come in pieces over the moment in which the router is told to end, on a connection that has rested, on one that
 // has just been accepted, and half before it and half after, are answered while it drains; then all hear the end in order.
 // It guards against a request that is lost, or a connection that is reset, since its bytes crossed the signal.
-func TestPiecesAcrossTheEnd(t *testing.T) {
-	engine := newSlowEngine()
-	f := newFleet(t, engine)
-	door := freePort(t)
-	p := f.start(door)
-	f.ready(door)
-	holds, rests, half := f.client(), f.client(), f.client()
+func TestPartialPacketsAcrossShutdown(t *testing.T) {
+	engine := newBlockingEngine()
+	harness := newRouterHarness(t, engine)
+	adminAddress := freePort(t)
+	p := harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	holds, rests, half := harness.dial(), harness.dial(), harness.dial()
 	if err := holds.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
 		t.Fatal(err)
 	}
 	<-engine.started
-	accepted, err := net.Dial("tcp", f.clients.Addr().String())
+	accepted, err := net.Dial("tcp", harness.clientListener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	fresh := &mysqlClient{c: accepted, r: bufio.NewReader(accepted)}
+	fresh := &mysqlClient{conn: accepted, reader: bufio.NewReader(accepted)}
 	if _, err := fresh.packet(); err != nil { // its greeting: it is accepted, and has said nothing
 		t.Fatal(err)
 	}
 	pieces := func(c *mysqlClient, b []byte, size int) {
 		t.Helper()
 		for ; len(b) > 0; b = b[min(size, len(b)):] {
-			if _, err := c.c.Write(b[:min(size, len(b))]); err != nil {
+			if _, err := c.conn.Write(b[:min(size, len(b))]); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -49,7 +47,7 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	f.waitFor("it drains", func() bool { return f.call("GET", door, "/api/ready") != 200 })
+	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	pieces(half, split[9:], 7)
 	pieces(rests, packet(3), 1)
 	if err := fresh.login(); err != nil {
@@ -60,18 +58,12 @@
 	}
 	pieces(fresh, packet(4), 2)
 	for name, c := range map[string]*mysqlClient{"half before": half, "rested": rests, "just accepted": fresh} {
-		if rows, code, err := c.answer(); rows != 1 || code != 0 || err != nil {
-			t.Errorf("%s: %d rows, error %d, %v", name, rows, code, err)
-		}
+		checkServedAnswer(t, c, name)
 	}
 	close(engine.released)
-	if rows, code, err := holds.answer(); rows != 1 || code != 0 || err != nil {
-		t.Error("the one that ran:", rows, code, err)
-	}
+	checkServedAnswer(t, holds, "the one that ran:")
 	for name, c := range map[string]*mysqlClient{"holds": holds, "half before": half, "rested": rests, "just accepted": fresh} {
-		if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v, want the end", name, err)
-		}
+		checkClosed(t, name, c)
 	}
 	if err := p.Wait(); err != nil {
 		t.Error("at its end:", err)
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -17,29 +17,27 @@
 
 // A router with records on writes what it saw: the engines' states, the requests by class and tenant, the log's lines, and
 // never a statement.
-func TestRecordsOfARouter(t *testing.T) {
-	one, two := newSlowEngine(), newSlowEngine()
-	f := newFleet(t, one, two)
+func TestRouterRecords(t *testing.T) {
+	one, two := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, two)
 	dir := filepath.Join(t.TempDir(), "records")
 	own := filepath.Join(t.TempDir(), "windflow.json")
 	if err := os.WriteFile(own, []byte(fmt.Sprintf(`{"records": {"dir": %q}}`, dir)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.env = append(f.env, "WINDFLOW_TEST_ROUTER=settings="+own)
-	door := freePort(t)
-	p := f.start(door)
-	f.ready(door)
-	c := f.client()
+	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+own)
+	adminAddress := freePort(t)
+	p := harness.startProcess(adminAddress)
+	harness.waitReady(adminAddress)
+	c := harness.dial()
 	for id := range 50 {
-		if rows, code, err := c.ask(query("lookup", id+1, "SELECT secret_name FROM donors_1.t")); rows != 1 || code != 0 || err != nil {
-			t.Fatal(rows, code, err)
-		}
+		requireServed(t, c, query("lookup", id+1, "SELECT secret_name FROM donors_1.t"))
 	}
-	if f.call("POST", door, "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the ban was not taken")
+	if harness.callAdmin("POST", adminAddress, "/api/exclude/s-00000002") != 200 {
+		t.Fatal("the cordon was not taken")
 	}
-	_ = c.c.Close()
-	f.end(p)
+	_ = c.conn.Close()
+	harness.terminate(p)
 	files, err := record.SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -108,31 +106,31 @@
 	}
 }
 
-// instant answers each attempt at once.
-type instant struct{ loop *router.Loop }
+// instantEngine answers each attempt at once.
+type instantEngine struct{ loop *router.Loop }
 
-func (c instant) CancelUnsent() bool { return false }
-func (c instant) Start(_ router.Call, done func(router.End)) router.Attempt {
+func (c instantEngine) CancelUnsent() bool { return false }
+func (c instantEngine) Start(_ router.Call, done func(router.End)) router.Attempt {
 	c.loop.Post(func() { done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: 1}}) })
 	return c
 }
-func (instant) SetPriority(int)               {}
-func (instant) Cancel()                       {}
-func (instant) Abandon()                      {}
-func (instant) Forget(router.Engine)          {}
-func (instant) CancelUnstarted(router.Engine) {}
+func (instantEngine) SetPriority(int)               {}
+func (instantEngine) Cancel()                       {}
+func (instantEngine) Abandon()                      {}
+func (instantEngine) Forget(router.Engine)          {}
+func (instantEngine) CancelUnstarted(router.Engine) {}
 
-type answered struct{ n int }
+type answerCounter struct{ n int }
 
-func (a *answered) Served(*router.Result) { a.n++ }
-func (a *answered) Rejected(float64)      { a.n++ }
-func (a *answered) Failed(router.Reason)  { a.n++ }
+func (a *answerCounter) Served(*router.Result) { a.n++ }
+func (a *answerCounter) Rejected(float64)      { a.n++ }
+func (a *answerCounter) Failed(router.Reason)  { a.n++ }
 
 var benchSeq int
 
 func benchRequest(b *testing.B, n *node) {
-	if n.services.byKind.Default != router.EngineClient(instant{n.loop}) {
-		n.services.byKind.Default = instant{n.loop}
+	if n.services.byKind.Default != router.EngineClient(instantEngine{n.loop}) {
+		n.services.byKind.Default = instantEngine{n.loop}
 		list := dispatch.EndpointList{Mode: dispatch.ListComplete}
 		addrs := map[dispatch.EngineID]string{}
 		for id := dispatch.EngineID(1); id <= 8; id++ {
@@ -144,7 +142,7 @@
 		n.loop.Step()
 	}
 	benchSeq++
-	a := &answered{}
+	a := &answerCounter{}
 	now := n.loop.Now()
 	_, err := n.services.core.Submit(&router.Request{
 		ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -1,11 +1,8 @@
 package node
 
 import (
-	"encoding/binary"
 	"fmt"
-	"io"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,35 +15,6 @@
 	"windflow/internal/settings"
 )
 
-// listenBoard is a notice board that hands over each link once it has read from which event it goes on.
-func listenBoard(t *testing.T) (addr string, links chan boardLink) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = l.Close() })
-	links = make(chan boardLink, 8)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			var last [8]byte
-			if _, err := io.ReadFull(c, last[:]); err == nil {
-				links <- boardLink{c, binary.BigEndian.Uint64(last[:])}
-			}
-		}
-	}()
-	return l.Addr().String(), links
-}
-
-type boardLink struct {
-	net.Conn
-	last uint64
-}
-
 func writeConfig(t *testing.T, path, board, settings string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":192,
@@ -58,9 +26,9 @@
 
 // SIGHUP has the program read its file again: it goes on at the board's new address from the last event that it
 // has, and neither a file that can't be used nor the signal itself ends it.
-func TestReloadFollowsTheBoard(t *testing.T) {
-	oldAddr, oldLinks := listenBoard(t)
-	newAddr, newLinks := listenBoard(t)
+func TestReloadMovesDiscovery(t *testing.T) {
+	oldAddr, oldLinks := listenDiscovery(t)
+	newAddr, newLinks := listenDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, oldAddr, mixedSettings)
 	t.Setenv("PROXY_CONFIG", path)
@@ -83,7 +51,7 @@
 		t.Fatal(err)
 	}
 	// A frame of no known kind ends a link, so that the next one shows that event 2 has been read.
-	second := func() boardLink {
+	second := func() discoveryLink {
 		if _, err := first.Write(event(3)[7:12]); err != nil {
 			t.Fatal(err)
 		}
@@ -93,15 +61,15 @@
 		return <-oldLinks
 	}()
 	defer second.Close()
-	if second.last != 2 {
-		t.Errorf("after a bad frame the old board was asked from event %d", second.last)
+	if second.lastEvent != 2 {
+		t.Errorf("after a bad frame the old board was asked from event %d", second.lastEvent)
 	}
 	writeConfig(t, path, newAddr, mixedSettings)
 	hup()
 	third := <-newLinks
 	defer third.Close()
-	if third.last != 2 {
-		t.Errorf("the new board was asked from event %d", third.last)
+	if third.lastEvent != 2 {
+		t.Errorf("the new board was asked from event %d", third.lastEvent)
 	}
 	if _, err := second.Read(make([]byte, 1)); err == nil {
 		t.Error("the link to the old board stayed open")
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -12,8 +12,8 @@
 	"windflow/internal/settings"
 )
 
-// pauses replaces the sleep of retry for the test: between is called in its place, with the number of the pause.
-func pauses(t *testing.T, between func(n int)) *int {
+// replaceSleep replaces the sleep of retry for the test: between is called in its place, with the number of the pause.
+func replaceSleep(t *testing.T, between func(n int)) *int {
 	t.Helper()
 	n := 0
 	sleep = func(time.Duration) { n++; between(n) }
@@ -22,9 +22,9 @@
 }
 
 // A configuration that is being replaced is read once it is whole; one with a bad field is refused at once.
-func TestReadConfigWaitsForAWholeFile(t *testing.T) {
+func TestReadConfigWaitsForCompleteFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	n := pauses(t, func(n int) {
+	n := replaceSleep(t, func(n int) {
 		switch n {
 		case 1: // so far there was none
 			if err := os.WriteFile(path, []byte(`{"name":"n0","listen":"127.0.0.1:0","bo`), 0o600); err != nil {
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	cfg.Listen = before.Addr().String()
-	n := pauses(t, func(n int) {
+	n := replaceSleep(t, func(n int) {
 		if n == 90 { // 4.5 s: longer than one that drains may take
 			_ = before.Close()
 		}
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -27,16 +27,16 @@
 	os.Exit(m.Run())
 }
 
-// slowEngine is a stand-in whose statements with "slow" in them run until they are released; it notes what ran.
-type slowEngine struct {
+// blockingEngine is a stand-in whose statements with "slow" in them run until they are released; it notes what ran.
+type blockingEngine struct {
 	mu       sync.Mutex
-	ran      map[string]int
-	slow     map[string]bool
+	runs     map[string]int
+	blocked  map[string]bool
 	released chan struct{}
 	started  chan string // ids of slow ones
 }
 
-func (e *slowEngine) serve(t *testing.T) string {
+func (e *blockingEngine) serve(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,13 +48,13 @@
 	return lis.Addr().String()
 }
 
-func (e *slowEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *blockingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Call-Id")
 	if r.Method == http.MethodPost {
 		body, _ := io.ReadAll(r.Body)
 		e.mu.Lock()
-		e.ran[id]++
-		e.slow[id] = strings.Contains(string(body), "slow")
+		e.runs[id]++
+		e.blocked[id] = strings.Contains(string(body), "slow")
 		e.mu.Unlock()
 		if strings.Contains(string(body), "slow") {
 			e.started <- id
@@ -63,7 +63,7 @@
 		id = strings.Split(r.URL.Path, "/")[2]
 	}
 	e.mu.Lock()
-	slow := e.slow[id]
+	slow := e.blocked[id]
 	e.mu.Unlock()
 	if slow {
 		select {
@@ -77,46 +77,46 @@
 	fmt.Fprint(w, "a\tb\tc\n")
 }
 
-func (e *slowEngine) total() int {
+func (e *blockingEngine) totalRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	for _, k := range e.ran {
+	for _, k := range e.runs {
 		n += k
 	}
 	return n
 }
 
-// fleet is what the processes of one router are started with.
-type fleet struct {
-	t       *testing.T
-	config  string // path
-	clients net.Listener
-	env     []string
-	wrap    func(*exec.Cmd) // changes how a process is started
+// routerHarness is what the processes of one router are started with.
+type routerHarness struct {
+	t              *testing.T
+	config         string // path
+	clientListener net.Listener
+	env            []string
+	prepare        func(*exec.Cmd) // changes how a process is started
 }
 
-// edit changes the configuration.
-func (f *fleet) edit(change func(string) string) {
-	f.t.Helper()
-	text, err := os.ReadFile(f.config)
+// editConfig changes the configuration.
+func (h *routerHarness) editConfig(change func(string) string) {
+	h.t.Helper()
+	text, err := os.ReadFile(h.config)
 	if err == nil {
-		err = os.WriteFile(f.config, []byte(change(string(text))), 0o600)
+		err = os.WriteFile(h.config, []byte(change(string(text))), 0o600)
 	}
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-func (f *fleet) start(control string) *exec.Cmd {
-	f.t.Helper()
+func (h *routerHarness) startProcess(control string) *exec.Cmd {
+	h.t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	file, err := f.clients.(*net.TCPListener).File()
+	file, err := h.clientListener.(*net.TCPListener).File()
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer file.Close()
 	if other := os.Getenv("WINDFLOW_TEST_BINARY"); other != "" { // an earlier version, by hand
@@ -124,29 +124,29 @@
 	}
 	cmd := exec.Command(exe)
 	cmd.ExtraFiles = []*os.File{file} // descriptor 3
-	cmd.Env = append(append(os.Environ(), f.env...), "PROXY_CONTROL="+control)
+	cmd.Env = append(append(os.Environ(), h.env...), "PROXY_CONTROL="+control)
 	cmd.Stderr = os.Stderr
 	if !testing.Verbose() {
 		cmd.Stderr = nil
 	}
-	if f.wrap != nil {
-		f.wrap(cmd)
+	if h.prepare != nil {
+		h.prepare(cmd)
 	}
 	if err := cmd.Start(); err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	})
 	return cmd
 }
 
-// call makes one call at a door and gives its status, 0 where nobody is there.
-func (f *fleet) call(method, control, path string) int {
+// callAdmin makes one call of an admin API and gives its status, 0 where nobody is there.
+func (h *routerHarness) callAdmin(method, control, path string) int {
 	r, err := http.NewRequest(method, "http://"+control+path, nil)
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	r.Close = true
 	answer, err := http.DefaultClient.Do(r)
@@ -157,29 +157,29 @@
 	return answer.StatusCode
 }
 
-func (f *fleet) waitFor(what string, ok func() bool) {
-	f.t.Helper()
+func (h *routerHarness) waitFor(what string, ok func() bool) {
+	h.t.Helper()
 	for range 2000 {
 		if ok() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatal("it never came to this: " + what)
+	h.t.Fatal("it never came to this: " + what)
 }
 
-func (f *fleet) ready(control string) {
-	f.t.Helper()
-	f.waitFor("ready at "+control, func() bool { return f.call("GET", control, "/api/ready") == 200 })
+func (h *routerHarness) waitReady(control string) {
+	h.t.Helper()
+	h.waitFor("ready at "+control, func() bool { return h.callAdmin("GET", control, "/api/ready") == 200 })
 }
 
-func (f *fleet) client() *mysqlClient {
-	f.t.Helper()
-	c, err := dialMySQL(f.clients.Addr().String())
+func (h *routerHarness) dial() *mysqlClient {
+	h.t.Helper()
+	c, err := dialMySQL(h.clientListener.Addr().String())
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { _ = c.c.Close() })
+	h.t.Cleanup(func() { _ = c.conn.Close() })
 	return c
 }
 
@@ -194,15 +194,15 @@
 	return lis.Addr().String()
 }
 
-// newFleet writes the configuration of a router with two engines; the clients' socket is the test's, as the platform's.
-func newFleet(t *testing.T, engines ...*slowEngine) *fleet {
+// newRouterHarness writes the configuration of a router with two engines; the clients' socket is the test's, as the platform's.
+func newRouterHarness(t *testing.T, engines ...*blockingEngine) *routerHarness {
 	t.Helper()
-	f := &fleet{t: t, config: filepath.Join(t.TempDir(), "config.json")}
+	h := &routerHarness{t: t, config: filepath.Join(t.TempDir(), "config.json")}
 	var err error
-	if f.clients, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if h.clientListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = f.clients.Close() })
+	t.Cleanup(func() { _ = h.clientListener.Close() })
 	var members []string
 	for i, e := range engines {
 		members = append(members, fmt.Sprintf(
@@ -210,8 +210,8 @@
 	}
 	text := fmt.Sprintf(`{"name":"n0","listen":"%s","seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 		"board":"%s","known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[%s]}}]},
-		"settings":%s}`, f.clients.Addr(), noticeBoard(t), strings.Join(members, ","), mixedSettings)
-	if err := os.WriteFile(f.config, []byte(text), 0o600); err != nil {
+		"settings":%s}`, h.clientListener.Addr(), startIdleDiscovery(t), strings.Join(members, ","), mixedSettings)
+	if err := os.WriteFile(h.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	dir, err := os.MkdirTemp("", "wf") // short: the path of a Unix socket has its bound
@@ -219,13 +219,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	f.env = []string{"PROXY_CONFIG=" + f.config, "TMPDIR=" + dir, "PROXY_PASSED_SOCKET=3", "WINDFLOW_TEST_ROUTER=settings="}
-	return f
+	h.env = []string{"PROXY_CONFIG=" + h.config, "TMPDIR=" + dir, "PROXY_PASSED_SOCKET=3", "WINDFLOW_TEST_ROUTER=settings="}
+	return h
 }
 
-func newSlowEngine() *slowEngine {
-	return &slowEngine{
-		ran: map[string]int{}, slow: map[string]bool{}, released: make(chan struct{}),
+func newBlockingEngine() *blockingEngine {
+	return &blockingEngine{
+		runs: map[string]int{}, blocked: map[string]bool{}, released: make(chan struct{}),
 		started: make(chan string, 16),
 	}
 }
@@ -233,3 +233,31 @@
 func query(class string, id int, statement string) string {
 	return fmt.Sprintf("/* method=%s,rid=%016x,budget=20000 */ %s", class, id, statement)
 }
+
+// Figures of the telemetry.
+const (
+	discoveredFigure = "svc.discovered"
+	revisionFigure   = "svc.configuration_revision"
+	rejectedFigure   = "svc.configuration_refused"
+)
+
+// figure gives a figure of the telemetry, -1 where it is not there.
+func (h *routerHarness) figure(adminAddress, name string) int {
+	h.t.Helper()
+	answer, err := http.Get("http://" + adminAddress + "/api/telemetry")
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	defer answer.Body.Close()
+	text, err := io.ReadAll(answer.Body)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	for line := range strings.Lines(string(text)) {
+		var n int
+		if _, err := fmt.Sscanf(line, name+":%d|g", &n); err == nil {
+			return n
+		}
+	}
+	return -1
+}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,7 +16,7 @@
 
 // After SIGTERM the router goes on taking and answering, on open and on new connections, for as long as a
 // request is open, and then ends by itself. It guards against requests lost at a planned restart.
-func TestDrainAnswersWhatItTook(t *testing.T) {
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -17,24 +17,24 @@
 	"google.golang.org/grpc/status"
 )
 
-// fragile wraps a listener: a seeded part of its connections is reset after a random number of bytes.
-type fragile struct {
+// unreliableListener wraps a listener: a seeded part of its connections is reset after a random number of bytes.
+type unreliableListener struct {
 	net.Listener
 	mu    sync.Mutex
 	rng   *rand.Rand
 	kills *atomic.Int64
 }
 
-func listenFragile(t *testing.T, seed uint64, kills *atomic.Int64) *fragile {
+func listenUnreliable(t *testing.T, seed uint64, kills *atomic.Int64) *unreliableListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fragile{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), kills: kills}
+	return &unreliableListener{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), kills: kills}
 }
 
-func (f *fragile) Accept() (net.Conn, error) {
+func (f *unreliableListener) Accept() (net.Conn, error) {
 	c, err := f.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -45,17 +45,17 @@
 	if f.rng.IntN(3) > 0 {
 		left = int64(f.rng.IntN(6000))
 	}
-	return &fragileConn{Conn: c, left: left, kills: f.kills}, nil
+	return &unreliableConn{Conn: c, left: left, kills: f.kills}, nil
 }
 
-type fragileConn struct {
+type unreliableConn struct {
 	net.Conn
 	mu    sync.Mutex
 	left  int64
 	kills *atomic.Int64
 }
 
-func (c *fragileConn) Write(b []byte) (int, error) {
+func (c *unreliableConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if int64(len(b)) <= c.left {
@@ -78,7 +78,7 @@
 	ctx = metadata.AppendToOutgoingContext(ctx, "method", class, "rid", id, "acct", "a")
 	if put {
 		_, err := c.ExecuteUpdate(ctx, statement)
-		return err == nil, mapped(err)
+		return err == nil, checkFlightError(err)
 	}
 	info, err := c.Execute(ctx, statement)
 	if err != nil {
@@ -105,11 +105,11 @@
 	if err == nil && rows != 60 && rows != 1 {
 		return false, fmt.Errorf("served with %d rows", rows)
 	}
-	return err == nil, mapped(err)
+	return err == nil, checkFlightError(err)
 }
 
-// mapped passes the codes that an answer may have.
-func mapped(err error) error {
+// checkFlightError passes the codes that an answer may have.
+func checkFlightError(err error) error {
 	switch status.Code(err) {
 	case codes.OK, codes.ResourceExhausted, codes.Internal, codes.DeadlineExceeded:
 		return nil
