--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -85,10 +85,10 @@
 // The lines of a router's log that tests wait for.
 const (
 	LineReloaded           = "msg=reloaded"
-	LineReloadRejected     = `msg="reload refused"`
+	LineReloadRejected     = `msg="reload rejected"`
 	LineEndpointEvent      = `msg="board event"`
 	LineDiscoveryConnected = `msg="board link up"`
-	lineRevisionInForce    = `msg="configuration in force"`
+	lineRevisionInForce    = `msg="configuration applied"`
 )
 
 // Router starts a router, and does not wait until it is ready.
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -41,7 +41,7 @@
 		return
 	}
 	a.server = admin.NewServer(a.loop, a.services.net, lis, a, a.log)
-	a.log.Info("operators' door", "control", a.server.Addr())
+	a.log.Info("admin API listening", "listen", a.server.Addr())
 }
 
 // acceptor is where operators are served.
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -117,7 +117,7 @@
 	}
 	engine := settings.FormatEngineID(id)
 	notStored := func(err error) {
-		s.log.Warn("bans can't be noted for other processes of this router", "engine", engine, "err", err)
+		s.log.Warn("cordon store failed", "engine", engine, "error", err)
 		s.memoryOnly = true // the folder would undo it
 		apply()
 	}
@@ -218,5 +218,5 @@
 		}
 	}
 	s.services.core.AdoptCordons(s.list())
-	s.log.Info("bans", "excluded", len(stored))
+	s.log.Info("cordons adopted", "cordoned", len(stored))
 }
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -100,7 +100,7 @@
 func (c *coordinator) acquireSlot(cfg *settings.Node) {
 	slot, err := hotrestartipc.AcquireSlot(os.TempDir(), slotName(cfg))
 	if err != nil {
-		c.log.Warn("no upgrades", "err", err)
+		c.log.Warn("process slot unavailable, hot restart disabled", "error", err)
 		return
 	}
 	c.slot = slot
@@ -130,8 +130,8 @@
 		c.carryOut(effect)
 	}
 	if now := c.machine.Phase(); now != before {
-		c.log.Info("takeover", "phase", now.String(), "was", before.String(), "place", uint64(c.machine.Self),
-			"elder", uint64(c.machine.Predecessor()), "newer", uint64(c.machine.Successor()))
+		c.log.Info("hot restart phase changed", "phase", now.String(), "former_phase", before.String(), "process", uint64(c.machine.Self),
+			"predecessor", uint64(c.machine.Predecessor()), "successor", uint64(c.machine.Successor()))
 	}
 	c.timer.Stop()
 	if due := c.machine.Due(); !math.IsInf(due, 1) {
@@ -241,7 +241,7 @@
 		return
 	}
 	if err := c.slot.PublishToLegacy(); err != nil {
-		c.log.Warn("a process of version 1 would not find this one", "err", err)
+		c.log.Warn("process slot publication failed", "error", err)
 	}
 }
 
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -99,7 +99,7 @@
 			return
 		}
 		if err != nil { // short of descriptors: a successor must find this process all the same
-			c.log.Warn("accept failed", "err", err)
+			c.log.Warn("hot restart link accept failed", "error", err)
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
@@ -117,7 +117,7 @@
 		c.actions.partnerLost()
 	}
 	if ended.bye || ended.process != hotrestart.LegacySuccessor && c.slot.Alive(ended.process) {
-		c.log.Info("link ended", "place", uint64(ended.process), "why", err)
+		c.log.Info("process link closed", "process", uint64(ended.process), "error", err)
 		c.step(hotrestart.Event{Kind: hotrestart.EventLinkLost, Process: ended.process})
 		if !ended.bye {
 			c.watchProcess(ended.process)
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -112,7 +112,7 @@
 		}
 	}
 	if err != nil {
-		c.log.Warn("a message of the other process can't be read", "kind", m.Kind, "err", err)
+		c.log.Warn("process message malformed", "kind", m.Kind, "error", err)
 	}
 }
 
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -83,7 +83,7 @@
 		l.log.Info("ready", "listen", l.clientsAddress, "engines", l.listedEngines(), "phase", l.machine.Phase().String())
 		return
 	}
-	l.log.Warn("addresses are held by a process that does not answer", "listeners", l.missing)
+	l.log.Warn("listener addresses in use", "listeners", l.missing)
 	l.loop.After(bindRetryMS, l.retryMissing)
 }
 
@@ -154,7 +154,7 @@
 		}
 		file, err := l.fileOf(acceptor)
 		if err != nil {
-			l.log.Warn("a listener can't be handed over", "listener", acceptor.name, "err", err)
+			l.log.Warn("listener handover failed", "listener", acceptor.name, "error", err)
 			continue
 		}
 		files = append(files, file)
@@ -177,7 +177,7 @@
 		}
 		if err != nil {
 			delete(l.idle, acceptor.name)
-			l.log.Warn("a listener can't be kept", "listener", acceptor.name, "err", err)
+			l.log.Warn("listener retention failed", "listener", acceptor.name, "error", err)
 		}
 		acceptor.pause()
 	}
@@ -220,7 +220,7 @@
 		if opened, err = netio.Inherit(file); err == nil {
 			return opened, true, nil
 		}
-		l.log.Warn("a listener that was handed over can't be used", "field", acceptor.field, "err", err)
+		l.log.Warn("inherited listener unusable", "field", acceptor.field, "error", err)
 	}
 	bind := func() (err error) {
 		opened, err = netio.Listen(acceptor.address)
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -28,7 +28,7 @@
 	if log = slog.New(slog.NewTextHandler(out, options)); o.JSON {
 		log = slog.New(slog.NewJSONHandler(out, options))
 	}
-	out.onDropped = func(n int64) { log.Warn("log lines were dropped", "lines", n) }
+	out.onDropped = func(n int64) { log.Warn("log lines dropped", "lines", n) }
 	return log, out.flush
 }
 
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -52,7 +52,7 @@
 				return err
 			}
 			flight.front.SetTicketClaimer(flight.claims.claim)
-			n.log.Info("flight sql front", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
+			n.log.Info("flight sql listening", "listen", cfg.Listen, "engine_kinds", cfg.EngineKinds)
 			return nil
 		},
 		configure: func(s *installation.Settings, l limits) (kept []string) {
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -87,7 +87,7 @@
 		}
 		return err
 	})
-	k.log.Info("configuration at the start", "revision", k.revision())
+	k.log.Info("configuration restored", "revision", k.revision())
 	go k.runReloads()
 }
 
@@ -174,7 +174,7 @@
 	later := revision.Revision > k.revision()
 	k.inForce = configurationInForce{own: text, overlay: revision, changes: k.inForce.changes + 1}
 	if later {
-		k.log.Info("configuration in force", "revision", revision.Revision, "entries", len(revision.Entries))
+		k.log.Info("configuration applied", "revision", revision.Revision, "entries", len(revision.Entries))
 		k.partner.send(msgConfiguration, revision)
 	}
 	return nil
@@ -187,7 +187,7 @@
 		return
 	}
 	if configlog.HashEntries(revision.Entries) != revision.Hash {
-		k.log.Error("the other process's configuration is damaged", "revision", revision.Revision)
+		k.log.Error("received configuration corrupt", "revision", revision.Revision)
 		return
 	}
 	cfg, err := overlaid(k.inForce.own, revision)
@@ -195,7 +195,7 @@
 		err = k.commit(cfg, k.active.site, k.inForce.own, revision)
 	}
 	if err != nil {
-		k.log.Error("the other process's configuration can't be in force here", "revision", revision.Revision, "err", err)
+		k.log.Error("received configuration rejected", "revision", revision.Revision, "error", err)
 		return
 	}
 	k.client.SetInForce(revision)
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -88,9 +88,9 @@
 func (c *recorder) start(cfg record.Config, header record.Header, log *slog.Logger) {
 	c.writer = record.StartWriter(cfg, header, c.loop.Now, func(err error) {
 		if err != nil {
-			log.Error("records can't be written; serving goes on", "dir", cfg.Dir, "err", err)
+			log.Error("record write failed", "dir", cfg.Dir, "error", err)
 		} else {
-			log.Info("records are written again", "dir", cfg.Dir)
+			log.Info("record write recovered", "dir", cfg.Dir)
 		}
 	})
 	c.log.writer.Store(c.writer)
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -34,7 +34,7 @@
 	go func() { // ends with the write; a reader that never reads keeps it until the process ends
 		file := os.NewFile(uintptr(fd), "readiness")
 		if _, err := file.WriteString(readyLine); err != nil {
-			log.Warn("readiness could not be told", "descriptor", fd, "err", err)
+			log.Warn("readiness notification failed", "descriptor", fd, "error", err)
 		}
 		_ = file.Close()
 	}()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -27,7 +27,7 @@
 	}
 	own, err = readSite(r.settingsPath)
 	if err := growTable(cfg.Limits.Sockets); err != nil {
-		r.log.Warn("the table of descriptors was not grown", "err", err)
+		r.log.Warn("descriptor table growth failed", "error", err)
 	}
 	return cfg, text, own, err
 }
@@ -45,7 +45,7 @@
 	})
 }
 
-func (r *reloader) rejected(err error) { r.log.Error("reload refused", "file", r.path, "err", err) }
+func (r *reloader) rejected(err error) { r.log.Error("reload rejected", "file", r.path, "error", err) }
 
 // configurator puts settings in force.
 type configurator struct {
@@ -84,7 +84,7 @@
 	c.limiter.applyToRuntime()
 	c.log.Info("reloaded", "board", cfg.DiscoveryAddress, "sockets", cfg.Limits.Sockets, "memory_mb", cfg.Limits.MemoryMB)
 	if len(kept) > 0 {
-		c.log.Warn("unchanged until a restart", "fields", kept)
+		c.log.Warn("settings unchanged until restart", "fields", kept)
 	}
 	return nil
 }
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -25,7 +25,7 @@
 	if n.keepers != nil {
 		state.Configuration = n.keepers.exported()
 	}
-	n.log.Info("a successor has come", "open", n.services.core.OpenRequests())
+	n.log.Info("successor connected", "open", n.services.core.OpenRequests())
 	return state, files
 }
 
@@ -49,8 +49,8 @@
 	}
 	core := state.Core
 	n.services.core.RestoreState(core)
-	n.log.Info("taking over", "engines", len(core.Dispatch.Engines), "open", len(core.OpenIDs),
-		"excluded", len(core.Dispatch.Cordoned), "spent", len(core.ConsumedIDs))
+	n.log.Info("predecessor state restored", "engines", len(core.Dispatch.Engines), "open", len(core.OpenIDs),
+		"cordoned", len(core.Dispatch.Cordoned), "consumed_ids", len(core.ConsumedIDs))
 }
 
 // tryBuild builds the router; one that can't be built ends the process.
@@ -78,7 +78,7 @@
 // stopAccepting implements restartActions.
 func (n *node) stopAccepting(taken []string) {
 	n.listeners.release(taken)
-	n.log.Info("the other process accepts", "listeners", taken, "sessions", n.services.front.Sessions(),
+	n.log.Info("listeners released to other process", "listeners", taken, "sessions", n.services.front.Sessions(),
 		"open", n.services.core.OpenRequests())
 }
 
@@ -125,6 +125,6 @@
 	n.services.core.OtherProcessEnded()
 	n.limiter.update()
 	n.limiter.applyToRuntime()
-	n.log.Info("alone", "phase", n.restart.phase().String())
+	n.log.Info("other process ended", "phase", n.restart.phase().String())
 	n.parts.alone()
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -71,7 +71,7 @@
 
 func growTableAtStart(cfg *settings.Node, log *slog.Logger) {
 	if err := growTable(cfg.Limits.Sockets); err != nil {
-		log.Warn("the table of descriptors was not grown", "err", err)
+		log.Warn("descriptor table growth failed", "error", err)
 	}
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -124,7 +124,7 @@
 	s.parts.leave(to)
 	s.reduce() // the sessions that were closed just now come to the other process at once
 	s.busyAt = s.loop.Now()
-	s.log.Info("leaving", "sessions", s.services.front.Sessions(), "open", s.services.core.OpenRequests())
+	s.log.Info("graceful shutdown started", "sessions", s.services.front.Sessions(), "open", s.services.core.OpenRequests())
 	s.checkLeft()
 }
 
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -63,7 +63,7 @@
 	d.counters.Stalls++
 	d.began, d.ended = d.beatAt, now
 	d.catchingUp = true
-	d.log.Warn("the loop stood still", "ms", int(late), "open", d.services.core.OpenRequests(),
+	d.log.Warn("event loop stalled", "stall_ms", int(late), "open", d.services.core.OpenRequests(),
 		"continued", d.counters.Continued.Load())
 	d.services.core.HoldDecisions(true)
 	d.refresh(func() {
@@ -107,7 +107,7 @@
 			logged = true
 			text := make([]byte, maxLoggedStack)
 			stacks := string(text[:runtime.Stack(text, true)])
-			d.log.Error("the loop does not go on", "ms", int(late), slog.String("stacks", stacks))
+			d.log.Error("event loop blocked", "stall_ms", int(late), slog.String("stacks", stacks))
 		}
 	}
 }
