--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -6,30 +6,31 @@
 	"testing"
 )
 
-// grown gives a log with so many parties, as a large site has them, put in changes of at most 5,000, and then 100
+// newLargeLog gives a log with so many parties, as a large site has them, put in changes of at most 5,000, and then 100
 // changes of one each.
-func grown(b *testing.B, entries int) *Log {
+func newLargeLog(b *testing.B, entries int) *Log {
 	b.Helper()
 	l := NewLog(Retention{})
 	for n := 0; n < entries; {
 		c := Change{ID: fmt.Sprint("grow ", n), Put: map[string]json.RawMessage{}}
 		for ; n < entries && len(c.Put) < 5000; n++ {
-			c.Put[party(n)] = json.RawMessage(`{"quota-rps":100,"share":1}`)
+			c.Put[tenantPointer(n)] = json.RawMessage(`{"quota-rps":100,"share":1}`)
 		}
-		l.made(b, c)
+		l.mustApply(b, c)
 	}
 	for i := range 100 {
-		l.made(b, put(fmt.Sprint("one ", i), party(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i)))
+		l.mustApply(b, put(fmt.Sprint("one ", i), tenantPointer(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i)))
 	}
 	return l
 }
 
-func party(n int) string { return fmt.Sprintf("%stenant-%05d", tenantsPath, n) }
+func tenantPointer(n int) string { return fmt.Sprintf("%stenant-%05d", tenantsPath, n) }
 
-func sizes(b *testing.B, run func(b *testing.B, l *Log, entries int)) {
+func benchmarkSizes(b *testing.B, run func(b *testing.B, l *Log, entries int)) {
+	b.Helper()
 	for _, entries := range []int{10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			l := grown(b, entries)
+			l := newLargeLog(b, entries)
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, l, entries)
@@ -39,10 +40,11 @@
 
 // One change of one entry.
 func BenchmarkApply(b *testing.B) {
-	sizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+		b.Helper()
 		changes := make([]Change, b.N)
 		for i := range changes {
-			changes[i] = put(fmt.Sprint(i), party(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i))
+			changes[i] = put(fmt.Sprint(i), tenantPointer(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i))
 		}
 		b.ResetTimer()
 		for _, c := range changes {
@@ -54,8 +56,9 @@
 }
 
 // What a follower gets that is one revision late.
-func BenchmarkSinceDelta(b *testing.B) {
-	sizes(b, func(b *testing.B, l *Log, entries int) {
+func BenchmarkUpdateSinceDelta(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+		b.Helper()
 		rev := l.Revision() - 1
 		h, _ := l.history.hashAt(rev)
 		for b.Loop() {
@@ -67,11 +70,11 @@
 }
 
 // What a follower gets that is 1,000 revisions late, at 1,000 entries.
-func BenchmarkSinceLate(b *testing.B) {
-	l := grown(b, 1000)
+func BenchmarkUpdateSinceLate(b *testing.B) {
+	l := newLargeLog(b, 1000)
 	rev, h := l.Revision(), l.Hash()
 	for i := range 1000 {
-		l.made(b, put(fmt.Sprint("late ", i), party(i%400), fmt.Sprintf(`{"quota-rps":%d}`, i)))
+		l.mustApply(b, put(fmt.Sprint("late ", i), tenantPointer(i%400), fmt.Sprintf(`{"quota-rps":%d}`, i)))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -82,8 +85,9 @@
 }
 
 // What a follower gets that has nothing.
-func BenchmarkSinceSnapshot(b *testing.B) {
-	sizes(b, func(b *testing.B, l *Log, entries int) {
+func BenchmarkUpdateSinceSnapshot(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+		b.Helper()
 		for b.Loop() {
 			if u := l.UpdateSince(0, Hash{1}); !u.Snapshot || len(u.Put) != entries {
 				b.Fatal("no snapshot")
@@ -92,10 +96,11 @@
 	})
 }
 
-// The hash that is kept, as Apply leaves it, and the whole reckoned anew, as a follower does with a snapshot.
+// The hash that Apply keeps up to date, and the hash of all entries, as a follower computes it of a snapshot.
 func BenchmarkHash(b *testing.B) {
 	b.Run("kept", func(b *testing.B) {
-		sizes(b, func(b *testing.B, l *Log, entries int) {
+		benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+			b.Helper()
 			for b.Loop() {
 				if l.Hash() == (Hash{}) {
 					b.Fatal("no hash")
@@ -104,7 +109,8 @@
 		})
 	})
 	b.Run("anew", func(b *testing.B) {
-		sizes(b, func(b *testing.B, l *Log, entries int) {
+		benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+			b.Helper()
 			for b.Loop() {
 				if HashEntries(l.document.entries) != l.document.hash {
 					b.Fatal("another hash")
@@ -114,9 +120,10 @@
 	})
 }
 
-// The whole state, as a keeper's snapshot has it, and its size.
+// The complete state, as a keeper's snapshot has it, and its size.
 func BenchmarkMarshalBinary(b *testing.B) {
-	sizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+		b.Helper()
 		size := 0
 		for b.Loop() {
 			state, err := l.MarshalBinary()
@@ -131,7 +138,8 @@
 
 // A follower that takes a delta of one entry.
 func BenchmarkOfferDelta(b *testing.B) {
-	sizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+		b.Helper()
 		f := NewFollower("r", "1")
 		rev := l.Revision() - 1
 		content, _ := l.EntriesAt(rev)
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func names(seats []FollowerProcess) string {
+func joinNames(seats []FollowerProcess) string {
 	out := ""
 	for _, s := range seats {
 		out += s.Name + s.Instance
@@ -14,14 +14,15 @@
 	return out
 }
 
-// A lease counts for its length, is renewed by each word, and is first after it ran out.
+// A lease lasts for its length, is renewed by each call, and is new again after it ended.
 func TestLeases(t *testing.T) {
 	l := NewLeases(6000)
 	a, b := FollowerStatus{Name: "a", Instance: "1", Revision: 3}, FollowerStatus{Name: "a", Instance: "2"}
 	if !l.Renew(1000, b) || !l.Renew(1000, a) || l.Renew(3000, a) {
 		t.Error("first")
 	}
-	if live := l.Live(6999); len(live) != 2 || live[0].Instance != "1" || live[0].UntilMS != 9000 || live[1].UntilMS != 7000 {
+	live := l.Live(6999)
+	if len(live) != 2 || live[0].Instance != "1" || live[0].UntilMS != 9000 || live[1].UntilMS != 7000 {
 		t.Errorf("%+v", live)
 	}
 	if live := l.Live(7000); len(live) != 1 || live[0].Revision != 3 {
@@ -32,8 +33,8 @@
 	}
 }
 
-// Leases are whole when a length has passed without a gap.
-func TestLeasesSettle(t *testing.T) {
+// Leases are complete when a length has passed without a gap.
+func TestLeasesComplete(t *testing.T) {
 	l := NewLeases(6000)
 	for ms := 100.0; ms < 6100; ms += 1000 {
 		if l.IsComplete(ms) {
@@ -41,10 +42,10 @@
 		}
 	}
 	if !l.IsComplete(6100) || !l.IsComplete(9100) {
-		t.Error("it isn't whole")
+		t.Error("not complete")
 	}
 	if l.IsComplete(12_101) { // stopped for more than half of a lease
-		t.Error("whole at once after a stop")
+		t.Error("complete at once after a stop")
 	}
 	for ms := 12_101.0; ms < 18_101; ms += 1500 {
 		l.Tick(ms)
@@ -53,82 +54,99 @@
 		}
 	}
 	if !l.IsComplete(18_101) {
-		t.Error("it isn't whole again")
+		t.Error("not complete again")
 	}
 }
 
-// judged has a log with revisions 1 to 6, to hold reports against.
-func judged(t *testing.T, roster ...string) (*Log, func(name, instance string, rev uint64, until float64) Lease) {
+// newLogWithLeases has a log with revisions 1 to 6, to hold reports against.
+func newLogWithLeases(
+	t *testing.T,
+	members ...string,
+) (*Log, func(name, instance string, rev uint64, until float64) Lease) {
+	t.Helper()
 	l := NewLog(Retention{})
 	hashes := []Hash{{}}
 	for i := range 6 {
-		l.made(t, put(string(rune('a'+i)), "/settings/a", string(rune('1'+i))))
+		l.mustApply(t, put(string(rune('a'+i)), "/settings/a", string(rune('1'+i))))
 		hashes = append(hashes, l.Hash())
 	}
-	for _, n := range roster {
+	for _, n := range members {
 		l.AddMember(n, "1")
 	}
 	return l, func(name, instance string, rev uint64, until float64) Lease {
-		return Lease{FollowerStatus: FollowerStatus{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]}, UntilMS: until}
+		return Lease{
+			FollowerStatus: FollowerStatus{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]},
+			UntilMS:        until,
+		}
 	}
 }
 
-// Who is where: in force, behind, refusing, gone; one that is gone is named and doesn't count.
-func TestJudge(t *testing.T) {
-	l, lease := judged(t, "z", "a", "b", "c", "d")
+// Processes are in force, behind, rejecting or missing; a missing one is named and doesn't count.
+func TestConvergence(t *testing.T) {
+	l, lease := newLogWithLeases(t, "z", "a", "b", "c", "d")
 	refuses := lease("c", "1", 4, 0)
 	refuses.Rejected = &Rejection{Revision: 5, Pointer: "/settings/a", Reason: "no"}
 	refusedBefore := lease("d", "1", 4, 0)
 	refusedBefore.Rejected = &Rejection{Revision: 4}
-	v := l.Convergence(5, []Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)}, nil)
-	if names(v.InForce) != "a1n1" || names(v.Behind) != "b1d1" || names(v.Rejected) != "c1" || v.Rejected[0].Rejected.Pointer != "/settings/a" ||
-		!reflect.DeepEqual(v.Missing, []string{"z"}) || v.Converged || v.Revision != 5 {
+	v := l.Convergence(
+		5,
+		[]Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)},
+		nil,
+	)
+	if joinNames(v.InForce) != "a1n1" || joinNames(v.Behind) != "b1d1" || joinNames(v.Rejected) != "c1" ||
+		v.Rejected[0].Rejected.Pointer != "/settings/a" ||
+		!reflect.DeepEqual(v.Missing, []string{"z"}) ||
+		v.Converged ||
+		v.Revision != 5 {
 		t.Errorf("%+v", v)
 	}
-	l, lease = judged(t, "a", "b")
+	l, lease = newLogWithLeases(t, "a", "b")
+	a, b := lease("a", "1", 5, 0), lease("b", "1", 5, 0)
 	past := lease("a", "1", 5, 0)
 	past.Rejected = &Rejection{Revision: 6}
 	for name, c := range map[string]struct {
-		heard     []Lease
+		leases    []Lease
 		unreached []string
 		want      bool
 	}{
-		"all":                                    {[]Lease{lease("a", "1", 5, 0), lease("b", "1", 5, 0)}, nil, true},
-		"one is gone":                            {[]Lease{lease("a", "1", 5, 0)}, nil, true},
-		"nobody":                                 {nil, nil, false},
-		"one behind":                             {[]Lease{lease("a", "1", 5, 0), lease("b", "1", 4, 0)}, nil, false},
-		"an older life":                          {[]Lease{lease("a", "0", 4, 0), lease("a", "1", 5, 0), lease("b", "1", 5, 0)}, nil, false},
-		"all, a keeper unreached":                {[]Lease{lease("a", "1", 5, 0), lease("b", "1", 5, 0)}, []string{"k"}, true},
-		"gone, a keeper unreached":               {[]Lease{lease("a", "1", 5, 0)}, []string{"k"}, false},
-		"a former life only, a keeper unreached": {[]Lease{lease("a", "1", 5, 0), lease("b", "0", 5, 0)}, []string{"k"}, false},
-		"went to another keeper":                 {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), lease("b", "1", 5, 0)}, nil, true},
-		"a refusal that is later":                {[]Lease{past}, nil, true},
+		"all":                      {[]Lease{a, b}, nil, true},
+		"one is gone":              {[]Lease{a}, nil, true},
+		"nobody":                   {nil, nil, false},
+		"one behind":               {[]Lease{a, lease("b", "1", 4, 0)}, nil, false},
+		"an older process":         {[]Lease{lease("a", "0", 4, 0), a, b}, nil, false},
+		"all, a keeper unreached":  {[]Lease{a, b}, []string{"k"}, true},
+		"gone, a keeper unreached": {[]Lease{a}, []string{"k"}, false},
+		"an earlier process only, a keeper unreached": {[]Lease{a, lease("b", "0", 5, 0)}, []string{"k"}, false},
+		"went to another keeper":                      {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), b}, nil, true},
+		"a refusal that is later":                     {[]Lease{past}, nil, true},
 	} {
-		if v := l.Convergence(5, c.heard, c.unreached); v.Converged != c.want {
+		if v := l.Convergence(5, c.leases, c.unreached); v.Converged != c.want {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
 	text, err := json.Marshal(NewLog(Retention{}).Convergence(1, nil, nil))
-	if want := `{"revision":1,"in_force":[],"behind":[],"refused":[],"foreign":[],"gone":[],"unreached":[],"everywhere":false}`; err != nil || string(text) != want {
+	const want = `{"revision":1,"in_force":[],"behind":[],"refused":[],"foreign":[],"gone":[],` +
+		`"unreached":[],"everywhere":false}`
+	if err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
 }
 
 // A follower counts only with the content that the log has under its revision.
-func TestLogJudgesByContent(t *testing.T) {
-	l := filled(t, Retention{Revisions: 2})
+func TestConvergenceByContent(t *testing.T) {
+	l := newLogWithFiller(t, Retention{Revisions: 2})
 	l.AddMember("a", "1")
-	l.made(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	at := func(rev uint64, h Hash) []Lease {
 		return []Lease{{FollowerStatus: FollowerStatus{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
 	}
-	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Converged || names(v.InForce) != "a1" {
+	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Converged || joinNames(v.InForce) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Convergence(2, at(2, Hash{}), nil); v.Converged || names(v.Diverged) != "a1" {
+	if v := l.Convergence(2, at(2, Hash{}), nil); v.Converged || joinNames(v.Diverged) != "a1" {
 		t.Errorf("%+v", v)
 	}
-	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Converged || names(v.Diverged) != "a1" {
+	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Converged || joinNames(v.Diverged) != "a1" {
 		t.Errorf("%+v", v)
 	}
 	if v := l.Convergence(3, at(3, l.Hash()), nil); v.Converged { // there is no revision 3
@@ -136,7 +154,7 @@
 	}
 	h := l.Hash()
 	for _, id := range []string{"b", "c", "d"} {
-		l.made(t, put(id, "/settings/a", `"`+id+`"`))
+		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
 	if v := l.Convergence(1, at(2, h), nil); v.Converged { // compacted: what it holds can't be known
 		t.Errorf("%+v", v)
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -11,14 +11,24 @@
 	"testing"
 )
 
-// sample has everything that a state can hold.
-func sample(t testing.TB) *Log {
-	l := filled(t, Retention{Revisions: 4, Bytes: 1 << 20})
-	l.made(t, put("a", "/settings/a", "1"))
-	l.made(t, Change{ID: "b", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}, Remove: []string{"/settings/a"}, Note: "why", AtMS: 7})
-	l.made(t, Change{ID: "c", RevertTo: number(2)})
-	l.made(t, put("d", "/settings/a", "1")) // changes nothing
-	l.made(t, put("e", "/settings/parties/p", `{"quota-rps":1}`))
+// newSampleLog has everything that a state can hold.
+func newSampleLog(tb testing.TB) *Log {
+	tb.Helper()
+	l := newLogWithFiller(tb, Retention{Revisions: 4, Bytes: 1 << 20})
+	l.mustApply(tb, put("a", "/settings/a", "1"))
+	l.mustApply(
+		tb,
+		Change{
+			ID:     "b",
+			Put:    map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)},
+			Remove: []string{"/settings/a"},
+			Note:   "why",
+			AtMS:   7,
+		},
+	)
+	l.mustApply(tb, Change{ID: "c", RevertTo: number(2)})
+	l.mustApply(tb, put("d", "/settings/a", "1")) // changes nothing
+	l.mustApply(tb, put("e", "/settings/parties/p", `{"quota-rps":1}`))
 	l.AddMember("r1", "1")
 	l.AddMember("r2", "1")
 	l.AddMember("r2", "2")
@@ -26,14 +36,14 @@
 }
 
 // A state that was read is the one that was written, in every respect.
-func TestStateComesBack(t *testing.T) {
-	for _, l := range []*Log{NewLog(Retention{}), sample(t)} {
+func TestStateRoundTrip(t *testing.T) {
+	for _, l := range []*Log{NewLog(Retention{}), newSampleLog(t)} {
 		state, err := l.MarshalBinary()
 		if err != nil {
 			t.Fatal(err)
 		}
 		back := NewLog(Retention{Revisions: 1})
-		back.made(t, put("else", "/settings/else", "1"))
+		back.mustApply(t, put("else", "/settings/else", "1"))
 		if err := back.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, back) {
 			t.Errorf("%v\n%+v\n%+v", err, l, back)
 		}
@@ -44,15 +54,16 @@
 	}
 }
 
-// A damaged state is told as such, wherever it's damaged, and leaves the log alone.
+// A damaged state is an error, wherever it's damaged, and leaves the log unchanged.
 func TestDamagedState(t *testing.T) {
-	state, _ := sample(t).MarshalBinary()
+	state, _ := newSampleLog(t).MarshalBinary()
 	l := NewLog(Retention{})
-	l.made(t, put("mine", "/settings/mine", "1"))
+	l.mustApply(t, put("mine", "/settings/mine", "1"))
 	refused := func(why string, state []byte, words string) {
 		t.Helper()
 		err := l.UnmarshalBinary(state)
-		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), words) || l.Revision() != 1 || len(l.Entries()) != 1 {
+		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), words) || l.Revision() != 1 ||
+			len(l.Entries()) != 1 {
 			t.Errorf("%s: %v", why, err)
 		}
 	}
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -10,80 +10,81 @@
 	"testing"
 )
 
-// holds checks what a follower has in force, by its word and by its copy.
-func (f *Follower) holds(t testing.TB, rev uint64, content map[string]json.RawMessage) {
-	t.Helper()
+// checkContent checks what a follower has in force, by its status and by its copy.
+func (f *Follower) checkContent(tb testing.TB, rev uint64, content map[string]json.RawMessage) {
+	tb.Helper()
 	s := f.Saved()
-	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) || s.Hash != HashEntries(content) {
-		t.Fatalf("it holds %d %v, not %d %v", s.Revision, s.Entries, rev, content)
+	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) ||
+		s.Hash != HashEntries(content) {
+		tb.Fatalf("it holds %d %v, not %d %v", s.Revision, s.Entries, rev, content)
 	}
 }
 
-// follow takes what the log has for the follower.
-func (f *Follower) follow(t testing.TB, l *Log) {
-	t.Helper()
+// mustFollow takes what the log has for the follower.
+func (f *Follower) mustFollow(tb testing.TB, l *Log) {
+	tb.Helper()
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
-		t.Fatal(ok, err)
+		tb.Fatal(ok, err)
 	}
 	f.Accept()
-	f.holds(t, l.Revision(), l.Entries())
+	f.checkContent(tb, l.Revision(), l.Entries())
 }
 
-// Delta and whole, accepted one after another; nothing where there is nothing.
+// Deltas and snapshots are accepted one after another; an empty update is no candidate.
 func TestFollowerFollows(t *testing.T) {
-	l, f := filled(t, Retention{Revisions: 2}), NewFollower("r", "1")
-	f.holds(t, 0, nil)
-	f.follow(t, l)
-	l.made(t, put("a", "/settings/a", "1"))
+	l, f := newLogWithFiller(t, Retention{Revisions: 2}), NewFollower("r", "1")
+	f.checkContent(t, 0, nil)
+	f.mustFollow(t, l)
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	if u := l.NextUpdate(f.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
-	f.follow(t, l)
+	f.mustFollow(t, l)
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); ok || err != nil {
 		t.Error(ok, err)
 	}
 	for _, id := range []string{"b", "c", "d"} {
-		l.made(t, put(id, "/settings/a", `"`+id+`"`))
+		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
-	f.follow(t, l)
-	l.made(t, Change{ID: "e", Remove: []string{"/settings/filler", "/settings/a"}})
-	f.follow(t, l)
+	f.mustFollow(t, l)
+	l.mustApply(t, Change{ID: "e", Remove: []string{"/settings/filler", "/settings/a"}})
+	f.mustFollow(t, l)
 }
 
-// What isn't for this follower, or isn't what it says, changes nothing and is told.
-func TestFollowerTakesNoOther(t *testing.T) {
-	l, f := filled(t, Retention{}), NewFollower("r", "1")
+// An update that isn't for this follower, or whose content isn't what it says, changes nothing and is an error.
+func TestFollowerIgnoresInvalidUpdates(t *testing.T) {
+	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	old := l.NextUpdate(f.Status())
-	f.follow(t, l)
+	f.mustFollow(t, l)
 	late := l.UpdateSince(f.current.revision, f.current.hash)
-	l.made(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	delta := l.NextUpdate(f.Status())
-	f.follow(t, l)
+	f.mustFollow(t, l)
 	content := l.Entries()
 	refuses := func(why string, u Update, want error) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok || !errors.Is(err, want) {
 			t.Errorf("%s: %v, %v", why, ok, err)
 		}
-		f.holds(t, 2, content)
+		f.checkContent(t, 2, content)
 	}
-	refuses("a whole from before", old, ErrStale)
+	refuses("a snapshot from before", old, ErrStale)
 	refuses("nothing, from before", late, ErrStale)
 	refuses("a delta once more", delta, ErrStale)
 	refuses("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
 	refuses("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
 	if f.Status().Hash != f.current.hash {
-		t.Error("the whole is asked for without need")
+		t.Error("a snapshot is asked for without need")
 	}
-	l.made(t, put("b", "/settings/a", "2"))
+	l.mustApply(t, put("b", "/settings/a", "2"))
 	broken := l.NextUpdate(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
 	refuses("a value that isn't the one", broken, ErrMismatch)
 	if f.Status().Hash != (Hash{}) {
-		t.Error("the whole isn't asked for")
+		t.Error("no snapshot is asked for")
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
@@ -92,11 +93,11 @@
 		refuses("an entry too many", u, ErrMismatch)
 	}
 	refuses("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
-	f.follow(t, l)
+	f.mustFollow(t, l)
 	if f.Status().Hash != l.Hash() {
-		t.Error("the whole is still asked for")
+		t.Error("a snapshot is still asked for")
 	}
-	l.made(t, put("c", "/settings/a", "4"))
+	l.mustApply(t, put("c", "/settings/a", "4"))
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
@@ -107,20 +108,21 @@
 		t.Error(err)
 	}
 	f.Accept()
-	f.holds(t, 4, l.Entries())
+	f.checkContent(t, 4, l.Entries())
 	f.Accept()
 	f.Reject("", "nothing is offered")
-	if f.holds(t, 4, l.Entries()); f.Status().Rejected != nil {
+	if f.checkContent(t, 4, l.Entries()); f.Status().Rejected != nil {
 		t.Error(f.Status().Rejected)
 	}
 }
 
-// A refused revision leaves the one before in force, is told, and isn't taken again until something is different.
-func TestFollowerRefuses(t *testing.T) {
-	l, f := filled(t, Retention{}), NewFollower("r", "1")
-	f.follow(t, l)
+// A rejected revision leaves the one before in force, is reported, and isn't a candidate again until rejections are
+// cleared.
+func TestFollowerRejects(t *testing.T) {
+	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
+	f.mustFollow(t, l)
 	before := l.Entries()
-	l.made(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	u := l.NextUpdate(f.Status())
 	refuse := func() {
 		t.Helper()
@@ -128,17 +130,19 @@
 			t.Fatal(ok, err)
 		}
 		f.Reject("/settings/a", strings.Repeat("é", MaxNoteBytes))
-		f.holds(t, 1, before)
+		f.checkContent(t, 1, before)
 	}
 	refuse()
 	r := f.Status()
-	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() || r.Rejected.Pointer != "/settings/a" || r.Check() != nil {
+	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() ||
+		r.Rejected.Pointer != "/settings/a" ||
+		r.Check() != nil {
 		t.Errorf("%+v", r.Rejected)
 	}
 	if u := l.NextUpdate(r); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
-	// Also from a keeper that doesn't know, and as a whole.
+	// Also from a keeper that doesn't know of the rejection, and as a snapshot.
 	for _, again := range []Update{u, l.UpdateSince(0, Hash{})} {
 		if _, ok, err := f.Offer(again); ok || err != nil {
 			t.Error(ok, err)
@@ -149,21 +153,21 @@
 		t.Error("still refused")
 	}
 	refuse()
-	l.made(t, put("b", "/settings/a", "2"))
-	f.follow(t, l)
+	l.mustApply(t, put("b", "/settings/a", "2"))
+	f.mustFollow(t, l)
 	if f.Status().Rejected != nil {
 		t.Error("still refused")
 	}
 }
 
-// A late keeper's offer between doesn't make a follower forget what it refused, and its memory has a bound.
-func TestFollowerRemembersRefusals(t *testing.T) {
-	l, f := filled(t, Retention{}), NewFollower("r", "1")
-	f.follow(t, l)
-	l.made(t, put("a", "/settings/a", "1"))
+// An offer of a keeper that is behind doesn't make a follower forget its rejections, whose number is bounded.
+func TestFollowerRemembersRejections(t *testing.T) {
+	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
+	f.mustFollow(t, l)
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	two := l.NextUpdate(f.Status())
 	good := l.Entries()
-	l.made(t, put("b", "/settings/a", "2"))
+	l.mustApply(t, put("b", "/settings/a", "2"))
 	three := l.NextUpdate(f.Status())
 	offer := func(u Update, want bool) {
 		t.Helper()
@@ -185,18 +189,18 @@
 	f.Reject("/settings/a", "no")
 	offer(two, true)
 	f.Accept()
-	f.holds(t, 2, good)
+	f.checkContent(t, 2, good)
 	offer(l.UpdateSince(2, f.current.hash), false)
 	for i := range 2 * maxRejections {
-		l.made(t, put(fmt.Sprint("c", i), "/settings/a", fmt.Sprint("1", i)))
+		l.mustApply(t, put(fmt.Sprint("c", i), "/settings/a", fmt.Sprint("1", i)))
 		offer(l.NextUpdate(f.Status()), true)
 		f.Reject("/settings/a", "no")
 	}
 	if r := f.Status().Rejected; len(f.rejections) != maxRejections || r.Revision != l.Revision() {
 		t.Errorf("%d, %+v", len(f.rejections), r)
 	}
-	l.made(t, put("d", "/settings/a", "9"))
-	f.follow(t, l)
+	l.mustApply(t, put("d", "/settings/a", "9"))
+	f.mustFollow(t, l)
 	if f.Status().Rejected != nil || len(f.rejections) != 0 {
 		t.Error(f.rejections)
 	}
@@ -204,9 +208,9 @@
 
 // A copy is taken if it's what was saved and not older than what is in force.
 func TestFollowerRestores(t *testing.T) {
-	l, f := filled(t, Retention{}), NewFollower("r", "1")
-	l.made(t, put("a", "/settings/a", "1"))
-	f.follow(t, l)
+	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
+	l.mustApply(t, put("a", "/settings/a", "1"))
+	f.mustFollow(t, l)
 	text, err := json.Marshal(f.Saved())
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +234,7 @@
 		if _, ok, err := next.Restore(s); ok || !errors.Is(err, ErrDamaged) {
 			t.Errorf("%s: %v, %v", name, ok, err)
 		}
-		next.holds(t, 0, nil)
+		next.checkContent(t, 0, nil)
 	}
 	if _, ok, err := next.Restore(NewFollower("r", "0").Saved()); ok || err != nil {
 		t.Error(ok, err)
@@ -238,34 +242,34 @@
 	if _, ok, err := next.Restore(saved); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	next.holds(t, 0, nil)
+	next.checkContent(t, 0, nil)
 	next.Accept()
-	next.holds(t, 2, l.Entries())
+	next.checkContent(t, 2, l.Entries())
 	if _, ok, err := next.Restore(saved); ok || !errors.Is(err, ErrStale) {
 		t.Error(ok, err)
 	}
-	// What the copy has may be refused as any other; and it goes on from there by a delta.
+	// A copy may be rejected like any revision; after one that was accepted, a delta follows.
 	third := NewFollower("r", "3")
 	if _, ok, _ := third.Restore(saved); !ok {
 		t.Fatal("not taken")
 	}
 	third.Reject("/settings/a", "no")
-	third.holds(t, 0, nil)
-	l.made(t, put("b", "/settings/a", "2"))
+	third.checkContent(t, 0, nil)
+	l.mustApply(t, put("b", "/settings/a", "2"))
 	if u := l.NextUpdate(next.Status()); u.Snapshot {
 		t.Errorf("%+v", u)
 	}
-	next.follow(t, l)
+	next.mustFollow(t, l)
 }
 
-// Keepers that were restored from an older state are behind a follower: it keeps what it has, says so, and takes
-// theirs when they are past it, as a whole.
-func TestKeepersFromAnOlderState(t *testing.T) {
-	l, f := filled(t, Retention{}), NewFollower("r", "1")
+// Keepers that were restored from an older state are behind a follower: its revision stays in force, it reports that,
+// and takes a snapshot when they are past it.
+func TestKeepersRestoredFromOlderState(t *testing.T) {
+	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	old, _ := l.MarshalBinary()
-	l.made(t, put("a", "/settings/a", "1"))
-	l.made(t, put("b", "/settings/a", "2"))
-	f.follow(t, l)
+	l.mustApply(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("b", "/settings/a", "2"))
+	f.mustFollow(t, l)
 	restored := NewLog(Retention{})
 	if err := restored.UnmarshalBinary(old); err != nil {
 		t.Fatal(err)
@@ -280,24 +284,26 @@
 			t.Fatal(ok, err)
 		}
 		f.CallFailed(float64(i)*10_000, 0)
-		f.holds(t, 3, l.Entries())
+		f.checkContent(t, 3, l.Entries())
 	}
 	if theirs, ahead := f.KeepersAreBehind(); !ahead || theirs != 1 {
 		t.Error(theirs, ahead)
 	}
-	if v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil); v.Converged || names(v.Diverged) != "r1" {
+	v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil)
+	if v.Converged || joinNames(v.Diverged) != "r1" {
 		t.Errorf("%+v", v)
 	}
 	for i, id := range []string{"x", "y"} {
-		restored.made(t, put(id, "/settings/c", string(rune('1'+i))))
+		restored.mustApply(t, put(id, "/settings/c", string(rune('1'+i))))
 	}
-	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); v.Converged || names(v.Diverged) != "r1" {
+	v = restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil)
+	if v.Converged || joinNames(v.Diverged) != "r1" {
 		t.Errorf("%+v", v) // the same number, another content
 	}
 	if u := restored.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
-	f.follow(t, restored)
+	f.mustFollow(t, restored)
 	if _, ahead := f.KeepersAreBehind(); ahead {
 		t.Error("still ahead")
 	}
@@ -307,7 +313,7 @@
 }
 
 // Losses go round the keepers at once, then wait longer with each round, up to a bound; an answer ends that.
-func TestBackOff(t *testing.T) {
+func TestKeeperSelectionBackoff(t *testing.T) {
 	f := NewFollower("r", "1")
 	now, asked := 0.0, map[int]int{}
 	for i := range 3 {
@@ -316,7 +322,7 @@
 		if most := 100.0; i < 2 && wait >= most || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
 		}
-		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // told twice
+		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // reported twice
 			t.Error(again, wait)
 		}
 		now += wait
@@ -357,7 +363,7 @@
 }
 
 // A report's fields are checked before it is taken.
-func TestReportCheck(t *testing.T) {
+func TestFollowerStatusCheck(t *testing.T) {
 	for words, r := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
 		"instance": {Name: "r"},
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -20,20 +20,56 @@
 // goldenMessages are the encoded types by golden file, all fields set.
 func goldenMessages() map[string]any {
 	revertTo, expect := uint64(3), uint64(7)
-	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
+	put := map[string]json.RawMessage{
+		"/settings/over-share-worth": json.RawMessage("1.5"),
+		"/board":                     json.RawMessage(`"board:7300"`),
+	}
 	remove := []string{"/settings/parties/north", "/settings/parties/south"}
 	refusal := &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
-	report := FollowerStatus{Name: "n/0", Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210), Revision: 12, Hash: goldenHash(1), Rejected: refusal}
-	seats := []FollowerProcess{{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal}}
+	report := FollowerStatus{
+		Name:     "n/0",
+		Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210),
+		Revision: 12,
+		Hash:     goldenHash(1),
+		Rejected: refusal,
+	}
+	seats := []FollowerProcess{
+		{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal},
+	}
 	fault := configerror.Error{Kind: configerror.Conflict, Pointer: "/board", Reason: "another one", Revision: 9}
 	return map[string]any{
-		"change.json":   Change{ID: "c", Expect: &expect, Put: put, Remove: remove, RevertTo: &revertTo, Note: "note", AtMS: 1_796_000_000_123},
-		"fault.json":    fault,
-		"result.json":   Result{Revision: 9, Repeated: true, Err: &fault},
-		"revision.json": Revision{Revision: 9, ID: "c", Note: "note", AtMS: 5, RevertTo: &revertTo, Hash: goldenHash(3), Put: put, Remove: remove},
-		"update.json":   Update{From: 8, To: 9, Snapshot: true, KeeperBehind: true, Put: put, Remove: remove, Hash: goldenHash(4)},
-		"report.json":   report,
-		"lease.json":    Lease{FollowerStatus: report, UntilMS: 6000.25},
+		"change.json": Change{
+			ID:       "c",
+			Expect:   &expect,
+			Put:      put,
+			Remove:   remove,
+			RevertTo: &revertTo,
+			Note:     "note",
+			AtMS:     1_796_000_000_123,
+		},
+		"fault.json":  fault,
+		"result.json": Result{Revision: 9, Repeated: true, Err: &fault},
+		"revision.json": Revision{
+			Revision: 9,
+			ID:       "c",
+			Note:     "note",
+			AtMS:     5,
+			RevertTo: &revertTo,
+			Hash:     goldenHash(3),
+			Put:      put,
+			Remove:   remove,
+		},
+		"update.json": Update{
+			From:         8,
+			To:           9,
+			Snapshot:     true,
+			KeeperBehind: true,
+			Put:          put,
+			Remove:       remove,
+			Hash:         goldenHash(4),
+		},
+		"report.json": report,
+		"lease.json":  Lease{FollowerStatus: report, UntilMS: 6000.25},
 		"verdict.json": ConvergenceStatus{
 			Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Diverged: seats, Missing: []string{"r1"},
 			UnreachedKeepers: []string{"k2"}, Converged: true,
@@ -62,25 +98,38 @@
 	}
 }
 
-// Words that stand in messages for kinds of faults.
-func TestGoldenFaultKinds(t *testing.T) {
-	text, err := json.Marshal([]configerror.Kind{configerror.Invalid, configerror.Conflict, configerror.Compacted, configerror.IDReused})
+// The kinds of errors in messages.
+func TestGoldenErrorKinds(t *testing.T) {
+	text, err := json.Marshal(
+		[]configerror.Kind{configerror.Invalid, configerror.Conflict, configerror.Compacted, configerror.IDReused},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, "fault-kinds.json", append(text, '\n'))
 }
 
-// goldenChanges are made in a log that keeps three revisions.
+// goldenChanges are applied to a log that retains three revisions.
 func goldenChanges() []Change {
 	back := uint64(4)
 	expect := uint64(2)
 	return []Change{
-		{ID: "a", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")}, Note: "first", AtMS: 1_796_000_000_001},
+		{
+			ID:   "a",
+			Put:  map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")},
+			Note: "first",
+			AtMS: 1_796_000_000_001,
+		},
 		{ID: "b", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7300"`)}, AtMS: 1_796_000_000_002},
 		{
-			ID: "c", Expect: &expect, Put: map[string]json.RawMessage{"/settings/parties/north": json.RawMessage(`{"share":2,"a":[1.50,null]}`)},
-			Remove: []string{"/settings/over-share-worth"}, Note: "both", AtMS: 1_796_000_000_003,
+			ID:     "c",
+			Expect: &expect,
+			Put: map[string]json.RawMessage{
+				"/settings/parties/north": json.RawMessage(`{"share":2,"a":[1.50,null]}`),
+			},
+			Remove: []string{"/settings/over-share-worth"},
+			Note:   "both",
+			AtMS:   1_796_000_000_003,
 		},
 		{ID: "d", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7301"`)}, AtMS: 1_796_000_000_004},
 		{ID: "e", Remove: []string{"/board"}, AtMS: 1_796_000_000_005},
@@ -89,7 +138,7 @@
 }
 
 // A log has the bytes that an earlier program gave it. What is read from them has the same content and past, and
-// knows the changes that were made, so that none is made twice.
+// knows the changes that were applied, so that none is applied twice.
 func TestGoldenLog(t *testing.T) {
 	const file = "log.bin"
 	l := NewLog(Retention{Revisions: 3, Bytes: 1 << 20})
@@ -110,7 +159,21 @@
 	if err := read.UnmarshalBinary(goldentest.Read(t, file)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(l, read, cmp.AllowUnexported(Log{}, document{}, history{}, record{}, edit{}, changeIDs{}, appliedChange{}, memberProcesses{})); diff != "" {
+	diff := cmp.Diff(
+		l,
+		read,
+		cmp.AllowUnexported(
+			Log{},
+			document{},
+			history{},
+			record{},
+			edit{},
+			changeIDs{},
+			appliedChange{},
+			memberProcesses{},
+		),
+	)
+	if diff != "" {
 		t.Error(diff)
 	}
 	for i, c := range goldenChanges() {
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -17,26 +17,27 @@
 
 func number(n uint64) *uint64 { return &n }
 
-// made applies a change that has to be made.
-func (l *Log) made(t testing.TB, c Change) uint64 {
-	t.Helper()
+// mustApply applies a change that must not be rejected or repeated.
+func (l *Log) mustApply(tb testing.TB, c Change) uint64 {
+	tb.Helper()
 	r := l.Apply(c)
 	if r.Err != nil || r.Repeated {
-		t.Fatalf("%+v: %+v", c, r)
+		tb.Fatalf("%+v: %+v", c, r)
 	}
 	return r.Revision
 }
 
-// A change, its repetition, a conflict and a revert: the short way through the whole.
+// A change, its repetition, a conflict and a revert.
 func TestChangeRepeatConflictRevert(t *testing.T) {
 	l := NewLog(Retention{})
-	if rev := l.made(t, put("a", "/settings/over-share-worth", "0.5")); rev != 1 {
+	if rev := l.mustApply(t, put("a", "/settings/over-share-worth", "0.5")); rev != 1 {
 		t.Error(rev)
 	}
 	if r := l.Apply(put("a", "/settings/over-share-worth", " 0.50 ")); r.Err != nil || !r.Repeated || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
-	if r := l.Apply(put("a", "/settings/over-share-worth", "0.6")); r.Err == nil || r.Err.Kind != configerror.IDReused || r.Err.Revision != 1 {
+	r := l.Apply(put("a", "/settings/over-share-worth", "0.6"))
+	if r.Err == nil || r.Err.Kind != configerror.IDReused || r.Err.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
 	c := put("b", "/board", `"127.0.0.1:1"`)
@@ -45,56 +46,84 @@
 		t.Errorf("%+v", r)
 	}
 	c.Expect = number(1)
-	l.made(t, c)
-	l.made(t, Change{ID: "c", RevertTo: number(1)})
-	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" || l.Hash() != HashEntries(l.Entries()) {
+	l.mustApply(t, c)
+	l.mustApply(t, Change{ID: "c", RevertTo: number(1)})
+	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" ||
+		l.Hash() != HashEntries(l.Entries()) {
 		t.Error(l.Revision(), l.Entries())
 	}
-	if h := l.History(0, 10); len(h) != 3 || h[2].Remove[0] != "/board" || *h[2].RevertTo != 1 || h[2].Hash != h[0].Hash {
+	h := l.History(0, 10)
+	if len(h) != 3 || h[2].Remove[0] != "/board" || *h[2].RevertTo != 1 || h[2].Hash != h[0].Hash {
 		t.Errorf("%+v", h)
 	}
 }
 
-// Each fault is told with its kind and place, and nothing differs after it.
-func TestFaults(t *testing.T) {
-	l := NewLog(Retention{})
-	l.made(t, Change{ID: "base", Put: map[string]json.RawMessage{"/settings/rules/cold-ns": json.RawMessage("1"), "/settings/list": json.RawMessage("[]")}})
-	before, _ := l.MarshalBinary()
+// rejectedChange is a change with the error that rejects it.
+type rejectedChange struct {
+	Change
+	kind    configerror.Kind
+	pointer string
+	words   string
+}
+
+// rejectedChanges are changes of a log that has the entries /settings/rules/cold-ns and /settings/list.
+func rejectedChanges() map[string]rejectedChange {
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
 	many := Change{ID: "x", Put: map[string]json.RawMessage{}}
 	for i := range 17 {
 		many.Put[fmt.Sprint("/settings/x", i)] = huge
 	}
-	for name, c := range map[string]struct {
-		Change
-		kind    configerror.Kind
-		pointer string
-		words   string
-	}{
-		"no id":           {Change{Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field id"},
-		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), configerror.Invalid, "", "field id"},
-		"odd id":          {put("a\nb", "/settings/a", "1"), configerror.Invalid, "", "field id"},
-		"long note":       {Change{ID: "x", Note: strings.Repeat("x", MaxNoteBytes+1), Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field note"},
-		"odd note":        {Change{ID: "x", Note: "\xff", Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field note"},
-		"time":            {Change{ID: "x", AtMS: -1, Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field at_ms"},
-		"nothing":         {Change{ID: "x"}, configerror.Invalid, "", "no put"},
-		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: []string{"/settings/list"}}, configerror.Invalid, "", "field revert_to"},
-		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, configerror.Invalid, "", "field revert_to"},
-		"place":           {put("x", "/listen", `"a:1"`), configerror.Invalid, "/listen", "own"},
-		"value":           {put("x", "/settings/a", "{"), configerror.Invalid, "/settings/a", "JSON"},
-		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, configerror.Invalid, "/seed", "own"},
-		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, configerror.Invalid, "/settings/a", "no such entry"},
-		"remove twice":    {Change{ID: "x", Remove: []string{"/settings/list", "/settings/list"}}, configerror.Invalid, "/settings/list", "twice"},
-		"put and remove":  {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/list": json.RawMessage("1")}, Remove: []string{"/settings/list"}}, configerror.Invalid, "/settings/list", "put and removed"},
-		"within an entry": {put("x", "/settings/list/0", "1"), configerror.Invalid, "/settings/list/0", "/settings/list"},
-		"above an entry":  {put("x", "/settings/rules", "{}"), configerror.Invalid, "/settings/rules", "below"},
-		"within itself":   {Change{ID: "x", Put: map[string]json.RawMessage{"/settings/q": json.RawMessage("1"), "/settings/q/r": json.RawMessage("1")}}, configerror.Invalid, "/settings/q/r", "/settings/q"},
-		"large change":    {many, configerror.Invalid, "", "bytes"},
-		"conflict":        {Change{ID: "x", Expect: number(7), Remove: []string{"/settings/list"}}, configerror.Conflict, "", "field expect"},
-		"reused":          {Change{ID: "base", Remove: []string{"/settings/list"}}, configerror.IDReused, "", "field id"},
-	} {
+	const invalid = configerror.Invalid
+	list := []string{"/settings/list"}
+	longNote := Change{ID: "x", Note: strings.Repeat("x", MaxNoteBytes+1), Remove: list}
+	putAndRemove := put("x", "/settings/list", "1")
+	putAndRemove.Remove = list
+	nested := put("x", "/settings/q", "1")
+	nested.Put["/settings/q/r"] = json.RawMessage("1")
+	return map[string]rejectedChange{
+		"no id":           {Change{Remove: list}, invalid, "", "field id"},
+		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), invalid, "", "field id"},
+		"odd id":          {put("a\nb", "/settings/a", "1"), invalid, "", "field id"},
+		"long note":       {longNote, invalid, "", "field note"},
+		"odd note":        {Change{ID: "x", Note: "\xff", Remove: list}, invalid, "", "field note"},
+		"time":            {Change{ID: "x", AtMS: -1, Remove: list}, invalid, "", "field at_ms"},
+		"nothing":         {Change{ID: "x"}, invalid, "", "no put"},
+		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: list}, invalid, "", "field revert_to"},
+		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, invalid, "", "field revert_to"},
+		"place":           {put("x", "/listen", `"a:1"`), invalid, "/listen", "own"},
+		"value":           {put("x", "/settings/a", "{"), invalid, "/settings/a", "JSON"},
+		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, invalid, "/seed", "own"},
+		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, invalid, "/settings/a", "no such entry"},
+		"remove twice":    {Change{ID: "x", Remove: append(list, list...)}, invalid, "/settings/list", "twice"},
+		"put and remove":  {putAndRemove, invalid, "/settings/list", "put and removed"},
+		"within an entry": {put("x", "/settings/list/0", "1"), invalid, "/settings/list/0", "/settings/list"},
+		"above an entry":  {put("x", "/settings/rules", "{}"), invalid, "/settings/rules", "below"},
+		"within itself":   {nested, invalid, "/settings/q/r", "/settings/q"},
+		"large change":    {many, invalid, "", "bytes"},
+		"conflict":        {Change{ID: "x", Expect: number(7), Remove: list}, configerror.Conflict, "", "field expect"},
+		"reused":          {Change{ID: "base", Remove: list}, configerror.IDReused, "", "field id"},
+	}
+}
+
+// Each rejection has its kind and pointer, and leaves the log unchanged.
+func TestRejectedChanges(t *testing.T) {
+	l := NewLog(Retention{})
+	l.mustApply(
+		t,
+		Change{
+			ID: "base",
+			Put: map[string]json.RawMessage{
+				"/settings/rules/cold-ns": json.RawMessage("1"),
+				"/settings/list":          json.RawMessage("[]"),
+			},
+		},
+	)
+	before, _ := l.MarshalBinary()
+	for name, c := range rejectedChanges() {
 		r := l.Apply(c.Change)
-		if r.Err == nil || r.Err.Kind != c.kind || r.Err.Pointer != c.pointer || !strings.Contains(r.Err.Error(), c.words) || r.Revision != 1 {
+		if r.Err == nil || r.Err.Kind != c.kind || r.Err.Pointer != c.pointer ||
+			!strings.Contains(r.Err.Error(), c.words) ||
+			r.Revision != 1 {
 			t.Errorf("%s: %+v, %v", name, r, r.Err)
 		}
 		if _, f := l.Preview(c.Change); !reflect.DeepEqual(f, r.Err) {
@@ -104,9 +133,13 @@
 	if after, _ := l.MarshalBinary(); !bytes.Equal(before, after) {
 		t.Error("a refused change changed something")
 	}
-	// What stands in the way may go in the same change.
-	l.made(t, Change{
-		ID: "over", Put: map[string]json.RawMessage{"/settings/rules": json.RawMessage("{}"), "/settings/list/0": json.RawMessage("1")},
+	// A change may remove the entries that would be above or below the new ones.
+	l.mustApply(t, Change{
+		ID: "over",
+		Put: map[string]json.RawMessage{
+			"/settings/rules":  json.RawMessage("{}"),
+			"/settings/list/0": json.RawMessage("1"),
+		},
 		Remove: []string{"/settings/rules/cold-ns", "/settings/list"},
 	})
 	if len(l.Entries()) != 2 {
@@ -122,7 +155,9 @@
 	for i := 0; fault == nil && i < 100; i++ {
 		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
 	}
-	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") || entries != MaxDocumentBytes/MaxValueBytes-1 || size > MaxDocumentBytes {
+	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") ||
+		entries != MaxDocumentBytes/MaxValueBytes-1 ||
+		size > MaxDocumentBytes {
 		t.Error(fault, entries, size)
 	}
 	l = NewLog(Retention{Revisions: 2})
@@ -132,7 +167,7 @@
 			c.Put[fmt.Sprint("/settings/x", n)] = json.RawMessage("1")
 			n++
 		}
-		l.made(t, c)
+		l.mustApply(t, c)
 	}
 	if r := l.Apply(put("more", "/settings/y", "1")); r.Err == nil || !strings.Contains(r.Err.Reason, "entries") {
 		t.Errorf("%+v", r)
@@ -142,42 +177,49 @@
 // IDs are remembered past the records, but not for ever.
 func TestIDsAreRememberedWithinBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
-	l.made(t, put("first", "/settings/a", "0"))
+	l.mustApply(t, put("first", "/settings/a", "0"))
 	for i := range MaxRememberedIDs - 1 {
-		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
+		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
 	if r := l.Apply(put("first", "/settings/a", "0")); !r.Repeated || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
-	l.made(t, put("one more", "/settings/a", "0"))
+	l.mustApply(t, put("one more", "/settings/a", "0"))
 	if len(l.ids.applied) != MaxRememberedIDs || len(l.ids.order) != MaxRememberedIDs {
 		t.Error(len(l.ids.applied), len(l.ids.order))
 	}
-	l.made(t, put("first", "/settings/a", "0"))
-	// A preview of what was made is the content in force, and no fault.
+	l.mustApply(t, put("first", "/settings/a", "0"))
+	// A preview of an applied change is the content in force, and no error.
 	if c, f := l.Preview(put("first", "/settings/a", "0")); f != nil || len(c) != 1 {
 		t.Error(c, f)
 	}
 }
 
-// The roster takes each name once, with its two latest processes, and none that is wrong or beyond the bound.
-func TestRoster(t *testing.T) {
+// Each name is a member once, with its two latest processes; an invalid one, or one beyond the bound, is not added.
+func TestMembers(t *testing.T) {
 	l := NewLog(Retention{})
-	if !l.AddMember("b", "1") || !l.AddMember("a", "1") || l.AddMember("b", "1") || l.AddMember("", "1") || l.AddMember("\x00", "1") || l.AddMember("c", "") {
+	if !l.AddMember("b", "1") || !l.AddMember("a", "1") || l.AddMember("b", "1") || l.AddMember("", "1") ||
+		l.AddMember("\x00", "1") ||
+		l.AddMember("c", "") {
 		t.Error(l.Members())
 	}
 	if r := l.Members(); !reflect.DeepEqual(r, []string{"a", "b"}) {
 		t.Error(r)
 	}
 	// Two that live side by side don't push each other out.
-	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") || l.HasMember("a", "1") || !l.HasMember("a", "2") || !l.HasMember("a", "4") {
+	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") ||
+		l.HasMember("a", "1") ||
+		!l.HasMember("a", "2") ||
+		!l.HasMember("a", "4") {
 		t.Error(l.members)
 	}
-	// A late word of an earlier process doesn't make it the latest.
-	if !l.AddMember("a", "3") || l.members["a"] != (memberProcesses{"4", "3"}) || !l.AddMember("a", "2") || l.members["a"] != (memberProcesses{"4", "2"}) {
+	// A late call of an earlier process doesn't make it the latest.
+	if !l.AddMember("a", "3") || l.members["a"] != (memberProcesses{"4", "3"}) || !l.AddMember("a", "2") ||
+		l.members["a"] != (memberProcesses{"4", "2"}) {
 		t.Error(l.members)
 	}
-	if NewInstance(1000, 7) >= NewInstance(1001, 3) || NewInstance(-5, 1) != NewInstance(0, 1) || len(NewInstance(1<<40, 1<<63)) > MaxIDBytes {
+	if NewInstance(1000, 7) >= NewInstance(1001, 3) || NewInstance(-5, 1) != NewInstance(0, 1) ||
+		len(NewInstance(1<<40, 1<<63)) > MaxIDBytes {
 		t.Error(NewInstance(1000, 7))
 	}
 	if l.HasMember("b", "") || l.HasMember("b", "2") || l.HasMember("c", "1") {
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -14,20 +14,26 @@
 	"windflow/internal/decide/configerror"
 )
 
-// model is the plain reckoning of a log: each revision's whole content, and no bounds but the number of revisions.
+// model is a plain implementation of a log: each revision's complete content, and no bounds but the number of
+// revisions.
 type model struct {
-	contents []map[string]json.RawMessage
-	keep     int
-	ids      map[string]string // what each ID said
-	revs     map[string]uint64
+	contents  []map[string]json.RawMessage
+	retention int
+	ids       map[string]string // what each ID said
+	revisions map[string]uint64
 }
 
 func newModel(keep int) *model {
-	return &model{contents: []map[string]json.RawMessage{{}}, keep: keep, ids: map[string]string{}, revs: map[string]uint64{}}
+	return &model{
+		contents:  []map[string]json.RawMessage{{}},
+		retention: keep,
+		ids:       map[string]string{},
+		revisions: map[string]uint64{},
+	}
 }
 
 func (m *model) revision() uint64                    { return uint64(len(m.contents) - 1) }
-func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.keep)) }
+func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.retention)) }
 func (m *model) content() map[string]json.RawMessage { return m.contents[len(m.contents)-1] }
 
 // apply gives the kind of fault, "repeated" or nothing, and the revision. Its changes have canonical values and
@@ -38,9 +44,9 @@
 	text, _ := json.Marshal(c)
 	if said, ok := m.ids[c.ID]; ok {
 		if said != string(text) {
-			return string(configerror.IDReused), m.revs[c.ID]
+			return string(configerror.IDReused), m.revisions[c.ID]
 		}
-		return "repeated", m.revs[c.ID]
+		return "repeated", m.revisions[c.ID]
 	}
 	if c.Expect != nil && *c.Expect != m.revision() {
 		return string(configerror.Conflict), m.revision()
@@ -70,21 +76,29 @@
 		}
 	}
 	m.contents = append(m.contents, next)
-	m.ids[c.ID], m.revs[c.ID] = string(text), m.revision()
+	m.ids[c.ID], m.revisions[c.ID] = string(text), m.revision()
 	return "", m.revision()
 }
 
-// drawer draws a number from 0 to n-1: by rapid, or from a fixed row of numbers where a broken variant has to be
+// drawer draws a number from 0 to n-1: by rapid, or from a seeded generator where a mutant has to be
 // caught.
 type drawer func(n int, what string) int
 
-func byRapid(t *rapid.T) drawer {
+func drawFromRapid(t *rapid.T) drawer {
 	return func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 }
 
-var places = []string{"/board", "/settings/a", "/settings/a/b", "/settings/a/b/c", "/settings/d", "/settings/parties/p", "/settings/parties/q"}
+var samplePointers = []string{
+	"/board",
+	"/settings/a",
+	"/settings/a/b",
+	"/settings/a/b/c",
+	"/settings/d",
+	"/settings/parties/p",
+	"/settings/parties/q",
+}
 
-// change draws a change, often one that is at fault. The filler makes the whole larger than a delta, most of the time.
+// change draws a change, often an invalid one. The filler makes the document larger than a delta, most of the time.
 func (draw drawer) change(id string, now uint64) Change {
 	c := Change{ID: id, AtMS: int64(draw(3, "at"))}
 	if draw(4, "cas") == 0 {
@@ -96,7 +110,7 @@
 	}
 	c.Put = map[string]json.RawMessage{}
 	for range 1 + draw(2, "puts") {
-		p := places[draw(len(places), "place")]
+		p := samplePointers[draw(len(samplePointers), "place")]
 		v := fmt.Sprint(draw(4, "value"))
 		switch {
 		case p == "/board":
@@ -110,26 +124,26 @@
 		c.Put["/settings/filler"] = json.RawMessage(`"` + strings.Repeat("x", 50+100*draw(3, "fill")) + `"`)
 	}
 	for range draw(3, "removes") {
-		if p := places[draw(len(places), "place")]; c.Put[p] == nil && !slices.Contains(c.Remove, p) {
+		if p := samplePointers[draw(len(samplePointers), "place")]; c.Put[p] == nil && !slices.Contains(c.Remove, p) {
 			c.Remove = append(c.Remove, p)
 		}
 	}
 	return c
 }
 
-// same draws for each run, unless the command line says otherwise.
-func drawn(t *testing.T, checks string, prop func(*rapid.T)) {
+// checkProperty draws the same in every run, unless the command line says otherwise.
+func checkProperty(t *testing.T, checks string, prop func(*rapid.T)) {
 	t.Helper()
-	restore := fixDraws(t, checks)
+	restore := fixRapidSeed(t, checks)
 	defer restore()
 	rapid.Check(t, prop)
 }
 
-// The log does what the plain reckoning does: results, contents of all revisions kept, and what every follower gets
+// The log does what the model does: results, contents of all retained revisions, and what every follower gets
 // from whatever revision leads to the content in force. Its state comes back the same at any step.
-func TestLogAgainstPlainReckoning(t *testing.T) {
-	drawn(t, "200", func(t *rapid.T) {
-		draw := byRapid(t)
+func TestLogMatchesModel(t *testing.T) {
+	checkProperty(t, "200", func(t *rapid.T) {
+		draw := drawFromRapid(t)
 		l, m := NewLog(Retention{Revisions: 5}), newModel(5)
 		for i := range 40 {
 			id := fmt.Sprint(i)
@@ -143,7 +157,8 @@
 			switch {
 			case r.Err != nil && (string(r.Err.Kind) != kind || !reflect.DeepEqual(fault, r.Err)):
 				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Err, fault, kind)
-			case r.Err == nil && (r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || fault != nil):
+			case r.Err == nil &&
+				(r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || fault != nil):
 				t.Fatalf("%+v: %+v, not %q %d, preview %v", c, r, kind, rev, fault)
 			case r.Err == nil && !maps.EqualFunc(preview, m.content(), equal):
 				t.Fatalf("%+v: preview %v", c, preview)
@@ -159,8 +174,18 @@
 }
 
 func (m *model) compare(t *rapid.T, l *Log) {
-	if l.Revision() != m.revision() || l.OldestRevision() != m.oldest() || !maps.EqualFunc(l.Entries(), m.content(), equal) || l.Hash() != HashEntries(m.content()) {
-		t.Fatalf("%d from %d %v, not %d from %d %v", l.Revision(), l.OldestRevision(), l.Entries(), m.revision(), m.oldest(), m.content())
+	if l.Revision() != m.revision() || l.OldestRevision() != m.oldest() ||
+		!maps.EqualFunc(l.Entries(), m.content(), equal) ||
+		l.Hash() != HashEntries(m.content()) {
+		t.Fatalf(
+			"%d from %d %v, not %d from %d %v",
+			l.Revision(),
+			l.OldestRevision(),
+			l.Entries(),
+			m.revision(),
+			m.oldest(),
+			m.content(),
+		)
 	}
 	for rev, want := range m.contents {
 		got, fault := l.EntriesAt(uint64(rev))
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -5,36 +5,36 @@
 	"maps"
 )
 
-// broken are variants that each break a property.
-var broken = []struct {
+// mutants each break a property.
+var mutants = []struct {
 	name, property string
-	breaks         func(*variant)
+	breaks         func(*parts)
 }{
-	{"applies a delta onto whatever it has", noMix, func(v *variant) {
+	{"applies a delta onto whatever it has", propertyNoMix, func(v *parts) {
 		v.follower = func(f *Follower) client { return wrongBase{f} }
 	}},
-	{"takes half of an update", noMix, func(v *variant) {
-		v.follower = func(f *Follower) client { return half{f} }
+	{"takes half of an update", propertyNoMix, func(v *parts) {
+		v.follower = func(f *Follower) client { return partialUpdate{f} }
 	}},
-	{"takes a copy that isn't what was saved", noMix, func(v *variant) {
-		v.follower = func(f *Follower) client { return trusting{f} }
+	{"takes a copy that isn't what was saved", propertyNoMix, func(v *parts) {
+		v.follower = func(f *Follower) client { return uncheckedRestore{f} }
 	}},
-	{"takes an older whole", noneBack, func(v *variant) {
-		v.follower = func(f *Follower) client { return goesBack{f} }
+	{"accepts an older snapshot", propertyNeverBack, func(v *parts) {
+		v.follower = func(f *Follower) client { return goingBack{f} }
 	}},
-	{"forgets what it refused", noLoop, func(v *variant) {
+	{"forgets what it refused", propertyNoRepeatedRejection, func(v *parts) {
 		v.follower = func(f *Follower) client { return forgetful{f} }
 	}},
-	{"never asks for the whole", allMeet, func(v *variant) {
+	{"never asks for a snapshot", propertyEventualConvergence, func(v *parts) {
 		v.follower = func(f *Follower) client { return stubborn{f} }
 	}},
-	{"log without a memory of IDs", onceOnly, func(v *variant) {
+	{"log without a memory of IDs", propertyAppliedOnce, func(v *parts) {
 		v.apply = func(l *Log, c Change) Result {
 			delete(l.ids.applied, c.ID)
 			return l.Apply(c)
 		}
 	}},
-	{"log that doesn't compare before it sets", onceOnly, func(v *variant) {
+	{"log that doesn't compare before it sets", propertyAppliedOnce, func(v *parts) {
 		v.apply = func(l *Log, c Change) Result {
 			if c.Expect = nil; l.ids.applied[c.ID] != (appliedChange{}) {
 				return Result{Repeated: true}
@@ -42,39 +42,42 @@
 			return l.Apply(c)
 		}
 	}},
-	{"judge that ignores unreached keepers", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, _ []string) ConvergenceStatus {
-			return l.Convergence(rev, heard, nil)
+	{"convergence that ignores unreached keepers", propertyNoFalseConvergence, func(v *parts) {
+		v.convergence = func(l *Log, rev uint64, leases []Lease, _ []string) ConvergenceStatus {
+			return l.Convergence(rev, leases, nil)
 		}
 	}},
-	{"judge that goes by names alone", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
-			verdict := l.Convergence(rev, heard, nil)
-			verdict.Converged = verdict.Converged && (len(unreached) == 0 || len(verdict.Missing) == 0)
-			return verdict
+	{"convergence by names alone", propertyNoFalseConvergence, func(v *parts) {
+		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+			status := l.Convergence(rev, leases, nil)
+			status.Converged = status.Converged && (len(unreached) == 0 || len(status.Missing) == 0)
+			return status
 		}
 	}},
-	{"judge that ignores who is behind", notFalse, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
-			verdict := l.Convergence(rev, heard, unreached)
-			verdict.Converged = len(verdict.InForce) > 0
-			return verdict
+	{"convergence that ignores who is behind", propertyNoFalseConvergence, func(v *parts) {
+		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+			status := l.Convergence(rev, leases, unreached)
+			status.Converged = len(status.InForce) > 0
+			return status
 		}
 	}},
-	{"judge that counts who is gone", allMeet, func(v *variant) {
-		v.judge = func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
-			verdict := l.Convergence(rev, heard, unreached)
-			verdict.Converged = verdict.Converged && len(verdict.Missing) == 0
-			return verdict
+	{"convergence that counts missing members", propertyEventualConvergence, func(v *parts) {
+		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+			status := l.Convergence(rev, leases, unreached)
+			status.Converged = status.Converged && len(status.Missing) == 0
+			return status
 		}
 	}},
-	{"keeper that is reached before its leases are whole", notFalse, func(v *variant) {
-		v.settled = func(*Leases, float64) bool { return true }
+	{"keeper that is reached before its leases are complete", propertyNoFalseConvergence, func(v *parts) {
+		v.isComplete = func(*Leases, float64) bool { return true }
 	}},
 }
 
-// take offers a content by force.
-func (f *Follower) take(rev uint64, entries map[string]json.RawMessage) (map[string]json.RawMessage, bool, error) {
+// forceCandidate makes a content the candidate, whatever the follower has.
+func (f *Follower) forceCandidate(
+	rev uint64,
+	entries map[string]json.RawMessage,
+) (map[string]json.RawMessage, bool, error) {
 	f.candidate = &content{revision: rev, hash: HashEntries(entries), entries: entries}
 	return entries, true, nil
 }
@@ -90,37 +93,37 @@
 		delete(entries, p)
 	}
 	maps.Copy(entries, u.Put)
-	return f.take(u.To, entries)
+	return f.forceCandidate(u.To, entries)
 }
 
-type half struct{ *Follower }
+type partialUpdate struct{ *Follower }
 
-func (f half) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f partialUpdate) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	entries, ok, err := f.Follower.Offer(u)
 	if ok && !u.Snapshot && len(u.Remove) > 0 {
 		next := maps.Clone(entries)
 		for _, p := range u.Remove {
 			next[p] = f.current.entries[p]
 		}
-		return f.take(u.To, next)
+		return f.forceCandidate(u.To, next)
 	}
 	return entries, ok, err
 }
 
-type trusting struct{ *Follower }
+type uncheckedRestore struct{ *Follower }
 
-func (f trusting) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
+func (f uncheckedRestore) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
 	if s.Revision == 0 {
 		return nil, false, nil
 	}
-	return f.take(s.Revision, s.Entries)
+	return f.forceCandidate(s.Revision, s.Entries)
 }
 
-type goesBack struct{ *Follower }
+type goingBack struct{ *Follower }
 
-func (f goesBack) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f goingBack) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	if f.candidate == nil && u.Snapshot && u.To < f.current.revision {
-		return f.take(u.To, u.Put)
+		return f.forceCandidate(u.To, u.Put)
 	}
 	return f.Follower.Offer(u)
 }
@@ -132,7 +135,7 @@
 	f.ClearRejections()
 }
 
-// stubborn holds on to the hash of a content that it doesn't have, and takes no whole.
+// stubborn ignores snapshots.
 type stubborn struct{ *Follower }
 
 func (f stubborn) Offer(u Update) (map[string]json.RawMessage, bool, error) {
--- a/internal/decide/configlog/pointer.go
+++ b/internal/decide/configlog/pointer.go
@@ -53,7 +53,10 @@
 	case name == "":
 		return fmt.Errorf("the party has no name")
 	case strings.Contains(name, "/"):
-		return fmt.Errorf("a party is put as a whole, with its pointer %sNAME (a / in a name is written ~1)", tenantsPath)
+		return fmt.Errorf(
+			"a party is put as a whole, with its pointer %sNAME (a / in a name is written ~1)",
+			tenantsPath,
+		)
 	}
 	return nil
 }
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -10,7 +10,8 @@
 func TestCheckPointer(t *testing.T) {
 	for _, p := range []string{
 		"/board", "/settings/over-share-worth", "/settings/rules/look-back-ns", "/settings/limits/attempts-cap",
-		"/settings/classes/0/credit", "/settings/parties/a", "/settings/parties/Me", "/settings/parties/a~1b~0c", "/settings/meet",
+		"/settings/classes/0/credit", "/settings/parties/a", "/settings/parties/Me", "/settings/parties/a~1b~0c",
+		"/settings/meet",
 	} {
 		if err := CheckPointer(p); err != nil {
 			t.Errorf("%s: %v", p, err)
@@ -18,8 +19,10 @@
 	}
 	for _, p := range []string{
 		"", "board", "/", "/name", "/listen", "/seed", "/limits", "/limits/sockets", "/control", "/known", "/board/x",
-		"/Board", "/settings", "/settings/", "/settings/me", "/settings/zone", "/settings/Zone", "/settings/zone/x", "/settings/a//b",
-		"/settings/parties", "/settings/Parties/a", "/settings/parties/", "/settings/parties/a/quota-rps", "/settings/a~2", "/settings/a~",
+		"/Board", "/settings", "/settings/", "/settings/me", "/settings/zone", "/settings/Zone", "/settings/zone/x",
+		"/settings/a//b",
+		"/settings/parties", "/settings/Parties/a", "/settings/parties/", "/settings/parties/a/quota-rps",
+		"/settings/a~2", "/settings/a~",
 		"/settings/\x00", "/settings/parties/\n", "/settings/parties/\xff", "/settings/classes/-", "/settings/classes/01",
 		"/settings/parties/" + strings.Repeat("x", MaxPointerBytes),
 	} {
@@ -37,8 +40,9 @@
 
 // Equal content has one form, which the JSON of an update doesn't change.
 func TestCanonicalValues(t *testing.T) {
+	const blanks = ` { "b" : 1 , "a" : [ ] } `
 	for in, want := range map[string]string{
-		` { "b" : 1 , "a" : [ ] } `:   `{"a":[],"b":1}`,
+		blanks:                        `{"a":[],"b":1}`,
 		`0.50`:                        `0.5`,
 		`1e3`:                         `1000`,
 		`-0`:                          `0`,
--- a/internal/decide/configlog/randomorder_test.go
+++ b/internal/decide/configlog/randomorder_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"maps"
@@ -12,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// fixDraws has rapid draw the same in every run, unless the command line says otherwise.
-func fixDraws(t *testing.T, checks string) (restore func()) {
+// fixRapidSeed makes rapid draw the same in every run, unless the command line says otherwise.
+func fixRapidSeed(t *testing.T, checks string) (restore func()) {
 	t.Helper()
 	var set []string
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": checks} {
@@ -31,33 +32,33 @@
 	}
 }
 
-// step does one drawn thing.
-func (w *world) step(i int) error {
+// step does one random thing.
+func (w *simulation) step(i int) error {
 	k := w.keepers[w.draw(len(w.keepers), "keeper")]
 	at := w.draw(len(w.routers), "router")
 	r := w.routers[at]
 	switch w.draw(22, "step") {
 	case 0, 1:
-		w.commit(command{change: w.draw.change(fmt.Sprint("c", i), w.truth.revision())})
+		w.commit(command{change: w.draw.change(fmt.Sprint("c", i), w.model.revision())})
 	case 2: // the same once more, as one does who got no answer
 		if c := w.commands[w.draw(len(w.commands), "again")]; c.name == "" {
 			w.commit(c)
 		}
 	case 3, 4:
-		w.catchUp(k, 1+w.draw(4, "most"))
+		w.applyCommitted(k, 1+w.draw(4, "most"))
 	case 5, 6, 7:
 		w.call(at)
 	case 8, 9, 10, 11:
-		if len(w.mail) > 0 {
-			n := w.draw(len(w.mail), "message")
-			m := w.mail[n]
+		if len(w.messages) > 0 {
+			n := w.draw(len(w.messages), "message")
+			m := w.messages[n]
 			if w.draw(4, "kept") != 0 { // else it comes once more
-				w.mail = append(w.mail[:n], w.mail[n+1:]...)
+				w.messages = append(w.messages[:n], w.messages[n+1:]...)
 			}
 			w.deliver(m)
 		}
 	case 12:
-		w.decide(r)
+		w.acceptOrReject(r)
 	case 13:
 		if r.alive {
 			s := r.client.Saved()
@@ -68,15 +69,15 @@
 	case 16, 17:
 		return w.keeperFails(k)
 	case 18: // a call whose answer is lost
-		before := len(w.mail)
+		before := len(w.messages)
 		w.call(at)
-		if len(w.mail) > before {
-			w.mail = w.mail[:before+1]
-			w.deliver(w.mail[before])
-			w.mail = w.mail[:before]
+		if len(w.messages) > before {
+			w.messages = w.messages[:before+1]
+			w.deliver(w.messages[before])
+			w.messages = w.messages[:before]
 		}
 	case 19:
-		w.wait([]float64{20, 400, 2000, 7000}[w.draw(4, "ms")])
+		w.advance([]float64{20, 400, 2000, 7000}[w.draw(4, "ms")])
 	default: // a call that goes as it should
 		w.exchange(at)
 	}
@@ -84,25 +85,24 @@
 }
 
 // exchange is a call and its answer at once, and what the router makes of it.
-func (w *world) exchange(at int) {
+func (w *simulation) exchange(at int) {
 	r := w.routers[at]
-	w.decide(r)
-	before := len(w.mail)
+	w.acceptOrReject(r)
+	before := len(w.messages)
 	w.call(at)
-	for len(w.mail) > before {
-		m := w.mail[before]
-		w.mail = w.mail[:before]
+	for len(w.messages) > before {
+		m := w.messages[before]
+		w.messages = w.messages[:before]
 		w.deliver(m)
 	}
-	w.decide(r)
+	w.acceptOrReject(r)
 }
 
-// routerFails ends a router's life or begins its next, with and without the copy on its disk, or cuts it off and
-// joins it.
-func (w *world) routerFails(r *router) {
+// routerFails stops or starts a router, with and without the copy on its disk, or begins or ends a partition.
+func (w *simulation) routerFails(r *router) {
 	switch what := w.draw(6, "router fails"); {
 	case what == 5:
-		r.cut = !r.cut
+		r.partitioned = !r.partitioned
 	case r.alive && what > 1:
 		r.alive = false
 	default: // at once after its crash, or some time after
@@ -116,24 +116,24 @@
 			s.Entries["/settings/damage"] = json.RawMessage("1")
 			r.copy = &s
 		}
-		w.begin(r)
+		w.startRouter(r)
 	}
 }
 
-// keeperFails crashes a keeper or starts it, cuts it from the majority or joins it, or has it write its snapshot. A
-// majority stays, because without one nothing happens.
-func (w *world) keeperFails(k *keeper) error {
+// keeperFails crashes or starts a keeper, begins or ends its partition from the majority, or makes it write its
+// snapshot. A majority stays, because without one nothing happens.
+func (w *simulation) keeperFails(k *keeper) error {
 	others := 0
 	for _, o := range w.keepers {
-		if o != k && o.up && !o.cut {
+		if o != k && o.up && !o.partitioned {
 			others++
 		}
 	}
 	switch what := w.draw(6, "keeper fails"); {
 	case !k.up:
-		return w.wake(k)
-	case k.cut:
-		k.cut = false
+		return w.startKeeper(k)
+	case k.partitioned:
+		k.partitioned = false
 	case what == 0:
 		var err error
 		k.disk, err = k.log.MarshalBinary()
@@ -141,111 +141,138 @@
 		return err
 	case others < 2:
 	case what == 1:
-		w.crash(k)
+		w.crashKeeper(k)
 	case what < 4: // it's there again at once
-		w.crash(k)
-		return w.wake(k)
+		w.crashKeeper(k)
+		return w.startKeeper(k)
 	default:
-		k.cut = true
+		k.partitioned = true
 	}
 	return nil
 }
 
-// judged asks where the latest revisions are in force, and holds the answer against what the routers have.
-func (w *world) judged() error {
-	last := w.truth.revision()
+// checkConvergence compares the convergence of the latest revisions with what the routers have in force.
+func (w *simulation) checkConvergence() error {
+	last := w.model.revision()
 	for rev := last - min(last, 1); rev <= last; rev++ {
-		v := w.verdict(rev)
+		v := w.convergenceAt(rev)
 		for _, r := range w.routers {
-			if v.Converged && r.alive && r.heard && r.heardMS+leaseMS > w.nowMS && r.rev < rev {
-				return &violation{notFalse, fmt.Sprintf("%s is alive at %d, said of %d: %+v", r.name, r.rev, rev, v)}
+			if v.Converged && r.alive && r.answered && r.answeredMS+leaseMS > w.nowMS && r.revision < rev {
+				return &violationError{
+					propertyNoFalseConvergence,
+					fmt.Sprintf("%s is alive at %d, said of %d: %+v", r.name, r.revision, rev, v),
+				}
 			}
 		}
 	}
 	return nil
 }
 
-// check holds the routers and keepers against what the commands make.
-func (w *world) check() error {
+// check compares the routers and keepers with the model.
+func (w *simulation) check() error {
 	for _, r := range w.routers {
 		if !r.alive {
 			continue
 		}
 		s := r.client.Saved()
-		if s.Revision < r.rev {
-			return &violation{noneBack, fmt.Sprintf("%s went from %d to %d", r.name, r.rev, s.Revision)}
+		if s.Revision < r.revision {
+			return &violationError{
+				propertyNeverBack,
+				fmt.Sprintf("%s went from %d to %d", r.name, r.revision, s.Revision),
+			}
 		}
-		r.rev = s.Revision
-		if s.Revision > w.truth.revision() || !maps.EqualFunc(s.Entries, w.truth.contents[s.Revision], equal) || !maps.EqualFunc(r.inForce, s.Entries, equal) {
-			return &violation{noMix, fmt.Sprintf("%s at %d has %v", r.name, s.Revision, s.Entries)}
+		r.revision = s.Revision
+		if s.Revision > w.model.revision() || !maps.EqualFunc(s.Entries, w.model.contents[s.Revision], equal) ||
+			!maps.EqualFunc(r.inForce, s.Entries, equal) {
+			return &violationError{propertyNoMix, fmt.Sprintf("%s at %d has %v", r.name, s.Revision, s.Entries)}
 		}
-		for what, times := range r.refused {
+		for what, times := range r.rejections {
 			if times > 1 {
-				return &violation{noLoop, fmt.Sprintf("%s was offered %s %d times", r.name, what, times)}
+				return &violationError{
+					propertyNoRepeatedRejection,
+					fmt.Sprintf("%s was offered %s %d times", r.name, what, times),
+				}
 			}
 		}
 	}
 	for _, k := range w.keepers {
-		if rev := k.log.Revision(); rev > w.truth.revision() || !maps.EqualFunc(k.log.document.entries, w.truth.contents[rev], equal) {
-			return &violation{onceOnly, fmt.Sprintf("%s at %d of %d has %v", k.name, rev, w.truth.revision(), k.log.document.entries)}
+		if rev := k.log.Revision(); rev > w.model.revision() ||
+			!maps.EqualFunc(k.log.document.entries, w.model.contents[rev], equal) {
+			return &violationError{
+				propertyAppliedOnce,
+				fmt.Sprintf("%s at %d of %d has %v", k.name, rev, w.model.revision(), k.log.document.entries),
+			}
 		}
 	}
 	return nil
 }
 
-// calm ends all faults but those of routers that are dead, and sees that everyone comes to the last revision, and
-// that it's said to be in force everywhere unless a living router refuses it.
-func (w *world) calm() error {
-	w.mail = nil
+// checkSettled ends all faults except stopped routers, and checks that the last revision converges unless a running
+// router rejects it.
+func (w *simulation) checkSettled() error {
+	w.messages = nil
 	for _, k := range w.keepers {
-		if k.cut = false; !k.up {
-			if err := w.wake(k); err != nil {
+		if k.partitioned = false; !k.up {
+			if err := w.startKeeper(k); err != nil {
 				return err
 			}
 		}
-		w.catchUp(k, len(w.commands))
+		w.applyCommitted(k, len(w.commands))
 	}
 	for range 20 {
 		for i, r := range w.routers {
-			r.cut = false
+			r.partitioned = false
 			w.exchange(i)
 		}
-		w.wait(1000)
+		w.advance(1000)
 		if err := w.check(); err != nil {
 			return err
 		}
 	}
-	last, living, refusing := w.truth.revision(), 0, false
+	if err := w.checkLastRevision(); err != nil {
+		return err
+	}
+	want, err := w.leader.MarshalBinary()
+	for _, k := range w.keepers {
+		w.applyCommitted(k, len(w.commands))
+		if got, _ := k.log.MarshalBinary(); !bytes.Equal(got, want) {
+			return &violationError{propertyAppliedOnce, k.name + " has another state than the leader"}
+		}
+	}
+	return err
+}
+
+// checkLastRevision checks that each running router has the last revision, or rejects it, and that the leader says so.
+func (w *simulation) checkLastRevision() error {
+	last, running, rejecting := w.model.revision(), 0, false
 	for _, r := range w.routers {
 		if !r.alive {
 			continue
 		}
-		living++
-		v := string(w.truth.content()["/settings/d"])
-		if r.picky && (v == "1" || v == "3") {
-			refusing = refusing || r.rev < last
+		running++
+		v := string(w.model.content()["/settings/d"])
+		if r.rejectsOdd && (v == "1" || v == "3") {
+			rejecting = rejecting || r.revision < last
 			continue
 		}
-		if r.rev != last {
-			return &violation{allMeet, fmt.Sprintf("%s is at %d of %d", r.name, r.rev, last)}
+		if r.revision != last {
+			return &violationError{
+				propertyEventualConvergence,
+				fmt.Sprintf("%s is at %d of %d", r.name, r.revision, last),
+			}
 		}
 	}
-	if v := w.verdict(last); v.Converged != (living > 0 && !refusing) || len(v.Rejected) > 0 != refusing || len(v.Missing) > len(w.routers)-living {
-		return &violation{allMeet, fmt.Sprintf("the leader says %+v", v)}
+	v := w.convergenceAt(last)
+	if v.Converged != (running > 0 && !rejecting) || len(v.Rejected) > 0 != rejecting ||
+		len(v.Missing) > len(w.routers)-running {
+		return &violationError{propertyEventualConvergence, fmt.Sprintf("the leader says %+v", v)}
 	}
-	want, err := w.leader.MarshalBinary()
-	for _, k := range w.keepers {
-		w.catchUp(k, len(w.commands))
-		if got, _ := k.log.MarshalBinary(); !bytes.Equal(got, want) {
-			return &violation{onceOnly, k.name + " has another state than the leader"}
-		}
-	}
-	return err
+	return nil
 }
 
-// play runs a world through drawn steps and then to its calm end.
-func play(draw drawer, v variant, steps int) error {
-	w := newWorld(draw, v)
+// simulate runs a simulation through random steps, and then until it has settled.
+func simulate(draw drawer, v parts, steps int) error {
+	w := newSimulation(draw, v)
 	for i := range steps {
 		if err := w.step(i); err != nil {
 			return err
@@ -253,48 +280,49 @@
 		if err := w.check(); err != nil {
 			return err
 		}
-		if err := w.judged(); err != nil {
+		if err := w.checkConvergence(); err != nil {
 			return err
 		}
 	}
-	return w.calm()
+	return w.checkSettled()
 }
 
-// In any order of calls that are lost, doubled and late, of keepers and routers that crash, are cut off and come back
-// with or without their disks, each router has one revision whole, none goes back within a life, nobody says
-// 'everywhere' falsely, a repeated change is one, nothing refused is taken again, and all meet when the faults stop.
-func TestRandomOrders(t *testing.T) {
-	drawn(t, "200", func(t *rapid.T) {
-		if err := play(byRapid(t), whole(), 120); err != nil {
+// In any order of calls that are lost, duplicated and late, of keepers and routers that crash, are partitioned and
+// come back with or without their disks, each router has exactly one revision in force, none goes back within a
+// process, no revision converges falsely, a repeated change is applied once, nothing rejected is offered again, and
+// all have the last revision once the faults end.
+func TestRandomSimulations(t *testing.T) {
+	checkProperty(t, "200", func(t *rapid.T) {
+		if err := simulate(drawFromRapid(t), soundParts(), 120); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// byRow draws from a row of numbers that is the same each time.
-func byRow(row uint64) drawer {
+// drawFromSeed draws the same numbers for a seed each time.
+func drawFromSeed(row uint64) drawer {
 	r := rand.New(rand.NewPCG(row, 31))
 	return func(n int, _ string) int { return r.IntN(n) }
 }
 
 // The check of TestRandomOrders sees each property broken: a variant that breaks it is caught, by that property, while
 // the sound parts pass the first rows of the same draws.
-func TestBrokenVariantsAreCaught(t *testing.T) {
+func TestMutantsAreDetected(t *testing.T) {
 	const sound, rows = 200, 1000
 	for row := range uint64(sound) {
-		if err := play(byRow(row), whole(), 120); err != nil {
+		if err := simulate(drawFromSeed(row), soundParts(), 120); err != nil {
 			t.Fatalf("the sound parts, row %d: %v", row, err)
 		}
 	}
-	for _, b := range broken {
+	for _, b := range mutants {
 		t.Run(b.name, func(t *testing.T) {
-			v := whole()
+			v := soundParts()
 			b.breaks(&v)
 			seen := map[string]int{}
 			for row := range uint64(rows) {
-				if err := play(byRow(row), v, 120); err != nil {
-					how, ok := err.(*violation)
-					if !ok {
+				if err := simulate(drawFromSeed(row), v, 120); err != nil {
+					var how *violationError
+					if !errors.As(err, &how) {
 						t.Fatal(err)
 					}
 					if seen[how.property]++; how.property == b.property {
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -6,24 +6,24 @@
 	"maps"
 )
 
-// violation is a property that a world saw broken.
-type violation struct{ property, how string }
+// violationError is a property that doesn't hold in a simulation.
+type violationError struct{ property, how string }
 
-func (v *violation) Error() string { return v.property + ": " + v.how }
+func (v *violationError) Error() string { return v.property + ": " + v.how }
 
-// The properties that a world looks for at each step.
+// The properties that a simulation checks after each step.
 const (
-	noMix     = "no follower holds a mix"
-	noneBack  = "no follower goes back within a life"
-	notFalse  = "everywhere is never said falsely"
-	onceOnly  = "a repeated change is one"
-	noLoop    = "what was refused isn't taken again"
-	allMeet   = "all meet when the faults stop"
-	leaseMS   = 6000.0
-	worldKeep = 6 // revisions that the logs keep
+	propertyNoMix               = "no follower holds a mix"
+	propertyNeverBack           = "no follower goes back within a process"
+	propertyNoFalseConvergence  = "everywhere is never said falsely"
+	propertyAppliedOnce         = "a repeated change is one"
+	propertyNoRepeatedRejection = "what was refused isn't taken again"
+	propertyEventualConvergence = "all meet when the faults stop"
+	leaseMS                     = 6000.0
+	simulationRetention         = 6 // revisions that the logs keep
 )
 
-// client is what the world asks of a follower; a broken variant changes some of it.
+// client is what the simulation calls of a follower; mutants override some of it.
 type client interface {
 	Status() FollowerStatus
 	Offer(Update) (map[string]json.RawMessage, bool, error)
@@ -36,21 +36,21 @@
 	Unchanged()
 }
 
-// variant is the parts that a world plays with.
-type variant struct {
-	follower func(*Follower) client
-	apply    func(*Log, Change) Result
-	judge    func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus
-	settled  func(l *Leases, nowMS float64) bool
+// parts are the functions under test; mutants replace some of them.
+type parts struct {
+	follower    func(*Follower) client
+	apply       func(*Log, Change) Result
+	convergence func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus
+	isComplete  func(l *Leases, nowMS float64) bool
 }
 
-// whole is what the package gives.
-func whole() variant {
-	return variant{
-		follower: func(f *Follower) client { return f },
-		apply:    (*Log).Apply,
-		judge:    (*Log).Convergence,
-		settled:  (*Leases).IsComplete,
+// soundParts are those of the package.
+func soundParts() parts {
+	return parts{
+		follower:    func(f *Follower) client { return f },
+		apply:       (*Log).Apply,
+		convergence: (*Log).Convergence,
+		isComplete:  (*Leases).IsComplete,
 	}
 }
 
@@ -63,88 +63,110 @@
 
 // keeper is one of the control processes.
 type keeper struct {
-	name    string
-	log     *Log
-	applied int // of the world's commands
-	leases  *Leases
-	up      bool
-	cut     bool // from the majority
-	disk    []byte
-	diskAt  int
+	name        string
+	log         *Log
+	applied     int // of the world's commands
+	leases      *Leases
+	up          bool
+	partitioned bool // from the majority
+	disk        []byte
+	diskAt      int
 }
 
-// router is one follower, over all its lives.
+// router is one follower, over all its processes.
 type router struct {
-	name    string
-	life    int
-	client  client
-	alive   bool
-	cut     bool // from all keepers
-	picky   bool // it refuses each content with an odd value at /settings/d
-	inForce map[string]json.RawMessage
-	rev     uint64
-	pending map[string]json.RawMessage
-	offered bool
-	copy    *SavedRevision // on its disk
-	heardMS float64
-	heard   bool           // answered in this life
-	refused map[string]int // times by revision and hash
-	to      uint64         // the revision that is offered
+	name            string
+	incarnation     int
+	client          client
+	alive           bool
+	partitioned     bool // from all keepers
+	rejectsOdd      bool // it refuses each content with an odd value at /settings/d
+	inForce         map[string]json.RawMessage
+	revision        uint64
+	pending         map[string]json.RawMessage
+	offered         bool
+	copy            *SavedRevision // on its disk
+	answeredMS      float64
+	answered        bool           // answered in this life
+	rejections      map[string]int // times by revision and hash
+	offeredRevision uint64         // the revision that is offered
 }
 
 // message is a call or an answer on its way.
 type message struct {
-	router, life, keeper int
-	report               FollowerStatus
-	update               Update
-	answer               bool
+	router, incarnation, keeper int
+	status                      FollowerStatus
+	update                      Update
+	answer                      bool
 }
 
-// world plays keepers and routers on one clock, with everything between them in messages that come when they are drawn.
-type world struct {
-	variant
+// simulation runs keepers and routers on one clock; the messages between them are delivered in random order.
+type simulation struct {
+	parts
 	draw     drawer
 	nowMS    float64
 	commands []command
-	truth    *model // what the commands make
+	model    *model // what the commands make
 	leader   *Log   // has always applied all of them
 	keepers  []*keeper
 	routers  []*router
-	mail     []message
+	messages []message
 }
 
-func newWorld(draw drawer, v variant) *world {
-	w := &world{variant: v, draw: draw, truth: newModel(worldKeep), leader: NewLog(Retention{Revisions: worldKeep})}
+func newSimulation(draw drawer, v parts) *simulation {
+	w := &simulation{
+		parts:  v,
+		draw:   draw,
+		model:  newModel(simulationRetention),
+		leader: NewLog(Retention{Revisions: simulationRetention}),
+	}
 	for i := range 3 {
-		w.keepers = append(w.keepers, &keeper{name: fmt.Sprint("k", i), log: NewLog(Retention{Revisions: worldKeep}), leases: NewLeases(leaseMS), up: true})
+		w.keepers = append(
+			w.keepers,
+			&keeper{
+				name:   fmt.Sprint("k", i),
+				log:    NewLog(Retention{Revisions: simulationRetention}),
+				leases: NewLeases(leaseMS),
+				up:     true,
+			},
+		)
 	}
 	for i := range 1 + draw(3, "routers") {
-		r := &router{name: fmt.Sprint("r", i), picky: i == 2}
+		r := &router{name: fmt.Sprint("r", i), rejectsOdd: i == 2}
 		w.routers = append(w.routers, r)
-		w.begin(r)
+		w.startRouter(r)
 	}
-	w.commit(command{change: Change{ID: "filler", Put: map[string]json.RawMessage{"/settings/filler": json.RawMessage(fmt.Sprintf("%q", fmt.Sprintf("%300d", 0)))}}})
+	w.commit(
+		command{
+			change: Change{
+				ID: "filler",
+				Put: map[string]json.RawMessage{
+					"/settings/filler": json.RawMessage(fmt.Sprintf("%q", fmt.Sprintf("%300d", 0))),
+				},
+			},
+		},
+	)
 	return w
 }
 
 // commit appends what a majority has agreed on. Keepers apply it when they come to it.
-func (w *world) commit(c command) {
+func (w *simulation) commit(c command) {
 	w.commands = append(w.commands, c)
 	w.run(w.leader, c)
 	if c.name == "" {
-		w.truth.apply(c.change)
+		w.model.apply(c.change)
 	}
 }
 
-// catchUp has a keeper apply so many commands more.
-func (w *world) catchUp(k *keeper, most int) {
+// applyCommitted has a keeper apply so many commands more.
+func (w *simulation) applyCommitted(k *keeper, most int) {
 	for ; most > 0 && k.applied < len(w.commands); most-- {
 		w.run(k.log, w.commands[k.applied])
 		k.applied++
 	}
 }
 
-func (w *world) run(l *Log, c command) {
+func (w *simulation) run(l *Log, c command) {
 	if c.name != "" {
 		l.AddMember(c.name, c.instance)
 		return
@@ -152,28 +174,28 @@
 	w.apply(l, c.change)
 }
 
-// begin starts a router's next life, with what its disk has.
-func (w *world) begin(r *router) {
-	r.life++
-	r.client = w.follower(NewFollower(r.name, NewInstance(int64(w.nowMS), uint64(r.life))))
-	r.alive, r.heard, r.offered = true, false, false
-	r.inForce, r.rev, r.refused = map[string]json.RawMessage{}, 0, map[string]int{}
+// startRouter starts a router's next process, with what its disk has.
+func (w *simulation) startRouter(r *router) {
+	r.incarnation++
+	r.client = w.follower(NewFollower(r.name, NewInstance(int64(w.nowMS), uint64(r.incarnation))))
+	r.alive, r.answered, r.offered = true, false, false
+	r.inForce, r.revision, r.rejections = map[string]json.RawMessage{}, 0, map[string]int{}
 	if r.copy != nil {
 		if content, ok, err := r.client.Restore(*r.copy); ok && err == nil {
-			r.pending, r.offered, r.to = content, true, r.copy.Revision
-			w.decide(r)
+			r.pending, r.offered, r.offeredRevision = content, true, r.copy.Revision
+			w.acceptOrReject(r)
 		}
 	}
 }
 
-// decide has a router bring in force what it was offered, or refuse it.
-func (w *world) decide(r *router) {
+// acceptOrReject makes a router accept or reject its candidate.
+func (w *simulation) acceptOrReject(r *router) {
 	if !r.offered {
 		return
 	}
 	r.offered = false
-	if v := string(r.pending["/settings/d"]); r.picky && (v == "1" || v == "3") {
-		r.refused[fmt.Sprint(r.to, HashEntries(r.pending))]++
+	if v := string(r.pending["/settings/d"]); r.rejectsOdd && (v == "1" || v == "3") {
+		r.rejections[fmt.Sprint(r.offeredRevision, HashEntries(r.pending))]++
 		r.client.Reject("/settings/d", "it is odd")
 		return
 	}
@@ -182,28 +204,36 @@
 }
 
 // call has a router ask the keeper that it would.
-func (w *world) call(i int) {
+func (w *simulation) call(i int) {
 	r := w.routers[i]
 	if r.alive && !r.offered {
-		w.mail = append(w.mail, message{router: i, life: r.life, keeper: r.client.SelectKeeper(len(w.keepers)), report: r.client.Status()})
+		w.messages = append(
+			w.messages,
+			message{
+				router:      i,
+				incarnation: r.incarnation,
+				keeper:      r.client.SelectKeeper(len(w.keepers)),
+				status:      r.client.Status(),
+			},
+		)
 	}
 }
 
-// deliver brings a message to where it goes; one that can't be taken is lost.
-func (w *world) deliver(m message) {
+// deliver delivers a message; one that can't be taken is lost.
+func (w *simulation) deliver(m message) {
 	r, k := w.routers[m.router], w.keepers[m.keeper]
 	if !m.answer {
-		if update, ok := w.serve(k, r, m); ok {
+		if update, ok := w.answer(k, r, m); ok {
 			m.answer, m.update = true, update
-			w.mail = append(w.mail, m)
+			w.messages = append(w.messages, m)
 			return
 		}
-		if r.alive && r.life == m.life {
+		if r.alive && r.incarnation == m.incarnation {
 			r.client.CallFailed(w.nowMS, 0.5)
 		}
 		return
 	}
-	if !r.alive || r.cut { // an answer to a former life comes to the next: a sound follower takes no harm
+	if !r.alive || r.partitioned { // an answer to a former life comes to the next: a sound follower takes no harm
 		return
 	}
 	content, ok, err := r.client.Offer(m.update)
@@ -211,31 +241,31 @@
 		r.client.CallFailed(w.nowMS, 0.5)
 	}
 	if ok {
-		r.pending, r.offered, r.to = content, true, m.update.To
+		r.pending, r.offered, r.offeredRevision = content, true, m.update.To
 	}
 }
 
-// serve is a keeper's part: it hears, sees to the roster, and answers.
-func (w *world) serve(k *keeper, r *router, m message) (Update, bool) {
-	if !k.up || r.cut {
+// answer makes a keeper renew the lease, add the member, and answer.
+func (w *simulation) answer(k *keeper, r *router, m message) (Update, bool) {
+	if !k.up || r.partitioned {
 		return Update{}, false
 	}
-	k.leases.Renew(w.nowMS, m.report)
-	if !k.log.HasMember(m.report.Name, m.report.Instance) {
-		if k.cut {
+	k.leases.Renew(w.nowMS, m.status)
+	if !k.log.HasMember(m.status.Name, m.status.Instance) {
+		if k.partitioned {
 			return Update{}, false
 		}
-		w.commit(command{name: m.report.Name, instance: m.report.Instance})
-		w.catchUp(k, len(w.commands))
+		w.commit(command{name: m.status.Name, instance: m.status.Instance})
+		w.applyCommitted(k, len(w.commands))
 	}
-	if r.alive && r.life == m.life {
-		r.heard, r.heardMS = true, w.nowMS
+	if r.alive && r.incarnation == m.incarnation {
+		r.answered, r.answeredMS = true, w.nowMS
 	}
-	return k.log.NextUpdate(m.report), true
+	return k.log.NextUpdate(m.status), true
 }
 
-// wait lets time pass; keepers that run say so each second.
-func (w *world) wait(ms float64) {
+// advance lets time pass; keepers that run say so each second.
+func (w *simulation) advance(ms float64) {
 	for ; ms > 0; ms -= 1000 {
 		w.nowMS += min(ms, 1000)
 		for _, k := range w.keepers {
@@ -246,31 +276,31 @@
 	}
 }
 
-// verdict is what the leader says of a revision.
-func (w *world) verdict(rev uint64) ConvergenceStatus {
-	var heard []Lease
+// convergenceAt returns the leader's convergence status of a revision.
+func (w *simulation) convergenceAt(rev uint64) ConvergenceStatus {
+	var leases []Lease
 	var unreached []string
 	for _, k := range w.keepers {
-		if !k.up || k.cut {
+		if !k.up || k.partitioned {
 			unreached = append(unreached, k.name)
 			continue
 		}
-		// Leases that aren't whole are of use, but their keeper counts as unreached beside them.
-		heard = append(heard, k.leases.Live(w.nowMS)...)
-		if !w.settled(k.leases, w.nowMS) {
+		// Leases that aren't complete count, but so does their keeper as unreached.
+		leases = append(leases, k.leases.Live(w.nowMS)...)
+		if !w.isComplete(k.leases, w.nowMS) {
 			unreached = append(unreached, k.name)
 		}
 	}
-	return w.judge(w.leader, rev, heard, unreached)
+	return w.convergence(w.leader, rev, leases, unreached)
 }
 
-// crash ends a keeper, which loses its leases, and what it has applied since its snapshot.
-func (w *world) crash(k *keeper) {
-	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: worldKeep}), 0
+// crashKeeper ends a keeper, which loses its leases, and what it has applied since its snapshot.
+func (w *simulation) crashKeeper(k *keeper) {
+	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: simulationRetention}), 0
 }
 
-// wake starts a keeper from its snapshot.
-func (w *world) wake(k *keeper) error {
+// startKeeper starts a keeper from its snapshot.
+func (w *simulation) startKeeper(k *keeper) error {
 	k.up, k.leases = true, NewLeases(leaseMS)
 	if k.disk == nil {
 		return nil
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -13,55 +13,75 @@
 	"windflow/internal/tracetest"
 )
 
-// What the log, the leases, the verdicts and the followers answer stays as it was recorded in testdata/traces.txt. It
-// guards against changes that are meant to leave decisions alone and do not.
+// The results of the log, the leases, the convergence and the followers stay as they were recorded in
+// testdata/traces.txt. It guards against changes that are meant to leave decisions as they are and do not.
 func TestTraces(t *testing.T) {
 	var all []tracetest.Scenario
 	for seed := range uint64(4) {
-		all = append(all, tracetest.Scenario{Name: fmt.Sprint("world/", seed), Run: func(t *testing.T, h *tracetest.Hash) {
-			traceWorld(t, h, seed)
-		}})
+		all = append(
+			all,
+			tracetest.Scenario{Name: fmt.Sprint("world/", seed), Run: func(t *testing.T, h *tracetest.Hash) {
+				t.Helper()
+				traceSimulation(t, h, seed)
+			}},
+		)
 	}
 	for _, k := range []struct {
 		name  string
 		terms Retention
-	}{{"log/by-revisions", Retention{Revisions: 5}}, {"log/by-bytes", Retention{Bytes: 2500}}, {"log/defaults", Retention{}}} {
-		all = append(all, tracetest.Scenario{Name: k.name, Run: func(t *testing.T, h *tracetest.Hash) { traceLog(t, h, k.terms) }})
+	}{
+		{"log/by-revisions", Retention{Revisions: 5}},
+		{"log/by-bytes", Retention{Bytes: 2500}},
+		{"log/defaults", Retention{}},
+	} {
+		all = append(all, tracetest.Scenario{Name: k.name, Run: func(t *testing.T, h *tracetest.Hash) {
+			t.Helper()
+			traceLog(t, h, k.terms)
+		}})
 	}
-	all = append(all, tracetest.Scenario{Name: "log/many-ids", Run: traceIDs}, tracetest.Scenario{Name: "document", Run: traceDocument},
+	all = append(
+		all,
+		tracetest.Scenario{Name: "log/many-ids", Run: traceIDs},
+		tracetest.Scenario{Name: "document", Run: traceDocument},
 		tracetest.Scenario{Name: "follower", Run: traceFollower},
-		tracetest.Scenario{Name: "refusals", Run: traceRefusals}, tracetest.Scenario{Name: "courier", Run: traceCourier})
+		tracetest.Scenario{
+			Name: "refusals",
+			Run:  traceRejections,
+		},
+		tracetest.Scenario{Name: "courier", Run: traceKeeperSelection},
+	)
 	tracetest.Check(t, all)
 }
 
-// byPCG draws the same row of numbers for a seed.
-func byPCG(seed uint64) drawer {
+// drawFromTraceSeed draws the same numbers for a seed each time.
+func drawFromTraceSeed(seed uint64) drawer {
 	rng := rand.New(rand.NewPCG(seed, 2026))
 	return func(n int, _ string) int { return rng.IntN(n) }
 }
 
-// traceWorld plays keepers and routers with all faults, and writes whatever is asked of the package and answered.
-func traceWorld(t *testing.T, h *tracetest.Hash, seed uint64) {
+// traceSimulation plays keepers and routers with all faults, and writes whatever is asked of the package and answered.
+func traceSimulation(t *testing.T, h *tracetest.Hash, seed uint64) {
+	t.Helper()
 	for round := range uint64(30) {
-		w := newWorld(byPCG(seed*1000+round), traced(h))
+		w := newSimulation(drawFromTraceSeed(seed*1000+round), tracedParts(h))
 		for i := range 250 {
 			if err := w.step(i); err != nil {
 				t.Fatal(err)
 			}
 			if i%10 == 9 {
-				w.verdict(w.truth.revision() - min(w.truth.revision(), uint64(i%3)))
+				w.convergenceAt(w.model.revision() - min(w.model.revision(), uint64(i%3)))
 			}
 		}
-		if err := w.calm(); err != nil {
+		if err := w.checkSettled(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// traced is what the package gives, written into a trace.
-func traced(h *tracetest.Hash) variant {
-	v := whole()
-	return variant{
+// tracedParts is what the package gives, written into a trace.
+func tracedParts(h *tracetest.Hash) parts {
+	v := soundParts()
+	return parts{
 		follower: func(f *Follower) client { return &tracedFollower{Follower: f, h: h} },
 		apply: func(l *Log, c Change) Result {
 			r := v.apply(l, c)
@@ -69,22 +89,22 @@
 			traceHead(h, l)
 			return r
 		},
-		judge: func(l *Log, rev uint64, heard []Lease, unreached []string) ConvergenceStatus {
-			traceLeases(h, heard)
-			verdict := v.judge(l, rev, heard, unreached)
-			traceVerdict(h, verdict)
-			return verdict
+		convergence: func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+			traceLeases(h, leases)
+			status := v.convergence(l, rev, leases, unreached)
+			traceConvergence(h, status)
+			return status
 		},
-		settled: func(l *Leases, nowMS float64) bool {
-			settled := v.settled(l, nowMS)
-			h.Step(stepSettled)
+		isComplete: func(l *Leases, nowMS float64) bool {
+			settled := v.isComplete(l, nowMS)
+			h.Step(stepComplete)
 			h.Bool(settled)
 			return settled
 		},
 	}
 }
 
-// tracedFollower writes what a follower is told and what it answers.
+// tracedFollower records the calls of a follower and their results.
 type tracedFollower struct {
 	*Follower
 	h *tracetest.Hash
@@ -92,7 +112,7 @@
 
 func (f *tracedFollower) Status() FollowerStatus {
 	r := f.Follower.Status()
-	traceReport(f.h, r)
+	traceStatus(f.h, r)
 	return r
 }
 
@@ -100,7 +120,7 @@
 	traceUpdate(f.h, u)
 	content, ok, err := f.Follower.Offer(u)
 	traceOffered(f.h, content, ok, err)
-	theirs, ahead := f.Follower.KeepersAreBehind()
+	theirs, ahead := f.KeepersAreBehind()
 	f.h.Uint(theirs)
 	f.h.Bool(ahead)
 	return content, ok, err
@@ -128,15 +148,16 @@
 
 func (f *tracedFollower) CallFailed(nowMS, jitter float64) float64 {
 	wait := f.Follower.CallFailed(nowMS, jitter)
-	f.h.Step(stepLost)
+	f.h.Step(stepCallFailed)
 	f.h.Float(wait)
 	return wait
 }
 
 // traceLog has a log take changes that are sound and at fault, and asks it all that it can be asked.
 func traceLog(t *testing.T, h *tracetest.Hash, terms Retention) {
+	t.Helper()
 	for seed := range uint64(40) {
-		draw := byPCG(seed)
+		draw := drawFromTraceSeed(seed)
 		l := NewLog(terms)
 		for i := range 60 {
 			id := fmt.Sprint("c", i-draw(8, "again")/7*draw(i+1, "back"))
@@ -146,20 +167,20 @@
 				spoil(draw, &c)
 			}
 			preview, fault := l.Preview(c)
-			traceFault(h, fault)
+			traceError(h, fault)
 			traceEntries(h, preview)
 			traceResult(h, l.Apply(c))
 			traceHead(h, l)
 			traceRoster(h, draw, l)
 			traceAnswers(h, draw, l)
 		}
-		l = reread(t, l)
+		l = roundTrip(t, l)
 		traceHead(h, l)
 		traceHistory(h, l.History(0, 1000))
 	}
 }
 
-// spoil makes a change one that is refused.
+// spoil makes a change one that is rejected.
 func spoil(draw drawer, c *Change) {
 	switch draw(10, "spoil") {
 	case 0:
@@ -187,7 +208,7 @@
 
 func traceRoster(h *tracetest.Hash, draw drawer, l *Log) {
 	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
-	h.Step(stepRoster)
+	h.Step(stepMembers)
 	switch draw(6, "roster") {
 	case 0:
 		h.Bool(l.RemoveMember(name))
@@ -204,27 +225,33 @@
 
 // traceAnswers asks what followers at any revision get, what there was, and where a revision is in force.
 func traceAnswers(h *tracetest.Hash, draw drawer, l *Log) {
-	var heard []Lease
+	var leases []Lease
 	for range draw(5, "leases") {
 		rev := uint64(draw(int(l.Revision())+3, "revision"))
 		content, fault := l.EntriesAt(rev)
-		traceFault(h, fault)
+		traceError(h, fault)
 		traceEntries(h, content)
-		r := FollowerStatus{Name: fmt.Sprint("r", draw(4, "name")), Instance: fmt.Sprint("i", draw(9, "instance")), Revision: rev, Hash: HashEntries(content)}
+		r := FollowerStatus{
+			Name:     fmt.Sprint("r", draw(4, "name")),
+			Instance: fmt.Sprint("i", draw(9, "instance")),
+			Revision: rev,
+			Hash:     HashEntries(content),
+		}
 		if draw(3, "refuses") == 0 {
 			r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
 		traceUpdate(h, l.UpdateSince(rev, r.Hash))
 		traceUpdate(h, l.NextUpdate(r))
-		heard = append(heard, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
+		leases = append(leases, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
-	traceVerdict(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), heard, unreached))
+	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), leases, unreached))
 	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
 }
 
-// reread gives a log as it comes back from its state.
-func reread(t *testing.T, l *Log) *Log {
+// roundTrip gives a log as it comes back from its state.
+func roundTrip(t *testing.T, l *Log) *Log {
+	t.Helper()
 	state, err := l.MarshalBinary()
 	back := NewLog(Retention{})
 	if err := errors.Join(err, back.UnmarshalBinary(state)); err != nil {
@@ -233,10 +260,11 @@
 	return back
 }
 
-// traceCourier has followers lose keepers and find them again.
-func traceCourier(t *testing.T, h *tracetest.Hash) {
+// traceKeeperSelection has followers lose keepers and find them again.
+func traceKeeperSelection(t *testing.T, h *tracetest.Hash) {
+	t.Helper()
 	for seed := range uint64(100) {
-		draw := byPCG(seed)
+		draw := drawFromTraceSeed(seed)
 		f := &tracedFollower{Follower: NewFollower("r", NewInstance(int64(seed)*1000, seed)), h: h}
 		now := 0.0
 		for range 60 {
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -13,28 +13,28 @@
 
 // Kinds of step in a trace.
 const (
-	stepResult  = 1
-	stepHead    = 2
-	stepFault   = 3
-	stepUpdate  = 4
-	stepReport  = 5
-	stepOffered = 6
-	stepSaved   = 7
-	stepVerdict = 8
-	stepLeases  = 9
-	stepHistory = 10
-	stepRoster  = 11
-	stepSettled = 12
-	stepKeeper  = 13
-	stepLost    = 14
-	stepPointer = 15
+	stepResult      = 1
+	stepHead        = 2
+	stepError       = 3
+	stepUpdate      = 4
+	stepStatus      = 5
+	stepOffered     = 6
+	stepSaved       = 7
+	stepConvergence = 8
+	stepLeases      = 9
+	stepHistory     = 10
+	stepMembers     = 11
+	stepComplete    = 12
+	stepKeeper      = 13
+	stepCallFailed  = 14
+	stepPointer     = 15
 )
 
 func traceResult(h *tracetest.Hash, r Result) {
 	h.Step(stepResult)
 	h.Uint(r.Revision)
 	h.Bool(r.Repeated)
-	traceFault(h, r.Err)
+	traceError(h, r.Err)
 }
 
 // traceHead writes what a log has in force.
@@ -50,8 +50,8 @@
 	traceEntries(h, l.Entries())
 }
 
-func traceFault(h *tracetest.Hash, f *configerror.Error) {
-	h.Step(stepFault)
+func traceError(h *tracetest.Hash, f *configerror.Error) {
+	h.Step(stepError)
 	h.Bool(f != nil)
 	if f == nil {
 		return
@@ -88,16 +88,16 @@
 	}
 }
 
-func traceReport(h *tracetest.Hash, r FollowerStatus) {
-	h.Step(stepReport)
+func traceStatus(h *tracetest.Hash, r FollowerStatus) {
+	h.Step(stepStatus)
 	h.String(r.Name)
 	h.String(r.Instance)
 	h.Uint(r.Revision)
 	h.Bytes(r.Hash[:])
-	traceRefusal(h, r.Rejected)
+	traceRejection(h, r.Rejected)
 }
 
-func traceRefusal(h *tracetest.Hash, r *Rejection) {
+func traceRejection(h *tracetest.Hash, r *Rejection) {
 	h.Bool(r != nil)
 	if r == nil {
 		return
@@ -136,8 +136,8 @@
 	traceEntries(h, s.Entries)
 }
 
-func traceVerdict(h *tracetest.Hash, v ConvergenceStatus) {
-	h.Step(stepVerdict)
+func traceConvergence(h *tracetest.Hash, v ConvergenceStatus) {
+	h.Step(stepConvergence)
 	h.Uint(v.Revision)
 	for _, seats := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
 		h.Int(int64(len(seats)))
@@ -146,7 +146,7 @@
 			h.String(s.Instance)
 			h.Uint(s.Revision)
 			h.Bytes(s.Hash[:])
-			traceRefusal(h, s.Rejected)
+			traceRejection(h, s.Rejected)
 		}
 	}
 	traceStrings(h, v.Missing)
@@ -158,7 +158,7 @@
 	h.Step(stepLeases)
 	h.Int(int64(len(leases)))
 	for _, l := range leases {
-		traceReport(h, l.FollowerStatus)
+		traceStatus(h, l.FollowerStatus)
 		h.Float(l.UntilMS)
 	}
 }
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -15,20 +15,21 @@
 
 // traceFollower offers a follower updates and copies of all kinds, in any order.
 func traceFollower(t *testing.T, h *tracetest.Hash) {
+	t.Helper()
 	for seed := range uint64(60) {
-		draw := byPCG(seed)
+		draw := drawFromTraceSeed(seed)
 		l := NewLog(Retention{Revisions: 8})
 		f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, seed)), h: h}
 		copies := []SavedRevision{f.Saved()}
 		for i := range 80 {
 			l.Apply(draw.change(fmt.Sprint("c", i), l.Revision()))
-			f.follow(draw, l, &copies)
+			f.randomStep(draw, l, &copies)
 		}
 	}
 }
 
-// follow has a follower do one drawn thing.
-func (f *tracedFollower) follow(draw drawer, l *Log, copies *[]SavedRevision) {
+// randomStep makes a follower do one random thing.
+func (f *tracedFollower) randomStep(draw drawer, l *Log, copies *[]SavedRevision) {
 	r := f.Status()
 	switch draw(12, "step") {
 	case 0, 1, 2:
@@ -54,7 +55,7 @@
 	}
 }
 
-// damaged gives an update that doesn't make what it says.
+// damaged returns an update whose content isn't what it says.
 func damaged(draw drawer, u Update) Update {
 	switch draw(4, "damage") {
 	case 0:
@@ -74,16 +75,70 @@
 }
 
 var tracePointers = []string{
-	"", "board", "/board", "/board/a", "/", "/settings", "/settings/", "/settings/a", "/settings/A", "/settings/me",
-	"/settings/zone", "/settings/zone/a", "/settings/a//b", "/settings/a/-", "/settings/a/01", "/settings/a/0", "/settings/a/10", "/settings/a_b.c-d",
-	"/settings/a~0", "/settings/a~", "/settings/a~2", "/settings/parties", "/settings/parties/", "/settings/parties/p", "/settings/parties/p~1q~0",
-	"/settings/parties/p/q", "/settings/\x01", "/settings/\xff", "/other/a", "/settings/" + strings.Repeat("a", 502), "/settings/" + strings.Repeat("a", 503),
+	"",
+	"board",
+	"/board",
+	"/board/a",
+	"/",
+	"/settings",
+	"/settings/",
+	"/settings/a",
+	"/settings/A",
+	"/settings/me",
+	"/settings/zone",
+	"/settings/zone/a",
+	"/settings/a//b",
+	"/settings/a/-",
+	"/settings/a/01",
+	"/settings/a/0",
+	"/settings/a/10",
+	"/settings/a_b.c-d",
+	"/settings/a~0",
+	"/settings/a~",
+	"/settings/a~2",
+	"/settings/parties",
+	"/settings/parties/",
+	"/settings/parties/p",
+	"/settings/parties/p~1q~0",
+	"/settings/parties/p/q",
+	"/settings/\x01",
+	"/settings/\xff",
+	"/other/a",
+	"/settings/" + strings.Repeat("a", 502),
+	"/settings/" + strings.Repeat("a", 503),
 }
 
 var traceValues = []string{
-	"", "1", "1.50", "1e2", "1E400", "-0", "0.1e-7", "123456789012345678901234567890", `"a"`, `"\u0041<>&\u2028"`, `"\ud800"`, "null", "true",
-	"[]", "[1, 2,  [3]]", "{}", `{"b":1,"a":{"d":2,"c":[null]}}`, `{"a":1,"a":2}`, "{", "1 2", "\xff", `{"a":null}`,
-	nested(63), nested(64), nested(65), nested(66), `"` + strings.Repeat("x", 64<<10-2) + `"`, `"` + strings.Repeat("x", 64<<10-1) + `"`,
+	"",
+	"1",
+	"1.50",
+	"1e2",
+	"1E400",
+	"-0",
+	"0.1e-7",
+	"123456789012345678901234567890",
+	`"a"`,
+	`"\u0041<>&\u2028"`,
+	`"\ud800"`,
+	"null",
+	"true",
+	"[]",
+	"[1, 2,  [3]]",
+	"{}",
+	`{"b":1,"a":{"d":2,"c":[null]}}`,
+	`{"a":1,"a":2}`,
+	"{",
+	"1 2",
+	"\xff",
+	`{"a":null}`,
+	nested(
+		63,
+	),
+	nested(64),
+	nested(65),
+	nested(66),
+	`"` + strings.Repeat("x", 64<<10-2) + `"`,
+	`"` + strings.Repeat("x", 64<<10-1) + `"`,
 }
 
 // nested gives lists within each other. Bounds are written as numbers here, so that a changed bound shows.
@@ -91,6 +146,7 @@
 
 // traceDocument tries each value at each place.
 func traceDocument(t *testing.T, h *tracetest.Hash) {
+	t.Helper()
 	for _, p := range tracePointers {
 		name, ok := TenantName(p)
 		h.Step(stepPointer)
@@ -107,9 +163,13 @@
 
 // traceIDs makes more changes than a log remembers by id, and makes some of them again.
 func traceIDs(t *testing.T, h *tracetest.Hash) {
+	t.Helper()
 	l := NewLog(Retention{Revisions: 3})
 	change := func(i int) Change {
-		return Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i % 7))}}
+		return Change{
+			ID:  fmt.Sprint("c", i),
+			Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i % 7))},
+		}
 	}
 	const remembered = 4096
 	for i := range remembered + 50 {
@@ -121,13 +181,19 @@
 	traceHead(h, l)
 }
 
-// traceRefusals has a follower refuse one revision after another, and offers it all of them again.
-func traceRefusals(t *testing.T, h *tracetest.Hash) {
+// traceRejections makes a follower reject one revision after another, and offers it all of them again.
+func traceRejections(t *testing.T, h *tracetest.Hash) {
+	t.Helper()
 	l := NewLog(Retention{})
 	f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, 1)), h: h}
 	var updates []Update
 	for i := range 24 {
-		l.Apply(Change{ID: fmt.Sprint("c", i), Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i))}})
+		l.Apply(
+			Change{
+				ID:  fmt.Sprint("c", i),
+				Put: map[string]json.RawMessage{"/settings/d": json.RawMessage(fmt.Sprint(i))},
+			},
+		)
 		updates = append(updates, l.NextUpdate(f.Status()))
 		_, _, _ = f.Offer(updates[i])
 		f.Reject("/settings/d", "odd")
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -11,45 +11,57 @@
 	"windflow/internal/decide/configerror"
 )
 
-// filled gives a log whose whole is larger than any delta of these tests.
-func filled(t testing.TB, terms Retention) *Log {
+// newLogWithFiller returns a log whose document is larger than any delta of these tests.
+func newLogWithFiller(tb testing.TB, terms Retention) *Log {
+	tb.Helper()
 	l := NewLog(terms)
-	l.made(t, put("filler", "/settings/filler", `"`+strings.Repeat("x", 400)+`"`))
+	l.mustApply(tb, put("filler", "/settings/filler", `"`+strings.Repeat("x", 400)+`"`))
 	return l
 }
 
-// What a follower gets: nothing, what differs, or the whole by cost, by a foreign hash and by compaction; Behind if
-// it's ahead.
-func TestSince(t *testing.T) {
-	l := filled(t, Retention{Revisions: 3})
+// What a follower gets: nothing, the difference, or a snapshot by cost, by another hash and by compaction;
+// KeeperBehind if it's ahead.
+func TestUpdateSince(t *testing.T) {
+	l := newLogWithFiller(t, Retention{Revisions: 3})
 	one, h1 := l.Revision(), l.Hash()
-	l.made(t, put("a", "/settings/a", "1"))
-	l.made(t, put("b", "/settings/a", "2"))
-	l.made(t, Change{ID: "c", Put: map[string]json.RawMessage{"/settings/b": json.RawMessage("3")}, Remove: []string{"/settings/a"}})
+	l.mustApply(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("b", "/settings/a", "2"))
+	l.mustApply(
+		t,
+		Change{
+			ID:     "c",
+			Put:    map[string]json.RawMessage{"/settings/b": json.RawMessage("3")},
+			Remove: []string{"/settings/a"},
+		},
+	)
 	if u := l.UpdateSince(4, l.Hash()); !u.IsEmpty() || u.Put != nil || u.Hash != l.Hash() {
 		t.Errorf("%+v", u)
 	}
-	// /settings/a came and went since: it isn't told.
+	// /settings/a was put and removed since: it isn't in the update.
 	if u := l.UpdateSince(one, h1); u.Snapshot || len(u.Put) != 1 || len(u.Remove) != 0 || u.From != 1 || u.To != 4 {
 		t.Errorf("%+v", u)
 	}
 	_, h2 := l.EntriesAt(2)
 	two, _ := l.EntriesAt(2)
-	if u := l.UpdateSince(2, HashEntries(two)); h2 != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
+	u := l.UpdateSince(2, HashEntries(two))
+	if h2 != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
 		t.Errorf("%+v", u)
 	}
-	whole := func(rev uint64, h Hash, why string) {
+	snapshot := func(rev uint64, h Hash, why string) {
 		t.Helper()
-		if u := l.UpdateSince(rev, h); !u.Snapshot || u.KeeperBehind || !maps.EqualFunc(u.Put, l.Entries(), equal) || u.Remove != nil || u.From != rev || u.To != l.Revision() {
+		u := l.UpdateSince(rev, h)
+		if !u.Snapshot || u.KeeperBehind || !maps.EqualFunc(u.Put, l.Entries(), equal) || u.Remove != nil ||
+			u.From != rev ||
+			u.To != l.Revision() {
 			t.Errorf("%s: %+v", why, u)
 		}
 	}
-	whole(2, h1, "another content under that number")
-	whole(4, h1, "another content under the number in force")
-	whole(0, Hash{}, "compacted")
-	l.made(t, Change{ID: "d", Remove: []string{"/settings/filler"}})
+	snapshot(2, h1, "another content under that number")
+	snapshot(4, h1, "another content under the number in force")
+	snapshot(0, Hash{}, "compacted")
+	l.mustApply(t, Change{ID: "d", Remove: []string{"/settings/filler"}})
 	three, _ := l.EntriesAt(3)
-	whole(3, HashEntries(three), "the delta has more bytes than the whole")
+	snapshot(3, HashEntries(three), "the delta has more bytes than a snapshot")
 	if u := l.UpdateSince(9, h1); !u.KeeperBehind || u.Snapshot || u.Put != nil || u.To != l.Revision() {
 		t.Errorf("%+v", u)
 	}
@@ -57,11 +69,11 @@
 
 func equal(a, b json.RawMessage) bool { return string(a) == string(b) }
 
-// One that refused what is in force is left alone until something else is.
-func TestNextAfterARefusal(t *testing.T) {
-	l := filled(t, Retention{})
+// A follower that rejected the revision in force gets nothing until there is another one.
+func TestNextUpdateAfterRejection(t *testing.T) {
+	l := newLogWithFiller(t, Retention{})
 	r := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
-	l.made(t, put("a", "/settings/a", "1"))
+	l.mustApply(t, put("a", "/settings/a", "1"))
 	if u := l.NextUpdate(r); u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
@@ -74,7 +86,7 @@
 		t.Error("other content under the refused number is kept from it")
 	}
 	r.Rejected.Hash = l.Hash()
-	l.made(t, put("b", "/settings/a", "2"))
+	l.mustApply(t, put("b", "/settings/a", "2"))
 	if u := l.NextUpdate(r); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
 		t.Errorf("%+v", u)
 	}
@@ -84,7 +96,7 @@
 func TestCompaction(t *testing.T) {
 	l := NewLog(Retention{Revisions: 5})
 	for i := range 20 {
-		l.made(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
+		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
 	if l.Revision() != 20 || l.OldestRevision() != 15 || len(l.History(0, 100)) != 5 {
 		t.Error(l.Revision(), l.OldestRevision())
@@ -95,7 +107,8 @@
 	if _, f := l.EntriesAt(14); f == nil || f.Kind != configerror.Compacted || f.Revision != 15 {
 		t.Error(f)
 	}
-	if r := l.Apply(Change{ID: "back", RevertTo: number(14)}); r.Err == nil || r.Err.Kind != configerror.Compacted || r.Revision != 20 {
+	r := l.Apply(Change{ID: "back", RevertTo: number(14)})
+	if r.Err == nil || r.Err.Kind != configerror.Compacted || r.Revision != 20 {
 		t.Errorf("%+v", r)
 	}
 	if h := l.History(17, 2); len(h) != 2 || h[0].Revision != 17 || h[1].ID != "17" {
@@ -103,7 +116,7 @@
 	}
 	l = NewLog(Retention{Bytes: 3000})
 	for i := range 20 {
-		l.made(t, put(fmt.Sprint(i), "/settings/a", `"`+strings.Repeat("x", 400+i)+`"`))
+		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", `"`+strings.Repeat("x", 400+i)+`"`))
 		sum := 0
 		for _, r := range l.history.records {
 			sum += r.bytes()
@@ -115,7 +128,7 @@
 	if kept := l.Revision() - l.OldestRevision(); kept < 2 || kept > 3 {
 		t.Error(kept)
 	}
-	l.made(t, put("large", "/settings/b", `"`+strings.Repeat("x", 9000)+`"`))
+	l.mustApply(t, put("large", "/settings/b", `"`+strings.Repeat("x", 9000)+`"`))
 	if l.Revision()-l.OldestRevision() != 1 {
 		t.Error(l.OldestRevision())
 	}
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestDefaultsAndOff(t *testing.T) {
+func TestDefaultsAndAbsentSections(t *testing.T) {
 	s, err := Parse([]byte(`{"flightsql":{"listen":"127.0.0.1:1"}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 }
 
 // What can't be used is named with its place and what is allowed there.
-func TestFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	const bgp = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1","prefixes":["10.1.0.1/32"],"next_hop":"10.0.0.1"}}`
 	if _, err := Parse([]byte(bgp)); err != nil {
 		t.Fatal(err)
