--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -1,4 +1,4 @@
-// Command windflowkeeper keeps the routers' configuration by revision; see docs/configuration.md. The router links none
+// Command windflowkeeper stores the routers' configuration by revision; see docs/configuration.md. The router links none
 // of it.
 package main
 
@@ -43,53 +43,67 @@
 }
 
 func serveCommand() *cobra.Command {
-	var o keeper.Options
-	var peers, base, format string
+	var arguments serveArguments
 	serve := &cobra.Command{
 		Use:   "serve",
 		Short: "Serve as one keeper of a group of up to five",
 		Long: "Serve as one keeper of a group of up to five, until SIGTERM. All are started with the same --peers; the first start\n" +
 			"needs all of them. Neither address has any authentication: loopback or a trusted network only.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			log, err := logger(format)
-			if err != nil {
-				return err
-			}
-			o.Log = log
-			if peers != "" {
-				if o.Peers, err = keeper.ParsePeers(peers); err != nil {
-					return err
-				}
-			}
-			if o.Check, err = checkOver(base); err != nil {
-				return err
-			}
-			if o.OnReady, err = readiness(log); err != nil {
-				return err
-			}
-			// A write past the limit on the size of files is an error like that of a full disk, not the end of the process.
-			signal.Ignore(syscall.SIGXFSZ)
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
-			return keeper.Run(ctx, o)
-		},
+		RunE: func(command *cobra.Command, _ []string) error { return arguments.run(command.Context()) },
 	}
-	f := serve.Flags()
-	f.StringVar(&o.ID, "id", "", "`name` of this keeper in --peers")
-	f.StringVar(&o.Dir, "dir", "", "`folder` of this keeper alone; it is made if it is missing")
-	f.StringVar(&o.HTTPAddr, "http", "", "`address:port` to listen at for calls")
-	f.StringVar(&o.RaftAddr, "raft", "", "`address:port` to listen at for the other keepers")
-	f.StringVar(&peers, "peers", "", "all keepers: `ID=RAFT/HTTP,...`, with the addresses that the others reach them at")
-	f.StringVar(&base, "base", "", "platform configuration (`file`) of a router, against which changes are checked")
-	f.StringVar(&o.Cluster, "cluster", "windflow", "`name` of the group, the same at all keepers and in their folders")
-	f.BoolVar(&o.AcceptLoss, "accept-loss", false, "vote at once though the folder is empty; only where a majority is lost for good")
-	f.StringVar(&format, "log-format", "text", "`text` or json")
+	options, flags := &arguments.options, serve.Flags()
+	flags.StringVar(&options.ID, "id", "", "`name` of this keeper in --peers")
+	flags.StringVar(&options.Dir, "dir", "", "`folder` of this keeper alone; it is made if it is missing")
+	flags.StringVar(&options.HTTPAddr, "http", "", "`address:port` to listen at for calls")
+	flags.StringVar(&options.RaftAddr, "raft", "", "`address:port` to listen at for the other keepers")
+	flags.StringVar(&arguments.peers, "peers", "",
+		"all keepers: `ID=RAFT/HTTP,...`, with the addresses that the others reach them at")
+	flags.StringVar(&arguments.baseFile, "base", "",
+		"platform configuration (`file`) of a router, against which changes are checked")
+	flags.StringVar(&options.Cluster, "cluster", "windflow",
+		"`name` of the group, the same at all keepers and in their folders")
+	flags.BoolVar(&options.AcceptLoss, "accept-loss", false,
+		"vote at once though the folder is empty; only where a majority is lost for good")
+	flags.StringVar(&arguments.logFormat, "log-format", "text", "`text` or json")
 	serve.SetContext(context.Background())
 	return serve
 }
 
-func logger(format string) (*slog.Logger, error) {
+// serveArguments are the flags of serve.
+type serveArguments struct {
+	options                    keeper.Options
+	peers, baseFile, logFormat string
+}
+
+// run serves until a signal ends it.
+func (a *serveArguments) run(ctx context.Context) error {
+	log, err := newLogger(a.logFormat)
+	if err != nil {
+		return err
+	}
+	options := a.options
+	options.Log = log
+	if a.peers != "" {
+		if options.Peers, err = keeper.ParsePeers(a.peers); err != nil {
+			return err
+		}
+	}
+	if options.Check, err = newCheck(a.baseFile); err != nil {
+		return err
+	}
+	if options.OnReady, err = newReadinessNotifier(log); err != nil {
+		return err
+	}
+	// A write beyond the limit on the size of files is an error like that of a full disk, not the end of the process.
+	signal.Ignore(syscall.SIGXFSZ)
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	return keeper.Run(ctx, options)
+}
+
+// newLogger returns a logger to standard error. Errors name the flag --log-format.
+func newLogger(format string) (*slog.Logger, error) {
 	switch format {
 	case "text":
 		return slog.New(slog.NewTextHandler(os.Stderr, nil)), nil
@@ -99,8 +113,8 @@
 	return nil, fmt.Errorf("--log-format: %q is neither text nor json", format)
 }
 
-// checkOver gives the check of `windflow config check` over a router's file.
-func checkOver(file string) (keeper.Check, error) {
+// newCheck returns the check of `windflow config check` for changes to a router's file. Errors name the flag --base.
+func newCheck(file string) (keeper.Check, error) {
 	if file == "" {
 		return nil, errors.New("--base: is missing")
 	}
@@ -116,25 +130,29 @@
 	}, nil
 }
 
-// readyEnv names the variable with the number of a descriptor on which whoever started the process waits for one line
-// with the address at which calls are taken. Without the variable nothing is written.
+// readyEnv names the variable with the number of a descriptor on which the process that started this one waits for a line
+// with the address of the HTTP calls. Without the variable nothing is written.
 const readyEnv = "WINDFLOW_READY_FD"
 
-func readiness(log *slog.Logger) (func(http string), error) {
-	text, handed := os.LookupEnv(readyEnv)
-	if !handed {
+// minReadyDescriptor is the first descriptor after the standard streams.
+const minReadyDescriptor = 3
+
+// newReadinessNotifier returns nil without the variable.
+func newReadinessNotifier(log *slog.Logger) (func(httpAddr string), error) {
+	text, found := os.LookupEnv(readyEnv)
+	if !found {
 		return nil, nil
 	}
 	fd, err := strconv.Atoi(text)
-	if err != nil || fd < 3 {
+	if err != nil || fd < minReadyDescriptor {
 		return nil, fmt.Errorf("%s: %q is no descriptor", readyEnv, text)
 	}
 	syscall.CloseOnExec(fd)
-	return func(http string) {
-		f := os.NewFile(uintptr(fd), "readiness")
-		_, err := f.WriteString("ready " + http + "\n")
-		if err = errors.Join(err, f.Close()); err != nil {
-			log.Warn("readiness could not be told", "descriptor", fd, "error", err)
+	return func(httpAddr string) {
+		file := os.NewFile(uintptr(fd), "readiness")
+		_, err := file.WriteString("ready " + httpAddr + "\n")
+		if err = errors.Join(err, file.Close()); err != nil {
+			log.Warn("readiness notification failed", "descriptor", fd, "error", err)
 		}
 	}, nil
 }
--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -46,7 +46,7 @@
 	s.Listener = l
 	s.Start()
 	defer s.Close()
-	p := &poller{}
+	p := &keeperConn{}
 	f := configlog.NewFollower("router-0001", configlog.NewInstance(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
--- /dev/null
+++ b/internal/configclient/change_limiter.go
@@ -0,0 +1,44 @@
+package configclient
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// changeInterval bounds how often a call may bring a change while many are made: it limits reloads and their bytes.
+	changeInterval = 500 * time.Millisecond
+	// changeBurst changes are not delayed, so that the status after a single change is reported at once.
+	changeBurst = 2
+)
+
+// changeLimiter is a token bucket of changes.
+type changeLimiter struct {
+	tokens    float64
+	updatedAt time.Time
+}
+
+func newChangeLimiter() changeLimiter {
+	return changeLimiter{tokens: changeBurst, updatedAt: time.Now()}
+}
+
+// wait takes a token for a change that came, and waits until another change may come or ctx ends.
+func (l *changeLimiter) wait(ctx context.Context) {
+	now := time.Now()
+	refill := float64(now.Sub(l.updatedAt)) / float64(changeInterval)
+	l.tokens = min(changeBurst, l.tokens+refill) - 1
+	l.updatedAt = now
+	if l.tokens < 1 {
+		sleep(ctx, time.Duration((1-l.tokens)*float64(changeInterval)))
+	}
+}
+
+// sleep waits, but not past the end of ctx.
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -157,13 +157,15 @@
 		}},
 		{"huge", func(w http.ResponseWriter, _ *http.Request) {
 			part := strings.Repeat("x", 1<<16)
-			for range mostAnswer>>16 + 4 {
+			for range maxAnswerBytes>>16 + 4 {
 				if _, err := io.WriteString(w, part); err != nil {
 					return
 				}
 			}
 		}},
-		{"a huge head", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X", strings.Repeat("x", mostHeader<<3)) }},
+		{"a huge head", func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("X", strings.Repeat("x", maxHeaderBytes<<3))
+		}},
 		{"busy", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }},
 		{"sent elsewhere", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "http://127.0.0.1:1/", http.StatusFound)
@@ -225,7 +227,7 @@
 		last = k.Change(worth(fmt.Sprint(i)))
 	}
 	k.WaitForRevision(last)
-	most := 3 + int64(time.Since(began)/bringEvery)
+	most := 3 + int64(time.Since(began)/changeInterval)
 	if n := c.Counters.Changes.Load(); n > most {
 		t.Errorf("%d calls brought changes, %d at most may", n, most)
 	}
@@ -340,7 +342,7 @@
 		k.WaitForRevision(k.Change(worth(fmt.Sprint(i))))
 	}
 	c.Stop()
-	if c.Counters.CopyWriteErrors.Load() == 0 || strings.Count(said.text(), "can't be written") != 1 {
+	if c.Counters.CopyWriteErrors.Load() == 0 || strings.Count(said.text(), "configuration copy write failed") != 1 {
 		t.Errorf("failed %d: %s", c.Counters.CopyWriteErrors.Load(), said.text())
 	}
 }
@@ -373,7 +375,7 @@
 			t.Fatal(err)
 		}
 		f.Accept()
-		if !d.keep(f.Saved()) {
+		if !d.writeLogged(f.Saved()) {
 			t.Fatal("not written")
 		}
 	}
--- /dev/null
+++ b/internal/configclient/control.go
@@ -0,0 +1,61 @@
+package configclient
+
+import (
+	"context"
+	"sync"
+)
+
+// control is what other goroutines want of the polling one. What they set takes effect with the next call; the open one is
+// cancelled for it.
+type control struct {
+	mu            sync.Mutex
+	config        Config
+	otherProcess  *Revision // in force at the other process of this router; nil once it was taken
+	retryRejected bool
+	cancelPoll    context.CancelFunc
+	latestInForce Revision
+}
+
+// pollInput is what control has for one call.
+type pollInput struct {
+	config        Config
+	otherProcess  *Revision
+	retryRejected bool
+}
+
+// set changes the control with fn, and cancels the open call.
+func (c *control) set(fn func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	fn()
+	if c.cancelPoll != nil {
+		c.cancelPoll()
+	}
+}
+
+// beginPoll takes the input for the next call, which set cancels with cancel from now on.
+func (c *control) beginPoll(cancel context.CancelFunc) pollInput {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	input := pollInput{config: c.config, otherProcess: c.otherProcess, retryRejected: c.retryRejected}
+	c.cancelPoll, c.otherProcess, c.retryRejected = cancel, nil, false
+	return input
+}
+
+func (c *control) currentConfig() Config {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.config
+}
+
+func (c *control) latest() Revision {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.latestInForce
+}
+
+func (c *control) setLatest(revision Revision) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.latestInForce = revision
+}
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -20,122 +20,138 @@
 )
 
 const (
-	// copyHeader begins a copy's first line, which ends with the SHA-256 of what follows it.
+	// copyHeader begins a copy's first line, which ends with the SHA-256 of what follows the line.
 	copyHeader = "windflow configuration 1 "
-	// mostCopy bounds what is read of a copy, in bytes.
-	mostCopy = mostAnswer + 4<<10
-	// againAfter is the wait before a copy that could not be written is tried again.
-	againAfter = 10 * time.Second
+	// maxCopyBytes bounds what is read of a copy.
+	maxCopyBytes = maxAnswerBytes + 4<<10
+	// writeRetryInterval is the wait before a copy that could not be written is tried again.
+	writeRetryInterval = 10 * time.Second
 )
 
-// copyStore keeps the copy of the last good revision, in a file of this router's own: two processes of it write the same one.
+// copyStore saves the last revision in force to a file of this router's own. Both processes of a router write the same
+// file during an upgrade.
 type copyStore struct {
-	path, name string
-	counters   *Counters
-	log        *slog.Logger
-	next       chan configlog.SavedRevision // the latest that is not written yet
-	failing    bool
+	path, router string
+	counters     *Counters
+	log          *slog.Logger
+	pending      chan configlog.SavedRevision // the latest that is not written yet
+	failing      bool                         // the latest write failed
 }
 
-func newCopyStore(dir, name string, n *Counters, log *slog.Logger) *copyStore {
-	return &copyStore{path: filepath.Join(dir, url.PathEscape(name)+".revision"), name: name, counters: n, log: log, next: make(chan configlog.SavedRevision, 1)}
+func newCopyStore(dir, router string, counters *Counters, log *slog.Logger) *copyStore {
+	return &copyStore{
+		path:     filepath.Join(dir, url.PathEscape(router)+".revision"),
+		router:   router,
+		counters: counters,
+		log:      log,
+		pending:  make(chan configlog.SavedRevision, 1),
+	}
 }
 
-// copied is what stands in the file, after its first line.
-type copied struct {
+// copyContent is what the file has after its first line.
+type copyContent struct {
 	Router string                  `json:"router"`
 	Saved  configlog.SavedRevision `json:"saved"`
 }
 
-// load reads a copy: fs.ErrNotExist where there is none, ErrDamaged where it is not what was written.
-func (d *copyStore) load() (s configlog.SavedRevision, err error) {
-	f, err := os.Open(d.path)
+// load reads the copy. It returns fs.ErrNotExist if there is none, and configlog.ErrDamaged if it is not what was written.
+func (s *copyStore) load() (configlog.SavedRevision, error) {
+	file, err := os.Open(s.path)
 	if err != nil {
-		return s, err
+		return configlog.SavedRevision{}, err
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostCopy+1))
+	defer func() { _ = file.Close() }()
+	text, err := io.ReadAll(io.LimitReader(file, maxCopyBytes+1))
 	if err != nil {
-		return s, err
+		return configlog.SavedRevision{}, err
 	}
-	line, rest, _ := bytes.Cut(text, []byte("\n"))
-	sum, ok := bytes.CutPrefix(line, []byte(copyHeader))
-	if !ok {
-		return s, fmt.Errorf("%w: it is no copy of a configuration", configlog.ErrDamaged)
+	return s.decode(text)
+}
+
+func (s *copyStore) decode(text []byte) (none configlog.SavedRevision, err error) {
+	line, body, _ := bytes.Cut(text, []byte("\n"))
+	checksum, found := bytes.CutPrefix(line, []byte(copyHeader))
+	if !found {
+		return none, fmt.Errorf("%w: it is no copy of a configuration", configlog.ErrDamaged)
 	}
-	if got := sha256.Sum256(rest); hex.EncodeToString(got[:]) != string(sum) {
-		return s, fmt.Errorf("%w: the checksum is that of another content", configlog.ErrDamaged)
+	if string(checksum) != hexChecksum(body) {
+		return none, fmt.Errorf("%w: the checksum is that of another content", configlog.ErrDamaged)
 	}
-	var c copied
-	if err := json.Unmarshal(rest, &c); err != nil {
-		return s, fmt.Errorf("%w: %w", configlog.ErrDamaged, err)
+	var content copyContent
+	if err := json.Unmarshal(body, &content); err != nil {
+		return none, fmt.Errorf("%w: %w", configlog.ErrDamaged, err)
 	}
-	if c.Router != d.name {
-		return s, fmt.Errorf("%w: it is that of router %q", configlog.ErrDamaged, c.Router)
+	if content.Router != s.router {
+		return none, fmt.Errorf("%w: it is that of router %q", configlog.ErrDamaged, content.Router)
 	}
-	return c.Saved, nil
+	return content.Saved, nil
+}
+
+func hexChecksum(body []byte) string {
+	sum := sha256.Sum256(body)
+	return hex.EncodeToString(sum[:])
 }
 
-// read gives the copy, if there is a good one; one that is not is set aside.
-func (d *copyStore) read() (configlog.SavedRevision, bool) {
-	s, err := d.load()
+// read returns the copy, if there is a usable one; a damaged one is set aside.
+func (s *copyStore) read() (saved configlog.SavedRevision, found bool) {
+	saved, err := s.load()
 	switch {
 	case err == nil:
-		return s, true
+		return saved, true
 	case errors.Is(err, configlog.ErrDamaged):
-		d.setAside(err)
+		s.setAside(err)
 	case !errors.Is(err, fs.ErrNotExist):
-		d.log.Error("the copy of the configuration can't be read", "file", d.path, "err", err)
+		s.log.Error("configuration copy read failed", "file", s.path, "error", err)
 	}
-	return s, false
+	return configlog.SavedRevision{}, false
 }
 
-// setAside takes a copy that can't be used out of the way, for a look at it.
-func (d *copyStore) setAside(why error) {
-	d.counters.CopiesSetAside.Add(1)
-	aside := d.path + ".aside"
-	err := os.Rename(d.path, aside)
-	d.log.Error("the copy of the configuration was set aside", "file", d.path, "as", aside, "why", why, "err", err)
+// setAside renames a copy that can't be used, and keeps it for inspection.
+func (s *copyStore) setAside(reason error) {
+	s.counters.CopiesSetAside.Add(1)
+	aside := s.path + ".aside"
+	err := os.Rename(s.path, aside)
+	s.log.Error("configuration copy set aside", "file", s.path, "aside", aside, "reason", reason, "error", err)
 }
 
-// save has a revision written when the disk comes to it. A later one that comes before takes its place.
-func (d *copyStore) save(s configlog.SavedRevision) {
+// save has a revision written in the background. It replaces one that is not written yet.
+func (s *copyStore) save(saved configlog.SavedRevision) {
 	for {
 		select {
-		case d.next <- s:
+		case s.pending <- saved:
 			return
 		default:
 		}
 		select {
-		case <-d.next:
+		case <-s.pending:
 		default:
 		}
 	}
 }
 
-// run writes what is to be saved, until the client ends. What came last is written then too.
-func (d *copyStore) run(ctx context.Context) {
+// run writes what is to be saved until ctx ends; what came last is written then, too.
+func (s *copyStore) run(ctx context.Context) {
 	var failed *configlog.SavedRevision
-	again := time.NewTicker(againAfter)
-	defer again.Stop()
-	put := func(s configlog.SavedRevision) {
+	retries := time.NewTicker(writeRetryInterval)
+	defer retries.Stop()
+	write := func(saved configlog.SavedRevision) {
 		failed = nil
-		if !d.keep(s) {
-			failed = &s
+		if !s.writeLogged(saved) {
+			failed = &saved
 		}
 	}
 	for {
 		select {
-		case s := <-d.next:
-			put(s)
-		case <-again.C:
+		case saved := <-s.pending:
+			write(saved)
+		case <-retries.C:
 			if failed != nil {
-				put(*failed)
+				write(*failed)
 			}
 		case <-ctx.Done():
 			select {
-			case s := <-d.next:
-				put(s)
+			case saved := <-s.pending:
+				write(saved)
 			default:
 			}
 			return
@@ -143,57 +159,73 @@
 	}
 }
 
-// keep writes a copy, and says once that it can't, and once that it can again.
-func (d *copyStore) keep(s configlog.SavedRevision) bool {
-	err := d.write(s)
+// writeLogged writes a copy. It logs the first failure and the first success after it.
+func (s *copyStore) writeLogged(saved configlog.SavedRevision) bool {
+	err := s.write(saved)
 	if err != nil {
-		d.counters.CopyWriteErrors.Add(1)
-		if !d.failing {
-			d.log.Error("the copy of the configuration can't be written; the configuration is in force", "file", d.path, "err", err)
+		s.counters.CopyWriteErrors.Add(1)
+		if !s.failing {
+			s.log.Error("configuration copy write failed", "file", s.path, "error", err)
 		}
-	} else if d.failing {
-		d.log.Info("the copy of the configuration is written again", "file", d.path, "revision", s.Revision)
+	} else if s.failing {
+		s.log.Info("configuration copy write recovered", "file", s.path, "revision", saved.Revision)
 	}
-	d.failing = err != nil
+	s.failing = err != nil
 	return err == nil
 }
 
-// write replaces the copy, whole or not at all. One that is later stays: the other process of this router wrote it.
-func (d *copyStore) write(s configlog.SavedRevision) error {
-	if there, err := d.load(); err == nil && there.Revision > s.Revision {
+// write replaces the copy, completely or not at all. A copy of a later revision is kept: the other process of this router
+// wrote it.
+func (s *copyStore) write(saved configlog.SavedRevision) error {
+	if existing, err := s.load(); err == nil && existing.Revision > saved.Revision {
 		return nil
 	}
-	rest, err := json.Marshal(copied{d.name, s})
+	body, err := json.Marshal(copyContent{Router: s.router, Saved: saved})
 	if err != nil {
 		return err
 	}
-	dir := filepath.Dir(d.path)
+	return replaceFile(s.path, append([]byte(copyHeader+hexChecksum(body)+"\n"), body...))
+}
+
+// replaceFile writes a new file, syncs it and renames it to path.
+func replaceFile(path string, text []byte) error {
+	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(dir, filepath.Base(d.path)+".new*")
+	file, err := os.CreateTemp(dir, filepath.Base(path)+".new*")
 	if err != nil {
 		return err
 	}
-	sum := sha256.Sum256(rest)
-	_, err = f.Write(append([]byte(copyHeader+hex.EncodeToString(sum[:])+"\n"), rest...))
+	err = writeSyncClose(file, text)
 	if err == nil {
-		err = f.Sync()
+		err = os.Rename(file.Name(), path)
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if err != nil {
+		_ = os.Remove(file.Name())
+		return err
 	}
+	return syncDir(dir)
+}
+
+// writeSyncClose returns the first error; the file is closed in any case.
+func writeSyncClose(file *os.File, text []byte) error {
+	_, err := file.Write(text)
 	if err == nil {
-		err = os.Rename(f.Name(), d.path)
+		err = file.Sync()
 	}
-	if err != nil {
-		_ = os.Remove(f.Name())
-		return err
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	where, err := os.Open(dir)
+	return err
+}
+
+// syncDir makes a rename durable: without it the rename may be lost in a power failure.
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer where.Close()
-	return where.Sync() // else the rename may be lost with the power
+	defer func() { _ = dir.Close() }()
+	return dir.Sync()
 }
--- a/internal/configclient/encoded_test.go
+++ b/internal/configclient/encoded_test.go
@@ -8,7 +8,7 @@
 
 // encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
 func encodedTypes() []any {
-	return []any{Config{}, Revision{}, copied{}}
+	return []any{Config{}, Revision{}, copyContent{}}
 }
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Equal(t, goldenCopy, written)
-	goldentest.AllFieldsSet(t, copied{Router: "n/0", Saved: saved})
+	goldentest.AllFieldsSet(t, copyContent{Router: "n/0", Saved: saved})
 }
 
 // A copy that an earlier program wrote is in force after a start without any keeper.
@@ -154,7 +154,7 @@
 		goldentest.Equal(t, "answer-"+name+".json", append(text, '\n'))
 		address, call := answerOnce(t, goldentest.Read(t, "answer-"+name+".json"))
 		ctx, cancel := context.WithTimeout(context.Background(), goldenWithin)
-		got, fresh, err := (&poller{}).poll(ctx, address, report, 2000)
+		got, fresh, err := (&keeperConn{}).poll(ctx, address, report, 2000)
 		cancel()
 		if diff := cmp.Diff(want, got); err != nil || !fresh || diff != "" {
 			t.Errorf("%s: %v %v %s", name, fresh, err, diff)
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -1,5 +1,5 @@
-// Package keepertest has a stand-in for a keeper, for tests of those that follow one: the real log of revisions behind the
-// real calls, in one process and without a replica, which can be told to misbehave.
+// Package keepertest has a fake keeper for tests of its followers: the real log of revisions behind the real calls, in one
+// process and without replication, which can be made to misbehave.
 package keepertest
 
 import (
@@ -14,149 +14,193 @@
 	"windflow/internal/decide/configlog"
 )
 
-// within bounds the wait for what a test waits for: it is reached by a test that fails only.
-const within = 30 * time.Second
+const (
+	// waitTimeout bounds the wait for a follower: only a test that fails reaches it.
+	waitTimeout = 30 * time.Second
+	// maxRecordedStatuses bounds the statuses that no test has waited for yet.
+	maxRecordedStatuses = 1 << 14
+)
 
-// Keeper is the stand-in.
+// Keeper is the fake.
 type Keeper struct {
-	t      testing.TB
-	server *httptest.Server
-	stop   chan struct{}
-
-	mu      sync.Mutex
-	log     *configlog.Log
-	changed chan struct{} // closed at the next change
-	instead http.HandlerFunc
-	heard   chan configlog.FollowerStatus
-	noted   map[string]bool // instances
+	tb       testing.TB
+	server   *httptest.Server
+	stopping chan struct{}                 // closed when calls have to end
+	statuses chan configlog.FollowerStatus // of the calls that came
+
+	mu       sync.Mutex
+	log      *configlog.Log
+	changed  chan struct{}    // closed at the next change
+	override http.HandlerFunc // answers calls if it is set
+	seen     map[string]bool  // instances that have called
 }
 
 // New runs a keeper that ends with the test.
-func New(t testing.TB) *Keeper {
-	k := &Keeper{
-		t: t, log: configlog.NewLog(configlog.DefaultRetention), changed: make(chan struct{}), stop: make(chan struct{}),
-		heard: make(chan configlog.FollowerStatus, 1<<14), noted: map[string]bool{},
+func New(tb testing.TB) *Keeper {
+	tb.Helper()
+	keeper := &Keeper{
+		tb:       tb,
+		stopping: make(chan struct{}),
+		statuses: make(chan configlog.FollowerStatus, maxRecordedStatuses),
+		log:      configlog.NewLog(configlog.DefaultRetention),
+		changed:  make(chan struct{}),
+		seen:     map[string]bool{},
 	}
-	k.server = httptest.NewServer(k)
-	t.Cleanup(func() {
-		close(k.stop)
-		k.server.CloseClientConnections()
-		k.server.Close()
+	keeper.server = httptest.NewServer(keeper)
+	tb.Cleanup(func() {
+		close(keeper.stopping)
+		keeper.server.CloseClientConnections()
+		keeper.server.Close()
 	})
-	return k
+	return keeper
 }
 
-// Addr is where it listens.
+// Addr returns the address it listens on.
 func (k *Keeper) Addr() string { return k.server.Listener.Addr().String() }
 
-// Change makes a change, and gives its revision.
+// Change makes a change and returns its revision.
 func (k *Keeper) Change(put map[string]string, remove ...string) uint64 {
-	k.t.Helper()
+	k.tb.Helper()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := configlog.Change{ID: "c" + strconv.FormatUint(k.log.Revision(), 10), Put: map[string]json.RawMessage{}, Remove: remove}
-	for p, v := range put {
-		c.Put[p] = json.RawMessage(v)
+	id := "c" + strconv.FormatUint(k.log.Revision(), 10)
+	change := configlog.Change{ID: id, Put: map[string]json.RawMessage{}, Remove: remove}
+	for pointer, value := range put {
+		change.Put[pointer] = json.RawMessage(value)
 	}
-	r := k.log.Apply(c)
-	if r.Err != nil {
-		k.t.Fatal(r.Err)
+	result := k.log.Apply(change)
+	if result.Err != nil {
+		k.tb.Fatal(result.Err)
 	}
-	close(k.changed)
-	k.changed = make(chan struct{})
-	return r.Revision
+	k.notifyChanged()
+	return result.Revision
 }
 
-// SetHandler has calls answered by another handler; nil for as usual. Calls that are open end.
-func (k *Keeper) SetHandler(h http.HandlerFunc) {
+// SetHandler has calls answered by another handler; nil restores the usual answers. Open calls are aborted.
+func (k *Keeper) SetHandler(handler http.HandlerFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.instead = h
+	k.override = handler
+	k.notifyChanged()
+}
+
+// notifyChanged wakes open calls. The caller holds the lock.
+func (k *Keeper) notifyChanged() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// WaitForStatus waits for a call that says so.
-func (k *Keeper) WaitForStatus(what string, ok func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
-	k.t.Helper()
-	late := time.After(within)
+// WaitForStatus waits for a call whose status fulfils the condition, and returns that status.
+func (k *Keeper) WaitForStatus(what string, condition func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
+	k.tb.Helper()
+	timeout := time.After(waitTimeout)
 	for {
 		select {
-		case r := <-k.heard:
-			if ok(r) {
-				return r
+		case status := <-k.statuses:
+			if condition(status) {
+				return status
 			}
-		case <-late:
-			k.t.Fatal("no follower said that " + what)
+		case <-timeout:
+			k.tb.Fatal("no follower said that " + what)
 		}
 	}
 }
 
 // WaitForRevision waits for a call that says that a revision is in force.
 func (k *Keeper) WaitForRevision(revision uint64) configlog.FollowerStatus {
-	k.t.Helper()
+	k.tb.Helper()
 	return k.WaitForStatus("revision "+strconv.FormatUint(revision, 10)+" is in force",
-		func(r configlog.FollowerStatus) bool { return r.Revision == revision })
+		func(status configlog.FollowerStatus) bool { return status.Revision == revision })
+}
+
+// followRequest is the body of `POST /v1/follow`.
+type followRequest struct {
+	Report configlog.FollowerStatus `json:"report"`
+	WaitMS int                      `json:"wait_ms"`
 }
 
 // ServeHTTP implements http.Handler.
 func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
-		Report configlog.FollowerStatus `json:"report"`
-		WaitMS int                      `json:"wait_ms"`
-	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil || r.URL.Path != "/v1/follow" || r.Method != http.MethodPost {
+	var request followRequest
+	err := json.NewDecoder(r.Body).Decode(&request)
+	if err != nil || r.URL.Path != "/v1/follow" || r.Method != http.MethodPost {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	if err := ask.Report.Check(); err != nil {
+	if err := request.Report.Check(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k.mu.Lock()
-	instead := k.instead
-	k.mu.Unlock()
-	if instead != nil {
-		instead(w, r)
+	if override := k.currentOverride(); override != nil {
+		override(w, r)
 		return
 	}
 	select {
-	case k.heard <- ask.Report:
+	case k.statuses <- request.Report:
 	default:
 	}
-	k.mu.Lock()
-	newcomer := !k.noted[ask.Report.Instance]
-	k.noted[ask.Report.Instance] = true
-	k.mu.Unlock()
-	if newcomer && ask.WaitMS == 0 { // the keepers have not agreed on it when the call ends
-		w.WriteHeader(http.StatusNoContent)
+	if k.recordInstance(request.Report.Instance) && request.WaitMS == 0 {
+		w.WriteHeader(http.StatusNoContent) // the keepers have not agreed on a new process when the call ends
 		return
 	}
-	late := time.After(time.Duration(ask.WaitMS) * time.Millisecond)
+	k.answerPoll(w, r, request)
+}
+
+func (k *Keeper) currentOverride() http.HandlerFunc {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.override
+}
+
+// recordInstance reports whether a process calls for the first time.
+func (k *Keeper) recordInstance(instance string) (isNew bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	isNew = !k.seen[instance]
+	k.seen[instance] = true
+	return isNew
+}
+
+// answerPoll answers once there is an update or the wait is over. It aborts the connection once there is an override.
+func (k *Keeper) answerPoll(w http.ResponseWriter, r *http.Request, request followRequest) {
+	timeout := time.After(time.Duration(request.WaitMS) * time.Millisecond)
 	for {
-		k.mu.Lock()
-		u, changed, bad := k.log.NextUpdate(ask.Report), k.changed, k.instead != nil
-		text, err := json.Marshal(u)
-		k.mu.Unlock()
-		if err != nil {
-			panic(err)
-		}
-		if !u.IsEmpty() {
-			_, _ = w.Write(text)
+		answer, changed, overridden := k.nextAnswer(request.Report)
+		if answer != nil {
+			_, _ = w.Write(answer)
 			return
 		}
-		if bad {
+		if overridden {
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			w.WriteHeader(http.StatusNoContent)
 			return
 		case <-r.Context().Done():
 			return
-		case <-k.stop:
+		case <-k.stopping:
 			return
 		}
 	}
 }
+
+// nextAnswer returns the encoded update for a follower; nil if there is nothing newer. It encodes under the lock, because
+// the update shares its entries with the log.
+func (k *Keeper) nextAnswer(
+	status configlog.FollowerStatus,
+) (answer []byte, changed <-chan struct{}, overridden bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	changed, overridden = k.changed, k.override != nil
+	update := k.log.NextUpdate(status)
+	if update.IsEmpty() {
+		return nil, changed, overridden
+	}
+	answer, err := json.Marshal(update)
+	if err != nil {
+		panic(err)
+	}
+	return answer, changed, overridden
+}
