--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -30,7 +30,7 @@
 	return out.String(), err
 }
 
-func TestSendsAndAnswers(t *testing.T) {
+func TestStartsAttemptsAndReplies(t *testing.T) {
 	out, err := play(t, startLine, request("2", "a"),
 		`{"ts-ns":1200000000,"n":3,"in":[{"ATTEMPT_END":{"who":0,"ref":"a","hop":0,"executor":7,`+
 			`"disposition":"served","delay-seen-ns":1,"last":true,"load":{"busy":0.5,"new":3}}},`+
@@ -50,7 +50,7 @@
 	}
 }
 
-// A number used twice in one batch means what it meant when each event came.
+// A list that is registered twice in one batch is the former for the events before the second.
 func TestRegisterIsResolvedInOrder(t *testing.T) {
 	batch := strings.Replace(startLine, `,"mode":"SAVED","sheet":0}}]}`, `,"mode":"SAVED","sheet":0}},`+
 		`{"REGISTER":{"sheet":0,"elements":[{"executor":8,"flavor":"k","condition":"live"}]}}]}`, 1)
@@ -60,12 +60,13 @@
 	}
 }
 
-// Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then nobody minds the
-// loads that hold what it reads.
+// Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then nobody
+// minds the loads that hold what it reads.
 func TestTableGroups(t *testing.T) {
 	for field, want := range map[string]int64{
 		``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
-		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0, `,"table-group":1e300`: 0,
+		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0,
+		`,"table-group":1e300`: 0,
 	} {
 		ev, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
 		if a, ok := ev.(dispatch.Arrival); err != nil || !ok || a.TableGroup != want {
