--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -1,9 +1,11 @@
-// Command windflow is one query router: MySQL and Flight SQL clients in front, engines behind, the decisions of package
-// brain between them. What people run beside a router is in windflowctl.
+// Command windflow is one query router: MySQL and Flight SQL clients in front, engines behind, and the decisions of
+// package dispatch between them. The tools that people run beside a router are in windflowctl.
 package main
 
 import (
+	"errors"
 	"fmt"
+	"io"
 	"os"
 	"runtime/debug"
 	"strings"
@@ -48,14 +50,16 @@
 		SilenceUsage:  true,
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.PersistentFlags().StringVar(&opts.Settings, "settings", "", "`file` of the installation's settings, such as deploy/windflow.json")
+	root.PersistentFlags().StringVar(&opts.Settings, "settings", "",
+		"`file` of the installation's settings, such as deploy/windflow.json")
 	root.PersistentFlags().StringVar(&format, "log-format", "text", "`text` or json")
 	root.PersistentFlags().BoolVar(&opts.Debug, "debug", false, "log each attempt that does not end well")
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Serve, as without a command", Args: cobra.NoArgs, RunE: serve},
-		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), version())
-		}},
+		&cobra.Command{
+			Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) },
+		},
 		configCommand(),
 	)
 	return root
@@ -67,22 +71,10 @@
 		&cobra.Command{
 			Use:   "check FILE...",
 			Short: "Check files of settings: the installation's, or the platform's configuration",
-			Long:  "Check files of settings. One with a field \"listen\" is taken for the platform's configuration, any other one for the\ninstallation's settings. Each fault has a line that names the file and the place in it.",
-			Args:  cobra.MinimumNArgs(1),
-			RunE: func(c *cobra.Command, files []string) error {
-				var faults []string
-				for _, file := range files {
-					if err := check(file); err != nil {
-						faults = append(faults, err.Error())
-						continue
-					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: ok\n", file)
-				}
-				if len(faults) > 0 {
-					return fmt.Errorf("%s", strings.Join(faults, "\n"))
-				}
-				return nil
-			},
+			Long: "Check files of settings. One with a field \"listen\" is taken for the platform's configuration, any other " +
+				"one for the\ninstallation's settings. Each fault has a line that names the file and the place in it.",
+			Args: cobra.MinimumNArgs(1),
+			RunE: func(c *cobra.Command, files []string) error { return checkAll(c.OutOrStdout(), files) },
 		},
 		&cobra.Command{
 			Use: "schema", Short: "Print the JSON Schema of the installation's settings", Args: cobra.NoArgs,
@@ -92,6 +84,19 @@
 	return config
 }
 
+// checkAll checks files and reports the good ones to out. The error has a line for each fault.
+func checkAll(out io.Writer, files []string) error {
+	var faults []error
+	for _, file := range files {
+		if err := check(file); err != nil {
+			faults = append(faults, err)
+			continue
+		}
+		fmt.Fprintf(out, "%s: ok\n", file)
+	}
+	return errors.Join(faults...)
+}
+
 // check reads a file as the router would.
 func check(file string) error {
 	text, err := os.ReadFile(file)
@@ -111,7 +116,7 @@
 	return err
 }
 
-// version is that of the module and of the commit that it was built from.
+// version names the module's version and the commit that it was built from.
 func version() string {
 	text := "windflow"
 	info, ok := debug.ReadBuildInfo()
--- a/internal/decide/hotrestart/doc.go
+++ b/internal/decide/hotrestart/doc.go
@@ -1,7 +1,7 @@
 // Package hotrestart decides how one process of a router replaces another: which process asks which for its state,
 // which one accepts clients, which share of the router's limits each may use, and which one ends. It is a pure state
 // machine: events and the time go in, effects come out. Sockets, files and timers belong to the caller. The reasons
-// for the protocol are in docs/design/takeover.md.
+// for the protocol are in docs/design/hot-restart.md.
 //
 // The processes of a router are ordered by their starts. Each process asks only its predecessor, the newest living
 // process that started before it, and at most two processes take part in a hot restart at a time: a third is told to
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// claim asks for an id and calls done with the reply. A process of version 1 knows no such question: with it, and without
-// any other process, the claim is granted at once.
+// claim asks for an id and calls done with the reply. A process of version 1 knows no such question: with it, and
+// without any other process, the claim is granted at once.
 func (c *idClaims) claim(id string, done func(router.ClaimReply)) {
 	grantor, possible := c.grantor()
 	switch {
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -28,9 +28,10 @@
 	<-done
 }
 
-// A request that has come to a resting connection when the router ends its sessions, and that the loop has not heard of, is
-// taken and answered; then the client hears the end, as one that rests does at once. Neither is reset. It guards against a
-// close over unread bytes, which loses the request, and with it an answer that the client has not read.
+// A request that has come to a resting connection when the router ends its sessions, and that the loop has not heard
+// of, is taken and answered; then the client hears the end, as one that rests does at once. Neither is reset. It
+// guards against a close over unread bytes, which loses the request, and with it an answer that the client has not
+// read.
 func TestRequestDuringConnectionEnd(t *testing.T) {
 	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
 	asks, err := dialMySQL(n.listeners.clientsAddress)
@@ -66,8 +67,9 @@
 	}
 }
 
-// A client whose connection was accepted before the router stops listening, and of which the loop has not heard, is served;
-// one that comes after is refused at once. It guards against connections that are taken and dropped at the end.
+// A client whose connection was accepted before the router stops listening, and of which the loop has not heard, is
+// served; one that comes after is refused at once. It guards against connections that are taken and dropped at the
+// end.
 func TestAcceptedClientServedAtEnd(t *testing.T) {
 	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
@@ -100,8 +102,8 @@
 	}
 }
 
-// A client that never finishes a packet, and comes again whenever its time is up, does not hold the end up past the time by
-// which everything is answered: a kill follows then. It guards against a router that has to be killed.
+// A client that never finishes a packet, and comes again whenever its time is up, does not hold the end up past the
+// time by which everything is answered: a kill follows then. It guards against a router that has to be killed.
 func TestHalfOpenClientsDoNotDelayShutdown(t *testing.T) {
 	short := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
 	n := startRouterWith(t, []string{listedEngine(newBlockingEngine().serve(t))}, short)
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -36,9 +36,9 @@
 	MemoryOnly bool              `json:"unnoted,omitempty"` // it is in no folder; since version 2
 }
 
-// cordonStore keeps the engines that operators cordoned. A cordon is stored in a folder that all processes of the router
-// read, so that it is in force in each of them, and is passed on as a message too, so that an operator's answer is true in
-// both at once.
+// cordonStore keeps the engines that operators cordoned. A cordon is stored in a folder that all processes of the
+// router read, so that it is in force in each of them, and is passed on as a message too, so that an operator's
+// answer is true in both at once.
 type cordonStore struct {
 	log        *slog.Logger
 	loop       *router.Loop
@@ -158,8 +158,8 @@
 	order.Known = s.services.core.KnowsEngine(order.ID)
 	reply := func() { from.send(msgCordonReply, order) }
 	if from.version >= 2 && !order.MemoryOnly && !s.memoryOnly {
-		// The other process has stored it, and must not be overtaken by a second note of this one's; what is read of the
-		// folder from now on has it.
+		// The other process has stored it, and must not be overtaken by a second note of this one's; what is read of
+		// the folder from now on has it.
 		s.refresh(reply)
 		return
 	}
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -8,14 +8,14 @@
 	_ "windflow/internal/descriptors"
 )
 
-// maxTableSize bounds how far the table of descriptors is grown ahead: 64 Ki of them take 512 KB of the kernel's memory,
-// which counts against the process's limit, and no router comes near so many.
+// maxTableSize bounds how far the table of descriptors is grown ahead: 64 Ki of them take 512 KB of the kernel's
+// memory, which counts against the process's limit, and no router comes near so many.
 const maxTableSize = 1 << 16
 
 // growTable has the kernel grow the process's table of descriptors once, up to the limit that is in force. Package
-// descriptors made room for the usual limits before there were threads, and this one is done at once then. A limit beyond
-// those, at the start or in a reload, costs the wait that is explained there, here and not in the loop; the start does not
-// wait for it.
+// descriptors made room for the usual limits before there were threads, and this one is done at once then. A limit
+// beyond those, at the start or in a reload, costs the wait that is explained there, here and not in the loop; the
+// start does not wait for it.
 //
 // sockets is the configuration's limit, 0 for none. A failure costs nothing but the growth.
 func growTable(sockets int) error {
@@ -33,8 +33,8 @@
 	return syscall.EBADF
 }
 
-// tableSize is how many descriptors a process can come to have: its configuration's limit, or the system's where that is
-// less or there is no other.
+// tableSize is how many descriptors a process can come to have: its configuration's limit, or the system's where that
+// is less or there is no other.
 func tableSize(sockets int, limit uint64) int {
 	size := maxTableSize
 	if sockets > 0 {
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -29,8 +29,8 @@
 	return 0
 }
 
-// A router that serves never grows its table of descriptors, which may take the kernel seconds: it has room for all that
-// the limit allows from its start on, and after a reload that allows more.
+// A router that serves never grows its table of descriptors, which may take the kernel seconds: it has room for all
+// that the limit allows from its start on, and after a reload that allows more.
 func TestDescriptorTable(t *testing.T) {
 	harness := newRouterHarness(t, newBlockingEngine())
 	adminAddress := freePort(t)
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,8 +1,8 @@
 // Package node runs a router: it wires the parts together, handles signals and the settings, and takes the process from
 // its start, by a hot restart beside a predecessor where there is one, to its graceful shutdown.
 //
-// Everything below belongs to the goroutine of the router's event loop, unless its comment says otherwise. node wires the
-// types that do the work, each of which holds only what it needs:
+// Everything below belongs to the goroutine of the router's event loop, unless its comment says otherwise. node wires
+// the types that do the work, each of which holds only what it needs:
 //
 //   - coordinator drives the state machine of package hotrestart with process slots, links and timers;
 //   - listeners opens, inherits and hands over the sockets on which the router accepts;
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -63,9 +63,9 @@
 	return n
 }
 
-// The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are as
-// they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a router
-// that serves nobody; of the counters' values most do, and they are left out.
+// The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are
+// as they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a
+// router that serves nobody; of the counters' values most do, and they are left out.
 func TestGoldenFigures(t *testing.T) {
 	n := startAllParts(t)
 	var telemetry, names string
@@ -79,8 +79,8 @@
 	golden.File(t, filepath.Join("testdata", "golden", "status.txt"), []byte(names))
 }
 
-// The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in what
-// operators hear from a router that is not ready.
+// The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in
+// what operators hear from a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var words strings.Builder
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -18,9 +18,9 @@
 
 const goldenLog = "testdata/golden/log.txt"
 
-// Each line that the router logged when the golden file was made is still logged with the same names of its attributes,
-// or stands in the table of renamed lines on the on-call page, beside a line that is logged: operators look for them, and
-// records have them as events. A new line needs no place in the golden file.
+// Each line that the router logged when the golden file was made is still logged with the same names of its
+// attributes, or stands in the table of renamed lines on the on-call page, beside a line that is logged: operators
+// look for them, and records have them as events. A new line needs no place in the golden file.
 func TestGoldenLogLines(t *testing.T) {
 	now := logLines(t)
 	if len(now) < 30 {
@@ -41,7 +41,8 @@
 	}
 }
 
-// renamedLines reads the on-call page's table of renamed log lines: rows of two lines in backquotes, the former one first.
+// renamedLines reads the on-call page's table of renamed log lines: rows of two lines in backquotes, the former one
+// first.
 func renamedLines(t *testing.T) map[string]string {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/on-call.md")
@@ -56,7 +57,8 @@
 	return renamed
 }
 
-// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes, sorted.
+// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes,
+// sorted.
 func logLines(t *testing.T) (lines []string) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
--- a/internal/node/golden_slot_name_test.go
+++ b/internal/node/golden_slot_name_test.go
@@ -11,8 +11,8 @@
 	"windflow/internal/settings"
 )
 
-// Processes of a router meet by the name that its settings give, and note a cordon by the engine's id as text: both have to
-// be the same in the next program.
+// Processes of a router meet by the name that its settings give, and note a cordon by the engine's id as text: both
+// have to be the same in the next program.
 func TestGoldenSlotNameAndCordons(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintf(&got, "meeting %q\n", slotName(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -12,16 +12,16 @@
 	"windflow/internal/settings"
 )
 
-// A hot restart is a second process of a router that is started while the first one serves. Package hotrestart decides how
-// it goes; the coordinator has the sockets, files and timers that its machine wants. In the plain case:
+// A hot restart is a second process of a router that is started while the first one serves. Package hotrestart
+// decides how it goes; the coordinator has the sockets, files and timers that its machine wants. In the plain case:
 //
 //	successor:   hello     asked again until it is answered
 //	predecessor: state     ids, what was learnt, and the descriptors of listeners that both need
 //	successor:   ready     it has all that it takes to accept
-//	predecessor: go-ahead  it accepts no more; the successor accepts, and says yes to an operator who asks whether it is ready
+//	predecessor: go-ahead  it accepts no more; the successor accepts, and is ready
 //
-// On SIGTERM the predecessor finishes what it accepted, hands over its tickets and its BGP session, and ends. Should the
-// successor end first, the predecessor goes on as before.
+// On SIGTERM the predecessor finishes what it accepted, hands over its tickets and its BGP session, and ends. Should
+// the successor end first, the predecessor goes on as before.
 
 const (
 	// generations is how many values a generation has; two processes that live at the same time have different ones.
@@ -30,7 +30,8 @@
 	farewellMS = 100.0
 )
 
-// restartActions are what the machine has a process do, beside talking to other processes, and what the coordinator reports.
+// restartActions are what the machine has a process do, beside talking to other processes, and what the coordinator
+// reports.
 type restartActions interface {
 	// serving reports whether the router has been built.
 	serving() bool
@@ -85,7 +86,7 @@
 		log: log, loop: loop, life: life, actions: actions,
 		links:    map[hotrestart.ProcessNumber]*peer{},
 		partner:  &partnerLink{},
-		handlers: map[string]messageHandler{msgBye: func(from *peer, _ *hotrestartipc.Message) error { from.bye = true; return nil }},
+		handlers: map[string]messageHandler{msgBye: receiveBye},
 	}
 }
 
@@ -130,8 +131,9 @@
 		c.carryOut(effect)
 	}
 	if now := c.machine.Phase(); now != before {
-		c.log.Info("hot restart phase changed", "phase", now.String(), "former_phase", before.String(), "process", uint64(c.machine.Self),
-			"predecessor", uint64(c.machine.Predecessor()), "successor", uint64(c.machine.Successor()))
+		c.log.Info("hot restart phase changed", "phase", now.String(), "former_phase", before.String(),
+			"process", uint64(c.machine.Self), "predecessor", uint64(c.machine.Predecessor()),
+			"successor", uint64(c.machine.Successor()))
 	}
 	c.timer.Stop()
 	if due := c.machine.Due(); !math.IsInf(due, 1) {
@@ -183,8 +185,8 @@
 	return c.hasPredecessor() || c.machine.Successor() != hotrestart.NoProcess
 }
 
-// idGrantor gives the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim can
-// be granted now.
+// idGrantor gives the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim
+// can be granted now.
 func (c *coordinator) idGrantor() (grantor *peer, possible bool) {
 	process, may := c.machine.MustAsk()
 	if !may {
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -39,8 +39,8 @@
 	PID   int    `json:"pid"`
 }
 
-// stateMessage is what a successor needs to go on in the place of its predecessor. The descriptors of the listeners come
-// with it.
+// stateMessage is what a successor needs to go on in the place of its predecessor. The descriptors of the listeners
+// come with it.
 type stateMessage struct {
 	Version    int               `json:"version,omitempty"`
 	Generation uint8             `json:"generation"`
@@ -116,6 +116,12 @@
 	}
 }
 
+// receiveBye notes that the process at the other end lives on though its link ends.
+func receiveBye(from *peer, _ *hotrestartipc.Message) error {
+	from.bye = true
+	return nil
+}
+
 // receiveMachineMessage takes a message that is the machine's.
 func (c *coordinator) receiveMachineMessage(from *peer, kind hotrestart.MessageKind, m *hotrestartipc.Message) error {
 	var err error
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A predecessor that does not answer for three seconds. It guards against a new process that takes it for none: it went on
-// without the cordons, with all of the bounds, and the old one never heard that it was to give way.
+// A predecessor that does not answer for three seconds. It guards against a new process that takes it for none: it
+// went on without the cordons, with all of the bounds, and the old one never heard that it was to give way.
 func TestStoppedPredecessor(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
@@ -35,9 +35,9 @@
 	harness.terminate(old)
 }
 
-// A predecessor that hangs for good keeps the new process from serving for some seconds only. That knows the cordons, takes
-// in no load, and is told of cordons that the old one keeps when it goes on after all. It guards against a router that can't
-// be upgraded out of a process that hangs.
+// A predecessor that hangs for good keeps the new process from serving for some seconds only. That knows the cordons,
+// takes in no load, and is told of cordons that the old one keeps when it goes on after all. It guards against a
+// router that can't be upgraded out of a process that hangs.
 func TestPredecessorHangs(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		t.Run(map[bool]string{true: "and is killed", false: "and goes on"}[ends], func(t *testing.T) {
@@ -112,8 +112,8 @@
 }
 
 // Ten upgrades in a row under load, with processes that are slowed or stopped meanwhile. It guards against all that a
-// client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon forgotten, more
-// descriptors than the limit.
+// client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon forgotten,
+// more descriptors than the limit.
 func TestTenHotRestarts(t *testing.T) {
 	const sockets = 256
 	one, two := newBlockingEngine(), newBlockingEngine()
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -24,7 +24,8 @@
 // recordedMessages is one process of a recorded exchange: what it says, by kind of message, in its order.
 type recordedMessages []hotrestartipc.Message
 
-// readExchange reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes sent them.
+// readExchange reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes
+// sent them.
 func readExchange(t *testing.T, name string) (old, new recordedMessages) {
 	t.Helper()
 	a, err := txtar.ParseFile("testdata/takeover.txtar")
@@ -177,8 +178,8 @@
 	}
 }
 
-// The exchange of this version is as it was recorded: a message that changes its fields, or its place in the order, needs
-// a new version.
+// The exchange of this version is as it was recorded: a message that changes its fields, or its place in the order,
+// needs a new version.
 func TestProtocolExchange(t *testing.T) {
 	old, next := readExchange(t, "version 2")
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -216,8 +217,8 @@
 	}
 }
 
-// The process before this one dies, or falls silent, at each step. It guards against a new process that never serves, and
-// against one that serves too early.
+// The process before this one dies, or falls silent, at each step. It guards against a new process that never serves,
+// and against one that serves too early.
 func TestPredecessorAtEachStep(t *testing.T) {
 	old, _ := readExchange(t, "version 2")
 	for step, name := range []string{"before it accepts", "after hello", "after state", "after ready", "after go-ahead"} {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// An upgrade with two real processes. It guards against all that would show that they are two: a request turned away or
-// left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a ticket that is
-// spent twice, a BGP session that ends.
+// An upgrade with two real processes. It guards against all that would show that they are two: a request turned away
+// or left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a
+// ticket that is spent twice, a BGP session that ends.
 func TestHotRestart(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
@@ -168,8 +168,8 @@
 		t.Error("the killed one:", err)
 	}
 	ask(slow, 9, 1, 0)
-	// The old process answers the claim of another load behind its news of id 9, on the same link: once that load is served, the
-	// news has come.
+	// The old process answers the claim of another load behind its news of id 9, on the same link: once that load is
+	// served, the news has come.
 	for id := 50; ; id++ {
 		if rows, code, err := fresh.ask(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
@@ -254,8 +254,8 @@
 	}
 }
 
-// Should the new process end first, the old one goes on as before: it accepts, is ready, and can be upgraded. So it does
-// where the admin API is on the same address in both.
+// Should the new process end first, the old one goes on as before: it accepts, is ready, and can be upgraded. So it
+// does where the admin API is on the same address in both.
 func TestSuccessorEnds(t *testing.T) {
 	one := newBlockingEngine()
 	harness := newRouterHarness(t, one)
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -22,8 +22,9 @@
 	"windflow/internal/router"
 )
 
-// This file is the stage of TestEventInterleavings: the real sessions, core, module and engine connections on a clock that the test
-// drives, between stand-ins for clients' and engines' sockets, which hold back each event until the test lets it happen.
+// This file is the stage of TestEventInterleavings: the real sessions, core, module and engine connections on a clock
+// that the test drives, between stand-ins for clients' and engines' sockets, which hold back each event until the
+// test lets it happen.
 
 const (
 	interleavingDialTimeoutMS = 250.0 // ms
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -14,10 +14,10 @@
 	"windflow/internal/netio"
 )
 
-// In any order of what clients, engines, lists and clocks do, each request gets one answer, nothing begins for a client that
-// has gone, at an engine that nothing new may go to, past a window or an end, no load runs twice, no connection that is spoilt
-// is used again, and nothing is left behind. The real sessions, core, module and engine connections run here; each event
-// happens when the draw says so, none by a race.
+// In any order of what clients, engines, lists and clocks do, each request gets one answer, nothing begins for a
+// client that has gone, at an engine that nothing new may go to, past a window or an end, no load runs twice, no
+// connection that is spoilt is used again, and nothing is left behind. The real sessions, core, module and engine
+// connections run here; each event happens when the draw says so, none by a race.
 func TestEventInterleavings(t *testing.T) {
 	// The draws are the same in every run, unless the command line says otherwise.
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "1500", "rapid.steps": "80"} {
@@ -197,7 +197,8 @@
 	w.runOrBatch(t)
 }
 
-// engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once it is heard.
+// engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once
+// it is heard.
 func (w *interleavingHarness) engineSends(p *simulatedConn, text string, stray bool) {
 	p.unread = append(p.unread, text...)
 	w.loop.Post(func() {
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A revision is put in force in a running router, which goes on serving; one that it refuses is named with its pointer, and the
-// former one stays; the next good one is in force again.
+// A revision is put in force in a running router, which goes on serving; one that it refuses is named with its
+// pointer, and the former one stays; the next good one is in force again.
 func TestRevisionInForce(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -95,8 +95,8 @@
 	harness.requireServing(3)
 }
 
-// A router reads its own file again while revisions come: the entries in force stay laid over it, and a file that does not fit
-// with them is refused while what was in force stays.
+// A router reads its own file again while revisions come: the entries in force stay laid over it, and a file that
+// does not fit with them is refused while what was in force stays.
 func TestReloadWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -153,7 +153,8 @@
 	harness.requireServing(1)
 }
 
-// A router that starts without its folder, or with a copy that is a thousand revisions old, has the latest one before it is ready.
+// A router that starts without its folder, or with a copy that is a thousand revisions old, has the latest one before
+// it is ready.
 func TestStartManyRevisionsBehind(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -250,8 +251,8 @@
 	plain.requireServing(1)
 }
 
-// An upgrade while revisions arrive: the new process is ready with no earlier revision than the old one had, also where it
-// reaches no keeper itself, and both obey the same one in the end.
+// An upgrade while revisions arrive: the new process is ready with no earlier revision than the old one had, also
+// where it reaches no keeper itself, and both obey the same one in the end.
 func TestHotRestartWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// memoryShare is the share of the memory limit that the runtime's heap may have: stacks, the poller's buffers and the
-	// kernel's view of freed pages need the remainder.
+	// memoryShare is the share of the memory limit that the runtime's heap may have: stacks, the poller's buffers and
+	// the kernel's view of freed pages need the remainder.
 	memoryShare = 0.7
-	// spareConns of either process's connections to engines are left out while there are two: its listeners, log, poller
-	// and link come twice too.
+	// spareConns of either process's connections to engines are left out while there are two: its listeners, log,
+	// poller and link come twice too.
 	spareConns = 16
 	// minEngineConns is what a process has of connections to engines at least while there are two.
 	minEngineConns = 16
@@ -55,9 +55,9 @@
 	engineConns int          // that this process has open
 }
 
-// restrict takes the other process's part off the limits. Sessions are divided as they stand: the old process accepts no
-// more, and what it closes comes to the new one. Connections to engines are halved, until the old one leaves. A process
-// beside one that hangs keeps to what every process leaves for a successor.
+// restrict takes the other process's part off the limits. Sessions are divided as they stand: the old process accepts
+// no more, and what it closes comes to the new one. Connections to engines are halved, until the old one leaves. A
+// process beside one that hangs keeps to what every process leaves for a successor.
 func (l *limits) restrict(part processShare) {
 	l.inbound /= 2
 	l.mysql.MaxBuffered /= 2
@@ -78,8 +78,8 @@
 	}
 }
 
-// limiter keeps the services within the limits of the configuration, or within this process's part of them while another
-// process runs the same router.
+// limiter keeps the services within the limits of the configuration, or within this process's part of them while
+// another process runs the same router.
 type limiter struct {
 	active   *activeSettings
 	services *services
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// provide gets one listener. That of operators accepts at once: one may ask whether the router is ready. An address that a
-// process which hangs holds is missing for now.
+// provide gets one listener. That of operators accepts at once: one may ask whether the router is ready. An address
+// that a process which hangs holds is missing for now.
 func (l *listeners) provide(acceptor acceptor) error {
 	opened, shared, err := l.listen(acceptor)
 	if errors.Is(err, syscall.EADDRINUSE) && l.machine.Phase() == hotrestart.PhaseDegraded {
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// listen gives the socket that the platform passed on, for clients; else that of the predecessor, where the address is the
-// same; else one of its own. shared reports whether another process accepts there too.
+// listen gives the socket that the platform passed on, for clients; else that of the predecessor, where the address
+// is the same; else one of its own. shared reports whether another process accepts there too.
 func (l *listeners) listen(acceptor acceptor) (opened net.Listener, shared bool, err error) {
 	if descriptor := os.Getenv(passedSocketEnv); descriptor != "" && acceptor.name == clientListener {
 		opened, err = l.passedSocket(descriptor)
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -32,8 +32,9 @@
 	return log, out.flush
 }
 
-// logWriter writes the log in a goroutine of its own. It guards against a loop that stands still for as long as the pipe
-// or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its end.
+// logWriter writes the log in a goroutine of its own. It guards against a loop that stands still for as long as the
+// pipe or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its
+// end.
 type logWriter struct {
 	to        io.Writer
 	queue     chan []byte
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// begin starts the coordinator, in a process slot where hotRestart says so, and what runs beside the loop; the caller runs
-// the loop.
+// begin starts the coordinator, in a process slot where hotRestart says so, and what runs beside the loop; the caller
+// runs the loop.
 func (n *node) begin(hotRestart bool) {
 	n.stalls.beat()
 	go n.stalls.watch(n.life.done)
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -12,18 +12,30 @@
 	acceptor    *acceptor // where it accepts; nil for nowhere
 	handsOver   bool      // a successor waits for what this part has to hand over
 
-	start          func(l limits) error                                     // the core is there
-	configure      func(s *installation.Settings, l limits) (kept []string) // other settings come in force; kept are the fields that can't change
-	counters       func() []counterGroup                                    // for the log and SHOW STATUS
-	busy           func() bool                                              // something is open
-	drain          func()                                                   // the router is told to end, and there is no successor
-	leave          func(to *peer)                                           // a successor accepts
-	farewell       func(to *peer)                                           // nothing is open any more
-	end            func()                                                   // the router ends, and there is no successor
-	stop           func()                                                   // the process ends
-	partnerChanged func(partner *peer)                                      // another process shares the router; nil: none does
-	alone          func()                                                   // that has ended, or has nothing to hand over
-	handlers       map[string]messageHandler                                // messages of that process, by kind
+	// start begins once the core is there.
+	start func(l limits) error
+	// configure puts other settings in force; kept are the fields that can't change.
+	configure func(s *installation.Settings, l limits) (kept []string)
+	// counters are those for the log and SHOW STATUS.
+	counters func() []counterGroup
+	// busy reports whether something is open.
+	busy func() bool
+	// drain begins the end of a router that has no successor.
+	drain func()
+	// leave hands over to a successor, which accepts.
+	leave func(to *peer)
+	// farewell hands over what is left when nothing is open any more.
+	farewell func(to *peer)
+	// end ends a router that has no successor.
+	end func()
+	// stop releases what the part has at the end of the process.
+	stop func()
+	// partnerChanged reports which process shares the router, nil for none.
+	partnerChanged func(partner *peer)
+	// alone reports that the other process has ended, or has nothing to hand over.
+	alone func()
+	// handlers take messages of the other process, by kind.
+	handlers map[string]messageHandler
 }
 
 // partConstructors make the parts whose section is there, nil for the others; the order is that in which they start.
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -49,8 +49,9 @@
 				_ = conn.Close()
 			})
 		},
-		end:   func() { speaker.Close() },
-		alone: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) }, // connects, if it waited for the other's session
+		end: func() { speaker.Close() },
+		// Connects, if it waited for the other process's session.
+		alone: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) },
 		handlers: map[string]messageHandler{
 			msgBGP: func(_ *peer, m *hotrestartipc.Message) error {
 				var session bgp.SessionState
@@ -66,8 +67,8 @@
 	}
 }
 
-// predecessorHasSession reports whether a predecessor has a session, or may have one since it hangs; the neighbour would
-// take a second session for a collision.
+// predecessorHasSession reports whether a predecessor has a session, or may have one since it hangs; the neighbour
+// would take a second session for a collision.
 func predecessorHasSession(restart *coordinator) bool {
 	return restart.hasPredecessor() &&
 		(restart.phase() == hotrestart.PhaseDegraded || slices.Contains(restart.received.state.Parts, bgpPartName))
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -18,8 +18,8 @@
 	msgTickets          = "tickets" // []flightsql.Ticket
 	// ticketClaimTimeout bounds the wait for a ticket of the other process.
 	ticketClaimTimeout = time.Second
-	// flightEngineDescriptors are reserved for connections to engines that speak Flight SQL: one shared one each, and up to
-	// maxFlightLoads for what must not run twice.
+	// flightEngineDescriptors are reserved for connections to engines that speak Flight SQL: one shared one each, and
+	// up to maxFlightLoads for what must not run twice.
 	flightEngineDescriptors = 64
 	maxFlightLoads          = 32
 )
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -21,14 +21,15 @@
 	msgConfiguration = "configuration"
 	// keeperStartTimeout bounds what the start waits for keepers.
 	keeperStartTimeout = 800 * time.Millisecond
-	// keeperDescriptors are a connection to a keeper, the copy that is read and the one that is written, and their folder.
+	// keeperDescriptors are a connection to a keeper, the copy that is read and the one that is written, and their
+	// folder.
 	keeperDescriptors = 4
 )
 
-// keeperSync keeps the configuration by revision in force: the router's own file, overlaid with the entries of the keepers.
-// What is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's revision or a
-// SIGHUP, reads and checks beside the loop, and begins anew if the other one was faster: neither is lost, and no mix of
-// them comes in force.
+// keeperSync keeps the configuration by revision in force: the router's own file, overlaid with the entries of the
+// keepers. What is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's
+// revision or a SIGHUP, reads and checks beside the loop, and begins anew if the other one was faster: neither is
+// lost, and no mix of them comes in force.
 type keeperSync struct {
 	log          *slog.Logger
 	loop         *router.Loop
@@ -50,8 +51,8 @@
 	changes int                   // how often it has changed
 }
 
-// newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration does,
-// with an instance that is another one in each incarnation. own is the text of the router's own file.
+// newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration
+// does, with an instance that is another one in each incarnation. own is the text of the router's own file.
 func newKeeperSync(n *node, files *reloader, own []byte) *keeperSync {
 	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
 	return &keeperSync{
@@ -116,8 +117,8 @@
 	}
 }
 
-// change has a change of what is in force prepared beside the loop, and made in it, unless another one came between: then
-// it is prepared anew.
+// change has a change of what is in force prepared beside the loop, and made in it, unless another one came between:
+// then it is prepared anew.
 func (k *keeperSync) change(prepare func(configurationInForce) (commit func() error, err error)) error {
 	for {
 		var base configurationInForce
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// observeIntervalMS is how often the module is asked for its view of engines, and recordIntervalMS how often what was
-	// counted is written.
+	// observeIntervalMS is how often the module is asked for its view of engines, and recordIntervalMS how often what
+	// was counted is written.
 	observeIntervalMS = 250.0
 	recordIntervalMS  = 1000.0
 	// recordDescriptors are a segment, and the folder while it is swept.
@@ -170,8 +170,9 @@
 
 func (c *recorder) writeState(now float64, engine *dispatch.EngineView, state record.State) {
 	written := &record.EngineChange{
-		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID], Slowness: engine.Slowness,
-		FailureRate: engine.FailureShare, ConnectionFailures: engine.ConnectionFailures, Zone: engine.Zone, Kind: engine.Kind,
+		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID],
+		Slowness: engine.Slowness, FailureRate: engine.FailureShare, ConnectionFailures: engine.ConnectionFailures,
+		Zone: engine.Zone, Kind: engine.Kind,
 	}
 	if state == record.WarmingUp {
 		written.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
@@ -206,7 +207,8 @@
 	now := c.loop.Now()
 	front, engines := c.services.front, c.services.engines
 	second := &record.Interval{
-		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.services.core.OpenRequests(), QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
+		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.services.core.OpenRequests(),
+		QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
 		EngineConnections: engines.ConnCount(), ClientSessions: front.Sessions(),
 	}
 	second.Classes, second.Engines = c.meter.Collect()
@@ -234,8 +236,8 @@
 	}
 	c.samples--
 	written := &record.RequestFailure{
-		AtMS: c.loop.Now(), RequestID: request.ID, Class: request.Class, Tenant: request.Tenant, Rejected: end == record.RequestRejected,
-		Reason: answer.Reason, AfterMS: answer.TookMS,
+		AtMS: c.loop.Now(), RequestID: request.ID, Class: request.Class, Tenant: request.Tenant,
+		Rejected: end == record.RequestRejected, Reason: answer.Reason, AfterMS: answer.TookMS,
 	}
 	if answer.Engine != 0 {
 		written.EngineID = settings.FormatEngineID(answer.Engine)
@@ -264,8 +266,12 @@
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
 var attemptEnds = map[dispatch.Outcome]record.AttemptOutcome{
-	dispatch.Served: record.AttemptServed, dispatch.EngineFull: record.AttemptRejected, dispatch.EngineFailed: record.AttemptErrored,
-	dispatch.ConnectFailed: record.AttemptConnectionFailed, dispatch.ConnectionReset: record.AttemptConnectionFailed, dispatch.TimedOut: record.AttemptTimedOut,
+	dispatch.Served:          record.AttemptServed,
+	dispatch.EngineFull:      record.AttemptRejected,
+	dispatch.EngineFailed:    record.AttemptErrored,
+	dispatch.ConnectFailed:   record.AttemptConnectionFailed,
+	dispatch.ConnectionReset: record.AttemptConnectionFailed,
+	dispatch.TimedOut:        record.AttemptTimedOut,
 }
 
 // AttemptEnded implements router.Observer.
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -7,7 +7,8 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// protocolPeer plays one side of a takeover; heard has the kinds of message that came, but for those that tell what runs.
+// protocolPeer plays one side of a takeover; heard has the kinds of message that came, but for those that tell what
+// runs.
 type protocolPeer struct {
 	link        *hotrestartipc.Link
 	received    chan hotrestartipc.Message
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -15,8 +15,8 @@
 	"windflow/internal/settings"
 )
 
-// A router with records on writes what it saw: the engines' states, the requests by class and tenant, the log's lines, and
-// never a statement.
+// A router with records on writes what it saw: the engines' states, the requests by class and tenant, the log's
+// lines, and never a statement.
 func TestRouterRecords(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -19,8 +19,8 @@
 	configurator *configurator
 }
 
-// read reads both files. It may wait for a disk, and for the kernel to grow the table of descriptors, which the loop must
-// not do.
+// read reads both files. It may wait for a disk, and for the kernel to grow the table of descriptors, which the loop
+// must not do.
 func (r *reloader) read() (cfg *settings.Node, text []byte, own *installation.Settings, err error) {
 	if cfg, text, err = readPlatform(r.path); err != nil {
 		return nil, nil, nil, err
@@ -95,7 +95,11 @@
 		name string
 		old  string
 		now  *string
-	}{{"name", old.Name, &now.Name}, {"listen", old.Listen, &now.Listen}, {"control", old.AdminAddress, &now.AdminAddress}} {
+	}{
+		{"name", old.Name, &now.Name},
+		{"listen", old.Listen, &now.Listen},
+		{"control", old.AdminAddress, &now.AdminAddress},
+	} {
 		if field.old != *field.now {
 			kept, *field.now = append(kept, field.name), field.old
 		}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// A router that is killed, or told to end, under load and started again at once on its own address comes up each time:
-// connections that its clients left open, and a process that has not ended yet, keep no address from it. It guards against
-// an end with status 1 at a restart.
+// A router that is killed, or told to end, under load and started again at once on its own address comes up each
+// time: connections that its clients left open, and a process that has not ended yet, keep no address from it. It
+// guards against an end with status 1 at a restart.
 func TestRestartsOnItsAddress(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
@@ -57,8 +57,8 @@
 	}
 }
 
-// A process that is told to end with a request in flight, clients that rest, and one that never finishes its packet answers the
-// request, ends the others in order, resets nobody and exits 0.
+// A process that is told to end with a request in flight, clients that rest, and one that never finishes its packet
+// answers the request, ends the others in order, resets nobody and exits 0.
 func TestTermWithRequestsInFlight(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -194,7 +194,8 @@
 	return lis.Addr().String()
 }
 
-// newRouterHarness writes the configuration of a router with two engines; the clients' socket is the test's, as the platform's.
+// newRouterHarness writes the configuration of a router with two engines; the clients' socket is the test's, as the
+// platform's.
 func newRouterHarness(t *testing.T, engines ...*blockingEngine) *routerHarness {
 	t.Helper()
 	h := &routerHarness{t: t, config: filepath.Join(t.TempDir(), "config.json")}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -27,8 +27,8 @@
 
 var errNoConfiguration = errors.New(configEnv + ": the path of the configuration is not set")
 
-// Run runs a router from its start to its end. The platform's configuration is the file that PROXY_CONFIG names. An error
-// is one line for each fault, which names the file and the field.
+// Run runs a router from its start to its end. The platform's configuration is the file that PROXY_CONFIG names. An
+// error is one line for each fault, which names the file and the field.
 func Run(opts Options) error {
 	path := os.Getenv(configEnv)
 	if path == "" {
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -10,8 +10,8 @@
 	"windflow/internal/settings"
 )
 
-// services are what a router serves with. They are empty until the router is built: a process that waits for the state of
-// its predecessor has none yet.
+// services are what a router serves with. They are empty until the router is built: a process that waits for the
+// state of its predecessor has none yet.
 type services struct {
 	net       *netio.Poller
 	core      *router.Core
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -12,9 +12,9 @@
 	"windflow/internal/settings"
 )
 
-// maxFileTries and retryInterval are how often and at what distance retry tries again: for two seconds in all for a file.
-// An address is tried maxAddressTries times, since its holder may drain: that ends by patienceAloneMS and answerSlackMS
-// after its signal, and the router is still ready within the 10 s that a restart has.
+// maxFileTries and retryInterval are how often and at what distance retry tries again: for two seconds in all for a
+// file. An address is tried maxAddressTries times, since its holder may drain: that ends by patienceAloneMS and
+// answerSlackMS after its signal, and the router is still ready within the 10 s that a restart has.
 const (
 	maxFileTries    = 40
 	maxAddressTries = 150
@@ -24,8 +24,9 @@
 // sleep is replaced by tests.
 var sleep = time.Sleep
 
-// retry calls f until it succeeds, fails for a reason that does not pass by itself, or has been tried often enough. Two
-// reasons pass: a file that is just being replaced, and an address that the program before this one has not given up yet.
+// retry calls f until it succeeds, fails for a reason that does not pass by itself, or has been tried often enough.
+// Two reasons pass: a file that is just being replaced, and an address that the program before this one has not given
+// up yet.
 func retry(f func() error) error {
 	for try := 1; ; try++ {
 		err := f()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -29,8 +29,8 @@
 	leavePollMS = 10.0
 )
 
-// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts in its
-// place, when it leaves.
+// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts in
+// its place, when it leaves.
 type shutdownSequence struct {
 	log      *slog.Logger
 	loop     *router.Loop
@@ -116,7 +116,8 @@
 		now >= s.closeBy && !s.busy() && !s.services.front.Busy()
 }
 
-// leave finishes what this process accepted and ends as soon as nothing is left: the other process serves everything else.
+// leave finishes what this process accepted and ends as soon as nothing is left: the other process serves everything
+// else.
 func (s *shutdownSequence) leave(to *peer) {
 	s.leaving = true
 	s.setDeadline(patienceRestartMS)
@@ -124,7 +125,8 @@
 	s.parts.leave(to)
 	s.reduce() // the sessions that were closed just now come to the other process at once
 	s.busyAt = s.loop.Now()
-	s.log.Info("graceful shutdown started", "sessions", s.services.front.Sessions(), "open", s.services.core.OpenRequests())
+	s.log.Info("graceful shutdown started", "sessions", s.services.front.Sessions(),
+		"open", s.services.core.OpenRequests())
 	s.checkLeft()
 }
 
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// loopBeatIntervalMS is how often the loop shows that it goes on, and stallThresholdMS the delay after which what it
-	// knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
+	// loopBeatIntervalMS is how often the loop shows that it goes on, and stallThresholdMS the delay after which what
+	// it knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
 	loopBeatIntervalMS = 100.0
 	stallThresholdMS   = 400.0
 	// catchUpMS is how long a loop that stood still takes in what came, and sends nothing.
@@ -46,8 +46,8 @@
 }
 
 // beat notices a stall. After one, clients' queries wait that came meanwhile, and so do drains and cordons. It guards
-// against sending the first before the others are known: what came is handed to the module only after the loop has taken
-// in messages for a while, and the stored cordons have been read.
+// against sending the first before the others are known: what came is handed to the module only after the loop has
+// taken in messages for a while, and the stored cordons have been read.
 func (d *stallDetector) beat() {
 	now := d.loop.Now()
 	late := now - d.beatAt - loopBeatIntervalMS
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -15,8 +15,8 @@
 	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent",
 }
 
-// counterGroup is a set of counters under one name: counters points to a struct whose fields are int64, atomic.Int64 or,
-// by outcome, [8]int64, each with its name in a "status" tag.
+// counterGroup is a set of counters under one name: counters points to a struct whose fields are int64, atomic.Int64
+// or, by outcome, [8]int64, each with its name in a "status" tag.
 type counterGroup struct {
 	name     string
 	counters any
