--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -1,5 +1,5 @@
-// Command windflowkeeper stores the routers' configuration by revision; see docs/configuration.md. The router links none
-// of it.
+// Command windflowkeeper stores the routers' configuration by revision; see docs/configuration.md. The router links
+// none of it.
 package main
 
 import (
@@ -130,8 +130,8 @@
 	}, nil
 }
 
-// readyEnv names the variable with the number of a descriptor on which the process that started this one waits for a line
-// with the address of the HTTP calls. Without the variable nothing is written.
+// readyEnv names the variable with the number of a descriptor on which the process that started this one waits for a
+// line with the address of the HTTP calls. Without the variable nothing is written.
 const readyEnv = "WINDFLOW_READY_FD"
 
 // minReadyDescriptor is the first descriptor after the standard streams.
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -80,7 +80,8 @@
 
 func worth(v string) map[string]string { return map[string]string{"/settings/over-share-worth": v} }
 
-// The next call after a change says what became of it: in force, or refused with the pointer, while the one before stays.
+// The next call after a change says what became of it: in force, or refused with the pointer, while the one before
+// stays.
 func TestNextCallSaysWhatBecameOfIt(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	first := k.Change(worth("0.1"))
@@ -233,7 +234,8 @@
 	}
 }
 
-// The other process of this router has a later revision in force: it is not asked for again, and the keepers hear of it.
+// The other process of this router has a later revision in force: it is not asked for again, and the keepers hear of
+// it.
 func TestGiven(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	c := client(t, t.TempDir(), k.Addr())
@@ -263,7 +265,8 @@
 	}
 }
 
-// Without a keeper a router starts with its copy, within a bounded time; one that is damaged or of another router is set aside.
+// Without a keeper a router starts with its copy, within a bounded time; one that is damaged or of another router is
+// set aside.
 func TestStartFromTheCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
--- a/internal/configclient/config.go
+++ b/internal/configclient/config.go
@@ -25,8 +25,8 @@
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// Apply puts a revision in force, completely or not at all. It returns ErrSuperseded, ErrShuttingDown or an error that is
-// reported to the keepers, with the pointer of a *configerror.Error.
+// Apply puts a revision in force, completely or not at all. It returns ErrSuperseded, ErrShuttingDown or an error
+// that is reported to the keepers, with the pointer of a *configerror.Error.
 type Apply func(Revision) error
 
 // ErrSuperseded says that the router has a later revision in force, which its other process supplied.
--- a/internal/configclient/control.go
+++ b/internal/configclient/control.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// control is what other goroutines want of the polling one. What they set takes effect with the next call; the open one is
-// cancelled for it.
+// control is what other goroutines want of the polling one. What they set takes effect with the next call; the open
+// one is cancelled for it.
 type control struct {
 	mu            sync.Mutex
 	config        Config
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -54,7 +54,8 @@
 	Saved  configlog.SavedRevision `json:"saved"`
 }
 
-// load reads the copy. It returns fs.ErrNotExist if there is none, and configlog.ErrDamaged if it is not what was written.
+// load reads the copy. It returns fs.ErrNotExist if there is none, and configlog.ErrDamaged if it is not what was
+// written.
 func (s *copyStore) load() (configlog.SavedRevision, error) {
 	file, err := os.Open(s.path)
 	if err != nil {
@@ -174,8 +175,8 @@
 	return err == nil
 }
 
-// write replaces the copy, completely or not at all. A copy of a later revision is kept: the other process of this router
-// wrote it.
+// write replaces the copy, completely or not at all. A copy of a later revision is kept: the other process of this
+// router wrote it.
 func (s *copyStore) write(saved configlog.SavedRevision) error {
 	if existing, err := s.load(); err == nil && existing.Revision > saved.Revision {
 		return nil
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -105,7 +105,8 @@
 // keeperAnswer is what a keeper answers once, in full.
 const keeperAnswer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 
-// answerOnce listens at an address of this machine, reads one call, answers it with the text and gives the call's bytes.
+// answerOnce listens at an address of this machine, reads one call, answers it with the text and gives the call's
+// bytes.
 func answerOnce(t *testing.T, text []byte) (address string, call <-chan []byte) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/configclient/keeper_conn.go
+++ b/internal/configclient/keeper_conn.go
@@ -136,7 +136,8 @@
 	return answer.StatusCode, text, err
 }
 
-// applyDeadline bounds the connection's reads and writes by ctx until stop is called; stop returns false if ctx has ended.
+// applyDeadline bounds the connection's reads and writes by ctx until stop is called; stop returns false if ctx has
+// ended.
 func (k *keeperConn) applyDeadline(ctx context.Context) (stop func() bool) {
 	conn := k.conn
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -1,5 +1,5 @@
-// Package keepertest has a fake keeper for tests of its followers: the real log of revisions behind the real calls, in one
-// process and without replication, which can be made to misbehave.
+// Package keepertest has a fake keeper for tests of its followers: the real log of revisions behind the real calls,
+// in one process and without replication, which can be made to misbehave.
 package keepertest
 
 import (
@@ -186,8 +186,8 @@
 	}
 }
 
-// nextAnswer returns the encoded update for a follower; nil if there is nothing newer. It encodes under the lock, because
-// the update shares its entries with the log.
+// nextAnswer returns the encoded update for a follower; nil if there is nothing newer. It encodes under the lock,
+// because the update shares its entries with the log.
 func (k *Keeper) nextAnswer(
 	status configlog.FollowerStatus,
 ) (answer []byte, changed <-chan struct{}, overridden bool) {
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -95,9 +95,9 @@
 	return result
 }
 
-// commit checks a change and has it replicated, as the leader. It handles one change at a time, so that each is checked
-// against the content that it will be applied to; an entry whose base is no longer in force (another leader came between)
-// does nothing.
+// commit checks a change and has it replicated, as the leader. It handles one change at a time, so that each is
+// checked against the content that it will be applied to; an entry whose base is no longer in force (another leader
+// came between) does nothing.
 func (s *changeService) commit(ctx context.Context, change configlog.Change) response {
 	select {
 	case s.turn <- struct{}{}:
--- a/internal/keeper/config_reader.go
+++ b/internal/keeper/config_reader.go
@@ -14,8 +14,8 @@
 	maxHistoryLength     = 1000
 )
 
-// configReader answers queries from the local state, which may be behind the leader by a moment, or while this keeper is
-// cut off.
+// configReader answers queries from the local state, which may be behind the leader by a moment, or while this keeper
+// is cut off.
 type configReader struct {
 	stateMachine *stateMachine
 	stopping     <-chan struct{} // closed when calls have to end
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -45,8 +45,8 @@
 	unreached []string
 }
 
-// handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The leader
-// makes the report; while there is none, this keeper reports what it sees, and that no majority confirms it.
+// handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The
+// leader makes the report; while there is none, this keeper reports what it sees, and that no majority confirms it.
 func (s *convergenceService) handleRollout(_ http.ResponseWriter, r *http.Request) response {
 	revision, wait, failure := queryRevisionAndWait(r)
 	if failure != nil {
@@ -99,8 +99,9 @@
 		}
 		gathered = s.gatherLeases(ctx)
 	}
-	// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on until then
-	// is applied here: no revision and no follower that a keeper knew when it was asked is missing in the report.
+	// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on
+	// until then is applied here: no revision and no follower that a keeper knew when it was asked is missing in the
+	// report.
 	if err := s.replication.barrier(); err != nil {
 		return s.replication.failureResponse(err, effectNone)
 	}
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -37,7 +37,8 @@
 	return put(fmt.Sprint("c", n), "/board", `"`+strings.Repeat("x", 20<<10)+fmt.Sprint(n)+`"`)
 }
 
-// All disks are full: no change is lost or made by half, calls go on being answered, and with room again changes are taken.
+// All disks are full: no change is lost or made by half, calls go on being answered, and with room again changes are
+// taken.
 func TestDisksFull(t *testing.T) {
 	t.Parallel()
 	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -57,8 +57,8 @@
 	log      *slog.Logger
 }
 
-// openFolder locks a folder and checks its files. Files that belong to another keeper or group, or are damaged, are moved
-// to a folder aside-TIME below it, and the keeper starts with an empty one. Errors name the flag --dir.
+// openFolder locks a folder and checks its files. Files that belong to another keeper or group, or are damaged, are
+// moved to a folder aside-TIME below it, and the keeper starts with an empty one. Errors name the flag --dir.
 func openFolder(dir, cluster, id string, log *slog.Logger) (*folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -209,8 +209,8 @@
 	wait(t, "a vote again", func() bool { return g.status(lost).Folder.Votes })
 }
 
-// A majority has lost its folders: nothing is changed until an operator says that the loss is accepted, and then what the
-// last keeper holds is kept.
+// A majority has lost its folders: nothing is changed until an operator says that the loss is accepted, and then what
+// the last keeper holds is kept.
 func TestMajorityLostForGood(t *testing.T) {
 	t.Parallel()
 	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// handleFollow is `POST /v1/follow`: a follower reports its status and gets a newer revision, as soon as there is one. A
-// process that is not on the replicated roster gets nothing until it is: from then on no convergence status leaves it out.
+// handleFollow is `POST /v1/follow`: a follower reports its status and gets a newer revision, as soon as there is
+// one. A process that is not on the replicated roster gets nothing until it is: from then on no convergence status
+// leaves it out.
 func (s *followService) handleFollow(w http.ResponseWriter, r *http.Request) response {
 	var request struct {
 		Report configlog.FollowerStatus `json:"report"`
@@ -80,9 +81,9 @@
 	return time.Duration(min(max(*requestedMS, 0), limitMS)) * time.Millisecond
 }
 
-// waitForUpdate returns what a follower needs as soon as there is something; false when the time is up. That this keeper
-// is behind the follower is said only at the end: the keeper may yet catch up, and the follower doesn't call again at
-// once.
+// waitForUpdate returns what a follower needs as soon as there is something; false when the time is up. That this
+// keeper is behind the follower is said only at the end: the keeper may yet catch up, and the follower doesn't call
+// again at once.
 func (s *followService) waitForUpdate(
 	ctx context.Context, status configlog.FollowerStatus, wait time.Duration,
 ) (update configlog.Update, found bool) {
@@ -92,7 +93,8 @@
 	for {
 		update, registered, changed := s.stateMachine.nextUpdate(status)
 		if !registered && !requested {
-			// Once a call: several processes under one name, more than the roster keeps, would replace each other for ever.
+			// Once a call: several processes under one name, more than the roster keeps, would replace each other for
+			// ever.
 			s.pending.add(followerProcess{status.Name, status.Instance})
 			requested = true
 		}
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -17,8 +17,8 @@
 	"windflow/internal/keeper"
 )
 
-// hosts numbers the loopback addresses that tests have taken: each keeper and each link has its own, on which nobody else
-// opens ports, so that a keeper finds its port free when it is started again.
+// hosts numbers the loopback addresses that tests have taken: each keeper and each link has its own, on which nobody
+// else opens ports, so that a keeper finds its port free when it is started again.
 var hosts atomic.Uint32
 
 func host() string {
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -11,7 +11,8 @@
 
 var idle = flag.Duration("idle", 2*time.Second, "how long TestIdleKeepers looks on")
 
-// mostIdle bounds the resident memory of a keeper that has nothing to do, in kB; the race detector takes several times as much.
+// mostIdle bounds the resident memory of a keeper that has nothing to do, in kB; the race detector takes several
+// times as much.
 const mostIdle = 64 << 10
 
 // What five keepers take that have nothing to do: memory, processor time, bytes between each other. With -idle 60s the
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -40,8 +40,8 @@
 	stopping    chan struct{} // closed when calls have to end
 }
 
-// Run serves as one keeper. It returns when ctx ends, after leadership was given up, or with the error that kept it from
-// serving.
+// Run serves as one keeper. It returns when ctx ends, after leadership was given up, or with the error that kept it
+// from serving.
 func Run(ctx context.Context, options Options) error {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -72,43 +72,74 @@
 
 // newKeeper wires the parts of a keeper together and starts nothing.
 func newKeeper(options *Options, folder *folder, leases *leaseTable) *keeper {
-	instance := &keeper{options: options, log: options.Log, counters: &counters{}, leases: leases, stopping: make(chan struct{})}
+	counters := &counters{}
+	stopping := make(chan struct{})
 	machine := newStateMachine(options.Retention)
-	instance.peers = newPeerClient(options.ID, options.Peers)
-	instance.replication = newReplication(options, machine, instance.counters)
-	instance.membership = newMembership(options, folder, instance.replication, instance.peers, leases.startedAt)
+	peers := newPeerClient(options.ID, options.Peers)
+	replication := newReplication(options, machine, counters)
+	membership := newMembership(options, folder, replication, peers, leases.startedAt)
 	proxy := &leaderProxy{
-		keeperID: options.ID, replication: instance.replication, peers: instance.peers, forwarded: &instance.counters.forwarded, stopping: instance.stopping,
+		keeperID:    options.ID,
+		replication: replication,
+		peers:       peers,
+		forwarded:   &counters.forwarded,
+		stopping:    stopping,
 	}
 	pending := newPendingFollowers()
-	instance.enrollment = &enrollment{
-		timeout: options.ChangeTimeout, stateMachine: machine, replication: instance.replication, peers: instance.peers, proxy: proxy,
-		pending: pending,
-	}
-	instance.api = &api{
-		log:        options.Log,
-		counters:   instance.counters,
-		changes:    newChangeService(options, machine, instance.replication, proxy, instance.counters),
-		config:     &configReader{stateMachine: machine, stopping: instance.stopping},
-		follow:     newFollowService(options, machine, leases, pending, instance.counters, instance.stopping),
-		enrollment: instance.enrollment,
-		convergence: &convergenceService{
-			keeperID: options.ID, stateMachine: machine, replication: instance.replication, peers: instance.peers, proxy: proxy, leases: leases,
-			stopping: instance.stopping,
-		},
-		status: &statusService{
-			options: options, stateMachine: machine, replication: instance.replication, membership: instance.membership, leases: leases,
-			counters: instance.counters,
-		},
+	enrollment := &enrollment{
+		timeout:      options.ChangeTimeout,
+		stateMachine: machine,
+		replication:  replication,
+		peers:        peers,
+		proxy:        proxy,
+		pending:      pending,
+	}
+	convergence := &convergenceService{
+		keeperID:     options.ID,
+		stateMachine: machine,
+		replication:  replication,
+		peers:        peers,
+		proxy:        proxy,
+		leases:       leases,
+		stopping:     stopping,
+	}
+	status := &statusService{
+		options:      options,
+		stateMachine: machine,
+		replication:  replication,
+		membership:   membership,
+		leases:       leases,
+		counters:     counters,
+	}
+	api := &api{
+		log:         options.Log,
+		counters:    counters,
+		changes:     newChangeService(options, machine, replication, proxy, counters),
+		config:      &configReader{stateMachine: machine, stopping: stopping},
+		follow:      newFollowService(options, machine, leases, pending, counters, stopping),
+		enrollment:  enrollment,
+		convergence: convergence,
+		status:      status,
+		leases:      leases,
+		membership:  membership,
+		replication: replication,
+	}
+	return &keeper{
+		options:     options,
+		log:         options.Log,
+		counters:    counters,
 		leases:      leases,
-		membership:  instance.membership,
-		replication: instance.replication,
+		peers:       peers,
+		replication: replication,
+		membership:  membership,
+		enrollment:  enrollment,
+		api:         api,
+		stopping:    stopping,
 	}
-	return instance
 }
 
-// run answers HTTP calls from the start on, so that other keepers can ask for its status, and replicates as soon as it is
-// known whether to found or to join a group.
+// run answers HTTP calls from the start on, so that other keepers can ask for its status, and replicates as soon as
+// it is known whether to found or to join a group.
 func (k *keeper) run(ctx context.Context, httpListener, raftListener net.Listener) error {
 	server := k.newServer()
 	var serving sync.WaitGroup
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -33,8 +33,8 @@
 	return out
 }
 
-// The leader dies when a change has its revision and before it could say so: the keeper that passed the change on asks the
-// next leader, and the operator who asks again gets the same revision.
+// The leader dies when a change has its revision and before it could say so: the keeper that passed the change on
+// asks the next leader, and the operator who asks again gets the same revision.
 func TestLeaderKilledBetweenAcceptAndAnswer(t *testing.T) {
 	g := started(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -130,7 +130,8 @@
 	g.equal(2)
 }
 
-// Time to a new leader after a kill, by the first change that is accepted. With -kills 10 the figures of the design note.
+// Time to a new leader after a kill, by the first change that is accepted. With -kills 10 the figures of the design
+// note.
 func TestNewLeaderAfterKill(t *testing.T) {
 	g := started(t, 5, nil)
 	var took []time.Duration
@@ -252,8 +253,8 @@
 		t.Errorf("a newcomer at the minority: %d", code)
 	}
 	g.cut(false, few, many)
-	// A change that the old leader had taken before it stepped down may live on or not; it has one revision at most, and all
-	// have the same.
+	// A change that the old leader had taken before it stepped down may live on or not; it has one revision at most,
+	// and all have the same.
 	g.leader()
 	last := g.change(few[0], put("last", "/settings/over-share-worth", "3"))
 	g.equal(last)
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -13,8 +13,9 @@
 const (
 	// discoveryInterval is between two rounds of asking the other keepers at the start.
 	discoveryInterval = 200 * time.Millisecond
-	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat timeouts:
-	// longer than any election in which it may have voted before the loss, which a candidate gives up after two of them.
+	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat
+	// timeouts: longer than any election in which it may have voted before the loss, which a candidate gives up after
+	// two of them.
 	quietHeartbeats = 5
 )
 
@@ -125,8 +126,8 @@
 	}
 }
 
-// surveyPeers asks the other keepers once, and returns those that belong to the group and those that gave no answer that
-// counts.
+// surveyPeers asks the other keepers once, and returns those that belong to the group and those that gave no answer
+// that counts.
 func (m *membership) surveyPeers(ctx context.Context) (members, unanswered []string) {
 	statuses := m.peers.statuses(ctx)
 	for _, peer := range m.peers.others() {
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -26,8 +26,8 @@
 	Log      *slog.Logger
 	OnReady  func(httpAddr string) // called once, as soon as HTTP calls are accepted
 
-	// AcceptLoss lets a keeper that lost its folder vote at once. It is meant for a majority that is lost for good: what
-	// only the lost keepers stored is given up.
+	// AcceptLoss lets a keeper that lost its folder vote at once. It is meant for a majority that is lost for good:
+	// what only the lost keepers stored is given up.
 	AcceptLoss bool
 
 	Heartbeat           time.Duration       // silence after which a leader is given up; 400 ms
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -65,7 +65,9 @@
 	return slices.DeleteFunc(slices.Clone(c.peers), func(peer Peer) bool { return peer.ID == c.ownID })
 }
 
-func (c *peerClient) newRequest(ctx context.Context, peer Peer, method, path string, body []byte) (*http.Request, error) {
+func (c *peerClient) newRequest(
+	ctx context.Context, peer Peer, method, path string, body []byte,
+) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+peer.HTTPAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/internal/keeper/request.go
+++ b/internal/keeper/request.go
@@ -34,7 +34,8 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		failure := errorResponse(http.StatusRequestEntityTooLarge, errorMalformed, "the body has more than %d bytes", maxBytes)
+		failure := errorResponse(http.StatusRequestEntityTooLarge, errorMalformed,
+			"the body has more than %d bytes", maxBytes)
 		return nil, &failure
 	case err != nil:
 		failure := malformedResponse("the body can't be read: %v", err)
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Followers come all at once; one after the other, changes are in force everywhere; a keeper dies, and its followers go on
-// at the others. With -followers 600 the figures of the design note.
+// Followers come all at once; one after the other, changes are in force everywhere; a keeper dies, and its followers
+// go on at the others. With -followers 600 the figures of the design note.
 func TestManyFollowers(t *testing.T) {
 	g := started(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -143,8 +143,8 @@
 	return m.log.NextUpdate(status), m.log.HasMember(status.Name, status.Instance), m.changed.wait()
 }
 
-// contentAt returns the content at a revision; nil stands for the one in force. changed is closed when another revision is
-// in force.
+// contentAt returns the content at a revision; nil stands for the one in force. changed is closed when another
+// revision is in force.
 func (m *stateMachine) contentAt(
 	revision *uint64,
 ) (content configContent, changeErr *configerror.Error, changed <-chan struct{}) {
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -32,7 +32,8 @@
 	}}}
 }
 
-// A change counts only on the content that it was checked against: two that are right each by itself may be wrong together.
+// A change counts only on the content that it was checked against: two that are right each by itself may be wrong
+// together.
 func TestChangeCountsOnItsBase(t *testing.T) {
 	m := newStateMachine(configlog.Retention{})
 	if out := m.Apply(entry(t, 1, changing("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
--- a/internal/keeper/status.go
+++ b/internal/keeper/status.go
@@ -22,8 +22,8 @@
 	counters     *counters
 }
 
-// keeperStatus is the answer to `GET /v1/status`. The fields of this and the types below are in the order of their keys,
-// as they have always been encoded.
+// keeperStatus is the answer to `GET /v1/status`. The fields of this and the types below are in the order of their
+// keys, as they have always been encoded.
 type keeperStatus struct {
 	AppliedIndex *uint64        `json:"applied_index,omitempty"` // with a raft node only
 	Cluster      string         `json:"cluster"`
@@ -139,8 +139,8 @@
 	status.State = state.String()
 	status.Term = node.CurrentTerm()
 	status.LastIndex, status.AppliedIndex = &lastIndex, &appliedIndex
-	// A leader without a majority steps down by itself within its lease; a follower may still name a leader that has been
-	// silent for a while.
+	// A leader without a majority steps down by itself within its lease; a follower may still name a leader that has
+	// been silent for a while.
 	if state != raft.Leader && time.Since(node.LastContact()) > 2*s.options.Heartbeat {
 		status.Majority = false
 	}
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -41,9 +41,9 @@
 var errVotingSuspended = errors.New(
 	"this keeper has lost its folder and takes no part in elections until it has caught up")
 
-// electionTransport is the network transport without elections while voting is suspended. A keeper whose folder was lost
-// no longer knows which entries it has confirmed; were it to vote, or to be a candidate, with what it has left, then an
-// entry that was accepted with its confirmation could be lost.
+// electionTransport is the network transport without elections while voting is suspended. A keeper whose folder was
+// lost no longer knows which entries it has confirmed; were it to vote, or to be a candidate, with what it has left,
+// then an entry that was accepted with its confirmation could be lost.
 type electionTransport struct {
 	*raft.NetworkTransport
 	votingSuspended *atomic.Bool
--- a/internal/keeper/verify.go
+++ b/internal/keeper/verify.go
@@ -18,7 +18,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// damageError says what is damaged in a folder. Other errors of the functions below are the machine's, not the content's.
+// damageError says what is damaged in a folder. Other errors of the functions below are the machine's, not the
+// content's.
 type damageError struct{ reason string }
 
 func (e *damageError) Error() string { return e.reason }
@@ -117,7 +118,8 @@
 	return errors.As(err, &pathError) || errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EFBIG)
 }
 
-// verifySnapshots reads the newest snapshot against its checksum and returns the index of its last entry; 0 without one.
+// verifySnapshots reads the newest snapshot against its checksum and returns the index of its last entry; 0 without
+// one.
 func verifySnapshots(dir string) (newestIndex uint64, err error) {
 	if _, err := os.Lstat(filepath.Join(dir, snapshotDir)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
