--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,9 +10,9 @@
 // moment after a zone or a region has come back.
 func benchFleet(tb testing.TB, engines int, cold float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
-	cfg := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
-	cfg.WarmUpDuration = 1000 * time.Hour
-	c, err := New(cfg)
+	config := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
+	config.WarmUpDuration = 1000 * time.Hour
+	c, err := New(config)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- /dev/null
+++ b/dispatch/controller_test.go
@@ -0,0 +1,48 @@
+package dispatch
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestSameEventsSameActions(t *testing.T) {
+	play := func() []Action {
+		h := newHarness(t, twoClassConfig())
+		h.updateEndpoints(ListComplete, testEngines(7)...)
+		for i := range 300 {
+			h.now += 7 * ms
+			client := h.arrive([]string{"quick", "big"}[i%2], "")
+			if i%3 == 0 && len(client.engines) > 0 {
+				h.endLatest(client, Served)
+			}
+		}
+		return h.actions
+	}
+	if !reflect.DeepEqual(play(), play()) {
+		t.Error("the same events gave other actions")
+	}
+}
+
+// What an event allocates does not grow with the fleet.
+func TestAllocationsDoNotGrowWithFleet(t *testing.T) {
+	allocs := func(n int) float64 {
+		config, list := largeFleetConfig(1, n, 0)
+		c, err := New(config)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := time.Hour
+		c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
+		buf := make([]Action, 0, 16)
+		return testing.AllocsPerRun(500, func() {
+			now += 10 * ms
+			c.Handle(now, Arrival{Request: "a", Class: "quick", TimeLeft: time.Second}, buf[:0])
+			c.Handle(now, AttemptEnd{Request: "a", Outcome: Served, Last: true}, buf[:0])
+			c.Handle(now, TimerFired{Tag: housekeepingTag}, buf[:0])
+		})
+	}
+	if few, many := allocs(8), allocs(80); many > few+1 {
+		t.Errorf("%v allocations an event cycle with 8 engines, %v with 80", few, many)
+	}
+}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -59,7 +59,7 @@
 // Cold engines stay under what they may be sent in sum over all gateways, of whatever number, in a crowd and with gateways that
 // start anew, with one that has five times the mean, and where all that waits for a connection comes up together. Beyond the
 // budget of N calls only 2 root of N + 2 are chance. Both regimes are tried, and both sides of where they part.
-func TestColdEnginesUnderTheSum(t *testing.T) {
+func TestWarmingEnginesAreNotOverloaded(t *testing.T) {
 	day := fleetScenario{
 		zones: 3, load: 1.1, duration: 16 * time.Second, slowShare: 0.1, replacedShare: 0.6, restartedShare: 0.5, burstFactor: 1.5,
 		heavyRouterFactor: 5, faultAt: 5 * time.Second, faultFor: 3 * time.Second, connectInterval: 700 * ms,
--- a/dispatch/fleetworld_test.go
+++ b/dispatch/fleetsimulation_test.go
@@ -161,7 +161,7 @@
 }
 
 func fleetConfig(day fleetScenario, i int) Config {
-	cfg := Config{
+	config := Config{
 		Seed: day.seed*1000 + uint64(i), RouterIndex: i, Routers: day.routers, Tick: 1 * ms, MaxAttempts: 5, Priorities: true,
 		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, HedgingAllowed: true, MaxQueued: 50, OverQuotaWeight: 0.1,
 		Kinds: []EngineKind{{Name: "k", Cores: float64(day.cores), MemoryMB: 1 << 16}}, MaxGrantShare: 0.4,
@@ -172,7 +172,7 @@
 			{Name: "load", LatencyObjective: 1180 * ms, ObjectiveStretch: 3, Deadline: 9800 * ms, PriorityWeight: 7.5, LateWeightShare: 0.5, Threads: 2, LocksTableGroup: true, Semantics: AtMostOnce},
 		},
 	}
-	return cfg
+	return config
 }
 
 func newFleetSimulation(t *testing.T, day fleetScenario) *fleetSimulation {
--- a/dispatch/odd_test.go
+++ b/dispatch/invalidinput_test.go
@@ -12,25 +12,25 @@
 // incompleteConfig are settings as an installation might give them by mistake or by leaving things out: no kinds, kinds without
 // memory or cores, no zones or five, classes without threads, no limits, notes that never come.
 func incompleteConfig(rng *rand.Rand) Config {
-	cfg := randomConfig(rng)
-	cfg.MemoryShortage, cfg.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
-	cfg.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
-	cfg.ProgressInterval = []time.Duration{0, time.Second}[rng.IntN(2)]
-	cfg.Zone = []string{"", "z0", "nowhere"}[rng.IntN(3)]
-	cfg.Routers, cfg.RouterIndex = rng.IntN(5), rng.IntN(6)
+	config := randomConfig(rng)
+	config.MemoryShortage, config.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
+	config.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
+	config.ProgressInterval = []time.Duration{0, time.Second}[rng.IntN(2)]
+	config.Zone = []string{"", "z0", "nowhere"}[rng.IntN(3)]
+	config.Routers, config.RouterIndex = rng.IntN(5), rng.IntN(6)
 	switch rng.IntN(4) {
 	case 0:
-		cfg.Kinds = nil
+		config.Kinds = nil
 	case 1:
-		cfg.Kinds[0].MemoryMB = 0
+		config.Kinds[0].MemoryMB = 0
 	case 2:
-		cfg.Kinds[0].Cores = 0
+		config.Kinds[0].Cores = 0
 	}
-	for i := range cfg.Classes {
-		cfg.Classes[i].Threads = rng.IntN(5)
-		cfg.Classes[i].Zones, cfg.Classes[i].OrderByKey = nil, false
+	for i := range config.Classes {
+		config.Classes[i].Threads = rng.IntN(5)
+		config.Classes[i].Zones, config.Classes[i].OrderByKey = nil, false
 	}
-	return cfg
+	return config
 }
 
 func incompleteEngines(rng *rand.Rand, n int) []Endpoint {
@@ -59,83 +59,83 @@
 
 // Whatever engines say of themselves and of attempts, and whatever is missing from settings and queries: no rule is broken,
 // each request gets its one answer, and once all has ended the next query is sent.
-func TestOddInputStopsNothing(t *testing.T) {
+func TestInvalidInputStopsNothing(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 11))
-			w := newHarness(t, incompleteConfig(rng))
+			h := newHarness(t, incompleteConfig(rng))
 			list := incompleteEngines(rng, 1+rng.IntN(6))
-			w.updateEndpoints(ListComplete, list...)
+			h.updateEndpoints(ListComplete, list...)
 			for range 300 {
-				w.invalidStep(rng)
+				h.invalidStep(rng)
 			}
 			for round := 0; round < 20; round++ { // all that is out is answered, until all is over
-				w.advance(time.Second)
-				for _, tr := range w.clients {
-					for hop, o := range tr.outcomes {
+				h.advance(time.Second)
+				for _, client := range h.clients {
+					for hop, o := range client.outcomes {
 						if o == outstanding {
-							w.endAttempt(tr, hop, Served, nil)
+							h.endAttempt(client, hop, Served, nil)
 						}
 					}
 				}
 			}
-			for _, tr := range w.clients {
-				if tr.answers != 1 && !tr.gone {
-					t.Fatalf("%s has %d answers", tr.id, tr.answers)
+			for _, client := range h.clients {
+				if client.answers != 1 && !client.gone {
+					t.Fatalf("%s has %d answers", client.id, client.answers)
 				}
 			}
-			for _, e := range w.controller.endpoints.all {
-				for _, cl := range w.controller.classes.all {
-					r := &request{class: cl, estimate: 1, deadline: w.now + time.Second}
-					if cost := w.controller.selector.cost(e, r); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
+			for _, e := range h.controller.endpoints.all {
+				for _, cl := range h.controller.classes.all {
+					r := &request{class: cl, estimate: 1, deadline: h.now + time.Second}
+					if cost := h.controller.selector.cost(e, r); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
 						t.Errorf("engine %d costs %v for a %s", e.ID, cost, cl.Name)
 					}
 				}
 			}
-			w.advance(30 * time.Second)
-			for _, cl := range w.config.Classes {
-				tr := w.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
-				w.advance(100 * ms)
-				if len(tr.engines) == 0 && len(w.controller.capacity.warming) > 0 {
+			h.advance(30 * time.Second)
+			for _, cl := range h.config.Classes {
+				client := h.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
+				h.advance(100 * ms)
+				if len(client.engines) == 0 && len(h.controller.capacity.warming) > 0 {
 					// One that was down has answered the query before, and is held to be cold: the next that comes once it is
 					// warm is sent, at once.
-					w.advance(w.config.WarmUpDuration)
-					tr = w.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
+					h.advance(h.config.WarmUpDuration)
+					client = h.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
 				}
-				if len(tr.engines) == 0 {
+				if len(client.engines) == 0 {
 					t.Errorf("all engines are idle, and a %s is not sent", cl.Name)
 					continue
 				}
-				w.endLatest(tr, Served)
+				h.endLatest(client, Served)
 			}
 		})
 	}
 }
 
-func (w *harness) invalidStep(rng *rand.Rand) {
-	w.t.Helper()
-	w.advance(10 * ms * time.Duration(rng.IntN(3)))
+func (h *harness) invalidStep(rng *rand.Rand) {
+	h.t.Helper()
+	h.advance(10 * ms * time.Duration(rng.IntN(3)))
 	switch rng.IntN(8) {
 	case 0, 1, 2:
-		k := w.config.Classes[rng.IntN(len(w.config.Classes))]
-		w.arriveWith(Arrival{
+		k := h.config.Classes[rng.IntN(len(h.config.Classes))]
+		h.arriveWith(Arrival{
 			Class: k.Name, Tenant: "nobody", TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: extremeFigure(rng),
 			Estimate: time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
 			TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline)),
 		})
 	case 3:
-		w.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{
+		h.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{
 			InFlight: extremeFigure(rng), Waiting: extremeFigure(rng), Busy: extremeFigure(rng),
 			Disk: extremeFigure(rng), Memory: extremeFigure(rng),
 		}})
 	case 4: // a note on an attempt that may have ended, or never was
-		id := RequestID(fmt.Sprint("r", rng.IntN(w.lastID+2)))
-		w.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: extremeFigure(rng)})
+		id := RequestID(fmt.Sprint("r", rng.IntN(h.lastID+2)))
+		h.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: extremeFigure(rng)})
 	default:
-		for _, tr := range slices.Backward(w.clients) {
-			for hop, o := range tr.outcomes {
+		for _, client := range slices.Backward(h.clients) {
+			for hop, o := range client.outcomes {
 				if o == outstanding && rng.IntN(3) > 0 {
-					w.endAttempt(tr, hop, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
+					h.endAttempt(client, hop, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
 					return
 				}
 			}
--- a/dispatch/scalenear_test.go
+++ b/dispatch/scalesubset_test.go
@@ -11,16 +11,16 @@
 // Near sets at the size that is designed for: which engines nobody is near to when lists say that many are gone, how many gateways the most used
 // has over the mean, and how many places move when one engine goes. The gap is known; the test keeps it from growing, and
 // its figures are those of the capacity page.
-func TestNearSetsOfALargeFleet(t *testing.T) {
+func TestSubsetsOfLargeFleet(t *testing.T) {
 	const gateways, engines = 600, 1200
-	cfg := fleetConfig(fleetScenario{routers: gateways, engines: engines, cores: 24, zones: 6}, 0)
+	config := fleetConfig(fleetScenario{routers: gateways, engines: engines, cores: 24, zones: 6}, 0)
 	list := make([]Endpoint, engines)
 	for i := range list {
 		list[i] = Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: "z", CapacityWeight: 1}
 	}
 	near := func(instance int, list []Endpoint) map[EngineID]bool {
-		cfg.RouterIndex, cfg.Seed = instance, uint64(instance)
-		c, err := New(cfg)
+		config.RouterIndex, config.Seed = instance, uint64(instance)
+		c, err := New(config)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
 		writeScale(t, capacity.Scale{
 			Name: "near sets", Routers: gateways, Engines: engines, Zones: 6, Figures: figures,
-			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom", Test: "windflow/dispatch TestNearSetsOfALargeFleet",
+			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom", Test: "windflow/dispatch TestSubsetsOfLargeFleet",
 		})
 	}
 }
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -101,9 +101,9 @@
 
 func randomTrace(s traceSetting, seed uint64) tracetest.Scenario {
 	return tracetest.Scenario{Name: s.name, Run: func(t *testing.T, h *tracetest.Hash) {
-		cfg := traceConfig()
-		s.change(&cfg)
-		w := newTraceDriver(t, h, cfg, seed, cmp.Or(s.engines, traceEngines))
+		config := traceConfig()
+		s.change(&config)
+		w := newTraceDriver(t, h, config, seed, cmp.Or(s.engines, traceEngines))
 		w.lostZone = s.lostZone
 		w.run(traceSteps)
 	}}
@@ -112,9 +112,9 @@
 // hotRestartTrace has controllers take over from each other.
 func hotRestartTrace(name string, change func(*Config)) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
-		cfg := traceConfig()
-		change(&cfg)
-		newTraceDriver(t, h, cfg, 99, traceEngines).hotRestarts(8, 400)
+		config := traceConfig()
+		change(&config)
+		newTraceDriver(t, h, config, 99, traceEngines).hotRestarts(8, 400)
 	}}
 }
 
--- a/dispatch/traceworld_test.go
+++ b/dispatch/tracedriver_test.go
@@ -43,8 +43,8 @@
 // traceEngines is how many engines there are at first, unless a setting says otherwise.
 const traceEngines = 9
 
-func newTraceDriver(t *testing.T, h *tracetest.Hash, cfg Config, seed uint64, engines int) *traceDriver {
-	w := &traceDriver{t: t, hash: h, rng: rand.New(rand.NewPCG(seed, 2026)), config: cfg, now: time.Hour, maxEngines: 3 * engines}
+func newTraceDriver(t *testing.T, h *tracetest.Hash, config Config, seed uint64, engines int) *traceDriver {
+	w := &traceDriver{t: t, hash: h, rng: rand.New(rand.NewPCG(seed, 2026)), config: config, now: time.Hour, maxEngines: 3 * engines}
 	for i := range engines {
 		w.engines = append(w.engines, w.newEngine(EngineID(i+1)))
 	}
--- a/dispatch/tracecode_test.go
+++ b/dispatch/traceencoding_test.go
@@ -1,6 +1,8 @@
 package dispatch
 
-import "windflow/internal/tracetest"
+import (
+	"windflow/internal/tracetest"
+)
 
 // This file writes actions and snapshots into a trace, field by field. The numbers of the kinds are those of the
 // recorded traces and must not change.
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -1,6 +1,8 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+)
 
 // This file has the events of a traceWorld that are not of one request: lists, bans, settings, a second controller.
 
@@ -108,29 +110,29 @@
 
 // configure changes settings of a running controller, some to what is refused or kept as it was.
 func (w *traceDriver) configure(s *traceController) {
-	cfg := w.config
-	cfg.Classes = append([]Class(nil), w.config.Classes...)
-	cfg.Classes[w.rng.IntN(len(cfg.Classes))].LatencyObjective += time.Duration(w.rng.IntN(int(100 * ms)))
+	config := w.config
+	config.Classes = append([]Class(nil), w.config.Classes...)
+	config.Classes[w.rng.IntN(len(config.Classes))].LatencyObjective += time.Duration(w.rng.IntN(int(100 * ms)))
 	switch w.rng.IntN(8) {
 	case 0:
-		cfg.Routers = 1 + w.rng.IntN(40)
+		config.Routers = 1 + w.rng.IntN(40)
 	case 1:
-		cfg.MaxAttempts = w.rng.IntN(5)
+		config.MaxAttempts = w.rng.IntN(5)
 	case 2:
-		cfg.MaxQueued = w.rng.IntN(30)
+		config.MaxQueued = w.rng.IntN(30)
 	case 3:
-		cfg.Classes[0].Threads += 3
-		cfg.Seed++
+		config.Classes[0].Threads += 3
+		config.Seed++
 	case 4:
-		cfg.WarmUpDuration = -1
+		config.WarmUpDuration = -1
 	case 5:
-		cfg.Tenants = append([]Tenant{{Name: "b", Quota: 5}}, cfg.Tenants[:len(cfg.Tenants)/2]...)
+		config.Tenants = append([]Tenant{{Name: "b", Quota: 5}}, config.Tenants[:len(config.Tenants)/2]...)
 	case 6:
-		cfg.Classes[1].Name = "another"
+		config.Classes[1].Name = "another"
 	case 7:
-		cfg.PolledDiscovery = !cfg.PolledDiscovery
+		config.PolledDiscovery = !config.PolledDiscovery
 	}
-	now, kept, err := s.controller.Configure(cfg)
+	now, kept, err := s.controller.Configure(config)
 	w.hash.Step(traceConfigure)
 	w.hash.Int(int64(len(kept)))
 	w.hash.Bool(err != nil)
