--- a/internal/flightsql/callstate.go
+++ b/internal/flightsql/callstate.go
@@ -7,57 +7,79 @@
 	"google.golang.org/grpc/stats"
 )
 
-// watch follows the calls of one attempt.
-type watch struct {
+// Phases of an attempt's calls.
+const (
+	phaseUnsent    int32 = iota // nothing was written
+	phaseSent                   // the first call may have been written
+	phaseCancelled              // it was cancelled unsent, and is aborted as it begins
+)
+
+// callState tracks the calls of one attempt. It is safe for concurrent use.
+type callState struct {
 	cancel   context.CancelFunc
-	wrote    func() // the first message has been written
-	state    atomic.Int32
-	told     atomic.Bool
-	repeated atomic.Bool
+	onSent   func() // called once, when the first message has been written
+	phase    atomic.Int32
+	notified atomic.Bool // onSent was called
+	repeated atomic.Bool // gRPC was about to repeat a call
 }
 
-// States of a watch. What an operator withholds while nothing of it has been written is cut off as it begins.
-const (
-	unwritten = iota
-	written
-	withheld
-)
+// cancelUnsent keeps the attempt from being sent; false: it is too late.
+func (s *callState) cancelUnsent() bool { return s.phase.CompareAndSwap(phaseUnsent, phaseCancelled) }
 
-func (w *watch) withhold() bool { return w.state.CompareAndSwap(unwritten, withheld) }
+// sent reports whether something of the attempt may have been written.
+func (s *callState) sent() bool { return s.phase.Load() == phaseSent }
 
-func (w *watch) written() bool { return w.state.Load() == written }
+// callBegins aborts a call that gRPC would repeat.
+func (s *callState) callBegins(transparentRetry bool) {
+	if transparentRetry && s.sent() {
+		s.repeated.Store(true)
+		s.cancel()
+	}
+}
+
+// headerWritten notes that the attempt is being sent, or aborts it if it was cancelled.
+func (s *callState) headerWritten() {
+	if !s.phase.CompareAndSwap(phaseUnsent, phaseSent) && s.phase.Load() == phaseCancelled {
+		s.cancel()
+	}
+}
+
+// payloadWritten notes that a message was written.
+func (s *callState) payloadWritten() {
+	if !s.notified.Swap(true) {
+		s.onSent()
+	}
+}
 
-type watchKey struct{}
+// callStateKey is the context key of a callState.
+type callStateKey struct{}
 
-// watcher is the stats handler that feeds watches. With retries off, gRPC still repeats a call transparently
-// that the engine's HTTP/2 layer claims not to have handled. That is no proof in our rules, so such a repeat
-// is cut off before anything of it is written.
-type watcher struct{}
+// callStats is the gRPC stats handler that updates callStates. With retries off, gRPC still repeats a call
+// transparently that the engine's HTTP/2 layer claims not to have handled. That is no proof in the router's rules, so
+// such a repeat is aborted before anything of it is written.
+type callStats struct{}
 
-func (watcher) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+// TagRPC implements stats.Handler.
+func (callStats) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-func (watcher) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	w, ok := ctx.Value(watchKey{}).(*watch)
+// HandleRPC implements stats.Handler.
+func (callStats) HandleRPC(ctx context.Context, event stats.RPCStats) {
+	state, ok := ctx.Value(callStateKey{}).(*callState)
 	if !ok {
 		return
 	}
-	switch s := s.(type) {
+	switch event := event.(type) {
 	case *stats.Begin:
-		if s.IsTransparentRetryAttempt && w.written() {
-			w.repeated.Store(true)
-			w.cancel()
-		}
+		state.callBegins(event.IsTransparentRetryAttempt)
 	case *stats.OutHeader:
-		if !w.state.CompareAndSwap(unwritten, written) && w.state.Load() == withheld {
-			w.cancel()
-		}
+		state.headerWritten()
 	case *stats.OutPayload:
-		if !w.told.Swap(true) {
-			w.wrote()
-		}
+		state.payloadWritten()
 	}
 }
 
-func (watcher) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+// TagConn implements stats.Handler.
+func (callStats) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-func (watcher) HandleConn(context.Context, stats.ConnStats) {}
+// HandleConn implements stats.Handler.
+func (callStats) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/flightsql/cancel_test.go
+++ b/internal/flightsql/cancel_test.go
@@ -1,144 +1,124 @@
 package flightsql
 
 import (
-	"log/slog"
 	"net"
 	"testing"
 
-	"google.golang.org/grpc"
-
 	"github.com/apache/arrow-go/v18/arrow/flight"
 
 	"windflow/dispatch"
-	"windflow/internal/clock"
 	"windflow/internal/router"
-	"windflow/internal/routertest"
 )
 
-// What has not begun is taken back, however far its connection is, and its end is not heard; nothing of it is written. It
-// guards against work for a client that has gone.
-func TestRecall(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// attemptCount returns how many attempts the client has; it waits for the loop.
+func attemptCount(c *Client, loop *router.Loop) int {
+	count := make(chan int)
+	loop.Post(func() { count <- len(c.attempts) })
+	return <-count
+}
+
+// startBoth starts an idempotent attempt and one that must not run twice, in that order. It is called in the loop.
+func startBoth(c *Client, engine router.Engine, onSent func(), onEnd func(router.End)) []router.Attempt {
+	var started []router.Attempt
+	for _, once := range []bool{false, true} {
+		started = append(started, c.Start(router.Call{
+			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
+			OnSent: onSent,
+		}, onEnd))
 	}
-	defer lis.Close()
-	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.RunLoop(loop))
-	heard := make(chan string, 8)
-	attempts := make(chan router.Attempt, 2)
+	return started
+}
+
+// An attempt that has not begun can be cancelled unsent once, whatever the state of its connection: nothing of it is
+// written, and its end is not reported. No engine works for a client that has gone.
+func TestCancelUnsent(t *testing.T) {
+	lis := listen(t)
+	c, loop := newEngineClient(t, 1000, 4)
+	events := make(chan string, 8)
+	started := make(chan []router.Attempt, 1)
 	loop.Post(func() {
-		for _, once := range []bool{false, true} {
-			attempts <- c.Start(router.Call{
-				Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
-				Statement: "S", WaitMS: 60_000, AtMostOnce: once, OnSent: func() { heard <- "written" },
-			}, func(router.End) { heard <- "ended" })
-		}
+		started <- startBoth(c, engineAt(lis.Addr().String()),
+			func() { events <- "written" }, func(router.End) { events <- "ended" })
 	})
-	for range 2 { // both are up, and the engine never speaks HTTP/2
+	for range 2 { // both are connected, and the engine never speaks HTTP/2
 		conn, err := lis.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 	}
-	done := make(chan bool, 4)
-	for range 2 {
-		a := <-attempts
-		loop.Post(func() { done <- a.CancelUnsent() })
-		loop.Post(func() { done <- !a.CancelUnsent() })
-		if !<-done || !<-done {
-			t.Error("it was not taken back, or twice")
+	cancelled := make(chan bool, 4)
+	for _, a := range <-started {
+		loop.Post(func() { cancelled <- a.CancelUnsent() })
+		loop.Post(func() { cancelled <- a.CancelUnsent() })
+		first, second := <-cancelled, <-cancelled
+		if !first || second {
+			t.Errorf("cancelled unsent: %v, and again: %v", first, second)
 		}
 	}
-	left := make(chan int)
-	for n := 1; n > 0; {
-		loop.Post(func() { left <- len(c.out) })
-		n = <-left
+	for attemptCount(c, loop) > 0 {
 	}
-	if len(heard) > 0 {
-		t.Error("after it was taken back:", <-heard)
+	if len(events) > 0 {
+		t.Error("after it was cancelled:", <-events)
 	}
 }
 
-// A call that has begun is not taken back; cancelled, it ends as that, and the engine hears it.
-func TestCancelOfWhatRuns(t *testing.T) {
-	started, heard := make(chan struct{}, 1), make(chan struct{}, 1)
-	e := &rawEngine{put: func(s flight.FlightService_DoPutServer) error {
+// An attempt that has begun cannot be cancelled unsent; cancelled, it ends as such, and the engine learns of it.
+func TestCancelOfRunningAttempt(t *testing.T) {
+	began, cancelled := make(chan struct{}, 1), make(chan struct{}, 1)
+	engine := engineAt(serveEngine(t, &rawEngine{put: func(s flight.FlightService_DoPutServer) error {
 		if _, err := s.Recv(); err != nil {
 			return err
 		}
-		started <- struct{}{}
+		began <- struct{}{}
 		<-s.Context().Done()
-		heard <- struct{}{}
+		cancelled <- struct{}{}
 		return s.Context().Err()
-	}}
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := grpc.NewServer()
-	flight.RegisterFlightServiceServer(s, e)
-	go func() { _ = s.Serve(lis) }()
-	defer s.Stop()
-	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.RunLoop(loop))
+	}}))
+	c, loop := newEngineClient(t, 1000, 4)
 	ends, attempts := make(chan router.End, 1), make(chan router.Attempt, 1)
 	loop.Post(func() {
 		attempts <- c.Start(router.Call{
-			Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41", Class: "x",
+			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x",
 			Statement: "S", WaitMS: 60_000, AtMostOnce: true, Exclusive: true,
-		}, func(e router.End) { ends <- e })
+		}, func(end router.End) { ends <- end })
 	})
 	a := <-attempts
-	<-started
-	taken := make(chan bool, 1)
+	<-began
+	unsent := make(chan bool, 1)
 	loop.Post(func() {
-		taken <- a.CancelUnsent()
+		unsent <- a.CancelUnsent()
 		a.Cancel()
 	})
-	if <-taken {
-		t.Error("what had begun was taken back")
+	if <-unsent {
+		t.Error("a running attempt was cancelled as unsent")
 	}
 	if end := <-ends; end.Outcome != dispatch.Cancelled {
 		t.Errorf("outcome %v: %s", end.Outcome, end.Detail)
 	}
-	<-heard
+	<-cancelled
 }
 
-// An engine that is banned gets nothing more, however far a call has come that has not begun: both kinds of call end with
-// proof that nothing ran, at once. Those that have begun go on.
-func TestWithhold(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer lis.Close()
-	silent := make(chan net.Conn, 4) // connections that come up and never speak HTTP/2, so that no call begins
-	go func() {
+// An engine that is cordoned gets nothing more: attempts that have not begun, of both kinds and whatever the state of
+// their connections, end at once with proof that nothing ran. Those that have begun go on.
+func TestCancelUnstarted(t *testing.T) {
+	lis := listen(t)
+	silent := make(chan net.Conn, 4) // connections that never speak HTTP/2, so that no call begins
+	go func() {                      // the listener's close ends it
 		for {
-			c, err := lis.Accept()
+			conn, err := lis.Accept()
 			if err != nil {
 				return
 			}
-			silent <- c
+			silent <- conn
 		}
 	}()
-	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, 1000, 4, slog.New(slog.DiscardHandler))
-	t.Cleanup(routertest.RunLoop(loop))
+	c, loop := newEngineClient(t, 1000, 4)
 	ends := make(chan router.End, 4)
-	engine := router.Engine{ID: 7, Address: lis.Addr().String()}
-	wrote := make(chan struct{}, 4)
+	engine := engineAt(lis.Addr().String())
+	written := make(chan struct{}, 4)
 	loop.Post(func() {
-		for _, once := range []bool{false, true} {
-			c.Start(router.Call{
-				Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
-				OnSent: func() { wrote <- struct{}{} },
-			}, func(e router.End) { ends <- e })
-		}
+		startBoth(c, engine, func() { written <- struct{}{} }, func(end router.End) { ends <- end })
 	})
 	for range 2 {
 		defer (<-silent).Close()
@@ -146,16 +126,14 @@
 	loop.Post(func() { c.CancelUnstarted(router.Engine{ID: 8}) })
 	loop.Post(func() { c.CancelUnstarted(engine) })
 	for range 2 {
-		if e := <-ends; e.Outcome != dispatch.ConnectFailed {
-			t.Errorf("outcome %v: %s", e.Outcome, e.Detail)
+		if end := <-ends; end.Outcome != dispatch.ConnectFailed {
+			t.Errorf("outcome %v: %s", end.Outcome, end.Detail)
 		}
 	}
-	if len(wrote) != 0 {
-		t.Error("a call that was taken back counts as written")
+	if len(written) != 0 {
+		t.Error("a cancelled attempt counts as written")
 	}
-	done := make(chan int)
-	loop.Post(func() { done <- len(c.out) })
-	if n := <-done; n != 0 {
+	if n := attemptCount(c, loop); n != 0 {
 		t.Errorf("%d attempts are kept", n)
 	}
 }
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"context"
 	"io"
-	"log/slog"
-	"net"
 	"strings"
 	"testing"
 
@@ -14,18 +12,16 @@
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/ipc"
 	"github.com/apache/arrow-go/v18/arrow/memory"
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
 	"windflow/dispatch"
-	"windflow/internal/clock"
 	"windflow/internal/router"
 	"windflow/internal/routertest"
 )
 
-// rawEngine is a stand-in that answers below Flight SQL, so that it can answer badly.
+// rawEngine is a fake engine that answers below Flight SQL, so that it can answer badly.
 type rawEngine struct {
 	flight.BaseFlightServer
 	endpoints []*flight.FlightEndpoint
@@ -42,21 +38,21 @@
 }
 func (e *rawEngine) DoPut(s flight.FlightService_DoPutServer) error { return e.put(s) }
 
-// capture keeps what a writer of records sends.
-type capture struct{ sent []*flight.FlightData }
+// messageRecorder keeps what a writer of records sends.
+type messageRecorder struct{ sent []*flight.FlightData }
 
-func (c *capture) Send(d *flight.FlightData) error {
-	c.sent = append(c.sent, &flight.FlightData{DataHeader: bytes.Clone(d.DataHeader), DataBody: bytes.Clone(d.DataBody)})
+func (r *messageRecorder) Send(d *flight.FlightData) error {
+	r.sent = append(r.sent, &flight.FlightData{DataHeader: bytes.Clone(d.DataHeader), DataBody: bytes.Clone(d.DataBody)})
 	return nil
 }
 
-// texts gives the messages of a stream with one column of text.
-func texts(t *testing.T, values ...string) []*flight.FlightData {
+// textStream returns the messages of a stream with one column of text.
+func textStream(t *testing.T, values ...string) []*flight.FlightData {
 	t.Helper()
 	schema := arrow.NewSchema([]arrow.Field{{Name: "a", Type: arrow.BinaryTypes.String}}, nil)
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	b.Field(0).(*array.StringBuilder).AppendValues(values, nil)
-	c := &capture{}
+	c := &messageRecorder{}
 	w := flight.NewRecordWriter(c, ipc.WithSchema(schema))
 	if err := w.Write(b.NewRecordBatch()); err != nil {
 		t.Fatal(err)
@@ -78,41 +74,33 @@
 	}
 }
 
-// begin runs one attempt at a stand-in and waits for its end.
-func begin(t *testing.T, e *rawEngine, once bool) router.End {
+// runAttempt runs one attempt at a fake engine and returns its end.
+func runAttempt(t *testing.T, engine *rawEngine, once bool) router.End {
 	t.Helper()
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := grpc.NewServer()
-	flight.RegisterFlightServiceServer(s, e)
-	go func() { _ = s.Serve(lis) }()
-	defer s.Stop()
-	return attemptAt(lis.Addr().String(), once)
+	return runAttemptAt(t, serveEngine(t, engine), once)
 }
 
-func attemptAt(addr string, once bool) router.End {
-	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, 5000, 4, slog.New(slog.DiscardHandler))
-	defer routertest.RunLoop(loop)()
-	engine := router.Engine{ID: 7, Address: addr}
+// runAttemptAt runs one attempt at an address and returns its end.
+func runAttemptAt(t *testing.T, address string, once bool) router.End {
+	t.Helper()
+	c, loop := newEngineClient(t, 5000, 4)
+	engine := engineAt(address)
 	ended := make(chan router.End, 1)
 	loop.Post(func() {
-		c.Start(router.Call{Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, AtMostOnce: once},
-			func(e router.End) { ended <- e })
+		c.Start(router.Call{
+			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, AtMostOnce: once,
+		}, func(end router.End) { ended <- end })
 	})
 	end := <-ended
 	loop.Post(func() { c.Forget(engine) })
 	return end
 }
 
-// Whatever an engine answers, an attempt ends with an outcome, and only what proves that nothing ran says so. The
-// broken offsets guard against a crash: arrow checks the last offset of a column of text only, and panics over
-// others when the value is read.
-func TestBadAnswersOfEngines(t *testing.T) {
-	whole := texts(t, "ab", "cd", "ef")
-	broken := texts(t, "ab", "cd", "ef")
+// Whatever an engine answers, an attempt ends with an outcome, and only what proves that nothing ran says so. Of the
+// offsets of a column of text, Arrow checks the last one only, and panics over the others when the value is read.
+func TestBadResponsesToQueries(t *testing.T) {
+	whole := textStream(t, "ab", "cd", "ef")
+	broken := textStream(t, "ab", "cd", "ef")
 	copy(broken[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end of the first value
 	if bytes.Equal(broken[1].DataBody, whole[1].DataBody) {
 		t.Fatal("nothing is broken")
@@ -137,21 +125,21 @@
 		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), dispatch.Served},
 		{"no Arrow at all", one, rows(noSchema), dispatch.EngineFailed},
 		{"rows without a schema", one, rows(whole[1:]), dispatch.EngineFailed},
-		{"a result too big", one, rows(texts(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
+		{"a result too big", one, rows(textStream(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
 		{"nothing", one, rows(nil), dispatch.EngineFailed},
 		{"its own failure", one, fails(codes.Internal), dispatch.EngineFailed},
-		{"full, with proof", one, fails(codes.Unavailable, metaNotBegun, "1"), dispatch.EngineFull},
+		{"full, with proof", one, fails(codes.Unavailable, metaNotStarted, "1"), dispatch.EngineFull},
 		{"full, without proof", one, fails(codes.Unavailable), dispatch.ConnectionReset},
-		{"proof beside another code", one, fails(codes.Internal, metaNotBegun, "1"), dispatch.EngineFailed},
+		{"proof beside another code", one, fails(codes.Internal, metaNotStarted, "1"), dispatch.EngineFailed},
 	} {
-		end := begin(t, &rawEngine{endpoints: k.endpoints, get: k.get}, false)
+		end := runAttempt(t, &rawEngine{endpoints: k.endpoints, get: k.get}, false)
 		if end.Outcome != k.want {
 			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
 		}
 	}
 }
 
-func TestBadAnswersToUpdates(t *testing.T) {
+func TestBadResponsesToUpdates(t *testing.T) {
 	changed := &flight.PutResult{AppMetadata: []byte{8, 5}} // 5 rows, in protobuf
 	answers := func(err error, results ...*flight.PutResult) func(flight.FlightService_DoPutServer) error {
 		return func(s flight.FlightService_DoPutServer) error {
@@ -178,7 +166,7 @@
 		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
 		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), dispatch.EngineFailed},
 	} {
-		end := begin(t, &rawEngine{put: k.put}, true)
+		end := runAttempt(t, &rawEngine{put: k.put}, true)
 		if end.Outcome != k.want {
 			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
 		}
@@ -188,19 +176,19 @@
 	}
 }
 
-// A refused connection proves that nothing ran, for a load too.
+// A refused connection proves that nothing ran, for a statement that must not run twice, too.
 func TestRefusedConnection(t *testing.T) {
 	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	for _, once := range []bool{true, false} {
-		if end := attemptAt(addr, once); end.Outcome != dispatch.ConnectFailed {
+		if end := runAttemptAt(t, addr, once); end.Outcome != dispatch.ConnectFailed {
 			t.Errorf("once %v: outcome %v (%s)", once, end.Outcome, end.Detail)
 		}
 	}
 }
 
-// Loads have a bound on their connections. One that finds none free within its time was never written, which
-// proves that it did not run; the next one is carried out once a connection is free.
-func TestConnectionsOfLoadsAreBounded(t *testing.T) {
+// Dedicated connections are bounded. A statement that finds none free within its time was never written, which proves
+// that it did not run; the next one runs once a connection is free.
+func TestDedicatedConnsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	runs := make(chan struct{}, 9)
 	e := &rawEngine{put: func(s flight.FlightService_DoPutServer) error {
@@ -211,22 +199,13 @@
 		<-release
 		return s.Send(&flight.PutResult{AppMetadata: []byte{8, 5}})
 	}}
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := grpc.NewServer()
-	flight.RegisterFlightServiceServer(s, e)
-	go func() { _ = s.Serve(lis) }()
-	defer s.Stop()
-	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, 5000, 1, slog.New(slog.DiscardHandler))
-	defer routertest.RunLoop(loop)()
+	engine := engineAt(serveEngine(t, e))
+	c, loop := newEngineClient(t, 5000, 1)
 	start := func(waitMS float64) chan router.End {
 		ended := make(chan router.End, 1)
 		loop.Post(func() {
 			c.Start(router.Call{
-				Engine: router.Engine{ID: 7, Address: lis.Addr().String()}, ID: "9b1f03aa5c7e2d41",
+				Engine: engine, ID: "9b1f03aa5c7e2d41",
 				Statement: "S", WaitMS: waitMS, AtMostOnce: true,
 			}, func(e router.End) { ended <- e })
 		})
--- a/internal/flightsql/encoded_test.go
+++ b/internal/flightsql/encoded_test.go
@@ -6,12 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
+// encodedTypes returns the types of this package that leave the process or are stored as JSON; the types that they
+// hold are found through them.
 func encodedTypes() []any {
 	return []any{Ticket{}, Config{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has a tag with its name, so that the name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.Tagged(t, "json", encodedTypes()...)
 }
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -18,16 +18,19 @@
 	"google.golang.org/grpc/status"
 )
 
+// answerCase is a statement with the code that it ends with.
+type answerCase struct {
+	name, statement string
+	ctx             context.Context
+	code            codes.Code
+	text            string // that the status holds
+	runs            int
+}
+
 func TestAnswersAndCodes(t *testing.T) {
-	_, e, c := newFront(t)
+	_, engines, c := newFront(t)
 	const long = 20 * time.Second
-	for _, k := range []struct {
-		name, statement string
-		ctx             context.Context
-		code            codes.Code
-		says            string
-		runs            int
-	}{
+	for _, k := range []answerCase{
 		{"served", "serve", call(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
 		{
 			"served within a budget", "serve", call(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
@@ -47,47 +50,59 @@
 			codes.DeadlineExceeded, "", 1,
 		},
 		{"no class", "serve", call(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
-		{"unknown class", "serve", call(t, long, "rid", "0000000000000007", "method", "x"), codes.InvalidArgument, "method", 0},
+		{
+			"unknown class", "serve", call(t, long, "rid", "0000000000000007", "method", "x"),
+			codes.InvalidArgument, "method", 0,
+		},
 		{"bad id", "serve", call(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
 		{
 			"id twice", "serve", call(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
 			codes.InvalidArgument, "rid", 0,
 		},
 		{"no deadline", "serve", call(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
-		{"no statement", "", call(t, long, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "statement", 0},
+		{
+			"no statement", "", call(t, long, "rid", "0000000000000007", "method", "load"),
+			codes.InvalidArgument, "statement", 0,
+		},
 	} {
-		for _, update := range []bool{true, false} {
-			fields, _ := metadata.FromOutgoingContext(k.ctx)
-			ids := fields.Get("rid")
-			if !update { // the id of a load that may have run is spent
-				ids[0] = "a" + ids[0][1:]
-			}
-			fields.Set("rid", ids...)
-			ctx, id := metadata.NewOutgoingContext(k.ctx, fields), ids[0]
-			var err error
-			if update {
-				var n int64
-				if n, err = c.ExecuteUpdate(ctx, k.statement); err == nil && n != 3 {
-					t.Errorf("%s: %d rows changed", k.name, n)
-				}
-			} else {
-				var rows int64
-				if rows, err = fetch(ctx, c, k.statement); err == nil && rows != 2 {
-					t.Errorf("%s: %d rows", k.name, rows)
-				}
-			}
-			if status.Code(err) != k.code || err != nil && !strings.Contains(err.Error(), k.says) {
-				t.Errorf("%s, update %v: %v, want %v with %q", k.name, update, err, k.code, k.says)
-			}
-			runs := e.ran(id)
-			// A call whose deadline is behind it already may be turned away by gRPC itself.
-			if runs != k.runs && k.code != codes.DeadlineExceeded || runs > k.runs {
-				t.Errorf("%s, update %v: ran %d times, want %d", k.name, update, runs, k.runs)
-			}
-		}
+		k.check(t, engines, c, true)
+		k.check(t, engines, c, false)
 	}
 }
 
+// check runs the statement as an update or a query.
+func (k answerCase) check(t *testing.T, engines *scriptedEngines, c *fsql.Client, update bool) {
+	t.Helper()
+	fields, _ := metadata.FromOutgoingContext(k.ctx)
+	ids := fields.Get("rid")
+	if !update { // the id of a load that may have run cannot be used again
+		ids[0] = "a" + ids[0][1:]
+	}
+	fields.Set("rid", ids...)
+	ctx, id := metadata.NewOutgoingContext(k.ctx, fields), ids[0]
+	var rows, want int64
+	var err error
+	if update {
+		want = 3
+		rows, err = c.ExecuteUpdate(ctx, k.statement)
+	} else {
+		want = 2
+		rows, err = fetch(ctx, c, k.statement)
+	}
+	if err == nil && rows != want {
+		t.Errorf("%s, update %v: %d rows, want %d", k.name, update, rows, want)
+	}
+	if status.Code(err) != k.code || err != nil && !strings.Contains(err.Error(), k.text) {
+		t.Errorf("%s, update %v: %v, want %v with %q", k.name, update, err, k.code, k.text)
+	}
+	runs := engines.runsOf(id)
+	// A call whose deadline has passed already may be rejected by gRPC itself.
+	if runs != k.runs && k.code != codes.DeadlineExceeded || runs > k.runs {
+		t.Errorf("%s, update %v: ran %d times, want %d", k.name, update, runs, k.runs)
+	}
+}
+
+// fetch runs a query and returns the number of its rows.
 func fetch(ctx context.Context, c *fsql.Client, statement string) (int64, error) {
 	info, err := c.Execute(ctx, statement)
 	if err != nil {
@@ -96,6 +111,7 @@
 	return redeem(ctx, c, info.Endpoint[0].Ticket)
 }
 
+// redeem redeems a ticket and returns the number of rows.
 func redeem(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) (int64, error) {
 	r, err := c.DoGet(ctx, ticket)
 	if err != nil {
@@ -109,7 +125,7 @@
 	return rows, r.Err()
 }
 
-// A refusal says when to come back, for machines too, and a failure whether a retry is safe.
+// A rejection says when to retry, for machines too, and a failure whether a retry is safe.
 func TestRetryAdvice(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.Execute(call(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
@@ -126,8 +142,9 @@
 			delay = info.RetryDelay.AsDuration()
 		}
 	}
-	if delay != time.Second || stream.Trailer().Get(metaBackoff)[0] != "1000" || stream.Trailer().Get(metaRetry)[0] != "safe" {
-		t.Errorf("%v: delay %v, trailer %v", err, delay, stream.Trailer())
+	trailer := stream.Trailer()
+	if delay != time.Second || trailer.Get(metaBackoff)[0] != "1000" || trailer.Get(metaRetry)[0] != "safe" {
+		t.Errorf("%v: delay %v, trailer %v", err, delay, trailer)
 	}
 	if info, err = c.Execute(call(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset"); err != nil {
 		t.Fatal(err)
@@ -140,55 +157,53 @@
 	}
 }
 
-// A load's ticket is spent by its first fetch, also by two fetches at once; one of a look-up is not.
-func TestTicketOfALoadIsSpentOnce(t *testing.T) {
-	_, e, c := newFront(t)
-	const each = 8
-	for _, k := range []struct {
-		class, id string
-		served    int
-	}{{"load", "0000000000000001", 1}, {"lookup", "0000000000000002", 2}} {
-		info, err := c.Execute(call(t, 20*time.Second, "rid", k.id, "method", k.class), "serve")
-		if err != nil {
-			t.Fatal(err)
-		}
-		served, spent := 0, 0
-		if k.class == "lookup" {
-			for range 2 {
-				if _, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket); err == nil {
-					served++
-				}
-			}
-		} else {
-			results := make(chan error, each)
-			for range each {
-				go func() {
-					_, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket)
-					results <- err
-				}()
-			}
-			for range each {
-				switch status.Code(<-results) {
-				case codes.OK:
-					served++
-				case codes.NotFound:
-					spent++
-				}
-			}
-			if spent != each-1 {
-				t.Errorf("%d fetches found the ticket spent", spent)
-			}
-		}
-		if ran := e.ran(k.id); served != k.served || ran != k.served {
-			t.Errorf("%s: served %d, ran %d times, want %d", k.class, served, ran, k.served)
+// The ticket of a load is redeemed once, also by several fetches at once.
+func TestTicketOfLoadIsRedeemedOnce(t *testing.T) {
+	_, engines, c := newFront(t)
+	const fetches = 8
+	const id = "0000000000000001"
+	info, err := c.Execute(call(t, 20*time.Second, "rid", id, "method", "load"), "serve")
+	if err != nil {
+		t.Fatal(err)
+	}
+	results := make(chan error, fetches)
+	for range fetches {
+		go func() {
+			_, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket)
+			results <- err
+		}()
+	}
+	byCode := map[codes.Code]int{}
+	for range fetches {
+		byCode[status.Code(<-results)]++
+	}
+	if byCode[codes.OK] != 1 || byCode[codes.NotFound] != fetches-1 || engines.runsOf(id) != 1 {
+		t.Errorf("fetches by code %v, ran %d times", byCode, engines.runsOf(id))
+	}
+}
+
+// The ticket of a look-up is redeemed as often as it is fetched.
+func TestTicketOfLookupIsRedeemedAgain(t *testing.T) {
+	_, engines, c := newFront(t)
+	const id = "0000000000000002"
+	info, err := c.Execute(call(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 2 {
+		if _, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket); err != nil {
+			t.Error(err)
 		}
 	}
+	if ran := engines.runsOf(id); ran != 2 {
+		t.Errorf("ran %d times", ran)
+	}
 }
 
-// A prepared statement, as many drivers send each statement, goes the way of a plain one: each execution is a
-// request of its own, and the ticket of a load is spent once. What it can't do is told as malformed.
+// A prepared statement, as many drivers send each statement, is handled like a plain one: each execution is a request
+// of its own, and the ticket of a load is redeemed once. What it does not support is malformed.
 func TestPreparedStatements(t *testing.T) {
-	_, e, c := newFront(t)
+	_, engines, c := newFront(t)
 	const long = 20 * time.Second
 	p, err := c.Prepare(call(t, long), "serve")
 	if err != nil {
@@ -206,8 +221,8 @@
 		if _, err := redeem(call(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
 			t.Errorf("a load's ticket, redeemed again: %v", err)
 		}
-		if e.ran(id) != 1 {
-			t.Errorf("%s ran %d times", id, e.ran(id))
+		if engines.runsOf(id) != 1 {
+			t.Errorf("%s ran %d times", id, engines.runsOf(id))
 		}
 	}
 	if n, err := p.ExecuteUpdate(call(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
@@ -221,8 +236,8 @@
 	values.Append(1)
 	p.SetParameters(array.NewRecordBatch(schema, []arrow.Array{values.NewArray()}, 1))
 	_, err = p.ExecuteUpdate(call(t, long, "rid", "0000000000000004", "method", "load"))
-	if status.Code(err) != codes.InvalidArgument || e.ran("0000000000000004") != 0 {
-		t.Errorf("update with parameters: %v, ran %d times", err, e.ran("0000000000000004"))
+	if status.Code(err) != codes.InvalidArgument || engines.runsOf("0000000000000004") != 0 {
+		t.Errorf("update with parameters: %v, ran %d times", err, engines.runsOf("0000000000000004"))
 	}
 	_, err = p.Execute(call(t, long, "rid", "0000000000000005", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument {
@@ -236,9 +251,9 @@
 	}
 }
 
-// Calls that leave out what they must hold are malformed, never a crash; the front goes on serving.
+// Calls that lack what they must hold are malformed, and the front goes on serving.
 func TestMalformedCalls(t *testing.T) {
-	_, e, c := newFront(t)
+	_, engines, c := newFront(t)
 	ctx := func() context.Context { return call(t, 20*time.Second, "rid", "0000000000000001", "method", "load") }
 	garbage := []byte{0xff, 0x01, 0x02}
 	for _, k := range []struct {
@@ -286,7 +301,7 @@
 			t.Errorf("%s: %v", k.name, err)
 		}
 	}
-	if e.ran("0000000000000001") != 0 {
+	if engines.runsOf("0000000000000001") != 0 {
 		t.Error("something reached an engine")
 	}
 	if n, err := c.ExecuteUpdate(ctx(), "serve"); n != 3 || err != nil {
@@ -309,7 +324,7 @@
 	return err
 }
 
-// Clients ask what the server can do before they use it.
+// Clients request what the server supports before they use it.
 func TestSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.GetSqlInfo(call(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
@@ -321,37 +336,39 @@
 	}
 }
 
-// An id that is still open is told apart from a malformed one. A client that leaves frees it, unless it is that of a
-// load, which may run on.
+// An id in use has a code of its own. A client that cancels frees the id, unless it is that of a load, which may run
+// on.
 func TestIDInUse(t *testing.T) {
 	for class, after := range map[string]codes.Code{"lookup": codes.OK, "load": codes.AlreadyExists} {
-		t.Run(class, func(t *testing.T) { idInUse(t, class, after) })
+		t.Run(class, func(t *testing.T) { checkIDInUse(t, class, after) })
 	}
 }
 
-func idInUse(t *testing.T, class string, after codes.Code) {
-	f, e, c := newFront(t)
-	ctx, leave := context.WithCancel(call(t, 20*time.Second, "rid", "0000000000000001", "method", class))
+// checkIDInUse reuses the id of an open request, and after its client has cancelled it.
+func checkIDInUse(t *testing.T, class string, after codes.Code) {
+	t.Helper()
+	f, engines, c := newFront(t)
+	ctx, cancel := context.WithCancel(call(t, 20*time.Second, "rid", "0000000000000001", "method", class))
 	first := make(chan error, 1)
 	go func() {
 		_, err := c.ExecuteUpdate(ctx, "hang")
 		first <- err
 	}()
-	for e.ran("0000000000000001") == 0 {
+	for engines.runsOf("0000000000000001") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	again := call(t, 20*time.Second, "rid", "0000000000000001", "method", class)
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("while it is open: %v", err)
 	}
-	leave()
+	cancel()
 	if err := <-first; status.Code(err) != codes.Canceled {
-		t.Errorf("the one that left: %v", err)
+		t.Errorf("the cancelled call: %v", err)
 	}
 	for f.ActiveCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != after {
-		t.Errorf("after it left: %v, want %v", err, after)
+		t.Errorf("after it was cancelled: %v, want %v", err, after)
 	}
 }
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -22,10 +22,10 @@
 	"windflow/internal/router"
 )
 
-const goldenWithin = 20 * time.Second
+const goldenTimeout = 20 * time.Second
 
-// words gives metadata's names and values in order, without those that gRPC adds itself.
-func words(md metadata.MD) string {
+// describeMetadata returns the names and values of metadata in order, without those that gRPC adds itself.
+func describeMetadata(md metadata.MD) string {
 	var list []string
 	for name, values := range md {
 		if name != "content-type" && name != "user-agent" && name != ":authority" && !strings.HasPrefix(name, "grpc-") {
@@ -36,31 +36,33 @@
 	return strings.Join(list, " ")
 }
 
-// ending words the end of a call: its status with all details, and its trailer.
-func ending(err error, trailer metadata.MD) string {
+// describeEnd returns the end of a call: its status with all details, and its trailer.
+func describeEnd(err error, trailer metadata.MD) string {
 	s := status.Convert(err)
-	text := fmt.Sprintf("%v %q trailer %s\n", s.Code(), s.Message(), words(trailer))
+	text := fmt.Sprintf("%v %q trailer %s\n", s.Code(), s.Message(), describeMetadata(trailer))
 	for _, detail := range s.Proto().GetDetails() {
 		text += fmt.Sprintf("detail %s %x\n", detail.GetTypeUrl(), detail.GetValue())
 	}
 	return text
 }
 
-// fields are a request's, all that there are.
+// fields returns all fields that a request may have.
 func fields(id, class string) []string {
-	return []string{"rid", id, "method", class, "budget", "9000", "acct", "rckik-south", "again", "1", "est", "12.5", "mem", "34.5"}
+	return []string{
+		"rid", id, "method", class, "budget", "9000", "acct", "rckik-south", "again", "1", "est", "12.5", "mem", "34.5",
+	}
 }
 
-// execute asks for a ticket and words it; the ticket is nil where there was none.
+// execute requests a ticket and describes it; the ticket is nil where there was none.
 func execute(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
 	t.Helper()
 	var trailer metadata.MD
-	info, err := c.Execute(call(t, goldenWithin, md...), statement, grpc.Trailer(&trailer))
+	info, err := c.Execute(call(t, goldenTimeout, md...), statement, grpc.Trailer(&trailer))
 	if err != nil {
-		return ending(err, trailer), nil
+		return describeEnd(err, trailer), nil
 	}
-	text = fmt.Sprintf("descriptor %x records %d bytes %d schema %x\n", info.GetFlightDescriptor().GetCmd(), info.GetTotalRecords(),
-		info.GetTotalBytes(), info.GetSchema())
+	text = fmt.Sprintf("descriptor %x records %d bytes %d schema %x\n", info.GetFlightDescriptor().GetCmd(),
+		info.GetTotalRecords(), info.GetTotalBytes(), info.GetSchema())
 	for _, at := range info.GetEndpoint() {
 		text += fmt.Sprintf("ticket %x at %v\n", at.GetTicket().GetTicket(), at.GetLocation()[0].GetUri())
 		ticket = at.GetTicket()
@@ -68,7 +70,7 @@
 	return text, ticket
 }
 
-// get redeems a ticket and words each message of the stream.
+// get redeems a ticket and describes each message of the stream.
 func get(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) string {
 	stream, err := c.Client.DoGet(ctx, ticket)
 	var text strings.Builder
@@ -81,18 +83,19 @@
 	if errors.Is(err, io.EOF) {
 		err = nil
 	}
-	return text.String() + ending(err, stream.Trailer())
+	return text.String() + describeEnd(err, stream.Trailer())
 }
 
 // Clients see the same tickets, schemas, rows, codes, details and trailers as before.
 func TestGoldenExchanges(t *testing.T) {
 	f, _, c := newFront(t)
-	text := answers(t, c) + failures(t, c)
+	text := describeAnswers(t, c) + describeFailures(t, c)
 	goldentest.Equal(t, "exchanges.txt", []byte(strings.ReplaceAll(text, f.Addr(), "ROUTER")))
 }
 
-// answers has a query and an update of each class end in each way that an engine gives them.
-func answers(t *testing.T, c *fsql.Client) string {
+// describeAnswers describes a query and an update of each class with each outcome of an engine.
+func describeAnswers(t *testing.T, c *fsql.Client) string {
+	t.Helper()
 	var text strings.Builder
 	for i, k := range []struct{ class, statement string }{
 		{"lookup", "serve"},
@@ -105,40 +108,42 @@
 		{"lookup", ""},
 	} {
 		md := fields(fmt.Sprintf("%016x", i+1), k.class)
-		said, ticket := execute(t, c, k.statement, md...)
-		fmt.Fprintf(&text, "query %q of %s\n%s", k.statement, k.class, said)
+		described, ticket := execute(t, c, k.statement, md...)
+		fmt.Fprintf(&text, "query %q of %s\n%s", k.statement, k.class, described)
 		if ticket != nil {
-			text.WriteString(get(call(t, goldenWithin), c, ticket))
+			text.WriteString(get(call(t, goldenTimeout), c, ticket))
 		}
-		n, trailer, err := runUpdate(call(t, goldenWithin, fields(fmt.Sprintf("%016x", 100+i), k.class)...), c, k.statement)
-		fmt.Fprintf(&text, "update: %d rows changed, %s\n", n, ending(err, trailer))
+		ctx := call(t, goldenTimeout, fields(fmt.Sprintf("%016x", 100+i), k.class)...)
+		n, trailer, err := runUpdate(ctx, c, k.statement)
+		fmt.Fprintf(&text, "update: %d rows changed, %s\n", n, describeEnd(err, trailer))
 	}
 	return text.String()
 }
 
-// failures are calls that are malformed, come too late or name what is not there.
-func failures(t *testing.T, c *fsql.Client) string {
+// describeFailures describes calls that are malformed, come too late or name what does not exist.
+func describeFailures(t *testing.T, c *fsql.Client) string {
+	t.Helper()
 	var text strings.Builder
 	for i, class := range []string{"lookup", "load"} {
 		md := fields(fmt.Sprintf("%016x", 200+i), class)
 		md[slices.Index(md, "budget")+1] = "200"
 		_, ticket := execute(t, c, "hang", md...)
-		fmt.Fprintf(&text, "too late, %s\n%s\n", class, get(call(t, goldenWithin), c, ticket))
+		fmt.Fprintf(&text, "too late, %s\n%s\n", class, get(call(t, goldenTimeout), c, ticket))
 	}
-	_, trailer, err := runUpdate(call(t, goldenWithin, fields("0000000000000069", "load")...), c, "serve")
-	fmt.Fprintf(&text, "id of a load that may have run\n%s\n", ending(err, trailer))
+	_, trailer, err := runUpdate(call(t, goldenTimeout, fields("0000000000000069", "load")...), c, "serve")
+	fmt.Fprintf(&text, "id of a load that may have run\n%s\n", describeEnd(err, trailer))
 	ticket, err := fsql.CreateStatementQueryTicket([]byte("unknown"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "unknown ticket\n%s\n", get(call(t, goldenWithin), c, &flight.Ticket{Ticket: ticket}))
-	said, _ := execute(t, c, "serve", "rid", "0000000000000001")
-	fmt.Fprintf(&text, "no class\n%s\n", said)
-	said, _ = execute(t, c, "serve", "rid", "1", "method", "load")
-	fmt.Fprintf(&text, "bad id\n%s\n", said)
-	said, _ = execute(t, c, "serve", append(fields("0000000000000001", "load"), "rid", "0000000000000002")...)
-	fmt.Fprintf(&text, "id twice\n%s\n", said)
-	stream, err := c.Client.DoPut(call(t, goldenWithin))
+	fmt.Fprintf(&text, "unknown ticket\n%s\n", get(call(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
+	described, _ := execute(t, c, "serve", "rid", "0000000000000001")
+	fmt.Fprintf(&text, "no class\n%s\n", described)
+	described, _ = execute(t, c, "serve", "rid", "1", "method", "load")
+	fmt.Fprintf(&text, "bad id\n%s\n", described)
+	described, _ = execute(t, c, "serve", append(fields("0000000000000001", "load"), "rid", "0000000000000002")...)
+	fmt.Fprintf(&text, "id twice\n%s\n", described)
+	stream, err := c.Client.DoPut(call(t, goldenTimeout))
 	if err == nil {
 		err = errors.Join(stream.Send(&flight.FlightData{}), stream.CloseSend())
 	}
@@ -146,7 +151,7 @@
 		t.Fatal(err)
 	}
 	_, err = stream.Recv()
-	fmt.Fprintf(&text, "update without a descriptor\n%s", ending(err, stream.Trailer()))
+	fmt.Fprintf(&text, "update without a descriptor\n%s", describeEnd(err, stream.Trailer()))
 	return text.String()
 }
 
@@ -159,23 +164,24 @@
 // A statement that is prepared has the same handle and schemas as before.
 func TestGoldenPrepared(t *testing.T) {
 	_, _, c := newFront(t)
-	statement, err := c.Prepare(call(t, goldenWithin), "serve")
+	statement, err := c.Prepare(call(t, goldenTimeout), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = c.Prepare(call(t, goldenWithin), "")
-	goldentest.Equal(t, "prepared.txt", fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
-		statement.DatasetSchema(), statement.ParameterSchema(), ending(err, nil)))
+	_, err = c.Prepare(call(t, goldenTimeout), "")
+	text := fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
+		statement.DatasetSchema(), statement.ParameterSchema(), describeEnd(err, nil))
+	goldentest.Equal(t, "prepared.txt", text)
 }
 
 // What a client is told of the server is the same as before, but for the version of Arrow.
 func TestGoldenSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.GetSqlInfo(call(t, goldenWithin), nil)
+	info, err := c.GetSqlInfo(call(t, goldenTimeout), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader, err := c.DoGet(call(t, goldenWithin), info.Endpoint[0].Ticket)
+	reader, err := c.DoGet(call(t, goldenTimeout), info.Endpoint[0].Ticket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +201,7 @@
 	goldentest.Equal(t, "sql-info.txt", []byte(strings.ReplaceAll(text, arrow.PkgVersion, "ARROW")))
 }
 
-// Tickets that one process gives up to another have the same names and values as before, and can be redeemed there.
+// Tickets that one process releases to another have the same names and values as before, and can be redeemed there.
 func TestGoldenTickets(t *testing.T) {
 	want := []Ticket{{
 		Handle: "00112233445566778899aabbccddeeff", DeadlineMS: 1_796_000_009_000.5, ExpiresAtMS: 1e15, SingleUse: true,
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/apache/arrow-go/v18/arrow/flight"
 	fsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
@@ -19,20 +20,20 @@
 	"windflow/internal/routertest"
 )
 
-// engines is a stand-in for the engine client: the statement says how an attempt ends; "hang" has no end.
-type engines struct {
+// scriptedEngines is an engine client whose attempts end as their statement says; "hang" does not end.
+type scriptedEngines struct {
 	loop *router.Loop
 	mu   sync.Mutex
-	runs map[string]int
+	runs map[string]int // attempts by request
 }
 
-func (e *engines) Forget(router.Engine) {}
+func (e *scriptedEngines) Forget(router.Engine) {}
 
-func (e *engines) CancelUnstarted(router.Engine) {}
+func (e *scriptedEngines) CancelUnstarted(router.Engine) {}
 
-func (e *engines) Start(c router.Call, done func(router.End)) router.Attempt {
+func (e *scriptedEngines) Start(call router.Call, onEnd func(router.End)) router.Attempt {
 	e.mu.Lock()
-	e.runs[c.ID]++
+	e.runs[call.ID]++
 	e.mu.Unlock()
 	end, ok := map[string]router.End{
 		"serve": {Outcome: dispatch.Served, Result: &router.Result{
@@ -41,64 +42,60 @@
 		}},
 		"full":  {Outcome: dispatch.EngineFull},
 		"reset": {Outcome: dispatch.ConnectionReset},
-	}[c.Statement]
+	}[call.Statement]
 	if ok {
-		e.loop.Post(func() { done(end) })
+		e.loop.Post(func() { onEnd(end) })
 	}
-	return out{}
+	return fakeAttempt{}
 }
 
-func (e *engines) ran(id string) int {
+// runsOf returns how many attempts a request had.
+func (e *scriptedEngines) runsOf(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-func (e *engines) reset(id string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.runs, id)
-}
+type fakeAttempt struct{}
 
-type out struct{}
+func (fakeAttempt) SetPriority(int) {}
 
-func (out) SetPriority(int) {}
+func (fakeAttempt) Cancel() {}
 
-func (out) Cancel() {}
+func (fakeAttempt) CancelUnsent() bool { return false }
 
-func (out) CancelUnsent() bool { return false }
+func (fakeAttempt) Abandon() {}
 
-func (out) Abandon() {}
-
-func newFront(t *testing.T) (*Front, *engines, *fsql.Client) {
+// newFront starts a front over scripted engines, and connects a client to it.
+func newFront(t *testing.T) (*Front, *scriptedEngines, *fsql.Client) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
-	e := &engines{loop: loop, runs: map[string]int{}}
+	engines := &scriptedEngines{loop: loop, runs: map[string]int{}}
 	core, err := router.New(loop, dispatch.Config{
 		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
-		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
+		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []dispatch.Class{
 			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{
-				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2, LateWeightShare: 0.5,
-				Semantics: dispatch.AtMostOnce,
+				Name: "load", LatencyObjective: 3 * time.Second, Deadline: 25 * time.Second, Threads: 2,
+				LateWeightShare: 0.5, Semantics: dispatch.AtMostOnce,
 			},
 		},
-	}, e, slog.New(slog.DiscardHandler))
+	}, engines, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}}},
+	core.UpdateEndpoints(
+		dispatch.EndpointList{
+			Mode: dispatch.ListCached, Endpoints: []dispatch.Endpoint{{ID: 7, Kind: "k", CapacityWeight: 1}},
+		},
 		map[dispatch.EngineID]string{7: "127.0.0.1:1"})
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
 	f, err := NewFront(Config{MaxConnections: 8}, core, loop, 5, 0, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Serve(lis)
+	f.Serve(listen(t))
 	c, err := fsql.NewClient(f.Addr(), nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
@@ -109,10 +106,10 @@
 		f.Stop()
 		end()
 	})
-	return f, e, c
+	return f, engines, c
 }
 
-// call gives a context with fields, as name and value in turn, and a deadline unless it is 0.
+// call returns a context with fields, as name and value in turn, and a deadline unless it is 0.
 func call(t *testing.T, deadline time.Duration, fields ...string) context.Context {
 	t.Helper()
 	ctx := context.Background()
@@ -123,3 +120,37 @@
 	}
 	return metadata.AppendToOutgoingContext(ctx, fields...)
 }
+
+// listen returns a listener, which is closed with the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = lis.Close() })
+	return lis
+}
+
+// serveEngine serves a fake engine until the test ends, and returns its address.
+func serveEngine(t *testing.T, engine flight.FlightServer) string {
+	t.Helper()
+	lis := listen(t)
+	server := grpc.NewServer()
+	flight.RegisterFlightServiceServer(server, engine)
+	go func() { _ = server.Serve(lis) }() // Stop ends it
+	t.Cleanup(server.Stop)
+	return lis.Addr().String()
+}
+
+// newEngineClient returns a client of engines on a loop that runs until the test ends.
+func newEngineClient(t *testing.T, connectTimeoutMS float64, maxDedicated int) (*Client, *router.Loop) {
+	t.Helper()
+	loop := router.NewLoop(clock.NewSystem())
+	c := NewClient(loop, connectTimeoutMS, maxDedicated, slog.New(slog.DiscardHandler))
+	t.Cleanup(routertest.RunLoop(loop))
+	return c, loop
+}
+
+// engineAt returns the engine at an address.
+func engineAt(address string) router.Engine { return router.Engine{ID: 7, Address: address} }
--- a/internal/flightsql/prepared.go
+++ b/internal/flightsql/prepared.go
@@ -5,59 +5,53 @@
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 )
 
-// Many drivers send each statement as a prepared one. Here preparing runs and keeps nothing: the handle is the
-// statement itself, so that it holds on every router, needs no bound and outlives a restart. What the statement
-// returns is known only once it has run, so no schema is given ahead. Each execution is a request of its own, with
-// fields of its own, and goes the same way as a plain statement: a load's ticket is spent once here too.
+// Many drivers send each statement as a prepared one. Here preparing runs and stores nothing: the handle is the
+// statement itself, so that it is valid on every router, needs no bound and survives a restart. The result's schema
+// is known only once the statement has run, so none is given ahead. Each execution is a request of its own, with its
+// own fields, and is handled like a plain statement: the ticket of one that must not run twice is for a single use
+// here, too.
 
-// CreatePreparedStatement gives a statement its handle.
-func (f *Front) CreatePreparedStatement(_ context.Context, req flightsql.ActionCreatePreparedStatementRequest) (
-	flightsql.ActionCreatePreparedStatementResult, error,
-) {
+// CreatePreparedStatement returns the handle of a statement.
+func (s *service) CreatePreparedStatement(
+	_ context.Context, req flightsql.ActionCreatePreparedStatementRequest,
+) (flightsql.ActionCreatePreparedStatementResult, error) {
 	var none flightsql.ActionCreatePreparedStatementResult
 	switch {
 	case len(req.GetTransactionId()) > 0:
-		return none, f.malformed("there are no transactions here")
+		return none, malformedError(s.counters, "there are no transactions here")
 	case req.GetQuery() == "":
-		return none, f.malformed("the statement is empty")
+		return none, malformedError(s.counters, "the statement is empty")
 	}
 	return flightsql.ActionCreatePreparedStatementResult{Handle: []byte(req.GetQuery())}, nil
 }
 
-// ClosePreparedStatement has nothing to give up.
-func (f *Front) ClosePreparedStatement(context.Context, flightsql.ActionClosePreparedStatementRequest) error {
+// ClosePreparedStatement has nothing to release.
+func (s *service) ClosePreparedStatement(context.Context, flightsql.ActionClosePreparedStatementRequest) error {
 	return nil
 }
 
-// GetFlightInfoPreparedStatement gives a ticket for one execution. Nothing runs yet.
-func (f *Front) GetFlightInfoPreparedStatement(ctx context.Context, cmd flightsql.PreparedStatementQuery,
-	desc *flight.FlightDescriptor,
+// GetFlightInfoPreparedStatement returns a ticket for one execution. Nothing runs yet.
+func (s *service) GetFlightInfoPreparedStatement(
+	ctx context.Context, cmd flightsql.PreparedStatementQuery, desc *flight.FlightDescriptor,
 ) (*flight.FlightInfo, error) {
-	return f.info(ctx, string(cmd.GetPreparedStatementHandle()), desc)
+	return s.issueTicket(ctx, string(cmd.GetPreparedStatementHandle()), desc)
 }
 
 // DoPutPreparedStatementUpdate runs an update once.
-func (f *Front) DoPutPreparedStatementUpdate(ctx context.Context, cmd flightsql.PreparedStatementUpdate,
-	bound flight.MessageReader,
+func (s *service) DoPutPreparedStatementUpdate(
+	ctx context.Context, cmd flightsql.PreparedStatementUpdate, parameters flight.MessageReader,
 ) (int64, error) {
-	if bound.Schema() != nil && bound.Schema().NumFields() > 0 {
-		return 0, f.malformed("statements take no parameters")
+	if parameters.Schema() != nil && parameters.Schema().NumFields() > 0 {
+		return 0, malformedError(s.counters, "statements take no parameters")
 	}
-	return f.update(ctx, string(cmd.GetPreparedStatementHandle()))
+	return s.update(ctx, string(cmd.GetPreparedStatementHandle()))
 }
 
-// DoPutPreparedStatementQuery would bind parameters, which no engine takes.
-func (f *Front) DoPutPreparedStatementQuery(context.Context, flightsql.PreparedStatementQuery, flight.MessageReader,
-	flight.MetadataWriter,
+// DoPutPreparedStatementQuery rejects parameters, which no engine takes.
+func (s *service) DoPutPreparedStatementQuery(
+	context.Context, flightsql.PreparedStatementQuery, flight.MessageReader, flight.MetadataWriter,
 ) ([]byte, error) {
-	return nil, f.malformed("statements take no parameters")
-}
-
-func (f *Front) malformed(text string) error {
-	f.Counters.Malformed.Add(1)
-	return status.Error(codes.InvalidArgument, text)
+	return nil, malformedError(s.counters, "statements take no parameters")
 }
