--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -86,8 +86,8 @@
 const (
 	LineReloaded           = "msg=reloaded"
 	LineReloadRejected     = `msg="reload rejected"`
-	LineEndpointEvent      = `msg="board event"`
-	LineDiscoveryConnected = `msg="board link up"`
+	LineEndpointEvent      = `msg="endpoint list updated"`
+	LineDiscoveryConnected = `msg="discovery connected"`
 	lineRevisionInForce    = `msg="configuration applied"`
 )
 
