--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -78,8 +78,8 @@
 	cordonInFolder bool
 	left           budget
 	runs           int8
-	// knowledgeLost says that what only killed processes knew is lost with them, as in any crash; a journal on disk is for
-	// that.
+	// knowledgeLost says that what only killed processes knew is lost with them, as in any crash; a journal on disk
+	// is for that.
 	knowledgeLost bool
 	// queueOverflowing says that the state is left out.
 	queueOverflowing bool
--- a/internal/decide/hotrestart/transition.go
+++ b/internal/decide/hotrestart/transition.go
@@ -22,7 +22,9 @@
 	case EventStopRequested:
 		t.requestStop()
 	case EventIdle:
-		t.idle()
+		if t.endsWhenIdle() {
+			t.end()
+		}
 	}
 }
 
@@ -77,13 +79,6 @@
 	}
 }
 
-// idle ends a process that was asked to end and has nothing open any more.
-func (t *transition) idle() {
-	if t.phase == PhaseFinishing || t.phase == PhaseDraining {
-		t.end()
-	}
-}
-
 // useFullShareIfAlone raises the share to the full limits once no other process is left.
 func (t *transition) useFullShareIfAlone() {
 	if t.predecessor == NoProcess && t.successor == NoProcess && t.hasAccepted && t.stateKnown {
@@ -91,8 +86,6 @@
 	}
 }
 
-func (t *transition) enter(phase Phase) { t.phase = phase }
-
 func (t *transition) emit(effect Effect) { t.effects = append(t.effects, effect) }
 
 func (t *transition) send(to ProcessNumber, message MessageKind) {
@@ -108,22 +101,22 @@
 
 // serve enters a phase in which the process accepts clients.
 func (t *transition) serve(phase Phase) {
-	t.enter(phase)
+	t.phase = phase
 	t.hasAccepted = true
 	t.emit(Effect{Action: ActionStartAccepting})
 }
 
 func (t *transition) finish() {
-	t.enter(PhaseFinishing)
+	t.phase = PhaseFinishing
 	t.emit(Effect{Action: ActionFinish})
 }
 
 func (t *transition) drain() {
-	t.enter(PhaseDraining)
+	t.phase = PhaseDraining
 	t.emit(Effect{Action: ActionDrain})
 }
 
 func (t *transition) end() {
-	t.enter(PhaseEnded)
+	t.phase = PhaseEnded
 	t.emit(Effect{Action: ActionEnd})
 }
--- a/internal/decide/hotrestart/transition_predecessor.go
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -2,18 +2,6 @@
 
 // The transitions that concern the predecessor.
 
-// asksPredecessor reports whether the predecessor's state is still to be asked for.
-func (t *transition) asksPredecessor() bool {
-	switch t.phase {
-	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseDegraded:
-		return true
-	case PhaseAwaitingGoAhead, PhaseServing:
-		return !t.goAheadReceived && t.predecessor != NoProcess
-	case PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
-	}
-	return false
-}
-
 // scheduleHello arms the timer of the next question to the predecessor.
 func (t *transition) scheduleHello() { t.nextHelloAt = t.now + t.settings.HelloIntervalMS }
 
@@ -71,7 +59,7 @@
 		t.setShare(ShareFull)
 		t.serve(PhaseServing)
 	case PhaseDegraded:
-		t.enter(PhaseServing)
+		t.phase = PhaseServing
 	case PhaseServing, PhaseSuperseded, PhaseFinishing, PhaseDraining, PhaseEnded:
 	}
 	t.useFullShareIfAlone()
@@ -86,7 +74,7 @@
 		t.predecessor, t.helloPending = found, false
 	}
 	if t.phase == PhaseFindingPredecessor {
-		t.enter(PhaseAwaitingState)
+		t.phase = PhaseAwaitingState
 	}
 	t.scheduleHello()
 	if !t.helloPending { // a slow predecessor would otherwise have many hellos to answer
@@ -114,10 +102,10 @@
 	t.helloPending = false
 	switch t.phase {
 	case PhaseAwaitingState:
-		t.enter(PhaseAwaitingGoAhead)
+		t.phase = PhaseAwaitingGoAhead
 		t.awaitDeadline = max(t.awaitDeadline, t.now+t.settings.GoAheadTimeoutMS)
 	case PhaseDegraded:
-		t.enter(PhaseServing)
+		t.phase = PhaseServing
 	case PhaseAwaitingGoAhead, PhaseServing: // the link broke in between
 	case PhaseDraining: // too late to replace the predecessor, but its ids are needed
 		t.restoreState()
@@ -160,7 +148,7 @@
 	t.predecessor, t.goAheadReceived, t.helloPending = NoProcess, false, false
 	switch t.phase {
 	case PhaseAwaitingState:
-		t.enter(PhaseFindingPredecessor)
+		t.phase = PhaseFindingPredecessor
 		t.findPredecessor()
 	case PhaseDegraded:
 		t.findPredecessor()
--- a/internal/decide/hotrestart/transition_successor.go
+++ b/internal/decide/hotrestart/transition_successor.go
@@ -13,20 +13,6 @@
 	t.send(from, MessageState)
 }
 
-// givesStateTo reports whether a process that asks may have the state now.
-func (t *transition) givesStateTo(from ProcessNumber) bool {
-	if from == t.successor && (t.phase == PhaseSuperseded || t.phase == PhaseFinishing) {
-		return true // its link broke, and the messages under way were lost
-	}
-	isOnlySuccessor := t.successor == NoProcess || t.successor == from
-	return t.acceptsInFull() && t.stateKnown && t.predecessor == NoProcess && !t.handedBack && isOnlySuccessor
-}
-
-// acceptsInFull reports whether the process accepts clients without the bounds of the degraded phase.
-func (t *transition) acceptsInFull() bool {
-	return t.phase == PhaseServing || t.phase == PhaseDraining
-}
-
 // readyReceived stops accepting: for the successor, or for the predecessor where this process was asked to end.
 func (t *transition) readyReceived(from ProcessNumber) {
 	switch {
@@ -45,7 +31,7 @@
 
 func (t *transition) yieldToSuccessor() {
 	t.emit(Effect{Action: ActionStopAccepting})
-	t.enter(PhaseSuperseded)
+	t.phase = PhaseSuperseded
 	if t.stopRequested {
 		t.finish()
 	}
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,12 +1,12 @@
 // Package descriptors has the kernel allocate a process's descriptor table for all the descriptors that the process may
 // come to use, before the process has a second thread. Importing the package is enough.
 //
-// It guards against a router that stalls. The kernel grows a descriptor table by doubling it (64, 128, 256, ...). Where
-// threads share the table, it first waits until no processor can still read the old one: an RCU grace period, seen as
-// synchronize_rcu under expand_files, which lasts seconds now and then on a busy machine. All threads that open a
-// descriptor wait behind it, and since socket is a raw system call in Go, they keep their processors. A process with one
-// thread does not wait. Go starts threads before any line of a program runs; the C library runs constructors before that,
-// so this one is in C.
+// It guards against a router that stalls. The kernel grows a descriptor table by doubling it (64, 128, 256, ...).
+// Where threads share the table, it first waits until no processor can still read the old one: an RCU grace period,
+// seen as synchronize_rcu under expand_files, which lasts seconds now and then on a busy machine. All threads that
+// open a descriptor wait behind it, and since socket is a raw system call in Go, they keep their processors. A
+// process with one thread does not wait. Go starts threads before any line of a program runs; the C library runs
+// constructors before that, so this one is in C.
 package descriptors
 
 /*
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// A process that imports the package has a table for all that its limit allows, up to a bound, before its first line runs,
-// also where its standard streams are closed.
+// A process that imports the package has a table for all that its limit allows, up to a bound, before its first line
+// runs, also where its standard streams are closed.
 func TestTableSizeAtTheStart(t *testing.T) {
 	executable, err := os.Executable()
 	if err != nil {
