--- /dev/null
+++ b/internal/router/settings_test.go
@@ -0,0 +1,51 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"windflow/dispatch"
+)
+
+// A changed configuration is in force at once: here for the attempts of an open request, and for the tenants.
+func TestConfigure(t *testing.T) {
+	h := newHarness(t)
+	cfg := dispatch.Config{
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1, Tenants: []dispatch.Tenant{{Name: "north"}},
+		Classes: []dispatch.Class{
+			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
+			{
+				Name: "load", LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second, Threads: 2,
+				Semantics: dispatch.AtMostOnce,
+			},
+		},
+	}
+	handler, _ := h.submit("lookup", 3000, 0)
+	if kept, err := h.core.Configure(cfg); err != nil || len(kept) > 0 {
+		t.Fatal(kept, err)
+	}
+	h.endAttempt(0, End{Outcome: dispatch.EngineFull})
+	h.advance(400)
+	if diff := cmp.Diff([]string{"refused 0"}, handler.answers); diff != "" || len(h.client.calls) != 1 {
+		t.Errorf("%d calls, %s", len(h.client.calls), diff)
+	}
+	if err := h.core.CheckNames(&Request{Class: "load", Tenant: "south"}); err == nil {
+		t.Error("a tenant that the new configuration does not name is still accepted")
+	}
+	if class, _ := h.core.Class("load"); class.LatencyObjective != 2*time.Second {
+		t.Errorf("latency objective %v", class.LatencyObjective)
+	}
+	cfg.Classes = cfg.Classes[:1]
+	if kept, err := h.core.Configure(cfg); err != nil || len(kept) != 1 || kept[0] != "classes" {
+		t.Error(kept, err)
+	}
+	if _, ok := h.core.Class("load"); !ok {
+		t.Error("a class was lost")
+	}
+	cfg.Classes = nil
+	if _, err := h.core.Configure(cfg); err == nil {
+		t.Error("a configuration without classes was accepted")
+	}
+}
