--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -24,7 +24,7 @@
 			h.endAttempt(0, served)
 			h.endAttempt(0, served)
 		}, []string{"served"}, 1},
-		{"silent engine", "lookup", func(h *harness, _ Handle) {}, []string{"refused 1000"}, 1},
+		{"silent engine", "lookup", func(h *harness, _ Handle) {}, []string{"rejected 1000"}, 1},
 		{"silent engine with a load", "load", func(h *harness, _ Handle) {}, []string{"failed 1"}, 1},
 		{"served after the deadline", "load", func(h *harness, _ Handle) {
 			h.advance(2980)
@@ -45,7 +45,7 @@
 			h.endAttempt(0, End{Outcome: dispatch.EngineFull})
 			h.advance(400)
 			h.endAttempt(1, End{Outcome: dispatch.EngineFull})
-		}, []string{"refused 1000"}, 2},
+		}, []string{"rejected 1000"}, 2},
 		{"client gone", "lookup", func(h *harness, handle Handle) {
 			h.loop.Post(func() { h.core.Abandon(handle); h.core.Abandon(handle) })
 			h.runLoop()
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -55,7 +55,7 @@
 func (r *recordingHandler) Served(*Result) { r.answers = append(r.answers, "served") }
 
 func (r *recordingHandler) Rejected(ms float64) {
-	r.answers = append(r.answers, fmt.Sprintf("refused %.0f", ms))
+	r.answers = append(r.answers, fmt.Sprintf("rejected %.0f", ms))
 }
 
 func (r *recordingHandler) Failed(reason Reason) {
--- a/internal/router/request_ids.go
+++ b/internal/router/request_ids.go
@@ -34,66 +34,66 @@
 }
 
 // inUse reports whether an id is consumed here or open in the other process.
-func (d *requestIDs) inUse(id string) bool { return d.otherProcess[id] || d.consumed.has(id) }
+func (r *requestIDs) inUse(id string) bool { return r.otherProcess[id] || r.consumed.has(id) }
 
 // publish passes a change of this process's ids on.
-func (d *requestIDs) publish(id string, status IDStatus) {
-	if d.hooks.OnIDChange != nil {
-		d.hooks.OnIDChange(IDChange{ID: id, Status: status})
+func (r *requestIDs) publish(id string, status IDStatus) {
+	if r.hooks.OnIDChange != nil {
+		r.hooks.OnIDChange(IDChange{ID: id, Status: status})
 	}
 }
 
 // consume marks the id of a request that may run from now on.
-func (d *requestIDs) consume(id string) {
-	d.consumed.add(id)
-	d.publish(id, IDConsumed)
+func (r *requestIDs) consume(id string) {
+	r.consumed.add(id)
+	r.publish(id, IDConsumed)
 }
 
 // release frees an id whose request is proven not to have run.
-func (d *requestIDs) release(id string) {
-	if d.consumed.has(id) {
-		d.publish(id, IDReleased)
+func (r *requestIDs) release(id string) {
+	if r.consumed.has(id) {
+		r.publish(id, IDReleased)
 	}
-	d.consumed.remove(id)
+	r.consumed.remove(id)
 }
 
 // grant consumes an id that the other process claims, unless it is consumed already. The other process knows of it, so
 // the change is not published.
-func (d *requestIDs) grant(id string) bool {
-	if d.consumed.has(id) {
+func (r *requestIDs) grant(id string) bool {
+	if r.consumed.has(id) {
 		return false
 	}
-	d.consumed.add(id)
+	r.consumed.add(id)
 	return true
 }
 
 // consumedIDs returns the ids of requests that may have run, the oldest first.
-func (d *requestIDs) consumedIDs() []string { return d.consumed.list() }
+func (r *requestIDs) consumedIDs() []string { return r.consumed.list() }
 
 // otherProcessEnded forgets the ids that were open in the other process.
-func (d *requestIDs) otherProcessEnded() { clear(d.otherProcess) }
+func (r *requestIDs) otherProcessEnded() { clear(r.otherProcess) }
 
 // applyChange applies a change that the other process published.
-func (d *requestIDs) applyChange(change IDChange) {
+func (r *requestIDs) applyChange(change IDChange) {
 	switch change.Status {
 	case IDOpen:
-		d.otherProcess[change.ID] = true
+		r.otherProcess[change.ID] = true
 	case IDDone:
-		delete(d.otherProcess, change.ID)
+		delete(r.otherProcess, change.ID)
 	case IDConsumed:
-		d.consumed.add(change.ID)
+		r.consumed.add(change.ID)
 	case IDReleased:
-		d.consumed.remove(change.ID)
+		r.consumed.remove(change.ID)
 	}
 }
 
 // restore takes the ids of another process's state; its open ids replace those of an earlier state.
-func (d *requestIDs) restore(open, consumed []string) {
-	d.otherProcessEnded()
+func (r *requestIDs) restore(open, consumed []string) {
+	r.otherProcessEnded()
 	for _, id := range open {
-		d.otherProcess[id] = true
+		r.otherProcess[id] = true
 	}
 	for _, id := range consumed {
-		d.consumed.add(id)
+		r.consumed.add(id)
 	}
 }
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -52,125 +52,125 @@
 }
 
 // armGuard sets the answer guard of a request by its deadline.
-func (p *responder) armGuard(request *request) {
+func (r *responder) armGuard(request *request) {
 	request.guard.Stop()
-	request.guard = p.loop.At(max(request.deadline, p.loop.Now())+answerGuardMS, func() { p.failOverdue(request) })
+	request.guard = r.loop.At(max(request.deadline, r.loop.Now())+answerGuardMS, func() { r.failOverdue(request) })
 }
 
 // serve answers a request with the result of one of its attempts.
-func (p *responder) serve(attempt *attempt, result *Result) {
+func (r *responder) serve(attempt *attempt, result *Result) {
 	request := attempt.request
-	handler := p.close(request)
-	p.statistics.Counters.Served++
-	p.statistics.ByClass[request.Class].Served++
-	p.observe(request, Answer{Kind: AnswerServed, ObjectiveMS: p.objective(request, result), Engine: attempt.engine})
+	handler := r.close(request)
+	r.statistics.Counters.Served++
+	r.statistics.ByClass[request.Class].Served++
+	r.observe(request, Answer{Kind: AnswerServed, ObjectiveMS: r.objective(request, result), Engine: attempt.engine})
 	handler.Served(result)
 }
 
 // reject rejects a request as the module decided.
-func (p *responder) reject(request *request, retryAfterMS float64) {
+func (r *responder) reject(request *request, retryAfterMS float64) {
 	if request == nil || !request.open() {
 		return
 	}
-	handler := p.close(request)
-	p.sendRejection(request, handler, p.rejectionReason(request), retryAfterMS)
+	handler := r.close(request)
+	r.sendRejection(request, handler, r.rejectionReason(request), retryAfterMS)
 }
 
 // rejectUnclaimed rejects a request because the other process did not answer the claim of its id.
-func (p *responder) rejectUnclaimed(request *request) {
-	handler := p.close(request)
-	retryAfterMS := p.settings.Load().retryAfter(claimRetryAfterMS)
-	p.sendRejection(request, handler, "no word of the router's other process", retryAfterMS)
+func (r *responder) rejectUnclaimed(request *request) {
+	handler := r.close(request)
+	retryAfterMS := r.settings.Load().retryAfter(claimRetryAfterMS)
+	r.sendRejection(request, handler, "no word of the router's other process", retryAfterMS)
 }
 
-func (p *responder) sendRejection(request *request, handler ResponseHandler, reason string, retryAfterMS float64) {
-	p.statistics.Counters.Rejected++
-	p.statistics.ByClass[request.Class].Rejected++
-	p.observe(request, Answer{Kind: AnswerRejected, Reason: reason})
+func (r *responder) sendRejection(request *request, handler ResponseHandler, reason string, retryAfterMS float64) {
+	r.statistics.Counters.Rejected++
+	r.statistics.ByClass[request.Class].Rejected++
+	r.observe(request, Answer{Kind: AnswerRejected, Reason: reason})
 	handler.Rejected(retryAfterMS)
 }
 
 // failByModule fails a request as the module decided.
-func (p *responder) failByModule(request *request) {
+func (r *responder) failByModule(request *request) {
 	if request == nil || !request.open() {
 		return
 	}
 	reason := ReasonEngine
-	if p.loop.Now() >= request.deadline-deadlineToleranceMS {
+	if r.loop.Now() >= request.deadline-deadlineToleranceMS {
 		reason = ReasonDeadline
 	}
-	p.fail(request, reason)
+	r.fail(request, reason)
 }
 
-func (p *responder) fail(request *request, reason Reason) {
-	handler := p.close(request)
-	p.statistics.Counters.Failed++
-	p.statistics.ByClass[request.Class].Failed++
-	p.observe(request, Answer{Kind: AnswerFailed, Reason: failureReason(request, reason)})
+func (r *responder) fail(request *request, reason Reason) {
+	handler := r.close(request)
+	r.statistics.Counters.Failed++
+	r.statistics.ByClass[request.Class].Failed++
+	r.observe(request, Answer{Kind: AnswerFailed, Reason: failureReason(request, reason)})
 	handler.Failed(reason)
 }
 
 // failOverdue answers in place of the module; see answerGuardMS.
-func (p *responder) failOverdue(request *request) {
+func (r *responder) failOverdue(request *request) {
 	if !request.open() {
 		return
 	}
-	p.statistics.Counters.Overdue++
-	p.log.Error("request overdue", "request_id", request.ID, "class", request.Class, "outstanding", request.outstanding)
-	p.fail(request, ReasonDeadline)
-	p.queue.add(dispatch.ClientGone{Request: request.key})
+	r.statistics.Counters.Overdue++
+	r.log.Error("request overdue", "request_id", request.ID, "class", request.Class, "outstanding", request.outstanding)
+	r.fail(request, ReasonDeadline)
+	r.queue.add(dispatch.ClientGone{Request: request.key})
 }
 
 // abandon ends a request whose client is gone; it gets no answer.
-func (p *responder) abandon(request *request) {
+func (r *responder) abandon(request *request) {
 	if request == nil || !request.open() {
 		return
 	}
-	p.statistics.Counters.Abandoned++
-	p.close(request)
-	p.queue.add(dispatch.ClientGone{Request: request.key})
-	p.observe(request, Answer{Kind: AnswerClientGone})
+	r.statistics.Counters.Abandoned++
+	r.close(request)
+	r.queue.add(dispatch.ClientGone{Request: request.key})
+	r.observe(request, Answer{Kind: AnswerClientGone})
 }
 
 // close closes a request and returns its handler. Attempts that were sent go on being reported to the module; the
 // others are taken back, because no client waits for them.
-func (p *responder) close(request *request) ResponseHandler {
-	handler := p.requests.close(request)
+func (r *responder) close(request *request) ResponseHandler {
+	handler := r.requests.close(request)
 	request.guard.Stop()
-	p.ids.publish(request.ID, IDDone)
-	p.attempts.cancelAllUnsent(request)
+	r.ids.publish(request.ID, IDDone)
+	r.attempts.cancelAllUnsent(request)
 	if !request.arriving {
-		p.requests.removeEnded(request)
+		r.requests.removeEnded(request)
 	}
 	return handler
 }
 
 // limitDeadline moves the deadline of a request to the shutdown deadline, if that comes first.
-func (p *responder) limitDeadline(request *request, shutdownAt float64) {
+func (r *responder) limitDeadline(request *request, shutdownAt float64) {
 	if request.deadline <= shutdownAt {
 		return
 	}
 	request.deadline = shutdownAt
-	p.armGuard(request)
-	p.attempts.limitTimeouts(request, shutdownAt)
+	r.armGuard(request)
+	r.attempts.limitTimeouts(request, shutdownAt)
 }
 
 // observe reports an answer to the observer.
-func (p *responder) observe(request *request, answer Answer) {
-	if p.hooks.Observer == nil {
+func (r *responder) observe(request *request, answer Answer) {
+	if r.hooks.Observer == nil {
 		return
 	}
-	answer.TookMS = p.loop.Now() - request.SentAtMS
+	answer.TookMS = r.loop.Now() - request.SentAtMS
 	if last := request.lastAttempt(); answer.Engine == 0 && last != nil {
 		answer.Engine = last.engine
 	}
-	p.hooks.Observer.RequestAnswered(request.Request, answer)
+	r.hooks.Observer.RequestAnswered(request.Request, answer)
 }
 
 // objective is the time in milliseconds within which an answer meets the class's latency objective, by the work that
 // the engine reported, else by the client's estimate.
-func (p *responder) objective(request *request, result *Result) float64 {
-	class := p.settings.Load().classes[request.Class]
+func (r *responder) objective(request *request, result *Result) float64 {
+	class := r.settings.Load().classes[request.Class]
 	work := request.EstimateMS
 	if result != nil && result.WorkMS > 0 {
 		work = result.WorkMS
@@ -205,11 +205,11 @@
 }
 
 // rejectionReason is the text in records of a rejection by the module, by what the core knows of it.
-func (p *responder) rejectionReason(request *request) string {
+func (r *responder) rejectionReason(request *request) string {
 	switch last := request.lastAttempt(); {
 	case last != nil:
 		return "turned away: " + outcomeReasons[last.outcome]
-	case p.endpoints.count() == 0:
+	case r.endpoints.count() == 0:
 		return "no engine is listed"
 	}
 	return "no room in time"
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -28,7 +28,7 @@
 	}
 	h.endAttempt(0, End{Outcome: dispatch.EngineFull})
 	h.advance(400)
-	if diff := cmp.Diff([]string{"refused 0"}, handler.answers); diff != "" || len(h.client.calls) != 1 {
+	if diff := cmp.Diff([]string{"rejected 0"}, handler.answers); diff != "" || len(h.client.calls) != 1 {
 		t.Errorf("%d calls, %s", len(h.client.calls), diff)
 	}
 	if err := h.core.CheckNames(&Request{Class: "load", Tenant: "south"}); err == nil {
