--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -99,10 +99,10 @@
 // Whatever an engine answers, an attempt ends with an outcome, and only what proves that nothing ran says so. Of the
 // offsets of a column of text, Arrow checks the last one only, and panics over the others when the value is read.
 func TestBadResponsesToQueries(t *testing.T) {
-	whole := textStream(t, "ab", "cd", "ef")
+	complete := textStream(t, "ab", "cd", "ef")
 	broken := textStream(t, "ab", "cd", "ef")
 	copy(broken[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end of the first value
-	if bytes.Equal(broken[1].DataBody, whole[1].DataBody) {
+	if bytes.Equal(broken[1].DataBody, complete[1].DataBody) {
 		t.Fatal("nothing is broken")
 	}
 	noSchema := []*flight.FlightData{{DataHeader: []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, DataBody: []byte("x")}}
@@ -119,12 +119,12 @@
 		get       func(flight.FlightService_DoGetServer) error
 		want      dispatch.Outcome
 	}{
-		{"whole", one, rows(whole), dispatch.Served},
+		{"complete", one, rows(complete), dispatch.Served},
 		{"broken offsets", one, rows(broken), dispatch.EngineFailed},
-		{"no endpoint", nil, rows(whole), dispatch.EngineFailed},
-		{"no ticket", []*flight.FlightEndpoint{{}}, rows(whole), dispatch.Served},
+		{"no endpoint", nil, rows(complete), dispatch.EngineFailed},
+		{"no ticket", []*flight.FlightEndpoint{{}}, rows(complete), dispatch.Served},
 		{"no Arrow at all", one, rows(noSchema), dispatch.EngineFailed},
-		{"rows without a schema", one, rows(whole[1:]), dispatch.EngineFailed},
+		{"rows without a schema", one, rows(complete[1:]), dispatch.EngineFailed},
 		{"a result too big", one, rows(textStream(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
 		{"nothing", one, rows(nil), dispatch.EngineFailed},
 		{"its own failure", one, fails(codes.Internal), dispatch.EngineFailed},
@@ -159,7 +159,7 @@
 		put  func(flight.FlightService_DoPutServer) error
 		want dispatch.Outcome
 	}{
-		{"whole", answers(nil, changed), dispatch.Served},
+		{"complete", answers(nil, changed), dispatch.Served},
 		{"none", answers(nil), dispatch.EngineFailed},
 		{"two", answers(nil, changed, changed), dispatch.EngineFailed},
 		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -174,7 +174,7 @@
 	goldentest.Equal(t, "prepared.txt", text)
 }
 
-// What a client is told of the server is the same as before, but for the version of Arrow.
+// What clients learn of the server is the same as before, but for the version of Arrow.
 func TestGoldenSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.GetSqlInfo(call(t, goldenTimeout), nil)
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -62,7 +62,7 @@
 }
 
 // Closed implements netio.Handler.
-func (s *session) Closed(error) { s.leave() }
+func (s *session) Closed(error) { s.deregister() }
 
 // Data implements netio.Handler.
 func (s *session) Data(b []byte, atMS float64) {
@@ -182,12 +182,12 @@
 // end is the one way in which a session closes: queued answers are sent, then the end of the stream. What the client
 // sends from here on is dropped; it learns from the end that it was not handled.
 func (s *session) end() {
-	s.leave()
+	s.deregister()
 	s.conn.CloseGracefully()
 }
 
-// leave takes the session out of the front; its open request is not answered any more.
-func (s *session) leave() {
+// deregister removes the session from the front; its open request is not answered any more.
+func (s *session) deregister() {
 	delete(s.front.sessions, s.id)
 	s.closed = true
 	s.setBuffer(nil)
