--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // adminCalls are calls of the admin command, one of which fails.
@@ -51,8 +51,8 @@
 	}
 	_, _, err := run(t, adminName, "ready")
 	fmt.Fprintf(&printed, "no door: %v\n", err)
-	goldentest.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
-	goldentest.Equal(t, "door-calls.txt", router.requests.Bytes())
+	golden.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
+	golden.Equal(t, "door-calls.txt", router.requests.Bytes())
 }
 
 // Under its former name the command does and prints the same, and says on standard error what it is called now.
@@ -72,6 +72,6 @@
 		t.Errorf("without a router: standard error has %q", bad)
 	}
 	fmt.Fprintf(&printed, "no door: %v\n", err)
-	goldentest.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
-	goldentest.Equal(t, "door-calls.txt", router.requests.Bytes())
+	golden.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
+	golden.Equal(t, "door-calls.txt", router.requests.Bytes())
 }
--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 	"windflow/internal/record"
 )
 
@@ -29,7 +29,7 @@
 		w.Put(r)
 	}
 	w.Close()
-	goldentest.Write(t, goldenSegments, goldentest.Pack(t, dir))
+	golden.Write(t, goldenSegments, golden.Pack(t, dir))
 }
 
 // fullRecords are one of each kind, all fields set.
@@ -69,11 +69,11 @@
 
 // The output for segments that an earlier program wrote is what that program printed.
 func TestGoldenRecords(t *testing.T) {
-	goldentest.AllFieldsSet(t, fullRecords())
-	if goldentest.Recording(t, goldenSegments) {
+	golden.AllFieldsSet(t, fullRecords())
+	if golden.Recording(t, goldenSegments) {
 		recordSegments(t)
 	}
-	dir := goldentest.Unpack(t, goldentest.Read(t, goldenSegments))
+	dir := golden.Unpack(t, golden.Read(t, goldenSegments))
 	cut := filepath.Join(t.TempDir(), "cut")
 	full, err := filepath.Glob(filepath.Join(dir, "n2-*"))
 	if err != nil || len(full) != 1 {
@@ -98,13 +98,13 @@
 	} {
 		out, bad, err := run(t, k.args...)
 		printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
-		goldentest.Equal(t, k.file, []byte(strings.ReplaceAll(printed, dir, "DIR")))
+		golden.Equal(t, k.file, []byte(strings.ReplaceAll(printed, dir, "DIR")))
 	}
 }
 
 // The output for a truncated segment, a damaged one and a file that is none is what an earlier program printed.
 func TestGoldenRecordsDamaged(t *testing.T) {
-	dir := goldentest.Unpack(t, goldentest.Read(t, goldenSegments))
+	dir := golden.Unpack(t, golden.Read(t, goldenSegments))
 	files, err := record.SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -128,5 +128,5 @@
 	}
 	out, bad, err := run(t, "records", "check", dir)
 	printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
-	goldentest.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(printed, dir, "DIR")))
+	golden.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(printed, dir, "DIR")))
 }
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -58,10 +58,10 @@
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	for _, r := range recordSamples() {
-		golden.Full(t, r)
+		golden.NoZeroFields(t, r)
 		if err := enc.Encode(printedRecord{kindName(r), "n0", 2, "p-3", formatTime(r.TimeMS()), r}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	golden.File(t, "testdata/golden/records.jsonl", out.Bytes())
+	golden.Equal(t, "records.jsonl", out.Bytes())
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -65,7 +65,7 @@
 			fmt.Fprintf(&got, "< %q\n", line)
 		}
 	}
-	golden.File(t, "testdata/golden/answers.txt", []byte(got.String()))
+	golden.Equal(t, "answers.txt", []byte(got.String()))
 }
 
 // responseTo returns the response to a request, or what is sent once its time is up.
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"testing"
 
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // takeHex returns what the speaker has written since the last call as hexadecimal digits, after the step's name.
@@ -56,7 +56,7 @@
 	}{{"external", external, current}, {"internal", internal, current}, {"large, old neighbour", large, old}} {
 		fmt.Fprintf(&text, "%s\n%s\n", session.name, converse(t, session.config, session.open))
 	}
-	goldentest.Equal(t, "sessions.txt", text.Bytes())
+	golden.Equal(t, "sessions.txt", text.Bytes())
 }
 
 // Each message has the recorded bytes.
@@ -85,5 +85,5 @@
 	} {
 		fmt.Fprintf(&text, "%s: %x\n", m.name, m.bytes)
 	}
-	goldentest.Equal(t, "messages.txt", text.Bytes())
+	golden.Equal(t, "messages.txt", text.Bytes())
 }
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"windflow/internal/decide/configlog"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 const goldenWithin = 20 * time.Second
@@ -66,14 +66,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, goldenCopy, written)
-	goldentest.AllFieldsSet(t, copyContent{Router: "n/0", Saved: saved})
+	golden.Equal(t, goldenCopy, written)
+	golden.AllFieldsSet(t, copyContent{Router: "n/0", Saved: saved})
 }
 
 // A copy that an earlier program wrote is in force after a start without any keeper.
 func TestGoldenCopyIsRestored(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, goldenCopy), goldentest.Read(t, goldenCopy), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, goldenCopy), golden.Read(t, goldenCopy), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c := New(Config{Dir: dir}, "n/0", configlog.NewInstance(10, 11), discard)
@@ -152,16 +152,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Equal(t, "answer-"+name+".json", append(text, '\n'))
-		address, call := answerOnce(t, goldentest.Read(t, "answer-"+name+".json"))
+		golden.Equal(t, "answer-"+name+".json", append(text, '\n'))
+		address, call := answerOnce(t, golden.Read(t, "answer-"+name+".json"))
 		ctx, cancel := context.WithTimeout(context.Background(), goldenWithin)
 		got, fresh, err := (&keeperConn{}).poll(ctx, address, report, 2000)
 		cancel()
 		if diff := cmp.Diff(want, got); err != nil || !fresh || diff != "" {
 			t.Errorf("%s: %v %v %s", name, fresh, err, diff)
 		}
-		goldentest.Equal(t, "call.txt", bytes.Replace(<-call, []byte(address), []byte("KEEPER"), 1))
+		golden.Equal(t, "call.txt", bytes.Replace(<-call, []byte(address), []byte("KEEPER"), 1))
 		all = append(all, want)
 	}
-	goldentest.AllFieldsSet(t, append(all, report)...)
+	golden.AllFieldsSet(t, append(all, report)...)
 }
--- a/internal/decide/configlog/encoded_test.go
+++ b/internal/decide/configlog/encoded_test.go
@@ -26,5 +26,5 @@
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
-	golden.Tagged(t, "json", encodedTypes()...)
+	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"windflow/internal/decide/configerror"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 func goldenHash(digit byte) (h Hash) {
@@ -82,14 +82,14 @@
 // Each type has the JSON that an earlier program gave it, and is read as it was meant.
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range goldenMessages() {
-		goldentest.AllFieldsSet(t, want)
+		golden.AllFieldsSet(t, want)
 		text, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Equal(t, file, append(text, '\n'))
+		golden.Equal(t, file, append(text, '\n'))
 		got := reflect.New(reflect.TypeOf(want))
-		if err := json.Unmarshal(goldentest.Read(t, file), got.Interface()); err != nil {
+		if err := json.Unmarshal(golden.Read(t, file), got.Interface()); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, got.Elem().Interface()); diff != "" {
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, "fault-kinds.json", append(text, '\n'))
+	golden.Equal(t, "fault-kinds.json", append(text, '\n'))
 }
 
 // goldenChanges are applied to a log that retains three revisions.
@@ -154,9 +154,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, file, state)
+	golden.Equal(t, file, state)
 	read := NewLog(Retention{})
-	if err := read.UnmarshalBinary(goldentest.Read(t, file)); err != nil {
+	if err := read.UnmarshalBinary(golden.Read(t, file)); err != nil {
 		t.Fatal(err)
 	}
 	diff := cmp.Diff(
@@ -185,5 +185,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, "log-history.json", append(history, '\n'))
+	golden.Equal(t, "log-history.json", append(history, '\n'))
 }
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 
 	"windflow/dispatch"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 	"windflow/internal/router"
 )
 
@@ -85,7 +85,7 @@
 	served := runAttempts(t, e, query, update, load)
 	e.rejects = true
 	rejected := runAttempts(t, e, load)
-	goldentest.Equal(t, "engine-calls.txt", e.calls.Bytes())
+	golden.Equal(t, "engine-calls.txt", e.calls.Bytes())
 	changed := router.Result{
 		Columns: []string{"rows_changed"}, Cells: []router.Cell{{Text: "3"}}, WorkMS: 12.5, NeedMB: 34.5, ChangedRows: 3,
 	}
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 	"windflow/internal/router"
 )
 
@@ -90,7 +90,7 @@
 func TestGoldenExchanges(t *testing.T) {
 	f, _, c := newFront(t)
 	text := describeAnswers(t, c) + describeFailures(t, c)
-	goldentest.Equal(t, "exchanges.txt", []byte(strings.ReplaceAll(text, f.Addr(), "ROUTER")))
+	golden.Equal(t, "exchanges.txt", []byte(strings.ReplaceAll(text, f.Addr(), "ROUTER")))
 }
 
 // describeAnswers describes a query and an update of each class with each outcome of an engine.
@@ -171,7 +171,7 @@
 	_, err = c.Prepare(call(t, goldenTimeout), "")
 	text := fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
 		statement.DatasetSchema(), statement.ParameterSchema(), describeEnd(err, nil))
-	goldentest.Equal(t, "prepared.txt", text)
+	golden.Equal(t, "prepared.txt", text)
 }
 
 // What clients learn of the server is the same as before, but for the version of Arrow.
@@ -198,7 +198,7 @@
 	}
 	slices.Sort(rows)
 	text := fmt.Sprintf("%v\n%s\n", reader.Schema(), strings.Join(rows, "\n"))
-	goldentest.Equal(t, "sql-info.txt", []byte(strings.ReplaceAll(text, arrow.PkgVersion, "ARROW")))
+	golden.Equal(t, "sql-info.txt", []byte(strings.ReplaceAll(text, arrow.PkgVersion, "ARROW")))
 }
 
 // Tickets that one process releases to another have the same names and values as before, and can be redeemed there.
@@ -210,14 +210,14 @@
 			SentAtMS: 1_796_000_000_000.25, BudgetMS: 9000.5, EstimateMS: 12.5, NeedMB: 34.5, Retry: true, Update: true,
 		},
 	}}
-	goldentest.AllFieldsSet(t, want)
+	golden.AllFieldsSet(t, want)
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, "tickets.json", append(text, '\n'))
+	golden.Equal(t, "tickets.json", append(text, '\n'))
 	var got []Ticket
-	if err := json.Unmarshal(goldentest.Read(t, "tickets.json"), &got); err != nil {
+	if err := json.Unmarshal(golden.Read(t, "tickets.json"), &got); err != nil {
 		t.Fatal(err)
 	}
 	f, _, _ := newFront(t)
--- a/internal/goldentest/archive.go
+++ b/internal/golden/archive.go
@@ -1,4 +1,4 @@
-package goldentest
+package golden
 
 import (
 	"archive/tar"
@@ -11,26 +11,26 @@
 	"testing"
 )
 
-// Pack gives a folder as a compressed tar archive.
-func Pack(t testing.TB, dir string) []byte {
-	t.Helper()
+// Pack returns a compressed tar archive of a folder.
+func Pack(tb testing.TB, dir string) []byte {
+	tb.Helper()
 	var packed bytes.Buffer
 	compressed, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
 	archive := tar.NewWriter(compressed)
 	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressed.Close()); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return packed.Bytes()
 }
 
-// Unpack writes the content of an archive of Pack into a new temporary folder and gives its path.
-func Unpack(t testing.TB, packed []byte) string {
-	t.Helper()
+// Unpack extracts an archive of Pack into a new temporary folder and returns its path.
+func Unpack(tb testing.TB, packed []byte) string {
+	tb.Helper()
 	compressed, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	dir := t.TempDir()
+	dir := tb.TempDir()
 	for archive := tar.NewReader(compressed); ; {
 		header, err := archive.Next()
 		if errors.Is(err, io.EOF) {
@@ -40,7 +40,7 @@
 			err = unpackEntry(dir, header, archive)
 		}
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,13 @@
-// Package golden has what tests need to hold an encoded form still: files that are recorded once and never again, and checks
-// that a sample leaves no field out and that an encoded type names each field by a tag.
+// Package golden has the checks of tests that hold an encoded form: files that an earlier program wrote, and checks
+// that samples set all fields and that encoded types name each field by a tag.
+//
+// Golden files are in the folder testdata/golden of the package under test. They stand for data on disks and wires:
+// they are recorded once, with the flag -golden.record, and never overwritten.
 package golden
 
 import (
+	"bytes"
+	"encoding/hex"
 	"errors"
 	"flag"
 	"io/fs"
@@ -13,40 +18,72 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var record = flag.Bool("record-golden", false, "write the golden files that are not there yet; one that is there is never written")
+var record = flag.Bool("golden.record", false, "write golden files that do not exist; existing ones are never overwritten")
 
-// Recording tells whether golden files that are not there yet are to be written.
-func Recording() bool { return *record }
+// maxBinaryBytes bounds how much of a binary file a failure shows.
+const maxBinaryBytes = 8 << 10
 
-// File compares got with the golden file of that path, byte for byte. With -record-golden it writes a file that does not
-// exist, and fails on one that does and differs: what was recorded is what other programs have.
-func File(t testing.TB, path string, got []byte) {
-	t.Helper()
-	want, err := os.ReadFile(path)
+// Path returns the path of a golden file from the package under test.
+func Path(name string) string { return filepath.Join("testdata", "golden", filepath.FromSlash(name)) }
+
+// Recording reports whether a golden file is to be written: -golden.record is set and the file does not exist.
+func Recording(tb testing.TB, name string) bool {
+	tb.Helper()
+	_, err := os.Lstat(Path(name))
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		tb.Fatal(err)
+	}
+	return err != nil && *record
+}
+
+// Read returns the content of a golden file.
+func Read(tb testing.TB, name string) []byte {
+	tb.Helper()
+	content, err := os.ReadFile(Path(name))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return content
+}
+
+// Equal compares got with a golden file, byte by byte. While recording, it writes a file that does not exist first.
+func Equal(tb testing.TB, name string, got []byte) {
+	tb.Helper()
+	if Recording(tb, name) {
+		Write(tb, name, got)
+	}
+	want := Read(tb, name)
 	switch {
-	case errors.Is(err, fs.ErrNotExist) && *record:
-		create(t, path, got)
-	case err != nil:
-		t.Error(err)
+	case bytes.Equal(want, got):
+	case isText(want) && isText(got):
+		tb.Errorf("%s differs: golden -, now +\n%s", name, cmp.Diff(string(want), string(got)))
 	default:
-		if diff := cmp.Diff(string(want), string(got)); diff != "" {
-			t.Errorf("%s: golden -, now +\n%s", path, diff)
-		}
+		tb.Errorf("%s differs\n got: %s\nwant: %s", name, hexPrefix(got), hexPrefix(want))
 	}
 }
 
-// create writes a file that must not exist.
-func create(t testing.TB, path string, text []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
+// Write creates a golden file. It fails the test where the file exists.
+func Write(tb testing.TB, name string, content []byte) {
+	tb.Helper()
+	if err := os.MkdirAll(filepath.Dir(Path(name)), 0o755); err != nil {
+		tb.Fatal(err)
 	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	file, err := os.OpenFile(Path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Close()); err != nil {
-		t.Fatal(err)
+	_, err = file.Write(content)
+	if err := errors.Join(err, file.Close()); err != nil {
+		tb.Fatal(err)
 	}
 }
+
+func isText(content []byte) bool {
+	return !bytes.ContainsFunc(content, func(r rune) bool {
+		return r == '\ufffd' || r < ' ' && r != '\n' && r != '\t'
+	})
+}
+
+func hexPrefix(content []byte) string {
+	return hex.EncodeToString(content[:min(len(content), maxBinaryBytes)])
+}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,82 +1,116 @@
 package golden
 
 import (
-	"net/netip"
 	"os"
-	"path/filepath"
-	"slices"
 	"testing"
 )
 
-type inner struct {
-	Tagged   int `json:"tagged"`
-	Untagged string
+// failure is a testing.TB that notes whether a check failed. A fatal one panics with it, as the check must not go on.
+type failure struct {
+	testing.TB
+	failed bool
 }
 
-type outer struct {
-	inner
-	List    []inner          `json:"list"`
-	ByName  map[string]inner `json:"by_name"`
-	Pointer *inner           `json:"pointer,omitempty"`
-	Address netip.Addr       `json:"address"`
-	Left    func()           `json:"-"`
-	Only    bool             `json:",omitempty"`
+func (f *failure) Helper()               {}
+func (f *failure) Error(...any)          { f.failed = true }
+func (f *failure) Errorf(string, ...any) { f.failed = true }
+func (f *failure) Fatal(...any) {
+	f.failed = true
+	panic(f)
 }
 
-func TestUntaggedFields(t *testing.T) {
-	want := []string{"golden.inner.Untagged", "golden.outer.Only"}
-	if got := UntaggedFields("json", outer{}); !slices.Equal(got, want) {
-		t.Errorf("untagged are %q, not %q", got, want)
-	}
-	if got := UntaggedFields("cbor", inner{}); len(got) != 2 {
-		t.Errorf("untagged for cbor are %q", got)
-	}
-}
-
-func TestZeroFields(t *testing.T) {
-	full := inner{1, "a"}
-	sample := outer{
-		List: []inner{full, {Tagged: 1}}, ByName: map[string]inner{"x": {Untagged: "b"}}, Pointer: &inner{Tagged: 1},
-		Address: netip.MustParseAddr("10.0.0.1"), Left: func() {},
-	}
-	want := []string{"List[1].Untagged", "ByName[x].Tagged", "Pointer.Untagged", "Only"}
-	if got := ZeroFields(sample); !slices.Equal(got, want) {
-		t.Errorf("zero are %q, not %q", got, want)
-	}
+// fails reports whether a check fails.
+func fails(t *testing.T, check func(testing.TB)) (failed bool) {
+	t.Helper()
+	noted := &failure{TB: t}
+	defer func() {
+		if recovered := recover(); recovered != nil && recovered != any(noted) {
+			panic(recovered)
+		}
+		failed = noted.failed
+	}()
+	check(noted)
+	return noted.failed
 }
 
-// report notes that a check failed.
-type report struct {
-	testing.TB
-	failed bool
+// setRecording sets the flag for the duration of a test.
+func setRecording(t *testing.T, recording bool) {
+	t.Helper()
+	before := *record
+	t.Cleanup(func() { *record = before })
+	*record = recording
 }
 
-func (r *report) Helper()               {}
-func (r *report) Error(...any)          { r.failed = true }
-func (r *report) Errorf(string, ...any) { r.failed = true }
-
-// A golden file that differs, or is not there, fails; recording leaves one that is there as it was.
+// A golden file that differs or does not exist fails the test; recording writes one that does not exist and leaves an
+// existing one as it is.
 func TestFileIsNeverWrittenAgain(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "folder", "form.json")
-	before := *record
-	t.Cleanup(func() { *record = before })
-	fails := func(text string) bool {
-		r := &report{TB: t}
-		File(r, path, []byte(text))
-		return r.failed
+	t.Chdir(t.TempDir())
+	const name = "folder/form.json"
+	equalFails := func(text string) bool {
+		return fails(t, func(tb testing.TB) {
+			tb.Helper()
+			Equal(tb, name, []byte(text))
+		})
 	}
-	*record = false
-	if !fails("one") {
-		t.Error("a golden file that is not there passes")
+	setRecording(t, false)
+	if !equalFails("one") {
+		t.Error("a golden file that does not exist passes")
 	}
 	*record = true
-	if fails("one") || fails("one") {
-		t.Error("a file can't be recorded")
+	for range 2 {
+		if equalFails("one") {
+			t.Error("a file can't be recorded")
+		}
 	}
-	if !fails("two") {
-		t.Error("another content passes while files are recorded")
+	for _, recording := range []bool{true, false} {
+		*record = recording
+		if !equalFails("two") || !equalFails("two\x00") {
+			t.Errorf("another content passes, recording %v", recording)
+		}
 	}
-	if text, err := os.ReadFile(path); err != nil || string(text) != "one" {
+	if text, err := os.ReadFile(Path(name)); err != nil || string(text) != "one" {
 		t.Errorf("the file holds %q, %v", text, err)
 	}
 }
+
+// A golden file is recorded on request only, and Write never overwrites one.
+func TestRecordsOnce(t *testing.T) {
+	t.Chdir(t.TempDir())
+	setRecording(t, false)
+	if Recording(t, "a") {
+		t.Error("records without the flag")
+	}
+	*record = true
+	if !Recording(t, "a") {
+		t.Error("does not record a file that does not exist")
+	}
+	Equal(t, "a", []byte("first"))
+	if Recording(t, "a") {
+		t.Error("records a file that exists")
+	}
+	overwriteFails := fails(t, func(tb testing.TB) {
+		tb.Helper()
+		Write(tb, "a", []byte("second"))
+	})
+	if !overwriteFails {
+		t.Error("overwrites a file that exists")
+	}
+	if content, err := os.ReadFile(Path("a")); err != nil || string(content) != "first" {
+		t.Error(string(content), err)
+	}
+}
+
+// An archive has the content of its folder.
+func TestArchive(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.MkdirAll(dir+"/sub", 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(dir+"/sub/file", []byte("content"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(Unpack(t, Pack(t, dir)) + "/sub/file")
+	if err != nil || string(content) != "content" {
+		t.Errorf("%q, %v", content, err)
+	}
+}
--- /dev/null
+++ b/internal/golden/samples.go
@@ -0,0 +1,144 @@
+package golden
+
+import (
+	"encoding"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var (
+	textMarshaler = reflect.TypeFor[encoding.TextMarshaler]()
+	jsonMarshaler = reflect.TypeFor[json.Marshaler]()
+)
+
+// encodesItself reports whether a type has its own encoding, to which its fields do not matter.
+func encodesItself(typ reflect.Type) bool {
+	return typ.Implements(textMarshaler) || typ.Implements(jsonMarshaler)
+}
+
+// NoZeroFields fails for each field of a sample that is zero or empty, at any depth: the loss of such a field in an
+// encoding would go unnoticed. except has the paths of fields that are zero on purpose, as in "Rows[0].Name"; each of
+// them has to be.
+func NoZeroFields(tb testing.TB, sample any, except ...string) {
+	tb.Helper()
+	zero := zeroFields(reflect.ValueOf(sample), "")
+	for _, path := range zero {
+		if !slices.Contains(except, path) {
+			tb.Errorf("%T: the sample's field %s is zero", sample, path)
+		}
+	}
+	for _, path := range except {
+		if !slices.Contains(zero, path) {
+			tb.Errorf("%T: the sample's field %s is not zero", sample, path)
+		}
+	}
+}
+
+// zeroFields returns the paths of exported fields that are zero or empty, at any depth.
+func zeroFields(value reflect.Value, path string) (found []string) {
+	if !value.IsValid() || value.IsZero() {
+		return []string{path}
+	}
+	if encodesItself(value.Type()) {
+		return nil
+	}
+	switch value.Kind() { //nolint:exhaustive // the other kinds have no fields
+	case reflect.Pointer, reflect.Interface:
+		return zeroFields(value.Elem(), path)
+	case reflect.Slice, reflect.Map:
+		return zeroElements(value, path)
+	case reflect.Struct:
+		for field, fieldValue := range value.Fields() {
+			if field.IsExported() {
+				found = append(found, zeroFields(fieldValue, joinPath(path, field.Name))...)
+			}
+		}
+	}
+	return found
+}
+
+func zeroElements(value reflect.Value, path string) (found []string) {
+	if value.Len() == 0 {
+		return []string{path}
+	}
+	if value.Kind() == reflect.Map {
+		for _, key := range value.MapKeys() {
+			found = append(found, zeroFields(value.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
+		}
+		return found
+	}
+	if value.Type().Elem().Kind() == reflect.Uint8 {
+		return nil // bytes are encoded as one value
+	}
+	for i := range value.Len() {
+		found = append(found, zeroFields(value.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+	}
+	return found
+}
+
+func joinPath(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
+
+// AllFieldsSet fails unless each exported field of each struct type in the samples is set in at least one of its
+// values. Unlike NoZeroFields it allows values without all fields beside a full one, and it descends into types with
+// their own encoding.
+func AllFieldsSet(tb testing.TB, samples ...any) {
+	tb.Helper()
+	if unset := unsetFields(samples...); len(unset) > 0 {
+		tb.Errorf("fields that no sample sets: %s", strings.Join(unset, ", "))
+	}
+}
+
+// unsetFields returns the exported fields that are zero in all samples, as TYPE.FIELD.
+func unsetFields(samples ...any) (unset []string) {
+	set := map[string]bool{}
+	for _, sample := range samples {
+		noteSetFields(reflect.ValueOf(sample), set)
+	}
+	for field, ok := range set {
+		if !ok {
+			unset = append(unset, field)
+		}
+	}
+	slices.Sort(unset)
+	return unset
+}
+
+// noteSetFields notes whether each exported field below a value is set.
+func noteSetFields(value reflect.Value, set map[string]bool) {
+	switch value.Kind() { //nolint:exhaustive // the other kinds have no fields
+	case reflect.Pointer, reflect.Interface:
+		if !value.IsNil() {
+			noteSetFields(value.Elem(), set)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range value.Len() {
+			noteSetFields(value.Index(i), set)
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			noteSetFields(value.MapIndex(key), set)
+		}
+	case reflect.Struct:
+		noteSetStruct(value, set)
+	}
+}
+
+func noteSetStruct(value reflect.Value, set map[string]bool) {
+	for field, fieldValue := range value.Fields() {
+		if !field.IsExported() {
+			continue
+		}
+		name := fmt.Sprintf("%s.%s", value.Type(), field.Name)
+		set[name] = set[name] || !fieldValue.IsZero()
+		noteSetFields(fieldValue, set)
+	}
+}
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"io"
-	"os"
 	"testing"
 	"time"
 
 	"windflow/internal/golden"
 )
 
-const goldenFrames = "testdata/golden/frames.bin"
+const goldenFrames = "frames.bin"
 
 // frameSamples are messages as a link writes them; the second one is without a body.
 func frameSamples() []Message {
@@ -32,15 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.File(t, goldenFrames, text)
+	golden.Equal(t, goldenFrames, text)
 }
 
 // A link reads the recorded frames, in their order.
 func TestGoldenFramesAreRead(t *testing.T) {
-	text, err := os.ReadFile(goldenFrames)
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := golden.Read(t, goldenFrames)
 	path, lis := listen(t)
 	here, there := dial(t, path, lis)
 	defer there.Close()
@@ -79,5 +75,5 @@
 		}
 		got += name + " = " + path + "\n"
 	}
-	golden.File(t, "testdata/golden/paths.txt", []byte(got))
+	golden.Equal(t, "paths.txt", []byte(got))
 }
--- a/internal/hotrestartipc/golden_slot_test.go
+++ b/internal/hotrestartipc/golden_slot_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	goldenFolder = "testdata/golden/folder.txtar"
+	goldenFolder = "folder.txtar"
 	goldenRouter = "n0 127.0.0.1:3306"
 )
 
@@ -90,14 +90,14 @@
 	if err := second.PublishToLegacy(); err != nil {
 		t.Fatal(err)
 	}
-	golden.File(t, goldenFolder, txtar.Format(&txtar.Archive{Files: listFolder(t, dir)}))
+	golden.Equal(t, goldenFolder, txtar.Format(&txtar.Archive{Files: listFolder(t, dir)}))
 }
 
 // restoreFolder writes the regular files of the recorded folder, and locks those of the living processes, as they do
 // themselves.
 func restoreFolder(t *testing.T, dir string, living ...hotrestart.ProcessNumber) {
 	t.Helper()
-	archive, err := txtar.ParseFile(goldenFolder)
+	archive, err := txtar.ParseFile(golden.Path(goldenFolder))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -15,7 +15,7 @@
 
 	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // step is one call of a conversation with a keeper. An empty body is none.
@@ -141,7 +141,7 @@
 	change := func(id, value, rest string) step {
 		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+worth+`%s}`, id, value, rest)}
 	}
-	goldentest.Equal(t, "calls-operators.txt", converse(t, address, nil, []step{
+	golden.Equal(t, "calls-operators.txt", converse(t, address, nil, []step{
 		{"GET", "/v1/config", ""},
 		{"GET", "/v1/revisions", ""},
 		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`), change("a", "2", ""),
@@ -185,7 +185,7 @@
 		return step{"POST", "/v1/changes", fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board)}
 	}
 	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
-	goldentest.Equal(t, "calls-followers.txt", converse(t, address, nil, []step{
+	golden.Equal(t, "calls-followers.txt", converse(t, address, nil, []step{
 		put("a", "1"),
 		{"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`},
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
@@ -235,7 +235,7 @@
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
 		{"GET", "/v1/config", ""},
 	}
-	goldentest.Equal(t, "calls-unserved.txt", converse(t, lonely, nil, steps))
+	golden.Equal(t, "calls-unserved.txt", converse(t, lonely, nil, steps))
 	passed := http.Header{"Windflow-Keeper": {"k2"}}
-	goldentest.Equal(t, "calls-unserved-passed.txt", converse(t, lonely, passed, []step{steps[4], steps[7]}))
+	golden.Equal(t, "calls-unserved-passed.txt", converse(t, lonely, passed, []step{steps[4], steps[7]}))
 }
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -22,7 +22,7 @@
 
 	"windflow/internal/decide/configerror"
 	"windflow/internal/decide/configlog"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // goldenFolders holds the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
@@ -145,22 +145,22 @@
 	}
 	time.Sleep(2 * time.Second) // for a snapshot, and for the stage to be written
 	c.stop()
-	goldentest.Write(t, goldenFolders, goldentest.Pack(t, dir))
+	golden.Write(t, goldenFolders, golden.Pack(t, dir))
 }
 
 // Folders that an earlier program wrote hold what it put there, file by file.
 func TestGoldenFolders(t *testing.T) {
-	if goldentest.Recording(t, goldenFolders) {
+	if golden.Recording(t, goldenFolders) {
 		recordFolders(t)
 	}
-	dir := goldentest.Unpack(t, goldentest.Read(t, goldenFolders))
+	dir := golden.Unpack(t, golden.Read(t, goldenFolders))
 	var text strings.Builder
 	for i := range 3 {
 		id := fmt.Sprint("k", i+1)
 		fmt.Fprintf(&text, "%s\n", id)
 		describeFolder(t, &text, filepath.Join(dir, id), id)
 	}
-	goldentest.Equal(t, "folders.txt", []byte(text.String()))
+	golden.Equal(t, "folders.txt", []byte(text.String()))
 }
 
 // describeFolder words a folder's identity, vote, entries and snapshots.
@@ -249,7 +249,7 @@
 	if testing.Short() {
 		t.Skip("runs three keepers")
 	}
-	c := startCluster(t, goldentest.Unpack(t, goldentest.Read(t, goldenFolders)))
+	c := startCluster(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
 	last := len(foldersChanges())
 	var text bytes.Buffer
 	for i := range 3 {
@@ -259,7 +259,7 @@
 		text.Write(c.ask(t, i, http.MethodGet, "/v1/revisions", nil))
 		text.Write(c.ask(t, i, http.MethodGet, "/v1/peer", nil))
 	}
-	goldentest.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
+	golden.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
 	got := c.ask(t, 0, http.MethodPost, "/v1/changes", foldersChanges()[3])
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
 		t.Errorf("a change of before, sent again: %s, want %s", got, want)
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -18,7 +18,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"windflow/internal/decide/configlog"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // peerAnswers are what a keeper of an earlier program answers to another one, by path.
@@ -61,7 +61,7 @@
 // Keepers call each other as before, and read answers as they were given before.
 func TestGoldenCallsToPeers(t *testing.T) {
 	requests, status, leases, leader := callsToPeer(t)
-	goldentest.Equal(t, "calls-to-peers.txt", requests)
+	golden.Equal(t, "calls-to-peers.txt", requests)
 	var hash, refused configlog.Hash
 	copy(hash[:], bytes.Repeat([]byte{1}, 32))
 	copy(refused[:], bytes.Repeat([]byte{2}, 32))
@@ -78,7 +78,7 @@
 	if want := (leaderStatus{ID: "k2", LastIndex: 17}); leader != want {
 		t.Errorf("%+v, want %+v", leader, want)
 	}
-	goldentest.AllFieldsSet(t, status, leader, leases)
+	golden.AllFieldsSet(t, status, leader, leases)
 }
 
 // openQuietly opens a folder of keeper k1 of the group "golden", and gives it up again.
@@ -100,15 +100,15 @@
 		if err := f.recordStage(stage); err != nil {
 			t.Fatal(err)
 		}
-		goldentest.AllFieldsSet(t, f.identity)
+		golden.AllFieldsSet(t, f.identity)
 		written, err := os.ReadFile(filepath.Join(dir, "keeper.json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Equal(t, file, written)
+		golden.Equal(t, file, written)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), goldentest.Read(t, "keeper-new.json"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), golden.Read(t, "keeper-new.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if f := openQuietly(t, dir); f.identity.Stage != stageNew || len(f.listAside()) != 0 {
@@ -119,7 +119,7 @@
 // What is set aside lies where it did, with the reason beside it.
 func TestGoldenSetAside(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), bytes.Replace(goldentest.Read(t, "keeper-new.json"),
+	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), bytes.Replace(golden.Read(t, "keeper-new.json"),
 		[]byte(`"golden"`), []byte(`"other"`), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -138,5 +138,5 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintln(&tree, stamp.ReplaceAllString(strings.Join(f.listAside(), "\n"), "aside-TIME"))
-	goldentest.Equal(t, "aside.txt", tree.Bytes())
+	golden.Equal(t, "aside.txt", tree.Bytes())
 }
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/raft"
 
 	"windflow/internal/decide/configlog"
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 func pointerTo[T any](v T) *T { return &v }
@@ -41,13 +41,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Equal(t, file, data)
-		got, err := decodeCommand(goldentest.Read(t, file))
+		golden.Equal(t, file, data)
+		got, err := decodeCommand(golden.Read(t, file))
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
 			t.Errorf("%s: %v %s", file, err, diff)
 		}
 	}
-	goldentest.AllFieldsSet(t, all...)
+	golden.AllFieldsSet(t, all...)
 }
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
@@ -79,20 +79,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, file, s.(snapshotState))
+	golden.Equal(t, file, s.(snapshotState))
 	read := newStateMachine(configlog.Retention{})
-	if err := read.Restore(io.NopCloser(bytes.NewReader(goldentest.Read(t, file)))); err != nil {
+	if err := read.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
 	text, err := json.MarshalIndent(contentOf(read), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Equal(t, "snapshot.json", append(text, '\n'))
-	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), goldentest.Read(t, file)) {
+	golden.Equal(t, "snapshot.json", append(text, '\n'))
+	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), golden.Read(t, file)) {
 		t.Errorf("a snapshot of what was read differs: %v", err)
 	}
-	if out := read.Apply(&raft.Log{Index: 9, Type: raft.LogCommand, Data: goldentest.Read(t, "command-forget.bin")}); out != true {
+	if out := read.Apply(&raft.Log{Index: 9, Type: raft.LogCommand, Data: golden.Read(t, "command-forget.bin")}); out != true {
 		t.Errorf("r2 is not forgotten: %v", out)
 	}
 }
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -75,8 +75,8 @@
 			names += row[0] + "\n"
 		}
 	})
-	golden.File(t, filepath.Join("testdata", "golden", "telemetry.txt"), []byte(telemetry))
-	golden.File(t, filepath.Join("testdata", "golden", "status.txt"), []byte(names))
+	golden.Equal(t, "telemetry.txt", []byte(telemetry))
+	golden.Equal(t, "status.txt", []byte(names))
 }
 
 // The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in
@@ -86,7 +86,7 @@
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
 		words.WriteString(p.String() + "\n")
 	}
-	golden.File(t, filepath.Join("testdata", "golden", "phases.txt"), []byte(words.String()))
+	golden.Equal(t, "phases.txt", []byte(words.String()))
 }
 
 // Each part has its counters in the list: one that is left out of the router of the test would be held by nothing.
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -16,7 +16,7 @@
 	"windflow/internal/golden"
 )
 
-const goldenLog = "testdata/golden/log.txt"
+const goldenLog = "log.txt"
 
 // Each line that the router logged when the golden file was made is still logged with the same names of its
 // attributes, or stands in the table of renamed lines on the on-call page, beside a line that is logged: operators
@@ -26,11 +26,11 @@
 	if len(now) < 30 {
 		t.Error(len(now), "lines")
 	}
-	if golden.Recording() {
-		golden.File(t, goldenLog, []byte(strings.Join(now, "\n")+"\n"))
+	if golden.Recording(t, goldenLog) {
+		golden.Write(t, goldenLog, []byte(strings.Join(now, "\n")+"\n"))
 	}
 	renamed := renamedLines(t)
-	for line := range strings.Lines(string(readGolden(t, goldenLog))) {
+	for line := range strings.Lines(string(golden.Read(t, goldenLog))) {
 		line = strings.TrimSuffix(line, "\n")
 		if to, ok := renamed[line]; ok {
 			line = to
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -30,9 +30,7 @@
 	return append(text, '\n')
 }
 
-func (s messageSample) path() string {
-	return filepath.Join("testdata", "golden", "upgrade", s.file+".json")
-}
+func (s messageSample) name() string { return "upgrade/" + s.file + ".json" }
 
 // Each message between two processes of a router is encoded as it was when its golden file was recorded. It guards
 // against an upgrade from or to a program that was built before a change of this code, in which something is lost.
@@ -40,9 +38,9 @@
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
 			if s.body != nil {
-				golden.Full(t, s.body, s.absent...)
+				golden.NoZeroFields(t, s.body, s.absent...)
 			}
-			golden.File(t, s.path(), s.encode(t))
+			golden.Equal(t, s.name(), s.encode(t))
 		})
 	}
 }
@@ -52,7 +50,7 @@
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
 			var m hotrestartipc.Message
-			if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(readGolden(t, s.path()), &m); err != nil {
+			if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(golden.Read(t, s.name()), &m); err != nil {
 				t.Fatal(err)
 			}
 			if m.Kind != s.kind {
@@ -80,7 +78,7 @@
 	kinds, files := map[string]bool{}, map[string]bool{}
 	for _, s := range messageSamples() {
 		kinds[s.kind] = true
-		files[s.path()] = true
+		files[golden.Path(s.name())] = true
 	}
 	for kind := range machineMessages {
 		if !kinds[kind] {
@@ -114,5 +112,5 @@
 			encoded = append(encoded, s.body)
 		}
 	}
-	golden.Tagged(t, "json", encoded...)
+	golden.AllFieldsTagged(t, "json", encoded...)
 }
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -3,8 +3,6 @@
 import (
 	"encoding/json"
 	"net/netip"
-	"os"
-	"testing"
 	"time"
 
 	"windflow/dispatch"
@@ -16,15 +14,6 @@
 	"windflow/internal/router"
 )
 
-func readGolden(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 // messageSamples are the messages of both versions, with no field left out. Version 1 has fewer fields and messages.
 func messageSamples() []messageSample {
 	one, two := sampleState(), sampleState()
--- a/internal/node/golden_slot_name_test.go
+++ b/internal/node/golden_slot_name_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -23,5 +22,5 @@
 			t.Errorf("%q is read as %d, %v", text, back, err)
 		}
 	}
-	golden.File(t, filepath.Join("testdata", "golden", "meeting.txt"), []byte(got.String()))
+	golden.Equal(t, "meeting.txt", []byte(got.String()))
 }
--- a/internal/record/encoded_test.go
+++ b/internal/record/encoded_test.go
@@ -14,6 +14,6 @@
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
-	golden.Tagged(t, "cbor", encodedTypes()...)
-	golden.Tagged(t, "json", append(encodedTypes(), Config{})...)
+	golden.AllFieldsTagged(t, "cbor", encodedTypes()...)
+	golden.AllFieldsTagged(t, "json", append(encodedTypes(), Config{})...)
 }
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"windflow/internal/goldentest"
+	"windflow/internal/golden"
 )
 
 // goldenSegment holds goldenRecords as an earlier program wrote them.
@@ -98,9 +98,9 @@
 // A segment has the bytes that an earlier program gave it, and is read as it was meant.
 func TestGoldenSegment(t *testing.T) {
 	want := goldenRecords()
-	goldentest.AllFieldsSet(t, want)
-	goldentest.Equal(t, goldenSegment, encodeSegment(t, want))
-	segment := goldentest.Read(t, goldenSegment)
+	golden.AllFieldsSet(t, want)
+	golden.Equal(t, goldenSegment, encodeSegment(t, want))
+	segment := golden.Read(t, goldenSegment)
 	got := decodeSegment(t, segment)
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -116,7 +116,7 @@
 	for s := range State(len(stateNames) + 1) {
 		text.WriteString(s.String() + "\n")
 	}
-	goldentest.Equal(t, "states.txt", text.Bytes())
+	golden.Equal(t, "states.txt", text.Bytes())
 	numbers := []State{Unknown, Normal, WarmingUp, Slow, Ejected, Down, Draining, Cordoned, Gone}
 	for want, s := range numbers {
 		if int(s) != want {
--- a/internal/router/encoded_test.go
+++ b/internal/router/encoded_test.go
@@ -14,5 +14,5 @@
 
 // Each encoded field has its key in a tag, so that its name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
-	golden.Tagged(t, "json", encodedTypes()...)
+	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/settings/encoded_test.go
+++ b/internal/settings/encoded_test.go
@@ -13,5 +13,5 @@
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
-	golden.Tagged(t, "json", encodedTypes()...)
+	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
