--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -1,9 +1,6 @@
 package router
 
 import (
-	"log/slog"
-	"sync/atomic"
-
 	"windflow/dispatch"
 	"windflow/internal/clock"
 )
@@ -27,16 +24,8 @@
 // attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch
 // module.
 type attemptTracker struct {
-	loop       *Loop
-	log        *slog.Logger
-	client     EngineClient
-	settings   *atomic.Pointer[settings]
-	hooks      *Hooks
-	statistics *Statistics
-	queue      *eventQueue
-	requests   *requestTable
-	ids        *requestIDs
-	endpoints  *endpointTable
+	shared
+	client EngineClient
 	// onServed is called with an attempt that served its request, if that is still open.
 	onServed func(*attempt, *Result)
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -29,6 +29,19 @@
 	shutdownAt float64           // when the process ends; 0 while that is not known
 }
 
+// shared are the parts of a core that attemptTracker and responder both use.
+type shared struct {
+	loop       *Loop
+	log        *slog.Logger
+	settings   *atomic.Pointer[settings]
+	hooks      *Hooks
+	statistics *Statistics
+	queue      *eventQueue
+	requests   *requestTable
+	ids        *requestIDs
+	endpoints  *endpointTable
+}
+
 // New returns a core for a dispatch configuration. It sets the loop's AfterStep.
 func New(loop *Loop, cfg dispatch.Config, client EngineClient, log *slog.Logger) (*Core, error) {
 	module, err := dispatch.New(cfg)
@@ -43,17 +56,13 @@
 		endpoints:  newEndpointTable(client),
 	}
 	core.ids = newRequestIDs(&core.Hooks)
-	core.attempts = &attemptTracker{
-		loop: loop, log: log, client: client,
-		settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
-		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
-	}
-	core.responder = &responder{
+	parts := shared{
 		loop: loop, log: log,
 		settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
 		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
-		attempts: core.attempts,
 	}
+	core.attempts = &attemptTracker{shared: parts, client: client}
+	core.responder = &responder{shared: parts, attempts: core.attempts}
 	core.attempts.onServed = core.responder.serve
 	core.use(cfg)
 	loop.AfterStep = core.decide
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -1,9 +1,6 @@
 package router
 
 import (
-	"log/slog"
-	"sync/atomic"
-
 	"windflow/dispatch"
 	"windflow/internal/clock"
 )
@@ -39,16 +36,8 @@
 
 // responder gives requests their final answers.
 type responder struct {
-	loop       *Loop
-	log        *slog.Logger
-	settings   *atomic.Pointer[settings]
-	hooks      *Hooks
-	statistics *Statistics
-	queue      *eventQueue
-	requests   *requestTable
-	ids        *requestIDs
-	endpoints  *endpointTable
-	attempts   *attemptTracker
+	shared
+	attempts *attemptTracker
 }
 
 // armGuard sets the answer guard of a request by its deadline.
