--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -18,7 +18,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var record = flag.Bool("golden.record", false, "write golden files that do not exist; existing ones are never overwritten")
+var record = flag.Bool("golden.record", false,
+	"write golden files that are missing; existing ones are never overwritten")
 
 // maxBinaryBytes bounds how much of a binary file a failure shows.
 const maxBinaryBytes = 8 << 10
