--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"net"
 	"strconv"
 	"sync/atomic"
@@ -30,7 +29,6 @@
 // repeat all the same is aborted by callStats. Its methods are called in the loop's goroutine.
 type Client struct {
 	loop           *router.Loop
-	log            *slog.Logger
 	connectTimeout atomic.Int64 // a time.Duration; dials read it in goroutines of their own
 	shared         map[dispatch.EngineID]*grpc.ClientConn
 	attempts       map[*attempt]bool
@@ -48,9 +46,9 @@
 
 // NewClient returns a client. Idempotent queries of an engine share a connection; statements that must not run twice
 // each have a dedicated one, at most maxDedicated at once, and further ones wait unsent for a free slot.
-func NewClient(loop *router.Loop, connectTimeoutMS float64, maxDedicated int, log *slog.Logger) *Client {
+func NewClient(loop *router.Loop, connectTimeoutMS float64, maxDedicated int) *Client {
 	c := &Client{
-		loop: loop, log: log, shared: map[dispatch.EngineID]*grpc.ClientConn{},
+		loop: loop, shared: map[dispatch.EngineID]*grpc.ClientConn{},
 		attempts: map[*attempt]bool{}, dedicatedSlots: make(chan struct{}, maxDedicated),
 	}
 	c.Configure(connectTimeoutMS)
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -147,7 +147,7 @@
 func newEngineClient(t *testing.T, connectTimeoutMS float64, maxDedicated int) (*Client, *router.Loop) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
-	c := NewClient(loop, connectTimeoutMS, maxDedicated, slog.New(slog.DiscardHandler))
+	c := NewClient(loop, connectTimeoutMS, maxDedicated)
 	t.Cleanup(routertest.RunLoop(loop))
 	return c, loop
 }
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -44,7 +44,7 @@
 		descriptors: cfg.MaxConnections + flightEngineDescriptors,
 		acceptor:    flight.acceptor(cfg.Listen),
 		start: func(l limits) (err error) {
-			flight.client = flightsql.NewClient(n.loop, l.engines.ConnectTimeoutMS, maxFlightLoads, n.log)
+			flight.client = flightsql.NewClient(n.loop, l.engines.ConnectTimeoutMS, maxFlightLoads)
 			services.byKind.Kinds = flight.clientsOf(cfg.EngineKinds)
 			seed := n.active.platform.SeedValue
 			flight.front, err = flightsql.NewFront(*cfg, services.core, n.loop, seed, restart.generation, n.log)
