--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -41,8 +41,8 @@
 		inbound: bounds.InboundBytes,
 		mysql:   mysql.Config{MaxSessions: bounds.ClientSessions, MaxBuffered: bounds.BufferedBytes},
 		engines: enginehttp.Config{
-			MaxConns: bounds.EngineConnections, ConnectTimeoutMS: float64(cfg.Settings.Limits.ConnectTimeout) / 1e6,
-			IdleMS: float64(cfg.Settings.Limits.ConnIdle) / 1e6,
+			MaxConns: bounds.EngineConnections, ConnectTimeoutMS: float64(cfg.Settings.Limits.ConnectTimeoutNS) / 1e6,
+			IdleMS: float64(cfg.Settings.Limits.ConnectionIdleNS) / 1e6,
 		},
 	}, err
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -57,7 +57,7 @@
 	s.deadlineSet = true
 	longest := 0.0
 	for _, class := range s.active.platform.Settings.Classes {
-		longest = max(longest, float64(class.Deadline)/1e6)
+		longest = max(longest, float64(class.DeadlineNS)/1e6)
 	}
 	s.answeredBy = max(s.since()+min(longest, patienceMS)+answerSlackMS, s.loop.Now())
 	s.services.core.SetShutdownDeadline(s.answeredBy)
--- /dev/null
+++ b/internal/settings/dispatchconfig.go
@@ -0,0 +1,125 @@
+package settings
+
+import (
+	"fmt"
+	"time"
+
+	"windflow/dispatch"
+)
+
+// The platform's words for values of settings; an empty word stands for the default.
+var (
+	semantics = map[string]dispatch.Semantics{
+		"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
+		"deduplicated": dispatch.IdempotentByKey, "at_most_once": dispatch.AtMostOnce,
+	}
+	scopes = map[string]dispatch.IdempotencyScope{
+		"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+		"cell": dispatch.ScopeCell,
+	}
+	memoryShortages = map[string]dispatch.MemoryShortage{
+		"": dispatch.ShortageWait, "queue": dispatch.ShortageWait,
+		"trim": dispatch.ShortageShrink, "swap": dispatch.ShortagePage,
+	}
+)
+
+// polledDiscovery is the platform's word for a discovery that routers have to poll.
+const polledDiscovery = "subscribe"
+
+// ParseEnum looks a word of the platform up in a table. Its error names the field.
+func ParseEnum[T any](field, word string, table map[string]T) (T, error) {
+	value, ok := table[word]
+	if !ok {
+		return value, fmt.Errorf("%s: unknown value %q", field, word)
+	}
+	return value, nil
+}
+
+// DispatchConfig translates the settings; seed is that of the random numbers. Its error names the field by its name
+// in the file.
+func (s *Settings) DispatchConfig(seed uint64) (dispatch.Config, error) {
+	if err := s.check(); err != nil {
+		return dispatch.Config{}, err
+	}
+	cfg, err := s.scalarConfig(seed)
+	if err != nil {
+		return dispatch.Config{}, err
+	}
+	for i := range s.Classes {
+		class, err := s.dispatchClass(i)
+		if err != nil {
+			return cfg, err
+		}
+		cfg.Classes = append(cfg.Classes, class)
+	}
+	for _, tenant := range s.Tenants {
+		cfg.Tenants = append(cfg.Tenants, dispatch.Tenant{Name: tenant.Name, Quota: tenant.Quota})
+	}
+	for i, name := range s.Kinds {
+		cfg.Kinds = append(cfg.Kinds, dispatch.EngineKind{
+			Name: name, Cores: valueAt(s.Specifics.KindCores, i), MemoryMB: valueAt(s.Specifics.KindMemoryMB, i),
+		})
+	}
+	return cfg, nil
+}
+
+// scalarConfig translates everything but the lists.
+func (s *Settings) scalarConfig(seed uint64) (dispatch.Config, error) {
+	limits, rules, specifics := &s.Limits, &s.Rules, &s.Specifics
+	shortage, err := ParseEnum("specifics.overbooked", specifics.MemoryShortage, memoryShortages)
+	if err != nil {
+		return dispatch.Config{}, err
+	}
+	return dispatch.Config{
+		Seed: seed, RouterIndex: s.RouterIndex, Routers: s.Routers, Zone: s.Zone,
+		Tick: time.Duration(s.TickNS), OverQuotaWeight: s.OverQuotaWeight,
+
+		MaxAttempts: limits.MaxAttempts, CancelAllowed: limits.CancelAllowed, HedgingAllowed: limits.HedgingAllowed,
+		RetryAfterAllowed: limits.RetryAfterAllowed, MaxRetryAfter: time.Duration(limits.MaxRetryAfterNS),
+
+		PolledDiscovery:  s.Discovery == polledDiscovery,
+		DiscoveryTimeout: time.Duration(rules.DiscoveryTimeoutNS), KeyCooldown: time.Duration(rules.KeyCooldownNS),
+		WarmUpInitialShare: rules.WarmUpInitialShare, WarmUpDuration: time.Duration(rules.WarmUpNS),
+		WarmUpOverloadFactor: rules.WarmUpOverloadFactor,
+		WarmUpOverloadWindow: time.Duration(rules.WarmUpOverloadWindowNS),
+		RetryBudget: dispatch.RetryBudget{
+			Window: time.Duration(rules.RetryBudgetWindowNS), Free: rules.RetryBudgetFree,
+			PerRequest: rules.RetryBudgetPerRequest,
+		},
+
+		Grants: specifics.GrantsEnabled, MaxGrantShare: specifics.MaxGrantShare, MemoryShortage: shortage,
+		Priorities: specifics.PrioritiesEnabled, ProgressInterval: time.Duration(specifics.ProgressIntervalNS),
+	}, nil
+}
+
+// dispatchClass translates the class with an index.
+func (s *Settings) dispatchClass(index int) (dispatch.Class, error) {
+	class, specifics := &s.Classes[index], &s.Specifics
+	semantics, err := ParseEnum(fmt.Sprintf("classes[%d].semantics", index), class.Semantics, semantics)
+	if err != nil {
+		return dispatch.Class{}, err
+	}
+	scope, err := ParseEnum(fmt.Sprintf("classes[%d].dedup-scope", index), class.IdempotencyScope, scopes)
+	if err != nil {
+		return dispatch.Class{}, err
+	}
+	return dispatch.Class{
+		Name: class.Name, Deadline: time.Duration(class.DeadlineNS),
+		LatencyObjective: time.Duration(class.LatencyObjectiveNS), ObjectiveStretch: class.ObjectiveStretch,
+		PriorityWeight: class.PriorityWeight, LateWeightShare: class.LateWeightShare,
+		Semantics: semantics, IdempotencyScope: scope, IdempotencyWindow: time.Duration(class.IdempotencyWindowNS),
+		OrderByKey: class.OrderByKey, Zones: class.Zones, Kinds: class.Kinds,
+		Threads:         valueAt(specifics.ClassThreads, index),
+		LocksTableGroup: valueAt(specifics.ClassLocksTableGroup, index),
+		BlockedByLoad:   valueAt(specifics.ClassBlockedByLoad, index),
+	}, nil
+}
+
+// valueAt returns a value of a list; the zero value if the list is absent.
+func valueAt[T any](list []T, index int) T {
+	if index < len(list) {
+		return list[index]
+	}
+	var zero T
+	return zero
+}
--- a/internal/settings/encoded_test.go
+++ b/internal/settings/encoded_test.go
@@ -6,9 +6,10 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by itself.
+// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
+// itself.
 func encodedTypes() []any {
-	return []any{Settings{}, Node{}, party{}}
+	return []any{Settings{}, Node{}, tenantEntry{}}
 }
 
 // Each field that is encoded names itself in a tag, so that the name in the code can change.
--- /dev/null
+++ b/internal/settings/endpoints.go
@@ -0,0 +1,125 @@
+package settings
+
+import (
+	"fmt"
+	"net/netip"
+
+	"windflow/dispatch"
+	"windflow/internal/clock"
+)
+
+// EndpointEvents is a list of engines, complete or the changes of it, and the addresses where they listen.
+type EndpointEvents struct {
+	Events    dispatch.EndpointList
+	Addresses map[dispatch.EngineID]string
+}
+
+// endpointStates are the platform's words for the state of an engine.
+var endpointStates = map[string]dispatch.EndpointState{
+	"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed,
+}
+
+// knownEndpoints is the platform's JSON of the endpoint events that a configuration has.
+type knownEndpoints struct {
+	Revision uint64          `json:"rev"`
+	Events   []endpointEvent `json:"notices"`
+}
+
+type endpointEvent struct {
+	Revision uint64        `json:"rev"`
+	Pool     *endpointPool `json:"pool"` // nil for events of another kind
+}
+
+type endpointPool struct {
+	Complete  bool             `json:"complete"` // the list replaces all before it
+	Endpoints []endpointRecord `json:"members"`
+}
+
+type endpointRecord struct {
+	ID             string  `json:"id"`
+	Address        string  `json:"host_port"`
+	Zone           string  `json:"locality"`
+	Kind           string  `json:"flavor"`
+	Cell           int     `json:"cell"`
+	State          string  `json:"phase"`
+	CapacityWeight float64 `json:"size"`
+	StartedAtMS    float64 `json:"up_since_ms"`
+}
+
+// ParseEndpoints applies the endpoint events of a configuration in their order, and returns the one complete list that
+// results, and the revision of the last event. The error names the field.
+func ParseEndpoints(text []byte) (EndpointEvents, uint64, error) {
+	endpoints := newEndpointSet()
+	if len(text) == 0 {
+		return endpoints.result, 0, nil
+	}
+	var known knownEndpoints
+	if err := Decode(text, &known); err != nil {
+		return endpoints.result, 0, err
+	}
+	for i, event := range known.Events {
+		if event.Pool == nil {
+			continue
+		}
+		if event.Pool.Complete {
+			endpoints = newEndpointSet()
+		}
+		for j, record := range event.Pool.Endpoints {
+			if err := endpoints.put(record); err != nil {
+				return endpoints.result, 0, fmt.Errorf("notices[%d].pool.members[%d].%w", i, j, err)
+			}
+		}
+	}
+	return endpoints.result, known.Revision, nil
+}
+
+// endpointSet is a complete list of endpoints that records are applied to.
+type endpointSet struct {
+	result EndpointEvents
+	index  map[dispatch.EngineID]int // in result.Events.Endpoints
+}
+
+func newEndpointSet() *endpointSet {
+	return &endpointSet{
+		result: EndpointEvents{
+			Events:    dispatch.EndpointList{Mode: dispatch.ListCached},
+			Addresses: map[dispatch.EngineID]string{},
+		},
+		index: map[dispatch.EngineID]int{},
+	}
+}
+
+// put adds an endpoint or replaces the one with its ID. The error begins with the name of the field in the record.
+func (s *endpointSet) put(record endpointRecord) error {
+	endpoint, err := record.endpoint()
+	if err != nil {
+		return err
+	}
+	if index, known := s.index[endpoint.ID]; known {
+		s.result.Events.Endpoints[index] = endpoint
+	} else {
+		s.index[endpoint.ID] = len(s.result.Events.Endpoints)
+		s.result.Events.Endpoints = append(s.result.Events.Endpoints, endpoint)
+	}
+	s.result.Addresses[endpoint.ID] = record.Address
+	return nil
+}
+
+// endpoint translates the record.
+func (r endpointRecord) endpoint() (dispatch.Endpoint, error) {
+	id, err := ParseEngineID(r.ID)
+	if err != nil {
+		return dispatch.Endpoint{}, fmt.Errorf("id: %w", err)
+	}
+	state, ok := endpointStates[r.State]
+	if !ok {
+		return dispatch.Endpoint{}, fmt.Errorf("phase: unknown value %q", r.State)
+	}
+	if _, err := netip.ParseAddrPort(r.Address); err != nil && state != dispatch.Removed {
+		return dispatch.Endpoint{}, fmt.Errorf("host_port: %q is no address and port", r.Address)
+	}
+	return dispatch.Endpoint{
+		ID: id, Cell: r.Cell, Zone: r.Zone, Kind: r.Kind, CapacityWeight: r.CapacityWeight, State: state,
+		StartedAt: clock.Duration(r.StartedAtMS),
+	}, nil
+}
--- a/internal/settings/known_test.go
+++ b/internal/settings/endpoints_test.go
@@ -10,7 +10,7 @@
 	"windflow/internal/clock"
 )
 
-func TestParseKnown(t *testing.T) {
+func TestParseEndpoints(t *testing.T) {
 	member := func(phase string) string {
 		return `{"id":"s-00c41f7a","host_port":"10.1.0.9:8080","locality":"hall-a","flavor":"std-8","cell":2,"phase":"` +
 			phase + `","size":4,"up_since_ms":1500}`
--- /dev/null
+++ b/internal/settings/jsontree.go
@@ -0,0 +1,161 @@
+package settings
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+var errNotAnObject = errors.New("is below a value that is no object")
+
+// jsonTree is a JSON document of which only the parts are decoded that values are put into: an object, a list, or raw
+// text.
+type jsonTree struct {
+	raw    Value
+	object map[string]*jsonTree
+	list   []*jsonTree
+}
+
+// decode decodes one level; an absent or null value becomes an empty object.
+func (t *jsonTree) decode() error {
+	if t.object != nil || t.list != nil {
+		return nil
+	}
+	text := bytes.TrimSpace(t.raw)
+	switch {
+	case len(text) == 0 || string(text) == "null":
+		t.object = map[string]*jsonTree{}
+	case text[0] == '{':
+		return t.decodeObject(text)
+	case text[0] == '[':
+		return t.decodeList(text)
+	default:
+		return errNotAnObject
+	}
+	return nil
+}
+
+func (t *jsonTree) decodeObject(text []byte) error {
+	var fields map[string]Value
+	if err := json.Unmarshal(text, &fields); err != nil {
+		return err
+	}
+	t.object = make(map[string]*jsonTree, len(fields))
+	for name, raw := range fields {
+		t.object[name] = &jsonTree{raw: raw}
+	}
+	return nil
+}
+
+func (t *jsonTree) decodeList(text []byte) error {
+	var items []Value
+	if err := json.Unmarshal(text, &items); err != nil {
+		return err
+	}
+	t.list = make([]*jsonTree, len(items))
+	for i, raw := range items {
+		t.list[i] = &jsonTree{raw: raw}
+	}
+	return nil
+}
+
+// put sets the value below these names. Objects are created where there are none; an item of a list has to exist.
+func (t *jsonTree) put(names []string, value Value) error {
+	node := t
+	for _, name := range names {
+		if err := node.decode(); err != nil {
+			return err
+		}
+		child, err := node.child(name)
+		if err != nil {
+			return err
+		}
+		node = child
+	}
+	*node = jsonTree{raw: value}
+	return nil
+}
+
+// child returns a field of an object, which is created if it is absent, or an item of a list.
+func (t *jsonTree) child(name string) (*jsonTree, error) {
+	if t.object != nil {
+		key := t.key(name)
+		if t.object[key] == nil {
+			t.object[key] = &jsonTree{}
+		}
+		return t.object[key], nil
+	}
+	index, err := parseIndex(name)
+	if err != nil {
+		return nil, err
+	}
+	if index >= len(t.list) {
+		return nil, fmt.Errorf("there is no item %d in a list of %d", index, len(t.list))
+	}
+	return t.list[index], nil
+}
+
+// key returns the key of a field in the object: encoding/json ignores case where no key matches exactly.
+func (t *jsonTree) key(name string) string {
+	if t.object[name] != nil {
+		return name
+	}
+	for _, key := range slices.Sorted(maps.Keys(t.object)) {
+		if strings.EqualFold(key, name) {
+			return key
+		}
+	}
+	return name
+}
+
+// append appends the document to a buffer; what was not decoded stays as it was written.
+func (t *jsonTree) append(buffer []byte) []byte {
+	switch {
+	case t.object != nil:
+		return t.appendObject(buffer)
+	case t.list != nil:
+		return t.appendList(buffer)
+	case len(t.raw) == 0:
+		return append(buffer, "null"...)
+	}
+	return append(buffer, t.raw...)
+}
+
+func (t *jsonTree) appendObject(buffer []byte) []byte {
+	buffer = append(buffer, '{')
+	for i, name := range slices.Sorted(maps.Keys(t.object)) {
+		if i > 0 {
+			buffer = append(buffer, ',')
+		}
+		key, _ := json.Marshal(name) // never fails for a string
+		buffer = append(buffer, key...)
+		buffer = append(buffer, ':')
+		buffer = t.object[name].append(buffer)
+	}
+	return append(buffer, '}')
+}
+
+func (t *jsonTree) appendList(buffer []byte) []byte {
+	buffer = append(buffer, '[')
+	for i, item := range t.list {
+		if i > 0 {
+			buffer = append(buffer, ',')
+		}
+		buffer = item.append(buffer)
+	}
+	return append(buffer, ']')
+}
+
+// parseIndex reads the index of an item of a list.
+func parseIndex(name string) (int, error) {
+	index, err := strconv.Atoi(name)
+	if err != nil || index < 0 || strconv.Itoa(index) != name {
+		return 0, fmt.Errorf("%q is not the number of an item", name)
+	}
+	return index, nil
+}
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -9,7 +9,7 @@
 	good := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"a","deadline-ns":5}],"later":1}}`
 	n, err := ParseNode([]byte(good))
-	if err != nil || n.SeedValue != 0x8c1f30d27a5be964 || n.Settings.Classes[0].Deadline != 5 {
+	if err != nil || n.SeedValue != 0x8c1f30d27a5be964 || n.Settings.Classes[0].DeadlineNS != 5 {
 		t.Fatalf("%+v, %v", n, err)
 	}
 	for _, k := range []struct{ from, to, want string }{
@@ -30,7 +30,7 @@
 }
 
 // A number that makes no sense is named as the file names it, not as the module does.
-func TestConfigNamesTheField(t *testing.T) {
+func TestDispatchConfigNamesTheField(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"kinds":["k"],"balancers":2,"period-ns":5,` +
 		`"classes":[{"name":"a","goal-time-ns":3,"deadline-ns":5,"late-value":0.5}],"limits":{"conn-idle-ns":7},` +
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -22,7 +22,7 @@
 	return text
 }
 
-// Without entries a router has its own file as it is; with some, only what they name differs from it.
+// Without entries the result is the router's own file; with some, only what they name differs from it.
 func TestOverlayChangesWhatEntriesName(t *testing.T) {
 	own := example(t)
 	same, err := Overlay(own, nil)
@@ -69,12 +69,13 @@
 func TestOverlayFindsAFieldInAnotherCase(t *testing.T) {
 	text, err := Overlay([]byte(`{"Board":"127.0.0.1:1","settings":{"Rules":{"cold-ns":4}}}`),
 		map[string]Value{"/board": Value(`"127.0.0.1:2"`), "/settings/rules/cold-from": Value(`0.5`)})
-	if want := `{"Board":"127.0.0.1:2","settings":{"Rules":{"cold-from":0.5,"cold-ns":4}}}`; err != nil || string(text) != want {
+	const want = `{"Board":"127.0.0.1:2","settings":{"Rules":{"cold-from":0.5,"cold-ns":4}}}`
+	if err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
 	}
 }
 
-func TestOverlayNamesTheEntryAtFault(t *testing.T) {
+func TestOverlayReportsTheInvalidEntry(t *testing.T) {
 	own := example(t)
 	for _, k := range []struct{ pointer, value, want string }{
 		{"/name", `"x"`, "own"},
@@ -126,41 +127,41 @@
 	}
 }
 
-// Each field of the example can be put, but for what is a router's own: a field that the program reads and entries don't
-// know would be one that can't be changed.
+// Each field of the example can be put, but for what is a router's own: a field that the program reads and entries
+// don't know would be one that can't be changed.
 func TestEachFieldOfTheExampleCanBePut(t *testing.T) {
 	var doc any
 	if err := json.Unmarshal(example(t), &doc); err != nil {
 		t.Fatal(err)
 	}
-	n := 0
-	var look func(pointer string, v any)
-	look = func(pointer string, v any) {
+	fields := 0
+	var check func(pointer string, v any)
+	check = func(pointer string, v any) {
 		if object, ok := v.(map[string]any); ok {
 			for name, below := range object {
-				look(pointer+"/"+escape(name), below)
+				check(pointer+"/"+escapePointerName(name), below)
 			}
 		}
 		if list, ok := v.([]any); ok && pointer != "/settings/parties" {
 			for i, below := range list {
-				look(pointer+"/"+strconv.Itoa(i), below)
+				check(pointer+"/"+strconv.Itoa(i), below)
 			}
 		}
-		ofOthers := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
-		for _, o := range own {
-			ofOthers = ofOthers || pointer == o || strings.HasPrefix(pointer, o+"/")
+		excluded := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
+		for _, o := range routerFields {
+			excluded = excluded || pointer == o || strings.HasPrefix(pointer, o+"/")
 		}
-		if ofOthers {
+		if excluded {
 			return
 		}
-		n++
+		fields++
 		text, _ := json.Marshal(v)
 		if err := CheckEntry(pointer, text); err != nil {
 			t.Error(err)
 		}
 	}
-	look("", doc)
-	if n < 60 {
-		t.Errorf("%d fields", n)
+	check("", doc)
+	if fields < 60 {
+		t.Errorf("%d fields", fields)
 	}
 }
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -20,7 +20,7 @@
 }
 
 // What the router could not start with is named, as it would name it.
-func TestPlatformNamesTheField(t *testing.T) {
+func TestNodeConfigNamesTheField(t *testing.T) {
 	good := example(t)
 	for _, k := range []struct{ from, to, want string }{
 		{`"phase": "active"`, `"phase": "active"`, ""},
@@ -40,7 +40,7 @@
 }
 
 // The fault carries the pointer of the entry that is to blame, among others that are right.
-func TestEntriesNameTheEntryAtFault(t *testing.T) {
+func TestEntriesReportTheInvalidEntry(t *testing.T) {
 	good := map[string]settings.Value{
 		"/board": settings.Value(`"127.0.0.1:9"`), "/settings/rules/cold-ns": settings.Value(`5`),
 		"/settings/parties/a": settings.Value(`{"quota-rps":1}`),
@@ -73,7 +73,7 @@
 }
 
 // Entries that are wrong only together: the one is named that the check speaks of, though an earlier one alone is wrong too.
-func TestEntriesWrongTogether(t *testing.T) {
+func TestEntriesInvalidTogether(t *testing.T) {
 	entries := map[string]settings.Value{
 		"/settings/kinds":                    settings.Value(`["std-8","std-16"]`),
 		"/settings/specifics/cores-by-kind":  settings.Value(`[8,16]`),
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestEntriesOverABadBase(t *testing.T) {
+func TestEntriesOverAnInvalidBase(t *testing.T) {
 	bad := strings.Replace(example(t), `"cold-from": 0.36`, `"cold-from": -1`, 1)
 	err := Entries([]byte(bad), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
 	if err == nil || configerror.From(err).Pointer != "" ||
@@ -104,7 +104,7 @@
 }
 
 // What operators are told of limits.sockets: docs/operating.md.
-func TestSessionsOfSockets(t *testing.T) {
+func TestClientSessionsBySockets(t *testing.T) {
 	for _, k := range []struct{ sockets, sessions int }{{0, 409}, {1024, 409}, {4999, 1999}, {5000, 2000}, {8192, 3276}} {
 		cfg := &settings.Node{}
 		cfg.Limits.Sockets = k.sockets
@@ -115,7 +115,7 @@
 }
 
 // The check links no part of the router that it checks for: a keeper would carry all of it.
-func TestLinksNoNetwork(t *testing.T) {
+func TestImportsNoNetwork(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
