--- /dev/null
+++ b/internal/validate/invalidentry.go
@@ -0,0 +1,68 @@
+package validate
+
+import (
+	"maps"
+	"slices"
+	"sort"
+	"strings"
+
+	"windflow/internal/settings"
+)
+
+// invalidEntry returns the pointer of the entry that makes a configuration invalid; empty if it is none of them.
+func invalidEntry(err error, base []byte, entries map[string]settings.Value) string {
+	if pointer := namedEntry(err.Error(), entries); pointer != "" {
+		return pointer
+	}
+	return firstInvalidEntry(base, entries)
+}
+
+// namedEntry returns the pointer of the entry that has, or is part of, the field that a reason begins with; empty for
+// none: "field settings: classes[2].name: ..." is /settings/classes/2/name.
+func namedEntry(reason string, entries map[string]settings.Value) string {
+	field, ok := strings.CutPrefix(reason, "field ")
+	if !ok {
+		return ""
+	}
+	if setting, ok := strings.CutPrefix(field, "settings: "); ok {
+		field = "settings." + strings.TrimPrefix(setting, "field ")
+	}
+	field, _, _ = strings.Cut(field, ":")
+	field, _, _ = strings.Cut(field, " ")
+	fieldPointer := "/" + strings.NewReplacer(".", "/", "[", "/", "]", "").Replace(field)
+	for _, pointer := range slices.Sorted(maps.Keys(entries)) {
+		if isWithin(pointer, fieldPointer) || isWithin(fieldPointer, pointer) {
+			return pointer
+		}
+	}
+	return ""
+}
+
+// isWithin returns whether a JSON pointer is another one, or below it.
+func isWithin(pointer, other string) bool {
+	return pointer == other || strings.HasPrefix(pointer, other+"/")
+}
+
+// firstInvalidEntry returns the pointer of the first entry, in their order, with which, and with those before it, the
+// configuration is not valid. It is empty if the base is not valid without any: entries may correct it, so that only
+// all of them together can be judged.
+func firstInvalidEntry(base []byte, entries map[string]settings.Value) string {
+	order := slices.Sorted(maps.Keys(entries))
+	isInvalid := func(count int) bool {
+		first := make(map[string]settings.Value, count)
+		for _, pointer := range order[:count] {
+			first[pointer] = entries[pointer]
+		}
+		text, err := settings.Overlay(base, first)
+		if err != nil {
+			return true
+		}
+		_, err = parseUsable(text)
+		return err != nil
+	}
+	if isInvalid(0) {
+		return ""
+	}
+	count := sort.Search(len(order), isInvalid)
+	return order[min(max(count, 1), len(order))-1]
+}
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -19,7 +19,7 @@
 	return string(text)
 }
 
-// What the router could not start with is named, as it would name it.
+// The error of a configuration that a router could not start with is the one that the router would give.
 func TestNodeConfigNamesTheField(t *testing.T) {
 	good := example(t)
 	for _, k := range []struct{ from, to, want string }{
@@ -33,20 +33,21 @@
 		{`{`, `[`, "not valid JSON"},
 	} {
 		err := NodeConfig([]byte(strings.Replace(good, k.from, k.to, 1)))
-		if (err == nil) != (k.want == "") || err != nil && (!strings.HasPrefix(err.Error(), k.want) || strings.Contains(err.Error(), "\n")) {
+		if (err == nil) != (k.want == "") ||
+			err != nil && (!strings.HasPrefix(err.Error(), k.want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 		}
 	}
 }
 
-// The fault carries the pointer of the entry that is to blame, among others that are right.
+// The error has the pointer of the invalid entry among valid ones.
 func TestEntriesReportTheInvalidEntry(t *testing.T) {
 	good := map[string]settings.Value{
 		"/board": settings.Value(`"127.0.0.1:9"`), "/settings/rules/cold-ns": settings.Value(`5`),
 		"/settings/parties/a": settings.Value(`{"quota-rps":1}`),
 	}
-	if f := Entries([]byte(example(t)), good); f != nil {
-		t.Fatal(f)
+	if err := Entries([]byte(example(t)), good); err != nil {
+		t.Fatal(err)
 	}
 	for _, k := range []struct{ pointer, value, reason string }{
 		{"/settings/rules/cold-from", `-0.5`, "rules.cold-from: -0.5 is below 0"},
@@ -65,14 +66,15 @@
 				entries[p] = v
 			}
 		}
-		f := configerror.From(Entries([]byte(example(t)), entries))
-		if f == nil || f.Pointer != k.pointer || !strings.Contains(f.Reason, k.reason) {
-			t.Errorf("%s: %+v, want %q", k.pointer, f, k.reason)
+		rejected := configerror.From(Entries([]byte(example(t)), entries))
+		if rejected == nil || rejected.Pointer != k.pointer || !strings.Contains(rejected.Reason, k.reason) {
+			t.Errorf("%s: %+v, want %q", k.pointer, rejected, k.reason)
 		}
 	}
 }
 
-// Entries that are wrong only together: the one is named that the check speaks of, though an earlier one alone is wrong too.
+// Of entries that are invalid only together, the error has the one whose field it names, though an earlier one alone is
+// invalid too.
 func TestEntriesInvalidTogether(t *testing.T) {
 	entries := map[string]settings.Value{
 		"/settings/kinds":                    settings.Value(`["std-8","std-16"]`),
@@ -80,13 +82,13 @@
 		"/settings/specifics/kind-memory-mb": settings.Value(`[1,2,3]`),
 		"/settings/specifics/note-period-ns": settings.Value(`5`),
 	}
-	f := configerror.From(Entries([]byte(example(t)), entries))
-	if f == nil || f.Pointer != "/settings/specifics/kind-memory-mb" {
-		t.Fatalf("%+v", f)
+	rejected := configerror.From(Entries([]byte(example(t)), entries))
+	if rejected == nil || rejected.Pointer != "/settings/specifics/kind-memory-mb" {
+		t.Fatalf("%+v", rejected)
 	}
 	entries["/settings/specifics/kind-memory-mb"] = settings.Value(`[1,2]`)
-	if f := Entries([]byte(example(t)), entries); f != nil {
-		t.Error(f)
+	if err := Entries([]byte(example(t)), entries); err != nil {
+		t.Error(err)
 	}
 }
 
@@ -97,13 +99,13 @@
 		!strings.Contains(err.Error(), "base configuration: field settings: rules.cold-from") {
 		t.Errorf("%+v", err)
 	}
-	// Entries may mend it.
-	if f := Entries([]byte(bad), map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}); f != nil {
-		t.Error(f)
+	// Entries may correct it.
+	if err := Entries([]byte(bad), map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}); err != nil {
+		t.Error(err)
 	}
 }
 
-// What operators are told of limits.sockets: docs/operating.md.
+// docs/operating.md has these figures for limits.sockets.
 func TestClientSessionsBySockets(t *testing.T) {
 	for _, k := range []struct{ sockets, sessions int }{{0, 409}, {1024, 409}, {4999, 1999}, {5000, 2000}, {8192, 3276}} {
 		cfg := &settings.Node{}
@@ -114,7 +116,8 @@
 	}
 }
 
-// The check links no part of the router that it checks for: a keeper would carry all of it.
+// The package imports no part of the router that it validates for: a keeper would contain all of it. The list has the
+// present names of the packages.
 func TestImportsNoNetwork(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -125,7 +128,9 @@
 		t.Fatal(deps)
 	}
 	for _, d := range deps {
-		for _, no := range []string{"mysql", "fetch", "netio", "router", "node", "flightsql", "board"} {
+		for _, no := range []string{
+			"mysql", "enginehttp", "netio", "router", "node", "flightsql", "discovery", "admin", "bgp", "hotrestartipc",
+		} {
 			if d == "windflow/internal/"+no {
 				t.Error("links", d)
 			}
