--- a/dispatch/cordons_test.go
+++ b/dispatch/cordons_test.go
@@ -1,76 +1,107 @@
 package dispatch
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
 
-// An engine that an operator excludes gets nothing until the word back, whatever the list says meanwhile, a restart
-// included. Then it counts as cold and yet gets a query while others are idle. Repeats change nothing, and an id that
-// was once listed stays known.
-func TestCordonHoldsUntilUncordon(t *testing.T) {
-	config := twoClassConfig()
-	config.WarmUpDuration, config.WarmUpInitialShare, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
-	h := newHarness(t, config)
-	h.updateEndpoints(ListComplete, testEngines(4)...)
-	h.advance(20 * time.Second)
-	sent := func(n int) (to3 int) {
-		for range n {
-			client := h.arrive("quick", "")
-			h.advance(20 * ms)
-			for hop, id := range client.engines {
-				if id == 3 {
-					to3++
-				}
-				if client.outcomes[hop] == outstanding {
-					h.endAttempt(client, hop, Served, nil)
-				}
+// The list remembers engines in the order in which they were named, and drops the oldest one that is not cordoned.
+func TestCordonList(t *testing.T) {
+	list := newCordonList()
+	if list.set(1, true) || list.knows(1) {
+		t.Error("an unknown engine was cordoned")
+	}
+	list.add(1)
+	list.add(2)
+	list.add(1)
+	for _, step := range []struct {
+		id                EngineID
+		cordoned, changes bool
+	}{{1, true, true}, {1, true, false}, {2, false, false}, {2, true, true}, {2, false, true}} {
+		if got := list.set(step.id, step.cordoned); got != step.changes || list.isCordoned(step.id) != step.cordoned {
+			t.Errorf("%+v: changed %v, cordoned %v", step, got, list.isCordoned(step.id))
+		}
+	}
+	known, cordoned := list.all()
+	if !slices.Equal(known, []EngineID{1, 2}) || !slices.Equal(cordoned, []EngineID{1}) {
+		t.Errorf("known %v, cordoned %v", known, cordoned)
+	}
+	list.dropOldest()
+	if !list.knows(1) || list.knows(2) {
+		t.Error("the cordoned engine was dropped in place of the other one")
+	}
+}
+
+// serveAndCount has requests served one after the other, and returns how many attempts an engine got.
+func (h *harness) serveAndCount(n int, id EngineID) (attempts int) {
+	h.t.Helper()
+	for range n {
+		client := h.arrive("quick", "")
+		h.advance(20 * ms)
+		for _, e := range client.engines {
+			if e == id {
+				attempts++
 			}
-			h.advance(20 * ms)
 		}
-		return to3
+		h.endOutstanding(client, Served, nil)
+		h.advance(20 * ms)
 	}
-	if sent(60) == 0 {
+	return attempts
+}
+
+// A cordoned engine gets nothing until it is uncordoned, whatever the endpoint list says meanwhile, a restart included.
+// Then it warms up and yet gets a request while others are idle. Repeats change nothing, and an engine that was once listed
+// stays known.
+func TestCordonHoldsUntilUncordon(t *testing.T) {
+	h := newHarness(t, withWarmUp(twoClassConfig()))
+	h.updateEndpoints(ListComplete, testEngines(4)...)
+	h.advance(20 * time.Second)
+	if h.serveAndCount(60, 3) == 0 {
 		t.Error("engine 3 was never used")
 	}
 	if h.handle(Cordon{Engine: 9}); h.controller.Knows(9) || h.controller.AvoidedEngines(h.now) != 0 {
-		t.Error("an engine that was never listed was excluded")
+		t.Error("an engine that was never listed was cordoned")
 	}
-	back := testEngines(4)[2]
-	for _, word := range []func(){
+	entry := testEngines(4)[2]
+	for _, step := range []func(){
 		func() { h.handle(Cordon{Engine: 3}) },
 		func() { h.handle(Cordon{Engine: 3}) },
-		func() { back.State = Removed; h.updateEndpoints(ListIncremental, back) },
-		func() { back.State, back.StartedAt = Live, h.now; h.updateEndpoints(ListIncremental, back) },
+		func() { entry.State = Removed; h.updateEndpoints(ListIncremental, entry) },
+		func() { entry.State, entry.StartedAt = Live, h.now; h.updateEndpoints(ListIncremental, entry) },
 		func() { h.updateEndpoints(ListComplete, testEngines(4)...) },
 	} {
-		if word(); sent(40) != 0 {
-			t.Fatal("an excluded engine got work")
+		if step(); h.serveAndCount(40, 3) != 0 {
+			t.Fatal("a cordoned engine got work")
 		}
 	}
 	if n := h.controller.AvoidedEngines(h.now); n != 1 {
 		t.Errorf("%d engines are avoided", n)
 	}
 	h.handle(Uncordon{Engine: 3})
-	if e := h.controller.endpoints.byID[3]; e.warmUp.end <= h.now || sent(20) == 0 {
-		t.Errorf("after the word back: warm at %v of %v, or no work in 0.8 s", e.warmUp.end, h.now)
+	if e := h.controller.endpoints.byID[3]; e.warmUp.end <= h.now || h.serveAndCount(20, 3) == 0 {
+		t.Errorf("after the cordon: warm at %v of %v, or no work in 0.8 s", e.warmUp.end, h.now)
 	}
-	back.State = Removed
-	h.updateEndpoints(ListIncremental, back)
+	entry.State = Removed
+	h.updateEndpoints(ListIncremental, entry)
 	if !h.controller.Knows(3) || h.controller.Cordoned(3) {
-		t.Error("an engine that has gone is not known any more, or excluded")
+		t.Error("an engine that was removed is not known any more, or cordoned")
 	}
 }
 
-// The ids that were listed are remembered within a bound, the excluded ones for good.
+// Only so many listed engines are remembered, but all cordoned ones.
 func TestKnownEnginesAreBounded(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(2)...)
 	h.handle(Cordon{Engine: 1})
+	list := &h.controller.endpoints.cordons
 	for i := range maxKnownEngines + 10 {
-		h.controller.endpoints.cordons.add(EngineID(100 + i))
+		list.add(EngineID(100 + i))
+	}
+	if len(list.cordoned) != maxKnownEngines || len(list.order) != maxKnownEngines {
+		t.Errorf("%d and %d engines are remembered, want %d", len(list.cordoned), len(list.order), maxKnownEngines)
 	}
-	if n := len(h.controller.endpoints.cordons.cordoned); n != maxKnownEngines || len(h.controller.endpoints.cordons.order) != maxKnownEngines || !h.controller.Cordoned(1) || h.controller.Knows(2) {
-		t.Errorf("%d ids are remembered, at most %d should be; 1 is excluded: %v", n, maxKnownEngines, h.controller.Cordoned(1))
+	if !h.controller.Cordoned(1) || h.controller.Knows(2) {
+		t.Error("the cordoned engine was forgotten, or the oldest other one was not")
 	}
 }
--- a/dispatch/deadlines_test.go
+++ b/dispatch/deadlines_test.go
@@ -1,40 +1,111 @@
 package dispatch
 
 import (
+	"math"
 	"testing"
 	"time"
 )
 
-// Events that come in every tick must not push on a wake that is already due.
+func newTestDeadlines() *deadlines {
+	d := &deadlines{env: &environment{now: time.Hour, config: Config{Tick: 5 * ms}}}
+	d.reset()
+	return d
+}
+
+// The timer is set for what is due next, no earlier than the next tick, and again only for something earlier.
+func TestSetTimer(t *testing.T) {
+	const never = time.Duration(math.MaxInt64)
+	for _, test := range []struct {
+		name              string
+		checkIn, pollIn   time.Duration // from now; negative for never
+		anyQueued         bool
+		want, wantEarlier time.Duration // of the timer, and of one that is set when a check is due after 6 ms
+	}{
+		{"nothing is due", -1, -1, false, 0, 6 * ms},
+		{"a check", time.Second, -1, false, time.Second, 6 * ms},
+		{"a poll before it", time.Second, 300 * ms, false, 300 * ms, 6 * ms},
+		{"a queued request", time.Second, -1, true, housekeepingInterval / 2, 6 * ms},
+		{"overdue", 0, -1, false, 5 * ms, 0},
+	} {
+		d := newTestDeadlines()
+		nextPoll := never
+		if test.checkIn >= 0 {
+			d.checkAt(d.env.now + test.checkIn)
+		}
+		if test.pollIn >= 0 {
+			nextPoll = d.env.now + test.pollIn
+		}
+		for i, want := range []time.Duration{test.want, 0, test.wantEarlier} {
+			if i == 2 {
+				d.checkAt(d.env.now + 6*ms)
+			}
+			d.setTimer(test.anyQueued, nextPoll)
+			got := time.Duration(0)
+			for _, action := range d.env.takeActions() {
+				got = action.(SetTimer).After
+			}
+			if got != want {
+				t.Errorf("%s, call %d: the timer is set for %v, want %v", test.name, i+1, got, want)
+			}
+		}
+	}
+}
+
+// A timer counts if it has the tag and is due, within a tick; one that fires late shows a pause of the process.
+func TestTimerFires(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		tag           int64
+		after         time.Duration
+		fired, paused bool
+	}{
+		{"in time", housekeepingTag, 100 * ms, true, false},
+		{"a tick early", housekeepingTag, 95 * ms, true, false},
+		{"too early", housekeepingTag, 94 * ms, false, false},
+		{"another tag", housekeepingTag + 1, 100 * ms, false, false},
+		{"late", housekeepingTag, 100*ms + pauseThreshold, true, false},
+		{"after a pause", housekeepingTag, 100*ms + pauseThreshold + 1, true, true},
+	} {
+		d := newTestDeadlines()
+		d.checkAt(d.env.now + 100*ms)
+		d.setTimer(false, math.MaxInt64)
+		d.env.now += test.after
+		if got := d.fired(TimerFired{Tag: test.tag}); got != test.fired || (d.pausedAt == d.env.now) != test.paused {
+			t.Errorf("%s: fired %v, paused at %v of %v", test.name, got, d.pausedAt, d.env.now)
+		}
+	}
+}
+
+// Events in every tick must not postpone a timer that is already due.
 func TestDueTimerIsNotPostponed(t *testing.T) {
-	config := twoClassConfig()
-	c, err := New(config)
+	c, err := New(twoClassConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, due := time.Hour, time.Duration(0)
 	answered := false
-	handle := func(ev Event) {
-		for _, a := range c.Handle(now, ev, nil) {
-			switch a := a.(type) {
+	handle := func(event Event) {
+		for _, action := range c.Handle(now, event, nil) {
+			switch action := action.(type) {
 			case SetTimer:
-				due = now + a.After
+				due = now + action.After
 			case FailRequest, Reject:
 				answered = true
+			case StartAttempt, SetResources, CancelAttempt, Subscribe: // of no interest here
 			}
 		}
 	}
 	handle(EndpointList{Mode: ListComplete, Endpoints: testEngines(1)})
 	handle(Arrival{Request: "x", Class: "quick", TimeLeft: time.Second})
-	for range 220 { // its attempt is silent; another event comes in every tick
+	for range 220 { // the attempt is silent; another event comes in every tick
 		now += 5 * ms
-		if due > 0 && now+100*time.Microsecond >= due { // hosts round: a timer may come a little early
+		if due > 0 && now+100*time.Microsecond >= due { // hosts round: a timer may fire a little early
 			due = 0
 			handle(TimerFired{Tag: housekeepingTag})
 		}
 		handle(ClientGone{Request: "unknown"})
 	}
 	if !answered {
-		t.Error("no answer at the client's end")
+		t.Error("no answer at the client's deadline")
 	}
 }
--- /dev/null
+++ b/dispatch/harnesschecks_test.go
@@ -0,0 +1,189 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// This file checks the actions of a harness's controller.
+
+// checkAction checks one action, and records what follows from it.
+func (h *harness) checkAction(action Action) {
+	h.t.Helper()
+	switch action := action.(type) {
+	case StartAttempt:
+		h.starts = append(h.starts, action)
+		client, e := h.requests[action.Request], h.endpoints[action.Engine]
+		h.checkStartWithin(client, e, action.StartWithin)
+		h.checkStart(client, e)
+		h.recordStart(client, e)
+	case Reject:
+		client := h.requests[action.Request]
+		h.checkReject(client)
+		h.recordAnswer(client)
+	case FailRequest:
+		h.recordAnswer(h.requests[action.Request])
+	case CancelAttempt:
+		if !h.config.CancelAllowed {
+			h.t.Fatal("an attempt is cancelled where that is not allowed")
+		}
+	case SetResources, Subscribe, SetTimer: // allowed at any time
+	}
+}
+
+// recordAnswer counts an answer, which has to be the only one and in time.
+func (h *harness) recordAnswer(client *clientRequest) {
+	h.t.Helper()
+	if client.gone {
+		return
+	}
+	client.answers++
+	if client.answers > 1 || h.now > client.deadline+answerTolerance {
+		h.t.Fatalf("%s: %d answers, the last %v after its deadline", client.id, client.answers, h.now-client.deadline)
+	}
+}
+
+// outcomeMayHaveRun reports whether an attempt with that outcome, or an outstanding one, may have run.
+func outcomeMayHaveRun(o Outcome) bool { return o != EngineFull && o != ConnectFailed && o != NotSent }
+
+// checkReject checks that a retry of a rejected request can't have its effect twice.
+func (h *harness) checkReject(client *clientRequest) {
+	h.t.Helper()
+	for i, outcome := range client.outcomes {
+		if !outcomeMayHaveRun(outcome) || client.class.Semantics == Idempotent {
+			continue
+		}
+		windowOver := h.now > client.startedAt[i]+client.class.IdempotencyWindow
+		if client.class.Semantics == AtMostOnce || client.class.IdempotencyScope != ScopeAll || windowOver {
+			h.t.Fatalf("%s is rejected though it may have run", client.id)
+		}
+	}
+}
+
+// checkStart checks that a request may start on an engine.
+func (h *harness) checkStart(client *clientRequest, e Endpoint) {
+	h.t.Helper()
+	for _, check := range []func(*clientRequest, Endpoint) error{
+		h.startAllowed, h.placementAllowed, h.repeatAllowed, h.orderAllowed, h.budgetAllowed,
+	} {
+		if err := check(client, e); err != nil {
+			h.t.Fatalf("%s on engine %d: %v", client.id, e.ID, err)
+		}
+	}
+}
+
+// startAllowed returns an error if an attempt must not start at all.
+func (h *harness) startAllowed(client *clientRequest, e Endpoint) error {
+	switch {
+	case client.answers > 0 || client.gone:
+		return fmt.Errorf("started after its end")
+	case e.ID == 0 || e.State != Live:
+		return fmt.Errorf("the engine is draining, removed or unknown")
+	case h.config.MaxAttempts > 0 && len(client.engines) >= h.config.MaxAttempts:
+		return fmt.Errorf("past the maximum of attempts")
+	}
+	return nil
+}
+
+// placementAllowed returns an error if the class may not use the engine.
+func (h *harness) placementAllowed(client *clientRequest, e Endpoint) error {
+	if len(client.class.Zones) > 0 && !slices.Contains(client.class.Zones, e.Zone) ||
+		len(client.class.Kinds) > 0 && !slices.Contains(client.class.Kinds, e.Kind) {
+		return fmt.Errorf("placed in %s on %s", e.Zone, e.Kind)
+	}
+	return nil
+}
+
+// repeatAllowed returns an error if the request's effect may happen twice, or two attempts run where one may.
+func (h *harness) repeatAllowed(client *clientRequest, e Endpoint) error {
+	for i, outcome := range client.outcomes {
+		if outcome == outstanding && !h.config.HedgingAllowed {
+			return fmt.Errorf("two attempts are outstanding")
+		}
+		if !outcomeMayHaveRun(outcome) || client.class.Semantics == Idempotent {
+			continue
+		}
+		first := h.endpoints[client.engines[i]]
+		windowOver := h.now > client.startedAt[i]+client.class.IdempotencyWindow
+		otherScope := client.class.IdempotencyScope == ScopeZone && first.Zone != e.Zone ||
+			client.class.IdempotencyScope == ScopeCell && first.Cell != e.Cell
+		if client.class.Semantics == AtMostOnce || windowOver || otherScope {
+			return fmt.Errorf("its effect may happen twice")
+		}
+	}
+	return nil
+}
+
+// orderAllowed returns an error if an earlier request of the same ordering key has not ended.
+func (h *harness) orderAllowed(client *clientRequest, _ Endpoint) error {
+	if !client.class.OrderByKey || client.key == "" {
+		return nil
+	}
+	for _, earlier := range h.clients {
+		if earlier == client {
+			break
+		}
+		if !earlier.class.OrderByKey || earlier.key != client.key {
+			continue
+		}
+		if earlier.answers == 0 && !earlier.gone {
+			return fmt.Errorf("ahead of %s of its key", earlier.id)
+		}
+		if slices.Contains(earlier.outcomes, outstanding) {
+			return fmt.Errorf("while %s of its key is outstanding", earlier.id)
+		}
+	}
+	return nil
+}
+
+// budgetAllowed counts a retry, and returns an error if it exceeds the retry budget, whether it starts now or as late as
+// it may.
+func (h *harness) budgetAllowed(client *clientRequest, _ Endpoint) error {
+	budget := h.config.RetryBudget
+	if len(client.engines) == 0 || budget.Window <= 0 {
+		return nil
+	}
+	h.retries = append(h.retries, h.now)
+	for _, start := range []time.Duration{h.now, h.now + budget.startDelay()} {
+		allowed := budget.Free + budget.PerRequest*float64(countAfter(h.arrivals, start-budget.Window))
+		if float64(countAfter(h.retries, h.now-budget.Window-budget.startDelay())) > allowed {
+			return fmt.Errorf("past the retry budget of %v", allowed)
+		}
+	}
+	return nil
+}
+
+// recordStart adds an attempt to its request.
+func (h *harness) recordStart(client *clientRequest, e Endpoint) {
+	if h.isWarming(e) && h.config.WarmUpOverloadFactor > 0 {
+		h.warmingStarts[e.ID] = append(h.warmingStarts[e.ID], h.now)
+	}
+	client.engines = append(client.engines, e.ID)
+	client.startedAt = append(client.startedAt, h.now)
+	client.outcomes = append(client.outcomes, outstanding)
+}
+
+// checkStartWithin checks the time within which an attempt has to start against the idempotency window of earlier ones
+// that may have run, the slow start of the engine and the retry budget.
+func (h *harness) checkStartWithin(client *clientRequest, e Endpoint, within time.Duration) {
+	h.t.Helper()
+	var bounds []time.Duration
+	for i, outcome := range client.outcomes {
+		if client.class.Semantics == IdempotentByKey && outcomeMayHaveRun(outcome) {
+			bounds = append(bounds, max(client.startedAt[i]+client.class.IdempotencyWindow-h.now, 1))
+		}
+	}
+	if h.isWarming(e) && h.config.WarmUpOverloadWindow > 0 {
+		bounds = append(bounds, h.config.WarmUpOverloadWindow/warmUpStartFraction)
+	}
+	if delay := h.config.RetryBudget.startDelay(); delay > 0 && len(client.outcomes) > 0 {
+		bounds = append(bounds, delay)
+	}
+	if len(bounds) == 0 {
+		return // it may start at any time
+	}
+	if most := slices.Min(bounds); within <= 0 || within > most {
+		h.t.Fatalf("%s on engine %d may start within %v, want %v at most", client.id, e.ID, within, most)
+	}
+}
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -1,73 +1,213 @@
 package dispatch
 
 import (
+	"math"
 	"testing"
 	"time"
 )
 
-// A crash while the list is silent: own outcomes tell of it, and the engine is cold when it answers again.
-func TestCrashDuringDiscoveryOutage(t *testing.T) {
-	config := twoClassConfig()
-	config.WarmUpInitialShare, config.WarmUpDuration, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
-	h := newHarness(t, config)
-	h.updateEndpoints(ListComplete, testEngines(3)...)
-	client := h.arrive("quick", "")
-	dead := client.engines[0]
-	h.endLatest(client, ConnectionReset)
-	if len(client.engines) != 2 || client.engines[1] == dead {
-		t.Fatalf("not run elsewhere: %v", client.engines)
+// healthAt is an engine's health at time one hour.
+func healthAt() (*health, *environment) {
+	h := newHealth()
+	return &h, &environment{now: time.Hour}
+}
+
+func TestSlownessMovesAndDecays(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		ratios []float64
+		after  time.Duration
+		want   float64
+	}{
+		{"nothing observed", nil, 0, 1},
+		{"usual", []float64{1, 1}, 0, 1},
+		{"slow", []float64{3}, 0, 1.2},
+		{"bounded", []float64{1e9}, 0, 1 + slownessGain*(maxSlowness-1)},
+		{"fast", []float64{0}, 0, 1 + slownessGain*(minSlowness-1)},
+		{"slow, a time constant ago", []float64{3}, evidenceLife, 1 + 0.2/math.E},
+	} {
+		h, env := healthAt()
+		for _, ratio := range test.ratios {
+			h.observeSlowness(env, ratio)
+		}
+		env.now += test.after
+		if got := h.currentSlowness(env); math.Abs(got-test.want) > 1e-9 {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
 	}
-	h.endLatest(client, Served)
-	e := h.controller.endpoints.byID[dead]
-	// Six at a time, so that the others have work and it is looked at.
-	six := func(down bool) (tries int) {
-		h.advance(20 * ms)
-		var open []*clientRequest
-		for range 6 {
-			open = append(open, h.arriveWith(Arrival{Class: "quick", TableGroup: int64(h.lastID), TimeLeft: 3 * time.Second}))
+}
+
+func TestFailureShareEjects(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		outcomes []float64 // 1 for a failure
+		gain     float64
+		after    time.Duration
+		ejected  bool
+	}{
+		{"none", nil, failureGain, 0, false},
+		{"one silent attempt", []float64{1}, failureGain, 0, false},
+		{"two silent attempts", []float64{1, 1}, failureGain, 0, true},
+		{"five breaks", []float64{1, 1, 1, 1, 1}, breakGain, 0, false},
+		{"six breaks", []float64{1, 1, 1, 1, 1, 1}, breakGain, 0, true},
+		{"an answer after two", []float64{1, 1, 0}, failureGain, 0, false},
+		{"two, decayed", []float64{1, 1}, failureGain, evidenceLife, false},
+	} {
+		h, env := healthAt()
+		for _, outcome := range test.outcomes {
+			h.observe(env, outcome, test.gain)
+		}
+		env.now += test.after
+		if got := h.ejected(env); got != test.ejected {
+			t.Errorf("%s: ejected %v with a share of %.3f", test.name, got, h.currentFailureShare(env))
 		}
-		for len(open) > 0 {
-			client := open[0]
-			open = open[1:]
-			if down && client.engines[len(client.engines)-1] == dead {
-				tries++
-				h.endLatest(client, ConnectFailed)
-				open = append(open, client)
-			} else {
-				h.endLatest(client, Served)
+	}
+}
+
+func TestConnectionFailuresMarkDown(t *testing.T) {
+	for name, recover := range map[string]func(*health, *environment){
+		"connected": func(h *health, _ *environment) { h.recordConnected() },
+		"full":      func(h *health, env *environment) { h.recordFull(env) },
+		"cordoned":  func(h *health, _ *environment) { h.cordonChanged(true) },
+	} {
+		h, env := healthAt()
+		for i := range maxConnectionFailures {
+			if h.down() {
+				t.Errorf("down after %d failures", i)
 			}
+			h.recordConnectionFailure()
+		}
+		if !h.down() {
+			t.Errorf("not down after %d failures", maxConnectionFailures)
+		}
+		if recover(h, env); h.down() {
+			t.Errorf("%s: still down", name)
 		}
-		return tries
 	}
-	tries := 0
-	for range 400 {
-		tries += six(true)
+}
+
+func TestFullEngineAndProbationEnd(t *testing.T) {
+	h, env := healthAt()
+	h.recordFull(env)
+	env.now += fullBackoff - 1
+	if !h.fullLately(env) {
+		t.Error("not full a moment later")
 	}
-	if most := maxConnectionFailures + int(400*20*ms/(2*fullBackoff)) + 1; e.health.connectionFailures < maxConnectionFailures || tries > most {
-		t.Fatalf("%d attempts were lost in a row; it was tried %d times, at most %d are wanted", e.health.connectionFailures, tries, most)
+	env.now++
+	if h.fullLately(env) {
+		t.Error("full after the backoff")
 	}
-	for range 400 {
-		six(false)
-		if e.health.connectionFailures == 0 {
-			break
-		}
+	if h.cordonChanged(false); !h.onProbation {
+		t.Error("not on probation after a cordon")
 	}
-	if e.health.connectionFailures > 0 || h.now >= e.warmUp.end {
-		t.Error("it came back and is not treated as cold")
+	if h.recordServed(); h.onProbation {
+		t.Error("on probation after an answer")
 	}
 }
 
-// An engine that turns queries away fast must not draw the rest.
+func TestHealthRestoresSoundSnapshotsOnly(t *testing.T) {
+	sound := EngineSnapshot{
+		Slowness: 2, SlownessAt: 1, FailureShare: 0.5, FailureShareAt: 2, ConnectionFailures: 3, OnProbation: true,
+	}
+	for name, test := range map[string]struct {
+		change func(*EngineSnapshot)
+		want   bool
+	}{
+		"sound":              {func(*EngineSnapshot) {}, true},
+		"slowness of zero":   {func(s *EngineSnapshot) { s.Slowness = 0 }, false},
+		"slowness NaN":       {func(s *EngineSnapshot) { s.Slowness = math.NaN() }, false},
+		"share above one":    {func(s *EngineSnapshot) { s.FailureShare = 1.1 }, false},
+		"share below zero":   {func(s *EngineSnapshot) { s.FailureShare = -0.1 }, false},
+		"failures below 0":   {func(s *EngineSnapshot) { s.ConnectionFailures = -1 }, false},
+		"nothing but a zero": {func(s *EngineSnapshot) { *s = EngineSnapshot{} }, false},
+	} {
+		snapshot := sound
+		test.change(&snapshot)
+		h := newHealth()
+		if got := h.restore(snapshot); got != test.want {
+			t.Errorf("%s: restored %v", name, got)
+		}
+		want := newHealth()
+		if test.want {
+			want.slowness, want.slownessAt, want.failureShare, want.failureShareAt = 2, 1, 0.5, 2
+			want.connectionFailures, want.onProbation = 3, true
+		}
+		if h != want {
+			t.Errorf("%s: %+v, want %+v", name, h, want)
+		}
+	}
+}
+
+// An engine that rejects requests fast must not attract the others.
 func TestFullEngineIsBackedOffFrom(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(1)...)
 	client := h.arrive("quick", "")
 	h.endLatest(client, EngineFull)
 	if len(client.engines) != 1 {
-		t.Fatal("sent again to an engine that was full a moment ago")
+		t.Fatal("started again on an engine that was full a moment ago")
 	}
 	h.advance(fullBackoff + 50*ms)
 	if len(client.engines) != 2 {
-		t.Error("not tried again after the rest")
+		t.Error("not tried again after the backoff")
+	}
+}
+
+// sixRequests has six requests at a time, so that the other engines have work too, and returns how many attempts were made
+// on an engine. If that is down, these fail.
+func (h *harness) sixRequests(id EngineID, down bool) (attempts int) {
+	h.t.Helper()
+	h.advance(20 * ms)
+	var open []*clientRequest
+	for range 6 {
+		open = append(open, h.arriveWith(Arrival{
+			Class: "quick", TableGroup: int64(h.lastID), TimeLeft: 3 * time.Second,
+		}))
+	}
+	for len(open) > 0 {
+		client := open[0]
+		open = open[1:]
+		if down && client.lastEngine() == id {
+			attempts++
+			h.endLatest(client, ConnectFailed)
+			open = append(open, client)
+		} else {
+			h.endLatest(client, Served)
+		}
+	}
+	return attempts
+}
+
+// An engine crashes while discovery is silent: the router's own outcomes show it, and the engine warms up when it answers
+// again.
+func TestCrashDuringDiscoveryOutage(t *testing.T) {
+	const rounds = 400
+	h := newHarness(t, withShortWarmUp(twoClassConfig()))
+	h.updateEndpoints(ListComplete, testEngines(3)...)
+	client := h.arrive("quick", "")
+	dead := client.engines[0]
+	h.endLatest(client, ConnectionReset)
+	if len(client.engines) != 2 || client.engines[1] == dead {
+		t.Fatalf("not run on another engine: %v", client.engines)
+	}
+	h.endLatest(client, Served)
+	e := h.controller.endpoints.byID[dead]
+	attempts := 0
+	for range rounds {
+		attempts += h.sixRequests(dead, true)
+	}
+	most := maxConnectionFailures + int(rounds*20*ms/(2*fullBackoff)) + 1
+	if e.health.connectionFailures < maxConnectionFailures || attempts > most {
+		t.Fatalf("%d connections failed in a row; it was tried %d times, want at most %d",
+			e.health.connectionFailures, attempts, most)
+	}
+	for range rounds {
+		h.sixRequests(dead, false)
+		if e.health.connectionFailures == 0 {
+			break
+		}
+	}
+	if e.health.connectionFailures > 0 || h.now >= e.warmUp.end {
+		t.Error("it is back and does not warm up")
 	}
 }
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// incompleteConfig are settings as an installation might give them by mistake or by leaving things out: no kinds, kinds without
-// memory or cores, no zones or five, classes without threads, no limits, notes that never come.
+// incompleteConfig has settings as an installation might have them by mistake or omission: no kinds, kinds without memory
+// or cores, no zones or five, classes without threads, no limits, no progress reports.
 func incompleteConfig(rng *rand.Rand) Config {
 	config := randomConfig(rng)
 	config.MemoryShortage, config.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
@@ -33,6 +33,7 @@
 	return config
 }
 
+// incompleteEngines has engines of no zone, one or five, with capacity weights of all kinds.
 func incompleteEngines(rng *rand.Rand, n int) []Endpoint {
 	list := testEngines(n)
 	zones := []int{1, 1, 5}[rng.IntN(3)]
@@ -50,15 +51,23 @@
 
 func extremeFigure(rng *rand.Rand) float64 { return extremeFigures[rng.IntN(len(extremeFigures))] }
 
+// extremeReport has a load report of extreme figures, or none.
 func extremeReport(rng *rand.Rand) *LoadReport {
 	if rng.IntN(4) == 0 {
 		return nil
 	}
-	return &LoadReport{InFlight: extremeFigure(rng), Waiting: extremeFigure(rng), Busy: extremeFigure(rng), Disk: extremeFigure(rng), Memory: extremeFigure(rng), Failing: extremeFigure(rng)}
+	return &LoadReport{
+		InFlight: extremeFigure(rng),
+		Waiting:  extremeFigure(rng),
+		Busy:     extremeFigure(rng),
+		Disk:     extremeFigure(rng),
+		Memory:   extremeFigure(rng),
+		Failing:  extremeFigure(rng),
+	}
 }
 
-// Whatever engines say of themselves and of attempts, and whatever is missing from settings and queries: no rule is broken,
-// each request gets its one answer, and once all has ended the next query is sent.
+// Whatever engines report of themselves and of attempts, and whatever is missing in settings and requests: no rule is
+// broken, each request gets one answer, and once all have ended the next request is started.
 func TestInvalidInputStopsNothing(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -69,75 +78,98 @@
 			for range 300 {
 				h.invalidStep(rng)
 			}
-			for round := 0; round < 20; round++ { // all that is out is answered, until all is over
+			for range 20 { // until all are answered
 				h.advance(time.Second)
 				for _, client := range h.clients {
-					for hop, o := range client.outcomes {
-						if o == outstanding {
-							h.endAttempt(client, hop, Served, nil)
-						}
-					}
-				}
-			}
-			for _, client := range h.clients {
-				if client.answers != 1 && !client.gone {
-					t.Fatalf("%s has %d answers", client.id, client.answers)
-				}
-			}
-			for _, e := range h.controller.endpoints.all {
-				for _, cl := range h.controller.classes.all {
-					r := &request{class: cl, estimate: 1, deadline: h.now + time.Second}
-					if cost := h.controller.selector.cost(e, r); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
-						t.Errorf("engine %d costs %v for a %s", e.ID, cost, cl.Name)
-					}
+					h.endOutstanding(client, Served, nil)
 				}
 			}
+			h.checkEachAnswered()
+			h.checkCosts()
 			h.advance(30 * time.Second)
-			for _, cl := range h.config.Classes {
-				client := h.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
-				h.advance(100 * ms)
-				if len(client.engines) == 0 && len(h.controller.capacity.warming) > 0 {
-					// One that was down has answered the query before, and is held to be cold: the next that comes once it is
-					// warm is sent, at once.
-					h.advance(h.config.WarmUpDuration)
-					client = h.arriveWith(Arrival{Class: cl.Name, TableGroup: TableGroupOf(3), TimeLeft: cl.Deadline})
-				}
-				if len(client.engines) == 0 {
-					t.Errorf("all engines are idle, and a %s is not sent", cl.Name)
-					continue
-				}
-				h.endLatest(client, Served)
+			for _, class := range h.config.Classes {
+				h.checkIdleFleetStarts(class)
 			}
 		})
 	}
 }
 
+// checkCosts checks that each engine has a finite cost for each class.
+func (h *harness) checkCosts() {
+	h.t.Helper()
+	for _, e := range h.controller.endpoints.all {
+		for _, k := range h.controller.classes.all {
+			req := &request{class: k, estimate: 1, deadline: h.now + time.Second}
+			if cost := h.controller.selector.cost(e, req); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
+				h.t.Errorf("engine %d costs %v for a %s", e.ID, cost, k.Name)
+			}
+		}
+	}
+}
+
+// checkIdleFleetStarts checks that a request is started at once while all engines are idle. An engine that was down has
+// answered the previous request, and may warm up: then the next request after that is started at once.
+func (h *harness) checkIdleFleetStarts(class Class) {
+	h.t.Helper()
+	arrival := Arrival{Class: class.Name, TableGroup: TableGroupOf(3), TimeLeft: class.Deadline}
+	client := h.arriveWith(arrival)
+	h.advance(100 * ms)
+	if len(client.engines) == 0 && len(h.controller.capacity.warming) > 0 {
+		h.advance(h.config.WarmUpDuration)
+		client = h.arriveWith(arrival)
+	}
+	if len(client.engines) == 0 {
+		h.t.Errorf("all engines are idle, and a %s is not started", class.Name)
+		return
+	}
+	h.endLatest(client, Served)
+}
+
+// invalidStep lets some time pass and has an event happen that is often invalid.
 func (h *harness) invalidStep(rng *rand.Rand) {
 	h.t.Helper()
-	h.advance(10 * ms * time.Duration(rng.IntN(3)))
+	h.advance(harnessStep * time.Duration(rng.IntN(3)))
 	switch rng.IntN(8) {
 	case 0, 1, 2:
-		k := h.config.Classes[rng.IntN(len(h.config.Classes))]
-		h.arriveWith(Arrival{
-			Class: k.Name, Tenant: "nobody", TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)], NeedMB: extremeFigure(rng),
-			Estimate: time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
-			TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline)),
-		})
+		h.invalidArrival(rng)
 	case 3:
 		h.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{
-			InFlight: extremeFigure(rng), Waiting: extremeFigure(rng), Busy: extremeFigure(rng),
-			Disk: extremeFigure(rng), Memory: extremeFigure(rng),
+			InFlight: extremeFigure(rng),
+			Waiting:  extremeFigure(rng),
+			Busy:     extremeFigure(rng),
+			Disk:     extremeFigure(rng),
+			Memory:   extremeFigure(rng),
 		}})
-	case 4: // a note on an attempt that may have ended, or never was
+	case 4: // progress of an attempt that may have ended, or never was
 		id := RequestID(fmt.Sprint("r", rng.IntN(h.lastID+2)))
-		h.handle(AttemptProgress{Request: id, Attempt: rng.IntN(3) - 1, Kind: ProgressKind(rng.IntN(6) - 1), Amount: extremeFigure(rng)})
+		attempt, kind := rng.IntN(3)-1, ProgressKind(rng.IntN(6)-1)
+		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeFigure(rng)})
 	default:
-		for _, client := range slices.Backward(h.clients) {
-			for hop, o := range client.outcomes {
-				if o == outstanding && rng.IntN(3) > 0 {
-					h.endAttempt(client, hop, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
-					return
-				}
+		h.endWithExtremeReport(rng)
+	}
+}
+
+func (h *harness) invalidArrival(rng *rand.Rand) {
+	h.t.Helper()
+	class := h.config.Classes[rng.IntN(len(h.config.Classes))]
+	h.arriveWith(Arrival{
+		Class:      class.Name,
+		Tenant:     "nobody",
+		TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)],
+		NeedMB:     extremeFigure(rng),
+		Estimate:   time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
+		TimeLeft:   time.Duration(rng.Float64() * float64(class.Deadline)),
+	})
+}
+
+// endWithExtremeReport ends one of the latest outstanding attempts.
+func (h *harness) endWithExtremeReport(rng *rand.Rand) {
+	h.t.Helper()
+	for _, client := range slices.Backward(h.clients) {
+		for attempt, outcome := range client.outcomes {
+			if outcome == outstanding && rng.IntN(3) > 0 {
+				h.endAttempt(client, attempt, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
+				return
 			}
 		}
 	}
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -15,11 +15,15 @@
 	config := twoClassConfig()
 	config.Seed, config.Routers = rng.Uint64(), 1+rng.IntN(4)
 	config.MaxAttempts = rng.IntN(5)
-	config.CancelAllowed, config.HedgingAllowed, config.PolledDiscovery = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
+	config.CancelAllowed, config.HedgingAllowed = rng.IntN(2) == 0, rng.IntN(3) == 0
+	config.PolledDiscovery = rng.IntN(2) == 0
 	config.DiscoveryTimeout, config.KeyCooldown = 4*time.Second, time.Duration(rng.IntN(500))*ms
-	config.WarmUpInitialShare, config.WarmUpDuration, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 0.4, 5*time.Second, 2, time.Second
+	config = withShortWarmUp(config)
+	config.WarmUpDuration = 5 * time.Second
 	if rng.IntN(2) == 0 {
-		config.RetryBudget = RetryBudget{Window: 2 * time.Second, Free: float64(rng.IntN(4)), PerRequest: 0.2 * rng.Float64()}
+		config.RetryBudget = RetryBudget{
+			Window: 2 * time.Second, Free: float64(rng.IntN(4)), PerRequest: 0.2 * rng.Float64(),
+		}
 	}
 	for i := range config.Classes {
 		k := &config.Classes[i]
@@ -34,7 +38,8 @@
 	return config
 }
 
-// TestInvariantsHold feeds random legal events; world checks the rules after every action.
+// The rules that the harness checks hold after every action, whatever legal events come, and each request gets one
+// answer.
 func TestInvariantsHold(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -44,64 +49,46 @@
 			for range 600 {
 				h.randomStep(rng)
 			}
-			for _, client := range h.clients { // whatever is out now ends when its client does
-				for i, o := range client.outcomes {
-					if o == outstanding {
-						h.advance(10 * ms)
-						h.endAttempt(client, i, TimedOut, halfBusyReport)
-					}
-				}
-			}
-			h.advance(16 * time.Second)
-			for _, client := range h.clients {
-				for i, o := range client.outcomes {
-					if o == outstanding {
-						h.endAttempt(client, i, ConnectionReset, halfBusyReport)
-					}
-				}
-			}
-			h.advance(16 * time.Second)
-			for _, client := range h.clients {
-				if client.answers != 1 && !client.gone {
-					t.Fatalf("%s has %d answers", client.id, client.answers)
-				}
-			}
+			h.endAllInTime()
+			h.checkEachAnswered()
 			if len(h.starts) == 0 {
-				t.Fatal("nothing was ever sent")
+				t.Fatal("no attempt was ever started")
 			}
 		})
 	}
 }
 
+// endAllInTime has outstanding attempts time out one by one, lets all deadlines pass, and has the rest fail.
+func (h *harness) endAllInTime() {
+	h.t.Helper()
+	for _, client := range h.clients {
+		for attempt, outcome := range client.outcomes {
+			if outcome == outstanding {
+				h.advance(harnessStep)
+				h.endAttempt(client, attempt, TimedOut, halfBusyReport)
+			}
+		}
+	}
+	h.advance(16 * time.Second)
+	for _, client := range h.clients {
+		h.endOutstanding(client, ConnectionReset, halfBusyReport)
+	}
+	h.advance(16 * time.Second)
+}
+
+// randomStep lets some time pass and has a random event happen.
 func (h *harness) randomStep(rng *rand.Rand) {
 	h.t.Helper()
-	h.advance(10 * ms * time.Duration(rng.IntN(3)))
+	h.advance(harnessStep * time.Duration(rng.IntN(3)))
 	switch n := rng.IntN(20); {
 	case n < 9:
-		k := h.config.Classes[rng.IntN(len(h.config.Classes))]
-		key := ""
-		if k.OrderByKey {
-			key = fmt.Sprint("k", rng.IntN(3))
-		}
-		h.arriveWith(Arrival{
-			Class: k.Name, Key: key, TableGroup: int64(rng.IntN(4)), NeedMB: float64(rng.IntN(3) * 300),
-			Estimate: time.Duration(rng.IntN(3)*200) * ms, TimeLeft: time.Duration(rng.Float64() * float64(k.Deadline)),
-		})
+		h.randomArrival(rng)
 	case n < 17:
 		h.randomOutcome(rng)
 	case n == 17:
-		client := h.clients[max(len(h.clients)-1-rng.IntN(5), 0):]
-		if len(client) > 0 && client[0].answers == 0 {
-			client[0].gone = true
-			h.handle(ClientGone{Request: client[0].id})
-		}
+		h.clientLeaves(rng)
 	case n == 18:
-		e := testEngines(6)[rng.IntN(6)]
-		e.State = EndpointState(rng.IntN(3))
-		if rng.IntN(2) == 0 {
-			e.StartedAt = h.now
-		}
-		h.updateEndpoints(ListIncremental, e)
+		h.randomEndpoint(rng)
 	default:
 		if rng.IntN(3) == 0 {
 			h.updateEndpoints(ListFailed)
@@ -111,18 +98,58 @@
 	}
 }
 
+func (h *harness) randomArrival(rng *rand.Rand) {
+	h.t.Helper()
+	class := h.config.Classes[rng.IntN(len(h.config.Classes))]
+	key := ""
+	if class.OrderByKey {
+		key = fmt.Sprint("k", rng.IntN(3))
+	}
+	h.arriveWith(Arrival{
+		Class:      class.Name,
+		Key:        key,
+		TableGroup: int64(rng.IntN(4)),
+		NeedMB:     float64(rng.IntN(3) * 300),
+		Estimate:   time.Duration(rng.IntN(3)*200) * ms,
+		TimeLeft:   time.Duration(rng.Float64() * float64(class.Deadline)),
+	})
+}
+
+// clientLeaves has the client of a recent request leave, if that has no answer.
+func (h *harness) clientLeaves(rng *rand.Rand) {
+	h.t.Helper()
+	recent := h.clients[max(len(h.clients)-1-rng.IntN(5), 0):]
+	if len(recent) > 0 && recent[0].answers == 0 {
+		recent[0].gone = true
+		h.handle(ClientGone{Request: recent[0].id})
+	}
+}
+
+// randomEndpoint changes the state of one engine.
+func (h *harness) randomEndpoint(rng *rand.Rand) {
+	h.t.Helper()
+	e := testEngines(6)[rng.IntN(6)]
+	e.State = EndpointState(rng.IntN(3))
+	if rng.IntN(2) == 0 {
+		e.StartedAt = h.now
+	}
+	h.updateEndpoints(ListIncremental, e)
+}
+
+// randomOutcome ends an outstanding attempt, often after a progress report.
 func (h *harness) randomOutcome(rng *rand.Rand) {
 	h.t.Helper()
 	for i := len(h.clients) - 1; i >= 0; i-- {
 		client := h.clients[i]
-		for hop, o := range client.outcomes {
-			if o != outstanding || rng.IntN(3) == 0 {
+		for attempt, outcome := range client.outcomes {
+			if outcome != outstanding || rng.IntN(3) == 0 {
 				continue
 			}
 			if rng.IntN(3) == 0 {
-				h.handle(AttemptProgress{Request: client.id, Attempt: hop, Kind: ProgressKind(rng.IntN(4)), Amount: rng.Float64() * 2})
+				kind := ProgressKind(rng.IntN(4))
+				h.handle(AttemptProgress{Request: client.id, Attempt: attempt, Kind: kind, Amount: rng.Float64() * 2})
 			}
-			h.endAttempt(client, hop, Outcome(rng.IntN(int(NotSent))), halfBusyReport)
+			h.endAttempt(client, attempt, Outcome(rng.IntN(int(NotSent))), halfBusyReport)
 			return
 		}
 	}
--- a/dispatch/outliers_test.go
+++ b/dispatch/outliers_test.go
@@ -6,59 +6,46 @@
 	"time"
 )
 
-// A network that resets one attempt in eight, whatever the engine, ejects none and leaves all warm: it guards
-// against taking chance for a sick fleet, which would then refuse work.
+// A network that resets one attempt in eight, whatever the engine, ejects none and has none warm up: it guards against
+// taking chance for a failing fleet, which would then reject work.
 func TestRandomResetsEjectNoEngine(t *testing.T) {
-	config := twoClassConfig()
+	config := withShortWarmUp(twoClassConfig())
 	config.MaxAttempts = 5
-	config.WarmUpInitialShare, config.WarmUpDuration, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 0.4, 10*time.Second, 2, time.Second
 	h := newHarness(t, config)
 	h.updateEndpoints(ListComplete, testEngines(5)...)
 	rng := rand.New(rand.NewPCG(1, 2))
-	shut := 0
+	unavailable := 0
 	for range 2000 {
 		h.now += 10 * ms
 		client := h.arriveWith(Arrival{Class: "quick", TableGroup: int64(h.lastID), TimeLeft: 3 * time.Second})
-		for client.answers == 0 && client.outcomes[len(client.outcomes)-1] == outstanding {
-			o := Served
+		for client.answers == 0 && client.latest() == outstanding {
+			outcome := Served
 			if rng.IntN(8) == 0 {
-				o = []Outcome{ConnectionReset, ConnectFailed}[rng.IntN(2)]
+				outcome = []Outcome{ConnectionReset, ConnectFailed}[rng.IntN(2)]
 			}
-			h.endLatest(client, o)
+			h.endLatest(client, outcome)
 		}
 		for _, e := range h.controller.endpoints.all {
-			if e.health.currentFailureShare(h.controller.env) >= ejectionThreshold || h.now < e.warmUp.end {
-				shut++
+			if e.health.ejected(h.controller.env) || h.now < e.warmUp.end {
+				unavailable++
 			}
 		}
 	}
-	if shut > 20 {
-		t.Errorf("an engine was ejected or held to be cold at %d of 10000 looks", shut)
-	}
-}
-
-// Avoided is what the module goes by: engines that fail count until so many do that all are used again.
-func TestAvoidedEnginesFollowEjectionLimit(t *testing.T) {
-	h := newHarness(t, twoClassConfig())
-	h.updateEndpoints(ListComplete, testEngines(4)...)
-	for i, want := range []int{1, 2, 0, 0} {
-		h.controller.env.now = h.now
-		h.controller.outliers.attributeFailure(h.controller.endpoints.all[i], 1)
-		if got := h.controller.AvoidedEngines(h.now); got != want {
-			t.Errorf("%d engines fail: %d avoided, want %d", i+1, got, want)
-		}
+	if unavailable > 20 {
+		t.Errorf("an engine was ejected or warmed up in %d of 10000 cases", unavailable)
 	}
 }
 
+// An engine that fails fast looks idle, and yet must not attract requests.
 func TestFastFailingEngineGetsFewRequests(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
-	bad, n := EngineID(1), 0
+	failing, n := EngineID(1), 0
 	for i := range 200 {
 		h.now += 20 * ms
 		client := h.arriveWith(Arrival{Class: "quick", TableGroup: int64(i), TimeLeft: 3 * time.Second})
-		for client.answers == 0 && len(client.outcomes) > 0 && client.outcomes[len(client.outcomes)-1] == outstanding {
-			if client.engines[len(client.engines)-1] == bad {
+		for client.isOpen() {
+			if client.lastEngine() == failing {
 				n++
 				h.endLatest(client, EngineFailed)
 			} else {
@@ -72,107 +59,124 @@
 	}
 }
 
-// When all others are at their bound, an engine that fails at once has room; it must not draw what is held.
+// When all others are at their bound, an engine that fails at once has headroom; it must not get what is queued.
 func TestEjectedEngineIsBackedOffFromInOverload(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(3)...)
 	h.controller.env.now = h.now
-	bad := h.controller.endpoints.byID[1]
+	failing := h.controller.endpoints.byID[1]
 	for _, e := range h.controller.endpoints.all[1:] {
 		e.usage.threads, e.usage.preferredThreads = 100, 100
 	}
 	for range 3 {
-		h.controller.outliers.attributeFailure(bad, failureGain)
+		h.controller.outliers.attributeFailure(failing, failureGain)
 	}
 	client := h.arrive("big", "")
 	if len(client.engines) != 0 {
-		t.Fatal("sent to an engine that just failed three times")
+		t.Fatal("started on an engine that just failed three times")
 	}
 	h.advance(2*fullBackoff + 50*ms)
 	if len(client.engines) != 1 {
-		t.Error("not tried after the rest")
+		t.Error("not tried after the backoff")
 	}
 }
 
-// With most engines failing, none is ejected: the few others could not carry all.
+// With most engines failing, none is ejected: the few others could not carry all traffic.
 func TestEjectionIsLimited(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		failing int
 		ejected bool
 	}{{1, true}, {2, true}, {3, false}, {4, false}} {
 		h := newHarness(t, twoClassConfig())
 		h.updateEndpoints(ListComplete, testEngines(4)...)
-		h.controller.env.now = h.now
-		for _, e := range h.controller.endpoints.all[:k.failing] {
-			h.controller.outliers.attributeFailure(e, failureGain)
+		c := h.controller
+		c.env.now = h.now
+		for _, e := range c.endpoints.all[:test.failing] {
+			c.outliers.attributeFailure(e, failureGain)
 			e.health.failureShare, e.health.failureShareAt = 1, h.now-600*ms
-			h.controller.outliers.tracked = append(h.controller.outliers.tracked, e)
+			c.outliers.tracked = append(c.outliers.tracked, e)
 			e.running = append(e.running, &attempt{})
 		}
-		r := &request{class: h.controller.classes.all[0], estimate: 1, deadline: h.now + time.Second}
-		if got := !h.controller.capacity.hasHeadroom(h.controller.endpoints.all[0], r, h.controller.selector.spread()); got != k.ejected {
-			t.Errorf("%d of 4 failing: ejected %v, want %v", k.failing, got, k.ejected)
+		req := &request{class: c.classes.all[0], estimate: 1, deadline: h.now + time.Second}
+		if got := !c.capacity.hasHeadroom(c.endpoints.all[0], req, c.selector.spread()); got != test.ejected {
+			t.Errorf("%d of 4 failing: ejected %v, want %v", test.failing, got, test.ejected)
 		}
 	}
 }
 
-// A try of an engine that is down renews the evidence against it, and it counts among those that fail.
+// Failing engines count as avoided until so many fail that all are used again.
+func TestAvoidedEnginesFollowEjectionLimit(t *testing.T) {
+	h := newHarness(t, twoClassConfig())
+	h.updateEndpoints(ListComplete, testEngines(4)...)
+	for i, want := range []int{1, 2, 0, 0} {
+		h.controller.env.now = h.now
+		h.controller.outliers.attributeFailure(h.controller.endpoints.all[i], 1)
+		if got := h.controller.AvoidedEngines(h.now); got != want {
+			t.Errorf("%d engines fail: %d avoided, want %d", i+1, got, want)
+		}
+	}
+}
+
+// An attempt on an engine that is down renews the evidence against it, and it counts as ejected.
 func TestAttemptOnDownEngineRenewsFailure(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(1)...)
-	h.controller.env.now = h.now
-	e := h.controller.endpoints.listed[0]
+	c := h.controller
+	c.env.now = h.now
+	e := c.endpoints.listed[0]
 	for range maxConnectionFailures + 1 {
-		h.controller.outliers.attributeFailure(e, failureGain)
+		c.outliers.attributeFailure(e, failureGain)
 		e.health.connectionFailures++
 	}
 	h.now += evidenceLife
-	h.controller.env.now = h.now
-	if got := h.controller.outliers.ejectedCount(); got != 0 || e.health.currentFailureShare(h.controller.env) >= ejectionThreshold {
-		t.Fatalf("%v engines are ejected after the evidence has faded", got)
+	c.env.now = h.now
+	if got := c.outliers.ejectedCount(); got != 0 || e.health.ejected(c.env) {
+		t.Fatalf("%v engines are ejected after the evidence has decayed", got)
 	}
 	if h.arrive("quick", ""); len(h.starts) != 1 {
 		t.Fatal("the engine was not tried")
 	}
-	if got, want := h.controller.outliers.ejectedCount(), h.controller.recountEjected(); got != want || want != 1 {
+	if got, want := c.outliers.ejectedCount(), c.recountEjected(); got != want || want != 1 {
 		t.Errorf("%v engines are ejected, %v fail, want 1", got, want)
 	}
 }
 
-// A router of a large fleet keeps off what gave no answer, alone or as a zone; not where all that is listed rests, not after a
-// ban has ended, and an engine that is no longer listed has no say.
-func TestZoneBackoffInLargeFleet(t *testing.T) {
+// zoneFailureHarness is a router of a large fleet after failed connections to all engines of zone z0.
+func zoneFailureHarness(t *testing.T) (h *harness, list []Endpoint) {
+	t.Helper()
 	config, list := largeFleetConfig(300, 8, 0)
-	strikes := func() *harness {
-		h := newHarness(t, config)
-		h.updateEndpoints(ListComplete, list...)
-		for range 12 {
-			for _, e := range h.controller.endpoints.listed {
-				if e.Zone == "z0" {
-					h.controller.fleet.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
-				}
+	h = newHarness(t, config)
+	h.updateEndpoints(ListComplete, list...)
+	for range 12 {
+		for _, e := range h.controller.endpoints.listed {
+			if e.Zone == "z0" {
+				h.controller.fleet.recordOutcome(&attempt{engine: e, request: &request{}}, ConnectFailed)
 			}
 		}
-		return h
 	}
-	h := strikes()
-	if e, other := h.controller.endpoints.byID[1], h.controller.endpoints.byID[2]; !h.controller.outliers.backedOff(e) || h.controller.outliers.backedOff(other) {
-		t.Fatal("zone z0 does not rest, or z1 does")
+	return h, list
+}
+
+// A router of a large fleet backs off from an engine that gave no answer, alone or with its zone, but not where all listed
+// zones are backed off from, nor after a cordon has ended. An engine that is no longer listed does not count.
+func TestZoneBackoffInLargeFleet(t *testing.T) {
+	h, list := zoneFailureHarness(t)
+	c := h.controller
+	if !c.outliers.backedOff(c.endpoints.byID[1]) || c.outliers.backedOff(c.endpoints.byID[2]) {
+		t.Fatal("zone z0 is not backed off from, or z1 is")
 	}
-	if h.controller.endpoints.byID[7].health.backoff.RecordSuccess(); !h.controller.outliers.backedOff(h.controller.endpoints.byID[7]) {
-		t.Error("an engine of a zone that rests is used")
+	if c.endpoints.byID[7].health.backoff.RecordSuccess(); !c.outliers.backedOff(c.endpoints.byID[7]) {
+		t.Error("an engine of a zone that is backed off from is used")
 	}
-	gone := list[0] // the last of z1 is gone, and z0 rests
-	left := []Endpoint{gone, list[2], list[4]}
-	h.updateEndpoints(ListComplete, left...)
-	h.controller.endpoints.byID[3].health.backoff.RecordSuccess()
-	if h.controller.outliers.backedOff(h.controller.endpoints.byID[3]) {
-		t.Error("all zones that are listed rest, and the router keeps off all")
+	h.updateEndpoints(ListComplete, list[0], list[2], list[4]) // none of z1
+	c.endpoints.byID[3].health.backoff.RecordSuccess()
+	if c.outliers.backedOff(c.endpoints.byID[3]) {
+		t.Error("all listed zones are backed off from")
 	}
-	h = strikes()
+	h, _ = zoneFailureHarness(t)
 	h.handle(Cordon{Engine: 1})
 	h.handle(Uncordon{Engine: 1})
 	if h.controller.endpoints.byID[1].health.backoff.Active(milliseconds(h.now)) {
-		t.Error("an engine rests after its ban has ended")
+		t.Error("an engine is backed off from after its cordon has ended")
 	}
 }
--- a/dispatch/polling_test.go
+++ b/dispatch/polling_test.go
@@ -1,32 +1,71 @@
 package dispatch
 
 import (
+	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 )
 
+func newTestPoll(polled bool) *discoveryPoll {
+	config := Config{PolledDiscovery: polled, DiscoveryTimeout: 8 * time.Second}
+	return &discoveryPoll{env: &environment{config: config, now: time.Hour, random: rand.New(rand.NewPCG(1, 2))}}
+}
+
+// Each failure in a row doubles the backoff up to a bound, an answer ends it, and no poll starts before it is over.
+func TestDiscoveryPollBacksOff(t *testing.T) {
+	poll := newTestPoll(true)
+	poll.subscribe()
+	if poll.next() != math.MaxInt64 {
+		t.Fatal("a poll is due while one is outstanding")
+	}
+	for i, backoff := range []time.Duration{250 * ms, 500 * ms, time.Second, 2 * time.Second, 2 * time.Second} {
+		poll.failed()
+		wait := poll.next() - poll.env.now
+		if wait < backoff/2 || wait > backoff*3/2 {
+			t.Errorf("failure %d: polls again after %v, want about %v", i+1, wait, backoff)
+		}
+		emitted := len(poll.env.actions)
+		poll.env.now += wait - 1
+		if poll.subscribeIfDue(); len(poll.env.actions) != emitted {
+			t.Errorf("failure %d: polled before the backoff is over", i+1)
+		}
+		poll.env.now++
+		if poll.subscribeIfDue(); len(poll.env.actions) != emitted+1 {
+			t.Errorf("failure %d: not polled after the backoff", i+1)
+		}
+	}
+	poll.answered()
+	if poll.failed(); poll.next()-poll.env.now > 250*ms*3/2 {
+		t.Error("an answer does not end the backoff")
+	}
+}
+
+func TestPushedDiscoveryIsNotPolled(t *testing.T) {
+	poll := newTestPoll(false)
+	poll.subscribe()
+	poll.failed()
+	poll.env.now += time.Hour
+	poll.subscribeIfDue()
+	if len(poll.env.actions) != 0 || poll.next() != math.MaxInt64 {
+		t.Errorf("%d polls, the next one at %v", len(poll.env.actions), poll.next())
+	}
+}
+
 func TestPollingBacksOffAfterFailure(t *testing.T) {
 	config := twoClassConfig()
 	config.PolledDiscovery, config.DiscoveryTimeout = true, 10*time.Second
 	h := newHarness(t, config)
 	h.updateEndpoints(ListCached, testEngines(2)...)
-	count := func() (n int) {
-		for _, a := range h.actions {
-			if _, ok := a.(Subscribe); ok {
-				n++
-			}
-		}
-		return n
-	}
-	if count() != 1 {
+	if countActions[Subscribe](h) != 1 {
 		t.Fatal("no subscription at start")
 	}
 	h.updateEndpoints(ListFailed)
-	if count() != 1 {
-		t.Fatal("asked again at once")
+	if countActions[Subscribe](h) != 1 {
+		t.Fatal("polled again at once")
 	}
 	h.advance(3 * time.Second)
-	if count() != 2 {
-		t.Errorf("%d subscriptions after a failure, want 2", count())
+	if n := countActions[Subscribe](h); n != 2 {
+		t.Errorf("%d subscriptions after a failure, want 2", n)
 	}
 }
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -5,35 +5,11 @@
 	"time"
 )
 
-// No more are held than may be, of those that can't meet their aim any more: the client hears at once. It guards against
-// held queries that take the clients' connections from those that could still be served. Both processes of an upgrade
-// count.
-func TestQueuedRequestsAreBounded(t *testing.T) {
-	config := twoClassConfig()
-	config.MaxQueued = 10
-	for _, k := range []struct{ peer, want int }{{0, 10}, {4, 6}, {40, 0}} {
-		h := newHarness(t, config)
-		h.updateEndpoints(ListComplete, testEngines(2)...)
-		h.handle(OtherProcessUsage{Queued: k.peer})
-		for range 60 {
-			h.arriveWith(Arrival{Class: "big", Estimate: 20 * time.Second, TimeLeft: 15 * time.Second})
-		}
-		h.advance(5 * time.Second)
-		answered := 0
-		for _, client := range h.clients {
-			answered += client.answers
-		}
-		if h.controller.queues.length != k.want || answered != 60-k.want-len(h.starts) {
-			t.Errorf("%d held and %d answered with %d sent; %d are held elsewhere", h.controller.queues.length, answered, len(h.starts), k.peer)
-		}
-	}
-}
-
 func TestReleaseRatio(t *testing.T) {
-	for _, k := range []struct {
-		q1, q2, ratio float64
-		many          int
-		preferred     bool
+	for _, test := range []struct {
+		preferred, others, ratio float64
+		many                     int
+		manyPreferred            bool
 	}{
 		{4, 2, 1, 2, true},
 		{2, 2, 1, 1, true},
@@ -44,59 +20,174 @@
 		{1, 500, 2, 7, false},
 		{1, 4, 4, 1, true},
 	} {
-		many, preferred := releaseRatio(k.q1, k.q2, k.ratio)
-		if many != k.many || preferred != k.preferred {
-			t.Errorf("q1 %v q2 %v R %v: %d preferred %v, want %d %v", k.q1, k.q2, k.ratio, many, preferred,
-				k.many, k.preferred)
+		many, manyPreferred := releaseRatio(test.preferred, test.others, test.ratio)
+		if many != test.many || manyPreferred != test.manyPreferred {
+			t.Errorf("%+v: %d, preferred ones %v", test, many, manyPreferred)
 		}
 	}
 }
 
-// TestReleaseOrder fills queues and reads the order in which classes are picked.
-func TestReleaseOrder(t *testing.T) {
-	three := twoClassConfig()
-	three.Classes = append(three.Classes, Class{
-		Name: "load", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second,
-		Threads: 2,
+// threeClassConfig has one more class of wide queries.
+func threeClassConfig() Config {
+	config := twoClassConfig()
+	config.Classes = append(config.Classes, Class{
+		Name: "load", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Threads: 2,
 	})
-	for _, k := range []struct {
-		name         string
-		q1, q2, q3   int
-		want         string
-		ratioForBigs float64
+	return config
+}
+
+// fillQueues has requests ready in the queues of the three classes; each class has the same objective ratio.
+func fillQueues(t *testing.T, lengths [3]int, ratio float64) *classQueues {
+	t.Helper()
+	classes := newClassSet(threeClassConfig().Classes)
+	queues := newClassQueues(classes)
+	for i, n := range lengths {
+		classes.all[i].objectiveRatio = ratio
+		for j := range n {
+			arrivedAt := time.Duration(i*10 + j)
+			queues.push(&request{class: classes.all[i], arrivedAt: arrivedAt, objective: arrivedAt + time.Second}, false)
+		}
+	}
+	return queues
+}
+
+// The queues are released in the order of the delay-ratio control. Each letter is the initial of a class.
+func TestReleaseOrder(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		lengths [3]int
+		want    string
+		ratio   float64
 	}{
-		{"preferred side", 4, 2, 0, "qqbqqb", 1},
-		{"other side", 1, 4, 0, "bbqbb", 2},
-		{"preferred empty", 0, 3, 0, "bbb", 1},
-		{"others empty", 3, 0, 0, "qqq", 1},
-		{"cap", 9, 1, 0, "qqqqqqqbqq", 9},
-		{"three classes", 2, 1, 1, "qbql", 1},
+		{"preferred side", [3]int{4, 2, 0}, "qqbqqb", 1},
+		{"other side", [3]int{1, 4, 0}, "bbqbb", 2},
+		{"preferred empty", [3]int{0, 3, 0}, "bbb", 1},
+		{"others empty", [3]int{3, 0, 0}, "qqq", 1},
+		{"cap", [3]int{9, 1, 0}, "qqqqqqqbqq", 9},
+		{"three classes", [3]int{2, 1, 1}, "qbql", 1},
 	} {
-		t.Run(k.name, func(t *testing.T) {
-			c, err := New(three)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for i, n := range []int{k.q1, k.q2, k.q3} {
-				c.classes.all[i].objectiveRatio = k.ratioForBigs
-				for j := range n {
-					queue := c.queues.queues[i]
-					queue.ready = append(queue.ready, &request{
-						arrivedAt: time.Duration(i*10 + j),
-						objective: time.Duration(i*10+j) + time.Second,
-					})
-				}
-			}
-			c.env.now = time.Second
+		t.Run(test.name, func(t *testing.T) {
+			pass := &releasePass{classQueues: fillQueues(t, test.lengths, test.ratio), now: time.Second}
 			got := ""
-			pass := &releasePass{classQueues: c.queues, now: c.env.now}
 			for queue := pass.next(); queue != nil; queue = pass.next() {
-				queue.ready = queue.ready[1:]
+				pass.remove(queue.ready[0])
 				got += queue.class.Name[:1]
 			}
-			if got != k.want {
-				t.Errorf("released %s, want %s", got, k.want)
+			if got != test.want {
+				t.Errorf("released %s, want %s", got, test.want)
 			}
 		})
 	}
 }
+
+// releaseAll releases what can be started, and returns the identifiers in order.
+func releaseAll(queues *classQueues, blocked, mayStart func(*request) bool) (released string) {
+	queues.release(time.Second, blocked, func(req *request) bool {
+		if !mayStart(req) {
+			return false
+		}
+		queues.remove(req)
+		released += string(req.id)
+		return true
+	})
+	return released
+}
+
+// Requests are queued at the end or in front; deferred ones are released last, blocked ones passed over, and a queue is
+// given up after a few that can't start.
+func TestClassQueues(t *testing.T) {
+	never, always := func(*request) bool { return false }, func(*request) bool { return true }
+	is := func(ids string) func(*request) bool {
+		return func(req *request) bool {
+			for _, id := range ids {
+				if string(req.id) == string(id) {
+					return true
+				}
+			}
+			return false
+		}
+	}
+	for _, test := range []struct {
+		name              string
+		queued            string // in order; upper case is deferred, "d" is queued in front
+		blocked, mayStart func(*request) bool
+		want              string
+	}{
+		{"empty", "", never, always, ""},
+		{"first come, first served", "abc", never, always, "abc"},
+		{"in front", "abcd", never, always, "dabc"},
+		{"deferred last", "AbBc", never, always, "bcAB"},
+		{"blocked passed over", "abc", is("b"), always, "ac"},
+		{"none can start", "abc", never, never, ""},
+		{"third can start", "abc", never, is("c"), "c"},
+		{"given up after three", "abcef", never, is("f"), ""},
+		{"deferred only while no other is ready", "aB", never, is("B"), ""},
+	} {
+		classes := newClassSet(twoClassConfig().Classes)
+		queues := newClassQueues(classes)
+		for _, id := range test.queued {
+			req := &request{id: RequestID(id), class: classes.all[1], deferred: id < 'a', objective: time.Second}
+			queues.push(req, id == 'd')
+		}
+		if queues.len() != len(test.queued) || queues.isEmpty(classes.all[1]) != (test.queued == "") {
+			t.Errorf("%s: %d queued", test.name, queues.len())
+		}
+		if got := releaseAll(queues, test.blocked, test.mayStart); got != test.want {
+			t.Errorf("%s: released %q, want %q", test.name, got, test.want)
+		}
+		if got := queues.len(); got != len(test.queued)-len(test.want) {
+			t.Errorf("%s: %d still queued", test.name, got)
+		}
+	}
+}
+
+// The limit on queued requests counts those of the other process.
+func TestQueueLimitCountsOtherProcess(t *testing.T) {
+	for _, test := range []struct {
+		configured, other, queued int
+		over                      bool
+	}{
+		{0, 0, 1000, false},
+		{2, 0, 2, false},
+		{2, 0, 3, true},
+		{2, 1, 2, true},
+		{2, 5, 0, false},
+		{2, 5, 1, true},
+		{2, -3, 2, false},
+	} {
+		classes := newClassSet(twoClassConfig().Classes)
+		queues := newClassQueues(classes)
+		queues.setLimit(test.configured)
+		queues.setOtherLength(test.other, test.configured)
+		for range test.queued {
+			queues.push(&request{class: classes.all[0]}, false)
+		}
+		if got := queues.overLimit(); got != test.over {
+			t.Errorf("%+v: over the limit %v", test, got)
+		}
+	}
+}
+
+// Requests that can't meet their objective any more are queued up to a bound, and rejected at once beyond. It guards
+// against queued requests that use up the clients' connections, which others need that could still be served. Both
+// processes of a hot restart count.
+func TestQueuedRequestsAreBounded(t *testing.T) {
+	config := twoClassConfig()
+	config.MaxQueued = 10
+	for _, test := range []struct{ otherProcess, want int }{{0, 10}, {4, 6}, {40, 0}} {
+		h := newHarness(t, config)
+		h.updateEndpoints(ListComplete, testEngines(2)...)
+		h.handle(OtherProcessUsage{Queued: test.otherProcess})
+		for range 60 {
+			h.arriveWith(Arrival{Class: "big", Estimate: 20 * time.Second, TimeLeft: 15 * time.Second})
+		}
+		h.advance(5 * time.Second)
+		answered := 0
+		for _, client := range h.clients {
+			answered += client.answers
+		}
+		if n := h.controller.queues.len(); n != test.want || answered != 60-test.want-len(h.starts) {
+			t.Errorf("%+v: %d queued and %d answered, %d started", test, n, answered, len(h.starts))
+		}
+	}
+}
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -8,16 +8,15 @@
 	"time"
 )
 
-// A cold engine gets no more than this router's slice in any window.
+// A warming engine gets no more than this router's share in any window.
 func TestWarmingEngineGetsOneShare(t *testing.T) {
 	for _, routers := range []int{1, 4} {
-		config := twoClassConfig()
-		config.Routers, config.WarmUpInitialShare, config.WarmUpDuration = routers, 0.4, 10*time.Second
-		config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2, time.Second
+		config := withShortWarmUp(twoClassConfig())
+		config.Routers = routers
 		h := newHarness(t, config)
-		cold := testEngines(1)[0]
-		cold.StartedAt = h.now - time.Second
-		h.updateEndpoints(ListCached, cold)
+		warming := testEngines(1)[0]
+		warming.StartedAt = h.now - time.Second
+		h.updateEndpoints(ListCached, warming)
 		for range 200 {
 			h.now += 10 * ms
 			if client := h.arrive("quick", ""); len(client.engines) > 0 {
@@ -27,155 +26,203 @@
 		// 8 cores at 85% busy, times 0.4, times 2, a window of 1 s, and an even part of it.
 		limit := 8 * 0.85 * 0.4 * 2 / float64(routers)
 		work := h.controller.classes.all[0].estimate.usualWork()
-		worst := 0
-		for i := range h.warmingStarts[1] {
-			worst = max(worst, countAfter(h.warmingStarts[1][:i+1], h.warmingStarts[1][i]-time.Second))
+		starts, most := h.warmingStarts[1], 0
+		for i, at := range starts {
+			most = max(most, countAfter(starts[:i+1], at-time.Second))
 		}
-		if worst == 0 || float64(worst)*work > limit*1.3 {
-			t.Errorf("%d routers: %d queries of %.3f s in a window, limit %.2f s", routers, worst, work, limit)
+		if most == 0 || float64(most)*work > limit*1.3 {
+			t.Errorf("%d routers: %d queries of %.3f s in a window, limit %.2f s", routers, most, work, limit)
 		}
 	}
 }
 
-// An engine that starts anew while it is cold comes by a ration again, by its new start: the twins above share the code that says so.
-func TestRestartedEngineGetsNewBudget(t *testing.T) {
-	config := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
-	h := newHarness(t, config)
-	list := testEngines(40)
-	for _, born := range []time.Duration{h.now - time.Second, h.now + 2*time.Second} {
-		h.now = born + time.Second
-		list[0].StartedAt = born
-		h.updateEndpoints(ListComplete, list...)
-		h.controller.capacity.warmResources()
-		e := h.controller.endpoints.byID[1]
-		if due := e.warmUp.budget.NextDue(); due <= milliseconds(born) || due > milliseconds(e.warmUp.end) {
-			t.Errorf("started at %v, its next chunk is due at %v ms", born, due)
+// manyRouters is a fleet of routers of uneven traffic that lose all warm engines to a drain and have only warming ones.
+// The routers are played one after the other.
+type manyRouters struct {
+	t         *testing.T
+	rng       *rand.Rand
+	seed      uint64
+	startedAt time.Duration        // of the new engines
+	work      map[EngineID]float64 // by warming engine
+	windows   map[string]float64   // by warming engine and window
+}
+
+const (
+	manyRoutersCount   = 40
+	manyRoutersWarm    = 50 // engines that drain
+	manyRoutersWarming = 6  // engines that replace them
+	manyRoutersWork    = 0.125
+	manyRoutersWindow  = 2 * time.Second
+)
+
+// play plays one router from time 30 s on, with a burst from the drain on.
+func (m *manyRouters) play(index int) {
+	m.t.Helper()
+	config, list := largeFleetConfig(manyRoutersCount, manyRoutersWarm, index)
+	config.WarmUpInitialShare, config.WarmUpDuration = 0.4, 12*time.Second
+	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2.5, manyRoutersWindow
+	config.Seed = m.seed*1000 + uint64(index)
+	c, err := New(config)
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	begin := 30 * time.Second
+	c.Handle(begin, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
+	perSecond := 1 + 4*m.rng.Float64()*m.rng.Float64()*2
+	n := 0
+	for at := begin; at < m.startedAt+10*time.Second; at += seconds(m.rng.ExpFloat64() / perSecond) {
+		if n > 0 && at > m.startedAt && len(c.endpoints.listed) == manyRoutersWarm {
+			c.Handle(at, EndpointList{Mode: ListIncremental, Endpoints: m.replacements(list)}, nil)
+			perSecond *= 5
 		}
+		n++
+		m.request(c, at, RequestID(fmt.Sprint(index, "-", n)))
+	}
+}
+
+// replacements has the warm engines drain and the warming ones start.
+func (m *manyRouters) replacements(warm []Endpoint) []Endpoint {
+	list := testEngines(manyRoutersWarm + manyRoutersWarming)[manyRoutersWarm:]
+	for i := range list {
+		list[i].StartedAt = m.startedAt
+	}
+	for _, e := range warm {
+		e.State = Draining
+		list = append(list, e)
 	}
+	return list
 }
 
-// Many uneven routers lose all warm engines to a drain and have only cold ones: together they stay under the
-// rule's figure, and the engines get work.
+// request has a request arrive, and be served if it is started. A timer rejects those queued too long, which would block
+// their queue.
+func (m *manyRouters) request(c *Controller, at time.Duration, id RequestID) {
+	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
+	for _, action := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
+		start, ok := action.(StartAttempt)
+		if !ok {
+			continue
+		}
+		if start.Engine > manyRoutersWarm {
+			m.work[start.Engine] += manyRoutersWork
+			m.windows[fmt.Sprint(start.Engine, at/manyRoutersWindow)] += manyRoutersWork
+		}
+		c.Handle(at+125*ms, AttemptEnd{Request: id, Outcome: Served, Last: true}, nil)
+	}
+}
+
+// Many routers of uneven traffic together stay under what warming engines may be sent, and all of these get work.
 func TestManyRoutersDoNotOverloadWarmingEngines(t *testing.T) {
-	const routers, warm, cold = 40, 50, 6
 	for seed := range uint64(3) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		spent := map[EngineID]float64{}
-		windows := map[string]float64{}
-		now, born := 30*time.Second, 40*time.Second
-		for i := range routers {
-			config, list := largeFleetConfig(routers, warm, i)
-			config.WarmUpInitialShare, config.WarmUpDuration, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 0.4, 12*time.Second, 2.5, 2*time.Second
-			config.Seed = seed*1000 + uint64(i)
-			c, err := New(config)
-			if err != nil {
-				t.Fatal(err)
-			}
-			c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
-			rate := 1 + 4*rng.Float64()*rng.Float64()*2 // queries a second, uneven
-			n := 0
-			for at := now; at < born+10*time.Second; at += seconds(rng.ExpFloat64() / rate) {
-				if n > 0 && at > born && len(c.endpoints.listed) == warm {
-					fresh := testEngines(warm + cold)[warm:]
-					for j := range fresh {
-						fresh[j].StartedAt = born
-					}
-					for _, e := range list {
-						e.State = Draining
-						fresh = append(fresh, e)
-					}
-					c.Handle(at, EndpointList{Mode: ListIncremental, Endpoints: fresh}, nil)
-					rate *= 5 // a burst
-				}
-				n++
-				id := RequestID(fmt.Sprint(i, "-", n))
-				c.Handle(at, TimerFired{Tag: housekeepingTag}, nil) // those held too long are given up; else they block their queue
-				for _, a := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
-					if s, ok := a.(StartAttempt); ok {
-						if s.Engine > warm {
-							spent[s.Engine] += 0.125
-							windows[fmt.Sprint(s.Engine, at/(2*time.Second))] += 0.125
-						}
-						c.Handle(at+125*ms, AttemptEnd{Request: id, Outcome: Served, Last: true}, nil)
-					}
-				}
-			}
+		m := &manyRouters{
+			t: t, rng: rand.New(rand.NewPCG(seed, 3)), seed: seed, startedAt: 40 * time.Second,
+			work: map[EngineID]float64{}, windows: map[string]float64{},
+		}
+		for i := range manyRoutersCount {
+			m.play(i)
 		}
-		for key, work := range windows {
+		for key, work := range m.windows {
 			if limit := 0.4 * 8 * 0.85 * 2.5 * 2; work > limit {
 				t.Errorf("seed %d, window %s: %.1f s of work, limit %.1f", seed, key, work, limit)
 			}
 		}
-		if len(spent) < cold {
-			t.Errorf("seed %d: only %d of %d cold engines got work", seed, len(spent), cold)
+		if len(m.work) < manyRoutersWarming {
+			t.Errorf("seed %d: only %d of %d warming engines got work", seed, len(m.work), manyRoutersWarming)
 		}
 	}
 }
 
-// Cold engines that are small against a query stay under the rule's figure also where all routers of a large fleet saved
-// their rations and sentWork them at once: what was due in two windows, and one query more, may meet in one.
+// burstStarts has a router of a large fleet use its budget for a warming engine within a window, after having saved it,
+// and returns how many queries it starts.
+func burstStarts(t *testing.T, index, routers int, startedAt, at, window time.Duration) (starts int) {
+	t.Helper()
+	config, _ := largeFleetConfig(routers, 1, index)
+	config.WarmUpInitialShare, config.WarmUpDuration = 0.4, 12*time.Second
+	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2, window
+	config.Classes[1].LatencyObjective, config.MaxAttempts = 4*time.Second, 0
+	c, err := New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	warming := testEngines(1)
+	warming[0].StartedAt = startedAt
+	c.Handle(startedAt+time.Second, EndpointList{Mode: ListComplete, Endpoints: warming}, nil)
+	for now := at; now < at+window; now += 50 * ms {
+		id := RequestID(fmt.Sprint(now))
+		for _, action := range c.Handle(now, Arrival{Request: id, Class: "big", TimeLeft: 15 * time.Second}, nil) {
+			if start, ok := action.(StartAttempt); ok {
+				starts++
+				c.Handle(now, AttemptEnd{Request: start.Request, Outcome: EngineFull}, nil)
+			}
+		}
+		c.Handle(now, ClientGone{Request: id}, nil)
+	}
+	return starts
+}
+
+// Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved their
+// budgets and use them at once: what was due in two windows, and one query more, may meet in one.
 func TestBudgetsUsedAtOnce(t *testing.T) {
 	const routers, window = 300, 1500 * ms
-	most, sent := 0.0, 0
+	most, total := 0.0, 0
 	for burst := range 40 {
-		born := 30 * time.Second
-		at := born + time.Second + time.Duration(burst)*100*ms
-		var sends []time.Duration
+		startedAt := 30 * time.Second
+		at := startedAt + time.Second + time.Duration(burst)*100*ms
+		starts := 0
 		for i := range routers {
-			config, _ := largeFleetConfig(routers, 1, i)
-			config.WarmUpInitialShare, config.WarmUpDuration, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 0.4, 12*time.Second, 2, window
-			config.Classes[1].LatencyObjective, config.MaxAttempts = 4*time.Second, 0
-			c, err := New(config)
-			if err != nil {
-				t.Fatal(err)
-			}
-			cold := testEngines(1)
-			cold[0].StartedAt = born
-			c.Handle(born+time.Second, EndpointList{Mode: ListComplete, Endpoints: cold}, nil)
-			for now := at; now < at+window; now += 50 * ms {
-				id := RequestID(fmt.Sprint(now))
-				for _, a := range c.Handle(now, Arrival{Request: id, Class: "big", TimeLeft: 15 * time.Second}, nil) {
-					if s, ok := a.(StartAttempt); ok {
-						sends = append(sends, now)
-						c.Handle(now, AttemptEnd{Request: s.Request, Outcome: EngineFull}, nil)
-					}
-				}
-				c.Handle(now, ClientGone{Request: id}, nil)
-			}
+			starts += burstStarts(t, i, routers, startedAt, at, window)
 		}
-		warmth := 0.4 + 0.6*(at-born).Seconds()/12
-		most = max(most, 4*float64(len(sends))/(2*8*0.85*warmth*window.Seconds()))
-		sent += len(sends)
+		factor := 0.4 + 0.6*(at-startedAt).Seconds()/12
+		most = max(most, 4*float64(starts)/(2*8*0.85*factor*window.Seconds()))
+		total += starts
 	}
-	if most > 1 || sent == 0 {
-		t.Errorf("%.2f of what a cold engine may be sent in a window; %d queries in all", most, sent)
+	if most > 1 || total == 0 {
+		t.Errorf("%.2f of what a warming engine may be sent in a window; %d queries in all", most, total)
 	}
 }
 
-// Successors take over what their predecessors hold to be cold with the ration begun when that began, each at its own point: they
-// do not all have one at once, whenever they come.
+// Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up began,
+// each at a fraction of its own: they do not all have a quantum at once, whenever they start.
 func TestHotRestartsBeginNoBurst(t *testing.T) {
 	most := 0
 	for k := range 40 {
-		spent := 0
+		users := 0
 		for i := range 40 {
 			config, list := largeFleetConfig(300, 8, 7*i)
-			config.WarmUpDuration, config.WarmUpInitialShare, config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 12*time.Second, 0.36, 2, 1500*ms
-			h := newHarness(t, config)
+			h := newHarness(t, withWarmUp(config))
 			h.now += time.Duration(k) * 10 * time.Second
 			h.updateEndpoints(ListComplete, list...)
-			h.handle(RestoreSnapshot{Snapshot: Snapshot{Engines: []EngineSnapshot{{ID: 1, WarmUpStart: h.now, WarmUpEnd: h.now + 12*time.Second, Slowness: 1}}}})
+			h.handle(RestoreSnapshot{Snapshot: Snapshot{Engines: []EngineSnapshot{
+				{ID: 1, WarmUpStart: h.now, WarmUpEnd: h.now + 12*time.Second, Slowness: 1},
+			}}})
 			for range 100 {
 				h.now += 100 * ms
 				h.arrive("big", "")
 			}
-			if slices.ContainsFunc(h.starts, func(s StartAttempt) bool { return s.Engine == 1 }) {
-				spent++
+			if slices.Contains(h.startedOn(), 1) {
+				users++
 			}
 		}
-		most = max(most, spent)
+		most = max(most, users)
 	}
 	if most == 0 || most > 6 {
-		t.Errorf("%d of 40 successors sent to a cold engine within ten seconds, want some and not all", most)
+		t.Errorf("%d of 40 successors used a warming engine within ten seconds, want some and not all", most)
+	}
+}
+
+// An engine that restarts while it warms up gets a new budget, from its new start on: the mirrored controllers of
+// TestIncrementalSumsDecideAsRecounted share the code that does this.
+func TestRestartedEngineGetsNewBudget(t *testing.T) {
+	config := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
+	h := newHarness(t, config)
+	list := testEngines(40)
+	for _, startedAt := range []time.Duration{h.now - time.Second, h.now + 2*time.Second} {
+		h.now = startedAt + time.Second
+		list[0].StartedAt = startedAt
+		h.updateEndpoints(ListComplete, list...)
+		h.controller.capacity.warmResources()
+		e := h.controller.endpoints.byID[1]
+		if due := e.warmUp.budget.NextDue(); due <= milliseconds(startedAt) || due > milliseconds(e.warmUp.end) {
+			t.Errorf("started at %v, its next quantum is due at %v ms", startedAt, due)
+		}
 	}
 }
