--- a/dispatch/controller_test.go
+++ b/dispatch/controller_test.go
@@ -24,25 +24,29 @@
 	}
 }
 
+// allocationsPerRequest is what a request allocates on a fleet: its arrival, its end and a timer.
+func allocationsPerRequest(t *testing.T, engines int) float64 {
+	t.Helper()
+	config, list := largeFleetConfig(1, engines, 0)
+	c, err := New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := time.Hour
+	c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
+	actions := make([]Action, 0, 16)
+	return testing.AllocsPerRun(500, func() {
+		now += 10 * ms
+		c.Handle(now, Arrival{Request: "a", Class: "quick", TimeLeft: time.Second}, actions[:0])
+		c.Handle(now, AttemptEnd{Request: "a", Outcome: Served, Last: true}, actions[:0])
+		c.Handle(now, TimerFired{Tag: housekeepingTag}, actions[:0])
+	})
+}
+
 // What an event allocates does not grow with the fleet.
 func TestAllocationsDoNotGrowWithFleet(t *testing.T) {
-	allocs := func(n int) float64 {
-		config, list := largeFleetConfig(1, n, 0)
-		c, err := New(config)
-		if err != nil {
-			t.Fatal(err)
-		}
-		now := time.Hour
-		c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
-		buf := make([]Action, 0, 16)
-		return testing.AllocsPerRun(500, func() {
-			now += 10 * ms
-			c.Handle(now, Arrival{Request: "a", Class: "quick", TimeLeft: time.Second}, buf[:0])
-			c.Handle(now, AttemptEnd{Request: "a", Outcome: Served, Last: true}, buf[:0])
-			c.Handle(now, TimerFired{Tag: housekeepingTag}, buf[:0])
-		})
-	}
-	if few, many := allocs(8), allocs(80); many > few+1 {
-		t.Errorf("%v allocations an event cycle with 8 engines, %v with 80", few, many)
+	few, many := allocationsPerRequest(t, 8), allocationsPerRequest(t, 80)
+	if many > few+1 {
+		t.Errorf("%v allocations a request with 8 engines, %v with 80", few, many)
 	}
 }
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -1,10 +1,28 @@
 package dispatch
 
-import (
-	"testing"
-)
+import "testing"
 
-// A restarted router with a stale list learns from outcomes and from the full list that follows.
+func TestDrainingEngineGetsNoRequests(t *testing.T) {
+	h := newHarness(t, twoClassConfig())
+	h.updateEndpoints(ListComplete, testEngines(2)...)
+	draining := testEngines(2)[0]
+	draining.State = Draining
+	h.updateEndpoints(ListIncremental, draining)
+	for range 20 {
+		h.now += 20 * ms
+		h.endLatest(h.arrive("quick", ""), Served)
+	}
+	h.updateEndpoints(ListComplete, testEngines(1)...)
+	for range 20 {
+		h.now += 20 * ms
+		h.endLatest(h.arrive("quick", ""), Served)
+	}
+	if len(h.starts) != 40 {
+		t.Errorf("%d attempts, want 40", len(h.starts))
+	}
+}
+
+// A restarted router with a stale list learns from outcomes and from the complete list that follows.
 func TestCompleteListReplacesCachedList(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListCached, testEngines(3)...)
@@ -19,34 +37,14 @@
 		h.now += 50 * ms
 		h.endLatest(h.arrive("quick", ""), Served)
 	}
-	for _, s := range h.starts[2:] {
-		if s.Engine == 1 {
-			t.Fatal("sent to an engine that the full list no longer has")
+	for _, id := range h.startedOn()[2:] {
+		if id == 1 {
+			t.Fatal("started on an engine that the complete list does not name")
 		}
 	}
 }
 
-func TestDrainingEngineGetsNoRequests(t *testing.T) {
-	h := newHarness(t, twoClassConfig())
-	h.updateEndpoints(ListComplete, testEngines(2)...)
-	gone := testEngines(2)[0]
-	gone.State = Draining
-	h.updateEndpoints(ListIncremental, gone)
-	for range 20 {
-		h.now += 20 * ms
-		h.endLatest(h.arrive("quick", ""), Served)
-	}
-	h.updateEndpoints(ListComplete, testEngines(1)...)
-	for range 20 {
-		h.now += 20 * ms
-		h.endLatest(h.arrive("quick", ""), Served)
-	}
-	if len(h.starts) != 40 {
-		t.Errorf("%d sends, want 40", len(h.starts))
-	}
-}
-
-// Gone engines with nothing out are forgotten.
+// Removed engines with nothing outstanding are forgotten.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	for i := range 200 {
@@ -56,7 +54,8 @@
 		h.now += 100 * ms
 		h.endLatest(h.arrive("quick", ""), Served)
 	}
-	if len(h.controller.endpoints.all) > 2 || len(h.controller.endpoints.byID) > 2 {
-		t.Errorf("%d engines remembered, %d by id", len(h.controller.endpoints.all), len(h.controller.endpoints.byID))
+	table := h.controller.endpoints
+	if len(table.all) > 2 || len(table.byID) > 2 {
+		t.Errorf("%d engines remembered, %d by id", len(table.all), len(table.byID))
 	}
 }
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -1,11 +1,79 @@
 package dispatch
 
 import (
+	"math"
 	"testing"
 	"time"
 )
 
-// A tenant past its share stands aside, others don't.
+// quotasOf has the quotas of some tenants at time one hour, on one of two routers.
+func quotasOf(tenants ...Tenant) *tenantQuotas {
+	env := &environment{now: time.Hour, config: Config{Routers: 2, Tenants: tenants}}
+	q := newTenantQuotas(env)
+	q.start()
+	return q
+}
+
+// The router's share of all traffic is an even one at first, and follows its arrivals within bounds.
+func TestTrafficShareFollowsArrivals(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		quota    float64 // of all tenants
+		arrivals float64 // a second, for two minutes
+		want     float64
+	}{
+		{"without quotas", 0, 100, 0.5},
+		{"no traffic", 10, 0, 0.5 * minTrafficShare},
+		{"a quarter of the quotas", 10, 2.5, 0.25},
+		{"half of the quotas", 10, 5, 0.5},
+		{"overload", 10, 100, 1},
+	} {
+		q := quotasOf(Tenant{Name: "a", Quota: test.quota})
+		interval := time.Duration(math.MaxInt64)
+		if test.arrivals > 0 {
+			interval = seconds(1 / test.arrivals)
+		}
+		for end := q.env.now + 2*time.Minute; q.env.now < end; {
+			step := min(interval, end-q.env.now)
+			q.env.now += step
+			if step == interval {
+				q.recordArrival()
+			}
+		}
+		if got := q.trafficShare(); math.Abs(got-test.want) > 0.03 {
+			t.Errorf("%s: share %.3f, want %.3f", test.name, got, test.want)
+		}
+	}
+}
+
+// A tenant without a quota and an unknown one never exceed it; one with a quota does once its burst is used up, and a new
+// quota applies without a new burst.
+func TestTenantQuotas(t *testing.T) {
+	q := quotasOf(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
+	exceeded := func(name string) (n int) {
+		for range 100 {
+			if q.exceeded(q.tenant(name)) {
+				n++
+			}
+		}
+		return n
+	}
+	for name, want := range map[string]bool{"a": true, "none": false, "unknown": false} {
+		if got := exceeded(name); got > 0 != want {
+			t.Errorf("%s: %d of 100 requests are over quota", name, got)
+		}
+	}
+	q.env.config.Tenants = []Tenant{{Name: "b", Quota: 1}, {Name: "a", Quota: 2}}
+	q.configure()
+	if got := exceeded("a"); got != 100 {
+		t.Errorf("%d of 100 requests are over quota after another quota was set", got)
+	}
+	if q.total != 3 {
+		t.Errorf("quotas of %v in all, want 3", q.total)
+	}
+}
+
+// A tenant over its quota is marked, others are not.
 func TestOverQuotaTenantIsMarked(t *testing.T) {
 	config := twoClassConfig()
 	config.Tenants = []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
@@ -23,6 +91,6 @@
 		}
 	}
 	if over["a"] == 0 || over["b"] > 0 {
-		t.Errorf("past their share: %v", over)
+		t.Errorf("over quota: %v", over)
 	}
 }
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Two loads on one table group must not share an engine while another is free.
+// Loads on one table group must not share an engine while another one is free.
 func TestLoadsOnOneGroupSpread(t *testing.T) {
 	config := twoClassConfig()
 	config.Classes[1].LocksTableGroup = true
@@ -24,22 +24,22 @@
 	}
 }
 
-// When those nearby can take nothing, the rest of the fleet is used.
+// When the engines of its subset can take nothing, a router uses others.
 func TestOtherEnginesAreUsedWhenSubsetIsFull(t *testing.T) {
 	config, list := largeFleetConfig(250, 60, 3)
 	h := newHarness(t, config)
 	h.updateEndpoints(ListComplete, list...)
 	h.controller.env.now = h.now
-	near := map[EngineID]bool{}
+	subset := map[EngineID]bool{}
 	for _, e := range h.controller.selector.engines() {
-		near[e.ID] = true
+		subset[e.ID] = true
 		e.health.fullAt = h.now
 	}
 	client := h.arrive("quick", "")
 	for range 20 {
 		h.advance(10 * ms)
 	}
-	if len(client.engines) == 0 || near[client.engines[0]] {
-		t.Errorf("sent to %v, want an engine that is not nearby", client.engines)
+	if len(client.engines) == 0 || subset[client.engines[0]] {
+		t.Errorf("started on %v, want an engine that is not of the subset", client.engines)
 	}
 }
--- a/dispatch/validate_test.go
+++ b/dispatch/validate_test.go
@@ -1,12 +1,14 @@
 package dispatch
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
+// The first invalid setting is named in a *ConfigError.
 func TestInvalidSettingsAreNamed(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, change := range map[string]func(*Config){
 		"classes":          func(c *Config) { c.Classes = nil },
 		"classes[0].name":  func(c *Config) { c.Classes[0].Name = "" },
 		"classes[1].aim":   func(c *Config) { c.Classes[1].LatencyObjective = -1 },
@@ -15,8 +17,9 @@
 		"kinds[0]":         func(c *Config) { c.Kinds[0].Cores = -1 },
 	} {
 		config := twoClassConfig()
-		spoil(&config)
-		if _, err := New(config); err == nil || !strings.Contains(err.Error(), name) {
+		change(&config)
+		_, err := New(config)
+		if configError := (*ConfigError)(nil); !errors.As(err, &configError) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
