--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -57,21 +57,35 @@
 	return renamed
 }
 
-// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes,
-// sorted.
+// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes, sorted.
 func logLines(t *testing.T) (lines []string) {
+	t.Helper()
+	forEachLogCall(t, func(_ token.Position, call logCall) { lines = append(lines, call.line()) })
+	slices.Sort(lines)
+	return slices.Compact(lines)
+}
+
+// logCall is a call of Info, Warn or Error whose text is a literal.
+type logCall struct {
+	level, text string
+	args        []ast.Expr
+}
+
+// forEachLogCall calls visit for each such call in the sources below internal.
+func forEachLogCall(t *testing.T, visit func(token.Position, logCall)) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		set := token.NewFileSet()
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if line, ok := logLine(n); ok {
-				lines = append(lines, line)
+			if call, ok := parseLogCall(n); ok {
+				visit(set.Position(n.Pos()), call)
 			}
 			return true
 		})
@@ -80,31 +94,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.Sort(lines)
-	return slices.Compact(lines)
 }
 
-// logLine words a call of Info, Warn or Error as LEVEL "TEXT" and the names of the attributes that are literals.
-func logLine(n ast.Node) (string, bool) {
+func parseLogCall(n ast.Node) (logCall, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
-		return "", false
+		return logCall{}, false
 	}
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Info", "Warn", "Error"}, method.Sel.Name) {
-		return "", false
+		return logCall{}, false
 	}
 	text, ok := literal(call.Args[0])
-	if !ok {
-		return "", false
-	}
-	line := method.Sel.Name + " " + strconv.Quote(text)
-	for i := 1; i < len(call.Args); i += 2 {
-		if name, ok := literal(call.Args[i]); ok {
+	return logCall{level: method.Sel.Name, text: text, args: call.Args[1:]}, ok
+}
+
+// line words a call as LEVEL "TEXT" and the names of the attributes that are literals.
+func (c logCall) line() string {
+	line := c.level + " " + strconv.Quote(c.text)
+	for i := 0; i < len(c.args); i += 2 {
+		if name, ok := literal(c.args[i]); ok {
 			line += " " + name
 		}
 	}
-	return line, true
+	return line
 }
 
 func literal(e ast.Expr) (string, bool) {
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -35,82 +36,123 @@
 	harness.terminate(old)
 }
 
-// A predecessor that hangs for good keeps the new process from serving for some seconds only. That knows the cordons,
-// takes in no load, and is told of cordons that the old one keeps when it goes on after all. It guards against a
-// router that can't be upgraded out of a process that hangs.
-func TestPredecessorHangs(t *testing.T) {
-	for _, ends := range []bool{true, false} {
-		t.Run(map[bool]string{true: "and is killed", false: "and goes on"}[ends], func(t *testing.T) {
-			one, two, three := newBlockingEngine(), newBlockingEngine(), newBlockingEngine()
-			harness := newRouterHarness(t, one, two, three)
-			oldAdmin, newAdmin := freePort(t), freePort(t)
-			old := harness.startProcess(oldAdmin)
-			harness.waitReady(oldAdmin)
-			there := harness.dial()
-			requireServed(t, there, query("load", 7, "SELECT 1"))
-			if harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000002") != 200 {
-				t.Fatal("the cordon was not taken")
-			}
-			before := two.totalRuns()
-			if err := old.Process.Signal(syscall.SIGSTOP); err != nil {
-				t.Fatal(err)
-			}
-			harness.startProcess(newAdmin)
-			harness.waitReady(newAdmin)
-			c := harness.dial()
-			ask := func(c *mysqlClient, class string, id, wantRows, wantCode int) {
-				t.Helper()
-				if rows, code, err := c.ask(query(class, id, "SELECT 1")); rows != wantRows || code != wantCode || err != nil {
-					t.Fatal(class, id, rows, code, err)
-				}
-			}
-			for id := range 40 {
-				ask(c, "lookup", 100+id, 1, 0)
-			}
-			if two.totalRuns() != before {
-				t.Error("the cordon that the old process was told was forgotten")
-			}
-			ask(c, "load", 7, 0, 1040) // it ran in the old process, which can't be asked
-			ask(c, "load", 8, 0, 1040)
-			if harness.callAdmin("POST", newAdmin, "/api/exclude/s-00000003") != 200 {
-				t.Fatal("the cordon was not taken")
-			}
-			if ends {
-				if err := old.Process.Kill(); err != nil {
-					t.Fatal(err)
-				}
-				_ = old.Wait()
-				harness.waitFor("loads again", func() bool {
-					rows, code, err := c.ask(query("load", 9, "SELECT 1"))
-					return rows == 1 && code == 0 && err == nil
-				})
-				return
-			}
-			if err := old.Process.Signal(syscall.SIGCONT); err != nil {
-				t.Fatal(err)
-			}
-			harness.waitFor("the old process gives way", func() bool { return harness.callAdmin("GET", oldAdmin, "/api/ready") == 503 })
-			harness.waitFor("the old process has the ban", func() bool {
-				n := three.totalRuns()
-				for id := range 20 {
-					ask(there, "lookup", 1000+id+20*n, 1, 0)
-				}
-				return three.totalRuns() == n
-			})
-			n := three.totalRuns()
-			for id := range 40 {
-				ask(there, "lookup", 20000+id, 1, 0)
-			}
-			if three.totalRuns() != n || two.totalRuns() != before {
-				t.Error("the old process forgot a cordon")
-			}
-			ask(c, "load", 7, 0, 1064) // now it is known to have run
-			ask(c, "load", 10, 1, 0)
-			harness.terminate(old)
-		})
+// hangingPredecessor is a router whose predecessor hangs for good, and whose successor is degraded.
+type hangingPredecessor struct {
+	t                  *testing.T
+	harness            *routerHarness
+	cordonedOld        *blockingEngine // at the predecessor, before it hung
+	cordonedNew        *blockingEngine // at the successor
+	runsBefore         int             // of cordonedOld, before its cordon
+	oldAdmin, newAdmin string
+	old                *exec.Cmd
+	oldClient, client  *mysqlClient // sessions of the predecessor and of the successor
+}
+
+func hangPredecessor(t *testing.T) *hangingPredecessor {
+	t.Helper()
+	h := &hangingPredecessor{
+		t: t, cordonedOld: newBlockingEngine(), cordonedNew: newBlockingEngine(), oldAdmin: freePort(t), newAdmin: freePort(t),
+	}
+	h.harness = newRouterHarness(t, newBlockingEngine(), h.cordonedOld, h.cordonedNew)
+	h.old = h.harness.startProcess(h.oldAdmin)
+	h.harness.waitReady(h.oldAdmin)
+	h.oldClient = h.harness.dial()
+	requireServed(t, h.oldClient, query("load", 7, "SELECT 1"))
+	if h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000002") != 200 {
+		t.Fatal("the cordon was not taken")
+	}
+	h.runsBefore = h.cordonedOld.totalRuns()
+	if err := h.old.Process.Signal(syscall.SIGSTOP); err != nil {
+		t.Fatal(err)
+	}
+	h.harness.startProcess(h.newAdmin)
+	h.harness.waitReady(h.newAdmin)
+	h.client = h.harness.dial()
+	return h
+}
+
+// requireAnswer ends the test unless a request is answered as wanted.
+func (h *hangingPredecessor) requireAnswer(client *mysqlClient, class string, id, wantRows, wantCode int) {
+	h.t.Helper()
+	rows, code, err := client.ask(query(class, id, "SELECT 1"))
+	if rows != wantRows || code != wantCode || err != nil {
+		h.t.Fatal(class, id, rows, code, err)
 	}
 }
 
+// checkDegraded holds that the successor knows the cordons, and takes no load.
+func (h *hangingPredecessor) checkDegraded() {
+	h.t.Helper()
+	for id := range 40 {
+		h.requireAnswer(h.client, "lookup", 100+id, 1, 0)
+	}
+	if h.cordonedOld.totalRuns() != h.runsBefore {
+		h.t.Error("the cordon that the old process was told was forgotten")
+	}
+	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, which can't be asked
+	h.requireAnswer(h.client, "load", 8, 0, 1040)
+	if h.harness.callAdmin("POST", h.newAdmin, "/api/exclude/s-00000003") != 200 {
+		h.t.Fatal("the cordon was not taken")
+	}
+}
+
+// kill ends the predecessor; the successor takes loads then.
+func (h *hangingPredecessor) kill() {
+	h.t.Helper()
+	if err := h.old.Process.Kill(); err != nil {
+		h.t.Fatal(err)
+	}
+	_ = h.old.Wait()
+	h.harness.waitFor("loads again", func() bool {
+		rows, code, err := h.client.ask(query("load", 9, "SELECT 1"))
+		return rows == 1 && code == 0 && err == nil
+	})
+}
+
+// goOn has the predecessor go on: it gives way, learns of the cordon, and what it knew is known to the successor.
+func (h *hangingPredecessor) goOn() {
+	h.t.Helper()
+	if err := h.old.Process.Signal(syscall.SIGCONT); err != nil {
+		h.t.Fatal(err)
+	}
+	h.harness.waitFor("the old process gives way", func() bool {
+		return h.harness.callAdmin("GET", h.oldAdmin, "/api/ready") == 503
+	})
+	h.harness.waitFor("the old process has the cordon", func() bool {
+		runs := h.cordonedNew.totalRuns()
+		for id := range 20 {
+			h.requireAnswer(h.oldClient, "lookup", 1000+id+20*runs, 1, 0)
+		}
+		return h.cordonedNew.totalRuns() == runs
+	})
+	runs := h.cordonedNew.totalRuns()
+	for id := range 40 {
+		h.requireAnswer(h.oldClient, "lookup", 20000+id, 1, 0)
+	}
+	if h.cordonedNew.totalRuns() != runs || h.cordonedOld.totalRuns() != h.runsBefore {
+		h.t.Error("the old process forgot a cordon")
+	}
+	h.requireAnswer(h.client, "load", 7, 0, 1064) // now it is known to have run
+	h.requireAnswer(h.client, "load", 10, 1, 0)
+	h.harness.terminate(h.old)
+}
+
+// A predecessor that hangs for good keeps its successor from serving for some seconds only. That knows the cordons, takes
+// in no load, and learns of what the predecessor knows when it goes on after all. It guards against a router that can't
+// be restarted out of a process that hangs.
+func TestPredecessorHangs(t *testing.T) {
+	t.Run("and is killed", func(t *testing.T) {
+		h := hangPredecessor(t)
+		h.checkDegraded()
+		h.kill()
+	})
+	t.Run("and goes on", func(t *testing.T) {
+		h := hangPredecessor(t)
+		h.checkDegraded()
+		h.goOn()
+	})
+}
+
 // Ten upgrades in a row under load, with processes that are slowed or stopped meanwhile. It guards against all that a
 // client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon forgotten,
 // more descriptors than the limit.
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -6,7 +6,6 @@
 	"maps"
 	"net"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -217,44 +216,42 @@
 	}
 }
 
-// The process before this one dies, or falls silent, at each step. It guards against a new process that never serves,
-// and against one that serves too early.
+// exchangeStep is how far the exchange of a hot restart has come when the other process dies or falls silent.
+type exchangeStep int
+
+const (
+	beforeHello exchangeStep = iota
+	afterHello
+	afterState
+	afterReady
+	afterGoAhead
+)
+
+func (s exchangeStep) String() string {
+	return [...]string{"before hello", "after hello", "after state", "after ready", "after go-ahead"}[s]
+}
+
+// The process before this one dies, or falls silent, at each step. It guards against a successor that never serves, and
+// against one that serves too early.
 func TestPredecessorAtEachStep(t *testing.T) {
-	old, _ := readExchange(t, "version 2")
-	for step, name := range []string{"before it accepts", "after hello", "after state", "after ready", "after go-ahead"} {
+	for step := beforeHello; step <= afterGoAhead; step++ {
 		for _, silent := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, silent %t", name, silent), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, silent %t", step, silent), func(t *testing.T) {
 				t.Parallel()
 				harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
-				p := harness.acquireSlot()
+				slot := harness.acquireSlot()
 				adminAddress := freePort(t)
 				harness.startProcess(adminAddress)
-				var a *protocolPeer
-				if step > 0 {
-					conn, err := p.Listener.AcceptUnix()
-					if err != nil {
-						t.Fatal(err)
+				predecessor := playPredecessor(t, slot, step, func() {
+					if step < afterGoAhead && harness.callAdmin("GET", adminAddress, "/api/ready") == 200 {
+						t.Error("it serves before its time")
 					}
-					a = startProtocolPeer(conn)
-					a.expect(t, "hello")
-				}
-				if step < 4 && harness.callAdmin("GET", adminAddress, "/api/ready") == 200 {
-					t.Error("it serves before its time")
-				}
-				if step > 1 {
-					a.link.Send(old.byKind(t, "state"))
-				}
-				if step > 2 {
-					a.expect(t, "ready")
-				}
-				if step > 3 {
-					a.link.Send(old.byKind(t, "go-ahead"))
-				}
+				})
 				if !silent {
-					if a != nil {
-						a.link.Close()
+					if predecessor != nil {
+						predecessor.link.Close()
 					}
-					p.Close()
+					slot.Close()
 				}
 				harness.waitReady(adminAddress)
 				checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
@@ -263,51 +260,52 @@
 	}
 }
 
-// The process after this one dies at each step, or breaks the link and takes it up again. It guards against a router on
+// playPredecessor plays the recorded predecessor up to a step; it gives nil before the first one. greeted is called once
+// the successor has said hello, or at once before the first step.
+func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, greeted func()) *protocolPeer {
+	t.Helper()
+	recorded, _ := readExchange(t, "version 2")
+	if step == beforeHello {
+		greeted()
+		return nil
+	}
+	conn, err := slot.Listener.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer := startProtocolPeer(conn)
+	peer.expect(t, "hello")
+	greeted()
+	if step >= afterState {
+		peer.link.Send(recorded.byKind(t, "state"))
+	}
+	if step >= afterReady {
+		peer.expect(t, "ready")
+	}
+	if step >= afterGoAhead {
+		peer.link.Send(recorded.byKind(t, "go-ahead"))
+	}
+	return peer
+}
+
+// The process after this one dies at each step, or breaks the link and opens it again. It guards against a router on
 // which nobody accepts.
 func TestSuccessorAtEachStep(t *testing.T) {
-	_, next := readExchange(t, "version 2")
-	for step, name := range []string{"before hello", "after hello", "after state", "after ready", "after go-ahead"} {
-		t.Run(name, func(t *testing.T) {
+	for step := beforeHello; step <= afterGoAhead; step++ {
+		t.Run(step.String(), func(t *testing.T) {
 			harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
 			adminAddress := freePort(t)
 			harness.startProcess(adminAddress)
 			harness.waitReady(adminAddress)
 			for round := range 2 { // the link breaks, then the process ends
-				p := harness.acquireSlot()
-				conn, err := p.Connect(p.Predecessor())
-				if err != nil {
-					t.Fatal(err)
-				}
-				a := startProtocolPeer(conn)
-				h := next.helloFrom(t, p)
-				play := func() {
-					a.repeatHello = func() { a.link.Send(h) }
-					if step > 0 {
-						a.link.Send(h)
-						a.link.Send(h) // twice
-					}
-					if step > 1 {
-						a.expect(t, "state")
-					}
-					if step > 2 {
-						a.link.Send(next.byKind(t, "ready"))
-					}
-					if step > 3 {
-						a.expect(t, "go-ahead")
-					}
-				}
-				play()
+				slot := harness.acquireSlot()
+				peer := playSuccessor(t, slot, step)
 				if round == 0 {
-					a.link.Close()
-					if conn, err = p.Connect(p.Predecessor()); err != nil {
-						t.Fatal(err)
-					}
-					a = startProtocolPeer(conn)
-					play()
+					peer.link.Close()
+					peer = playSuccessor(t, slot, step)
 				}
-				a.link.Close()
-				p.Close()
+				peer.link.Close()
+				slot.Close()
 				harness.waitReady(adminAddress)
 				checkServed(t, harness.dial(), query("lookup", 1+round, "SELECT 1"))
 			}
@@ -315,6 +313,33 @@
 	}
 }
 
+// playSuccessor connects to the predecessor and plays the recorded successor up to a step.
+func playSuccessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep) *protocolPeer {
+	t.Helper()
+	_, recorded := readExchange(t, "version 2")
+	conn, err := slot.Connect(slot.Predecessor())
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer := startProtocolPeer(conn)
+	hello := recorded.helloFrom(t, slot)
+	peer.repeatHello = func() { peer.link.Send(hello) }
+	if step >= afterHello {
+		peer.link.Send(hello)
+		peer.link.Send(hello) // twice
+	}
+	if step >= afterState {
+		peer.expect(t, "state")
+	}
+	if step >= afterReady {
+		peer.link.Send(recorded.byKind(t, "ready"))
+	}
+	if step >= afterGoAhead {
+		peer.expect(t, "go-ahead")
+	}
+	return peer
+}
+
 // Where the processes meet there may be anything: a dead process's socket, a foreign listener that never speaks, a lock
 // file that nobody holds. It guards against a router that does not start.
 func TestForeignFilesInSlotDirectory(t *testing.T) {
@@ -342,7 +367,7 @@
 	harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress) // guarded, after its time: something lives there
 	checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
-	if _, err := os.Stat(filepath.Join(base + ".7.sock")); err == nil {
+	if _, err := os.Stat(base + ".7.sock"); err == nil {
 		t.Error("a dead process's socket was left")
 	}
 }
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -2,16 +2,18 @@
 
 import (
 	"context"
-	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 
+	"github.com/apache/arrow-go/v18/arrow/flight"
 	fsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
@@ -20,240 +22,224 @@
 	"google.golang.org/grpc/status"
 )
 
-// bgpNeighbour is a stand-in for the BGP neighbour: it takes sessions and notes what comes on them.
-type bgpNeighbour struct {
-	sessions chan int      // numbered from 1
-	updates  chan string   // "announce" or "withdraw"
-	beats    chan struct{} // KEEPALIVEs
-	ended    chan int
-}
+// hotRestart is a hot restart of a router with each protocol and a BGP session, and the clients that see it.
+type hotRestart struct {
+	t                  *testing.T
+	harness            *routerHarness
+	neighbour          *bgpNeighbour
+	engine, cordoned   *blockingEngine
+	oldAdmin, newAdmin string
+	old                *exec.Cmd
 
-func (n *bgpNeighbour) serve(t *testing.T) string {
-	t.Helper()
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = lis.Close() })
-	go func() {
-		for i := 1; ; i++ {
-			c, err := lis.Accept()
-			if err != nil {
-				return
-			}
-			n.sessions <- i
-			go n.speak(c, i)
-		}
-	}()
-	return lis.Addr().String()
-}
+	slow, killed, idle *mysqlClient // sessions of the predecessor
+	fresh              *mysqlClient // a session of the successor
+	killedSession      string       // the connection id of killed
+	answers            chan error   // to slow requests
 
-func (n *bgpNeighbour) speak(c net.Conn, i int) {
-	defer func() { n.ended <- i }()
-	defer c.Close()
-	say := func(kind byte, body ...byte) {
-		b := append(make([]byte, 0, 32), strings.Repeat("\xff", 16)...)
-		b = binary.BigEndian.AppendUint16(b, uint16(19+len(body)))
-		_, _ = c.Write(append(append(b, kind), body...))
-	}
-	for {
-		var head [19]byte
-		if _, err := io.ReadFull(c, head[:]); err != nil {
-			return
-		}
-		body := make([]byte, int(binary.BigEndian.Uint16(head[16:]))-19)
-		if _, err := io.ReadFull(c, body); err != nil {
-			return
-		}
-		switch head[18] {
-		case 1:
-			say(1, 4, 0xfc, 0, 0, 3, 10, 0, 0, 9, 0) // AS 64512, hold time 3 s, id 10.0.0.9, no parameters
-			say(4)
-		case 2:
-			what := "announce"
-			if binary.BigEndian.Uint16(body) > 0 {
-				what = "withdraw"
-			}
-			n.updates <- what
-		case 4:
-			say(4)
-			select {
-			case n.beats <- struct{}{}:
-			default:
-			}
-		}
-	}
+	flightAddress string
+	oldFlight     *fsql.Client
+	ticket        *flight.Ticket // of a load, from the predecessor
 }
 
-// An upgrade with two real processes. It guards against all that would show that they are two: a request turned away
-// or left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a
-// ticket that is spent twice, a BGP session that ends.
-func TestHotRestart(t *testing.T) {
-	one, two := newBlockingEngine(), newBlockingEngine()
-	harness := newRouterHarness(t, one, two)
-	peer := &bgpNeighbour{
-		sessions: make(chan int, 8), updates: make(chan string, 8), beats: make(chan struct{}, 64),
-		ended: make(chan int, 8),
+func newHotRestart(t *testing.T) *hotRestart {
+	t.Helper()
+	h := &hotRestart{
+		t: t, neighbour: newBGPNeighbour(), engine: newBlockingEngine(), cordoned: newBlockingEngine(),
+		oldAdmin: freePort(t), newAdmin: freePort(t), flightAddress: freePort(t), answers: make(chan error, 2),
 	}
-	dir := filepath.Dir(harness.config)
-	flightAt := freePort(t)
-	own := filepath.Join(dir, "windflow.json")
-	if err := os.WriteFile(own, []byte(fmt.Sprintf(`{"flightsql": {"listen": %q}, "bgp": {"peer": %q, "peer_as": 64512,
+	h.harness = newRouterHarness(t, h.engine, h.cordoned)
+	path := filepath.Join(filepath.Dir(h.harness.config), "windflow.json")
+	text := fmt.Sprintf(`{"flightsql": {"listen": %q}, "bgp": {"peer": %q, "peer_as": 64512,
 		"local_as": 64513, "router_id": "10.0.0.1", "prefixes": ["10.1.0.1/32"], "next_hop": "10.0.0.1", "hold_time_s": 3}}`,
-		flightAt, peer.serve(t))), 0o600); err != nil {
+		h.flightAddress, h.neighbour.serve(t))
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+own)
+	h.harness.env = append(h.harness.env, "WINDFLOW_TEST_ROUTER=settings="+path)
+	return h
+}
 
-	oldAdmin, newAdmin := freePort(t), freePort(t)
-	old := harness.startProcess(oldAdmin)
-	harness.waitReady(oldAdmin)
-	if what := <-peer.updates; what != "announce" || <-peer.sessions != 1 {
-		t.Fatal("the first update is a", what)
-	}
-	if harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000002") != 200 || harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000009") != 404 {
-		t.Error("a cordon was not taken, or one of an engine that was never listed was")
-	}
-	slow, killed, idle := harness.dial(), harness.dial(), harness.dial()
-	requireServed(t, idle, query("load", 7, "SELECT 1"))
-	answer := make(chan error, 2)
-	ask := func(c *mysqlClient, id, wantRows, wantCode int) {
-		go func() {
-			rows, code, err := c.ask(query("lookup", id, "slow"))
-			if err == nil && (rows != wantRows || code != wantCode) {
-				err = fmt.Errorf("request %d: %d rows, error %d", id, rows, code)
-			}
-			answer <- err
-		}()
-		<-one.started
+// startOld starts the predecessor, and has clients and an operator use it.
+func (h *hotRestart) startOld() {
+	h.t.Helper()
+	h.old = h.harness.startProcess(h.oldAdmin)
+	h.harness.waitReady(h.oldAdmin)
+	if what := <-h.neighbour.updates; what != "announce" || <-h.neighbour.sessions != 1 {
+		h.t.Fatal("the first update is a", what)
+	}
+	if h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000002") != 200 ||
+		h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000009") != 404 {
+		h.t.Error("a cordon was not taken, or one of an engine that was never listed was")
+	}
+	h.slow, h.killed, h.idle = h.harness.dial(), h.harness.dial(), h.harness.dial()
+	requireServed(h.t, h.idle, query("load", 7, "SELECT 1"))
+	h.killedSession = h.connectionID(h.killed)
+	h.startSlow(h.killed, 8, 0, 1317)
+	h.oldFlight = h.dialFlight()
+	call := metadata.AppendToOutgoingContext(context.Background(),
+		"method", "load", "rid", "00000000000000ff", "budget", "20000")
+	info, err := h.oldFlight.Execute(call, "SELECT 1")
+	if err != nil {
+		h.t.Fatal(err)
 	}
-	var killedID string
-	if err := killed.write(0, append([]byte{3}, "SELECT CONNECTION_ID()"...)); err != nil {
-		t.Fatal(err)
+	h.ticket = info.Endpoint[0].Ticket
+}
+
+// connectionID asks for a session's id.
+func (h *hotRestart) connectionID(client *mysqlClient) (id string) {
+	h.t.Helper()
+	if err := client.write(0, append([]byte{3}, "SELECT CONNECTION_ID()"...)); err != nil {
+		h.t.Fatal(err)
 	}
 	for i := range 5 { // columns, their definition, EOF, a row, EOF
-		p, err := killed.packet()
+		packet, err := client.packet()
 		if err != nil {
-			t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		if i == 3 {
-			killedID = string(p[1:])
+			id = string(packet[1:])
 		}
 	}
-	ask(killed, 8, 0, 1317)
-	flightOld, err := fsql.NewClient(flightAt, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer flightOld.Close()
-	call := metadata.AppendToOutgoingContext(context.Background(), "method", "load", "rid", "00000000000000ff", "budget", "20000")
-	info, err := flightOld.Execute(call, "SELECT 1")
+	return id
+}
+
+// startSlow sends a request that runs until the engine is released, and whose answer is to be rows and an error's code.
+func (h *hotRestart) startSlow(client *mysqlClient, id, wantRows, wantCode int) {
+	go func() {
+		rows, code, err := client.ask(query("lookup", id, "slow"))
+		if err == nil && (rows != wantRows || code != wantCode) {
+			err = fmt.Errorf("request %d: %d rows, error %d", id, rows, code)
+		}
+		h.answers <- err
+	}()
+	<-h.engine.started
+}
+
+func (h *hotRestart) dialFlight() *fsql.Client {
+	h.t.Helper()
+	client, err := fsql.NewClient(h.flightAddress, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
-		t.Fatal(err)
+		h.t.Fatal(err)
 	}
+	h.t.Cleanup(func() { _ = client.Close() })
+	return client
+}
 
-	harness.startProcess(newAdmin)
-	harness.waitReady(newAdmin)
-	if got := harness.callAdmin("GET", oldAdmin, "/api/ready"); got != 503 {
-		t.Errorf("the old process says %d when asked whether it is ready", got)
+// startNew starts the successor, in whose session a request of the predecessor is killed.
+func (h *hotRestart) startNew() {
+	h.t.Helper()
+	h.harness.startProcess(h.newAdmin)
+	h.harness.waitReady(h.newAdmin)
+	if got := h.harness.callAdmin("GET", h.oldAdmin, "/api/ready"); got != 503 {
+		h.t.Errorf("the old process says %d when asked whether it is ready", got)
 	}
-	fresh := harness.dial() // the old process accepts no more, so this one is the new one's
-	if err := fresh.write(0, append([]byte{3}, "KILL QUERY "+killedID...)); err != nil {
-		t.Fatal(err)
+	h.fresh = h.harness.dial() // the predecessor accepts no more, so this one is the successor's
+	if err := h.fresh.write(0, append([]byte{3}, "KILL QUERY "+h.killedSession...)); err != nil {
+		h.t.Fatal(err)
 	}
-	if p, err := fresh.packet(); err != nil || p[0] != 0 {
-		t.Errorf("KILL QUERY of a session of the old process: % x, %v", p, err)
+	if packet, err := h.fresh.packet(); err != nil || packet[0] != 0 {
+		h.t.Errorf("KILL QUERY of a session of the old process: % x, %v", packet, err)
 	}
-	if err := <-answer; err != nil {
-		t.Error("the killed one:", err)
+	if err := <-h.answers; err != nil {
+		h.t.Error("the killed one:", err)
 	}
-	ask(slow, 9, 1, 0)
-	// The old process answers the claim of another load behind its news of id 9, on the same link: once that load is
-	// served, the news has come.
+}
+
+// checkIDsAndCordon holds that the successor knows the ids and the cordon of the predecessor.
+func (h *hotRestart) checkIDsAndCordon() {
+	h.t.Helper()
+	h.startSlow(h.slow, 9, 1, 0)
+	// The predecessor grants the claim of another load behind its message about id 9, on the same link: once that load is
+	// served, the message has come.
 	for id := 50; ; id++ {
-		if rows, code, err := fresh.ask(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
+		if rows, code, err := h.fresh.ask(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
 		} else if code != 1040 || id == 70 {
-			t.Fatal("a load of the new process:", rows, code, err)
+			h.t.Fatal("a load of the new process:", rows, code, err)
 		}
 	}
 	for id, why := range map[int]string{7: "a load that ran before", 9: "a request that is open in the old process"} {
-		if _, code, err := fresh.ask(query("load", id, "SELECT 2")); code != 1064 || err != nil {
-			t.Errorf("the id of %s: error %d, %v", why, code, err)
+		if _, code, err := h.fresh.ask(query("load", id, "SELECT 2")); code != 1064 || err != nil {
+			h.t.Errorf("the id of %s: error %d, %v", why, code, err)
 		}
 	}
-	before := two.totalRuns()
+	before := h.cordoned.totalRuns()
 	for id := 100; id < 130; id++ {
-		requireServed(t, fresh, query("lookup", id, "SELECT 3"))
+		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 3"))
 	}
-	if before != 0 || two.totalRuns() != 0 {
-		t.Error("the cordon was forgotten")
+	if before != 0 || h.cordoned.totalRuns() != 0 {
+		h.t.Error("the cordon was forgotten")
 	}
+}
 
-	// A ticket of the old process, fetched from the new one, is spent in both.
-	flightNew, err := fsql.NewClient(flightAt, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
+// checkTicket holds that a ticket of the predecessor, fetched from the successor, is consumed in both.
+func (h *hotRestart) checkTicket() {
+	h.t.Helper()
+	newFlight := h.dialFlight()
+	reader, err := newFlight.DoGet(context.Background(), h.ticket)
 	if err != nil {
-		t.Fatal(err)
+		h.t.Fatal("the ticket of the old process:", err)
 	}
-	defer flightNew.Close()
-	r, err := flightNew.DoGet(context.Background(), info.Endpoint[0].Ticket)
-	if err != nil {
-		t.Fatal("the ticket of the old process:", err)
-	}
-	r.Release()
-	for name, c := range map[string]*fsql.Client{"old": flightOld, "new": flightNew} {
-		if _, err := c.DoGet(context.Background(), info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
-			t.Errorf("the ticket, a second time, from the %s process: %v", name, err)
+	reader.Release()
+	for name, client := range map[string]*fsql.Client{"old": h.oldFlight, "new": newFlight} {
+		if _, err := client.DoGet(context.Background(), h.ticket); status.Code(err) != codes.NotFound {
+			h.t.Errorf("the ticket, a second time, from the %s process: %v", name, err)
 		}
 	}
+}
 
-	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+// endOld ends the predecessor, which closes idle sessions and answers the open request first.
+func (h *hotRestart) endOld() {
+	h.t.Helper()
+	if err := h.old.Process.Signal(syscall.SIGTERM); err != nil {
+		h.t.Fatal(err)
 	}
-	if _, err := idle.packet(); err != io.EOF {
-		t.Error("an idle session of the old process was not closed:", err)
+	if _, err := h.idle.packet(); !errors.Is(err, io.EOF) {
+		h.t.Error("an idle session of the old process was not closed:", err)
 	}
 	select {
-	case err := <-answer:
-		t.Fatal("the open request was answered early:", err)
+	case err := <-h.answers:
+		h.t.Fatal("the open request was answered early:", err)
 	default:
 	}
-	close(one.released)
-	if err := <-answer; err != nil {
-		t.Error("the open request:", err)
+	close(h.engine.released)
+	if err := <-h.answers; err != nil {
+		h.t.Error("the open request:", err)
 	}
-	if err := old.Wait(); err != nil {
-		t.Error("the old process:", err)
+	if err := h.old.Wait(); err != nil {
+		h.t.Error("the old process:", err)
 	}
-	if harness.callAdmin("POST", newAdmin, "/api/include/s-00000002") != 200 {
-		t.Error("the new process does not know the engine that was excluded in the old one")
+}
+
+// checkUncordon holds that the successor ends a cordon that was ordered at the predecessor.
+func (h *hotRestart) checkUncordon() {
+	h.t.Helper()
+	if h.harness.callAdmin("POST", h.newAdmin, "/api/include/s-00000002") != 200 {
+		h.t.Error("the new process does not know the engine that was excluded in the old one")
 	}
 	for range 30 {
-		requireServed(t, fresh, query("lookup", 1000+two.totalRuns()+one.totalRuns(), "SELECT 4"))
-	}
-	if two.totalRuns() == 0 {
-		t.Error("the engine got nothing after the word back")
+		id := 1000 + h.cordoned.totalRuns() + h.engine.totalRuns()
+		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 4"))
 	}
-	for len(peer.beats) > 0 {
-		<-peer.beats
-	}
-	<-peer.beats // the session that the old process opened goes on
-	<-peer.beats
-	select {
-	case n := <-peer.ended:
-		t.Errorf("BGP session %d ended", n)
-	default:
-	}
-	for len(peer.updates) > 0 {
-		if what := <-peer.updates; what == "withdraw" {
-			t.Error("an address was withdrawn")
-		}
-	}
-	if n := len(peer.sessions); n > 0 {
-		t.Errorf("%d further BGP sessions", n)
+	if h.cordoned.totalRuns() == 0 {
+		h.t.Error("the engine got nothing after the end of its cordon")
 	}
 }
 
+// A hot restart with two real processes. It guards against all that would show that they are two: a request rejected or
+// left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a ticket that
+// is consumed twice, a BGP session that ends.
+func TestHotRestart(t *testing.T) {
+	restart := newHotRestart(t)
+	restart.startOld()
+	restart.startNew()
+	restart.checkIDsAndCordon()
+	restart.checkTicket()
+	restart.endOld()
+	restart.checkUncordon()
+	restart.neighbour.checkSessionGoesOn(t)
+}
+
 // Should the new process end first, the old one goes on as before: it accepts, is ready, and can be upgraded. So it
 // does where the admin API is on the same address in both.
 func TestSuccessorEnds(t *testing.T) {
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -133,68 +133,84 @@
 // engineActs has an engine answer what it was asked, well or not, or do something on a connection that rests.
 func (w *interleavingHarness) engineActs(t *rapid.T) {
 	var open []*simulatedConn
-	for _, p := range w.conns {
-		if p.up && !p.shut {
-			open = append(open, p)
+	for _, conn := range w.conns {
+		if conn.up && !conn.shut {
+			open = append(open, conn)
 		}
 	}
 	if len(open) == 0 {
 		return
 	}
-	p := rapid.SampledFrom(open).Draw(t, "connection")
-	if len(p.requests) == 0 {
-		switch rapid.IntRange(0, 5).Draw(t, "on a resting connection") {
-		case 0:
-			w.close(p)
-		case 1:
-			if p.begun == "" {
-				w.engineSends(p, "HTTP/1.1 20", true)
-			}
+	conn := rapid.SampledFrom(open).Draw(t, "connection")
+	if len(conn.requests) == 0 {
+		w.engineDisturbs(t, conn)
+	} else {
+		head := conn.requests[0]
+		conn.requests = conn.requests[1:]
+		if strings.HasPrefix(head, "DELETE") || strings.HasPrefix(head, "PUT") {
+			w.engineConfirms(t, conn)
+		} else {
+			w.engineAnswers(t, conn, head)
 		}
-		w.runOrBatch(t)
-		return
 	}
-	head := p.requests[0]
-	p.requests = p.requests[1:]
-	if strings.HasPrefix(head, "DELETE") || strings.HasPrefix(head, "PUT") {
-		if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-			w.close(p)
-		} else {
-			w.engineSends(p, "HTTP/1.1 204 No Content\r\n\r\n", false)
+	w.runOrBatch(t)
+}
+
+// engineDisturbs has an engine close a resting connection, or send what nobody asked for, or nothing.
+func (w *interleavingHarness) engineDisturbs(t *rapid.T, conn *simulatedConn) {
+	switch rapid.IntRange(0, 5).Draw(t, "on a resting connection") {
+	case 0:
+		w.close(conn)
+	case 1:
+		if conn.begun == "" {
+			w.engineSends(conn, "HTTP/1.1 20", true)
 		}
-		w.runOrBatch(t)
-		return
 	}
-	post := w.attempt(idOf(head), p.engine)
-	switch rapid.SampledFrom([]string{"good", "good", "later", "later", "full", "error", "reset", "half", "second", "noise", "silent"}).Draw(t, "answer") {
+}
+
+// engineConfirms has an engine answer a cancel or a priority, or lose the connection.
+func (w *interleavingHarness) engineConfirms(t *rapid.T, conn *simulatedConn) {
+	if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+		w.close(conn)
+	} else {
+		w.engineSends(conn, "HTTP/1.1 204 No Content\r\n\r\n", false)
+	}
+}
+
+// engineAnswers has an engine answer a request, of which head is the beginning.
+func (w *interleavingHarness) engineAnswers(t *rapid.T, conn *simulatedConn, head string) {
+	attempt := w.attempt(idOf(head), conn.engine)
+	answers := []string{
+		"good", "good", "later", "later", "full", "error", "reset", "half", "second", "noise", "silent",
+	}
+	switch rapid.SampledFrom(answers).Draw(t, "answer") {
 	case "good":
-		post.ended = true
-		w.engineSends(p, good, false)
+		attempt.ended = true
+		w.engineSends(conn, good, false)
 	case "later":
-		w.engineSends(p, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", false)
+		w.engineSends(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", false)
 	case "full":
 		proof := ""
-		if post.ended = true; strings.HasPrefix(head, "POST") {
-			post.neverRan, proof = true, "Not-Begun: 1\r\n"
+		if attempt.ended = true; strings.HasPrefix(head, "POST") {
+			attempt.neverRan, proof = true, "Not-Begun: 1\r\n"
 		}
-		w.engineSends(p, "HTTP/1.1 503 Full\r\n"+proof+"Content-Length: 0\r\n\r\n", false)
+		w.engineSends(conn, "HTTP/1.1 503 Full\r\n"+proof+"Content-Length: 0\r\n\r\n", false)
 	case "error":
-		post.ended = true
-		w.engineSends(p, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n", false)
+		attempt.ended = true
+		w.engineSends(conn, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n", false)
 	case "reset":
-		w.close(p)
+		w.close(conn)
 	case "half":
-		post.ended = true
-		w.engineSends(p, good[:30], false)
-		w.close(p)
+		attempt.ended = true
+		w.engineSends(conn, good[:30], false)
+		w.close(conn)
 	case "second":
-		post.ended = true
-		w.engineSends(p, good, false)
-		w.engineSends(p, good, true)
+		attempt.ended = true
+		w.engineSends(conn, good, false)
+		w.engineSends(conn, good, true)
 	case "noise":
-		w.engineSends(p, "no engine says that\r\n\r\n", true)
+		w.engineSends(conn, "no engine says that\r\n\r\n", true)
 	}
-	w.runOrBatch(t)
 }
 
 // engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -26,6 +26,7 @@
 
 	"windflow/internal/flightsql"
 	"windflow/internal/installation"
+	"windflow/internal/router"
 	"windflow/internal/settings"
 )
 
@@ -204,114 +205,148 @@
 	return n
 }
 
-// TestMixedProtocolsUnderKilledStreams sends look-ups and loads over both protocols at once, to engines of
-// both, while a seeded part of the engines' connections dies at random bytes. Each request must get one
-// answer, whole or an error, and each load must have run at most once.
-func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
-	const workers, each = 6, 25
-	book := &executionLog{runs: map[string]int{}, byKind: map[string]int{}}
-	var kills atomic.Int64
-	n := startMixedRouter(t, book, &kills)
+// mixedRun is a run of requests over both fronts, and what came of them.
+type mixedRun struct {
+	t          *testing.T
+	router     *node
+	executions *executionLog
+	kills      atomic.Int64 // connections of engines that were reset
+
+	mu      sync.Mutex
+	answers map[string]int
+	loads   map[string]bool
+	served  map[string]int // by front
+}
+
+// plannedRequest is a request of a run.
+type plannedRequest struct {
+	id     string
+	load   bool
+	number int
+}
+
+func (r plannedRequest) class() string {
+	if r.load {
+		return "load"
+	}
+	return "lookup"
+}
 
-	var mu sync.Mutex
-	answers, loads := map[string]int{}, map[string]bool{}
-	served := map[string]int{} // by front
-	note := func(front, id string, load, ok bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		answers[id]++
-		if load {
-			loads[id] = true
+func (r plannedRequest) statement() string { return fmt.Sprintf("SELECT 1 FROM s_%d.t", r.number%3+1) }
+
+func planRequests(rng *rand.Rand, count int) (planned []plannedRequest) {
+	for number := range count {
+		id := fmt.Sprintf("%016x", rng.Uint64())
+		planned = append(planned, plannedRequest{id: id, load: rng.IntN(2) == 0, number: number})
+	}
+	return planned
+}
+
+// answered notes the answer to a request.
+func (r *mixedRun) answered(front string, request plannedRequest, served bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answers[request.id]++
+	if request.load {
+		r.loads[request.id] = true
+	}
+	if served {
+		r.served[front]++
+	}
+}
+
+// runMySQL sends requests over MySQL, one after the other.
+func (r *mixedRun) runMySQL(planned []plannedRequest) {
+	client, err := dialMySQL(r.router.listeners.clientsAddress)
+	if err != nil {
+		r.t.Error("mysql:", err)
+		return
+	}
+	defer client.conn.Close()
+	for _, request := range planned {
+		rows, code, err := client.ask(fmt.Sprintf("/* method=%s,rid=%s,budget=20000 */ %s",
+			request.class(), request.id, request.statement()))
+		if err == nil {
+			err = client.ping()
+		}
+		if err != nil {
+			r.t.Errorf("mysql %s %s: %v", request.class(), request.id, err)
+			return
 		}
-		if ok {
-			served[front]++
+		if code == 0 && rows != 60 && rows != 1 {
+			r.t.Errorf("mysql %s %s: served with %d rows", request.class(), request.id, rows)
 		}
+		r.answered("mysql", request, code == 0)
 	}
-	var wg sync.WaitGroup
-	for w := range workers {
-		wg.Add(2)
-		rng := rand.New(rand.NewPCG(uint64(w), 99))
-		plan := func() (ids []string, isLoad []bool) {
-			for range each {
-				ids = append(ids, fmt.Sprintf("%016x", rng.Uint64()))
-				isLoad = append(isLoad, rng.IntN(2) == 0)
-			}
-			return ids, isLoad
+}
+
+// runFlight sends requests over Flight SQL, one after the other; every other load is an update.
+func (r *mixedRun) runFlight(planned []plannedRequest) {
+	address := r.router.parts.named("flightsql").acceptor.address
+	client, err := fsql.NewClient(address, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		r.t.Error("flight:", err)
+		return
+	}
+	defer client.Close()
+	for _, request := range planned {
+		update := request.load && request.number%2 == 0
+		served, err := askFlight(client, request.class(), request.id, request.statement(), update)
+		if err != nil {
+			r.t.Errorf("flight %s %s: %v", request.class(), request.id, err)
 		}
-		idsA, loadA := plan()
-		idsB, loadB := plan()
-		go func() {
-			defer wg.Done()
-			c, err := dialMySQL(n.listeners.clientsAddress)
-			if err != nil {
-				t.Error("mysql:", err)
-				return
-			}
-			defer c.conn.Close()
-			for i, id := range idsA {
-				class := map[bool]string{true: "load", false: "lookup"}[loadA[i]]
-				rows, code, err := c.ask(fmt.Sprintf("/* method=%s,rid=%s,budget=20000 */ SELECT 1 FROM s_%d.t",
-					class, id, i%3+1))
-				if err == nil {
-					err = c.ping()
-				}
-				if err != nil {
-					t.Errorf("mysql %s %s: %v", class, id, err)
-					return
-				}
-				if code == 0 && rows != 60 && rows != 1 {
-					t.Errorf("mysql %s %s: served with %d rows", class, id, rows)
-				}
-				note("mysql", id, loadA[i], code == 0)
-			}
-		}()
-		go func() {
-			defer wg.Done()
-			c, err := fsql.NewClient(n.parts.named("flightsql").acceptor.address, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
-			if err != nil {
-				t.Error("flight:", err)
-				return
-			}
-			defer c.Close()
-			for i, id := range idsB {
-				class := map[bool]string{true: "load", false: "lookup"}[loadB[i]]
-				statement := fmt.Sprintf("SELECT 1 FROM s_%d.t", i%3+1)
-				ok, err := askFlight(t, c, class, id, statement, loadB[i] && i%2 == 0)
-				if err != nil {
-					t.Errorf("flight %s %s: %v", class, id, err)
-				}
-				note("flight", id, loadB[i], ok)
-			}
-		}()
+		r.answered("flight", request, served)
 	}
-	wg.Wait()
+}
 
-	if len(answers) != 2*workers*each {
-		t.Errorf("%d requests were answered of %d", len(answers), 2*workers*each)
+// checkAnswers holds that each request had one answer, and each load ran at most once.
+func (r *mixedRun) checkAnswers(requests int) {
+	r.t.Helper()
+	if len(r.answers) != requests {
+		r.t.Errorf("%d requests were answered of %d", len(r.answers), requests)
 	}
-	for id, times := range answers {
+	for id, times := range r.answers {
 		if times != 1 {
-			t.Errorf("request %s was answered %d times", id, times)
+			r.t.Errorf("request %s was answered %d times", id, times)
 		}
 	}
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	for id := range loads {
-		if book.runs[id] > 1 {
-			t.Errorf("load %s ran %d times", id, book.runs[id])
+	r.executions.mu.Lock()
+	defer r.executions.mu.Unlock()
+	for id := range r.loads {
+		if r.executions.runs[id] > 1 {
+			r.t.Errorf("load %s ran %d times", id, r.executions.runs[id])
 		}
 	}
 	// The test shows something only if both fronts, both kinds of engine and the kills had their part.
-	if served["mysql"] == 0 || served["flight"] == 0 || book.byKind["fetch"] == 0 || book.byKind["flight"] == 0 ||
-		kills.Load() == 0 {
-		t.Errorf("served %v, ran %v, %d connections killed: some part was not met", served, book.byKind, kills.Load())
+	ran := r.executions.byKind
+	if r.served["mysql"] == 0 || r.served["flight"] == 0 || ran["fetch"] == 0 || ran["flight"] == 0 || r.kills.Load() == 0 {
+		r.t.Errorf("served %v, ran %v, %d connections killed: some part was not met", r.served, ran, r.kills.Load())
 	}
-	counts := make(chan [2]int64)
-	n.loop.Post(func() {
-		c := n.services.core.Counters
-		counts <- [2]int64{c.Received, c.Served + c.Rejected + c.Failed + c.Abandoned}
-	})
-	if got := <-counts; got[0] != got[1] || got[0] != 2*workers*each {
-		t.Errorf("taken %d, answered %d, want %d of both", got[0], got[1], 2*workers*each)
+}
+
+// TestMixedProtocolsUnderKilledStreams sends look-ups and loads over both protocols at once, to engines of both, while a
+// seeded part of the engines' connections dies at random bytes. Each request must get one answer, a complete one or an
+// error, and each load must have run at most once.
+func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
+	const workers, each = 6, 25
+	run := &mixedRun{
+		t: t, executions: &executionLog{runs: map[string]int{}, byKind: map[string]int{}},
+		answers: map[string]int{}, loads: map[string]bool{}, served: map[string]int{},
+	}
+	run.router = startMixedRouter(t, run.executions, &run.kills)
+	var wg sync.WaitGroup
+	for worker := range workers {
+		rng := rand.New(rand.NewPCG(uint64(worker), 99))
+		overMySQL, overFlight := planRequests(rng, each), planRequests(rng, each)
+		wg.Go(func() { run.runMySQL(overMySQL) })
+		wg.Go(func() { run.runFlight(overFlight) })
+	}
+	wg.Wait()
+	run.checkAnswers(2 * workers * each)
+	var counters router.Counters
+	inLoop(run.router, func() { counters = run.router.services.core.Counters })
+	answered := counters.Served + counters.Rejected + counters.Failed + counters.Abandoned
+	if counters.Received != answered || counters.Received != 2*workers*each {
+		t.Errorf("taken %d, answered %d, want %d of both", counters.Received, answered, 2*workers*each)
 	}
 }
--- a/internal/node/oncall_test.go
+++ b/internal/node/oncall_test.go
@@ -1,14 +1,8 @@
 package node
 
 import (
-	"go/ast"
-	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
-	"path/filepath"
-	"slices"
-	"strconv"
 	"strings"
 	"testing"
 )
@@ -25,38 +19,13 @@
 		pages.Write(text)
 	}
 	lines := 0
-	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return err
+	forEachLogCall(t, func(at token.Position, call logCall) {
+		lines++
+		if !strings.Contains(pages.String(), "`"+call.text+"`") {
+			t.Errorf("%s: %q is on no page", at, call.text)
 		}
-		set := token.NewFileSet()
-		file, err := parser.ParseFile(set, path, nil, 0)
-		if err != nil {
-			return err
-		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			call, ok := n.(*ast.CallExpr)
-			if !ok || len(call.Args) == 0 {
-				return true
-			}
-			fun, ok := call.Fun.(*ast.SelectorExpr)
-			text, literal := call.Args[0].(*ast.BasicLit)
-			if !ok || !literal || text.Kind != token.STRING || !slices.Contains([]string{"Info", "Warn", "Error"}, fun.Sel.Name) {
-				return true
-			}
-			line, err := strconv.Unquote(text.Value)
-			if err != nil {
-				return true
-			}
-			lines++
-			if !strings.Contains(pages.String(), "`"+line+"`") {
-				t.Errorf("%s: %q is on no page", set.Position(text.Pos()), line)
-			}
-			return true
-		})
-		return nil
 	})
-	if err != nil || lines < 30 {
-		t.Error(lines, "lines", err)
+	if lines < 30 {
+		t.Error(lines, "lines")
 	}
 }
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -57,6 +57,7 @@
 			}
 		case *record.Event:
 			events[r.Name]++
+		case *record.Header, *record.RequestFailure, *record.Gap:
 		}
 		return nil
 	})
@@ -129,6 +130,7 @@
 var benchSeq int
 
 func benchRequest(b *testing.B, n *node) {
+	b.Helper()
 	if n.services.byKind.Default != router.EngineClient(instantEngine{n.loop}) {
 		n.services.byKind.Default = instantEngine{n.loop}
 		list := dispatch.EndpointList{Mode: dispatch.ListComplete}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,10 +15,10 @@
 	"windflow/internal/settings"
 )
 
-func writeConfig(t *testing.T, path, board, settings string) {
+func writeConfig(t *testing.T, path, board string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":192,
-		"sockets":1024},"board":"%s","known":{"rev":1,"notices":[]},"settings":%s}`, board, settings)
+		"sockets":1024},"board":"%s","known":{"rev":1,"notices":[]},"settings":%s}`, board, mixedSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	oldAddr, oldLinks := listenDiscovery(t)
 	newAddr, newLinks := listenDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, oldAddr, mixedSettings)
+	writeConfig(t, path, oldAddr)
 	t.Setenv("PROXY_CONFIG", path)
 	t.Setenv("TMPDIR", t.TempDir())
 	ended := make(chan error, 1)
@@ -43,7 +43,7 @@
 	}
 	first := <-oldLinks
 	defer first.Close()
-	writeConfig(t, path, "nowhere", mixedSettings)
+	writeConfig(t, path, "nowhere")
 	hup()
 	// Event 2 comes on the old link, the beginning of event 3 too; the new board must be asked from 2.
 	event := func(n byte) []byte { return []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, n, 2} }
@@ -64,7 +64,7 @@
 	if second.lastEvent != 2 {
 		t.Errorf("after a bad frame the old board was asked from event %d", second.lastEvent)
 	}
-	writeConfig(t, path, newAddr, mixedSettings)
+	writeConfig(t, path, newAddr)
 	hup()
 	third := <-newLinks
 	defer third.Close()
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -31,13 +31,13 @@
 				t.Fatal(err)
 			}
 		case 2:
-			writeConfig(t, path, "127.0.0.1:1", mixedSettings)
+			writeConfig(t, path, "127.0.0.1:1")
 		}
 	})
 	if cfg, _, err := readPlatform(path); err != nil || cfg.DiscoveryAddress != "127.0.0.1:1" || *n != 2 {
 		t.Errorf("%+v, %v after %d pauses", cfg, err, *n)
 	}
-	writeConfig(t, path, "nowhere", mixedSettings)
+	writeConfig(t, path, "nowhere")
 	if _, _, err := readPlatform(path); err == nil || *n != 2 {
 		t.Errorf("a bad field: %v after %d pauses", err, *n)
 	}
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, "127.0.0.1:1", mixedSettings)
+	writeConfig(t, path, "127.0.0.1:1")
 	cfg, err := settings.ReadNode(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -41,8 +41,11 @@
 	}
 	ask := func(m *mysqlClient, id int, statement string) error {
 		rows, code, err := m.ask(fmt.Sprintf("/* method=lookup,rid=%016x,budget=60000 */ %s", id, statement))
-		if err != nil || rows != 1 || code != 0 {
-			return fmt.Errorf("%s: %d rows, error %d, %v", statement, rows, code, err)
+		if err != nil {
+			return fmt.Errorf("%s: %w", statement, err)
+		}
+		if rows != 1 || code != 0 {
+			return fmt.Errorf("%s: %d rows, error %d", statement, rows, code)
 		}
 		return nil
 	}
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -70,9 +72,11 @@
 	return n, io.ErrClosedPipe
 }
 
+var errTicketReused = errors.New("a load's ticket was redeemed twice")
+
 // askFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
 // may not be: a code outside the mapping, or rows that are not whole.
-func askFlight(t *testing.T, c *fsql.Client, class, id, statement string, put bool) (bool, error) {
+func askFlight(c *fsql.Client, class, id, statement string, put bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "method", class, "rid", id, "acct", "a")
@@ -95,11 +99,13 @@
 	}
 	if class == "load" {
 		// Whatever came of it, the ticket is spent.
-		if again, err := c.DoGet(ctx, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
-			if err == nil {
-				again.Release()
-			}
-			return false, fmt.Errorf("a load's ticket was redeemed twice: %v", err)
+		again, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
+		if err == nil {
+			again.Release()
+			return false, errTicketReused
+		}
+		if status.Code(err) != codes.NotFound {
+			return false, fmt.Errorf("a load's ticket, a second time: %w", err)
 		}
 	}
 	if err == nil && rows != 60 && rows != 1 {
@@ -110,8 +116,8 @@
 
 // checkFlightError passes the codes that an answer may have.
 func checkFlightError(err error) error {
-	switch status.Code(err) {
-	case codes.OK, codes.ResourceExhausted, codes.Internal, codes.DeadlineExceeded:
+	allowed := []codes.Code{codes.OK, codes.ResourceExhausted, codes.Internal, codes.DeadlineExceeded}
+	if slices.Contains(allowed, status.Code(err)) {
 		return nil
 	}
 	return err
