--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -72,75 +72,89 @@
 	}
 }
 
-// The built program, alone: its line of readiness, a change, one that a router couldn't use, and its end.
-func TestProgram(t *testing.T) {
+// runningKeeper is the built program, as a group of one.
+type runningKeeper struct {
+	t       *testing.T
+	command *exec.Cmd
+	baseURL string
+	stderr  *bytes.Buffer
+}
+
+// startBuiltKeeper builds the program, and starts it until the test ends.
+func startBuiltKeeper(t *testing.T) *runningKeeper {
+	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "windflowkeeper")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	r, w, err := os.Pipe()
+	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = r.Close() }()
+	defer func() { _ = ready.Close() }()
 	// The peers' addresses are of no use to a group of one.
-	cmd := exec.Command(program, "serve", "--id", "k1", "--dir", filepath.Join(dir, "k1"), "--http", "127.0.0.1:0", "--raft", "127.0.0.1:0",
+	command := exec.Command(program, "serve", "--id", "k1", "--dir", filepath.Join(dir, "k1"),
+		"--http", "127.0.0.1:0", "--raft", "127.0.0.1:0",
 		"--peers", "k1=127.0.0.1:7402/127.0.0.1:7401", "--base", example)
-	cmd.Env = append(os.Environ(), readyEnv+"=3")
-	cmd.ExtraFiles = []*os.File{w}
-	var said bytes.Buffer
-	cmd.Stderr = &said
-	if err := cmd.Start(); err != nil {
+	command.Env = append(os.Environ(), readyEnv+"=3")
+	command.ExtraFiles = []*os.File{readyWriter}
+	var stderr bytes.Buffer
+	command.Stderr = &stderr
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_ = w.Close()
+	_ = readyWriter.Close()
 	t.Cleanup(func() {
-		if cmd.ProcessState == nil {
-			_ = cmd.Process.Kill()
-			_ = cmd.Wait()
+		if command.ProcessState == nil {
+			_ = command.Process.Kill()
+			_ = command.Wait()
 		}
 	})
-	line, err := bufio.NewReader(r).ReadString('\n')
-	base, ok := strings.CutPrefix(strings.TrimSpace(line), "ready ")
+	line, err := bufio.NewReader(ready).ReadString('\n')
+	address, ok := strings.CutPrefix(strings.TrimSpace(line), "ready ")
 	if err != nil || !ok {
-		t.Fatalf("%q: %v: %s", line, err, said.String())
+		t.Fatalf("%q: %v: %s", line, err, stderr.String())
 	}
-	for _, c := range []struct {
-		body string
-		code int
-		part string
-	}{
-		{`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`},
-		{`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422, `"pointer":"/settings/over-share-worth"`},
-		{`{"id":"c","put":{"/listen":"127.0.0.1:1"}}`, 422, `"pointer":"/listen"`},
-		{`{"id":"d","expect":0,"put":{"/settings/over-share-worth":0.5}}`, 409, `"revision":1`},
-	} {
-		a, err := http.Post("http://"+base+"/v1/changes", "application/json", strings.NewReader(c.body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		text, err := io.ReadAll(a.Body)
-		_ = a.Body.Close()
-		if err != nil || a.StatusCode != c.code || !strings.Contains(string(text), c.part) {
-			t.Errorf("%s: %d %s, want %d %s", c.body, a.StatusCode, text, c.code, c.part)
-		}
+	return &runningKeeper{t: t, command: command, baseURL: "http://" + address, stderr: &stderr}
+}
+
+// checkChange posts a change, and checks the status and a part of the answer.
+func (k *runningKeeper) checkChange(body string, status int, part string) {
+	k.t.Helper()
+	answer, err := http.Post(k.baseURL+"/v1/changes", "application/json", strings.NewReader(body))
+	if err != nil {
+		k.t.Fatal(err)
 	}
-	var s struct {
+	text, err := io.ReadAll(answer.Body)
+	_ = answer.Body.Close()
+	if err != nil || answer.StatusCode != status || !strings.Contains(string(text), part) {
+		k.t.Errorf("%s: %d %s, want %d %s", body, answer.StatusCode, text, status, part)
+	}
+}
+
+// The built program: its line of readiness, a change, changes that a router couldn't use, and its end.
+func TestBuiltProgram(t *testing.T) {
+	running := startBuiltKeeper(t)
+	running.checkChange(`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`)
+	running.checkChange(`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422, `"pointer":"/settings/over-share-worth"`)
+	running.checkChange(`{"id":"c","put":{"/listen":"127.0.0.1:1"}}`, 422, `"pointer":"/listen"`)
+	running.checkChange(`{"id":"d","expect":0,"put":{"/settings/over-share-worth":0.5}}`, 409, `"revision":1`)
+	var status struct {
 		Revision uint64 `json:"revision"`
 	}
-	a, err := http.Get("http://" + base + "/v1/status")
+	answer, err := http.Get(running.baseURL + "/v1/status")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	if err := json.NewDecoder(a.Body).Decode(&s); err != nil || s.Revision != 1 {
-		t.Error(s, err)
+	defer func() { _ = answer.Body.Close() }()
+	if err := json.NewDecoder(answer.Body).Decode(&status); err != nil || status.Revision != 1 {
+		t.Error(status, err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := running.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v: %s", err, said.String())
+	if err := running.command.Wait(); err != nil {
+		t.Errorf("%v: %s", err, running.stderr.String())
 	}
 }
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -19,38 +19,38 @@
 	"windflow/internal/decide/configlog"
 )
 
-// router is a stand-in for what brings revisions in force.
+// router is a fake of what puts revisions in force.
 type router struct {
-	mu     sync.Mutex
-	put    []Revision
-	refuse map[uint64]*configerror.Error
-	came   chan uint64
+	mu        sync.Mutex
+	revisions []Revision
+	rejects   map[uint64]*configerror.Error
+	applied   chan uint64
 }
 
 func newRouter() *router {
-	return &router{refuse: map[uint64]*configerror.Error{}, came: make(chan uint64, 4096)}
+	return &router{rejects: map[uint64]*configerror.Error{}, applied: make(chan uint64, 4096)}
 }
 
 func (r *router) apply(rev Revision) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bad := r.refuse[rev.Revision]; bad != nil {
+	if bad := r.rejects[rev.Revision]; bad != nil {
 		return bad
 	}
-	if n := len(r.put); n > 0 && r.put[n-1].Revision > rev.Revision {
+	if n := len(r.revisions); n > 0 && r.revisions[n-1].Revision > rev.Revision {
 		return ErrSuperseded
 	}
-	r.put = append(r.put, rev)
-	r.came <- rev.Revision
+	r.revisions = append(r.revisions, rev)
+	r.applied <- rev.Revision
 	return nil
 }
 
-func (r *router) until(t *testing.T, revision uint64) {
+func (r *router) waitFor(t *testing.T, revision uint64) {
 	t.Helper()
 	late := time.After(30 * time.Second)
 	for {
 		select {
-		case n := <-r.came:
+		case n := <-r.applied:
 			if n == revision {
 				return
 			}
@@ -63,15 +63,15 @@
 func (r *router) latest() Revision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.put) == 0 {
+	if len(r.revisions) == 0 {
 		return Revision{}
 	}
-	return r.put[len(r.put)-1]
+	return r.revisions[len(r.revisions)-1]
 }
 
 var discard = slog.New(slog.DiscardHandler)
 
-func client(t *testing.T, dir string, keepers ...string) *Client {
+func newTestClient(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
 	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstance(1, 1), discard)
 	t.Cleanup(c.Stop)
@@ -82,15 +82,15 @@
 
 // The next call after a change says what became of it: in force, or refused with the pointer, while the one before
 // stays.
-func TestNextCallSaysWhatBecameOfIt(t *testing.T) {
+func TestNextPollReportsResult(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	first := k.Change(worth("0.1"))
-	c := client(t, t.TempDir(), k.Addr())
+	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != first {
 		t.Fatalf("at the start revision %d is in force", r.latest().Revision)
 	}
-	r.refuse[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
+	r.rejects[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
 	k.Change(worth("9"))
 	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
@@ -99,7 +99,7 @@
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
 	if c.Counters.Revision.Load() != int64(first) || c.Counters.RejectedRevision.Load() != int64(first+1) || c.Latest().Revision != first {
-		t.Errorf("in force %d, refused %d", c.Counters.Revision.Load(), c.Counters.RejectedRevision.Load())
+		t.Errorf("in force %d, rejected %d", c.Counters.Revision.Load(), c.Counters.RejectedRevision.Load())
 	}
 	third := k.Change(worth("0.3"))
 	said = k.WaitForRevision(third)
@@ -111,51 +111,51 @@
 	}
 }
 
-// What was refused is offered again when the router's own file is another one.
+// A rejected revision is offered again when the router's own file is another one.
 func TestRetry(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	r.refuse[1] = &configerror.Error{Reason: "not yet"}
-	c := client(t, t.TempDir(), k.Addr())
+	r.rejects[1] = &configerror.Error{Reason: "not yet"}
+	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.Change(worth("1"))
 	k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	r.mu.Lock()
-	delete(r.refuse, 1)
+	delete(r.rejects, 1)
 	r.mu.Unlock()
 	c.Retry()
 	k.WaitForRevision(1)
 }
 
-// Keepers that misbehave: nothing that they say is in force, and the router goes on at the other one.
-func TestKeepersThatMisbehave(t *testing.T) {
-	const pointer = "/settings/over-share-worth"
-	stop := make(chan struct{})
-	t.Cleanup(func() { close(stop) })
-	for _, bad := range []struct {
-		name string
-		h    http.HandlerFunc
-	}{
+// misbehavior is a keeper's handler that answers what a router must not apply.
+type misbehavior struct {
+	name    string
+	handler http.HandlerFunc
+}
+
+// answerUpdate answers each call with an update.
+func answerUpdate(update configlog.Update) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(update) }
+}
+
+// misbehaviors returns the ways in which keepers misbehave. A silent one holds its calls until stop is closed.
+func misbehaviors(stop <-chan struct{}) []misbehavior {
+	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("7")}
+	return []misbehavior{
 		{"silent", func(_ http.ResponseWriter, r *http.Request) {
 			select {
 			case <-r.Context().Done():
 			case <-stop:
 			}
 		}},
-		{"cut in the middle", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "4000")
 			_, _ = io.WriteString(w, `{"from":0,"to":5,"snapshot":true,"put":{"`)
 			panic(http.ErrAbortHandler)
 		}},
 		{"garbage", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\x00\xff<html>") }},
-		{"wrong hash", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(configlog.Update{To: 5, Snapshot: true, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
-		}},
-		{"behind", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(configlog.Update{To: 0, KeeperBehind: true})
-		}},
-		{"a delta from elsewhere", func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(configlog.Update{From: 4, To: 5, Put: map[string]json.RawMessage{pointer: json.RawMessage("7")}})
-		}},
+		{"wrong hash", answerUpdate(configlog.Update{To: 5, Snapshot: true, Put: put})},
+		{"behind", answerUpdate(configlog.Update{To: 0, KeeperBehind: true})},
+		{"an update from another revision", answerUpdate(configlog.Update{From: 4, To: 5, Put: put})},
 		{"huge", func(w http.ResponseWriter, _ *http.Request) {
 			part := strings.Repeat("x", 1<<16)
 			for range maxAnswerBytes>>16 + 4 {
@@ -164,26 +164,34 @@
 				}
 			}
 		}},
-		{"a huge head", func(w http.ResponseWriter, _ *http.Request) {
+		{"huge header", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X", strings.Repeat("x", maxHeaderBytes<<3))
 		}},
 		{"busy", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }},
-		{"sent elsewhere", func(w http.ResponseWriter, r *http.Request) {
+		{"redirect", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "http://127.0.0.1:1/", http.StatusFound)
 		}},
-	} {
+	}
+}
+
+// Nothing that a misbehaving keeper answers is in force, and the router goes on with the other one.
+func TestMisbehavingKeepers(t *testing.T) {
+	const pointer = "/settings/over-share-worth"
+	stop := make(chan struct{})
+	t.Cleanup(func() { close(stop) })
+	for _, bad := range misbehaviors(stop) {
 		t.Run(bad.name, func(t *testing.T) {
 			t.Parallel()
 			wrong, good, r := keepertest.New(t), keepertest.New(t), newRouter()
 			met := make(chan struct{}, 1024)
 			wrong.SetHandler(func(w http.ResponseWriter, r *http.Request) {
 				met <- struct{}{}
-				bad.h(w, r)
+				bad.handler(w, r)
 			})
 			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0", configlog.NewInstance(1, 1), discard)
 			t.Cleanup(c.Stop)
 			c.Start(r.apply)
-			<-met // it was asked, whatever it answers
+			<-met // it was polled, whatever it answers
 			<-met // and once more
 			if r.latest().Revision != 0 {
 				t.Errorf("revision %d is in force", r.latest().Revision)
@@ -192,20 +200,20 @@
 			c.Configure(Config{Addresses: []string{wrong.Addr(), good.Addr()}, MaxPollWaitMS: 100})
 			good.WaitForRevision(rev)
 			if got := r.latest(); string(got.Entries[pointer]) != "0.5" || c.Counters.FailedCalls.Load() == 0 {
-				t.Errorf("%+v, lost %d", got, c.Counters.FailedCalls.Load())
+				t.Errorf("%+v, %d failed calls", got, c.Counters.FailedCalls.Load())
 			}
 		})
 	}
 }
 
-// A keeper that is behind never takes a router back.
-func TestNeverBack(t *testing.T) {
+// A keeper that is behind never moves a router to an older revision.
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	ahead, late, r := keepertest.New(t), keepertest.New(t), newRouter()
 	for i := range 3 {
 		ahead.Change(worth(fmt.Sprint(i)))
 	}
 	late.Change(worth("0.9"))
-	c := client(t, t.TempDir(), ahead.Addr())
+	c := newTestClient(t, t.TempDir(), ahead.Addr())
 	c.Start(r.apply)
 	ahead.WaitForRevision(3)
 	c.Configure(Config{Addresses: []string{late.Addr()}, MaxPollWaitMS: 100})
@@ -216,10 +224,10 @@
 	}
 }
 
-// In a burst of changes a call brings several of them, so that reloads stay bounded; the last one arrives.
-func TestBurst(t *testing.T) {
+// In a burst of changes a poll brings several of them, so that reloads stay bounded; the last one arrives.
+func TestBurstOfChanges(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	c := client(t, t.TempDir(), k.Addr())
+	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.WaitForRevision(0)
 	began := time.Now()
@@ -236,27 +244,27 @@
 
 // The other process of this router has a later revision in force: it is not asked for again, and the keepers hear of
 // it.
-func TestGiven(t *testing.T) {
+func TestRevisionOfOtherProcess(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	c := client(t, t.TempDir(), k.Addr())
+	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
 	k.WaitForRevision(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
 	c.SetInForce(Revision{7, configlog.HashEntries(entries), entries})
 	k.WaitForRevision(7)
-	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: left
-	r.until(t, 7)
+	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: ignored
+	r.waitFor(t, 7)
 	if c.Latest().Revision != 7 {
 		t.Error(c.Latest().Revision)
 	}
 }
 
-func file(dir string) string { return filepath.Join(dir, "n%2F0.revision") }
+func copyPath(dir string) string { return filepath.Join(dir, "n%2F0.revision") }
 
-// saved follows a keeper up to its revision and gives the folder with the copy.
-func saved(t *testing.T, k *keepertest.Keeper, dir string) {
+// saveCopy follows a keeper up to its revision and saves the copy in dir.
+func saveCopy(t *testing.T, k *keepertest.Keeper, dir string) {
 	t.Helper()
-	c, r := client(t, dir, k.Addr()), newRouter()
+	c, r := newTestClient(t, dir, k.Addr()), newRouter()
 	c.Restore(5*time.Second, r.apply)
 	c.Start(r.apply)
 	c.Stop() // what is not written yet is written then
@@ -270,12 +278,12 @@
 func TestStartFromTheCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
-	saved(t, k, dir)
+	saveCopy(t, k, dir)
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
-	good, err := os.ReadFile(file(dir))
+	good, err := os.ReadFile(copyPath(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,10 +298,10 @@
 		{"empty", func() string { return "" }, false},
 		{"foreign", func() string { return "{}\n" }, false},
 	} {
-		if err := os.WriteFile(file(dir), []byte(how.text()), 0o600); err != nil {
+		if err := os.WriteFile(copyPath(dir), []byte(how.text()), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, r := client(t, dir, silent.Addr(), silent.Addr(), silent.Addr()), newRouter()
+		c, r := newTestClient(t, dir, silent.Addr(), silent.Addr(), silent.Addr()), newRouter()
 		began := time.Now()
 		c.Restore(400*time.Millisecond, r.apply)
 		if took := time.Since(began); took > 2*time.Second { // far above the bound: the machine may be busy
@@ -302,12 +310,12 @@
 		if got := r.latest().Revision; (got == rev) != how.ok || (c.Counters.CopiesSetAside.Load() == 0) != how.ok {
 			t.Errorf("%s: revision %d, set aside %d", how.name, got, c.Counters.CopiesSetAside.Load())
 		}
-		if _, err := os.Stat(file(dir) + ".aside"); (err == nil) == how.ok && !how.ok {
+		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == how.ok && !how.ok {
 			t.Errorf("%s: %v", how.name, err)
 		}
 	}
 	// Another router's file under this one's name.
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(file(dir), good, 0o600), os.Rename(file(dir), filepath.Join(dir, "n1.revision"))); err != nil {
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(copyPath(dir), good, 0o600), os.Rename(copyPath(dir), filepath.Join(dir, "n1.revision"))); err != nil {
 		t.Fatal(err)
 	}
 	other, r := New(Config{Addresses: []string{silent.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n1", "1", discard), newRouter()
@@ -318,27 +326,27 @@
 	}
 }
 
-// A copy that the router's own file does not fit with is refused, and the router starts without it.
-func TestCopyThatDoesNotFit(t *testing.T) {
+// A copy that doesn't fit the router's own file is rejected, and the router starts without it.
+func TestRejectedCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
-	saved(t, k, dir)
-	c, r := client(t, dir, "127.0.0.1:1"), newRouter()
-	r.refuse[rev] = &configerror.Error{Reason: "does not fit"}
+	saveCopy(t, k, dir)
+	c, r := newTestClient(t, dir, "127.0.0.1:1"), newRouter()
+	r.rejects[rev] = &configerror.Error{Reason: "does not fit"}
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != 0 || c.Counters.RejectedRevision.Load() != int64(rev) {
 		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
 	}
 }
 
-// An unwritable disk is said once, and told in the counters; the configuration is in force all the same.
+// An unwritable disk is logged once and counted; the configuration is in force all the same.
 func TestUnwritableDisk(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	dir := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
 		t.Fatal(err)
 	}
-	var said lines
+	var said logBuffer
 	c := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n0", "1", slog.New(slog.NewTextHandler(&said, nil)))
 	c.Start(r.apply)
 	for i := range 3 {
@@ -350,25 +358,25 @@
 	}
 }
 
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// A process that is older doesn't write over the copy of the one that took its place.
-func TestCopyNeverGoesBack(t *testing.T) {
+// The predecessor of a process doesn't overwrite its newer copy.
+func TestOlderCopyIsNotWritten(t *testing.T) {
 	dir := t.TempDir()
 	d := newCopyStore(dir, "n/0", &Counters{}, discard)
 	for _, rev := range []uint64{3, 9, 4} {
@@ -391,11 +399,11 @@
 	}
 }
 
-// A copy that is up to date, and a keeper that says so, is no loss at the start, and costs no more than the hold.
-func TestStartUpToDate(t *testing.T) {
+// A keeper without a newer revision than the copy counts as an answer at the start, and takes no longer than the poll.
+func TestStartWithCurrentCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(worth("0.7"))
-	saved(t, k, dir)
+	saveCopy(t, k, dir)
 	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstance(2, 2), discard), newRouter()
 	t.Cleanup(c.Stop)
 	c.Restore(20*time.Second, r.apply)
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -89,7 +89,7 @@
 }
 
 // A copy that can't be used is set aside under the same name as before.
-func TestGoldenNameOfWhatIsSetAside(t *testing.T) {
+func TestGoldenNameOfDamagedCopy(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -12,26 +12,19 @@
 
 func number(n uint64) *uint64 { return &n }
 
-// What an operator can ask of any keeper, and what is said to a wrong call.
-func TestCallsOfOperators(t *testing.T) {
-	g := started(t, 3, nil)
-	leader := g.leader()
-	other := (leader + 1) % 3
-	for i := range 3 {
-		if rev := g.change(i, put(fmt.Sprint("c", i), "/settings/over-share-worth", fmt.Sprint(i))); rev != uint64(i+1) {
-			t.Errorf("change %d has revision %d", i, rev)
-		}
-	}
-	var r reply
-	for _, c := range []struct {
-		what, path string
-		in         any
-		code       int
-		parts      string // in kind, pointer, reason, revision
-	}{
+// operatorCall is a call to a keeper and its answer.
+type operatorCall struct {
+	name, path string
+	body       any
+	status     int
+	parts      string // of kind, pointer, reason, revision and repeated
+}
+
+func operatorCalls() []operatorCall {
+	return []operatorCall{
 		{"repeated", "/v1/changes", put("c1", "/settings/over-share-worth", "1"), 200, "2 true"},
 		{"reused id", "/v1/changes", put("c1", "/settings/over-share-worth", "7"), 409, "reused 2"},
-		{"conflict", "/v1/changes", configlog.Change{ID: "x", Expect: number(2), Put: put("", "/settings/over-share-worth", "9").Put}, 409, "conflict 3"},
+		{"conflict", "/v1/changes", withExpect(put("x", "/settings/over-share-worth", "9"), 2), 409, "conflict 3"},
 		{"checked", "/v1/changes", put("y", refusedPointer, "-1"), 422, "invalid " + refusedPointer + " below zero"},
 		{"not allowed", "/v1/changes", put("z", "/listen", `"x"`), 422, "invalid /listen"},
 		{"no id", "/v1/changes", put("", "/settings/over-share-worth", "1"), 400, "malformed field id"},
@@ -44,35 +37,60 @@
 		{"revert to the future", "/v1/revert", `{"id":"r","to":99}`, 422, "invalid revert_to"},
 		{"revert", "/v1/revert", `{"id":"r","to":1,"expect":3,"note":"back"}`, 200, "4 false"},
 		{"revert again", "/v1/revert", `{"id":"r","to":1,"expect":3,"note":"back"}`, 200, "4 true"},
-	} {
-		for _, i := range []int{leader, other} {
-			r = reply{}
-			if code := g.post(i, c.path, c.in, &r); code != c.code {
-				t.Errorf("%s at %d: %d, want %d: %+v", c.what, i, code, c.code, r)
-			}
-			text := fmt.Sprint(r.Kind, " ", r.Pointer, " ", r.Reason, " ", r.Revision, " ", r.Repeated)
-			for part := range strings.FieldsSeq(c.parts) {
-				if c.what == "revert" && i == other && part == "false" {
-					part = "true" // it was made by the call before
-				}
-				if !strings.Contains(text, part) {
-					t.Errorf("%s at %d: %q is not in %q", c.what, i, part, text)
-				}
-			}
+	}
+}
+
+func withExpect(change configlog.Change, revision uint64) configlog.Change {
+	change.Expect = &revision
+	return change
+}
+
+// check makes the call at one keeper.
+func (c operatorCall) check(g *group, i int, wantParts string) {
+	g.t.Helper()
+	var r reply
+	if code := g.post(i, c.path, c.body, &r); code != c.status {
+		g.t.Errorf("%s at %d: %d, want %d: %+v", c.name, i, code, c.status, r)
+	}
+	text := fmt.Sprint(r.Kind, " ", r.Pointer, " ", r.Reason, " ", r.Revision, " ", r.Repeated)
+	for part := range strings.FieldsSeq(wantParts) {
+		if !strings.Contains(text, part) {
+			g.t.Errorf("%s at %d: %q is not in %q", c.name, i, part, text)
 		}
 	}
-	g.equal(4)
-	if c := g.at(other, 4); string(c.Entries["/settings/over-share-worth"]) != "0" {
+}
+
+// Any keeper answers an operator the same, also a wrong call.
+func TestOperatorCalls(t *testing.T) {
+	g := startGroup(t, 3, nil)
+	leader := g.leader()
+	other := (leader + 1) % 3
+	for i := range 3 {
+		if rev := g.change(i, put(fmt.Sprint("c", i), "/settings/over-share-worth", fmt.Sprint(i))); rev != uint64(i+1) {
+			t.Errorf("change %d has revision %d", i, rev)
+		}
+	}
+	for _, c := range operatorCalls() {
+		c.check(g, leader, c.parts)
+		if c.name == "revert" {
+			c.parts = strings.ReplaceAll(c.parts, "false", "true") // it was made by the call before
+		}
+		c.check(g, other, c.parts)
+	}
+	var r reply
+	g.checkEqualState(4)
+	if c := g.waitForRevision(other, 4); string(c.Entries["/settings/over-share-worth"]) != "0" {
 		t.Errorf("after the revert: %s", c.Entries)
 	}
-	if c := g.at(other, 3); string(c.Entries["/settings/over-share-worth"]) != "2" {
+	if c := g.waitForRevision(other, 3); string(c.Entries["/settings/over-share-worth"]) != "2" {
 		t.Errorf("revision 3: %s", c.Entries)
 	}
 	var h struct {
 		Oldest    uint64               `json:"oldest"`
 		Revisions []configlog.Revision `json:"revisions"`
 	}
-	if code := g.get(other, "/v1/revisions?from=2&most=2", &h); code != 200 || len(h.Revisions) != 2 || h.Revisions[0].ID != "c1" || h.Revisions[0].AtMS == 0 {
+	if code := g.get(other, "/v1/revisions?from=2&most=2", &h); code != 200 ||
+		len(h.Revisions) != 2 || h.Revisions[0].ID != "c1" || h.Revisions[0].AtMS == 0 {
 		t.Errorf("revisions: %d %+v", code, h)
 	}
 	if code := g.get(other, "/v1/config?revision=9", &r); code != 404 {
@@ -84,8 +102,8 @@
 }
 
 // A call that was passed on by one keeper is not passed on by the next.
-func TestNoCallGoesRound(t *testing.T) {
-	g := started(t, 3, nil)
+func TestForwardedCallIsNotForwardedAgain(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	other := (g.leader() + 1) % 3
 	q, err := http.NewRequest(http.MethodPost, "http://"+g.members[other].options.HTTPAddr+"/v1/changes",
 		strings.NewReader(`{"id":"a","put":{"/settings/over-share-worth":1}}`))
@@ -107,8 +125,8 @@
 }
 
 // Two operators who have seen the same revision: one gets the next, the other is told which is in force.
-func TestTwoOperatorsOnOneRevision(t *testing.T) {
-	g := started(t, 3, nil)
+func TestConcurrentChangesOfOneRevision(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	for round := range uint64(20) {
 		var replies [2]reply
 		var codes [2]int
@@ -133,5 +151,5 @@
 			t.Fatalf("round %d: %v %+v", round, codes, replies)
 		}
 	}
-	g.equal(20)
+	g.checkEqualState(20)
 }
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -14,8 +14,8 @@
 	"windflow/internal/keeper"
 )
 
-// limit bounds the files that a living keeper may write, which stands in for a full disk: what grows a file fails.
-func (g *group) limit(i int, bytes uint64) {
+// limitFileSize bounds the files that a living keeper may write, which stands in for a full disk: what grows a file fails.
+func (g *group) limitFileSize(i int, bytes uint64) {
 	g.t.Helper()
 	l := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(g.members[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &l, nil); err != nil {
@@ -23,36 +23,36 @@
 	}
 }
 
-// full lets a keeper's log not grow from here on.
-func (g *group) full(i int) {
+// fillDisk lets a keeper's log not grow from here on.
+func (g *group) fillDisk(i int) {
 	g.t.Helper()
 	f, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.limit(i, uint64(f.Size()))
+	g.limitFileSize(i, uint64(f.Size()))
 }
 
-func large(n int) configlog.Change {
+func largeChange(n int) configlog.Change {
 	return put(fmt.Sprint("c", n), "/board", `"`+strings.Repeat("x", 20<<10)+fmt.Sprint(n)+`"`)
 }
 
 // All disks are full: no change is lost or made by half, calls go on being answered, and with room again changes are
 // taken.
-func TestDisksFull(t *testing.T) {
+func TestAllDisksFull(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
 	f := follower{g: g, name: "r1", instance: "a"}
-	last := g.change(0, large(0))
-	f.until(0, last)
+	last := g.change(0, largeChange(0))
+	f.pollUntil(0, last)
 	for i := range g.members {
-		g.full(i)
+		g.fillDisk(i)
 	}
 	var no reply
 	n := 1
 	for ; ; n++ {
 		no = reply{}
-		code := g.post(0, "/v1/changes", large(n), &no)
+		code := g.post(0, "/v1/changes", largeChange(n), &no)
 		if code == 503 {
 			break
 		}
@@ -69,7 +69,7 @@
 		if !p.alive() {
 			t.Fatalf("%s has ended", p.options.ID)
 		}
-		if c := g.at(i, last); c.Revision != last {
+		if c := g.waitForRevision(i, last); c.Revision != last {
 			t.Errorf("%s serves %d", p.options.ID, c.Revision)
 		}
 		if strings.Contains(g.status(i).DiskError, "file too large") {
@@ -79,32 +79,32 @@
 	if said == 0 {
 		t.Error("no status says that a disk is full")
 	}
-	f.until(1, last)
+	f.pollUntil(1, last)
 	for i := range g.members {
-		g.limit(i, unix.RLIM_INFINITY)
+		g.limitFileSize(i, unix.RLIM_INFINITY)
 	}
 	g.leader()
-	if rev := g.change(1, large(n)); rev != last+1 {
+	if rev := g.change(1, largeChange(n)); rev != last+1 {
 		t.Errorf("with room again: revision %d after %d", rev, last)
 	}
-	g.equal(last + 1)
+	g.checkEqualState(last + 1)
 }
 
 // One disk is full, the leader's: another one leads and takes the changes.
-func TestLeadersDiskFull(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 20 * time.Second })
-	last := g.change(0, large(0))
+func TestLeaderDiskFull(t *testing.T) {
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 20 * time.Second })
+	last := g.change(0, largeChange(0))
 	full := g.leader()
-	g.full(full)
+	g.fillDisk(full)
 	asked := (full + 1) % 3
 	for n := 1; n < 20; n++ {
-		last = g.change(asked, large(n))
+		last = g.change(asked, largeChange(n))
 	}
 	if s := g.status(full); !strings.Contains(s.DiskError, "file too large") || !g.members[full].alive() {
 		t.Errorf("%+v", s)
 	}
-	g.limit(full, unix.RLIM_INFINITY)
-	g.equal(last)
+	g.limitFileSize(full, unix.RLIM_INFINITY)
+	g.checkEqualState(last)
 	if last != 20 {
 		t.Error("revision", last)
 	}
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -28,6 +28,19 @@
 	pending      *pendingFollowers
 }
 
+func newEnrollment(
+	timeout time.Duration, machine *stateMachine, replication *replication, proxy *leaderProxy, pending *pendingFollowers,
+) *enrollment {
+	return &enrollment{
+		timeout:      timeout,
+		stateMachine: machine,
+		replication:  replication,
+		peers:        proxy.peers,
+		proxy:        proxy,
+		pending:      pending,
+	}
+}
+
 // pendingFollowers are processes of followers that are not on the roster yet.
 type pendingFollowers struct {
 	mu        sync.Mutex
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -13,8 +13,8 @@
 	"windflow/internal/keeper"
 )
 
-// edit changes the bytes of one file.
-func edit(t *testing.T, path string, change func(b []byte) []byte) {
+// editContent changes the bytes of one file.
+func editContent(t *testing.T, path string, change func(b []byte) []byte) {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -38,100 +38,136 @@
 		t.Fatal("no snapshot in ", dir, err)
 	}
 	for _, path := range found {
-		edit(t, path, func(b []byte) []byte { b[20] ^= 0xff; return b })
+		editContent(t, path, func(b []byte) []byte { b[20] ^= 0xff; return b })
 	}
 }
 
-// What is found wrong in a folder, file by file, and said in log and status; nothing of it is lost.
-func TestWhatIsWrongInAFolder(t *testing.T) {
-	const value = "a value that is looked for"
-	g := started(t, 1, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 50*time.Millisecond })
-	p := g.members[0]
-	sound := p.options.Dir
-	for n := range 20 {
-		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
-	}
-	wait(t, "a snapshot", func() bool { return snapshots(sound) > 0 })
-	g.change(0, put("board", "/board", `"`+value+`"`))
-	wait(t, "membership", func() bool { return g.status(0).Folder.Stage == "member" })
-	p.end(syscall.SIGTERM)
-	rewrite := func(name, from, to string) func(*testing.T, string) {
-		return func(t *testing.T, dir string) {
-			edit(t, filepath.Join(dir, name), func(b []byte) []byte {
-				if !strings.Contains(string(b), from) {
-					t.Errorf("%q is not in %s", from, name)
-				}
-				return []byte(strings.ReplaceAll(string(b), from, to))
-			})
-		}
+// folderDamage changes a keeper's folder.
+type folderDamage func(t *testing.T, dir string)
+
+func editFile(name string, edit func(content []byte) []byte) folderDamage {
+	return func(t *testing.T, dir string) {
+		t.Helper()
+		editContent(t, filepath.Join(dir, name), edit)
 	}
-	change := func(name string, by func(b []byte) []byte) func(*testing.T, string) {
-		return func(t *testing.T, dir string) { edit(t, filepath.Join(dir, name), by) }
+}
+
+func replaceText(name, from, to string) folderDamage {
+	return func(t *testing.T, dir string) {
+		t.Helper()
+		editContent(t, filepath.Join(dir, name), func(content []byte) []byte {
+			if !strings.Contains(string(content), from) {
+				t.Errorf("%q is not in %s", from, name)
+			}
+			return []byte(strings.ReplaceAll(string(content), from, to))
+		})
 	}
-	without := func(name string) func(*testing.T, string) {
-		return func(t *testing.T, dir string) { remove(t, filepath.Join(dir, name)) }
+}
+
+func removeFile(name string) folderDamage {
+	return func(t *testing.T, dir string) {
+		t.Helper()
+		remove(t, filepath.Join(dir, name))
 	}
-	zeros := func(b []byte) []byte { clear(b); return b }
-	for _, c := range []struct {
-		what   string
-		damage func(*testing.T, string)
-		why    string // "" for nothing
-	}{
+}
+
+func truncateTo(size int) func([]byte) []byte {
+	return func(content []byte) []byte { return content[:size] }
+}
+
+func fillWithZeros(content []byte) []byte { clear(content); return content }
+
+// entryValue is a value of the last change in the folders of unusableFolders.
+const entryValue = "a value that is looked for"
+
+// folderCase is a folder with a damage, and the reason for which it is set aside; "" if it is used.
+type folderCase struct {
+	name   string
+	damage folderDamage
+	reason string
+}
+
+func unusableFolders() []folderCase {
+	return []folderCase{
 		{"nothing", func(*testing.T, string) {}, ""},
-		{"an early stage", rewrite("keeper.json", "member", "founding"), ""},
-		{"log cut off", change("raft.db", func(b []byte) []byte { return b[:4*os.Getpagesize()] }), "damaged: raft.db"},
-		{"log of zeros", change("raft.db", zeros), "damaged: raft.db"},
-		{"log empty", change("raft.db", func([]byte) []byte { return nil }), "damaged: raft.db"},
-		{"an entry", rewrite("raft.db", value, "a value that is looked f0r"), "does not match its checksum"},
-		{"no log", without("raft.db"), "damaged: raft.db is missing"},
-		{"no votes", without("vote.db"), "damaged: vote.db is missing"},
-		{"votes of zeros", change("vote.db", zeros), "damaged: vote.db"},
-		{"votes empty", change("vote.db", func([]byte) []byte { return nil }), "damaged: vote.db"},
+		{"an early stage", replaceText("keeper.json", "member", "founding"), ""},
+		{"log cut off", editFile("raft.db", truncateTo(4*os.Getpagesize())), "damaged: raft.db"},
+		{"log of zeros", editFile("raft.db", fillWithZeros), "damaged: raft.db"},
+		{"log empty", editFile("raft.db", truncateTo(0)), "damaged: raft.db"},
+		{"an entry", replaceText("raft.db", entryValue, "a value that is looked f0r"), "does not match its checksum"},
+		{"no log", removeFile("raft.db"), "damaged: raft.db is missing"},
+		{"no votes", removeFile("vote.db"), "damaged: vote.db is missing"},
+		{"votes of zeros", editFile("vote.db", fillWithZeros), "damaged: vote.db"},
+		{"votes empty", editFile("vote.db", truncateTo(0)), "damaged: vote.db"},
 		{"a snapshot", damageSnapshots, "damaged: snapshot"},
-		{"no snapshot", without("snapshots"), "damaged: raft.db: entries 1 to"},
-		{"marker", change("keeper.json", func(b []byte) []byte { return b[:5] }), "damaged: keeper.json"},
-		{"stage", rewrite("keeper.json", "member", "guest"), `damaged: keeper.json: stage "guest"`},
-		{"no marker", without("keeper.json"), "foreign: keeper.json is missing"},
-		{"another format", rewrite("keeper.json", `"format":1`, `"format":9`), "foreign: format 9"},
-		{"another group's", rewrite("keeper.json", `"windflow"`, `"other"`), `foreign: of cluster "other"`},
-		{"another keeper's", rewrite("keeper.json", `"k1"`, `"k2"`), `foreign: of keeper "k2"`},
-	} {
+		{"no snapshot", removeFile("snapshots"), "damaged: raft.db: entries 1 to"},
+		{"marker", editFile("keeper.json", truncateTo(5)), "damaged: keeper.json"},
+		{"stage", replaceText("keeper.json", "member", "guest"), `damaged: keeper.json: stage "guest"`},
+		{"no marker", removeFile("keeper.json"), "foreign: keeper.json is missing"},
+		{"another format", replaceText("keeper.json", `"format":1`, `"format":9`), "foreign: format 9"},
+		{"another group's", replaceText("keeper.json", `"windflow"`, `"other"`), `foreign: of cluster "other"`},
+		{"another keeper's", replaceText("keeper.json", `"k1"`, `"k2"`), `foreign: of keeper "k2"`},
+	}
+}
+
+// Each damage is recognized at the start and named in log and status; none of the files is lost.
+func TestUnusableFolders(t *testing.T) {
+	g := startGroup(t, 1, func(_ int, o *keeper.Options) {
+		o.SnapshotThreshold, o.SnapshotInterval = 8, 50*time.Millisecond
+	})
+	p := g.members[0]
+	intact := p.options.Dir
+	for n := range 20 {
+		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
+	}
+	waitUntil(t, "a snapshot", func() bool { return snapshots(intact) > 0 })
+	g.change(0, put("board", "/board", `"`+entryValue+`"`))
+	waitUntil(t, "membership", func() bool { return g.status(0).Folder.Stage == "member" })
+	p.end(syscall.SIGTERM)
+	for _, c := range unusableFolders() {
 		p.options.Dir = filepath.Join(t.TempDir(), "copy")
-		if err := os.CopyFS(p.options.Dir, os.DirFS(sound)); err != nil {
+		if err := os.CopyFS(p.options.Dir, os.DirFS(intact)); err != nil {
 			t.Fatal(err)
 		}
 		c.damage(t, p.options.Dir)
-		before, err := os.ReadDir(p.options.Dir)
-		if err != nil {
-			t.Fatal(err)
-		}
-		p.start()
-		s := g.status(0)
-		p.end(syscall.SIGKILL)
-		if c.why == "" {
-			if len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
-				t.Errorf("%s: %+v", c.what, s.Folder)
-			}
-			continue
-		}
-		if len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.why) {
-			t.Errorf("%s: aside %q, want %q", c.what, s.Folder.Aside, c.why)
-			continue
+		g.checkFolderCase(c)
+	}
+}
+
+// checkFolderCase starts and kills the only keeper of the group on its folder.
+func (g *group) checkFolderCase(c folderCase) {
+	g.t.Helper()
+	p := g.members[0]
+	before, err := os.ReadDir(p.options.Dir)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	p.start()
+	s := g.status(0)
+	p.end(syscall.SIGKILL)
+	if c.reason == "" {
+		if len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
+			g.t.Errorf("%s: %+v", c.name, s.Folder)
 		}
-		mustContain(t, p.said(), "folder set aside")
-		name, _, _ := strings.Cut(s.Folder.Aside[0], ":")
-		for _, f := range before {
-			if _, err := os.Lstat(filepath.Join(p.options.Dir, name, f.Name())); err != nil && f.Name() != "lock" {
-				t.Errorf("%s: %v", c.what, err)
-			}
+		return
+	}
+	if len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.reason) {
+		g.t.Errorf("%s: aside %q, want %q", c.name, s.Folder.Aside, c.reason)
+		return
+	}
+	mustContain(g.t, p.logText(), "folder set aside")
+	name, _, _ := strings.Cut(s.Folder.Aside[0], ":")
+	for _, file := range before {
+		if _, err := os.Lstat(filepath.Join(p.options.Dir, name, file.Name())); err != nil && file.Name() != "lock" {
+			g.t.Errorf("%s: %v", c.name, err)
 		}
 	}
 }
 
 // A keeper that sets its folder aside catches up from the others with the same id, and votes again.
-func TestFolderIsSetAside(t *testing.T) {
+func TestFolderSetAside(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	for n := range 30 {
 		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 	}
@@ -143,7 +179,7 @@
 		why    string
 	}{
 		{func() {
-			edit(t, filepath.Join(dir, "raft.db"), func(b []byte) []byte { return b[:4*os.Getpagesize()] })
+			editContent(t, filepath.Join(dir, "raft.db"), func(b []byte) []byte { return b[:4*os.Getpagesize()] })
 		}, "damaged: raft.db"},
 		{func() {
 			remove(t, dir)
@@ -155,38 +191,38 @@
 			g.leader()
 		}, "foreign: of keeper"},
 	} {
-		last := g.at(victim, uint64(30+n)).Revision
+		last := g.waitForRevision(victim, uint64(30+n)).Revision
 		g.members[victim].end(syscall.SIGTERM)
 		c.damage()
 		g.members[victim].start()
-		g.at(victim, last)
-		wait(t, "a vote again", func() bool { s := g.status(victim); return s.Folder.Votes && s.Folder.Stage == "member" })
+		g.waitForRevision(victim, last)
+		waitUntil(t, "a vote again", func() bool { s := g.status(victim); return s.Folder.Votes && s.Folder.Stage == "member" })
 		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.why) {
 			t.Errorf("aside %q, want %q", s.Folder.Aside, c.why)
 		}
-		mustContain(t, g.members[victim].said(), "folder set aside", "joining existing group without a folder")
-		g.equal(g.change(victim, put(fmt.Sprint("after", n), "/settings/over-share-worth", "0")))
+		mustContain(t, g.members[victim].logText(), "folder set aside", "joining existing group without a folder")
+		g.checkEqualState(g.change(victim, put(fmt.Sprint("after", n), "/settings/over-share-worth", "0")))
 	}
 }
 
 // A keeper that lost its folder has no vote until it holds what the leader held: else one that lacks an accepted change
 // could be made leader by it.
-func TestKeeperWithoutItsFolderHasNoVote(t *testing.T) {
+func TestKeeperWithoutFolderDoesNotVote(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
-	g.equal(g.change(0, put("first", "/settings/over-share-worth", "1")))
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
+	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	leader := g.leader()
 	late, lost := (leader+1)%3, (leader+2)%3
 	// The change is with the leader and with the one that will lose its folder.
-	g.links[[2]int{leader, late}][0].hush(forth, true)
+	g.links[[2]int{leader, late}][0].setSilent(forth, true)
 	g.change(leader, put("second", "/settings/over-share-worth", "2"))
-	g.at(lost, 2)
+	g.waitForRevision(lost, 2)
 	g.kill(lost)
 	remove(t, g.members[lost].options.Dir)
 	// It comes back, knows that the group exists, and hears nothing of the leader's entries.
-	g.links[[2]int{leader, lost}][0].hush(forth, true)
+	g.links[[2]int{leader, lost}][0].setSilent(forth, true)
 	g.members[lost].start()
-	wait(t, "the empty keeper's place in the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
+	waitUntil(t, "the empty keeper's place in the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
 	g.kill(leader)
 	var no reply
 	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 || no.Kind != "no-majority" {
@@ -196,25 +232,25 @@
 		t.Errorf("%+v", s)
 	}
 	for _, o := range []int{late, lost} {
-		g.links[[2]int{leader, o}][0].hush(forth, false)
+		g.links[[2]int{leader, o}][0].setSilent(forth, false)
 	}
 	g.members[leader].start()
 	g.leader()
 	if rev := g.change(late, put("fourth", "/settings/over-share-worth", "4")); rev < 3 {
 		t.Error("revision", rev)
 	}
-	if c := g.at(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
+	if c := g.waitForRevision(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
 		t.Errorf("revision 2: %s", c.Entries)
 	}
-	wait(t, "a vote again", func() bool { return g.status(lost).Folder.Votes })
+	waitUntil(t, "a vote again", func() bool { return g.status(lost).Folder.Votes })
 }
 
 // A majority has lost its folders: nothing is changed until an operator says that the loss is accepted, and then what
 // the last keeper holds is kept.
-func TestMajorityLostForGood(t *testing.T) {
+func TestPermanentLossOfMajority(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
-	g.equal(g.change(0, put("first", "/settings/over-share-worth", "1")))
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
+	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	for i := range g.members {
 		g.members[i].end(syscall.SIGTERM)
 	}
@@ -225,7 +261,7 @@
 		p.start()
 	}
 	for _, i := range []int{0, 1} {
-		wait(t, "the empty keepers' place in the group", func() bool { return g.status(i).Folder.Stage == "joining" })
+		waitUntil(t, "the empty keepers' place in the group", func() bool { return g.status(i).Folder.Stage == "joining" })
 	}
 	var no reply
 	if code := g.post(2, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &no); code != 503 {
@@ -237,36 +273,36 @@
 	if at := g.leader(); at != 2 {
 		t.Errorf("%s leads, which had nothing", g.members[at].options.ID)
 	}
-	g.equal(g.change(0, put("third", "/settings/over-share-worth", "3")))
-	if c := g.at(0, 1); string(c.Entries["/settings/over-share-worth"]) != "1" {
+	g.checkEqualState(g.change(0, put("third", "/settings/over-share-worth", "3")))
+	if c := g.waitForRevision(0, 1); string(c.Entries["/settings/over-share-worth"]) != "1" {
 		t.Errorf("revision 1: %s", c.Entries)
 	}
 	for _, i := range []int{0, 1} {
-		wait(t, "membership", func() bool { return g.status(i).Folder.Stage == "member" })
+		waitUntil(t, "membership", func() bool { return g.status(i).Folder.Stage == "member" })
 	}
 }
 
 // The newest snapshot is damaged, and the entries before it are gone.
-func TestSnapshotIsDamaged(t *testing.T) {
+func TestDamagedSnapshot(t *testing.T) {
 	t.Parallel()
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond })
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond })
 	for n := range 40 {
 		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 	}
 	victim := (g.leader() + 1) % 3
-	g.at(victim, 40)
+	g.waitForRevision(victim, 40)
 	// One that begins with nothing is sent a snapshot by the leader, so that it has one.
 	g.members[victim].end(syscall.SIGTERM)
 	remove(t, g.members[victim].options.Dir)
 	leader := g.members[g.leader()].options.Dir
-	wait(t, "a snapshot of the leader", func() bool { return snapshots(leader) > 0 })
+	waitUntil(t, "a snapshot of the leader", func() bool { return snapshots(leader) > 0 })
 	g.members[victim].start()
-	g.at(victim, 40)
-	wait(t, "a vote again", func() bool { return g.status(victim).Folder.Votes })
+	g.waitForRevision(victim, 40)
+	waitUntil(t, "a vote again", func() bool { return g.status(victim).Folder.Votes })
 	g.members[victim].end(syscall.SIGTERM)
 	damageSnapshots(t, g.members[victim].options.Dir)
 	g.members[victim].start()
-	g.equal(40)
+	g.checkEqualState(40)
 	if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], "damaged: snapshot") {
 		t.Errorf("%+v", s.Folder)
 	}
@@ -283,12 +319,12 @@
 }
 
 // A second process on one folder ends with an error that names it, and the first goes on.
-func TestOneProcessToAFolder(t *testing.T) {
-	g := started(t, 1, nil)
+func TestFolderLock(t *testing.T) {
+	g := startGroup(t, 1, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	second := &process{t: t, options: g.members[0].options, logFile: tempLog(t, "second")}
+	second := &process{t: t, options: g.members[0].options, logFile: filepath.Join(t.TempDir(), "second.log")}
 	second.options.HTTPAddr, second.options.RaftAddr = host()+":7401", host()+":7402"
-	mustContain(t, second.fails(), "--dir", g.members[0].options.Dir, "in use by another process")
+	mustContain(t, second.expectFailure(), "--dir", g.members[0].options.Dir, "in use by another process")
 	if rev := g.change(0, put("second", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Error("revision", rev)
 	}
@@ -298,7 +334,7 @@
 }
 
 // A folder that holds something else than a keeper's files keeps it.
-func TestStrangeFilesAreLeftAlone(t *testing.T) {
+func TestUnknownFilesAreKept(t *testing.T) {
 	g := newGroup(t, 1, nil)
 	dir := g.members[0].options.Dir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -33,8 +33,8 @@
 	updates        []configlog.Update
 }
 
-// call asks once, and takes what it gets.
-func (f *follower) call(i int, waitMS int) (code int) {
+// poll asks once, and takes what it gets.
+func (f *follower) poll(i int, waitMS int) (code int) {
 	f.g.t.Helper()
 	var u configlog.Update
 	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.FollowerStatus{
@@ -64,53 +64,53 @@
 	return code
 }
 
-// until calls a keeper until the follower has a revision.
-func (f *follower) until(i int, rev uint64) {
+// pollUntil calls a keeper until the follower has a revision.
+func (f *follower) pollUntil(i int, rev uint64) {
 	f.g.t.Helper()
-	wait(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool { return f.revision >= rev || f.call(i, 1000) != 200 && f.revision >= rev })
+	waitUntil(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool { return f.revision >= rev || f.poll(i, 1000) != 200 && f.revision >= rev })
 }
 
-// ack tells a keeper what is in force.
-func (f *follower) ack(i int) { f.g.t.Helper(); f.call(i, 0) }
+// report tells a keeper what is in force.
+func (f *follower) report(i int) { f.g.t.Helper(); f.poll(i, 0) }
 
 // From a follower's first call to a verdict, and what a refusal and a follower that is gone look like.
-func TestWhoHasIt(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 1500 * time.Millisecond })
+func TestConvergenceStatus(t *testing.T) {
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 1500 * time.Millisecond })
 	a, b := follower{g: g, name: "ra", instance: "1"}, follower{g: g, name: "rb", instance: "1"}
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	a.until(0, 1)
-	b.until(2, 1)
-	a.ack(0)
-	b.ack(2)
-	v := g.verdict(1, "revision=1&wait_ms=10000")
+	a.pollUntil(0, 1)
+	b.pollUntil(2, 1)
+	a.report(0)
+	b.report(2)
+	v := g.rollout(1, "revision=1&wait_ms=10000")
 	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
 		t.Errorf("both have it: %+v", v)
 	}
 	// A call that waits gets the change; the verdict that waits gets the follower's word.
 	type got struct{ code int }
 	calls := make(chan got, 2)
-	go func() { calls <- got{a.call(1, 700)} }()
-	go func() { calls <- got{b.call(2, 700)} }()
-	wait(t, "two calls held", func() bool { return g.status(1).Counters["waiting"] == 1 && g.status(2).Counters["waiting"] == 1 })
+	go func() { calls <- got{a.poll(1, 700)} }()
+	go func() { calls <- got{b.poll(2, 700)} }()
+	waitUntil(t, "two calls held", func() bool { return g.status(1).Counters["waiting"] == 1 && g.status(2).Counters["waiting"] == 1 })
 	g.change(0, put("second", "/settings/over-share-worth", "2"))
 	for range 2 {
 		if c := <-calls; c.code != 200 {
 			t.Errorf("held calls: %d", c.code)
 		}
 	}
-	a.ack(1)
+	a.report(1)
 	b.revision, b.refused = 1, &configlog.Rejection{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
 	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
-	if code := b.call(2, 0); code != http.StatusNoContent {
+	if code := b.poll(2, 0); code != http.StatusNoContent {
 		t.Errorf("a follower that refused the revision is offered it again: %d", code)
 	}
-	v = g.verdict(0, "revision=2")
+	v = g.rollout(0, "revision=2")
 	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 || v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
 		t.Errorf("one refused: %+v", v)
 	}
-	wait(t, "a follower that doesn't call is gone", func() bool {
-		a.call(1, 0)
-		v = g.verdict(0, "")
+	waitUntil(t, "a follower that doesn't call is gone", func() bool {
+		a.poll(1, 0)
+		v = g.rollout(0, "")
 		return reflect.DeepEqual(v.Missing, []string{"rb"})
 	})
 	if len(v.Rejected) != 0 || v.Revision != 2 {
@@ -125,13 +125,13 @@
 	if code := g.do(2, http.MethodDelete, "/v1/followers/rb", nil, &forgotten); code != 200 || forgotten.Forgotten {
 		t.Errorf("forget again: %d %+v", code, forgotten)
 	}
-	a.call(1, 0)
-	if v = g.verdict(2, ""); len(v.Missing) != 0 {
+	a.poll(1, 0)
+	if v = g.rollout(2, ""); len(v.Missing) != 0 {
 		t.Errorf("forgotten: %+v", v)
 	}
 }
 
-func (g *group) verdict(i int, query string) (v rolloutReply) {
+func (g *group) rollout(i int, query string) (v rolloutReply) {
 	g.t.Helper()
 	if code := g.get(i, "/v1/rollout?"+query, &v); code != 200 {
 		g.t.Fatalf("verdict: %d", code)
@@ -140,31 +140,31 @@
 }
 
 // A keeper that has just started can't know who lives, and a verdict says so by naming it.
-func TestKeeperJustStartedIsNoWitness(t *testing.T) {
-	g := started(t, 3, nil)
+func TestRestartedKeeperCountsAsUnreached(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	a := follower{g: g, name: "ra", instance: "1"}
-	a.until(0, 1)
-	a.ack(0)
-	if v := g.verdict(1, ""); len(v.UnreachedKeepers) != 3 {
+	a.pollUntil(0, 1)
+	a.report(0)
+	if v := g.rollout(1, ""); len(v.UnreachedKeepers) != 3 {
 		t.Errorf("all have just started: %+v", v)
 	}
-	if v := g.verdict(1, "wait_ms=10000"); !v.Converged {
+	if v := g.rollout(1, "wait_ms=10000"); !v.Converged {
 		t.Errorf("the only follower is heard: %+v", v)
 	}
 }
 
 // A keeper holds a bounded number of calls and says so to the next.
 func TestWaitingFollowersAreBounded(t *testing.T) {
-	g := started(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
+	g := startGroup(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
 	done := make(chan int, 2)
 	for n := range 2 {
 		f := follower{g: g, name: fmt.Sprint("r", n), instance: "1"}
-		go func() { done <- f.call(0, 2500) }()
+		go func() { done <- f.poll(0, 2500) }()
 	}
-	wait(t, "two calls held", func() bool { return g.status(0).Counters["waiting"] == 2 })
+	waitUntil(t, "two calls held", func() bool { return g.status(0).Counters["waiting"] == 2 })
 	f := follower{g: g, name: "r9", instance: "1"}
-	if code := f.call(0, 1000); code != http.StatusServiceUnavailable {
+	if code := f.poll(0, 1000); code != http.StatusServiceUnavailable {
 		t.Errorf("the third call: %d", code)
 	}
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -173,22 +173,22 @@
 			t.Errorf("a held call: %d", code)
 		}
 	}
-	if code := f.call(0, 1000); code != http.StatusOK {
+	if code := f.poll(0, 1000); code != http.StatusOK {
 		t.Errorf("with room: %d", code)
 	}
 }
 
 // A thousand changes later a follower at revision 1 gets one update: what differs where that is less, else the whole.
-func TestThousandChangesLater(t *testing.T) {
-	g := started(t, 3, nil)
+func TestFollowerThousandChangesBehind(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	wide, narrow := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
 	for n := range 50 {
 		g.change(0, put(fmt.Sprint("base", n), fmt.Sprintf("/settings/parties/q%d", n), `{"quota-rps":1}`))
 	}
-	wide.until(1, 50)
+	wide.pollUntil(1, 50)
 	change := put("c0", "/settings/over-share-worth", "0")
 	g.change(0, change)
-	narrow.until(1, 51)
+	narrow.pollUntil(1, 51)
 	from := time.Now()
 	for n := 1; n < 1000; n++ {
 		g.change(0, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%5), fmt.Sprintf(`{"quota-rps":%d}`, n)))
@@ -196,20 +196,20 @@
 	t.Logf("999 changes one after the other in %v", time.Since(from).Round(time.Millisecond))
 	for _, f := range []*follower{&wide, &narrow} {
 		f.updates = nil
-		g.at(2, 1050)
-		f.until(2, 1050)
+		g.waitForRevision(2, 1050)
+		f.pollUntil(2, 1050)
 		if len(f.updates) != 1 || f.updates[0].Snapshot || len(f.updates[0].Put) > 6 || len(f.content) != 56 {
 			t.Errorf("%s: %d updates, snapshot %v, %d entries of %d", f.name, len(f.updates), f.updates[0].Snapshot, len(f.updates[0].Put), len(f.content))
 		}
 	}
 	fresh := follower{g: g, name: "fresh", instance: "1"}
-	fresh.until(1, 1050)
+	fresh.pollUntil(1, 1050)
 	if len(fresh.updates) != 1 || !reflect.DeepEqual(fresh.content, wide.content) {
 		t.Errorf("fresh: %d updates, %d entries", len(fresh.updates), len(fresh.content))
 	}
 	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
 	first.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
-	first.until(2, 1050)
+	first.pollUntil(2, 1050)
 	if len(first.updates) != 1 || !reflect.DeepEqual(first.content, wide.content) {
 		t.Errorf("at revision 1: %d updates, %d entries", len(first.updates), len(first.content))
 	}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -36,16 +36,16 @@
 	return text
 }
 
-// startOne runs a keeper k1 with these options until the test ends, and gives the address of its calls.
-func startOne(t *testing.T, tweak func(*Options)) string {
+// startSingleKeeper runs a keeper k1 with these options until the test ends, and gives the address of its calls.
+func startSingleKeeper(t *testing.T, tweak func(*Options)) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	host := ownHost()
+	host := loopbackHost()
 	ready := make(chan string, 1)
 	o := Options{
 		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTPAddr: host + ":7401", RaftAddr: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTPAddr: host + ":7401", RaftAddr: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
-		Check: refusesEight, OnReady: func(address string) { ready <- address }, Retention: configlog.Retention{Revisions: 3},
+		Check: rejectEight, OnReady: func(address string) { ready <- address }, Retention: configlog.Retention{Revisions: 3},
 		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenWithin,
 	}
 	tweak(&o)
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// refusesEight is a check of content that has something against the number 8.
-func refusesEight(entries map[string]json.RawMessage) *configerror.Error {
+// rejectEight is a check of content that has something against the number 8.
+func rejectEight(entries map[string]json.RawMessage) *configerror.Error {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
 		return nil
@@ -76,8 +76,8 @@
 	return &configerror.Error{Kind: configerror.Invalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
-// converse makes the calls in turn and gives what was said, but for what varies.
-func converse(t *testing.T, address string, header http.Header, steps []step) []byte {
+// runCalls makes the calls in turn and gives what was said, but for what varies.
+func runCalls(t *testing.T, address string, header http.Header, steps []step) []byte {
 	t.Helper()
 	var said bytes.Buffer
 	for _, s := range steps {
@@ -134,14 +134,14 @@
 }
 
 // Operators' calls: what was answered before is answered in the same bytes, errors too.
-func TestGoldenOperatorsCalls(t *testing.T) {
-	address := startOne(t, func(*Options) {})
+func TestGoldenOperatorCalls(t *testing.T) {
+	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
 	const changes, revert, worth = "/v1/changes", "/v1/revert", `"put":{"/settings/over-share-worth":%s}`
 	change := func(id, value, rest string) step {
 		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+worth+`%s}`, id, value, rest)}
 	}
-	golden.Equal(t, "calls-operators.txt", converse(t, address, nil, []step{
+	golden.Equal(t, "calls-operators.txt", runCalls(t, address, nil, []step{
 		{"GET", "/v1/config", ""},
 		{"GET", "/v1/revisions", ""},
 		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`), change("a", "2", ""),
@@ -177,15 +177,15 @@
 }
 
 // Followers' calls and the verdict on a revision.
-func TestGoldenFollowersCalls(t *testing.T) {
-	address := startOne(t, func(*Options) {})
+func TestGoldenFollowerCalls(t *testing.T) {
+	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
 	refused := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`, 7)
 	put := func(id, value string) step {
 		return step{"POST", "/v1/changes", fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board)}
 	}
 	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
-	golden.Equal(t, "calls-followers.txt", converse(t, address, nil, []step{
+	golden.Equal(t, "calls-followers.txt", runCalls(t, address, nil, []step{
 		put("a", "1"),
 		{"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`},
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
@@ -217,9 +217,9 @@
 }
 
 // A keeper that waits for the others, and one with no room for followers, say so as before.
-func TestGoldenUnservedCalls(t *testing.T) {
-	lonely := startOne(t, func(o *Options) {
-		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: ownHost() + ":1", RaftAddr: ownHost() + ":1"})
+func TestGoldenUnavailableResponses(t *testing.T) {
+	lonely := startSingleKeeper(t, func(o *Options) {
+		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: loopbackHost() + ":1", RaftAddr: loopbackHost() + ":1"})
 		o.ChangeTimeout, o.MaxWaitingFollowers = 50*time.Millisecond, -1
 	})
 	steps := []step{
@@ -235,7 +235,7 @@
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
 		{"GET", "/v1/config", ""},
 	}
-	golden.Equal(t, "calls-unserved.txt", converse(t, lonely, nil, steps))
+	golden.Equal(t, "calls-unserved.txt", runCalls(t, lonely, nil, steps))
 	passed := http.Header{"Windflow-Keeper": {"k2"}}
-	golden.Equal(t, "calls-unserved-passed.txt", converse(t, lonely, passed, []step{steps[4], steps[7]}))
+	golden.Equal(t, "calls-unserved-passed.txt", runCalls(t, lonely, passed, []step{steps[4], steps[7]}))
 }
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -30,8 +30,8 @@
 
 const goldenWithin = 20 * time.Second
 
-// foldersChanges has a revert, a removal and more revisions than are kept.
-func foldersChanges() (list []configlog.Change) {
+// recordedChanges has a revert, a removal and more revisions than are kept.
+func recordedChanges() (list []configlog.Change) {
 	for i := range 5 {
 		list = append(list, configlog.Change{
 			ID: fmt.Sprint("change-", i+1), Note: fmt.Sprint("note ", i+1),
@@ -48,29 +48,31 @@
 // leaderField is the part of an answer that differs from run to run.
 var leaderField = regexp.MustCompile(`"leader":"[^"]*"`)
 
-// cluster is a group of keepers that run in this process.
-type cluster struct {
+// inProcessGroup is a group of keepers that run in this process.
+type inProcessGroup struct {
 	addresses []string // of the calls
 	stop      func()
 }
 
-// lastHost numbers the loopback addresses that these tests listen at.
-var lastHost atomic.Uint32
+// lastLoopbackHost numbers the loopback addresses that these tests listen at.
+var lastLoopbackHost atomic.Uint32
 
-// ownHost gives a loopback address on which no other process opens ports.
-func ownHost() string { return fmt.Sprintf("127.230.%d.%d", os.Getpid()%250, lastHost.Add(1)) }
+// loopbackHost gives a loopback address on which no other process opens ports.
+func loopbackHost() string {
+	return fmt.Sprintf("127.230.%d.%d", os.Getpid()%250, lastLoopbackHost.Add(1))
+}
 
-// startCluster runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
-func startCluster(t *testing.T, dir string) *cluster {
+// startInProcessGroup runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
+func startInProcessGroup(t *testing.T, dir string) *inProcessGroup {
 	t.Helper()
 	var peers []Peer
 	for i := range 3 {
-		host := ownHost()
+		host := loopbackHost()
 		peers = append(peers, Peer{ID: fmt.Sprint("k", i+1), RaftAddr: host + ":7402", HTTPAddr: host + ":7401"})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	c := &cluster{}
+	c := &inProcessGroup{}
 	for _, p := range peers {
 		c.addresses = append(c.addresses, p.HTTPAddr)
 		o := Options{
@@ -93,7 +95,7 @@
 }
 
 // ask calls a keeper of the cluster until it answers with status 200, and gives the body.
-func (c *cluster) ask(t *testing.T, i int, method, path string, in any) []byte {
+func (c *inProcessGroup) ask(t *testing.T, i int, method, path string, in any) []byte {
 	t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -129,9 +131,10 @@
 
 // recordFolders writes the golden folders with this program.
 func recordFolders(t *testing.T) {
+	t.Helper()
 	dir := t.TempDir()
-	c := startCluster(t, dir)
-	changes := foldersChanges()
+	c := startInProcessGroup(t, dir)
+	changes := recordedChanges()
 	for i, change := range changes {
 		c.ask(t, i%3, http.MethodPost, "/v1/changes", change)
 		if i == 2 {
@@ -208,6 +211,7 @@
 			what = string(l.Data[commandHeaderSize:])
 		case raft.LogConfiguration:
 			what = members(raft.DecodeConfiguration(l.Data))
+		case raft.LogNoop, raft.LogBarrier, raft.LogAddPeerDeprecated, raft.LogRemovePeerDeprecated:
 		}
 		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, what)
 	}
@@ -228,7 +232,7 @@
 		if err := m.Restore(content); err != nil {
 			t.Fatal(err)
 		}
-		text, err := json.Marshal(contentOf(m))
+		text, err := json.Marshal(describeStateMachine(m))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -249,8 +253,8 @@
 	if testing.Short() {
 		t.Skip("runs three keepers")
 	}
-	c := startCluster(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
-	last := len(foldersChanges())
+	c := startInProcessGroup(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
+	last := len(recordedChanges())
 	var text bytes.Buffer
 	for i := range 3 {
 		for rev := last - 3; rev <= last; rev++ {
@@ -260,7 +264,7 @@
 		text.Write(c.ask(t, i, http.MethodGet, "/v1/peer", nil))
 	}
 	golden.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
-	got := c.ask(t, 0, http.MethodPost, "/v1/changes", foldersChanges()[3])
+	got := c.ask(t, 0, http.MethodPost, "/v1/changes", recordedChanges()[3])
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
 		t.Errorf("a change of before, sent again: %s, want %s", got, want)
 	}
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -81,8 +81,8 @@
 	golden.AllFieldsSet(t, status, leader, leases)
 }
 
-// openQuietly opens a folder of keeper k1 of the group "golden", and gives it up again.
-func openQuietly(t *testing.T, dir string) *folder {
+// openTestFolder opens a folder of keeper k1 of the group "golden", and gives it up again.
+func openTestFolder(t *testing.T, dir string) *folder {
 	t.Helper()
 	f, err := openFolder(dir, "golden", "k1", slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -93,10 +93,10 @@
 }
 
 // The file that says whose folder it is has the same bytes at each stage, and is read so.
-func TestGoldenMark(t *testing.T) {
+func TestGoldenFolderIdentity(t *testing.T) {
 	for _, stage := range []string{stageNew, stageFounding, stageJoining, stageMember} {
 		dir, file := t.TempDir(), "keeper-"+stage+".json"
-		f := openQuietly(t, dir)
+		f := openTestFolder(t, dir)
 		if err := f.recordStage(stage); err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), golden.Read(t, "keeper-new.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if f := openQuietly(t, dir); f.identity.Stage != stageNew || len(f.listAside()) != 0 {
+	if f := openTestFolder(t, dir); f.identity.Stage != stageNew || len(f.listAside()) != 0 {
 		t.Errorf("read as %+v, set aside: %v", f.identity, f.listAside())
 	}
 }
@@ -123,7 +123,7 @@
 		[]byte(`"golden"`), []byte(`"other"`), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := openQuietly(t, dir)
+	f := openTestFolder(t, dir)
 	stamp := regexp.MustCompile(`aside-\d{8}T\d{6}\.\d{3}Z`)
 	var tree bytes.Buffer
 	err := filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -52,6 +52,7 @@
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
 func sampleMachine(t *testing.T) *stateMachine {
+	t.Helper()
 	m := newStateMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
 	put := func(id, pointer, value string) configlog.Change {
 		return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
@@ -66,7 +67,7 @@
 		{Change: &changeCommand{Base: 3, Change: configlog.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
 		{Change: &changeCommand{Base: 4, Change: configlog.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005}}},
 	} {
-		m.Apply(entry(t, uint64(i+1), c))
+		m.Apply(logEntry(t, uint64(i+1), c))
 	}
 	return m
 }
@@ -84,7 +85,7 @@
 	if err := read.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(contentOf(read), "", " ")
+	text, err := json.MarshalIndent(describeStateMachine(read), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +108,7 @@
 	Unknown  []followerProcess    `json:"unknown"` // of the seats that were ever heard
 }
 
-func contentOf(m *stateMachine) machineContent {
+func describeStateMachine(m *stateMachine) machineContent {
 	now := m.summary()
 	out := machineContent{
 		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -30,13 +30,13 @@
 type group struct {
 	t       *testing.T
 	members []*process
-	links   map[[2]int][]*relay // from, to: of replication and of calls
+	links   map[[2]int][]*link // from, to: of replication and of calls
 }
 
 // newGroup makes n keepers and starts none. Tweak may change what each is started with.
 func newGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
-	g := &group{t: t, links: map[[2]int][]*relay{}}
+	g := &group{t: t, links: map[[2]int][]*link{}}
 	dir := t.TempDir()
 	var raft, http []string
 	for range n {
@@ -51,7 +51,7 @@
 			if i != j {
 				h := host()
 				p.RaftAddr, p.HTTPAddr = h+":7402", h+":7401"
-				g.links[[2]int{i, j}] = []*relay{newRelay(t, p.RaftAddr, raft[j]), newRelay(t, p.HTTPAddr, http[j])}
+				g.links[[2]int{i, j}] = []*link{newLink(t, p.RaftAddr, raft[j]), newLink(t, p.HTTPAddr, http[j])}
 			}
 			o.Peers = append(o.Peers, p)
 		}
@@ -68,15 +68,15 @@
 				<-p.ended
 			}
 			if t.Failed() {
-				t.Logf("%s said:\n%s", p.options.ID, p.said())
+				t.Logf("%s said:\n%s", p.options.ID, p.logText())
 			}
 		}
 	})
 	return g
 }
 
-// started makes a group and starts it; it has a leader when this returns.
-func started(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
+// startGroup makes a group and starts it; it has a leader when this returns.
+func startGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := newGroup(t, n, tweak)
 	for _, p := range g.members {
@@ -86,13 +86,13 @@
 	return g
 }
 
-// cut makes the links between two sides silent, or lets them speak again.
-func (g *group) cut(silent bool, a, b []int) {
+// partition makes the links between two sides silent, or lets them speak again.
+func (g *group) partition(silent bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
 			for _, l := range append(g.links[[2]int{i, j}], g.links[[2]int{j, i}]...) {
-				l.hush(forth, silent)
-				l.hush(back, silent)
+				l.setSilent(forth, silent)
+				l.setSilent(back, silent)
 			}
 		}
 	}
@@ -119,11 +119,11 @@
 // leader waits until some keeper leads that the living others agree on, and gives its place.
 func (g *group) leader() (at int) {
 	g.t.Helper()
-	wait(g.t, "a leader", func() bool {
+	waitUntil(g.t, "a leader", func() bool {
 		at = -1
 		for i, p := range g.members {
 			var s status
-			if p.cmd == nil || !p.alive() || g.try(i, &s) != nil || s.State != "Leader" || !s.Majority {
+			if p.cmd == nil || !p.alive() || g.tryStatus(i, &s) != nil || s.State != "Leader" || !s.Majority {
 				continue
 			}
 			at = i
@@ -134,7 +134,7 @@
 		n := 0
 		for i, p := range g.members {
 			var s status
-			if p.cmd != nil && p.alive() && g.try(i, &s) == nil && s.Leader == g.members[at].options.ID {
+			if p.cmd != nil && p.alive() && g.tryStatus(i, &s) == nil && s.Leader == g.members[at].options.ID {
 				n++
 			}
 		}
@@ -145,11 +145,11 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// shortly is for calls that a stopped or silent keeper need not answer.
-var shortly = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+// impatientClient is for calls that a stopped or silent keeper need not answer.
+var impatientClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (g *group) try(i int, s *status) error {
-	a, err := shortly.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
+func (g *group) tryStatus(i int, s *status) error {
+	a, err := impatientClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
 	if err != nil {
 		return err
 	}
@@ -246,8 +246,8 @@
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// at waits until a keeper has a revision, and gives its content.
-func (g *group) at(i int, rev uint64) (c config) {
+// waitForRevision waits until a keeper has a revision, and gives its content.
+func (g *group) waitForRevision(i int, rev uint64) (c config) {
 	g.t.Helper()
 	if code := g.get(i, fmt.Sprintf("/v1/config?revision=%d&wait_ms=20000", rev), &c); code != http.StatusOK {
 		g.t.Fatalf("%s has no revision %d: %d", g.members[i].options.ID, rev, code)
@@ -255,12 +255,12 @@
 	return c
 }
 
-// equal looks whether all keepers hold the same at the revision that one of them has in force.
-func (g *group) equal(rev uint64) {
+// checkEqualState looks whether all keepers hold the same at the revision that one of them has in force.
+func (g *group) checkEqualState(rev uint64) {
 	g.t.Helper()
-	first := g.at(0, rev)
+	first := g.waitForRevision(0, rev)
 	for i := range g.members {
-		c := g.at(i, rev)
+		c := g.waitForRevision(i, rev)
 		s := g.status(i)
 		if c.Hash != first.Hash || s.Revision != rev || s.Hash != first.Hash {
 			g.t.Errorf("%s: revision %d hash %s, in force %d %s; k1 has %s", s.ID, rev, c.Hash, s.Revision, s.Hash, first.Hash)
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -11,15 +11,15 @@
 
 var idle = flag.Duration("idle", 2*time.Second, "how long TestIdleKeepers looks on")
 
-// mostIdle bounds the resident memory of a keeper that has nothing to do, in kB; the race detector takes several
+// maxIdleKB bounds the resident memory of a keeper that has nothing to do, in kB; the race detector takes several
 // times as much.
-const mostIdle = 64 << 10
+const maxIdleKB = 64 << 10
 
 // What five keepers take that have nothing to do: memory, processor time, bytes between each other. With -idle 60s the
 // figures of the design note.
 func TestIdleKeepers(t *testing.T) {
-	g := started(t, 5, nil)
-	g.equal(g.change(0, put("first", "/settings/over-share-worth", "1")))
+	g := startGroup(t, 5, nil)
+	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	type figures struct {
 		term, bytes int64
 		ticks       int
@@ -39,10 +39,10 @@
 	leader := g.leader()
 	time.Sleep(*idle) // what is measured is the time in which nothing is asked
 	for i := range before {
-		now, rss := look(i), resident(t, g.members[i].cmd.Process.Pid)
+		now, rss := look(i), residentKB(t, g.members[i].cmd.Process.Pid)
 		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v", g.members[i].options.ID, rss,
 			float64(now.ticks-before[i].ticks)/idle.Seconds(), float64(now.bytes-before[i].bytes)/idle.Seconds(), now.term-before[i].term, i == leader)
-		if rss > mostIdle && !raced {
+		if rss > maxIdleKB && !raced {
 			t.Errorf("%s has %d kB resident", g.members[i].options.ID, rss)
 		}
 		if now.bytes == before[i].bytes {
@@ -51,8 +51,8 @@
 	}
 }
 
-// resident is a process's resident memory in kB.
-func resident(t *testing.T, pid int) (kb int) {
+// residentKB is a process's resident memory in kB.
+func residentKB(t *testing.T, pid int) (kb int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -86,14 +86,7 @@
 		stopping:    stopping,
 	}
 	pending := newPendingFollowers()
-	enrollment := &enrollment{
-		timeout:      options.ChangeTimeout,
-		stateMachine: machine,
-		replication:  replication,
-		peers:        peers,
-		proxy:        proxy,
-		pending:      pending,
-	}
+	enrollment := newEnrollment(options.ChangeTimeout, machine, replication, proxy, pending)
 	convergence := &convergenceService{
 		keeperID:     options.ID,
 		stateMachine: machine,
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -16,18 +16,19 @@
 
 var kills = flag.Int("kills", 1, "leaders that TestNewLeaderAfterKill kills")
 
-// posted is a change that was sent and whose answer is waited for elsewhere.
-type posted struct {
+// pendingReply is a change that was sent and whose answer is waited for elsewhere.
+type pendingReply struct {
 	code int
 	err  error
 	reply
 }
 
-func (g *group) send(i int, method, path string, in any) <-chan posted {
-	out := make(chan posted, 1)
+// send sends a change without waiting for the answer.
+func (g *group) send(i int, change configlog.Change) <-chan pendingReply {
+	out := make(chan pendingReply, 1)
 	go func() {
-		var p posted
-		p.code, p.err = ask("http://"+g.members[i].options.HTTPAddr, method, path, in, &p.reply)
+		var p pendingReply
+		p.code, p.err = ask("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", change, &p.reply)
 		out <- p
 	}()
 	return out
@@ -35,14 +36,14 @@
 
 // The leader dies when a change has its revision and before it could say so: the keeper that passed the change on
 // asks the next leader, and the operator who asks again gets the same revision.
-func TestLeaderKilledBetweenAcceptAndAnswer(t *testing.T) {
-	g := started(t, 3, nil)
+func TestLeaderKilledBetweenCommitAndAnswer(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	leader := g.leader()
 	asked, third := (leader+1)%3, (leader+2)%3
-	g.links[[2]int{asked, leader}][1].hush(back, true)
-	answer := g.send(asked, http.MethodPost, "/v1/changes", put("second", "/settings/over-share-worth", "2"))
-	g.at(third, 2)
+	g.links[[2]int{asked, leader}][1].setSilent(back, true)
+	answer := g.send(asked, put("second", "/settings/over-share-worth", "2"))
+	g.waitForRevision(third, 2)
 	g.kill(leader)
 	p := <-answer
 	if p.err != nil || p.code != 200 || p.Revision != 2 || !p.Repeated {
@@ -53,22 +54,22 @@
 		t.Errorf("asked again: %d %+v", code, r)
 	}
 	g.members[leader].start()
-	g.equal(2)
+	g.checkEqualState(2)
 }
 
 // The leader dies with a change that only itself has written down. The same call gives one revision, also when the old
 // leader is back with its own copy.
-func TestLeaderKilledBeforeAccept(t *testing.T) {
-	g := started(t, 3, nil)
+func TestLeaderKilledBeforeCommit(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	leader := g.leader()
 	before := g.lastIndex(leader)
 	others := []int{(leader + 1) % 3, (leader + 2) % 3}
 	for _, o := range others {
-		g.links[[2]int{leader, o}][0].hush(forth, true)
+		g.links[[2]int{leader, o}][0].setSilent(forth, true)
 	}
-	answer := g.send(leader, http.MethodPost, "/v1/changes", put("second", "/settings/over-share-worth", "2"))
-	wait(t, "the change in the leader's own log", func() bool { return g.lastIndex(leader) > before })
+	answer := g.send(leader, put("second", "/settings/over-share-worth", "2"))
+	waitUntil(t, "the change in the leader's own log", func() bool { return g.lastIndex(leader) > before })
 	g.kill(leader)
 	if p := <-answer; p.err == nil && p.code == 200 {
 		t.Errorf("accepted without a majority: %+v", p)
@@ -81,10 +82,10 @@
 		}
 	}
 	for _, o := range others {
-		g.links[[2]int{leader, o}][0].hush(forth, false)
+		g.links[[2]int{leader, o}][0].setSilent(forth, false)
 	}
 	g.members[leader].start()
-	g.equal(2)
+	g.checkEqualState(2)
 }
 
 func (g *group) lastIndex(i int) uint64 {
@@ -96,17 +97,17 @@
 }
 
 // A leader that was stopped while the others went on claims nothing that isn't so when it is woken.
-func TestLeaderStoppedAndWoken(t *testing.T) {
-	g := started(t, 3, nil)
+func TestLeaderPausedAndResumed(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	old := g.leader()
 	f := follower{g: g, name: "r1", instance: "a"}
-	f.until(old, 1)
-	f.ack(old)
+	f.pollUntil(old, 1)
+	f.report(old)
 	g.members[old].signal(syscall.SIGSTOP)
 	now := old
-	wait(t, "another leader", func() bool { now = g.leader(); return now != old })
-	f.until(now, 1)
+	waitUntil(t, "another leader", func() bool { now = g.leader(); return now != old })
+	f.pollUntil(now, 1)
 	g.change(now, put("second", "/settings/over-share-worth", "2"))
 	// These wait in the stopped keeper's sockets and are the first that it reads.
 	verdict := make(chan rolloutReply, 1)
@@ -115,8 +116,10 @@
 		v.code, v.err = ask("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
 		verdict <- v
 	}()
-	conflict := g.send(old, http.MethodPost, "/v1/changes", configlog.Change{ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put})
-	repeated := g.send(old, http.MethodPost, "/v1/changes", put("second", "/settings/over-share-worth", "2"))
+	conflict := g.send(old, configlog.Change{
+		ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put,
+	})
+	repeated := g.send(old, put("second", "/settings/over-share-worth", "2"))
 	g.members[old].signal(syscall.SIGCONT)
 	if v := <-verdict; v.err != nil || v.code != 200 || v.Converged {
 		t.Errorf("revision 2 is with no follower, and it says %+v", v)
@@ -127,13 +130,13 @@
 	if p := <-conflict; p.err != nil || p.code != 409 && p.code != 503 {
 		t.Errorf("the id of another change: %+v", p)
 	}
-	g.equal(2)
+	g.checkEqualState(2)
 }
 
 // Time to a new leader after a kill, by the first change that is accepted. With -kills 10 the figures of the design
 // note.
 func TestNewLeaderAfterKill(t *testing.T) {
-	g := started(t, 5, nil)
+	g := startGroup(t, 5, nil)
 	var took []time.Duration
 	for n := range *kills {
 		leader := g.leader()
@@ -142,7 +145,7 @@
 		g.change((leader+1)%5, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 		took = append(took, time.Since(from).Round(time.Millisecond))
 		g.members[leader].start()
-		g.equal(uint64(n + 1))
+		g.checkEqualState(uint64(n + 1))
 	}
 	slices.Sort(took)
 	t.Logf("from the kill to the first accepted change: %v", took)
@@ -152,21 +155,21 @@
 }
 
 // A keeper that is told to end hands leadership over first: the next change needs no timeout.
-func TestLeaderToldToEnd(t *testing.T) {
-	g := started(t, 3, nil)
+func TestLeaderShutdownTransfersLeadership(t *testing.T) {
+	g := startGroup(t, 3, nil)
 	leader := g.leader()
 	other := (leader + 1) % 3
 	g.change(other, put("first", "/settings/over-share-worth", "1"))
 	timeouts := func() (n int) {
 		for _, p := range g.members {
-			n += strings.Count(p.said(), "heartbeat timeout reached")
+			n += strings.Count(p.logText(), "heartbeat timeout reached")
 		}
 		return n
 	}
 	before := timeouts()
 	g.members[leader].end(syscall.SIGTERM)
-	mustContain(t, g.members[leader].said(), "keeper stopped")
-	if text := g.members[leader].said(); strings.Contains(text, "leadership transfer failed") {
+	mustContain(t, g.members[leader].logText(), "keeper stopped")
+	if text := g.members[leader].logText(); strings.Contains(text, "leadership transfer failed") {
 		t.Error(text)
 	}
 	if rev := g.change(other, put("second", "/settings/over-share-worth", "2")); rev != 2 {
@@ -178,14 +181,14 @@
 }
 
 // All keepers die at once; with them gone nothing that was accepted is.
-func TestRestartOfAll(t *testing.T) {
-	g := started(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
+func TestRestartOfAllKeepers(t *testing.T) {
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	f := follower{g: g, name: "r1", instance: "a"}
 	for n := range 30 {
 		g.change(n%3, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%7), fmt.Sprintf(`{"quota-rps":%d}`, n+1)))
 	}
-	f.until(1, 30)
-	before := g.at(0, 30)
+	f.pollUntil(1, 30)
+	before := g.waitForRevision(0, 30)
 	for i := range g.members {
 		g.kill(i)
 	}
@@ -193,8 +196,8 @@
 		p.launch()
 	}
 	g.leader()
-	g.equal(30)
-	after := g.at(2, 30)
+	g.checkEqualState(30)
+	after := g.waitForRevision(2, 30)
 	if before.Hash != after.Hash || len(after.Entries) != 7 || string(after.Entries["/settings/parties/p1"]) != `{"quota-rps":30}` {
 		t.Errorf("before %v, after %v", before, after)
 	}
@@ -208,37 +211,37 @@
 }
 
 // Three keepers and two are apart, the old leader among the two.
-func TestRegionsApart(t *testing.T) {
+func TestNetworkPartition(t *testing.T) {
 	t.Parallel()
-	g := started(t, 5, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
+	g := startGroup(t, 5, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	g.equal(1)
+	g.checkEqualState(1)
 	leader := g.leader()
 	few := []int{leader, (leader + 1) % 5}
 	many := []int{(leader + 2) % 5, (leader + 3) % 5, (leader + 4) % 5}
 	here, there := follower{g: g, name: "few", instance: "a"}, follower{g: g, name: "many", instance: "b"}
 	for _, f := range []*follower{&here, &there} {
-		f.until(few[1], 1)
-		f.ack(few[1])
+		f.pollUntil(few[1], 1)
+		f.report(few[1])
 	}
-	g.cut(true, few, many)
-	var answers []<-chan posted
+	g.partition(true, few, many)
+	var answers []<-chan pendingReply
 	for n, i := range few {
-		answers = append(answers, g.send(i, http.MethodPost, "/v1/changes", put(fmt.Sprint("few", n), "/settings/over-share-worth", "7")))
+		answers = append(answers, g.send(i, put(fmt.Sprint("few", n), "/settings/over-share-worth", "7")))
 	}
 	for n, i := range few {
 		if p := <-answers[n]; p.err != nil || p.code != 503 || p.Kind != "no-majority" || p.Reason == "" || p.Done == "" {
 			t.Errorf("the minority says %+v", p)
 		}
-		if c := g.at(i, 1); c.Revision != 1 {
+		if c := g.waitForRevision(i, 1); c.Revision != 1 {
 			t.Errorf("the minority serves %+v", c)
 		}
 	}
 	if rev := g.change(many[0], put("many", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Error("revision", rev)
 	}
-	there.until(many[1], 2)
-	there.ack(many[1])
+	there.pollUntil(many[1], 2)
+	there.report(many[1])
 	var v rolloutReply
 	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority || !slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) || !slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
 		t.Errorf("the majority doesn't know what the other region has, and says %d %+v", code, v)
@@ -249,21 +252,21 @@
 	}
 	// A name that no majority has written down gets nothing: a verdict over there could not know of it.
 	newcomer := follower{g: g, name: "new", instance: "c"}
-	if code := newcomer.call(few[1], 300); code != http.StatusNoContent {
+	if code := newcomer.poll(few[1], 300); code != http.StatusNoContent {
 		t.Errorf("a newcomer at the minority: %d", code)
 	}
-	g.cut(false, few, many)
+	g.partition(false, few, many)
 	// A change that the old leader had taken before it stepped down may live on or not; it has one revision at most,
 	// and all have the same.
 	g.leader()
 	last := g.change(few[0], put("last", "/settings/over-share-worth", "3"))
-	g.equal(last)
-	here.until(few[0], last)
-	here.ack(few[0])
-	there.until(many[0], last)
-	there.ack(many[0])
-	newcomer.until(few[1], last)
-	newcomer.ack(few[1])
+	g.checkEqualState(last)
+	here.pollUntil(few[0], last)
+	here.report(few[0])
+	there.pollUntil(many[0], last)
+	there.report(many[0])
+	newcomer.pollUntil(few[1], last)
+	newcomer.report(few[1])
 	v = rolloutReply{}
 	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last || len(v.InForce) != 3 {
 		t.Errorf("joined: %d %+v", code, v)
--- a/internal/keeper/link_test.go
+++ b/internal/keeper/link_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// relay is a link from one keeper to another that can fall silent in each direction. What is held is passed on when the
+// link is a link from one keeper to another that can fall silent in each direction. What is held is passed on when the
 // link is back, as a network does that lost packets for a while.
-type relay struct {
+type link struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	turned   *sync.Cond
+	changed  *sync.Cond
 	silent   [2]bool // forth, back
 	closed   bool
 	conns    map[net.Conn]bool
@@ -23,32 +23,32 @@
 	back  = 1
 )
 
-func newRelay(t *testing.T, listen, target string) *relay {
+func newLink(t *testing.T, listen, target string) *link {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{listener: l, target: target, conns: map[net.Conn]bool{}}
-	r.turned = sync.NewCond(&r.mu)
+	r := &link{listener: l, target: target, conns: map[net.Conn]bool{}}
+	r.changed = sync.NewCond(&r.mu)
 	go r.accept()
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *relay) accept() {
+func (r *link) accept() {
 	for {
 		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.join(c)
+		go r.connect(c)
 	}
 }
 
-func (r *relay) join(c net.Conn) {
+func (r *link) connect(c net.Conn) {
 	// A silent link lets no connection come about; the listener's queue has taken the caller's half.
-	if !r.pass(forth) {
+	if !r.waitUntilOpen(forth) {
 		_ = c.Close()
 		return
 	}
@@ -57,14 +57,14 @@
 		_ = c.Close()
 		return
 	}
-	if !r.keep(c, to) {
+	if !r.track(c, to) {
 		return
 	}
 	go r.pump(c, to, forth)
 	r.pump(to, c, back)
 }
 
-func (r *relay) keep(conns ...net.Conn) bool {
+func (r *link) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -76,11 +76,11 @@
 	return !r.closed
 }
 
-func (r *relay) pump(from, to net.Conn, way int) {
+func (r *link) pump(from, to net.Conn, way int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if !r.pass(way) {
+		if !r.waitUntilOpen(way) {
 			break
 		}
 		if n > 0 {
@@ -99,24 +99,24 @@
 	delete(r.conns, to)
 }
 
-// pass waits while a direction is silent; false once the relay is closed.
-func (r *relay) pass(way int) bool {
+// waitUntilOpen waits while a direction is silent; false once the relay is closed.
+func (r *link) waitUntilOpen(way int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.silent[way] && !r.closed {
-		r.turned.Wait()
+		r.changed.Wait()
 	}
 	return !r.closed
 }
 
-func (r *relay) hush(way int, silent bool) {
+func (r *link) setSilent(way int, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent[way] = silent
-	r.turned.Broadcast()
+	r.changed.Broadcast()
 }
 
-func (r *relay) close() {
+func (r *link) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,5 +124,5 @@
 	for c := range r.conns {
 		_ = c.Close()
 	}
-	r.turned.Broadcast()
+	r.changed.Broadcast()
 }
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -9,7 +9,6 @@
 	"os"
 	"os/exec"
 	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -74,7 +73,7 @@
 	p.t.Helper()
 	o := p.options
 	o.Log, o.Check, o.OnReady = nil, nil, nil
-	text, err := json.Marshal(plain(o))
+	text, err := json.Marshal(encodableOptions(o))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -111,8 +110,8 @@
 	return line
 }
 
-// plain leaves the fields out that have no JSON.
-func plain(o keeper.Options) map[string]any {
+// encodableOptions leaves the fields out that have no JSON.
+func encodableOptions(o keeper.Options) map[string]any {
 	return map[string]any{
 		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTPAddr": o.HTTPAddr, "RaftAddr": o.RaftAddr, "Peers": o.Peers,
 		"MaxPollWait": o.MaxPollWait, "LeaseDuration": o.LeaseDuration, "ChangeTimeout": o.ChangeTimeout,
@@ -129,29 +128,29 @@
 	case line := <-ready:
 		if line != "ready "+p.options.HTTPAddr+"\n" {
 			<-p.ended
-			p.t.Fatalf("%s: no word of readiness but %q; %s", p.options.ID, line, p.said())
+			p.t.Fatalf("%s: no word of readiness but %q; %s", p.options.ID, line, p.logText())
 		}
-	case <-time.After(patience):
-		p.t.Fatalf("%s is not ready; %s", p.options.ID, p.said())
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s is not ready; %s", p.options.ID, p.logText())
 	}
 }
 
-// fails starts the keeper, and gives what it says when it ends by itself.
-func (p *process) fails() string {
+// expectFailure starts the keeper, and gives what it says when it ends by itself.
+func (p *process) expectFailure() string {
 	p.t.Helper()
 	p.launch()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
-		p.t.Fatalf("%s goes on; %s", p.options.ID, p.said())
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s goes on; %s", p.options.ID, p.logText())
 	}
 	if p.cmd.ProcessState.Success() {
 		p.t.Fatalf("%s ended without an error", p.options.ID)
 	}
-	return p.said()
+	return p.logText()
 }
 
-func (p *process) said() string {
+func (p *process) logText() string {
 	text, _ := os.ReadFile(p.logFile)
 	if n := len(text) - 20000; n > 0 {
 		text = text[n:]
@@ -162,7 +161,7 @@
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
-		p.t.Errorf("%s: signal %v: %v; %s", p.options.ID, s, err, p.said())
+		p.t.Errorf("%s: signal %v: %v; %s", p.options.ID, s, err, p.logText())
 	}
 }
 
@@ -181,16 +180,16 @@
 	p.signal(s)
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		_ = p.cmd.Process.Kill()
-		p.t.Fatalf("%s does not end; %s", p.options.ID, p.said())
+		p.t.Fatalf("%s does not end; %s", p.options.ID, p.logText())
 	}
 }
 
-// wait waits until a call gives true.
-func wait(t *testing.T, what string, done func() bool) {
+// waitUntil waits until a call gives true.
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	again := time.NewTicker(10 * time.Millisecond)
 	defer again.Stop()
@@ -198,15 +197,13 @@
 		select {
 		case <-again.C:
 		case <-end.C:
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// patience bounds what a test waits for anything; no test passes by waiting it out.
-const patience = 30 * time.Second
-
-func tempLog(t *testing.T, id string) string { return filepath.Join(t.TempDir(), id+".log") }
+// waitTimeout bounds what a test waits for anything; no test passes by waiting it out.
+const waitTimeout = 30 * time.Second
 
 func mustContain(t *testing.T, text string, parts ...string) {
 	t.Helper()
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -15,10 +15,10 @@
 	"windflow/internal/decide/configlog"
 )
 
-var many = flag.Int("followers", 100, "followers of TestManyFollowers")
+var followerCount = flag.Int("followers", 100, "followers of TestManyFollowers")
 
-// follow plays a router with the state machine that routers have, until ctx ends.
-func (g *group) follow(ctx context.Context, n int) {
+// runFollower plays a router with the state machine that routers have, until ctx ends.
+func (g *group) runFollower(ctx context.Context, n int) {
 	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
@@ -59,18 +59,18 @@
 // Followers come all at once; one after the other, changes are in force everywhere; a keeper dies, and its followers
 // go on at the others. With -followers 600 the figures of the design note.
 func TestManyFollowers(t *testing.T) {
-	g := started(t, 3, nil)
+	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer stop()
 	from := time.Now()
-	for n := range *many {
-		all.Go(func() { g.follow(ctx, n) })
+	for n := range *followerCount {
+		all.Go(func() { g.runFollower(ctx, n) })
 	}
-	wait(t, "all on the roster", func() bool { return g.status(0).Roster == *many })
-	t.Logf("%d followers are on the roster after %v", *many, time.Since(from).Round(time.Millisecond))
+	waitUntil(t, "all on the roster", func() bool { return g.status(0).Roster == *followerCount })
+	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(from).Round(time.Millisecond))
 	look := func() (ticks int, in, out int64) {
 		for i := range g.members {
 			s := g.status(i)
@@ -85,8 +85,8 @@
 	for n := range 10 {
 		sent := time.Now()
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
-		v := g.everywhere(rev)
-		if len(v.InForce) != *many {
+		v := g.waitForConvergence(rev)
+		if len(v.InForce) != *followerCount {
 			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing), v.UnreachedKeepers)
 		}
 		took = append(took, time.Since(sent).Round(time.Millisecond))
@@ -95,27 +95,30 @@
 	slices.Sort(took)
 	t.Logf("from the call to the verdict that it is everywhere: %v", took)
 	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(from).Seconds(),
-		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*many), (moreOut-out)/int64(*many))
+		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount), (moreOut-out)/int64(*followerCount))
 	for i := range g.members {
-		t.Logf("%s: %d kB resident, %d calls held", g.members[i].options.ID, resident(t, g.members[i].cmd.Process.Pid), g.status(i).Counters["waiting"])
+		t.Logf("%s: %d kB resident, %d calls held", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid), g.status(i).Counters["waiting"])
 	}
 	dead := g.leader()
 	g.kill(dead)
 	sent := time.Now()
 	rev := g.change((dead+1)%3, put("last", "/settings/over-share-worth", "99"))
-	v := g.everywhereAt((dead+1)%3, rev)
-	if len(v.InForce) != *many || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
+	v := g.waitForConvergenceAt((dead+1)%3, rev)
+	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
 		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
 	t.Logf("from the kill of the leader to the verdict that a change is everywhere: %v", time.Since(sent).Round(time.Millisecond))
 }
 
-func (g *group) everywhere(rev uint64) rolloutReply { g.t.Helper(); return g.everywhereAt(0, rev) }
+func (g *group) waitForConvergence(rev uint64) rolloutReply {
+	g.t.Helper()
+	return g.waitForConvergenceAt(0, rev)
+}
 
-func (g *group) everywhereAt(i int, rev uint64) (v rolloutReply) {
+func (g *group) waitForConvergenceAt(i int, rev uint64) (v rolloutReply) {
 	g.t.Helper()
-	wait(g.t, fmt.Sprintf("revision %d everywhere", rev), func() bool {
-		v = g.verdict(i, fmt.Sprintf("revision=%d&wait_ms=10000", rev))
+	waitUntil(g.t, fmt.Sprintf("revision %d everywhere", rev), func() bool {
+		v = g.rollout(i, fmt.Sprintf("revision=%d&wait_ms=10000", rev))
 		return v.Converged
 	})
 	return v
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -16,7 +16,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-func entry(t *testing.T, index uint64, c command) *raft.Log {
+func logEntry(t *testing.T, index uint64, c command) *raft.Log {
 	t.Helper()
 	data, err := c.encode()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return &raft.Log{Index: index, Type: raft.LogCommand, Data: data}
 }
 
-func changing(id string, base uint64, value string) command {
+func changeEntry(id string, base uint64, value string) command {
 	return command{Change: &changeCommand{Base: base, Change: configlog.Change{
 		ID:  id,
 		Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage(value)},
@@ -34,24 +34,24 @@
 
 // A change counts only on the content that it was checked against: two that are right each by itself may be wrong
 // together.
-func TestChangeCountsOnItsBase(t *testing.T) {
+func TestChangeRequiresItsBase(t *testing.T) {
 	m := newStateMachine(configlog.Retention{})
-	if out := m.Apply(entry(t, 1, changing("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
+	if out := m.Apply(logEntry(t, 1, changeEntry("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := m.Apply(entry(t, 2, changing("b", 0, "2"))).(changeOutcome); !out.BaseMoved || m.summary().Revision != 1 {
+	if out := m.Apply(logEntry(t, 2, changeEntry("b", 0, "2"))).(changeOutcome); !out.BaseMoved || m.summary().Revision != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := m.Apply(entry(t, 3, changing("b", 1, "2"))).(changeOutcome); out.BaseMoved || out.Revision != 2 {
+	if out := m.Apply(logEntry(t, 3, changeEntry("b", 1, "2"))).(changeOutcome); out.BaseMoved || out.Revision != 2 {
 		t.Errorf("%+v", out)
 	}
 }
 
 // A state that is written down and read again is the same, and goes on the same.
-func TestSnapshotHoldsAll(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	m := newStateMachine(configlog.Retention{Revisions: 2})
-	for i, c := range []command{changing("a", 0, "1"), {Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}}, changing("b", 1, "2"), {Forget: "r2"}, changing("c", 2, "3")} {
-		m.Apply(entry(t, uint64(i+1), c))
+	for i, c := range []command{changeEntry("a", 0, "1"), {Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}}, changeEntry("b", 1, "2"), {Forget: "r2"}, changeEntry("c", 2, "3")} {
+		m.Apply(logEntry(t, uint64(i+1), c))
 	}
 	s, err := m.Snapshot()
 	if err != nil {
@@ -70,7 +70,7 @@
 	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) || len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
 		t.Errorf("%+v, %+v, %v", m.summary(), other.summary(), other.followerNames())
 	}
-	if out := other.Apply(entry(t, 9, changing("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
+	if out := other.Apply(logEntry(t, 9, changeEntry("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
 		t.Errorf("a change from before the snapshot: %+v", out)
 	}
 	cut := s.(snapshotState)[:len(s.(snapshotState))-1]
@@ -81,7 +81,7 @@
 
 // A damaged entry is known as such, and isn't passed over.
 func TestDamagedEntry(t *testing.T) {
-	l := entry(t, 1, changing("a", 0, "1"))
+	l := logEntry(t, 1, changeEntry("a", 0, "1"))
 	for _, c := range []struct {
 		data []byte
 		err  string
@@ -109,13 +109,13 @@
 			newStateMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
 		}()
 	}
-	if err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound {
+	if err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound { //nolint:errorlint // raft compares with ==, so the error must not be wrapped
 		t.Errorf("raft compares %v with %v", err, raft.ErrLogNotFound)
 	}
 }
 
 // What raft says comes into our log with its level, fields and formats.
-func TestRaftSpeaksToOurLog(t *testing.T) {
+func TestRaftLog(t *testing.T) {
 	var out bytes.Buffer
 	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
 	l.Debug("not heard")
@@ -126,7 +126,7 @@
 }
 
 // The list of keepers as it is typed.
-func TestPeersAreRead(t *testing.T) {
+func TestParsePeers(t *testing.T) {
 	peers, err := ParsePeers("k1=h1:1/h1:2,k2=[::1]:1/[::1]:2")
 	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", RaftAddr: "[::1]:1", HTTPAddr: "[::1]:2"}) {
 		t.Error(peers, err)
