--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -34,36 +34,76 @@
 	}
 }
 
-// What can't be used is named with its place and what is allowed there.
+// bgpSection is a file with a valid section.
+const bgpSection = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1",` +
+	`"prefixes":["10.1.0.1/32"],"next_hop":"10.0.0.1"}}`
+
+// invalidSettings is the text of a file that is rejected, and parts of the error.
+type invalidSettings struct {
+	text string
+	want []string
+}
+
+func allInvalidSettings() map[string]invalidSettings {
+	return map[string]invalidSettings{
+		"no JSON":        {"{\n\"bgp\": {\n}", []string{"not valid JSON"}},
+		"two texts":      {"{} {}", []string{"not valid JSON"}},
+		"a list":         {"[]", []string{"/: ", "object"}},
+		"a null section": {`{"bgp":null}`, []string{"/bgp: ", "object"}},
+		"a fraction": {
+			`{"flightsql":{"listen":"a:1","max_connections":1.5}}`,
+			[]string{"/flightsql/max_connections: "},
+		},
+		"no prefixes": {strings.Replace(bgpSection, `["10.1.0.1/32"]`, "[]", 1), []string{"/bgp/prefixes: "}},
+		"a section": {
+			`{"flight":{}}`,
+			[]string{"/: unknown field flight; known are $schema, bgp, flightsql, keepers, records"},
+		},
+		"a field": {
+			`{"flightsql":{"listen":"a:1","max":3}}`,
+			[]string{"/flightsql: unknown field max; known are engine_kinds, listen, max_connections"},
+		},
+		"a missing field": {`{"flightsql":{}}`, []string{"/flightsql: missing: listen"}},
+		"a range": {
+			`{"flightsql":{"listen":"a:1","max_connections":9999}}`,
+			[]string{"/flightsql/max_connections: maximum: 9999 is greater than 4096 (", "Connections taken at once"},
+		},
+		"a type": {`{"flightsql":{"listen":5}}`, []string{"/flightsql/listen: ", "string", "address:port"}},
+		"an item": {
+			`{"flightsql":{"listen":"a:1","engine_kinds":["x",""]}}`,
+			[]string{"/flightsql/engine_kinds/1: "},
+		},
+		"two faults": {
+			`{"flightsql":{"listen":5,"max_connections":0}}`,
+			[]string{"/flightsql/listen: ", "\n/flightsql/max_connections: "},
+		},
+		"a hold time": {
+			strings.Replace(bgpSection, `"peer_as"`, `"hold_time_s":2,"peer_as"`, 1),
+			[]string{"/bgp/hold_time_s: ", "0 for never, or 3 and more"},
+		},
+		"no keepers": {`{"keepers":{"addresses":[],"dir":"/x"}}`, []string{"/keepers/addresses: "}},
+		"a keeper":   {`{"keepers":{"addresses":["here"],"dir":"/x"}}`, []string{"/keepers/addresses/0: "}},
+		"a long hold": {
+			`{"keepers":{"addresses":["a:1"],"dir":"/x","hold_ms":9000}}`,
+			[]string{"/keepers/hold_ms: ", "2500"},
+		},
+		"host bits": {
+			strings.Replace(bgpSection, "10.1.0.1/32", "10.1.0.1/24", 1),
+			[]string{"/bgp: field prefixes: 10.1.0.1/24"},
+		},
+		"an IPv6 address": {
+			strings.Replace(bgpSection, `"router_id":"10.0.0.1"`, `"router_id":"::1"`, 1),
+			[]string{"/bgp/router_id: "},
+		},
+	}
+}
+
+// Each fault is reported with its pointer and what is allowed there.
 func TestInvalidSettings(t *testing.T) {
-	const bgp = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1","prefixes":["10.1.0.1/32"],"next_hop":"10.0.0.1"}}`
-	if _, err := Parse([]byte(bgp)); err != nil {
+	if _, err := Parse([]byte(bgpSection)); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct {
-		text string
-		want []string
-	}{
-		"no JSON":         {"{\n\"bgp\": {\n}", []string{"not valid JSON"}},
-		"two texts":       {"{} {}", []string{"not valid JSON"}},
-		"a list":          {"[]", []string{"/: ", "object"}},
-		"a null section":  {`{"bgp":null}`, []string{"/bgp: ", "object"}},
-		"a fraction":      {`{"flightsql":{"listen":"a:1","max_connections":1.5}}`, []string{"/flightsql/max_connections: "}},
-		"no prefixes":     {strings.Replace(bgp, `["10.1.0.1/32"]`, "[]", 1), []string{"/bgp/prefixes: "}},
-		"a section":       {`{"flight":{}}`, []string{"/: unknown field flight; known are $schema, bgp, flightsql, keepers, records"}},
-		"a field":         {`{"flightsql":{"listen":"a:1","max":3}}`, []string{"/flightsql: unknown field max; known are engine_kinds, listen, max_connections"}},
-		"a missing field": {`{"flightsql":{}}`, []string{"/flightsql: missing: listen"}},
-		"a range":         {`{"flightsql":{"listen":"a:1","max_connections":9999}}`, []string{"/flightsql/max_connections: maximum: 9999 is greater than 4096 (", "Connections taken at once"}},
-		"a type":          {`{"flightsql":{"listen":5}}`, []string{"/flightsql/listen: ", "string", "address:port"}},
-		"an item":         {`{"flightsql":{"listen":"a:1","engine_kinds":["x",""]}}`, []string{"/flightsql/engine_kinds/1: "}},
-		"two faults":      {`{"flightsql":{"listen":5,"max_connections":0}}`, []string{"/flightsql/listen: ", "\n/flightsql/max_connections: "}},
-		"a hold time":     {strings.Replace(bgp, `"peer_as"`, `"hold_time_s":2,"peer_as"`, 1), []string{"/bgp/hold_time_s: ", "0 for never, or 3 and more"}},
-		"no keepers":      {`{"keepers":{"addresses":[],"dir":"/x"}}`, []string{"/keepers/addresses: "}},
-		"a keeper":        {`{"keepers":{"addresses":["here"],"dir":"/x"}}`, []string{"/keepers/addresses/0: "}},
-		"a long hold":     {`{"keepers":{"addresses":["a:1"],"dir":"/x","hold_ms":9000}}`, []string{"/keepers/hold_ms: ", "2500"}},
-		"host bits":       {strings.Replace(bgp, "10.1.0.1/32", "10.1.0.1/24", 1), []string{"/bgp: field prefixes: 10.1.0.1/24"}},
-		"an IPv6 address": {strings.Replace(bgp, `"router_id":"10.0.0.1"`, `"router_id":"::1"`, 1), []string{"/bgp/router_id: "}},
-	} {
+	for name, c := range allInvalidSettings() {
 		s, err := Parse([]byte(c.text))
 		if err == nil {
 			t.Errorf("%s: taken as %+v", name, s)
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -100,7 +100,8 @@
 		t.Errorf("%+v", err)
 	}
 	// Entries may correct it.
-	if err := Entries([]byte(bad), map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}); err != nil {
+	corrected := map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}
+	if err := Entries([]byte(bad), corrected); err != nil {
 		t.Error(err)
 	}
 }
