--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -16,7 +16,7 @@
 
 const example = "../../deploy/example.json"
 
-// What a new user types, and what is said to it. Nothing listens without an address.
+// Errors of the command line name the flag. Nothing listens without an address.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.json")
--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -39,7 +39,7 @@
 	return n, err
 }
 
-// One call that brings nothing new, with the keeper's side of it in the same process; the bytes are those of HTTP.
+// One poll without an update, with the keeper's side of it in the same process; the bytes are those of HTTP.
 func BenchmarkPoll(b *testing.B) {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	l := &counting{Listener: s.Listener}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -80,8 +80,7 @@
 
 func worth(v string) map[string]string { return map[string]string{"/settings/over-share-worth": v} }
 
-// The next call after a change says what became of it: in force, or refused with the pointer, while the one before
-// stays.
+// The poll after a change reports the result: in force, or rejected with the pointer while the revision before stays.
 func TestNextPollReportsResult(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	first := k.Change(worth("0.1"))
@@ -242,8 +241,7 @@
 	}
 }
 
-// The other process of this router has a later revision in force: it is not asked for again, and the keepers hear of
-// it.
+// A later revision of this router's other process is not fetched again, and is reported to the keepers.
 func TestRevisionOfOtherProcess(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
 	c := newTestClient(t, t.TempDir(), k.Addr())
@@ -273,7 +271,7 @@
 	}
 }
 
-// Without a keeper a router starts with its copy, within a bounded time; one that is damaged or of another router is
+// Without a keeper a router starts with its copy, within a bounded time; a copy that is damaged or of another router is
 // set aside.
 func TestStartFromTheCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
--- a/internal/configclient/encoded_test.go
+++ b/internal/configclient/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
-// itself.
+// encodedTypes are the types of this package that are sent or stored as JSON; golden.Tagged finds the types within
+// them.
 func encodedTypes() []any {
 	return []any{Config{}, Revision{}, copyContent{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has a tag, so that its name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// goldenSaved gives the copy of revision 12 as the follower's state has it.
+// goldenSaved returns the copy of revision 12 as the follower's state has it.
 func goldenSaved(t *testing.T) configlog.SavedRevision {
 	t.Helper()
 	f := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
@@ -51,7 +51,7 @@
 	return f.Saved()
 }
 
-// A copy has the bytes that an earlier program wrote, under the same name in the folder.
+// A copy has the recorded bytes and the recorded name.
 func TestGoldenCopyIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	saved := goldenSaved(t)
@@ -70,7 +70,7 @@
 	golden.AllFieldsSet(t, copyContent{Router: "n/0", Saved: saved})
 }
 
-// A copy that an earlier program wrote is in force after a start without any keeper.
+// A recorded copy is in force after a start without any keeper.
 func TestGoldenCopyIsRestored(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), golden.Read(t, goldenCopy), 0o600); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// A copy that can't be used is set aside under the same name as before.
+// A copy that can't be used is set aside under the recorded name.
 func TestGoldenNameOfDamagedCopy(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
@@ -102,11 +102,10 @@
 	}
 }
 
-// keeperAnswer is what a keeper answers once, in full.
+// keeperAnswer is a complete answer of a keeper.
 const keeperAnswer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 
-// answerOnce listens at an address of this machine, reads one call, answers it with the text and gives the call's
-// bytes.
+// answerOnce listens at a loopback address, reads one call, answers it with the text and returns the bytes of the call.
 func answerOnce(t *testing.T, text []byte) (address string, call <-chan []byte) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,7 +133,7 @@
 	return listener.Addr().String(), heard
 }
 
-// What a follower sends to a keeper has the same bytes, head and body; the answer is read as it was meant.
+// A poll has the recorded bytes, header and body, and the recorded answers are decoded.
 func TestGoldenCall(t *testing.T) {
 	report := configlog.FollowerStatus{
 		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// A call that was passed on by one keeper is not passed on by the next.
+// A call that one keeper has forwarded is not forwarded by the next.
 func TestForwardedCallIsNotForwardedAgain(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	other := (g.leader() + 1) % 3
@@ -124,7 +124,7 @@
 	}
 }
 
-// Two operators who have seen the same revision: one gets the next, the other is told which is in force.
+// Of two operators who change the same revision one gets the next; the other gets a conflict with the one in force.
 func TestConcurrentChangesOfOneRevision(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	for round := range uint64(20) {
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -40,8 +40,8 @@
 	return client
 }
 
-// The routers' client with real keepers: a revision, one that a router rejects, a keeper that is paused during a call, a
-// client that restarts with its copy and one without.
+// The routers' client with real keepers: a revision, one that a router rejects, a keeper that is paused during a
+// call, a client that restarts with its copy and one without.
 func TestConfigClientAgainstKeepers(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 2500 * time.Millisecond })
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -14,7 +14,7 @@
 	"windflow/internal/keeper"
 )
 
-// limitFileSize bounds the files that a living keeper may write, which stands in for a full disk: what grows a file fails.
+// limitFileSize bounds the files of a running keeper, which simulates a full disk: a write that grows a file fails.
 func (g *group) limitFileSize(i int, bytes uint64) {
 	g.t.Helper()
 	l := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
@@ -23,7 +23,7 @@
 	}
 }
 
-// fillDisk lets a keeper's log not grow from here on.
+// fillDisk keeps a keeper's log from growing.
 func (g *group) fillDisk(i int) {
 	g.t.Helper()
 	f, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
@@ -37,8 +37,8 @@
 	return put(fmt.Sprint("c", n), "/board", `"`+strings.Repeat("x", 20<<10)+fmt.Sprint(n)+`"`)
 }
 
-// All disks are full: no change is lost or made by half, calls go on being answered, and with room again changes are
-// taken.
+// With all disks full no change is lost or made in part, and calls are answered; with free space changes are accepted
+// again.
 func TestAllDisksFull(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
@@ -90,7 +90,7 @@
 	g.checkEqualState(last + 1)
 }
 
-// One disk is full, the leader's: another one leads and takes the changes.
+// With the leader's disk full another keeper leads and accepts the changes.
 func TestLeaderDiskFull(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 20 * time.Second })
 	last := g.change(0, largeChange(0))
--- a/internal/keeper/encoded_test.go
+++ b/internal/keeper/encoded_test.go
@@ -6,8 +6,8 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
-// itself.
+// encodedTypes are the types of this package that are sent or stored as JSON; golden.Tagged finds the types within
+// them.
 func encodedTypes() []any {
 	return []any{
 		command{},
@@ -26,7 +26,7 @@
 	}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has a tag, so that its name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// A keeper that sets its folder aside catches up from the others with the same id, and votes again.
+// A keeper that sets its folder aside catches up from the others under the same id, and votes again.
 func TestFolderSetAside(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
@@ -205,21 +205,21 @@
 	}
 }
 
-// A keeper that lost its folder has no vote until it holds what the leader held: else one that lacks an accepted change
-// could be made leader by it.
+// A keeper that lost its folder doesn't vote until it has what the leader had: otherwise its vote could make a keeper
+// the leader that lacks an accepted change.
 func TestKeeperWithoutFolderDoesNotVote(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	leader := g.leader()
 	late, lost := (leader+1)%3, (leader+2)%3
-	// The change is with the leader and with the one that will lose its folder.
+	// The leader and the keeper that will lose its folder have the change.
 	g.links[[2]int{leader, late}][0].setSilent(forth, true)
 	g.change(leader, put("second", "/settings/over-share-worth", "2"))
 	g.waitForRevision(lost, 2)
 	g.kill(lost)
 	remove(t, g.members[lost].options.Dir)
-	// It comes back, knows that the group exists, and hears nothing of the leader's entries.
+	// It restarts, learns that the group exists, and gets none of the leader's entries.
 	g.links[[2]int{leader, lost}][0].setSilent(forth, true)
 	g.members[lost].start()
 	waitUntil(t, "the empty keeper's place in the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
@@ -245,8 +245,8 @@
 	waitUntil(t, "a vote again", func() bool { return g.status(lost).Folder.Votes })
 }
 
-// A majority has lost its folders: nothing is changed until an operator says that the loss is accepted, and then what
-// the last keeper holds is kept.
+// After a majority has lost its folders nothing is changed until an operator accepts the loss; then the state of the
+// last keeper is retained.
 func TestPermanentLossOfMajority(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
@@ -282,7 +282,7 @@
 	}
 }
 
-// The newest snapshot is damaged, and the entries before it are gone.
+// The newest snapshot is damaged, and the entries before it are compacted.
 func TestDamagedSnapshot(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond })
@@ -291,7 +291,7 @@
 	}
 	victim := (g.leader() + 1) % 3
 	g.waitForRevision(victim, 40)
-	// One that begins with nothing is sent a snapshot by the leader, so that it has one.
+	// The leader sends a snapshot to a keeper that starts empty.
 	g.members[victim].end(syscall.SIGTERM)
 	remove(t, g.members[victim].options.Dir)
 	leader := g.members[g.leader()].options.Dir
@@ -318,12 +318,12 @@
 	}
 }
 
-// A second process on one folder ends with an error that names it, and the first goes on.
+// A second process on a folder ends with an error that names the folder, and the first goes on.
 func TestFolderLock(t *testing.T) {
 	g := startGroup(t, 1, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	second := &process{t: t, options: g.members[0].options, logFile: filepath.Join(t.TempDir(), "second.log")}
-	second.options.HTTPAddr, second.options.RaftAddr = host()+":7401", host()+":7402"
+	second.options.HTTPAddr, second.options.RaftAddr = keeper.LoopbackHost()+":7401", keeper.LoopbackHost()+":7402"
 	mustContain(t, second.expectFailure(), "--dir", g.members[0].options.Dir, "in use by another process")
 	if rev := g.change(0, put("second", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Error("revision", rev)
@@ -333,7 +333,7 @@
 	}
 }
 
-// A folder that holds something else than a keeper's files keeps it.
+// Files in the folder that are not a keeper's stay.
 func TestUnknownFilesAreKept(t *testing.T) {
 	g := newGroup(t, 1, nil)
 	dir := g.members[0].options.Dir
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -12,7 +12,7 @@
 	"windflow/internal/keeper"
 )
 
-// rolloutReply is what GET /v1/rollout gives.
+// rolloutReply is the answer to GET /v1/rollout.
 type rolloutReply struct {
 	configlog.ConvergenceStatus
 	Keeper   string `json:"keeper"`
@@ -22,7 +22,7 @@
 	err      error
 }
 
-// follower plays a router.
+// follower is a fake router.
 type follower struct {
 	g              *group
 	name, instance string
@@ -33,7 +33,7 @@
 	updates        []configlog.Update
 }
 
-// poll asks once, and takes what it gets.
+// poll makes one call and applies the update.
 func (f *follower) poll(i int, waitMS int) (code int) {
 	f.g.t.Helper()
 	var u configlog.Update
@@ -64,16 +64,16 @@
 	return code
 }
 
-// pollUntil calls a keeper until the follower has a revision.
+// pollUntil polls a keeper until the follower has a revision.
 func (f *follower) pollUntil(i int, rev uint64) {
 	f.g.t.Helper()
 	waitUntil(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool { return f.revision >= rev || f.poll(i, 1000) != 200 && f.revision >= rev })
 }
 
-// report tells a keeper what is in force.
+// report reports to a keeper what is in force.
 func (f *follower) report(i int) { f.g.t.Helper(); f.poll(i, 0) }
 
-// From a follower's first call to a verdict, and what a refusal and a follower that is gone look like.
+// The convergence status from a follower's first call on, with a rejection and with a follower that is gone.
 func TestConvergenceStatus(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 1500 * time.Millisecond })
 	a, b := follower{g: g, name: "ra", instance: "1"}, follower{g: g, name: "rb", instance: "1"}
@@ -86,7 +86,7 @@
 	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
 		t.Errorf("both have it: %+v", v)
 	}
-	// A call that waits gets the change; the verdict that waits gets the follower's word.
+	// A poll that waits gets the change; a rollout call that waits gets the followers' statuses.
 	type got struct{ code int }
 	calls := make(chan got, 2)
 	go func() { calls <- got{a.poll(1, 700)} }()
@@ -139,7 +139,7 @@
 	return v
 }
 
-// A keeper that has just started can't know who lives, and a verdict says so by naming it.
+// A keeper that has just started can't know all live followers, so the convergence status names it as unreached.
 func TestRestartedKeeperCountsAsUnreached(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -154,7 +154,7 @@
 	}
 }
 
-// A keeper holds a bounded number of calls and says so to the next.
+// A keeper keeps a bounded number of polls open and rejects the next.
 func TestWaitingFollowersAreBounded(t *testing.T) {
 	g := startGroup(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
 	done := make(chan int, 2)
@@ -178,7 +178,7 @@
 	}
 }
 
-// A thousand changes later a follower at revision 1 gets one update: what differs where that is less, else the whole.
+// A follower that is a thousand revisions behind gets one update: the difference if that is smaller, else a snapshot.
 func TestFollowerThousandChangesBehind(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	wide, narrow := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -18,7 +18,7 @@
 	"windflow/internal/golden"
 )
 
-// step is one call of a conversation with a keeper. An empty body is none.
+// step is one call to a keeper. An empty body is none.
 type step struct{ method, path, body string }
 
 // varying are the parts of answers that differ from run to run; their names stay in the golden files.
@@ -36,11 +36,11 @@
 	return text
 }
 
-// startSingleKeeper runs a keeper k1 with these options until the test ends, and gives the address of its calls.
+// startSingleKeeper runs a keeper k1 with these options until the test ends, and returns the address of its calls.
 func startSingleKeeper(t *testing.T, tweak func(*Options)) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	host := loopbackHost()
+	host := LoopbackHost()
 	ready := make(chan string, 1)
 	o := Options{
 		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTPAddr: host + ":7401", RaftAddr: host + ":7402",
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// rejectEight is a check of content that has something against the number 8.
+// rejectEight is a check of content that rejects the number 8.
 func rejectEight(entries map[string]json.RawMessage) *configerror.Error {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
@@ -76,7 +76,7 @@
 	return &configerror.Error{Kind: configerror.Invalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
-// runCalls makes the calls in turn and gives what was said, but for what varies.
+// runCalls makes the calls in turn and returns calls and answers, without the parts that vary.
 func runCalls(t *testing.T, address string, header http.Header, steps []step) []byte {
 	t.Helper()
 	var said bytes.Buffer
@@ -104,7 +104,7 @@
 	return said.Bytes()
 }
 
-// waitForLeader returns once a keeper leads and has written down that it is a member.
+// waitForLeader returns once a keeper leads and has recorded that it is a member.
 func waitForLeader(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -121,7 +121,7 @@
 	t.Fatal("no leader")
 }
 
-// board is an entry that makes the whole content larger than a change of another entry.
+// board is an entry that makes the complete content larger than a change of another entry.
 const board = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, worth, rest string) string {
@@ -133,7 +133,7 @@
 		name, revision, hash, rest)
 }
 
-// Operators' calls: what was answered before is answered in the same bytes, errors too.
+// Operators' calls are answered with the recorded bytes, errors included.
 func TestGoldenOperatorCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -176,7 +176,7 @@
 	}))
 }
 
-// Followers' calls and the verdict on a revision.
+// Followers' calls and the convergence of a revision are answered with the recorded bytes.
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -216,10 +216,10 @@
 	}))
 }
 
-// A keeper that waits for the others, and one with no room for followers, say so as before.
+// A keeper that waits for the others, and one without capacity for followers, answer with the recorded bytes.
 func TestGoldenUnavailableResponses(t *testing.T) {
 	lonely := startSingleKeeper(t, func(o *Options) {
-		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: loopbackHost() + ":1", RaftAddr: loopbackHost() + ":1"})
+		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: LoopbackHost() + ":1", RaftAddr: LoopbackHost() + ":1"})
 		o.ChangeTimeout, o.MaxWaitingFollowers = 50*time.Millisecond, -1
 	})
 	steps := []step{
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -8,12 +8,10 @@
 	"io"
 	"log/slog"
 	"net/http"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -48,26 +46,18 @@
 // leaderField is the part of an answer that differs from run to run.
 var leaderField = regexp.MustCompile(`"leader":"[^"]*"`)
 
-// inProcessGroup is a group of keepers that run in this process.
+// inProcessGroup is a group of keepers that run in the test's process.
 type inProcessGroup struct {
 	addresses []string // of the calls
 	stop      func()
 }
 
-// lastLoopbackHost numbers the loopback addresses that these tests listen at.
-var lastLoopbackHost atomic.Uint32
-
-// loopbackHost gives a loopback address on which no other process opens ports.
-func loopbackHost() string {
-	return fmt.Sprintf("127.230.%d.%d", os.Getpid()%250, lastLoopbackHost.Add(1))
-}
-
 // startInProcessGroup runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
 func startInProcessGroup(t *testing.T, dir string) *inProcessGroup {
 	t.Helper()
 	var peers []Peer
 	for i := range 3 {
-		host := loopbackHost()
+		host := LoopbackHost()
 		peers = append(peers, Peer{ID: fmt.Sprint("k", i+1), RaftAddr: host + ":7402", HTTPAddr: host + ":7401"})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,7 +84,7 @@
 	return c
 }
 
-// ask calls a keeper of the cluster until it answers with status 200, and gives the body.
+// ask calls a keeper of the group until it answers with status 200, and returns the body.
 func (c *inProcessGroup) ask(t *testing.T, i int, method, path string, in any) []byte {
 	t.Helper()
 	body, err := json.Marshal(in)
@@ -166,7 +156,7 @@
 	golden.Equal(t, "folders.txt", []byte(text.String()))
 }
 
-// describeFolder words a folder's identity, vote, entries and snapshots.
+// describeFolder writes a folder's identity, vote, entries and snapshots as text.
 func describeFolder(t *testing.T, out io.Writer, dir, id string) {
 	t.Helper()
 	f, err := openFolder(dir, "golden", id, slog.New(slog.DiscardHandler))
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -30,7 +30,7 @@
 	"/v1/roster": `{}`,
 }
 
-// callsToPeer has a keeper make each call that keepers make to each other, and gives the requests as they came.
+// callsToPeer makes each call that keepers make to each other, and returns the requests as they were received.
 func callsToPeer(t *testing.T) (requests []byte, status peerStatus, leases []configlog.Lease, leader leaderStatus) {
 	t.Helper()
 	var received bytes.Buffer
@@ -81,7 +81,7 @@
 	golden.AllFieldsSet(t, status, leader, leases)
 }
 
-// openTestFolder opens a folder of keeper k1 of the group "golden", and gives it up again.
+// openTestFolder opens a folder of keeper k1 of the group "golden" until the test ends.
 func openTestFolder(t *testing.T, dir string) *folder {
 	t.Helper()
 	f, err := openFolder(dir, "golden", "k1", slog.New(slog.DiscardHandler))
@@ -92,7 +92,7 @@
 	return f
 }
 
-// The file that says whose folder it is has the same bytes at each stage, and is read so.
+// The identity of a folder has the recorded bytes at each stage, and is read from them.
 func TestGoldenFolderIdentity(t *testing.T) {
 	for _, stage := range []string{stageNew, stageFounding, stageJoining, stageMember} {
 		dir, file := t.TempDir(), "keeper-"+stage+".json"
@@ -116,7 +116,7 @@
 	}
 }
 
-// What is set aside lies where it did, with the reason beside it.
+// Files are set aside under the recorded names, with the reason.
 func TestGoldenSetAside(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), bytes.Replace(golden.Read(t, "keeper-new.json"),
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -72,7 +72,7 @@
 	return m
 }
 
-// A snapshot of the state has the bytes that an earlier program gave it, and gives back all that was in it.
+// A snapshot of the state has the bytes that an earlier program wrote, and all of it is read back.
 func TestGoldenSnapshot(t *testing.T) {
 	const file = "snapshot.bin"
 	m := sampleMachine(t)
@@ -98,7 +98,7 @@
 	}
 }
 
-// machineContent is all that a machine holds, as calls give it.
+// machineContent is the complete state of a state machine, as its methods return it.
 type machineContent struct {
 	Oldest   uint64               `json:"oldest"`
 	Revision uint64               `json:"revision"`
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -6,9 +6,7 @@
 	"fmt"
 	"io"
 	"net/http"
-	"os"
 	"path/filepath"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -17,30 +15,21 @@
 	"windflow/internal/keeper"
 )
 
-// hosts numbers the loopback addresses that tests have taken: each keeper and each link has its own, on which nobody
-// else opens ports, so that a keeper finds its port free when it is started again.
-var hosts atomic.Uint32
-
-func host() string {
-	n, pid := hosts.Add(1), os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 16+pid%200, n/250+uint32(pid/200%8)*30, 1+n%250)
-}
-
-// group is some keepers with links that can fall silent.
+// group is a group of keeper processes with links that can be interrupted.
 type group struct {
 	t       *testing.T
 	members []*process
 	links   map[[2]int][]*link // from, to: of replication and of calls
 }
 
-// newGroup makes n keepers and starts none. Tweak may change what each is started with.
+// newGroup prepares n keepers and starts none. Tweak may change the options of each.
 func newGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := &group{t: t, links: map[[2]int][]*link{}}
 	dir := t.TempDir()
 	var raft, http []string
 	for range n {
-		h := host()
+		h := keeper.LoopbackHost()
 		raft, http = append(raft, h+":7402"), append(http, h+":7401")
 	}
 	for i := range n {
@@ -49,7 +38,7 @@
 		for j := range n {
 			p := keeper.Peer{ID: fmt.Sprintf("k%d", j+1), RaftAddr: raft[j], HTTPAddr: http[j]}
 			if i != j {
-				h := host()
+				h := keeper.LoopbackHost()
 				p.RaftAddr, p.HTTPAddr = h+":7402", h+":7401"
 				g.links[[2]int{i, j}] = []*link{newLink(t, p.RaftAddr, raft[j]), newLink(t, p.HTTPAddr, http[j])}
 			}
@@ -75,7 +64,7 @@
 	return g
 }
 
-// startGroup makes a group and starts it; it has a leader when this returns.
+// startGroup prepares a group and starts it; it has a leader when this returns.
 func startGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := newGroup(t, n, tweak)
@@ -86,7 +75,7 @@
 	return g
 }
 
-// partition makes the links between two sides silent, or lets them speak again.
+// partition interrupts the links between two sides, or restores them.
 func (g *group) partition(silent bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
@@ -116,7 +105,7 @@
 	DiskError string           `json:"disk_error"`
 }
 
-// leader waits until some keeper leads that the living others agree on, and gives its place.
+// leader waits until the live keepers agree on a leader, and returns its index.
 func (g *group) leader() (at int) {
 	g.t.Helper()
 	waitUntil(g.t, "a leader", func() bool {
@@ -145,7 +134,7 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// impatientClient is for calls that a stopped or silent keeper need not answer.
+// impatientClient is for calls that a stopped or unreachable keeper need not answer.
 var impatientClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (g *group) tryStatus(i int, s *status) error {
@@ -215,7 +204,7 @@
 	return a.StatusCode, err
 }
 
-// reply is all that a change may be answered with.
+// reply has all fields of an answer to a change.
 type reply struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
@@ -229,7 +218,7 @@
 	return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
 }
 
-// change has a change made and gives its revision.
+// change makes a change and returns its revision.
 func (g *group) change(i int, c configlog.Change) uint64 {
 	g.t.Helper()
 	var r reply
@@ -239,14 +228,14 @@
 	return r.Revision
 }
 
-// config is what GET /v1/config gives.
+// config is the answer to GET /v1/config.
 type config struct {
 	Revision uint64                     `json:"revision"`
 	Hash     string                     `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// waitForRevision waits until a keeper has a revision, and gives its content.
+// waitForRevision waits until a keeper has a revision, and returns its content.
 func (g *group) waitForRevision(i int, rev uint64) (c config) {
 	g.t.Helper()
 	if code := g.get(i, fmt.Sprintf("/v1/config?revision=%d&wait_ms=20000", rev), &c); code != http.StatusOK {
@@ -255,7 +244,7 @@
 	return c
 }
 
-// checkEqualState looks whether all keepers hold the same at the revision that one of them has in force.
+// checkEqualState checks that all keepers have the same content in force, at this revision.
 func (g *group) checkEqualState(rev uint64) {
 	g.t.Helper()
 	first := g.waitForRevision(0, rev)
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -11,12 +11,11 @@
 
 var idle = flag.Duration("idle", 2*time.Second, "how long TestIdleKeepers looks on")
 
-// maxIdleKB bounds the resident memory of a keeper that has nothing to do, in kB; the race detector takes several
-// times as much.
+// maxIdleKB bounds the resident memory of an idle keeper, in kB; the race detector takes several times as much.
 const maxIdleKB = 64 << 10
 
-// What five keepers take that have nothing to do: memory, processor time, bytes between each other. With -idle 60s the
-// figures of the design note.
+// Memory, processor time and replication traffic of five idle keepers. With -idle 60s it measures the figures of the
+// design note.
 func TestIdleKeepers(t *testing.T) {
 	g := startGroup(t, 5, nil)
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
@@ -51,7 +50,7 @@
 	}
 }
 
-// residentKB is a process's resident memory in kB.
+// residentKB returns a process's resident memory in kB.
 func residentKB(t *testing.T, pid int) (kb int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -68,7 +67,7 @@
 	return kb
 }
 
-// cpuTicks is a process's processor time in hundredths of a second.
+// cpuTicks returns a process's processor time in hundredths of a second.
 func cpuTicks(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -16,7 +16,7 @@
 
 var kills = flag.Int("kills", 1, "leaders that TestNewLeaderAfterKill kills")
 
-// pendingReply is a change that was sent and whose answer is waited for elsewhere.
+// pendingReply is the answer to a change that was sent without waiting.
 type pendingReply struct {
 	code int
 	err  error
@@ -34,8 +34,8 @@
 	return out
 }
 
-// The leader dies when a change has its revision and before it could say so: the keeper that passed the change on
-// asks the next leader, and the operator who asks again gets the same revision.
+// The leader is killed after a change is committed and before it could answer: the keeper that forwarded the change
+// retries at the next leader, and the operator who retries gets the same revision.
 func TestLeaderKilledBetweenCommitAndAnswer(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -57,8 +57,8 @@
 	g.checkEqualState(2)
 }
 
-// The leader dies with a change that only itself has written down. The same call gives one revision, also when the old
-// leader is back with its own copy.
+// The leader is killed with a change that only its own log has. The repeated call gives one revision, also when the old
+// leader restarts with its log.
 func TestLeaderKilledBeforeCommit(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -96,7 +96,7 @@
 	return s.LastIndex
 }
 
-// A leader that was stopped while the others went on claims nothing that isn't so when it is woken.
+// A leader that was paused while the others went on claims nothing false when it is resumed.
 func TestLeaderPausedAndResumed(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -109,7 +109,7 @@
 	waitUntil(t, "another leader", func() bool { now = g.leader(); return now != old })
 	f.pollUntil(now, 1)
 	g.change(now, put("second", "/settings/over-share-worth", "2"))
-	// These wait in the stopped keeper's sockets and are the first that it reads.
+	// These wait in the paused keeper's sockets and are the first that it reads.
 	verdict := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
@@ -133,8 +133,8 @@
 	g.checkEqualState(2)
 }
 
-// Time to a new leader after a kill, by the first change that is accepted. With -kills 10 the figures of the design
-// note.
+// Time to a new leader after a kill, by the first change that is accepted. With -kills 10 it measures the figures of
+// the design note.
 func TestNewLeaderAfterKill(t *testing.T) {
 	g := startGroup(t, 5, nil)
 	var took []time.Duration
@@ -154,7 +154,7 @@
 	}
 }
 
-// A keeper that is told to end hands leadership over first: the next change needs no timeout.
+// A keeper that shuts down transfers leadership first: the next change needs no timeout.
 func TestLeaderShutdownTransfersLeadership(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	leader := g.leader()
@@ -180,7 +180,7 @@
 	}
 }
 
-// All keepers die at once; with them gone nothing that was accepted is.
+// Nothing that was accepted is lost when all keepers are killed at once.
 func TestRestartOfAllKeepers(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	f := follower{g: g, name: "r1", instance: "a"}
@@ -210,7 +210,7 @@
 	}
 }
 
-// Three keepers and two are apart, the old leader among the two.
+// A partition separates three keepers from two, the old leader among the two.
 func TestNetworkPartition(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 5, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
@@ -250,14 +250,15 @@
 	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
 		t.Errorf("the minority's verdict: %d %+v", code, v)
 	}
-	// A name that no majority has written down gets nothing: a verdict over there could not know of it.
+	// A follower that is on no majority's roster gets nothing: the convergence status of the majority could not
+	// include it.
 	newcomer := follower{g: g, name: "new", instance: "c"}
 	if code := newcomer.poll(few[1], 300); code != http.StatusNoContent {
 		t.Errorf("a newcomer at the minority: %d", code)
 	}
 	g.partition(false, few, many)
-	// A change that the old leader had taken before it stepped down may live on or not; it has one revision at most,
-	// and all have the same.
+	// A change that the old leader had accepted before it stepped down may be committed or not; it has one revision at
+	// most, the same at all keepers.
 	g.leader()
 	last := g.change(few[0], put("last", "/settings/over-share-worth", "3"))
 	g.checkEqualState(last)
--- a/internal/keeper/link_test.go
+++ b/internal/keeper/link_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// link is a link from one keeper to another that can fall silent in each direction. What is held is passed on when the
-// link is back, as a network does that lost packets for a while.
+// link is a proxy from one keeper to another that can be interrupted in each direction. It delivers the data when it is
+// restored, as a network does that lost packets for a while.
 type link struct {
 	listener net.Listener
 	target   string
@@ -47,7 +47,7 @@
 }
 
 func (r *link) connect(c net.Conn) {
-	// A silent link lets no connection come about; the listener's queue has taken the caller's half.
+	// An interrupted link establishes no connection, though the listener's queue has accepted the caller's half.
 	if !r.waitUntilOpen(forth) {
 		_ = c.Close()
 		return
@@ -99,7 +99,7 @@
 	delete(r.conns, to)
 }
 
-// waitUntilOpen waits while a direction is silent; false once the relay is closed.
+// waitUntilOpen waits while a direction is interrupted; false once the link is closed.
 func (r *link) waitUntilOpen(way int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -18,10 +18,10 @@
 	"windflow/internal/keeper"
 )
 
-// processEnv holds the options of a keeper, as JSON: the test binary that finds it is that keeper.
+// processEnv names the variable with the options of a keeper, as JSON: the test binary that finds it runs that keeper.
 const processEnv = "WINDFLOW_TEST_KEEPER"
 
-// refusedPointer is the entry that the check of these keepers refuses.
+// refusedPointer is the entry that the check of these keepers rejects.
 const refusedPointer = "/settings/rules/look-back-ns"
 
 func TestMain(m *testing.M) {
@@ -110,7 +110,7 @@
 	return line
 }
 
-// encodableOptions leaves the fields out that have no JSON.
+// encodableOptions leaves out the fields that can't be encoded as JSON.
 func encodableOptions(o keeper.Options) map[string]any {
 	return map[string]any{
 		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTPAddr": o.HTTPAddr, "RaftAddr": o.RaftAddr, "Peers": o.Peers,
@@ -135,7 +135,7 @@
 	}
 }
 
-// expectFailure starts the keeper, and gives what it says when it ends by itself.
+// expectFailure starts the keeper, and returns its log once it has ended by itself with an error.
 func (p *process) expectFailure() string {
 	p.t.Helper()
 	p.launch()
@@ -174,7 +174,7 @@
 	}
 }
 
-// end sends a signal that ends the process, and waits for that.
+// end sends a signal that ends the process, and waits for its end.
 func (p *process) end(s syscall.Signal) {
 	p.t.Helper()
 	p.signal(s)
@@ -186,7 +186,7 @@
 	}
 }
 
-// waitUntil waits until a call gives true.
+// waitUntil waits until done returns true.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	end := time.NewTimer(waitTimeout)
@@ -202,7 +202,7 @@
 	}
 }
 
-// waitTimeout bounds what a test waits for anything; no test passes by waiting it out.
+// waitTimeout bounds each wait of a test; no test passes by reaching it.
 const waitTimeout = 30 * time.Second
 
 func mustContain(t *testing.T, text string, parts ...string) {
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -17,7 +17,7 @@
 
 var followerCount = flag.Int("followers", 100, "followers of TestManyFollowers")
 
-// runFollower plays a router with the state machine that routers have, until ctx ends.
+// runFollower is a fake router with the follower of configlog, until ctx ends.
 func (g *group) runFollower(ctx context.Context, n int) {
 	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
@@ -56,8 +56,8 @@
 	}
 }
 
-// Followers come all at once; one after the other, changes are in force everywhere; a keeper dies, and its followers
-// go on at the others. With -followers 600 the figures of the design note.
+// Many followers join at once; changes converge one after the other; a keeper is killed, and its followers go on with
+// the others. With -followers 600 it measures the figures of the design note.
 func TestManyFollowers(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -32,7 +32,7 @@
 	}}}
 }
 
-// A change counts only on the content that it was checked against: two that are right each by itself may be wrong
+// A change applies only to the content that it was checked against: two changes, each valid by itself, may be invalid
 // together.
 func TestChangeRequiresItsBase(t *testing.T) {
 	m := newStateMachine(configlog.Retention{})
@@ -47,7 +47,7 @@
 	}
 }
 
-// A state that is written down and read again is the same, and goes on the same.
+// A state that is restored from a snapshot is the same, and continues the same.
 func TestSnapshotRoundTrip(t *testing.T) {
 	m := newStateMachine(configlog.Retention{Revisions: 2})
 	for i, c := range []command{changeEntry("a", 0, "1"), {Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}}, changeEntry("b", 1, "2"), {Forget: "r2"}, changeEntry("c", 2, "3")} {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A damaged entry is known as such, and isn't passed over.
+// A damaged entry is recognized, and isn't skipped.
 func TestDamagedEntry(t *testing.T) {
 	l := logEntry(t, 1, changeEntry("a", 0, "1"))
 	for _, c := range []struct {
@@ -114,7 +114,7 @@
 	}
 }
 
-// What raft says comes into our log with its level, fields and formats.
+// Messages of raft are logged with their level, fields and formats.
 func TestRaftLog(t *testing.T) {
 	var out bytes.Buffer
 	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
@@ -125,7 +125,7 @@
 	}
 }
 
-// The list of keepers as it is typed.
+// The flag --peers is parsed, and errors name it.
 func TestParsePeers(t *testing.T) {
 	peers, err := ParsePeers("k1=h1:1/h1:2,k2=[::1]:1/[::1]:2")
 	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", RaftAddr: "[::1]:1", HTTPAddr: "[::1]:2"}) {
