--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"maps"
 	"net"
 	"os"
@@ -18,8 +17,6 @@
 	"windflow/internal/hotrestartipc"
 )
 
-var discard = slog.New(slog.DiscardHandler)
-
 // recordedMessages is one process of a recorded exchange: what it says, by kind of message, in its order.
 type recordedMessages []hotrestartipc.Message
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,15 +14,15 @@
 	"windflow/internal/settings"
 )
 
-// After SIGTERM the router goes on taking and answering, on open and on new connections, for as long as a
-// request is open, and then ends by itself. It guards against requests lost at a planned restart.
-func TestDrainAnswersAcceptedRequests(t *testing.T) {
-	release := make(chan struct{})
+// startReleasableEngine starts a stand-in for an engine, which answers statements with "slow" in them once release is
+// closed.
+func startReleasableEngine(t *testing.T, release <-chan struct{}) (address string) {
+	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if strings.Contains(string(body), "slow") || r.Method == http.MethodGet {
 			<-release
@@ -30,10 +30,18 @@
 		w.Header().Set("X-Parts", "1")
 		fmt.Fprint(w, "a\tb\tc\n")
 	})}
-	go func() { _ = s.Serve(lis) }()
-	t.Cleanup(func() { _ = s.Close() })
+	go func() { _ = server.Serve(lis) }()
+	t.Cleanup(func() { _ = server.Close() })
+	return lis.Addr().String()
+}
+
+// After SIGTERM the router goes on taking and answering, on open and on new connections, for as long as a
+// request is open, and then ends by itself. It guards against requests lost at a planned restart.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
+	release := make(chan struct{})
+	engine := startReleasableEngine(t, release)
 	n := startRouter(t, []string{fmt.Sprintf(
-		`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`, lis.Addr())})
+		`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`, engine)})
 
 	early, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
