--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newLargeLog gives a log with so many parties, as a large site has them, put in changes of at most 5,000, and then 100
-// changes of one each.
+// newLargeLog gives a log with so many tenants, as a large installation has, put in changes of at most 5,000, and
+// then 100 changes of one each.
 func newLargeLog(b *testing.B, entries int) *Log {
 	b.Helper()
 	l := NewLog(Retention{})
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -17,7 +17,7 @@
 	ID string `json:"id"`
 	// Expect is the revision that has to be in force for the change to be applied; nil stands for any.
 	Expect *uint64 `json:"expect,omitempty"`
-	// Put holds new values by JSON pointer (RFC 6901); CheckPointer tells which pointers are allowed.
+	// Put holds new values by JSON pointer (RFC 6901); CheckPointer defines which pointers are allowed.
 	Put map[string]json.RawMessage `json:"put,omitempty"`
 	// Remove names entries to remove; each has to exist.
 	Remove []string `json:"remove,omitempty"`
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func joinNames(seats []FollowerProcess) string {
+func joinNames(processes []FollowerProcess) string {
 	out := ""
-	for _, s := range seats {
+	for _, s := range processes {
 		out += s.Name + s.Instance
 	}
 	return out
@@ -84,13 +84,13 @@
 // Processes are in force, behind, rejecting or missing; a missing one is named and doesn't count.
 func TestConvergence(t *testing.T) {
 	l, lease := newLogWithLeases(t, "z", "a", "b", "c", "d")
-	refuses := lease("c", "1", 4, 0)
-	refuses.Rejected = &Rejection{Revision: 5, Pointer: "/settings/a", Reason: "no"}
-	refusedBefore := lease("d", "1", 4, 0)
-	refusedBefore.Rejected = &Rejection{Revision: 4}
+	rejects := lease("c", "1", 4, 0)
+	rejects.Rejected = &Rejection{Revision: 5, Pointer: "/settings/a", Reason: "no"}
+	rejectedBefore := lease("d", "1", 4, 0)
+	rejectedBefore.Rejected = &Rejection{Revision: 4}
 	v := l.Convergence(
 		5,
-		[]Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), refuses, refusedBefore, lease("n", "1", 5, 0)},
+		[]Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), rejects, rejectedBefore, lease("n", "1", 5, 0)},
 		nil,
 	)
 	if joinNames(v.InForce) != "a1n1" || joinNames(v.Behind) != "b1d1" || joinNames(v.Rejected) != "c1" ||
@@ -118,7 +118,7 @@
 		"gone, a keeper unreached": {[]Lease{a}, []string{"k"}, false},
 		"an earlier process only, a keeper unreached": {[]Lease{a, lease("b", "0", 5, 0)}, []string{"k"}, false},
 		"went to another keeper":                      {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), b}, nil, true},
-		"a refusal that is later":                     {[]Lease{past}, nil, true},
+		"a rejection that is later":                   {[]Lease{past}, nil, true},
 	} {
 		if v := l.Convergence(5, c.leases, c.unreached); v.Converged != c.want {
 			t.Errorf("%s: %+v", name, v)
@@ -156,7 +156,7 @@
 	for _, id := range []string{"b", "c", "d"} {
 		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if v := l.Convergence(1, at(2, h), nil); v.Converged { // compacted: what it holds can't be known
+	if v := l.Convergence(1, at(2, h), nil); v.Converged { // compacted: its content can't be known
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -59,7 +59,7 @@
 	state, _ := newSampleLog(t).MarshalBinary()
 	l := NewLog(Retention{})
 	l.mustApply(t, put("mine", "/settings/mine", "1"))
-	refused := func(why string, state []byte, words string) {
+	checkDamaged := func(why string, state []byte, words string) {
 		t.Helper()
 		err := l.UnmarshalBinary(state)
 		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), words) || l.Revision() != 1 ||
@@ -70,21 +70,25 @@
 	for i := range state {
 		broken := bytes.Clone(state)
 		broken[i] ^= 1 << (i % 8)
-		refused(fmt.Sprint("byte ", i), broken, "state")
-		refused(fmt.Sprint("cut at ", i), state[:i], "state")
+		checkDamaged(fmt.Sprint("byte ", i), broken, "state")
+		checkDamaged(fmt.Sprint("cut at ", i), state[:i], "state")
 	}
-	refused("foreign", bytes.Repeat([]byte("raft"), 100), "no state")
+	checkDamaged("foreign", bytes.Repeat([]byte("raft"), 100), "no state")
 	form := bytes.Clone(state)
 	form[len(stateMagic)-1]++
-	refused("later form", form, "form 2")
-	refused("longer", append(bytes.Clone(state), 0), "checksum")
+	checkDamaged("later form", form, "form 2")
+	checkDamaged("longer", append(bytes.Clone(state), 0), "checksum")
 	// With a checksum that fits, as a faulty program would write it.
 	sealed := func(body []byte) []byte {
 		sum := sha256.Sum256(body)
 		return append(bytes.Clone(body), sum[:]...)
 	}
 	body := state[:len(state)-sha256.Size]
-	refused("left over", sealed(append(bytes.Clone(body), 0)), "left over")
-	refused("early end", sealed(body[:len(body)-1]), "ends early")
-	refused("entry", sealed(bytes.Replace(body, []byte("/settings/filler"), []byte("/settings/fillet"), 1)), "entries")
+	checkDamaged("left over", sealed(append(bytes.Clone(body), 0)), "left over")
+	checkDamaged("early end", sealed(body[:len(body)-1]), "ends early")
+	checkDamaged(
+		"entry",
+		sealed(bytes.Replace(body, []byte("/settings/filler"), []byte("/settings/fillet"), 1)),
+		"entries",
+	)
 }
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -148,7 +148,7 @@
 	return next, nil
 }
 
-// Accept tells that the candidate is in force. Without a candidate it does nothing.
+// Accept records that the candidate is in force. Without a candidate it does nothing.
 func (f *Follower) Accept() {
 	if f.candidate == nil {
 		return
@@ -157,7 +157,7 @@
 	f.rejections = slices.DeleteFunc(f.rejections, func(r Rejection) bool { return r.Revision <= f.current.revision })
 }
 
-// Reject tells that the candidate couldn't be applied, at which pointer and why; the revision before stays in force.
+// Reject records that the candidate couldn't be applied, at which pointer and why; the revision before stays in force.
 // The same content under the same number isn't offered again by this process until ClearRejections, even if a keeper
 // that is behind has offered another one in between. Without a candidate it does nothing.
 func (f *Follower) Reject(pointer, reason string) {
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -64,25 +64,25 @@
 	delta := l.NextUpdate(f.Status())
 	f.mustFollow(t, l)
 	content := l.Entries()
-	refuses := func(why string, u Update, want error) {
+	checkIgnored := func(why string, u Update, want error) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok || !errors.Is(err, want) {
 			t.Errorf("%s: %v, %v", why, ok, err)
 		}
 		f.checkContent(t, 2, content)
 	}
-	refuses("a snapshot from before", old, ErrStale)
-	refuses("nothing, from before", late, ErrStale)
-	refuses("a delta once more", delta, ErrStale)
-	refuses("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
-	refuses("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
+	checkIgnored("a snapshot from before", old, ErrStale)
+	checkIgnored("nothing, from before", late, ErrStale)
+	checkIgnored("a delta once more", delta, ErrStale)
+	checkIgnored("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
+	checkIgnored("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
 	if f.Status().Hash != f.current.hash {
 		t.Error("a snapshot is asked for without need")
 	}
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	broken := l.NextUpdate(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
-	refuses("a value that isn't the one", broken, ErrMismatch)
+	checkIgnored("a value that isn't the one", broken, ErrMismatch)
 	if f.Status().Hash != (Hash{}) {
 		t.Error("no snapshot is asked for")
 	}
@@ -90,9 +90,9 @@
 		t.Errorf("%+v", u)
 	} else {
 		u.Put["/settings/x"] = json.RawMessage("1")
-		refuses("an entry too many", u, ErrMismatch)
+		checkIgnored("an entry too many", u, ErrMismatch)
 	}
-	refuses("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
+	checkIgnored("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
 	f.mustFollow(t, l)
 	if f.Status().Hash != l.Hash() {
 		t.Error("a snapshot is still asked for")
@@ -124,7 +124,7 @@
 	before := l.Entries()
 	l.mustApply(t, put("a", "/settings/a", "1"))
 	u := l.NextUpdate(f.Status())
-	refuse := func() {
+	reject := func() {
 		t.Helper()
 		if _, ok, err := f.Offer(u); !ok || err != nil {
 			t.Fatal(ok, err)
@@ -132,7 +132,7 @@
 		f.Reject("/settings/a", strings.Repeat("é", MaxNoteBytes))
 		f.checkContent(t, 1, before)
 	}
-	refuse()
+	reject()
 	r := f.Status()
 	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() ||
 		r.Rejected.Pointer != "/settings/a" ||
@@ -150,13 +150,13 @@
 	}
 	f.ClearRejections()
 	if f.Status().Rejected != nil {
-		t.Error("still refused")
+		t.Error("still rejected")
 	}
-	refuse()
+	reject()
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	f.mustFollow(t, l)
 	if f.Status().Rejected != nil {
-		t.Error("still refused")
+		t.Error("still rejected")
 	}
 }
 
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -17,6 +17,39 @@
 	return h
 }
 
+// goldenStatus is a follower's status with all fields set.
+func goldenStatus() FollowerStatus {
+	return FollowerStatus{
+		Name:     "n/0",
+		Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210),
+		Revision: 12,
+		Hash:     goldenHash(1),
+		Rejected: &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
+	}
+}
+
+// goldenConvergence is a convergence status with all fields set.
+func goldenConvergence() ConvergenceStatus {
+	status := goldenStatus()
+	processes := []FollowerProcess{{
+		Name:     status.Name,
+		Instance: status.Instance,
+		Revision: status.Revision,
+		Hash:     status.Hash,
+		Rejected: status.Rejected,
+	}}
+	return ConvergenceStatus{
+		Revision:         9,
+		InForce:          processes,
+		Behind:           processes,
+		Rejected:         processes,
+		Diverged:         processes,
+		Missing:          []string{"r1"},
+		UnreachedKeepers: []string{"k2"},
+		Converged:        true,
+	}
+}
+
 // goldenMessages are the encoded types by golden file, all fields set.
 func goldenMessages() map[string]any {
 	revertTo, expect := uint64(3), uint64(7)
@@ -25,18 +58,8 @@
 		"/board":                     json.RawMessage(`"board:7300"`),
 	}
 	remove := []string{"/settings/parties/north", "/settings/parties/south"}
-	refusal := &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"}
-	report := FollowerStatus{
-		Name:     "n/0",
-		Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210),
-		Revision: 12,
-		Hash:     goldenHash(1),
-		Rejected: refusal,
-	}
-	seats := []FollowerProcess{
-		{Name: "n/0", Instance: report.Instance, Revision: 12, Hash: goldenHash(1), Rejected: refusal},
-	}
-	fault := configerror.Error{Kind: configerror.Conflict, Pointer: "/board", Reason: "another one", Revision: 9}
+	status := goldenStatus()
+	rejected := configerror.Error{Kind: configerror.Conflict, Pointer: "/board", Reason: "another one", Revision: 9}
 	return map[string]any{
 		"change.json": Change{
 			ID:       "c",
@@ -47,8 +70,8 @@
 			Note:     "note",
 			AtMS:     1_796_000_000_123,
 		},
-		"fault.json":  fault,
-		"result.json": Result{Revision: 9, Repeated: true, Err: &fault},
+		"fault.json":  rejected,
+		"result.json": Result{Revision: 9, Repeated: true, Err: &rejected},
 		"revision.json": Revision{
 			Revision: 9,
 			ID:       "c",
@@ -68,14 +91,11 @@
 			Remove:       remove,
 			Hash:         goldenHash(4),
 		},
-		"report.json": report,
-		"lease.json":  Lease{FollowerStatus: report, UntilMS: 6000.25},
-		"verdict.json": ConvergenceStatus{
-			Revision: 9, InForce: seats, Behind: seats, Rejected: seats, Diverged: seats, Missing: []string{"r1"},
-			UnreachedKeepers: []string{"k2"}, Converged: true,
-		},
-		"saved.json": SavedRevision{Revision: 9, Hash: goldenHash(5), Checksum: goldenHash(6), Entries: put},
-		"terms.json": Retention{Revisions: 2000, Bytes: 1 << 20},
+		"report.json":  status,
+		"lease.json":   Lease{FollowerStatus: status, UntilMS: 6000.25},
+		"verdict.json": goldenConvergence(),
+		"saved.json":   SavedRevision{Revision: 9, Hash: goldenHash(5), Checksum: goldenHash(6), Entries: put},
+		"terms.json":   Retention{Revisions: 2000, Bytes: 1 << 20},
 	}
 }
 
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -77,11 +77,11 @@
 // SelectKeeper returns which of n keepers, 0 to n-1, is called next: the same until a call fails.
 func (f *Follower) SelectKeeper(n int) int { return f.selection.selectKeeper(n) }
 
-// Unchanged tells that a keeper answered that there is nothing new. Offer includes it for what it accepts.
+// Unchanged records that a keeper answered that there is nothing new. Offer includes it for what it accepts.
 func (f *Follower) Unchanged() { f.selection.answered() }
 
-// CallFailed tells that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
-// before the next, which goes to another keeper. A failure that is told during the wait changes nothing: the next
+// CallFailed records that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
+// before the next, which goes to another keeper. A failure that is reported during the wait changes nothing: the next
 // keeper hasn't been called yet. jitter is uniform from 0 to 1. nowMS is of a monotonic clock.
 func (f *Follower) CallFailed(nowMS, jitter float64) (waitMS float64) {
 	return f.selection.callFailed(nowMS, jitter)
--- a/internal/decide/configlog/leases.go
+++ b/internal/decide/configlog/leases.go
@@ -58,7 +58,7 @@
 	return live
 }
 
-// Tick tells that the keeper runs. Some method has to be called each quarter of a lease; after a gap of more than a
+// Tick records that the keeper runs. Some method has to be called each quarter of a lease; after a gap of more than a
 // half the keeper is taken to have been suspended, so that leases have ended without fault of the followers.
 func (l *Leases) Tick(nowMS float64) {
 	if !l.started || nowMS-l.lastCallMS > l.lengthMS/2 {
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if after, _ := l.MarshalBinary(); !bytes.Equal(before, after) {
-		t.Error("a refused change changed something")
+		t.Error("a rejected change changed something")
 	}
 	// A change may remove the entries that would be above or below the new ones.
 	l.mustApply(t, Change{
@@ -151,14 +151,14 @@
 func TestDocumentBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
-	var fault *configerror.Error
-	for i := 0; fault == nil && i < 100; i++ {
-		fault = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
+	var rejected *configerror.Error
+	for i := 0; rejected == nil && i < 100; i++ {
+		rejected = l.Apply(put(fmt.Sprint(i), fmt.Sprint("/settings/x", i), string(huge))).Err
 	}
-	if entries, size := l.Size(); fault == nil || !strings.Contains(fault.Reason, "document") ||
+	if entries, size := l.Size(); rejected == nil || !strings.Contains(rejected.Reason, "document") ||
 		entries != MaxDocumentBytes/MaxValueBytes-1 ||
 		size > MaxDocumentBytes {
-		t.Error(fault, entries, size)
+		t.Error(rejected, entries, size)
 	}
 	l = NewLog(Retention{Revisions: 2})
 	for i, n := 0, 0; n < MaxEntries; i++ {
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -36,7 +36,7 @@
 func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.retention)) }
 func (m *model) content() map[string]json.RawMessage { return m.contents[len(m.contents)-1] }
 
-// apply gives the kind of fault, "repeated" or nothing, and the revision. Its changes have canonical values and
+// apply gives the kind of rejected, "repeated" or nothing, and the revision. Its changes have canonical values and
 // places that can be put.
 func (m *model) apply(c Change) (string, uint64) {
 	c.AtMS = 0
@@ -151,15 +151,15 @@
 				id = fmt.Sprint(draw(i+1, "id"))
 			}
 			c := draw.change(id, m.revision())
-			preview, fault := l.Preview(c)
+			preview, rejected := l.Preview(c)
 			kind, rev := m.apply(c)
 			r := l.Apply(c)
 			switch {
-			case r.Err != nil && (string(r.Err.Kind) != kind || !reflect.DeepEqual(fault, r.Err)):
-				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Err, fault, kind)
+			case r.Err != nil && (string(r.Err.Kind) != kind || !reflect.DeepEqual(rejected, r.Err)):
+				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Err, rejected, kind)
 			case r.Err == nil &&
-				(r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || fault != nil):
-				t.Fatalf("%+v: %+v, not %q %d, preview %v", c, r, kind, rev, fault)
+				(r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || rejected != nil):
+				t.Fatalf("%+v: %+v, not %q %d, preview %v", c, r, kind, rev, rejected)
 			case r.Err == nil && !maps.EqualFunc(preview, m.content(), equal):
 				t.Fatalf("%+v: preview %v", c, preview)
 			}
@@ -188,13 +188,13 @@
 		)
 	}
 	for rev, want := range m.contents {
-		got, fault := l.EntriesAt(uint64(rev))
+		got, rejected := l.EntriesAt(uint64(rev))
 		if uint64(rev) < m.oldest() {
-			if fault == nil || fault.Kind != configerror.Compacted || fault.Revision != m.oldest() {
-				t.Fatalf("%d: %v %v", rev, got, fault)
+			if rejected == nil || rejected.Kind != configerror.Compacted || rejected.Revision != m.oldest() {
+				t.Fatalf("%d: %v %v", rev, got, rejected)
 			}
-		} else if fault != nil || !maps.EqualFunc(got, want, equal) {
-			t.Fatalf("%d: %v %v, not %v", rev, got, fault, want)
+		} else if rejected != nil || !maps.EqualFunc(got, want, equal) {
+			t.Fatalf("%d: %v %v, not %v", rev, got, rejected, want)
 		}
 		u := l.UpdateSince(uint64(rev), HashEntries(want))
 		to := maps.Clone(want)
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -22,7 +22,7 @@
 	{"accepts an older snapshot", propertyNeverBack, func(v *parts) {
 		v.follower = func(f *Follower) client { return goingBack{f} }
 	}},
-	{"forgets what it refused", propertyNoRepeatedRejection, func(v *parts) {
+	{"forgets what it rejected", propertyNoRepeatedRejection, func(v *parts) {
 		v.follower = func(f *Follower) client { return forgetful{f} }
 	}},
 	{"never asks for a snapshot", propertyEventualConvergence, func(v *parts) {
--- a/internal/decide/configlog/randomorder_test.go
+++ b/internal/decide/configlog/randomorder_test.go
@@ -300,18 +300,18 @@
 }
 
 // drawFromSeed draws the same numbers for a seed each time.
-func drawFromSeed(row uint64) drawer {
-	r := rand.New(rand.NewPCG(row, 31))
+func drawFromSeed(seed uint64) drawer {
+	r := rand.New(rand.NewPCG(seed, 31))
 	return func(n int, _ string) int { return r.IntN(n) }
 }
 
 // The check of TestRandomOrders sees each property broken: a variant that breaks it is caught, by that property, while
-// the sound parts pass the first rows of the same draws.
+// the sound parts pass the first seeds of the same draws.
 func TestMutantsAreDetected(t *testing.T) {
-	const sound, rows = 200, 1000
-	for row := range uint64(sound) {
-		if err := simulate(drawFromSeed(row), soundParts(), 120); err != nil {
-			t.Fatalf("the sound parts, row %d: %v", row, err)
+	const sound, seeds = 200, 1000
+	for seed := range uint64(sound) {
+		if err := simulate(drawFromSeed(seed), soundParts(), 120); err != nil {
+			t.Fatalf("the sound parts, seed %d: %v", seed, err)
 		}
 	}
 	for _, b := range mutants {
@@ -319,19 +319,19 @@
 			v := soundParts()
 			b.breaks(&v)
 			seen := map[string]int{}
-			for row := range uint64(rows) {
-				if err := simulate(drawFromSeed(row), v, 120); err != nil {
+			for seed := range uint64(seeds) {
+				if err := simulate(drawFromSeed(seed), v, 120); err != nil {
 					var how *violationError
 					if !errors.As(err, &how) {
 						t.Fatal(err)
 					}
 					if seen[how.property]++; how.property == b.property {
-						t.Logf("row %d: %.300s", row, err.Error())
+						t.Logf("seed %d: %.300s", seed, err.Error())
 						return
 					}
 				}
 			}
-			t.Errorf("not caught by %q in %d rows; by others: %v", b.property, rows, seen)
+			t.Errorf("not caught by %q in %d seeds; by others: %v", b.property, seeds, seen)
 		})
 	}
 }
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -13,12 +13,12 @@
 
 // The properties that a simulation checks after each step.
 const (
-	propertyNoMix               = "no follower holds a mix"
+	propertyNoMix               = "no follower has a mix of revisions"
 	propertyNeverBack           = "no follower goes back within a process"
-	propertyNoFalseConvergence  = "everywhere is never said falsely"
-	propertyAppliedOnce         = "a repeated change is one"
-	propertyNoRepeatedRejection = "what was refused isn't taken again"
-	propertyEventualConvergence = "all meet when the faults stop"
+	propertyNoFalseConvergence  = "no revision converges falsely"
+	propertyAppliedOnce         = "a repeated change is applied once"
+	propertyNoRepeatedRejection = "what was rejected is not offered again"
+	propertyEventualConvergence = "all have the last revision once the faults end"
 	leaseMS                     = 6000.0
 	simulationRetention         = 6 // revisions that the logs keep
 )
@@ -80,14 +80,14 @@
 	client          client
 	alive           bool
 	partitioned     bool // from all keepers
-	rejectsOdd      bool // it refuses each content with an odd value at /settings/d
+	rejectsOdd      bool // it rejects each content with an odd value at /settings/d
 	inForce         map[string]json.RawMessage
 	revision        uint64
 	pending         map[string]json.RawMessage
 	offered         bool
 	copy            *SavedRevision // on its disk
 	answeredMS      float64
-	answered        bool           // answered in this life
+	answered        bool           // answered in this process
 	rejections      map[string]int // times by revision and hash
 	offeredRevision uint64         // the revision that is offered
 }
@@ -233,7 +233,7 @@
 		}
 		return
 	}
-	if !r.alive || r.partitioned { // an answer to a former life comes to the next: a sound follower takes no harm
+	if !r.alive || r.partitioned { // an answer to an earlier process arrives at the next, which has to ignore it
 		return
 	}
 	content, ok, err := r.client.Offer(m.update)
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -153,7 +153,7 @@
 	return wait
 }
 
-// traceLog has a log take changes that are sound and at fault, and asks it all that it can be asked.
+// traceLog has a log take changes that are sound and at rejected, and asks it all that it can be asked.
 func traceLog(t *testing.T, h *tracetest.Hash, terms Retention) {
 	t.Helper()
 	for seed := range uint64(40) {
@@ -166,12 +166,12 @@
 			if draw(12, "broken") == 0 {
 				spoil(draw, &c)
 			}
-			preview, fault := l.Preview(c)
-			traceError(h, fault)
+			preview, rejected := l.Preview(c)
+			traceError(h, rejected)
 			traceEntries(h, preview)
 			traceResult(h, l.Apply(c))
 			traceHead(h, l)
-			traceRoster(h, draw, l)
+			traceMembers(h, draw, l)
 			traceAnswers(h, draw, l)
 		}
 		l = roundTrip(t, l)
@@ -206,7 +206,7 @@
 	}
 }
 
-func traceRoster(h *tracetest.Hash, draw drawer, l *Log) {
+func traceMembers(h *tracetest.Hash, draw drawer, l *Log) {
 	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
 	h.Step(stepMembers)
 	switch draw(6, "roster") {
@@ -228,8 +228,8 @@
 	var leases []Lease
 	for range draw(5, "leases") {
 		rev := uint64(draw(int(l.Revision())+3, "revision"))
-		content, fault := l.EntriesAt(rev)
-		traceError(h, fault)
+		content, rejected := l.EntriesAt(rev)
+		traceError(h, rejected)
 		traceEntries(h, content)
 		r := FollowerStatus{
 			Name:     fmt.Sprint("r", draw(4, "name")),
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -139,9 +139,9 @@
 func traceConvergence(h *tracetest.Hash, v ConvergenceStatus) {
 	h.Step(stepConvergence)
 	h.Uint(v.Revision)
-	for _, seats := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
-		h.Int(int64(len(seats)))
-		for _, s := range seats {
+	for _, processes := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
+		h.Int(int64(len(processes)))
+		for _, s := range processes {
 			h.String(s.Name)
 			h.String(s.Instance)
 			h.Uint(s.Revision)
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -83,7 +83,7 @@
 	}
 	r.Rejected.Hash = Hash{1}
 	if u := l.NextUpdate(r); u.IsEmpty() {
-		t.Error("other content under the refused number is kept from it")
+		t.Error("other content under the rejected number is not offered")
 	}
 	r.Rejected.Hash = l.Hash()
 	l.mustApply(t, put("b", "/settings/a", "2"))
