--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -28,8 +28,8 @@
 	<-done
 }
 
-// A request that has come to a resting connection when the router ends its sessions, and that the loop has not heard
-// of, is taken and answered; then the client hears the end, as one that rests does at once. Neither is reset. It
+// A request that has come to a idle connection when the router ends its sessions, and that the loop has not read,
+// is taken and answered; then the client reads the end, as an idle one does at once. Neither is reset. It
 // guards against a close over unread bytes, which loses the request, and with it an answer that the client has not
 // read.
 func TestRequestDuringConnectionEnd(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 	answered := make(chan answer, 1)
 	inLoop(n, func() {
-		// The loop stands here, so that what is written now is heard after the end has begun.
+		// The loop stands here, so that what is written now is read after the end has begun.
 		q := query("lookup", 1, "SELECT 1")
 		if err := asks.write(0, append([]byte{3}, q...)); err != nil {
 			t.Error(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A client whose connection was accepted before the router stops listening, and of which the loop has not heard, is
+// A client whose connection was accepted before the router stops listening, and which the loop has not seen, is
 // served; one that comes after is refused at once. It guards against connections that are taken and dropped at the
 // end.
 func TestAcceptedClientServedAtEnd(t *testing.T) {
@@ -84,7 +84,7 @@
 		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
-		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop stands, so it has not heard of it
+		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop stands, so it has not seen it
 			runtime.Gosched()
 		}
 		n.shutdown.closeConnections(n.loop.Now())
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -20,7 +20,7 @@
 		i := strings.Index(text, `"board":"`) + len(`"board":"`)
 		return text[:i] + board.addr + text[i+strings.IndexByte(text[i:], '"'):]
 	})
-	harness.prepare = func(cmd *exec.Cmd) { // the system holds it to its descriptors, too
+	harness.prepare = func(cmd *exec.Cmd) { // the system limits its descriptors, too
 		cmd.Args = append([]string{"sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), cmd.Path}, cmd.Args[1:]...)
 		cmd.Path = "/bin/sh"
 	}
@@ -39,10 +39,10 @@
 		}
 	}
 	if n := harness.figure(adminAddress, discoveredFigure); n != 2 {
-		t.Fatalf("%d engines before the board is back", n)
+		t.Fatalf("%d engines before discovery is back", n)
 	}
 	board.open(1)
-	harness.waitFor("the board is heard", func() bool { return harness.figure(adminAddress, discoveredFigure) == 1 })
+	harness.waitFor("the endpoint event arrives", func() bool { return harness.figure(adminAddress, discoveredFigure) == 1 })
 	for id := range 5 {
 		checkServed(t, harness.dial(), query("lookup", id+1, "SELECT 1"))
 	}
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startIdleDiscovery is a stand-in that has nothing new to tell.
+// startIdleDiscovery is a stand-in for discovery that has no event.
 func startIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,8 @@
 	return l.Addr().String()
 }
 
-// listenDiscovery is a notice board that hands over each link once it has read from which event it goes on.
+// listenDiscovery is a stand-in for discovery that hands over each connection once it has read from which event it
+// goes on.
 func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +71,7 @@
 	lastEvent uint64
 }
 
-// closedDiscovery is a notice board at which connections are refused until it is opened.
+// closedDiscovery is a stand-in for discovery at which connections are refused until it is opened.
 type closedDiscovery struct {
 	t    *testing.T
 	fd   int
@@ -95,7 +96,7 @@
 	return b
 }
 
-// open takes connections and tells each of them that an engine is gone.
+// open accepts connections and sends each of them the event that an engine is gone.
 func (b *closedDiscovery) open(gone uint32) {
 	b.t.Helper()
 	if err := syscall.Listen(b.fd, 16); err != nil {
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -80,7 +80,7 @@
 }
 
 // The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in
-// what operators hear from a router that is not ready.
+// what operators read from a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var words strings.Builder
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
@@ -89,7 +89,7 @@
 	golden.Equal(t, "phases.txt", []byte(words.String()))
 }
 
-// Each part has its counters in the list: one that is left out of the router of the test would be held by nothing.
+// Each part has its counters in the list: one that is left out of the router of the test would be checked by nothing.
 func TestGoldenFiguresHaveEachPart(t *testing.T) {
 	n := startAllParts(t)
 	inLoop(n, func() {
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -57,7 +57,8 @@
 	return renamed
 }
 
-// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes, sorted.
+// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes,
+// sorted.
 func logLines(t *testing.T) (lines []string) {
 	t.Helper()
 	forEachLogCall(t, func(_ token.Position, call logCall) { lines = append(lines, call.line()) })
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -33,7 +33,7 @@
 func (s messageSample) name() string { return "upgrade/" + s.file + ".json" }
 
 // Each message between two processes of a router is encoded as it was when its golden file was recorded. It guards
-// against an upgrade from or to a program that was built before a change of this code, in which something is lost.
+// against a hot restart from or to a program that was built before a change of this code, in which something is lost.
 func TestGoldenMessagesAreEncoded(t *testing.T) {
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each recorded message is read back whole.
+// Each recorded message is read back completely.
 func TestGoldenMessagesAreDecoded(t *testing.T) {
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Each field that a message holds names itself in a tag, so that the name in the code can change.
+// Each field of a message names itself in a tag, so that the name in the code can change.
 func TestMessageFieldsHaveTags(t *testing.T) {
 	encoded := []any{hotrestartipc.Message{}}
 	for _, s := range messageSamples() {
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math"
 	"os"
+	"slices"
 
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/hotrestartipc"
@@ -177,6 +178,14 @@
 func (c *coordinator) phase() hotrestart.Phase { return c.machine.Phase() }
 func (c *coordinator) share() hotrestart.Share { return c.machine.Share() }
 
+// processNumber is this process's number in the order of starts.
+func (c *coordinator) processNumber() uint64 { return uint64(c.machine.Self) }
+
+// predecessorHandsOver reports whether the predecessor's state names a part that has something to hand over.
+func (c *coordinator) predecessorHandsOver(part string) bool {
+	return slices.Contains(c.received.state.Parts, part)
+}
+
 // hasPredecessor reports whether a process that was there before lives.
 func (c *coordinator) hasPredecessor() bool { return c.machine.Predecessor() != hotrestart.NoProcess }
 
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -164,7 +164,7 @@
 	}
 	if process <= c.machine.Self {
 		from.link.Close()
-		return fmt.Errorf("process %d has place %d, and this one %d", hello.PID, process, c.machine.Self)
+		return fmt.Errorf("process %d has slot %d, and this one %d", hello.PID, process, c.machine.Self)
 	}
 	from.version = version
 	if from.process != hotrestart.NoProcess {
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -10,7 +10,7 @@
 )
 
 // A predecessor that does not answer for three seconds. It guards against a new process that takes it for none: it
-// went on without the cordons, with all of the bounds, and the old one never heard that it was to give way.
+// went on without the cordons, with the full limits, and the old one never read that it was to stop accepting.
 func TestStoppedPredecessor(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
@@ -87,7 +87,7 @@
 		h.requireAnswer(h.client, "lookup", 100+id, 1, 0)
 	}
 	if h.cordonedOld.totalRuns() != h.runsBefore {
-		h.t.Error("the cordon that the old process was told was forgotten")
+		h.t.Error("the cordon that was ordered at the old process was forgotten")
 	}
 	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, which can't be asked
 	h.requireAnswer(h.client, "load", 8, 0, 1040)
@@ -137,9 +137,9 @@
 	h.harness.terminate(h.old)
 }
 
-// A predecessor that hangs for good keeps its successor from serving for some seconds only. That knows the cordons, takes
-// in no load, and learns of what the predecessor knows when it goes on after all. It guards against a router that can't
-// be restarted out of a process that hangs.
+// A predecessor that hangs for good keeps its successor from serving for some seconds only. That knows the cordons,
+// takes in no load, and learns of what the predecessor knows when it goes on after all. It guards against a router
+// that can't be restarted out of a process that hangs.
 func TestPredecessorHangs(t *testing.T) {
 	t.Run("and is killed", func(t *testing.T) {
 		h := hangPredecessor(t)
@@ -153,9 +153,9 @@
 	})
 }
 
-// Ten upgrades in a row under load, with processes that are slowed or stopped meanwhile. It guards against all that a
-// client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon forgotten,
-// more descriptors than the limit.
+// Ten hot restarts in a row under load, with processes that are slowed or stopped meanwhile. It guards against all
+// that a client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon
+// forgotten, more descriptors than the limit.
 func TestTenHotRestarts(t *testing.T) {
 	const sockets = 256
 	one, two := newBlockingEngine(), newBlockingEngine()
@@ -193,7 +193,7 @@
 		all.track(now, false)
 		now = next
 		if two.totalRuns() > 0 {
-			t.Fatalf("upgrade %d: the ban was forgotten", n)
+			t.Fatalf("hot restart %d: the cordon was forgotten", n)
 		}
 	}
 	c.stop(t)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A third and a fourth process that start while two live wait their turn; an upgrade that is taken back leaves the old
+// A third and a fourth process that start while two live wait their turn; a hot restart that is reverted leaves the old
 // process serving; two that start at once become one after the other.
 func TestChainedAndRevertedHotRestarts(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// playPredecessor plays the recorded predecessor up to a step; it gives nil before the first one. greeted is called once
-// the successor has said hello, or at once before the first step.
+// playPredecessor plays the recorded predecessor up to a step; it gives nil before the first one. greeted is called
+// once the successor has said hello, or at once before the first step.
 func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, greeted func()) *protocolPeer {
 	t.Helper()
 	recorded, _ := readExchange(t, "version 2")
@@ -337,8 +337,8 @@
 	return peer
 }
 
-// Where the processes meet there may be anything: a dead process's socket, a foreign listener that never speaks, a lock
-// file that nobody holds. It guards against a router that does not start.
+// In the directory of the slots there may be anything: a dead process's socket, a foreign listener that never speaks,
+// a lock file that nobody locks. It guards against a router that does not start.
 func TestForeignFilesInSlotDirectory(t *testing.T) {
 	t.Parallel()
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -362,7 +362,7 @@
 	defer foreign.Close()
 	adminAddress := freePort(t)
 	harness.startProcess(adminAddress)
-	harness.waitReady(adminAddress) // guarded, after its time: something lives there
+	harness.waitReady(adminAddress) // degraded, after its time: something lives there
 	checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
 	if _, err := os.Stat(base + ".7.sock"); err == nil {
 		t.Error("a dead process's socket was left")
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -149,8 +149,8 @@
 func (h *hotRestart) checkIDsAndCordon() {
 	h.t.Helper()
 	h.startSlow(h.slow, 9, 1, 0)
-	// The predecessor grants the claim of another load behind its message about id 9, on the same link: once that load is
-	// served, the message has come.
+	// The predecessor grants the claim of another load behind its message about id 9, on the same link: once that
+	// load is served, the message has come.
 	for id := 50; ; id++ {
 		if rows, code, err := h.fresh.ask(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
@@ -226,9 +226,9 @@
 	}
 }
 
-// A hot restart with two real processes. It guards against all that would show that they are two: a request rejected or
-// left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a ticket that
-// is consumed twice, a BGP session that ends.
+// A hot restart with two real processes. It guards against all that would show that they are two: a request rejected
+// or left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a
+// ticket that is consumed twice, a BGP session that ends.
 func TestHotRestart(t *testing.T) {
 	restart := newHotRestart(t)
 	restart.startOld()
@@ -240,8 +240,8 @@
 	restart.neighbour.checkSessionGoesOn(t)
 }
 
-// Should the new process end first, the old one goes on as before: it accepts, is ready, and can be upgraded. So it
-// does where the admin API is on the same address in both.
+// Should the new process end first, the old one goes on as before: it accepts, is ready, and can be restarted hot. So
+// it does where the admin API is on the same address in both.
 func TestSuccessorEnds(t *testing.T) {
 	one := newBlockingEngine()
 	harness := newRouterHarness(t, one)
@@ -251,7 +251,7 @@
 	harness.dial()
 	for round := range 2 {
 		next := harness.startProcess(adminAddress)
-		// The address is the same for both, so the log of the processes would tell which one answers; the meeting point
+		// The address is the same for both, so the log of the processes would show which one answers; the socket
 		// does too: the new one has taken it once it can be killed in the old one's place.
 		harness.waitFor("the successor's socket", func() bool {
 			paths, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "wf-????????.sock"))
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -42,7 +42,7 @@
 	in       []byte
 	begun    string // the id of a POST of which some has come
 	requests []string
-	unread   []byte // sent by the engine and not yet heard
+	unread   []byte // sent by the engine and not yet read
 }
 
 func (p *simulatedConn) Write(b []byte) error {
@@ -115,7 +115,7 @@
 	attempts      []*simulatedAttempt
 }
 
-// simulatedAttempt is a POST that has come whole to an engine.
+// simulatedAttempt is a POST that an engine has received completely.
 type simulatedAttempt struct {
 	startedAt, polledAt float64
 	engine              int
@@ -123,7 +123,7 @@
 	ended               bool // the engine has none of it any more
 }
 
-// running tells whether the engine may have it under way: it forgets a query that nobody asks for.
+// running reports whether the engine may have it under way: it forgets a query that nobody asks for.
 func (p *simulatedAttempt) running(now float64) bool {
 	return !p.ended && !p.neverRan && now < p.polledAt+2000
 }
@@ -217,7 +217,7 @@
 	addresses   map[dispatch.EngineID]int
 	cordoned    map[dispatch.EngineID]float64 // since when
 	lastAddress int
-	noHedging   bool // no second copy is allowed
+	noHedging   bool // no hedged request is allowed
 }
 
 var interleavingClasses = []dispatch.Class{
@@ -277,7 +277,7 @@
 	return p
 }
 
-// updateEndpoint tells of an engine; one that comes anew does so at another address.
+// updateEndpoint sends the event of an engine; one that is started anew is at another address.
 func (w *interleavingHarness) updateEndpoint(id dispatch.EngineID, state dispatch.EndpointState) {
 	if state == dispatch.Live && w.addresses[id] == 0 || state == dispatch.Live && w.closed[w.addresses[id]] > 0 {
 		w.lastAddress++
@@ -295,7 +295,7 @@
 	c := w.byID[p.begun]
 	for id, since := range w.cordoned {
 		if w.addresses[id] == p.engine && w.now.MS > since {
-			w.fail("%s begins at an engine %.0f ms after its ban", c.id, w.now.MS-since)
+			w.fail("%s begins at an engine %.0f ms after its cordon", c.id, w.now.MS-since)
 		}
 	}
 	switch now := w.now.MS; {
@@ -304,7 +304,7 @@
 	case c.answers > 0:
 		w.fail("%s begins after its answer", c.id)
 	case w.closed[p.engine] > 0 && now > w.closed[p.engine]:
-		w.fail("%s begins at an engine %.0f ms after word of its end", c.id, now-w.closed[p.engine])
+		w.fail("%s begins at an engine %.0f ms after the event of its end", c.id, now-w.closed[p.engine])
 	case now > c.end:
 		w.fail("%s begins after its end", c.id)
 	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil && now > c.mayHaveRun().startedAt+clock.Millis(interleavingWindow):
@@ -312,11 +312,11 @@
 	}
 }
 
-// checkComplete checks a POST that has come whole.
+// checkComplete checks a POST that has arrived completely.
 func (w *interleavingHarness) checkComplete(p *simulatedConn) {
 	c := w.byID[p.begun]
 	if interleavingClasses[c.class].Semantics == dispatch.AtMostOnce && c.mayHaveRun() != nil {
-		w.fail("load %s has come whole twice", c.id)
+		w.fail("load %s has arrived completely twice", c.id)
 	}
 	for _, post := range c.attempts {
 		if w.noHedging && post.running(w.now.MS) {
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -214,7 +214,7 @@
 }
 
 // engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once
-// it is heard.
+// it is read.
 func (w *interleavingHarness) engineSends(p *simulatedConn, text string, stray bool) {
 	p.unread = append(p.unread, text...)
 	w.loop.Post(func() {
@@ -258,7 +258,7 @@
 	w.runOrBatch(t)
 }
 
-// checkAnswers holds every client's answers; late says that all time is up.
+// checkAnswers checks every client's answers; late says that all time is up.
 func (w *interleavingHarness) checkAnswers(late bool) {
 	for _, c := range w.clients {
 		if c.answers > 1 {
@@ -273,7 +273,7 @@
 	}
 }
 
-// checkNothingLeft holds that nothing is left once all have gone.
+// checkNothingLeft checks that nothing is left once all have gone.
 func (w *interleavingHarness) checkNothingLeft() {
 	open := 0
 	for _, p := range w.conns {
@@ -284,7 +284,7 @@
 	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.engines.ConnCount() > 0 {
 		w.fail("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.engines.ConnCount())
 	}
-	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that is spent
+	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that has expired
 		w.fail("%d timers are left", n)
 	}
 }
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -42,14 +42,14 @@
 	}
 }
 
-// requireServing tells whether requests are served.
+// requireServing fails the test unless requests are served.
 func (h *keeperHarness) requireServing(id int) {
 	h.t.Helper()
 	c := h.dial()
 	checkServed(h.t, c, query("lookup", id, "SELECT 1"))
 }
 
-// boardAt waits until a router follows a board, which only one with that configuration does.
+// boardAt waits until a router watches discovery, which only one with that configuration does.
 func boardAt(t *testing.T) (addr string, reached func()) {
 	t.Helper()
 	addr, links := listenDiscovery(t)
@@ -96,7 +96,7 @@
 }
 
 // A router reads its own file again while revisions come: the entries in force stay laid over it, and a file that
-// does not fit with them is refused while what was in force stays.
+// does not fit with them is rejected while what was in force stays.
 func TestReloadWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -109,7 +109,8 @@
 			t.Fatal(err)
 		}
 	}
-	// The board is an entry, the file's own is another one: the entry's is followed whatever the file says.
+	// The address of discovery is an entry, the file's own is another one: the entry's is followed whatever the file
+	// says.
 	addr, reached := boardAt(t)
 	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
@@ -140,7 +141,7 @@
 	text, _ = json.Marshal(doc)
 	harness.editConfig(func(string) string { return string(text) })
 	hup()
-	// It is refused: revisions go on over the file that was in force, which has two classes.
+	// It is rejected: revisions go on over the file that was in force, which has two classes.
 	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
 	if said := k.WaitForRevision(end); said.Rejected != nil {
 		t.Errorf("%+v", said.Rejected)
@@ -218,7 +219,7 @@
 			t.Errorf("%s: revision %d", how.name, got)
 		}
 		harness.requireServing(1)
-		if how.want == 0 { // keepers come back: a SIGHUP tells of another address
+		if how.want == 0 { // keepers come back: a SIGHUP brings another address
 			harness.configureKeepers(k.Addr())
 			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
@@ -251,7 +252,7 @@
 	plain.requireServing(1)
 }
 
-// An upgrade while revisions arrive: the new process is ready with no earlier revision than the old one had, also
+// A hot restart while revisions arrive: the new process is ready with no earlier revision than the old one had, also
 // where it reaches no keeper itself, and both obey the same one in the end.
 func TestHotRestartWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -8,7 +8,7 @@
 )
 
 // What the parts may hold stays within the descriptors, however few there are, and for two processes of one router
-// together. It guards against a small limit that was once taken for none, and against an upgrade that doubles all.
+// together. It guards against a small limit that was once taken for none, and against a hot restart that doubles all.
 func TestLimitsFitDescriptors(t *testing.T) {
 	for _, sockets := range []int{96, 128, 192, 256, 384, 1024} {
 		cfg := &settings.Node{}
@@ -33,9 +33,9 @@
 			t.Errorf("%d descriptors: two processes buffer more than one", sockets)
 		}
 		// One that hangs has all of its own, and the new one keeps to what is left for a successor.
-		guarded := one
-		guarded.restrict(processShare{share: hotrestart.ShareReserve, partner: partner})
-		if n := one.mysql.MaxSessions + one.engines.MaxConns + guarded.mysql.MaxSessions + guarded.engines.MaxConns; n > sockets {
+		degraded := one
+		degraded.restrict(processShare{share: hotrestart.ShareReserve, partner: partner})
+		if n := one.mysql.MaxSessions + one.engines.MaxConns + degraded.mysql.MaxSessions + degraded.engines.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: beside a process that hangs, both hold %d", sockets, n)
 		}
 		if sockets >= 192 && b.engines.MaxConns < 16 {
--- a/internal/node/log_writer_test.go
+++ b/internal/node/log_writer_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// A log that nobody reads holds up nobody who writes it; what does not fit is counted and told once it is read again.
+// A log that nobody reads blocks nobody who writes it; what does not fit is counted and reported once it is read again.
 func TestLogNeverBlocks(t *testing.T) {
 	r, w := io.Pipe() // takes nothing until it is read
 	l := newLogWriter(w)
-	told := make(chan int64, 1)
-	l.onDropped = func(n int64) { told <- n }
+	reported := make(chan int64, 1)
+	l.onDropped = func(n int64) { reported <- n }
 	for range 2 * maxQueuedLines {
 		if _, err := l.Write([]byte("a line\n")); err != nil {
 			t.Fatal(err)
@@ -23,7 +23,7 @@
 		text, _ := io.ReadAll(r)
 		got <- string(text)
 	}()
-	dropped := <-told
+	dropped := <-reported
 	l.flush()
 	_ = w.Close()
 	if n := int64(strings.Count(<-got, "a line\n")); n+dropped != 2*maxQueuedLines || dropped == 0 {
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestMixedProtocolsUnderKilledStreams sends look-ups and loads over both protocols at once, to engines of both, while a
-// seeded part of the engines' connections dies at random bytes. Each request must get one answer, a complete one or an
-// error, and each load must have run at most once.
+// TestMixedProtocolsUnderKilledStreams sends look-ups and loads over both protocols at once, to engines of both,
+// while a seeded part of the engines' connections dies at random bytes. Each request must get one answer, a complete
+// one or an error, and each load must have run at most once.
 func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
 	const workers, each = 6, 25
 	run := &mixedRun{
--- a/internal/node/mysql_client_test.go
+++ b/internal/node/mysql_client_test.go
@@ -56,7 +56,7 @@
 	return body, err
 }
 
-// ask sends a query and reads its whole answer: the number of rows, or the error's code.
+// ask sends a query and reads its complete answer: the number of rows, or the error's code.
 func (m *mysqlClient) ask(query string) (rows, code int, err error) {
 	if err := m.write(0, append([]byte{3}, query...)); err != nil {
 		return 0, 0, err
@@ -64,7 +64,7 @@
 	return m.answer()
 }
 
-// answer reads the whole answer to a query.
+// answer reads the complete answer to a query.
 func (m *mysqlClient) answer() (rows, code int, err error) {
 	ends := 0
 	for first := true; ends < 2; first = false {
@@ -95,7 +95,7 @@
 	return err
 }
 
-// requireServed sends a query and ends the test unless one row is the whole answer.
+// requireServed sends a query and ends the test unless one row is the complete answer.
 func requireServed(t *testing.T, c *mysqlClient, query string) {
 	t.Helper()
 	if rows, code, err := c.ask(query); rows != 1 || code != 0 || err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkServed sends a query and fails the test unless one row is the whole answer.
+// checkServed sends a query and fails the test unless one row is the complete answer.
 func checkServed(t *testing.T, c *mysqlClient, query string) {
 	t.Helper()
 	if err := c.write(0, append([]byte{3}, query...)); err != nil {
@@ -113,7 +113,7 @@
 	checkServedAnswer(t, c, query)
 }
 
-// checkServedAnswer fails the test unless one row is the whole answer to the query that was sent.
+// checkServedAnswer fails the test unless one row is the complete answer to the query that was sent.
 func checkServedAnswer(t *testing.T, c *mysqlClient, what string) {
 	t.Helper()
 	if rows, code, err := c.answer(); rows != 1 || code != 0 || err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 func (n *node) wireServing() {
 	n.limiter = limiter{
 		active: &n.active, services: &n.services, parts: &n.parts, share: n.restart.share,
-		partner: func() usageMessage { return n.usage.theirs }, leaving: n.leaving,
+		partner: n.usage.reported, leaving: n.leaving,
 	}
 	n.configurator = configurator{
 		log: n.log, active: &n.active, services: &n.services, parts: &n.parts, limiter: &n.limiter,
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"slices"
 
 	"windflow/internal/bgp"
 	"windflow/internal/decide/hotrestart"
@@ -71,5 +70,5 @@
 // would take a second session for a collision.
 func predecessorHasSession(restart *coordinator) bool {
 	return restart.hasPredecessor() &&
-		(restart.phase() == hotrestart.PhaseDegraded || slices.Contains(restart.received.state.Parts, bgpPartName))
+		(restart.phase() == hotrestart.PhaseDegraded || restart.predecessorHandsOver(bgpPartName))
 }
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -60,7 +60,7 @@
 		start: func(limits) error {
 			platform := n.active.platform
 			rec.start(*cfg, record.Header{
-				Router: platform.Name, Incarnation: uint64(n.restart.machine.Self),
+				Router: platform.Name, Incarnation: n.restart.processNumber(),
 				ProcessID: record.NewProcessID(n.loop.Now()), Program: programVersion(), Classes: recordedClasses(platform),
 			}, n.log)
 			return nil
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -8,7 +8,7 @@
 )
 
 // Requests that come in pieces over the moment in which the router is told to end, on a connection that has rested,
-// on one that has just been accepted, and half before it and half after, are answered while it drains; then all hear
+// on one that has just been accepted, and half before it and half after, are answered while it drains; then all read
 // the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes crossed
 // the signal.
 func TestPartialPacketsAcrossShutdown(t *testing.T) {
@@ -17,8 +17,8 @@
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	holds, rests, half := harness.dial(), harness.dial(), harness.dial()
-	if err := holds.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
+	blocked, rests, half := harness.dial(), harness.dial(), harness.dial()
+	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
 		t.Fatal(err)
 	}
 	<-engine.started
@@ -62,8 +62,8 @@
 		checkServedAnswer(t, c, name)
 	}
 	close(engine.released)
-	checkServedAnswer(t, holds, "the one that ran:")
-	for name, c := range map[string]*mysqlClient{"holds": holds, "half before": half, "rested": rests, "just accepted": fresh} {
+	checkServedAnswer(t, blocked, "the one that ran:")
+	for name, c := range map[string]*mysqlClient{"blocked": blocked, "half before": half, "rested": rests, "just accepted": fresh} {
 		checkClosed(t, name, c)
 	}
 	if err := p.Wait(); err != nil {
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -7,13 +7,13 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// protocolPeer plays one side of a takeover; heard has the kinds of message that came, but for those that tell what
-// runs.
+// protocolPeer plays one side of a hot restart; received has the messages of the machine that came, but not those
+// that report what runs.
 type protocolPeer struct {
 	link        *hotrestartipc.Link
 	received    chan hotrestartipc.Message
 	linkEnded   chan struct{} // closed with the link; a message may still be in hand then
-	repeatHello func()        // says hello again, as a new process does that is told to wait; nil for one that does not ask
+	repeatHello func()        // says hello again, as a successor does that is answered wait; nil for one that does not ask
 }
 
 func startProtocolPeer(conn *net.UnixConn) *protocolPeer {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// SIGHUP has the program read its file again: it goes on at the board's new address from the last event that it
+// SIGHUP has the program read its file again: it goes on at discovery's new address from the last event that it
 // has, and neither a file that can't be used nor the signal itself ends it.
 func TestReloadMovesDiscovery(t *testing.T) {
 	oldAddr, oldLinks := listenDiscovery(t)
@@ -45,7 +45,7 @@
 	defer first.Close()
 	writeConfig(t, path, "nowhere")
 	hup()
-	// Event 2 comes on the old link, the beginning of event 3 too; the new board must be asked from 2.
+	// Event 2 comes on the old link, the beginning of event 3 too; the new server must be asked from 2.
 	event := func(n byte) []byte { return []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, n, 2} }
 	if _, err := first.Write(append(event(2), event(3)[:7]...)); err != nil {
 		t.Fatal(err)
@@ -62,17 +62,17 @@
 	}()
 	defer second.Close()
 	if second.lastEvent != 2 {
-		t.Errorf("after a bad frame the old board was asked from event %d", second.lastEvent)
+		t.Errorf("after a bad frame the old server was asked from event %d", second.lastEvent)
 	}
 	writeConfig(t, path, newAddr)
 	hup()
 	third := <-newLinks
 	defer third.Close()
 	if third.lastEvent != 2 {
-		t.Errorf("the new board was asked from event %d", third.lastEvent)
+		t.Errorf("the new server was asked from event %d", third.lastEvent)
 	}
 	if _, err := second.Read(make([]byte, 1)); err == nil {
-		t.Error("the link to the old board stayed open")
+		t.Error("the link to the old server stayed open")
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 		t.Errorf("too few descriptors: %v", err)
 	}
 	if n.active.platform.Listen == "127.0.0.1:1" || log.Len() > 0 {
-		t.Errorf("a refused reload left traces: %s", log.String())
+		t.Errorf("a rejected reload left traces: %s", log.String())
 	}
 	better := strings.Replace(mixedSettings, `"attempts-cap":5`, `"attempts-cap":1`, 1)
 	if err := configure(text(1024, strings.Replace(better, "at_most_once", "idempotent", 1))); err != nil {
@@ -126,7 +126,7 @@
 	}
 	for _, want := range []string{"reloaded", "classes[1]: effect", " listen", "/flightsql/listen", "/bgp"} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("the log does not tell of %q: %s", want, log.String())
+			t.Errorf("the log does not name %q: %s", want, log.String())
 		}
 	}
 	kinds := make(chan int, 1)
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -21,7 +21,7 @@
 	return &n
 }
 
-// A configuration that is being replaced is read once it is whole; one with a bad field is refused at once.
+// A configuration that is being replaced is read once it is complete; one with a bad field is rejected at once.
 func TestReadConfigWaitsForCompleteFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	n := replaceSleep(t, func(n int) {
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -55,5 +55,8 @@
 	u.services.core.SetOtherProcessUsage(theirs.Dispatch)
 }
 
+// reported is what the other process has reported last, zero while there is none.
+func (u *usageExchange) reported() usageMessage { return u.theirs }
+
 // partnerEnded forgets what a process had that has ended.
 func (u *usageExchange) partnerEnded() { u.theirs = usageMessage{} }
