--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -42,9 +42,10 @@
 	Elements []wireEndpoint `json:"elements"`
 }
 
-// wireTarget is the part of a message that names its instance.
-type wireTarget struct {
-	Who *int64 `json:"who"`
+// wireHeader has the fields of a message that name its instance and its request.
+type wireHeader struct {
+	Who *int64  `json:"who"`
+	Ref *string `json:"ref"` // of messages about a request
 }
 
 // host has the instances of this process and the numbered endpoint lists.
@@ -93,24 +94,25 @@
 	if name == messageRegister {
 		return h.register(body)
 	}
-	var target wireTarget
-	if err := decode(body, &target); err != nil {
+	var header wireHeader
+	if err := decode(body, &header); err != nil {
 		return err
 	}
-	if target.Who == nil {
+	if header.Who == nil {
 		return errors.New("field who is missing")
 	}
 	switch name {
 	case messageStart:
-		return h.start(*target.Who, body)
+		return h.start(*header.Who, body)
 	case messageRetire:
-		return h.retire(*target.Who)
+		return h.retire(*header.Who)
 	}
-	return h.handleEvent(now, *target.Who, name, body)
+	return h.handleEvent(now, header, name, body)
 }
 
-func (h *host) handleEvent(now time.Duration, who int64, name string, body json.RawMessage) error {
-	event, err := h.event(name, body)
+func (h *host) handleEvent(now time.Duration, header wireHeader, name string, body json.RawMessage) error {
+	who := *header.Who
+	event, err := h.event(header, name, body)
 	if err != nil {
 		return err
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -185,7 +185,7 @@
 	},
 	{"an assumption called given", "assumed;", "given;", `one, relay: to come: the status is "given;`},
 	{
-		"another place for what is not built", "a hop (not built)", "a hop `dispatch`",
+		"a package for a mechanism that is not built", "a hop (not built)", "a hop `dispatch`",
 		"one, relay: to come: is said to be carried by \"a hop `dispatch`\"",
 	},
 	{
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -7,7 +7,7 @@
 
 const oneDay = `{"name":"n","routers":6,"engines":12,"zones":3,"figures":{"served":0.9},"conditions":"c","test":"T"}`
 
-// What is missing, unknown or wrong in the file is named with its place.
+// The error for a field that is missing, unknown or wrong names its position in the file.
 func TestScalesAreReadStrictly(t *testing.T) {
 	days, err := ParseScales([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
--- a/internal/golden/struct_tags_test.go
+++ b/internal/golden/struct_tags_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A struct with a tag on one of its exported fields has one on each. It guards types that no list of encoded types can
-// name: those without a name, as the bodies of calls.
+// A struct with a tag on one of its exported fields has a tag on each. It guards types without a name, such as the
+// bodies of calls, which no list of encoded types can contain.
 func TestNoStructIsTaggedInPart(t *testing.T) {
 	structs := 0
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -14,7 +14,7 @@
 // goldenSegment holds goldenRecords as an earlier program wrote them.
 const goldenSegment = "full.wfr"
 
-// goldenRecords are a segment with each kind of record, all fields set. The event has one field, because several have
+// goldenRecords returns a segment with each kind of record, all fields set. The event has one field, because several have
 // no order among them.
 func goldenRecords() []Record {
 	const start = 1_796_000_000_000.5
@@ -59,7 +59,7 @@
 	}
 }
 
-// encodeSegment gives the records' frames.
+// encodeSegment returns the records' frames.
 func encodeSegment(t *testing.T, records []Record) (segment []byte) {
 	t.Helper()
 	for _, r := range records {
@@ -71,7 +71,7 @@
 	return segment
 }
 
-// decodeSegment gives a segment's records, the header among them.
+// decodeSegment returns a segment's records with the header.
 func decodeSegment(t *testing.T, segment []byte) (records []Record) {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(segment))
@@ -95,7 +95,7 @@
 	return records
 }
 
-// A segment has the bytes that an earlier program gave it, and is read as it was meant.
+// A segment has the bytes that an earlier program wrote, and is read back equal.
 func TestGoldenSegment(t *testing.T) {
 	want := goldenRecords()
 	golden.AllFieldsSet(t, want)
@@ -110,7 +110,7 @@
 	}
 }
 
-// The numbers of states, which segments hold, have the same names as before.
+// The numbers of states, which segments store, have the recorded names.
 func TestGoldenStates(t *testing.T) {
 	var text bytes.Buffer
 	for s := range State(len(stateNames) + 1) {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -82,13 +82,13 @@
 // only where a part of a record is left.
 func TestTruncatedSegmentReadsToItsLastCompleteRecord(t *testing.T) {
 	all := sample()
-	whole := segment(t, all...)
+	complete := segment(t, all...)
 	var ends []int
 	for i := range all {
 		ends = append(ends, len(segment(t, all[:i+1]...)))
 	}
-	for n := range len(whole) + 1 {
-		got, damage, err := readAll(whole[:n])
+	for n := range len(complete) + 1 {
+		got, damage, err := readAll(complete[:n])
 		records, exact := 0, n == 0
 		for _, end := range ends {
 			if end <= n {
@@ -112,10 +112,10 @@
 // Damage to any byte of a record, also of its length, loses that record alone.
 func TestDamageInTheMiddle(t *testing.T) {
 	all := sample()
-	whole := segment(t, all...)
+	complete := segment(t, all...)
 	from, to := len(segment(t, all[:2]...)), len(segment(t, all[:3]...))
 	for i := from; i < to; i++ {
-		bad := bytes.Clone(whole)
+		bad := bytes.Clone(complete)
 		bad[i] ^= 0x5a
 		got, damage, err := readAll(bad)
 		want := append(append([]Record{}, all[1:2]...), all[3:]...)
