--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// An attempt with a bad plan is cancelled where that is allowed, its end awaited, and the request run on another engine.
+// An attempt with a bad plan is cancelled where that is allowed, its end awaited, and the request run on another
+// engine.
 func TestBadPlanIsRerouted(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		config := twoClassConfig()
@@ -78,8 +79,8 @@
 	}
 }
 
-// A request that two engines answered with an error fails: it guards the engines' health, and their time, against requests
-// that no engine can run.
+// A request that two engines answered with an error fails: it guards the engines' health, and their time, against
+// requests that no engine can run.
 func TestRepeatedEngineErrorsFailRequest(t *testing.T) {
 	config := twoClassConfig()
 	config.MaxAttempts = 5
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// benchFleet is one controller of 600 before a fleet, some of whose engines are cold. They stay so: what is measured is a
-// moment after a zone or a region has come back.
-func benchFleet(tb testing.TB, engines int, cold float64) (*Controller, time.Duration, []Endpoint) {
+// benchFleet returns one controller of 600 with an endpoint list, a share of whose engines warm up. They go on to do
+// so: what is measured is a moment after a zone or a region is back.
+func benchFleet(tb testing.TB, engines int, warmingShare float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
 	config := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
 	config.WarmUpDuration = 1000 * time.Hour
@@ -20,7 +20,7 @@
 	var list []Endpoint
 	for i := range engines {
 		e := Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%6), Cell: i % 6, CapacityWeight: 1}
-		if float64(i) < cold*float64(engines) {
+		if float64(i) < warmingShare*float64(engines) {
 			e.StartedAt = now - time.Second - time.Duration(i)*ms
 		}
 		list = append(list, e)
@@ -29,7 +29,12 @@
 	return c, now, list
 }
 
-// benchTraffic is what the classes of the fleet world send, 450 statements a second at this router, each answered after a while.
+const (
+	benchStatementsPerSecond = 450 // at one router
+	benchOpen                = 16  // statements open at a time
+)
+
+// benchTraffic is what the classes of the fleet simulation send to one router, each statement answered after a while.
 type benchTraffic struct {
 	controller *Controller
 	now        time.Duration
@@ -38,48 +43,61 @@
 	actions    []Action
 }
 
+// newBenchTraffic returns traffic with some statements open.
+func newBenchTraffic(c *Controller, now time.Duration) *benchTraffic {
+	traffic := &benchTraffic{controller: c, now: now}
+	for range benchOpen {
+		traffic.arrive()
+	}
+	return traffic
+}
+
+func (t *benchTraffic) handle(event Event) {
+	t.actions = t.controller.Handle(t.now, event, t.actions[:0])
+}
+
 // arrive has one statement arrive.
 func (t *benchTraffic) arrive() {
-	t.now += time.Second / 450
+	t.now += time.Second / benchStatementsPerSecond
 	t.statements++
-	class, est := "lookup", 85*ms
+	class, estimate := "lookup", 85*ms
 	switch {
 	case t.statements%16 == 0:
-		class, est = "load", 900*ms
+		class, estimate = "load", 900*ms
 	case t.statements%6 == 0:
-		class, est = "report", 900*ms
+		class, estimate = "report", 900*ms
 	}
 	id := RequestID(fmt.Sprint(t.statements))
 	t.open = append(t.open, id)
-	t.actions = t.controller.Handle(t.now, Arrival{Request: id, Class: class, TableGroup: int64(t.statements%40 + 1), TimeLeft: 2 * time.Second, Estimate: est, NeedMB: 64}, t.actions[:0])
+	t.handle(Arrival{
+		Request: id, Class: class, TableGroup: int64(t.statements%40 + 1), TimeLeft: 2 * time.Second,
+		Estimate: estimate, NeedMB: 64,
+	})
 }
 
-// end has the oldest one end, whatever became of it.
+// end ends the oldest statement, whatever became of it.
 func (t *benchTraffic) end() {
 	id := t.open[0]
 	t.open = t.open[1:]
-	t.actions = t.controller.Handle(t.now, AttemptEnd{Request: id, Outcome: Served, Last: true}, t.actions[:0])
-	t.actions = t.controller.Handle(t.now, ClientGone{Request: id}, t.actions[:0])
+	t.handle(AttemptEnd{Request: id, Outcome: Served, Last: true})
+	t.handle(ClientGone{Request: id})
 }
 
 var benchSizes = []int{30, 300, 1200, 4800}
 
-// A statement: its arrival, its end and the ticks that fall to it.
+// A statement: its arrival, its end and its part of the timers.
 func BenchmarkStatement(b *testing.B) {
-	for _, n := range benchSizes {
-		for _, cold := range []float64{0, 0.1, 0.17, 0.5} {
-			b.Run(fmt.Sprintf("engines=%d/cold=%.0f%%", n, 100*cold), func(b *testing.B) {
-				c, now, _ := benchFleet(b, n, cold)
-				t := &benchTraffic{controller: c, now: now}
-				for range 16 {
-					t.arrive()
-				}
+	for _, engines := range benchSizes {
+		for _, warmingShare := range []float64{0, 0.1, 0.17, 0.5} {
+			b.Run(fmt.Sprintf("engines=%d/cold=%.0f%%", engines, 100*warmingShare), func(b *testing.B) {
+				c, now, _ := benchFleet(b, engines, warmingShare)
+				traffic := newBenchTraffic(c, now)
 				b.ResetTimer()
 				for range b.N {
-					t.arrive()
-					t.end()
-					if t.statements%4 == 0 {
-						t.actions = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.actions[:0])
+					traffic.arrive()
+					traffic.end()
+					if traffic.statements%4 == 0 {
+						traffic.handle(TimerFired{Tag: housekeepingTag})
 					}
 				}
 			})
@@ -87,37 +105,34 @@
 	}
 }
 
-// A change of the list: one engine begins to drain and is back.
+// A change of the endpoint list: one engine begins to drain, or is back.
 func BenchmarkListChange(b *testing.B) {
-	for _, n := range benchSizes {
-		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			c, now, list := benchFleet(b, n, 0)
-			buf := make([]Action, 0, 16)
+	for _, engines := range benchSizes {
+		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
+			c, now, list := benchFleet(b, engines, 0)
+			actions := make([]Action, 0, 16)
 			for i := range b.N {
 				now += ms
 				e := list[i/2%len(list)]
 				e.State = []EndpointState{Draining, Live}[i%2]
-				c.Handle(now, EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{e}}, buf)
+				c.Handle(now, EndpointList{Mode: ListIncremental, Endpoints: []Endpoint{e}}, actions)
 				c.selector.engines()
 			}
 		})
 	}
 }
 
-// A tick with statements open.
+// A timer with statements open.
 func BenchmarkTick(b *testing.B) {
-	for _, n := range benchSizes {
-		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			c, now, _ := benchFleet(b, n, 0.17)
-			t := &benchTraffic{controller: c, now: now}
-			for range 16 {
-				t.arrive()
-			}
+	for _, engines := range benchSizes {
+		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
+			c, now, _ := benchFleet(b, engines, 0.17)
+			traffic := newBenchTraffic(c, now)
 			b.ResetTimer()
 			for range b.N {
-				t.now += 5 * time.Microsecond
-				c.deadlines.timerAt = t.now
-				t.actions = c.Handle(t.now, TimerFired{Tag: housekeepingTag}, t.actions[:0])
+				traffic.now += 5 * time.Microsecond
+				c.deadlines.timerAt = traffic.now
+				traffic.handle(TimerFired{Tag: housekeepingTag})
 			}
 		})
 	}
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// However much traffic there is, the bounds of all routers add up to what the fleet can do. It guards against a share by
-// own traffic over the tenants' quotas: in a burst each router then used up to all of the fleet, and the congestion
-// outlived the burst.
+// However much traffic there is, the bounds of all routers add up to what the fleet can do. It guards against a share
+// by own traffic over the tenants' quotas: in a burst each router then used up to all of the fleet, and the
+// congestion outlived the burst.
 func TestThreadBoundDoesNotGrowWithTraffic(t *testing.T) {
 	config := twoClassConfig()
 	config.Routers, config.Tenants = 2, []Tenant{{Name: "a", Quota: 5}}
@@ -47,8 +47,8 @@
 	}
 }
 
-// The thread bound shrinks on an engine that is slower than the others: where another program has most of the cores, the
-// usual bound would overload it.
+// The thread bound shrinks on an engine that is slower than the others: where another program has most of the cores,
+// the usual bound would overload it.
 func TestThreadBoundShrinksOnSlowEngine(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -116,8 +116,8 @@
 	}
 }
 
-// The bound of a large fleet leaves out the engines of lost zones, but not those that may be cut off: where few zones are
-// silent, or most of them. What a router observed of a single engine does not undo that.
+// The bound of a large fleet leaves out the engines of lost zones, but not those that may be cut off: where few zones
+// are silent, or most of them. What a router observed of a single engine does not undo that.
 func TestUsableCapacityWithoutLostZones(t *testing.T) {
 	for _, test := range []struct{ zones, silent, usableEngines int }{
 		{5, 0, 60},
--- a/dispatch/cordons_test.go
+++ b/dispatch/cordons_test.go
@@ -50,9 +50,9 @@
 	return attempts
 }
 
-// A cordoned engine gets nothing until it is uncordoned, whatever the endpoint list says meanwhile, a restart included.
-// Then it warms up and yet gets a request while others are idle. Repeats change nothing, and an engine that was once listed
-// stays known.
+// A cordoned engine gets nothing until it is uncordoned, whatever the endpoint list says meanwhile, a restart
+// included. Then it warms up and yet gets a request while others are idle. Repeats change nothing, and an engine that
+// was once listed stays known.
 func TestCordonHoldsUntilUncordon(t *testing.T) {
 	h := newHarness(t, withWarmUp(twoClassConfig()))
 	h.updateEndpoints(ListComplete, testEngines(4)...)
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// Where no progress reports tell of spilling, grants follow the need that outcomes report. It guards against taking the
-// absence of reports for proof that less would do: grants then fell to 0.3 of the estimate, and 0.4 to 0.8 of all queries
-// spilled.
+// Where no progress reports tell of spilling, grants follow the need that outcomes report. It guards against taking
+// the absence of reports for proof that less would do: grants then fell to 0.3 of the estimate, and 0.4 to 0.8 of all
+// queries spilled.
 func TestGrantFollowsNeed(t *testing.T) {
 	for _, test := range []struct{ needOverEstimate, want float64 }{{1, 1}, {1.5, 1.5}, {0.7, 0.7}, {0, 1}} {
 		h := newHarness(t, twoClassConfig())
@@ -133,8 +133,8 @@
 	}
 }
 
-// A wild estimate neither moves a class's mean by much nor waits for memory that no engine grants; table groups that are
-// named once are not remembered for good.
+// A wild estimate neither moves a class's mean by much nor waits for memory that no engine grants; table groups that
+// are named once are not remembered for good.
 func TestWildEstimatesAreBounded(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -7,24 +7,34 @@
 	"windflow/dispatch"
 )
 
-// A controller with one class and one engine sends the first query at once.
+// A controller with one class and one engine starts the first request at once.
 func Example() {
 	c, err := dispatch.New(dispatch.Config{
-		Seed: 7, Routers: 1, MaxAttempts: 3,
-		Kinds:   []dispatch.EngineKind{{Name: "std", Cores: 8}},
-		Classes: []dispatch.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, Threads: 1}},
+		Seed:        7,
+		Routers:     1,
+		MaxAttempts: 3,
+		Kinds:       []dispatch.EngineKind{{Name: "std", Cores: 8}},
+		Classes: []dispatch.Class{{
+			Name:             "lookup",
+			LatencyObjective: time.Second,
+			Deadline:         5 * time.Second,
+			PriorityWeight:   1,
+			Threads:          1,
+		}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := 10 * time.Second
-	actions := c.Handle(now, dispatch.EndpointList{Mode: dispatch.ListComplete, Endpoints: []dispatch.Endpoint{{ID: 1, Kind: "std"}}}, nil)
-	actions = c.Handle(now, dispatch.Arrival{Request: "q1", Class: "lookup", TimeLeft: 5 * time.Second}, actions)
-	for _, a := range actions {
-		if send, ok := a.(dispatch.StartAttempt); ok {
-			fmt.Println("send", send.Request, "to engine", send.Engine)
+	list := []dispatch.Endpoint{{ID: 1, Kind: "std"}}
+	actions := c.Handle(now, dispatch.EndpointList{Mode: dispatch.ListComplete, Endpoints: list}, nil)
+	arrival := dispatch.Arrival{Request: "q1", Class: "lookup", TimeLeft: 5 * time.Second}
+	actions = c.Handle(now, arrival, actions)
+	for _, action := range actions {
+		if start, ok := action.(dispatch.StartAttempt); ok {
+			fmt.Println("start", start.Request, "on engine", start.Engine)
 		}
 	}
-	// Output: send q1 to engine 1
+	// Output: start q1 on engine 1
 }
--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -6,163 +6,209 @@
 	"time"
 )
 
-// This file has the troubles of a fleet that has regions, and machines that are restarted in a row.
+// This file has the faults of a fleet simulation.
 
-// isLost says whether a zone is among those that a day loses or cuts off.
+// isLost reports whether a zone is among those that a scenario loses or cuts off.
 func (f *fleetSimulation) isLost(zone int) bool { return zone < max(1, f.scenario.lostZones) }
 
-// scheduleWideFaults loses whole zones, with their gateways, and restarts and replaces machines in a row.
-func (f *fleetSimulation) scheduleWideFaults() {
-	d := f.scenario
-	if d.zoneLost && d.lostZones > 0 {
-		f.schedule(d.faultAt, func() { f.loseZones() })
-		if d.listDelay > 0 {
-			f.schedule(d.faultAt+d.listDelay, func() { f.announceLost(Removed, 0) })
+// scheduleFaults schedules all faults of the scenario.
+func (f *fleetSimulation) scheduleFaults() {
+	scenario := &f.scenario
+	for i := range f.engines {
+		if f.rng.Float64() >= scenario.replacedShare {
+			continue
+		}
+		at := scenario.faultAt + time.Duration(f.rng.Float64()*float64(scenario.faultFor))
+		f.schedule(at, func() { f.replaceEngine(i) })
+	}
+	if scenario.zoneLost && scenario.lostZones == 0 {
+		for _, e := range f.engines {
+			if f.isLost(e.Cell) {
+				f.scheduleEngineLoss(e)
+			}
 		}
-		f.schedule(d.faultAt+d.faultFor, func() { f.restoreZones() })
 	}
-	if d.rackSize > 0 {
-		f.schedule(d.faultAt, func() { f.loseRack() })
+	f.scheduleWideFaults()
+	if scenario.partitioned {
+		f.schedule(scenario.faultAt, func() { f.partitioned = true })
+		f.schedule(scenario.faultAt+scenario.faultFor, func() { f.partitioned = false })
 	}
-	for i := range d.rollingRestarts {
-		f.schedule(d.faultAt+d.faultFor*time.Duration(i)/time.Duration(d.rollingRestarts), func() { f.restartRouter(f.routers[i%len(f.routers)]) })
+	for _, router := range f.routers {
+		if f.rng.Float64() < scenario.restartedShare {
+			f.schedule(scenario.faultAt, func() { f.startRouter(router) })
+		}
+	}
+}
+
+// scheduleEngineLoss has one engine lost, and back with a restart.
+func (f *fleetSimulation) scheduleEngineLoss(e *fleetEngine) {
+	scenario := &f.scenario
+	f.schedule(scenario.faultAt, func() { e.silent, e.running = true, nil })
+	if scenario.listDelay > 0 {
+		f.schedule(scenario.faultAt+scenario.listDelay, func() {
+			e.State = Removed
+			f.announce(0, e.Endpoint)
+		})
 	}
-	for i := range d.rollingReplacements {
-		f.schedule(d.faultAt+d.faultFor*time.Duration(i)/time.Duration(d.rollingReplacements), func() { f.replaceEngine(i % d.engines) })
+	f.schedule(scenario.faultAt+scenario.faultFor, func() {
+		e.silent, e.State, e.StartedAt = false, Live, f.now
+		f.announce(300*ms, e.Endpoint)
+	})
+}
+
+// scheduleWideFaults has zones lost with their routers, a rack lost, and machines restarted and replaced one by one.
+func (f *fleetSimulation) scheduleWideFaults() {
+	scenario := &f.scenario
+	if scenario.zoneLost && scenario.lostZones > 0 {
+		f.schedule(scenario.faultAt, f.loseZones)
+		if scenario.listDelay > 0 {
+			f.schedule(scenario.faultAt+scenario.listDelay, func() { f.announceLost(Removed, 0) })
+		}
+		f.schedule(scenario.faultAt+scenario.faultFor, f.restoreZones)
+	}
+	if scenario.rackSize > 0 {
+		f.schedule(scenario.faultAt, f.loseRack)
+	}
+	f.scheduleRolling(scenario.rollingRestarts, func(i int) { f.restartRouter(f.routers[i%len(f.routers)]) })
+	f.scheduleRolling(scenario.rollingReplacements, func(i int) { f.replaceEngine(i % scenario.engines) })
+}
+
+// scheduleRolling has something happen n times, evenly over the time of the fault.
+func (f *fleetSimulation) scheduleRolling(n int, run func(i int)) {
+	for i := range n {
+		at := f.scenario.faultAt + f.scenario.faultFor*time.Duration(i)/time.Duration(n)
+		f.schedule(at, func() { run(i) })
 	}
 }
 
-// replaceEngine has an engine drain and die, and a cold one take its place.
-func (f *fleetSimulation) replaceEngine(i int) {
-	e := f.engines[i]
+// replaceEngine has an engine drain and die, and a new one take its place.
+func (f *fleetSimulation) replaceEngine(index int) {
+	e := f.engines[index]
 	e.State = Draining
 	f.announce(200*ms, e.Endpoint)
-	f.schedule(3*time.Second, func() { e.dead = true; f.breakAttempts(e); e.State = Removed; f.announce(200*ms, e.Endpoint) })
+	f.schedule(3*time.Second, func() {
+		e.dead = true
+		f.breakAttempts(e)
+		e.State = Removed
+		f.announce(200*ms, e.Endpoint)
+	})
 	f.schedule(700*ms, func() {
-		fresh := f.addEngine(EngineID(max(1000, f.scenario.engines+1)+i), i)
-		fresh.StartedAt = f.now
-		f.announce(800*ms, fresh.Endpoint)
+		replacement := f.addEngine(EngineID(max(1000, f.scenario.engines+1)+index), index)
+		replacement.StartedAt = f.now
+		f.announce(800*ms, replacement.Endpoint)
 	})
 }
 
-// rack gives the engines and gateways of a rack, all in zone z0.
-func (f *fleetSimulation) rack() (engines []*fleetEngine, gateways []*fleetRouter) {
+// rack returns the engines and routers of a rack, all in zone z0.
+func (f *fleetSimulation) rack() (engines []*fleetEngine, routers []*fleetRouter) {
+	zones, size := f.scenario.zones, f.scenario.rackSize
 	for i, e := range f.engines {
-		if e.Cell == 0 && i/f.scenario.zones < f.scenario.rackSize {
+		if e.Cell == 0 && i/zones < size {
 			engines = append(engines, e)
 		}
 	}
-	for i, r := range f.routers {
-		if i%f.scenario.zones == 0 && i/f.scenario.zones < f.scenario.rackSize/2 {
-			gateways = append(gateways, r)
+	for i, router := range f.routers {
+		if i%zones == 0 && i/zones < size/2 {
+			routers = append(routers, router)
 		}
 	}
-	return engines, gateways
+	return engines, routers
 }
 
-func (f *fleetSimulation) loseRack() {
-	engines, gateways := f.rack()
-	say := func(s EndpointState) {
-		var list []Endpoint
-		for _, e := range engines {
-			e.State = s
-			list = append(list, e.Endpoint)
-		}
-		f.announce(200*ms, list...)
+// announceAll has an endpoint list name all these engines in a state.
+func (f *fleetSimulation) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
+	var list []Endpoint
+	for _, e := range engines {
+		e.State = state
+		list = append(list, e.Endpoint)
 	}
+	f.announce(delay, list...)
+}
+
+// loseRack has a rack lost with its routers, or its engines drained.
+func (f *fleetSimulation) loseRack() {
+	engines, routers := f.rack()
 	if f.scenario.rackDrained {
-		say(Draining)
+		f.announceAll(engines, Draining, 200*ms)
 		f.schedule(3*time.Second, func() {
 			for _, e := range engines {
 				e.dead = true
 				f.breakAttempts(e)
 			}
-			say(Removed)
+			f.announceAll(engines, Removed, 200*ms)
 		})
 		return
 	}
 	for _, e := range engines {
 		e.silent, e.running = true, nil
 	}
-	for _, r := range gateways {
-		f.breakConnections(r)
-		r.down = true
+	for _, router := range routers {
+		f.breakConnections(router)
+		router.down = true
 	}
 	if f.scenario.listDelay > 0 {
-		f.schedule(f.scenario.listDelay, func() { say(Removed) })
+		f.schedule(f.scenario.listDelay, func() { f.announceAll(engines, Removed, 200*ms) })
 	}
 }
 
+// lostEngines are the engines of the lost zones.
+func (f *fleetSimulation) lostEngines() []*fleetEngine {
+	return slices.DeleteFunc(slices.Clone(f.engines), func(e *fleetEngine) bool { return !f.isLost(e.Cell) })
+}
+
 func (f *fleetSimulation) loseZones() {
-	for _, e := range f.engines {
-		if f.isLost(e.Cell) {
-			e.silent, e.running = true, nil
-		}
+	for _, e := range f.lostEngines() {
+		e.silent, e.running = true, nil
 	}
-	for _, r := range f.routers {
-		if f.isLost(r.config.RouterIndex % f.scenario.zones) {
-			f.breakConnections(r)
-			r.down = true
+	for _, router := range f.routers {
+		if f.isLost(router.config.RouterIndex % f.scenario.zones) {
+			f.breakConnections(router)
+			router.down = true
 		}
 	}
 }
 
-func (f *fleetSimulation) announceLost(s EndpointState, late time.Duration) {
-	var list []Endpoint
-	for _, e := range f.engines {
-		if f.isLost(e.Cell) {
-			e.State = s
-			list = append(list, e.Endpoint)
-		}
-	}
-	f.announce(late, list...)
+func (f *fleetSimulation) announceLost(state EndpointState, delay time.Duration) {
+	f.announceAll(f.lostEngines(), state, delay)
 }
 
-// restoreZones has all that was lost start anew, engines cold and gateways knowing nothing.
+// restoreZones restarts all that was lost: engines warm up, and routers know nothing.
 func (f *fleetSimulation) restoreZones() {
-	for _, e := range f.engines {
-		if f.isLost(e.Cell) {
-			e.silent, e.StartedAt = false, f.now
-		}
+	for _, e := range f.lostEngines() {
+		e.silent, e.StartedAt = false, f.now
 	}
 	f.announceLost(Live, 300*ms)
-	for _, r := range f.routers {
-		if r.down {
-			r.down = false
-			f.startRouter(r)
+	for _, router := range f.routers {
+		if router.down {
+			router.down = false
+			f.startRouter(router)
 		}
 	}
 }
 
-// restartRouter ends a gateway and starts it anew, without word from the one before.
-func (f *fleetSimulation) restartRouter(r *fleetRouter) {
-	f.breakConnections(r)
-	f.startRouter(r)
+// restartRouter restarts a router without a hot restart.
+func (f *fleetSimulation) restartRouter(router *fleetRouter) {
+	f.breakConnections(router)
+	f.startRouter(router)
 }
 
-// breakConnections breaks what a gateway has open. Its clients come again, at others; what may not run twice does not.
-func (f *fleetSimulation) breakConnections(r *fleetRouter) {
+// breakConnections breaks the connections of a router's clients. Most send their requests again, to other routers; what
+// must not run twice is not sent again.
+func (f *fleetSimulation) breakConnections(router *fleetRouter) {
 	var open []*fleetRequest
-	for _, q := range r.open {
-		open = append(open, q)
+	for _, req := range router.open {
+		open = append(open, req)
 	}
 	slices.SortFunc(open, func(a, b *fleetRequest) int { return cmp.Compare(a.id, b.id) })
-	r.incarnation++
-	r.open = map[RequestID]*fleetRequest{}
-	for _, q := range open {
-		if r.config.Classes[q.class].LocksTableGroup || q.tries >= 2 || f.rng.Float64() < 0.2 {
+	router.incarnation++
+	router.open = map[RequestID]*fleetRequest{}
+	for _, req := range open {
+		once := router.config.Classes[req.class].LocksTableGroup
+		if once || req.tries >= fleetMaxTries-1 || f.rng.Float64() < 0.2 {
 			continue
 		}
 		f.schedule(time.Duration((0.5+f.rng.Float64())*float64(300*ms)), func() {
-			f.sendRequest(f.availableRouter(r), &fleetRequest{class: q.class, work: q.work, arrivedAt: q.arrivedAt, objective: q.objective, deadline: q.deadline, tries: q.tries + 1})
+			f.sendRequest(f.availableRouter(router), req.again())
 		})
 	}
 }
-
-// availableRouter is where the clients of a gateway go: to itself, or to any that is up.
-func (f *fleetSimulation) availableRouter(r *fleetRouter) *fleetRouter {
-	for r.down {
-		r = f.routers[f.rng.IntN(len(f.routers))]
-	}
-	return r
-}
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -9,16 +9,17 @@
 
 const (
 	ms = time.Millisecond
-	// outstanding is the outcome of an attempt that has not ended.
-	outstanding = Outcome(-1)
 	// harnessStep is the time between two timers of a harness.
 	harnessStep = 10 * ms
 	// answerTolerance is how late an answer may be after the client's deadline: two steps of the harness.
 	answerTolerance = 2 * harnessStep
 )
 
-// harness stands in for the clients, the engines and the endpoint list of one controller, and checks each action against
-// the rules of the classes and settings.
+// outstanding is the outcome of an attempt that has not ended; no event carries it.
+var outstanding = Outcome(-1)
+
+// harness stands in for the clients, the engines and the endpoint list of one controller, and checks each action
+// against the rules of the classes and settings.
 type harness struct {
 	t             *testing.T
 	controller    *Controller
--- a/dispatch/harnesschecks_test.go
+++ b/dispatch/harnesschecks_test.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// budgetAllowed counts a retry, and returns an error if it exceeds the retry budget, whether it starts now or as late as
-// it may.
+// budgetAllowed counts a retry, and returns an error if it exceeds the retry budget, whether it starts now or as late
+// as it may.
 func (h *harness) budgetAllowed(client *clientRequest, _ Endpoint) error {
 	budget := h.config.RetryBudget
 	if len(client.engines) == 0 || budget.Window <= 0 {
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// sixRequests has six requests at a time, so that the other engines have work too, and returns how many attempts were made
-// on an engine. If that is down, these fail.
+// sixRequests has six requests at a time, so that the other engines have work too, and returns how many attempts were
+// made on an engine. If that is down, these fail.
 func (h *harness) sixRequests(id EngineID, down bool) (attempts int) {
 	h.t.Helper()
 	h.advance(20 * ms)
@@ -178,8 +178,8 @@
 	return attempts
 }
 
-// An engine crashes while discovery is silent: the router's own outcomes show it, and the engine warms up when it answers
-// again.
+// An engine crashes while discovery is silent: the router's own outcomes show it, and the engine warms up when it
+// answers again.
 func TestCrashDuringDiscoveryOutage(t *testing.T) {
 	const rounds = 400
 	h := newHarness(t, withShortWarmUp(twoClassConfig()))
--- a/dispatch/hotrestart_test.go
+++ b/dispatch/hotrestart_test.go
@@ -38,8 +38,8 @@
 	return snapshot
 }
 
-// A successor knows what its predecessor knew: cordons, warm-ups, failures, what classes take. It guards against a warming
-// engine that is overloaded after a hot restart, and a cordon that ends with the process that it was sent to.
+// A successor knows what its predecessor knew: cordons, warm-ups, failures, what classes take. It guards against a
+// warming engine that is overloaded after a hot restart, and a cordon that ends with the process that it was sent to.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := withWarmUp(twoClassConfig())
 	predecessor := usedHarness(t, config)
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// incompleteConfig has settings as an installation might have them by mistake or omission: no kinds, kinds without memory
-// or cores, no zones or five, classes without threads, no limits, no progress reports.
+// incompleteConfig has settings as an installation might have them by mistake or omission: no kinds, kinds without
+// memory or cores, no zones or five, classes without threads, no limits, no progress reports.
 func incompleteConfig(rng *rand.Rand) Config {
 	config := randomConfig(rng)
 	config.MemoryShortage, config.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -45,7 +45,8 @@
 		classes.all[i].objectiveRatio = ratio
 		for j := range n {
 			arrivedAt := time.Duration(i*10 + j)
-			queues.push(&request{class: classes.all[i], arrivedAt: arrivedAt, objective: arrivedAt + time.Second}, false)
+			req := &request{class: classes.all[i], arrivedAt: arrivedAt, objective: arrivedAt + time.Second}
+			queues.push(req, false)
 		}
 	}
 	return queues
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// A tenant without a quota and an unknown one never exceed it; one with a quota does once its burst is used up, and a new
-// quota applies without a new burst.
+// A tenant without a quota and an unknown one never exceed it; one with a quota does once its burst is used up, and a
+// new quota applies without a new burst.
 func TestTenantQuotas(t *testing.T) {
 	q := quotasOf(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
 	exceeded := func(name string) (n int) {
--- a/dispatch/scalemigration_test.go
+++ b/dispatch/scalemigration_test.go
@@ -5,66 +5,81 @@
 	"time"
 )
 
-// loadMigration sees how loads leave the engines of a rack: the last that is sent there, and when each gateway that had sent it loads, and
-// is still up, sends its first to another.
+// loadMigration records how loads leave the engines of a rack: the last one that starts there, and when each router
+// that had started loads there, and is still up, starts its first one on another engine.
 type loadMigration struct {
 	simulation     *fleetSimulation
-	beganAt        time.Duration
-	oldEngines     map[*fleetEngine]bool
-	users          map[*fleetRouter]bool // before it
+	beganAt        time.Duration // 0 before the rack is lost
+	rackEngines    map[*fleetEngine]bool
+	users          map[*fleetRouter]bool // routers that started loads on the rack before
 	firstElsewhere map[*fleetRouter]time.Duration
-	lastAtOld      time.Duration
+	lastOnRack     time.Duration
 }
 
-func (m *loadMigration) recordStart(r *fleetRouter, e *fleetEngine, load bool) {
+// recordStart records an attempt, if it is of a load.
+func (m *loadMigration) recordStart(router *fleetRouter, target *fleetEngine, load bool) {
 	if !load {
 		return
 	}
-	if m.oldEngines == nil { // the rack's engines are known from the day alone
-		m.oldEngines, m.users, m.firstElsewhere = map[*fleetEngine]bool{}, map[*fleetRouter]bool{}, map[*fleetRouter]time.Duration{}
-		engines, _ := m.simulation.rack()
-		for _, e := range engines {
-			m.oldEngines[e] = true
-		}
+	if m.rackEngines == nil {
+		m.findRack()
 	}
 	switch {
-	case m.beganAt == 0 && m.oldEngines[e]:
-		m.users[r] = true
+	case m.beganAt == 0 && m.rackEngines[target]:
+		m.users[router] = true
 	case m.beganAt == 0:
-	case m.oldEngines[e]:
-		m.lastAtOld = m.simulation.now
+	case m.rackEngines[target]:
+		m.lastOnRack = m.simulation.now
 	default:
-		if _, ok := m.firstElsewhere[r]; !ok {
-			m.firstElsewhere[r] = m.simulation.now
+		if _, ok := m.firstElsewhere[router]; !ok {
+			m.firstElsewhere[router] = m.simulation.now
 		}
 	}
 }
 
+// findRack finds the engines of the rack, which follow from the scenario.
+func (m *loadMigration) findRack() {
+	m.rackEngines = map[*fleetEngine]bool{}
+	m.users = map[*fleetRouter]bool{}
+	m.firstElsewhere = map[*fleetRouter]time.Duration{}
+	engines, _ := m.simulation.rack()
+	for _, e := range engines {
+		m.rackEngines[e] = true
+	}
+}
+
 func (m *loadMigration) begin() { m.beganAt = m.simulation.now }
 
-// check wants the last load at the old engines, and the first elsewhere of the last gateway, within a time.
+// check checks that the last load on the rack, and the first one elsewhere of the last router, started within a time in
+// seconds, and adds the figures under the names of docs/capacity/scale.json.
 func (m *loadMigration) check(t *testing.T, within float64, figures map[string]float64) {
+	t.Helper()
 	first, last, users := 0.0, 0.0, 0
-	for r := range m.users {
-		if r.down {
+	for router := range m.users {
+		if router.down {
 			continue
 		}
 		users++
-		at, ok := m.firstElsewhere[r]
+		at, ok := m.firstElsewhere[router]
 		if !ok {
-			t.Errorf("gateway %d sent no load elsewhere", r.config.RouterIndex)
+			t.Errorf("router %d started no load elsewhere", router.config.RouterIndex)
 			continue
 		}
-		s := (at - m.beganAt).Seconds()
-		if last = max(last, s); first == 0 || s < first {
-			first = s
+		after := (at - m.beganAt).Seconds()
+		last = max(last, after)
+		if first == 0 || after < first {
+			first = after
 		}
 	}
-	old := max(0, (m.lastAtOld - m.beganAt).Seconds())
-	if users == 0 || old > within || last > within {
-		t.Errorf("the last load to the old engines after %.2f s, the first elsewhere of the last of %d gateways after %.2f s, want %.2f", old, users, last, within)
+	onRack := max(0, (m.lastOnRack - m.beganAt).Seconds())
+	if users == 0 || onRack > within || last > within {
+		t.Errorf("last load on the rack after %.2f s, first elsewhere of the last of %d after %.2f s, want %.2f",
+			onRack, users, last, within)
 	}
-	t.Logf("loads: last to the old engines after %.2f s; first elsewhere after %.2f s, at the last of %d gateways after %.2f s", old, first, users, last)
-	figures["last load at the old, s"], figures["first load at the new, s"] = old, first
-	figures["first load at the new at the last gateway, s"], figures["gateways that had sent them loads"] = last, float64(users)
+	t.Logf("loads: last on the rack after %.2f s; first elsewhere after %.2f s, of the last of %d after %.2f s",
+		onRack, first, users, last)
+	figures["last load at the old, s"] = onRack
+	figures["first load at the new, s"] = first
+	figures["first load at the new at the last gateway, s"] = last
+	figures["gateways that had sent them loads"] = float64(users)
 }
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -46,8 +46,8 @@
 	return set
 }
 
-// checkUsers checks how many routers use each engine that is left when some have been removed, evenly over the list, and
-// adds the figures.
+// checkUsers checks how many routers use each engine that is left when some have been removed, evenly over the list,
+// and adds the figures.
 func checkUsers(t *testing.T, name string, removed int, figures map[string]float64) {
 	t.Helper()
 	var left []Endpoint
@@ -99,9 +99,9 @@
 }
 
 // Subsets at the size that is designed for: which engines no router uses when lists say that many are gone, how many
-// routers the most used engine has over the mean, and how many subset members change when one engine is removed. The last
-// figure is a known weakness; the test keeps it from growing, and its figures are those of the capacity page, under the
-// names that the page gives them.
+// routers the most used engine has over the mean, and how many subset members change when one engine is removed. The
+// last figure is a known weakness; the test keeps it from growing, and its figures are those of the capacity page,
+// under the names that the page gives them.
 func TestSubsetsOfLargeFleet(t *testing.T) {
 	figures := map[string]float64{}
 	for _, test := range []struct {
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// Where most of a group's engines are down, its readers go to others: bound to their engines, they would all be rejected.
+// Where most of a group's engines are down, its readers go to others: bound to their engines, they would all be
+// rejected.
 func TestReadersLeaveAffinityEnginesThatAreDown(t *testing.T) {
 	h := newHarness(t, loadConfig())
 	h.updateEndpoints(ListComplete, testEngines(6)...)
--- a/dispatch/tracedriver_test.go
+++ b/dispatch/tracedriver_test.go
@@ -9,8 +9,8 @@
 	"windflow/internal/tracetest"
 )
 
-// traceDriver drives a controller with random events of all kinds, from a fixed seed, and writes all that it does into a
-// trace. After a takeover it drives two, which tell each other what they have running.
+// traceDriver drives a controller with random events of all kinds, from a fixed seed, and writes all actions into a
+// trace. During a hot restart it drives two, which exchange what they have running.
 type traceDriver struct {
 	t           *testing.T
 	hash        *tracetest.Hash
@@ -19,12 +19,12 @@
 	now         time.Duration
 	controllers []*traceController
 	engines     []Endpoint
-	maxEngines  int    // engines over all time
-	lostZone    string // zone whose engines do not answer
-	lastID      int    // number of the latest request
+	maxEngines  int    // over all time
+	lostZone    string // whose engines do not answer
+	lastID      int
 }
 
-// traceController is one controller and what it has open.
+// traceController is one controller with its open requests.
 type traceController struct {
 	index      int
 	controller *Controller
@@ -33,10 +33,11 @@
 	timerTag   int64
 }
 
+// traceRequest is an open request.
 type traceRequest struct {
 	id          RequestID
 	attempts    []EngineID
-	outstanding []int // attempts without an outcome
+	outstanding []int // indices of attempts without an outcome
 	answered    bool
 }
 
@@ -44,35 +45,40 @@
 const traceEngines = 9
 
 func newTraceDriver(t *testing.T, h *tracetest.Hash, config Config, seed uint64, engines int) *traceDriver {
-	w := &traceDriver{t: t, hash: h, rng: rand.New(rand.NewPCG(seed, 2026)), config: config, now: time.Hour, maxEngines: 3 * engines}
+	t.Helper()
+	d := &traceDriver{
+		t: t, hash: h, rng: rand.New(rand.NewPCG(seed, 2026)), config: config, now: time.Hour, maxEngines: 3 * engines,
+	}
 	for i := range engines {
-		w.engines = append(w.engines, w.newEngine(EngineID(i+1)))
+		d.engines = append(d.engines, d.newEngine(EngineID(i+1)))
 	}
-	w.start()
-	return w
+	d.start()
+	return d
 }
 
-// newEngine gives an engine, some of them large, some of another kind.
-func (w *traceDriver) newEngine(id EngineID) Endpoint {
-	kind := []string{"small", "large", "unknown"}[w.rng.IntN(3)]
+// newEngine returns an engine, some of them large, some of an unknown kind.
+func (d *traceDriver) newEngine(id EngineID) Endpoint {
+	kind := []string{"small", "large", "unknown"}[d.rng.IntN(3)]
 	cell := int(id) % 4
-	return Endpoint{ID: id, Cell: cell, Zone: fmt.Sprint("z", cell/2), Kind: kind, CapacityWeight: float64(1 + w.rng.IntN(8))}
+	return Endpoint{
+		ID: id, Cell: cell, Zone: fmt.Sprint("z", cell/2), Kind: kind, CapacityWeight: float64(1 + d.rng.IntN(8)),
+	}
 }
 
-// start adds a controller that knows the list.
-func (w *traceDriver) start() *traceController {
-	c, err := New(w.config)
+// start adds a controller that knows the endpoint list.
+func (d *traceDriver) start() *traceController {
+	controller, err := New(d.config)
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	s := &traceController{index: len(w.controllers), controller: c}
-	w.controllers = append(w.controllers, s)
-	w.handle(s, EndpointList{Mode: ListComplete, Endpoints: w.listed()})
-	return s
+	c := &traceController{index: len(d.controllers), controller: controller}
+	d.controllers = append(d.controllers, c)
+	d.handle(c, EndpointList{Mode: ListComplete, Endpoints: d.listed()})
+	return c
 }
 
-func (w *traceDriver) listed() (list []Endpoint) {
-	for _, e := range w.engines {
+func (d *traceDriver) listed() (list []Endpoint) {
+	for _, e := range d.engines {
 		if e.State != Removed {
 			list = append(list, e)
 		}
@@ -80,234 +86,251 @@
 	return list
 }
 
-func (w *traceDriver) handle(s *traceController, ev Event) {
-	for _, a := range s.controller.Handle(w.now, ev, nil) {
-		traceAction(w.hash, s.index, a)
-		w.carryOut(s, a)
+func (d *traceDriver) handle(c *traceController, event Event) {
+	for _, action := range c.controller.Handle(d.now, event, nil) {
+		traceAction(d.hash, c.index, action)
+		d.carryOut(c, action)
 	}
 }
 
-// carryOut does what the controller wants done.
-func (w *traceDriver) carryOut(s *traceController, a Action) {
-	switch a := a.(type) {
+func (d *traceDriver) carryOut(c *traceController, action Action) {
+	switch action := action.(type) {
 	case StartAttempt:
-		if r := s.request(a.Request); r != nil {
-			r.outstanding = append(r.outstanding, len(r.attempts))
-			r.attempts = append(r.attempts, a.Engine)
+		if req := c.request(action.Request); req != nil {
+			req.outstanding = append(req.outstanding, len(req.attempts))
+			req.attempts = append(req.attempts, action.Engine)
 		}
 	case Reject:
-		s.recordAnswer(a.Request)
+		c.recordAnswer(action.Request)
 	case FailRequest:
-		s.recordAnswer(a.Request)
+		c.recordAnswer(action.Request)
 	case SetTimer:
-		s.timerAt, s.timerTag = w.now+a.After, a.Tag
+		c.timerAt, c.timerTag = d.now+action.After, action.Tag
+	case SetResources, CancelAttempt, Subscribe: // no event follows from these
 	}
 }
 
-func (s *traceController) request(id RequestID) *traceRequest {
-	for _, r := range s.requests {
-		if r.id == id {
-			return r
+func (c *traceController) request(id RequestID) *traceRequest {
+	for _, req := range c.requests {
+		if req.id == id {
+			return req
 		}
 	}
 	return nil
 }
 
-func (s *traceController) recordAnswer(id RequestID) {
-	if r := s.request(id); r != nil {
-		r.answered = true
+func (c *traceController) recordAnswer(id RequestID) {
+	if req := c.request(id); req != nil {
+		req.answered = true
 	}
 }
 
-// dropFinished drops requests that are answered and have no attempt out.
-func (s *traceController) dropFinished() {
-	kept := s.requests[:0]
-	for _, r := range s.requests {
-		if !r.answered || len(r.outstanding) > 0 {
-			kept = append(kept, r)
+// dropFinished drops requests that are answered and have no attempt outstanding.
+func (c *traceController) dropFinished() {
+	open := c.requests[:0]
+	for _, req := range c.requests {
+		if !req.answered || len(req.outstanding) > 0 {
+			open = append(open, req)
 		}
 	}
-	s.requests = kept
+	c.requests = open
 }
 
-// run plays so many steps on random controllers.
-func (w *traceDriver) run(steps int) {
+// run plays so many events on random controllers.
+func (d *traceDriver) run(steps int) {
 	for i := range steps {
-		w.advance()
-		w.step(w.controllers[w.rng.IntN(len(w.controllers))])
+		d.advance()
+		d.step(d.controllers[d.rng.IntN(len(d.controllers))])
 		if i%500 == 499 {
-			w.traceState()
+			d.traceState()
 		}
 	}
-	w.traceState()
+	d.traceState()
 }
 
 // advance lets time pass, up to the next timer at most.
-func (w *traceDriver) advance() {
-	until := w.now + time.Duration(w.rng.IntN(int(12*ms)))
-	if w.rng.IntN(400) == 0 {
-		until += time.Duration(w.rng.IntN(int(4 * time.Second)))
-	}
-	for _, s := range w.controllers {
-		if s.timerAt > 0 && s.timerAt <= until {
-			w.now = max(w.now, s.timerAt)
-			s.timerAt = 0
-			w.handle(s, TimerFired{Tag: s.timerTag})
+func (d *traceDriver) advance() {
+	until := d.now + time.Duration(d.rng.IntN(int(12*ms)))
+	if d.rng.IntN(400) == 0 {
+		until += time.Duration(d.rng.IntN(int(4 * time.Second)))
+	}
+	for _, c := range d.controllers {
+		if c.timerAt > 0 && c.timerAt <= until {
+			d.now = max(d.now, c.timerAt)
+			c.timerAt = 0
+			d.handle(c, TimerFired{Tag: c.timerTag})
 		}
 	}
-	w.now = max(w.now, until)
+	d.now = max(d.now, until)
 }
 
-// traceState writes what the controllers know, and what they think of the fleet.
-func (w *traceDriver) traceState() {
-	for _, s := range w.controllers {
-		var v View
-		s.controller.FillView(w.now, &v)
-		traceViewOf(w.hash, &v)
-		traceSnapshotOf(w.hash, s.controller.Snapshot())
-		traceUsageOf(w.hash, s.controller.Usage(w.now))
-		w.hash.Int(int64(s.controller.AvoidedEngines(w.now)))
-		s.dropFinished()
+// traceState adds what the controllers know of the fleet.
+func (d *traceDriver) traceState() {
+	for _, c := range d.controllers {
+		var view View
+		c.controller.FillView(d.now, &view)
+		traceViewOf(d.hash, &view)
+		traceSnapshotOf(d.hash, c.controller.Snapshot())
+		traceUsageOf(d.hash, c.controller.Usage(d.now))
+		d.hash.Int(int64(c.controller.AvoidedEngines(d.now)))
+		c.dropFinished()
 	}
 }
 
-func (w *traceDriver) step(s *traceController) {
-	switch n := w.rng.IntN(200); {
+// step has a random event happen on a controller.
+func (d *traceDriver) step(c *traceController) {
+	switch n := d.rng.IntN(200); {
 	case n < 70:
-		w.arrive(s)
+		d.arrive(c)
 	case n < 150:
-		w.endAttempt(s)
+		d.endAttempt(c)
 	case n < 162:
-		w.reportProgress(s)
+		d.reportProgress(c)
 	case n < 170:
-		w.handle(s, EngineLoad{Engine: w.anyEngine(), Report: *w.randomReport()})
+		d.handle(c, EngineLoad{Engine: d.anyEngine(), Report: *d.randomReport()})
 	case n < 174:
-		w.startResponse(s)
+		d.startResponse(c)
 	case n < 179:
-		w.leave(s)
+		d.leave(c)
 	case n < 190:
-		w.changeEngine(s)
+		d.changeEngine(c)
 	case n < 193:
-		w.sendList(s)
+		d.sendList(c)
 	case n < 195:
-		w.toggleCordon(s)
+		d.toggleCordon(c)
 	case n < 197:
-		w.hotRestart(s)
+		d.hotRestart(c)
 	case n < 198:
-		w.configure(s)
+		d.configure(c)
 	default:
-		w.sendInvalid(s)
+		d.sendInvalid(c)
 	}
 }
 
-// arrive has a client come. Requests of all controllers have ids of their own.
-func (w *traceDriver) arrive(s *traceController) {
-	k := w.config.Classes[w.rng.IntN(len(w.config.Classes))]
-	w.lastID++
-	a := Arrival{Request: RequestID(fmt.Sprint("q", w.lastID)), Class: k.Name, TimeLeft: k.Deadline, Resent: w.rng.IntN(8) == 0}
-	a.Tenant = []string{"", "a", "b", "stranger"}[w.rng.IntN(4)]
-	if w.rng.IntN(2) == 0 {
-		a.Key = fmt.Sprint("key", w.rng.IntN(6))
-	}
-	if w.rng.IntN(2) == 0 {
-		a.TableGroup = TableGroupOf(uint32(w.rng.IntN(5)))
-	}
-	if w.rng.IntN(3) > 0 {
-		a.Estimate = time.Duration(w.rng.ExpFloat64() * float64(200*ms))
-		a.NeedMB = w.rng.ExpFloat64() * 300
-	}
-	if w.rng.IntN(10) == 0 {
-		a.TimeLeft = time.Duration(w.rng.Float64() * float64(k.Deadline))
-	}
-	s.requests = append(s.requests, &traceRequest{id: a.Request})
-	w.handle(s, a)
+// arrive has a request arrive. Identifiers are unique over all controllers.
+func (d *traceDriver) arrive(c *traceController) {
+	class := d.config.Classes[d.rng.IntN(len(d.config.Classes))]
+	d.lastID++
+	arrival := Arrival{
+		Request: RequestID(fmt.Sprint("q", d.lastID)), Class: class.Name, TimeLeft: class.Deadline,
+		Resent: d.rng.IntN(8) == 0,
+	}
+	arrival.Tenant = []string{"", "a", "b", "stranger"}[d.rng.IntN(4)]
+	if d.rng.IntN(2) == 0 {
+		arrival.Key = fmt.Sprint("key", d.rng.IntN(6))
+	}
+	if d.rng.IntN(2) == 0 {
+		arrival.TableGroup = TableGroupOf(uint32(d.rng.IntN(5)))
+	}
+	if d.rng.IntN(3) > 0 {
+		arrival.Estimate = time.Duration(d.rng.ExpFloat64() * float64(200*ms))
+		arrival.NeedMB = d.rng.ExpFloat64() * 300
+	}
+	if d.rng.IntN(10) == 0 {
+		arrival.TimeLeft = time.Duration(d.rng.Float64() * float64(class.Deadline))
+	}
+	c.requests = append(c.requests, &traceRequest{id: arrival.Request})
+	d.handle(c, arrival)
 }
 
-// outstanding gives an attempt that is under way, with its place in the request's list, or nil.
-func (w *traceDriver) outstanding(s *traceController) (r *traceRequest, at int) {
+// outstanding returns a random request with an outstanding attempt, and the attempt's position among the outstanding
+// ones; nil if a few draws found none.
+func (d *traceDriver) outstanding(c *traceController) (req *traceRequest, at int) {
 	for range 20 {
-		if len(s.requests) == 0 {
+		if len(c.requests) == 0 {
 			return nil, 0
 		}
-		r = s.requests[w.rng.IntN(len(s.requests))]
-		if len(r.outstanding) > 0 {
-			return r, w.rng.IntN(len(r.outstanding))
+		req = c.requests[d.rng.IntN(len(c.requests))]
+		if len(req.outstanding) > 0 {
+			return req, d.rng.IntN(len(req.outstanding))
 		}
 	}
 	return nil, 0
 }
 
-// endAttempt has an attempt end: most are served, those of engine 3 seldom.
-func (w *traceDriver) endAttempt(s *traceController) {
-	r, at := w.outstanding(s)
-	if r == nil {
+// endAttempt ends an attempt: most are served, those on engine 3 seldom.
+func (d *traceDriver) endAttempt(c *traceController) {
+	req, at := d.outstanding(c)
+	if req == nil {
 		return
 	}
-	hop := r.outstanding[at]
-	r.outstanding = append(r.outstanding[:at], r.outstanding[at+1:]...)
-	o := Served
-	if w.rng.IntN(4) == 0 || r.attempts[hop] == 3 && w.rng.IntN(8) > 0 {
-		o = Outcome(w.rng.IntN(int(NotSent) + 1))
+	attempt := req.outstanding[at]
+	req.outstanding = append(req.outstanding[:at], req.outstanding[at+1:]...)
+	outcome := Served
+	if d.rng.IntN(4) == 0 || req.attempts[attempt] == 3 && d.rng.IntN(8) > 0 {
+		outcome = Outcome(d.rng.IntN(int(NotSent) + 1))
 	}
-	if w.lostZone != "" && w.engines[r.attempts[hop]-1].Zone == w.lostZone {
-		o = ConnectFailed
+	if d.lostZone != "" && d.engines[req.attempts[attempt]-1].Zone == d.lostZone {
+		outcome = ConnectFailed
 	}
-	ev := AttemptEnd{Request: r.id, Attempt: hop, Outcome: o, Took: time.Duration(w.rng.ExpFloat64() * float64(300*ms))}
-	ev.Last = o == Served && !r.answered
-	r.answered = r.answered || ev.Last
-	if w.rng.IntN(2) == 0 {
-		ev.Report = w.randomReport()
+	event := AttemptEnd{
+		Request: req.id, Attempt: attempt, Outcome: outcome,
+		Took: time.Duration(d.rng.ExpFloat64() * float64(300*ms)),
 	}
-	if o == Served && w.rng.IntN(3) > 0 {
-		ev.Work = time.Duration(w.rng.ExpFloat64() * float64(250*ms))
-		ev.NeedMB = w.rng.ExpFloat64() * 400
+	event.Last = outcome == Served && !req.answered
+	req.answered = req.answered || event.Last
+	if d.rng.IntN(2) == 0 {
+		event.Report = d.randomReport()
 	}
-	w.handle(s, ev)
+	if outcome == Served && d.rng.IntN(3) > 0 {
+		event.Work = time.Duration(d.rng.ExpFloat64() * float64(250*ms))
+		event.NeedMB = d.rng.ExpFloat64() * 400
+	}
+	d.handle(c, event)
 }
 
-// randomReport gives a report, with some figures unknown.
-func (w *traceDriver) randomReport() *LoadReport {
-	l := &LoadReport{
-		InFlight: float64(w.rng.IntN(20)), Waiting: float64(w.rng.IntN(3)), Busy: w.rng.Float64(), Disk: w.rng.Float64(),
-		Memory: 1.2 * w.rng.Float64(), Failing: w.rng.Float64(),
-	}
-	for _, v := range []*float64{&l.InFlight, &l.Waiting, &l.Busy, &l.Disk, &l.Memory, &l.Failing} {
-		if w.rng.IntN(6) == 0 {
-			*v = -1
+// randomReport returns a load report with some figures unknown.
+func (d *traceDriver) randomReport() *LoadReport {
+	report := &LoadReport{
+		InFlight: float64(d.rng.IntN(20)),
+		Waiting:  float64(d.rng.IntN(3)),
+		Busy:     d.rng.Float64(),
+		Disk:     d.rng.Float64(),
+		Memory:   1.2 * d.rng.Float64(),
+		Failing:  d.rng.Float64(),
+	}
+	for _, figure := range []*float64{
+		&report.InFlight, &report.Waiting, &report.Busy, &report.Disk, &report.Memory, &report.Failing,
+	} {
+		if d.rng.IntN(6) == 0 {
+			*figure = -1
 		}
 	}
-	return l
+	return report
 }
 
-func (w *traceDriver) anyEngine() EngineID { return EngineID(1 + w.rng.IntN(len(w.engines)+1)) }
+// anyEngine returns the identifier of a random engine, or one that is unknown.
+func (d *traceDriver) anyEngine() EngineID { return EngineID(1 + d.rng.IntN(len(d.engines)+1)) }
 
-func (w *traceDriver) reportProgress(s *traceController) {
-	r, at := w.outstanding(s)
-	if r == nil {
+func (d *traceDriver) reportProgress(c *traceController) {
+	req, at := d.outstanding(c)
+	if req == nil {
 		return
 	}
-	ev := AttemptProgress{Request: r.id, Attempt: r.outstanding[at], Kind: ProgressKind(w.rng.IntN(4))}
-	switch ev.Kind {
+	event := AttemptProgress{Request: req.id, Attempt: req.outstanding[at], Kind: ProgressKind(d.rng.IntN(4))}
+	switch event.Kind {
+	case ProgressAlive:
 	case ProgressFraction:
-		ev.Amount = w.rng.Float64()
+		event.Amount = d.rng.Float64()
 	case ProgressSpilling:
-		ev.Amount = w.rng.ExpFloat64() * 500
+		event.Amount = d.rng.ExpFloat64() * 500
 	case ProgressBlocked:
-		ev.Amount = float64(1 + w.rng.IntN(2))
+		event.Amount = float64(1 + d.rng.IntN(2))
 	}
-	w.handle(s, ev)
+	d.handle(c, event)
 }
 
-func (w *traceDriver) startResponse(s *traceController) {
-	if r, at := w.outstanding(s); r != nil {
-		w.handle(s, ResponseStarted{Request: r.id, Attempt: r.outstanding[at]})
+func (d *traceDriver) startResponse(c *traceController) {
+	if req, at := d.outstanding(c); req != nil {
+		d.handle(c, ResponseStarted{Request: req.id, Attempt: req.outstanding[at]})
 	}
 }
 
-func (w *traceDriver) leave(s *traceController) {
-	if len(s.requests) > 0 {
-		r := s.requests[w.rng.IntN(len(s.requests))]
-		r.answered = true
-		w.handle(s, ClientGone{Request: r.id})
+// leave has the client of a request leave.
+func (d *traceDriver) leave(c *traceController) {
+	if len(c.requests) > 0 {
+		req := c.requests[d.rng.IntN(len(c.requests))]
+		req.answered = true
+		d.handle(c, ClientGone{Request: req.id})
 	}
 }
--- a/dispatch/traceencoding_test.go
+++ b/dispatch/traceencoding_test.go
@@ -4,57 +4,57 @@
 	"windflow/internal/tracetest"
 )
 
-// This file writes actions and snapshots into a trace, field by field. The numbers of the kinds are those of the
-// recorded traces and must not change.
+// This file adds actions and snapshots to a trace, field by field. Their order and the numbers of the steps are those
+// of the recorded traces and must not change.
 
-// Kinds of step in a trace.
+// Kinds of steps in a trace.
 const (
-	traceSend      = 1
-	traceSetTerms  = 2
+	traceStart     = 1
+	traceResources = 2
 	traceCancel    = 3
-	traceRefuse    = 4
+	traceReject    = 4
 	traceFail      = 5
 	traceSubscribe = 6
 	traceSetTimer  = 7
 	traceSnapshot  = 20
-	traceUse       = 21
+	traceUsage     = 21
 	traceView      = 22
 	traceConfigure = 23
 )
 
 // traceAction adds an action of one of several controllers.
-func traceAction(h *tracetest.Hash, controller int, a Action) {
-	switch a := a.(type) {
+func traceAction(h *tracetest.Hash, controller int, action Action) {
+	switch action := action.(type) {
 	case StartAttempt:
-		h.Step(traceSend)
-		h.String(string(a.Request))
-		h.Uint(uint64(a.Engine))
-		h.Duration(a.Timeout)
-		h.Duration(a.StartWithin)
+		h.Step(traceStart)
+		h.String(string(action.Request))
+		h.Uint(uint64(action.Engine))
+		h.Duration(action.Timeout)
+		h.Duration(action.StartWithin)
 	case SetResources:
-		h.Step(traceSetTerms)
-		h.String(string(a.Request))
-		h.Float(a.GrantMB)
-		h.Int(int64(a.Priority))
+		h.Step(traceResources)
+		h.String(string(action.Request))
+		h.Float(action.GrantMB)
+		h.Int(int64(action.Priority))
 	case CancelAttempt:
 		h.Step(traceCancel)
-		h.String(string(a.Request))
-		h.Int(int64(a.Attempt))
+		h.String(string(action.Request))
+		h.Int(int64(action.Attempt))
 	case Reject:
-		h.Step(traceRefuse)
-		h.String(string(a.Request))
-		h.Duration(a.RetryAfter)
+		h.Step(traceReject)
+		h.String(string(action.Request))
+		h.Duration(action.RetryAfter)
 	case FailRequest:
 		h.Step(traceFail)
-		h.String(string(a.Request))
+		h.String(string(action.Request))
 	case Subscribe:
 		h.Step(traceSubscribe)
 	case SetTimer:
 		h.Step(traceSetTimer)
-		h.Int(a.Tag)
-		h.Duration(a.After)
+		h.Int(action.Tag)
+		h.Duration(action.After)
 	default:
-		panic("an action that the trace does not know")
+		panic("an action without a trace")
 	}
 	h.Int(int64(controller))
 }
@@ -79,8 +79,11 @@
 	h.Int(int64(len(s.Classes)))
 	for _, k := range s.Classes {
 		h.String(k.Name)
-		for _, v := range []float64{k.MeanServiceTime, k.BoundedServiceTime, k.BestServiceTime, k.MeanEstimate, k.GrantCorrection, k.Observations} {
-			h.Float(v)
+		for _, figure := range []float64{
+			k.MeanServiceTime, k.BoundedServiceTime, k.BestServiceTime,
+			k.MeanEstimate, k.GrantCorrection, k.Observations,
+		} {
+			h.Float(figure)
 		}
 		h.Duration(k.ObservedAt)
 	}
@@ -95,11 +98,11 @@
 	}
 }
 
-func traceUsageOf(h *tracetest.Hash, use OtherProcessUsage) {
-	h.Step(traceUse)
-	h.Int(int64(use.Queued))
-	h.Int(int64(len(use.Engines)))
-	for _, u := range use.Engines {
+func traceUsageOf(h *tracetest.Hash, usage OtherProcessUsage) {
+	h.Step(traceUsage)
+	h.Int(int64(usage.Queued))
+	h.Int(int64(len(usage.Engines)))
+	for _, u := range usage.Engines {
 		h.Uint(uint64(u.ID))
 		for _, v := range []float64{u.Threads, u.PreferredThreads, u.Work, u.GrantedMB, u.WarmUpWork} {
 			h.Float(v)
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -93,8 +93,8 @@
 	return list
 }
 
-// request has a request arrive, and be served if it is started. A timer rejects those queued too long, which would block
-// their queue.
+// request has a request arrive, and be served if it is started. A timer rejects those queued too long, which would
+// block their queue.
 func (m *manyRouters) request(c *Controller, at time.Duration, id RequestID) {
 	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
 	for _, action := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
@@ -159,8 +159,8 @@
 	return starts
 }
 
-// Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved their
-// budgets and use them at once: what was due in two windows, and one query more, may meet in one.
+// Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved
+// their budgets and use them at once: what was due in two windows, and one query more, may meet in one.
 func TestBudgetsUsedAtOnce(t *testing.T) {
 	const routers, window = 300, 1500 * ms
 	most, total := 0.0, 0
@@ -180,8 +180,8 @@
 	}
 }
 
-// Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up began,
-// each at a fraction of its own: they do not all have a quantum at once, whenever they start.
+// Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up
+// began, each at a fraction of its own: they do not all have a quantum at once, whenever they start.
 func TestHotRestartsBeginNoBurst(t *testing.T) {
 	most := 0
 	for k := range 40 {
