--- a/cmd/simadapter/encoded_test.go
+++ b/cmd/simadapter/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes returns the types of this package that are encoded as JSON outside the process. The types of their
-// fields are found by reflection.
+// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
+// itself.
 func encodedTypes() []any {
-	return []any{wireBatch{}, wireReply{}, wireStart{}, wireRegister{}, wireHeader{}, wireEvent{}}
+	return []any{wireBatch{}, wireReply{}, wireStart{}, wireRegister{}, wireTarget{}, wireEvent{}}
 }
 
-// Each encoded field has a tag with its encoded name, so that the name in the code can change.
+// Each field that is encoded names itself in a tag, so that the name in the code can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -70,8 +70,9 @@
 	}, err
 }
 
-// wireEvent has the fields of all messages that are events, beside those of wireHeader.
+// wireEvent has the fields of all messages that are events.
 type wireEvent struct {
+	Ref         *string            `json:"ref"`
 	Sheet       int64              `json:"sheet"`
 	Mode        string             `json:"mode"`
 	EstimateNS  int64              `json:"estimate-ns"`
@@ -95,7 +96,7 @@
 }
 
 // event translates a message; nil is a message that the controller does not need.
-func (h *host) event(header wireHeader, name string, body json.RawMessage) (dispatch.Event, error) {
+func (h *host) event(name string, body json.RawMessage) (dispatch.Event, error) {
 	var message wireEvent
 	if err := decode(body, &message); err != nil {
 		return nil, err
@@ -110,7 +111,7 @@
 	case messageInbox:
 		return nil, nil
 	case messageRequest, messageProgress, messageAttemptEnd, messageStreaming, messageAborted:
-		return message.requestEvent(header.Ref, name)
+		return message.requestEvent(name)
 	}
 	return nil, errors.New("unknown message")
 }
@@ -140,11 +141,11 @@
 }
 
 // requestEvent translates a message about one request.
-func (m *wireEvent) requestEvent(ref *string, name string) (dispatch.Event, error) {
-	if ref == nil || *ref == "" {
+func (m *wireEvent) requestEvent(name string) (dispatch.Event, error) {
+	if m.Ref == nil || *m.Ref == "" {
 		return nil, errors.New("field ref is missing")
 	}
-	id := dispatch.RequestID(*ref)
+	id := dispatch.RequestID(*m.Ref)
 	switch name {
 	case messageRequest:
 		return m.arrival(id), nil
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -42,10 +42,9 @@
 	Elements []wireEndpoint `json:"elements"`
 }
 
-// wireHeader has the fields of a message that name its instance and its request.
-type wireHeader struct {
-	Who *int64  `json:"who"`
-	Ref *string `json:"ref"` // of messages about a request
+// wireTarget is the part of a message that names its instance.
+type wireTarget struct {
+	Who *int64 `json:"who"`
 }
 
 // host has the instances of this process and the numbered endpoint lists.
@@ -94,25 +93,24 @@
 	if name == messageRegister {
 		return h.register(body)
 	}
-	var header wireHeader
-	if err := decode(body, &header); err != nil {
+	var target wireTarget
+	if err := decode(body, &target); err != nil {
 		return err
 	}
-	if header.Who == nil {
+	if target.Who == nil {
 		return errors.New("field who is missing")
 	}
 	switch name {
 	case messageStart:
-		return h.start(*header.Who, body)
+		return h.start(*target.Who, body)
 	case messageRetire:
-		return h.retire(*header.Who)
+		return h.retire(*target.Who)
 	}
-	return h.handleEvent(now, header, name, body)
+	return h.handleEvent(now, *target.Who, name, body)
 }
 
-func (h *host) handleEvent(now time.Duration, header wireHeader, name string, body json.RawMessage) error {
-	who := *header.Who
-	event, err := h.event(header, name, body)
+func (h *host) handleEvent(now time.Duration, who int64, name string, body json.RawMessage) error {
+	event, err := h.event(name, body)
 	if err != nil {
 		return err
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -68,9 +68,7 @@
 		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0,
 		`,"table-group":1e300`: 0,
 	} {
-		ref := "a"
-		body := json.RawMessage(`{"ref":"a","kind":"lookup"` + field + `}`)
-		ev, err := (&host{}).event(wireHeader{Ref: &ref}, "REQ", body)
+		ev, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
 		if a, ok := ev.(dispatch.Arrival); err != nil || !ok || a.TableGroup != want {
 			t.Errorf("%s: %+v, %v, want group %d", field, ev, err, want)
 		}
