--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -26,9 +26,9 @@
 	"/name", "/listen", "/seed", "/limits", "/control", "/known", "/settings/me", "/settings/zone",
 }
 
-// CheckEntry returns why an entry is not valid, whatever it is laid over, or nil: its pointer has to name a field
+// checkEntry returns why an entry is not valid, whatever it is laid over, or nil: its pointer has to name a field
 // that entries may set, and its value has to be JSON of the field's type. The error is a *configerror.Error.
-func CheckEntry(pointer string, value Value) error {
+func checkEntry(pointer string, value Value) error {
 	names := splitPointer(pointer)
 	if err := checkPointer(pointer, names); err != nil {
 		return err
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -27,7 +27,7 @@
 	document := &jsonTree{raw: platform}
 	for _, pointer := range slices.Sorted(maps.Keys(entries)) {
 		value := entries[pointer]
-		if err := CheckEntry(pointer, value); err != nil {
+		if err := checkEntry(pointer, value); err != nil {
 			return nil, err
 		}
 		if err := checkNotNested(pointer, entries); err != nil {
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -156,7 +156,7 @@
 		}
 		fields++
 		text, _ := json.Marshal(v)
-		if err := CheckEntry(pointer, text); err != nil {
+		if err := checkEntry(pointer, text); err != nil {
 			t.Error(err)
 		}
 	}
