--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -47,7 +47,8 @@
 	serve := &cobra.Command{
 		Use:   "serve",
 		Short: "Serve as one keeper of a group of up to five",
-		Long: "Serve as one keeper of a group of up to five, until SIGTERM. All are started with the same --peers; the first start\n" +
+		Long: "Serve as one keeper of a group of up to five, until SIGTERM. " +
+			"All are started with the same --peers; the first start\n" +
 			"needs all of them. Neither address has any authentication: loopback or a trusted network only.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return arguments.run(command.Context()) },
--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -60,7 +60,10 @@
 			t.Fatal(command, err)
 		}
 		deps := strings.Split(string(out), "\n")
-		for _, library := range []string{"github.com/hashicorp/raft", "github.com/hashicorp/raft-boltdb/v2", "go.etcd.io/bbolt", "windflow/internal/keeper"} {
+		for _, library := range []string{
+			"github.com/hashicorp/raft", "github.com/hashicorp/raft-boltdb/v2",
+			"go.etcd.io/bbolt", "windflow/internal/keeper",
+		} {
 			linked := false
 			for _, d := range deps {
 				linked = linked || d == library || strings.HasPrefix(d, library+"/")
@@ -137,7 +140,8 @@
 func TestBuiltProgram(t *testing.T) {
 	running := startBuiltKeeper(t)
 	running.checkChange(`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`)
-	running.checkChange(`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422, `"pointer":"/settings/over-share-worth"`)
+	running.checkChange(`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422,
+		`"pointer":"/settings/over-share-worth"`)
 	running.checkChange(`{"id":"c","put":{"/listen":"127.0.0.1:1"}}`, 422, `"pointer":"/listen"`)
 	running.checkChange(`{"id":"d","expect":0,"put":{"/settings/over-share-worth":0.5}}`, 409, `"revision":1`)
 	var status struct {
--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -41,7 +41,8 @@
 
 // One poll without an update, with the keeper's side of it in the same process; the bytes are those of HTTP.
 func BenchmarkPoll(b *testing.B) {
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
+	noContent := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
+	s := httptest.NewUnstartedServer(http.HandlerFunc(noContent))
 	l := &counting{Listener: s.Listener}
 	s.Listener = l
 	s.Start()
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -147,7 +147,8 @@
 		if codes[0] != 200 {
 			won, lost = 1, 0
 		}
-		if codes[won] != 200 || replies[won].Revision != round+1 || codes[lost] != 409 || replies[lost].Kind != "conflict" || replies[lost].Revision != round+1 {
+		if codes[won] != 200 || replies[won].Revision != round+1 || codes[lost] != 409 || replies[lost].Kind != "conflict" ||
+			replies[lost].Revision != round+1 {
 			t.Fatalf("round %d: %v %+v", round, codes, replies)
 		}
 	}
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -196,7 +196,10 @@
 		c.damage()
 		g.members[victim].start()
 		g.waitForRevision(victim, last)
-		waitUntil(t, "a vote again", func() bool { s := g.status(victim); return s.Folder.Votes && s.Folder.Stage == "member" })
+		waitUntil(t, "a vote again", func() bool {
+			s := g.status(victim)
+			return s.Folder.Votes && s.Folder.Stage == "member"
+		})
 		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.why) {
 			t.Errorf("aside %q, want %q", s.Folder.Aside, c.why)
 		}
@@ -225,7 +228,8 @@
 	waitUntil(t, "the empty keeper's place in the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
 	g.kill(leader)
 	var no reply
-	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 || no.Kind != "no-majority" {
+	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 ||
+		no.Kind != "no-majority" {
 		t.Errorf("the two that lack revision 2 say %d %+v", code, no)
 	}
 	if s := g.status(lost); s.Folder.Votes || s.Revision != 0 {
@@ -285,7 +289,9 @@
 // The newest snapshot is damaged, and the entries before it are compacted.
 func TestDamagedSnapshot(t *testing.T) {
 	t.Parallel()
-	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond })
+	g := startGroup(t, 3, func(_ int, o *keeper.Options) {
+		o.SnapshotThreshold, o.SnapshotInterval = 8, 100*time.Millisecond
+	})
 	for n := range 40 {
 		g.change(0, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
 	}
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -67,7 +67,9 @@
 // pollUntil polls a keeper until the follower has a revision.
 func (f *follower) pollUntil(i int, rev uint64) {
 	f.g.t.Helper()
-	waitUntil(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool { return f.revision >= rev || f.poll(i, 1000) != 200 && f.revision >= rev })
+	waitUntil(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool {
+		return f.revision >= rev || f.poll(i, 1000) != 200 && f.revision >= rev
+	})
 }
 
 // report reports to a keeper what is in force.
@@ -91,7 +93,10 @@
 	calls := make(chan got, 2)
 	go func() { calls <- got{a.poll(1, 700)} }()
 	go func() { calls <- got{b.poll(2, 700)} }()
-	waitUntil(t, "two calls held", func() bool { return g.status(1).Counters["waiting"] == 1 && g.status(2).Counters["waiting"] == 1 })
+	waitUntil(t, "two calls held", func() bool {
+		return g.status(1).Counters["waiting"] == 1 &&
+			g.status(2).Counters["waiting"] == 1
+	})
 	g.change(0, put("second", "/settings/over-share-worth", "2"))
 	for range 2 {
 		if c := <-calls; c.code != 200 {
@@ -99,13 +104,17 @@
 		}
 	}
 	a.report(1)
-	b.revision, b.refused = 1, &configlog.Rejection{Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much"}
+	b.revision = 1
+	b.refused = &configlog.Rejection{
+		Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much",
+	}
 	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.poll(2, 0); code != http.StatusNoContent {
 		t.Errorf("a follower that refused the revision is offered it again: %d", code)
 	}
 	v = g.rollout(0, "revision=2")
-	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 || v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
+	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 ||
+		v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
 		t.Errorf("one refused: %+v", v)
 	}
 	waitUntil(t, "a follower that doesn't call is gone", func() bool {
@@ -199,7 +208,8 @@
 		g.waitForRevision(2, 1050)
 		f.pollUntil(2, 1050)
 		if len(f.updates) != 1 || f.updates[0].Snapshot || len(f.updates[0].Put) > 6 || len(f.content) != 56 {
-			t.Errorf("%s: %d updates, snapshot %v, %d entries of %d", f.name, len(f.updates), f.updates[0].Snapshot, len(f.updates[0].Put), len(f.content))
+			t.Errorf("%s: %d updates, snapshot %v, %d entries of %d", f.name, len(f.updates), f.updates[0].Snapshot,
+				len(f.updates[0].Put), len(f.content))
 		}
 	}
 	fresh := follower{g: g, name: "fresh", instance: "1"}
@@ -207,7 +217,10 @@
 	if len(fresh.updates) != 1 || !reflect.DeepEqual(fresh.content, wide.content) {
 		t.Errorf("fresh: %d updates, %d entries", len(fresh.updates), len(fresh.content))
 	}
-	first := follower{g: g, name: "first", instance: "1", revision: 1, hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)})}
+	first := follower{
+		g: g, name: "first", instance: "1", revision: 1,
+		hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}),
+	}
 	first.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
 	first.pollUntil(2, 1050)
 	if len(first.updates) != 1 || !reflect.DeepEqual(first.content, wide.content) {
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -23,7 +23,8 @@
 
 // varying are the parts of answers that differ from run to run; their names stay in the golden files.
 var varying = []*regexp.Regexp{
-	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|term|last_index|applied_index)":[0-9.e+]+`),
+	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|` +
+		`term|last_index|applied_index)":[0-9.e+]+`),
 	regexp.MustCompile(`"(dir)":"[^"]*"`),
 	regexp.MustCompile(`(of type|is no) [^ ]*keeper\.[^ "]*`), // names of Go types in errors of encoding/json
 	regexp.MustCompile(`(dial) tcp [0-9.:]+`),
@@ -129,7 +130,8 @@
 		"/settings/over-share-worth": json.RawMessage(worth),
 		"/board":                     json.RawMessage(board),
 	})
-	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b","revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
+	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b",`+
+		`"revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
 		name, revision, hash, rest)
 }
 
@@ -144,8 +146,10 @@
 	golden.Equal(t, "calls-operators.txt", runCalls(t, address, nil, []step{
 		{"GET", "/v1/config", ""},
 		{"GET", "/v1/revisions", ""},
-		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`), change("a", "2", ""),
-		change("b", "2", `,"expect":0`), change("b", "2", `,"expect":1`), change("c", "8", ""), change("d", "3", ""), change("e", "4", ""),
+		change("a", "1", `,"expect":0,"note":"first","at_ms":5`), change("a", "1", `,"expect":0,"note":"first"`),
+		change("a", "2", ""),
+		change("b", "2", `,"expect":0`), change("b", "2", `,"expect":1`), change("c", "8", ""), change("d", "3", ""),
+		change("e", "4", ""),
 		{"POST", changes, `{"id":"f","remove":["/board"]}`},
 		{"POST", changes, `{"id":"f","put":{"/listen":1}}`},
 		{"POST", changes, `{"id":"f"}`},
@@ -180,9 +184,13 @@
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
-	refused := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`, 7)
+	refused := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`,
+		7)
 	put := func(id, value string) step {
-		return step{"POST", "/v1/changes", fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board)}
+		return step{
+			"POST", "/v1/changes",
+			fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board),
+		}
 	}
 	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
 	golden.Equal(t, "calls-followers.txt", runCalls(t, address, nil, []step{
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -68,7 +68,8 @@
 		o := Options{
 			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTPAddr: p.HTTPAddr, RaftAddr: p.RaftAddr, Peers: peers,
 			Check: func(map[string]json.RawMessage) *configerror.Error { return nil }, Log: slog.New(slog.DiscardHandler),
-			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond, ChangeTimeout: goldenWithin,
+			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond,
+			ChangeTimeout: goldenWithin,
 		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
@@ -258,7 +259,8 @@
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
 		t.Errorf("a change of before, sent again: %s, want %s", got, want)
 	}
-	got = c.ask(t, 1, http.MethodPost, "/v1/changes", configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
+	got = c.ask(t, 1, http.MethodPost, "/v1/changes",
+		configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
 	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
 		t.Errorf("a new change: %s, want %s", got, want)
 	}
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -24,8 +24,10 @@
 // peerAnswers are what a keeper of an earlier program answers to another one, by path.
 var peerAnswers = map[string]string{
 	"/v1/peer": `{"cluster":"golden","id":"k2","stage":"member","leader":"k3"}`,
-	"/v1/leases": `{"keeper":"k2","settled":true,"leases":[{"name":"r1","instance":"i","revision":4,"hash":"` + strings.Repeat("01", 32) +
-		`","refused":{"revision":5,"hash":"` + strings.Repeat("02", 32) + `","pointer":"/board","reason":"no"},"until_ms":12.5}]}`,
+	"/v1/leases": `{"keeper":"k2","settled":true,"leases":[{"name":"r1","instance":"i","revision":4,"hash":"` +
+		strings.Repeat("01", 32) +
+		`","refused":{"revision":5,"hash":"` + strings.Repeat("02", 32) +
+		`","pointer":"/board","reason":"no"},"until_ms":12.5}]}`,
 	"/v1/leader": `{"id":"k2","last_index":17}`,
 	"/v1/roster": `{}`,
 }
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -17,7 +17,10 @@
 
 // sampleCommands are the entries of a replicated log, by golden file; together they set each field.
 func sampleCommands() map[string]command {
-	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1.5"), "/board": json.RawMessage(`"board:7300"`)}
+	put := map[string]json.RawMessage{
+		"/settings/over-share-worth": json.RawMessage("1.5"),
+		"/board":                     json.RawMessage(`"board:7300"`),
+	}
 	return map[string]command{
 		"command-put.bin": {Change: &changeCommand{Base: 7, Change: configlog.Change{
 			ID: "change-8", Expect: pointerTo(uint64(7)),
@@ -27,7 +30,10 @@
 			ID: "change-9", RevertTo: pointerTo(uint64(7)),
 			Note: "back", AtMS: 1_796_000_000_456,
 		}}},
-		"command-join.bin":   {Join: []followerProcess{{"r1", "00000000000a-000000000000000b"}, {"r2", "00000000000c-000000000000000d"}}},
+		"command-join.bin": {Join: []followerProcess{
+			{"r1", "00000000000a-000000000000000b"},
+			{"r2", "00000000000c-000000000000000d"},
+		}},
 		"command-forget.bin": {Forget: "r2"},
 	}
 }
@@ -55,7 +61,10 @@
 	t.Helper()
 	m := newStateMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
 	put := func(id, pointer, value string) configlog.Change {
-		return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}, Note: "note of " + id, AtMS: 1_796_000_000_000}
+		return configlog.Change{
+			ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)},
+			Note: "note of " + id, AtMS: 1_796_000_000_000,
+		}
 	}
 	for i, c := range []command{
 		{Change: &changeCommand{Base: 0, Change: put("a", "/settings/over-share-worth", "1")}},
@@ -64,8 +73,14 @@
 		{Join: []followerProcess{{"r1", "second"}}},
 		{Change: &changeCommand{Base: 2, Change: put("c", "/settings/parties/north", `{"share":2}`)}},
 		{Forget: "r3"},
-		{Change: &changeCommand{Base: 3, Change: configlog.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004}}},
-		{Change: &changeCommand{Base: 4, Change: configlog.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005}}},
+		{Change: &changeCommand{
+			Base:   3,
+			Change: configlog.Change{ID: "d", Remove: []string{"/board"}, AtMS: 1_796_000_000_004},
+		}},
+		{Change: &changeCommand{
+			Base:   4,
+			Change: configlog.Change{ID: "e", RevertTo: pointerTo(uint64(3)), Note: "back", AtMS: 1_796_000_000_005},
+		}},
 	} {
 		m.Apply(logEntry(t, uint64(i+1), c))
 	}
@@ -93,7 +108,10 @@
 	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), golden.Read(t, file)) {
 		t.Errorf("a snapshot of what was read differs: %v", err)
 	}
-	if out := read.Apply(&raft.Log{Index: 9, Type: raft.LogCommand, Data: golden.Read(t, "command-forget.bin")}); out != true {
+	if out := read.Apply(&raft.Log{
+		Index: 9, Type: raft.LogCommand,
+		Data: golden.Read(t, "command-forget.bin"),
+	}); out != true {
 		t.Errorf("r2 is not forgotten: %v", out)
 	}
 }
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -34,7 +34,10 @@
 	}
 	for i := range n {
 		id := fmt.Sprintf("k%d", i+1)
-		o := keeper.Options{ID: id, Dir: filepath.Join(dir, id), HTTPAddr: http[i], RaftAddr: raft[i], ChangeTimeout: 10 * time.Second}
+		o := keeper.Options{
+			ID: id, Dir: filepath.Join(dir, id), HTTPAddr: http[i], RaftAddr: raft[i],
+			ChangeTimeout: 10 * time.Second,
+		}
 		for j := range n {
 			p := keeper.Peer{ID: fmt.Sprintf("k%d", j+1), RaftAddr: raft[j], HTTPAddr: http[j]}
 			if i != j {
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -29,7 +29,10 @@
 			Counters map[string]int64 `json:"counters"`
 		}
 		g.get(i, "/v1/status", &s)
-		return figures{term: s.Term, bytes: s.Counters["raft_bytes_in"] + s.Counters["raft_bytes_out"], ticks: cpuTicks(t, g.members[i].cmd.Process.Pid)}
+		return figures{
+			term: s.Term, bytes: s.Counters["raft_bytes_in"] + s.Counters["raft_bytes_out"],
+			ticks: cpuTicks(t, g.members[i].cmd.Process.Pid),
+		}
 	}
 	var before [5]figures
 	for i := range before {
@@ -39,8 +42,10 @@
 	time.Sleep(*idle) // what is measured is the time in which nothing is asked
 	for i := range before {
 		now, rss := look(i), residentKB(t, g.members[i].cmd.Process.Pid)
-		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v", g.members[i].options.ID, rss,
-			float64(now.ticks-before[i].ticks)/idle.Seconds(), float64(now.bytes-before[i].bytes)/idle.Seconds(), now.term-before[i].term, i == leader)
+		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v",
+			g.members[i].options.ID, rss,
+			float64(now.ticks-before[i].ticks)/idle.Seconds(), float64(now.bytes-before[i].bytes)/idle.Seconds(),
+			now.term-before[i].term, i == leader)
 		if rss > maxIdleKB && !raced {
 			t.Errorf("%s has %d kB resident", g.members[i].options.ID, rss)
 		}
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -50,7 +50,8 @@
 		t.Errorf("%+v", p)
 	}
 	var r reply
-	if code := g.post(third, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 || r.Revision != 2 || !r.Repeated {
+	if code := g.post(third, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
+		r.Revision != 2 || !r.Repeated {
 		t.Errorf("asked again: %d %+v", code, r)
 	}
 	g.members[leader].start()
@@ -77,7 +78,8 @@
 	g.leader()
 	for _, o := range others {
 		var r reply
-		if code := g.post(o, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 || r.Revision != 2 || r.Repeated != (o == others[1]) {
+		if code := g.post(o, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
+			r.Revision != 2 || r.Repeated != (o == others[1]) {
 			t.Errorf("%d %+v", code, r)
 		}
 	}
@@ -124,7 +126,8 @@
 	if v := <-verdict; v.err != nil || v.code != 200 || v.Converged {
 		t.Errorf("revision 2 is with no follower, and it says %+v", v)
 	}
-	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) || p.code != 200 && p.code != 503 {
+	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) ||
+		p.code != 200 && p.code != 503 {
 		t.Errorf("repeated: %+v", p)
 	}
 	if p := <-conflict; p.err != nil || p.code != 409 && p.code != 503 {
@@ -185,7 +188,8 @@
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	f := follower{g: g, name: "r1", instance: "a"}
 	for n := range 30 {
-		g.change(n%3, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%7), fmt.Sprintf(`{"quota-rps":%d}`, n+1)))
+		g.change(n%3, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%7),
+			fmt.Sprintf(`{"quota-rps":%d}`, n+1)))
 	}
 	f.pollUntil(1, 30)
 	before := g.waitForRevision(0, 30)
@@ -198,14 +202,16 @@
 	g.leader()
 	g.checkEqualState(30)
 	after := g.waitForRevision(2, 30)
-	if before.Hash != after.Hash || len(after.Entries) != 7 || string(after.Entries["/settings/parties/p1"]) != `{"quota-rps":30}` {
+	if before.Hash != after.Hash || len(after.Entries) != 7 ||
+		string(after.Entries["/settings/parties/p1"]) != `{"quota-rps":30}` {
 		t.Errorf("before %v, after %v", before, after)
 	}
 	if s := g.status(0); s.Roster != 1 || len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
 		t.Errorf("%+v", s)
 	}
 	var r reply
-	if code := g.post(0, "/v1/changes", put("c3", "/settings/parties/p3", `{"quota-rps":4}`), &r); code != 200 || r.Revision != 4 || !r.Repeated {
+	if code := g.post(0, "/v1/changes", put("c3", "/settings/parties/p3", `{"quota-rps":4}`), &r); code != 200 ||
+		r.Revision != 4 || !r.Repeated {
 		t.Errorf("a change from before: %d %+v", code, r)
 	}
 }
@@ -243,7 +249,9 @@
 	there.pollUntil(many[1], 2)
 	there.report(many[1])
 	var v rolloutReply
-	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority || !slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) || !slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
+	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority ||
+		!slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) ||
+		!slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
 		t.Errorf("the majority doesn't know what the other region has, and says %d %+v", code, v)
 	}
 	v = rolloutReply{}
@@ -269,7 +277,8 @@
 	newcomer.pollUntil(few[1], last)
 	newcomer.report(few[1])
 	v = rolloutReply{}
-	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last || len(v.InForce) != 3 {
+	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last ||
+		len(v.InForce) != 3 {
 		t.Errorf("joined: %d %+v", code, v)
 	}
 }
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -87,17 +87,20 @@
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
 		v := g.waitForConvergence(rev)
 		if len(v.InForce) != *followerCount {
-			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing), v.UnreachedKeepers)
+			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing),
+				v.UnreachedKeepers)
 		}
 		took = append(took, time.Since(sent).Round(time.Millisecond))
 	}
 	moreTicks, moreIn, moreOut := look()
 	slices.Sort(took)
-	t.Logf("from the call to the verdict that it is everywhere: %v", took)
+	t.Logf("from the call to reported convergence: %v", took)
 	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(from).Seconds(),
-		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount), (moreOut-out)/int64(*followerCount))
+		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount),
+		(moreOut-out)/int64(*followerCount))
 	for i := range g.members {
-		t.Logf("%s: %d kB resident, %d calls held", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid), g.status(i).Counters["waiting"])
+		t.Logf("%s: %d kB resident, %d calls held", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
+			g.status(i).Counters["waiting"])
 	}
 	dead := g.leader()
 	g.kill(dead)
@@ -107,7 +110,8 @@
 	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
 		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
-	t.Logf("from the kill of the leader to the verdict that a change is everywhere: %v", time.Since(sent).Round(time.Millisecond))
+	t.Logf("from the kill of the leader to the convergence of a change: %v",
+		time.Since(sent).Round(time.Millisecond))
 }
 
 func (g *group) waitForConvergence(rev uint64) rolloutReply {
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -39,7 +39,8 @@
 	if out := m.Apply(logEntry(t, 1, changeEntry("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := m.Apply(logEntry(t, 2, changeEntry("b", 0, "2"))).(changeOutcome); !out.BaseMoved || m.summary().Revision != 1 {
+	if out := m.Apply(logEntry(t, 2, changeEntry("b", 0, "2"))).(changeOutcome); !out.BaseMoved ||
+		m.summary().Revision != 1 {
 		t.Errorf("%+v", out)
 	}
 	if out := m.Apply(logEntry(t, 3, changeEntry("b", 1, "2"))).(changeOutcome); out.BaseMoved || out.Revision != 2 {
@@ -50,7 +51,13 @@
 // A state that is restored from a snapshot is the same, and continues the same.
 func TestSnapshotRoundTrip(t *testing.T) {
 	m := newStateMachine(configlog.Retention{Revisions: 2})
-	for i, c := range []command{changeEntry("a", 0, "1"), {Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}}, changeEntry("b", 1, "2"), {Forget: "r2"}, changeEntry("c", 2, "3")} {
+	for i, c := range []command{
+		changeEntry("a", 0, "1"),
+		{Join: []followerProcess{{"r2", "i"}, {"r1", "i"}}},
+		changeEntry("b", 1, "2"),
+		{Forget: "r2"},
+		changeEntry("c", 2, "3"),
+	} {
 		m.Apply(logEntry(t, uint64(i+1), c))
 	}
 	s, err := m.Snapshot()
@@ -67,7 +74,8 @@
 	default:
 		t.Error("who waits isn't woken by a snapshot")
 	}
-	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) || len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
+	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) ||
+		len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
 		t.Errorf("%+v, %+v, %v", m.summary(), other.summary(), other.followerNames())
 	}
 	if out := other.Apply(logEntry(t, 9, changeEntry("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
@@ -109,7 +117,8 @@
 			newStateMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
 		}()
 	}
-	if err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log)); err != raft.ErrLogNotFound { //nolint:errorlint // raft compares with ==, so the error must not be wrapped
+	err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log))
+	if err != raft.ErrLogNotFound { //nolint:errorlint // raft compares with ==, so the error must not be wrapped
 		t.Errorf("raft compares %v with %v", err, raft.ErrLogNotFound)
 	}
 }
@@ -120,7 +129,8 @@
 	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
 	l.Debug("not heard")
 	l.Named("x").With("peer", "k2").Warn("heard", "list", hclog.Fmt("%+v", []int{1, 2}))
-	if text := out.String(); strings.Contains(text, "not heard") || !strings.Contains(text, "level=WARN msg=heard peer=k2 list=\"[1 2]\"") {
+	if text := out.String(); strings.Contains(text, "not heard") ||
+		!strings.Contains(text, "level=WARN msg=heard peer=k2 list=\"[1 2]\"") {
 		t.Error(text)
 	}
 }
