--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -15,7 +15,8 @@
 
 // listedEngine is an entry of the list of engines.
 func listedEngine(addr string) string {
-	return fmt.Sprintf(`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`, addr)
+	return fmt.Sprintf(`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`,
+		addr)
 }
 
 // inLoop runs f in the router's loop and waits for it.
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -54,7 +54,8 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("room for more after a reload", func() bool { return descriptorTableSize(t, router.Process.Pid) >= tableSize(9000, limit.Cur) })
+	harness.waitFor("room for more after a reload",
+		func() bool { return descriptorTableSize(t, router.Process.Pid) >= tableSize(9000, limit.Cur) })
 }
 
 func TestTableSize(t *testing.T) {
@@ -62,7 +63,14 @@
 		sockets int
 		limit   uint64
 		want    int
-	}{{1024, 1 << 20, 1024}, {1024, 256, 256}, {0, 512, 512}, {0, 1 << 30, maxTableSize}, {1 << 30, ^uint64(0), maxTableSize}, {5, 0, 1}} {
+	}{
+		{1024, 1 << 20, 1024},
+		{1024, 256, 256},
+		{0, 512, 512},
+		{0, 1 << 30, maxTableSize},
+		{1 << 30, ^uint64(0), maxTableSize},
+		{5, 0, 1},
+	} {
 		if n := tableSize(k.sockets, k.limit); n != k.want {
 			t.Errorf("sockets %d, limit %d: %d, want %d", k.sockets, k.limit, n, k.want)
 		}
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -35,14 +35,17 @@
 		defer c.Close()
 		if i%2 == 0 { // others have logged in, and rest
 			m := &mysqlClient{conn: c}
-			_ = m.write(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...))
+			_ = m.write(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
+				append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...))
 		}
 	}
 	if n := harness.figure(adminAddress, discoveredFigure); n != 2 {
 		t.Fatalf("%d engines before discovery is back", n)
 	}
 	board.open(1)
-	harness.waitFor("the endpoint event arrives", func() bool { return harness.figure(adminAddress, discoveredFigure) == 1 })
+	harness.waitFor("the endpoint event arrives", func() bool {
+		return harness.figure(adminAddress, discoveredFigure) == 1
+	})
 	for id := range 5 {
 		checkServed(t, harness.dial(), query("lookup", id+1, "SELECT 1"))
 	}
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -92,7 +92,8 @@
 		t.Fatal(err)
 	}
 	b := &closedDiscovery{t: t, fd: fd}
-	b.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port)).String()
+	b.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}),
+		uint16(name.(*syscall.SockaddrInet4).Port)).String()
 	return b
 }
 
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -66,7 +66,8 @@
 			if err := m.Decode(got.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(s.body, got.Elem().Interface(), cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
+			if diff := cmp.Diff(s.body, got.Elem().Interface(),
+				cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
 				t.Errorf("sample -, read +\n%s", diff)
 			}
 		})
@@ -86,7 +87,8 @@
 		}
 	}
 	for _, kind := range []string{
-		msgIDChange, msgClaimID, msgClaimIDReply, msgUsage, msgCordon, msgCordonReply, msgKill, msgBye, msgBGP, msgTicketClaim,
+		msgIDChange, msgClaimID, msgClaimIDReply, msgUsage, msgCordon, msgCordonReply, msgKill, msgBye, msgBGP,
+		msgTicketClaim,
 		msgTicketClaimReply, msgTickets, msgConfiguration,
 	} {
 		if !kinds[kind] {
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -23,10 +23,21 @@
 		messageSample{"v2/hello", "hello", helloMessage{PID: 22129, Process: 3, Version: hotrestart.ProtocolVersion}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
 		messageSample{"v2/state", "state", two, nil},
-		messageSample{"v1/ban", msgCordon, cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true}, []string{"MemoryOnly"}},
+		messageSample{
+			"v1/ban", msgCordon,
+			cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true},
+			[]string{"MemoryOnly"},
+		},
 		messageSample{"v2/ban", msgCordon, cordonMessage{Number: 8, ID: 3, Cordon: true, Known: true, MemoryOnly: true}, nil},
-		messageSample{"v1/banned", msgCordonReply, cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true}, []string{"MemoryOnly"}},
-		messageSample{"v2/banned", msgCordonReply, cordonMessage{Number: 8, ID: 3, Cordon: true, Known: true, MemoryOnly: true}, nil},
+		messageSample{
+			"v1/banned", msgCordonReply,
+			cordonMessage{Number: 7, ID: 2, Cordon: true, Known: true},
+			[]string{"MemoryOnly"},
+		},
+		messageSample{"v2/banned", msgCordonReply, cordonMessage{
+			Number: 8, ID: 3, Cordon: true, Known: true,
+			MemoryOnly: true,
+		}, nil},
 		messageSample{"v1/bye", msgBye, nil, nil},
 		messageSample{"v2/wait", "wait", waitMessage{Phase: "serving", PID: 22130}, nil},
 		messageSample{"v2/back", "back", nil, nil},
@@ -50,7 +61,11 @@
 		{"both/kill", msgKill, killMessage{SessionID: 305419896, QueryOnly: true}, nil},
 		{"both/bgp", msgBGP, sampleSession(), nil},
 		{"both/claim-asked", msgTicketClaim, ticketClaimMessage{Number: 12, Handle: "5a0000000000000c"}, []string{"Ticket"}},
-		{"both/claimed-none", msgTicketClaimReply, ticketClaimMessage{Number: 13, Handle: "5a0000000000000d"}, []string{"Ticket"}},
+		{
+			"both/claimed-none", msgTicketClaimReply,
+			ticketClaimMessage{Number: 13, Handle: "5a0000000000000d"},
+			[]string{"Ticket"},
+		},
 		{"both/claimed", msgTicketClaimReply, ticketClaimMessage{Number: 12, Handle: ticket.Handle, Ticket: &ticket}, nil},
 		{"both/tickets", msgTickets, []flightsql.Ticket{ticket, otherTicket()}, nil},
 		{"both/bgp-none", msgBGP, bgp.SessionState{}, []string{""}},
@@ -60,9 +75,12 @@
 func sampleState() stateMessage {
 	revision := sampleRevision()
 	return stateMessage{
-		Version:       hotrestart.ProtocolVersion,
-		Generation:    2,
-		Core:          router.State{OpenIDs: []string{"0000000000000001"}, ConsumedIDs: []string{"0000000000000002", "0000000000000003"}, Dispatch: sampleSnapshot()},
+		Version:    hotrestart.ProtocolVersion,
+		Generation: 2,
+		Core: router.State{
+			OpenIDs:     []string{"0000000000000001"},
+			ConsumedIDs: []string{"0000000000000002", "0000000000000003"}, Dispatch: sampleSnapshot(),
+		},
 		Listeners:     []string{"clients", "door"},
 		Addresses:     map[string]string{"door": "127.0.0.1:8002", "clients": "127.0.0.1:3307"},
 		Parts:         []string{"bgp"},
@@ -77,17 +95,25 @@
 		Cordoned: []dispatch.EngineID{2},
 		Engines: []dispatch.EngineSnapshot{
 			{
-				ID: 1, StartedAt: 11 * time.Second, WarmUpStart: 12 * time.Second, WarmUpEnd: 13 * time.Second, Slowness: 1.25, FailureShare: 0.0625,
-				SlownessAt: 14 * time.Second, FailureShareAt: 15 * time.Second, ConnectionFailures: 3, OnProbation: true,
+				ID: 1, StartedAt: 11 * time.Second, WarmUpStart: 12 * time.Second, WarmUpEnd: 13 * time.Second, Slowness: 1.25,
+				FailureShare: 0.0625,
+				SlownessAt:   14 * time.Second, FailureShareAt: 15 * time.Second, ConnectionFailures: 3, OnProbation: true,
 			},
 			{
-				ID: 2, StartedAt: 21 * time.Second, WarmUpStart: 22 * time.Second, WarmUpEnd: 23 * time.Second, Slowness: 2.5, FailureShare: 1e-7,
-				SlownessAt: 24 * time.Second, FailureShareAt: 1796148879607449088, ConnectionFailures: 4, OnProbation: true,
+				ID: 2, StartedAt: 21 * time.Second, WarmUpStart: 22 * time.Second, WarmUpEnd: 23 * time.Second, Slowness: 2.5,
+				FailureShare: 1e-7,
+				SlownessAt:   24 * time.Second, FailureShareAt: 1796148879607449088, ConnectionFailures: 4, OnProbation: true,
 			},
 		},
 		Classes: []dispatch.ClassSnapshot{
-			{Name: "lookup", MeanServiceTime: 0.25, BoundedServiceTime: 0.5, BestServiceTime: 0.125, MeanEstimate: 1.5, GrantCorrection: 1.75, Observations: 31, ObservedAt: 32 * time.Second},
-			{Name: "load", MeanServiceTime: 1.25, BoundedServiceTime: 1.375, BestServiceTime: 1.125, MeanEstimate: 2.5, GrantCorrection: 2.75, Observations: 1e21, ObservedAt: 42 * time.Second},
+			{
+				Name: "lookup", MeanServiceTime: 0.25, BoundedServiceTime: 0.5, BestServiceTime: 0.125, MeanEstimate: 1.5,
+				GrantCorrection: 1.75, Observations: 31, ObservedAt: 32 * time.Second,
+			},
+			{
+				Name: "load", MeanServiceTime: 1.25, BoundedServiceTime: 1.375, BestServiceTime: 1.125, MeanEstimate: 2.5,
+				GrantCorrection: 2.75, Observations: 1e21, ObservedAt: 42 * time.Second,
+			},
 		},
 		CompletedWork:   51.5,
 		CompletedWorkAt: 52 * time.Second,
@@ -107,7 +133,10 @@
 func sampleRevision() configclient.Revision {
 	return configclient.Revision{
 		Revision: 71, Hash: configlog.Hash{0: 0xab, 31: 0xcd},
-		Entries: map[string]json.RawMessage{"/classes/0": json.RawMessage(`{"name":"lookup"}`), "/zone": json.RawMessage(`"a"`)},
+		Entries: map[string]json.RawMessage{
+			"/classes/0": json.RawMessage(`{"name":"lookup"}`),
+			"/zone":      json.RawMessage(`"a"`),
+		},
 	}
 }
 
@@ -133,6 +162,7 @@
 func sampleSession() bgp.SessionState {
 	return bgp.SessionState{
 		Peer: "10.0.0.9:179", HoldMS: 3000.5, FourByteAS: true, Buffered: []byte{0xff, 0, 0x13},
-		Announced: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")}, NextHop: netip.MustParseAddr("10.0.0.1"),
+		Announced: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32"), netip.MustParsePrefix("fd00::1/128")},
+		NextHop:   netip.MustParseAddr("10.0.0.1"),
 	}
 }
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -51,7 +51,8 @@
 func hangPredecessor(t *testing.T) *hangingPredecessor {
 	t.Helper()
 	h := &hangingPredecessor{
-		t: t, cordonedOld: newBlockingEngine(), cordonedNew: newBlockingEngine(), oldAdmin: freePort(t), newAdmin: freePort(t),
+		t: t, cordonedOld: newBlockingEngine(), cordonedNew: newBlockingEngine(), oldAdmin: freePort(t),
+		newAdmin: freePort(t),
 	}
 	h.harness = newRouterHarness(t, newBlockingEngine(), h.cordonedOld, h.cordonedNew)
 	h.old = h.harness.startProcess(h.oldAdmin)
@@ -225,7 +226,8 @@
 	harness.waitReady(adminAddresses[1])
 	third, fourth := harness.startProcess(adminAddresses[2]), harness.startProcess(adminAddresses[3]) // at once
 	for range 30 {
-		if harness.callAdmin("GET", adminAddresses[2], "/api/ready") == 200 || harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
+		if harness.callAdmin("GET", adminAddresses[2], "/api/ready") == 200 ||
+			harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
 			t.Fatal("a third process serves while two do")
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -222,28 +222,43 @@
 
 var interleavingClasses = []dispatch.Class{
 	{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
-	{Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1, Semantics: dispatch.IdempotentByKey, IdempotencyWindow: interleavingWindow},
-	{Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true, Semantics: dispatch.AtMostOnce},
+	{
+		Name: "keyed", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1,
+		Semantics: dispatch.IdempotentByKey, IdempotencyWindow: interleavingWindow,
+	},
+	{
+		Name: "load", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Threads: 2, LocksTableGroup: true,
+		Semantics: dispatch.AtMostOnce,
+	},
 }
 
 func newInterleavingHarness(t *rapid.T) *interleavingHarness {
-	w := &interleavingHarness{t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*simulatedClient{}, closed: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordoned: map[dispatch.EngineID]float64{}}
+	w := &interleavingHarness{
+		t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*simulatedClient{},
+		closed: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordoned: map[dispatch.EngineID]float64{},
+	}
 	w.loop = router.NewLoop(w.now)
 	log := slog.New(slog.DiscardHandler)
 	clients := &router.ByKind{}
 	w.noHedging = rapid.Bool().Draw(t, "no second copies")
 	core, err := router.New(w.loop, dispatch.Config{
 		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true, Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
-		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second, WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second,
+		MaxRetryAfter: 2 * time.Second, Priorities: true,
+		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
+		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second,
+		WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second,
 	}, clients, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.core = core
-	w.engines = enginehttp.NewClient(w.loop, w, enginehttp.Config{MaxConns: rapid.IntRange(2, 6).Draw(t, "connections"), ConnectTimeoutMS: interleavingDialTimeoutMS, IdleMS: 8000}, log)
+	w.engines = enginehttp.NewClient(w.loop, w, enginehttp.Config{
+		MaxConns:         rapid.IntRange(2, 6).Draw(t, "connections"),
+		ConnectTimeoutMS: interleavingDialTimeoutMS, IdleMS: 8000,
+	}, log)
 	clients.Default = w.engines
-	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20}, func() [][2]string { return nil }, log)
+	w.front = mysql.NewFront(core, w.loop, mysql.Config{MaxSessions: 64, MaxBuffered: 1 << 20},
+		func() [][2]string { return nil }, log)
 	for id := range 3 {
 		w.updateEndpoint(dispatch.EngineID(id+1), dispatch.Live)
 	}
@@ -286,7 +301,10 @@
 	if state != dispatch.Live {
 		w.closed[w.addresses[id]] = w.now.MS
 	}
-	w.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListIncremental, Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}}},
+	w.core.UpdateEndpoints(dispatch.EndpointList{
+		Mode:      dispatch.ListIncremental,
+		Endpoints: []dispatch.Endpoint{{ID: id, Kind: "k", Zone: "z", CapacityWeight: 1, State: state}},
+	},
 		map[dispatch.EngineID]string{id: strconv.Itoa(w.addresses[id])})
 }
 
@@ -307,7 +325,8 @@
 		w.fail("%s begins at an engine %.0f ms after the event of its end", c.id, now-w.closed[p.engine])
 	case now > c.end:
 		w.fail("%s begins after its end", c.id)
-	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil && now > c.mayHaveRun().startedAt+clock.Millis(interleavingWindow):
+	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil &&
+		now > c.mayHaveRun().startedAt+clock.Millis(interleavingWindow):
 		w.fail("%s begins %.0f ms after its first attempt", c.id, now-c.mayHaveRun().startedAt)
 	}
 }
@@ -331,14 +350,19 @@
 
 // startRequest has a new client log in and ask.
 func (w *interleavingHarness) startRequest(class int, budget float64) {
-	c := &simulatedClient{harness: w, handler: w.front.NewSession(), class: class, id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget}
+	c := &simulatedClient{
+		harness: w, handler: w.front.NewSession(), class: class,
+		id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget,
+	}
 	w.clients = append(w.clients, c)
 	w.byID[c.id] = c
 	c.handler.Opened(c)
-	login := append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...)
+	login := append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
+		append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...)
 	c.handler.Data(packetOf(1, login), w.now.MS)
 	c.loggedIn = true
-	c.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "/* method=%s,rid=%s,budget=%.0f */ SELECT 1 FROM a_%d.b", interleavingClasses[class].Name, c.id, budget, class)), w.now.MS)
+	c.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "/* method=%s,rid=%s,budget=%.0f */ SELECT 1 FROM a_%d.b",
+		interleavingClasses[class].Name, c.id, budget, class)), w.now.MS)
 }
 
 func packetOf(seq byte, body []byte) []byte {
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -40,8 +40,10 @@
 			"engine again": func(t *rapid.T) { w.engineActs(t) },
 			"list":         func(t *rapid.T) { w.endpointsChange(t) },
 			"ban":          func(t *rapid.T) { w.operatorCordons(t) },
-			"wait":         func(t *rapid.T) { w.wait(float64(rapid.SampledFrom([]int{1, 11, 60, 130, 260, 700}).Draw(t, "ms"))) },
-			"":             func(*rapid.T) { w.checkAnswers(false) },
+			"wait": func(t *rapid.T) {
+				w.wait(float64(rapid.SampledFrom([]int{1, 11, 60, 130, 260, 700}).Draw(t, "ms")))
+			},
+			"": func(*rapid.T) { w.checkAnswers(false) },
 		})
 		w.wait(9000)
 		w.checkAnswers(true)
@@ -57,7 +59,8 @@
 }
 
 func (w *interleavingHarness) clientAsks(t *rapid.T) {
-	w.startRequest(rapid.IntRange(0, len(interleavingClasses)-1).Draw(t, "class"), float64(rapid.SampledFrom([]int{200, 900, 4000}).Draw(t, "budget")))
+	w.startRequest(rapid.IntRange(0, len(interleavingClasses)-1).Draw(t, "class"),
+		float64(rapid.SampledFrom([]int{200, 900, 4000}).Draw(t, "budget")))
 	w.runOrBatch(t)
 }
 
@@ -88,7 +91,8 @@
 		w.loop.Post(func() {
 			k := &simulatedClient{harness: w, handler: w.front.NewSession()}
 			k.handler.Opened(k)
-			k.handler.Data(packetOf(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45}, append(make([]byte, 23), "app\x00\x00warehouse\x00"...)...)), w.now.MS)
+			k.handler.Data(packetOf(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
+				append(make([]byte, 23), "app\x00\x00warehouse\x00"...)...)), w.now.MS)
 			k.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "KILL QUERY %d", c.session)), w.now.MS)
 			k.Close()
 		})
@@ -238,7 +242,9 @@
 // endpointsChange has a list say that an engine drains, is gone, or is there.
 func (w *interleavingHarness) endpointsChange(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
-	state := rapid.SampledFrom([]dispatch.EndpointState{dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Removed}).Draw(t, "state")
+	state := rapid.SampledFrom([]dispatch.EndpointState{
+		dispatch.Live, dispatch.Live, dispatch.Draining, dispatch.Removed,
+	}).Draw(t, "state")
 	w.loop.Post(func() { w.updateEndpoint(id, state) })
 	w.runOrBatch(t)
 }
@@ -282,9 +288,11 @@
 		}
 	}
 	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.engines.ConnCount() > 0 {
-		w.fail("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(), open, w.engines.ConnCount())
+		w.fail("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(),
+			open, w.engines.ConnCount())
 	}
-	if n := w.loop.PendingTimers(); n > 4 { // the sweeps of sessions and connections, the module's, and one that has expired
+	// The sweeps of sessions and connections, the module's, and one that has expired.
+	if n := w.loop.PendingTimers(); n > 4 {
 		w.fail("%d timers are left", n)
 	}
 }
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -35,7 +35,8 @@
 	h.t.Helper()
 	list, err := json.Marshal(addrs)
 	if err == nil {
-		err = os.WriteFile(h.settingsPath, fmt.Appendf(nil, `{"keepers": {"addresses": %s, "dir": %q, "hold_ms": 1000}}`, list, h.copyDir), 0o600)
+		err = os.WriteFile(h.settingsPath, fmt.Appendf(nil, `{"keepers": {"addresses": %s, "dir": %q, "hold_ms": 1000}}`,
+			list, h.copyDir), 0o600)
 	}
 	if err != nil {
 		h.t.Fatal(err)
@@ -78,10 +79,12 @@
 	harness.requireServing(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
 	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
-	if said.Revision != first || said.Rejected.Revision != bad || said.Rejected.Pointer != "/settings/specifics/width-by-class" {
+	if said.Revision != first || said.Rejected.Revision != bad ||
+		said.Rejected.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
-	if a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure); a != int(first) || b != int(bad) {
+	a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
+	if a != int(first) || b != int(bad) {
 		t.Errorf("in force %d, refused %d", a, b)
 	}
 	harness.requireServing(2)
@@ -89,7 +92,8 @@
 	if said := k.WaitForRevision(last); said.Rejected != nil || said.Name != "n0" {
 		t.Errorf("%+v", said)
 	}
-	if a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure); a != int(last) || b != 0 {
+	a, b = harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
+	if a != int(last) || b != 0 {
 		t.Errorf("in force %d, refused %d", a, b)
 	}
 	harness.requireServing(3)
@@ -205,7 +209,11 @@
 		name    string
 		keepers []string
 		want    uint64
-	}{{"a keeper", []string{k.Addr()}, rev}, {"a copy", []string{silent.Addr(), freePort(t)}, rev}, {"nothing", []string{silent.Addr()}, 0}} {
+	}{
+		{"a keeper", []string{k.Addr()}, rev},
+		{"a copy", []string{silent.Addr(), freePort(t)}, rev},
+		{"nothing", []string{silent.Addr()}, 0},
+	} {
 		harness.configureKeepers(how.keepers...)
 		if how.want == 0 {
 			if err := os.RemoveAll(harness.copyDir); err != nil {
@@ -238,7 +246,8 @@
 // A router that knows no keepers has its own file in force, and no figure of a revision, beside one that follows them.
 func TestRouterWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
-	harness, plain := newKeeperHarness(t, k.Addr()), &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
+	harness := newKeeperHarness(t, k.Addr())
+	plain := &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
 	oldAdmin, newAdmin := freePort(t), freePort(t)
 	harness.startProcess(oldAdmin)
 	plain.startProcess(newAdmin)
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -35,7 +35,8 @@
 		// One that hangs has all of its own, and the new one keeps to what is left for a successor.
 		degraded := one
 		degraded.restrict(processShare{share: hotrestart.ShareReserve, partner: partner})
-		if n := one.mysql.MaxSessions + one.engines.MaxConns + degraded.mysql.MaxSessions + degraded.engines.MaxConns; n > sockets {
+		n := one.mysql.MaxSessions + one.engines.MaxConns + degraded.mysql.MaxSessions + degraded.engines.MaxConns
+		if n > sockets {
 			t.Errorf("%d descriptors: beside a process that hangs, both hold %d", sockets, n)
 		}
 		if sockets >= 192 && b.engines.MaxConns < 16 {
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -187,7 +187,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := &installation.Settings{FlightSQL: &flightsql.Config{Listen: freePort(t), EngineKinds: []string{"arrow"}, MaxConnections: 32}}
+	own := &installation.Settings{FlightSQL: &flightsql.Config{
+		Listen: freePort(t), EngineKinds: []string{"arrow"}, MaxConnections: 32,
+	}}
 	n, err := start(cfg, own, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -319,7 +321,8 @@
 	}
 	// The test shows something only if both fronts, both kinds of engine and the kills had their part.
 	ran := r.executions.byKind
-	if r.served["mysql"] == 0 || r.served["flight"] == 0 || ran["fetch"] == 0 || ran["flight"] == 0 || r.kills.Load() == 0 {
+	if r.served["mysql"] == 0 || r.served["flight"] == 0 || ran["fetch"] == 0 || ran["flight"] == 0 ||
+		r.kills.Load() == 0 {
 		r.t.Errorf("served %v, ran %v, %d connections killed: some part was not met", r.served, ran, r.kills.Load())
 	}
 }
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -63,7 +63,9 @@
 	}
 	close(engine.released)
 	checkServedAnswer(t, blocked, "the one that ran:")
-	for name, c := range map[string]*mysqlClient{"blocked": blocked, "half before": half, "rested": rests, "just accepted": fresh} {
+	for name, c := range map[string]*mysqlClient{
+		"blocked": blocked, "half before": half, "rested": rests, "just accepted": fresh,
+	} {
 		checkClosed(t, name, c)
 	}
 	if err := p.Wait(); err != nil {
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -90,7 +90,8 @@
 				own.Records = &cfg
 			}
 			cfg, err := settings.ParseNode([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f",
-				"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"127.0.0.1:1","known":{"rev":1,"notices":[]},"settings":%s}`, mixedSettings)))
+				"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"127.0.0.1:1","known":{"rev":1,"notices":[]},
+				"settings":%s}`, mixedSettings)))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -21,7 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(harness.config, []byte(strings.Replace(string(text), harness.clientListener.Addr().String(), addr, 1)), 0o600); err != nil {
+	if err := os.WriteFile(harness.config, []byte(strings.Replace(string(text), harness.clientListener.Addr().String(),
+		addr, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	harness.env = slices.DeleteFunc(harness.env, func(s string) bool { return strings.HasPrefix(s, passedSocketEnv) })
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -220,7 +220,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	h.env = []string{"PROXY_CONFIG=" + h.config, "TMPDIR=" + dir, "PROXY_PASSED_SOCKET=3", "WINDFLOW_TEST_ROUTER=settings="}
+	h.env = []string{
+		"PROXY_CONFIG=" + h.config, "TMPDIR=" + dir, "PROXY_PASSED_SOCKET=3",
+		"WINDFLOW_TEST_ROUTER=settings=",
+	}
 	return h
 }
 
