--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -4,7 +4,7 @@
 // Everything below belongs to the goroutine of the router's event loop, unless its comment says otherwise. node wires
 // the types that do the work, each of which holds only what it needs:
 //
-//   - coordinator drives the state machine of package hotrestart with process slots, links and timers;
+//   - coordinator drives the state machine of package hotrestart; peerLinks has the process slot and the links;
 //   - listeners opens, inherits and hands over the sockets on which the router accepts;
 //   - cordonStore keeps the engines that operators cordoned, for all processes of the router;
 //   - idClaims and usageExchange are what two processes ask and report while both live;
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -8,9 +8,7 @@
 	"slices"
 
 	"windflow/internal/decide/hotrestart"
-	"windflow/internal/hotrestartipc"
 	"windflow/internal/router"
-	"windflow/internal/settings"
 )
 
 // A hot restart is a second process of a router that is started while the first one serves. Package hotrestart
@@ -73,46 +71,33 @@
 	actions    restartActions
 	machine    hotrestart.Machine
 	timer      *router.Timer
-	slot       *hotrestartipc.ProcessSlot // nil where none could be had
 	generation uint8
-	links      map[hotrestart.ProcessNumber]*peer
+	links      *peerLinks
 	partner    *partnerLink
 	searching  bool // a search for a predecessor is under way
 	received   handover
 	handlers   map[string]messageHandler // of the messages that are not the machine's, by kind
 }
 
-func newCoordinator(log *slog.Logger, loop *router.Loop, life *lifecycle, actions restartActions) *coordinator {
-	return &coordinator{
-		log: log, loop: loop, life: life, actions: actions,
-		links:    map[hotrestart.ProcessNumber]*peer{},
-		partner:  &partnerLink{},
+func newCoordinator(
+	log *slog.Logger, loop *router.Loop, life *lifecycle, links *peerLinks, actions restartActions,
+) *coordinator {
+	c := &coordinator{
+		log: log, loop: loop, life: life, actions: actions, links: links, partner: &partnerLink{},
 		handlers: map[string]messageHandler{msgBye: receiveBye},
 	}
+	links.onMessage, links.onEnd = c.receive, c.linkEnded
+	return c
 }
 
 // handle adds handlers of messages, by kind.
 func (c *coordinator) handle(handlers map[string]messageHandler) { maps.Copy(c.handlers, handlers) }
 
-// slotName is the name under which the processes of a router find each other.
-func slotName(cfg *settings.Node) string { return cfg.Name + " " + cfg.Listen }
-
-// acquireSlot takes a process slot among the processes of this router. Without one the process serves, but can't be
-// restarted hot.
-func (c *coordinator) acquireSlot(cfg *settings.Node) {
-	slot, err := hotrestartipc.AcquireSlot(os.TempDir(), slotName(cfg))
-	if err != nil {
-		c.log.Warn("process slot unavailable, hot restart disabled", "error", err)
-		return
-	}
-	c.slot = slot
-}
-
 // start starts the machine; the caller runs the loop.
 func (c *coordinator) start() {
 	self := hotrestart.FirstProcess
-	if c.slot != nil {
-		self = c.slot.Process
+	if c.links.slot != nil {
+		self = c.links.slot.Process
 	}
 	c.generation = uint8(self % generations)
 	var effects []hotrestart.Effect
@@ -120,7 +105,7 @@
 	for _, effect := range effects {
 		c.carryOut(effect)
 	}
-	if c.slot == nil {
+	if c.links.slot == nil {
 		c.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound})
 	}
 }
@@ -151,7 +136,7 @@
 	case hotrestart.ActionFindPredecessor:
 		c.findPredecessor()
 	case hotrestart.ActionSend:
-		c.send(c.links[effect.Process], effect.Message)
+		c.send(c.links.byProcess[effect.Process], effect.Message)
 	case hotrestart.ActionRestoreState:
 		c.actions.restoreState(&c.received)
 	case hotrestart.ActionStartAccepting:
@@ -204,7 +189,7 @@
 	if process == hotrestart.NoProcess {
 		return nil, true
 	}
-	grantor = c.links[process]
+	grantor = c.links.byProcess[process]
 	return grantor, grantor != nil
 }
 
@@ -229,9 +214,9 @@
 	phase := c.machine.Phase()
 	switch {
 	case c.hasPredecessor() && phase != hotrestart.PhaseAwaitingState && phase != hotrestart.PhaseDegraded:
-		return c.links[c.machine.Predecessor()]
+		return c.links.byProcess[c.machine.Predecessor()]
 	case c.machine.Successor() != hotrestart.NoProcess:
-		return c.links[c.machine.Successor()]
+		return c.links.byProcess[c.machine.Successor()]
 	}
 	return nil
 }
@@ -246,37 +231,11 @@
 	}
 }
 
-// publish has processes of version 1 find this one.
-func (c *coordinator) publish() {
-	if c.slot == nil {
-		return
-	}
-	if err := c.slot.PublishToLegacy(); err != nil {
-		c.log.Warn("process slot publication failed", "error", err)
-	}
-}
-
 // end ends the links, then the process once what it sent to others is written, or its time is up.
 func (c *coordinator) end() {
-	c.closeLinks()
-	if len(c.links) == 0 {
+	if !c.links.closeAll() {
 		c.life.stop()
 		return
 	}
-	clear(c.links) // their ends are this process's own doing
 	c.loop.After(farewellMS, c.life.stop)
 }
-
-func (c *coordinator) closeLinks() {
-	for _, p := range c.links {
-		p.link.Close()
-	}
-}
-
-// close gives up the slot and the links.
-func (c *coordinator) close() {
-	if c.slot != nil {
-		c.slot.Close()
-	}
-	c.closeLinks()
-}
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"maps"
 	"net"
 	"os"
@@ -10,6 +11,8 @@
 
 	"windflow/internal/decide/hotrestart"
 	"windflow/internal/hotrestartipc"
+	"windflow/internal/router"
+	"windflow/internal/settings"
 )
 
 const (
@@ -46,77 +49,133 @@
 	}
 }
 
-// findPredecessor finds the newest living process before this one, and links up with it.
-func (c *coordinator) findPredecessor() {
-	if c.slot == nil || c.searching {
-		return
-	}
-	c.searching = true
-	linked := slices.Collect(maps.Keys(c.links))
-	go func() { // ends with the search, which has timeouts of its own
-		found := c.slot.Predecessor()
-		var conn *net.UnixConn
-		if found != hotrestart.NoProcess && !slices.Contains(linked, found) {
-			conn, _ = c.slot.Connect(found) // a predecessor that can't be reached is one that is silent
-		}
-		c.loop.Post(func() { c.predecessorFound(found, conn) })
-	}()
+// peerLinks are the process slot and the links to other processes of this router.
+type peerLinks struct {
+	log       *slog.Logger
+	loop      *router.Loop
+	slot      *hotrestartipc.ProcessSlot // nil where none could be had
+	byProcess map[hotrestart.ProcessNumber]*peer
+	onMessage func(*peer, hotrestartipc.Message) // called in the loop
+	onEnd     func(*peer, error)                 // called in the loop, once a link
 }
 
-// predecessorFound goes on after a search; conn is nil where there is no new link.
-func (c *coordinator) predecessorFound(found hotrestart.ProcessNumber, conn *net.UnixConn) {
-	c.searching = false
-	if conn != nil {
-		p := &peer{process: found, version: hotrestart.ProtocolVersion}
-		c.links[found] = p
-		c.connect(p, conn)
-	}
-	known := c.machine.Predecessor()
-	if known != hotrestart.NoProcess && known != found && c.links[known] == nil && !c.slot.Alive(known) {
-		c.processEnded(known) // there was no link to it whose end would show its own
+func newPeerLinks(log *slog.Logger, loop *router.Loop) *peerLinks {
+	return &peerLinks{log: log, loop: loop, byProcess: map[hotrestart.ProcessNumber]*peer{}}
+}
+
+// slotName is the name under which the processes of a router find each other.
+func slotName(cfg *settings.Node) string { return cfg.Name + " " + cfg.Listen }
+
+// acquireSlot takes a process slot among the processes of this router. Without one the process serves, but can't be
+// restarted hot.
+func (l *peerLinks) acquireSlot(cfg *settings.Node) {
+	slot, err := hotrestartipc.AcquireSlot(os.TempDir(), slotName(cfg))
+	if err != nil {
+		l.log.Warn("process slot unavailable, hot restart disabled", "error", err)
+		return
 	}
-	c.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound, Process: found})
+	l.slot = slot
 }
 
 // connect runs a link.
-func (c *coordinator) connect(p *peer, conn *net.UnixConn) {
+func (l *peerLinks) connect(p *peer, conn *net.UnixConn) {
 	started := make(chan struct{})
 	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		<-started
-		c.loop.Post(func() { c.receive(p, m) })
+		l.loop.Post(func() { l.onMessage(p, m) })
 	}, func(err error) {
 		<-started
-		c.loop.Post(func() { c.linkEnded(p, err) })
+		l.loop.Post(func() { l.onEnd(p, err) })
 	})
 	close(started)
 }
 
 // awaitSuccessors accepts the links of the next processes of this router, until the slot is closed.
-func (c *coordinator) awaitSuccessors() {
+func (l *peerLinks) awaitSuccessors() {
 	for {
-		conn, err := c.slot.Listener.AcceptUnix()
+		conn, err := l.slot.Listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // short of descriptors: a successor must find this process all the same
-			c.log.Warn("hot restart link accept failed", "error", err)
+			l.log.Warn("hot restart link accept failed", "error", err)
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		c.loop.Post(func() { c.connect(&peer{}, conn) })
+		l.loop.Post(func() { l.connect(&peer{}, conn) })
+	}
+}
+
+// publish has processes of version 1 find this one.
+func (l *peerLinks) publish() {
+	if l.slot == nil {
+		return
+	}
+	if err := l.slot.PublishToLegacy(); err != nil {
+		l.log.Warn("process slot publication failed", "error", err)
+	}
+}
+
+// closeAll ends the links and forgets them, so that their ends report nothing; false says that there are none.
+func (l *peerLinks) closeAll() bool {
+	for _, p := range l.byProcess {
+		p.link.Close()
+	}
+	open := len(l.byProcess) > 0
+	clear(l.byProcess)
+	return open
+}
+
+// close gives up the slot and the links.
+func (l *peerLinks) close() {
+	if l.slot != nil {
+		l.slot.Close()
+	}
+	l.closeAll()
+}
+
+// findPredecessor finds the newest living process before this one, and links up with it.
+func (c *coordinator) findPredecessor() {
+	if c.links.slot == nil || c.searching {
+		return
+	}
+	c.searching = true
+	linked := slices.Collect(maps.Keys(c.links.byProcess))
+	go func() { // ends with the search, which has timeouts of its own
+		found := c.links.slot.Predecessor()
+		var conn *net.UnixConn
+		if found != hotrestart.NoProcess && !slices.Contains(linked, found) {
+			conn, _ = c.links.slot.Connect(found) // a predecessor that can't be reached is one that is silent
+		}
+		c.loop.Post(func() { c.predecessorFound(found, conn) })
+	}()
+}
+
+// predecessorFound goes on after a search; conn is nil where there is no new link.
+func (c *coordinator) predecessorFound(found hotrestart.ProcessNumber, conn *net.UnixConn) {
+	c.searching = false
+	if conn != nil {
+		p := &peer{process: found, version: hotrestart.ProtocolVersion}
+		c.links.byProcess[found] = p
+		c.links.connect(p, conn)
 	}
+	known := c.machine.Predecessor()
+	if known != hotrestart.NoProcess && known != found && c.links.byProcess[known] == nil && !c.links.slot.Alive(known) {
+		c.processEnded(known) // there was no link to it whose end would show its own
+	}
+	c.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound, Process: found})
 }
 
 // linkEnded goes on after a link that ended; the process at its other end may live.
 func (c *coordinator) linkEnded(ended *peer, err error) {
-	if ended.process == hotrestart.NoProcess || c.links[ended.process] != ended {
+	if ended.process == hotrestart.NoProcess || c.links.byProcess[ended.process] != ended {
 		return
 	}
-	delete(c.links, ended.process)
+	delete(c.links.byProcess, ended.process)
 	if c.partner.peer == ended {
 		c.actions.partnerLost()
 	}
-	if ended.bye || ended.process != hotrestart.LegacySuccessor && c.slot.Alive(ended.process) {
+	if ended.bye || ended.process != hotrestart.LegacySuccessor && c.links.slot.Alive(ended.process) {
 		c.log.Info("process link closed", "process", uint64(ended.process), "error", err)
 		c.step(hotrestart.Event{Kind: hotrestart.EventLinkLost, Process: ended.process})
 		if !ended.bye {
@@ -131,8 +190,8 @@
 func (c *coordinator) watchProcess(process hotrestart.ProcessNumber) {
 	c.loop.After(aliveIntervalMS, func() {
 		switch {
-		case c.links[process] != nil:
-		case c.slot.Alive(process):
+		case c.links.byProcess[process] != nil:
+		case c.links.slot.Alive(process):
 			c.watchProcess(process)
 		default:
 			c.processEnded(process)
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -106,7 +106,7 @@
 	var err error
 	if kind, ok := machineMessages[m.Kind]; ok {
 		err = c.receiveMachineMessage(from, kind, &m)
-	} else if from.process != hotrestart.NoProcess && c.links[from.process] == from && c.actions.serving() {
+	} else if from.process != hotrestart.NoProcess && c.links.byProcess[from.process] == from && c.actions.serving() {
 		if handle := c.handlers[m.Kind]; handle != nil {
 			err = handle(from, &m)
 		}
@@ -139,7 +139,7 @@
 		}
 	case hotrestart.MessageWait, hotrestart.MessageGoAhead, hotrestart.MessageHandBack: // say no more than their kind
 	}
-	if err == nil && c.links[from.process] == from {
+	if err == nil && c.links.byProcess[from.process] == from {
 		c.step(hotrestart.Event{Kind: hotrestart.EventMessageReceived, Process: from.process, Message: kind})
 	}
 	return err
@@ -171,10 +171,10 @@
 		return nil
 	}
 	from.process = process
-	if former := c.links[process]; former != nil {
+	if former := c.links.byProcess[process]; former != nil {
 		former.link.Close()
 	}
-	c.links[process] = from
+	c.links.byProcess[process] = from
 	return nil
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,6 +29,7 @@
 	limiter      limiter
 	configurator configurator
 	keepers      *keeperSync // nil unless turned on
+	links        *peerLinks
 	restart      *coordinator
 	listeners    listeners
 	cordons      *cordonStore
@@ -66,7 +67,8 @@
 
 // wireHotRestart wires what two processes of this router have to do with each other.
 func (n *node) wireHotRestart() {
-	n.restart = newCoordinator(n.log, n.loop, n.life, n)
+	n.links = newPeerLinks(n.log, n.loop)
+	n.restart = newCoordinator(n.log, n.loop, n.life, n.links, n)
 	n.cordons = newCordonStore(n.log, n.loop, &n.services, n.restart.partner)
 	n.claims = newIDClaims(n.loop, &n.services, n.restart.idGrantor)
 	n.usage = usageExchange{
@@ -116,11 +118,11 @@
 	n.stalls.beat()
 	go n.stalls.watch(n.life.done)
 	if hotRestart {
-		n.restart.acquireSlot(n.active.platform)
+		n.links.acquireSlot(n.active.platform)
 	}
-	if n.cordons.slot = n.restart.slot; n.cordons.slot != nil {
+	if n.cordons.slot = n.links.slot; n.cordons.slot != nil {
 		n.cordons.read()
-		go n.restart.awaitSuccessors()
+		go n.links.awaitSuccessors()
 	}
 	go n.cordons.run(n.life.done)
 	n.restart.start()
@@ -222,7 +224,7 @@
 
 // close stops the parts and gives up what the process has. The loop has ended.
 func (n *node) close() {
-	n.restart.close()
+	n.links.close()
 	n.listeners.close()
 	n.parts.stop()
 	if n.services.net != nil {
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -71,7 +71,7 @@
 		return
 	}
 	n.listeners.accept()
-	n.restart.publish()
+	n.links.publish()
 	n.listeners.reportReady()
 }
 
