--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -143,7 +143,7 @@
 func (g *group) rollout(i int, query string) (v rolloutReply) {
 	g.t.Helper()
 	if code := g.get(i, "/v1/rollout?"+query, &v); code != 200 {
-		g.t.Fatalf("verdict: %d", code)
+		g.t.Fatalf("rollout: %d", code)
 	}
 	return v
 }
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -112,18 +112,18 @@
 	f.pollUntil(now, 1)
 	g.change(now, put("second", "/settings/over-share-worth", "2"))
 	// These wait in the paused keeper's sockets and are the first that it reads.
-	verdict := make(chan rolloutReply, 1)
+	rollout := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
 		v.code, v.err = ask("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
-		verdict <- v
+		rollout <- v
 	}()
 	conflict := g.send(old, configlog.Change{
 		ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put,
 	})
 	repeated := g.send(old, put("second", "/settings/over-share-worth", "2"))
 	g.members[old].signal(syscall.SIGCONT)
-	if v := <-verdict; v.err != nil || v.code != 200 || v.Converged {
+	if v := <-rollout; v.err != nil || v.code != 200 || v.Converged {
 		t.Errorf("revision 2 is with no follower, and it says %+v", v)
 	}
 	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) ||
@@ -256,7 +256,7 @@
 	}
 	v = rolloutReply{}
 	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
-		t.Errorf("the minority's verdict: %d %+v", code, v)
+		t.Errorf("the minority's convergence status: %d %+v", code, v)
 	}
 	// A follower that is on no majority's roster gets nothing: the convergence status of the majority could not
 	// include it.
