--- a/dispatch/fleetclients_test.go
+++ b/dispatch/fleetclients_test.go
@@ -30,8 +30,11 @@
 	}
 }
 
+// fleetClients are the clients of a simulation.
+type fleetClients struct{ *fleetSimulation }
+
 // scheduleTraffic has clients of all routers send requests at random times.
-func (f *fleetSimulation) scheduleTraffic() {
+func (f fleetClients) scheduleTraffic() {
 	scenario, weights := &f.scenario, 0.0
 	for _, router := range f.routers {
 		weights += router.weight
@@ -57,12 +60,12 @@
 }
 
 // duringFault reports whether the time is between the fault and its end.
-func (f *fleetSimulation) duringFault() bool {
+func (f fleetClients) duringFault() bool {
 	return f.elapsed() > f.scenario.faultAt && f.elapsed() < f.scenario.faultAt+f.scenario.faultFor
 }
 
 // newRequest has a client send a request of a random class.
-func (f *fleetSimulation) newRequest(router *fleetRouter) {
+func (f fleetClients) newRequest(router *fleetRouter) {
 	u, index := f.rng.Float64(), 0
 	for i, class := range fleetClasses {
 		if index = i; u < class.share {
@@ -76,7 +79,7 @@
 }
 
 // sendRequest has a client send a request to a router.
-func (f *fleetSimulation) sendRequest(router *fleetRouter, req *fleetRequest) {
+func (f fleetClients) sendRequest(router *fleetRouter, req *fleetRequest) {
 	class := router.config.Classes[req.class]
 	f.lastRequest++
 	req.id = RequestID(fmt.Sprint(f.lastRequest))
@@ -101,7 +104,7 @@
 }
 
 // firstTry sets the deadline and the objective of a request, and counts it as offered.
-func (f *fleetSimulation) firstTry(class Class, req *fleetRequest) {
+func (f fleetClients) firstTry(class Class, req *fleetRequest) {
 	req.arrivedAt, req.deadline = f.now, f.now+time.Duration(0.8*float64(class.Deadline))
 	if f.rng.Float64() < f.scenario.impatientShare && f.elapsed() > f.scenario.faultAt {
 		req.deadline = f.now + time.Duration(0.3*f.rng.Float64()*float64(class.Deadline))
@@ -146,7 +149,7 @@
 }
 
 // endWithoutResult ends a request that was rejected or failed; most clients send it again after a while.
-func (f *fleetSimulation) endWithoutResult(router *fleetRouter, id RequestID, retryAfter time.Duration) {
+func (f fleetClients) endWithoutResult(router *fleetRouter, id RequestID, retryAfter time.Duration) {
 	req := router.open[id]
 	if req == nil {
 		f.t.Fatal("an answer for a request that is not open")
@@ -163,7 +166,7 @@
 }
 
 // availableRouter is where the clients of a router go: to itself, or to any that is up.
-func (f *fleetSimulation) availableRouter(router *fleetRouter) *fleetRouter {
+func (f fleetClients) availableRouter(router *fleetRouter) *fleetRouter {
 	for router.down {
 		router = f.routers[f.rng.IntN(len(f.routers))]
 	}
--- a/dispatch/fleetengine_test.go
+++ b/dispatch/fleetengine_test.go
@@ -77,16 +77,10 @@
 	return fleetWarmUpInitialShare + (1-fleetWarmUpInitialShare)*elapsed/fleetWarmUpDuration.Seconds()
 }
 
-// maxWarmingWork is what an engine at a share of its capacity can take in a window, in core seconds.
-func (f *fleetSimulation) maxWarmingWork(share float64) float64 {
-	return fleetOverloadFactor * share * float64(f.scenario.cores) * fleetUtilization * fleetDiskFactor *
-		fleetOverloadWindow.Seconds()
-}
-
 // unreachable reports whether a router gets no answer from an engine.
 func (f *fleetSimulation) unreachable(router *fleetRouter, e *fleetEngine) bool {
-	routerLost := f.isLost(router.config.RouterIndex % f.scenario.zones)
-	return e.silent || f.partitioned && f.isLost(e.Cell) != routerLost
+	routerLost := f.scenario.isLost(router.config.RouterIndex % f.scenario.zones)
+	return e.silent || f.partitioned && f.scenario.isLost(e.Cell) != routerLost
 }
 
 // reachEngine has an attempt arrive at its engine.
@@ -132,7 +126,7 @@
 	for len(e.received) > 0 && e.received[0].at < f.now-fleetOverloadWindow {
 		e.received = e.received[1:]
 	}
-	sum, most := 0.0, f.maxWarmingWork(factor)
+	sum, most := 0.0, f.scenario.maxWarmingWork(factor)
 	for _, sent := range e.received {
 		sum += sent.work
 	}
--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// This file has the faults of a fleet simulation.
-
-// isLost reports whether a zone is among those that a scenario loses or cuts off.
-func (f *fleetSimulation) isLost(zone int) bool { return zone < max(1, f.scenario.lostZones) }
+// fleetFaults has the faults of a simulation.
+type fleetFaults struct{ *fleetSimulation }
 
 // scheduleFaults schedules all faults of the scenario.
-func (f *fleetSimulation) scheduleFaults() {
+func (f fleetFaults) scheduleFaults() {
 	scenario := &f.scenario
 	for i := range f.engines {
 		if f.rng.Float64() >= scenario.replacedShare {
@@ -23,7 +21,7 @@
 	}
 	if scenario.zoneLost && scenario.lostZones == 0 {
 		for _, e := range f.engines {
-			if f.isLost(e.Cell) {
+			if f.scenario.isLost(e.Cell) {
 				f.scheduleEngineLoss(e)
 			}
 		}
@@ -41,7 +39,7 @@
 }
 
 // scheduleEngineLoss has one engine lost, and back with a restart.
-func (f *fleetSimulation) scheduleEngineLoss(e *fleetEngine) {
+func (f fleetFaults) scheduleEngineLoss(e *fleetEngine) {
 	scenario := &f.scenario
 	f.schedule(scenario.faultAt, func() { e.silent, e.running = true, nil })
 	if scenario.listDelay > 0 {
@@ -57,7 +55,7 @@
 }
 
 // scheduleWideFaults has zones lost with their routers, a rack lost, and machines restarted and replaced one by one.
-func (f *fleetSimulation) scheduleWideFaults() {
+func (f fleetFaults) scheduleWideFaults() {
 	scenario := &f.scenario
 	if scenario.zoneLost && scenario.lostZones > 0 {
 		f.schedule(scenario.faultAt, f.loseZones)
@@ -74,7 +72,7 @@
 }
 
 // scheduleRolling has something happen n times, evenly over the time of the fault.
-func (f *fleetSimulation) scheduleRolling(n int, run func(i int)) {
+func (f fleetFaults) scheduleRolling(n int, run func(i int)) {
 	for i := range n {
 		at := f.scenario.faultAt + f.scenario.faultFor*time.Duration(i)/time.Duration(n)
 		f.schedule(at, func() { run(i) })
@@ -82,7 +80,7 @@
 }
 
 // replaceEngine has an engine drain and die, and a new one take its place.
-func (f *fleetSimulation) replaceEngine(index int) {
+func (f fleetFaults) replaceEngine(index int) {
 	e := f.engines[index]
 	e.State = Draining
 	f.announce(200*ms, e.Endpoint)
@@ -100,7 +98,7 @@
 }
 
 // rack returns the engines and routers of a rack, all in zone z0.
-func (f *fleetSimulation) rack() (engines []*fleetEngine, routers []*fleetRouter) {
+func (f fleetFaults) rack() (engines []*fleetEngine, routers []*fleetRouter) {
 	zones, size := f.scenario.zones, f.scenario.rackSize
 	for i, e := range f.engines {
 		if e.Cell == 0 && i/zones < size {
@@ -116,7 +114,7 @@
 }
 
 // announceAll has an endpoint list name all these engines in a state.
-func (f *fleetSimulation) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
+func (f fleetFaults) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
 	var list []Endpoint
 	for _, e := range engines {
 		e.State = state
@@ -126,7 +124,7 @@
 }
 
 // loseRack has a rack lost with its routers, or its engines drained.
-func (f *fleetSimulation) loseRack() {
+func (f fleetFaults) loseRack() {
 	engines, routers := f.rack()
 	if f.scenario.rackDrained {
 		f.announceAll(engines, Draining, 200*ms)
@@ -152,28 +150,28 @@
 }
 
 // lostEngines are the engines of the lost zones.
-func (f *fleetSimulation) lostEngines() []*fleetEngine {
-	return slices.DeleteFunc(slices.Clone(f.engines), func(e *fleetEngine) bool { return !f.isLost(e.Cell) })
+func (f fleetFaults) lostEngines() []*fleetEngine {
+	return slices.DeleteFunc(slices.Clone(f.engines), func(e *fleetEngine) bool { return !f.scenario.isLost(e.Cell) })
 }
 
-func (f *fleetSimulation) loseZones() {
+func (f fleetFaults) loseZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.running = true, nil
 	}
 	for _, router := range f.routers {
-		if f.isLost(router.config.RouterIndex % f.scenario.zones) {
+		if f.scenario.isLost(router.config.RouterIndex % f.scenario.zones) {
 			f.breakConnections(router)
 			router.down = true
 		}
 	}
 }
 
-func (f *fleetSimulation) announceLost(state EndpointState, delay time.Duration) {
+func (f fleetFaults) announceLost(state EndpointState, delay time.Duration) {
 	f.announceAll(f.lostEngines(), state, delay)
 }
 
 // restoreZones restarts all that was lost: engines warm up, and routers know nothing.
-func (f *fleetSimulation) restoreZones() {
+func (f fleetFaults) restoreZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.StartedAt = false, f.now
 	}
@@ -187,14 +185,14 @@
 }
 
 // restartRouter restarts a router without a hot restart.
-func (f *fleetSimulation) restartRouter(router *fleetRouter) {
+func (f fleetFaults) restartRouter(router *fleetRouter) {
 	f.breakConnections(router)
 	f.startRouter(router)
 }
 
 // breakConnections breaks the connections of a router's clients. Most send their requests again, to other routers; what
 // must not run twice is not sent again.
-func (f *fleetSimulation) breakConnections(router *fleetRouter) {
+func (f fleetFaults) breakConnections(router *fleetRouter) {
 	var open []*fleetRequest
 	for _, req := range router.open {
 		open = append(open, req)
@@ -208,7 +206,8 @@
 			continue
 		}
 		f.schedule(time.Duration((0.5+f.rng.Float64())*float64(300*ms)), func() {
-			f.sendRequest(f.availableRouter(router), req.again())
+			clients := fleetClients(f)
+			clients.sendRequest(clients.availableRouter(router), req.again())
 		})
 	}
 }
--- a/dispatch/fleetscenario_test.go
+++ b/dispatch/fleetscenario_test.go
@@ -17,9 +17,17 @@
 	heavyRouterFactor float64 // traffic of the first router over the mean; 0 for a random one
 
 	faultAt, faultFor time.Duration
+	wideFaults
 
 	replacedShare  float64 // share of the engines that are replaced during the fault
 	restartedShare float64 // share of the routers that restart at faultAt
+	// connectInterval has connections to warming engines come up once in that time, with all attempts that wait for
+	// them. Attempts that have to start sooner end without having run.
+	connectInterval time.Duration
+}
+
+// wideFaults are faults of zones and racks, and of machines one by one.
+type wideFaults struct {
 	// zoneLost has zone z0 lost at faultAt, silent, and back after faultFor with warming engines.
 	zoneLost bool
 	// partitioned has zone z0 cut off from the others during the fault: its routers reach its engines only.
@@ -36,9 +44,15 @@
 	// rollingRestarts and rollingReplacements are how many routers restart and engines are replaced one by one during
 	// the fault.
 	rollingRestarts, rollingReplacements int
-	// connectInterval has connections to warming engines come up once in that time, with all attempts that wait for
-	// them. Attempts that have to start sooner end without having run.
-	connectInterval time.Duration
+}
+
+// isLost reports whether a zone is among those that a scenario loses or cuts off.
+func (s *fleetScenario) isLost(zone int) bool { return zone < max(1, s.lostZones) }
+
+// maxWarmingWork is what an engine at a share of its capacity can take in a window, in core seconds.
+func (s *fleetScenario) maxWarmingWork(share float64) float64 {
+	return fleetOverloadFactor * share * float64(s.cores) * fleetUtilization * fleetDiskFactor *
+		fleetOverloadWindow.Seconds()
 }
 
 const (
--- a/dispatch/fleetsimulation_test.go
+++ b/dispatch/fleetsimulation_test.go
@@ -168,9 +168,9 @@
 	case StartAttempt:
 		f.startAttempt(router, action)
 	case Reject:
-		f.endWithoutResult(router, action.Request, action.RetryAfter)
+		fleetClients{f}.endWithoutResult(router, action.Request, action.RetryAfter)
 	case FailRequest:
-		f.endWithoutResult(router, action.Request, 0)
+		fleetClients{f}.endWithoutResult(router, action.Request, 0)
 	case CancelAttempt, Subscribe: // not allowed by the settings
 	}
 }
@@ -210,8 +210,8 @@
 
 // run simulates the scenario and a few seconds more.
 func (f *fleetSimulation) run() {
-	f.scheduleTraffic()
-	f.scheduleFaults()
+	fleetClients{f}.scheduleTraffic()
+	fleetFaults{f}.scheduleFaults()
 	for end := fleetStart + f.scenario.duration + 3*time.Second; f.now < end; {
 		until := f.now + fleetTick
 		for len(f.events) > 0 && f.events[0].at <= until {
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -75,8 +75,9 @@
 			h := newHarness(t, incompleteConfig(rng))
 			list := incompleteEngines(rng, 1+rng.IntN(6))
 			h.updateEndpoints(ListComplete, list...)
+			events := &invalidEvents{harness: h, rng: rng}
 			for range 300 {
-				h.invalidStep(rng)
+				events.invalidStep()
 			}
 			for range 20 { // until all are answered
 				h.advance(time.Second)
@@ -85,17 +86,17 @@
 				}
 			}
 			h.checkEachAnswered()
-			h.checkCosts()
+			events.checkCosts()
 			h.advance(30 * time.Second)
 			for _, class := range h.config.Classes {
-				h.checkIdleFleetStarts(class)
+				events.checkIdleFleetStarts(class)
 			}
 		})
 	}
 }
 
 // checkCosts checks that each engine has a finite cost for each class.
-func (h *harness) checkCosts() {
+func (h *invalidEvents) checkCosts() {
 	h.t.Helper()
 	for _, e := range h.controller.endpoints.all {
 		for _, k := range h.controller.classes.all {
@@ -109,7 +110,7 @@
 
 // checkIdleFleetStarts checks that a request is started at once while all engines are idle. An engine that was down has
 // answered the previous request, and may warm up: then the next request after that is started at once.
-func (h *harness) checkIdleFleetStarts(class Class) {
+func (h *invalidEvents) checkIdleFleetStarts(class Class) {
 	h.t.Helper()
 	arrival := Arrival{Class: class.Name, TableGroup: TableGroupOf(3), TimeLeft: class.Deadline}
 	client := h.arriveWith(arrival)
@@ -125,50 +126,56 @@
 	h.endLatest(client, Served)
 }
 
+// invalidEvents has events happen to a harness that are often invalid.
+type invalidEvents struct {
+	*harness
+	rng *rand.Rand
+}
+
 // invalidStep lets some time pass and has an event happen that is often invalid.
-func (h *harness) invalidStep(rng *rand.Rand) {
+func (h *invalidEvents) invalidStep() {
 	h.t.Helper()
-	h.advance(harnessStep * time.Duration(rng.IntN(3)))
-	switch rng.IntN(8) {
+	h.advance(harnessStep * time.Duration(h.rng.IntN(3)))
+	switch h.rng.IntN(8) {
 	case 0, 1, 2:
-		h.invalidArrival(rng)
+		h.invalidArrival()
 	case 3:
-		h.handle(EngineLoad{Engine: EngineID(rng.IntN(9)), Report: LoadReport{
-			InFlight: extremeFigure(rng),
-			Waiting:  extremeFigure(rng),
-			Busy:     extremeFigure(rng),
-			Disk:     extremeFigure(rng),
-			Memory:   extremeFigure(rng),
+		h.handle(EngineLoad{Engine: EngineID(h.rng.IntN(9)), Report: LoadReport{
+			InFlight: extremeFigure(h.rng),
+			Waiting:  extremeFigure(h.rng),
+			Busy:     extremeFigure(h.rng),
+			Disk:     extremeFigure(h.rng),
+			Memory:   extremeFigure(h.rng),
 		}})
 	case 4: // progress of an attempt that may have ended, or never was
-		id := RequestID(fmt.Sprint("r", rng.IntN(h.lastID+2)))
-		attempt, kind := rng.IntN(3)-1, ProgressKind(rng.IntN(6)-1)
-		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeFigure(rng)})
+		id := RequestID(fmt.Sprint("r", h.rng.IntN(h.lastID+2)))
+		attempt, kind := h.rng.IntN(3)-1, ProgressKind(h.rng.IntN(6)-1)
+		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeFigure(h.rng)})
 	default:
-		h.endWithExtremeReport(rng)
+		h.endWithExtremeReport()
 	}
 }
 
-func (h *harness) invalidArrival(rng *rand.Rand) {
+func (h *invalidEvents) invalidArrival() {
 	h.t.Helper()
-	class := h.config.Classes[rng.IntN(len(h.config.Classes))]
+	class := h.config.Classes[h.rng.IntN(len(h.config.Classes))]
 	h.arriveWith(Arrival{
 		Class:      class.Name,
 		Tenant:     "nobody",
-		TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[rng.IntN(5)],
-		NeedMB:     extremeFigure(rng),
-		Estimate:   time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[rng.IntN(5)]),
-		TimeLeft:   time.Duration(rng.Float64() * float64(class.Deadline)),
+		TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[h.rng.IntN(5)],
+		NeedMB:     extremeFigure(h.rng),
+		Estimate:   time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[h.rng.IntN(5)]),
+		TimeLeft:   time.Duration(h.rng.Float64() * float64(class.Deadline)),
 	})
 }
 
 // endWithExtremeReport ends one of the latest outstanding attempts.
-func (h *harness) endWithExtremeReport(rng *rand.Rand) {
+func (h *invalidEvents) endWithExtremeReport() {
 	h.t.Helper()
 	for _, client := range slices.Backward(h.clients) {
 		for attempt, outcome := range client.outcomes {
-			if outcome == outstanding && rng.IntN(3) > 0 {
-				h.endAttempt(client, attempt, Outcome(rng.IntN(int(NotSent))), extremeReport(rng))
+			if outcome == outstanding && h.rng.IntN(3) > 0 {
+				h.endAttempt(client, attempt, Outcome(h.rng.IntN(int(NotSent))), extremeReport(h.rng))
 				return
 			}
 		}
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -46,10 +46,11 @@
 			rng := rand.New(rand.NewPCG(seed, 7))
 			h := newHarness(t, randomConfig(rng))
 			h.updateEndpoints(ListCached, testEngines(2+rng.IntN(4))...)
+			events := &randomEvents{harness: h, rng: rng}
 			for range 600 {
-				h.randomStep(rng)
+				events.randomStep()
 			}
-			h.endAllInTime()
+			events.endAllInTime()
 			h.checkEachAnswered()
 			if len(h.starts) == 0 {
 				t.Fatal("no attempt was ever started")
@@ -59,7 +60,7 @@
 }
 
 // endAllInTime has outstanding attempts time out one by one, lets all deadlines pass, and has the rest fail.
-func (h *harness) endAllInTime() {
+func (h *randomEvents) endAllInTime() {
 	h.t.Helper()
 	for _, client := range h.clients {
 		for attempt, outcome := range client.outcomes {
@@ -76,49 +77,55 @@
 	h.advance(16 * time.Second)
 }
 
+// randomEvents has random legal events happen to a harness.
+type randomEvents struct {
+	*harness
+	rng *rand.Rand
+}
+
 // randomStep lets some time pass and has a random event happen.
-func (h *harness) randomStep(rng *rand.Rand) {
+func (h *randomEvents) randomStep() {
 	h.t.Helper()
-	h.advance(harnessStep * time.Duration(rng.IntN(3)))
-	switch n := rng.IntN(20); {
+	h.advance(harnessStep * time.Duration(h.rng.IntN(3)))
+	switch n := h.rng.IntN(20); {
 	case n < 9:
-		h.randomArrival(rng)
+		h.randomArrival()
 	case n < 17:
-		h.randomOutcome(rng)
+		h.randomOutcome()
 	case n == 17:
-		h.clientLeaves(rng)
+		h.clientLeaves()
 	case n == 18:
-		h.randomEndpoint(rng)
+		h.randomEndpoint()
 	default:
-		if rng.IntN(3) == 0 {
+		if h.rng.IntN(3) == 0 {
 			h.updateEndpoints(ListFailed)
 			return
 		}
-		h.updateEndpoints(ListComplete, testEngines(1+rng.IntN(6))...)
+		h.updateEndpoints(ListComplete, testEngines(1+h.rng.IntN(6))...)
 	}
 }
 
-func (h *harness) randomArrival(rng *rand.Rand) {
+func (h *randomEvents) randomArrival() {
 	h.t.Helper()
-	class := h.config.Classes[rng.IntN(len(h.config.Classes))]
+	class := h.config.Classes[h.rng.IntN(len(h.config.Classes))]
 	key := ""
 	if class.OrderByKey {
-		key = fmt.Sprint("k", rng.IntN(3))
+		key = fmt.Sprint("k", h.rng.IntN(3))
 	}
 	h.arriveWith(Arrival{
 		Class:      class.Name,
 		Key:        key,
-		TableGroup: int64(rng.IntN(4)),
-		NeedMB:     float64(rng.IntN(3) * 300),
-		Estimate:   time.Duration(rng.IntN(3)*200) * ms,
-		TimeLeft:   time.Duration(rng.Float64() * float64(class.Deadline)),
+		TableGroup: int64(h.rng.IntN(4)),
+		NeedMB:     float64(h.rng.IntN(3) * 300),
+		Estimate:   time.Duration(h.rng.IntN(3)*200) * ms,
+		TimeLeft:   time.Duration(h.rng.Float64() * float64(class.Deadline)),
 	})
 }
 
 // clientLeaves has the client of a recent request leave, if that has no answer.
-func (h *harness) clientLeaves(rng *rand.Rand) {
+func (h *randomEvents) clientLeaves() {
 	h.t.Helper()
-	recent := h.clients[max(len(h.clients)-1-rng.IntN(5), 0):]
+	recent := h.clients[max(len(h.clients)-1-h.rng.IntN(5), 0):]
 	if len(recent) > 0 && recent[0].answers == 0 {
 		recent[0].gone = true
 		h.handle(ClientGone{Request: recent[0].id})
@@ -126,30 +133,30 @@
 }
 
 // randomEndpoint changes the state of one engine.
-func (h *harness) randomEndpoint(rng *rand.Rand) {
+func (h *randomEvents) randomEndpoint() {
 	h.t.Helper()
-	e := testEngines(6)[rng.IntN(6)]
-	e.State = EndpointState(rng.IntN(3))
-	if rng.IntN(2) == 0 {
+	e := testEngines(6)[h.rng.IntN(6)]
+	e.State = EndpointState(h.rng.IntN(3))
+	if h.rng.IntN(2) == 0 {
 		e.StartedAt = h.now
 	}
 	h.updateEndpoints(ListIncremental, e)
 }
 
 // randomOutcome ends an outstanding attempt, often after a progress report.
-func (h *harness) randomOutcome(rng *rand.Rand) {
+func (h *randomEvents) randomOutcome() {
 	h.t.Helper()
 	for i := len(h.clients) - 1; i >= 0; i-- {
 		client := h.clients[i]
 		for attempt, outcome := range client.outcomes {
-			if outcome != outstanding || rng.IntN(3) == 0 {
+			if outcome != outstanding || h.rng.IntN(3) == 0 {
 				continue
 			}
-			if rng.IntN(3) == 0 {
-				kind := ProgressKind(rng.IntN(4))
-				h.handle(AttemptProgress{Request: client.id, Attempt: attempt, Kind: kind, Amount: rng.Float64() * 2})
+			if h.rng.IntN(3) == 0 {
+				kind := ProgressKind(h.rng.IntN(4))
+				h.handle(AttemptProgress{Request: client.id, Attempt: attempt, Kind: kind, Amount: h.rng.Float64() * 2})
 			}
-			h.endAttempt(client, attempt, Outcome(rng.IntN(int(NotSent))), halfBusyReport)
+			h.endAttempt(client, attempt, Outcome(h.rng.IntN(int(NotSent))), halfBusyReport)
 			return
 		}
 	}
--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -190,13 +190,13 @@
 		}
 	}
 	for i := range scenario.windows {
-		f.watchWindow(&scenario.windows[i], starts)
+		scenario.windows[i].watch(f, starts)
 	}
 	if scenario.maxLoadMove > 0 {
 		f.schedule(scenario.fleet.faultAt, migration.begin)
 	}
 	f.run()
-	figures := f.scaleFigures(toWarming)
+	figures := scaleFigures(f, toWarming)
 	for _, window := range scenario.windows {
 		window.check(t, scenario.maxSpread, figures)
 	}
@@ -227,7 +227,7 @@
 }
 
 // scaleFigures are the figures of a simulation; toWarming is the number of attempts on warming engines.
-func (f *fleetSimulation) scaleFigures(toWarming int) map[string]float64 {
+func scaleFigures(f *fleetSimulation, toWarming int) map[string]float64 {
 	from, to := int(f.scenario.faultAt/time.Second), int(f.scenario.duration/time.Second)
 	starts, answeredFull := f.totals()
 	return map[string]float64{
@@ -258,8 +258,8 @@
 		w.name, len(w.starts), idle, spread, deviation)
 }
 
-// watchWindow counts the starts of a window.
-func (f *fleetSimulation) watchWindow(w *scaleWindow, starts map[*fleetEngine]int) {
+// watch counts the starts of the window.
+func (w *scaleWindow) watch(f *fleetSimulation, starts map[*fleetEngine]int) {
 	counts := func(e *fleetEngine) bool {
 		return !e.dead && !e.silent && e.State == Live && (f.warmUpFactor(e) < 1) == w.warming
 	}
--- a/dispatch/scalemigration_test.go
+++ b/dispatch/scalemigration_test.go
@@ -42,7 +42,7 @@
 	m.rackEngines = map[*fleetEngine]bool{}
 	m.users = map[*fleetRouter]bool{}
 	m.firstElsewhere = map[*fleetRouter]time.Duration{}
-	engines, _ := m.simulation.rack()
+	engines, _ := fleetFaults{m.simulation}.rack()
 	for _, e := range engines {
 		m.rackEngines[e] = true
 	}
--- a/internal/decide/slowstart/budget.go
+++ b/internal/decide/slowstart/budget.go
@@ -12,8 +12,8 @@
 	received   bool    // there was one
 }
 
-// NewBudget returns the budget of a router from a time on. Routers are numbered from 0; all use the same salt, from 0 to
-// 1, for the same engine: it makes the quanta of other engines begin with another router.
+// NewBudget returns the budget of a router from a time on. Routers are numbered from 0; all use the same salt, from 0
+// to 1, for the same engine: it makes the quanta of other engines begin with another router.
 func NewBudget(router, routers int, salt, now float64) Budget {
 	_, fraction := math.Modf(float64(router)/float64(max(routers, 1)) + salt)
 	return Budget{fraction: math.Abs(fraction), fractionAt: now, nextDue: math.Inf(1)}
