--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -117,7 +117,7 @@
 		return err == nil
 	}
 	peer, known := e.peers.peer(leader)
-	if !known || peer.ID == e.peers.ownID {
+	if !known || e.peers.isSelf(peer) {
 		return false
 	}
 	var empty struct{}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -54,7 +54,7 @@
 	}
 	defer folder.close()
 	instance := newKeeper(&options, folder, leases)
-	defer instance.peers.http.CloseIdleConnections()
+	defer instance.peers.close()
 	if err := instance.membership.recordStage(folder.identity.Stage); err != nil {
 		return err
 	}
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -80,7 +80,7 @@
 	case !known || leader == p.keeperID:
 		return unavailableResponse(errorNoMajority, effectNone,
 			"keeper %s is in touch with no majority of the %d keepers; nothing is changed without one",
-			p.keeperID, len(p.peers.peers))
+			p.keeperID, p.peers.groupSize())
 	}
 	p.forwarded.Add(1)
 	return p.forward(ctx, peer, call)
@@ -99,7 +99,7 @@
 	if err != nil {
 		return unavailableResponse(errorNoMajority, effectNone, "%v", err)
 	}
-	answer, err := p.peers.http.Do(request)
+	answer, err := p.peers.do(request)
 	if err != nil {
 		effect := effectUnknown
 		if dialFailed(err) {
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -46,6 +46,9 @@
 	}
 }
 
+// listAside lists what was set aside in the folder.
+func (m *membership) listAside() []string { return m.folder.listAside() }
+
 func (m *membership) stage() string { return m.recorded.Load().(string) }
 
 func (m *membership) recordStage(stage string) error {
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -51,6 +51,15 @@
 	return &peerClient{ownID: ownID, peers: peers, http: &http.Client{Transport: transport}}
 }
 
+// close closes idle connections.
+func (c *peerClient) close() { c.http.CloseIdleConnections() }
+
+// isSelf reports whether a peer is this keeper.
+func (c *peerClient) isSelf(peer Peer) bool { return peer.ID == c.ownID }
+
+// groupSize is the number of keepers, this one included.
+func (c *peerClient) groupSize() int { return len(c.peers) }
+
 // peer finds a keeper by its id.
 func (c *peerClient) peer(id string) (Peer, bool) {
 	i := slices.IndexFunc(c.peers, func(peer Peer) bool { return peer.ID == id })
@@ -76,6 +85,9 @@
 	return request, nil
 }
 
+// do sends a request; the caller closes the body of the answer.
+func (c *peerClient) do(request *http.Request) (*http.Response, error) { return c.http.Do(request) }
+
 // get fetches path from a peer within peerCallTimeout and decodes the answer into out.
 func (c *peerClient) get(ctx context.Context, peer Peer, path string, out any) error {
 	return c.call(ctx, peer, peerCallTimeout, http.MethodGet, path, nil, out)
@@ -100,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.http.Do(request)
+	answer, err := c.do(request)
 	if err != nil {
 		return withoutURL(err)
 	}
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -179,6 +179,27 @@
 // hasEntries reports whether the log holds more than the list of keepers that it was founded with.
 func (r *replication) hasEntries() bool { return r.running() && r.node.LastIndex() > 1 }
 
+// votes reports whether this keeper takes part in elections.
+func (r *replication) votes() bool { return !r.votingSuspended.Load() }
+
+// nodeStatus is the state of the raft node.
+type nodeStatus struct {
+	state                         raft.RaftState
+	term, lastIndex, appliedIndex uint64
+	lastContact                   time.Time // with the leader
+}
+
+// nodeStatus must be called on a running node only.
+func (r *replication) nodeStatus() nodeStatus {
+	return nodeStatus{
+		state:        r.node.State(),
+		term:         r.node.CurrentTerm(),
+		lastIndex:    r.node.LastIndex(),
+		appliedIndex: r.node.AppliedIndex(),
+		lastContact:  r.node.LastContact(),
+	}
+}
+
 // apply replicates a command, and returns what the state machine made of it once a majority holds it.
 func (r *replication) apply(entry command) (any, error) {
 	data, err := entry.encode()
--- a/internal/keeper/status.go
+++ b/internal/keeper/status.go
@@ -126,22 +126,21 @@
 
 func (s *statusService) folderStatus() folderStatus {
 	return folderStatus{
-		Aside: s.membership.folder.listAside(),
+		Aside: s.membership.listAside(),
 		Dir:   s.options.Dir,
 		Stage: s.membership.stage(),
-		Votes: !s.replication.votingSuspended.Load(),
+		Votes: s.replication.votes(),
 	}
 }
 
 func (s *statusService) addRaftStatus(status *keeperStatus) {
-	node := s.replication.node
-	state, lastIndex, appliedIndex := node.State(), node.LastIndex(), node.AppliedIndex()
-	status.State = state.String()
-	status.Term = node.CurrentTerm()
-	status.LastIndex, status.AppliedIndex = &lastIndex, &appliedIndex
+	node := s.replication.nodeStatus()
+	status.State = node.state.String()
+	status.Term = node.term
+	status.LastIndex, status.AppliedIndex = &node.lastIndex, &node.appliedIndex
 	// A leader without a majority steps down by itself within its lease; a follower may still name a leader that has
 	// been silent for a while.
-	if state != raft.Leader && time.Since(node.LastContact()) > 2*s.options.Heartbeat {
+	if node.state != raft.Leader && time.Since(node.lastContact) > 2*s.options.Heartbeat {
 		status.Majority = false
 	}
 }
