--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -63,7 +63,7 @@
 	if a.preferred {
 		resources.Priority = preferredPriority
 	}
-	if t.env.config.Priorities || a.grantMB > 0 {
+	if t.env.config.Features.Priorities || a.grantMB > 0 {
 		t.env.emit(resources)
 	}
 	within := t.retries.startWithin(a.request, a.engine)
@@ -98,7 +98,7 @@
 // time.
 func (t *requestTracker) silentAt(a *attempt) time.Duration {
 	limit := seconds(silentFactor * a.request.expectedTime(t.env).Seconds() * a.engine.health.currentSlowness(t.env))
-	if interval := t.env.config.ProgressInterval; interval > 0 {
+	if interval := t.env.config.Features.ProgressInterval; interval > 0 {
 		limit = seconds(silentIntervals * interval.Seconds())
 	}
 	return max(a.progressAt, t.deadlines.pausedAt) + limit
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -57,7 +57,7 @@
 // A cut link shows as silence: the attempt is cancelled, and the failure attributed to the engine.
 func TestSilentAttemptIsRerouted(t *testing.T) {
 	config := twoClassConfig()
-	config.CancelAllowed, config.ProgressInterval = true, 500*ms
+	config.CancelAllowed, config.Features.ProgressInterval = true, 500*ms
 	h := newHarness(t, config)
 	h.updateEndpoints(ListComplete, testEngines(3)...)
 	silent, reporting := h.arrive("big", ""), h.arrive("big", "")
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -11,7 +11,7 @@
 func benchFleet(tb testing.TB, engines int, warmingShare float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
 	config := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
-	config.WarmUpDuration = 1000 * time.Hour
+	config.WarmUp.Duration = 1000 * time.Hour
 	c, err := New(config)
 	if err != nil {
 		tb.Fatal(err)
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -120,7 +120,7 @@
 	if !c.outliers.accepts(target) || !c.pressureAllows(target, req) {
 		return false
 	}
-	if target.warmUp.active(c.env.now) && c.env.config.WarmUpOverloadFactor > 0 && c.largeFleet() {
+	if target.warmUp.active(c.env.now) && c.env.config.WarmUp.OverloadFactor > 0 && c.largeFleet() {
 		return true // its slow start budget is the bound
 	}
 	memoryShare := target.memoryMB * c.env.fleetShare() * spread
@@ -162,7 +162,7 @@
 
 // wantedGrant is the memory that a request needs: its estimate, corrected by what spilled; 0 where nothing is known.
 func (c *capacityLimiter) wantedGrant(req *request) float64 {
-	if !c.env.config.Grants || req.neededMB <= 0 {
+	if !c.env.config.Features.Grants || req.neededMB <= 0 {
 		return 0
 	}
 	grant := req.neededMB * req.class.estimate.grantCorrection * grantHeadroom
@@ -175,7 +175,7 @@
 // maxGrant is the most that any kind of engine grants to one query.
 func (c *capacityLimiter) maxGrant() (most float64) {
 	for _, kind := range c.env.config.Kinds {
-		most = max(most, kind.MemoryMB*c.env.config.MaxGrantShare)
+		most = max(most, kind.MemoryMB*c.env.config.Features.MaxGrantShare)
 	}
 	return most
 }
@@ -183,7 +183,7 @@
 // grant is the memory grant of a request on an engine.
 func (c *capacityLimiter) grant(req *request, e *engine) float64 {
 	grant := c.wantedGrant(req)
-	if most := e.memoryMB * c.env.config.MaxGrantShare; most > 0 {
+	if most := e.memoryMB * c.env.config.Features.MaxGrantShare; most > 0 {
 		return min(grant, most)
 	}
 	return grant
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -87,28 +87,42 @@
 	Tenants     []Tenant
 	Kinds       []EngineKind
 
-	OverQuotaWeight   float64 // share of its weight that traffic beyond a tenant's quota earns
-	MaxAttempts       int     // for each request; 0 means no limit
-	MaxQueued         int     // requests queued before those that miss their objective are rejected; 0 means no limit
-	CancelAllowed     bool
-	HedgingAllowed    bool // a second attempt may start while the first is outstanding
-	RetryAfterAllowed bool // a rejection may advise the client when to retry
-	MaxRetryAfter     time.Duration
-	PolledDiscovery   bool // changes of the endpoint list arrive only after a Subscribe
-	Grants            bool // engines heed memory grants
-	MaxGrantShare     float64
-	Priorities        bool // engines heed priorities
-	MemoryShortage    MemoryShortage
-	ProgressInterval  time.Duration // time between two progress reports of an attempt; 0 means none are sent
-	Tick              time.Duration // batches of events come no more often than this
-
-	DiscoveryTimeout     time.Duration
-	WarmUpInitialShare   float64 // share of its capacity with which an engine starts
-	WarmUpDuration       time.Duration
-	WarmUpOverloadFactor float64 // multiple of its present capacity above which a warming engine collapses
-	WarmUpOverloadWindow time.Duration
-	KeyCooldown          time.Duration // after an unclear outcome, before the next request of the same key
-	RetryBudget          RetryBudget
+	OverQuotaWeight  float64 // share of its weight that traffic beyond a tenant's quota earns
+	MaxAttempts      int     // for each request; 0 means no limit
+	MaxQueued        int     // requests queued before those that miss their objective are rejected; 0 means no limit
+	CancelAllowed    bool
+	HedgingAllowed   bool // a second attempt may start while the first is outstanding
+	RetryAfter       RetryAfter
+	RetryBudget      RetryBudget
+	Features         EngineFeatures
+	WarmUp           WarmUp
+	PolledDiscovery  bool // changes of the endpoint list arrive only after a Subscribe
+	DiscoveryTimeout time.Duration
+	KeyCooldown      time.Duration // after an unclear outcome, before the next request of the same key
+	Tick             time.Duration // batches of events come no more often than this
+}
+
+// RetryAfter is the advice that a rejection may give the client.
+type RetryAfter struct {
+	Allowed bool
+	Max     time.Duration
+}
+
+// EngineFeatures are what the engines of the installation can do.
+type EngineFeatures struct {
+	Grants           bool // they heed memory grants
+	MaxGrantShare    float64
+	Priorities       bool // they heed priorities
+	MemoryShortage   MemoryShortage
+	ProgressInterval time.Duration // time between two progress reports of an attempt; 0 means none are sent
+}
+
+// WarmUp bounds what all routers together may send to an engine that has just started.
+type WarmUp struct {
+	InitialShare   float64 // share of its capacity with which an engine starts
+	Duration       time.Duration
+	OverloadFactor float64 // multiple of its present capacity above which a warming engine collapses
+	OverloadWindow time.Duration
 }
 
 // Check returns a *ConfigError for the first invalid setting: New and Configure reject the same ones.
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -93,7 +93,7 @@
 		}
 	}
 	newStart := entry.StartedAt != e.StartedAt || e.warmUp.alwaysWarm()
-	if entry.StartedAt > 0 && newStart && entry.StartedAt+t.env.config.WarmUpDuration > t.env.now {
+	if entry.StartedAt > 0 && newStart && entry.StartedAt+t.env.config.WarmUp.Duration > t.env.now {
 		startedAt, restarted = entry.StartedAt, true
 	}
 	if e.zone == nil || e.Zone != entry.Zone {
@@ -228,8 +228,8 @@
 func (t *endpointTable) limits(e *engine) pressure.Limits {
 	return pressure.Limits{
 		MemoryMB:      e.memoryMB,
-		MaxGrantShare: t.env.config.MaxGrantShare,
-		Shortage:      pressure.MemoryShortage(t.env.config.MemoryShortage),
+		MaxGrantShare: t.env.config.Features.MaxGrantShare,
+		Shortage:      pressure.MemoryShortage(t.env.config.Features.MemoryShortage),
 	}
 }
 
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -147,7 +147,7 @@
 	if mean := c.classes.all[0].estimate.clientEstimate; mean > 0.5 {
 		t.Errorf("the mean estimate rose to %v s", mean)
 	}
-	got, most := c.capacity.wantedGrant(c.requests.byID[wild.id]), 8192*h.config.MaxGrantShare
+	got, most := c.capacity.wantedGrant(c.requests.byID[wild.id]), 8192*h.config.Features.MaxGrantShare
 	if got != most {
 		t.Errorf("%v MB are wanted, want %v", got, most)
 	}
--- a/dispatch/fleetscenario_test.go
+++ b/dispatch/fleetscenario_test.go
@@ -88,23 +88,21 @@
 // fleetConfig has the settings of one router.
 func fleetConfig(scenario fleetScenario, index int) Config {
 	return Config{
-		Seed:                 scenario.seed*1000 + uint64(index),
-		RouterIndex:          index,
-		Routers:              scenario.routers,
-		Tick:                 1 * ms,
-		MaxAttempts:          5,
-		Priorities:           true,
-		RetryAfterAllowed:    true,
-		MaxRetryAfter:        2 * time.Second,
-		HedgingAllowed:       true,
-		MaxQueued:            50,
-		OverQuotaWeight:      0.1,
-		Kinds:                []EngineKind{{Name: "k", Cores: float64(scenario.cores), MemoryMB: 1 << 16}},
-		MaxGrantShare:        0.4,
-		WarmUpInitialShare:   fleetWarmUpInitialShare,
-		WarmUpDuration:       fleetWarmUpDuration,
-		WarmUpOverloadFactor: fleetOverloadFactor,
-		WarmUpOverloadWindow: fleetOverloadWindow,
+		Seed:            scenario.seed*1000 + uint64(index),
+		RouterIndex:     index,
+		Routers:         scenario.routers,
+		Tick:            1 * ms,
+		MaxAttempts:     5,
+		RetryAfter:      RetryAfter{Allowed: true, Max: 2 * time.Second},
+		HedgingAllowed:  true,
+		MaxQueued:       50,
+		OverQuotaWeight: 0.1,
+		Kinds:           []EngineKind{{Name: "k", Cores: float64(scenario.cores), MemoryMB: 1 << 16}},
+		Features:        EngineFeatures{Priorities: true, MaxGrantShare: 0.4},
+		WarmUp: WarmUp{
+			InitialShare: fleetWarmUpInitialShare, Duration: fleetWarmUpDuration,
+			OverloadFactor: fleetOverloadFactor, OverloadWindow: fleetOverloadWindow,
+		},
 		Classes: []Class{
 			{
 				Name: "lookup", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 1960 * ms,
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -80,14 +80,12 @@
 // twoClassConfig has a preferred class of short queries and one of wide ones.
 func twoClassConfig() Config {
 	return Config{
-		Seed:          1,
-		Routers:       1,
-		Tick:          5 * ms,
-		MaxAttempts:   3,
-		Priorities:    true,
-		Grants:        true,
-		Kinds:         []EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
-		MaxGrantShare: 0.5,
+		Seed:        1,
+		Routers:     1,
+		Tick:        5 * ms,
+		MaxAttempts: 3,
+		Kinds:       []EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Features:    EngineFeatures{Priorities: true, Grants: true, MaxGrantShare: 0.5},
 		Classes: []Class{
 			{Name: "quick", LatencyObjective: 500 * ms, Deadline: 3 * time.Second, PriorityWeight: 1, Threads: 1},
 			{
@@ -100,15 +98,15 @@
 
 // withWarmUp returns settings with the slow start of most tests.
 func withWarmUp(config Config) Config {
-	config.WarmUpDuration, config.WarmUpInitialShare = 12*time.Second, 0.36
-	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2, 1500*ms
+	config.WarmUp.Duration, config.WarmUp.InitialShare = 12*time.Second, 0.36
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2, 1500*ms
 	return config
 }
 
 // withShortWarmUp returns settings with a slow start of ten seconds.
 func withShortWarmUp(config Config) Config {
-	config.WarmUpDuration, config.WarmUpInitialShare = 10*time.Second, 0.4
-	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2, time.Second
+	config.WarmUp.Duration, config.WarmUp.InitialShare = 10*time.Second, 0.4
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2, time.Second
 	return config
 }
 
@@ -225,7 +223,7 @@
 
 // isWarming reports whether the endpoint list says that an engine warms up.
 func (h *harness) isWarming(e Endpoint) bool {
-	return e.StartedAt > 0 && h.now < e.StartedAt+h.config.WarmUpDuration
+	return e.StartedAt > 0 && h.now < e.StartedAt+h.config.WarmUp.Duration
 }
 
 // countAfter counts the times after a given one.
--- a/dispatch/harnesschecks_test.go
+++ b/dispatch/harnesschecks_test.go
@@ -156,7 +156,7 @@
 
 // recordStart adds an attempt to its request.
 func (h *harness) recordStart(client *clientRequest, e Endpoint) {
-	if h.isWarming(e) && h.config.WarmUpOverloadFactor > 0 {
+	if h.isWarming(e) && h.config.WarmUp.OverloadFactor > 0 {
 		h.warmingStarts[e.ID] = append(h.warmingStarts[e.ID], h.now)
 	}
 	client.engines = append(client.engines, e.ID)
@@ -174,8 +174,8 @@
 			bounds = append(bounds, max(client.startedAt[i]+client.class.IdempotencyWindow-h.now, 1))
 		}
 	}
-	if h.isWarming(e) && h.config.WarmUpOverloadWindow > 0 {
-		bounds = append(bounds, h.config.WarmUpOverloadWindow/warmUpStartFraction)
+	if h.isWarming(e) && h.config.WarmUp.OverloadWindow > 0 {
+		bounds = append(bounds, h.config.WarmUp.OverloadWindow/warmUpStartFraction)
 	}
 	if delay := h.config.RetryBudget.startDelay(); delay > 0 && len(client.outcomes) > 0 {
 		bounds = append(bounds, delay)
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -123,7 +123,7 @@
 func (c *Controller) Usage(now time.Duration) OtherProcessUsage {
 	c.env.advance(now)
 	usage := OtherProcessUsage{Queued: c.queues.len()}
-	windowStart := c.env.now - c.env.config.WarmUpOverloadWindow
+	windowStart := c.env.now - c.env.config.WarmUp.OverloadWindow
 	for _, e := range c.endpoints.engines() {
 		own := e.usage.own(e.ID)
 		own.WarmUpWork = e.warmUp.sentSince(windowStart, 0)
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -13,9 +13,9 @@
 // memory or cores, no zones or five, classes without threads, no limits, no progress reports.
 func incompleteConfig(rng *rand.Rand) Config {
 	config := randomConfig(rng)
-	config.MemoryShortage, config.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
-	config.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
-	config.ProgressInterval = []time.Duration{0, time.Second}[rng.IntN(2)]
+	config.Features.MemoryShortage, config.Features.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
+	config.Features.MaxGrantShare = []float64{0, 0.4, 1, 5}[rng.IntN(4)]
+	config.Features.ProgressInterval = []time.Duration{0, time.Second}[rng.IntN(2)]
 	config.Zone = []string{"", "z0", "nowhere"}[rng.IntN(3)]
 	config.Routers, config.RouterIndex = rng.IntN(5), rng.IntN(6)
 	switch rng.IntN(4) {
@@ -116,7 +116,7 @@
 	client := h.arriveWith(arrival)
 	h.advance(100 * ms)
 	if len(client.engines) == 0 && len(h.controller.capacity.warming) > 0 {
-		h.advance(h.config.WarmUpDuration)
+		h.advance(h.config.WarmUp.Duration)
 		client = h.arriveWith(arrival)
 	}
 	if len(client.engines) == 0 {
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -19,7 +19,7 @@
 	config.PolledDiscovery = rng.IntN(2) == 0
 	config.DiscoveryTimeout, config.KeyCooldown = 4*time.Second, time.Duration(rng.IntN(500))*ms
 	config = withShortWarmUp(config)
-	config.WarmUpDuration = 5 * time.Second
+	config.WarmUp.Duration = 5 * time.Second
 	if rng.IntN(2) == 0 {
 		config.RetryBudget = RetryBudget{
 			Window: 2 * time.Second, Free: float64(rng.IntN(4)), PerRequest: 0.2 * rng.Float64(),
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -58,7 +58,7 @@
 	case req.neededMB <= 0:
 	case neededMB > 0:
 		req.class.estimate.learnNeed(neededMB, req.neededMB)
-	case !a.spilled && a.grantMB > 0 && l.env.config.ProgressInterval > 0:
+	case !a.spilled && a.grantMB > 0 && l.env.config.Features.ProgressInterval > 0:
 		req.class.estimate.learnNoSpill()
 	}
 }
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -30,10 +30,10 @@
 
 // recountBudgeted looks at each warming engine for those that this router has budget for.
 func (c *Controller) recountBudgeted() (ids []EngineID) {
-	if !c.capacity.largeFleet() || c.env.config.WarmUpOverloadFactor <= 0 {
+	if !c.capacity.largeFleet() || c.env.config.WarmUp.OverloadFactor <= 0 {
 		return nil
 	}
-	now, window := milliseconds(c.env.now), milliseconds(c.env.config.WarmUpOverloadWindow)
+	now, window := milliseconds(c.env.now), milliseconds(c.env.config.WarmUp.OverloadWindow)
 	for _, e := range c.endpoints.listed {
 		if c.env.now >= e.warmUp.end {
 			continue
@@ -73,7 +73,7 @@
 func newMirroredControllers(t *rapid.T) *mirroredControllers {
 	routers := rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "routers")
 	config := fleetConfig(fleetScenario{seed: 1, routers: routers, cores: 8}, 7)
-	config.Grants = true
+	config.Features.Grants = true
 	m := &mirroredControllers{
 		T: t, config: config, now: time.Hour,
 		attempts: map[RequestID]int{}, endpoints: map[EngineID]Endpoint{}, deadZones: map[string]bool{},
@@ -187,7 +187,7 @@
 func (m *mirroredControllers) configure() {
 	changed := m.config
 	changed.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "now")
-	changed.WarmUpOverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
+	changed.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
 	for _, c := range []*Controller{m.incremental, m.recounting} {
 		if _, _, err := c.Configure(changed); err != nil {
 			m.Fatal(err)
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -179,8 +179,8 @@
 		return
 	}
 	retryAfter := time.Duration(0)
-	if t.env.config.RetryAfterAllowed {
-		retryAfter = min(req.class.LatencyObjective, t.env.config.MaxRetryAfter)
+	if t.env.config.RetryAfter.Allowed {
+		retryAfter = min(req.class.LatencyObjective, t.env.config.RetryAfter.Max)
 	}
 	t.env.emit(Reject{Request: req.id, RetryAfter: retryAfter})
 }
--- a/dispatch/retries_test.go
+++ b/dispatch/retries_test.go
@@ -108,7 +108,7 @@
 	} {
 		rules, req, engines := retryHarness(test.class, true)
 		rules.env.config.RetryBudget = test.budget
-		rules.env.config.WarmUpOverloadWindow = 2 * time.Second
+		rules.env.config.WarmUp.OverloadWindow = 2 * time.Second
 		if test.warming {
 			engines[2].warmUp.end = rules.env.now + time.Second
 		}
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -43,9 +43,9 @@
 var traceSettings = []traceSetting{
 	{name: "random/plain", change: func(*Config) {}},
 	{name: "random/bare", change: func(c *Config) {
-		c.Grants, c.Priorities, c.RetryAfterAllowed = false, false, false
+		c.Features.Grants, c.Features.Priorities, c.RetryAfter.Allowed = false, false, false
 		c.CancelAllowed, c.HedgingAllowed = false, false
-		c.Tenants, c.RetryBudget, c.ProgressInterval = nil, RetryBudget{}, 0
+		c.Tenants, c.RetryBudget, c.Features.ProgressInterval = nil, RetryBudget{}, 0
 	}},
 	{name: "random/second-copies", change: func(c *Config) { c.HedgingAllowed, c.CancelAllowed = true, true }},
 	{name: "random/tight-budget", change: func(c *Config) {
@@ -56,8 +56,8 @@
 	{name: "random/asked-discovery", change: func(c *Config) {
 		c.PolledDiscovery, c.DiscoveryTimeout = true, 2*time.Second
 	}},
-	{name: "random/shortage-trim", change: func(c *Config) { c.MemoryShortage = ShortageShrink }},
-	{name: "random/shortage-swap", change: func(c *Config) { c.MemoryShortage = ShortagePage }},
+	{name: "random/shortage-trim", change: func(c *Config) { c.Features.MemoryShortage = ShortageShrink }},
+	{name: "random/shortage-swap", change: func(c *Config) { c.Features.MemoryShortage = ShortagePage }},
 	{name: "random/scope-zone", change: func(c *Config) { setTraceScope(c, ScopeZone) }},
 	{name: "random/scope-cell", change: func(c *Config) { setTraceScope(c, ScopeCell) }},
 	{name: "random/order-by-key", change: func(c *Config) {
@@ -67,7 +67,7 @@
 	}},
 	{name: "random/own-zone", change: func(c *Config) { c.Zone = "z1" }},
 	{name: "random/cold-starts", change: func(c *Config) {
-		c.WarmUpInitialShare, c.WarmUpDuration, c.WarmUpOverloadFactor = 0.1, 30*time.Second, 1.2
+		c.WarmUp.InitialShare, c.WarmUp.Duration, c.WarmUp.OverloadFactor = 0.1, 30*time.Second, 1.2
 	}},
 	{name: "random/many-gateways", change: onRouter(40, 7)},
 	{name: "random/large-fleet", change: onRouter(600, 123)},
@@ -102,23 +102,18 @@
 			{Name: "small", Cores: 4, MemoryMB: 4096},
 			{Name: "large", Cores: 16, MemoryMB: 32768},
 		},
-		OverQuotaWeight:      0.1,
-		MaxAttempts:          4,
-		MaxQueued:            50,
-		CancelAllowed:        true,
-		RetryAfterAllowed:    true,
-		MaxRetryAfter:        2 * time.Second,
-		Grants:               true,
-		MaxGrantShare:        0.4,
-		Priorities:           true,
-		ProgressInterval:     200 * ms,
-		Tick:                 2 * ms,
-		WarmUpInitialShare:   0.36,
-		WarmUpDuration:       12 * time.Second,
-		WarmUpOverloadFactor: 2,
-		WarmUpOverloadWindow: 1500 * ms,
-		KeyCooldown:          300 * ms,
-		RetryBudget:          RetryBudget{Window: 10 * time.Second, Free: 10, PerRequest: 0.3},
+		OverQuotaWeight: 0.1,
+		MaxAttempts:     4,
+		MaxQueued:       50,
+		CancelAllowed:   true,
+		RetryAfter:      RetryAfter{Allowed: true, Max: 2 * time.Second},
+		Features:        EngineFeatures{Grants: true, MaxGrantShare: 0.4, Priorities: true, ProgressInterval: 200 * ms},
+		Tick:            2 * ms,
+		WarmUp: WarmUp{
+			InitialShare: 0.36, Duration: 12 * time.Second, OverloadFactor: 2, OverloadWindow: 1500 * ms,
+		},
+		KeyCooldown: 300 * ms,
+		RetryBudget: RetryBudget{Window: 10 * time.Second, Free: 10, PerRequest: 0.3},
 	}
 }
 
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -144,7 +144,7 @@
 		config.Classes[0].Threads += 3
 		config.Seed++
 	case 4:
-		config.WarmUpDuration = -1
+		config.WarmUp.Duration = -1
 	case 5:
 		config.Tenants = append([]Tenant{{Name: "b", Quota: 5}}, config.Tenants[:len(config.Tenants)/2]...)
 	case 6:
--- a/dispatch/validate.go
+++ b/dispatch/validate.go
@@ -32,19 +32,19 @@
 		name  string
 		value time.Duration
 	}{
-		{"cold-for", config.WarmUpDuration},
-		{"overload-for", config.WarmUpOverloadWindow},
+		{"cold-for", config.WarmUp.Duration},
+		{"overload-for", config.WarmUp.OverloadWindow},
 		{"key-rest", config.KeyCooldown},
 		{"budget.window", config.RetryBudget.Window},
 		{"ask-within", config.DiscoveryTimeout},
 		{"tick", config.Tick},
-		{"max-retry-after", config.MaxRetryAfter},
+		{"max-retry-after", config.RetryAfter.Max},
 	} {
 		if duration.value < 0 {
 			return configErrorf(duration.name, "%v is below zero", duration.value)
 		}
 	}
-	negativeWarmUp := config.WarmUpInitialShare < 0 || config.WarmUpOverloadFactor < 0
+	negativeWarmUp := config.WarmUp.InitialShare < 0 || config.WarmUp.OverloadFactor < 0
 	if config.MaxAttempts < 0 || config.Routers < 0 || negativeWarmUp {
 		return configErrorf("max-attempts, gateways, cold-from or overload-factor", "below zero")
 	}
--- a/dispatch/validate_test.go
+++ b/dispatch/validate_test.go
@@ -13,7 +13,7 @@
 		"classes[0].name":  func(c *Config) { c.Classes[0].Name = "" },
 		"classes[1].aim":   func(c *Config) { c.Classes[1].LatencyObjective = -1 },
 		"classes[0].deadl": func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cold-for":         func(c *Config) { c.WarmUpDuration = -1 },
+		"cold-for":         func(c *Config) { c.WarmUp.Duration = -1 },
 		"kinds[0]":         func(c *Config) { c.Kinds[0].Cores = -1 },
 	} {
 		config := twoClassConfig()
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -87,7 +87,7 @@
 func (l *warmUpLimiter) begin(e *engine, at time.Duration) {
 	config := &l.env.config
 	e.warmUp.start = at
-	e.warmUp.end = max(e.warmUp.end, at+config.WarmUpDuration)
+	e.warmUp.end = max(e.warmUp.end, at+config.WarmUp.Duration)
 	salt := float64(rank(1, e.ID)>>11) / (1 << 53)
 	e.warmUp.budget = slowstart.NewBudget(config.RouterIndex, config.Routers, salt, milliseconds(at))
 	e.warmUp.budgetBasis = budgetBasis{}
@@ -99,16 +99,16 @@
 	if !e.warmUp.active(l.env.now) || initial == 1 {
 		return 1
 	}
-	elapsed := (l.env.now - e.warmUp.start).Seconds() / l.env.config.WarmUpDuration.Seconds()
+	elapsed := (l.env.now - e.warmUp.start).Seconds() / l.env.config.WarmUp.Duration.Seconds()
 	return initial + (1-initial)*min(elapsed, 1)
 }
 
 // initialShare is that share when an engine has just started.
 func (l *warmUpLimiter) initialShare() float64 {
-	if l.env.config.WarmUpDuration <= 0 || l.env.config.WarmUpInitialShare <= 0 {
+	if l.env.config.WarmUp.Duration <= 0 || l.env.config.WarmUp.InitialShare <= 0 {
 		return 1
 	}
-	return l.env.config.WarmUpInitialShare
+	return l.env.config.WarmUp.InitialShare
 }
 
 // recordSent counts an attempt on a warming engine.
@@ -145,18 +145,18 @@
 	if !e.warmUp.active(l.env.now) {
 		return 0
 	}
-	return l.env.config.WarmUpOverloadWindow / warmUpStartFraction
+	return l.env.config.WarmUp.OverloadWindow / warmUpStartFraction
 }
 
 // allows reports whether an engine's slow start leaves room for one more request.
 func (l *warmUpLimiter) allows(req *request, target *engine) bool {
 	config := &l.env.config
-	if !target.warmUp.active(l.env.now) || config.WarmUpOverloadFactor <= 0 {
+	if !target.warmUp.active(l.env.now) || config.WarmUp.OverloadFactor <= 0 {
 		return true
 	}
-	window := config.WarmUpOverloadWindow
+	window := config.WarmUp.OverloadWindow
 	since := l.env.now - window
-	bound := l.rate() * target.cores * config.WarmUpInitialShare * config.WarmUpOverloadFactor * window.Seconds()
+	bound := l.rate() * target.cores * config.WarmUp.InitialShare * config.WarmUp.OverloadFactor * window.Seconds()
 	if l.capacity.largeFleet() {
 		l.capacity.refresh()
 		bound = l.classes.largestWork()
@@ -184,7 +184,7 @@
 
 // budgetRate is the rate at which budget for an engine comes due to this router, in quanta.
 func (l *warmUpLimiter) budgetRate(target *engine, quantum float64) (rate slowstart.Rate) {
-	window, overload := l.env.config.WarmUpOverloadWindow.Seconds(), l.env.config.WarmUpOverloadFactor
+	window, overload := l.env.config.WarmUp.OverloadWindow.Seconds(), l.env.config.WarmUp.OverloadFactor
 	warmRate := capacityUtilization * target.cores
 	crossing := math.Inf(1) // the engine's rate at which the two bounds of quantaPerSecond meet
 	if d := overload - 2*warmUpBudgetShare; d > 0 {
@@ -196,7 +196,7 @@
 		return min(steady, burst) * l.env.fleetShare() / quantum
 	}
 	initial := l.initialShare()
-	start, end := milliseconds(target.warmUp.start), milliseconds(target.warmUp.start+l.env.config.WarmUpDuration)
+	start, end := milliseconds(target.warmUp.start), milliseconds(target.warmUp.start+l.env.config.WarmUp.Duration)
 	rate = rate.WithPoint(start, quantaPerSecond(warmRate*initial))
 	for _, engineRate := range []float64{quantum / window / overload, crossing} { // where the rate sets in, and bends
 		if part := (engineRate/warmRate - initial) / (1 - initial); part > 0 && part < 1 {
@@ -215,7 +215,7 @@
 // computeBudgets computes the budgets of all warming engines from the quantum, and orders them by when they are due.
 func (l *warmUpLimiter) computeBudgets() {
 	l.due, l.budgeted = l.due[:0], l.budgeted[:0]
-	if l.env.config.WarmUpOverloadFactor <= 0 || !l.capacity.largeFleet() {
+	if l.env.config.WarmUp.OverloadFactor <= 0 || !l.capacity.largeFleet() {
 		return
 	}
 	if l.quantum == 0 {
@@ -250,7 +250,7 @@
 		l.quantum = largest
 		l.computeBudgets()
 	}
-	now, window := l.env.nowMS(), milliseconds(l.env.config.WarmUpOverloadWindow)
+	now, window := l.env.nowMS(), milliseconds(l.env.config.WarmUp.OverloadWindow)
 	l.collectDue(now, window)
 	l.budgeted = slices.DeleteFunc(l.budgeted, func(e *engine) bool {
 		_, ok := e.warmUp.budget.Available(now, window)
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -59,8 +59,8 @@
 func (m *manyRouters) play(index int) {
 	m.t.Helper()
 	config, list := largeFleetConfig(manyRoutersCount, manyRoutersWarm, index)
-	config.WarmUpInitialShare, config.WarmUpDuration = 0.4, 12*time.Second
-	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2.5, manyRoutersWindow
+	config.WarmUp.InitialShare, config.WarmUp.Duration = 0.4, 12*time.Second
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2.5, manyRoutersWindow
 	config.Seed = m.seed*1000 + uint64(index)
 	c, err := New(config)
 	if err != nil {
@@ -136,8 +136,8 @@
 func burstStarts(t *testing.T, index, routers int, startedAt, at, window time.Duration) (starts int) {
 	t.Helper()
 	config, _ := largeFleetConfig(routers, 1, index)
-	config.WarmUpInitialShare, config.WarmUpDuration = 0.4, 12*time.Second
-	config.WarmUpOverloadFactor, config.WarmUpOverloadWindow = 2, window
+	config.WarmUp.InitialShare, config.WarmUp.Duration = 0.4, 12*time.Second
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2, window
 	config.Classes[1].LatencyObjective, config.MaxAttempts = 4*time.Second, 0
 	c, err := New(config)
 	if err != nil {
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -73,8 +73,8 @@
 	engines := &scriptedEngines{loop: loop, runs: map[string]int{}}
 	core, err := router.New(loop, dispatch.Config{
 		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 1,
-		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
-		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		RetryAfter: dispatch.RetryAfter{Allowed: true, Max: 2 * time.Second},
+		Kinds:      []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []dispatch.Class{
 			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -75,9 +75,9 @@
 	}
 	h.loop = router.NewLoop(h.clock)
 	cfg := dispatch.Config{
-		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfterAllowed: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true,
-		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 3, RetryAfter: dispatch.RetryAfter{Allowed: true, Max: 2 * time.Second},
+		Features: dispatch.EngineFeatures{Priorities: true},
+		Kinds:    []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []dispatch.Class{
 			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -242,11 +242,14 @@
 	clients := &router.ByKind{}
 	w.noHedging = rapid.Bool().Draw(t, "no second copies")
 	core, err := router.New(w.loop, dispatch.Config{
-		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4, RetryAfterAllowed: true,
-		MaxRetryAfter: 2 * time.Second, Priorities: true,
-		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
-		CancelAllowed: rapid.Bool().Draw(t, "cancels"), WarmUpInitialShare: 0.4, WarmUpDuration: 5 * time.Second,
-		WarmUpOverloadFactor: 2, WarmUpOverloadWindow: time.Second,
+		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4,
+		RetryAfter: dispatch.RetryAfter{Allowed: true, Max: 2 * time.Second},
+		Features:   dispatch.EngineFeatures{Priorities: true},
+		Kinds:      []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
+		CancelAllowed: rapid.Bool().Draw(t, "cancels"),
+		WarmUp: dispatch.WarmUp{
+			InitialShare: 0.4, Duration: 5 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
+		},
 	}, clients, log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -81,10 +81,11 @@
 	h := &harness{t: t, clock: &clock.Manual{MS: 1e12}, client: &fakeEngineClient{}}
 	h.loop = NewLoop(h.clock)
 	cfg := dispatch.Config{
-		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2, Priorities: true,
-		Tenants:           []dispatch.Tenant{{Name: "south"}},
-		RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
-		Kinds: []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
+		Routers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 2,
+		Features:   dispatch.EngineFeatures{Priorities: true},
+		Tenants:    []dispatch.Tenant{{Name: "south"}},
+		RetryAfter: dispatch.RetryAfter{Allowed: true, Max: 2 * time.Second},
+		Kinds:      []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []dispatch.Class{
 			{Name: "lookup", LatencyObjective: time.Second, Deadline: 5 * time.Second, Threads: 1},
 			{
--- a/internal/router/progress_test.go
+++ b/internal/router/progress_test.go
@@ -12,7 +12,7 @@
 // and against a flood of events: each answer repeats the load report, and each attempt may bring four answers a
 // second.
 func TestProgressReachesDispatch(t *testing.T) {
-	reporting := func(cfg *dispatch.Config) { cfg.ProgressInterval, cfg.CancelAllowed = time.Second, true }
+	reporting := func(cfg *dispatch.Config) { cfg.Features.ProgressInterval, cfg.CancelAllowed = time.Second, true }
 	load := dispatch.LoadReport{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
 	for _, test := range []struct {
 		name       string
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -26,7 +26,7 @@
 		classes:            make(map[string]dispatch.Class, len(cfg.Classes)),
 		tenants:            make(map[string]bool, len(cfg.Tenants)),
 		maxAttempts:        cfg.MaxAttempts,
-		progressIntervalMS: clock.Millis(cfg.ProgressInterval),
+		progressIntervalMS: clock.Millis(cfg.Features.ProgressInterval),
 		exclusive:          !cfg.HedgingAllowed,
 		cancelAllowed:      cfg.CancelAllowed,
 	}
@@ -36,8 +36,8 @@
 	for _, tenant := range cfg.Tenants {
 		created.tenants[tenant.Name] = true
 	}
-	if cfg.RetryAfterAllowed {
-		created.maxRetryAfterMS = clock.Millis(cfg.MaxRetryAfter)
+	if cfg.RetryAfter.Allowed {
+		created.maxRetryAfterMS = clock.Millis(cfg.RetryAfter.Max)
 	}
 	return created
 }
--- a/internal/settings/dispatchconfig.go
+++ b/internal/settings/dispatchconfig.go
@@ -75,20 +75,25 @@
 		Tick: time.Duration(s.TickNS), OverQuotaWeight: s.OverQuotaWeight,
 
 		MaxAttempts: limits.MaxAttempts, CancelAllowed: limits.CancelAllowed, HedgingAllowed: limits.HedgingAllowed,
-		RetryAfterAllowed: limits.RetryAfterAllowed, MaxRetryAfter: time.Duration(limits.MaxRetryAfterNS),
+		RetryAfter: dispatch.RetryAfter{
+			Allowed: limits.RetryAfterAllowed, Max: time.Duration(limits.MaxRetryAfterNS),
+		},
 
 		PolledDiscovery:  s.Discovery == polledDiscovery,
 		DiscoveryTimeout: time.Duration(rules.DiscoveryTimeoutNS), KeyCooldown: time.Duration(rules.KeyCooldownNS),
-		WarmUpInitialShare: rules.WarmUpInitialShare, WarmUpDuration: time.Duration(rules.WarmUpNS),
-		WarmUpOverloadFactor: rules.WarmUpOverloadFactor,
-		WarmUpOverloadWindow: time.Duration(rules.WarmUpOverloadWindowNS),
+		WarmUp: dispatch.WarmUp{
+			InitialShare: rules.WarmUpInitialShare, Duration: time.Duration(rules.WarmUpNS),
+			OverloadFactor: rules.WarmUpOverloadFactor, OverloadWindow: time.Duration(rules.WarmUpOverloadWindowNS),
+		},
 		RetryBudget: dispatch.RetryBudget{
 			Window: time.Duration(rules.RetryBudgetWindowNS), Free: rules.RetryBudgetFree,
 			PerRequest: rules.RetryBudgetPerRequest,
 		},
 
-		Grants: specifics.GrantsEnabled, MaxGrantShare: specifics.MaxGrantShare, MemoryShortage: shortage,
-		Priorities: specifics.PrioritiesEnabled, ProgressInterval: time.Duration(specifics.ProgressIntervalNS),
+		Features: dispatch.EngineFeatures{
+			Grants: specifics.GrantsEnabled, MaxGrantShare: specifics.MaxGrantShare, MemoryShortage: shortage,
+			Priorities: specifics.PrioritiesEnabled, ProgressInterval: time.Duration(specifics.ProgressIntervalNS),
+		},
 	}, nil
 }
 
