--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -45,7 +45,7 @@
 	billMB   = 4
 )
 
-// unknownLoad stands for a value that a load report does not have.
+// unknownLoad represents a value that a load report does not have.
 const unknownLoad = -1
 
 // wireEndpoint is an element of a REGISTER.
--- a/cmd/windflowctl/admin.go
+++ b/cmd/windflowctl/admin.go
@@ -24,7 +24,7 @@
 // errNoRouter rejects a call without the flag that names routers.
 var errNoRouter = errors.New("--door: no router is named")
 
-// adminCommand asks routers over their admin API and cordons engines at them; an order goes to all routers that are
+// adminCommand queries routers over their admin API and cordons engines at them; an order goes to all routers that are
 // named.
 func adminCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: adminName, Short: "Ask routers and cordon engines, over the routers' admin API"}
--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -17,7 +17,7 @@
 	{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
 }
 
-// adminRouter stands for a router's admin API and keeps the requests that it gets.
+// adminRouter simulates a router's admin API and keeps the requests that it gets.
 type adminRouter struct {
 	address  string
 	requests bytes.Buffer
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -27,7 +27,7 @@
 	minNotificationLength = 21
 )
 
-// asTrans stands for an AS number of more than 16 bits in a field of 16 (RFC 6793).
+// asTrans represents an AS number of more than 16 bits in a field of 16 (RFC 6793).
 const asTrans = 23456
 
 // marker begins each message.
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -46,7 +46,7 @@
 	scenarios func() []Scenario
 }{{"docs/CAPACITY.md", Scenarios}, {"docs/design/capacity.md", Options}}
 
-// Each row of the pages has the figure, the status and the mechanism that the measurements give.
+// Each row of the pages has the figure, the status and the mechanism that the measurements result in.
 func TestCapacityPages(t *testing.T) {
 	m := measured(t)
 	for _, p := range pages {
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -20,7 +20,7 @@
 }
 
 // ParseScales reads the text of scale.json: a list of days with all fields and no others, names unique. An error
-// names the place in the list, the day and the field.
+// names the index in the list, the day and the field.
 func ParseScales(text []byte) ([]Scale, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -42,7 +42,7 @@
 }
 
 // Fit fits a line to points by least squares. The largest residual is the largest distance in y of a point from it, in
-// the unit of y. Points that are all at one x give a level line through their mean; no points give zeros.
+// the unit of y. Points that are all at one x give a level line through their mean; no points result in zeros.
 func Fit(points [][2]float64) (intercept, slope, largestResidual float64) {
 	if len(points) == 0 {
 		return 0, 0, 0
@@ -117,7 +117,7 @@
 }
 
 // ParseSlopes reads the text of slopes.json: a list of slopes with all fields and no others, each from at least
-// MinSizes sizes, with the fit that its points give, names unique. An error names the place in the list, the slope
+// MinSizes sizes, with the fit that its points result in, names unique. An error names the index in the list, the slope
 // and the field.
 func ParseSlopes(text []byte) ([]Slope, error) {
 	var items []json.RawMessage
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -125,6 +125,6 @@
 	}
 	all[0].Slope = 9
 	if _, err := FormatSlopes(all); err == nil {
-		t.Error("a slope that its points don't give was written")
+		t.Error("a slope that its points don't result in was written")
 	}
 }
--- a/internal/configclient/change_limiter.go
+++ b/internal/configclient/change_limiter.go
@@ -22,7 +22,7 @@
 	return changeLimiter{tokens: changeBurst, updatedAt: time.Now()}
 }
 
-// wait takes a token for a change that came, and waits until another change may come or ctx ends.
+// wait takes a token for a received change, and waits until another change may be received or ctx ends.
 func (l *changeLimiter) wait(ctx context.Context) {
 	now := time.Now()
 	refill := float64(now.Sub(l.updatedAt)) / float64(changeInterval)
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// answerTimeout is the time a keeper has to answer beyond the wait that it was asked for.
+	// answerTimeout is the time a keeper has to answer beyond the requested wait.
 	answerTimeout = 2 * time.Second
-	// earlyAnswerDelay is the mean wait after an answer without a newer revision that came at once.
+	// earlyAnswerDelay is the mean wait after an answer without a newer revision that arrived at once.
 	earlyAnswerDelay = 200 * time.Millisecond
 	// stopTimeout bounds the wait for the goroutines at the end; a disk may hang.
 	stopTimeout = 200 * time.Millisecond
@@ -76,7 +76,7 @@
 func (c *Client) Latest() Revision { return c.control.latest() }
 
 // Restore puts a revision in force at the start: the copy on the disk, and on top of it the newest revision of a keeper
-// that answers within the timeout. Each keeper is asked once. It may keep the call open for a part of the timeout: it
+// that answers within the timeout. Each keeper is polled once. It may keep the call open for a part of the timeout: it
 // sends nothing to a process before the keepers have noted that there is one. Restore is called before Start.
 func (c *Client) Restore(timeout time.Duration, apply Apply) {
 	ctx, cancel := context.WithTimeout(c.stopped, timeout)
@@ -97,7 +97,7 @@
 		if err == nil {
 			return
 		}
-		backoffMS := c.follower.CallFailed(c.nowMS(), 0) // 0 before each was asked
+		backoffMS := c.follower.CallFailed(c.nowMS(), 0) // 0 before each was polled
 		if attempt == keepers-1 || ctx.Err() != nil {
 			break
 		}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -52,7 +52,7 @@
 				return
 			}
 		case <-late:
-			t.Fatalf("revision %d never came", revision)
+			t.Fatalf("revision %d was never received", revision)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(update) }
 }
 
-// misbehaviors returns the ways in which keepers misbehave. A silent one holds its calls until stop is closed.
+// misbehaviors returns the ways in which keepers misbehave. A silent one keeps its calls open until stop is closed.
 func misbehaviors(stop <-chan struct{}) []misbehavior {
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("7")}
 	return []misbehavior{
@@ -217,7 +217,7 @@
 	ahead.WaitForRevision(3)
 	c.Configure(Config{Addresses: []string{late.Addr()}, MaxPollWaitMS: 100})
 	late.WaitForRevision(3)
-	late.WaitForRevision(3) // once more, after what it was told
+	late.WaitForRevision(3) // once more, after the updates it has received
 	if r.latest().Revision != 3 {
 		t.Errorf("revision %d", r.latest().Revision)
 	}
--- a/internal/configclient/config.go
+++ b/internal/configclient/config.go
@@ -32,7 +32,7 @@
 // ErrSuperseded says that the router has a later revision in force, which its other process supplied.
 var ErrSuperseded = errors.New("a later revision is in force")
 
-// ErrShuttingDown says that the router shuts down; the keepers are told nothing about the revision then.
+// ErrShuttingDown says that the router shuts down; nothing about the revision is reported to the keepers then.
 var ErrShuttingDown = errors.New("the router ends")
 
 // Counters count events since the start; the last two are current values.
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -29,7 +29,7 @@
 )
 
 // copyStore saves the last revision in force to a file of this router's own. Both processes of a router write the same
-// file during an upgrade.
+// file during a hot restart.
 type copyStore struct {
 	path, router string
 	counters     *Counters
@@ -130,7 +130,7 @@
 	}
 }
 
-// run writes what is to be saved until ctx ends; what came last is written then, too.
+// run writes what is to be saved until ctx ends; the last one saved is written then, too.
 func (s *copyStore) run(ctx context.Context) {
 	var failed *configlog.SavedRevision
 	retries := time.NewTicker(writeRetryInterval)
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -31,7 +31,7 @@
 	return h
 }
 
-// goldenEntries are in the form in which keepers give them out.
+// goldenEntries are in the form in which keepers send them.
 func goldenEntries() map[string]json.RawMessage {
 	return map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage("1.5"),
@@ -60,7 +60,7 @@
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 || files[0].Name() != goldenCopy {
-		t.Fatalf("the folder holds %v, %v", files, err)
+		t.Fatalf("the folder contains %v, %v", files, err)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, goldenCopy))
 	if err != nil {
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -26,7 +26,7 @@
 	tb       testing.TB
 	server   *httptest.Server
 	stopping chan struct{}                 // closed when calls have to end
-	statuses chan configlog.FollowerStatus // of the calls that came
+	statuses chan configlog.FollowerStatus // of the received calls
 
 	mu       sync.Mutex
 	log      *configlog.Log
--- a/internal/enginehttp/attempt.go
+++ b/internal/enginehttp/attempt.go
@@ -22,7 +22,7 @@
 	retryDelayMS = 50.0
 )
 
-// attempt is one statement that an engine was asked to run. It implements router.Attempt.
+// attempt is one statement that an engine was requested to run. It implements router.Attempt.
 type attempt struct {
 	loop     *router.Loop
 	log      *slog.Logger
@@ -43,7 +43,7 @@
 
 // responseHealth is what is known of an engine's responses to an attempt since the last valid one.
 type responseHealth struct {
-	lastValidMS   float64 // when the statement was written, or the last valid response came
+	lastValidMS   float64 // when the statement was written, or the last valid response arrived
 	failures      int     // requests since then that failed
 	badResponses  int     // those among them whose response was invalid
 	startReset    bool    // the connection of the start request broke before any response to it
@@ -159,7 +159,7 @@
 }
 
 // cancelThenEnd ends the attempt once the engine no longer has the query: when it has confirmed a cancellation, where
-// that is allowed, or when it was not asked about the query for so long that it has forgotten it. A query is not
+// that is allowed, or when it was not polled about the query for so long that it has forgotten it. A query is not
 // bound to a connection and runs on when that breaks, so an earlier end could let a second attempt run beside it.
 func (a *attempt) cancelThenEnd(outcome dispatch.Outcome, detail string) {
 	if a.ended || a.cancelling {
--- a/internal/enginehttp/conn.go
+++ b/internal/enginehttp/conn.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// countInterim fails the connection once too many interim responses stand before the response.
+// countInterim fails the connection once too many interim responses precede the response.
 func (c *conn) countInterim() {
 	c.interim++
 	if c.interim > maxInterim {
--- a/internal/enginehttp/pages.go
+++ b/internal/enginehttp/pages.go
@@ -25,7 +25,7 @@
 // complete reports whether no page is missing.
 func (r *resultPages) complete() bool { return len(r.pages) >= r.count }
 
-// checkPage checks that a page holds complete rows of the columns and is not too long.
+// checkPage checks that a page contains complete rows of the columns and is not too long.
 func checkPage(body []byte) error {
 	switch {
 	case len(body) > maxPage:
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -33,7 +33,7 @@
 	case err == nil:
 		a.handleProgress(resp)
 	case !a.startRequest.written:
-		// It was never written, or never connected: the one proof that a transport can give.
+		// It was never written, or never connected: the one proof that a transport can provide.
 		a.end(dispatch.ConnectFailed, err.Error())
 	default:
 		// The query may have started. The engine is polled for it; the statement is not sent again.
@@ -64,7 +64,7 @@
 	})
 }
 
-// requestPage requests a page of the result; pages are numbered from 0, and page 0 comes with the end of the query.
+// requestPage requests a page of the result; pages are numbered from 0, and page 0 arrives with the end of the query.
 func (a *attempt) requestPage(page int) {
 	a.counters.Pages++
 	a.sendGet(page, false, responseTimeoutMS, func(resp *response, err error) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// handleQueryEnd handles the response that the query has ended; it holds the first page of the result.
+// handleQueryEnd handles the response that the query has ended; it contains the first page of the result.
 func (a *attempt) handleQueryEnd(resp *response) {
 	count, err := strconv.Atoi(resp.header[headerPageCount])
 	if err != nil || count < 1 || count > router.MaxResultBytes {
@@ -177,7 +177,7 @@
 	a.health = responseHealth{lastValidMS: a.loop.Now()}
 }
 
-// handleInvalid handles a response that no engine should give. It may belong to another request, so its connection is
+// handleInvalid handles a response that no engine should send. It may belong to another request, so its connection is
 // not used again.
 func (a *attempt) handleInvalid(cause error) {
 	if c := a.current.conn; c.request == nil {
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -24,7 +24,7 @@
 	queue   []*request                    // low-priority requests last
 }
 
-// configure replaces the bounds, closes idle connections over the new limit and uses what room it gives.
+// configure replaces the bounds, closes idle connections over the new limit and uses the capacity that this frees.
 func (p *pool) configure(cfg Config) {
 	p.connectTimeoutMS = cfg.ConnectTimeoutMS
 	p.idleTimeoutMS = min(cfg.IdleMS/2, maxIdleMS)
@@ -51,7 +51,7 @@
 	p.dial(req)
 }
 
-// enqueue queues a request. A low-priority one stands behind all others: it is a long poll, which the engine answers
+// enqueue queues a request. A low-priority one is queued behind all others: it is a long poll, which the engine answers
 // late anyway, and the engine keeps the query meanwhile.
 func (p *pool) enqueue(r *request) {
 	i := len(p.queue)
--- a/internal/enginehttp/progress.go
+++ b/internal/enginehttp/progress.go
@@ -46,7 +46,7 @@
 }
 
 // parseLoad reads a load report, as in 'inflight:7;util:0.61'. A value that is missing or out of bounds is unknown; nil
-// means that the report holds no valid value.
+// means that the report has no valid value.
 func parseLoad(text string) *dispatch.LoadReport {
 	report := dispatch.LoadReport{
 		InFlight: unknownLoad, Waiting: unknownLoad, Busy: unknownLoad, Disk: unknownLoad, Memory: unknownLoad,
@@ -68,7 +68,7 @@
 	return &report
 }
 
-// loadField returns the field of a load report that a name on the wire stands for; nil for an unknown name.
+// loadField returns the field of a load report that a name on the wire denotes; nil for an unknown name.
 func loadField(report *dispatch.LoadReport, name string) *float64 {
 	switch name {
 	case "inflight", "rif":
--- a/internal/enginehttp/request.go
+++ b/internal/enginehttp/request.go
@@ -11,7 +11,7 @@
 	// responseTimeoutMS is how long an engine may take to respond to a request once that is written: it answers a long
 	// poll within 250 ms, if only to say that the query is running, and keeps a query for 2 s after the last poll.
 	responseTimeoutMS = 320.0
-	// writeDelayMS is how long the last byte of a non-idempotent statement is held back: a few round trips. An engine
+	// writeDelayMS is how long the last byte of a non-idempotent statement is delayed: a few round trips. An engine
 	// cannot run a statement that it has not received completely, so a connection that is reset before then, as new
 	// ones may be, proves that nothing ran.
 	writeDelayMS = 10.0
@@ -23,7 +23,7 @@
 	errTooLate         = errors.New("not started before the latest start time")
 )
 
-// badResponseError is a response that no engine should give, or bytes that are no response.
+// badResponseError is a response that no engine should send, or bytes that are no response.
 type badResponseError struct{ cause error }
 
 func (e *badResponseError) Error() string { return e.cause.Error() }
--- a/internal/enginehttp/response.go
+++ b/internal/enginehttp/response.go
@@ -17,7 +17,7 @@
 	maxChunkLine = 64
 )
 
-// maxInterim is how many interim responses may stand before a response.
+// maxInterim is how many interim responses may precede a response.
 const maxInterim = 8
 
 // response is one HTTP response of an engine.
@@ -26,7 +26,7 @@
 	header        map[string]string // names in lower case
 	body          []byte
 	close         bool // the engine closes the connection after it
-	trailingBytes bool // further bytes came with it, which belong to no request
+	trailingBytes bool // further bytes arrived with it, which belong to no request
 }
 
 // interim reports whether the engine has yet to send the final response (1xx).
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -8,7 +8,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Changes reach a whole fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and
+// Changes reach a complete fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and
 // regions apart and joined; nobody goes back, all end at the same content, and the keepers say so.
 func TestConfigurationReachesTheFleet(t *testing.T) {
 	f := newConfiguredFleet(t, scenarioSizes(t))
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -152,7 +152,7 @@
 	s.changed = make(chan struct{})
 }
 
-// encodeFrame returns an event as it stands on the wire.
+// encodeFrame returns an event in the form of the wire.
 func encodeFrame(number uint64, kind byte, engines []Engine) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(frameHeaderSize+frameRecordSize*len(engines)))
 	out = append(binary.BigEndian.AppendUint64(out, number), kind)
@@ -275,7 +275,7 @@
 	}
 }
 
-// KnownEvents is an endpoint list as a router's configuration holds it, as event 1; without engines the router knows
+// KnownEvents is an endpoint list in the form of a router's configuration, as event 1; without engines the router knows
 // of no event yet.
 func KnownEvents(engines []Engine) json.RawMessage {
 	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Removed: "left"}
--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -1,4 +1,4 @@
-// Package fleettest is what tests of a whole fleet are built from: real processes of the built programs; simulated
+// Package fleettest is what tests of a complete fleet are built from: real processes of the built programs; simulated
 // routers (the real discovery watcher, dispatch and configuration client, many to a process, without sockets for
 // clients and engines); a discovery server, engines and keepers; and relays that disconnect, blackhole and delay
 // links. All of it is on loopback. At most MaxProcesses run and MaxMemory is resident, and every process ends with
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -125,7 +125,7 @@
 	}()
 }
 
-// registry holds the live processes of all tests of a run, and ends them if they take too much memory.
+// registry contains the live processes of all tests of a run, and ends them if they take too much memory.
 type registry struct {
 	mu        sync.Mutex
 	processes map[*Process]bool
@@ -137,7 +137,7 @@
 
 // admit returns an error if no further process may be started.
 func (r *registry) admit() error {
-	r.watch.Do(func() { go r.watchMemory() }) // for the rest of the test run
+	r.watch.Do(func() { go r.watchMemory() }) // until the end of the test run
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exceeded != nil {
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -116,7 +116,7 @@
 	h.AwaitList(number)
 }
 
-// The readiness line comes when clients are accepted, and not before: a client that dials then is greeted.
+// The readiness line is written when clients are accepted, and not before: a client that dials then is greeted.
 func TestReadinessMeansThatClientsAreTaken(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -36,7 +36,7 @@
 	revisions    Revisions      // that are in force by its log
 	lastLines    []string
 	changed      chan struct{} // closed and replaced when lineCounts or revisions have changed
-	endRequested bool          // the test asked for its end
+	endRequested bool          // the test requested its end
 }
 
 func newProcess(h *Harness, name string, cmd *exec.Cmd, watched []string) *Process {
@@ -135,7 +135,7 @@
 	p.await(fmt.Sprintf("%d lines with %q", n, text), func() bool { return p.lineCounts[text] >= n })
 }
 
-// await waits until a condition of the log holds; it is evaluated with the lock held.
+// await waits until a condition of the log is met; it is evaluated under the lock.
 func (p *Process) await(what string, ok func() bool) {
 	p.harness.T.Helper()
 	late := time.NewTimer(WaitTimeout)
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -61,7 +61,7 @@
 	return r
 }
 
-// Cut resets all connections, and each new one as it comes, until Heal.
+// Cut resets all connections, and each new one once it is accepted, until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	r.notify()
 }
 
-// Blackhole holds back all bytes in a direction until Heal; connections stay and new ones come up.
+// Blackhole delays all bytes in a direction until Heal; connections stay and new ones are accepted.
 func (r *Relay) Blackhole(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Config is what differs between the routers of a harness; the rest is the platform's configuration of a plain site.
+// Config is what differs between the routers of a harness; all else is the platform's configuration of a plain site.
 type Config struct {
 	Name            string
 	Index           int    // of the router in its fleet
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -207,7 +207,7 @@
 func (discardResponses) Rejected(float64)      {}
 func (discardResponses) Failed(router.Reason)  {}
 
-// timedEngines stands for all engines: it serves each attempt after the same time.
+// timedEngines simulates all engines: it serves each attempt after the same time.
 type timedEngines struct{ router *simulatedRouter }
 
 type timedAttempt struct{ timer *router.Timer }
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Await waits until a condition of the routers' states holds. check is called while they do not change, and returns
+// Await waits until a condition of the routers' states is met. check is called while they do not change, and returns
 // what is missing; an empty text ends the wait.
 func (h *SimulatedRouters) Await(check func(map[int]*RouterStatus) string) {
 	h.harness.T.Helper()
@@ -169,7 +169,7 @@
 	}
 	h.Await(func(map[int]*RouterStatus) string {
 		if n := len(h.totals); n < len(h.Processes) {
-			return fmt.Sprintf("%d of %d processes gave their totals", n, len(h.Processes))
+			return fmt.Sprintf("%d of %d processes reported their totals", n, len(h.Processes))
 		}
 		sum = Totals{}
 		for _, t := range h.totals {
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// openSessions logs clients in, each of which asks once.
+// openSessions logs clients in, each of which sends one query.
 func openSessions(t *testing.T, p *Router, n int) *sessions {
 	t.Helper()
 	c := &sessions{clients: make([]*Client, n)}
@@ -126,7 +126,7 @@
 	return served.Load() + failed.Load()
 }
 
-// What statements cost, from few sessions; and what sessions cost of which each asks now and then.
+// What statements cost, from few sessions; and what sessions cost of which each sends a query now and then.
 func TestSlopesOfStatements(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	run := func(name string, sessions int, aSecond float64) (rate, cpu, mb, bytes float64) {
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -159,7 +159,7 @@
 }
 
 // startChanges makes changes at an even pace, whether or not those before have been answered, until the function that
-// it gives is called. It fails the test where an answer does not come or the pace was not kept.
+// it gives is called. It fails the test where an answer does not arrive or the pace was not kept.
 func (f *configuredFleet) startChanges(aSecond float64) (end func()) {
 	if aSecond == 0 {
 		return func() {}
@@ -199,8 +199,8 @@
 	}
 }
 
-// How large a whole configuration is for a follower that has none, and what a keeper holds, by tenants that are put
-// as entries.
+// How large a complete configuration is for a follower that has none, and what memory a keeper uses, by tenants that
+// are put as entries.
 func TestSlopesOfAWholeConfiguration(t *testing.T) {
 	rows := requireSlopes(t)
 	sizes := []int{10, 100, 300, 1000}
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -16,7 +16,7 @@
 	idleConditions = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
 )
 
-// What a router at rest takes, by the engines in its list; what a whole list is on the wire; and what one change of
+// What an idle router takes, by the engines in its list; what a complete list is on the wire; and what one change of
 // the list costs by the engines in it.
 func TestSlopesOfARouterByEngines(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
@@ -29,7 +29,7 @@
 		relay := NewRelay(t, b.Addr)
 		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4}) // it knows no list yet
 		p.Ready()
-		p.Await(LineEndpointEvent, 1) // the whole one
+		p.Await(LineEndpointEvent, 1) // the complete list
 		lists = append(lists, float64(relay.Count(Downstream).Payload))
 		onWire = append(onWire, float64(relay.WireBytes()))
 		all, relays, boards = append(all, p.Process), append(relays, relay), append(boards, b)
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -20,7 +20,7 @@
 // measuredSpan is how long a cost by the second is measured for.
 const measuredSpan = 20 * time.Second
 
-// requireSlopes skips a test that nobody asked for, and gives where its rows go.
+// requireSlopes skips a test unless slopesFolderEnv is set, and returns where its rows are written.
 func requireSlopes(t *testing.T) *slopeRows {
 	t.Helper()
 	dir := os.Getenv(slopesFolderEnv)
@@ -52,7 +52,7 @@
 	return first
 }
 
-// add fits a row and puts it in the file at once, in the place of an older one of its name.
+// add fits a row and puts it in the file at once, in place of an older one of its name.
 func (r *slopeRows) add(name, of, x, y string, points [][2]float64, conditions string) {
 	r.t.Helper()
 	r.mu.Lock()
--- a/internal/fleettest/usage.go
+++ b/internal/fleettest/usage.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is the processor time that a process has used since its start, and the memory that it holds.
+// Usage is the processor time that a process has used since its start, and the memory that it uses.
 type Usage struct {
 	CPU      time.Duration // processor time, all threads, user and system
 	Resident int64         // bytes
@@ -19,7 +19,7 @@
 }
 
 // Usage reads a process's usage from the system. The processor time is the process's own clock
-// (clock_getcpuclockid(3)): the same sum that /proc/PID/stat gives as utime and stime, in nanoseconds in place of
+// (clock_getcpuclockid(3)): the same sum that /proc/PID/stat has as utime and stime, in nanoseconds in place of
 // hundredths of a second.
 func (p *Process) Usage() Usage {
 	p.harness.T.Helper()
@@ -31,7 +31,7 @@
 }
 
 // processorTime reads the clock of a process: by the kernel's clock ids, the bits of the id are those of the process's,
-// inverted, above three that say "of a whole process, by the scheduler's sum".
+// inverted, above three that say "of an entire process, by the scheduler's sum".
 func processorTime(pid int) (time.Duration, error) {
 	const ofProcess = 2
 	var ts unix.Timespec
@@ -59,15 +59,15 @@
 	return user + system, err
 }
 
-// resident is the memory that a process holds, in bytes (VmRSS); 0 for one that has ended.
+// resident is the memory that a process uses, in bytes (VmRSS); 0 for one that has ended.
 func resident(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
 	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			kb, _ := strconv.ParseInt(strings.Fields(value)[0], 10, 64)
 			return kb << 10
 		}
 	}
@@ -79,5 +79,5 @@
 	return 100 * (to.CPU - from.CPU).Seconds() / to.At.Sub(from.At).Seconds()
 }
 
-// MB is the memory that a process holds, in 2^20 bytes.
+// MB is the memory that a process uses, in 2^20 bytes.
 func (u Usage) MB() float64 { return float64(u.Resident) / (1 << 20) }
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -32,7 +32,7 @@
 	connectTimeout atomic.Int64 // a time.Duration; dials read it in goroutines of their own
 	shared         map[dispatch.EngineID]*grpc.ClientConn
 	attempts       map[*attempt]bool
-	dedicatedSlots chan struct{} // holds one for each dedicated connection
+	dedicatedSlots chan struct{} // contains one for each dedicated connection
 	Counters       ClientCounters
 }
 
--- a/internal/flightsql/execute.go
+++ b/internal/flightsql/execute.go
@@ -20,7 +20,7 @@
 	"windflow/internal/router"
 )
 
-// errBadResponse marks a response that no engine should give.
+// errBadResponse marks a response that no engine should send.
 var errBadResponse = errors.New("bad response")
 
 // executeQuery requests rows: GetFlightInfo, then DoGet of each of its tickets. The trailer is that of the last call.
@@ -61,7 +61,7 @@
 	size   int // of the text, in bytes
 }
 
-// read reads a stream to its end. Arrow checks the outline of a message as it comes in, but not, say, each offset of a
+// read reads a stream to its end. Arrow checks the outline of a message as it arrives, but not, say, each offset of a
 // column of text: reading such a value panics, which must end the attempt and not the router.
 func (r *rowReader) read(reader *flight.Reader) (err error) {
 	defer func() {
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -21,7 +21,7 @@
 const (
 	// maxStatement bounds a statement, in bytes, as on the MySQL front.
 	maxStatement = 64 << 10
-	// maxCall bounds a message of a call, in bytes. A call holds little beside the statement, so that there is room
+	// maxCall bounds a message of a call, in bytes. A call has little beside the statement, so that there is room
 	// to tell a client what is wrong with one that is too long.
 	maxCall = 2 * maxStatement
 	// maxHeaderList bounds the headers of a call, in bytes.
@@ -144,8 +144,8 @@
 // ActiveCalls returns the number of requests in flight.
 func (f *Front) ActiveCalls() int { return int(f.service.activeCalls.Load()) }
 
-// SetTicketClaimer sets how to ask the other process of this router for a ticket that is not here; claim waits for the
-// answer. Each ticket is in one process at a time, so that none is redeemed twice.
+// SetTicketClaimer sets how to request a ticket that is not here from the other process of this router; claim waits
+// for the answer. Each ticket is in one process at a time, so that none is redeemed twice.
 func (f *Front) SetTicketClaimer(claim func(handle string) *Ticket) { f.tickets.setClaimer(claim) }
 
 // ReleaseTicket removes a ticket for the other process; nil means that it is not here.
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -23,7 +23,7 @@
 	name, statement string
 	ctx             context.Context
 	code            codes.Code
-	text            string // that the status holds
+	text            string // that the status contains
 	runs            int
 }
 
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -121,14 +121,14 @@
 }
 
 // The two answers to an idempotent query whose engine does not answer before its deadline. It is rejected, but failed
-// where the loop stood still across the deadline, so that the deadline was noticed before the attempt's time limit.
+// where the loop stalled across the deadline, so that the deadline was noticed before the attempt's time limit.
 const (
 	rejectedAtDeadline = "ResourceExhausted \"refused, nothing was done; try again later: backoff=1000\" " +
 		"trailer backoff-ms=[\"1000\"] retry=[\"safe\"]\ndetail type.googleapis.com/google.rpc.RetryInfo 0a020801\n"
 	failedAtDeadline = "DeadlineExceeded \"the time for the query ran out\" trailer retry=[\"safe\"]\n"
 )
 
-// onTime returns the answer that a client gets when the loop did not stand still: which one it is depends on the
+// onTime returns the answer that a client gets when the loop did not stall: which one it is depends on the
 // machine.
 func onTime(answer string) string {
 	if answer == failedAtDeadline {
--- a/internal/flightsql/request.go
+++ b/internal/flightsql/request.go
@@ -11,7 +11,7 @@
 	"windflow/internal/router"
 )
 
-// minDeadlineMS is the least time to a deadline: a call that comes at its deadline is late, not malformed.
+// minDeadlineMS is the least time to a deadline: a call that arrives at its deadline is late, not malformed.
 const minDeadlineMS = 0.001
 
 // newRequest reads a request from the fields in the call's metadata and checks it. Both the call's deadline and the
@@ -42,7 +42,7 @@
 	md          metadata.MD
 	deadlineMS  float64 // the time to the call's deadline
 	hasDeadline bool
-	repeated    error // names a field that the call holds more than once
+	repeated    error // names a field that the call has more than once
 }
 
 // get returns a field; the budget defaults to the time to the call's deadline.
--- a/internal/flightsql/tickets.go
+++ b/internal/flightsql/tickets.go
@@ -29,10 +29,10 @@
 	SingleUse   bool           `json:"Once"`
 }
 
-// ticketStore holds the tickets of a process. It is safe for concurrent use.
+// ticketStore contains the tickets of a process. It is safe for concurrent use.
 type ticketStore struct {
 	loop *router.Loop // for its clock
-	// claimer, where it is set, asks the other process of this router for a ticket and waits for the answer.
+	// claimer, where it is set, requests a ticket from the other process of this router and waits for the answer.
 	claimer atomic.Pointer[func(handle string) *Ticket]
 
 	mu       sync.Mutex
@@ -106,7 +106,7 @@
 	return element
 }
 
-// setClaimer sets how to ask the other process for a ticket.
+// setClaimer sets how to request a ticket from the other process.
 func (s *ticketStore) setClaimer(claim func(handle string) *Ticket) { s.claimer.Store(&claim) }
 
 // redeem returns a ticket, which is removed if it is for a single use, so that a client that fetches again, or two
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
 // Package golden has the checks of tests that hold an encoded form: files that an earlier program wrote, and checks
 // that samples set all fields and that encoded types name each field by a tag.
 //
-// Golden files are in the folder testdata/golden of the package under test. They stand for data on disks and wires:
+// Golden files are in the folder testdata/golden of the package under test. They represent data on disks and wires:
 // they are recorded once, with the flag -golden.record, and never overwritten.
 package golden
 
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -69,7 +69,7 @@
 		}
 	}
 	if text, err := os.ReadFile(Path(name)); err != nil || string(text) != "one" {
-		t.Errorf("the file holds %q, %v", text, err)
+		t.Errorf("the file contains %q, %v", text, err)
 	}
 }
 
--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -47,7 +47,7 @@
 	state    record.State
 }
 
-// sharedEventOf reports whether a change comes from the endpoint list.
+// sharedEventOf reports whether a change is from the endpoint list.
 func sharedEventOf(change *record.EngineChange) (sharedEvent, bool) {
 	if change.State != record.Draining && change.State != record.Gone {
 		return sharedEvent{}, false
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -10,7 +10,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// maxChangeAttempts bounds how often a change is checked again because another revision came between.
+// maxChangeAttempts bounds how often a change is checked again because another revision was made meanwhile.
 const maxChangeAttempts = 3
 
 const busyReason = "too many changes wait for the one before them"
@@ -29,7 +29,7 @@
 	replication  *replication
 	proxy        *leaderProxy
 	counters     *counters
-	turn         chan struct{} // holds one token: one change at a time is checked and replicated
+	turn         chan struct{} // contains one token: one change at a time is checked and replicated
 }
 
 func newChangeService(
@@ -97,7 +97,7 @@
 
 // commit checks a change and has it replicated, as the leader. It handles one change at a time, so that each is
 // checked against the content that it will be applied to; an entry whose base is no longer in force (another leader
-// came between) does nothing.
+// made a revision meanwhile) does nothing.
 func (s *changeService) commit(ctx context.Context, change configlog.Change) response {
 	select {
 	case s.turn <- struct{}{}:
@@ -117,8 +117,8 @@
 	return unavailableResponse(errorBusy, effectNone, busyReason)
 }
 
-// attempt checks a change against the content in force and replicates it. done is false if another revision came
-// between.
+// attempt checks a change against the content in force and replicates it. done is false if another revision was
+// made meanwhile.
 func (s *changeService) attempt(change configlog.Change) (result response, done bool) {
 	base, content, changeErr := s.stateMachine.preview(change)
 	if changeErr == nil {
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -38,7 +38,7 @@
 	Why      string `json:"why,omitempty"` // why no majority confirms the report
 }
 
-// gatheredLeases are the leases of all keepers that could be asked.
+// gatheredLeases are the leases of all keepers that could be queried.
 type gatheredLeases struct {
 	leases []configlog.Lease
 	// unreached keepers did not answer, or some of their followers may not have called yet.
@@ -100,7 +100,7 @@
 		gathered = s.gatherLeases(ctx)
 	}
 	// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on
-	// until then is applied here: no revision and no follower that a keeper knew when it was asked is missing in the
+	// until then is applied here: no revision and no follower that a keeper knew when it was queried is missing in the
 	// report.
 	if err := s.replication.barrier(); err != nil {
 		return s.replication.failureResponse(err, effectNone)
@@ -123,7 +123,7 @@
 	return okResponse(report)
 }
 
-// gatherLeases asks all keepers for their leases, concurrently.
+// gatherLeases requests from all keepers their leases, concurrently.
 func (s *convergenceService) gatherLeases(ctx context.Context) (gathered gatheredLeases) {
 	var mu sync.Mutex
 	add := func(id string, answer keeperLeases, answered bool) {
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -45,7 +45,7 @@
 type pendingFollowers struct {
 	mu        sync.Mutex
 	processes map[followerProcess]bool
-	added     chan struct{} // holds a token after processes were added
+	added     chan struct{} // contains a token after processes were added
 }
 
 func newPendingFollowers() *pendingFollowers {
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -225,7 +225,7 @@
 	// It restarts, learns that the group exists, and gets none of the leader's entries.
 	g.links[[2]int{leader, lost}][0].setSilent(forth, true)
 	g.members[lost].start()
-	waitUntil(t, "the empty keeper's place in the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
+	waitUntil(t, "the empty keeper joining the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
 	g.kill(leader)
 	var no reply
 	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 ||
@@ -265,7 +265,7 @@
 		p.start()
 	}
 	for _, i := range []int{0, 1} {
-		waitUntil(t, "the empty keepers' place in the group", func() bool { return g.status(i).Folder.Stage == "joining" })
+		waitUntil(t, "the empty keepers joining the group", func() bool { return g.status(i).Folder.Stage == "joining" })
 	}
 	var no reply
 	if code := g.post(2, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &no); code != 503 {
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -93,14 +93,14 @@
 	calls := make(chan got, 2)
 	go func() { calls <- got{a.poll(1, 700)} }()
 	go func() { calls <- got{b.poll(2, 700)} }()
-	waitUntil(t, "two calls held", func() bool {
+	waitUntil(t, "two waiting calls", func() bool {
 		return g.status(1).Counters["waiting"] == 1 &&
 			g.status(2).Counters["waiting"] == 1
 	})
 	g.change(0, put("second", "/settings/over-share-worth", "2"))
 	for range 2 {
 		if c := <-calls; c.code != 200 {
-			t.Errorf("held calls: %d", c.code)
+			t.Errorf("waiting calls: %d", c.code)
 		}
 	}
 	a.report(1)
@@ -159,7 +159,7 @@
 		t.Errorf("all have just started: %+v", v)
 	}
 	if v := g.rollout(1, "wait_ms=10000"); !v.Converged {
-		t.Errorf("the only follower is heard: %+v", v)
+		t.Errorf("the only follower is listed: %+v", v)
 	}
 }
 
@@ -171,7 +171,7 @@
 		f := follower{g: g, name: fmt.Sprint("r", n), instance: "1"}
 		go func() { done <- f.poll(0, 2500) }()
 	}
-	waitUntil(t, "two calls held", func() bool { return g.status(0).Counters["waiting"] == 2 })
+	waitUntil(t, "two waiting calls", func() bool { return g.status(0).Counters["waiting"] == 2 })
 	f := follower{g: g, name: "r9", instance: "1"}
 	if code := f.poll(0, 1000); code != http.StatusServiceUnavailable {
 		t.Errorf("the third call: %d", code)
@@ -179,7 +179,7 @@
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	for range 2 {
 		if code := <-done; code != 200 {
-			t.Errorf("a held call: %d", code)
+			t.Errorf("a waiting call: %d", code)
 		}
 	}
 	if code := f.poll(0, 1000); code != http.StatusOK {
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -23,7 +23,7 @@
 	"windflow/internal/golden"
 )
 
-// goldenFolders holds the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
+// goldenFolders contains the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
 const goldenFolders = "folders.tar.gz"
 
 const goldenWithin = 20 * time.Second
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Entries of the replicated log have the bytes that an earlier program gave them, and are read as it meant them.
+// Entries of the replicated log have the bytes that an earlier program wrote, and are read as it meant them.
 func TestGoldenCommands(t *testing.T) {
 	var all []any
 	for file, want := range sampleCommands() {
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -39,7 +39,7 @@
 		before[i] = look(i)
 	}
 	leader := g.leader()
-	time.Sleep(*idle) // what is measured is the time in which nothing is asked
+	time.Sleep(*idle) // what is measured is the time without any call
 	for i := range before {
 		now, rss := look(i), residentKB(t, g.members[i].cmd.Process.Pid)
 		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v",
@@ -63,8 +63,8 @@
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			if _, err := fmt.Sscan(rest, &kb); err != nil {
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			if _, err := fmt.Sscan(value, &kb); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// run answers HTTP calls from the start on, so that other keepers can ask for its status, and replicates as soon as
+// run answers HTTP calls from the start on, so that other keepers can request its status, and replicates as soon as
 // it is known whether to found or to join a group.
 func (k *keeper) run(ctx context.Context, httpListener, raftListener net.Listener) error {
 	server := k.newServer()
@@ -194,7 +194,7 @@
 	}
 }
 
-// shutdown gives up leadership first, then ends calls, then the replication.
+// shutdown transfers leadership first, then ends calls, then the replication.
 func (k *keeper) shutdown(server *http.Server) error {
 	k.replication.transferLeadership()
 	close(k.stopping)
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -86,8 +86,8 @@
 	return p.forward(ctx, peer, call)
 }
 
-// forward sends a call to the leader. It gives up when another keeper leads: the answer of a leader that was stopped or
-// cut off may never come.
+// forward sends a call to the leader. It stops waiting when another keeper leads: the answer of a leader that was
+// stopped or cut off may never come.
 func (p *leaderProxy) forward(ctx context.Context, leader Peer, call leaderCall) response {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -52,13 +52,13 @@
 	var r reply
 	if code := g.post(third, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
 		r.Revision != 2 || !r.Repeated {
-		t.Errorf("asked again: %d %+v", code, r)
+		t.Errorf("repeated: %d %+v", code, r)
 	}
 	g.members[leader].start()
 	g.checkEqualState(2)
 }
 
-// The leader is killed with a change that only its own log has. The repeated call gives one revision, also when the old
+// The leader is killed with a change that only its own log has. The repeated call makes one revision, also when the old
 // leader restarts with its log.
 func TestLeaderKilledBeforeCommit(t *testing.T) {
 	g := startGroup(t, 3, nil)
@@ -179,7 +179,7 @@
 		t.Error("revision", rev)
 	}
 	if n := timeouts() - before; n > 0 {
-		t.Errorf("%d keepers waited for a leader that had told them", n)
+		t.Errorf("%d keepers waited for a leader that had notified them", n)
 	}
 }
 
--- a/internal/keeper/lease_table.go
+++ b/internal/keeper/lease_table.go
@@ -7,7 +7,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// leaseTable holds the leases of the followers that call this keeper.
+// leaseTable contains the leases of the followers that call this keeper.
 type leaseTable struct {
 	keeperID  string
 	startedAt time.Time
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// discoveryInterval is between two rounds of asking the other keepers at the start.
+	// discoveryInterval is between two rounds of querying the other keepers at the start.
 	discoveryInterval = 200 * time.Millisecond
 	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat
-	// timeouts: longer than any election in which it may have voted before the loss, which a candidate gives up after
+	// timeouts: longer than any election in which it may have voted before the loss, which a candidate abandons after
 	// two of them.
 	quietHeartbeats = 5
 )
 
-// membership decides how this keeper becomes a member of the group, and records in the folder how far it has come.
+// membership decides how this keeper becomes a member of the group, and records its progress in the folder.
 type membership struct {
 	options     *Options
 	log         *slog.Logger
@@ -129,7 +129,7 @@
 	}
 }
 
-// surveyPeers asks the other keepers once, and returns those that belong to the group and those that gave no answer
+// surveyPeers queries the other keepers once, and returns those that belong to the group and those that did not answer
 // that counts.
 func (m *membership) surveyPeers(ctx context.Context) (members, unanswered []string) {
 	statuses := m.peers.statuses(ctx)
@@ -160,15 +160,15 @@
 	}
 }
 
-// resumeVoting lets a keeper that lost its folder take part in elections again, once it holds all entries that the
-// leader held at some moment after the loss: they include whatever this keeper had confirmed before.
+// resumeVoting lets a keeper that lost its folder take part in elections again, once it has all entries that the
+// leader had at some moment after the loss: they include whatever this keeper had confirmed before.
 func (m *membership) resumeVoting(ctx context.Context) {
 	id, _ := m.replication.leader()
 	peer, known := m.peers.peer(id)
 	if !known || time.Since(m.startedAt) < quietHeartbeats*m.options.Heartbeat {
 		return
 	}
-	// The index may be reached only later; the next check asks for a new one then.
+	// The index may be reached only later; the next check requests a new one then.
 	var leader leaderStatus
 	if err := m.peers.get(ctx, peer, leaderPath, &leader); err != nil || leader.ID != id {
 		return
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -11,7 +11,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Check validates the content that a change would give, before the change gets a revision; nil accepts it.
+// Check validates the content that a change would result in, before the change gets a revision; nil accepts it.
 type Check func(entries map[string]json.RawMessage) *configerror.Error
 
 // Options configure one keeper. A field that is zero gets the default that its comment names.
@@ -27,7 +27,7 @@
 	OnReady  func(httpAddr string) // called once, as soon as HTTP calls are accepted
 
 	// AcceptLoss lets a keeper that lost its folder vote at once. It is meant for a majority that is lost for good:
-	// what only the lost keepers stored is given up.
+	// what only the lost keepers stored is lost.
 	AcceptLoss bool
 
 	Heartbeat           time.Duration       // silence after which a leader is given up; 400 ms
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -128,7 +128,7 @@
 	case line := <-ready:
 		if line != "ready "+p.options.HTTPAddr+"\n" {
 			<-p.ended
-			p.t.Fatalf("%s: no word of readiness but %q; %s", p.options.ID, line, p.logText())
+			p.t.Fatalf("%s: no readiness line but %q; %s", p.options.ID, line, p.logText())
 		}
 	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s is not ready; %s", p.options.ID, p.logText())
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -118,7 +118,7 @@
 func (r *replication) bootstrap(config *raft.Config, transport raft.Transport) error {
 	var group raft.Configuration
 	for _, peer := range r.options.Peers {
-		// The ids stand for addresses, too: see addressProvider.
+		// The ids serve as addresses, too: see addressProvider.
 		server := raft.Server{ID: raft.ServerID(peer.ID), Address: raft.ServerAddress(peer.ID)}
 		group.Servers = append(group.Servers, server)
 	}
@@ -176,7 +176,7 @@
 	return string(leader), string(leader) == r.options.ID && r.node.State() == raft.Leader
 }
 
-// hasEntries reports whether the log holds more than the list of keepers that it was founded with.
+// hasEntries reports whether the log has more than the list of keepers that it was founded with.
 func (r *replication) hasEntries() bool { return r.running() && r.node.LastIndex() > 1 }
 
 // votes reports whether this keeper takes part in elections.
@@ -200,7 +200,7 @@
 	}
 }
 
-// apply replicates a command, and returns what the state machine made of it once a majority holds it.
+// apply replicates a command, and returns what the state machine made of it once a majority has it.
 func (r *replication) apply(entry command) (any, error) {
 	data, err := entry.encode()
 	if err != nil {
@@ -248,7 +248,8 @@
 	return leaderStatus{ID: r.options.ID, LastIndex: r.node.LastIndex()}, nil
 }
 
-// waitApplied waits until the entry at index is applied here. It gives up when no entry is for appliedPollInterval.
+// waitApplied waits until the entry at index is applied here. It returns an error when no entry is for
+// appliedPollInterval.
 func (r *replication) waitApplied(ctx context.Context, index uint64) error {
 	for r.node.AppliedIndex() < index {
 		changed := r.stateMachine.nextChange()
--- a/internal/keeper/request.go
+++ b/internal/keeper/request.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// describeDecodeError words an error of encoding/json with the field that it is about.
+// describeDecodeError describes an error of encoding/json with the field that it is about.
 func describeDecodeError(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
@@ -77,7 +77,7 @@
 	return err.Error()
 }
 
-// typeName returns the name that a decoding error gives to a type. Operators have always seen the Go names of this
+// typeName returns the name that a decoding error has for a type. Operators have always seen the Go names of this
 // package's types; types that were renamed keep the name they had.
 func typeName(goType reflect.Type) string {
 	switch goType {
@@ -89,7 +89,7 @@
 	return goType.String()
 }
 
-// queryUint reads a whole number of the query; nil if it is absent.
+// queryUint reads a natural number of the query; nil if it is absent.
 func queryUint(r *http.Request, field string) (*uint64, *response) {
 	text := r.URL.Query().Get(field)
 	if text == "" {
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -99,7 +99,7 @@
 		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount),
 		(moreOut-out)/int64(*followerCount))
 	for i := range g.members {
-		t.Logf("%s: %d kB resident, %d calls held", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
+		t.Logf("%s: %d kB resident, %d calls waiting", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
 			g.status(i).Counters["waiting"])
 	}
 	dead := g.leader()
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -17,7 +17,7 @@
 const maxSnapshotBytes = 1 << 30
 
 // stateMachine is the replicated state: the log of revisions and the roster of followers. Raft alone changes it, by
-// entries that a majority holds; the calls of operators and followers read it.
+// entries that a majority has; the calls of operators and followers read it.
 type stateMachine struct {
 	changed *notifier
 
@@ -89,7 +89,7 @@
 	return sink.Close()
 }
 
-// Release does nothing: the state is held by the garbage collector alone.
+// Release does nothing: the garbage collector frees the state.
 func (s snapshotState) Release() {}
 
 // Restore implements raft.FSM: it replaces the state by that of a snapshot.
@@ -123,7 +123,7 @@
 	return logSummary{Revision: m.log.Revision(), Oldest: m.log.OldestRevision(), Hash: m.log.Hash()}
 }
 
-// preview returns the content that a change would give, and the revision that the change would be applied to.
+// preview returns the content that a change would result in, and the revision that the change would be applied to.
 func (m *stateMachine) preview(
 	change configlog.Change,
 ) (base uint64, content map[string]json.RawMessage, changeErr *configerror.Error) {
@@ -143,7 +143,7 @@
 	return m.log.NextUpdate(status), m.log.HasMember(status.Name, status.Instance), m.changed.wait()
 }
 
-// contentAt returns the content at a revision; nil stands for the one in force. changed is closed when another
+// contentAt returns the content at a revision; nil means the one in force. changed is closed when another
 // revision is in force.
 func (m *stateMachine) contentAt(
 	revision *uint64,
@@ -200,7 +200,7 @@
 	})
 }
 
-// convergence tells at which followers a revision is in force; nil stands for the revision in force here.
+// convergence returns at which followers a revision is in force; nil means the revision in force here.
 func (m *stateMachine) convergence(revision *uint64, gathered gatheredLeases) configlog.ConvergenceStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -127,10 +127,10 @@
 func TestRaftLog(t *testing.T) {
 	var out bytes.Buffer
 	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
-	l.Debug("not heard")
-	l.Named("x").With("peer", "k2").Warn("heard", "list", hclog.Fmt("%+v", []int{1, 2}))
-	if text := out.String(); strings.Contains(text, "not heard") ||
-		!strings.Contains(text, "level=WARN msg=heard peer=k2 list=\"[1 2]\"") {
+	l.Debug("suppressed")
+	l.Named("x").With("peer", "k2").Warn("logged", "list", hclog.Fmt("%+v", []int{1, 2}))
+	if text := out.String(); strings.Contains(text, "suppressed") ||
+		!strings.Contains(text, "level=WARN msg=logged peer=k2 list=\"[1 2]\"") {
 		t.Error(text)
 	}
 }
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -24,7 +24,7 @@
 	return countingConn{conn, s.in, s.out}, nil
 }
 
-// addressProvider finds a keeper's address by its id. The replicated list of the group holds ids only, so that a keeper
+// addressProvider finds a keeper's address by its id. The replicated list of the group has ids only, so that a keeper
 // that moves needs another --peers and no change to that list.
 type addressProvider struct{ peers []Peer }
 
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -21,7 +21,7 @@
 // Config bounds the front.
 type Config struct {
 	MaxSessions int
-	MaxBuffered int // bytes of all sessions together that wait for the rest of a packet or for an answer
+	MaxBuffered int // bytes of all sessions together that wait for the remainder of a packet or for an answer
 }
 
 // Counters count sessions, and what their clients sent.
@@ -38,7 +38,7 @@
 	Kills      int64 `status:"kills"`
 }
 
-// Front holds the sessions and submits their requests to the core.
+// Front keeps the sessions and submits their requests to the core.
 type Front struct {
 	core     *router.Core
 	loop     *router.Loop
@@ -68,7 +68,7 @@
 func (f *Front) Configure(cfg Config) { f.cfg = cfg }
 
 // SetGeneration sets the upper bits of the ids of new sessions: two processes of one router, of different generations,
-// never give the same id.
+// never assign the same id.
 func (f *Front) SetGeneration(g uint8) { f.idBase = uint32(g%(1<<generationBits)) << counterBits }
 
 // nextID returns the id of a new session.
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -10,7 +10,7 @@
 	protocolVersion = 10
 	// salt is 20 bytes; the password is empty, so that the salt protects nothing.
 	salt = "windflow-needs-no-pw"
-	// saltHead is how many bytes of the salt stand in the first part of the greeting.
+	// saltHead is how many bytes of the salt are in the first part of the greeting.
 	saltHead = 8
 )
 
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -39,8 +39,8 @@
 	buffer      []byte
 
 	openedMS       float64
-	lastDataMS     float64 // when the last bytes came; 0: none did
-	waitingSinceMS float64 // since when it waits for the client: for the login, a command, or the rest of a packet
+	lastDataMS     float64 // when the last bytes arrived; 0: none have
+	waitingSinceMS float64 // since when it waits for the client: for the login, a command, or the remainder of a packet
 }
 
 // Opened implements netio.Handler.
@@ -58,7 +58,7 @@
 	w := packetWriter{}
 	w.greeting(s.id)
 	_ = conn.Write(w.buffer)
-	s.seq = w.seq + 1 // the client's login stands between
+	s.seq = w.seq + 1 // the client's login is between
 }
 
 // Closed implements netio.Handler.
@@ -84,7 +84,7 @@
 	}
 }
 
-// setBuffer sets the buffer; an empty one holds no memory.
+// setBuffer sets the buffer; an empty one takes no memory.
 func (s *session) setBuffer(b []byte) {
 	s.front.buffered += len(b) - len(s.buffer)
 	s.buffer = b
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -28,9 +28,9 @@
 	h.conn.CloseGracefully()
 }
 
-// A client that is rejected while it sends goes on sending, reads the rejection, and is not reset: a close with unread
-// input would make its writes fail and might lose the rejection. The clock stands, so that nothing but the client ends
-// the connection here.
+// A client that is rejected while it sends goes on sending, reads the rejection, and is not reset: a close with
+// unread input would make its writes fail and might lose the rejection. The clock is stopped, so that nothing but the
+// client ends the connection here.
 func TestGracefulClose(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1})
 	h := &rejectingHandler{closed: make(chan int, 1)}
@@ -91,7 +91,7 @@
 func (h *answeringHandler) Closed(error)         { close(h.closed) }
 
 // What was written before a graceful close arrives completely, however late its client reads, and then the end; what
-// the client sends meanwhile is dropped and resets nothing. The clock stands until the client has read all: no time
+// the client sends meanwhile is dropped and resets nothing. The clock is stopped until the client has read all: no time
 // ends the connection. Otherwise an answer would be cut off in the write queue, or by a close that crosses a request.
 func TestGracefulCloseSendsQueuedBytes(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1})
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -20,7 +20,7 @@
 	CloseGracefully()
 	// HasUnread reports whether the peer has sent bytes that the handler has not received yet.
 	HasUnread() bool
-	// Detach gives the connection up without closing it: fn is called with its descriptor, which fn must close, once
+	// Detach releases the connection without closing it: fn is called with its descriptor, which fn must close, once
 	// all that was read was handed to the handler; no call of the handler follows. Where that is not possible, fn is
 	// called with nil and the connection is unchanged.
 	Detach(fn func(*os.File))
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -15,7 +15,7 @@
 	// readBufferSize is the most that the poller reads at once.
 	readBufferSize = 32 << 10
 	// maxPendingAccepts is how many connections a listener may accept ahead of the loop, which closes those over its
-	// own bounds: until it has, each holds a descriptor that nothing has counted.
+	// own bounds: until it has, each has a descriptor that nothing has counted.
 	maxPendingAccepts = 16
 	// maxGracefulCloses is how many connections may close gracefully at once; more are closed at once, because their
 	// descriptors may not be used for anything else meanwhile.
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -23,7 +23,7 @@
 	lis    net.Listener
 	accept func() Handler
 
-	slots     chan struct{} // holds one for each connection that the loop has not handled yet
+	slots     chan struct{} // contains one for each connection that the loop has not handled yet
 	pending   atomic.Int32  // see Pending
 	done      chan struct{} // closed by Close
 	closeOnce sync.Once
@@ -66,7 +66,7 @@
 
 // serve accepts until the listener is closed and registers each connection with the poller.
 //
-// nbio's own acceptor is not used: it clears its stop mark as it comes up, so that a stop right after the start is
+// nbio's own acceptor is not used: it clears its stop mark as it starts, so that a stop right after the start is
 // lost, and then, as on any other error of accept, it retries without a pause and logs each failure.
 func (l *Listener) serve() {
 	defer close(l.ended)
@@ -113,7 +113,7 @@
 	})
 }
 
-// open gives a connection its handler, unless it could not be registered. It is called in the loop's goroutine.
+// open assigns a connection its handler, unless it could not be registered. It is called in the loop's goroutine.
 func (l *Listener) open(s *socket, err error) {
 	<-l.slots
 	l.pending.Add(-1)
--- a/internal/netio/log.go
+++ b/internal/netio/log.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// pollerLog is the destination of nbio's warnings. nbio has one logger for the whole process and reads it from its own
+// pollerLog is the destination of nbio's warnings. nbio has one logger for the entire process and reads it from its own
 // goroutines, so that logger is set once, here, and only its destination changes.
 var pollerLog atomic.Pointer[slog.Logger]
 
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -12,7 +12,7 @@
 )
 
 // stopTimeout bounds Stop. A poller that nbio started a moment ago may miss its stop, because it clears its own mark
-// as it comes up, and nbio's Stop would then wait for ever: a router that fails at its start would hang.
+// as it starts, and nbio's Stop would then wait for ever: a router that fails at its start would hang.
 const stopTimeout = time.Second
 
 // Poller opens connections and listens. Stop ends it, with its goroutines.
--- a/internal/netio/poller_test.go
+++ b/internal/netio/poller_test.go
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	if got := <-received.done; !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes came of %d, or in another order", len(got), len(sent))
+		t.Errorf("%d bytes received of %d, or in another order", len(got), len(sent))
 	}
 }
 
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -8,17 +8,17 @@
 )
 
 // registrar registers new connections with the poller, in the poller's own goroutine and only after it has handled all
-// events that it had gathered when the connection came.
+// events that it had gathered when the connection was accepted.
 //
 // nbio identifies a connection by its descriptor, and the poller gathers events for many descriptors at once. The
-// loop may close a connection whose event was gathered and not handled yet; the system gives its descriptor to the
+// loop may close a connection whose event was gathered and not handled yet; the system assigns its descriptor to the
 // next connection, and nbio would take the event, the end of the former connection, for one of the new connection.
 // Without the deferral, connections of clients and engines end right after they were opened, though nobody has closed
 // them.
 //
 // The poller's goroutine is entered by a byte on a connection of the registrar's own. Each such wake-up is a turn: a
-// registration is due in the second turn after it came, because the events of the turn that follows it may have been
-// gathered before.
+// registration is due in the second turn after it was enqueued, because the events of the turn that follows it may
+// have been gathered before.
 type registrar struct {
 	engine   *nbio.Engine
 	wakeConn net.Conn // what is written here is read by the poller
@@ -76,13 +76,13 @@
 	r.enqueue(registration{done: func(error) { fn() }})
 }
 
-// enqueue adds a registration and makes sure of a turn to come; r.mu is held.
+// enqueue adds a registration and makes sure of a later turn; r.mu is held.
 func (r *registrar) enqueue(reg registration) {
 	r.arrived = append(r.arrived, reg)
 	r.wake()
 }
 
-// wake makes sure of a turn to come; r.mu is held.
+// wake makes sure of a later turn; r.mu is held.
 func (r *registrar) wake() {
 	if !r.wakePending {
 		r.wakePending = true
@@ -90,10 +90,10 @@
 	}
 }
 
-// handleWake takes a turn. It is called in the poller's goroutine, once for each byte. Registrations that came before
+// handleWake takes a turn. It is called in the poller's goroutine, once for each byte. Registrations enqueued before
 // the previous turn are due: the events that the poller handles now were gathered after that turn, and the former
-// connections of these descriptors had been closed by then. Those that came later may have come after the events were
-// gathered, and wait for another turn.
+// connections of these descriptors had been closed by then. Those enqueued later may have been enqueued after the
+// events were gathered, and wait for another turn.
 func (r *registrar) handleWake() {
 	for _, reg := range r.nextTurn() {
 		var err error
--- a/internal/netio/registration_test.go
+++ b/internal/netio/registration_test.go
@@ -46,7 +46,7 @@
 	return s
 }
 
-// stepUntil steps the loop until the condition holds.
+// stepUntil steps the loop until the condition is met.
 func (s *connSet) stepUntil(condition func() bool) {
 	for !condition() {
 		s.loop.Step()
@@ -119,7 +119,7 @@
 	}
 }
 
-// Where the system gives no Unix sockets, the poller is woken over TCP, so that the router starts there, too.
+// Where the system has no Unix sockets, the poller is woken over TCP, so that the router starts there, too.
 func TestSocketPairs(t *testing.T) {
 	for name, newPair := range map[string]func() ([2]net.Conn, error){"unix": unixSocketPair, "tcp": tcpSocketPair} {
 		ends, err := newPair()
--- a/internal/netio/socketpair.go
+++ b/internal/netio/socketpair.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// newSocketPair returns the two ends of one connection. Where the system gives no Unix sockets, they are TCP over
+// newSocketPair returns the two ends of one connection. Where the system has no Unix sockets, they are TCP over
 // loopback.
 func newSocketPair() (ends [2]net.Conn, err error) {
 	if ends, err = unixSocketPair(); err == nil {
--- a/internal/record/files.go
+++ b/internal/record/files.go
@@ -66,7 +66,7 @@
 	Err     error // why the file could not be read, or not to its end
 }
 
-// ReadSegments reads segment files one by one and passes their records to each, without the headers; it holds one
+// ReadSegments reads segment files one by one and passes their records to each, without the headers; it keeps one
 // record in memory. A file that can't be read has an error in its result and does not end the reading. An error of
 // each does, and is returned with the results of the files before.
 func ReadSegments(files []string, each func(header *Header, next Record) error) (results []SegmentResult, err error) {
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -11,11 +11,11 @@
 	"windflow/internal/golden"
 )
 
-// goldenSegment holds goldenRecords as an earlier program wrote them.
+// goldenSegment contains goldenRecords as an earlier program wrote them.
 const goldenSegment = "full.wfr"
 
-// goldenRecords returns a segment with each kind of record, all fields set. The event has one field, because several have
-// no order among them.
+// goldenRecords returns a segment with each kind of record, all fields set. The event has one field, because several
+// have no order among them.
 func goldenRecords() []Record {
 	const start = 1_796_000_000_000.5
 	row := ClassStats{
--- a/internal/record/meter_test.go
+++ b/internal/record/meter_test.go
@@ -72,9 +72,9 @@
 	var out strings.Builder
 	clock := func() float64 { return 7 }
 	log := slog.New(NewLogHandler(slog.NewTextHandler(&out, nil), clock, func(e *Event) { got = append(got, e) }))
-	log.With("name", "n0").Warn("the loop stood still", "ms", 500)
+	log.With("name", "n0").Warn("event loop stalled", "ms", 500)
 	log.Debug("not this")
-	want := []*Event{{AtMS: 7, Name: "the loop stood still", Fields: map[string]string{"name": "n0", "ms": "500"}}}
+	want := []*Event{{AtMS: 7, Name: "event loop stalled", Fields: map[string]string{"name": "n0", "ms": "500"}}}
 	if diff := cmp.Diff(want, got); diff != "" || !strings.Contains(out.String(), "ms=500") {
 		t.Error(diff, out.String())
 	}
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// readChunkBytes is how much a Reader asks its source for at once.
+// readChunkBytes is how much a Reader reads from its source at once.
 const readChunkBytes = 64 << 10
 
 var (
