--- a/internal/capacity/check.go
+++ b/internal/capacity/check.go
@@ -124,7 +124,7 @@
 
 // leadingNumber returns the number that a cell begins with, or 0.
 func leadingNumber(cell string) float64 {
-	word, _, _ := strings.Cut(cell, " ")
-	number, _ := strconv.ParseFloat(strings.ReplaceAll(word, ",", ""), 64) // 0 for what is no number
+	first, _, _ := strings.Cut(cell, " ")
+	number, _ := strconv.ParseFloat(strings.ReplaceAll(first, ",", ""), 64) // 0 for what is no number
 	return number
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -68,8 +68,8 @@
 			count := map[string]int{}
 			for _, s := range p.scenarios() {
 				for _, r := range s.Rows {
-					word, _, _ := strings.Cut(r.Status(m.Compute(r)), " ")
-					count[strings.Trim(word, ",;:")]++
+					status, _, _ := strings.Cut(r.Status(m.Compute(r)), " ")
+					count[strings.Trim(status, ",;:")]++
 				}
 			}
 			t.Log(count)
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -75,12 +75,14 @@
 	return c
 }
 
-func worth(v string) map[string]string { return map[string]string{"/settings/over-share-worth": v} }
+func overQuotaWeight(v string) map[string]string {
+	return map[string]string{"/settings/over-share-worth": v}
+}
 
 // The poll after a change reports the result: in force, or rejected with the pointer while the revision before stays.
 func TestNextPollReportsResult(t *testing.T) {
 	k, r := keepertest.New(t), newRouter()
-	first := k.Change(worth("0.1"))
+	first := k.Change(overQuotaWeight("0.1"))
 	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != first {
@@ -88,8 +90,8 @@
 	}
 	r.rejects[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	c.Start(r.apply)
-	k.Change(worth("9"))
-	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	k.Change(overQuotaWeight("9"))
+	said := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if said.Revision != first || said.Rejected.Revision != first+1 ||
 		said.Rejected.Pointer != "/settings/over-share-worth" ||
 		said.Rejected.Reason != "too much" {
@@ -99,7 +101,7 @@
 		c.Latest().Revision != first {
 		t.Errorf("in force %d, rejected %d", c.Counters.Revision.Load(), c.Counters.RejectedRevision.Load())
 	}
-	third := k.Change(worth("0.3"))
+	third := k.Change(overQuotaWeight("0.3"))
 	said = k.WaitForRevision(third)
 	if said.Rejected != nil || c.Counters.RejectedRevision.Load() != 0 {
 		t.Errorf("after a good one: %+v", said.Rejected)
@@ -115,8 +117,8 @@
 	r.rejects[1] = &configerror.Error{Reason: "not yet"}
 	c := newTestClient(t, t.TempDir(), k.Addr())
 	c.Start(r.apply)
-	k.Change(worth("1"))
-	k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	k.Change(overQuotaWeight("1"))
+	k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	r.mu.Lock()
 	delete(r.rejects, 1)
 	r.mu.Unlock()
@@ -195,7 +197,7 @@
 			if r.latest().Revision != 0 {
 				t.Errorf("revision %d is in force", r.latest().Revision)
 			}
-			rev := good.Change(worth("0.5"))
+			rev := good.Change(overQuotaWeight("0.5"))
 			c.Configure(Config{Addresses: []string{wrong.Addr(), good.Addr()}, MaxPollWaitMS: 100})
 			good.WaitForRevision(rev)
 			if got := r.latest(); string(got.Entries[pointer]) != "0.5" || c.Counters.FailedCalls.Load() == 0 {
@@ -209,9 +211,9 @@
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	ahead, late, r := keepertest.New(t), keepertest.New(t), newRouter()
 	for i := range 3 {
-		ahead.Change(worth(fmt.Sprint(i)))
+		ahead.Change(overQuotaWeight(fmt.Sprint(i)))
 	}
-	late.Change(worth("0.9"))
+	late.Change(overQuotaWeight("0.9"))
 	c := newTestClient(t, t.TempDir(), ahead.Addr())
 	c.Start(r.apply)
 	ahead.WaitForRevision(3)
@@ -232,7 +234,7 @@
 	began := time.Now()
 	var last uint64
 	for i := range 300 {
-		last = k.Change(worth(fmt.Sprint(i)))
+		last = k.Change(overQuotaWeight(fmt.Sprint(i)))
 	}
 	k.WaitForRevision(last)
 	most := 3 + int64(time.Since(began)/changeInterval)
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -36,7 +36,7 @@
 // set aside.
 func TestStartFromTheCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(worth("0.7"))
+	rev := k.Change(overQuotaWeight("0.7"))
 	saveCopy(t, k, dir)
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
@@ -91,13 +91,13 @@
 // A copy that doesn't fit the router's own file is rejected, and the router starts without it.
 func TestRejectedCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(worth("0.7"))
+	rev := k.Change(overQuotaWeight("0.7"))
 	saveCopy(t, k, dir)
 	c, r := newTestClient(t, dir, "127.0.0.1:1"), newRouter()
 	r.rejects[rev] = &configerror.Error{Reason: "does not fit"}
 	c.Restore(time.Second, r.apply)
 	if r.latest().Revision != 0 || c.Counters.RejectedRevision.Load() != int64(rev) {
-		t.Errorf("revision %d, refused %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
+		t.Errorf("revision %d, rejected %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
 	}
 }
 
@@ -113,7 +113,7 @@
 		slog.New(slog.NewTextHandler(&said, nil)))
 	c.Start(r.apply)
 	for i := range 3 {
-		k.WaitForRevision(k.Change(worth(fmt.Sprint(i))))
+		k.WaitForRevision(k.Change(overQuotaWeight(fmt.Sprint(i))))
 	}
 	c.Stop()
 	if c.Counters.CopyWriteErrors.Load() == 0 || strings.Count(said.text(), "configuration copy write failed") != 1 {
@@ -168,7 +168,7 @@
 // A keeper without a newer revision than the copy counts as an answer at the start, and takes no longer than the poll.
 func TestStartWithCurrentCopy(t *testing.T) {
 	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(worth("0.7"))
+	rev := k.Change(overQuotaWeight("0.7"))
 	saveCopy(t, k, dir)
 	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstance(2, 2),
 		discard), newRouter()
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -113,9 +113,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	heard := make(chan []byte, 1)
+	received := make(chan []byte, 1)
 	go func() {
-		defer close(heard)
+		defer close(received)
 		conn, err := listener.Accept()
 		if err != nil {
 			return
@@ -127,10 +127,10 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		heard <- raw.Bytes()
+		received <- raw.Bytes()
 		_, _ = fmt.Fprintf(conn, keeperAnswer, len(text), text)
 	}()
-	return listener.Addr().String(), heard
+	return listener.Addr().String(), received
 }
 
 // A poll has the recorded bytes, header and body, and the recorded answers are decoded.
--- a/internal/enginehttp/response.go
+++ b/internal/enginehttp/response.go
@@ -79,8 +79,8 @@
 // parseHead reads the status line and the headers.
 func parseHead(head string) (*response, error) {
 	lines := strings.Split(head, "\r\n")
-	proto, rest, _ := strings.Cut(lines[0], " ")
-	code, _, _ := strings.Cut(rest, " ")
+	proto, statusAndReason, _ := strings.Cut(lines[0], " ")
+	code, _, _ := strings.Cut(statusAndReason, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
 		return nil, fmt.Errorf("bad status line %.60q", lines[0])
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -185,13 +185,13 @@
 	for _, p := range f.real {
 		all = append(all, p.Process)
 	}
-	wire := func() (doors float64) {
+	wire := func() (followerBytes float64) {
 		for _, d := range f.links {
-			doors += float64(d.WireBytes())
+			followerBytes += float64(d.WireBytes())
 		}
-		return doors
+		return followerBytes
 	}
-	from, doors, between := make([]Usage, len(all)), wire(), float64(f.keepers.WireBytes())
+	from, followerBytes, between := make([]Usage, len(all)), wire(), float64(f.keepers.WireBytes())
 	for i, p := range all {
 		from[i] = p.Usage()
 	}
@@ -206,10 +206,10 @@
 			most["busiest "+who+", "+figure] = max(most["busiest "+who+", "+figure], v)
 		}
 	}
-	doors, between = wire()-doors, float64(f.keepers.WireBytes())-between
+	followerBytes, between = wire()-followerBytes, float64(f.keepers.WireBytes())-between
 	seconds := time.Since(from[0].At).Seconds()
-	most["mean router, bytes/s"] = doors / seconds / float64(f.size.real+f.size.simulated)
-	most["mean keeper, bytes/s"] = (doors + 2*between) / seconds / float64(f.size.keepers)
+	most["mean router, bytes/s"] = followerBytes / seconds / float64(f.size.real+f.size.simulated)
+	most["mean keeper, bytes/s"] = (followerBytes + 2*between) / seconds / float64(f.size.keepers)
 	for figure, v := range most {
 		f.figures[name+", "+figure] = v
 	}
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -93,8 +93,8 @@
 	if !bytes.Contains(line, []byte(lineRevisionInForce)) {
 		return 0, false
 	}
-	_, rest, _ := bytes.Cut(line, []byte(" revision="))
-	n, err := fmt.Sscanf(string(rest), "%d", &revision)
+	_, revisionText, _ := bytes.Cut(line, []byte(" revision="))
+	n, err := fmt.Sscanf(string(revisionText), "%d", &revision)
 	return revision, n == 1 && err == nil
 }
 
@@ -112,8 +112,8 @@
 	defer late.Stop()
 	select {
 	case line, open := <-p.ready:
-		if rest, ok := strings.CutPrefix(line, "ready"); open && ok {
-			return strings.TrimSpace(rest)
+		if details, ok := strings.CutPrefix(line, "ready"); open && ok {
+			return strings.TrimSpace(details)
 		}
 		p.harness.T.Fatalf("%s: wrote %q in place of ready:\n%s", p.Name, line, p.Log())
 	case <-late.C:
@@ -142,9 +142,9 @@
 	defer late.Stop()
 	for {
 		p.mu.Lock()
-		holds, changed := ok(), p.changed
+		met, changed := ok(), p.changed
 		p.mu.Unlock()
-		if holds {
+		if met {
 			return
 		}
 		select {
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -210,13 +210,13 @@
 	var due <-chan time.Time
 	for delayed := false; ; {
 		r.mu.Lock()
-		cut, silent, wait, news := r.cut, r.blackholed[d], r.delay[d], r.changed
+		cut, silent, wait, changed := r.cut, r.blackholed[d], r.delay[d], r.changed
 		r.mu.Unlock()
 		switch {
 		case cut:
 			return false
 		case silent:
-			<-news
+			<-changed
 		case wait > 0 && !delayed:
 			if due == nil {
 				due = time.After(wait)
@@ -224,7 +224,7 @@
 			select {
 			case <-due:
 				delayed = true
-			case <-news:
+			case <-changed:
 			}
 		default:
 			return true
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -70,24 +70,24 @@
 	b := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{0, 500, 1000, 2000}
 	var all []*Process
-	var crowds []*sessions
+	var groups []*sessions
 	for _, n := range sizes {
 		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
 		p.Ready()
-		crowds, all = append(crowds, openSessions(t, p, n)), append(all, p.Process)
+		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
 	// A router ends a session that said nothing for 10 s, so that there are spans of silence between pings that are not
 	// measured.
 	const spans = 4
 	cpu, mb := make([]float64, len(sizes)), make([]float64, len(sizes))
 	for range spans {
-		for _, c := range crowds {
+		for _, c := range groups {
 			c.each(t, len(c.clients), func(i int) error { return c.clients[i].Ping() })
 		}
-		percent, holds := measureCosts(6*time.Second, all...)
+		percent, resident := measureCosts(6*time.Second, all...)
 		for i := range sizes {
 			cpu[i] += percent[i] / spans
-			mb[i] = max(mb[i], holds[i])
+			mb[i] = max(mb[i], resident[i])
 		}
 	}
 	conditions := "silent sessions that have logged in and pinged; limits.sockets 6,000; 300 engines; mean of 4 spans of 6 s"
@@ -147,8 +147,8 @@
 	}
 	var cpu, mb, bytes [][2]float64
 	for _, aSecond := range []float64{25, 50, 100, 200, 450, 900} {
-		rate, percent, holds, wire := run(fmt.Sprint("v", aSecond), 64, aSecond)
-		cpu, mb, bytes = append(cpu, [2]float64{rate, percent}), append(mb, [2]float64{rate, holds}), append(bytes, [2]float64{rate, wire})
+		rate, percent, resident, wire := run(fmt.Sprint("v", aSecond), 64, aSecond)
+		cpu, mb, bytes = append(cpu, [2]float64{rate, percent}), append(mb, [2]float64{rate, resident}), append(bytes, [2]float64{rate, wire})
 	}
 	conditions := "64 sessions; look-ups that 60 stand-in engines answer at once with one row; the rate is what was answered; 12 s"
 	rows.add("router-cpu-by-statements", "router", "statements a second", cpuPercent, cpu, conditions)
@@ -157,8 +157,8 @@
 
 	cpu, mb = nil, nil
 	for _, sessions := range []int{250, 500, 1000, 2000} {
-		_, percent, holds, _ := run(fmt.Sprint("w", sessions), sessions, float64(sessions)*0.225)
-		cpu, mb = append(cpu, [2]float64{float64(sessions), percent}), append(mb, [2]float64{float64(sessions), holds})
+		_, percent, resident, _ := run(fmt.Sprint("w", sessions), sessions, float64(sessions)*0.225)
+		cpu, mb = append(cpu, [2]float64{float64(sessions), percent}), append(mb, [2]float64{float64(sessions), resident})
 	}
 	conditions = "each asks a look-up every 4.4 s, which is 450 a second from 2,000; 60 stand-in engines; limits.sockets 6,000; 12 s"
 	rows.add("router-cpu-by-busy-sessions", "router", "busy sessions", cpuPercent, cpu, conditions)
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -30,11 +30,11 @@
 	g.clientBytes, g.keeperBytes = g.traffic()
 }
 
-func (g *keeperGroup) traffic() (doors, keepers int64) {
+func (g *keeperGroup) traffic() (followerBytes, peerBytes int64) {
 	for _, d := range g.links {
-		doors += d.WireBytes()
+		followerBytes += d.WireBytes()
 	}
-	return doors, g.keepers.WireBytes()
+	return followerBytes, g.keepers.WireBytes()
 }
 
 func newKeeperGroup(t *testing.T, routers int) *keeperGroup {
@@ -53,15 +53,15 @@
 		g.startTraffic()
 	}
 	began := time.Now()
-	percent, holds := measureCosts(measuredSpan, all...)
+	percent, resident := measureCosts(measuredSpan, all...)
 	took := time.Since(began).Seconds()
 	for _, g := range groups {
 		n := len(g.keepers.Members)
-		cpu, mb = append(cpu, slices.Max(percent[:n])), append(mb, slices.Max(holds[:n]))
-		percent, holds = percent[n:], holds[n:]
-		doors, keepers := g.traffic()
-		perRouter = append(perRouter, float64(doors-g.clientBytes)/took/float64(g.size.simulated))
-		perKeeper = append(perKeeper, float64(doors-g.clientBytes+2*(keepers-g.keeperBytes))/took/float64(n))
+		cpu, mb = append(cpu, slices.Max(percent[:n])), append(mb, slices.Max(resident[:n]))
+		percent, resident = percent[n:], resident[n:]
+		followerBytes, peerBytes := g.traffic()
+		perRouter = append(perRouter, float64(followerBytes-g.clientBytes)/took/float64(g.size.simulated))
+		perKeeper = append(perKeeper, float64(followerBytes-g.clientBytes+2*(peerBytes-g.keeperBytes))/took/float64(n))
 	}
 	return cpu, mb, perRouter, perKeeper
 }
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -44,9 +44,9 @@
 func TestSlopesOfAFrameOfMany(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const frames = 30
-	told := []int{1, 30, 100, 200, 600}
+	frameSizes := []int{1, 30, 100, 200, 600}
 	var cost, bytes []float64
-	for _, k := range told {
+	for _, k := range frameSizes {
 		engines := Engines(1200)
 		b := NewDiscoveryServer(t, engines)
 		relay := NewRelay(t, b.Addr)
@@ -72,6 +72,6 @@
 		p.Kill()
 	}
 	const conditions = "a router of 1,200 engines without clients; 30 frames, 50 a second; what it takes at rest in that time is in it"
-	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milliseconds+" for one frame", pairs(told, cost), conditions)
-	rows.add("router-frame-bytes-by-engines-told", "router", "engines in one frame", "bytes with headers, both directions, for one frame", pairs(told, bytes), conditions)
+	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milliseconds+" for one frame", pairs(frameSizes, cost), conditions)
+	rows.add("router-frame-bytes-by-engines-told", "router", "engines in one frame", "bytes with headers, both directions, for one frame", pairs(frameSizes, bytes), conditions)
 }
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -22,7 +22,7 @@
 	rows, r := requireSlopes(t), New(t)
 	var all []*Process
 	var relays []*Relay
-	var boards []*DiscoveryServer
+	var servers []*DiscoveryServer
 	var lists, onWire []float64
 	for _, n := range engineSizes {
 		b := NewDiscoveryServer(t, Engines(n))
@@ -32,7 +32,7 @@
 		p.Await(LineEndpointEvent, 1) // the complete list
 		lists = append(lists, float64(relay.Count(Downstream).Payload))
 		onWire = append(onWire, float64(relay.WireBytes()))
-		all, relays, boards = append(all, p.Process), append(relays, relay), append(boards, b)
+		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, b)
 	}
 	rows.add("list-bytes-by-engines", "board", "engines", "bytes of a whole list", pairs(engineSizes, lists),
 		"payload of the stand-in board's frame, counted by the relay")
@@ -54,7 +54,7 @@
 
 	const changes = 200
 	var cost []float64
-	for i, b := range boards {
+	for i, b := range servers {
 		engines := Engines(engineSizes[i])
 		idle, began := all[i].Usage(), time.Now()
 		pace := time.NewTicker(20 * time.Millisecond)
@@ -64,9 +64,9 @@
 		}
 		pace.Stop()
 		all[i].Await(LineEndpointEvent, 1+changes)
-		spent := all[i].Usage()
-		rest := time.Duration(cpu[i] / 100 * float64(time.Since(began)))
-		cost = append(cost, (spent.CPU-idle.CPU-rest).Seconds()*1000/changes)
+		used := all[i].Usage()
+		idleCPU := time.Duration(cpu[i] / 100 * float64(time.Since(began)))
+		cost = append(cost, (used.CPU-idle.CPU-idleCPU).Seconds()*1000/changes)
 	}
 	rows.add("router-list-change-cost-by-engines", "router", "engines", milliseconds+" for one change", pairs(engineSizes, cost),
 		"200 changes of one engine each, 50 a second, one router after the other; less what it takes at rest")
@@ -78,18 +78,18 @@
 	rates := []float64{0, 1, 3, 10, 30, 100}
 	var all []*Process
 	var relays []*Relay
-	var boards []*DiscoveryProcess
+	var servers []*DiscoveryProcess
 	for i := range rates {
 		b := r.DiscoveryProcess(1200)
 		relay := NewRelay(t, b.Addr)
 		p := r.Router(Config{Name: fmt.Sprint("c", i), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1)
-		all, relays, boards = append(all, p.Process), append(relays, relay), append(boards, b)
+		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, b)
 	}
 	from := make([]int64, len(rates))
 	for i, aSecond := range rates {
-		boards[i].SetChangeRate(aSecond)
+		servers[i].SetChangeRate(aSecond)
 		from[i] = relays[i].WireBytes()
 	}
 	began := time.Now()
@@ -108,7 +108,7 @@
 func TestSlopesOfReloads(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const reloads = 40
-	cost := func(c Config) (ms, mb, whole float64) {
+	cost := func(c Config) (ms, mb, fileBytes float64) {
 		t.Helper()
 		p := r.Router(c)
 		p.Ready()
@@ -126,8 +126,8 @@
 	tenants := []int{4, 100, 300, 1000, 4000}
 	var ms, mb, size []float64
 	for _, n := range tenants {
-		took, holds, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: n})
-		ms, mb, size = append(ms, took), append(mb, holds), append(size, text)
+		took, resident, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: n})
+		ms, mb, size = append(ms, took), append(mb, resident), append(size, text)
 	}
 	conditions := "the whole file read again on SIGHUP, 40 times, each with a change; 1,200 engines in the file; no clients"
 	rows.add("reload-cost-by-tenants", "router", "tenants", milliseconds+" for one reload", pairs(tenants, ms), conditions)
--- a/internal/incident/service.go
+++ b/internal/incident/service.go
@@ -74,11 +74,11 @@
 	return math.NaN()
 }
 
-// sum adds up the outcomes of the seconds that include selects.
-func (s *service) sum(include func(second int) bool) map[classKey]outcomes {
+// sum adds up the outcomes of the seconds that selected accepts.
+func (s *service) sum(selected func(second int) bool) map[classKey]outcomes {
 	sums := map[classKey]outcomes{}
 	for second, classes := range s.seconds {
-		if !include(second) {
+		if !selected(second) {
 			continue
 		}
 		for key, ended := range classes {
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -25,7 +25,7 @@
 		{"repeated", "/v1/changes", put("c1", "/settings/over-share-worth", "1"), 200, "2 true"},
 		{"reused id", "/v1/changes", put("c1", "/settings/over-share-worth", "7"), 409, "reused 2"},
 		{"conflict", "/v1/changes", withExpect(put("x", "/settings/over-share-worth", "9"), 2), 409, "conflict 3"},
-		{"checked", "/v1/changes", put("y", refusedPointer, "-1"), 422, "invalid " + refusedPointer + " below zero"},
+		{"checked", "/v1/changes", put("y", rejectedPointer, "-1"), 422, "invalid " + rejectedPointer + " below zero"},
 		{"not allowed", "/v1/changes", put("z", "/listen", `"x"`), 422, "invalid /listen"},
 		{"no id", "/v1/changes", put("", "/settings/over-share-worth", "1"), 400, "malformed field id"},
 		{"unknown field", "/v1/changes", `{"id":"a","putt":{}}`, 400, "malformed field putt"},
@@ -136,7 +136,7 @@
 				c := put(fmt.Sprint(round, "-", i), "/settings/over-share-worth", fmt.Sprint(i))
 				c.Expect = number(round)
 				var err error
-				codes[i], err = ask("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", c, &replies[i])
+				codes[i], err = sendCall("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", c, &replies[i])
 				if err != nil {
 					t.Error(err)
 				}
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -96,9 +96,9 @@
 	last := g.change(0, largeChange(0))
 	full := g.leader()
 	g.fillDisk(full)
-	asked := (full + 1) % 3
+	receiver := (full + 1) % 3
 	for n := 1; n < 20; n++ {
-		last = g.change(asked, largeChange(n))
+		last = g.change(receiver, largeChange(n))
 	}
 	if s := g.status(full); !strings.Contains(s.DiskError, "file too large") || !g.members[full].alive() {
 		t.Errorf("%+v", s)
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -28,7 +28,7 @@
 	name, instance string
 	revision       uint64
 	hash           configlog.Hash
-	refused        *configlog.Rejection
+	rejected       *configlog.Rejection
 	content        map[string]json.RawMessage
 	updates        []configlog.Update
 }
@@ -39,7 +39,7 @@
 	var u configlog.Update
 	code = f.g.post(i, "/v1/follow", map[string]any{"wait_ms": waitMS, "report": configlog.FollowerStatus{
 		Name: f.name, Instance: f.instance,
-		Revision: f.revision, Hash: f.hash, Rejected: f.refused,
+		Revision: f.revision, Hash: f.hash, Rejected: f.rejected,
 	}}, &u)
 	if code != http.StatusOK || u.KeeperBehind {
 		return code
@@ -105,17 +105,17 @@
 	}
 	a.report(1)
 	b.revision = 1
-	b.refused = &configlog.Rejection{
+	b.rejected = &configlog.Rejection{
 		Revision: 2, Hash: b.hash, Pointer: "/settings/over-share-worth", Reason: "too much",
 	}
 	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.poll(2, 0); code != http.StatusNoContent {
-		t.Errorf("a follower that refused the revision is offered it again: %d", code)
+		t.Errorf("a follower that rejected the revision is offered it again: %d", code)
 	}
 	v = g.rollout(0, "revision=2")
 	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 ||
 		v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
-		t.Errorf("one refused: %+v", v)
+		t.Errorf("one rejection: %+v", v)
 	}
 	waitUntil(t, "a follower that doesn't call is gone", func() bool {
 		a.poll(1, 0)
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -122,26 +122,26 @@
 	t.Fatal("no leader")
 }
 
-// board is an entry that makes the complete content larger than a change of another entry.
-const board = `"board-1.example:7300,board-2.example:7300"`
+// discoveryAddresses is an entry that makes the complete content larger than a change of another entry.
+const discoveryAddresses = `"board-1.example:7300,board-2.example:7300"`
 
-func report(name string, revision uint64, worth, rest string) string {
+func report(name string, revision uint64, weight, trailingFields string) string {
 	hash := configlog.HashEntries(map[string]json.RawMessage{
-		"/settings/over-share-worth": json.RawMessage(worth),
-		"/board":                     json.RawMessage(board),
+		"/settings/over-share-worth": json.RawMessage(weight),
+		"/board":                     json.RawMessage(discoveryAddresses),
 	})
 	return fmt.Sprintf(`{"report":{"name":%q,"instance":"00000000000a-000000000000000b",`+
 		`"revision":%d,"hash":"%s"%s},"wait_ms":5000}`,
-		name, revision, hash, rest)
+		name, revision, hash, trailingFields)
 }
 
 // Operators' calls are answered with the recorded bytes, errors included.
 func TestGoldenOperatorCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
-	const changes, revert, worth = "/v1/changes", "/v1/revert", `"put":{"/settings/over-share-worth":%s}`
-	change := func(id, value, rest string) step {
-		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+worth+`%s}`, id, value, rest)}
+	const changes, revert, putWeight = "/v1/changes", "/v1/revert", `"put":{"/settings/over-share-worth":%s}`
+	change := func(id, value, trailingFields string) step {
+		return step{"POST", changes, fmt.Sprintf(`{"id":%q,`+putWeight+`%s}`, id, value, trailingFields)}
 	}
 	golden.Equal(t, "calls-operators.txt", runCalls(t, address, nil, []step{
 		{"GET", "/v1/config", ""},
@@ -184,12 +184,12 @@
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
-	refused := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`,
+	rejection := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`,
 		7)
 	put := func(id, value string) step {
 		return step{
 			"POST", "/v1/changes",
-			fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, board),
+			fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, discoveryAddresses),
 		}
 	}
 	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
@@ -202,7 +202,7 @@
 		put("b", "2"),
 		{"POST", "/v1/follow", report("r1", 1, "1", "")},
 		{"POST", "/v1/follow", now},
-		{"POST", "/v1/follow", report("r2", 1, "1", refused)},
+		{"POST", "/v1/follow", report("r2", 1, "1", rejection)},
 		{"POST", "/v1/follow", report("r4", 2, "9", "")},
 		{"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
 		{"POST", "/v1/roster", `[{"name":"r6","instance":"i"},{"name":"r7","instance":"i"}]`},
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -85,8 +85,8 @@
 	return c
 }
 
-// ask calls a keeper of the group until it answers with status 200, and returns the body.
-func (c *inProcessGroup) ask(t *testing.T, i int, method, path string, in any) []byte {
+// call calls a keeper of the group until it answers with status 200, and returns the body.
+func (c *inProcessGroup) call(t *testing.T, i int, method, path string, in any) []byte {
 	t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -127,15 +127,15 @@
 	c := startInProcessGroup(t, dir)
 	changes := recordedChanges()
 	for i, change := range changes {
-		c.ask(t, i%3, http.MethodPost, "/v1/changes", change)
+		c.call(t, i%3, http.MethodPost, "/v1/changes", change)
 		if i == 2 {
-			c.ask(t, 0, http.MethodPost, "/v1/follow", followBody("r1"))
-			c.ask(t, 1, http.MethodPost, "/v1/follow", followBody("r2"))
-			c.ask(t, 2, http.MethodDelete, "/v1/followers/r2", nil)
+			c.call(t, 0, http.MethodPost, "/v1/follow", followBody("r1"))
+			c.call(t, 1, http.MethodPost, "/v1/follow", followBody("r2"))
+			c.call(t, 2, http.MethodDelete, "/v1/followers/r2", nil)
 		}
 	}
 	for i := range 3 {
-		c.ask(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", len(changes)), nil)
+		c.call(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", len(changes)), nil)
 	}
 	time.Sleep(2 * time.Second) // for a snapshot, and for the stage to be written
 	c.stop()
@@ -249,17 +249,17 @@
 	var text bytes.Buffer
 	for i := range 3 {
 		for rev := last - 3; rev <= last; rev++ {
-			text.Write(c.ask(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", rev), nil))
+			text.Write(c.call(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", rev), nil))
 		}
-		text.Write(c.ask(t, i, http.MethodGet, "/v1/revisions", nil))
-		text.Write(c.ask(t, i, http.MethodGet, "/v1/peer", nil))
+		text.Write(c.call(t, i, http.MethodGet, "/v1/revisions", nil))
+		text.Write(c.call(t, i, http.MethodGet, "/v1/peer", nil))
 	}
 	golden.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
-	got := c.ask(t, 0, http.MethodPost, "/v1/changes", recordedChanges()[3])
+	got := c.call(t, 0, http.MethodPost, "/v1/changes", recordedChanges()[3])
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
 		t.Errorf("a change of before, sent again: %s, want %s", got, want)
 	}
-	got = c.ask(t, 1, http.MethodPost, "/v1/changes",
+	got = c.call(t, 1, http.MethodPost, "/v1/changes",
 		configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
 	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
 		t.Errorf("a new change: %s, want %s", got, want)
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -123,7 +123,7 @@
 	History  []configlog.Revision `json:"history"`
 	Contents []configContent      `json:"contents"`
 	Roster   []string             `json:"roster"`
-	Unknown  []followerProcess    `json:"unknown"` // of the seats that were ever heard
+	Unknown  []followerProcess    `json:"unknown"` // of the follower processes ever registered
 }
 
 func describeStateMachine(m *stateMachine) machineContent {
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -169,14 +169,14 @@
 
 func (g *group) do(i int, method, path string, in, out any) (code int) {
 	g.t.Helper()
-	code, err := ask("http://"+g.members[i].options.HTTPAddr, method, path, in, out)
+	code, err := sendCall("http://"+g.members[i].options.HTTPAddr, method, path, in, out)
 	if err != nil {
 		g.t.Fatalf("%s: %s %s: %v", g.members[i].options.ID, method, path, err)
 	}
 	return code
 }
 
-func ask(base, method, path string, in, out any) (code int, err error) {
+func sendCall(base, method, path string, in, out any) (code int, err error) {
 	var body io.Reader
 	switch v := in.(type) {
 	case nil:
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -28,7 +28,7 @@
 	out := make(chan pendingReply, 1)
 	go func() {
 		var p pendingReply
-		p.code, p.err = ask("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", change, &p.reply)
+		p.code, p.err = sendCall("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", change, &p.reply)
 		out <- p
 	}()
 	return out
@@ -40,9 +40,9 @@
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	leader := g.leader()
-	asked, third := (leader+1)%3, (leader+2)%3
-	g.links[[2]int{asked, leader}][1].setSilent(back, true)
-	answer := g.send(asked, put("second", "/settings/over-share-worth", "2"))
+	receiver, third := (leader+1)%3, (leader+2)%3
+	g.links[[2]int{receiver, leader}][1].setSilent(back, true)
+	answer := g.send(receiver, put("second", "/settings/over-share-worth", "2"))
 	g.waitForRevision(third, 2)
 	g.kill(leader)
 	p := <-answer
@@ -115,7 +115,7 @@
 	rollout := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
-		v.code, v.err = ask("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
+		v.code, v.err = sendCall("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
 		rollout <- v
 	}()
 	conflict := g.send(old, configlog.Change{
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -21,8 +21,8 @@
 // processEnv names the variable with the options of a keeper, as JSON: the test binary that finds it runs that keeper.
 const processEnv = "WINDFLOW_TEST_KEEPER"
 
-// refusedPointer is the entry that the check of these keepers rejects.
-const refusedPointer = "/settings/rules/look-back-ns"
+// rejectedPointer is the entry that the check of these keepers rejects.
+const rejectedPointer = "/settings/rules/look-back-ns"
 
 func TestMain(m *testing.M) {
 	if text := os.Getenv(processEnv); text != "" {
@@ -43,8 +43,8 @@
 	signal.Ignore(syscall.SIGXFSZ)
 	o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	o.Check = func(entries map[string]json.RawMessage) *configerror.Error {
-		if v, ok := entries[refusedPointer]; ok && string(v) == "-1" {
-			return &configerror.Error{Kind: configerror.Invalid, Pointer: refusedPointer, Reason: "is below zero"}
+		if v, ok := entries[rejectedPointer]; ok && string(v) == "-1" {
+			return &configerror.Error{Kind: configerror.Invalid, Pointer: rejectedPointer, Reason: "is below zero"}
 		}
 		return nil
 	}
--- a/internal/mysql/builtin.go
+++ b/internal/mysql/builtin.go
@@ -15,7 +15,7 @@
 type builtin struct {
 	session *session
 	front   *Front
-	words   []string
+	fields  []string
 }
 
 // run answers the statement.
@@ -23,9 +23,9 @@
 	switch {
 	case b.isVerb("KILL"):
 		b.kill()
-	case b.isVerb("USE") && len(b.words) == 2 && strings.Trim(b.words[1], "`") == database, b.isVerb("SET"):
+	case b.isVerb("USE") && len(b.fields) == 2 && strings.Trim(b.fields[1], "`") == database, b.isVerb("SET"):
 		b.session.writeOK()
-	case b.isVerb("SHOW") && strings.EqualFold(b.words[len(b.words)-1], "STATUS"):
+	case b.isVerb("SHOW") && strings.EqualFold(b.fields[len(b.fields)-1], "STATUS"):
 		b.showStatus()
 	case b.isVerb("SELECT") && b.selectVariables():
 	default:
@@ -35,7 +35,7 @@
 
 // isVerb reports whether the statement starts with the verb and goes on after it.
 func (b *builtin) isVerb(name string) bool {
-	return len(b.words) > 1 && strings.EqualFold(b.words[0], name)
+	return len(b.fields) > 1 && strings.EqualFold(b.fields[0], name)
 }
 
 // showStatus answers SHOW STATUS.
@@ -50,7 +50,7 @@
 // selectVariables answers a SELECT of what stock clients request of a server when they connect, and of the id that KILL
 // takes. It reports false, without an answer, for any other SELECT.
 func (b *builtin) selectVariables() bool {
-	list := strings.ToLower(strings.Join(b.words[1:], " "))
+	list := strings.ToLower(strings.Join(b.fields[1:], " "))
 	names := strings.Split(strings.TrimSuffix(list, " limit 1"), ",")
 	if len(names) > maxVariables {
 		return false
@@ -91,13 +91,13 @@
 // kill ends the open query of another session, or that session: KILL [QUERY|CONNECTION] id. After KILL QUERY the
 // session stays usable.
 func (b *builtin) kill() {
-	id, err := strconv.ParseUint(b.words[len(b.words)-1], 10, 32)
-	if err != nil || len(b.words) > 3 {
+	id, err := strconv.ParseUint(b.fields[len(b.fields)-1], 10, 32)
+	if err != nil || len(b.fields) > 3 {
 		b.session.writeError(errParse, "KILL takes QUERY or CONNECTION and a connection id")
 		return
 	}
 	b.session.counters.Kills++
-	if !b.front.killAnywhere(uint32(id), strings.EqualFold(b.words[1], "QUERY")) {
+	if !b.front.killAnywhere(uint32(id), strings.EqualFold(b.fields[1], "QUERY")) {
 		b.session.writeError(errNoSuchThread, fmt.Sprintf("unknown thread id: %d", id))
 		return
 	}
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -48,7 +48,7 @@
 	fields, statement, found, err := parseFields(text)
 	if err == nil && !found {
 		statement := strings.TrimRight(strings.TrimSpace(text), "; \t\r\n")
-		(&builtin{session: s, front: s.front, words: strings.Fields(statement)}).run()
+		(&builtin{session: s, front: s.front, fields: strings.Fields(statement)}).run()
 		return
 	}
 	if err == nil {
--- a/internal/mysql/fields.go
+++ b/internal/mysql/fields.go
@@ -9,11 +9,11 @@
 // parseFields splits a query into the fields of its leading comment and the statement. found reports whether there is
 // such a comment.
 func parseFields(text string) (fields map[string]string, statement string, found bool, err error) {
-	rest := strings.TrimLeft(text, " \t\r\n")
-	if !strings.HasPrefix(rest, "/*") || strings.HasPrefix(rest, "/*!") {
+	trimmed := strings.TrimLeft(text, " \t\r\n")
+	if !strings.HasPrefix(trimmed, "/*") || strings.HasPrefix(trimmed, "/*!") {
 		return nil, text, false, nil
 	}
-	comment, statement, closed := strings.Cut(rest[2:], "*/")
+	comment, statement, closed := strings.Cut(trimmed[2:], "*/")
 	if !closed {
 		return nil, "", true, errors.New("the comment with the fields has no end")
 	}
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -120,21 +120,21 @@
 //	generation N           the process is of generation N; kills are passed on to another one
 func (h *harness) play(line string) string {
 	h.t.Helper()
-	words := strings.SplitN(line, " ", 4)
-	if !h.playProcess(line, words) {
-		h.playClient(line, words)
+	fields := strings.SplitN(line, " ", 4)
+	if !h.playProcess(line, fields) {
+		h.playClient(line, fields)
 	}
 	h.run()
 	return h.shown()
 }
 
 // text unquotes a line from the given word on.
-func (h *harness) text(line string, words []string, from int) string {
+func (h *harness) text(line string, fields []string, from int) string {
 	h.t.Helper()
-	if from >= len(words) {
+	if from >= len(fields) {
 		return ""
 	}
-	quoted := `"` + strings.ReplaceAll(strings.Join(words[from:], " "), `"`, `\"`) + `"`
+	quoted := `"` + strings.ReplaceAll(strings.Join(fields[from:], " "), `"`, `\"`) + `"`
 	text, err := strconv.Unquote(quoted)
 	if err != nil {
 		h.t.Fatalf("%s: %v", line, err)
@@ -143,23 +143,23 @@
 }
 
 // playProcess executes a line on the front, the engine or the clock; false: the line is another one.
-func (h *harness) playProcess(line string, words []string) bool {
+func (h *harness) playProcess(line string, fields []string) bool {
 	h.t.Helper()
-	switch words[0] {
+	switch fields[0] {
 	case "wait":
-		h.wait(words[1])
+		h.wait(fields[1])
 	case "leave":
 		h.front.Drain()
 	case "end":
 		h.front.Shutdown()
 	case "generation":
-		h.front.SetGeneration(words[1][0] - '0')
+		h.front.SetGeneration(fields[1][0] - '0')
 		h.front.RemoteKill = func(id uint32, query bool) bool {
 			fmt.Fprintf(&h.remote, "  elsewhere: kill %#x, query %v\n", id, query)
 			return true
 		}
 	case "engine":
-		h.endAttempt(line, words[1], h.text(line, words, 2))
+		h.endAttempt(line, fields[1], h.text(line, fields, 2))
 	default:
 		return false
 	}
@@ -204,43 +204,43 @@
 }
 
 // playClient executes a line on a client.
-func (h *harness) playClient(line string, words []string) {
+func (h *harness) playClient(line string, fields []string) {
 	h.t.Helper()
-	name := words[0]
-	switch words[1] {
+	name := fields[0]
+	switch fields[1] {
 	case "open":
 		handler, conn := h.front.NewSession(), &fakeConn{}
 		h.handlers[name], h.conns[name] = handler, conn
 		h.loop.Post(func() { handler.Opened(conn) })
 	case "unread":
-		h.conns[name].unread = len(words) > 2
+		h.conns[name].unread = len(fields) > 2
 	case "leave":
 		h.loop.Post(func() { h.handlers[name].Closed(nil) })
 	default:
-		b := h.sentBytes(line, words)
+		b := h.sentBytes(line, fields)
 		h.loop.Post(func() { h.handlers[name].Data(b, h.clock.MS) })
 	}
 }
 
 // sentBytes returns the bytes that a client sends.
-func (h *harness) sentBytes(line string, words []string) []byte {
+func (h *harness) sentBytes(line string, fields []string) []byte {
 	h.t.Helper()
-	switch words[1] {
+	switch fields[1] {
 	case "login":
 		return packet(1, "\x0d\xa2\x0f\x00\x00\x00\x00\x01\x2d"+strings.Repeat("\x00", 23)+
 			"app\x00\x00warehouse\x00mysql_native_password\x00")
 	case "raw":
-		b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(words[2:], ""), " ", ""))
+		b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(fields[2:], ""), " ", ""))
 		if err != nil {
 			h.t.Fatal(err)
 		}
 		return b
 	case "send":
-		seq, err := strconv.Atoi(words[2])
+		seq, err := strconv.Atoi(fields[2])
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		return packet(byte(seq), h.text(line, words, 3))
+		return packet(byte(seq), h.text(line, fields, 3))
 	}
 	h.t.Fatalf("unknown line %q", line)
 	return nil
--- a/internal/mysql/login.go
+++ b/internal/mysql/login.go
@@ -38,16 +38,16 @@
 	case len(packet) < loginHeaderLength:
 		return login{}, errShortLogin
 	}
-	rest := packet[loginHeaderLength:]
+	remaining := packet[loginHeaderLength:]
 	var ok bool
-	if parsed.user, rest, ok = cutNul(rest); !ok {
+	if parsed.user, remaining, ok = cutNul(remaining); !ok {
 		return login{}, errShortLogin
 	}
-	if parsed.hasPassword, rest, ok = cutPassword(rest, parsed.caps); !ok {
+	if parsed.hasPassword, remaining, ok = cutPassword(remaining, parsed.caps); !ok {
 		return login{}, errShortLogin
 	}
-	if parsed.caps&capConnectWithDB != 0 && len(rest) > 0 {
-		if parsed.database, _, ok = cutNul(rest); !ok {
+	if parsed.caps&capConnectWithDB != 0 && len(remaining) > 0 {
+		if parsed.database, _, ok = cutNul(remaining); !ok {
 			return login{}, errShortLogin
 		}
 	}
@@ -56,11 +56,11 @@
 
 // cutPassword reads the answer to the salt and reports whether the client has a password; ok is false where it is cut
 // short.
-func cutPassword(packet []byte, caps uint32) (hasPassword bool, rest []byte, ok bool) {
+func cutPassword(packet []byte, caps uint32) (hasPassword bool, remaining []byte, ok bool) {
 	if caps&(capLenencAuth|capSecure) == 0 {
 		var password string
-		password, rest, ok = cutNul(packet)
-		return password != "", rest, ok
+		password, remaining, ok = cutNul(packet)
+		return password != "", remaining, ok
 	}
 	// A length of 251 and more takes further bytes; no password scheme is that long.
 	if len(packet) < 1 || packet[0] > 250 || len(packet) < 1+int(packet[0]) {
@@ -72,12 +72,12 @@
 }
 
 // cutNul cuts a string that ends with a zero byte off a packet.
-func cutNul(packet []byte) (text string, rest []byte, ok bool) {
-	before, rest, ok := bytes.Cut(packet, []byte{0})
+func cutNul(packet []byte) (text string, remaining []byte, ok bool) {
+	before, remaining, ok := bytes.Cut(packet, []byte{0})
 	if !ok {
 		return "", nil, false
 	}
-	return string(before), rest, true
+	return string(before), remaining, true
 }
 
 // handleLogin handles the client's answer to the greeting.
