--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -125,7 +125,8 @@
 // Query sends a lookup with an id and reads its complete answer. An error answer is an error.
 func (c *Client) Query(id uint64) error {
 	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
-	text := fmt.Sprintf("/* method=lookup,rid=%016x,budget=5000 */ SELECT day, count(*) FROM sales_%02d.orders GROUP BY day", id, id%64)
+	text := fmt.Sprintf("/* method=lookup,rid=%016x,budget=5000 */ SELECT day, "+
+		"count(*) FROM sales_%02d.orders GROUP BY day", id, id%64)
 	if err := c.write(0, append([]byte{3}, text...)); err != nil {
 		return err
 	}
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -16,7 +16,8 @@
 	everywhere := func(i int, revision uint64, want int) {
 		t.Helper()
 		if v := f.keepers.AwaitConvergence(i, revision); len(v.InForce) != want || len(v.Rejected)+len(v.Behind) > 0 {
-			t.Errorf("revision %d: %d in force, want %d; %d behind, %d rejected", revision, len(v.InForce), want, len(v.Behind), len(v.Rejected))
+			t.Errorf("revision %d: %d in force, want %d; %d behind, %d rejected", revision, len(v.InForce), want, len(v.Behind),
+				len(v.Rejected))
 		}
 	}
 	first, proposedAt := f.change(0)
@@ -98,7 +99,10 @@
 	f.recordTimes("changes in the region with the majority, the other one cut off", took)
 	var done configlog.Result
 	err := f.keepers.Members[minor[0]].call(20*time.Second, "POST", "/v1/changes",
-		configlog.Change{ID: "without a majority", Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")}}, &done)
+		configlog.Change{
+			ID:  "without a majority",
+			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")},
+		}, &done)
 	if err == nil {
 		t.Errorf("a region without a majority made revision %d", done.Revision)
 	}
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -70,7 +70,8 @@
 	engines := Engines(size.engines)
 	b := NewDiscoveryServer(t, engines)
 	f := &configuredFleet{t: t, harness: r, size: size, figures: map[string]float64{}}
-	config := Config{Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines, Tenants: size.tenants, OverQuotaWeight: 0.1}
+	config := Config{Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines,
+		Tenants: size.tenants, OverQuotaWeight: 0.1}
 	f.keepers = r.Keepers(size.keepers, config)
 	for range Zones {
 		f.links = append(f.links, f.keepers.ZoneLinks(t))
@@ -85,7 +86,8 @@
 	}
 	for i := range size.real {
 		c := config
-		c.Name, c.Index, c.Installation = fmt.Sprint("n", i), size.simulated+i, map[string]any{"keepers": f.section(size.simulated + i)}
+		c.Name, c.Index = fmt.Sprint("n", i), size.simulated+i
+		c.Installation = map[string]any{"keepers": f.section(size.simulated + i)}
 		f.real = append(f.real, r.Router(c))
 	}
 	f.simulated = r.SimulatedRouters(list)
@@ -127,7 +129,8 @@
 }
 
 // await waits until routers of zones have a revision, and records how long after the proposal each of them had it.
-func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool,
+	took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	record := func(at time.Time) {
 		if took != nil {
@@ -167,7 +170,8 @@
 // recordTimes keeps and logs a distribution, in milliseconds.
 func (f *configuredFleet) recordTimes(name string, took *hdrhistogram.Histogram) {
 	f.t.Helper()
-	for what, us := range map[string]int64{"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99), "last": took.Max()} {
+	for what, us := range map[string]int64{"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99),
+		"last": took.Max()} {
 		f.figures[name+", "+what+" ms"] = float64(us) / 1000
 	}
 	f.t.Logf("%s: median %.0f ms, 99th %.0f ms, last %.0f ms of %d", name, f.figures[name+", median ms"],
@@ -296,9 +300,11 @@
 	day := capacity.Scale{
 		Name: "configuration by revision", Routers: f.size.real + f.size.simulated, Engines: f.size.engines,
 		Zones: len(Zones), Figures: map[string]float64{}, Test: "windflow/internal/fleettest " + f.t.Name(),
-		Conditions: fmt.Sprintf("%d keepers, %d real and %d simulated routers, %d changes of one entry, one after the other and at %d a second; "+
+		Conditions: fmt.Sprintf("%d keepers, %d real and %d simulated routers, %d changes of one entry, "+
+			"one after the other and at %d a second; "+
 			"%d tenants; times from the operator's call on; %d cores, a 1-minute load of %s at the end with other work beside",
-			f.size.keepers, f.size.real, f.size.simulated, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(), loadAverage()),
+			f.size.keepers, f.size.real, f.size.simulated, f.size.changes, burstRate, f.size.tenants, runtime.NumCPU(),
+			loadAverage()),
 	}
 	for name, v := range f.figures {
 		day.Figures[name] = math.Round(v*1000) / 1000
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -278,7 +278,8 @@
 // KnownEvents is an endpoint list in the form of a router's configuration, as event 1; without engines the router knows
 // of no event yet.
 func KnownEvents(engines []Engine) json.RawMessage {
-	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving", dispatch.Removed: "left"}
+	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving",
+		dispatch.Removed: "left"}
 	type member struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
@@ -291,7 +292,8 @@
 	}
 	members := make([]member, len(engines))
 	for i, e := range engines {
-		members[i] = member{settings.FormatEngineID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone, phases[e.State], 1, e.StartedMS}
+		members[i] = member{settings.FormatEngineID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone,
+			phases[e.State], 1, e.StartedMS}
 	}
 	if len(engines) == 0 {
 		return json.RawMessage(`{"rev":0,"notices":[]}`)
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -23,7 +23,8 @@
 func simulatedSpecs(n, of int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
 	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
-		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines, Listen: "127.0.0.1:1"}
+		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines,
+			Listen: "127.0.0.1:1"}
 		list[i] = SimulatedRouterSpec{Number: i, Config: c.Text(), StatementsPerSecond: rate, WorkMS: 20}
 	}
 	return list
@@ -44,7 +45,8 @@
 			Discovery: relays[i%2].Addr, Engines: engines,
 		}))
 	}
-	h := r.SimulatedRouters(simulatedSpecs(simulatedRouters, fleet, engines, 5, func(i int) string { return relays[i%2].Addr }))
+	h := r.SimulatedRouters(simulatedSpecs(simulatedRouters, fleet, engines, 5,
+		func(i int) string { return relays[i%2].Addr }))
 	for _, p := range routers {
 		p.Ready()
 	}
@@ -186,7 +188,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(out), "windflow/internal/node\n") || strings.Contains(string(out), "windflow/internal/fleettest\n") {
+	if !strings.Contains(string(out), "windflow/internal/node\n") ||
+		strings.Contains(string(out), "windflow/internal/fleettest\n") {
 		t.Errorf("the programs are built from\n%s", out)
 	}
 }
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -201,12 +201,14 @@
 	var last error
 	for began := time.Now(); time.Since(began) < WaitTimeout; {
 		var v configlog.ConvergenceStatus
-		last = k.Members[i].call(10*time.Second, http.MethodGet, fmt.Sprintf("/v1/rollout?revision=%d&wait_ms=7000", revision), nil, &v)
+		last = k.Members[i].call(10*time.Second, http.MethodGet,
+			fmt.Sprintf("/v1/rollout?revision=%d&wait_ms=7000", revision), nil, &v)
 		if last == nil && v.Converged {
 			return v
 		}
 		if last == nil {
-			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind), len(v.Rejected), len(v.Missing), v.UnreachedKeepers)
+			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind),
+				len(v.Rejected), len(v.Missing), v.UnreachedKeepers)
 		}
 	}
 	k.harness.T.Fatalf("revision %d is not in force everywhere according to %s: %v", revision, k.Members[i].ID, last)
--- a/internal/fleettest/programs.go
+++ b/internal/fleettest/programs.go
@@ -54,7 +54,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), buildTimeout)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", dir+string(filepath.Separator), "./cmd/...")
+	cmd := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", dir+string(filepath.Separator),
+		"./cmd/...")
 	cmd.Dir = strings.TrimSpace(string(root))
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -48,10 +48,12 @@
 		return n
 	}
 	text, err := json.Marshal(object{
-		"name": c.Name, "listen": c.Listen, "seed": fmt.Sprintf("%x", 0x1f+c.Index), "board": c.Discovery, "known": KnownEvents(c.Engines),
+		"name": c.Name, "listen": c.Listen, "seed": fmt.Sprintf("%x", 0x1f+c.Index), "board": c.Discovery,
+		"known":  KnownEvents(c.Engines),
 		"limits": object{"cores": 1, "memory_mb": or(c.MemoryMB, 192), "sockets": or(c.Sockets, 1024)},
 		"settings": object{
-			"balancers": or(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones, "kinds": Kinds,
+			"balancers": or(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones,
+			"kinds":     Kinds,
 			"period-ns": 5_000_000, "parties": parties, "over-share-worth": c.OverQuotaWeight,
 			"classes": []object{
 				class("lookup", "idempotent", 1000, 5000, 2, 1, 0),
@@ -61,7 +63,8 @@
 				"attempts-cap": 5, "second-copies": true, "retry-after": true, "max-retry-after-ns": 2_000_000_000,
 				"connect-timeout-ns": 250_000_000, "conn-idle-ns": 30_000_000_000,
 			},
-			"rules": object{"cold-from": 0.36, "cold-ns": 12_000_000_000, "overload-factor": 2, "overload-for-ns": 1_500_000_000},
+			"rules": object{"cold-from": 0.36, "cold-ns": 12_000_000_000, "overload-factor": 2,
+				"overload-for-ns": 1_500_000_000},
 			"specifics": object{
 				"class-load": []bool{false, false, true}, "yields-to-loads": []bool{true, true, false},
 				"width-by-class": []int{1, 4, 2}, "cores-by-kind": []int{8}, "kind-memory-mb": []int{16384}, "max-grant-share": 0.4,
@@ -112,7 +115,8 @@
 		cmd.Args = append(cmd.Args, "--settings", own)
 	}
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+process.path)
-	process.Process = r.Start(config.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent, LineDiscoveryConnected)
+	process.Process = r.Start(config.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent,
+		LineDiscoveryConnected)
 	return process
 }
 
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -116,7 +116,8 @@
 }
 
 func newSimulatedRouter(spec SimulatedRouterSpec, out *statusWriter) (*simulatedRouter, error) {
-	simulated := &simulatedRouter{spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}), ended: make(chan struct{})}
+	simulated := &simulatedRouter{spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}),
+		ended: make(chan struct{})}
 	var err error
 	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
@@ -138,7 +139,8 @@
 	}
 	simulated.core.UpdateEndpoints(known.Events, known.Addresses)
 	simulated.loop.Post(func() {
-		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress, simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
+		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress,
+			simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
 		if spec.StatementsPerSecond > 0 {
 			simulated.submitNext()
 		}
@@ -188,7 +190,8 @@
 
 func (h *simulatedRouter) totals() Totals {
 	c := h.core.Counters
-	return Totals{Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed, Engines: h.core.ListedEngines()}
+	return Totals{Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed,
+		Engines: h.core.ListedEngines()}
 }
 
 func (h *simulatedRouter) close() {
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -72,7 +72,8 @@
 	var all []*Process
 	var groups []*sessions
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
+		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+			Sockets: sessionSockets})
 		p.Ready()
 		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
@@ -90,9 +91,11 @@
 			mb[i] = max(mb[i], resident[i])
 		}
 	}
-	conditions := "silent sessions that have logged in and pinged; limits.sockets 6,000; 300 engines; mean of 4 spans of 6 s"
+	conditions := "silent sessions that have logged in and pinged; limits.sockets 6,000; 300 engines; " +
+		"mean of 4 spans of 6 s"
 	rows.add("router-cpu-by-sessions-at-rest", "router", "sessions at rest", cpuPercent, pairs(sizes, cpu), conditions)
-	rows.add("router-memory-by-sessions-at-rest", "router", "sessions at rest", megabytes, pairs(sizes, mb), conditions+", the most")
+	rows.add("router-memory-by-sessions-at-rest", "router", "sessions at rest", megabytes, pairs(sizes, mb),
+		conditions+", the most")
 }
 
 // querySteadily has the sessions send lookups at an even rate for a while, and returns how many were answered. At
@@ -133,7 +136,8 @@
 		t.Helper()
 		farm := NewStubEngines(t, 60)
 		b := NewDiscoveryServer(t, farm.Engines)
-		p := r.Router(Config{Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4, Sockets: sessionSockets})
+		p := r.Router(Config{Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4,
+			Sockets: sessionSockets})
 		p.Ready()
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
@@ -148,19 +152,24 @@
 	var cpu, mb, bytes [][2]float64
 	for _, aSecond := range []float64{25, 50, 100, 200, 450, 900} {
 		rate, percent, resident, wire := run(fmt.Sprint("v", aSecond), 64, aSecond)
-		cpu, mb, bytes = append(cpu, [2]float64{rate, percent}), append(mb, [2]float64{rate, resident}), append(bytes, [2]float64{rate, wire})
+		cpu = append(cpu, [2]float64{rate, percent})
+		mb = append(mb, [2]float64{rate, resident})
+		bytes = append(bytes, [2]float64{rate, wire})
 	}
-	conditions := "64 sessions; look-ups that 60 stand-in engines answer at once with one row; the rate is what was answered; 12 s"
+	conditions := "64 sessions; look-ups that 60 stand-in engines answer at once with one row; " +
+		"the rate is what was answered; 12 s"
 	rows.add("router-cpu-by-statements", "router", "statements a second", cpuPercent, cpu, conditions)
 	rows.add("router-memory-by-statements", "router", "statements a second", megabytes, mb, conditions)
-	rows.add("router-bytes-by-statements", "router", "statements a second", bytesPerSecond, bytes, conditions+"; clients' and engines' links together")
+	rows.add("router-bytes-by-statements", "router", "statements a second", bytesPerSecond, bytes,
+		conditions+"; clients' and engines' links together")
 
 	cpu, mb = nil, nil
 	for _, sessions := range []int{250, 500, 1000, 2000} {
 		_, percent, resident, _ := run(fmt.Sprint("w", sessions), sessions, float64(sessions)*0.225)
 		cpu, mb = append(cpu, [2]float64{float64(sessions), percent}), append(mb, [2]float64{float64(sessions), resident})
 	}
-	conditions = "each asks a look-up every 4.4 s, which is 450 a second from 2,000; 60 stand-in engines; limits.sockets 6,000; 12 s"
+	conditions = "each asks a look-up every 4.4 s, which is 450 a second from 2,000; 60 stand-in engines; " +
+		"limits.sockets 6,000; 12 s"
 	rows.add("router-cpu-by-busy-sessions", "router", "busy sessions", cpuPercent, cpu, conditions)
 	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", megabytes, mb, conditions)
 }
@@ -172,7 +181,8 @@
 	sizes := []int{250, 500, 1000, 2000}
 	var cpu, bytes, took []float64
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4, Sockets: sessionSockets})
+		p := r.Router(Config{Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+			Sockets: sessionSockets})
 		p.Ready()
 		from := p.Usage()
 		c := openSessions(t, p, n)
@@ -184,7 +194,9 @@
 	}
 	conditions := "clients dial at once, 64 at a time, log in and ping; a router of 300 engines that has just become ready"
 	rows.add("return-cpu-by-clients", "router", "clients that come back", milliseconds, pairs(sizes, cpu), conditions)
-	rows.add("return-bytes-by-clients", "router", "clients that come back", "bytes with headers, both directions", pairs(sizes, bytes), conditions)
-	rows.add("return-time-by-clients", "router", "clients that come back", "ms until the last is served", pairs(sizes, took),
+	rows.add("return-bytes-by-clients", "router", "clients that come back", "bytes with headers, both directions",
+		pairs(sizes, bytes), conditions)
+	rows.add("return-time-by-clients", "router", "clients that come back", "ms until the last is served",
+		pairs(sizes, took),
 		conditions+"; wall time on a machine shared with other work")
 }
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -21,7 +21,8 @@
 	done := make(chan struct{})
 	var ended []chan error
 	for i, aSecond := range rates {
-		c := Config{Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000, OverQuotaWeight: 0.1}
+		c := Config{Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000,
+			OverQuotaWeight: 0.1}
 		own := New(t) // keepers have their folders by name, so that each group needs a folder of its own
 		k := own.Keepers(3, c)
 		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(own.Dir, "follower"), 0)}
@@ -64,7 +65,10 @@
 			t.Fatal(err)
 		}
 	}
-	const conditions = "a router of 1,200 engines and 1,000 tenants that follows 3 keepers, each change one entry and one call; no clients; 20 s"
-	rows.add("router-cpu-by-configuration-changes", "router", "configuration changes a second", cpuPercent, pairs(rates, cpu), conditions)
-	rows.add("router-memory-by-configuration-changes", "router", "configuration changes a second", megabytes, pairs(rates, mb), conditions)
+	const conditions = "a router of 1,200 engines and 1,000 tenants that follows 3 keepers, " +
+		"each change one entry and one call; no clients; 20 s"
+	rows.add("router-cpu-by-configuration-changes", "router", "configuration changes a second", cpuPercent,
+		pairs(rates, cpu), conditions)
+	rows.add("router-memory-by-configuration-changes", "router", "configuration changes a second", megabytes,
+		pairs(rates, mb), conditions)
 }
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -39,7 +39,8 @@
 
 func newKeeperGroup(t *testing.T, routers int) *keeperGroup {
 	t.Helper()
-	g := &keeperGroup{configuredFleet: newConfiguredFleet(t, scenarioSize{keepers: 5, simulated: routers, tenants: 4, engines: listedEngines})}
+	g := &keeperGroup{configuredFleet: newConfiguredFleet(t,
+		scenarioSize{keepers: 5, simulated: routers, tenants: 4, engines: listedEngines})}
 	revision, proposedAt := g.change(0)
 	g.await(revision, proposedAt, everyZone, nil)
 	return g
@@ -66,7 +67,8 @@
 	return cpu, mb, perRouter, perKeeper
 }
 
-const keeperConditions = "the busiest of 5 keepers; simulated routers follow them by the long poll, each change one entry; 20 s"
+const keeperConditions = "the busiest of 5 keepers; simulated routers follow them by the long poll, " +
+	"each change one entry; 20 s"
 
 // What a keeper costs by the routers that follow, while nothing changes.
 func TestSlopesOfKeepersByRouters(t *testing.T) {
@@ -77,11 +79,14 @@
 		groups = append(groups, newKeeperGroup(t, n))
 	}
 	cpu, mb, perRouter, perKeeper := measureGroups(groups)
-	rows.add("keeper-cpu-by-routers", "keeper", "routers", cpuPercent, pairs(sizes, cpu), keeperConditions+"; nothing changes")
-	rows.add("keeper-memory-by-routers", "keeper", "routers", megabytes, pairs(sizes, mb), keeperConditions+"; nothing changes")
+	rows.add("keeper-cpu-by-routers", "keeper", "routers", cpuPercent, pairs(sizes, cpu),
+		keeperConditions+"; nothing changes")
+	rows.add("keeper-memory-by-routers", "keeper", "routers", megabytes, pairs(sizes, mb),
+		keeperConditions+"; nothing changes")
 	rows.add("keeper-bytes-by-routers", "keeper", "routers", bytesPerSecond, pairs(sizes, perKeeper),
 		keeperConditions+"; nothing changes; mean of the keepers, links to followers and among keepers")
-	rows.add("follower-bytes-by-routers", "router", "routers", bytesPerSecond, pairs(sizes, perRouter), keeperConditions+"; nothing changes; mean of the routers")
+	rows.add("follower-bytes-by-routers", "router", "routers", bytesPerSecond, pairs(sizes, perRouter),
+		keeperConditions+"; nothing changes; mean of the routers")
 }
 
 // What keepers and followers cost in a burst of changes, by the routers.
@@ -101,7 +106,8 @@
 	rows.add("keeper-cpu-by-routers-in-a-burst", "keeper", "routers", cpuPercent, pairs(sizes, cpu), conditions)
 	rows.add("keeper-bytes-by-routers-in-a-burst", "keeper", "routers", bytesPerSecond, pairs(sizes, perKeeper),
 		conditions+"; mean of the keepers, links to followers and among keepers")
-	rows.add("follower-bytes-by-routers-in-a-burst", "router", "routers", bytesPerSecond, pairs(sizes, perRouter), conditions+"; mean of the routers")
+	rows.add("follower-bytes-by-routers-in-a-burst", "router", "routers", bytesPerSecond, pairs(sizes, perRouter),
+		conditions+"; mean of the routers")
 }
 
 // How long a change takes until the last router has it in force, by the routers.
@@ -123,9 +129,12 @@
 		mean, worst = append(mean, (sum/changes).Seconds()*1000), append(worst, most.Seconds()*1000)
 		g.close()
 	}
-	conditions := "5 keepers, simulated routers; 40 changes one after the other, from the operator's call on; wall time on a machine shared with other work"
-	rows.add("in-force-ms-by-routers", "router", "routers", "ms until the last has it in force, mean of the changes", pairs(sizes, mean), conditions)
-	rows.add("in-force-worst-ms-by-routers", "router", "routers", "ms until the last has it in force, the slowest change", pairs(sizes, worst), conditions)
+	conditions := "5 keepers, simulated routers; 40 changes one after the other, from the operator's call on; " +
+		"wall time on a machine shared with other work"
+	rows.add("in-force-ms-by-routers", "router", "routers", "ms until the last has it in force, mean of the changes",
+		pairs(sizes, mean), conditions)
+	rows.add("in-force-worst-ms-by-routers", "router", "routers", "ms until the last has it in force, the slowest change",
+		pairs(sizes, worst), conditions)
 }
 
 // maxClientChangeRate is how many changes a second a follower takes at most: it leaves 500 ms between two calls that
@@ -149,13 +158,18 @@
 		end()
 	}
 	conditions := keeperConditions + "; 150 routers"
-	rows.add("keeper-cpu-by-changes", "keeper", "configuration changes a second", cpuPercent, pairs(rates, cpu), conditions)
-	rows.add("keeper-memory-by-changes", "keeper", "configuration changes a second", megabytes, pairs(rates, mb), conditions)
-	rows.add("keeper-bytes-by-changes", "keeper", "configuration changes a second", bytesPerSecond, pairs(rates, perKeeper),
+	rows.add("keeper-cpu-by-changes", "keeper", "configuration changes a second", cpuPercent, pairs(rates, cpu),
+		conditions)
+	rows.add("keeper-memory-by-changes", "keeper", "configuration changes a second", megabytes, pairs(rates, mb),
+		conditions)
+	rows.add("keeper-bytes-by-changes", "keeper", "configuration changes a second", bytesPerSecond,
+		pairs(rates, perKeeper),
 		conditions+"; mean of the keepers, links to followers and among keepers")
 	grows := len(rates) - 1
-	rows.add("follower-bytes-by-changes", "router", "configuration changes a second", bytesPerSecond, pairs(rates[:grows], perRouter[:grows]),
-		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, maxClientChangeRate, perRouter[grows], rates[grows]))
+	rows.add("follower-bytes-by-changes", "router", "configuration changes a second", bytesPerSecond,
+		pairs(rates[:grows], perRouter[:grows]),
+		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, maxClientChangeRate,
+			perRouter[grows], rates[grows]))
 }
 
 // startChanges makes changes at an even pace, whether or not those before have been answered, until the function that
@@ -216,7 +230,8 @@
 			revision, proposedAt := g.keepers.Change(0, c)
 			g.await(revision, proposedAt, everyZone, nil)
 		}
-		q, err := json.Marshal(map[string]any{"report": configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(), "wait_ms": 2000})
+		q, err := json.Marshal(map[string]any{"report": configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(),
+			"wait_ms": 2000})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,7 +250,9 @@
 		}
 		sent, mb = append(sent, float64(size)), append(mb, g.keepers.Members[0].Usage().MB())
 	}
-	rows.add("whole-configuration-bytes-by-entries", "keeper", "entries", "bytes of a whole configuration", pairs(sizes, sent),
+	rows.add("whole-configuration-bytes-by-entries", "keeper", "entries", "bytes of a whole configuration",
+		pairs(sizes, sent),
 		"the body that a keeper sends to a follower that has none; tenants as entries beside one other")
-	rows.add("keeper-memory-by-entries", "keeper", "entries", megabytes, pairs(sizes, mb), "the same; after the changes that put them, 50 tenants in each")
+	rows.add("keeper-memory-by-entries", "keeper", "entries", megabytes, pairs(sizes, mb),
+		"the same; after the changes that put them, 50 tenants in each")
 }
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -35,9 +35,11 @@
 		}
 		b.Close()
 	}
-	const conditions = "from the board's event to the word of the last simulated router, 60 of them to a process, 1,200 engines, one in each change; wall time on one machine"
+	const conditions = "from the board's event to the word of the last simulated router, 60 of them to a process, " +
+		"1,200 engines, one in each change; wall time on one machine"
 	rows.add("board-told-ms-by-routers", "board", "routers", "ms, median of 20 changes", pairs(sizes, median), conditions)
-	rows.add("board-told-worst-ms-by-routers", "board", "routers", "ms, the most of 20 changes", pairs(sizes, worst), conditions)
+	rows.add("board-told-worst-ms-by-routers", "board", "routers", "ms, the most of 20 changes", pairs(sizes, worst),
+		conditions)
 }
 
 // What a router takes for a change that names many engines in one frame, as when a zone goes.
@@ -71,7 +73,10 @@
 		bytes = append(bytes, float64(relay.WireBytes()-before)/frames)
 		p.Kill()
 	}
-	const conditions = "a router of 1,200 engines without clients; 30 frames, 50 a second; what it takes at rest in that time is in it"
-	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milliseconds+" for one frame", pairs(frameSizes, cost), conditions)
-	rows.add("router-frame-bytes-by-engines-told", "router", "engines in one frame", "bytes with headers, both directions, for one frame", pairs(frameSizes, bytes), conditions)
+	const conditions = "a router of 1,200 engines without clients; 30 frames, 50 a second; " +
+		"what it takes at rest in that time is in it"
+	rows.add("router-frame-cost-by-engines-told", "router", "engines in one frame", milliseconds+" for one frame",
+		pairs(frameSizes, cost), conditions)
+	rows.add("router-frame-bytes-by-engines-told", "router", "engines in one frame",
+		"bytes with headers, both directions, for one frame", pairs(frameSizes, bytes), conditions)
 }
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -27,7 +27,8 @@
 	for _, n := range engineSizes {
 		b := NewDiscoveryServer(t, Engines(n))
 		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4}) // it knows no list yet
+		// it knows no list yet
+		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1) // the complete list
 		lists = append(lists, float64(relay.Count(Downstream).Payload))
@@ -36,7 +37,8 @@
 	}
 	rows.add("list-bytes-by-engines", "board", "engines", "bytes of a whole list", pairs(engineSizes, lists),
 		"payload of the stand-in board's frame, counted by the relay")
-	rows.add("list-wire-bytes-by-engines", "board", "engines", "bytes of a whole list with headers", pairs(engineSizes, onWire),
+	rows.add("list-wire-bytes-by-engines", "board", "engines", "bytes of a whole list with headers",
+		pairs(engineSizes, onWire),
 		"as list-bytes-by-engines, with the link's start and headers reckoned")
 	before := make([]int64, len(relays))
 	for i, relay := range relays {
@@ -50,7 +52,8 @@
 	}
 	rows.add("router-cpu-by-engines", "router", "engines", cpuPercent, pairs(engineSizes, cpu), idleConditions)
 	rows.add("router-memory-by-engines", "router", "engines", megabytes, pairs(engineSizes, mb), idleConditions)
-	rows.add("router-bytes-by-engines", "router", "engines", bytesPerSecond, pairs(engineSizes, bytes), idleConditions+"; its link to the board")
+	rows.add("router-bytes-by-engines", "router", "engines", bytesPerSecond, pairs(engineSizes, bytes),
+		idleConditions+"; its link to the board")
 
 	const changes = 200
 	var cost []float64
@@ -68,7 +71,8 @@
 		idleCPU := time.Duration(cpu[i] / 100 * float64(time.Since(began)))
 		cost = append(cost, (used.CPU-idle.CPU-idleCPU).Seconds()*1000/changes)
 	}
-	rows.add("router-list-change-cost-by-engines", "router", "engines", milliseconds+" for one change", pairs(engineSizes, cost),
+	rows.add("router-list-change-cost-by-engines", "router", "engines", milliseconds+" for one change",
+		pairs(engineSizes, cost),
 		"200 changes of one engine each, 50 a second, one router after the other; less what it takes at rest")
 }
 
@@ -101,7 +105,8 @@
 	conditions := "1,200 engines, one of them in each change; no clients; 20 s"
 	rows.add("router-cpu-by-list-changes", "router", "list changes a second", cpuPercent, pairs(rates, cpu), conditions)
 	rows.add("router-memory-by-list-changes", "router", "list changes a second", megabytes, pairs(rates, mb), conditions)
-	rows.add("router-bytes-by-list-changes", "router", "list changes a second", bytesPerSecond, pairs(rates, bytes), conditions)
+	rows.add("router-bytes-by-list-changes", "router", "list changes a second", bytesPerSecond, pairs(rates, bytes),
+		conditions)
 }
 
 // What a reload costs by tenants and by engines, and what reloads a second take.
@@ -126,12 +131,15 @@
 	tenants := []int{4, 100, 300, 1000, 4000}
 	var ms, mb, size []float64
 	for _, n := range tenants {
-		took, resident, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: n})
+		took, resident, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+			Tenants: n})
 		ms, mb, size = append(ms, took), append(mb, resident), append(size, text)
 	}
-	conditions := "the whole file read again on SIGHUP, 40 times, each with a change; 1,200 engines in the file; no clients"
+	conditions := "the whole file read again on SIGHUP, 40 times, each with a change; 1,200 engines in the file; " +
+		"no clients"
 	rows.add("reload-cost-by-tenants", "router", "tenants", milliseconds+" for one reload", pairs(tenants, ms), conditions)
-	rows.add("router-memory-by-tenants", "router", "tenants", megabytes, pairs(tenants, mb), conditions+"; after the reloads")
+	rows.add("router-memory-by-tenants", "router", "tenants", megabytes, pairs(tenants, mb),
+		conditions+"; after the reloads")
 	rows.add("configuration-bytes-by-tenants", "router", "tenants", "bytes of a whole configuration", pairs(tenants, size),
 		"the file as the rig writes it, with 1,200 engines")
 	ms = nil
@@ -145,7 +153,8 @@
 	rates := []float64{0.25, 1, 2, 5}
 	var at []float64
 	for i, aSecond := range rates {
-		p := r.Router(Config{Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200), Tenants: 1000})
+		p := r.Router(Config{Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+			Tenants: 1000})
 		p.Ready()
 		from, n := p.Usage(), int(max(8*aSecond, 2))
 		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
@@ -185,8 +194,11 @@
 		ready, cpu, bytes = append(ready, sumMS/times), append(cpu, sumCPU/times), append(bytes, sumBytes/times)
 	}
 	conditions := "mean of 5 starts of a router whose file names no engines, up to the whole list of the board"
-	rows.add("restart-ready-by-engines", "router", "engines", "ms from the start of the process to its readiness", pairs(engineSizes, ready),
+	rows.add("restart-ready-by-engines", "router", "engines", "ms from the start of the process to its readiness",
+		pairs(engineSizes, ready),
 		conditions+"; wall time on a machine shared with other work")
-	rows.add("restart-cpu-by-engines", "router", "engines", milliseconds+" of a start", pairs(engineSizes, cpu), conditions)
-	rows.add("restart-bytes-by-engines", "router", "engines", "bytes of a start with headers, link to the board", pairs(engineSizes, bytes), conditions)
+	rows.add("restart-cpu-by-engines", "router", "engines", milliseconds+" of a start", pairs(engineSizes, cpu),
+		conditions)
+	rows.add("restart-bytes-by-engines", "router", "engines", "bytes of a start with headers, link to the board",
+		pairs(engineSizes, bytes), conditions)
 }
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -79,7 +79,8 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Logf("%s: %v + %v x, largest residual %v (%s by %s)\n  %v", name, row.Intercept, row.Slope, row.Residual, y, x, points)
+	r.t.Logf("%s: %v + %v x, largest residual %v (%s by %s)\n  %v", name, row.Intercept, row.Slope, row.Residual, y, x,
+		points)
 }
 
 // measureCosts measures what processes take over a span in percent of a core, and what they hold at its end in MB.
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	// commandFormat is the first byte of each entry; a CRC-32C of the JSON and the JSON follow.
+	// commandFormat is the first byte of each entry; a CRC-32C of the JSON, and the JSON itself, follow.
 	commandFormat = 1
 	// commandHeaderSize is the size of the format and the checksum.
 	commandHeaderSize = 1 + 4
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -123,7 +123,7 @@
 	return okResponse(report)
 }
 
-// gatherLeases requests from all keepers their leases, concurrently.
+// gatherLeases fetches the leases of all keepers, concurrently.
 func (s *convergenceService) gatherLeases(ctx context.Context) (gathered gatheredLeases) {
 	var mu sync.Mutex
 	add := func(id string, answer keeperLeases, answered bool) {
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -72,7 +72,7 @@
 	return okResponse(update)
 }
 
-// pollWait bounds what a follower requests to half a lease, so that its lease outlives the call.
+// pollWait bounds the wait that a follower requests to half a lease, so that its lease outlives the call.
 func (s *followService) pollWait(requestedMS *int) time.Duration {
 	if requestedMS == nil {
 		return s.maxPollWait
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -184,7 +184,8 @@
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
-	rejection := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d","pointer":"/settings/over-share-worth","reason":"no"}`,
+	rejection := fmt.Sprintf(`,"refused":{"revision":2,"hash":"%064d",`+
+		`"pointer":"/settings/over-share-worth","reason":"no"}`,
 		7)
 	put := func(id, value string) step {
 		return step{
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -123,7 +123,7 @@
 	return json.NewDecoder(io.LimitReader(answer.Body, maxPeerAnswerBytes)).Decode(out)
 }
 
-// statuses requests from all other keepers their status, concurrently; those that don't answer are missing.
+// statuses fetches the status of all other keepers, concurrently; those that don't answer are missing.
 func (c *peerClient) statuses(ctx context.Context) map[string]peerStatus {
 	var mu sync.Mutex
 	statuses := map[string]peerStatus{}
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -248,7 +248,7 @@
 	return leaderStatus{ID: r.options.ID, LastIndex: r.node.LastIndex()}, nil
 }
 
-// waitApplied waits until the entry at index is applied here. It returns an error when no entry is for
+// waitApplied waits until the entry at index is applied here. It returns an error when no entry is applied for
 // appliedPollInterval.
 func (r *replication) waitApplied(ctx context.Context, index uint64) error {
 	for r.node.AppliedIndex() < index {
