--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -42,7 +42,7 @@
 }
 
 // Fit fits a line to points by least squares. The largest residual is the largest distance in y of a point from it, in
-// the unit of y. Points that are all at one x give a level line through their mean; no points result in zeros.
+// the unit of y. Points that are all at one x result in a level line through their mean; no points result in zeros.
 func Fit(points [][2]float64) (intercept, slope, largestResidual float64) {
 	if len(points) == 0 {
 		return 0, 0, 0
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -70,8 +70,10 @@
 	engines := Engines(size.engines)
 	b := NewDiscoveryServer(t, engines)
 	f := &configuredFleet{t: t, harness: r, size: size, figures: map[string]float64{}}
-	config := Config{Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines,
-		Tenants: size.tenants, OverQuotaWeight: 0.1}
+	config := Config{
+		Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines,
+		Tenants: size.tenants, OverQuotaWeight: 0.1,
+	}
 	f.keepers = r.Keepers(size.keepers, config)
 	for range Zones {
 		f.links = append(f.links, f.keepers.ZoneLinks(t))
@@ -130,7 +132,8 @@
 
 // await waits until routers of zones have a revision, and records how long after the proposal each of them had it.
 func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool,
-	took *hdrhistogram.Histogram) {
+	took *hdrhistogram.Histogram,
+) {
 	f.t.Helper()
 	record := func(at time.Time) {
 		if took != nil {
@@ -170,8 +173,10 @@
 // recordTimes keeps and logs a distribution, in milliseconds.
 func (f *configuredFleet) recordTimes(name string, took *hdrhistogram.Histogram) {
 	f.t.Helper()
-	for what, us := range map[string]int64{"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99),
-		"last": took.Max()} {
+	for what, us := range map[string]int64{
+		"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99),
+		"last": took.Max(),
+	} {
 		f.figures[name+", "+what+" ms"] = float64(us) / 1000
 	}
 	f.t.Logf("%s: median %.0f ms, 99th %.0f ms, last %.0f ms of %d", name, f.figures[name+", median ms"],
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -57,7 +57,7 @@
 	return list
 }
 
-// DiscoveryServer is a stand-in for the platform's notice board, written from the frames that package discovery
+// DiscoveryServer is a stand-in for the platform's discovery service, written from the frames that package discovery
 // reads: a length, an event's number, a kind, and records of 27 bytes. It serves hundreds of watchers from their last
 // event on.
 type DiscoveryServer struct {
@@ -278,8 +278,10 @@
 // KnownEvents is an endpoint list in the form of a router's configuration, as event 1; without engines the router knows
 // of no event yet.
 func KnownEvents(engines []Engine) json.RawMessage {
-	phases := map[dispatch.EndpointState]string{dispatch.Live: "active", dispatch.Draining: "leaving",
-		dispatch.Removed: "left"}
+	phases := map[dispatch.EndpointState]string{
+		dispatch.Live: "active", dispatch.Draining: "leaving",
+		dispatch.Removed: "left",
+	}
 	type member struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
@@ -292,8 +294,10 @@
 	}
 	members := make([]member, len(engines))
 	for i, e := range engines {
-		members[i] = member{settings.FormatEngineID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone,
-			phases[e.State], 1, e.StartedMS}
+		members[i] = member{
+			settings.FormatEngineID(e.ID), e.Address.String(), Zones[e.Zone], Kinds[0], e.Zone,
+			phases[e.State], 1, e.StartedMS,
+		}
 	}
 	if len(engines) == 0 {
 		return json.RawMessage(`{"rev":0,"notices":[]}`)
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -23,8 +23,10 @@
 func simulatedSpecs(n, of int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
 	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
-		c := Config{Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines,
-			Listen: "127.0.0.1:1"}
+		c := Config{
+			Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines,
+			Listen: "127.0.0.1:1",
+		}
 		list[i] = SimulatedRouterSpec{Number: i, Config: c.Text(), StatementsPerSecond: rate, WorkMS: 20}
 	}
 	return list
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -52,8 +52,10 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r := &Relay{Addr: lis.Addr().String(), target: target, listener: lis, changed: make(chan struct{}),
-		conns: map[net.Conn]bool{}}
+	r := &Relay{
+		Addr: lis.Addr().String(), target: target, listener: lis, changed: make(chan struct{}),
+		conns: map[net.Conn]bool{},
+	}
 	go r.accept()
 	tb.Cleanup(func() {
 		_ = lis.Close()
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -63,8 +63,10 @@
 				"attempts-cap": 5, "second-copies": true, "retry-after": true, "max-retry-after-ns": 2_000_000_000,
 				"connect-timeout-ns": 250_000_000, "conn-idle-ns": 30_000_000_000,
 			},
-			"rules": object{"cold-from": 0.36, "cold-ns": 12_000_000_000, "overload-factor": 2,
-				"overload-for-ns": 1_500_000_000},
+			"rules": object{
+				"cold-from": 0.36, "cold-ns": 12_000_000_000, "overload-factor": 2,
+				"overload-for-ns": 1_500_000_000,
+			},
 			"specifics": object{
 				"class-load": []bool{false, false, true}, "yields-to-loads": []bool{true, true, false},
 				"width-by-class": []int{1, 4, 2}, "cores-by-kind": []int{8}, "kind-memory-mb": []int{16384}, "max-grant-share": 0.4,
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -116,8 +116,10 @@
 }
 
 func newSimulatedRouter(spec SimulatedRouterSpec, out *statusWriter) (*simulatedRouter, error) {
-	simulated := &simulatedRouter{spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}),
-		ended: make(chan struct{})}
+	simulated := &simulatedRouter{
+		spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}),
+		ended: make(chan struct{}),
+	}
 	var err error
 	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
@@ -190,8 +192,10 @@
 
 func (h *simulatedRouter) totals() Totals {
 	c := h.core.Counters
-	return Totals{Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed,
-		Engines: h.core.ListedEngines()}
+	return Totals{
+		Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed,
+		Engines: h.core.ListedEngines(),
+	}
 }
 
 func (h *simulatedRouter) close() {
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -30,8 +30,10 @@
 		if err := h.applyInLoop(cfg); err != nil {
 			return configerror.Invalidf("", "%s", err)
 		}
-		h.out.write(statusMessage{Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(),
-			AtNS: time.Now().UnixNano()})
+		h.out.write(statusMessage{
+			Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(),
+			AtNS: time.Now().UnixNano(),
+		})
 		return nil
 	})
 	return client.Stop, nil
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -72,8 +72,10 @@
 	var all []*Process
 	var groups []*sessions
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
-			Sockets: sessionSockets})
+		p := r.Router(Config{
+			Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+			Sockets: sessionSockets,
+		})
 		p.Ready()
 		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
@@ -136,8 +138,10 @@
 		t.Helper()
 		farm := NewStubEngines(t, 60)
 		b := NewDiscoveryServer(t, farm.Engines)
-		p := r.Router(Config{Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4,
-			Sockets: sessionSockets})
+		p := r.Router(Config{
+			Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4,
+			Sockets: sessionSockets,
+		})
 		p.Ready()
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
@@ -181,8 +185,10 @@
 	sizes := []int{250, 500, 1000, 2000}
 	var cpu, bytes, took []float64
 	for _, n := range sizes {
-		p := r.Router(Config{Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
-			Sockets: sessionSockets})
+		p := r.Router(Config{
+			Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+			Sockets: sessionSockets,
+		})
 		p.Ready()
 		from := p.Usage()
 		c := openSessions(t, p, n)
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -21,8 +21,10 @@
 	done := make(chan struct{})
 	var ended []chan error
 	for i, aSecond := range rates {
-		c := Config{Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000,
-			OverQuotaWeight: 0.1}
+		c := Config{
+			Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000,
+			OverQuotaWeight: 0.1,
+		}
 		own := New(t) // keepers have their folders by name, so that each group needs a folder of its own
 		k := own.Keepers(3, c)
 		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(own.Dir, "follower"), 0)}
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -230,8 +230,10 @@
 			revision, proposedAt := g.keepers.Change(0, c)
 			g.await(revision, proposedAt, everyZone, nil)
 		}
-		q, err := json.Marshal(map[string]any{"report": configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(),
-			"wait_ms": 2000})
+		q, err := json.Marshal(map[string]any{
+			"report":  configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(),
+			"wait_ms": 2000,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-// How long it takes until the last of hundreds of routers has an engine's change: from the board's event to the report
-// of the last simulated router that its module has it.
+// How long it takes until the last of hundreds of routers has an engine's change: from the discovery event to the
+// report of the last simulated router that its module has it.
 func TestSlopesOfTelling(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const changes = 20
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -131,8 +131,10 @@
 	tenants := []int{4, 100, 300, 1000, 4000}
 	var ms, mb, size []float64
 	for _, n := range tenants {
-		took, resident, text := cost(Config{Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
-			Tenants: n})
+		took, resident, text := cost(Config{
+			Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+			Tenants: n,
+		})
 		ms, mb, size = append(ms, took), append(mb, resident), append(size, text)
 	}
 	conditions := "the whole file read again on SIGHUP, 40 times, each with a change; 1,200 engines in the file; " +
@@ -153,8 +155,10 @@
 	rates := []float64{0.25, 1, 2, 5}
 	var at []float64
 	for i, aSecond := range rates {
-		p := r.Router(Config{Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
-			Tenants: 1000})
+		p := r.Router(Config{
+			Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+			Tenants: 1000,
+		})
 		p.Ready()
 		from, n := p.Usage(), int(max(8*aSecond, 2))
 		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -128,7 +128,7 @@
 	return h.shown()
 }
 
-// text unquotes a line from the given word on.
+// text unquotes a line from the given field on.
 func (h *harness) text(line string, fields []string, from int) string {
 	h.t.Helper()
 	if from >= len(fields) {
