--- a/cmd/windflowctl/admin.go
+++ b/cmd/windflowctl/admin.go
@@ -40,7 +40,7 @@
 	return cmd
 }
 
-// formerAdminCommand is the admin command under its former name, which it says on standard error.
+// formerAdminCommand is the admin command under its former name, which it reports on standard error.
 func formerAdminCommand() *cobra.Command {
 	cmd := adminCommand()
 	cmd.Use = formerAdminName
--- a/cmd/windflowctl/main.go
+++ b/cmd/windflowctl/main.go
@@ -1,4 +1,4 @@
-// Command windflowctl is what people run beside a router; the router links none of it.
+// Command windflowctl contains the operators' tools of a router; the router links none of it.
 package main
 
 import (
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// What the status of a row says of its figure. The check looks for these texts.
+// How the status of a row describes its figure. The check looks for these texts.
 const (
 	statusUnmeasured   = "unmeasured"
 	statusExtrapolated = "extrapolated"
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Clock tells the time in milliseconds since the Unix epoch.
+// Clock returns the time in milliseconds since the Unix epoch.
 type Clock interface{ Now() float64 }
 
 // System is the machine's clock. It reads the wall clock once and the monotonic clock from then on, so that a step of
--- a/internal/configclient/change_limiter.go
+++ b/internal/configclient/change_limiter.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// changeInterval bounds how often a call may bring a change while many are made: it limits reloads and their bytes.
+	// changeInterval bounds how often a call may return a change while many are made: it limits reloads and their
+	// bytes.
 	changeInterval = 500 * time.Millisecond
 	// changeBurst changes are not delayed, so that the status after a single change is reported at once.
 	changeBurst = 2
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// poll makes one call and applies what it brings, or backs off after a failure.
+// poll makes one call and applies the answer, or backs off after a failure.
 func (c *Client) poll(ctx context.Context, config Config) {
 	wait := time.Duration(config.MaxPollWaitMS) * time.Millisecond
 	address := config.Addresses[c.follower.SelectKeeper(len(config.Addresses))]
@@ -234,7 +234,7 @@
 	return err
 }
 
-// activate puts the revision that the follower has accepted in force, or rejects it.
+// activate applies the revision that the follower has accepted, or rejects it.
 func (c *Client) activate(revision Revision) {
 	err := c.apply(revision)
 	switch {
--- a/internal/configclient/config.go
+++ b/internal/configclient/config.go
@@ -29,10 +29,10 @@
 // that is reported to the keepers, with the pointer of a *configerror.Error.
 type Apply func(Revision) error
 
-// ErrSuperseded says that the router has a later revision in force, which its other process supplied.
+// ErrSuperseded reports that the router has a later revision in force, which its other process supplied.
 var ErrSuperseded = errors.New("a later revision is in force")
 
-// ErrShuttingDown says that the router shuts down; nothing about the revision is reported to the keepers then.
+// ErrShuttingDown reports that the router shuts down; nothing about the revision is reported to the keepers then.
 var ErrShuttingDown = errors.New("the router ends")
 
 // Counters count events since the start; the last two are current values.
--- a/internal/configclient/control.go
+++ b/internal/configclient/control.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// control is what other goroutines want of the polling one. What they set takes effect with the next call; the open
+// control has the inputs of other goroutines for the polling one. They take effect with the next call; the open
 // one is cancelled for it.
 type control struct {
 	mu            sync.Mutex
 	config        Config
-	otherProcess  *Revision // in force at the other process of this router; nil once it was taken
+	otherProcess  *Revision // in force at the other process of this router; nil once it was read
 	retryRejected bool
 	cancelPoll    context.CancelFunc
 	latestInForce Revision
@@ -33,7 +33,7 @@
 	}
 }
 
-// beginPoll takes the input for the next call, which set cancels with cancel from now on.
+// beginPoll reads the input for the next call, which set cancels with cancel from now on.
 func (c *control) beginPoll(cancel context.CancelFunc) pollInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/configclient/keeper_conn.go
+++ b/internal/configclient/keeper_conn.go
@@ -91,7 +91,7 @@
 	return update, !update.IsEmpty(), nil
 }
 
-// callReopening makes a call, once more on a new connection if the keeper had closed the one from before.
+// callReopening makes a call, once more on a new connection if the keeper had closed the former one.
 func (k *keeperConn) callReopening(ctx context.Context, address string, body []byte) (int, []byte, error) {
 	for {
 		if err := k.open(ctx, address); err != nil {
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -94,7 +94,7 @@
 	a.pool.submit(a.current)
 }
 
-// reportProgress passes on what a response says beside the result.
+// reportProgress reports the progress and the load that a response contains beside the result.
 func (a *attempt) reportProgress(resp *response) {
 	if a.call.OnProgress == nil {
 		return
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// dequeueFor takes the first queued request that the connection may carry off the queue; nil if there is none.
+// dequeueFor removes and returns the first queued request that the connection may carry; nil if there is none.
 func (p *pool) dequeueFor(c *conn) *request {
 	if len(p.queue) == 0 {
 		return nil
@@ -102,7 +102,7 @@
 	c.netConn = p.dialer.Dial(r.engine.Address, p.connectTimeoutMS, c)
 }
 
-// removeDialing takes a connection off those that are being dialed.
+// removeDialing removes a connection from those that are being dialed.
 func (p *pool) removeDialing(c *conn) {
 	if i := slices.Index(p.dialing, c); i >= 0 {
 		p.dialing = slices.Delete(p.dialing, i, i+1)
@@ -113,7 +113,7 @@
 	p.idle[c.engine.ID] = append(p.idle[c.engine.ID], c)
 }
 
-// removeIdle takes a connection off the idle ones.
+// removeIdle removes a connection from the idle ones.
 func (p *pool) removeIdle(c *conn) {
 	list := p.idle[c.engine.ID]
 	if i := slices.Index(list, c); i >= 0 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// remove takes a connection that is closing out of the pool.
+// remove removes a connection that is closing from the pool.
 func (p *pool) remove(c *conn) {
 	p.removeDialing(c)
 	p.total--
--- a/internal/enginehttp/progress.go
+++ b/internal/enginehttp/progress.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// maxLoadValue bounds a value of a load report; a larger one is taken for a fault.
+	// maxLoadValue bounds a value of a load report; a larger one is treated as a fault.
 	maxLoadValue = 1e6
 	// maxAmount bounds any other number of an engine.
 	maxAmount = 1e9
--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Meter counts what goes over connections, at their end in the test.
+// Meter counts the bytes of connections, at their end in the test.
 type Meter struct{ payload, segments, opened atomic.Int64 }
 
-// WireBytes is what went over them so far with headers, computed as Relay.WireBytes does.
+// WireBytes is the bytes on them so far with headers, computed as Relay.WireBytes does.
 func (m *Meter) WireBytes() int64 {
 	return 7*segmentHeaderBytes*m.opened.Load() + m.payload.Load() + 2*segmentHeaderBytes*m.segments.Load()
 }
@@ -62,7 +62,7 @@
 	reader *bufio.Reader
 }
 
-// Dial connects and logs in; meters count what goes over the connection.
+// Dial connects and logs in; meters count the bytes of the connection.
 func Dial(addr string, meter ...*Meter) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	if err != nil {
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// WireBytes is what went between keepers so far, with headers.
+// WireBytes is the bytes between keepers so far, with headers.
 func (k *Keepers) WireBytes() (sum int64) {
 	for _, links := range k.links {
 		for _, l := range links {
@@ -109,7 +109,7 @@
 	return sum
 }
 
-// errRetryable says that the next call may succeed: there is no leader, no majority, or the keeper does not answer.
+// errRetryable reports that the next call may succeed: there is no leader, no majority, or the keeper does not answer.
 var errRetryable = errors.New("retryable")
 
 var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -243,7 +243,7 @@
 	return map[string]any{"addresses": addresses, "dir": dir, "hold_ms": 2000}
 }
 
-// WireBytes is what went over them so far, with headers.
+// WireBytes is the bytes on them so far, with headers.
 func (d *ZoneLinks) WireBytes() (sum int64) {
 	for _, r := range d.Relays {
 		sum += r.WireBytes()
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -105,7 +105,7 @@
 	return strings.Join(p.lastLines, "\n")
 }
 
-// Ready waits until the process says that it is ready, and returns what it says beside that.
+// Ready waits until the process says that it is ready, and returns the details of its readiness line.
 func (p *Process) Ready() string {
 	p.harness.T.Helper()
 	late := time.NewTimer(WaitTimeout)
--- a/internal/fleettest/programs.go
+++ b/internal/fleettest/programs.go
@@ -26,7 +26,7 @@
 // one.
 const programsEnv = "WINDFLOW_FLEET_PROGRAMS"
 
-// Programs builds the programs as deploy/balancer.toml says, once for a test run, and returns their folder.
+// Programs builds the programs as deploy/balancer.toml specifies, once for a test run, and returns their folder.
 func Programs(tb testing.TB) string {
 	tb.Helper()
 	if other := os.Getenv(programsEnv); other != "" {
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -23,7 +23,7 @@
 	maxSegmentPayload = 1448
 )
 
-// Traffic is what went over a relay in one direction.
+// Traffic is the bytes and segments of a relay in one direction.
 type Traffic struct {
 	Payload  int64 // bytes
 	Segments int64 // that carried it, at least one for each read
@@ -104,7 +104,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Count returns what went in a direction so far.
+// Count returns the traffic in a direction so far.
 func (r *Relay) Count(d Direction) Traffic {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +118,7 @@
 	return r.opened
 }
 
-// WireBytes is what went over the link so far in both directions with headers: those of the segments, a bare
+// WireBytes is the bytes on the link so far in both directions with headers: those of the segments, a bare
 // acknowledgement for each, and seven segments without payload for the start and end of each connection. It is
 // computed, since loopback has no segments of that size.
 func (r *Relay) WireBytes() int64 {
@@ -190,7 +190,7 @@
 			if !r.awaitPassage(d) {
 				return
 			}
-			r.mu.Lock() // ahead of the write, so that who has got something finds it counted
+			r.mu.Lock() // ahead of the write, so that what a peer has received is counted
 			r.count[d].Payload += int64(n)
 			r.count[d].Segments += int64((n + maxSegmentPayload - 1) / maxSegmentPayload)
 			r.mu.Unlock()
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -69,7 +69,7 @@
 	w.writeLine(string(text))
 }
 
-// statusMessage is what a process of simulated routers tells its test.
+// statusMessage is the status that a process of simulated routers reports to its test.
 type statusMessage struct {
 	Router   int     `json:"r"`
 	List     uint64  `json:"list,omitempty"`     // its last endpoint event
@@ -166,7 +166,7 @@
 	h.out.write(statusMessage{Router: h.spec.Number, List: h.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
-// configure puts another configuration in force, as a router's reload does. After an error nothing has changed.
+// configure applies another configuration, as a router's reload does. After an error nothing has changed.
 func (h *simulatedRouter) configure(cfg *settings.Node) error {
 	decisions, err := cfg.Settings.DispatchConfig(h.config.SeedValue)
 	if err != nil {
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -39,7 +39,7 @@
 	return client.Stop, nil
 }
 
-// applyInLoop puts a configuration in force, in the loop.
+// applyInLoop applies a configuration, in the loop.
 func (h *simulatedRouter) applyInLoop(cfg *settings.Node) error {
 	done := make(chan error, 1)
 	h.loop.Post(func() { done <- h.configure(cfg) })
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -14,7 +14,7 @@
 // SimulatedRoutersPerProcess is how many simulated routers run in one process.
 const SimulatedRoutersPerProcess = 60
 
-// SimulatedRouters are simulated routers as their test sees them.
+// SimulatedRouters are the simulated routers of a test.
 type SimulatedRouters struct {
 	Processes []*Process
 
@@ -35,7 +35,7 @@
 type Revisions struct {
 	Hash       string // of the last revision
 	adopted    []adoption
-	regression string // says so if the router went back to an earlier one
+	regression string // describes a return of the router to an earlier one
 }
 
 type adoption struct {
--- a/internal/flightsql/attempt.go
+++ b/internal/flightsql/attempt.go
@@ -28,7 +28,7 @@
 // SetPriority implements router.Attempt. Flight SQL cannot change the priority of a call in flight.
 func (a *attempt) SetPriority(int) {}
 
-// Cancel implements router.Attempt: the end of the call's stream tells the engine.
+// Cancel implements router.Attempt: the end of the call's stream cancels the query at the engine.
 func (a *attempt) Cancel() {
 	a.cancelled = true
 	a.cancel()
--- a/internal/flightsql/callstate.go
+++ b/internal/flightsql/callstate.go
@@ -23,7 +23,7 @@
 	repeated atomic.Bool // gRPC was about to repeat a call
 }
 
-// cancelUnsent keeps the attempt from being sent; false: it is too late.
+// cancelUnsent cancels the attempt unless it has been sent; it reports whether it did.
 func (s *callState) cancelUnsent() bool { return s.phase.CompareAndSwap(phaseUnsent, phaseCancelled) }
 
 // sent reports whether something of the attempt may have been written.
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -22,7 +22,7 @@
 	// maxStatement bounds a statement, in bytes, as on the MySQL front.
 	maxStatement = 64 << 10
 	// maxCall bounds a message of a call, in bytes. A call has little beside the statement, so that there is room
-	// to tell a client what is wrong with one that is too long.
+	// for an error response to one that is too long.
 	maxCall = 2 * maxStatement
 	// maxHeaderList bounds the headers of a call, in bytes.
 	maxHeaderList = 16 << 10
@@ -93,7 +93,7 @@
 	return front, nil
 }
 
-// Serve accepts connections on a listener, which it takes over, until StopAccepting or Stop.
+// Serve accepts connections on a listener, which it owns from then on, until StopAccepting or Stop.
 func (f *Front) Serve(lis net.Listener) {
 	f.listenerMu.Lock()
 	if !f.everServed { // the address stays: calls read it from now on
@@ -130,7 +130,7 @@
 	return netio.ListenerFile(f.listener)
 }
 
-// Drain tells clients to go to the other process, and lets calls in flight end.
+// Drain makes clients reconnect to the other process, and lets calls in flight end.
 func (f *Front) Drain() {
 	go f.server.GracefulStop() // it ends with the last call, or with Stop
 }
--- a/internal/flightsql/metadata.go
+++ b/internal/flightsql/metadata.go
@@ -6,7 +6,7 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// Metadata of calls beside the request's own fields, whose names are the router's Field constants.
+// Metadata of calls in addition to the request's own fields, whose names are the router's Field constants.
 const (
 	// metaGrant and metaPriority are for engines only.
 	metaGrant    = "grant-mb"
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -20,7 +20,7 @@
 	revertPath  = "/v1/revert"
 )
 
-// changeService takes changes to the configuration.
+// changeService accepts changes to the configuration.
 type changeService struct {
 	check        Check
 	timeout      time.Duration
@@ -95,7 +95,7 @@
 	return result
 }
 
-// commit checks a change and has it replicated, as the leader. It handles one change at a time, so that each is
+// commit checks and replicates a change, as the leader. It handles one change at a time, so that each is
 // checked against the content that it will be applied to; an entry whose base is no longer in force (another leader
 // made a revision meanwhile) does nothing.
 func (s *changeService) commit(ctx context.Context, change configlog.Change) response {
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -18,7 +18,7 @@
 	rolloutPath = "/v1/rollout"
 )
 
-// convergenceService tells at which followers a revision is in force.
+// convergenceService reports at which followers a revision is in force.
 type convergenceService struct {
 	keeperID     string
 	stateMachine *stateMachine
@@ -46,7 +46,7 @@
 }
 
 // handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The
-// leader makes the report; while there is none, this keeper reports what it sees, and that no majority confirms it.
+// leader makes the report; while there is none, this keeper reports what it knows, and that no majority confirms it.
 func (s *convergenceService) handleRollout(_ http.ResponseWriter, r *http.Request) response {
 	revision, wait, failure := queryRevisionAndWait(r)
 	if failure != nil {
@@ -112,7 +112,7 @@
 	})
 }
 
-// reportUnconfirmed is what this keeper sees by itself.
+// reportUnconfirmed returns the report of this keeper alone, which no majority has confirmed.
 func (s *convergenceService) reportUnconfirmed(ctx context.Context, revision *uint64, failed response) response {
 	status := s.stateMachine.convergence(revision, s.gatherLeases(ctx))
 	status.Converged = false
--- a/internal/keeper/doc.go
+++ b/internal/keeper/doc.go
@@ -5,7 +5,7 @@
 //
 // Run wires the parts of one keeper together:
 //
-//   - folder and stores hold what the keeper has on disk; verify.go checks it at the start.
+//   - folder and stores contain what the keeper has on disk; verify.go checks it at the start.
 //   - membership decides whether the keeper founds a group, joins one or belongs to it, and records that in the folder.
 //   - replication owns the raft node; stateMachine is the state that raft replicates.
 //   - leaderProxy carries a call out at the leader: here, or by forwarding it.
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -18,7 +18,7 @@
 	maxJoinBackoff = 2 * time.Second
 )
 
-// enrollment puts the processes of followers on the replicated roster, and removes followers from it.
+// enrollment adds the processes of followers to the replicated roster, and removes followers from it.
 type enrollment struct {
 	timeout      time.Duration
 	stateMachine *stateMachine
@@ -109,7 +109,7 @@
 	}
 }
 
-// enroll puts processes on the roster, here or at the leader; false if that has to be tried again.
+// enroll adds processes to the roster, here or at the leader; false if that has to be tried again.
 func (e *enrollment) enroll(ctx context.Context, batch []followerProcess) bool {
 	leader, isSelf := e.replication.leader()
 	if isSelf {
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -114,8 +114,8 @@
 	return existing, nil
 }
 
-// unusableError says why the files in a folder must not be used. Other errors of verify are such that setting the files
-// aside would not help, for example a missing permission.
+// unusableError describes why the files in a folder must not be used. Other errors of verify are such that setting
+// the files aside would not help, for example a missing permission.
 type unusableError struct{ reason string }
 
 func (e *unusableError) Error() string { return e.reason }
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// handleFollow is `POST /v1/follow`: a follower reports its status and gets a newer revision, as soon as there is
-// one. A process that is not on the replicated roster gets nothing until it is: from then on no convergence status
+// handleFollow is `POST /v1/follow`: a follower reports its status and receives a newer revision, as soon as there is
+// one. A process that is not on the replicated roster receives nothing until it is: from then on no convergence status
 // leaves it out.
 func (s *followService) handleFollow(w http.ResponseWriter, r *http.Request) response {
 	var request struct {
@@ -82,7 +82,7 @@
 }
 
 // waitForUpdate returns what a follower needs as soon as there is something; false when the time is up. That this
-// keeper is behind the follower is said only at the end: the keeper may yet catch up, and the follower doesn't call
+// keeper is behind the follower is reported only at the end: the keeper may yet catch up, and the follower doesn't call
 // again at once.
 func (s *followService) waitForUpdate(
 	ctx context.Context, status configlog.FollowerStatus, wait time.Duration,
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// do retries a call until the timeout while there is no leader or it goes away, so the call has to be idempotent. A
+// do retries a call until the timeout while there is no leader or it is lost, so the call has to be idempotent. A
 // call that was forwarded to this keeper is attempted once.
 func (p *leaderProxy) do(ctx context.Context, timeout time.Duration, call leaderCall) response {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/keeper/lease_table.go
+++ b/internal/keeper/lease_table.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// uptime is measured on a clock that doesn't go back.
+// uptime is measured on a monotonic clock.
 func (t *leaseTable) uptime() time.Duration { return time.Since(t.startedAt) }
 
 // nowMS is the uptime in milliseconds, the clock of configlog.Leases.
@@ -44,7 +44,7 @@
 	t.leases.Renew(t.nowMS(), status)
 }
 
-// tick lets the table notice that the process was stopped for a while.
+// tick records that the process runs, so that the table detects a pause of it.
 func (t *leaseTable) tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -30,7 +30,7 @@
 	recorded    atomic.Value // string; the stage in the folder, for readers in other goroutines
 }
 
-// peerStatus is what keepers tell each other about themselves.
+// peerStatus is the status that keepers exchange with each other.
 type peerStatus struct {
 	Cluster string `json:"cluster"`
 	ID      string `json:"id"`
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -143,7 +143,7 @@
 	return statuses
 }
 
-// withoutURL takes the URL out of an error of http.Client.
+// withoutURL removes the URL from an error of http.Client.
 func withoutURL(err error) error {
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// leader returns the keeper that leads as far as this one knows, and whether that is this one.
+// leader returns the leader that this keeper knows, and whether it is this keeper.
 func (r *replication) leader() (id string, isSelf bool) {
 	if !r.running() {
 		return "", false
@@ -200,7 +200,7 @@
 	}
 }
 
-// apply replicates a command, and returns what the state machine made of it once a majority has it.
+// apply replicates a command, and returns the result of the state machine once a majority has it.
 func (r *replication) apply(entry command) (any, error) {
 	data, err := entry.encode()
 	if err != nil {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// leaderStatus is what the leader says of itself once a majority has confirmed that it leads.
+// leaderStatus is the status that the leader returns once a majority has confirmed that it leads.
 type leaderStatus struct {
 	ID        string `json:"id"`
 	LastIndex uint64 `json:"last_index"`
@@ -285,8 +285,8 @@
 	return err
 }
 
-// failureResponse answers a call whose entry could not be replicated. effect is what is said where the error doesn't
-// tell that nothing was done.
+// failureResponse answers a call whose entry could not be replicated. effect is reported where the error doesn't
+// imply that nothing was done.
 func (r *replication) failureResponse(err error, effect changeEffect) response {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader),
--- a/internal/keeper/response.go
+++ b/internal/keeper/response.go
@@ -17,7 +17,7 @@
 type errorBody struct {
 	Kind   errorKind `json:"kind"`
 	Reason string    `json:"reason"`
-	// Done says what became of a change; empty for other calls.
+	// Done is the effect of a change; empty for other calls.
 	Done changeEffect `json:"done,omitempty"`
 }
 
@@ -32,12 +32,12 @@
 	errorStarting   errorKind = "starting"
 )
 
-// changeEffect says what a failed change has done.
+// changeEffect is the effect of a failed change.
 type changeEffect string
 
 const (
 	effectNone changeEffect = "nothing"
-	// effectUnknown: the same call again, with the same id, tells.
+	// effectUnknown: a repeated call with the same id returns it.
 	effectUnknown changeEffect = "unknown"
 )
 
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -35,7 +35,7 @@
 // changeOutcome is what Apply returns for a change.
 type changeOutcome struct {
 	configlog.Result
-	// BaseMoved says that the change was checked against a revision that is no longer in force; nothing was done.
+	// BaseMoved reports that the change was checked against a revision that is no longer in force; nothing was done.
 	BaseMoved bool
 }
 
--- a/internal/keeper/status.go
+++ b/internal/keeper/status.go
@@ -12,7 +12,7 @@
 // stateWaiting is the state of a keeper before its raft node starts.
 const stateWaiting = "Waiting"
 
-// statusService reports how this keeper sees itself.
+// statusService reports the state of this keeper.
 type statusService struct {
 	options      *Options
 	stateMachine *stateMachine
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -37,7 +37,7 @@
 	return raft.ServerAddress(p.peers[i].RaftAddr), nil
 }
 
-// errVotingSuspended answers votes that a keeper takes no part in.
+// errVotingSuspended answers votes in which a keeper does not participate.
 var errVotingSuspended = errors.New(
 	"this keeper has lost its folder and takes no part in elections until it has caught up")
 
--- a/internal/keeper/verify.go
+++ b/internal/keeper/verify.go
@@ -18,7 +18,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// damageError says what is damaged in a folder. Other errors of the functions below are the machine's, not the
+// damageError describes what is damaged in a folder. Other errors of the functions below are the machine's, not the
 // content's.
 type damageError struct{ reason string }
 
@@ -151,7 +151,7 @@
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
 	if _, err := store.GetUint64(createdKey); err != nil {
-		return lastEntry{}, damaged("%s has lost its content", logFile) // bbolt takes an empty file for a new one
+		return lastEntry{}, damaged("%s has lost its content", logFile) // bbolt treats an empty file as a new one
 	}
 	firstIndex, err := store.FirstIndex()
 	if err != nil {
--- a/internal/mysql/answer.go
+++ b/internal/mysql/answer.go
@@ -36,7 +36,7 @@
 	s.answer(w.buffer)
 }
 
-// answer writes the one answer to the open command and goes on with what the client sent meanwhile.
+// answer writes the one answer to the open command and continues with what the client sent meanwhile.
 func (s *session) answer(packets []byte) {
 	wasBusy := s.busy
 	s.busy, s.waitingSinceMS = false, s.loop.Now()
--- a/internal/mysql/builtin.go
+++ b/internal/mysql/builtin.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// isVerb reports whether the statement starts with the verb and goes on after it.
+// isVerb reports whether the statement starts with the verb and has further fields.
 func (b *builtin) isVerb(name string) bool {
 	return len(b.fields) > 1 && strings.EqualFold(b.fields[0], name)
 }
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -1,6 +1,6 @@
 package mysql
 
-// What this server tells clients of itself, and what they log in with.
+// What this server announces to clients in the greeting, and the account of their login.
 const (
 	user            = "app"
 	database        = "warehouse"
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -168,7 +168,7 @@
 	s.advance()
 }
 
-// fail answers with an error and closes: the framing is lost, or the client may not go on.
+// fail answers with an error and closes: the framing is lost, or the client may not continue.
 func (s *session) fail(code int, text string) {
 	level := slog.LevelWarn
 	if code == errTooManyConns {
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -30,7 +30,7 @@
 	ended     chan struct{} // closed when serve returns
 }
 
-// Serve accepts connections on a listener, which it takes over; accept returns the handler of each.
+// Serve accepts connections on a listener, which it owns from then on; accept returns the handler of each.
 func (p *Poller) Serve(lis net.Listener, accept func() Handler) *Listener {
 	l := &Listener{
 		poller: p, log: p.log, lis: lis, accept: accept, slots: make(chan struct{}, maxPendingAccepts),
@@ -91,7 +91,7 @@
 	}
 }
 
-// register registers a connection with the poller and has the loop open it.
+// register registers a connection with the poller and opens it in the loop.
 func (l *Listener) register(netConn net.Conn) error {
 	conn, err := nbio.NBConn(netConn)
 	if err != nil {
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// handleWake takes a turn. It is called in the poller's goroutine, once for each byte. Registrations enqueued before
+// handleWake runs a turn. It is called in the poller's goroutine, once for each byte. Registrations enqueued before
 // the previous turn are due: the events that the poller handles now were gathered after that turn, and the former
 // connections of these descriptors had been closed by then. Those enqueued later may have been enqueued after the
 // events were gathered, and wait for another turn.
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -38,7 +38,7 @@
 	return &socket{loop: p.loop, closes: p.closes, handler: handler}
 }
 
-// connected takes the connection of a dial that has been registered.
+// connected handles the registered connection of a dial.
 func (s *socket) connected(conn *nbio.Conn) {
 	s.dialTimer.Stop()
 	if s.closed {
@@ -49,7 +49,7 @@
 	s.handler.Opened(s)
 }
 
-// adopted takes a connection of another process that was registered, or could not be.
+// adopted handles a connection of another process that was registered, or could not be.
 func (s *socket) adopted(conn *nbio.Conn, err error) {
 	s.adopting = false
 	switch {
--- a/internal/record/extract.go
+++ b/internal/record/extract.go
@@ -35,7 +35,7 @@
 	states map[string]*EngineChange // the last of each engine before the span
 }
 
-// add takes the next record of a process.
+// add processes the next record of a process.
 func (e *extraction) add(header *Header, next Record) error {
 	process := e.processes[header.ProcessID]
 	if process == nil {
