--- a/cmd/windflow/main_test.go
+++ b/cmd/windflow/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What a new user types, and what is said to it.
+// What a new user types, and what is printed.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -17,7 +17,7 @@
 	{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
 }
 
-// adminRouter simulates a router's admin API and keeps the requests that it gets.
+// adminRouter simulates a router's admin API and records the requests that it receives.
 type adminRouter struct {
 	address  string
 	requests bytes.Buffer
@@ -55,7 +55,7 @@
 	golden.Equal(t, "door-calls.txt", router.requests.Bytes())
 }
 
-// Under its former name the command does and prints the same, and says on standard error what it is called now.
+// Under its former name the command does and prints the same, and prints its present name on standard error.
 func TestFormerNameOfAdmin(t *testing.T) {
 	router := startAdminRouter(t)
 	const notice = "windflowctl: the command \"door\" is called \"admin\" now\n"
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -129,7 +129,7 @@
 	if out, _, err = run(t, "incident", cut); err != nil || !strings.Contains(out, "Incident 1") {
 		t.Error(out, err)
 	}
-	// A damaged file is reported and fails the check; a truncated one is reported alone.
+	// A damaged file is reported and fails the check; a truncated one is only reported.
 	files, _ := record.SegmentFiles(dir)
 	text, _ := os.ReadFile(files[0])
 	if err := os.WriteFile(files[0], text[:len(text)-3], 0o600); err != nil {
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -16,7 +16,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// router is a fake of what puts revisions in force.
+// router is a fake of the router, which applies revisions.
 type router struct {
 	mu        sync.Mutex
 	revisions []Revision
@@ -174,7 +174,7 @@
 	}
 }
 
-// Nothing that a misbehaving keeper answers is in force, and the router goes on with the other one.
+// Nothing that a misbehaving keeper answers is in force, and the router continues with the other one.
 func TestMisbehavingKeepers(t *testing.T) {
 	const pointer = "/settings/over-share-worth"
 	stop := make(chan struct{})
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -139,7 +139,7 @@
 		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
 		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
 	}
-	// The keeper's answer is a file beside the call, in the form that the keepers' golden calls have.
+	// The keeper's answer is a file next to the call, in the form that the keepers' golden calls have.
 	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
 		"whole": {From: 12, To: 14, Snapshot: true, Put: goldenEntries(), Hash: goldenHash(3)},
--- a/internal/enginehttp/harness_test.go
+++ b/internal/enginehttp/harness_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// showProgress shows what a response reports beside the end of the attempt.
+// showProgress prints what a response reports besides the end of the attempt.
 func (h *harness) showProgress(progress router.AttemptProgress) {
 	if progress.Kind != dispatch.ProgressAlive {
 		fmt.Fprintf(&h.out, "  ~ note %d of %v\n", progress.Kind, progress.Amount)
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -8,8 +8,9 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Changes reach a complete fleet, alone and in a burst, with the leader killed, a zone's routers back at once, and
-// regions apart and joined; nobody goes back, all end at the same content, and the keepers say so.
+// Changes reach a complete fleet, alone and in a burst, with the leader killed, a zone's routers restarted at once,
+// and regions apart and joined; no router returns to an earlier revision, all end at the same content, and the
+// keepers report so.
 func TestConfigurationReachesTheFleet(t *testing.T) {
 	f := newConfiguredFleet(t, scenarioSizes(t))
 	all := f.size.real + f.size.simulated
@@ -74,8 +75,8 @@
 	f.writeScale()
 }
 
-// partitionRegions cuts the regions off from each other: the one with the majority goes on changing, the other keeps
-// what it has and changes nothing; joined, all have what the majority made.
+// partitionRegions cuts the regions off from each other: the one with the majority continues to make changes, the
+// other keeps what it has and changes nothing; joined, all have what the majority made.
 func (f *configuredFleet) partitionRegions() {
 	t := f.t
 	major := members(f.size.keepers)[:f.size.keepers/2+1]
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -17,7 +17,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// scenarioSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment says more.
+// scenarioSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment sets it.
 type scenarioSize struct {
 	keepers, real, simulated int
 	changes                  int // one after the other, and in a burst
@@ -145,7 +145,7 @@
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if s.regression != "" {
-				f.t.Errorf("simulated router %d went back: %s", n, s.regression)
+				f.t.Errorf("simulated router %d returned to an earlier revision: %s", n, s.regression)
 				return ""
 			}
 			if s.Last() < revision && zones(n%len(Zones)) {
@@ -170,7 +170,7 @@
 
 func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// recordTimes keeps and logs a distribution, in milliseconds.
+// recordTimes records and logs a distribution, in milliseconds.
 func (f *configuredFleet) recordTimes(name string, took *hdrhistogram.Histogram) {
 	f.t.Helper()
 	for what, us := range map[string]int64{
@@ -183,7 +183,7 @@
 		f.figures[name+", 99th ms"], f.figures[name+", last ms"], took.TotalCount())
 }
 
-// measureDuring keeps and logs what keepers and real routers took while something was done, and what their links
+// measureDuring records and logs what keepers and real routers used while something was done, and what their links
 // carried.
 func (f *configuredFleet) measureDuring(name string, do func()) {
 	f.t.Helper()
@@ -257,7 +257,7 @@
 		proposedAt[m.revision], last = m.proposedAt, max(last, m.revision)
 	}
 	if len(proposedAt) != n {
-		f.t.Errorf("%d changes with ids of their own got %d revisions", n, len(proposedAt))
+		f.t.Errorf("%d changes with different ids made %d revisions", n, len(proposedAt))
 	}
 	return proposedAt, last
 }
@@ -292,7 +292,7 @@
 	return list
 }
 
-// writeScale puts the figures into scale.json beside slopes.json, where a folder for them is named.
+// writeScale writes the figures to scale.json next to slopes.json, where a folder for them is named.
 func (f *configuredFleet) writeScale() {
 	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -32,8 +32,9 @@
 	return list
 }
 
-// A small fleet: real and simulated routers receive a change of the endpoint list, lose their connection to discovery,
-// receive nothing meanwhile, and catch up once it is back. It checks the harness, and each router's discovery watcher.
+// A small fleet: real and simulated routers receive a change of the endpoint list, lose their connection to
+// discovery, receive nothing meanwhile, and catch up once it is connected. It checks the harness, and each router's
+// discovery watcher.
 func TestFleetFollowsDiscoveryThroughADisconnect(t *testing.T) {
 	r := New(t)
 	engines := Engines(listedEngines)
@@ -177,7 +178,7 @@
 	most := p.Usage()
 	sum := time.Duration(n) * 10 * time.Millisecond
 	if sum < least.CPU-20*time.Millisecond || sum > most.CPU+10*time.Millisecond || least.CPU < 20*time.Millisecond {
-		t.Errorf("/proc says %v, the clock %v and then %v", sum, least.CPU, most.CPU)
+		t.Errorf("/proc has %v, the clock %v and then %v", sum, least.CPU, most.CPU)
 	}
 	if least.Resident < 5<<20 || least.Resident > 500<<20 {
 		t.Errorf("%d bytes resident", least.Resident)
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startEchoServer serves what it is sent back.
+// startEchoServer starts a server that echoes its input.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	return err
 }
 
-// Links cut, fall silent, delay and count as the test says, in either direction.
+// Links cut, are blackholed, delayed and counted as the test sets it, in either direction.
 func TestRelay(t *testing.T) {
 	r := NewRelay(t, startEchoServer(t))
 	dial := func() net.Conn {
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sessionSockets lets a router hold 2,400 sessions: four tenths of its descriptors.
+// sessionSockets allows a router 2,400 sessions: four tenths of its descriptors.
 const sessionSockets = 6000
 
 // sessions is clients of one router.
@@ -18,7 +18,7 @@
 	ids     atomic.Uint64
 }
 
-// each runs f for every client, as many at a time as log in at once without being turned away, and fails on any error.
+// each runs f for every client, as many at a time as log in at once without being rejected, and fails on any error.
 func (c *sessions) each(t *testing.T, n int, f func(i int) error) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -64,7 +64,7 @@
 	}
 }
 
-// What sessions cost that say nothing.
+// The cost of silent sessions.
 func TestSlopesOfSessionsAtRest(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	b := NewDiscoveryServer(t, Engines(300))
@@ -79,7 +79,7 @@
 		p.Ready()
 		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
-	// A router ends a session that said nothing for 10 s, so that there are spans of silence between pings that are not
+	// A router ends a session that is silent for 10 s, so that there are spans of silence between pings that are not
 	// measured.
 	const spans = 4
 	cpu, mb := make([]float64, len(sizes)), make([]float64, len(sizes))
@@ -178,7 +178,7 @@
 	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", megabytes, mb, conditions)
 }
 
-// What clients cost that come back to a router that was started anew.
+// The cost of clients that reconnect to a restarted router.
 func TestSlopesOfClientsThatComeBack(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	b := NewDiscoveryServer(t, Engines(300))
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -46,7 +46,7 @@
 	return g
 }
 
-// measureGroups takes what the busiest keeper, and what the followers and keepers put on the wire, over a span.
+// measureGroups measures the cost of the busiest keeper, and the bytes of followers and keepers, over a span.
 func measureGroups(groups []*keeperGroup) (cpu, mb, perRouter, perKeeper []float64) {
 	var all []*Process
 	for _, g := range groups {
@@ -137,7 +137,7 @@
 		pairs(sizes, worst), conditions)
 }
 
-// maxClientChangeRate is how many changes a second a follower takes at most: it leaves 500 ms between two calls that
+// maxClientChangeRate is how many changes a second a follower accepts at most: it leaves 500 ms between two calls that
 // bring some. Its costs grow up to there, and are level past it.
 const maxClientChangeRate = 2
 
@@ -172,8 +172,8 @@
 			perRouter[grows], rates[grows]))
 }
 
-// startChanges makes changes at an even pace, whether or not those before have been answered, until the function that
-// it gives is called. It fails the test where an answer does not arrive or the pace was not kept.
+// startChanges makes changes at an even rate, whether or not those before have been answered, until the function that
+// it returns is called. It fails the test where an answer does not arrive or the rate was not reached.
 func (f *configuredFleet) startChanges(aSecond float64) (end func()) {
 	if aSecond == 0 {
 		return func() {}
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -42,7 +42,7 @@
 		conditions)
 }
 
-// What a router takes for a change that names many engines in one frame, as when a zone goes.
+// The cost of a change that names many engines in one frame, as when a zone fails.
 func TestSlopesOfAFrameOfMany(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const frames = 30
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -16,7 +16,7 @@
 	idleConditions = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
 )
 
-// What an idle router takes, by the engines in its list; what a complete list is on the wire; and what one change of
+// What an idle router uses, by the engines in its list; what a complete list is on the wire; and what one change of
 // the list costs by the engines in it.
 func TestSlopesOfARouterByEngines(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
@@ -27,7 +27,7 @@
 	for _, n := range engineSizes {
 		b := NewDiscoveryServer(t, Engines(n))
 		relay := NewRelay(t, b.Addr)
-		// it knows no list yet
+		// without a list
 		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1) // the complete list
@@ -176,7 +176,7 @@
 		"each a SIGHUP on a changed file of 1,200 engines and 1,000 tenants; no clients")
 }
 
-// What a restart takes, by engines.
+// The cost of a restart, by engines.
 func TestSlopesOfARestart(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
 	const times = 5
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -52,7 +52,7 @@
 	return first
 }
 
-// add fits a row and puts it in the file at once, in place of an older one of its name.
+// add fits a row and writes it to the file at once, in place of an older one of its name.
 func (r *slopeRows) add(name, of, x, y string, points [][2]float64, conditions string) {
 	r.t.Helper()
 	r.mu.Lock()
--- a/internal/flightsql/cancel_test.go
+++ b/internal/flightsql/cancel_test.go
@@ -99,8 +99,8 @@
 	<-cancelled
 }
 
-// An engine that is cordoned gets nothing more: attempts that have not begun, of both kinds and whatever the state of
-// their connections, end at once with proof that nothing ran. Those that have begun go on.
+// An engine that is cordoned receives no further work: attempts that have not begun, of both kinds and whatever the
+// state of their connections, end at once with proof that nothing ran. Those that have begun continue.
 func TestCancelUnstarted(t *testing.T) {
 	lis := listen(t)
 	silent := make(chan net.Conn, 4) // connections that never speak HTTP/2, so that no call begins
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -38,7 +38,7 @@
 }
 func (e *rawEngine) DoPut(s flight.FlightService_DoPutServer) error { return e.put(s) }
 
-// messageRecorder keeps what a writer of records sends.
+// messageRecorder records what a writer of records sends.
 type messageRecorder struct{ sent []*flight.FlightData }
 
 func (r *messageRecorder) Send(d *flight.FlightData) error {
@@ -96,8 +96,9 @@
 	return end
 }
 
-// Whatever an engine answers, an attempt ends with an outcome, and only what proves that nothing ran says so. Of the
-// offsets of a column of text, Arrow checks the last one only, and panics over the others when the value is read.
+// Whatever an engine answers, an attempt ends with an outcome, and only an answer that proves that nothing ran is
+// reported as such. Of the offsets of a column of text, Arrow checks the last one only, and panics over the others
+// when the value is read.
 func TestBadResponsesToQueries(t *testing.T) {
 	complete := textStream(t, "ab", "cd", "ef")
 	broken := textStream(t, "ab", "cd", "ef")
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -125,7 +125,7 @@
 	return rows, r.Err()
 }
 
-// A rejection says when to retry, for machines too, and a failure whether a retry is safe.
+// A rejection reports when to retry, in a machine-readable detail too, and a failure whether a retry is safe.
 func TestRetryAdvice(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.Execute(call(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
@@ -251,7 +251,7 @@
 	}
 }
 
-// Calls that lack what they must hold are malformed, and the front goes on serving.
+// Calls without a required field are malformed, and the front continues to serve.
 func TestMalformedCalls(t *testing.T) {
 	_, engines, c := newFront(t)
 	ctx := func() context.Context { return call(t, 20*time.Second, "rid", "0000000000000001", "method", "load") }
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -20,7 +20,7 @@
 	"windflow/internal/routertest"
 )
 
-// scriptedEngines is an engine client whose attempts end as their statement says; "hang" does not end.
+// scriptedEngines is an engine client whose attempts end as their statement specifies; "hang" does not end.
 type scriptedEngines struct {
 	loop *router.Loop
 	mu   sync.Mutex
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// failure is a testing.TB that notes whether a check failed. A fatal one panics with it, as the check must not go on.
+// failure is a testing.TB that notes whether a check failed. A fatal one panics with it, as the check must not
+// continue.
 type failure struct {
 	testing.TB
 	failed bool
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// Of two operators who change the same revision one gets the next; the other gets a conflict with the one in force.
+// Of two operators who change the same revision one receives the next; the other receives a conflict with the one in
+// force.
 func TestConcurrentChangesOfOneRevision(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	for round := range uint64(20) {
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// fillDisk keeps a keeper's log from growing.
+// fillDisk prevents a keeper's log from growing.
 func (g *group) fillDisk(i int) {
 	g.t.Helper()
 	f, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
@@ -77,7 +77,7 @@
 		}
 	}
 	if said == 0 {
-		t.Error("no status says that a disk is full")
+		t.Error("no status reports that a disk is full")
 	}
 	f.pollUntil(1, last)
 	for i := range g.members {
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -196,7 +196,7 @@
 		c.damage()
 		g.members[victim].start()
 		g.waitForRevision(victim, last)
-		waitUntil(t, "a vote again", func() bool {
+		waitUntil(t, "the right to vote again", func() bool {
 			s := g.status(victim)
 			return s.Folder.Votes && s.Folder.Stage == "member"
 		})
@@ -222,7 +222,7 @@
 	g.waitForRevision(lost, 2)
 	g.kill(lost)
 	remove(t, g.members[lost].options.Dir)
-	// It restarts, learns that the group exists, and gets none of the leader's entries.
+	// It restarts, learns that the group exists, and receives none of the leader's entries.
 	g.links[[2]int{leader, lost}][0].setSilent(forth, true)
 	g.members[lost].start()
 	waitUntil(t, "the empty keeper joining the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
@@ -230,7 +230,7 @@
 	var no reply
 	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 ||
 		no.Kind != "no-majority" {
-		t.Errorf("the two that lack revision 2 say %d %+v", code, no)
+		t.Errorf("the two that lack revision 2 answered %d %+v", code, no)
 	}
 	if s := g.status(lost); s.Folder.Votes || s.Revision != 0 {
 		t.Errorf("%+v", s)
@@ -246,7 +246,7 @@
 	if c := g.waitForRevision(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
 		t.Errorf("revision 2: %s", c.Entries)
 	}
-	waitUntil(t, "a vote again", func() bool { return g.status(lost).Folder.Votes })
+	waitUntil(t, "the right to vote again", func() bool { return g.status(lost).Folder.Votes })
 }
 
 // After a majority has lost its folders nothing is changed until an operator accepts the loss; then the state of the
@@ -304,7 +304,7 @@
 	waitUntil(t, "a snapshot of the leader", func() bool { return snapshots(leader) > 0 })
 	g.members[victim].start()
 	g.waitForRevision(victim, 40)
-	waitUntil(t, "a vote again", func() bool { return g.status(victim).Folder.Votes })
+	waitUntil(t, "the right to vote again", func() bool { return g.status(victim).Folder.Votes })
 	g.members[victim].end(syscall.SIGTERM)
 	damageSnapshots(t, g.members[victim].options.Dir)
 	g.members[victim].start()
@@ -324,7 +324,7 @@
 	}
 }
 
-// A second process on a folder ends with an error that names the folder, and the first goes on.
+// A second process on a folder ends with an error that names the folder, and the first continues.
 func TestFolderLock(t *testing.T) {
 	g := startGroup(t, 1, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -88,7 +88,7 @@
 	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
 		t.Errorf("both have it: %+v", v)
 	}
-	// A poll that waits gets the change; a rollout call that waits gets the followers' statuses.
+	// A waiting poll returns the change; a waiting rollout call returns the followers' statuses.
 	type got struct{ code int }
 	calls := make(chan got, 2)
 	go func() { calls <- got{a.poll(1, 700)} }()
@@ -163,7 +163,7 @@
 	}
 }
 
-// A keeper keeps a bounded number of polls open and rejects the next.
+// A keeper has a bounded number of open polls and rejects the next.
 func TestWaitingFollowersAreBounded(t *testing.T) {
 	g := startGroup(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
 	done := make(chan int, 2)
@@ -187,7 +187,8 @@
 	}
 }
 
-// A follower that is a thousand revisions behind gets one update: the difference if that is smaller, else a snapshot.
+// A follower that is a thousand revisions behind receives one update: the difference if that is smaller, else a
+// snapshot.
 func TestFollowerThousandChangesBehind(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	wide, narrow := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -239,7 +239,8 @@
 	return strings.Join(names, " ")
 }
 
-// A group that is started on folders of an earlier program serves the revisions that are in them, and takes more.
+// A group that is started on folders of an earlier program serves the revisions that are in them, and accepts further
+// changes.
 func TestGoldenFoldersServe(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs three keepers")
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -60,7 +60,7 @@
 				<-p.ended
 			}
 			if t.Failed() {
-				t.Logf("%s said:\n%s", p.options.ID, p.logText())
+				t.Logf("%s logged:\n%s", p.options.ID, p.logText())
 			}
 		}
 	})
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%s has %d kB resident", g.members[i].options.ID, rss)
 		}
 		if now.bytes == before[i].bytes {
-			t.Errorf("%s neither sends nor gets a heartbeat", g.members[i].options.ID)
+			t.Errorf("%s neither sends nor receives a heartbeat", g.members[i].options.ID)
 		}
 	}
 }
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -35,7 +35,7 @@
 }
 
 // The leader is killed after a change is committed and before it could answer: the keeper that forwarded the change
-// retries at the next leader, and the operator who retries gets the same revision.
+// retries at the next leader, and the operator who retries receives the same revision.
 func TestLeaderKilledBetweenCommitAndAnswer(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -98,7 +98,7 @@
 	return s.LastIndex
 }
 
-// A leader that was paused while the others went on claims nothing false when it is resumed.
+// A leader that was paused while the others continued claims nothing false when it is resumed.
 func TestLeaderPausedAndResumed(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -124,7 +124,7 @@
 	repeated := g.send(old, put("second", "/settings/over-share-worth", "2"))
 	g.members[old].signal(syscall.SIGCONT)
 	if v := <-rollout; v.err != nil || v.code != 200 || v.Converged {
-		t.Errorf("revision 2 is with no follower, and it says %+v", v)
+		t.Errorf("no follower has revision 2, but the status is %+v", v)
 	}
 	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) ||
 		p.code != 200 && p.code != 503 {
@@ -237,7 +237,7 @@
 	}
 	for n, i := range few {
 		if p := <-answers[n]; p.err != nil || p.code != 503 || p.Kind != "no-majority" || p.Reason == "" || p.Done == "" {
-			t.Errorf("the minority says %+v", p)
+			t.Errorf("the minority answered %+v", p)
 		}
 		if c := g.waitForRevision(i, 1); c.Revision != 1 {
 			t.Errorf("the minority serves %+v", c)
@@ -252,13 +252,13 @@
 	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority ||
 		!slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) ||
 		!slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
-		t.Errorf("the majority doesn't know what the other region has, and says %d %+v", code, v)
+		t.Errorf("the majority doesn't know what the other region has, and answered %d %+v", code, v)
 	}
 	v = rolloutReply{}
 	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
 		t.Errorf("the minority's convergence status: %d %+v", code, v)
 	}
-	// A follower that is on no majority's roster gets nothing: the convergence status of the majority could not
+	// A follower that is on no majority's roster receives nothing: the convergence status of the majority could not
 	// include it.
 	newcomer := follower{g: g, name: "new", instance: "c"}
 	if code := newcomer.poll(few[1], 300); code != http.StatusNoContent {
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -142,7 +142,7 @@
 	select {
 	case <-p.ended:
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s goes on; %s", p.options.ID, p.logText())
+		p.t.Fatalf("%s still runs; %s", p.options.ID, p.logText())
 	}
 	if p.cmd.ProcessState.Success() {
 		p.t.Fatalf("%s ended without an error", p.options.ID)
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Many followers join at once; changes converge one after the other; a keeper is killed, and its followers go on with
-// the others. With -followers 600 it measures the figures of the design note.
+// Many followers join at once; changes converge one after the other; a keeper is killed, and its followers continue
+// with the others. With -followers 600 it measures the figures of the design note.
 func TestManyFollowers(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -36,7 +36,7 @@
 func (fakeAttempt) Abandon()           {}
 func (fakeAttempt) CancelUnsent() bool { return false }
 
-// fakeConn is a connection that keeps what the session writes.
+// fakeConn is a connection that records what the session writes.
 type fakeConn struct {
 	written []byte
 	closed  bool
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -28,7 +28,7 @@
 	h.conn.CloseGracefully()
 }
 
-// A client that is rejected while it sends goes on sending, reads the rejection, and is not reset: a close with
+// A client that is rejected while it sends continues to send, reads the rejection, and is not reset: a close with
 // unread input would make its writes fail and might lose the rejection. The clock is stopped, so that nothing but the
 // client ends the connection here.
 func TestGracefulClose(t *testing.T) {
@@ -45,7 +45,7 @@
 		t.Fatalf("%q, %v", answer, err)
 	}
 	if _, err := c.Write(make([]byte, maxLingerBytes/2)); err != nil {
-		t.Error("what the client goes on sending:", err)
+		t.Error("what the client sends after the rejection:", err)
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
--- a/internal/netio/poller_test.go
+++ b/internal/netio/poller_test.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// connHandler is a handler that keeps its connection.
+// connHandler is a handler that stores its connection.
 type connHandler struct {
 	*eventChannels
 	conn Conn
--- a/internal/netio/registration_test.go
+++ b/internal/netio/registration_test.go
@@ -83,7 +83,7 @@
 }
 
 // A connection whose client has gone is closed by the loop while the poller still has to handle the event of that,
-// and the next connection gets its descriptor: the event must not be taken for one of the new connection. Otherwise
+// and the next connection gets its descriptor: the event must not be attributed to the new connection. Otherwise
 // connections of clients and engines are closed right after they were opened, though nobody has closed them.
 func TestEventOfReusedDescriptor(t *testing.T) {
 	s := newConnSet(t)
--- a/internal/netio/shared_listener_test.go
+++ b/internal/netio/shared_listener_test.go
@@ -54,7 +54,7 @@
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
-	// The other process goes on accepting.
+	// The other process continues to accept.
 	next, err := Inherit(f)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/record/meter_test.go
+++ b/internal/record/meter_test.go
@@ -35,7 +35,7 @@
 		t.Error(diff)
 	}
 	if rows, engines = m.Collect(); len(rows)+len(engines) != 0 {
-		t.Error("what was taken is there again", rows, engines)
+		t.Error("rows are returned twice", rows, engines)
 	}
 	for i := range 10000 {
 		m.RequestArrived("lookup", fmt.Sprint(i), false, 1)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -131,7 +131,7 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	// The folder goes once more, under an open segment.
+	// The folder is removed once more, under an open segment.
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
