--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestFitOfLittle(t *testing.T) {
+func TestFitOfFewPoints(t *testing.T) {
 	for _, k := range []struct {
 		points [][2]float64
 		want   [3]float64
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -36,7 +36,7 @@
 
 // A process that imports the package has a table for all that its limit allows, up to a bound, before its first line
 // runs, also where its standard streams are closed.
-func TestTableSizeAtTheStart(t *testing.T) {
+func TestInitialTableSize(t *testing.T) {
 	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Watchers leave a server that falls silent without closing, and follow it again once it answers.
-func TestWatchersLeaveASilentServer(t *testing.T) {
+// Watchers disconnect from a server that stops sending without closing, and reconnect once it answers.
+func TestWatchersDisconnectFromSilentServer(t *testing.T) {
 	r := New(t)
 	engines := Engines(30)
 	b := NewDiscoveryServer(t, engines)
@@ -122,7 +122,7 @@
 }
 
 // The readiness line is written when clients are accepted, and not before: a client that dials then is greeted.
-func TestReadinessMeansThatClientsAreTaken(t *testing.T) {
+func TestReadyMeansClientsAreAccepted(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
 	for i := range 3 {
@@ -145,7 +145,7 @@
 }
 
 // An invalid readiness descriptor is an error that names the variable.
-func TestReadinessOnNoDescriptor(t *testing.T) {
+func TestReadinessWithoutDescriptor(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
 	c := Config{Name: "n0", Listen: FreePort(t), Discovery: b.Addr}
@@ -162,7 +162,7 @@
 }
 
 // The clock that measures costs agrees with the system's own accounting.
-func TestUsageIsTheSystemsSum(t *testing.T) {
+func TestUsageMatchesTheSystemsSum(t *testing.T) {
 	r := New(t)
 	p := r.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
 	p.Ready()
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -109,6 +109,13 @@
 		conditions)
 }
 
+// reloadChanged changes the configuration file of a router and reloads it. n is the number of reloads so far.
+func reloadChanged(p *Router, n int) {
+	p.OverQuotaWeight = 0.1 + float64(n%2)/10
+	p.Reload()
+	p.Await(LineReloaded, n+1)
+}
+
 // What a reload costs by tenants and by engines, and what reloads a second take.
 func TestSlopesOfReloads(t *testing.T) {
 	rows, r := requireSlopes(t), New(t)
@@ -119,9 +126,7 @@
 		p.Ready()
 		from := p.Usage()
 		for i := range reloads {
-			p.OverQuotaWeight = 0.1 + float64(i%2)/10 // a change each time
-			p.Reload()
-			p.Await(LineReloaded, i+1)
+			reloadChanged(p, i)
 		}
 		to := p.Usage()
 		p.Kill()
@@ -164,9 +169,7 @@
 		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
 		for k := range n {
 			<-pace.C
-			p.OverQuotaWeight = 0.1 + float64(k%2)/10
-			p.Reload()
-			p.Await(LineReloaded, k+1)
+			reloadChanged(p, k)
 		}
 		pace.Stop()
 		at = append(at, Percent(from, p.Usage()))
