--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -111,7 +111,7 @@
 	s.session.replaceAnnounced(old.Prefixes)
 }
 
-// sameSession reports whether a session may go on under another configuration.
+// sameSession reports whether a session may continue under another configuration.
 func sameSession(old, cfg Config) bool {
 	cfg.Prefixes, cfg.NextHop = old.Prefixes, old.NextHop
 	return reflect.DeepEqual(cfg, old)
--- a/internal/configclient/change_limiter.go
+++ b/internal/configclient/change_limiter.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// sleep waits, but not past the end of ctx.
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -225,7 +225,7 @@
 	sleep(ctx, milliseconds(backoffMS))
 }
 
-// applyUpdate has an update applied. It returns an error for one that the follower doesn't accept.
+// applyUpdate applies an update. It returns an error for one that the follower doesn't accept.
 func (c *Client) applyUpdate(update configlog.Update) error {
 	entries, ok, err := c.follower.Offer(update)
 	if ok {
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -115,7 +115,7 @@
 	s.log.Error("configuration copy set aside", "file", s.path, "aside", aside, "reason", reason, "error", err)
 }
 
-// save has a revision written in the background. It replaces one that is not written yet.
+// save writes a revision in the background. It replaces one that is not written yet.
 func (s *copyStore) save(saved configlog.SavedRevision) {
 	for {
 		select {
@@ -130,7 +130,7 @@
 	}
 }
 
-// run writes what is to be saved until ctx ends; the last one saved is written then, too.
+// run writes pending revisions until ctx ends, and the last one then.
 func (s *copyStore) run(ctx context.Context) {
 	var failed *configlog.SavedRevision
 	retries := time.NewTicker(writeRetryInterval)
--- a/internal/enginehttp/attempt.go
+++ b/internal/enginehttp/attempt.go
@@ -82,7 +82,7 @@
 		call.Priority, len(call.Statement), call.Statement)
 }
 
-// startWritten notes that the statement was written to a connection.
+// startWritten records that the statement was written to a connection.
 func (a *attempt) startWritten(netConn netio.Conn) {
 	a.health.lastValidMS = a.loop.Now()
 	if a.call.OnSent != nil {
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -84,7 +84,7 @@
 }
 
 // sendGet sends a poll, which is the request of page 0, or the request of a further page. After a failure it goes
-// over a new connection: the other kept ones may have met with the same fault.
+// over a new connection: the other idle ones may have the same fault.
 func (a *attempt) sendGet(page int, lowPriority bool, timeoutMS float64, onDone func(*response, error)) {
 	a.current = &request{
 		engine: a.call.Engine, attempt: a, newConn: a.health.failures > 0, lowPriority: lowPriority, timeoutMS: timeoutMS,
@@ -172,7 +172,7 @@
 	a.endServed(result)
 }
 
-// noteValid notes a valid response.
+// noteValid records the time of a valid response.
 func (a *attempt) noteValid() {
 	a.health = responseHealth{lastValidMS: a.loop.Now()}
 }
@@ -204,7 +204,7 @@
 	a.loop.After(retryDelayMS, a.resume)
 }
 
-// endsAfter ends the attempt if a failed request leaves no point in a retry, and reports whether it did.
+// endsAfter ends the attempt if a failed request makes a retry pointless, and reports whether it did.
 func (a *attempt) endsAfter(err error) bool {
 	limitMS := unresponsiveMS
 	if a.call.AtMostOnce {
@@ -238,7 +238,7 @@
 	return false
 }
 
-// resume polls, or requests the next page where some are there.
+// resume polls, or requests the next page if some were received.
 func (a *attempt) resume() {
 	if a.ended || a.cancelling {
 		return
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -61,7 +61,7 @@
 	p.queue = slices.Insert(p.queue, i, r)
 }
 
-// serveQueue submits queued requests for as long as there is room for them.
+// serveQueue submits queued requests while the pool has capacity.
 func (p *pool) serveQueue() {
 	for {
 		// Aborted requests are dropped first: no connection is closed to make room for them.
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -161,14 +161,14 @@
 	delete(r.processes, p)
 }
 
-// watchMemory checks the memory of all processes again and again.
+// watchMemory checks the memory of all processes periodically.
 func (r *registry) watchMemory() {
 	for range time.Tick(memoryCheckInterval) {
 		r.checkMemory()
 	}
 }
 
-// checkMemory kills all processes if they take more than MaxMemory: their tests fail over processes that ended.
+// checkMemory kills all processes if they use more than MaxMemory: their tests fail because their processes ended.
 func (r *registry) checkMemory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -181,7 +181,7 @@
 	_ = target.Close()
 }
 
-// copyDirection copies one direction, and passes its end on.
+// copyDirection copies one direction, and closes the write side of the target at its end.
 func (r *Relay) copyDirection(source, target net.Conn, d Direction) {
 	buf := make([]byte, 64<<10)
 	for {
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Reload writes the configuration as it is now and has the router read it; it does not wait.
+// Reload writes the current configuration and signals the router to read it; it does not wait.
 func (p *Router) Reload() {
 	p.harness.T.Helper()
 	p.write(p.harness.T)
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -200,7 +200,7 @@
 	return &DiscoveryProcess{Process: p, Addr: p.Ready()}
 }
 
-// SetChangeRate has the server change one engine as often a second.
+// SetChangeRate sets how many changes of one engine a second the server publishes.
 func (b *DiscoveryProcess) SetChangeRate(perSecond float64) {
 	b.harness.T.Helper()
 	b.WriteLine(fmt.Sprint("rate ", perSecond))
--- a/internal/flightsql/callstate.go
+++ b/internal/flightsql/callstate.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// headerWritten notes that the attempt is being sent, or aborts it if it was cancelled.
+// headerWritten records that the attempt is being sent, or aborts it if it was cancelled.
 func (s *callState) headerWritten() {
 	if !s.phase.CompareAndSwap(phaseUnsent, phaseSent) && s.phase.Load() == phaseCancelled {
 		s.cancel()
 	}
 }
 
-// payloadWritten notes that a message was written.
+// payloadWritten records that a message was written.
 func (s *callState) payloadWritten() {
 	if !s.notified.Swap(true) {
 		s.onSent()
--- a/internal/flightsql/execute.go
+++ b/internal/flightsql/execute.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// streamError keeps a gRPC status as it is; any other error is a stream that no engine should write.
+// streamError returns a gRPC status unchanged, and any other error as an invalid stream of the engine.
 func streamError(err error) error {
 	if _, ok := status.FromError(err); ok {
 		return err
--- a/internal/golden/samples.go
+++ b/internal/golden/samples.go
@@ -112,7 +112,7 @@
 	return unset
 }
 
-// noteSetFields notes whether each exported field below a value is set.
+// noteSetFields records whether each exported field below a value is set.
 func noteSetFields(value reflect.Value, set map[string]bool) {
 	switch value.Kind() { //nolint:exhaustive // the other kinds have no fields
 	case reflect.Pointer, reflect.Interface:
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -46,7 +46,7 @@
 }
 
 // handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The
-// leader makes the report; while there is none, this keeper reports what it knows, and that no majority confirms it.
+// leader creates the report; while there is none, this keeper reports what it knows, and that no majority confirms it.
 func (s *convergenceService) handleRollout(_ http.ResponseWriter, r *http.Request) response {
 	revision, wait, failure := queryRevisionAndWait(r)
 	if failure != nil {
@@ -78,7 +78,7 @@
 	return rolloutPath + "?" + query.Encode()
 }
 
-// sleep waits; false if the call has to end.
+// sleep waits for the duration; false if the call has to end first.
 func (s *convergenceService) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -80,7 +80,7 @@
 	return batch
 }
 
-// run enrolls pending processes in batches, apart from the calls that brought them, until ctx ends.
+// run enrolls pending processes in batches, independent of the calls that reported them, until ctx ends.
 func (e *enrollment) run(ctx context.Context) {
 	backoff := minJoinBackoff
 	for {
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// attempt carries a call out once.
+// attempt sends a call once.
 func (p *leaderProxy) attempt(ctx context.Context, call leaderCall) response {
 	leader, isSelf := p.replication.leader()
 	peer, known := p.peers.peer(leader)
@@ -87,7 +87,7 @@
 }
 
 // forward sends a call to the leader. It stops waiting when another keeper leads: the answer of a leader that was
-// stopped or cut off may never come.
+// stopped or cut off may never arrive.
 func (p *leaderProxy) forward(ctx context.Context, leader Peer, call leaderCall) response {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -104,7 +104,7 @@
 
 // discoverGroup waits until it is clear whether the group exists. It exists if any keeper belongs to it; then this one
 // joins. It is founded only when every keeper answers and none has anything: were a majority enough, then keepers that
-// lost their folders could found a second group while those that hold the first are down.
+// lost their folders could found a second group while the members of the first are down.
 func (m *membership) discoverGroup(ctx context.Context) (stage string, err error) {
 	lastReported := ""
 	for {
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -102,7 +102,7 @@
 	return c.call(ctx, peer, timeout, http.MethodPost, path, body, out)
 }
 
-// call fails on any status but 200.
+// call sends a request and decodes the answer; any status but 200 is an error.
 func (c *peerClient) call(
 	ctx context.Context, peer Peer, timeout time.Duration, method, path string, body []byte, out any,
 ) error {
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -41,7 +41,7 @@
 
 // Apply implements raft.FSM: it carries a committed entry out. It returns a changeOutcome for a change, whether the
 // follower was known for a Forget, and nil for a Join. It panics on an entry that can't be decoded: were the entry
-// skipped, then this keeper would hold another content than the others under the same revision.
+// skipped, then this keeper would have another content than the others under the same revision.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	decoded, err := decodeCommand(entry.Data)
 	if err != nil {
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -64,7 +64,7 @@
 	return t
 }
 
-// filter passes requests on, but for those that rejectElection answers.
+// filter forwards requests, except those that rejectElection answers.
 func (t *electionTransport) filter() {
 	for {
 		var request raft.RPC
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// idle reports whether no request is open and no byte of one has come.
+// idle reports whether no request is open and no byte of one has arrived.
 func (s *session) idle() bool { return s.loggedIn && !s.busy && len(s.buffer) == 0 }
 
 // expire ends the session if it exceeds a time limit.
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -63,7 +63,7 @@
 	return poller, nil
 }
 
-// start starts nbio's poller and the registrar, and has the loop wait for them after a stall.
+// start starts nbio's poller and the registrar, and makes the loop wait for them after a stall.
 func (p *Poller) start() error {
 	if err := p.engine.Start(); err != nil {
 		return err
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -65,7 +65,7 @@
 	r.enqueue(registration{conn, done})
 }
 
-// afterPending calls fn once the poller has handed on what had come on its connections by now, or has been stopped.
+// afterPending calls fn once the poller has delivered the events of its connections up to now, or has been stopped.
 func (r *registrar) afterPending(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// SetInFlight notes the attempts that an engine has in flight, and its threads that they use.
+// SetInFlight records the attempts that an engine has in flight, and its threads that they use.
 func (m *Meter) SetInFlight(engine uint64, attempts int, busyThreads float64) {
 	if attempts <= 0 && m.engines[engine] == nil {
 		return
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// fail notes that the disk failed.
+// fail records that the disk failed.
 func (w *Writer) fail(err error) {
 	w.segment.close()
 	w.Counters.Failures.Add(1)
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// prepareSegment leaves a segment open that can take the buffer.
+// prepareSegment ensures that an open segment has space for the buffer.
 func (w *Writer) prepareSegment() error {
 	cfg := w.cfg.Load()
 	if err := w.segment.closeIfFull(cfg.segmentBytes()); err != nil {
