--- a/cmd/simadapter/encoded_test.go
+++ b/cmd/simadapter/encoded_test.go
@@ -6,8 +6,8 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
-// itself.
+// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they contain is found
+// by itself.
 func encodedTypes() []any {
 	return []any{wireBatch{}, wireReply{}, wireStart{}, wireRegister{}, wireTarget{}, wireEvent{}}
 }
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,5 +1,5 @@
 // Package descriptors has the kernel allocate a process's descriptor table for all the descriptors that the process may
-// come to use, before the process has a second thread. Importing the package is enough.
+// use later, before the process has a second thread. Importing the package is enough.
 //
 // It guards against a router that stalls. The kernel grows a descriptor table by doubling it (64, 128, 256, ...).
 // Where threads share the table, it first waits until no processor can still read the old one: an RCU grace period,
--- a/internal/enginehttp/attempt.go
+++ b/internal/enginehttp/attempt.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// deleteUntilConfirmed sends cancellations until the engine confirms one or refuses connections, and ends the attempt
+// deleteUntilConfirmed sends cancellations until the engine confirms one or rejects connections, and ends the attempt
 // then.
 func (a *attempt) deleteUntilConfirmed(outcome dispatch.Outcome, detail string) {
 	if a.ended {
--- a/internal/enginehttp/conn.go
+++ b/internal/enginehttp/conn.go
@@ -9,7 +9,7 @@
 
 // reuseDelayMS is how long a connection rests between the requests of two attempts, in milliseconds. Responses carry no
 // request id: bytes that an engine sends after a response would pass for the response to the next request, were that
-// written at once. Bytes that come during the delay show that the connection must not be used again. Requests of one
+// written at once. Bytes that arrive during the delay show that the connection must not be used again. Requests of one
 // attempt follow each other without a delay: their responses tell progress from a page, and one page from another.
 const reuseDelayMS = 50.0
 
--- a/internal/enginehttp/pages.go
+++ b/internal/enginehttp/pages.go
@@ -9,7 +9,7 @@
 	"windflow/internal/router"
 )
 
-// columns are the names of a result's columns, which the pages of an engine do not hold.
+// columns are the names of a result's columns, which the pages of an engine do not contain.
 var columns = []string{"c1", "c2", "c3"}
 
 var tab, newline = []byte{'\t'}, []byte{'\n'}
--- a/internal/enginehttp/progress.go
+++ b/internal/enginehttp/progress.go
@@ -26,7 +26,7 @@
 	maxLoadValue = 1e6
 	// maxAmount bounds any other number of an engine.
 	maxAmount = 1e9
-	// unknownLoad is a value that a load report does not hold.
+	// unknownLoad is a value that a load report does not contain.
 	unknownLoad = -1
 )
 
--- a/internal/enginehttp/request.go
+++ b/internal/enginehttp/request.go
@@ -30,7 +30,7 @@
 
 func (e *badResponseError) Unwrap() error { return e.cause }
 
-// request is one HTTP request. It is done once its response has come, it has failed or it was aborted.
+// request is one HTTP request. It is done once its response has arrived, it has failed or it was aborted.
 type request struct {
 	engine  router.Engine
 	attempt *attempt // the attempt that it belongs to
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -135,6 +135,6 @@
 		return ""
 	})
 	if len(hashes) != 1 {
-		f.t.Errorf("at revision %d the routers hold %d contents: %v", revision, len(hashes), hashes)
+		f.t.Errorf("at revision %d the routers have %d contents: %v", revision, len(hashes), hashes)
 	}
 }
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -43,7 +43,7 @@
 	return s
 }
 
-// burstRate is how many changes a second come in a burst.
+// burstRate is how many changes a second are made in a burst.
 const burstRate = 20
 
 // The first half of the zones is one region, and so are the first keepers, of which it has the majority.
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -84,7 +84,7 @@
 	if err := echoText(c, "c", WaitTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a link that is cut: %v", err)
 	}
-	late, err := net.Dial("tcp", r.Addr) // the reset may come before the dial has returned
+	late, err := net.Dial("tcp", r.Addr) // the reset may arrive before the dial has returned
 	if err == nil {
 		t.Cleanup(func() { _ = late.Close() })
 		err = echoText(late, "d", WaitTimeout)
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -146,7 +146,7 @@
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
 		defer c.close()
-		c.querySteadily(t, aSecond, 4*time.Second) // connections to engines come up
+		c.querySteadily(t, aSecond, 4*time.Second) // connections to engines are established
 		from, wire := p.Usage(), farm.Meter.WireBytes()+c.meter.WireBytes()
 		n := c.querySteadily(t, aSecond, 12*time.Second)
 		to := p.Usage()
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -10,8 +10,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// What following the keepers costs a router of the size that is designed for, by the changes a second that come to it
-// one by one: from two a second on several come in one call.
+// What following the keepers costs a router of the size that is designed for, by the changes a second that it receives
+// one by one: from two a second on one call returns several.
 func TestSlopesOfAFollowingRouter(t *testing.T) {
 	rows := requireSlopes(t)
 	rates := []float64{0, 0.25, 0.5, 1, 2}
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -83,7 +83,7 @@
 		points)
 }
 
-// measureCosts measures what processes take over a span in percent of a core, and what they hold at its end in MB.
+// measureCosts measures what processes take over a span in percent of a core, and the memory they use at its end in MB.
 func measureCosts(over time.Duration, processes ...*Process) (percent, mb []float64) {
 	from := make([]Usage, len(processes))
 	for i, p := range processes {
--- a/internal/flightsql/encoded_test.go
+++ b/internal/flightsql/encoded_test.go
@@ -7,7 +7,7 @@
 )
 
 // encodedTypes returns the types of this package that leave the process or are stored as JSON; the types that they
-// hold are found through them.
+// contain are found through them.
 func encodedTypes() []any {
 	return []any{Ticket{}, Config{}}
 }
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -27,7 +27,7 @@
 	// maxHeaderList bounds the headers of a call, in bytes.
 	maxHeaderList = 16 << 10
 	// maxStreams bounds the calls of one connection. If all calls of all connections stopped short of their end, they
-	// would hold max_connections * maxStreams * maxCall: 128 MB of the 192 with the default of 32 connections.
+	// would occupy max_connections * maxStreams * maxCall: 128 MB of the 192 with the default of 32 connections.
 	maxStreams = 32
 	// flowControlWindow is how many bytes a client may send ahead; where it is set, gRPC does not raise it by itself.
 	flowControlWindow = 64 << 10
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -137,7 +137,7 @@
 	return answer
 }
 
-// describeFailures describes calls that are malformed, come too late or name what does not exist.
+// describeFailures describes calls that are malformed, arrive too late or name what does not exist.
 func describeFailures(t *testing.T, c *fsql.Client) string {
 	t.Helper()
 	var text strings.Builder
--- a/internal/flightsql/service.go
+++ b/internal/flightsql/service.go
@@ -88,7 +88,7 @@
 		FlightDescriptor: desc, TotalRecords: -1, TotalBytes: -1,
 		Endpoint: []*flight.FlightEndpoint{{
 			Ticket: &flight.Ticket{Ticket: handle},
-			// Tickets live in this router, so that the client has to come back to it.
+			// Tickets are stored in this router, so that the client has to redeem them here.
 			Location: []*flight.Location{{Uri: "grpc+tcp://" + s.addr()}},
 		}},
 	}, nil
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden has the checks of tests that hold an encoded form: files that an earlier program wrote, and checks
+// Package golden has the checks of tests of an encoded form: files that an earlier program wrote, and checks
 // that samples set all fields and that encoded types name each field by a tag.
 //
 // Golden files are in the folder testdata/golden of the package under test. They represent data on disks and wires:
--- a/internal/incident/joiner.go
+++ b/internal/incident/joiner.go
@@ -16,7 +16,7 @@
 	classes   map[string]record.Class
 }
 
-// process is what the records of one process hold. Its times are on its own clock.
+// process is the content of the records of one process. Its times are on its own clock.
 type process struct {
 	header       record.Header
 	sharedEvents map[sharedEvent]float64 // the time of the first of each
--- a/internal/keeper/doc.go
+++ b/internal/keeper/doc.go
@@ -1,4 +1,4 @@
-// Package keeper stores the routers' configuration by revision. Up to five keepers on the control machines hold one
+// Package keeper stores the routers' configuration by revision. Up to five keepers on the control machines store one
 // log of revisions, replicated with hashicorp/raft; package configlog decides what the log contains. Keepers accept
 // changes from operators and deliver them to the routers over HTTP. See docs/configuration.md and
 // docs/design/keepers.md.
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -142,7 +142,7 @@
 	golden.Write(t, goldenFolders, golden.Pack(t, dir))
 }
 
-// Folders that an earlier program wrote hold what it put there, file by file.
+// Folders that an earlier program wrote are unchanged, file by file.
 func TestGoldenFolders(t *testing.T) {
 	if golden.Recording(t, goldenFolders) {
 		recordFolders(t)
--- a/internal/mysql/evict.go
+++ b/internal/mysql/evict.go
@@ -19,7 +19,7 @@
 const (
 	rankSilent    = iota // sent nothing for silentAfterMS
 	rankIdle             // idle after a command: such a session may be closed at any time
-	rankNoCommand        // logged in, and no command has come
+	rankNoCommand        // logged in, and no command has been received
 	rankQuiet            // sent nothing for quietAfterMS
 	rankPartial          // a packet has begun
 	rankNew              // sent nothing since it has just connected
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -108,7 +108,7 @@
 	case len(s.buffer) == 0 && now-s.waitingSinceMS >= idleTimeoutMS:
 		text = "idle"
 	}
-	if text == "" || s.conn.HasUnread() { // what it waits for has come and was not read yet
+	if text == "" || s.conn.HasUnread() { // what it waits for has arrived and was not read yet
 		return
 	}
 	s.counters.TimedOut++
--- a/internal/netio/poller_test.go
+++ b/internal/netio/poller_test.go
@@ -228,7 +228,7 @@
 func (h *connHandler) Opened(conn Conn) { h.conn = conn }
 
 // HasUnread reports what the peer has sent and the handler has not received, so that no session is closed although a
-// request has just come.
+// request has just arrived.
 func TestHasUnread(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1}) // stepped by hand, so that what is read waits
 	h := &connHandler{eventChannels: newEventChannels()}
