--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then nobody
-// minds the loads that lock what it reads.
+// Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then the
+// loads that lock what it reads are ignored.
 func TestTableGroups(t *testing.T) {
 	for field, want := range map[string]int64{
 		``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,4 +1,4 @@
-// Package descriptors has the kernel allocate a process's descriptor table for all the descriptors that the process may
+// Package descriptors makes the kernel allocate a process's descriptor table for all the descriptors that the process may
 // use later, before the process has a second thread. Importing the package is enough.
 //
 // It guards against a router that stalls. The kernel grows a descriptor table by doubling it (64, 128, 256, ...).
