--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -37,10 +37,10 @@
 // FailRequest is a final answer that promises nothing.
 type FailRequest struct{ Request RequestID }
 
-// Subscribe asks discovery for changes of the endpoint list.
+// Subscribe requests changes of the endpoint list from discovery.
 type Subscribe struct{}
 
-// SetTimer asks for a TimerFired event.
+// SetTimer requests a TimerFired event.
 type SetTimer struct {
 	Tag   int64
 	After time.Duration
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -17,7 +17,7 @@
 	// excessGain is the weight of one observation.
 	largeFleetThreadsPerCore           = 3.0
 	excessGain, excessFrom, excessFull = 0.1, 0.1, 0.5
-	// calmFactor is how far the bound gives way on a calm engine; reports lag, so it is never lifted.
+	// calmFactor is the factor by which the bound is raised on a calm engine; reports lag, so it is never lifted.
 	calmFactor = 2.0
 	// preferredFactor is how far preferred queries may exceed the bound: they are short and go first.
 	preferredFactor = 2.0
@@ -26,7 +26,7 @@
 	maxSlownessFactor = 3.0
 	// grantHeadroom is granted over the corrected estimate: estimates scatter, and spilling costs most.
 	grantHeadroom = 1.25
-	// recountInterval is how long sums hold at most: it bounds what a fault in updating them could cost.
+	// recountInterval is how long sums are valid at most: it bounds what a fault in updating them could cost.
 	recountInterval = 10 * time.Second
 	// grantUnitMB is the unit of sums of grants: sums of integers leave no rounding error behind.
 	grantUnitMB = 1.0 / 1024
@@ -45,8 +45,8 @@
 
 	threads, grantedMB float64 // what this router has running, on all engines
 	// warm sums up the warm engines, in a large fleet without those of lost zones; warmGrants are the grants there,
-	// in units, and warming are the other engines that are not warm. All hold until recountAt; 0 has them computed at
-	// once.
+	// in units, and warming are the other engines that are not warm. All are valid until recountAt; 0 has them
+	// computed at once.
 	warm       resources
 	warmGrants int64
 	warming    []*engine
@@ -64,7 +64,7 @@
 }
 
 // roundsUp reports whether an even share of an engine is half of a query or more: then each engine may run one, else
-// the share counts over all engines together. It goes by even shares, since all routers would round up at once.
+// the share counts over all engines together. It uses even shares, since all routers would round up at once.
 func (c *capacityLimiter) roundsUp(req *request) bool {
 	cores, _ := c.endpoints.total()
 	even := threadsPerCore * cores / float64(max(c.env.config.Routers, 1))
@@ -113,9 +113,9 @@
 	return usable.threads+threads <= calmFactor*c.threadBound()*usable.cores+calmFactor*threads
 }
 
-// hasHeadroom reports whether an engine may take one more request: it goes by backoff and ejection, by the memory that
-// this router may grant, by loads that would block the request, and by the thread bound, which gives way on a calm
-// engine. spread is by how much this router's share grows on an engine since it uses few of them.
+// hasHeadroom reports whether an engine may take one more request: it considers backoff and ejection, the memory
+// that this router may grant, loads that would block the request, and the thread bound, which is raised on a
+// calm engine. spread is by how much this router's share grows on an engine since it uses few of them.
 func (c *capacityLimiter) hasHeadroom(target *engine, req *request, spread float64) bool {
 	if !c.outliers.accepts(target) || !c.pressureAllows(target, req) {
 		return false
@@ -167,7 +167,7 @@
 	}
 	grant := req.neededMB * req.class.estimate.grantCorrection * grantHeadroom
 	if most := c.maxGrant(); most > 0 {
-		return min(grant, most) // a wild estimate would wait for memory that no engine gives
+		return min(grant, most) // a wild estimate would wait for memory that no engine grants
 	}
 	return grant
 }
@@ -249,10 +249,10 @@
 	return sum
 }
 
-// invalidate has the sums recomputed when they are needed next.
+// invalidate marks the sums for a new computation at their next use.
 func (c *capacityLimiter) invalidate() { c.recountAt = 0 }
 
-// endpointsChanged has the sums recomputed over the changed engines.
+// endpointsChanged marks the sums for a new computation over the changed engines.
 func (c *capacityLimiter) endpointsChanged() {
 	for _, e := range c.endpoints.engines() {
 		e.usage.countedWarm = false
@@ -260,7 +260,7 @@
 	c.invalidate()
 }
 
-// refresh recomputes the sums if they do not hold any more: the endpoint list or the settings have changed, an
+// refresh recomputes the sums if they are no longer valid: the endpoint list or the settings have changed, an
 // engine has become warm or has restarted, or a zone is lost or found.
 func (c *capacityLimiter) refresh() {
 	if c.env.now >= c.recountAt {
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -102,7 +102,7 @@
 	Tick             time.Duration // batches of events come no more often than this
 }
 
-// RetryAfter is the advice that a rejection may give the client.
+// RetryAfter is the advice that a rejection may carry for the client.
 type RetryAfter struct {
 	Allowed bool
 	Max     time.Duration
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -112,7 +112,7 @@
 	return c.env.takeActions()
 }
 
-// begin starts the measurements and subscribes to discovery, when the first event comes.
+// begin starts the measurements and subscribes to discovery, when the first event arrives.
 func (c *Controller) begin() {
 	c.started = true
 	c.quotas.start()
--- a/dispatch/controller_test.go
+++ b/dispatch/controller_test.go
@@ -20,7 +20,7 @@
 		return h.actions
 	}
 	if !reflect.DeepEqual(play(), play()) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events led to other actions")
 	}
 }
 
--- a/dispatch/deadlines.go
+++ b/dispatch/deadlines.go
@@ -25,7 +25,7 @@
 // reset forgets the timer, and when open requests have to be checked.
 func (d *deadlines) reset() { d.timerAt, d.nextCheck = math.MaxInt64, math.MaxInt64 }
 
-// checkAt has the open requests checked at a time, or earlier.
+// checkAt schedules the check of open requests at a time, or earlier.
 func (d *deadlines) checkAt(at time.Duration) { d.nextCheck = min(d.nextCheck, at) }
 
 // fired reports whether a timer that fired is the one that was set last; then none is set any more. Hosts may round a
--- a/dispatch/deadlines_test.go
+++ b/dispatch/deadlines_test.go
@@ -97,7 +97,7 @@
 	}
 	handle(EndpointList{Mode: ListComplete, Endpoints: testEngines(1)})
 	handle(Arrival{Request: "x", Class: "quick", TimeLeft: time.Second})
-	for range 220 { // the attempt is silent; another event comes in every tick
+	for range 220 { // the attempt reports nothing; another event arrives in every tick
 		now += 5 * ms
 		if due > 0 && now+100*time.Microsecond >= due { // hosts round: a timer may fire a little early
 			due = 0
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -2,7 +2,7 @@
 // query, when, with what memory grant and priority, and when to retry, cancel, reject or fail it.
 //
 // A Controller handles one event at a time, together with the time, and returns the actions to carry out. It does no
-// I/O, starts no goroutine and reads no clock; its randomness comes from the seed in Config. Each part of the
+// I/O, starts no goroutine and reads no clock; its randomness derives from the seed in Config. Each part of the
 // decision has its state in a file of its own:
 //
 //   - endpoints.go, cordons.go: the endpoint list and the engines cordoned by operators
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -115,7 +115,7 @@
 	return e
 }
 
-// applyKind gives an engine the cores and the memory of its kind.
+// applyKind sets an engine's cores and memory to those of its kind.
 func (t *endpointTable) applyKind(e *engine) {
 	for _, kind := range t.env.config.Kinds {
 		if kind.Name == e.Kind && kind.Cores > 0 {
@@ -212,7 +212,7 @@
 	return n
 }
 
-// zonesLost reports whether so many zones give no answer that their engines are rather lost than cut off. Where few
+// zonesLost reports whether so many zones do not answer that their engines are rather lost than cut off. Where few
 // zones or most of them are silent, routers beyond a cut link may still use these engines.
 func (t *endpointTable) zonesLost() bool {
 	suspect := 0
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -53,7 +53,7 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// after returns the times in an ascending list that lie after a given one.
+// after returns the times in an ascending list that lie after one of them.
 func after(times []time.Duration, since time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] <= since {
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// A class whose answers were slow under congestion is tried again when none comes for a while.
+// A class whose answers were slow under congestion is tried again when it had no answer for a while.
 func TestSlowMeanDecays(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	estimate := &h.controller.classes.all[1].estimate
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -145,13 +145,13 @@
 // TimerFired says that a timer set earlier by SetTimer fired.
 type TimerFired struct{ Tag int64 }
 
-// EngineLoad is a load report that came apart from the end of an attempt.
+// EngineLoad is a load report that arrived apart from the end of an attempt.
 type EngineLoad struct {
 	Engine EngineID
 	Report LoadReport
 }
 
-// RestoreSnapshot has a controller continue from the state of another one.
+// RestoreSnapshot makes a controller continue from the state of another one.
 type RestoreSnapshot struct{ Snapshot Snapshot }
 
 // ShutdownDeadline says that the controller's process ends at that time: no request may take longer.
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -38,7 +38,7 @@
 	f.outliers.invalidate()
 }
 
-// restartWarmUp treats an engine as started at a time: what was learned of it does not hold any more.
+// restartWarmUp treats an engine as started at a time: what was learned of it is no longer valid.
 func (f *fleetState) restartWarmUp(e *engine, at time.Duration) {
 	e.health.restart()
 	f.warmUps.begin(e, at)
--- a/dispatch/fleetclients_test.go
+++ b/dispatch/fleetclients_test.go
@@ -33,7 +33,7 @@
 // fleetClients are the clients of a simulation.
 type fleetClients struct{ *fleetSimulation }
 
-// scheduleTraffic has clients of all routers send requests at random times.
+// scheduleTraffic schedules requests of the clients of all routers at random times.
 func (f fleetClients) scheduleTraffic() {
 	scenario, weights := &f.scenario, 0.0
 	for _, router := range f.routers {
@@ -64,7 +64,7 @@
 	return f.elapsed() > f.scenario.faultAt && f.elapsed() < f.scenario.faultAt+f.scenario.faultFor
 }
 
-// newRequest has a client send a request of a random class.
+// newRequest sends a client's request of a random class.
 func (f fleetClients) newRequest(router *fleetRouter) {
 	u, index := f.rng.Float64(), 0
 	for i, class := range fleetClasses {
@@ -78,7 +78,7 @@
 	f.sendRequest(router, &fleetRequest{class: index, work: work})
 }
 
-// sendRequest has a client send a request to a router.
+// sendRequest sends a client's request to a router.
 func (f fleetClients) sendRequest(router *fleetRouter, req *fleetRequest) {
 	class := router.config.Classes[req.class]
 	f.lastRequest++
--- a/dispatch/fleetengine_test.go
+++ b/dispatch/fleetengine_test.go
@@ -31,7 +31,7 @@
 	startsTooLate bool // its connection does not come up by the time at which it has to start
 }
 
-// warmingLoad is how close warming engines came to collapsing.
+// warmingLoad is how close warming engines were to collapsing.
 type warmingLoad struct {
 	collapsed int
 	// maxShare is the most work that one was sent in a window, over what it can take.
@@ -83,7 +83,7 @@
 	return e.silent || f.partitioned && f.scenario.isLost(e.Cell) != routerLost
 }
 
-// reachEngine has an attempt arrive at its engine.
+// reachEngine delivers an attempt to its engine.
 func (f *fleetSimulation) reachEngine(e *fleetEngine, a *fleetAttempt) {
 	switch {
 	case a.startsTooLate:
@@ -104,7 +104,7 @@
 }
 
 // endUnanswered ends an attempt at an engine that does not answer. Most find no connection, some wait in vain on one
-// that was open before; a load is not given up that soon.
+// that was open before; a load is not canceled that soon.
 func (f *fleetSimulation) endUnanswered(a *fleetAttempt) {
 	switch {
 	case f.rng.Float64() < 0.3 && a.router.config.Classes[a.class].LocksTableGroup:
@@ -161,7 +161,7 @@
 	}
 }
 
-// runEngine has an engine work for a while, in seconds. Preferred queries get eight times the weight of others.
+// runEngine advances an engine's work by a time in seconds. Preferred queries get eight times the weight of others.
 func (f *fleetSimulation) runEngine(e *fleetEngine, duration float64) {
 	preferred, others := 0.0, 0.0
 	for _, a := range e.running {
--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fleetFaults has the faults of a simulation.
+// fleetFaults injects the faults of a simulation.
 type fleetFaults struct{ *fleetSimulation }
 
 // scheduleFaults schedules all faults of the scenario.
@@ -79,7 +79,7 @@
 	}
 }
 
-// replaceEngine has an engine drain and die, and a new one take its place.
+// replaceEngine drains and ends an engine, and adds a new one instead.
 func (f fleetFaults) replaceEngine(index int) {
 	e := f.engines[index]
 	e.State = Draining
@@ -113,7 +113,7 @@
 	return engines, routers
 }
 
-// announceAll has an endpoint list name all these engines in a state.
+// announceAll announces all these engines in one state.
 func (f fleetFaults) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
 	var list []Endpoint
 	for _, e := range engines {
@@ -123,7 +123,7 @@
 	f.announce(delay, list...)
 }
 
-// loseRack has a rack lost with its routers, or its engines drained.
+// loseRack ends a rack with its routers, or drains its engines.
 func (f fleetFaults) loseRack() {
 	engines, routers := f.rack()
 	if f.scenario.rackDrained {
--- a/dispatch/fleetscenario_test.go
+++ b/dispatch/fleetscenario_test.go
@@ -12,7 +12,7 @@
 
 	load              float64 // offered, as a share of the capacity of all engines
 	slowShare         float64 // share of the engines that take three times as long
-	impatientShare    float64 // share of clients that give up early, from faultAt on
+	impatientShare    float64 // share of clients that cancel early, from faultAt on
 	burstFactor       float64 // traffic during the fault over the usual; 0 for no burst
 	heavyRouterFactor float64 // traffic of the first router over the mean; 0 for a random one
 
@@ -60,7 +60,7 @@
 	fleetQueriesPerCore = 4    // queries a core at most
 	fleetThreadsPerCore = 2.0  // threads a core beyond which an engine does less
 	fleetUtilization    = 0.85 // of the cores at an engine's capacity
-	fleetDiskFactor     = 1.5  // a query's work over the part that needs a core: the rest waits for disks
+	fleetDiskFactor     = 1.5  // a query's work over the part that needs a core: the remainder waits for disks
 
 	fleetWarmUpInitialShare = 0.36
 	fleetWarmUpDuration     = 12 * time.Second
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// fleetConfig has the settings of one router.
+// fleetConfig returns the settings of one router.
 func fleetConfig(scenario fleetScenario, index int) Config {
 	return Config{
 		Seed:            scenario.seed*1000 + uint64(index),
--- a/dispatch/fleetsimulation_test.go
+++ b/dispatch/fleetsimulation_test.go
@@ -135,7 +135,7 @@
 	f.handle(router, EndpointList{Mode: ListComplete, Endpoints: list})
 }
 
-// handle has a router handle an event, and carries out its actions.
+// handle passes an event to a router, and carries out its actions.
 func (f *fleetSimulation) handle(router *fleetRouter, event Event) {
 	if router.down {
 		return
@@ -145,7 +145,7 @@
 	}
 }
 
-// announce has an endpoint list reach all routers, each after a random delay.
+// announce sends an endpoint list to all routers, each after a random delay.
 func (f *fleetSimulation) announce(delay time.Duration, list ...Endpoint) {
 	for _, router := range f.routers {
 		f.schedule(delay+time.Duration(f.rng.Float64()*float64(300*ms)), func() {
@@ -175,7 +175,7 @@
 	}
 }
 
-// setTimer has a timer fire, unless the router sets another one or restarts before.
+// setTimer schedules a timer, unless the router sets another one or restarts before.
 func (f *fleetSimulation) setTimer(router *fleetRouter, action SetTimer) {
 	at, incarnation := f.now+action.After, router.incarnation
 	router.timerAt = at
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -18,7 +18,7 @@
 // outstanding is the outcome of an attempt that has not ended; no event carries it.
 var outstanding = Outcome(-1)
 
-// harness stands in for the clients, the engines and the endpoint list of one controller, and checks each action
+// harness simulates the clients, the engines and the endpoint list of one controller, and checks each action
 // against the rules of the classes and settings.
 type harness struct {
 	t             *testing.T
@@ -77,7 +77,7 @@
 	}
 }
 
-// twoClassConfig has a preferred class of short queries and one of wide ones.
+// twoClassConfig returns settings with a preferred class of short queries and one of wide ones.
 func twoClassConfig() Config {
 	return Config{
 		Seed:        1,
@@ -128,7 +128,7 @@
 	return list
 }
 
-// handle has the controller handle an event, and checks its actions.
+// handle passes an event to the controller, and checks its actions.
 func (h *harness) handle(event Event) []Action {
 	h.t.Helper()
 	actions := h.controller.Handle(h.now, event, nil)
@@ -139,7 +139,7 @@
 	return actions
 }
 
-// updateEndpoints has an endpoint list arrive.
+// updateEndpoints delivers an endpoint list.
 func (h *harness) updateEndpoints(mode ListMode, list ...Endpoint) {
 	h.t.Helper()
 	if mode == ListComplete || mode == ListCached {
@@ -154,7 +154,7 @@
 	h.handle(EndpointList{Mode: mode, Endpoints: list})
 }
 
-// arrive has a request of a class arrive, with all the time that the class allows.
+// arrive delivers a request of a class, with all the time that the class allows.
 func (h *harness) arrive(class, key string) *clientRequest {
 	h.t.Helper()
 	for _, k := range h.config.Classes {
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// arriveWith has a request arrive, and gives it an identifier.
+// arriveWith delivers a request's arrival and sets its identifier.
 func (h *harness) arriveWith(arrival Arrival) *clientRequest {
 	h.t.Helper()
 	h.lastID++
@@ -226,7 +226,7 @@
 	return e.StartedAt > 0 && h.now < e.StartedAt+h.config.WarmUp.Duration
 }
 
-// countAfter counts the times after a given one.
+// countAfter counts the times after one of them.
 func countAfter(times []time.Duration, at time.Duration) (n int) {
 	for _, t := range times {
 		if t > at {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -81,16 +81,16 @@
 // renewFailure keeps the failure share from fading for a while.
 func (h *health) renewFailure(env *environment) { h.failureShareAt = env.now }
 
-// recordConnected notes that a connection came up.
+// recordConnected records that a connection was established.
 func (h *health) recordConnected() { h.connectionFailures = 0 }
 
-// recordConnectionFailure notes that no connection came up, or that one broke.
+// recordConnectionFailure records that no connection was established, or that one broke.
 func (h *health) recordConnectionFailure() { h.connectionFailures++ }
 
 // recordServed ends probation.
 func (h *health) recordServed() { h.onProbation = false }
 
-// down reports whether no connection to the engine comes up any more.
+// down reports whether connections to the engine can no longer be established.
 func (h *health) down() bool { return h.connectionFailures >= maxConnectionFailures }
 
 // ejected reports whether so many attempts fail that other engines are preferred.
@@ -98,7 +98,7 @@
 	return h.currentFailureShare(env) >= ejectionThreshold
 }
 
-// failedLately reports whether evidence of failure came a moment ago.
+// failedLately reports whether there was evidence of failure a moment ago.
 func (h *health) failedLately(env *environment) bool {
 	return env.now-h.failureShareAt < 2*fullBackoff
 }
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -52,7 +52,7 @@
 	WarmUpWork       float64  `json:"Cold"`
 }
 
-// sound is the usage without negative figures: it comes from another process.
+// sound is the usage without negative figures: it was received from another process.
 func (u EngineUsage) sound() EngineUsage {
 	return EngineUsage{
 		ID:               u.ID,
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -51,7 +51,7 @@
 
 func extremeFigure(rng *rand.Rand) float64 { return extremeFigures[rng.IntN(len(extremeFigures))] }
 
-// extremeReport has a load report of extreme figures, or none.
+// extremeReport returns a load report of extreme figures, or none.
 func extremeReport(rng *rand.Rand) *LoadReport {
 	if rng.IntN(4) == 0 {
 		return nil
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -38,8 +38,8 @@
 	return config
 }
 
-// The rules that the harness checks hold after every action, whatever legal events come, and each request gets one
-// answer.
+// The rules that the harness checks are kept after every action, whatever legal events arrive, and each request gets
+// one answer.
 func TestInvariantsHold(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// endAllInTime has outstanding attempts time out one by one, lets all deadlines pass, and has the rest fail.
+// endAllInTime times outstanding attempts out one by one, lets all deadlines pass, and fails the remaining attempts.
 func (h *randomEvents) endAllInTime() {
 	h.t.Helper()
 	for _, client := range h.clients {
@@ -122,7 +122,7 @@
 	})
 }
 
-// clientLeaves has the client of a recent request leave, if that has no answer.
+// clientLeaves cancels a recent request for its client, if it has no answer.
 func (h *randomEvents) clientLeaves() {
 	h.t.Helper()
 	recent := h.clients[max(len(h.clients)-1-h.rng.IntN(5), 0):]
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -19,7 +19,7 @@
 	ejectionThreshold = 0.45
 	// maxEjectedShare is the share of engines that may be ejected: past it, the others would be overloaded.
 	maxEjectedShare = 0.5
-	// zoneFailures is how many engines of a zone in a row have to give no answer for the zone to be backed off from.
+	// zoneFailures is how many engines of a zone in a row must fail to answer for the zone to be backed off from.
 	zoneFailures = 3
 	// minBackoffJitter and backoffJitterRange spread the ends of backoffs that began together.
 	minBackoffJitter, backoffJitterRange = 0.75, 0.5
@@ -38,12 +38,12 @@
 	endpoints *endpointTable
 	tracked   []*engine // those that are ejected, or were lately
 	ejected   float64   // listed engines among them that are ejected, until countUntil
-	// countUntil is the time until which that count holds; 0 for a new count at once.
+	// countUntil is the time until which that count is valid; 0 for a new count at once.
 	countUntil time.Duration
 	breakShare float64 // share of attempts that break, over all engines
 }
 
-// invalidate has the ejected engines counted again.
+// invalidate makes the next call count the ejected engines again.
 func (d *outlierDetector) invalidate() { d.countUntil = 0 }
 
 // forget drops an engine that was removed.
@@ -82,7 +82,7 @@
 }
 
 // recordOutcome counts an outcome for the backoff from the engine and its zone: a router of a large fleet backs off
-// from an engine that gave no connection, no answer or no capacity, and from a zone where several gave none in a row.
+// from an engine that had no connection, answer or capacity, and from a zone where several had none in a row.
 // One router tries seldom, but all routers together try often. zoneChanged says that the zone is suspect now, or not
 // any more.
 func (d *outlierDetector) recordOutcome(a *attempt, outcome Outcome, largeFleet bool) (zoneChanged bool) {
--- a/dispatch/outliers_test.go
+++ b/dispatch/outliers_test.go
@@ -157,7 +157,7 @@
 	return h, list
 }
 
-// A router of a large fleet backs off from an engine that gave no answer, alone or with its zone, but not where all
+// A router of a large fleet backs off from an engine that did not answer, alone or with its zone, but not where all
 // listed zones are backed off from, nor after a cordon has ended. An engine that is no longer listed does not count.
 func TestZoneBackoffInLargeFleet(t *testing.T) {
 	h, list := zoneFailureHarness(t)
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -105,8 +105,8 @@
 	*list = without(*list, req)
 }
 
-// release starts queued requests by the ratio rule for as long as start can start one. Requests that blocked holds back
-// are passed over.
+// release starts queued requests by the ratio rule for as long as start can start one. Requests that blocked keeps
+// queued are passed over.
 func (q *classQueues) release(now time.Duration, blocked, start func(*request) bool) {
 	if q.length == 0 {
 		return
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -95,7 +95,7 @@
 }
 
 // Requests are queued at the end or in front; deferred ones are released last, blocked ones passed over, and a queue is
-// given up after a few that can't start.
+// skipped after a few that can't start.
 func TestClassQueues(t *testing.T) {
 	never, always := func(*request) bool { return false }, func(*request) bool { return true }
 	is := func(ids string) func(*request) bool {
@@ -121,7 +121,7 @@
 		{"blocked passed over", "abc", is("b"), always, "ac"},
 		{"none can start", "abc", never, never, ""},
 		{"third can start", "abc", never, is("c"), "c"},
-		{"given up after three", "abcef", never, is("f"), ""},
+		{"skipped after three", "abcef", never, is("f"), ""},
 		{"deferred only while no other is ready", "aB", never, is("B"), ""},
 	} {
 		classes := newClassSet(twoClassConfig().Classes)
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// quotasOf has the quotas of some tenants at time one hour, on one of two routers.
+// quotasOf returns the quotas of some tenants at time one hour, on one of two routers.
 func quotasOf(tenants ...Tenant) *tenantQuotas {
 	env := &environment{now: time.Hour, config: Config{Routers: 2, Tenants: tenants}}
 	q := newTenantQuotas(env)
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// Sums that are updated give the same decisions, draw for draw, as recounting all engines at each event, whatever the
-// order of events: requests, outcomes of all kinds, endpoint lists, cordons, hot restarts, changed settings, long
+// Sums that are updated lead to the same decisions, draw for draw, as recounting all engines at each event, whatever
+// the order of events: requests, outcomes of all kinds, endpoint lists, cordons, hot restarts, changed settings, long
 // pauses.
 func TestIncrementalSumsDecideAsRecounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -18,7 +18,7 @@
 	objective    time.Duration // an answer until then is in time
 	deadline     time.Duration // the client waits until then
 	estimate     float64       // of the work in seconds, by the client, else by the class's mean
-	hasEstimate  bool          // the client gave the estimate
+	hasEstimate  bool          // the client sent the estimate
 	neededMB     float64       // by the client's estimate; 0 if unknown
 	attempts     []*attempt
 	outstanding  int // attempts that have not ended
@@ -117,7 +117,7 @@
 	return req
 }
 
-// work is the request's estimated work in core seconds, that of its class where the client gave no estimate.
+// work is the request's estimated work in core seconds, that of its class where the client sent no estimate.
 func (r *request) work() float64 { return r.estimate * r.class.estimate.best }
 
 // expectedTime is the time that the request takes at present on an engine of usual speed.
@@ -164,7 +164,7 @@
 	return t.env.now+seconds(deferFactor*req.expectedTime(t.env).Seconds()) > req.objective
 }
 
-// enqueue queues a request, in front if an attempt of it came back.
+// enqueue queues a request, in front if an attempt of it was returned.
 func (t *requestTracker) enqueue(req *request, front bool) {
 	heavy := req.estimate > heavyFactor*req.class.estimate.clientEstimate
 	req.deferred = req.overQuota || t.missesObjective(req) || heavy
@@ -289,7 +289,7 @@
 	}
 }
 
-// setShutdownDeadline has open requests end by a time; what would end later is not started any more.
+// setShutdownDeadline limits the deadlines of open requests; an attempt that would end later is not started any more.
 func (t *requestTracker) setShutdownDeadline(at time.Duration) {
 	for _, req := range t.open {
 		req.deadline = min(req.deadline, at)
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -91,7 +91,7 @@
 	return !tooLate && !rules.attemptsExhausted(req) && outcome != NotSent && rules.mayRepeat(req)
 }
 
-// mayReroute reports whether an outstanding attempt may be cancelled so that the request runs elsewhere.
+// mayReroute reports whether an outstanding attempt may be cancelled so that the request runs at another engine.
 func (rules *retryRules) mayReroute(req *request) bool {
 	return rules.env.config.CancelAllowed && req.class.Semantics != AtMostOnce && !rules.attemptsExhausted(req) &&
 		rules.budgetAllows()
--- a/dispatch/retries_test.go
+++ b/dispatch/retries_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// retryHarness has a request of a class with one attempt on the first engine a second ago, and two more engines: the
-// second one in another zone and cell, the third one in those of the first.
+// retryHarness returns a harness with a request of a class with one attempt on the first engine a second ago, and two
+// more engines: the second one in another zone and cell, the third one in those of the first.
 func retryHarness(class Class, mayHaveRun bool) (*retryRules, *request, [3]*engine) {
 	env := &environment{now: time.Hour}
 	rules := &retryRules{env: env, warmUps: &warmUpLimiter{env: env}}
--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -14,8 +14,8 @@
 	"windflow/internal/capacity"
 )
 
-// scaleEnv has the scenarios below played at the size that is designed for, and docs/capacity/scale.json written. The
-// names of scenarios, windows and figures are those of that file.
+// scaleEnv names the variable that runs the scenarios below at the size that is designed for, and
+// docs/capacity/scale.json written. The names of scenarios, windows and figures are those of that file.
 const scaleEnv = "WINDFLOW_SCALE"
 
 // scaleWindow is a time in which starts are counted by engine.
@@ -140,7 +140,7 @@
 	}
 }
 
-// The decisions of a whole fleet at the size that is designed for: each router knows only what it observes, so that
+// The decisions of a complete fleet at the size that is designed for: each router knows only what it observes, so that
 // what the fleet serves, which engines are idle and what warming ones get shows in the sum only. By hand at 600
 // routers and 1,200 engines; in CI smaller.
 func TestScaleFleet(t *testing.T) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// runScaleScenario plays a scenario, checks what comes of it and returns its figures.
+// runScaleScenario plays a scenario, checks its outcome and returns its figures.
 func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.Scale {
 	t.Helper()
 	began := time.Now()
--- a/dispatch/scalemigration_test.go
+++ b/dispatch/scalemigration_test.go
@@ -50,7 +50,7 @@
 
 func (m *loadMigration) begin() { m.beganAt = m.simulation.now }
 
-// check checks that the last load on the rack, and the first one elsewhere of the last router, started within a time in
+// check checks that the last load on the rack, and the first one off it of the last router, started within a time in
 // seconds, and adds the figures under the names of docs/capacity/scale.json.
 func (m *loadMigration) check(t *testing.T, within float64, figures map[string]float64) {
 	t.Helper()
@@ -62,7 +62,7 @@
 		users++
 		at, ok := m.firstElsewhere[router]
 		if !ok {
-			t.Errorf("router %d started no load elsewhere", router.config.RouterIndex)
+			t.Errorf("router %d started no load off the rack", router.config.RouterIndex)
 			continue
 		}
 		after := (at - m.beganAt).Seconds()
@@ -73,10 +73,10 @@
 	}
 	onRack := max(0, (m.lastOnRack - m.beganAt).Seconds())
 	if users == 0 || onRack > within || last > within {
-		t.Errorf("last load on the rack after %.2f s, first elsewhere of the last of %d after %.2f s, want %.2f",
+		t.Errorf("last load on the rack after %.2f s, first off it of the last of %d after %.2f s, want %.2f",
 			onRack, users, last, within)
 	}
-	t.Logf("loads: last on the rack after %.2f s; first elsewhere after %.2f s, of the last of %d after %.2f s",
+	t.Logf("loads: last on the rack after %.2f s; first off it after %.2f s, of the last of %d after %.2f s",
 		onRack, first, users, last)
 	figures["last load at the old, s"] = onRack
 	figures["first load at the new, s"] = first
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -101,7 +101,7 @@
 // Subsets at the size that is designed for: which engines no router uses when lists say that many are gone, how many
 // routers the most used engine has over the mean, and how many subset members change when one engine is removed. The
 // last figure is a known weakness; the test keeps it from growing, and its figures are those of the capacity page,
-// under the names that the page gives them.
+// under the names that the page uses.
 func TestSubsetsOfLargeFleet(t *testing.T) {
 	figures := map[string]float64{}
 	for _, test := range []struct {
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// endpointsChanged has the subset and its division chosen again.
+// endpointsChanged makes the next call choose the subset and its division again.
 func (s *subsetChooser) endpointsChanged() {
 	s.size = 0
 	clear(s.affinities)
 }
 
-// recordDemand counts what a request asks of its table group.
+// recordDemand counts a request's demand on its table group.
 func (s *subsetChooser) recordDemand(req *request) {
 	lockTime, readWork := 0.0, 0.0
 	if req.class.LocksTableGroup {
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// loadConfig has a class of queries that loads block, and a class of loads that must not run twice.
+// loadConfig returns settings with a class of queries that loads block, and a class of loads that must not run twice.
 func loadConfig() Config {
 	config := twoClassConfig()
 	config.Classes[0].BlockedByLoad = true
--- a/dispatch/tracedriver_test.go
+++ b/dispatch/tracedriver_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// step has a random event happen on a controller.
+// step sends a controller a random event.
 func (d *traceDriver) step(c *traceController) {
 	switch n := d.rng.IntN(200); {
 	case n < 70:
@@ -207,7 +207,7 @@
 	}
 }
 
-// arrive has a request arrive. Identifiers are unique over all controllers.
+// arrive sends a new request. Identifiers are unique over all controllers.
 func (d *traceDriver) arrive(c *traceController) {
 	class := d.config.Classes[d.rng.IntN(len(d.config.Classes))]
 	d.lastID++
@@ -326,7 +326,7 @@
 	}
 }
 
-// leave has the client of a request leave.
+// leave cancels a request for its client.
 func (d *traceDriver) leave(c *traceController) {
 	if len(c.requests) > 0 {
 		req := c.requests[d.rng.IntN(len(c.requests))]
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -5,7 +5,7 @@
 // This file has the events of a traceDriver that are not of one request: endpoint lists, cordons, settings, a second
 // controller.
 
-// changeEngine has an engine drain, leave, or start, and names it to all controllers, to one of them sometimes twice.
+// changeEngine drains, removes or starts an engine, and names it to all controllers, to one of them sometimes twice.
 func (d *traceDriver) changeEngine(to *traceController) {
 	at := d.rng.IntN(len(d.engines))
 	e := &d.engines[at]
@@ -60,7 +60,7 @@
 	d.handleAll(Cordon{Engine: id})
 }
 
-// hotRestart starts a second controller, has the two exchange what they have running, and in the end stops the first.
+// hotRestart starts a second controller, exchanges what the two have running, and in the end stops the first.
 func (d *traceDriver) hotRestart(predecessor *traceController) {
 	switch {
 	case len(d.controllers) == 1 && d.rng.IntN(3) == 0:
@@ -99,7 +99,7 @@
 	}
 }
 
-// exchangeUsage has each controller count what the other one has running.
+// exchangeUsage sends each controller what the other one has running.
 func (d *traceDriver) exchangeUsage() {
 	usages := []OtherProcessUsage{
 		d.controllers[0].controller.Usage(d.now),
@@ -128,7 +128,7 @@
 	}
 }
 
-// changedConfig has the settings with a few changes.
+// changedConfig returns the settings with a few changes.
 func (d *traceDriver) changedConfig() Config {
 	config := d.config
 	config.Classes = append([]Class(nil), d.config.Classes...)
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -49,7 +49,7 @@
 
 func (w *warmUp) active(now time.Duration) bool { return now < w.end }
 
-// extend has the warm-up end no earlier than at a time.
+// extend moves the end of the warm-up to a time, unless it is later already.
 func (w *warmUp) extend(end time.Duration) { w.end = max(end, w.end) }
 
 // alwaysWarm reports whether the engine never had to warm up.
@@ -182,7 +182,7 @@
 	return rate
 }
 
-// budgetRate is the rate at which budget for an engine comes due to this router, in quanta.
+// budgetRate is the rate at which budget for an engine accrues to this router, in quanta.
 func (l *warmUpLimiter) budgetRate(target *engine, quantum float64) (rate slowstart.Rate) {
 	window, overload := l.env.config.WarmUp.OverloadWindow.Seconds(), l.env.config.WarmUp.OverloadFactor
 	warmRate := capacityUtilization * target.cores
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// replacements has the warm engines drain and the warming ones start.
+// replacements drains the warm engines and starts the warming ones.
 func (m *manyRouters) replacements(warm []Endpoint) []Endpoint {
 	list := testEngines(manyRoutersWarm + manyRoutersWarming)[manyRoutersWarm:]
 	for i := range list {
@@ -93,7 +93,7 @@
 	return list
 }
 
-// request has a request arrive, and be served if it is started. A timer rejects those queued too long, which would
+// request delivers a request, and serves it if it is started. A timer rejects those queued too long, which would
 // block their queue.
 func (m *manyRouters) request(c *Controller, at time.Duration, id RequestID) {
 	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
@@ -131,8 +131,8 @@
 	}
 }
 
-// burstStarts has a router of a large fleet use its budget for a warming engine within a window, after having saved it,
-// and returns how many queries it starts.
+// burstStarts makes a router of a large fleet use its budget for a warming engine within a window, after having saved
+// it, and returns how many queries it starts.
 func burstStarts(t *testing.T, index, routers int, startedAt, at, window time.Duration) (starts int) {
 	t.Helper()
 	config, _ := largeFleetConfig(routers, 1, index)
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -7,7 +7,7 @@
 	"windflow/internal/router"
 )
 
-// connection is one client's connection: it takes one request and gives one response.
+// connection is one client's connection: it takes one request and sends one response.
 type connection struct {
 	server    *Server
 	conn      netio.Conn
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -72,12 +72,12 @@
 		if b[i] != '\n' {
 			continue
 		}
-		rest := b[i+1:]
-		if len(rest) > 0 && rest[0] == '\r' {
-			rest = rest[1:]
+		remaining := b[i+1:]
+		if len(remaining) > 0 && remaining[0] == '\r' {
+			remaining = remaining[1:]
 		}
-		if len(rest) > 0 && rest[0] == '\n' {
-			return b[:i], rest[1:], true
+		if len(remaining) > 0 && remaining[0] == '\n' {
+			return b[:i], remaining[1:], true
 		}
 	}
 	return nil, nil, false
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -29,7 +29,7 @@
 	respond(s.query(r))
 }
 
-// handleOrder has an operator's order on an engine carried out, and answers once it is.
+// handleOrder starts an operator's order on an engine, and answers once it is carried out.
 func (s *Server) handleOrder(r *request, id string, order func(string, func(bool)), respond func(response)) {
 	if r.method != methodPost {
 		respond(methodNotAllowed(methodPost))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -9,14 +9,14 @@
 	"windflow/internal/router"
 )
 
-// Backend is what the API gives access to; all of it is called in the loop.
+// Backend is what the API exposes; all of it is called in the loop.
 type Backend interface {
 	// Ready returns nil while the router serves, or why it does not.
 	Ready() error
 	// Telemetry returns the metrics, a line each.
 	Telemetry() string
-	// Cordon and Uncordon answer false for an id that no list of engines has named. The answer comes once the cordon is
-	// in force, or ended, in all processes of the router.
+	// Cordon and Uncordon answer false for an id that no list of engines has named. The answer follows once the
+	// cordon is in force, or ended, in all processes of the router.
 	Cordon(id string, answer func(known bool))
 	Uncordon(id string, answer func(known bool))
 }
--- a/internal/decide/backoff/zone_test.go
+++ b/internal/decide/backoff/zone_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// success stands for a success in a sequence of engines that fail.
+// success marks a success in a sequence of engines that fail.
 const success = -1
 
 // zoneAfter returns a zone backoff with a threshold of three after failures of these engines, all at time 0.
--- a/internal/decide/configerror/configerror.go
+++ b/internal/decide/configerror/configerror.go
@@ -1,5 +1,5 @@
 // Package configerror has the one error of a change or an entry of the configuration that is rejected. The
-// configuration log, the reader of settings and the validation give it; keepers answer operators with its JSON, and
+// configuration log, the reader of settings and the validation return it; keepers answer operators with its JSON, and
 // routers report its pointer and reason to keepers.
 package configerror
 
@@ -16,7 +16,8 @@
 	Invalid Kind = "invalid"
 	// Conflict is a change that expects another revision; Error.Revision is the one in force.
 	Conflict Kind = "conflict"
-	// Compacted asks for a revision that the log no longer retains; Error.Revision is the oldest retained one.
+	// Compacted means that the call names a revision that the log no longer retains; Error.Revision is the oldest
+	// retained one.
 	Compacted Kind = "compacted"
 	// IDReused is a change with the ID of a different one; Error.Revision is the revision which that one made.
 	IDReused Kind = "reused"
--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newLargeLog gives a log with so many tenants, as a large installation has, put in changes of at most 5,000, and
+// newLargeLog returns a log with so many tenants, as a large installation has, put in changes of at most 5,000, and
 // then 100 changes of one each.
 func newLargeLog(b *testing.B, entries int) *Log {
 	b.Helper()
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -15,13 +15,13 @@
 type Change struct {
 	// ID is the idempotency key: of the latest MaxRememberedIDs changes none is applied twice. 1 to MaxIDBytes.
 	ID string `json:"id"`
-	// Expect is the revision that has to be in force for the change to be applied; nil stands for any.
+	// Expect is the revision that has to be in force for the change to be applied; nil means any.
 	Expect *uint64 `json:"expect,omitempty"`
 	// Put holds new values by JSON pointer (RFC 6901); CheckPointer defines which pointers are allowed.
 	Put map[string]json.RawMessage `json:"put,omitempty"`
 	// Remove names entries to remove; each has to exist.
 	Remove []string `json:"remove,omitempty"`
-	// RevertTo asks for a new revision with the content of that one; Put and Remove are empty then.
+	// RevertTo requests a new revision with the content of that one; Put and Remove are empty then.
 	RevertTo *uint64 `json:"revert_to,omitempty"`
 	// Note is the operator's reason; at most MaxNoteBytes.
 	Note string `json:"note,omitempty"`
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// count reads a number of items, each of which has at least one byte: a wrong number can't ask for more than there is.
+// count reads a number of items, each of which has at least one byte: a wrong number can't claim more than there is.
 func (d *decoder) count() uint64 {
 	n := d.number()
 	if n > uint64(len(d.buffer)) {
--- a/internal/decide/configlog/convergence.go
+++ b/internal/decide/configlog/convergence.go
@@ -27,7 +27,7 @@
 	Diverged []FollowerProcess `json:"foreign"`
 	// Missing are members without a lease, which ended or can't reach a keeper; they don't count.
 	Missing          []string `json:"gone"`
-	UnreachedKeepers []string `json:"unreached"` // not asked, or their leases are not complete
+	UnreachedKeepers []string `json:"unreached"` // not polled, or their leases are not complete
 	// Converged says that each running process has the revision or a later one in force.
 	Converged bool `json:"everywhere"`
 }
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// newLogWithLeases has a log with revisions 1 to 6, to hold reports against.
+// newLogWithLeases returns a log with revisions 1 to 6, to check reports against.
 func newLogWithLeases(
 	t *testing.T,
 	members ...string,
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -22,7 +22,7 @@
 	return document{entries: map[string]json.RawMessage{}, below: map[string]int{}}
 }
 
-// edit is one entry that a revision changes. A nil value stands for no entry, so that an edit can be undone.
+// edit is one entry that a revision changes. A nil value means no entry, so that an edit can be undone.
 type edit struct {
 	pointer       string
 	before, after json.RawMessage
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// entryBytes is the size of an entry; 0 for a nil value, which stands for no entry.
+// entryBytes is the size of an entry; 0 for a nil value, which means no entry.
 func entryBytes(pointer string, value json.RawMessage) int {
 	if value == nil {
 		return 0
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// equalValues compares two values, of which nil stands for no entry.
+// equalValues compares two values, of which nil means no entry.
 func equalValues(a, b json.RawMessage) bool {
 	return (a == nil) == (b == nil) && bytes.Equal(a, b)
 }
--- a/internal/decide/configlog/encoding.go
+++ b/internal/decide/configlog/encoding.go
@@ -11,7 +11,7 @@
 // stateMagic begins an encoded Log; its last byte is the version of the format.
 var stateMagic = []byte("wfrollout\x01")
 
-// MarshalBinary returns the complete state followed by a checksum. The same state gives the same bytes. The error is
+// MarshalBinary returns the complete state followed by a checksum. The same state has the same bytes. The error is
 // always nil.
 func (l *Log) MarshalBinary() ([]byte, error) {
 	capacity := len(stateMagic) + 2*l.document.bytes + l.history.bytes + 64*len(l.ids.applied) + 1024
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// newSampleLog has everything that a state can hold.
+// newSampleLog returns a log with everything that a state can hold.
 func newSampleLog(tb testing.TB) *Log {
 	tb.Helper()
 	l := newLogWithFiller(tb, Retention{Revisions: 4, Bytes: 1 << 20})
@@ -59,10 +59,10 @@
 	state, _ := newSampleLog(t).MarshalBinary()
 	l := NewLog(Retention{})
 	l.mustApply(t, put("mine", "/settings/mine", "1"))
-	checkDamaged := func(why string, state []byte, words string) {
+	checkDamaged := func(why string, state []byte, reason string) {
 		t.Helper()
 		err := l.UnmarshalBinary(state)
-		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), words) || l.Revision() != 1 ||
+		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), reason) || l.Revision() != 1 ||
 			len(l.Entries()) != 1 {
 			t.Errorf("%s: %v", why, err)
 		}
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Why a follower doesn't use an update. After each of them, CallFailed has to be called: another keeper is asked,
+// Why a follower doesn't use an update. After each of them, CallFailed has to be called: another keeper is polled,
 // after a wait.
 var (
 	// ErrBehind is a keeper that is before the follower, which keeps its revision; see KeepersAreBehind.
@@ -19,7 +19,7 @@
 	ErrStale = errors.New("the update doesn't begin where this follower is")
 	// ErrMismatch is an update whose content doesn't have the hash that it says.
 	ErrMismatch = errors.New("the content doesn't have the hash that was said")
-	// ErrPending is an update that comes before the one before was accepted or rejected.
+	// ErrPending is an update that arrives before the one before was accepted or rejected.
 	ErrPending = errors.New("the update before is neither accepted nor refused")
 	// ErrDamaged is a copy or a state that isn't what was written.
 	ErrDamaged = errors.New("damaged")
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -74,17 +74,17 @@
 	checkIgnored("a snapshot from before", old, ErrStale)
 	checkIgnored("nothing, from before", late, ErrStale)
 	checkIgnored("a delta once more", delta, ErrStale)
-	checkIgnored("a delta from elsewhere", Update{From: 3, To: 4}, ErrStale)
+	checkIgnored("a delta of another log", Update{From: 3, To: 4}, ErrStale)
 	checkIgnored("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
 	if f.Status().Hash != f.current.hash {
-		t.Error("a snapshot is asked for without need")
+		t.Error("a snapshot is requested without need")
 	}
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	broken := l.NextUpdate(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
 	checkIgnored("a value that isn't the one", broken, ErrMismatch)
 	if f.Status().Hash != (Hash{}) {
-		t.Error("no snapshot is asked for")
+		t.Error("no snapshot is requested")
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
@@ -95,7 +95,7 @@
 	checkIgnored("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
 	f.mustFollow(t, l)
 	if f.Status().Hash != l.Hash() {
-		t.Error("a snapshot is still asked for")
+		t.Error("a snapshot is still requested")
 	}
 	l.mustApply(t, put("c", "/settings/a", "4"))
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
@@ -315,9 +315,9 @@
 // Losses go round the keepers at once, then wait longer with each round, up to a bound; an answer ends that.
 func TestKeeperSelectionBackoff(t *testing.T) {
 	f := NewFollower("r", "1")
-	now, asked := 0.0, map[int]int{}
+	now, polls := 0.0, map[int]int{}
 	for i := range 3 {
-		asked[f.SelectKeeper(3)]++
+		polls[f.SelectKeeper(3)]++
 		wait := f.CallFailed(now, 0.999)
 		if most := 100.0; i < 2 && wait >= most || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
@@ -327,8 +327,8 @@
 		}
 		now += wait
 	}
-	if len(asked) != 3 {
-		t.Error(asked)
+	if len(polls) != 3 {
+		t.Error(polls)
 	}
 	last := 0.0
 	for i := range 30 {
@@ -364,13 +364,13 @@
 
 // A report's fields are checked before it is taken.
 func TestFollowerStatusCheck(t *testing.T) {
-	for words, r := range map[string]FollowerStatus{
+	for field, r := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
 		"instance": {Name: "r"},
 		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNoteBytes+1)}},
 	} {
-		if err := r.Check(); err == nil || !strings.Contains(err.Error(), "field "+words) {
-			t.Error(words, err)
+		if err := r.Check(); err == nil || !strings.Contains(err.Error(), "field "+field) {
+			t.Error(field, err)
 		}
 	}
 	if err := (FollowerStatus{Name: "r", Instance: "1"}).Check(); err != nil {
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// Each type has the JSON that an earlier program gave it, and is read as it was meant.
+// Each type has the JSON of an earlier program, and is read as it was meant.
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range goldenMessages() {
 		golden.AllFieldsSet(t, want)
@@ -157,7 +157,7 @@
 	}
 }
 
-// A log has the bytes that an earlier program gave it. What is read from them has the same content and past, and
+// A log has the bytes of an earlier program. What is read from them has the same content and past, and
 // knows the changes that were applied, so that none is applied twice.
 func TestGoldenLog(t *testing.T) {
 	const file = "log.bin"
--- a/internal/decide/configlog/hash.go
+++ b/internal/decide/configlog/hash.go
@@ -38,10 +38,10 @@
 func (h Hash) plus(other Hash) Hash  { return h.combine(other, bits.Add64) }
 func (h Hash) minus(other Hash) Hash { return h.combine(other, bits.Sub64) }
 
-func (h Hash) combine(other Hash, word func(x, y, carry uint64) (uint64, uint64)) (out Hash) {
+func (h Hash) combine(other Hash, combineWord func(x, y, carry uint64) (uint64, uint64)) (out Hash) {
 	var carry, sum uint64
 	for i := 0; i < len(h); i += 8 {
-		sum, carry = word(binary.LittleEndian.Uint64(h[i:]), binary.LittleEndian.Uint64(other[i:]), carry)
+		sum, carry = combineWord(binary.LittleEndian.Uint64(h[i:]), binary.LittleEndian.Uint64(other[i:]), carry)
 		binary.LittleEndian.PutUint64(out[i:], sum)
 	}
 	return out
--- a/internal/decide/configlog/history.go
+++ b/internal/decide/configlog/history.go
@@ -9,7 +9,7 @@
 )
 
 // Retention bounds how much of the past a Log retains for deltas, history and reverts. All replicas need the same,
-// because it decides what a revert gets; a state that is read has its own. Zero stands for the values of
+// because it decides what a revert gets; a state that is read has its own. Zero means the values of
 // DefaultRetention.
 type Retention struct {
 	Revisions int `json:"revisions"` // changes that are retained
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkRetained rejects a revision whose content can't be given.
+// checkRetained rejects a revision whose content is not available.
 func (h *history) checkRetained(revision uint64) *configerror.Error {
 	switch latest := h.latest(); {
 	case revision < h.oldest:
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -87,7 +87,7 @@
 	return f.selection.callFailed(nowMS, jitter)
 }
 
-// KeepersAreBehind returns whether as many answers in a row as there are keepers came from keepers that are behind,
+// KeepersAreBehind returns whether as many answers in a row as there are keepers were from keepers that are behind,
 // and the highest revision among them: the keepers were restored from an older state. The follower keeps its revision
 // until they are past it.
 func (f *Follower) KeepersAreBehind() (keeperRevision uint64, behind bool) {
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -9,7 +9,7 @@
 
 // Log is the replicated configuration log: the document in force with its history, the IDs of the changes that were
 // applied, and the followers that are members. The same calls of Apply, AddMember and RemoveMember in the same order
-// give the same Log at each keeper, and rejected ones change nothing. Values that it returns are shared and must not
+// lead to the same Log at each keeper, and rejected ones change nothing. Values that it returns are shared and must not
 // be changed.
 type Log struct {
 	document document
@@ -59,8 +59,8 @@
 // History returns at most limit revisions, beginning with from, oldest first; those that are not retained are left out.
 func (l *Log) History(from uint64, limit int) []Revision { return l.history.list(from, limit) }
 
-// Preview returns the content that a change would give, without applying it. For a change that was applied already it
-// is the content in force.
+// Preview returns the content that a change would lead to, without applying it. For a change that was applied already
+// it is the content in force.
 func (l *Log) Preview(change Change) (map[string]json.RawMessage, *configerror.Error) {
 	plan, rejected := l.plan(change)
 	if rejected != nil {
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -63,7 +63,7 @@
 	Change
 	kind    configerror.Kind
 	pointer string
-	words   string
+	reason  string
 }
 
 // rejectedChanges are changes of a log that has the entries /settings/rules/cold-ns and /settings/list.
@@ -122,7 +122,7 @@
 	for name, c := range rejectedChanges() {
 		r := l.Apply(c.Change)
 		if r.Err == nil || r.Err.Kind != c.kind || r.Err.Pointer != c.pointer ||
-			!strings.Contains(r.Err.Error(), c.words) ||
+			!strings.Contains(r.Err.Error(), c.reason) ||
 			r.Revision != 1 {
 			t.Errorf("%s: %+v, %v", name, r, r.Err)
 		}
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -36,7 +36,7 @@
 func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.retention)) }
 func (m *model) content() map[string]json.RawMessage { return m.contents[len(m.contents)-1] }
 
-// apply gives the kind of rejected, "repeated" or nothing, and the revision. Its changes have canonical values and
+// apply returns the kind of rejection, "repeated" or nothing, and the revision. Its changes have canonical values and
 // places that can be put.
 func (m *model) apply(c Change) (string, uint64) {
 	c.AtMS = 0
@@ -140,7 +140,7 @@
 }
 
 // The log does what the model does: results, contents of all retained revisions, and what every follower gets
-// from whatever revision leads to the content in force. Its state comes back the same at any step.
+// from whatever revision leads to the content in force. Its state is read back the same at any step.
 func TestLogMatchesModel(t *testing.T) {
 	checkProperty(t, "200", func(t *rapid.T) {
 		draw := drawFromRapid(t)
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -25,7 +25,7 @@
 	{"forgets what it rejected", propertyNoRepeatedRejection, func(v *parts) {
 		v.follower = func(f *Follower) client { return forgetful{f} }
 	}},
-	{"never asks for a snapshot", propertyEventualConvergence, func(v *parts) {
+	{"never requests a snapshot", propertyEventualConvergence, func(v *parts) {
 		v.follower = func(f *Follower) client { return stubborn{f} }
 	}},
 	{"log without a memory of IDs", propertyAppliedOnce, func(v *parts) {
--- a/internal/decide/configlog/pointer.go
+++ b/internal/decide/configlog/pointer.go
@@ -14,9 +14,9 @@
 // routerSettings are the settings that belong to one router and can't be the same everywhere.
 var routerSettings = map[string]string{"me": "the place of the router", "zone": "the zone of the router"}
 
-// CheckPointer returns why a pointer can't name an entry, or nil. Settings that belong to a single router are excluded:
-// only /board, what is below /settings except me and zone, and /settings/parties/NAME can be put. Names of settings are
-// lower-case letters, digits, '-', '_' and '.', because the reader of settings ignores case.
+// CheckPointer returns why a pointer can't name an entry, or nil. Settings that belong to a single router are not
+// allowed: only /board, what is below /settings except me and zone, and /settings/parties/NAME can be put. Names of
+// settings are lower-case letters, digits, '-', '_' and '.', because the reader of settings ignores case.
 func CheckPointer(pointer string) error {
 	switch {
 	case pointer == "":
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -64,7 +64,7 @@
 		text, err := json.Marshal(Update{Put: map[string]json.RawMessage{"/settings/x": got}})
 		var back Update
 		if err != nil || json.Unmarshal(text, &back) != nil || string(back.Put["/settings/x"]) != want {
-			t.Errorf("%s comes out of an update as %s", want, back.Put["/settings/x"])
+			t.Errorf("%s is read from an update as %s", want, back.Put["/settings/x"])
 		}
 	}
 	for in, pointer := range map[string]string{
--- a/internal/decide/configlog/randomorder_test.go
+++ b/internal/decide/configlog/randomorder_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// step does one random thing.
+// step does one random action.
 func (w *simulation) step(i int) error {
 	k := w.keepers[w.draw(len(w.keepers), "keeper")]
 	at := w.draw(len(w.routers), "router")
@@ -52,7 +52,7 @@
 		if len(w.messages) > 0 {
 			n := w.draw(len(w.messages), "message")
 			m := w.messages[n]
-			if w.draw(4, "kept") != 0 { // else it comes once more
+			if w.draw(4, "kept") != 0 { // else it is delivered once more
 				w.messages = append(w.messages[:n], w.messages[n+1:]...)
 			}
 			w.deliver(m)
@@ -110,7 +110,7 @@
 			r.copy = nil
 		}
 		if what == 1 && r.copy != nil && len(r.copy.Entries) > 0 {
-			// The disk gave back something else than was written.
+			// The disk returned something else than was written.
 			s := *r.copy
 			s.Entries = maps.Clone(s.Entries)
 			s.Entries["/settings/damage"] = json.RawMessage("1")
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// applyCommitted has a keeper apply so many commands more.
+// applyCommitted applies so many further commands at a keeper.
 func (w *simulation) applyCommitted(k *keeper, most int) {
 	for ; most > 0 && k.applied < len(w.commands); most-- {
 		w.run(k.log, w.commands[k.applied])
@@ -203,7 +203,7 @@
 	r.client.Accept()
 }
 
-// call has a router ask the keeper that it would.
+// call polls the keeper that a router would poll.
 func (w *simulation) call(i int) {
 	r := w.routers[i]
 	if r.alive && !r.offered {
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -27,8 +27,8 @@
 		)
 	}
 	for _, k := range []struct {
-		name  string
-		terms Retention
+		name      string
+		retention Retention
 	}{
 		{"log/by-revisions", Retention{Revisions: 5}},
 		{"log/by-bytes", Retention{Bytes: 2500}},
@@ -36,7 +36,7 @@
 	} {
 		all = append(all, tracetest.Scenario{Name: k.name, Run: func(t *testing.T, h *tracetest.Hash) {
 			t.Helper()
-			traceLog(t, h, k.terms)
+			traceLog(t, h, k.retention)
 		}})
 	}
 	all = append(
@@ -59,7 +59,7 @@
 	return func(n int, _ string) int { return rng.IntN(n) }
 }
 
-// traceSimulation plays keepers and routers with all faults, and writes whatever is asked of the package and answered.
+// traceSimulation plays keepers and routers with all faults, and writes all calls of the package and their results.
 func traceSimulation(t *testing.T, h *tracetest.Hash, seed uint64) {
 	t.Helper()
 	for round := range uint64(30) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// tracedParts is what the package gives, written into a trace.
+// tracedParts is what the package returns, written into a trace.
 func tracedParts(h *tracetest.Hash) parts {
 	v := soundParts()
 	return parts{
@@ -153,12 +153,12 @@
 	return wait
 }
 
-// traceLog has a log take changes that are sound and at rejected, and asks it all that it can be asked.
-func traceLog(t *testing.T, h *tracetest.Hash, terms Retention) {
+// traceLog puts valid and invalid changes into a log, and calls all its methods.
+func traceLog(t *testing.T, h *tracetest.Hash, retention Retention) {
 	t.Helper()
 	for seed := range uint64(40) {
 		draw := drawFromTraceSeed(seed)
-		l := NewLog(terms)
+		l := NewLog(retention)
 		for i := range 60 {
 			id := fmt.Sprint("c", i-draw(8, "again")/7*draw(i+1, "back"))
 			c := draw.change(id, l.Revision())
@@ -223,7 +223,7 @@
 	}
 }
 
-// traceAnswers asks what followers at any revision get, what there was, and where a revision is in force.
+// traceAnswers traces what followers at any revision get, what there was, and where a revision is in force.
 func traceAnswers(h *tracetest.Hash, draw drawer, l *Log) {
 	var leases []Lease
 	for range draw(5, "leases") {
@@ -249,7 +249,7 @@
 	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
 }
 
-// roundTrip gives a log as it comes back from its state.
+// roundTrip returns a log as it is read back from its state.
 func roundTrip(t *testing.T, l *Log) *Log {
 	t.Helper()
 	state, err := l.MarshalBinary()
@@ -282,7 +282,7 @@
 	}
 }
 
-// sortedKeys gives the places of a content in a fixed order.
+// sortedKeys returns the pointers of a content in a fixed order.
 func sortedKeys(content map[string]json.RawMessage) []string {
 	return slices.Sorted(maps.Keys(content))
 }
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -8,8 +8,8 @@
 	"windflow/internal/tracetest"
 )
 
-// This file writes what the package gives into a trace, field by field. The numbers of the kinds are those of the
-// recorded traces and must not change. Reasons that the package words itself are left out: they decide nothing.
+// This file writes what the package returns into a trace, field by field. The numbers of the kinds are those of the
+// recorded traces and must not change. Reasons that the package writes itself are left out: they decide nothing.
 
 // Kinds of step in a trace.
 const (
@@ -115,7 +115,7 @@
 	h.Int(errorNumber(err))
 }
 
-// errorNumber gives the place of an error among those of a follower, 0 for none.
+// errorNumber returns the index of an error among those of a follower, 0 for none.
 func errorNumber(err error) int64 {
 	if err == nil {
 		return 0
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// randomStep makes a follower do one random thing.
+// randomStep makes a follower do one random action.
 func (f *tracedFollower) randomStep(draw drawer, l *Log, copies *[]SavedRevision) {
 	r := f.Status()
 	switch draw(12, "step") {
@@ -141,10 +141,10 @@
 	`"` + strings.Repeat("x", 64<<10-1) + `"`,
 }
 
-// nested gives lists within each other. Bounds are written as numbers here, so that a changed bound shows.
+// nested returns lists within each other. Bounds are written as numbers here, so that a changed bound shows.
 func nested(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
 
-// traceDocument tries each value at each place.
+// traceDocument tries each value at each pointer.
 func traceDocument(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	for _, p := range tracePointers {
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -12,9 +12,9 @@
 )
 
 // newLogWithFiller returns a log whose document is larger than any delta of these tests.
-func newLogWithFiller(tb testing.TB, terms Retention) *Log {
+func newLogWithFiller(tb testing.TB, retention Retention) *Log {
 	tb.Helper()
-	l := NewLog(terms)
+	l := NewLog(retention)
 	l.mustApply(tb, put("filler", "/settings/filler", `"`+strings.Repeat("x", 400)+`"`))
 	return l
 }
--- a/internal/decide/configlog/value.go
+++ b/internal/decide/configlog/value.go
@@ -42,7 +42,8 @@
 	return out, nil
 }
 
-// checkValueType checks what the pointer alone says of a value. The rest is validated with the complete configuration.
+// checkValueType checks what the pointer alone says of a value. Everything else is validated with the complete
+// configuration.
 func checkValueType(pointer string, value any) error {
 	if value == nil {
 		return fmt.Errorf("null is no value; remove takes an entry out")
--- a/internal/decide/hotrestart/doc.go
+++ b/internal/decide/hotrestart/doc.go
@@ -1,10 +1,10 @@
-// Package hotrestart decides how one process of a router replaces another: which process asks which for its state,
+// Package hotrestart decides how one process of a router replaces another: which process requests the state of which,
 // which one accepts clients, which share of the router's limits each may use, and which one ends. It is a pure state
 // machine: events and the time go in, effects come out. Sockets, files and timers belong to the caller. The reasons
 // for the protocol are in docs/design/hot-restart.md.
 //
-// The processes of a router are ordered by their starts. Each process asks only its predecessor, the newest living
-// process that started before it, and at most two processes take part in a hot restart at a time: a third is told to
+// The processes of a router are ordered by their starts. Each process calls only its predecessor, the newest living
+// process that started before it, and at most two processes take part in a hot restart at a time: a third has to
 // retry (MessageWait). The invariants are:
 //
 //   - A process that has found a living predecessor never serves as if there were none. While the predecessor is
--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A process that is asked to end while it asks for its predecessor, or waits for its state, needs no tick any more:
+// A process that is to end while it looks for its predecessor, or waits for its state, needs no tick any more:
 // Step ignores ticks then, so that the process would be due for ever. It guards against a process that spins and
 // never ends.
 func TestNothingIsDueAfterTheEnd(t *testing.T) {
--- a/internal/decide/hotrestart/event.go
+++ b/internal/decide/hotrestart/event.go
@@ -10,13 +10,13 @@
 	// EventPredecessorFound answers ActionFindPredecessor: Process is the newest living process before this one, or
 	// NoProcess. A predecessor that has ended is also reported by EventProcessEnded.
 	EventPredecessorFound
-	// EventMessageReceived says that Message came from Process.
+	// EventMessageReceived says that Message was received from Process.
 	EventMessageReceived
 	// EventLinkLost says that the link to Process broke while Process lives.
 	EventLinkLost
 	// EventProcessEnded says that Process has ended.
 	EventProcessEnded
-	// EventStopRequested says that this process was asked to end.
+	// EventStopRequested says that this process is requested to end.
 	EventStopRequested
 	// EventIdle says that no request or session has been open for a while.
 	EventIdle
@@ -29,12 +29,12 @@
 	Message MessageKind
 }
 
-// Action is what an effect asks the caller to do.
+// Action is what the caller does to carry out an effect.
 type Action uint8
 
 // Actions.
 const (
-	// ActionFindPredecessor asks for the newest living process before this one, a link to it, and
+	// ActionFindPredecessor requests the newest living process before this one, a link to it, and
 	// EventPredecessorFound.
 	ActionFindPredecessor Action = iota
 	// ActionSend sends Message to Process.
@@ -55,7 +55,7 @@
 	ActionSetShare
 )
 
-// Effect is one thing for the caller to do; effects are carried out in their order.
+// Effect is one action for the caller to carry out; effects are carried out in their order.
 type Effect struct {
 	Action  Action
 	Process ProcessNumber
--- a/internal/decide/hotrestart/machine.go
+++ b/internal/decide/hotrestart/machine.go
@@ -32,18 +32,18 @@
 	phase    Phase
 	share    Share
 
-	// predecessor is the process whose state is asked for or was restored; NoProcess once it has ended.
+	// predecessor is the process whose state is requested or was restored; NoProcess once it has ended.
 	predecessor ProcessNumber
 	// successor is the process that was sent this one's state.
 	successor ProcessNumber
 	// goAheadReceived says that the predecessor has stopped accepting.
 	goAheadReceived bool
-	// handedBack says that the successor was asked to end, and that this process accepts again in its place.
+	// handedBack says that the successor was requested to end, and that this process accepts again instead.
 	handedBack bool
 	// stateKnown says that the predecessor's state is restored or that there is no predecessor: the idempotency ids
 	// that may have run are known.
 	stateKnown bool
-	// stopRequested says that this process was asked to end.
+	// stopRequested says that this process was requested to end.
 	stopRequested bool
 	// helloPending says that a hello has no answer yet.
 	helloPending bool
@@ -51,7 +51,7 @@
 	hasAccepted bool
 	// awaitDeadline ends the wait for the predecessor's state or go-ahead.
 	awaitDeadline float64
-	// nextHelloAt is when the predecessor is looked for and asked again; 0 for never.
+	// nextHelloAt is when the predecessor is looked for and called again; 0 for never.
 	nextHelloAt float64
 }
 
@@ -67,7 +67,7 @@
 // Share returns the share of the router's limits that the process may use.
 func (m *Machine) Share() Share { return m.share }
 
-// Predecessor returns the process that is asked for its state or whose state was restored, or NoProcess.
+// Predecessor returns the process whose state is requested or whose state was restored, or NoProcess.
 func (m *Machine) Predecessor() ProcessNumber { return m.predecessor }
 
 // Successor returns the process that was sent this one's state, or NoProcess.
@@ -80,10 +80,10 @@
 func (m *Machine) Accepts() bool { return m.Ready() || m.phase == PhaseDraining }
 
 // MustAsk returns the process whose consent is needed to begin work that must not run twice, or NoProcess, and
-// whether such work may begin at all. Before a predecessor has given its go-ahead it asks nobody: on the same link,
-// what it says about its ids arrives before its go-ahead. Afterwards both have open sessions, and each asks the
-// other.
-func (m *Machine) MustAsk() (ask ProcessNumber, may bool) {
+// whether such work may begin at all. Before a predecessor has sent its go-ahead it needs no grant: on the same link,
+// what it says about its ids arrives before its go-ahead. Afterwards both have open sessions, and each needs the
+// other's grant.
+func (m *Machine) MustAsk() (granter ProcessNumber, allowed bool) {
 	switch {
 	case m.phase == PhaseDegraded || !m.stateKnown:
 		return NoProcess, false
@@ -111,7 +111,7 @@
 }
 
 // Step handles one event at the time now, in milliseconds, and returns the effects to carry out. An event that does not
-// fit the phase, such as a message that comes late or twice, changes nothing.
+// fit the phase, such as a message that arrives late or twice, changes nothing.
 func (m *Machine) Step(now float64, event Event) []Effect {
 	if m.phase == PhaseEnded {
 		return nil
--- a/internal/decide/hotrestart/machine_state.go
+++ b/internal/decide/hotrestart/machine_state.go
@@ -1,9 +1,9 @@
 package hotrestart
 
-// The questions that transitions ask of the machine's state.
+// The conditions on the machine's state that transitions depend on.
 
-// asksPredecessor reports whether the predecessor's state is still to be asked for.
-func (m *Machine) asksPredecessor() bool {
+// needsPredecessorState reports whether the predecessor's state is still to be requested.
+func (m *Machine) needsPredecessorState() bool {
 	switch m.phase {
 	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseDegraded:
 		return true
@@ -14,8 +14,8 @@
 	return false
 }
 
-// givesStateTo reports whether a process that asks may have the state now.
-func (m *Machine) givesStateTo(from ProcessNumber) bool {
+// maySendStateTo reports whether a process that requests the state may have it now.
+func (m *Machine) maySendStateTo(from ProcessNumber) bool {
 	if from == m.successor && (m.phase == PhaseSuperseded || m.phase == PhaseFinishing) {
 		return true // its link broke, and the messages under way were lost
 	}
@@ -28,7 +28,7 @@
 	return m.phase == PhaseServing || m.phase == PhaseDraining
 }
 
-// endsWhenIdle reports whether the process was asked to end and ends once nothing is open.
+// endsWhenIdle reports whether the process was requested to end and ends once nothing is open.
 func (m *Machine) endsWhenIdle() bool {
 	return m.phase == PhaseFinishing || m.phase == PhaseDraining
 }
--- a/internal/decide/hotrestart/model_adversary_test.go
+++ b/internal/decide/hotrestart/model_adversary_test.go
@@ -110,7 +110,7 @@
 	b.prompt("reads the folder", i, 0, func(next *model) { next.world.processes[i].cordoned = w.cordonInFolder })
 }
 
-// receive lets process i receive what comes from process j: a message, or else that its end or the link's was noticed.
+// receive lets process i receive what process j has sent: a message, or else that its end or the link's was noticed.
 func (b *branches) receive(i, j int) {
 	w := &b.from.world
 	p := &w.processes[i]
@@ -143,7 +143,7 @@
 		next.world.left.duplicates--
 		next.deliver(j, i)
 		if next.world.processes[i].alive && next.world.processes[j].alive {
-			next.world.queues[j][i].push(message) // late as well: it comes after all that was sent since
+			next.world.queues[j][i].push(message) // late as well: it arrives after all that was sent since
 		}
 	})
 }
@@ -173,7 +173,7 @@
 func (b *branches) timers(i int) {
 	w := &b.from.world
 	p := &w.processes[i]
-	// A process asks again and again; it is enough to have it ask when nothing of that is under way.
+	// A process repeats its request; it is enough to let it do so when no such request is under way.
 	idle := true
 	if predecessor := p.machine.predecessor; predecessor != NoProcess {
 		j := indexOf(predecessor)
@@ -194,7 +194,7 @@
 	}
 }
 
-// awaitRunsOut has the wait for the predecessor end; the timer of the next hello stays as it is.
+// awaitRunsOut ends the wait for the predecessor; the timer of the next hello stays as it is.
 func (x *model) awaitRunsOut(i int) {
 	p := &x.world.processes[i]
 	nextHelloAt := p.machine.nextHelloAt
--- a/internal/decide/hotrestart/model_explore_test.go
+++ b/internal/decide/hotrestart/model_explore_test.go
@@ -31,7 +31,7 @@
 	hash  uint64
 }
 
-// explore visits every world within depth steps of the start. It returns the number of worlds, how deep it came, and
+// explore visits every world within depth steps of the start. It returns the number of worlds, how deep it went, and
 // the shortest way to the first world that breaks a rule.
 func explore(left budget, depth int, formerFault bool) (seen, deep int, failure string) {
 	start := world{left: left}
@@ -102,9 +102,9 @@
 	return text.String()
 }
 
-// Every interleaving, to the depth given, keeps the rules. They are: the shares of all processes fit the limits at
-// each moment; a cordon set at any process is kept by all that serve; a request runs once; a process accepts, or is
-// about to.
+// Every interleaving, to the depth of the flag, keeps the rules. They are: the shares of all processes fit the limits
+// at each moment; a cordon set at any process is kept by all that serve; a request runs once; a process accepts, or
+// is about to.
 func TestModel(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -7,7 +7,7 @@
 // duplicated messages, signals, one cordon, and one idempotency id of a request that clients send again and again.
 //
 // What the machine leaves to its caller is modelled as it is built: the folder of cordons, which each process that
-// has met another one watches, and the consent that is asked of the other process before a request begins.
+// has met another one watches, and the consent that the other process has to grant before a request begins.
 
 const modelProcesses = 3
 
@@ -63,12 +63,12 @@
 	cordoned      bool                 // it knows of the cordon
 	consumed      bool                 // the id may have run, as far as it knows
 	linkTorn      bool                 // a link broke and was not joined again
-	idInLastState bool                 // what the state that came last says of the id
+	idInLastState bool                 // what the latest state says of the id
 	attempt       uint8                // the last attempt to begin the request
 	linked        [modelProcesses]bool // the link to that process is up
 	linkLost      [modelProcesses]bool // the loss of that link is still to be noticed
 	ended         [modelProcesses]bool // the end of that process is still to be noticed
-	claims        [modelProcesses]bool // that process was asked for its consent
+	claims        [modelProcesses]bool // the consent of that process is requested
 }
 
 // world is one state of the model.
@@ -165,7 +165,7 @@
 	return false
 }
 
-// end has a process end; what it has sent still arrives, and then its end is noticed.
+// end ends a process; what it has sent still arrives, and then its end is noticed.
 func (x *model) end(i int) {
 	w := &x.world
 	p := &w.processes[i]
@@ -214,7 +214,7 @@
 		p.consumed = true
 	case message&claimAttempt != 0:
 		answer := claimGranted
-		if p.consumed || p.claims[i] { // where both ask at once neither begins
+		if p.consumed || p.claims[i] { // where both claim at once neither begins
 			answer = claimDenied
 		}
 		p.consumed = p.consumed || answer == claimGranted
@@ -243,15 +243,15 @@
 	}
 }
 
-// submit has a client send the request to a process.
+// submit sends a client's request to a process.
 func (x *model) submit(i int) {
 	p := &x.world.processes[i]
-	ask, may := p.machine.MustAsk()
-	if !may || p.consumed {
+	granter, allowed := p.machine.MustAsk()
+	if !allowed || p.consumed {
 		return
 	}
-	if ask != NoProcess {
-		x.claim(i, indexOf(ask))
+	if granter != NoProcess {
+		x.claim(i, indexOf(granter))
 		return
 	}
 	p.consumed = true
@@ -261,14 +261,14 @@
 	}
 }
 
-// claim has process i ask process j for its consent, unless a claim is open already.
+// claim requests process j's consent for process i, unless a claim is open already.
 func (x *model) claim(i, j int) {
 	p := &x.world.processes[i]
 	if p.claims != [modelProcesses]bool{} {
 		return
 	}
 	if !p.linked[j] || !x.world.processes[j].alive {
-		return // rejected: there is nobody to ask, and the end of that process has not been noticed
+		return // rejected: there is no process to claim from, and the end of that process has not been noticed
 	}
 	p.attempt++
 	p.claims[j] = true
--- a/internal/decide/hotrestart/phase.go
+++ b/internal/decide/hotrestart/phase.go
@@ -11,8 +11,8 @@
 	PhaseServing                         // accepts clients
 	PhaseDegraded                        // accepts clients within the reserve, since a living predecessor is silent
 	PhaseSuperseded                      // the successor accepts; work accepted earlier goes on
-	PhaseFinishing                       // superseded and asked to end: ends once nothing is open
-	PhaseDraining                        // asked to end without a successor: accepts until idle
+	PhaseFinishing                       // superseded and requested to end: ends once nothing is open
+	PhaseDraining                        // requested to end without a successor: accepts until idle
 	PhaseEnded                           // the process ends; events change nothing
 )
 
@@ -29,7 +29,7 @@
 
 // Shares. The full share and a reserve fit the limits together, and so do two halves.
 const (
-	ShareNone    Share = iota // only what it takes to ask the predecessor
+	ShareNone    Share = iota // only what it takes to call the predecessor
 	ShareReserve              // the reserve that every process leaves for a successor
 	ShareHalf
 	ShareFull
--- a/internal/decide/hotrestart/protocol.go
+++ b/internal/decide/hotrestart/protocol.go
@@ -7,7 +7,7 @@
 
 // Process numbers with a meaning of their own.
 const (
-	// NoProcess stands for the absence of a process.
+	// NoProcess means that there is no process.
 	NoProcess ProcessNumber = 0
 	// LegacyPredecessor is a process of protocol version 1 that started before this one; it has no number of its own.
 	LegacyPredecessor ProcessNumber = 1
@@ -36,12 +36,12 @@
 
 // Kinds of message.
 const (
-	MessageHello    MessageKind = iota // from the successor: asks for the predecessor's state
-	MessageWait                        // from the predecessor: not now, ask again
+	MessageHello    MessageKind = iota // from the successor: requests the predecessor's state
+	MessageWait                        // from the predecessor: not now, repeat the request
 	MessageState                       // from the predecessor: cordons, idempotency ids, warm-up factors, listeners
 	MessageReady                       // the sender can accept: the receiver may stop accepting
 	MessageGoAhead                     // the sender has stopped accepting
-	MessageHandBack                    // from the successor: it was asked to end, the predecessor is to accept again
+	MessageHandBack                    // from the successor: it ends, the predecessor is to accept again
 )
 
 // messageNames are the names of the messages on the wire.
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -9,7 +9,7 @@
 )
 
 // Every step of the machine stays as it was recorded in testdata/traces.txt, over chains of processes that start, fail
-// and are asked to end at random. It guards against refactorings that change a decision.
+// and are requested to end at random. It guards against refactorings that change a decision.
 func TestTraces(t *testing.T) {
 	var scenarios []tracetest.Scenario
 	for _, processes := range []int{2, 3} {
@@ -97,7 +97,7 @@
 	c.record(p, effects)
 }
 
-// handle has a process handle an event, and records what it does.
+// handle passes an event to a process, and records its effects.
 func (c *chain) handle(p *tracedProcess, event Event) {
 	c.record(p, p.machine.Step(c.now, event))
 }
@@ -117,13 +117,13 @@
 }
 
 func (c *chain) recordState(m *Machine) {
-	ask, may := m.MustAsk()
-	for _, process := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), ask} {
+	granter, allowed := m.MustAsk()
+	for _, process := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), granter} {
 		c.hash.Uint(uint64(process))
 	}
 	c.hash.Int(int64(m.Phase()))
 	c.hash.Int(int64(m.Share()))
-	c.hash.Bool(may)
+	c.hash.Bool(allowed)
 	c.hash.Bool(m.Ready())
 	c.hash.Bool(m.Accepts())
 	c.hash.Float(m.Due())
@@ -258,7 +258,7 @@
 	c.handle(predecessor, Event{Kind: EventLinkLost, Process: p.machine.Self})
 }
 
-// between reports whether an event comes from one of two processes and goes to the other.
+// between reports whether one of two processes is the sender of an event, and the other the receiver.
 func (d delivery) between(one, other ProcessNumber) bool {
 	return d.to == one && d.event.Process == other || d.to == other && d.event.Process == one
 }
--- a/internal/decide/hotrestart/transition.go
+++ b/internal/decide/hotrestart/transition.go
@@ -66,12 +66,12 @@
 	t.stopRequested = true
 	switch t.phase {
 	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead:
-		t.end() // nothing was accepted; a predecessor that gave its go-ahead sees the end and accepts again
+		t.end() // nothing was accepted; a predecessor that sent its go-ahead sees the end and accepts again
 	case PhaseSuperseded:
 		t.finish()
 	case PhaseServing, PhaseDegraded:
 		if t.predecessor != NoProcess && t.phase == PhaseServing {
-			t.send(t.predecessor, MessageHandBack) // a predecessor that was not asked to end too accepts again
+			t.send(t.predecessor, MessageHandBack) // a predecessor that was not requested to end too accepts again
 		}
 		t.nextHelloAt = 0
 		t.drain()
--- a/internal/decide/hotrestart/transition_predecessor.go
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -18,7 +18,7 @@
 	}
 	if t.nextHelloAt > 0 && t.now >= t.nextHelloAt {
 		t.nextHelloAt = 0
-		if t.asksPredecessor() {
+		if t.needsPredecessorState() {
 			t.findPredecessor()
 		}
 	}
@@ -41,14 +41,14 @@
 // predecessorFound handles the result of a search for the predecessor.
 func (t *transition) predecessorFound(found ProcessNumber) {
 	switch {
-	case !t.asksPredecessor():
+	case !t.needsPredecessorState():
 		t.nextHelloAt = 0
 	case found < t.predecessor:
 		t.scheduleHello() // the predecessor has ended; its messages and EventProcessEnded are still to come
 	case found == NoProcess:
 		t.noPredecessor()
 	default:
-		t.askPredecessor(found)
+		t.requestState(found)
 	}
 }
 
@@ -66,8 +66,8 @@
 	t.useFullShareIfAlone()
 }
 
-// askPredecessor asks a living predecessor for its state.
-func (t *transition) askPredecessor(found ProcessNumber) {
+// requestState requests the state of a living predecessor.
+func (t *transition) requestState(found ProcessNumber) {
 	if found != t.predecessor {
 		if t.phase == PhaseAwaitingGoAhead || t.phase == PhaseServing {
 			return // EventProcessEnded for the former predecessor is still to come
@@ -84,7 +84,7 @@
 	}
 }
 
-// waitReceived gives a predecessor that lives but has no state to give yet more time.
+// waitReceived extends the time of a predecessor that lives but has no state to send yet.
 func (t *transition) waitReceived(from ProcessNumber) {
 	if from != t.predecessor {
 		return
@@ -135,10 +135,10 @@
 	}
 }
 
-// linkLost asks a living predecessor again after its link broke. It waits for the next interval: a predecessor that
-// hangs at its end would otherwise be asked without a pause.
+// linkLost calls a living predecessor again after its link broke. It waits for the next interval: a predecessor that
+// hangs at its end would otherwise be called without a pause.
 func (t *transition) linkLost(process ProcessNumber) {
-	if process == t.predecessor && process != NoProcess && t.asksPredecessor() {
+	if process == t.predecessor && process != NoProcess && t.needsPredecessorState() {
 		t.helloPending = false
 		t.scheduleHello()
 	}
--- a/internal/decide/hotrestart/transition_successor.go
+++ b/internal/decide/hotrestart/transition_successor.go
@@ -2,9 +2,9 @@
 
 // The transitions that concern the successor.
 
-// answerHello sends this process's state to a successor that asks for it, or has it wait.
+// answerHello sends this process's state to a successor that requests it, or tells it to wait.
 func (t *transition) answerHello(from ProcessNumber) {
-	if !t.givesStateTo(from) {
+	if !t.maySendStateTo(from) {
 		t.send(from, MessageWait)
 		return
 	}
@@ -13,13 +13,13 @@
 	t.send(from, MessageState)
 }
 
-// readyReceived stops accepting: for the successor, or for the predecessor where this process was asked to end.
+// readyReceived stops accepting: for the successor, or for the predecessor where this process was requested to end.
 func (t *transition) readyReceived(from ProcessNumber) {
 	switch {
 	case from == t.successor && !t.handedBack && t.acceptsInFull():
 		t.yieldToSuccessor()
 	case from == t.successor && !t.handedBack && (t.phase == PhaseSuperseded || t.phase == PhaseFinishing):
-		// It asks again, since the link broke.
+		// It repeats its request, since the link broke.
 	case from == t.predecessor && from != NoProcess && t.phase == PhaseDraining:
 		t.emit(Effect{Action: ActionStopAccepting})
 		t.finish()
@@ -37,7 +37,7 @@
 	}
 }
 
-// acceptAgain accepts in the place of a successor that was asked to end.
+// acceptAgain accepts in place of a successor that was requested to end.
 func (t *transition) acceptAgain(from ProcessNumber) {
 	if from != t.successor || t.phase != PhaseSuperseded || t.handedBack {
 		return
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// computingPackages are the packages of the standard library that only compute. None of them reads a clock, draws random
-// numbers, opens anything or starts goroutines; time is not among them, so that no decision can ask for it.
+// computingPackages are the packages of the standard library that only compute. None of them reads a clock, draws
+// random numbers, opens anything or starts goroutines; time is not among them, so that no decision can read the
+// clock.
 var computingPackages = []string{
 	"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash/fnv", "iter",
--- a/internal/decide/pressure/demand.go
+++ b/internal/decide/pressure/demand.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// demandLife is the time over which demand is averaged, in milliseconds: a router sees a load of a given group
+	// demandLife is the time over which demand is averaged, in milliseconds: a router sees a load of one group
 	// once in seconds.
 	demandLife = 30_000.0
 	// minObservation is how long demand is observed before it counts, in milliseconds.
@@ -11,7 +11,7 @@
 	// maxLockUtilization is the share of the time for which loads may lock a group on the engines that load it, and
 	// maxCoreUtilization the share of their cores that its readers may use on theirs: beyond, queries wait long.
 	maxLockUtilization, maxCoreUtilization = 0.6, 0.6
-	// usualLoaderShare is the share of the engines that load a group where its demand does not ask for more.
+	// usualLoaderShare is the share of the engines that load a group where its demand does not need more.
 	usualLoaderShare = 0.5
 	// maxDemandGroups bounds the groups whose demand is kept: statements may name any number.
 	maxDemandGroups = 1024
@@ -92,7 +92,7 @@
 // LoaderCount returns how many engines of the subset load a group; the others read it. It is half of them, rounded down
 // but at least one, and more where the group's loads would wait for each other while its readers leave capacity. One
 // engine is not divided. A subset of a larger fleet is always halved, since other routers share each of its engines
-// with other subsets: what a group asks of the subset is not known.
+// with other subsets: a group's demand on the subset is not known.
 func (d *Demand) LoaderCount(group int64, fleet Fleet, now float64) int {
 	half := max(int(usualLoaderShare*float64(fleet.Subset)), 1)
 	sum, known := d.groups[group]
@@ -100,7 +100,7 @@
 	if !known || observed < minObservation || !(fleet.Cores > 0) || fleet.Subset < fleet.Engines {
 		return half
 	}
-	// A constant rate that is observed for a time has decayed to rate*life*(1-exp(-time/life)).
+	// A constant rate that is observed for a time has decayed to rate*demandLife*(1-exp(-time/demandLife)).
 	rate := math.Exp((d.decayedTo-now)/demandLife) * float64(max(fleet.Routers, 1)) /
 		(demandLife * (1 - math.Exp((d.startedAt-now)/demandLife)))
 	locked, busyCores := sum.lockTime*rate, sum.readWork*rate
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -10,7 +10,7 @@
 	// missing from it.
 	reportLag = 300.0
 	// reportLife is how long a report counts, in milliseconds; calmReportLife is how long it shows that the engine is
-	// calm, which is no reason to hold back.
+	// calm, which is no reason to wait.
 	reportLife, calmReportLife = 1000.0, 2000.0
 	// maxCalmUtilization is the share of cores, disks and memory in use below which an engine counts as calm.
 	maxCalmUtilization = 0.8
--- a/internal/decide/pressure/engine_test.go
+++ b/internal/decide/pressure/engine_test.go
@@ -37,7 +37,7 @@
 	return func(e *Engine) { e.LockObserved(5, 500, until) }
 }
 
-// headroomTest has a query meet an engine at time 1000, after some events.
+// headroomTest is the headroom of an engine for a query at time 1000, after some events.
 type headroomTest struct {
 	name   string
 	events events
--- a/internal/decide/slowstart/budget.go
+++ b/internal/decide/slowstart/budget.go
@@ -34,7 +34,7 @@
 func (b *Budget) NextDue() float64 { return b.nextDue }
 
 // Available returns since when the router has had its present quantum; ok is false if that is older than maxAge, or if
-// there was none. Of several that came due since the previous call only the last one counts: a router that was idle
+// there was none. Of several that accrued since the previous call only the last one counts: a router that was idle
 // gets no burst.
 func (b *Budget) Available(now, maxAge float64) (since float64, ok bool) {
 	b.advance(now)
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -21,7 +21,7 @@
 	sumRestart  = 5000.0 // when routers restart
 )
 
-// received plays all routers and returns when each of their quanta came.
+// received plays all routers and returns when each of their quanta accrued.
 func (c sumCase) received() (times []float64) {
 	rng := rand.New(rand.NewPCG(uint64(c.routers), uint64(c.perSecond)))
 	even := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
@@ -55,8 +55,8 @@
 	return n
 }
 
-// However many routers there are, and however often each asks: what all of them receive in a window is what the rate
-// comes to there, within one quantum. Where seven in ten restart, chance is added to that.
+// However many routers there are, and however often each takes one: what all of them receive in a window is what the
+// rate amounts to there, within one quantum. Where seven in ten restart, chance is added to that.
 func TestSumOverRouters(t *testing.T) {
 	for _, routers := range []int{40, 270, 300, 1000} {
 		for _, perSecond := range []float64{0.8, 5, 30} {
@@ -72,7 +72,7 @@
 	times := c.received()
 	want := c.perSecond * sumMaxAge / 1000
 	slack := 1.01
-	if c.restarting { // a router that restarts has another offset in time: chance takes the place of evenness
+	if c.restarting { // a router that restarts has another offset in time: chance replaces evenness
 		slack += 3 * math.Sqrt(want)
 	}
 	for from := 0.0; from < sumDuration-2*sumMaxAge; from += 100 {
@@ -95,7 +95,7 @@
 		{1900, 800, 1000, false},
 		{2000, 800, 2000, true},
 		{1500, 800, 2000, true}, // a time in the past: nothing is received twice
-		{9700, 800, 9000, true}, // seven came due: one counts
+		{9700, 800, 9000, true}, // seven accrued: one counts
 		{9800, 700, 9000, false},
 	} {
 		if since, ok := budget.Available(test.at, test.maxAge); ok != test.ok || math.Abs(since-test.since) > 0.001 {
@@ -106,13 +106,13 @@
 		budget.SetRate(Rate{}.WithPoint(0, rate), 9900)
 		_, ok := budget.Available(30_000-1000*rate, 700)
 		if ok || budget.fraction < 0 || math.IsNaN(budget.fraction) {
-			t.Errorf("a rate of %v gave a quantum, or took one: %+v", rate, budget)
+			t.Errorf("a rate of %v accrued a quantum, or consumed one: %+v", rate, budget)
 		}
 	}
 }
 
-// A budget receives the same quanta at the same times however often it is asked, and those that adding up in small
-// steps gives. It guards against a router that asks seldom and gets more, or less.
+// A budget receives the same quanta at the same times however often it is called, and those that adding up in small
+// steps returns. It guards against a router that calls seldom and gets more, or less.
 func TestQuantaDoNotDependOnCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.Float64Range(0, 1e6).Draw(t, "start")
@@ -134,23 +134,23 @@
 		}
 		total := fraction + rate.integral(start, last)
 		if often.received && math.Abs(total-float64(quanta)) > 1e-6 {
-			t.Fatalf("%d quanta by %v, where the rate comes to %v", quanta, last, total)
+			t.Fatalf("%d quanta by %v, where the rate amounts to %v", quanta, last, total)
 		}
 	})
 }
 
-// checkSameQuantum asks the budget that is asked seldom, and compares it with the other one.
+// checkSameQuantum calls the budget that is called seldom, and compares it with the other one.
 func checkSameQuantum(t *rapid.T, often, seldom *Budget, now float64) {
 	t.Helper()
 	since, _ := often.Available(now, math.Inf(1))
 	differs := seldom.lastDue != since || seldom.received != often.received
 	if due := seldom.NextDue(); due <= now != differs {
-		t.Fatalf("due at %v by now %v, and the one asked often has its quantum since %v, the other %v",
+		t.Fatalf("due at %v by now %v, and the one called often has its quantum since %v, the other %v",
 			due, now, since, seldom.lastDue)
 	}
 	got, _ := seldom.Available(now, math.Inf(1))
 	if often.received && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
-		t.Fatalf("asked often it has a quantum since %v, asked seldom since %v", since, got)
+		t.Fatalf("called often it has a quantum since %v, called seldom since %v", since, got)
 	}
 }
 
@@ -166,7 +166,7 @@
 	if !math.IsInf(budget.NextDue(), 1) {
 		t.Errorf("without a rate one is due at %v", budget.NextDue())
 	}
-	budget.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 were there, and nothing came meanwhile
+	budget.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 were there, and nothing accrued meanwhile
 	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
 		t.Errorf("the quantum is due at %v, want 10100", budget.NextDue())
 	}
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each item is chosen by as many routers, give or take a few, and no router gets one twice or one that is not there.
+// Each item is chosen by about as many routers, and no router gets one twice or one that is not there.
 func TestChoose(t *testing.T) {
 	for _, k := range []struct{ routers, items, each, least, most int }{
 		{300, 80, 14, 45, 60},
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -13,7 +13,7 @@
 	// it sends a frame each second. What a service that has stopped would have sent counts as sent 4 s after its
 	// stop, so that there must be time left to connect again.
 	silenceTimeoutMS = 1800.0
-	// frameProgress is how many bytes of an incomplete frame have to come to count as a sign of life: one that trickles
+	// frameProgress is how many bytes of an incomplete frame must arrive to count as a sign of life: one that trickles
 	// would keep the connection for ever.
 	frameProgress = 4096
 )
@@ -82,7 +82,7 @@
 // readFrames handles the frames that are complete.
 func (c *connection) readFrames() {
 	for !c.closed {
-		body, rest, ok, err := cutFrame(c.buffer)
+		body, remaining, ok, err := cutFrame(c.buffer)
 		if err != nil {
 			c.failBadFrame(err)
 			return
@@ -90,7 +90,7 @@
 		if !ok {
 			return
 		}
-		c.buffer = rest
+		c.buffer = remaining
 		if err := c.watcher.handleFrame(body); err != nil {
 			c.failBadFrame(err)
 		}
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -68,7 +68,7 @@
 func encodeLastEvent(event uint64) []byte { return binary.BigEndian.AppendUint64(nil, event) }
 
 // cutFrame cuts the first frame off a buffer, without its length; ok is false while the frame is incomplete.
-func cutFrame(buffer []byte) (body, rest []byte, ok bool, err error) {
+func cutFrame(buffer []byte) (body, remaining []byte, ok bool, err error) {
 	if len(buffer) < lengthSize {
 		return nil, buffer, false, nil
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -110,7 +110,7 @@
 	w.reconnectDelayMS = minReconnectDelayMS
 }
 
-// connectionLost arms the next connection; received says whether anything came on the one that was lost.
+// connectionLost arms the next connection; received says whether anything was received on the one that was lost.
 func (w *Watcher) connectionLost(received bool, err error) {
 	level := slog.LevelWarn
 	if !received && w.reconnectDelayMS > minReconnectDelayMS {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -54,7 +54,7 @@
 		name, frame string
 		wait        float64
 		connections int
-		asked       string // what the newest connection asked from
+		since       string // what the newest connection subscribed from
 	}{
 		{"event 5, in two parts", eventFive + "02" + record, 0, 1, "0000000000000004"},
 		{"event 5 again is ignored", eventFive + "02" + record, 0, 1, "0000000000000004"},
@@ -79,9 +79,9 @@
 		if len(d.handlers) > before {
 			d.handlers[len(d.handlers)-1].Opened(&fakeConn{dialer: d})
 		}
-		if len(d.handlers) != s.connections || d.written[len(d.written)-1] != s.asked {
-			t.Errorf("%s: %d connections, the last asked from %s; want %d and %s", s.name, len(d.handlers),
-				d.written[len(d.written)-1], s.connections, s.asked)
+		if len(d.handlers) != s.connections || d.written[len(d.written)-1] != s.since {
+			t.Errorf("%s: %d connections, the last subscribed from %s; want %d and %s", s.name, len(d.handlers),
+				d.written[len(d.written)-1], s.connections, s.since)
 		}
 	}
 	if diff := cmp.Diff([]int{1, 0}, updates); diff != "" || w.Counters.BadFrames != 2 {
--- a/internal/hotrestartipc/cordons.go
+++ b/internal/hotrestartipc/cordons.go
@@ -8,7 +8,7 @@
 )
 
 // cordonFolder stores the cordons of a router as empty files, named for the engines, in a folder that all processes
-// of the router read: a cordon is in force for a process that starts while the one that an operator told of it hangs.
+// of the router read: a cordon is in force for a process that starts while the one that the operator called hangs.
 type cordonFolder string
 
 // set stores that an engine is cordoned, or that it is not any more; either may be stored twice.
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// bodyText gives a body; none and null are the same to whoever reads it.
+// bodyText returns a body; none and null are the same to whoever reads it.
 func bodyText(m Message) string {
 	if len(m.Body) == 0 {
 		return "null"
--- a/internal/hotrestartipc/link.go
+++ b/internal/hotrestartipc/link.go
@@ -136,7 +136,7 @@
 	return err
 }
 
-// writeFirstByte writes a frame's first byte with the descriptors, and returns the rest of the frame.
+// writeFirstByte writes a frame's first byte with the descriptors, and returns the remainder of the frame.
 func (l *Link) writeFirstByte(frame []byte, files []*os.File) ([]byte, error) {
 	descriptors, err := descriptorsOf(files)
 	if err != nil {
--- a/internal/hotrestartipc/slot.go
+++ b/internal/hotrestartipc/slot.go
@@ -165,7 +165,7 @@
 // Cordoned returns the engines that are cordoned.
 func (s *ProcessSlot) Cordoned() ([]string, error) { return s.paths.cordons().list() }
 
-// Close gives the slot up.
+// Close releases the slot.
 func (s *ProcessSlot) Close() {
 	if s.Listener != nil {
 		_ = s.Listener.Close()
--- a/internal/installation/schema.go
+++ b/internal/installation/schema.go
@@ -25,7 +25,7 @@
 }
 
 // schemaErrors checks a value against its schema and returns a line for each fault in it. The library stops at the
-// first one and names it by the place in the schema; here each field is checked by itself, and named by its JSON
+// first one and names it by the position in the schema; here each field is checked by itself, and named by its JSON
 // pointer.
 func schemaErrors(schema *jsonschema.Schema, pointer string, value any) []string {
 	if object, ok := value.(map[string]any); ok && schema.Type == "object" {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,10 +15,10 @@
 	"windflow/internal/router"
 )
 
-// Why a router is not ready; one that has not been built yet gives its phase.
+// Why a router is not ready; one that has not been built yet reports its phase.
 var (
 	errOtherAccepts = errors.New("another process of this router accepts")
-	errAddressHeld  = errors.New("its address is held by a process that does not answer")
+	errAddressInUse = errors.New("its address is held by a process that does not answer")
 )
 
 // adminBackend serves operators: it implements admin.Backend.
@@ -70,7 +70,7 @@
 	case !a.machine.Ready():
 		return errors.New(phase.String())
 	case a.accepted.incomplete():
-		return errAddressHeld
+		return errAddressInUse
 	}
 	return nil
 }
--- a/internal/node/bgp_neighbour_test.go
+++ b/internal/node/bgp_neighbour_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// bgpNeighbour is a stand-in for the BGP neighbour: it takes sessions and notes what comes on them.
+// bgpNeighbour is a fake BGP neighbour: it accepts sessions and records what it receives on them.
 type bgpNeighbour struct {
 	sessions chan int      // numbered from 1
 	updates  chan string   // "announce" or "withdraw"
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -11,14 +11,15 @@
 	idClaimTimeoutMS = 400.0
 )
 
-// idClaimMessage asks for, or grants, the claim of an idempotency id.
+// idClaimMessage requests, or grants, the claim of an idempotency id.
 type idClaimMessage struct {
 	Number  int    `json:"n"`
 	ID      string `json:"id"`
 	Granted bool   `json:"ok"`
 }
 
-// idClaims asks the other process of this router for an idempotency id before a request that must not run twice begins.
+// idClaims claims an idempotency id from the other process of this router before a request that must not run twice
+// begins.
 type idClaims struct {
 	loop     *router.Loop
 	services *services
@@ -32,7 +33,7 @@
 	}
 }
 
-// claim asks for an id and calls done with the reply. A process of version 1 knows no such question: with it, and
+// claim requests an id and calls done with the reply. A process of version 1 knows no such request: with it, and
 // without any other process, the claim is granted at once.
 func (c *idClaims) claim(id string, done func(router.ClaimReply)) {
 	grantor, possible := c.grantor()
--- a/internal/node/client_load_test.go
+++ b/internal/node/client_load_test.go
@@ -100,7 +100,7 @@
 		}
 	}
 	_ = c.conn.conn.SetDeadline(time.Now().Add(25 * time.Second))
-	if rows, code, err = c.conn.ask(text); err != nil {
+	if rows, code, err = c.conn.exchange(text); err != nil {
 		_ = c.conn.conn.Close()
 		c.conn = nil
 	}
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -35,11 +35,11 @@
 // read.
 func TestRequestDuringConnectionEnd(t *testing.T) {
 	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
-	asks, err := dialMySQL(n.listeners.clientsAddress)
+	requesting, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rests, err := dialMySQL(n.listeners.clientsAddress)
+	idle, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,27 +49,27 @@
 	}
 	answered := make(chan answer, 1)
 	inLoop(n, func() {
-		// The loop stands here, so that what is written now is read after the end has begun.
+		// The loop is blocked here, so that what is written now is read after the end has begun.
 		q := query("lookup", 1, "SELECT 1")
-		if err := asks.write(0, append([]byte{3}, q...)); err != nil {
+		if err := requesting.write(0, append([]byte{3}, q...)); err != nil {
 			t.Error(err)
 		}
 		n.services.front.Shutdown()
 	})
 	go func() {
-		rows, code, err := asks.answer()
+		rows, code, err := requesting.answer()
 		answered <- answer{rows, code, err}
 	}()
 	if a := <-answered; a != (answer{rows: 1}) {
 		t.Errorf("the request that crossed the end: %+v", a)
 	}
-	for name, c := range map[string]*mysqlClient{"asks": asks, "rests": rests} {
+	for name, c := range map[string]*mysqlClient{"requesting": requesting, "idle": idle} {
 		checkClosed(t, name, c)
 	}
 }
 
 // A client whose connection was accepted before the router stops listening, and which the loop has not seen, is
-// served; one that comes after is refused at once. It guards against connections that are taken and dropped at the
+// served; one that arrives after is rejected at once. It guards against connections that are taken and dropped at the
 // end.
 func TestAcceptedClientServedAtEnd(t *testing.T) {
 	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
@@ -85,7 +85,7 @@
 		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
-		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop stands, so it has not seen it
+		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop is blocked, so it has not seen it
 			runtime.Gosched()
 		}
 		n.shutdown.closeConnections(n.loop.Now())
@@ -99,11 +99,11 @@
 	}
 	checkServedAnswer(t, m, "accepted before the end:")
 	if _, err := net.Dial("tcp", n.listeners.clientsAddress); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("who comes after the end: %v", err)
+		t.Errorf("a client after the end: %v", err)
 	}
 }
 
-// A client that never finishes a packet, and comes again whenever its time is up, does not hold the end up past the
+// A client that never finishes a packet, and reconnects whenever its time is up, does not delay the end past the
 // time by which everything is answered: a kill follows then. It guards against a router that has to be killed.
 func TestHalfOpenClientsDoNotDelayShutdown(t *testing.T) {
 	short := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// list gives the engines that are cordoned, by their ids.
+// list returns the engines that are cordoned, by their ids.
 func (s *cordonStore) list() []dispatch.EngineID { return slices.Sorted(maps.Keys(s.cordoned)) }
 
 // run does what waits for files, so that the loop does not, until done is closed.
@@ -81,7 +81,7 @@
 	}
 }
 
-// enqueue has work done with the folder after what was asked for before; where that does not come to an end, it calls
+// enqueue queues work with the folder after what was queued before; where that does not end, it calls
 // blocked instead.
 func (s *cordonStore) enqueue(do, blocked func()) {
 	select {
@@ -153,7 +153,7 @@
 	s.partner.send(msgCordon, cordonMessage{Number: number, ID: id, Cordon: cordon, MemoryOnly: s.memoryOnly})
 }
 
-// ordered carries out an order that an operator gave the other process, and replies once it is in force here.
+// ordered carries out an operator's order to the other process, and replies once it is in force here.
 func (s *cordonStore) ordered(from *peer, order cordonMessage) {
 	order.Known = s.services.core.KnowsEngine(order.ID)
 	reply := func() { from.send(msgCordonReply, order) }
@@ -187,7 +187,7 @@
 	}, done)
 }
 
-// read has the loop adopt the cordons that are stored. It is called where files may be waited for.
+// read posts the stored cordons to the loop, which adopts them. It is called where files may be waited for.
 func (s *cordonStore) read() {
 	names, err := s.slot.Cordoned()
 	if err != nil {
@@ -202,7 +202,7 @@
 	s.loop.Post(func() { s.adopt(stored) })
 }
 
-// adopt carries out the cordons that operators gave other processes of this router.
+// adopt carries out the cordons that operators ordered at other processes of this router.
 func (s *cordonStore) adopt(stored map[dispatch.EngineID]bool) {
 	if s.memoryOnly || maps.Equal(stored, s.cordoned) {
 		return
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -9,10 +9,10 @@
 )
 
 // maxTableSize bounds how far the table of descriptors is grown ahead: 64 Ki of them take 512 KB of the kernel's
-// memory, which counts against the process's limit, and no router comes near so many.
+// memory, which counts against the process's limit, and no router has nearly so many.
 const maxTableSize = 1 << 16
 
-// growTable has the kernel grow the process's table of descriptors once, up to the limit that is in force. Package
+// growTable makes the kernel grow the process's table of descriptors once, up to the limit that is in force. Package
 // descriptors made room for the usual limits before there were threads, and this one is done at once then. A limit
 // beyond those, at the start or in a reload, costs the wait that is explained there, here and not in the loop; the
 // start does not wait for it.
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// Idle clients hold all the descriptors that they can get while discovery is down; it still comes back, and so do
-// clients that ask. It guards the descriptors that the next dial needs.
+// Idle clients hold all the descriptors that they can get while discovery is down; it still reconnects, and so do
+// clients with requests. It guards the descriptors that the next dial needs.
 func TestDiscoveryRecoversBesideIdleClients(t *testing.T) {
 	const sockets = 192
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
 	harness.limitSockets(sockets)
-	board := newClosedDiscovery(t)
+	server := newClosedDiscovery(t)
 	harness.editConfig(func(text string) string {
 		i := strings.Index(text, `"board":"`) + len(`"board":"`)
-		return text[:i] + board.addr + text[i+strings.IndexByte(text[i:], '"'):]
+		return text[:i] + server.addr + text[i+strings.IndexByte(text[i:], '"'):]
 	})
 	harness.prepare = func(cmd *exec.Cmd) { // the system limits its descriptors, too
 		cmd.Args = append([]string{"sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), cmd.Path}, cmd.Args[1:]...)
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if i%2 == 0 { // others have logged in, and rest
+		if i%2 == 0 { // others have logged in, and are idle
 			m := &mysqlClient{conn: c}
 			_ = m.write(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
 				append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...))
@@ -42,7 +42,7 @@
 	if n := harness.figure(adminAddress, discoveredFigure); n != 2 {
 		t.Fatalf("%d engines before discovery is back", n)
 	}
-	board.open(1)
+	server.open(1)
 	harness.waitFor("the endpoint event arrives", func() bool {
 		return harness.figure(adminAddress, discoveredFigure) == 1
 	})
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startIdleDiscovery is a stand-in for discovery that has no event.
+// startIdleDiscovery is a fake discovery server that has no event.
 func startIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	return l.Addr().String()
 }
 
-// listenDiscovery is a stand-in for discovery that hands over each connection once it has read from which event it
+// listenDiscovery is a fake discovery server that hands over each connection once it has read from which event it
 // goes on.
 func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
 	t.Helper()
@@ -71,7 +71,7 @@
 	lastEvent uint64
 }
 
-// closedDiscovery is a stand-in for discovery at which connections are refused until it is opened.
+// closedDiscovery is a fake discovery server at which connections fail until it is opened.
 type closedDiscovery struct {
 	t    *testing.T
 	fd   int
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -7,9 +7,9 @@
 //   - coordinator drives the state machine of package hotrestart; peerLinks has the process slot and the links;
 //   - listeners opens, inherits and hands over the sockets on which the router accepts;
 //   - cordonStore keeps the engines that operators cordoned, for all processes of the router;
-//   - idClaims and usageExchange are what two processes ask and report while both live;
-//   - shutdownSequence drains or leaves, and stallDetector notices that the loop stood still;
+//   - idClaims and usageExchange are what two processes request and report while both live;
+//   - shutdownSequence drains or leaves, and stallDetector detects that the loop stalled;
 //   - limiter, configurator and keeperSync put settings in force; adminBackend and statusReporter answer operators.
 //
-// A subsystem that can be turned off adds itself in one place, as a part (part.go).
+// A subsystem that can be turned off registers itself once, as a part (part.go).
 package node
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -79,14 +79,14 @@
 	golden.Equal(t, "status.txt", []byte(names))
 }
 
-// The words for the phases of a takeover stand in the log, in records, in a message to a process that waits, and in
+// The texts for the phases of a hot restart appear in the log, in records, in a message to a process that waits, and in
 // what operators read from a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
-	var words strings.Builder
+	var names strings.Builder
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
-		words.WriteString(p.String() + "\n")
+		names.WriteString(p.String() + "\n")
 	}
-	golden.Equal(t, "phases.txt", []byte(words.String()))
+	golden.Equal(t, "phases.txt", []byte(names.String()))
 }
 
 // Each part has its counters in the list: one that is left out of the router of the test would be checked by nothing.
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -19,8 +19,8 @@
 const goldenLog = "log.txt"
 
 // Each line that the router logged when the golden file was made is still logged with the same names of its
-// attributes, or stands in the table of renamed lines on the on-call page, beside a line that is logged: operators
-// look for them, and records have them as events. A new line needs no place in the golden file.
+// attributes, or appears in the table of renamed lines on the on-call page, beside a line that is logged: operators
+// look for them, and records have them as events. A new line needs no entry in the golden file.
 func TestGoldenLogLines(t *testing.T) {
 	now := logLines(t)
 	if len(now) < 30 {
@@ -57,7 +57,7 @@
 	return renamed
 }
 
-// logLines gives the lines from Info up that the sources below internal log, with the names of their attributes,
+// logLines returns the lines from Info up that the sources below internal log, with the names of their attributes,
 // sorted.
 func logLines(t *testing.T) (lines []string) {
 	t.Helper()
@@ -110,7 +110,7 @@
 	return logCall{level: method.Sel.Name, text: text, args: call.Args[1:]}, ok
 }
 
-// line words a call as LEVEL "TEXT" and the names of the attributes that are literals.
+// line writes a call as LEVEL "TEXT" and the names of the attributes that are literals.
 func (c logCall) line() string {
 	line := c.level + " " + strconv.Quote(c.text)
 	for i := 0; i < len(c.args); i += 2 {
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -20,7 +20,7 @@
 	absent []string // fields of the body that this version does not have, and leaves zero
 }
 
-// encode gives the message as it stands in a frame of the link.
+// encode returns the message as a frame of the link carries it.
 func (s messageSample) encode(t *testing.T) []byte {
 	t.Helper()
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(hotrestartipc.NewMessage(s.kind, s.body))
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// sampleSnapshot has an engine twice, so that a list of one would show.
+// sampleSnapshot names an engine twice, so that a list of one would show.
 func sampleSnapshot() dispatch.Snapshot {
 	return dispatch.Snapshot{
 		Known:    []dispatch.EngineID{1, 2, 12_000_000},
--- a/internal/node/golden_slot_name_test.go
+++ b/internal/node/golden_slot_name_test.go
@@ -10,7 +10,7 @@
 	"windflow/internal/settings"
 )
 
-// Processes of a router meet by the name that its settings give, and note a cordon by the engine's id as text: both
+// Processes of a router meet by a name derived from its settings, and note a cordon by the engine's id as text: both
 // have to be the same in the next program.
 func TestGoldenSlotNameAndCordons(t *testing.T) {
 	var got strings.Builder
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -14,7 +14,7 @@
 // A hot restart is a second process of a router that is started while the first one serves. Package hotrestart
 // decides how it goes; the coordinator has the sockets, files and timers that its machine wants. In the plain case:
 //
-//	successor:   hello     asked again until it is answered
+//	successor:   hello     repeated until it is answered
 //	predecessor: state     ids, what was learnt, and the descriptors of listeners that both need
 //	successor:   ready     it has all that it takes to accept
 //	predecessor: go-ahead  it accepts no more; the successor accepts, and is ready
@@ -29,24 +29,24 @@
 	farewellMS = 100.0
 )
 
-// restartActions are what the machine has a process do, beside talking to other processes, and what the coordinator
+// restartActions are the machine's effects on a process, beside talking to other processes, and what the coordinator
 // reports.
 type restartActions interface {
 	// serving reports whether the router has been built.
 	serving() bool
-	// exportState gives the state for a successor; the coordinator closes the files.
+	// exportState returns the state for a successor; the coordinator closes the files.
 	exportState() (stateMessage, []*os.File)
 	// restoreState goes on from the predecessor's state. Its files are closed when it returns.
 	restoreState(from *handover)
-	// takenListeners are the names of the listeners on which this process accepts in the other one's place.
+	// takenListeners are the names of the listeners on which this process accepts in place of the other one.
 	takenListeners() []string
 	startAccepting()
-	// stopAccepting gives way on the listeners that the other process has taken.
+	// stopAccepting closes the listeners that the other process has taken.
 	stopAccepting(taken []string)
 	leave()
 	drain()
 	end()
-	// shareChanged goes by another share of the limits.
+	// shareChanged applies another share of the limits.
 	shareChanged()
 	// partnerChanged reports the process that this one shares the router with, nil for none.
 	partnerChanged(partner *peer)
@@ -56,10 +56,10 @@
 	partnerEnded()
 }
 
-// handover is what the other process has given this one.
+// handover is what this process has received from the other one.
 type handover struct {
 	state stateMessage
-	files map[string]*os.File // the listeners that came with the state, by name; open while it is restored
+	files map[string]*os.File // the listeners received with the state, by name; open while it is restored
 	taken []string            // the listeners that the other process has taken
 }
 
@@ -154,7 +154,7 @@
 	}
 }
 
-// stopRequested tells the machine that the process was told to end.
+// stopRequested tells the machine that the process was requested to end.
 func (c *coordinator) stopRequested() { c.step(hotrestart.Event{Kind: hotrestart.EventStopRequested}) }
 
 // quiet tells the machine that nothing has been open for a while.
@@ -179,7 +179,7 @@
 	return c.hasPredecessor() || c.machine.Successor() != hotrestart.NoProcess
 }
 
-// idGrantor gives the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim
+// idGrantor returns the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim
 // can be granted now.
 func (c *coordinator) idGrantor() (grantor *peer, possible bool) {
 	process, may := c.machine.MustAsk()
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -126,7 +126,7 @@
 	return open
 }
 
-// close gives up the slot and the links.
+// close releases the slot and closes the links.
 func (l *peerLinks) close() {
 	if l.slot != nil {
 		l.slot.Close()
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -12,7 +12,7 @@
 )
 
 // Kinds of message between two processes that share a router, with their bodies. Those of the machine and those of the
-// cordons, claims, usage and parts stand beside their owners.
+// cordons, claims, usage and parts are declared beside their owners.
 const (
 	msgIDChange = "id"   // router.IDChange
 	msgKill     = "kill" // killMessage
@@ -26,20 +26,20 @@
 	"ready": hotrestart.MessageReady, "go-ahead": hotrestart.MessageGoAhead, "back": hotrestart.MessageHandBack,
 }
 
-// helloMessage asks a predecessor for its state.
+// helloMessage requests the state of a predecessor.
 type helloMessage struct {
 	PID     int                      `json:"pid"`
 	Process hotrestart.ProcessNumber `json:"place,omitempty"` // since version 2
 	Version int                      `json:"version,omitempty"`
 }
 
-// waitMessage tells a successor to ask again.
+// waitMessage tells a successor to repeat its hello.
 type waitMessage struct {
 	Phase string `json:"phase"`
 	PID   int    `json:"pid"`
 }
 
-// stateMessage is what a successor needs to go on in the place of its predecessor. The descriptors of the listeners
+// stateMessage is what a successor needs to go on in place of its predecessor. The descriptors of the listeners
 // come with it.
 type stateMessage struct {
 	Version    int               `json:"version,omitempty"`
@@ -54,7 +54,7 @@
 
 // readyMessage says that the sender has all that it takes to accept.
 type readyMessage struct {
-	Taken []string `json:"took"` // the listeners that the sender accepts on in the other's place
+	Taken []string `json:"took"` // the listeners that the sender accepts on in place of the other
 }
 
 // killMessage passes a client's KILL on to the process that has the session.
@@ -146,7 +146,7 @@
 }
 
 // receiveHello learns who is at the other end. A process whose version this one does not speak, or whose number is not
-// after this one's, is cut off: each asks only who was there before it, so that the folder was tampered with.
+// after this one's, is cut off: each calls only processes started before it, so that the folder was tampered with.
 func (c *coordinator) receiveHello(from *peer, m *hotrestartipc.Message) error {
 	var hello helloMessage
 	if err := m.Decode(&hello); err != nil {
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -31,7 +31,7 @@
 		t.Error("the cordon was forgotten")
 	}
 	if got := harness.callAdmin("GET", oldAdmin, "/api/ready"); got != 503 {
-		t.Errorf("the old process says %d when asked whether it is ready", got)
+		t.Errorf("the old process's readiness check returns %d", got)
 	}
 	harness.terminate(old)
 }
@@ -75,13 +75,13 @@
 // requireAnswer ends the test unless a request is answered as wanted.
 func (h *hangingPredecessor) requireAnswer(client *mysqlClient, class string, id, wantRows, wantCode int) {
 	h.t.Helper()
-	rows, code, err := client.ask(query(class, id, "SELECT 1"))
+	rows, code, err := client.exchange(query(class, id, "SELECT 1"))
 	if rows != wantRows || code != wantCode || err != nil {
 		h.t.Fatal(class, id, rows, code, err)
 	}
 }
 
-// checkDegraded holds that the successor knows the cordons, and takes no load.
+// checkDegraded checks that the successor knows the cordons, and takes no load.
 func (h *hangingPredecessor) checkDegraded() {
 	h.t.Helper()
 	for id := range 40 {
@@ -90,7 +90,7 @@
 	if h.cordonedOld.totalRuns() != h.runsBefore {
 		h.t.Error("the cordon that was ordered at the old process was forgotten")
 	}
-	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, which can't be asked
+	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, which does not answer
 	h.requireAnswer(h.client, "load", 8, 0, 1040)
 	if h.harness.callAdmin("POST", h.newAdmin, "/api/exclude/s-00000003") != 200 {
 		h.t.Fatal("the cordon was not taken")
@@ -105,18 +105,18 @@
 	}
 	_ = h.old.Wait()
 	h.harness.waitFor("loads again", func() bool {
-		rows, code, err := h.client.ask(query("load", 9, "SELECT 1"))
+		rows, code, err := h.client.exchange(query("load", 9, "SELECT 1"))
 		return rows == 1 && code == 0 && err == nil
 	})
 }
 
-// goOn has the predecessor go on: it gives way, learns of the cordon, and what it knew is known to the successor.
+// goOn resumes the predecessor: it stops accepting, learns of the cordon, and what it knew is known to the successor.
 func (h *hangingPredecessor) goOn() {
 	h.t.Helper()
 	if err := h.old.Process.Signal(syscall.SIGCONT); err != nil {
 		h.t.Fatal(err)
 	}
-	h.harness.waitFor("the old process gives way", func() bool {
+	h.harness.waitFor("the old process stops accepting", func() bool {
 		return h.harness.callAdmin("GET", h.oldAdmin, "/api/ready") == 503
 	})
 	h.harness.waitFor("the old process has the cordon", func() bool {
@@ -233,7 +233,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	harness.terminate(first)
-	// Whichever of them came first goes on from the second, and the other waits for the second's end.
+	// Whichever of them was first goes on from the second, and the other waits for the second's end.
 	next, last, nextAdmin, lastAdmin := third, fourth, adminAddresses[2], adminAddresses[3]
 	harness.waitFor("one of the two", func() bool {
 		if harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
@@ -247,7 +247,7 @@
 	// The last one is taken back: the one before accepts again.
 	harness.terminate(last)
 	harness.waitReady(nextAdmin)
-	// One that is told to end before it serves leaves no trace.
+	// One that is requested to end before it serves leaves no trace.
 	harness.stopFor(next, time.Second)
 	early := harness.startProcess(adminAddresses[4])
 	time.Sleep(200 * time.Millisecond)
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -62,7 +62,7 @@
 	return hotrestartipc.Message{}
 }
 
-// helloFrom is the recorded one, from the place that the test has.
+// helloFrom is the recorded one, from the process slot that the test has.
 func (s recordedMessages) helloFrom(t *testing.T, p *hotrestartipc.ProcessSlot) hotrestartipc.Message {
 	t.Helper()
 	h := s.byKind(t, "hello")
@@ -72,7 +72,7 @@
 
 func (h *routerHarness) slotDir() string { return strings.TrimPrefix(h.env[1], "TMPDIR=") }
 
-// acquireSlot takes a place among the processes of the fleet's router.
+// acquireSlot acquires a slot among the processes of the fleet's router.
 func (h *routerHarness) acquireSlot() *hotrestartipc.ProcessSlot {
 	h.t.Helper()
 	p, err := hotrestartipc.AcquireSlot(h.slotDir(), "n0 "+h.clientListener.Addr().String())
@@ -95,7 +95,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// A process of version 1 that comes later finds this one, understands its state, and takes its place.
+// A process of version 1 that starts later finds this one, understands its state, and replaces it.
 func TestVersion1Successor(t *testing.T) {
 	old, next := readExchange(t, "version 1")
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -119,7 +119,7 @@
 	a.link.Send(next.byKind(t, "ready"))
 	a.expect(t, "go-ahead")
 	if got := harness.callAdmin("GET", adminAddress, "/api/ready"); got != 503 {
-		t.Errorf("it says %d when asked whether it is ready", got)
+		t.Errorf("its readiness check returns %d", got)
 	}
 	a.link.Close() // the new one ends
 	harness.waitReady(adminAddress)
@@ -161,7 +161,7 @@
 			}
 		}
 	}()
-	a.link.Send(old.byKind(t, "state")) // s-00000002 is out by hand in it
+	a.link.Send(old.byKind(t, "state")) // s-00000002 is cordoned in it
 	a.expect(t, "ready")
 	a.link.Send(old.byKind(t, "go-ahead"))
 	harness.waitReady(adminAddress)
@@ -174,7 +174,7 @@
 	}
 }
 
-// The exchange of this version is as it was recorded: a message that changes its fields, or its place in the order,
+// The exchange of this version is as it was recorded: a message that changes its fields, or its position in the order,
 // needs a new version.
 func TestProtocolExchange(t *testing.T) {
 	old, next := readExchange(t, "version 2")
@@ -257,7 +257,7 @@
 	}
 }
 
-// playPredecessor plays the recorded predecessor up to a step; it gives nil before the first one. greeted is called
+// playPredecessor plays the recorded predecessor up to a step; it returns nil before the first one. greeted is called
 // once the successor has said hello, or at once before the first step.
 func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, greeted func()) *protocolPeer {
 	t.Helper()
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -85,7 +85,7 @@
 	h.ticket = info.Endpoint[0].Ticket
 }
 
-// connectionID asks for a session's id.
+// connectionID queries a session's id.
 func (h *hotRestart) connectionID(client *mysqlClient) (id string) {
 	h.t.Helper()
 	if err := client.write(0, append([]byte{3}, "SELECT CONNECTION_ID()"...)); err != nil {
@@ -106,7 +106,7 @@
 // startSlow sends a request that runs until the engine is released, and whose answer is to be rows and an error's code.
 func (h *hotRestart) startSlow(client *mysqlClient, id, wantRows, wantCode int) {
 	go func() {
-		rows, code, err := client.ask(query("lookup", id, "slow"))
+		rows, code, err := client.exchange(query("lookup", id, "slow"))
 		if err == nil && (rows != wantRows || code != wantCode) {
 			err = fmt.Errorf("request %d: %d rows, error %d", id, rows, code)
 		}
@@ -131,7 +131,7 @@
 	h.harness.startProcess(h.newAdmin)
 	h.harness.waitReady(h.newAdmin)
 	if got := h.harness.callAdmin("GET", h.oldAdmin, "/api/ready"); got != 503 {
-		h.t.Errorf("the old process says %d when asked whether it is ready", got)
+		h.t.Errorf("the old process's readiness check returns %d", got)
 	}
 	h.fresh = h.harness.dial() // the predecessor accepts no more, so this one is the successor's
 	if err := h.fresh.write(0, append([]byte{3}, "KILL QUERY "+h.killedSession...)); err != nil {
@@ -145,21 +145,21 @@
 	}
 }
 
-// checkIDsAndCordon holds that the successor knows the ids and the cordon of the predecessor.
+// checkIDsAndCordon checks that the successor knows the ids and the cordon of the predecessor.
 func (h *hotRestart) checkIDsAndCordon() {
 	h.t.Helper()
 	h.startSlow(h.slow, 9, 1, 0)
 	// The predecessor grants the claim of another load behind its message about id 9, on the same link: once that
 	// load is served, the message has come.
 	for id := 50; ; id++ {
-		if rows, code, err := h.fresh.ask(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
+		if rows, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
 		} else if code != 1040 || id == 70 {
 			h.t.Fatal("a load of the new process:", rows, code, err)
 		}
 	}
 	for id, why := range map[int]string{7: "a load that ran before", 9: "a request that is open in the old process"} {
-		if _, code, err := h.fresh.ask(query("load", id, "SELECT 2")); code != 1064 || err != nil {
+		if _, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); code != 1064 || err != nil {
 			h.t.Errorf("the id of %s: error %d, %v", why, code, err)
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkTicket holds that a ticket of the predecessor, fetched from the successor, is consumed in both.
+// checkTicket checks that a ticket of the predecessor, fetched from the successor, is consumed in both.
 func (h *hotRestart) checkTicket() {
 	h.t.Helper()
 	newFlight := h.dialFlight()
@@ -211,11 +211,11 @@
 	}
 }
 
-// checkUncordon holds that the successor ends a cordon that was ordered at the predecessor.
+// checkUncordon checks that the successor ends a cordon that was ordered at the predecessor.
 func (h *hotRestart) checkUncordon() {
 	h.t.Helper()
 	if h.harness.callAdmin("POST", h.newAdmin, "/api/include/s-00000002") != 200 {
-		h.t.Error("the new process does not know the engine that was excluded in the old one")
+		h.t.Error("the new process does not know the engine that was cordoned in the old one")
 	}
 	for range 30 {
 		id := 1000 + h.cordoned.totalRuns() + h.engine.totalRuns()
@@ -252,7 +252,7 @@
 	for round := range 2 {
 		next := harness.startProcess(adminAddress)
 		// The address is the same for both, so the log of the processes would show which one answers; the socket
-		// does too: the new one has taken it once it can be killed in the old one's place.
+		// does too: the new one has taken it once it can be killed in place of the old one.
 		harness.waitFor("the successor's socket", func() bool {
 			paths, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "wf-????????.sock"))
 			if len(paths) != 1 {
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -23,7 +23,7 @@
 )
 
 // This file is the stage of TestEventInterleavings: the real sessions, core, module and engine connections on a clock
-// that the test drives, between stand-ins for clients' and engines' sockets, which hold back each event until the
+// that the test drives, between fakes of clients' and engines' sockets, which delay each event until the
 // test lets it happen.
 
 const (
@@ -58,9 +58,9 @@
 	}
 	p.in = append(p.in, b...)
 	for {
-		head, rest, whole := strings.Cut(string(p.in), "\r\n\r\n")
+		head, body, complete := strings.Cut(string(p.in), "\r\n\r\n")
 		n, _ := strconv.Atoi(header(head, "Content-Length"))
-		if !whole || len(rest) < n {
+		if !complete || len(body) < n {
 			return nil
 		}
 		p.requests = append(p.requests, head)
@@ -70,7 +70,7 @@
 		case strings.HasPrefix(head, "DELETE"):
 			post.ended = true
 		}
-		p.in = append([]byte(nil), rest[n:]...)
+		p.in = append([]byte(nil), body[n:]...)
 		if p.begun != "" {
 			p.harness.checkComplete(p)
 			p.begun = ""
@@ -123,7 +123,7 @@
 	ended               bool // the engine has none of it any more
 }
 
-// running reports whether the engine may have it under way: it forgets a query that nobody asks for.
+// running reports whether the engine may have it under way: it drops a query that nobody fetches.
 func (p *simulatedAttempt) running(now float64) bool {
 	return !p.ended && !p.neverRan && now < p.polledAt+2000
 }
@@ -351,7 +351,7 @@
 	c.attempts = append(c.attempts, &simulatedAttempt{startedAt: w.now.MS, polledAt: w.now.MS, engine: p.engine})
 }
 
-// startRequest has a new client log in and ask.
+// startRequest logs a new client in and sends its request.
 func (w *interleavingHarness) startRequest(class int, budget float64) {
 	c := &simulatedClient{
 		harness: w, handler: w.front.NewSession(), class: class,
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -32,8 +32,8 @@
 		w := newInterleavingHarness(t)
 		w.run()
 		t.Repeat(map[string]func(*rapid.T){
-			"ask":          func(t *rapid.T) { w.clientAsks(t) },
-			"ask again":    func(t *rapid.T) { w.clientAsks(t) },
+			"ask":          func(t *rapid.T) { w.clientQueries(t) },
+			"ask again":    func(t *rapid.T) { w.clientQueries(t) },
 			"client":       func(t *rapid.T) { w.clientCancels(t) },
 			"dial":         func(t *rapid.T) { w.dialCompletes(t) },
 			"engine":       func(t *rapid.T) { w.engineActs(t) },
@@ -58,20 +58,20 @@
 	})
 }
 
-func (w *interleavingHarness) clientAsks(t *rapid.T) {
+func (w *interleavingHarness) clientQueries(t *rapid.T) {
 	w.startRequest(rapid.IntRange(0, len(interleavingClasses)-1).Draw(t, "class"),
 		float64(rapid.SampledFrom([]int{200, 900, 4000}).Draw(t, "budget")))
 	w.runOrBatch(t)
 }
 
-// runOrBatch lets the loop run, or leaves what has come for one batch with what comes next.
+// runOrBatch lets the loop run, or leaves what has arrived for one batch with what arrives next.
 func (w *interleavingHarness) runOrBatch(t *rapid.T) {
 	if rapid.Bool().Draw(t, "at once") {
 		w.run()
 	}
 }
 
-// clientCancels has a client that waits close, or cancel on another session.
+// clientCancels closes a waiting client's connection, or cancels its query on another session.
 func (w *interleavingHarness) clientCancels(t *rapid.T) {
 	var wait []*simulatedClient
 	for _, c := range w.clients {
@@ -100,7 +100,7 @@
 	w.runOrBatch(t)
 }
 
-// dialCompletes has a connection come up, or be refused.
+// dialCompletes establishes a connection, or fails it.
 func (w *interleavingHarness) dialCompletes(t *rapid.T) {
 	var dials []*simulatedConn
 	for _, p := range w.conns {
@@ -112,11 +112,11 @@
 		return
 	}
 	p := rapid.SampledFrom(dials).Draw(t, "dial")
-	refused := rapid.IntRange(0, 4).Draw(t, "refused") == 0
+	fails := rapid.IntRange(0, 4).Draw(t, "refused") == 0
 	w.loop.Post(func() {
 		switch {
 		case p.shut || p.up: // that has been decided
-		case refused:
+		case fails:
 			p.shut = true
 			for _, c := range w.clients { // nobody runs there
 				for _, post := range c.attempts {
@@ -134,7 +134,7 @@
 
 const good = "HTTP/1.1 200 OK\r\nX-Parts: 1\r\nX-Cpu-Ms: 5\r\nContent-Length: 6\r\n\r\n1\t2\t3\n"
 
-// engineActs has an engine answer what it was asked, well or not, or do something on a connection that rests.
+// engineActs answers an engine's open call, well or not, or does something on an idle connection.
 func (w *interleavingHarness) engineActs(t *rapid.T) {
 	var open []*simulatedConn
 	for _, conn := range w.conns {
@@ -160,7 +160,7 @@
 	w.runOrBatch(t)
 }
 
-// engineDisturbs has an engine close a resting connection, or send what nobody asked for, or nothing.
+// engineDisturbs closes an engine's idle connection, or sends on it what nobody requested, or nothing.
 func (w *interleavingHarness) engineDisturbs(t *rapid.T, conn *simulatedConn) {
 	switch rapid.IntRange(0, 5).Draw(t, "on a resting connection") {
 	case 0:
@@ -172,7 +172,7 @@
 	}
 }
 
-// engineConfirms has an engine answer a cancel or a priority, or lose the connection.
+// engineConfirms answers an engine's cancel or priority call, or loses the connection.
 func (w *interleavingHarness) engineConfirms(t *rapid.T, conn *simulatedConn) {
 	if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		w.close(conn)
@@ -181,7 +181,7 @@
 	}
 }
 
-// engineAnswers has an engine answer a request, of which head is the beginning.
+// engineAnswers answers a request at an engine; head is the beginning of the request.
 func (w *interleavingHarness) engineAnswers(t *rapid.T, conn *simulatedConn, head string) {
 	attempt := w.attempt(idOf(head), conn.engine)
 	answers := []string{
@@ -217,8 +217,8 @@
 	}
 }
 
-// engineSends has the engine send; what is stray belongs to no call, and the connection must not be used again once
-// it is read.
+// engineSends sends on an engine's connection; what is stray belongs to no call, and the connection must not be used
+// again once it is read.
 func (w *interleavingHarness) engineSends(p *simulatedConn, text string, stray bool) {
 	p.unread = append(p.unread, text...)
 	w.loop.Post(func() {
@@ -239,7 +239,7 @@
 	})
 }
 
-// endpointsChange has a list say that an engine drains, is gone, or is there.
+// endpointsChange sends a list in which an engine is draining, removed or live.
 func (w *interleavingHarness) endpointsChange(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
 	state := rapid.SampledFrom([]dispatch.EndpointState{
@@ -249,12 +249,12 @@
 	w.runOrBatch(t)
 }
 
-// operatorCordons has an operator exclude an engine, or include it again; it counts from the moment of the answer.
+// operatorCordons cordons an engine or uncordons it as an operator; it counts from the moment of the answer.
 func (w *interleavingHarness) operatorCordons(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
-	exclude := rapid.Bool().Draw(t, "exclude")
+	cordon := rapid.Bool().Draw(t, "exclude")
 	w.loop.Post(func() {
-		if !exclude {
+		if !cordon {
 			delete(w.cordoned, id)
 			w.core.Uncordon(id)
 		} else if w.core.Cordon(id) {
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -50,8 +50,8 @@
 	checkServed(h.t, c, query("lookup", id, "SELECT 1"))
 }
 
-// boardAt waits until a router watches discovery, which only one with that configuration does.
-func boardAt(t *testing.T) (addr string, reached func()) {
+// discoveryOfRevision waits until a router watches discovery, which only one with that configuration does.
+func discoveryOfRevision(t *testing.T) (addr string, reached func()) {
 	t.Helper()
 	addr, links := listenDiscovery(t)
 	return addr, func() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// A revision is put in force in a running router, which goes on serving; one that it refuses is named with its
+// A revision is put in force in a running router, which goes on serving; one that it rejects is named with its
 // pointer, and the former one stays; the next good one is in force again.
 func TestRevisionInForce(t *testing.T) {
 	k := keepertest.New(t)
@@ -72,20 +72,20 @@
 	if got := harness.figure(adminAddress, revisionFigure); got != 0 {
 		t.Errorf("at the start revision %d", got)
 	}
-	addr, reached := boardAt(t)
+	addr, reached := discoveryOfRevision(t)
 	first := k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
 	k.WaitForRevision(first)
 	reached()
 	harness.requireServing(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	said := k.WaitForStatus("it refuses", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	said := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if said.Revision != first || said.Rejected.Revision != bad ||
 		said.Rejected.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("%+v, %+v", said, said.Rejected)
 	}
 	a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
 	if a != int(first) || b != int(bad) {
-		t.Errorf("in force %d, refused %d", a, b)
+		t.Errorf("in force %d, rejected %d", a, b)
 	}
 	harness.requireServing(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
@@ -94,7 +94,7 @@
 	}
 	a, b = harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
 	if a != int(last) || b != 0 {
-		t.Errorf("in force %d, refused %d", a, b)
+		t.Errorf("in force %d, rejected %d", a, b)
 	}
 	harness.requireServing(3)
 }
@@ -115,10 +115,10 @@
 	}
 	// The address of discovery is an entry, the file's own is another one: the entry's is followed whatever the file
 	// says.
-	addr, reached := boardAt(t)
+	addr, reached := discoveryOfRevision(t)
 	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
-	elsewhere, links := listenDiscovery(t)
+	otherAddress, links := listenDiscovery(t)
 	var last uint64
 	for i := range 20 {
 		last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+1)})
@@ -141,7 +141,7 @@
 	s := doc["settings"].(map[string]any)
 	s["classes"] = s["classes"].([]any)[:1]
 	s["specifics"] = map[string]any{}
-	doc["board"] = elsewhere
+	doc["board"] = otherAddress
 	text, _ = json.Marshal(doc)
 	harness.editConfig(func(string) string { return string(text) })
 	hup()
@@ -150,7 +150,7 @@
 	if said := k.WaitForRevision(end); said.Rejected != nil {
 		t.Errorf("%+v", said.Rejected)
 	}
-	// With the entries gone, and the signal given again, the same file is in force.
+	// With the entries gone, and the signal sent again, the same file is in force.
 	k.WaitForRevision(k.Change(nil, "/settings/classes/1/credit", "/board"))
 	hup()
 	l := <-links
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -26,14 +26,14 @@
 	reserveConns    = 12
 )
 
-// limits are what a configuration gives each service.
+// limits are what a configuration assigns to each service.
 type limits struct {
 	inbound int // bytes read and not yet handled
 	mysql   mysql.Config
 	engines enginehttp.Config
 }
 
-// limitsOf gives each service what the configuration has for it, less the descriptors that parts hold, which the
+// limitsOf returns what the configuration assigns to each service, less the descriptors that parts hold, which the
 // configuration does not name.
 func limitsOf(cfg *settings.Node, partDescriptors int) (limits, error) {
 	bounds, err := validate.DivideResources(cfg, partDescriptors)
@@ -55,8 +55,8 @@
 	engineConns int          // that this process has open
 }
 
-// restrict takes the other process's part off the limits. Sessions are divided as they stand: the old process accepts
-// no more, and what it closes comes to the new one. Connections to engines are halved, until the old one leaves. A
+// restrict takes the other process's part off the limits. Sessions are divided as they are: the old process accepts
+// no more, and what it closes is opened at the new one. Connections to engines are halved, until the old one leaves. A
 // process beside one that hangs keeps to what every process leaves for a successor.
 func (l *limits) restrict(part processShare) {
 	l.inbound /= 2
@@ -89,7 +89,7 @@
 	leaving  func() bool
 }
 
-// of gives this process's limits by a configuration.
+// of returns this process's limits by a configuration.
 func (l *limiter) of(cfg *settings.Node) (limits, error) {
 	all, err := limitsOf(cfg, l.parts.descriptors())
 	if share := l.share(); err == nil && share != hotrestart.ShareFull {
@@ -102,7 +102,7 @@
 	return all, err
 }
 
-// update goes by the configuration in force once the other process's part has changed.
+// update applies the configuration in force once the other process's part has changed.
 func (l *limiter) update() {
 	if all, err := l.of(l.active.platform); err == nil {
 		l.apply(all)
@@ -116,14 +116,14 @@
 	l.services.engines.Configure(all.engines)
 }
 
-// applyToRuntime keeps the Go runtime within what the deployment gives; two processes of one router have half of the
+// applyToRuntime keeps the Go runtime within the deployment's limits; two processes of one router have half of the
 // memory each.
 func (l *limiter) applyToRuntime() {
-	given := l.active.platform.Limits
-	if given.Cores > 0 {
-		runtime.GOMAXPROCS(max(int(given.Cores+0.5), 1))
+	limits := l.active.platform.Limits
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(int(limits.Cores+0.5), 1))
 	}
-	if memory := given.MemoryMB << 20; memory > 0 {
+	if memory := limits.MemoryMB << 20; memory > 0 {
 		if l.share() != hotrestart.ShareFull {
 			memory /= 2
 		}
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -18,7 +18,7 @@
 // passedSocketEnv names the variable with the number of the clients' socket, where the platform holds that.
 const passedSocketEnv = "PROXY_PASSED_SOCKET"
 
-// bindRetryMS is how often an address is tried that a process which hangs has not given up.
+// bindRetryMS is how often an address is tried that a process which hangs has not released.
 const bindRetryMS = 250.0
 
 // The names of listeners between processes.
@@ -45,7 +45,7 @@
 	loop      *router.Loop
 	life      *lifecycle
 	machine   *hotrestart.Machine
-	received  *handover // what a predecessor has given
+	received  *handover // what a predecessor has sent
 	acceptors func() []acceptor
 
 	idle           map[string]net.Listener // listeners on which this process does not accept, by name
@@ -90,7 +90,7 @@
 // incomplete reports whether the address of a listener can't be had yet.
 func (l *listeners) incomplete() bool { return len(l.missing) > 0 }
 
-// retryMissing tries for the addresses that a process which hangs has not given up.
+// retryMissing tries to bind the addresses that a process which hangs has not released.
 func (l *listeners) retryMissing() {
 	if len(l.missing) == 0 || l.life.failed() {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// fileOf gives a copy of a listener's descriptor.
+// fileOf returns a copy of a listener's descriptor.
 func (l *listeners) fileOf(acceptor acceptor) (*os.File, error) {
 	if idle := l.idle[acceptor.name]; idle != nil {
 		return netio.ListenerFile(idle)
@@ -144,8 +144,8 @@
 	return acceptor.file()
 }
 
-// export adds the listeners to the state for a successor, and gives copies of their descriptors. The clients' socket is
-// left out where the platform passes it on itself.
+// export adds the listeners to the state for a successor, and returns copies of their descriptors. The clients'
+// socket is left out where the platform passes it on itself.
 func (l *listeners) export(state *stateMessage) (files []*os.File) {
 	state.Addresses = map[string]string{}
 	for _, acceptor := range l.acceptors() {
@@ -183,8 +183,8 @@
 	}
 }
 
-// provide gets one listener. That of operators accepts at once: one may ask whether the router is ready. An address
-// that a process which hangs holds is missing for now.
+// provide gets one listener. That of operators accepts at once: a check of readiness may come early. An address
+// that a process which hangs has bound is missing for now.
 func (l *listeners) provide(acceptor acceptor) error {
 	opened, shared, err := l.listen(acceptor)
 	if errors.Is(err, syscall.EADDRINUSE) && l.machine.Phase() == hotrestart.PhaseDegraded {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// listen gives the socket that the platform passed on, for clients; else that of the predecessor, where the address
+// listen returns the socket that the platform passed on, for clients; else that of the predecessor, where the address
 // is the same; else one of its own. shared reports whether another process accepts there too.
 func (l *listeners) listen(acceptor acceptor) (opened net.Listener, shared bool, err error) {
 	if descriptor := os.Getenv(passedSocketEnv); descriptor != "" && acceptor.name == clientListener {
@@ -237,7 +237,7 @@
 	return opened, false, nil
 }
 
-// passedSocket gives the clients' listener of the platform, by the text of its descriptor.
+// passedSocket returns the clients' listener of the platform, by the text of its descriptor.
 func (l *listeners) passedSocket(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < firstPassedDescriptor {
@@ -252,7 +252,7 @@
 	return opened, nil
 }
 
-// closeClients accepts no client any more. Those accepted before are served; who comes now is refused at once.
+// closeClients accepts no client any more. Those accepted before are served; a new one is rejected at once.
 func (l *listeners) closeClients() {
 	if l.clients != nil {
 		l.clients.Close()
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxQueuedLines is how many lines of the log wait at most for whoever reads them; what comes beyond is dropped and
+	// maxQueuedLines is how many lines of the log wait at most to be read; further ones are dropped and
 	// counted.
 	maxQueuedLines = 1024
 	// flushTimeout bounds the wait for the last lines at the end.
@@ -32,7 +32,7 @@
 	return log, out.flush
 }
 
-// logWriter writes the log in a goroutine of its own. It guards against a loop that stands still for as long as the
+// logWriter writes the log in a goroutine of its own. It guards against a loop that blocks for as long as the
 // pipe or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its
 // end.
 type logWriter struct {
--- a/internal/node/log_writer_test.go
+++ b/internal/node/log_writer_test.go
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 	}
-	l.flush() // gives up
+	l.flush() // times out
 	got := make(chan string)
 	go func() {
 		text, _ := io.ReadAll(r)
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -30,7 +30,7 @@
 	"windflow/internal/settings"
 )
 
-// executionLog counts what the stand-in engines ran, by request.
+// executionLog counts what the fake engines ran, by request.
 type executionLog struct {
 	mu     sync.Mutex
 	runs   map[string]int
@@ -44,7 +44,7 @@
 	l.byKind[kind]++
 }
 
-// newHTTPEngine is a stand-in that speaks fetch: 200 at once, three pages.
+// newHTTPEngine is a fake engine over HTTP: 200 at once, three pages.
 func newHTTPEngine(l *executionLog) http.Handler {
 	mux := http.NewServeMux()
 	page := func(id string, n int) string { return strings.Repeat(fmt.Sprintf("%s\t%d\tx\n", id, n), 20) }
@@ -82,7 +82,7 @@
 	return mux
 }
 
-// flightEngine is a stand-in that speaks Flight SQL: three batches for a query, a count for an update.
+// flightEngine is a fake engine over Flight SQL: three batches for a query, a count for an update.
 type flightEngine struct {
 	fsql.BaseServer
 	executions *executionLog
@@ -177,7 +177,7 @@
 	return startRouterWith(t, members, mixedSettings)
 }
 
-// startRouterWith runs a router in this process, by the platform's settings that are given.
+// startRouterWith runs a router in this process, by the platform's settings.
 func startRouterWith(t *testing.T, members []string, platform string) *node {
 	t.Helper()
 	cfg, err := settings.ParseNode(fmt.Appendf(nil,
@@ -207,7 +207,7 @@
 	return n
 }
 
-// mixedRun is a run of requests over both fronts, and what came of them.
+// mixedRun is a run of requests over both protocols, and their outcomes.
 type mixedRun struct {
 	t          *testing.T
 	router     *node
@@ -266,7 +266,7 @@
 	}
 	defer client.conn.Close()
 	for _, request := range planned {
-		rows, code, err := client.ask(fmt.Sprintf("/* method=%s,rid=%s,budget=20000 */ %s",
+		rows, code, err := client.exchange(fmt.Sprintf("/* method=%s,rid=%s,budget=20000 */ %s",
 			request.class(), request.id, request.statement()))
 		if err == nil {
 			err = client.ping()
@@ -293,7 +293,7 @@
 	defer client.Close()
 	for _, request := range planned {
 		update := request.load && request.number%2 == 0
-		served, err := askFlight(client, request.class(), request.id, request.statement(), update)
+		served, err := queryFlight(client, request.class(), request.id, request.statement(), update)
 		if err != nil {
 			r.t.Errorf("flight %s %s: %v", request.class(), request.id, err)
 		}
@@ -301,7 +301,7 @@
 	}
 }
 
-// checkAnswers holds that each request had one answer, and each load ran at most once.
+// checkAnswers checks that each request had one answer, and each load ran at most once.
 func (r *mixedRun) checkAnswers(requests int) {
 	r.t.Helper()
 	if len(r.answers) != requests {
--- a/internal/node/mysql_client_test.go
+++ b/internal/node/mysql_client_test.go
@@ -56,8 +56,8 @@
 	return body, err
 }
 
-// ask sends a query and reads its complete answer: the number of rows, or the error's code.
-func (m *mysqlClient) ask(query string) (rows, code int, err error) {
+// exchange sends a query and reads its complete answer: the number of rows, or the error's code.
+func (m *mysqlClient) exchange(query string) (rows, code int, err error) {
 	if err := m.write(0, append([]byte{3}, query...)); err != nil {
 		return 0, 0, err
 	}
@@ -83,14 +83,14 @@
 	return rows, 0, nil
 }
 
-// ping fails if anything but the answer to it comes: a second answer to the query before, above all.
+// ping fails if anything but its answer is received: a second answer to the query before, above all.
 func (m *mysqlClient) ping() error {
 	if err := m.write(0, []byte{14}); err != nil {
 		return err
 	}
 	p, err := m.packet()
 	if err == nil && (p[0] != 0 || m.reader.Buffered() > 0) {
-		err = fmt.Errorf("% x and %d bytes came instead of one OK", p[:min(len(p), 8)], m.reader.Buffered())
+		err = fmt.Errorf("% x and %d bytes received instead of one OK", p[:min(len(p), 8)], m.reader.Buffered())
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 // requireServed sends a query and ends the test unless one row is the complete answer.
 func requireServed(t *testing.T, c *mysqlClient, query string) {
 	t.Helper()
-	if rows, code, err := c.ask(query); rows != 1 || code != 0 || err != nil {
+	if rows, code, err := c.exchange(query); rows != 1 || code != 0 || err != nil {
 		t.Fatalf("%s: %d rows, error %d, %v", query, rows, code, err)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -222,7 +222,7 @@
 	return all
 }
 
-// close stops the parts and gives up what the process has. The loop has ended.
+// close stops the parts and releases what the process has. The loop has ended.
 func (n *node) close() {
 	n.links.close()
 	n.listeners.close()
--- a/internal/node/oncall_test.go
+++ b/internal/node/oncall_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each line that the router may log, from Info up, stands on the on-call page or on the page that it leads to;
+// Each line that the router may log, from Info up, is on the on-call page or on the page that it leads to;
 // records have the same lines as events. It guards against a page that says less than the program.
 func TestOnCallPageHasEachLine(t *testing.T) {
 	var pages strings.Builder
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -44,7 +44,7 @@
 // partSet are the parts that are on.
 type partSet struct{ all []*part }
 
-// named gives the part of that section, nil where it is off.
+// named returns the part of that section, nil where it is off.
 func (s *partSet) named(name string) *part {
 	for _, p := range s.all {
 		if p.name == name {
@@ -72,7 +72,7 @@
 	return all
 }
 
-// configure hands other settings on, and gives the fields that can't change.
+// configure passes other settings on, and returns the fields that can't change.
 func (s *partSet) configure(now *installation.Settings, l limits) (kept []string) {
 	for _, p := range s.all {
 		if p.configure != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// partnerChanged tells the parts with whom this process shares the router, nil for nobody.
+// partnerChanged tells the parts which process shares the router with this one, nil for none.
 func (s *partSet) partnerChanged(partner *peer) {
 	for _, p := range s.all {
 		if p.partnerChanged != nil {
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -24,7 +24,7 @@
 	maxFlightLoads          = 32
 )
 
-// ticketClaimMessage asks the other process for a ticket, and brings it; nil for one that it does not have.
+// ticketClaimMessage requests a ticket of the other process, and carries it; nil for one that it does not have.
 type ticketClaimMessage struct {
 	Number int64             `json:"n"`
 	Handle string            `json:"handle"`
@@ -88,7 +88,7 @@
 	claims ticketClaims
 }
 
-// clientsOf gives the clients of engines by kind. Attempts that are out go on as they are.
+// clientsOf returns the clients of engines by kind. Attempts that are out go on as they are.
 func (f *flightService) clientsOf(kinds []string) map[string]router.EngineClient {
 	clients := map[string]router.EngineClient{}
 	for _, kind := range kinds {
@@ -110,7 +110,7 @@
 	}
 }
 
-// releaseTickets gives all tickets to the other process.
+// releaseTickets hands all tickets to the other process.
 func (f *flightService) releaseTickets(to *peer) {
 	if tickets := f.front.ReleaseAllTickets(); len(tickets) > 0 {
 		to.send(msgTickets, tickets)
@@ -144,7 +144,8 @@
 	}
 }
 
-// ticketClaims asks the other process of this router for tickets that this one does not have. gRPC's goroutines use it.
+// ticketClaims requests tickets that this process does not have from the other process of this router. gRPC's
+// goroutines use it.
 type ticketClaims struct {
 	mu      sync.Mutex
 	last    int64 // number
@@ -152,7 +153,7 @@
 	partner *peer // nil for none
 }
 
-// setPartner says where to ask; without another process all claims end without a ticket.
+// setPartner sets the link for claims; without another process all claims end without a ticket.
 func (c *ticketClaims) setPartner(partner *peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// claim asks the other process for a ticket, nil where it has none or does not answer in time.
+// claim requests a ticket from the other process, nil where it has none or does not answer in time.
 func (c *ticketClaims) claim(handle string) *flightsql.Ticket {
 	c.mu.Lock()
 	partner := c.partner
@@ -189,7 +190,7 @@
 	}
 }
 
-// resolve hands a ticket to who asked for it; false says that nobody waits any more.
+// resolve hands a ticket to its claim; false says that the claim has ended.
 func (c *ticketClaims) resolve(claim ticketClaimMessage) bool {
 	c.mu.Lock()
 	reply := c.waiting[claim.Number]
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -29,7 +29,7 @@
 // keeperSync keeps the configuration by revision in force: the router's own file, overlaid with the entries of the
 // keepers. What is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's
 // revision or a SIGHUP, reads and checks beside the loop, and begins anew if the other one was faster: neither is
-// lost, and no mix of them comes in force.
+// lost, and no mix of them is in force.
 type keeperSync struct {
 	log          *slog.Logger
 	loop         *router.Loop
@@ -70,7 +70,7 @@
 // rejectedRevision is the latest that this router could not use and that no later one replaced, 0 for none.
 func (k *keeperSync) rejectedRevision() int64 { return k.client.Counters.RejectedRevision.Load() }
 
-// exported gives the revision in force for a successor, nil for none.
+// exported returns the revision in force for a successor, nil for none.
 func (k *keeperSync) exported() *configclient.Revision {
 	if k.inForce.overlay.Revision == 0 {
 		return nil
@@ -102,7 +102,7 @@
 	return cfg, nil
 }
 
-// inLoop has a thing done in the loop and waits for it; false says that the router ends.
+// inLoop runs a function in the loop and waits for it; false says that the router ends.
 func (k *keeperSync) inLoop(f func()) bool {
 	done := make(chan struct{})
 	k.loop.Post(func() {
@@ -117,8 +117,8 @@
 	}
 }
 
-// change has a change of what is in force prepared beside the loop, and made in it, unless another one came between:
-// then it is prepared anew.
+// change prepares a change of what is in force beside the loop, and makes it in the loop, unless another was made
+// between: then it is prepared anew.
 func (k *keeperSync) change(prepare func(configurationInForce) (commit func() error, err error)) error {
 	for {
 		var base configurationInForce
@@ -202,7 +202,7 @@
 	k.client.SetInForce(revision)
 }
 
-// reload has the router's own file read again. It does not wait.
+// reload requests that the router's own file is read again. It does not wait.
 func (k *keeperSync) reload() {
 	select {
 	case k.reloads <- struct{}{}:
@@ -210,7 +210,7 @@
 	}
 }
 
-// runReloads reads the files again each time that this is asked for, until the loop ends.
+// runReloads reads the files again at each reload request, until the loop ends.
 func (k *keeperSync) runReloads() {
 	for {
 		select {
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// observeIntervalMS is how often the module is asked for its view of engines, and recordIntervalMS how often what
+	// observeIntervalMS is how often the module's view of engines is read, and recordIntervalMS how often what
 	// was counted is written.
 	observeIntervalMS = 250.0
 	recordIntervalMS  = 1000.0
@@ -124,7 +124,7 @@
 	writer atomic.Pointer[record.Writer]
 }
 
-// tee has the log's lines recorded, where records are on.
+// tee records the log's lines, where records are on.
 func (l *recordedLog) tee(log *slog.Logger, now func() float64) *slog.Logger {
 	return slog.New(record.NewLogHandler(log.Handler(), now, func(e *record.Event) {
 		if writer := l.writer.Load(); writer != nil {
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Requests that come in pieces over the moment in which the router is told to end, on a connection that has rested,
-// on one that has just been accepted, and half before it and half after, are answered while it drains; then all read
-// the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes crossed
-// the signal.
+// Requests that arrive in pieces over the moment in which the router is signaled to end, on a connection that has
+// rested, on one that has just been accepted, and half before it and half after, are answered while it drains; then
+// all read the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes
+// crossed the signal.
 func TestPartialPacketsAcrossShutdown(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
--- a/internal/node/pending.go
+++ b/internal/node/pending.go
@@ -13,7 +13,8 @@
 	return pendingReplies[T]{loop: loop, waiting: map[int]func(T){}}
 }
 
-// add registers a question and gives its number. done is called once: with the reply, or with timedOut after timeoutMS.
+// add registers a request and returns its number. done is called once: with the reply, or with timedOut after
+// timeoutMS.
 func (p *pendingReplies[T]) add(timeoutMS float64, timedOut T, done func(T)) (number int) {
 	p.last++
 	number = p.last
@@ -27,14 +28,14 @@
 	return number
 }
 
-// resolve hands a reply to the question of that number; one that nobody awaits any more is dropped.
+// resolve passes a reply to the request of that number; a reply to none is dropped.
 func (p *pendingReplies[T]) resolve(number int, reply T) {
 	if done := p.waiting[number]; done != nil {
 		done(reply)
 	}
 }
 
-// resolveAll ends all questions with the same reply, when there is nobody left to answer them.
+// resolveAll ends all requests with the same reply, when no process is left to answer them.
 func (p *pendingReplies[T]) resolveAll(reply T) {
 	for _, done := range p.waiting {
 		done(reply)
--- a/internal/node/process_control_test.go
+++ b/internal/node/process_control_test.go
@@ -20,7 +20,7 @@
 	time.AfterFunc(pause, func() { _ = p.Process.Signal(syscall.SIGCONT) })
 }
 
-// throttle gives a process a tenth of its time until the end of the test, or until stop is called.
+// throttle limits a process to a tenth of its time until the end of the test, or until stop is called.
 func (h *routerHarness) throttle(p *exec.Cmd) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// limitSockets gives the router fewer descriptors.
+// limitSockets lowers the router's limit of descriptors.
 func (h *routerHarness) limitSockets(sockets int) {
 	h.t.Helper()
 	h.editConfig(func(text string) string {
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -7,13 +7,13 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// protocolPeer plays one side of a hot restart; received has the messages of the machine that came, but not those
+// protocolPeer plays one side of a hot restart; received has the machine's messages, but not those
 // that report what runs.
 type protocolPeer struct {
 	link        *hotrestartipc.Link
 	received    chan hotrestartipc.Message
 	linkEnded   chan struct{} // closed with the link; a message may still be in hand then
-	repeatHello func()        // says hello again, as a successor does that is answered wait; nil for one that does not ask
+	repeatHello func()        // says hello again, as a successor does that is answered wait; nil for one that does not
 }
 
 func startProtocolPeer(conn *net.UnixConn) *protocolPeer {
@@ -46,12 +46,12 @@
 			a.repeatHello()
 		}
 		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // each may come again
-			t.Fatalf("%s came where %s was due", m.Kind, kind)
+			t.Fatalf("%s received where %s was due", m.Kind, kind)
 		}
 	}
 }
 
-// next waits for a message, also one that came before the link's end; false if there is none to come.
+// next waits for a message, also one received before the link's end; false if there will be none.
 func (a *protocolPeer) next() (hotrestartipc.Message, bool) {
 	select {
 	case m := <-a.received:
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -19,7 +19,7 @@
 const firstPassedDescriptor = 3
 
 // notifyReady writes on the descriptor of readyEnv that this process accepts, once; later calls do nothing. The loop
-// does not wait for the reader. It gives an error for a number that can't be a descriptor that was passed on.
+// does not wait for the reader. It returns an error for a number that can't be a descriptor that was passed on.
 func notifyReady(log *slog.Logger) error {
 	text, passed := os.LookupEnv(readyEnv)
 	if !passed {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -59,7 +59,7 @@
 // apply puts other settings in force, all of them or, where they can't be used, none. Open requests, sessions and
 // connections are not touched. What can't change while running keeps its value, and the log names it.
 func (c *configurator) apply(cfg *settings.Node, own *installation.Settings) error {
-	if !c.services.built() { // there is nothing yet that goes by others
+	if !c.services.built() { // nothing uses the settings yet
 		c.active.platform, c.active.site = cfg, own
 		return nil
 	}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// keepFields gives the platform's fields that can't change while running. What was in force stays.
+// keepFields returns the platform's fields that can't change while running. What was in force stays.
 func keepFields(old, now *settings.Node) (kept []string) {
 	for _, field := range []struct {
 		name string
@@ -107,7 +107,8 @@
 	return kept
 }
 
-// keepSections gives the sections that came or went: a part is made at the start only. What was in force stays.
+// keepSections returns the sections that were added or removed: a part is made at the start only. What was in force
+// stays.
 func keepSections(old, now *installation.Settings) (kept []string) {
 	if (old.FlightSQL == nil) != (now.FlightSQL == nil) {
 		kept, now.FlightSQL = append(kept, "/flightsql"), old.FlightSQL
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,16 +15,16 @@
 	"windflow/internal/settings"
 )
 
-func writeConfig(t *testing.T, path, board string) {
+func writeConfig(t *testing.T, path, discoveryAddress string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":192,
-		"sockets":1024},"board":"%s","known":{"rev":1,"notices":[]},"settings":%s}`, board, mixedSettings)
+		"sockets":1024},"board":"%s","known":{"rev":1,"notices":[]},"settings":%s}`, discoveryAddress, mixedSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// SIGHUP has the program read its file again: it goes on at discovery's new address from the last event that it
+// On SIGHUP the program reads its file again: it goes on at discovery's new address from the last event that it
 // has, and neither a file that can't be used nor the signal itself ends it.
 func TestReloadMovesDiscovery(t *testing.T) {
 	oldAddr, oldLinks := listenDiscovery(t)
@@ -45,7 +45,7 @@
 	defer first.Close()
 	writeConfig(t, path, "nowhere")
 	hup()
-	// Event 2 comes on the old link, the beginning of event 3 too; the new server must be asked from 2.
+	// Event 2 arrives on the old link, the beginning of event 3 too; the new server must be subscribed to from 2.
 	event := func(n byte) []byte { return []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, n, 2} }
 	if _, err := first.Write(append(event(2), event(3)[:7]...)); err != nil {
 		t.Fatal(err)
@@ -62,14 +62,14 @@
 	}()
 	defer second.Close()
 	if second.lastEvent != 2 {
-		t.Errorf("after a bad frame the old server was asked from event %d", second.lastEvent)
+		t.Errorf("after a bad frame the old server was subscribed to from event %d", second.lastEvent)
 	}
 	writeConfig(t, path, newAddr)
 	hup()
 	third := <-newLinks
 	defer third.Close()
 	if third.lastEvent != 2 {
-		t.Errorf("the new server was asked from event %d", third.lastEvent)
+		t.Errorf("the new server was subscribed to from event %d", third.lastEvent)
 	}
 	if _, err := second.Read(make([]byte, 1)); err == nil {
 		t.Error("the link to the old server stayed open")
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -7,7 +7,7 @@
 	"windflow/internal/decide/hotrestart"
 )
 
-// What the coordinator has the router do: node implements restartActions.
+// The coordinator's actions on the router: node implements restartActions.
 
 // serving implements restartActions.
 func (n *node) serving() bool { return n.services.built() }
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// A router that is killed, or told to end, under load and started again at once on its own address comes up each
+// A router that is killed, or signaled to end, under load and started again at once on its own address starts each
 // time: connections that its clients left open, and a process that has not ended yet, keep no address from it. It
 // guards against an end with status 1 at a restart.
 func TestRestartsOnItsAddress(t *testing.T) {
@@ -30,7 +30,7 @@
 	var last *exec.Cmd
 	for round := range 12 {
 		now := harness.startProcess(adminAddress)
-		if last != nil && round%3 == 2 { // told to end a moment ago, and replaced while it drains
+		if last != nil && round%3 == 2 { // signaled to end a moment ago, and replaced while it drains
 			if err := last.Wait(); err != nil {
 				t.Error("at its end:", err)
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-// A process that is told to end with a request in flight, clients that rest, and one that never finishes its packet
+// A process that is signaled to end with a request in flight, idle clients, and one that never finishes its packet
 // answers the request, ends the others in order, resets nobody and exits 0.
 func TestTermWithRequestsInFlight(t *testing.T) {
 	engine := newBlockingEngine()
@@ -66,15 +66,15 @@
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	asks, half := harness.dial(), harness.dial()
-	rests := []*mysqlClient{harness.dial(), harness.dial(), harness.dial()}
-	for i, c := range rests[1:] { // the first one has only logged in
+	requesting, half := harness.dial(), harness.dial()
+	idle := []*mysqlClient{harness.dial(), harness.dial(), harness.dial()}
+	for i, c := range idle[1:] { // the first one has only logged in
 		requireServed(t, c, query("lookup", i+1, "SELECT 1"))
 	}
 	if _, err := half.conn.Write([]byte{40, 0, 0, 0, 3}); err != nil {
 		t.Fatal(err)
 	}
-	if err := asks.write(0, append([]byte{3}, query("lookup", 9, "slow")...)); err != nil {
+	if err := requesting.write(0, append([]byte{3}, query("lookup", 9, "slow")...)); err != nil {
 		t.Fatal(err)
 	}
 	<-engine.started
@@ -83,8 +83,8 @@
 	}
 	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	close(engine.released)
-	checkServedAnswer(t, asks, "the request in flight:")
-	for i, c := range append(rests, asks) {
+	checkServedAnswer(t, requesting, "the request in flight:")
+	for i, c := range append(idle, requesting) {
 		checkClosed(t, fmt.Sprint("client ", i), c)
 	}
 	if err := p.Wait(); err != nil {
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -12,7 +12,7 @@
 	"windflow/internal/settings"
 )
 
-// replaceSleep replaces the sleep of retry for the test: between is called in its place, with the number of the pause.
+// replaceSleep replaces the sleep of retry for the test: between is called instead, with the number of the pause.
 func replaceSleep(t *testing.T, between func(n int)) *int {
 	t.Helper()
 	n := 0
@@ -49,7 +49,7 @@
 	}
 }
 
-// A router that starts before the one it replaces has given up its address waits for it.
+// A router that starts before the one it replaces has released its address waits for it.
 func TestStartWaitsForTheAddress(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.77:0") // where no other test takes the port in between
 	if err != nil {
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// blockingEngine is a stand-in whose statements with "slow" in them run until they are released; it notes what ran.
+// blockingEngine is a fake engine whose statements with "slow" in them run until they are released; it notes what ran.
 type blockingEngine struct {
 	mu       sync.Mutex
 	runs     map[string]int
@@ -142,7 +142,7 @@
 	return cmd
 }
 
-// callAdmin makes one call of an admin API and gives its status, 0 where nobody is there.
+// callAdmin makes one call of an admin API and returns its status, 0 where nobody is there.
 func (h *routerHarness) callAdmin(method, control, path string) int {
 	r, err := http.NewRequest(method, "http://"+control+path, nil)
 	if err != nil {
@@ -165,7 +165,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	h.t.Fatal("it never came to this: " + what)
+	h.t.Fatal("not reached in time: " + what)
 }
 
 func (h *routerHarness) waitReady(control string) {
@@ -183,7 +183,7 @@
 	return c
 }
 
-// freePort gives an address on which nobody listens now.
+// freePort returns an address on which nobody listens now.
 func freePort(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -245,7 +245,7 @@
 	rejectedFigure   = "svc.configuration_refused"
 )
 
-// figure gives a figure of the telemetry, -1 where it is not there.
+// figure returns a figure of the telemetry, -1 where it is not there.
 func (h *routerHarness) figure(adminAddress, name string) int {
 	h.t.Helper()
 	answer, err := http.Get("http://" + adminAddress + "/api/telemetry")
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -34,7 +34,7 @@
 	if path == "" {
 		return errNoConfiguration
 	}
-	// Taken from the first on: a signal that comes before the router is ready waits, where its default would end it.
+	// Taken from the first on: a signal that arrives before the router is ready waits, where its default would end it.
 	signals := make(chan os.Signal, maxQueuedSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGCONT)
 	cfg, text, err := readPlatform(path)
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -25,7 +25,7 @@
 var sleep = time.Sleep
 
 // retry calls f until it succeeds, fails for a reason that does not pass by itself, or has been tried often enough.
-// Two reasons pass: a file that is just being replaced, and an address that the program before this one has not given
+// Two reasons pass: a file that is just being replaced, and an address that the program before this one has not yielded
 // up yet.
 func retry(f func() error) error {
 	for try := 1; ; try++ {
@@ -39,7 +39,7 @@
 	}
 }
 
-// readPlatform reads the platform's configuration, and gives its text too.
+// readPlatform reads the platform's configuration, and returns its text too.
 func readPlatform(path string) (cfg *settings.Node, text []byte, err error) {
 	err = retry(func() error {
 		if text, err = os.ReadFile(path); err == nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -10,16 +10,16 @@
 const (
 	// graceMS is how long after SIGTERM requests may still come; the platform's protocol says 600.
 	graceMS = 1000.0
-	// After SIGTERM a kill comes no sooner than the longest deadline, counted as patienceAloneMS at most, or in a hot
+	// After SIGTERM a kill follows no sooner than the longest deadline, counted as patienceAloneMS at most, or in a hot
 	// restart as patienceRestartMS, and 700 ms. What is open is answered answerSlackMS after that deadline: before the
-	// kill comes.
+	// kill follows.
 	patienceAloneMS   = 3000.0
 	patienceRestartMS = 5000.0
 	answerSlackMS     = 450.0
 	// quietMS is how long nothing may have been open before a process that drains ends.
 	quietMS = 200.0
 	// closeTimeoutMS is how long clients have to close when the process ends, and endSlackMS how long past the time at
-	// which all is answered at the latest: the kill comes 250 ms after that.
+	// which all is answered at the latest: the kill follows 250 ms after that.
 	closeTimeoutMS, endSlackMS = 300.0, 120.0
 	// settleMS is how long nothing may have been open before a process that leaves ends: connections that were accepted
 	// last are still on their way to the loop, and answers on theirs out of the poller's queues.
@@ -46,7 +46,7 @@
 	deadlineSet bool    // open requests know when the process ends
 	busyAt      float64 // when something was open last
 	answeredBy  float64 // when what is open has been answered at the latest, once deadlineSet
-	closeBy     float64 // when clients that do not close are given up; 0 until connections are closed
+	closeBy     float64 // when clients that do not close are disconnected; 0 until connections are closed
 }
 
 // setDeadline tells open requests, once, when the process ends at the latest.
@@ -66,7 +66,7 @@
 // busy reports whether requests are open.
 func (s *shutdownSequence) busy() bool { return s.services.core.OpenRequests() > 0 || s.parts.busy() }
 
-// drain answers what comes until nothing is open: no other process is in this one's place.
+// drain answers what arrives until nothing is open: no other process replaces this one.
 func (s *shutdownSequence) drain() {
 	s.log.Info("draining", "open", s.services.core.OpenRequests())
 	s.leaving = false
@@ -80,9 +80,10 @@
 	s.loop.After(max(min(graceMS, s.answeredBy-s.busyAt), 0), s.checkDrained)
 }
 
-// checkDrained ends the process once nothing has been open for a while. Until then it goes on accepting and answering:
-// each request that has come in complete on an accepted connection is taken, whenever it came. Once all must have been
-// answered, nothing delays the end any more: a client that never finishes a packet would have the process killed.
+// checkDrained ends the process once nothing has been open for a while. Until then it goes on accepting and
+// answering: each request that has arrived complete on an accepted connection is taken, whenever it arrived. Once all
+// must have been answered, nothing delays the end any more: a client that never finishes a packet would have the
+// process killed.
 func (s *shutdownSequence) checkDrained() {
 	if s.restart.phase() != hotrestart.PhaseDraining {
 		return // another process accepts now
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,7 +14,7 @@
 	"windflow/internal/settings"
 )
 
-// startReleasableEngine starts a stand-in for an engine, which answers statements with "slow" in them once release is
+// startReleasableEngine starts a fake engine, which answers statements with "slow" in them once release is
 // closed.
 func startReleasableEngine(t *testing.T, release <-chan struct{}) (address string) {
 	t.Helper()
@@ -47,8 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := func(m *mysqlClient, id int, statement string) error {
-		rows, code, err := m.ask(fmt.Sprintf("/* method=lookup,rid=%016x,budget=60000 */ %s", id, statement))
+	serve := func(m *mysqlClient, id int, statement string) error {
+		rows, code, err := m.exchange(fmt.Sprintf("/* method=lookup,rid=%016x,budget=60000 */ %s", id, statement))
 		if err != nil {
 			return fmt.Errorf("%s: %w", statement, err)
 		}
@@ -58,7 +58,7 @@
 		return nil
 	}
 	slow := make(chan error, 1)
-	go func() { slow <- ask(early, 1, "slow") }()
+	go func() { slow <- serve(early, 1, "slow") }()
 	open := make(chan int)
 	for taken := 0; taken == 0; taken = <-open {
 		n.loop.Post(func() { open <- n.services.core.OpenRequests() })
@@ -75,7 +75,7 @@
 		t.Fatal("a new connection after SIGTERM:", err)
 	}
 	for id := range 3 {
-		if err := ask(late, 10+id, "quick"); err != nil {
+		if err := serve(late, 10+id, "quick"); err != nil {
 			t.Error("after SIGTERM:", err)
 		}
 	}
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -14,7 +14,7 @@
 	// it knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
 	loopBeatIntervalMS = 100.0
 	stallThresholdMS   = 400.0
-	// catchUpMS is how long a loop that stood still takes in what came, and sends nothing.
+	// catchUpMS is how long a loop that stalled takes in what arrived, and sends nothing.
 	catchUpMS = 100.0
 	// blockedAfterMS is how late the loop may be before its stacks are logged.
 	blockedAfterMS = 1000.0
@@ -30,7 +30,7 @@
 	Continued atomic.Int64 `status:"continued"`
 }
 
-// stallDetector notices that the loop stood still: the process was stopped, or got no processor.
+// stallDetector detects that the loop stalled: the process was stopped, or got no processor.
 type stallDetector struct {
 	log      *slog.Logger
 	loop     *router.Loop
@@ -41,13 +41,13 @@
 	began      float64      // when the last stall began, and
 	ended      float64      // when it ended; 0 before the first one
 	beatMicros atomic.Int64 // beatAt for the watch, in microseconds
-	catchingUp bool         // what came is taken in, and nothing sent
+	catchingUp bool         // what arrived is taken in, and nothing sent
 	counters   stallCounters
 }
 
-// beat notices a stall. After one, clients' queries wait that came meanwhile, and so do drains and cordons. It guards
-// against sending the first before the others are known: what came is handed to the module only after the loop has
-// taken in messages for a while, and the stored cordons have been read.
+// beat notices a stall. After one, clients' queries wait that arrived meanwhile, and so do drains and cordons. It
+// guards against sending the first before the others are known: what arrived is handed to the module only after the
+// loop has taken in messages for a while, and the stored cordons have been read.
 func (d *stallDetector) beat() {
 	now := d.loop.Now()
 	late := now - d.beatAt - loopBeatIntervalMS
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -74,9 +74,9 @@
 
 var errTicketReused = errors.New("a load's ticket was redeemed twice")
 
-// askFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
+// queryFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
 // may not be: a code outside the mapping, or incomplete rows.
-func askFlight(c *fsql.Client, class, id, statement string, put bool) (bool, error) {
+func queryFlight(c *fsql.Client, class, id, statement string, put bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "method", class, "rid", id, "acct", "a")
@@ -98,7 +98,7 @@
 		r.Release()
 	}
 	if class == "load" {
-		// Whatever came of it, the ticket is consumed.
+		// Whatever the outcome, the ticket is consumed.
 		again, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
 		if err == nil {
 			again.Release()
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -16,7 +16,7 @@
 	timeout    *Timer
 	startLimit *Timer // at its latest start, if it has one
 	exclusive  bool   // see Call
-	canceled   bool   // the engine was asked to cancel it
+	canceled   bool   // the engine was requested to cancel it
 	ended      bool
 	outcome    dispatch.Outcome // once it has ended
 }
@@ -52,7 +52,7 @@
 		next.call = unstartedAttempt{}
 		t.end(next, End{Outcome: dispatch.NotSent})
 	case t.endpoints.unavailable[action.Engine]:
-		// Two events about the engine came in one step: the module decided after the first one.
+		// Two events about the engine were posted in one step: the module decided after the first one.
 		next.call = unstartedAttempt{}
 		t.end(next, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
 	default:
@@ -153,7 +153,7 @@
 	}
 }
 
-// limitTimeouts has the outstanding attempts of a request time out at the shutdown deadline.
+// limitTimeouts moves the timeouts of a request's outstanding attempts to the shutdown deadline.
 func (t *attemptTracker) limitTimeouts(request *request, shutdownAt float64) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.timeout != nil {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -207,8 +207,8 @@
 // FillView fills a view of the fleet as the module sees it.
 func (c *Core) FillView(view *dispatch.View) { c.module.FillView(clock.Duration(c.loop.Now()), view) }
 
-// HoldDecisions has the core gather events and pass none to the module, until it is called with false. It is for a
-// process that stood still, and guards against requests that waited meanwhile being sent by an outdated view of the
+// HoldDecisions makes the core collect events and pass none to the module, until it is called with false. It is for a
+// process that stalled, and guards against requests that waited meanwhile being sent by an outdated view of the
 // fleet: the events about engines that have come until then go ahead of them.
 func (c *Core) HoldDecisions(hold bool) {
 	c.holding = hold
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -75,7 +75,7 @@
 }
 
 // A deadline counts from when the client sent the request: the engine gets the time that is left, and a request that
-// comes too late is answered at once, without an attempt.
+// arrives too late is answered at once, without an attempt.
 func TestDeadlineCountsFromSending(t *testing.T) {
 	h := newHarness(t)
 	h.submit("lookup", 1000, 400)
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -6,7 +6,7 @@
 //
 //   - requestTable holds the open requests, requestIDs the ids that must not begin here,
 //   - attemptTracker runs attempts on the engine client,
-//   - responder gives the final answers,
+//   - responder sends the final answers,
 //   - endpointTable holds the listed engines and their addresses,
 //   - eventQueue gathers events for the dispatch module during a step.
 //
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -77,12 +77,12 @@
 	}
 	if known && (moved || !live) {
 		// The module chose the engine while it was live, at its old address. Unstarted attempts could start much
-		// later, when that no longer holds or another engine has the address.
+		// later, when that is no longer true or another engine has the address.
 		t.client.CancelUnstarted(old)
 	}
 }
 
-// cancelUnstarted has the attempts end that have not been started at an engine, if it is in the table.
+// cancelUnstarted ends the attempts that have not been started at an engine, if it is in the table.
 func (t *endpointTable) cancelUnstarted(id dispatch.EngineID) {
 	if engine, ok := t.engines[id]; ok {
 		t.client.CancelUnstarted(engine)
