--- a/internal/router/engine_client.go
+++ b/internal/router/engine_client.go
@@ -18,12 +18,12 @@
 	WaitMS     float64 // how long the router waits for the answer
 	GrantMB    float64 // memory granted; 0 leaves it to the engine
 	Priority   int
-	Update     bool // the client asked for an update, not for rows
+	Update     bool // the client requested an update, not rows
 	AtMostOnce bool // it must not run twice: proof that it never ran justifies a new connection
 	// Exclusive says that no further attempt of the request may start while an engine may have this one in progress:
 	// its end is reported when the engine has none of it any more, and not before.
 	Exclusive bool
-	// CancelAllowed says that the engine may be asked to cancel the attempt.
+	// CancelAllowed says that the engine may be requested to cancel the attempt.
 	CancelAllowed bool
 	// LatestStartMS is when it may start at the latest, on the loop's clock; 0 for any time.
 	LatestStartMS float64
@@ -70,8 +70,8 @@
 // Attempt is an attempt that an engine client has in progress.
 type Attempt interface {
 	SetPriority(int)
-	// Cancel asks the engine to cancel the query. Abandon follows or, if the call is Exclusive, the client reports the
-	// end when the engine has canceled it.
+	// Cancel requests the engine to cancel the query. Abandon follows or, if the call is Exclusive, the client
+	// reports the end when the engine has canceled it.
 	Cancel()
 	// Abandon ends the interest in the attempt: its end is not reported any more.
 	Abandon()
@@ -91,7 +91,7 @@
 	CancelUnstarted(Engine)
 }
 
-// unstartedAttempt stands for an attempt that no engine client has started.
+// unstartedAttempt is the call of an attempt that no engine client has started.
 type unstartedAttempt struct{}
 
 func (unstartedAttempt) SetPriority(int)    {}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -10,7 +10,7 @@
 	"windflow/internal/clock"
 )
 
-// fakeEngineClient records what the core asks of an engine client. Tests end its attempts by calling done.
+// fakeEngineClient records the calls of an engine client. Tests end its attempts by calling done.
 type fakeEngineClient struct {
 	calls             []Call
 	done              []func(End) // of each call
@@ -155,7 +155,7 @@
 // requestID is the id of the latest request that submit submitted.
 func (h *harness) requestID() string { return fmt.Sprintf("%016x", h.lastID) }
 
-// endAttempt ends an attempt, by its place among the calls.
+// endAttempt ends an attempt, by its index among the calls.
 func (h *harness) endAttempt(call int, end End) {
 	h.loop.Post(func() { h.client.done[call](end) })
 	h.runLoop()
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -55,9 +55,9 @@
 // OtherProcessChanged applies a change of an id in the other process: one that is open there can't be opened here.
 func (c *Core) OtherProcessChanged(change IDChange) { c.ids.applyChange(change) }
 
-// claim asks the other process, if there is one, before an at-most-once request starts. It guards against an id that
-// a client sends to both processes while the change that says so is on its way. Nothing of the request is sent until
-// then.
+// claim requests a grant of the other process, if there is one, before an at-most-once request starts. It guards
+// against an id that a client sends to both processes while the change that says so is on its way. Nothing of the
+// request is sent until then.
 func (c *Core) claim(request *request) {
 	if c.ClaimID == nil {
 		c.arrive(request)
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -13,8 +13,8 @@
 type Loop struct {
 	// AfterStep runs at the end of each step, when all that was ready has run.
 	AfterStep func()
-	// OnStall, if set, is called when the loop finds that it stood still: usually with the whole process, so that what
-	// came meanwhile has not been posted yet. It has caughtUp called, from any goroutine, when that is done. Until then
+	// OnStall, if set, is called when the loop finds that it stalled: usually with the entire process, so that what
+	// arrived meanwhile has not been posted yet. It calls caughtUp, from any goroutine, when that is done. Until then
 	// no timer runs, so that an answer that has come is not taken for one that is missing.
 	OnStall func(caughtUp func())
 
@@ -32,7 +32,7 @@
 }
 
 const (
-	// stallThresholdMS is how late a timer has to be for the loop to count as having stood still.
+	// stallThresholdMS is how late a timer has to be for the loop to count as stalled.
 	stallThresholdMS = 400.0
 	// maxCatchUpMS bounds how long timers are paused then.
 	maxCatchUpMS = 200.0
@@ -115,7 +115,7 @@
 	return len(due) > 0
 }
 
-// timersPaused reports whether timers that are due have to wait, because the loop stood still and what came meanwhile
+// timersPaused reports whether timers that are due have to wait, because the loop stalled and what arrived meanwhile
 // has not been posted yet.
 func (l *Loop) timersPaused(now float64) bool {
 	switch {
--- a/internal/router/loop_test.go
+++ b/internal/router/loop_test.go
@@ -9,13 +9,14 @@
 	"windflow/internal/clock"
 )
 
-// After a stall, the loop runs what came meanwhile before its timers, which may say that it did not come. It guards
-// against failing a load for want of an answer that is there, and against timers that wait forever or without a stall.
+// After a stall, the loop runs what arrived meanwhile before its timers, which may say that it did not arrive. It
+// guards against failing a load for want of an answer that is there, and against timers that wait forever or without
+// a stall.
 func TestTimersWaitForInboxAfterStall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		lateMS   float64 // of the timer
-		caughtUp bool    // whether what came is posted, and caughtUp called
+		caughtUp bool    // whether what arrived is posted, and caughtUp called
 		stalls   int
 		want     []string
 	}{
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -6,8 +6,8 @@
 type Hooks struct {
 	// OnIDChange, if set, is called when the status of a request id changes.
 	OnIDChange func(IDChange)
-	// ClaimID, if set, asks the other process of this router whether the request with an id may start here. It calls
-	// then once, in the loop: before it returns with ClaimGranted if there is no process to ask, else later.
+	// ClaimID, if set, requests the other process's grant that the request with an id may start here. It calls
+	// then once, in the loop: before it returns with ClaimGranted if there is no other process, else later.
 	ClaimID func(id string, then func(ClaimReply))
 	// Observer, if set, sees requests and attempts; it decides nothing.
 	Observer Observer
--- a/internal/router/races_test.go
+++ b/internal/router/races_test.go
@@ -56,7 +56,7 @@
 }
 
 // When an engine drains, is removed or moves, the attempts that were not started there are canceled and retried
-// elsewhere. An event about an engine that comes in one step with a request goes ahead of it.
+// elsewhere. An event about an engine that is posted in one step with a request precedes it.
 func TestEndpointEventCancelsUnstartedAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -90,7 +90,7 @@
 }
 
 // A retry of a request that is idempotent only within a window does not start after the window, even if its connection
-// comes up later: it ends as one that never ran, and the module gets that end.
+// is established later: it ends as one that never ran, and the module gets that end.
 func TestLatestStart(t *testing.T) {
 	h := newHarness(t, func(cfg *dispatch.Config) {
 		cfg.Classes = append(cfg.Classes, dispatch.Class{
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -20,7 +20,7 @@
 	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
 	NeedMB     float64 `json:"NeedMB"`     // 0 if unknown
 	Retry      bool    `json:"Again"`      // the client sends the request again
-	Update     bool    `json:"Update"`     // the client asked for an update, not for rows
+	Update     bool    `json:"Update"`     // the client requested an update, not rows
 }
 
 // The names of a request's fields, the same on every front.
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -34,7 +34,7 @@
 	deadlineToleranceMS = 1.0
 )
 
-// responder gives requests their final answers.
+// responder sends requests their final answers.
 type responder struct {
 	shared
 	attempts *attemptTracker
@@ -134,7 +134,7 @@
 	return handler
 }
 
-// limitDeadline moves the deadline of a request to the shutdown deadline, if that comes first.
+// limitDeadline moves the deadline of a request to the shutdown deadline, if that is earlier.
 func (r *responder) limitDeadline(request *request, shutdownAt float64) {
 	if request.deadline <= shutdownAt {
 		return
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -8,7 +8,7 @@
 )
 
 // settings are the parts of the dispatch configuration that the core itself uses. A value does not change once it is
-// in force; it is replaced as a whole.
+// in force; it is replaced entirely.
 type settings struct {
 	classes     map[string]dispatch.Class
 	tenants     map[string]bool // if empty, requests may name any tenant
--- a/internal/router/statement_scanner.go
+++ b/internal/router/statement_scanner.go
@@ -14,25 +14,25 @@
 	if s.position >= len(s.text) {
 		return ""
 	}
-	rest := s.text[s.position:]
-	if rest[0] == '`' {
-		length := quotedLength(rest)
+	remaining := s.text[s.position:]
+	if remaining[0] == '`' {
+		length := quotedLength(remaining)
 		s.position += length
-		if name := strings.Trim(rest[:length], "`"); name != "" {
+		if name := strings.Trim(remaining[:length], "`"); name != "" {
 			return name
 		}
 		return "`"
 	}
 	length := 0
-	for length < len(rest) && isNameByte(rest[length]) {
+	for length < len(remaining) && isNameByte(remaining[length]) {
 		length++
 	}
 	length = max(length, 1)
 	s.position += length
-	return rest[:length]
+	return remaining[:length]
 }
 
-// dotFollows reports whether a dot comes next.
+// dotFollows reports whether a dot is next.
 func (s *statementScanner) dotFollows() bool {
 	s.skip()
 	return s.position < len(s.text) && s.text[s.position] == '.'
@@ -41,16 +41,16 @@
 // skip skips white space, comments and strings.
 func (s *statementScanner) skip() {
 	for s.position < len(s.text) {
-		rest := s.text[s.position:]
-		switch c := rest[0]; {
+		remaining := s.text[s.position:]
+		switch c := remaining[0]; {
 		case c == ' ' || c == '\t' || c == '\n' || c == '\r':
 			s.position++
-		case strings.HasPrefix(rest, "/*"):
+		case strings.HasPrefix(remaining, "/*"):
 			s.skipTo("*/", len("/*"))
-		case c == '#' || strings.HasPrefix(rest, "-- ") || strings.HasPrefix(rest, "--\n") || rest == "--":
+		case c == '#' || strings.HasPrefix(remaining, "-- ") || strings.HasPrefix(remaining, "--\n") || remaining == "--":
 			s.skipTo("\n", 1)
 		case c == '\'' || c == '"':
-			s.position += quotedLength(rest)
+			s.position += quotedLength(remaining)
 		default:
 			return
 		}
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -1,5 +1,5 @@
 // Package routertest has helpers for the tests of the router's fronts and engine clients: recorded exchanges, a running
-// loop, and an address that refuses connections.
+// loop, and an address at which connections fail.
 package routertest
 
 import (
@@ -19,7 +19,7 @@
 
 var update = flag.Bool("update", false, "record the exchanges anew")
 
-// outputPrefix indents the lines of an exchange that show what came of the line above them.
+// outputPrefix indents the lines of an exchange that show the outcome of the line above them.
 const outputPrefix = "  "
 
 // RunExchanges plays the exchanges recorded in testdata, each as a subtest, and compares them with what the code under
--- a/internal/settings/dispatchconfig.go
+++ b/internal/settings/dispatchconfig.go
@@ -7,7 +7,7 @@
 	"windflow/dispatch"
 )
 
-// The platform's words for values of settings; an empty word stands for the default.
+// The platform's names for values of settings; an empty name means the default.
 var (
 	semantics = map[string]dispatch.Semantics{
 		"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
@@ -23,14 +23,14 @@
 	}
 )
 
-// polledDiscovery is the platform's word for a discovery that routers have to poll.
+// polledDiscovery is the platform's name for a discovery that routers have to poll.
 const polledDiscovery = "subscribe"
 
-// ParseEnum looks a word of the platform up in a table. Its error names the field.
-func ParseEnum[T any](field, word string, table map[string]T) (T, error) {
-	value, ok := table[word]
+// ParseEnum looks a value's name in the platform's settings up in a table. Its error names the field.
+func ParseEnum[T any](field, name string, table map[string]T) (T, error) {
+	value, ok := table[name]
 	if !ok {
-		return value, fmt.Errorf("%s: unknown value %q", field, word)
+		return value, fmt.Errorf("%s: unknown value %q", field, name)
 	}
 	return value, nil
 }
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -14,7 +14,7 @@
 	Addresses map[dispatch.EngineID]string
 }
 
-// endpointStates are the platform's words for the state of an engine.
+// endpointStates are the platform's names for the state of an engine.
 var endpointStates = map[string]dispatch.EndpointState{
 	"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed,
 }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -141,7 +141,7 @@
 	Share *float64 `json:"share"`
 }
 
-// strictJSON is the faster reader, for the many tenants; checkType words the errors.
+// strictJSON is the faster reader, for the many tenants; checkType writes the errors.
 var strictJSON = jsoniter.Config{DisallowUnknownFields: true}.Froze()
 
 // checkTenant checks a tenant's entry. The error is a *configerror.Error.
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -25,7 +25,7 @@
 	SeedValue uint64   `json:"-"`
 }
 
-// NodeLimits are what the process may use; 0 stands for a default.
+// NodeLimits are what the process may use; 0 means a default.
 type NodeLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -34,7 +34,7 @@
 }
 
 // Entries checks entries that are laid over a base configuration, the platform file of a router; nil if a router
-// could use them. The same entries give the same error everywhere.
+// could use them. The same entries have the same error everywhere.
 //
 // The error is or wraps a *configerror.Error of kind Invalid. Its pointer is that of the entry which has the field
 // that the error names; where it names none of them, the first, in the order of their pointers, with which the
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -19,7 +19,7 @@
 	return string(text)
 }
 
-// The error of a configuration that a router could not start with is the one that the router would give.
+// The error of a configuration that a router could not start with is the one that the router would return.
 func TestNodeConfigNamesTheField(t *testing.T) {
 	good := example(t)
 	for _, k := range []struct{ from, to, want string }{
