--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchFleet returns one controller of 600 with an endpoint list, a share of whose engines warm up. They go on to do
+// benchFleet returns one controller of 600 with an endpoint list, a share of whose engines warm up. They keep doing
 // so: what is measured is a moment after a zone or a region is back.
 func benchFleet(tb testing.TB, engines int, warmingShare float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -58,7 +58,7 @@
 // provesNotRun reports whether an attempt that ended so never ran.
 func (o Outcome) provesNotRun() bool { return o == EngineFull || o == ConnectFailed || o == NotSent }
 
-// unclear reports whether the engine may go on running an attempt that ended so.
+// unclear reports whether the engine may continue running an attempt that ended so.
 func (o Outcome) unclear() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
 // LoadReport is what an engine reports of its load; a negative value is unknown.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -108,7 +108,7 @@
 	return h.fullAt > 0 && env.now-h.fullAt < fullBackoff
 }
 
-// recordFull notes that the engine was full; it has answered, so it is not down.
+// recordFull records that the engine was full; it has answered, so it is not down.
 func (h *health) recordFull(env *environment) {
 	h.fullAt = env.now
 	h.connectionFailures = 0
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -32,7 +32,7 @@
 	key.requests = append(key.requests, req)
 }
 
-// remove lets the next request of the key go on.
+// remove lets the next request of the key proceed.
 func (o *keyOrder) remove(req *request) {
 	key := o.keys[req.key]
 	if !req.ordered || key == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordOutcome starts the key's cooldown where the engine may go on running the attempt.
+// recordOutcome starts the key's cooldown where the engine may continue running the attempt.
 func (o *keyOrder) recordOutcome(req *request, outcome Outcome) {
 	if !req.ordered || !outcome.unclear() {
 		return
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -83,7 +83,7 @@
 	a.spilled = true
 }
 
-// onBlocked notes another router's load that blocks an attempt, and guesses how long it lasts.
+// onBlocked records another router's load that blocks an attempt, and guesses how long it lasts.
 func (l *outcomeLearner) onBlocked(a *attempt) {
 	k, now := a.request.class, l.env.nowMS()
 	a.engine.pressure.LockObserved(a.request.tableGroup, now, now+1000*k.estimate.usualWork()/float64(k.Threads))
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -149,7 +149,7 @@
 	return n
 }
 
-// track notes an engine that is ejected, or was lately.
+// track records an engine that is ejected, or was lately.
 func (d *outlierDetector) track(suspect *engine) {
 	if suspect.health.failureShare < ejectionThreshold {
 		if suspect.health.tracked {
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -139,7 +139,7 @@
 func (r *request) threadTimeMS() float64 { return 1000 * r.work() / float64(r.class.Threads) }
 
 // cannotFinishInTime reports whether a new request should not be started at all: it arrived after its deadline or, in
-// a large fleet, would end too late. Engines go on running queries whose clients have left, which adds up over all
+// a large fleet, would end too late. Engines continue running queries whose clients have left, which adds up over all
 // routers.
 func (t *requestTracker) cannotFinishInTime(req *request) bool {
 	if t.env.now >= req.deadline {
@@ -191,7 +191,7 @@
 	t.env.emit(FailRequest{Request: req.id})
 }
 
-// finish ends a request; its outstanding attempts go on.
+// finish ends a request; its outstanding attempts continue.
 func (t *requestTracker) finish(req *request) {
 	if req.finished {
 		return
@@ -201,7 +201,7 @@
 	t.settle(req)
 }
 
-// settle forgets a finished request once no attempt is outstanding, and lets the next one of its key go on.
+// settle forgets a finished request once no attempt is outstanding, and lets the next one of its key proceed.
 func (t *requestTracker) settle(req *request) {
 	if !req.finished || req.outstanding > 0 {
 		return
@@ -281,7 +281,7 @@
 	return next
 }
 
-// onResponseStarted notes that the answer of an attempt is streamed: the deadline does not apply any more.
+// onResponseStarted records that the answer of an attempt is streamed: the deadline does not apply any more.
 func (t *requestTracker) onResponseStarted(event ResponseStarted) {
 	if a := t.attempt(event.Request, event.Attempt); a != nil {
 		a.streaming = true
--- a/internal/decide/backoff/zone.go
+++ b/internal/decide/backoff/zone.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// RecordAttempt notes that an engine is tried. A suspect zone is backed off from meanwhile: one attempt at a time shows
-// whether it is back.
+// RecordAttempt records that an engine is tried. A suspect zone is backed off from meanwhile: one attempt at a time
+// shows whether it is back.
 func (z *ZoneBackoff) RecordAttempt(now float64, policy Policy) {
 	if z.Suspect() {
 		z.backoff.until = max(z.backoff.until, now+policy.Initial)
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -28,7 +28,7 @@
 // maxRejections is how many rejections a follower remembers: those of the latest revisions.
 const maxRejections = 16
 
-// content is a revision with all its entries. It is never changed, so that callers can go on reading the entries.
+// content is a revision with all its entries. It is never changed, so that callers can continue reading the entries.
 type content struct {
 	revision uint64
 	hash     Hash
--- a/internal/decide/hotrestart/event.go
+++ b/internal/decide/hotrestart/event.go
@@ -47,7 +47,7 @@
 	ActionStopAccepting
 	// ActionFinish completes the requests that were accepted and closes idle sessions.
 	ActionFinish
-	// ActionDrain goes on accepting and answering until nothing is open.
+	// ActionDrain continues accepting and answering until nothing is open.
 	ActionDrain
 	// ActionEnd ends the process.
 	ActionEnd
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// LockObserved notes that another router's load blocks a query of a group, and when it is expected to end.
+// LockObserved records that another router's load blocks a query of a group, and when it is expected to end.
 func (e *Engine) LockObserved(group int64, now, until float64) {
 	if group == 0 || !(until > now) {
 		return
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -84,7 +84,7 @@
 
 // Configure applies other names to the records that are received from now on and, where the address is another one,
 // connects there at once, from the last event on. What the former address still sends is dropped: the numbers of
-// events go on at the new one, so that an event from either is reported once.
+// events continue at the new one, so that an event from either is reported once.
 func (w *Watcher) Configure(address string, names RecordNames) {
 	w.names = names
 	if address == w.address {
@@ -104,7 +104,7 @@
 	w.connection.awaitFrame()
 }
 
-// connected notes that discovery has sent something on a new connection.
+// connected records that discovery has sent something on a new connection.
 func (w *Watcher) connected() {
 	w.log.Info("discovery connected", "address", w.address, "last_event", w.lastEvent)
 	w.reconnectDelayMS = minReconnectDelayMS
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -37,7 +37,7 @@
 func (c *fakeConn) Detach(f func(*os.File)) { f(nil) }
 func (c *fakeConn) HasUnread() bool         { return false }
 
-// A bad frame, a gap or silence ends the connection and keeps the list, and the next connection goes on from the last
+// A bad frame, a gap or silence ends the connection and keeps the list, and the next connection continues from the last
 // good event.
 func TestReconnectsFromTheLastGoodEvent(t *testing.T) {
 	now := &clock.Manual{MS: 1e6}
--- a/internal/node/bgp_neighbour_test.go
+++ b/internal/node/bgp_neighbour_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkSessionGoesOn fails the test unless the first session goes on, with nothing withdrawn and no further session.
+// checkSessionGoesOn fails the test unless the first session continues, with nothing withdrawn and no further session.
 func (n *bgpNeighbour) checkSessionGoesOn(t *testing.T) {
 	t.Helper()
 	for len(n.beats) > 0 {
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -29,7 +29,7 @@
 	<-done
 }
 
-// A request that has come to a idle connection when the router ends its sessions, and that the loop has not read,
+// A request that has arrived at an idle connection when the router ends its sessions, and that the loop has not read,
 // is taken and answered; then the client reads the end, as an idle one does at once. Neither is reset. It
 // guards against a close over unread bytes, which loses the request, and with it an answer that the client has not
 // read.
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -103,7 +103,7 @@
 	s.store(id, cordon, known, func() { s.passOn(id, cordon, known, answer) })
 }
 
-// store writes a cordon, or its end, where all processes of this router see it, then applies it here, then goes on.
+// store writes a cordon, or its end, where all processes of this router see it, then applies it here, then continues.
 func (s *cordonStore) store(id dispatch.EngineID, cordon, known bool, done func()) {
 	apply := func() {
 		if known {
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -42,7 +42,7 @@
 }
 
 // listenDiscovery is a fake discovery server that hands over each connection once it has read from which event it
-// goes on.
+// continues.
 func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -20,7 +20,7 @@
 //	predecessor: go-ahead  it accepts no more; the successor accepts, and is ready
 //
 // On SIGTERM the predecessor finishes what it accepted, hands over its tickets and its BGP session, and ends. Should
-// the successor end first, the predecessor goes on as before.
+// the successor end first, the predecessor continues as before.
 
 const (
 	// generations is how many values a generation has; two processes that live at the same time have different ones.
@@ -36,12 +36,12 @@
 	serving() bool
 	// exportState returns the state for a successor; the coordinator closes the files.
 	exportState() (stateMessage, []*os.File)
-	// restoreState goes on from the predecessor's state. Its files are closed when it returns.
+	// restoreState continues from the predecessor's state. Its files are closed when it returns.
 	restoreState(from *handover)
 	// takenListeners are the names of the listeners on which this process accepts in place of the other one.
 	takenListeners() []string
 	startAccepting()
-	// stopAccepting closes the listeners that the other process has taken.
+	// stopAccepting releases the listeners that the other process has taken.
 	stopAccepting(taken []string)
 	leave()
 	drain()
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// processEnded goes on without a process that has ended.
+// processEnded continues without a process that has ended.
 func (c *coordinator) processEnded(process hotrestart.ProcessNumber) {
 	shared := process == c.machine.Predecessor() && c.machine.Phase() != hotrestart.PhaseAwaitingState ||
 		process == c.machine.Successor()
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -151,7 +151,7 @@
 	}()
 }
 
-// predecessorFound goes on after a search; conn is nil where there is no new link.
+// predecessorFound continues after a search; conn is nil where there is no new link.
 func (c *coordinator) predecessorFound(found hotrestart.ProcessNumber, conn *net.UnixConn) {
 	c.searching = false
 	if conn != nil {
@@ -166,7 +166,7 @@
 	c.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound, Process: found})
 }
 
-// linkEnded goes on after a link that ended; the process at its other end may live.
+// linkEnded continues after a link that ended; the process at its other end may live.
 func (c *coordinator) linkEnded(ended *peer, err error) {
 	if ended.process == hotrestart.NoProcess || c.links.byProcess[ended.process] != ended {
 		return
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -39,7 +39,7 @@
 	PID   int    `json:"pid"`
 }
 
-// stateMessage is what a successor needs to go on in place of its predecessor. The descriptors of the listeners
+// stateMessage is what a successor needs to continue in place of its predecessor. The descriptors of the listeners
 // come with it.
 type stateMessage struct {
 	Version    int               `json:"version,omitempty"`
@@ -116,7 +116,7 @@
 	}
 }
 
-// receiveBye notes that the process at the other end lives on though its link ends.
+// receiveBye records that the process at the other end lives on though its link ends.
 func receiveBye(from *peer, _ *hotrestartipc.Message) error {
 	from.bye = true
 	return nil
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -139,7 +139,7 @@
 }
 
 // A predecessor that hangs for good keeps its successor from serving for some seconds only. That knows the cordons,
-// takes in no load, and learns of what the predecessor knows when it goes on after all. It guards against a router
+// takes in no load, and learns of what the predecessor knows when it continues after all. It guards against a router
 // that can't be restarted out of a process that hangs.
 func TestPredecessorHangs(t *testing.T) {
 	t.Run("and is killed", func(t *testing.T) {
@@ -233,7 +233,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	harness.terminate(first)
-	// Whichever of them was first goes on from the second, and the other waits for the second's end.
+	// Whichever of them was first continues from the second, and the other waits for the second's end.
 	next, last, nextAdmin, lastAdmin := third, fourth, adminAddresses[2], adminAddresses[3]
 	harness.waitFor("one of the two", func() bool {
 		if harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -240,7 +240,7 @@
 	restart.neighbour.checkSessionGoesOn(t)
 }
 
-// Should the new process end first, the old one goes on as before: it accepts, is ready, and can be restarted hot. So
+// Should the new process end first, the old one continues as before: it accepts, is ready, and can be restarted hot. So
 // it does where the admin API is on the same address in both.
 func TestSuccessorEnds(t *testing.T) {
 	one := newBlockingEngine()
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -50,7 +50,8 @@
 	checkServed(h.t, c, query("lookup", id, "SELECT 1"))
 }
 
-// discoveryOfRevision waits until a router watches discovery, which only one with that configuration does.
+// discoveryOfRevision starts a fake discovery server, and returns its address and a function that waits until a router
+// connects, which only one with that address in its configuration does.
 func discoveryOfRevision(t *testing.T) (addr string, reached func()) {
 	t.Helper()
 	addr, links := listenDiscovery(t)
@@ -61,7 +62,7 @@
 	}
 }
 
-// A revision is put in force in a running router, which goes on serving; one that it rejects is named with its
+// A revision is put in force in a running router, which continues to serve; one that it rejects is named with its
 // pointer, and the former one stays; the next good one is in force again.
 func TestRevisionInForce(t *testing.T) {
 	k := keepertest.New(t)
@@ -145,7 +146,7 @@
 	text, _ = json.Marshal(doc)
 	harness.editConfig(func(string) string { return string(text) })
 	hup()
-	// It is rejected: revisions go on over the file that was in force, which has two classes.
+	// It is rejected: revisions continue over the file that was in force, which has two classes.
 	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
 	if said := k.WaitForRevision(end); said.Rejected != nil {
 		t.Errorf("%+v", said.Rejected)
@@ -293,7 +294,7 @@
 		return harness.figure(newAdmin, revisionFigure) == int(last) && harness.figure(oldAdmin, revisionFigure) == int(last)
 	})
 	harness.requireServing(1)
-	// The new one alone goes on from there.
+	// The new one alone continues from there.
 	harness.terminate(old)
 	if got := harness.figure(newAdmin, revisionFigure); got != int(last) {
 		t.Errorf("alone at revision %d", got)
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -88,7 +88,7 @@
 	claims ticketClaims
 }
 
-// clientsOf returns the clients of engines by kind. Attempts that are out go on as they are.
+// clientsOf returns the clients of engines by kind. Attempts that are out continue as they are.
 func (f *flightService) clientsOf(kinds []string) map[string]router.EngineClient {
 	clients := map[string]router.EngineClient{}
 	for _, kind := range kinds {
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Requests that arrive in pieces over the moment in which the router is signaled to end, on a connection that has
-// rested, on one that has just been accepted, and half before it and half after, are answered while it drains; then
+// Requests that arrive in pieces over the moment in which the router is signaled to end, on a connection that was
+// idle, on one that has just been accepted, and half before it and half after, are answered while it drains; then
 // all read the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes
 // crossed the signal.
 func TestPartialPacketsAcrossShutdown(t *testing.T) {
--- a/internal/node/process_control_test.go
+++ b/internal/node/process_control_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// stopFor stops a process and has it go on after a while.
+// stopFor stops a process and resumes it after a while.
 func (h *routerHarness) stopFor(p *exec.Cmd, pause time.Duration) {
 	h.t.Helper()
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// On SIGHUP the program reads its file again: it goes on at discovery's new address from the last event that it
+// On SIGHUP the program reads its file again: it continues at discovery's new address from the last event that it
 // has, and neither a file that can't be used nor the signal itself ends it.
 func TestReloadMovesDiscovery(t *testing.T) {
 	oldAddr, oldLinks := listenDiscovery(t)
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -27,7 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// blockingEngine is a fake engine whose statements with "slow" in them run until they are released; it notes what ran.
+// blockingEngine is a fake engine whose statements with "slow" in them run until they are released; it records what
+// ran.
 type blockingEngine struct {
 	mu       sync.Mutex
 	runs     map[string]int
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -29,8 +29,8 @@
 	leavePollMS = 10.0
 )
 
-// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts in
-// its place, when it leaves.
+// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts
+// instead, when it leaves.
 type shutdownSequence struct {
 	log      *slog.Logger
 	loop     *router.Loop
@@ -80,7 +80,7 @@
 	s.loop.After(max(min(graceMS, s.answeredBy-s.busyAt), 0), s.checkDrained)
 }
 
-// checkDrained ends the process once nothing has been open for a while. Until then it goes on accepting and
+// checkDrained ends the process once nothing has been open for a while. Until then it continues accepting and
 // answering: each request that has arrived complete on an accepted connection is taken, whenever it arrived. Once all
 // must have been answered, nothing delays the end any more: a client that never finishes a packet would have the
 // process killed.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,7 +35,7 @@
 	return lis.Addr().String()
 }
 
-// After SIGTERM the router goes on taking and answering, on open and on new connections, for as long as a
+// After SIGTERM the router continues taking and answering, on open and on new connections, for as long as a
 // request is open, and then ends by itself. It guards against requests lost at a planned restart.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// loopBeatIntervalMS is how often the loop shows that it goes on, and stallThresholdMS the delay after which what
+	// loopBeatIntervalMS is how often the loop shows that it continues, and stallThresholdMS the delay after which what
 	// it knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
 	loopBeatIntervalMS = 100.0
 	stallThresholdMS   = 400.0
@@ -84,7 +84,7 @@
 	return now
 }
 
-// watch logs the stacks when the loop does not go on though the process does, until done is closed. It runs in a
+// watch logs the stacks when the loop does not continue though the process does, until done is closed. It runs in a
 // goroutine of its own.
 func (d *stallDetector) watch(done <-chan struct{}) {
 	tick := time.NewTicker(watchInterval)
--- a/internal/router/engine_client.go
+++ b/internal/router/engine_client.go
@@ -87,7 +87,7 @@
 	// Forget says that an engine is gone: connections kept for it are not used any more.
 	Forget(Engine)
 	// CancelUnstarted says that an engine gets no new work, or that it has moved to another address: each attempt of
-	// which nothing was sent ends as ConnectFailed. Started attempts go on.
+	// which nothing was sent ends as ConnectFailed. Started attempts continue.
 	CancelUnstarted(Engine)
 }
 
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -5,7 +5,7 @@
 	"windflow/internal/clock"
 )
 
-// State is what another process needs to go on in place of this one.
+// State is what another process needs to continue in place of this one.
 type State struct {
 	OpenIDs     []string          `json:"open"`
 	ConsumedIDs []string          `json:"spent"`
--- a/internal/router/races_test.go
+++ b/internal/router/races_test.go
@@ -10,7 +10,7 @@
 )
 
 // An abandoned request gets no attempt any more: neither one that the engine client has and that waits for its
-// connection, nor one that the module decided on in the same step. What has started goes on, and is canceled if the
+// connection, nor one that the module decided on in the same step. What has started continues, and is canceled if the
 // configuration allows that.
 func TestAbandonedRequestGetsNoAttempt(t *testing.T) {
 	h := newHarness(t, func(cfg *dispatch.Config) {
@@ -56,7 +56,7 @@
 }
 
 // When an engine drains, is removed or moves, the attempts that were not started there are canceled and retried
-// elsewhere. An event about an engine that is posted in one step with a request precedes it.
+// at another engine. An event about an engine that is posted in one step with a request precedes it.
 func TestEndpointEventCancelsUnstartedAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -121,7 +121,7 @@
 	r.observe(request, Answer{Kind: AnswerClientGone})
 }
 
-// close closes a request and returns its handler. Attempts that were sent go on being reported to the module; the
+// close closes a request and returns its handler. Attempts that were sent continue being reported to the module; the
 // others are taken back, because no client waits for them.
 func (r *responder) close(request *request) ResponseHandler {
 	handler := r.requests.close(request)
