--- a/internal/decide/hotrestart/model_adversary_test.go
+++ b/internal/decide/hotrestart/model_adversary_test.go
@@ -184,7 +184,7 @@
 		return
 	}
 	if p.machine.nextHelloAt > 0 && idle {
-		b.maybe("asks again", i, 0, func(next *model) {
+		b.maybe("repeats its hello", i, 0, func(next *model) {
 			next.world.processes[i].machine.awaitDeadline = 1e6 // this time only the other timer runs out
 			next.step(i, Event{Kind: EventTick})
 		})
@@ -216,7 +216,7 @@
 		})
 	}
 	if w.left.stops > 0 && !p.machine.stopRequested {
-		b.maybe("is asked to end", i, 0, func(next *model) {
+		b.maybe("is requested to end", i, 0, func(next *model) {
 			next.world.left.stops--
 			next.step(i, Event{Kind: EventStopRequested})
 		})
