--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"errors"
 	"flag"
 	"os"
 	"path/filepath"
@@ -259,6 +260,32 @@
 	}
 }
 
+// A page whose marks do not match the scenarios is not written, and the error says where.
+func TestUpdateFindsFaultyMarks(t *testing.T) {
+	const begin = beginMark + "one" + markTail + "\n"
+	const end = endMark + "\n"
+	m, rows, page := example(t)
+	if again, err := m.Update(page, rows); err != nil || again != page {
+		t.Errorf("a second update gives another page, error %v", err)
+	}
+	for _, test := range []struct{ name, page, want string }{
+		{"no marks", "text\n", `table "one": is not on the page`},
+		{"an end alone", end + begin + end, "line 1: an end without its begin"},
+		{"no end", "text\n" + begin, `table "one": has no end`},
+		{"a table within another", begin + begin + end, `table "one": has no end`},
+		{"the same table twice", begin + end + begin + end, `table "one": is there twice`},
+		{
+			"an unknown table", begin + end + beginMark + "two" + markTail + "\n" + end,
+			`table "two": no rows are defined for it`,
+		},
+	} {
+		got, err := m.Update(test.page, rows)
+		if got != "" || !errors.Is(err, ErrMarks) || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %q, error %v, want %s", test.name, got, err, test.want)
+		}
+	}
+}
+
 func TestNumbers(t *testing.T) {
 	for _, k := range []struct {
 		x    float64
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"math"
 	"strings"
 	"testing"
 )
@@ -38,3 +39,38 @@
 		t.Error(err)
 	}
 }
+
+// Days that could not be read again are not written, and half a file is not read.
+func TestInvalidScalesAreRejected(t *testing.T) {
+	if _, err := ParseScales([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
+		t.Errorf("half a file: error %v", err)
+	}
+	day := Scale{
+		Name: "n", Routers: 6, Engines: 12, Zones: 3, Conditions: "c", Test: "T",
+		Figures: map[string]float64{"served": 0.9},
+	}
+	if text, err := FormatScales([]Scale{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
+		t.Errorf("a valid day: %s, error %v", text, err)
+	}
+	withFigure := func(value float64) Scale {
+		changed := day
+		changed.Figures = map[string]float64{"served": value}
+		return changed
+	}
+	withoutTest := day
+	withoutTest.Test = ""
+	for _, test := range []struct {
+		name string
+		days []Scale
+		want string
+	}{
+		{"the same name twice", []Scale{day, day}, `scales[1] "n": name: is there twice`},
+		{"no test", []Scale{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
+		{"a figure that JSON can't hold", []Scale{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
+	} {
+		text, err := FormatScales(test.days)
+		if text != nil || err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%s: %q, error %v, want %s", test.name, text, err, test.want)
+		}
+	}
+}
