--- a/internal/enginehttp/response_test.go
+++ b/internal/enginehttp/response_test.go
@@ -28,6 +28,24 @@
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "two lengths", 0, 0, ""},
 		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "content-length", 0, 0, ""},
 		{"chunks of 3 GB", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\n", "chunk size", 0, 0, ""},
+		{"cut chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1", "", 0, 0, ""},
+		{
+			"endless chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 65),
+			"chunk size without end", 0, 0, "",
+		},
+		{
+			"long chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n",
+			"chunk longer than its size", 0, 0, "",
+		},
+		{
+			"trailers", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Load: 1\r\n\r\n",
+			"trailers after the last chunk", 0, 0, "",
+		},
+		{
+			"chunks of over 16 KiB together", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+				"4000\r\n" + strings.Repeat("x", 0x4000) + "\r\n1\r\nx\r\n0\r\n\r\n",
+			"bad chunk size \"1\"", 0, 0, "",
+		},
 		{"endless head", strings.Repeat("x", 9<<10), "without end", 0, 0, ""},
 	} {
 		resp, size, err := parseResponse([]byte(k.text))
