--- a/internal/decide/slowstart/rate_test.go
+++ b/internal/decide/slowstart/rate_test.go
@@ -42,3 +42,27 @@
 		}
 	})
 }
+
+// The time of an amount within a piece of a rate: no time for nothing, also where the rate begins at zero, and no more
+// than the length of the piece.
+func TestTimeWithinPiece(t *testing.T) {
+	rising := piece{start: 0, end: 10, length: 1000}
+	level := piece{start: 4, end: 4, length: 1000}
+	for _, test := range []struct {
+		name   string
+		piece  piece
+		amount float64
+		want   float64
+	}{
+		{"nothing of a rate that rises from zero", rising, 0, 0},
+		{"a quarter of it", rising, 1250, 500},
+		{"all of it", rising, 5000, 1000},
+		{"nothing of a level rate", level, 0, 0},
+		{"half of it", level, 2000, 500},
+		{"more than all of it", level, 4001, 1000},
+	} {
+		if got := test.piece.timeOf(test.amount); got != test.want {
+			t.Errorf("%s: %v ms, want %v", test.name, got, test.want)
+		}
+	}
+}
