--- a/cmd/windflow/main_test.go
+++ b/cmd/windflow/main_test.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"os"
+	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -53,3 +55,64 @@
 		}
 	}
 }
+
+// mainEnv makes the test binary run main in place of the tests.
+const mainEnv = "WINDFLOW_TEST_MAIN"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(mainEnv) != "" {
+		main()
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+// The process exits with 1 for an error, of which each line names the program on standard error.
+func TestExitStatus(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none")
+	for _, test := range []struct {
+		args   []string
+		status int
+		lines  []string // the beginning of each line on standard error
+	}{
+		{[]string{"version"}, 0, nil},
+		{[]string{"serv"}, 1, []string{"windflow: unknown command"}},
+		{
+			[]string{"config", "check", missing + "1", missing + "2"},
+			1,
+			[]string{"windflow: open " + missing + "1: ", "windflow: open " + missing + "2: "},
+		},
+	} {
+		process := exec.Command(os.Args[0], test.args...)
+		process.Env = append(os.Environ(), mainEnv+"=1")
+		var out bytes.Buffer
+		process.Stderr = &out
+		_ = process.Run() // the exit status is checked below
+		if got := process.ProcessState.ExitCode(); got != test.status {
+			t.Errorf("%q: exit status %d, want %d", test.args, got, test.status)
+		}
+		lines := slices.Collect(strings.Lines(out.String()))
+		if !slices.EqualFunc(lines, test.lines, strings.HasPrefix) {
+			t.Errorf("%q: standard error %q, want lines that begin with %q", test.args, lines, test.lines)
+		}
+	}
+}
+
+// The program takes its arguments from the command line and prints to standard output.
+func TestMainPrintsVersion(t *testing.T) {
+	file, err := os.Create(filepath.Join(t.TempDir(), "out"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	args, stdout := os.Args, os.Stdout
+	os.Args, os.Stdout = []string{"windflow", "version"}, file
+	main()
+	os.Args, os.Stdout = args, stdout
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(file.Name())
+	if err != nil || string(text) != version()+"\n" {
+		t.Errorf("printed %q, error %v, want %q", text, err, version())
+	}
+}
