--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -26,7 +26,8 @@
 	c, r := newTestClient(t, dir, k.Addr()), newRouter()
 	c.Restore(5*time.Second, r.apply)
 	c.Start(r.apply)
-	c.Stop() // what is not written yet is written then
+	c.Stop()            // what is not written yet is written then
+	c.goroutines.Wait() // Stop does not wait for a slow disk
 	if c.Counters.CopyWriteErrors.Load() > 0 {
 		t.Fatal("the copy was not written")
 	}
