--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -76,29 +76,29 @@
 			connections[name].Opened(&fakeConn{name: name, out: out})
 		}
 		return func(line string) string {
-			word, rest, _ := strings.Cut(line, " ")
-			n, _ := strconv.Atoi(rest)
+			command, argument, _ := strings.Cut(line, " ")
+			n, _ := strconv.Atoi(argument)
 			switch {
-			case word == "wait":
+			case command == "wait":
 				for end := now.MS + float64(n); now.MS < end; now.MS++ {
 					loop.Step()
 				}
-			case word == "down":
-				backend.notReady = errors.New(rest)
-			case word == "up":
+			case command == "down":
+				backend.notReady = errors.New(argument)
+			case command == "up":
 				backend.notReady = nil
-			case word == "crowd":
+			case command == "crowd":
 				for i := range n {
 					open(fmt.Sprint("silent", i))
 				}
-			case rest == "":
-				open(word)
+			case argument == "":
+				open(command)
 			default:
-				text, err := strconv.Unquote(`"` + rest + `"`)
+				text, err := strconv.Unquote(`"` + argument + `"`)
 				if err != nil {
 					t.Fatalf("%s: %v", line, err)
 				}
-				connections[word].Data([]byte(text), now.MS)
+				connections[command].Data([]byte(text), now.MS)
 			}
 			loop.Step()
 			shown := out.String()
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -263,7 +263,7 @@
 	return d.to == one && d.event.Process == other || d.to == other && d.event.Process == one
 }
 
-// stray gives any event from any process, those of version 1 among them.
+// stray returns any event from any process, those of version 1 among them.
 func (c *chain) stray(p *tracedProcess) {
 	processes := []ProcessNumber{
 		NoProcess, LegacyPredecessor, LegacySuccessor,
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -35,7 +35,7 @@
 	unreported    []sentGrant
 }
 
-// sentGrant is the grant of a query that the last report may not include yet.
+// sentGrant is the grant of a query that the last report may not contain yet.
 type sentGrant struct{ at, mb float64 }
 
 // AttemptStarted counts a query that this router sends to the engine.
--- a/internal/router/table_group.go
+++ b/internal/router/table_group.go
@@ -30,7 +30,7 @@
 			if has && !ok {
 				group, ok = number, true
 			}
-			for scanner.dotFollows() { // skip the rest of the qualified name
+			for scanner.dotFollows() { // skip the remainder of the qualified name
 				scanner.next()
 				scanner.next()
 			}
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -147,11 +147,11 @@
 				check(pointer+"/"+strconv.Itoa(i), below)
 			}
 		}
-		excluded := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
+		omitted := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
 		for _, o := range routerFields {
-			excluded = excluded || pointer == o || strings.HasPrefix(pointer, o+"/")
+			omitted = omitted || pointer == o || strings.HasPrefix(pointer, o+"/")
 		}
-		if excluded {
+		if omitted {
 			return
 		}
 		fields++
