--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -242,9 +242,6 @@
 // A group that is started on folders of an earlier program serves the revisions that are in them, and accepts further
 // changes.
 func TestGoldenFoldersServe(t *testing.T) {
-	if testing.Short() {
-		t.Skip("runs three keepers")
-	}
 	c := startInProcessGroup(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
 	last := len(recordedChanges())
 	var text bytes.Buffer
