--- a/internal/decide/hotrestart/doc.go
+++ b/internal/decide/hotrestart/doc.go
@@ -14,5 +14,5 @@
 //   - The predecessor stops accepting because of a message only. The successor accepts once it has the predecessor's
 //     go-ahead, once the predecessor has ended, or once the predecessor has been silent for so long that it hangs.
 //   - While two processes accept work that must not run twice, each begins it only with the other one's consent
-//     (Machine.MustAsk).
+//     (Machine.IDGranter).
 package hotrestart
--- a/internal/decide/hotrestart/machine.go
+++ b/internal/decide/hotrestart/machine.go
@@ -79,11 +79,11 @@
 // Accepts reports whether the process accepts clients.
 func (m *Machine) Accepts() bool { return m.Ready() || m.phase == PhaseDraining }
 
-// MustAsk returns the process whose consent is needed to begin work that must not run twice, or NoProcess, and
+// IDGranter returns the process whose consent is needed to begin work that must not run twice, or NoProcess, and
 // whether such work may begin at all. Before a predecessor has sent its go-ahead it needs no grant: on the same link,
 // what it says about its ids arrives before its go-ahead. Afterwards both have open sessions, and each needs the
 // other's grant.
-func (m *Machine) MustAsk() (granter ProcessNumber, allowed bool) {
+func (m *Machine) IDGranter() (granter ProcessNumber, allowed bool) {
 	switch {
 	case m.phase == PhaseDegraded || !m.stateKnown:
 		return NoProcess, false
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -246,7 +246,7 @@
 // submit sends a client's request to a process.
 func (x *model) submit(i int) {
 	p := &x.world.processes[i]
-	granter, allowed := p.machine.MustAsk()
+	granter, allowed := p.machine.IDGranter()
 	if !allowed || p.consumed {
 		return
 	}
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -117,7 +117,7 @@
 }
 
 func (c *chain) recordState(m *Machine) {
-	granter, allowed := m.MustAsk()
+	granter, allowed := m.IDGranter()
 	for _, process := range []ProcessNumber{m.Self, m.Predecessor(), m.Successor(), granter} {
 		c.hash.Uint(uint64(process))
 	}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -182,8 +182,8 @@
 // idGrantor returns the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim
 // can be granted now.
 func (c *coordinator) idGrantor() (grantor *peer, possible bool) {
-	process, may := c.machine.MustAsk()
-	if !may {
+	process, allowed := c.machine.IDGranter()
+	if !allowed {
 		return nil, false
 	}
 	if process == hotrestart.NoProcess {
