--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -144,7 +144,7 @@
 // threadsAllow reports whether the thread bound allows a request on an engine.
 func (c *capacityLimiter) threadsAllow(target *engine, req *request, spread float64) bool {
 	bound, roundsUp := c.threadBound(), c.roundsUp(req)
-	if target.pressure.Calm(target.cores, c.env.nowMS()) {
+	if target.pressure.HasSpareCapacity(target.cores, c.env.nowMS()) {
 		bound *= calmFactor
 		roundsUp = true
 	}
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -105,8 +105,8 @@
 	return headroom
 }
 
-// Calm tells whether the engine reports spare capacity of all kinds; cores is how many it has.
-func (e *Engine) Calm(cores, now float64) bool {
+// HasSpareCapacity reports whether the engine reports spare capacity of all kinds; cores is how many it has.
+func (e *Engine) HasSpareCapacity(cores, now float64) bool {
 	report := &e.report
 	return e.reported && now-e.reportedAt < calmReportLife && (report.Busy >= 0 || report.InFlight >= 0) &&
 		report.Waiting < 1 &&
--- a/internal/decide/pressure/engine_test.go
+++ b/internal/decide/pressure/engine_test.go
@@ -160,12 +160,12 @@
 	} {
 		var engine Engine
 		engine.LoadReported(test.report, 1e6)
-		calm, factor := engine.Calm(12, 1e6+test.age), engine.CostFactor(12, 1e6+test.age)
+		calm, factor := engine.HasSpareCapacity(12, 1e6+test.age), engine.CostFactor(12, 1e6+test.age)
 		if calm != test.calm || math.Abs(factor-test.factor) > 1e-9 {
 			t.Errorf("%s: calm %v factor %v, want %v and %v", test.name, calm, factor, test.calm, test.factor)
 		}
 	}
-	if engine := (&Engine{}); engine.Calm(12, 1e6) || engine.CostFactor(12, 1e6) != 1 {
+	if engine := (&Engine{}); engine.HasSpareCapacity(12, 1e6) || engine.CostFactor(12, 1e6) != 1 {
 		t.Error("an engine that never reported is calm, or has a cost factor")
 	}
 }
--- a/internal/decide/pressure/trace_test.go
+++ b/internal/decide/pressure/trace_test.go
@@ -107,7 +107,7 @@
 		h.Step(1)
 		h.Float(headroom.MemoryShare)
 		h.Bool(headroom.BlockedByLock)
-		h.Bool(engine.Calm(8, now+late))
+		h.Bool(engine.HasSpareCapacity(8, now+late))
 		h.Float(engine.CostFactor(8, now+late))
 	}
 	h.Float(limits.MaxMemoryShare())
