--- a/internal/decide/backoff/zone.go
+++ b/internal/decide/backoff/zone.go
@@ -4,21 +4,21 @@
 // engines in a row have failed without a success in between; further failures of the same engine tell nothing about the
 // others. The zero ZoneBackoff is none.
 type ZoneBackoff struct {
-	backoff    Backoff
-	failures   int   // of engines in a row, without those that repeat the last one
-	lastEngine int64 // that failed
-	countsFrom float64
+	backoff          Backoff
+	failures         int   // of engines in a row, without those that repeat the last one
+	lastFailedEngine int64 // that failed
+	extendableAt     float64
 }
 
 // RecordFailure counts a failed attempt on an engine; threshold is the number of engines in a row that have to fail.
 // Attempts that were outstanding when a backoff began do not extend it.
 func (z *ZoneBackoff) RecordFailure(engine int64, threshold int, now, jitter float64, policy Policy) {
-	if z.failures == 0 || engine != z.lastEngine {
+	if z.failures == 0 || engine != z.lastFailedEngine {
 		z.failures++
-		z.lastEngine = engine
+		z.lastFailedEngine = engine
 	}
-	if z.failures >= threshold && now >= z.countsFrom {
-		z.countsFrom = now + policy.Initial
+	if z.failures >= threshold && now >= z.extendableAt {
+		z.extendableAt = now + policy.Initial
 		z.backoff.RecordFailure(now, jitter, policy)
 	}
 }
--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -8,7 +8,7 @@
 // A process that is to end while it looks for its predecessor, or waits for its state, needs no tick any more:
 // Step ignores ticks then, so that the process would be due for ever. It guards against a process that spins and
 // never ends.
-func TestNothingIsDueAfterTheEnd(t *testing.T) {
+func TestNoTickDueAfterEnd(t *testing.T) {
 	found := Event{Kind: EventPredecessorFound, Process: FirstProcess}
 	state := Event{Kind: EventMessageReceived, Process: FirstProcess, Message: MessageState}
 	for phase, events := range map[Phase][]Event{
--- a/internal/decide/hotrestart/model_explore_test.go
+++ b/internal/decide/hotrestart/model_explore_test.go
@@ -7,93 +7,93 @@
 	"testing"
 )
 
-var worldSeed = maphash.MakeSeed()
+var stateSeed = maphash.MakeSeed()
 
 // arrival is how a world was reached first.
-type arrival struct {
+type origin struct {
 	from    uint64
-	by      string
+	change  string
 	process int8
 	other   int8
 }
 
 // exploration is a search, by breadth, of the worlds that a budget leads to.
 type exploration struct {
-	arrivals    map[uint64]arrival // by the hash of a world
-	next        []reached
-	failure     string
-	formerFault bool
+	origins                 map[uint64]origin // by the hash of a world
+	frontier                []pendingState
+	failure                 string
+	ignoreSilentPredecessor bool
 }
 
 // reached is a world that is still to be left.
-type reached struct {
-	world world
+type pendingState struct {
+	state modelState
 	hash  uint64
 }
 
-// explore visits every world within depth steps of the start. It returns the number of worlds, how deep it went, and
+// explore visits every world within depth steps of the start. It returns the number of worlds, how depthReached it went, and
 // the shortest way to the first world that breaks a rule.
-func explore(left budget, depth int, formerFault bool) (seen, deep int, failure string) {
-	start := world{left: left}
-	hash := maphash.Comparable(worldSeed, start)
+func explore(left budget, depth int, ignoreSilentPredecessor bool) (states, depthReached int, failure string) {
+	start := modelState{left: left}
+	hash := maphash.Comparable(stateSeed, start)
 	e := &exploration{
-		arrivals:    map[uint64]arrival{hash: {}},
-		next:        []reached{{start, hash}},
-		formerFault: formerFault,
+		origins:                 map[uint64]origin{hash: {}},
+		frontier:                []pendingState{{start, hash}},
+		ignoreSilentPredecessor: ignoreSilentPredecessor,
 	}
-	for ; deep < depth && len(e.next) > 0; deep++ {
-		now := e.next
-		e.next = nil
-		for _, here := range now {
-			e.leave(here)
+	for ; depthReached < depth && len(e.frontier) > 0; depthReached++ {
+		level := e.frontier
+		e.frontier = nil
+		for _, current := range level {
+			e.expand(current)
 			if e.failure != "" {
-				return len(e.arrivals), deep, e.failure
+				return len(e.origins), depthReached, e.failure
 			}
 		}
 	}
-	return len(e.arrivals), deep, ""
+	return len(e.origins), depthReached, ""
 }
 
 // leave visits each world that follows, and checks the one that is left.
-func (e *exploration) leave(here reached) {
-	x := &model{world: here.world, formerFault: e.formerFault}
-	settled := true
-	x.each(func(next *model, change change) {
-		settled = settled && !change.prompt
-		e.reach(next, here, change)
+func (e *exploration) expand(current pendingState) {
+	x := &model{state: current.state, ignoreSilentPredecessor: e.ignoreSilentPredecessor}
+	quiescent := true
+	x.eachNextState(func(next *model, change change) {
+		quiescent = quiescent && !change.guaranteed
+		e.enqueue(next, current, change)
 	})
-	if failure := x.check(settled); failure != "" && e.failure == "" {
-		e.failure = failure + "\n" + e.history(here.hash)
+	if failure := x.check(quiescent); failure != "" && e.failure == "" {
+		e.failure = failure + "\n" + e.history(current.hash)
 	}
 }
 
-// reach checks a world that was not seen before, and keeps it to be left later.
-func (e *exploration) reach(next *model, from reached, change change) {
-	if e.failure != "" || next.world.queueOverflowing {
+// reach checks a world that was not states before, and keeps it to be left later.
+func (e *exploration) enqueue(next *model, from pendingState, change change) {
+	if e.failure != "" || next.state.queueOverflowed {
 		return
 	}
-	hash := maphash.Comparable(worldSeed, next.world)
-	if _, known := e.arrivals[hash]; known && next.failure == "" {
+	hash := maphash.Comparable(stateSeed, next.state)
+	if _, known := e.origins[hash]; known && next.failure == "" {
 		return
 	}
-	e.arrivals[hash] = arrival{from.hash, change.name, int8(change.process), int8(change.other)}
+	e.origins[hash] = origin{from.hash, change.name, int8(change.process), int8(change.other)}
 	if failure := next.check(false); failure != "" {
 		e.failure = failure + "\n" + e.history(hash)
 		return
 	}
-	e.next = append(e.next, reached{next.world, hash})
+	e.frontier = append(e.frontier, pendingState{next.state, hash})
 }
 
 // history returns the changes that led to a world, a line each.
 func (e *exploration) history(hash uint64) string {
 	var lines []string
 	for len(lines) < 100 {
-		arrival := e.arrivals[hash]
-		if arrival.by == "" {
+		first := e.origins[hash]
+		if first.change == "" {
 			break
 		}
-		lines = append(lines, fmt.Sprintf("  %d %s %d", arrival.process, arrival.by, arrival.other))
-		hash = arrival.from
+		lines = append(lines, fmt.Sprintf("  %d %s %d", first.process, first.change, first.other))
+		hash = first.from
 	}
 	var text strings.Builder
 	for i := len(lines) - 1; i >= 0; i-- {
@@ -105,7 +105,7 @@
 // Every interleaving, to the depth of the flag, keeps the rules. They are: the shares of all processes fit the limits
 // at each moment; a cordon set at any process is kept by all that serve; a request runs once; a process accepts, or
 // is about to.
-func TestModel(t *testing.T) {
+func TestModelInvariants(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		left  budget
@@ -127,8 +127,8 @@
 			12,
 		},
 	} {
-		seen, deep, failure := explore(c.left, c.depth, false)
-		t.Logf("%s: %d states to depth %d (all there are: %t)", c.name, seen, deep, deep < c.depth)
+		states, depthReached, failure := explore(c.left, c.depth, false)
+		t.Logf("%s: %d states to depth %d (all there are: %t)", c.name, states, depthReached, depthReached < c.depth)
 		if failure != "" {
 			t.Errorf("%s: %s", c.name, failure)
 		}
@@ -136,10 +136,10 @@
 }
 
 // With the former fault brought back, a silent predecessor that is taken for none, the model finds it.
-func TestModelFindsTheFormerFault(t *testing.T) {
-	seen, deep, failure := explore(budget{starts: 2, cordons: 1}, 20, true)
+func TestModelDetectsIgnoredPredecessor(t *testing.T) {
+	states, depthReached, failure := explore(budget{starts: 2, cordons: 1}, 20, true)
 	if failure == "" {
-		t.Fatalf("not found in %d states to depth %d", seen, deep)
+		t.Fatalf("not found in %d states to depth %d", states, depthReached)
 	}
-	t.Logf("%d states: %s", seen, failure)
+	t.Logf("%d states: %s", states, failure)
 }
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -61,8 +61,8 @@
 	searching     bool // it looks for its predecessor
 	accepts       bool
 	cordoned      bool                 // it knows of the cordon
-	consumed      bool                 // the id may have run, as far as it knows
-	linkTorn      bool                 // a link broke and was not joined again
+	idConsumed    bool                 // the id may have run, as far as it knows
+	linkBroken    bool                 // a link broke and was not joined again
 	idInLastState bool                 // what the latest state says of the id
 	attempt       uint8                // the last attempt to begin the request
 	linked        [modelProcesses]bool // the link to that process is up
@@ -72,7 +72,7 @@
 }
 
 // world is one state of the model.
-type world struct {
+type modelState struct {
 	processes      [modelProcesses]modelProcess
 	queues         [modelProcesses][modelProcesses]messageQueue // from, to
 	cordonInFolder bool
@@ -80,16 +80,16 @@
 	runs           int8
 	// knowledgeLost says that what only killed processes knew is lost with them, as in any crash; a journal on disk
 	// is for that.
-	knowledgeLost bool
+	idRecordLost bool
 	// queueOverflowing says that the state is left out.
-	queueOverflowing bool
+	queueOverflowed bool
 }
 
-// model explores worlds; formerFault brings the fault back that the machine was written against.
+// model explores worlds; ignoreSilentPredecessor brings the fault back that the machine was written against.
 type model struct {
-	world       world
-	formerFault bool
-	failure     string
+	state                   modelState
+	ignoreSilentPredecessor bool
+	failure                 string
 }
 
 func numberOf(i int) ProcessNumber      { return FirstProcess + ProcessNumber(i) }
@@ -97,11 +97,11 @@
 
 // step hands an event to a process's machine and carries its effects out.
 func (x *model) step(i int, event Event) {
-	p := &x.world.processes[i]
+	p := &x.state.processes[i]
 	now := 0.0
 	if event.Kind == EventTick {
 		now = p.machine.Due()
-		if x.formerFault && p.machine.phase == PhaseAwaitingState { // a silent predecessor was taken for none
+		if x.ignoreSilentPredecessor && p.machine.phase == PhaseAwaitingState { // a silent predecessor was taken for none
 			p.machine.phase, p.machine.predecessor = PhaseFindingPredecessor, NoProcess
 			event = Event{Kind: EventPredecessorFound}
 		}
@@ -121,30 +121,30 @@
 }
 
 func (x *model) send(i, j int, message wireMessage) {
-	if !x.world.processes[i].linked[j] || !x.world.processes[j].alive {
+	if !x.state.processes[i].linked[j] || !x.state.processes[j].alive {
 		return
 	}
-	if !x.world.queues[i][j].push(message) {
-		x.world.queueOverflowing = true
+	if !x.state.queues[i][j].push(message) {
+		x.state.queueOverflowed = true
 	}
 }
 
 func (x *model) carryOut(i int, effect Effect) {
-	p := &x.world.processes[i]
+	p := &x.state.processes[i]
 	switch effect.Action {
 	case ActionFindPredecessor:
 		p.searching = true
 	case ActionSend:
 		message := wireMessage(effect.Message)
 		if effect.Message == MessageState {
-			p.linkTorn = false
-			if p.consumed {
+			p.linkBroken = false
+			if p.idConsumed {
 				message |= idInState
 			}
 		}
 		x.send(i, indexOf(effect.Process), message)
 	case ActionRestoreState:
-		p.consumed = p.consumed || p.idInLastState
+		p.idConsumed = p.idConsumed || p.idInLastState
 	case ActionStartAccepting:
 		p.accepts = true
 	case ActionStopAccepting:
@@ -158,7 +158,7 @@
 // othersLive reports whether a process other than i lives.
 func (x *model) othersLive(i int) bool {
 	for j := range modelProcesses {
-		if j != i && x.world.processes[j].alive {
+		if j != i && x.state.processes[j].alive {
 			return true
 		}
 	}
@@ -167,34 +167,34 @@
 
 // end ends a process; what it has sent still arrives, and then its end is noticed.
 func (x *model) end(i int) {
-	w := &x.world
-	p := &w.processes[i]
-	if p.linkTorn || p.machine.successor == NoProcess && p.machine.predecessor == NoProcess {
+	s := &x.state
+	p := &s.processes[i]
+	if p.linkBroken || p.machine.successor == NoProcess && p.machine.predecessor == NoProcess {
 		// A plain end: a process that starts after it starts from nothing. So it is where a link broke for good.
-		w.knowledgeLost = true
+		s.idRecordLost = true
 	}
 	for j := range modelProcesses {
-		other := &w.processes[j]
+		other := &s.processes[j]
 		concerned := other.linked[i] || other.machine.predecessor == numberOf(i) || other.machine.successor == numberOf(i)
 		if other.alive && concerned {
 			other.ended[i] = true
 		}
-		w.queues[j][i] = messageQueue{}
+		s.queues[j][i] = messageQueue{}
 	}
-	w.processes[i] = modelProcess{machine: Machine{Self: numberOf(i), phase: PhaseEnded}}
-	if w.knowledgeLost && !w.idKnown() {
-		w.runs = 0
+	s.processes[i] = modelProcess{machine: Machine{Self: numberOf(i), phase: PhaseEnded}}
+	if s.idRecordLost && !s.idKnown() {
+		s.runs = 0
 	}
 }
 
 // idKnown reports whether a living process knows that the id may have run, or is about to receive that it may.
-func (w *world) idKnown() bool {
+func (s *modelState) idKnown() bool {
 	for j := range modelProcesses {
-		if w.processes[j].alive && w.processes[j].consumed {
+		if s.processes[j].alive && s.processes[j].idConsumed {
 			return true
 		}
 		for k := range modelProcesses {
-			queue := &w.queues[k][j]
+			queue := &s.queues[k][j]
 			for _, message := range queue.messages[:queue.length] {
 				if message == mayHaveRun || message == wireMessage(MessageState)|idInState || message&claimAttempt != 0 {
 					return true
@@ -207,26 +207,26 @@
 
 // deliver hands the next message of i to j.
 func (x *model) deliver(i, j int) {
-	message := x.world.queues[i][j].pop()
-	p := &x.world.processes[j]
+	message := x.state.queues[i][j].pop()
+	p := &x.state.processes[j]
 	switch {
 	case message == mayHaveRun:
-		p.consumed = true
+		p.idConsumed = true
 	case message&claimAttempt != 0:
 		answer := claimGranted
-		if p.consumed || p.claims[i] { // where both claim at once neither begins
+		if p.idConsumed || p.claims[i] { // where both claim at once neither begins
 			answer = claimDenied
 		}
-		p.consumed = p.consumed || answer == claimGranted
+		p.idConsumed = p.idConsumed || answer == claimGranted
 		x.send(j, i, answer|message&^claimAttempt)
 	case message&claimGranted != 0:
 		if p.claims[i] && uint8(message&^claimGranted) == p.attempt {
-			p.claims[i], p.consumed = false, true
+			p.claims[i], p.idConsumed = false, true
 			x.run()
 		}
 	case message&claimDenied != 0:
 		if p.claims[i] && uint8(message&^claimDenied) == p.attempt {
-			p.claims[i], p.consumed = false, true
+			p.claims[i], p.idConsumed = false, true
 		}
 	default:
 		if message&^idInState == wireMessage(MessageState) {
@@ -238,23 +238,23 @@
 }
 
 func (x *model) run() {
-	if x.world.runs++; x.world.runs > 1 {
+	if x.state.runs++; x.state.runs > 1 {
 		x.failure = "a request ran twice"
 	}
 }
 
 // submit sends a client's request to a process.
 func (x *model) submit(i int) {
-	p := &x.world.processes[i]
+	p := &x.state.processes[i]
 	granter, allowed := p.machine.IDGranter()
-	if !allowed || p.consumed {
+	if !allowed || p.idConsumed {
 		return
 	}
 	if granter != NoProcess {
 		x.claim(i, indexOf(granter))
 		return
 	}
-	p.consumed = true
+	p.idConsumed = true
 	x.run()
 	if successor := p.machine.successor; successor != NoProcess {
 		x.send(i, indexOf(successor), mayHaveRun)
@@ -263,11 +263,11 @@
 
 // claim requests process j's consent for process i, unless a claim is open already.
 func (x *model) claim(i, j int) {
-	p := &x.world.processes[i]
+	p := &x.state.processes[i]
 	if p.claims != [modelProcesses]bool{} {
 		return
 	}
-	if !p.linked[j] || !x.world.processes[j].alive {
+	if !p.linked[j] || !x.state.processes[j].alive {
 		return // rejected: there is no process to claim from, and the end of that process has not been noticed
 	}
 	p.attempt++
@@ -281,14 +281,14 @@
 // partsLimit is the platform's limit for all processes of a router together.
 const partsLimit = 90
 
-// check returns which rule a world breaks, or nothing; settled says that nothing is under way.
-func (x *model) check(settled bool) string {
+// check returns which rule a world breaks, or nothing; quiescent says that nothing is under way.
+func (x *model) check(quiescent bool) string {
 	if x.failure != "" {
 		return x.failure
 	}
-	sum, living, accepting, coming := 0, 0, 0, 0
+	sum, living, accepting, starting := 0, 0, 0, 0
 	for i := range modelProcesses {
-		p := &x.world.processes[i]
+		p := &x.state.processes[i]
 		if !p.alive {
 			continue
 		}
@@ -299,24 +299,24 @@
 		if p.accepts {
 			accepting++
 		}
-		if p.isComing() {
-			coming++
+		if p.isStarting() {
+			starting++
 		}
-		if failure := x.checkProcess(i, settled); failure != "" {
+		if failure := x.checkProcess(i, quiescent); failure != "" {
 			return failure
 		}
 	}
 	if sum > partsLimit {
 		return fmt.Sprintf("shares of %d where %d is the limit", sum, partsLimit)
 	}
-	if settled && living > 0 && accepting+coming == 0 {
+	if quiescent && living > 0 && accepting+starting == 0 {
 		return "no process accepts, or is about to"
 	}
 	return ""
 }
 
 // isComing reports whether a process is about to accept.
-func (p *modelProcess) isComing() bool {
+func (p *modelProcess) isStarting() bool {
 	return p.machine.phase == PhaseFindingPredecessor || p.awaits()
 }
 
@@ -325,13 +325,13 @@
 	return p.machine.phase == PhaseAwaitingState || p.machine.phase == PhaseAwaitingGoAhead
 }
 
-func (x *model) checkProcess(i int, settled bool) string {
-	p := &x.world.processes[i]
+func (x *model) checkProcess(i int, quiescent bool) string {
+	p := &x.state.processes[i]
 	if p.accepts != p.machine.Accepts() {
 		return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.machine.Accepts())
 	}
-	if settled && p.cordoned != x.world.cordonInFolder && p.machine.hasAccepted {
-		return fmt.Sprintf("process %d keeps the cordon: %t, and it is in force: %t", i, p.cordoned, x.world.cordonInFolder)
+	if quiescent && p.cordoned != x.state.cordonInFolder && p.machine.hasAccepted {
+		return fmt.Sprintf("process %d keeps the cordon: %t, and it is in force: %t", i, p.cordoned, x.state.cordonInFolder)
 	}
 	return ""
 }
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -14,9 +14,9 @@
 	var scenarios []tracetest.Scenario
 	for _, processes := range []int{2, 3} {
 		for _, k := range []struct {
-			name          string
-			settings      Settings
-			strayPerMille int // of a thousand events, those that do not fit the phase
+			name               string
+			settings           Settings
+			unexpectedPerMille int // of a thousand events, those that do not fit the phase
 		}{
 			{"sound", DefaultSettings, 0},
 			{"strange-events", DefaultSettings, 150},
@@ -27,8 +27,8 @@
 				GoAheadTimeoutMS: 120,
 			}, 20},
 		} {
-			c := chain{settings: k.settings, most: processes, strayPerMille: k.strayPerMille}
-			scenarios = append(scenarios, chains(fmt.Sprintf("%d-processes/%s", processes, k.name), c))
+			c := chain{settings: k.settings, maxLiving: processes, unexpectedPerMille: k.unexpectedPerMille}
+			scenarios = append(scenarios, chainScenario(fmt.Sprintf("%d-processes/%s", processes, k.name), c))
 		}
 	}
 	scenarios = append(scenarios, tracetest.Scenario{Name: "versions", Run: traceVersions})
@@ -41,13 +41,13 @@
 )
 
 // chains plays chains of processes with the settings of one, each with a seed of its own.
-func chains(name string, template chain) tracetest.Scenario {
+func chainScenario(name string, template chain) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, hash *tracetest.Hash) {
 		t.Helper()
 		for seed := range uint64(traceChains) {
 			c := template
 			c.hash = hash
-			c.rng = rand.New(rand.NewPCG(seed, uint64(c.most)))
+			c.rng = rand.New(rand.NewPCG(seed, uint64(c.maxLiving)))
 			for range traceEvents {
 				c.step()
 			}
@@ -67,15 +67,15 @@
 
 // chain is a row of processes, of which at most so many live at a time, and the events on their way to them.
 type chain struct {
-	hash          *tracetest.Hash
-	rng           *rand.Rand
-	settings      Settings
-	most          int
-	strayPerMille int
-	now           float64
-	processes     []*tracedProcess // those that live, oldest first
-	started       int
-	underWay      []delivery
+	hash               *tracetest.Hash
+	rng                *rand.Rand
+	settings           Settings
+	maxLiving          int
+	unexpectedPerMille int
+	now                float64
+	processes          []*tracedProcess // those that live, oldest first
+	started            int
+	inFlight           []delivery
 }
 
 type tracedProcess struct {
@@ -135,7 +135,7 @@
 		p.searching = true
 	case ActionSend:
 		received := Event{Kind: EventMessageReceived, Process: p.machine.Self, Message: effect.Message}
-		c.underWay = append(c.underWay, delivery{effect.Process, received})
+		c.inFlight = append(c.inFlight, delivery{effect.Process, received})
 	case ActionEnd:
 		c.hash.Int(int64(len(p.machine.Step(c.now, Event{Kind: EventStopRequested}))))
 		c.end(p)
@@ -150,21 +150,21 @@
 		if p != ended {
 			left = append(left, p)
 			event := Event{Kind: EventProcessEnded, Process: ended.machine.Self}
-			c.underWay = append(c.underWay, delivery{p.machine.Self, event})
+			c.inFlight = append(c.inFlight, delivery{p.machine.Self, event})
 		}
 	}
 	c.processes = left
 }
 
 func (c *chain) step() {
-	if len(c.processes) == 0 || len(c.processes) < c.most && c.rng.IntN(12) == 0 {
+	if len(c.processes) == 0 || len(c.processes) < c.maxLiving && c.rng.IntN(12) == 0 {
 		c.start()
 		return
 	}
 	c.now += float64(c.rng.IntN(60))
 	p := c.processes[c.rng.IntN(len(c.processes))]
-	if c.rng.IntN(1000) < c.strayPerMille {
-		c.stray(p)
+	if c.rng.IntN(1000) < c.unexpectedPerMille {
+		c.handleUnexpected(p)
 		return
 	}
 	switch n := c.rng.IntN(100); {
@@ -206,16 +206,16 @@
 
 // deliver hands some process its next event, now and then twice.
 func (c *chain) deliver() {
-	if len(c.underWay) == 0 {
+	if len(c.inFlight) == 0 {
 		return
 	}
-	to := c.underWay[c.rng.IntN(len(c.underWay))].to
-	for i, next := range c.underWay {
+	to := c.inFlight[c.rng.IntN(len(c.inFlight))].to
+	for i, next := range c.inFlight {
 		if next.to != to {
 			continue
 		}
 		if c.rng.IntN(20) > 0 {
-			c.underWay = append(c.underWay[:i:i], c.underWay[i+1:]...)
+			c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 		}
 		if p := c.find(to); p != nil {
 			c.handle(p, next.event)
@@ -248,12 +248,12 @@
 		return
 	}
 	var left []delivery
-	for _, d := range c.underWay {
+	for _, d := range c.inFlight {
 		if !d.between(p.machine.Self, predecessor.machine.Self) {
 			left = append(left, d)
 		}
 	}
-	c.underWay = left
+	c.inFlight = left
 	c.handle(p, Event{Kind: EventLinkLost, Process: predecessor.machine.Self})
 	c.handle(predecessor, Event{Kind: EventLinkLost, Process: p.machine.Self})
 }
@@ -264,7 +264,7 @@
 }
 
 // stray returns any event from any process, those of version 1 among them.
-func (c *chain) stray(p *tracedProcess) {
+func (c *chain) handleUnexpected(p *tracedProcess) {
 	processes := []ProcessNumber{
 		NoProcess, LegacyPredecessor, LegacySuccessor,
 		p.machine.Self, p.machine.Predecessor(), p.machine.Successor(),
--- a/internal/decide/hotrestart/transition.go
+++ b/internal/decide/hotrestart/transition.go
@@ -39,7 +39,7 @@
 	case MessageReady:
 		t.readyReceived(from)
 	case MessageGoAhead:
-		t.goAhead(from)
+		t.handleGoAhead(from)
 	case MessageHandBack:
 		t.acceptAgain(from)
 	}
--- a/internal/decide/hotrestart/transition_predecessor.go
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -125,7 +125,7 @@
 }
 
 // goAhead accepts clients, since the predecessor accepts no more.
-func (t *transition) goAhead(from ProcessNumber) {
+func (t *transition) handleGoAhead(from ProcessNumber) {
 	if from != t.predecessor || t.phase != PhaseAwaitingGoAhead && t.phase != PhaseServing {
 		return
 	}
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -14,7 +14,7 @@
 // computingPackages are the packages of the standard library that only compute. None of them reads a clock, draws
 // random numbers, opens anything or starts goroutines; time is not among them, so that no decision can read the
 // clock.
-var computingPackages = []string{
+var pureStdlibPackages = []string{
 	"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash/fnv", "iter",
 	"maps", "math", "math/big", "math/bits", "slices", "sort", "strconv", "strings", "unicode", "unicode/utf8",
@@ -64,7 +64,7 @@
 
 // mayImport tells whether a decision package may import another package.
 func mayImport(name string) bool {
-	return slices.Contains(computingPackages, name) ||
+	return slices.Contains(pureStdlibPackages, name) ||
 		strings.HasPrefix(name, "windflow/internal/decide/") ||
 		name == "windflow/internal/record"
 }
--- a/internal/decide/pressure/demand.go
+++ b/internal/decide/pressure/demand.go
@@ -5,14 +5,14 @@
 const (
 	// demandLife is the time over which demand is averaged, in milliseconds: a router sees a load of one group
 	// once in seconds.
-	demandLife = 30_000.0
+	demandTimeConstant = 30_000.0
 	// minObservation is how long demand is observed before it counts, in milliseconds.
 	minObservation = 5000.0
 	// maxLockUtilization is the share of the time for which loads may lock a group on the engines that load it, and
 	// maxCoreUtilization the share of their cores that its readers may use on theirs: beyond, queries wait long.
 	maxLockUtilization, maxCoreUtilization = 0.6, 0.6
 	// usualLoaderShare is the share of the engines that load a group where its demand does not need more.
-	usualLoaderShare = 0.5
+	defaultLoaderShare = 0.5
 	// maxDemandGroups bounds the groups whose demand is kept: statements may name any number.
 	maxDemandGroups = 1024
 	// maxQueryMS bounds what one query counts: one wild estimate would outweigh all others for minutes.
@@ -49,8 +49,8 @@
 	if !d.hasRoomFor(group, now) {
 		return
 	}
-	sum, scale := d.groups[group], math.Exp((now-d.decayedTo)/demandLife) // later demand has decayed less
-	if now-d.decayedTo > demandLife {
+	sum, scale := d.groups[group], math.Exp((now-d.decayedTo)/demandTimeConstant) // later demand has decayed less
+	if now-d.decayedTo > demandTimeConstant {
 		d.Decay(now)
 		sum, scale = d.groups[group], 1
 	}
@@ -68,7 +68,7 @@
 
 // Decay decays all demand to a time, and forgets groups with next to none.
 func (d *Demand) Decay(now float64) {
-	scale := math.Exp((d.decayedTo - now) / demandLife)
+	scale := math.Exp((d.decayedTo - now) / demandTimeConstant)
 	for id, group := range d.groups {
 		group.lockTime *= scale
 		group.readWork *= scale
@@ -94,18 +94,18 @@
 // engine is not divided. A subset of a larger fleet is always halved, since other routers share each of its engines
 // with other subsets: a group's demand on the subset is not known.
 func (d *Demand) LoaderCount(group int64, fleet Fleet, now float64) int {
-	half := max(int(usualLoaderShare*float64(fleet.Subset)), 1)
+	defaultCount := max(int(defaultLoaderShare*float64(fleet.Subset)), 1)
 	sum, known := d.groups[group]
 	observed := now - d.startedAt
 	if !known || observed < minObservation || !(fleet.Cores > 0) || fleet.Subset < fleet.Engines {
-		return half
+		return defaultCount
 	}
 	// A constant rate that is observed for a time has decayed to rate*demandLife*(1-exp(-time/demandLife)).
-	rate := math.Exp((d.decayedTo-now)/demandLife) * float64(max(fleet.Routers, 1)) /
-		(demandLife * (1 - math.Exp((d.startedAt-now)/demandLife)))
+	rate := math.Exp((d.decayedTo-now)/demandTimeConstant) * float64(max(fleet.Routers, 1)) /
+		(demandTimeConstant * (1 - math.Exp((d.startedAt-now)/demandTimeConstant)))
 	locked, busyCores := sum.lockTime*rate, sum.readWork*rate
 	engines := float64(fleet.Engines)
 	readers := max(int(math.Ceil(min(busyCores/(maxCoreUtilization*fleet.Cores), engines))), 1)
 	loaders := int(math.Ceil(min(locked/maxLockUtilization, engines)))
-	return max(min(loaders, fleet.Engines-readers), half)
+	return max(min(loaders, fleet.Engines-readers), defaultCount)
 }
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -11,9 +11,9 @@
 	reportLag = 300.0
 	// reportLife is how long a report counts, in milliseconds; calmReportLife is how long it shows that the engine is
 	// calm, which is no reason to wait.
-	reportLife, calmReportLife = 1000.0, 2000.0
+	reportMaxAge, spareReportMaxAge = 1000.0, 2000.0
 	// maxCalmUtilization is the share of cores, disks and memory in use below which an engine counts as calm.
-	maxCalmUtilization = 0.8
+	maxSpareUtilization = 0.8
 	// maxWaitingFactor bounds what waiting queries add to an engine's cost factor.
 	maxWaitingFactor = 5.0
 	// grantFactor is the memory that an engine grants over the estimate, where it chooses itself.
@@ -46,11 +46,11 @@
 		}
 		e.loads[query.TableGroup]++
 	}
-	if mb := limits.grant(query); mb > 0 {
+	if mb := limits.memoryGrant(query); mb > 0 {
 		e.unreported = append(e.unreported, sentGrant{now, mb})
 	}
 	// A report that still counts includes older grants.
-	counts := func(s sentGrant) bool { return now-s.at <= reportLife+reportLag }
+	counts := func(s sentGrant) bool { return now-s.at <= reportMaxAge+reportLag }
 	if i := slices.IndexFunc(e.unreported, counts); i > 0 {
 		e.unreported = slices.Delete(e.unreported, 0, i)
 	}
@@ -86,7 +86,7 @@
 
 // LoadReported takes the engine's load report.
 func (e *Engine) LoadReported(report LoadReport, now float64) {
-	e.report, e.reportedAt, e.reported = report.sound(), now, true
+	e.report, e.reportedAt, e.reported = report.sanitized(), now, true
 	e.unreported = slices.DeleteFunc(e.unreported, func(s sentGrant) bool { return s.at < now-reportLag })
 }
 
@@ -95,8 +95,8 @@
 	if query.TableGroup != 0 && (query.LocksTableGroup || query.BlockedByLoad) {
 		headroom.BlockedByLock = e.loads[query.TableGroup] > 0 || e.observedLocks[query.TableGroup] > now
 	}
-	if limits.MemoryMB > 0 && e.reported && now-e.reportedAt < reportLife && e.report.Memory >= 0 {
-		mb := limits.grant(query)
+	if limits.MemoryMB > 0 && e.reported && now-e.reportedAt < reportMaxAge && e.report.Memory >= 0 {
+		mb := limits.memoryGrant(query)
 		for _, sent := range e.unreported {
 			mb += sent.mb
 		}
@@ -108,15 +108,15 @@
 // HasSpareCapacity reports whether the engine reports spare capacity of all kinds; cores is how many it has.
 func (e *Engine) HasSpareCapacity(cores, now float64) bool {
 	report := &e.report
-	return e.reported && now-e.reportedAt < calmReportLife && (report.Busy >= 0 || report.InFlight >= 0) &&
+	return e.reported && now-e.reportedAt < spareReportMaxAge && (report.Busy >= 0 || report.InFlight >= 0) &&
 		report.Waiting < 1 &&
-		max(report.Busy, report.Disk, report.Memory, report.InFlight/cores) < maxCalmUtilization
+		max(report.Busy, report.Disk, report.Memory, report.InFlight/cores) < maxSpareUtilization
 }
 
 // CostFactor is how much worse a choice than an idle engine this one is by its report; 1 without a recent report.
 func (e *Engine) CostFactor(cores, now float64) float64 {
 	report := &e.report
-	if !e.reported || now-e.reportedAt >= reportLife {
+	if !e.reported || now-e.reportedAt >= reportMaxAge {
 		return 1
 	}
 	factor := 1 + max(report.Busy, 0) + max(report.Disk, 0) + max(report.Memory, 0) +
--- a/internal/decide/pressure/engine_test.go
+++ b/internal/decide/pressure/engine_test.go
@@ -18,22 +18,22 @@
 )
 
 // report returns a function that has an engine report at a time.
-func report(r LoadReport, at float64) func(*Engine) {
+func loadReported(r LoadReport, at float64) func(*Engine) {
 	return func(e *Engine) { e.LoadReported(r, at) }
 }
 
 // start returns a function that starts a query on an engine at a time.
-func start(query Query, at float64) func(*Engine) {
+func attemptStarted(query Query, at float64) func(*Engine) {
 	return func(e *Engine) { e.AttemptStarted(query, paging, at) }
 }
 
 // end returns a function that ends a query on an engine.
-func end(query Query) func(*Engine) {
+func attemptEnded(query Query) func(*Engine) {
 	return func(e *Engine) { e.AttemptEnded(query) }
 }
 
 // lock returns a function that observes another router's load of group 5 at time 500.
-func lock(until float64) func(*Engine) {
+func lockObserved(until float64) func(*Engine) {
 	return func(e *Engine) { e.LockObserved(5, 500, until) }
 }
 
@@ -48,8 +48,8 @@
 func TestHeadroom(t *testing.T) {
 	for _, test := range slices.Concat(reportTests(), lockTests()) {
 		var engine Engine
-		for _, play := range test.events {
-			play(&engine)
+		for _, event := range test.events {
+			event(&engine)
 		}
 		got := engine.Headroom(test.query, paging, 1000)
 		if math.Abs(got.MemoryShare-test.want.MemoryShare) < 1e-9 {
@@ -71,58 +71,58 @@
 	noMemory := LoadReport{Memory: -1, Busy: 0.5}
 	return []headroomTest{
 		{"nothing known", nil, reader, Headroom{}},
-		{"an idle engine", events{report(LoadReport{}, 900)}, reader, Headroom{MemoryShare: 0.1}},
-		{"half granted", events{report(half, 900)}, reader, Headroom{MemoryShare: 0.6}},
-		{"a report that is old", events{report(half, 0)}, reader, Headroom{}},
-		{"a report without memory", events{report(noMemory, 900)}, reader, Headroom{}},
-		{"a report that is no number", events{report(notANumber, 900)}, reader, Headroom{}},
-		{"a query without an estimate", events{report(half, 900)}, Query{}, Headroom{MemoryShare: 0.5}},
+		{"an idle engine", events{loadReported(LoadReport{}, 900)}, reader, Headroom{MemoryShare: 0.1}},
+		{"half granted", events{loadReported(half, 900)}, reader, Headroom{MemoryShare: 0.6}},
+		{"a report that is old", events{loadReported(half, 0)}, reader, Headroom{}},
+		{"a report without memory", events{loadReported(noMemory, 900)}, reader, Headroom{}},
+		{"a report that is no number", events{loadReported(notANumber, 900)}, reader, Headroom{}},
+		{"a query without an estimate", events{loadReported(half, 900)}, Query{}, Headroom{MemoryShare: 0.5}},
 		{
 			"a wild estimate gets no more than one may have",
-			events{report(half, 900)},
+			events{loadReported(half, 900)},
 			Query{NeedMB: 1e12},
 			Headroom{MemoryShare: 0.9},
 		},
-		{"sent since the report", events{report(half, 800), start(reader, 900)}, reader, Headroom{MemoryShare: 0.7}},
+		{"sent since the report", events{loadReported(half, 800), attemptStarted(reader, 900)}, reader, Headroom{MemoryShare: 0.7}},
 		{
 			"sent just before the report, which lags",
-			events{start(reader, 600), report(half, 800)},
+			events{attemptStarted(reader, 600), loadReported(half, 800)},
 			reader,
 			Headroom{MemoryShare: 0.7},
 		},
-		{"sent long before the report", events{start(reader, 400), report(half, 800)}, reader, Headroom{MemoryShare: 0.6}},
+		{"sent long before the report", events{attemptStarted(reader, 400), loadReported(half, 800)}, reader, Headroom{MemoryShare: 0.6}},
 	}
 }
 
 // lockTests are those of loads that lock a table group.
 func lockTests() []headroomTest {
 	return []headroomTest{
-		{"behind an own load", events{start(load, 0)}, reader, Headroom{BlockedByLock: true}},
-		{"a load behind another", events{start(load, 0)}, load, Headroom{BlockedByLock: true}},
+		{"behind an own load", events{attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
+		{"a load behind another", events{attemptStarted(load, 0)}, load, Headroom{BlockedByLock: true}},
 		{
 			"beside a load of another group",
-			events{start(load, 0)},
+			events{attemptStarted(load, 0)},
 			Query{TableGroup: 6, BlockedByLoad: true},
 			Headroom{},
 		},
-		{"of a class that loads do not block", events{start(load, 0)}, Query{TableGroup: 5}, Headroom{}},
-		{"after the load", events{start(load, 0), end(load)}, reader, Headroom{}},
+		{"of a class that loads do not block", events{attemptStarted(load, 0)}, Query{TableGroup: 5}, Headroom{}},
+		{"after the load", events{attemptStarted(load, 0), attemptEnded(load)}, reader, Headroom{}},
 		{
 			"after one of two loads",
-			events{start(load, 0), start(load, 0), end(load)},
+			events{attemptStarted(load, 0), attemptStarted(load, 0), attemptEnded(load)},
 			reader,
 			Headroom{BlockedByLock: true},
 		},
-		{"loads that ended twice", events{end(load), end(load), start(load, 0)}, reader, Headroom{BlockedByLock: true}},
+		{"loads that ended twice", events{attemptEnded(load), attemptEnded(load), attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
 		{
 			"a load without a group",
-			events{start(Query{LocksTableGroup: true}, 0)},
+			events{attemptStarted(Query{LocksTableGroup: true}, 0)},
 			Query{BlockedByLoad: true},
 			Headroom{},
 		},
-		{"another router's load", events{lock(1500)}, reader, Headroom{BlockedByLock: true}},
-		{"another router's load, by now over", events{lock(900)}, reader, Headroom{}},
-		{"a lock without an end", events{lock(math.NaN())}, reader, Headroom{}},
+		{"another router's load", events{lockObserved(1500)}, reader, Headroom{BlockedByLock: true}},
+		{"another router's load, by now over", events{lockObserved(900)}, reader, Headroom{}},
+		{"a lock without an end", events{lockObserved(math.NaN())}, reader, Headroom{}},
 	}
 }
 
@@ -139,12 +139,12 @@
 	}
 }
 
-func TestCalmAndCostFactor(t *testing.T) {
+func TestSpareCapacityAndCostFactor(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		report LoadReport
 		age    float64
-		calm   bool
+		spare  bool
 		factor float64
 	}{
 		{"idle", LoadReport{0, 0, 0, 0, 0}, 0, true, 1},
@@ -160,9 +160,9 @@
 	} {
 		var engine Engine
 		engine.LoadReported(test.report, 1e6)
-		calm, factor := engine.HasSpareCapacity(12, 1e6+test.age), engine.CostFactor(12, 1e6+test.age)
-		if calm != test.calm || math.Abs(factor-test.factor) > 1e-9 {
-			t.Errorf("%s: calm %v factor %v, want %v and %v", test.name, calm, factor, test.calm, test.factor)
+		spare, factor := engine.HasSpareCapacity(12, 1e6+test.age), engine.CostFactor(12, 1e6+test.age)
+		if spare != test.spare || math.Abs(factor-test.factor) > 1e-9 {
+			t.Errorf("%s: calm %v factor %v, want %v and %v", test.name, spare, factor, test.spare, test.factor)
 		}
 	}
 	if engine := (&Engine{}); engine.HasSpareCapacity(12, 1e6) || engine.CostFactor(12, 1e6) != 1 {
--- a/internal/decide/pressure/query.go
+++ b/internal/decide/pressure/query.go
@@ -43,7 +43,7 @@
 }
 
 // sound is the report with figures that are NaN or infinite taken for unknown.
-func (r LoadReport) sound() LoadReport {
+func (r LoadReport) sanitized() LoadReport {
 	for _, figure := range []*float64{&r.InFlight, &r.Waiting, &r.Busy, &r.Disk, &r.Memory} {
 		if math.IsNaN(*figure) || math.IsInf(*figure, 0) {
 			*figure = -1
@@ -53,7 +53,7 @@
 }
 
 // grant is the memory that the engine will grant a query, where it chooses itself.
-func (l Limits) grant(query Query) float64 {
+func (l Limits) memoryGrant(query Query) float64 {
 	if !(query.NeedMB > 0) {
 		return 0
 	}
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -7,7 +7,7 @@
 	burstSeconds = 2.0
 	// minBurst is added to each burst: a tenant with the smallest rate would otherwise exceed it with its first
 	// request.
-	minBurst = 5.0
+	extraBurst = 5.0
 	// msPerSecond converts times, which are in milliseconds, for rates, which are per second.
 	msPerSecond = 1000
 )
@@ -21,7 +21,7 @@
 
 // Take takes a token from a bucket that fills at rate tokens a second, and tells whether there was one.
 func (b *Bucket) Take(rate, now float64) bool {
-	size := burstSeconds*max(rate, 0) + minBurst
+	size := burstSeconds*max(rate, 0) + extraBurst
 	if !b.used {
 		b.tokens, b.filledAt, b.used = size, now, true
 	}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -9,13 +9,13 @@
 
 // Traffic at the rate never exceeds the quota, traffic at twice the rate does in half of its requests, and a long idle
 // time allows no more than a burst.
-func TestShareOverQuota(t *testing.T) {
+func TestRejectedShare(t *testing.T) {
 	const requests = 10_000
 	for _, test := range []struct {
 		name          string
 		rate, traffic float64 // a second
 		idleMS        float64 // before the traffic begins
-		over          float64 // share of the requests
+		rejectedShare float64 // share of the requests
 	}{
 		{"at its rate", 20, 20, 0, 0},
 		{"below", 20, 7, 0, 0},
@@ -26,23 +26,23 @@
 		{"below zero", -5, 10, 0, 1},
 	} {
 		var bucket Bucket
-		over, now := 0, 1e9
+		rejected, now := 0, 1e9
 		bucket.Take(test.rate, now)
 		now += test.idleMS
 		for range requests {
 			now += 1000 / test.traffic
 			if !bucket.Take(test.rate, now) {
-				over++
+				rejected++
 			}
 		}
-		if got := float64(over) / requests; math.Abs(got-test.over) > 0.01 {
-			t.Errorf("%s: %.3f over the quota, want %.3f", test.name, got, test.over)
+		if got := float64(rejected) / requests; math.Abs(got-test.rejectedShare) > 0.01 {
+			t.Errorf("%s: %.3f over the quota, want %.3f", test.name, got, test.rejectedShare)
 		}
 	}
 }
 
 // In any span no more is admitted than the rate brings in it, and a burst.
-func TestNoMoreThanTheRate(t *testing.T) {
+func TestAdmittedWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
 		rate := rapid.Float64Range(0, 200).Draw(t, "rate")
@@ -55,7 +55,7 @@
 			}
 		}
 		// A clock that goes back before the first use may start it there.
-		if most := rate*(latest+500)/1000 + burstSeconds*rate + minBurst; admitted > most {
+		if most := rate*(latest+500)/1000 + burstSeconds*rate + extraBurst; admitted > most {
 			t.Fatalf("%v of at most %v", admitted, most)
 		}
 	})
--- a/internal/decide/slowstart/budget.go
+++ b/internal/decide/slowstart/budget.go
@@ -4,12 +4,12 @@
 
 // Budget is one router's part of a rate. A new Budget receives nothing until SetRate.
 type Budget struct {
-	rate       Rate
-	fractionAt float64 // up to when the fraction has been computed
-	fraction   float64 // of the next quantum that has accumulated by then, from 0 to 1
-	nextDue    float64 // when the next quantum is due
-	lastDue    float64 // when the last quantum was
-	received   bool    // there was one
+	rate        Rate
+	fractionAt  float64 // up to when the fraction has been computed
+	fraction    float64 // of the next quantum that has accumulated by then, from 0 to 1
+	nextDue     float64 // when the next quantum is due
+	lastDue     float64 // when the last quantum was
+	hasReceived bool    // there was one
 }
 
 // NewBudget returns the budget of a router from a time on. Routers are numbered from 0; all use the same salt, from 0
@@ -27,7 +27,7 @@
 		b.fractionAt = now
 	}
 	b.rate = rate
-	b.nextDue = rate.timeOf(b.fractionAt, 1-b.fraction)
+	b.nextDue = rate.dueAt(b.fractionAt, 1-b.fraction)
 }
 
 // NextDue returns when the next quantum is due: infinity for never.
@@ -38,7 +38,7 @@
 // gets no burst.
 func (b *Budget) Available(now, maxAge float64) (since float64, ok bool) {
 	b.advance(now)
-	return b.lastDue, b.received && now-b.lastDue <= maxAge
+	return b.lastDue, b.hasReceived && now-b.lastDue <= maxAge
 }
 
 // advance receives what has come due up to now.
@@ -46,11 +46,11 @@
 	if now < b.nextDue {
 		return
 	}
-	b.lastDue, b.received = b.nextDue, true
+	b.lastDue, b.hasReceived = b.nextDue, true
 	// All but the last of several have expired; they are skipped at once, since there may be many.
 	if more := math.Floor(b.rate.integral(b.nextDue, now)); more >= 1 {
-		b.lastDue = min(b.rate.timeOf(b.nextDue, more), now)
+		b.lastDue = min(b.rate.dueAt(b.nextDue, more), now)
 	}
 	b.fractionAt, b.fraction = b.lastDue, 0
-	b.nextDue = max(b.rate.timeOf(b.lastDue, 1), math.Nextafter(now, math.Inf(1)))
+	b.nextDue = max(b.rate.dueAt(b.lastDue, 1), math.Nextafter(now, math.Inf(1)))
 }
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -9,20 +9,20 @@
 )
 
 // sumCase is a number of routers that share a rate of one engine.
-type sumCase struct {
+type fleetCase struct {
 	routers    int
 	perSecond  float64 // quanta for all routers
 	restarting bool    // seven in ten routers restart on the way
 }
 
 const (
-	sumMaxAge   = 1500.0
-	sumDuration = 12_000.0
-	sumRestart  = 5000.0 // when routers restart
+	fleetMaxAge    = 1500.0
+	fleetDuration  = 12_000.0
+	fleetRestartAt = 5000.0 // when routers restart
 )
 
 // received plays all routers and returns when each of their quanta accrued.
-func (c sumCase) received() (times []float64) {
+func (c fleetCase) quantumTimes() (times []float64) {
 	rng := rand.New(rand.NewPCG(uint64(c.routers), uint64(c.perSecond)))
 	even := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
 	for i := range c.routers {
@@ -31,13 +31,13 @@
 		interval := float64(1 + rng.IntN(400)) // between two calls
 		last := -1.0
 		restarts := c.restarting && rng.Float64() < 0.7
-		for now := 0.0; now < sumDuration; now += interval {
-			if restarts && now > sumRestart {
+		for now := 0.0; now < fleetDuration; now += interval {
+			if restarts && now > fleetRestartAt {
 				restarts = false
 				budget = NewBudget(i, c.routers, 0.3, now)
 				budget.SetRate(even, now)
 			}
-			if since, ok := budget.Available(now, sumMaxAge); ok && since != last {
+			if since, ok := budget.Available(now, fleetMaxAge); ok && since != last {
 				times, last = append(times, since), since
 			}
 		}
@@ -55,28 +55,28 @@
 	return n
 }
 
-// However many routers there are, and however often each takes one: what all of them receive in a window is what the
+// However many routers there are, and however frequent each takes one: what all of them receive in a window is what the
 // rate amounts to there, within one quantum. Where seven in ten restart, chance is added to that.
-func TestSumOverRouters(t *testing.T) {
+func TestRoutersTogetherReceiveTheRate(t *testing.T) {
 	for _, routers := range []int{40, 270, 300, 1000} {
 		for _, perSecond := range []float64{0.8, 5, 30} {
 			for _, restarting := range []bool{false, true} {
-				checkSum(t, sumCase{routers, perSecond, restarting})
+				checkFleetTotal(t, fleetCase{routers, perSecond, restarting})
 			}
 		}
 	}
 }
 
-func checkSum(t *testing.T, c sumCase) {
+func checkFleetTotal(t *testing.T, c fleetCase) {
 	t.Helper()
-	times := c.received()
-	want := c.perSecond * sumMaxAge / 1000
+	times := c.quantumTimes()
+	want := c.perSecond * fleetMaxAge / 1000
 	slack := 1.01
 	if c.restarting { // a router that restarts has another offset in time: chance replaces evenness
 		slack += 3 * math.Sqrt(want)
 	}
-	for from := 0.0; from < sumDuration-2*sumMaxAge; from += 100 {
-		if n := countBetween(times, from, from+sumMaxAge); math.Abs(n-want) > slack {
+	for from := 0.0; from < fleetDuration-2*fleetMaxAge; from += 100 {
+		if n := countBetween(times, from, from+fleetMaxAge); math.Abs(n-want) > slack {
 			t.Errorf("%+v: %v quanta in the window from %v, want %.1f", c, n, from, want)
 			return
 		}
@@ -111,46 +111,46 @@
 	}
 }
 
-// A budget receives the same quanta at the same times however often it is called, and those that adding up in small
-// steps returns. It guards against a router that calls seldom and gets more, or less.
+// A budget receives the same quanta at the same times however frequent it is called, and those that adding up in small
+// steps returns. It guards against a router that calls infrequent and gets more, or less.
 func TestQuantaDoNotDependOnCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.Float64Range(0, 1e6).Draw(t, "start")
 		rate, router := drawRate(t, start), rapid.IntRange(0, 99).Draw(t, "router")
-		often, seldom := NewBudget(router, 100, 0.3, start), NewBudget(router, 100, 0.3, start)
-		fraction := often.fraction
-		often.SetRate(rate, start)
-		seldom.SetRate(rate, start)
+		frequent, infrequent := NewBudget(router, 100, 0.3, start), NewBudget(router, 100, 0.3, start)
+		fraction := frequent.fraction
+		frequent.SetRate(rate, start)
+		infrequent.SetRate(rate, start)
 		quanta := 0
 		last := math.Inf(-1)
 		for now := start; now < start+20_000; now += 5 {
-			since, _ := often.Available(now, math.Inf(1))
-			if often.received && since != last {
+			since, _ := frequent.Available(now, math.Inf(1))
+			if frequent.hasReceived && since != last {
 				quanta, last = quanta+1, since
 			}
 			if rapid.IntRange(0, 400).Draw(t, "ask") == 0 {
-				checkSameQuantum(t, &often, &seldom, now)
+				checkSameQuantum(t, &frequent, &infrequent, now)
 			}
 		}
 		total := fraction + rate.integral(start, last)
-		if often.received && math.Abs(total-float64(quanta)) > 1e-6 {
+		if frequent.hasReceived && math.Abs(total-float64(quanta)) > 1e-6 {
 			t.Fatalf("%d quanta by %v, where the rate amounts to %v", quanta, last, total)
 		}
 	})
 }
 
-// checkSameQuantum calls the budget that is called seldom, and compares it with the other one.
-func checkSameQuantum(t *rapid.T, often, seldom *Budget, now float64) {
+// checkSameQuantum calls the budget that is called infrequent, and compares it with the other one.
+func checkSameQuantum(t *rapid.T, frequent, infrequent *Budget, now float64) {
 	t.Helper()
-	since, _ := often.Available(now, math.Inf(1))
-	differs := seldom.lastDue != since || seldom.received != often.received
-	if due := seldom.NextDue(); due <= now != differs {
-		t.Fatalf("due at %v by now %v, and the one called often has its quantum since %v, the other %v",
-			due, now, since, seldom.lastDue)
+	since, _ := frequent.Available(now, math.Inf(1))
+	differs := infrequent.lastDue != since || infrequent.hasReceived != frequent.hasReceived
+	if due := infrequent.NextDue(); due <= now != differs {
+		t.Fatalf("due at %v by now %v, and the one called frequent has its quantum since %v, the other %v",
+			due, now, since, infrequent.lastDue)
 	}
-	got, _ := seldom.Available(now, math.Inf(1))
-	if often.received && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
-		t.Fatalf("called often it has a quantum since %v, called seldom since %v", since, got)
+	got, _ := infrequent.Available(now, math.Inf(1))
+	if frequent.hasReceived && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
+		t.Fatalf("called frequent it has a quantum since %v, called infrequent since %v", since, got)
 	}
 }
 
@@ -174,7 +174,7 @@
 		t.Error("a quantum before its time")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 1000 { // however often the same rate is set
+	for range 1000 { // however frequent the same rate is set
 		budget.SetRate(Rate{}.WithPoint(0, 1), 10_000+100*rng.Float64())
 	}
 	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
--- a/internal/decide/slowstart/rate.go
+++ b/internal/decide/slowstart/rate.go
@@ -20,8 +20,8 @@
 // point is the rate at one time, in milliseconds.
 type point struct{ at, rate float64 }
 
-// piece is the part of a rate from some time to its next point.
-type piece struct {
+// piece is the seg of a rate from some time to its next point.
+type segment struct {
 	start, end float64 // the rates at both ends
 	length     float64 // in milliseconds; infinite after the last point
 }
@@ -40,21 +40,21 @@
 }
 
 // pieceFrom returns the piece that a time lies in, from that time on.
-func (r *Rate) pieceFrom(from float64) piece {
+func (r *Rate) segmentFrom(from float64) segment {
 	if r.n == 0 {
-		return piece{0, 0, math.Inf(1)}
+		return segment{0, 0, math.Inf(1)}
 	}
 	first, last := r.points[0], r.points[r.n-1]
 	if from < first.at {
-		return piece{first.rate, first.rate, first.at - from}
+		return segment{first.rate, first.rate, first.at - from}
 	}
 	if from >= last.at {
-		return piece{last.rate, last.rate, math.Inf(1)}
+		return segment{last.rate, last.rate, math.Inf(1)}
 	}
 	for i := 1; ; i++ {
 		a, b := r.points[i-1], r.points[i]
 		if from < b.at {
-			return piece{a.rate + (b.rate-a.rate)*(from-a.at)/(b.at-a.at), b.rate, b.at - from}
+			return segment{a.rate + (b.rate-a.rate)*(from-a.at)/(b.at-a.at), b.rate, b.at - from}
 		}
 	}
 }
@@ -62,45 +62,45 @@
 // integral returns how many quanta come due between two times.
 func (r *Rate) integral(from, to float64) (quanta float64) {
 	for from < to {
-		part := r.pieceFrom(from)
-		if d := to - from; d < part.length {
-			if !math.IsInf(part.length, 1) {
-				part.end = part.start + (part.end-part.start)*d/part.length
+		seg := r.segmentFrom(from)
+		if d := to - from; d < seg.length {
+			if !math.IsInf(seg.length, 1) {
+				seg.end = seg.start + (seg.end-seg.start)*d/seg.length
 			}
-			return quanta + (part.start+part.end)/2*d/msPerSecond
+			return quanta + (seg.start+seg.end)/2*d/msPerSecond
 		}
-		quanta += (part.start + part.end) / 2 * part.length / msPerSecond
-		from += part.length
+		quanta += (seg.start + seg.end) / 2 * seg.length / msPerSecond
+		from += seg.length
 	}
 	return quanta
 }
 
 // timeOf returns when so many quanta have come due since another time: infinity for never.
-func (r *Rate) timeOf(from, quanta float64) float64 {
+func (r *Rate) dueAt(from, quanta float64) float64 {
 	left := quanta * msPerSecond
 	for {
-		part := r.pieceFrom(from)
-		if math.IsInf(part.length, 1) {
-			if part.start <= 0 {
-				return part.length
+		seg := r.segmentFrom(from)
+		if math.IsInf(seg.length, 1) {
+			if seg.start <= 0 {
+				return seg.length
 			}
-			return from + left/part.start
+			return from + left/seg.start
 		}
-		if area := (part.start + part.end) / 2 * part.length; area < left {
+		if area := (seg.start + seg.end) / 2 * seg.length; area < left {
 			left -= area
-			from += part.length
+			from += seg.length
 			continue
 		}
-		return from + part.timeOf(left)
+		return from + seg.timeToAccrue(left)
 	}
 }
 
 // timeOf returns after how many milliseconds of the piece so much has come due, in thousandths of a quantum.
-func (p piece) timeOf(amount float64) float64 {
-	slope := (p.end - p.start) / p.length
-	root := p.start + math.Sqrt(max(p.start*p.start+2*slope*amount, 0))
+func (s segment) timeToAccrue(amount float64) float64 {
+	slope := (s.end - s.start) / s.length
+	root := s.start + math.Sqrt(max(s.start*s.start+2*slope*amount, 0))
 	if root <= 0 {
 		return 0
 	}
-	return min(2*amount/root, p.length)
+	return min(2*amount/root, s.length)
 }
--- a/internal/decide/slowstart/rate_test.go
+++ b/internal/decide/slowstart/rate_test.go
@@ -26,7 +26,7 @@
 		const steps = 4000
 		summed, step := 0.0, (to-from)/steps
 		for i := range steps {
-			summed += rate.pieceFrom(from+(float64(i)+0.5)*step).start * step / 1000
+			summed += rate.segmentFrom(from+(float64(i)+0.5)*step).start * step / 1000
 		}
 		got := rate.integral(from, to)
 		if math.Abs(got-summed) > 0.01*summed+0.02 { // where the rate jumps, the sum is off by up to one step
@@ -35,7 +35,7 @@
 		if got < 1e-6 {
 			return
 		}
-		at := rate.timeOf(from, got*0.7)
+		at := rate.dueAt(from, got*0.7)
 		if at < from || at > to || math.Abs(rate.integral(from, at)-got*0.7) > 1e-6*(1+got) {
 			t.Fatalf("%+v: %v of %v quanta are due at %v, and by then %v were",
 				rate, got*0.7, got, at, rate.integral(from, at))
@@ -45,12 +45,12 @@
 
 // The time of an amount within a piece of a rate: no time for nothing, also where the rate begins at zero, and no more
 // than the length of the piece.
-func TestTimeWithinPiece(t *testing.T) {
-	rising := piece{start: 0, end: 10, length: 1000}
-	level := piece{start: 4, end: 4, length: 1000}
+func TestTimeWithinSegment(t *testing.T) {
+	rising := segment{start: 0, end: 10, length: 1000}
+	level := segment{start: 4, end: 4, length: 1000}
 	for _, test := range []struct {
 		name   string
-		piece  piece
+		seg    segment
 		amount float64
 		want   float64
 	}{
@@ -61,7 +61,7 @@
 		{"half of it", level, 2000, 500},
 		{"more than all of it", level, 4001, 1000},
 	} {
-		if got := test.piece.timeOf(test.amount); got != test.want {
+		if got := test.seg.timeToAccrue(test.amount); got != test.want {
 			t.Errorf("%s: %v ms, want %v", test.name, got, test.want)
 		}
 	}
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -65,7 +65,7 @@
 			from := rng.Float64() * 10000
 			h.Step(1)
 			h.Float(rate.integral(from, from+rng.ExpFloat64()*3000))
-			h.Float(rate.timeOf(from, rng.ExpFloat64()*3))
+			h.Float(rate.dueAt(from, rng.ExpFloat64()*3))
 		}
 	}
 }
--- a/internal/hotrestartipc/descriptors.go
+++ b/internal/hotrestartipc/descriptors.go
@@ -6,7 +6,7 @@
 )
 
 // receivedName is the name of a file that another process sent.
-const receivedName = "handed over"
+const receivedFileName = "handed over"
 
 // descriptorSize is the size of a descriptor in a control message.
 const descriptorSize = 4
@@ -84,7 +84,7 @@
 		}
 		for _, fd := range descriptors {
 			syscall.CloseOnExec(fd)
-			files = append(files, os.NewFile(uintptr(fd), receivedName))
+			files = append(files, os.NewFile(uintptr(fd), receivedFileName))
 		}
 	}
 	return files
--- a/internal/hotrestartipc/frame.go
+++ b/internal/hotrestartipc/frame.go
@@ -11,12 +11,12 @@
 // A frame is length:4 version:1 files:1 and a Message as JSON; length counts what follows it, big-endian. The
 // descriptors of a frame are sent with its first byte.
 const (
-	lengthSize   = 4
-	versionAt    = 4
-	fileCountAt  = 5
-	headerLength = 6
+	lengthSize      = 4
+	versionOffset   = 4
+	fileCountOffset = 5
+	headerLength    = 6
 	// lengthOfRest is the part of a header that its length counts.
-	lengthOfRest = headerLength - lengthSize
+	countedHeaderLength = headerLength - lengthSize
 	// frameVersion is the version of this layout, which has not changed. What messages mean is negotiated in hello and
 	// state (hotrestart.ProtocolVersion).
 	frameVersion = 1
@@ -25,7 +25,7 @@
 	// maxFiles is how many descriptors one message may carry.
 	maxFiles = 8
 	// readChunk is how much is read from a connection at once.
-	readChunk = 64 << 10
+	readChunkSize = 64 << 10
 )
 
 // Errors of a link's peer; each ends the link.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode message %s: %w", message.Kind, err)
 	}
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(text)+lengthOfRest))
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(text)+countedHeaderLength))
 	frame = append(frame, frameVersion, byte(len(message.Files)))
 	return append(frame, text...), nil
 }
@@ -57,10 +57,10 @@
 	length := int(binary.BigEndian.Uint32(buffer))
 	end := lengthSize + length
 	switch {
-	case length < lengthOfRest || length > maxFrameLength:
+	case length < countedHeaderLength || length > maxFrameLength:
 		return nil, 0, fmt.Errorf("%w: %d bytes", errFrameLength, length)
-	case buffer[versionAt] != frameVersion:
-		return nil, 0, fmt.Errorf("%w: %d, and this process speaks %d", errFrameVersion, buffer[versionAt], frameVersion)
+	case buffer[versionOffset] != frameVersion:
+		return nil, 0, fmt.Errorf("%w: %d, and this process speaks %d", errFrameVersion, buffer[versionOffset], frameVersion)
 	case len(buffer) < end:
 		return nil, 0, nil
 	}
@@ -84,7 +84,7 @@
 }
 
 func newFrameReader(conn *net.UnixConn) *frameReader {
-	return &frameReader{conn: conn, chunk: make([]byte, readChunk), control: make([]byte, controlSpace(maxFiles))}
+	return &frameReader{conn: conn, chunk: make([]byte, readChunkSize), control: make([]byte, controlSpace(maxFiles))}
 }
 
 // fill waits for more bytes.
@@ -107,7 +107,7 @@
 	if message == nil {
 		return nil, err
 	}
-	count := int(r.buffer[fileCountAt])
+	count := int(r.buffer[fileCountOffset])
 	if count > len(r.files) {
 		return nil, errMissingDescriptors
 	}
--- a/internal/hotrestartipc/golden_slot_test.go
+++ b/internal/hotrestartipc/golden_slot_test.go
@@ -164,7 +164,7 @@
 }
 
 // The roster alone keeps a number from being used again.
-func TestGoldenRosterIsRead(t *testing.T) {
+func TestGoldenCounterFileIsRead(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
--- a/internal/hotrestartipc/link.go
+++ b/internal/hotrestartipc/link.go
@@ -24,7 +24,7 @@
 // Link is a connection to another process of the router. Its goroutines end with the connection, or by Close.
 type Link struct {
 	conn      *net.UnixConn
-	queue     chan queued
+	queue     chan queueEntry
 	done      chan struct{}
 	once      sync.Once
 	onMessage func(Message)
@@ -32,7 +32,7 @@
 }
 
 // queued is a message to write, or the request to close the link behind those before it.
-type queued struct {
+type queueEntry struct {
 	message Message
 	close   bool
 }
@@ -52,7 +52,7 @@
 func StartLink(conn *net.UnixConn, onMessage func(Message), onEnd func(error)) *Link {
 	l := &Link{
 		conn:      conn,
-		queue:     make(chan queued, maxQueued),
+		queue:     make(chan queueEntry, maxQueued),
 		done:      make(chan struct{}),
 		onMessage: onMessage,
 		onEnd:     onEnd,
@@ -71,7 +71,7 @@
 	}
 	message.Files = files
 	select {
-	case l.queue <- queued{message: message}:
+	case l.queue <- queueEntry{message: message}:
 	default:
 		closeAll(files)
 		l.end(errPeerNotReading)
@@ -84,7 +84,7 @@
 // Close ends the link once what was sent has been written, or its time is up.
 func (l *Link) Close() {
 	select {
-	case l.queue <- queued{close: true}:
+	case l.queue <- queueEntry{close: true}:
 	default:
 		l.end(net.ErrClosed)
 	}
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -104,9 +104,9 @@
 }
 
 // What can't be read, or is of another version, ends the link.
-func TestBadPeers(t *testing.T) {
+func TestInvalidFrameEndsLink(t *testing.T) {
 	frame := func(version byte, text string) []byte {
-		b := binary.BigEndian.AppendUint32(nil, uint32(len(text)+lengthOfRest))
+		b := binary.BigEndian.AppendUint32(nil, uint32(len(text)+countedHeaderLength))
 		return append(append(b, version, 0), text...)
 	}
 	for _, c := range []struct {
@@ -157,7 +157,7 @@
 // However a frame is split, it is read once, and completely.
 func TestParseFrame(t *testing.T) {
 	want := Message{Kind: "a", Body: []byte("5")}
-	b := binary.BigEndian.AppendUint32(nil, lengthOfRest+21)
+	b := binary.BigEndian.AppendUint32(nil, countedHeaderLength+21)
 	b = append(append(b, frameVersion, 0), `{"kind":"a","body":5}`...)
 	for i := range b {
 		if m, _, err := parseFrame(b[:i]); m != nil || err != nil {
--- a/internal/hotrestartipc/paths.go
+++ b/internal/hotrestartipc/paths.go
@@ -19,10 +19,10 @@
 const processNumberBits = 48
 
 const (
-	socketSuffix = ".sock"
-	lockSuffix   = ".lock"
-	rosterSuffix = ".roster"
-	cordonSuffix = ".bans"
+	socketSuffix  = ".sock"
+	lockSuffix    = ".lock"
+	counterSuffix = ".roster"
+	cordonSuffix  = ".bans"
 	// publishSuffix is that of the name under which a socket is prepared for processes of version 1.
 	publishSuffix = ".own"
 )
@@ -67,7 +67,7 @@
 }
 
 // roster returns the path of the file that holds the greatest process number so far.
-func (p slotPaths) roster() string { return string(p) + rosterSuffix }
+func (p slotPaths) counterFile() string { return string(p) + counterSuffix }
 
 // published returns the path under which a socket is prepared for processes of version 1.
 func (p slotPaths) published() string { return string(p) + publishSuffix }
--- a/internal/hotrestartipc/slot.go
+++ b/internal/hotrestartipc/slot.go
@@ -33,15 +33,15 @@
 	if err != nil {
 		return nil, err
 	}
-	roster, err := lockRoster(paths.roster())
+	counter, err := lockProcessCounter(paths.counterFile())
 	if err != nil {
 		return nil, err
 	}
-	defer roster.unlock()
+	defer counter.unlock()
 	slot := &ProcessSlot{paths: paths}
-	last := max(hotrestart.FirstProcess-1, roster.last(), slot.removeDead())
+	last := max(hotrestart.FirstProcess-1, counter.last(), slot.removeDead())
 	slot.Process = last + 1
-	if err := roster.setLast(slot.Process); err != nil {
+	if err := counter.setLast(slot.Process); err != nil {
 		return nil, err
 	}
 	if err := slot.open(); err != nil {
