--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,22 +1,23 @@
 package backoff
 
-// maxDoublings bounds the doublings of a backoff: by then, any bound that makes sense is reached.
+// maxDoublings bounds the number of doublings: after 32 of them any reasonable Policy.Max is reached.
 const maxDoublings = 32
 
-// Policy says how long backoffs are, in milliseconds.
+// Policy holds the lengths of backoffs, in milliseconds.
 type Policy struct {
-	Initial float64 // after the first failure
-	Max     float64
+	Initial float64 // length after the first failure
+	Max     float64 // upper bound of the length
 }
 
-// Backoff is the backoff from one engine. The zero Backoff is none.
+// Backoff is the backoff state of one engine. The zero Backoff has recorded no failure and is not active.
 type Backoff struct {
-	failures int     // in a row
-	until    float64 // in milliseconds
+	failures int     // consecutive failures
+	until    float64 // end of the backoff, in milliseconds
 }
 
-// RecordFailure begins a backoff after a failed attempt. Jitter is a factor around 1 that spreads the ends of backoffs
-// that began together.
+// RecordFailure starts a backoff after a failed attempt at the time now, in milliseconds. The length is the policy's
+// initial length, doubled for each consecutive failure up to the maximum, times jitter: a factor around 1 that spreads
+// the ends of backoffs that started together.
 func (b *Backoff) RecordFailure(now, jitter float64, policy Policy) {
 	length := policy.Initial
 	for range min(b.failures, maxDoublings) {
@@ -26,8 +27,8 @@
 	b.until = now + jitter*min(length, policy.Max)
 }
 
-// RecordSuccess ends the backoff.
+// RecordSuccess ends the backoff and resets its length to the initial one.
 func (b *Backoff) RecordSuccess() { *b = Backoff{} }
 
-// Active tells whether the backoff lasts.
+// Active reports whether the backoff is still running at the time now.
 func (b *Backoff) Active(now float64) bool { return now < b.until }
--- a/internal/decide/backoff/doc.go
+++ b/internal/decide/backoff/doc.go
@@ -1,7 +1,8 @@
-// Package backoff decides how long not to use an engine that did not answer, or a zone whose engines may have been cut
-// off together. Each failure in a row doubles the backoff, up to a bound; a success ends it. Backoffs keep many routers
-// that each retry a failed engine a little from adding up to a retry storm, and each of them from finding out engine by
-// engine that a zone is lost.
+// Package backoff decides for how long a router stops using an engine that did not answer, or a zone whose engines may
+// have failed together. Each consecutive failure doubles the backoff, up to a maximum; a success ends it.
 //
-// The package has no clock and no randomness: callers pass times and backoffs in milliseconds, and the jitter.
+// Without backoffs, the retries of many routers to a failed engine would add up to a retry storm, and each router
+// would have to discover the loss of a zone engine by engine.
+//
+// The package has no clock and no randomness: callers pass the jitter, and times and backoff lengths in milliseconds.
 package backoff
--- a/internal/decide/backoff/trace_test.go
+++ b/internal/decide/backoff/trace_test.go
@@ -7,7 +7,8 @@
 	"windflow/internal/tracetest"
 )
 
-// When engines and zones are backed off from stays as it was recorded in testdata/traces.txt.
+// Fails when a change alters when engines and zones are in backoff, compared with the recording in
+// testdata/traces.txt.
 func TestTraces(t *testing.T) {
 	tracetest.Check(t, []tracetest.Scenario{
 		{Name: "machines", Run: func(_ *testing.T, h *tracetest.Hash) { traceEngines(h) }},
@@ -15,7 +16,7 @@
 	})
 }
 
-// tracePolicies are policies with room to double, and some without.
+// tracePolicies are policies that allow the backoff to double, and some that do not.
 var tracePolicies = []Policy{
 	{Initial: 250, Max: 4000},
 	{Initial: 100, Max: 100},
--- a/internal/decide/backoff/zone.go
+++ b/internal/decide/backoff/zone.go
@@ -1,17 +1,18 @@
 package backoff
 
-// ZoneBackoff pools the failures of engines that a fault may cut off together. It backs off from the zone once enough
-// engines in a row have failed without a success in between; further failures of the same engine tell nothing about the
-// others. The zero ZoneBackoff is none.
+// ZoneBackoff is the backoff state of a zone, whose engines may all fail at once. The backoff starts when enough
+// different engines have failed in a row, without a success in between. Consecutive failures of the same engine say
+// nothing about the other engines and count once. The zero ZoneBackoff has recorded no failure and is not active.
 type ZoneBackoff struct {
 	backoff          Backoff
-	failures         int   // of engines in a row, without those that repeat the last one
-	lastFailedEngine int64 // that failed
+	failures         int   // consecutive failures, not counting repeated failures of the same engine
+	lastFailedEngine int64 // engine of the last counted failure
 	extendableAt     float64
 }
 
-// RecordFailure counts a failed attempt on an engine; threshold is the number of engines in a row that have to fail.
-// Attempts that were outstanding when a backoff began do not extend it.
+// RecordFailure counts a failed attempt on an engine and starts or extends the backoff when threshold engines have
+// failed in a row. Times are in milliseconds. Failures of attempts that were already running when a backoff started do
+// not extend it: for the policy's initial length from its start, failures are only counted.
 func (z *ZoneBackoff) RecordFailure(engine int64, threshold int, now, jitter float64, policy Policy) {
 	if z.failures == 0 || engine != z.lastFailedEngine {
 		z.failures++
@@ -23,19 +24,19 @@
 	}
 }
 
-// RecordAttempt records that an engine is tried. A suspect zone is backed off from meanwhile: one attempt at a time
-// shows whether it is back.
+// RecordAttempt records that an engine of the zone is tried. In a suspect zone it blocks other attempts for the
+// policy's initial length, so that one attempt at a time tests whether the zone has recovered.
 func (z *ZoneBackoff) RecordAttempt(now float64, policy Policy) {
 	if z.Suspect() {
 		z.backoff.until = max(z.backoff.until, now+policy.Initial)
 	}
 }
 
-// RecordSuccess ends the backoff from the zone.
+// RecordSuccess ends the backoff from the zone and clears its failures.
 func (z *ZoneBackoff) RecordSuccess() { *z = ZoneBackoff{} }
 
-// Active tells whether the backoff from the zone lasts.
+// Active reports whether the backoff from the zone is still running at the time now.
 func (z *ZoneBackoff) Active(now float64) bool { return z.backoff.Active(now) }
 
-// Suspect tells whether the zone was backed off from and none of its engines has answered since.
+// Suspect reports whether the zone has been in backoff and none of its engines has answered since.
 func (z *ZoneBackoff) Suspect() bool { return z.backoff.failures > 0 }
--- a/internal/decide/hotrestart/due_test.go
+++ b/internal/decide/hotrestart/due_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A process that is to end while it looks for its predecessor, or waits for its state, needs no tick any more:
-// Step ignores ticks then, so that the process would be due for ever. It guards against a process that spins and
-// never ends.
+// Checks that a process that is requested to end while it waits for its predecessor has no tick due any more. Step
+// ignores ticks after the end; a due time that stays in the past would make the caller's timer fire in a busy loop,
+// and the process would never end.
 func TestNoTickDueAfterEnd(t *testing.T) {
 	found := Event{Kind: EventPredecessorFound, Process: FirstProcess}
 	state := Event{Kind: EventMessageReceived, Process: FirstProcess, Message: MessageState}
@@ -21,14 +21,15 @@
 			m.Step(1001, event)
 		}
 		if m.Phase() != phase {
-			t.Errorf("%v instead of %v", m.Phase(), phase)
+			t.Errorf("phase is %v, want %v", m.Phase(), phase)
 		}
 		if due := m.Due(); math.IsInf(due, 1) && phase != PhaseFindingPredecessor {
-			t.Errorf("%v: nothing is due before its end", phase)
+			t.Errorf("%v: no tick is due before the process is requested to end", phase)
 		}
 		m.Step(1002, Event{Kind: EventStopRequested})
 		if due := m.Due(); m.Phase() != PhaseEnded || !math.IsInf(due, 1) {
-			t.Errorf("%v: %v, due at %v", phase, m.Phase(), due)
+			t.Errorf("requested to end in phase %v: phase is %v with a tick due at %v, want %v without one",
+				phase, m.Phase(), due, PhaseEnded)
 		}
 	}
 }
--- a/internal/decide/hotrestart/event.go
+++ b/internal/decide/hotrestart/event.go
@@ -1,53 +1,54 @@
 package hotrestart
 
-// EventKind is the kind of an event.
+// EventKind says what an Event reports.
 type EventKind uint8
 
-// Events.
+// Kinds of event.
 const (
-	// EventTick says that time has passed.
+	// EventTick reports that time has passed.
 	EventTick EventKind = iota
-	// EventPredecessorFound answers ActionFindPredecessor: Process is the newest living process before this one, or
-	// NoProcess. A predecessor that has ended is also reported by EventProcessEnded.
+	// EventPredecessorFound is the response to ActionFindPredecessor. Process is the newest living process that
+	// started before this one, or NoProcess. If the previous predecessor has ended, EventProcessEnded reports that
+	// separately.
 	EventPredecessorFound
-	// EventMessageReceived says that Message was received from Process.
+	// EventMessageReceived reports that Message was received from Process.
 	EventMessageReceived
-	// EventLinkLost says that the link to Process broke while Process lives.
+	// EventLinkLost reports that the link to Process broke while Process is still alive.
 	EventLinkLost
-	// EventProcessEnded says that Process has ended.
+	// EventProcessEnded reports that Process has ended.
 	EventProcessEnded
-	// EventStopRequested says that this process is requested to end.
+	// EventStopRequested reports that this process was requested to end.
 	EventStopRequested
-	// EventIdle says that no request or session has been open for a while.
+	// EventIdle reports that no request or session has been open for some time.
 	EventIdle
 )
 
-// Event is the input of one step of the machine.
+// Event is the input of one step of the machine. Process and Message are set for the kinds that refer to them.
 type Event struct {
 	Kind    EventKind
 	Process ProcessNumber
 	Message MessageKind
 }
 
-// Action is what the caller does to carry out an effect.
+// Action is what the caller has to do for an effect.
 type Action uint8
 
-// Actions.
+// Kinds of action.
 const (
-	// ActionFindPredecessor requests the newest living process before this one, a link to it, and
-	// EventPredecessorFound.
+	// ActionFindPredecessor looks for the newest living process that started before this one, connects to it, and
+	// reports it with EventPredecessorFound.
 	ActionFindPredecessor Action = iota
 	// ActionSend sends Message to Process.
 	ActionSend
-	// ActionRestoreState restores the state that was received last and prepares to accept clients.
+	// ActionRestoreState restores the state received last and prepares to accept clients.
 	ActionRestoreState
-	// ActionStartAccepting starts, or starts again, to accept clients.
+	// ActionStartAccepting starts or resumes accepting clients.
 	ActionStartAccepting
-	// ActionStopAccepting stops accepting clients but keeps what is needed to accept again.
+	// ActionStopAccepting stops accepting clients but keeps what is needed to resume.
 	ActionStopAccepting
-	// ActionFinish completes the requests that were accepted and closes idle sessions.
+	// ActionFinish completes the accepted requests and closes idle sessions.
 	ActionFinish
-	// ActionDrain continues accepting and answering until nothing is open.
+	// ActionDrain keeps accepting and answering until no request or session is open.
 	ActionDrain
 	// ActionEnd ends the process.
 	ActionEnd
@@ -55,7 +56,7 @@
 	ActionSetShare
 )
 
-// Effect is one action for the caller to carry out; effects are carried out in their order.
+// Effect is one action for the caller. The effects of a step have to be carried out in their order.
 type Effect struct {
 	Action  Action
 	Process ProcessNumber
--- a/internal/decide/hotrestart/model_adversary_test.go
+++ b/internal/decide/hotrestart/model_adversary_test.go
@@ -1,40 +1,40 @@
 package hotrestart
 
-// visitor is called with each world that may follow another.
+// visitor is called with each state that may follow a state, and the change that leads to it.
 type visitor func(next *model, change change)
 
-// change is what leads from one world to the next.
+// change is what leads from one state of the model to the next.
 type change struct {
-	guaranteed bool // it happens soon by itself
+	guaranteed bool // it certainly happens, after a finite time and without the adversary
 	name       string
 	process    int
 	other      int
 }
 
-// branches visits the worlds that may follow one of a model.
+// branches visits the states that may follow one state of a model.
 type branches struct {
 	from  *model
 	visit visitor
 }
 
-// try visits the world that a change leads to.
+// apply visits the state to which a change leads.
 func (b *branches) apply(change change, do func(next *model)) {
 	next := &model{state: b.from.state, ignoreSilentPredecessor: b.from.ignoreSilentPredecessor}
 	do(next)
 	b.visit(next, change)
 }
 
-// prompt visits what must happen soon by itself.
+// guaranteed visits the result of a change that certainly happens.
 func (b *branches) guaranteed(name string, process, other int, do func(next *model)) {
 	b.apply(change{true, name, process, other}, do)
 }
 
-// maybe visits what may or may not happen.
+// optional visits the result of a change that may or may not happen.
 func (b *branches) optional(name string, process, other int, do func(next *model)) {
 	b.apply(change{false, name, process, other}, do)
 }
 
-// each visits every world that may follow.
+// eachNextState visits every state that may follow the current one.
 func (x *model) eachNextState(visit visitor) {
 	b := &branches{from: x, visit: visit}
 	for i := range modelProcesses {
@@ -67,7 +67,7 @@
 		p := &next.state.processes[i]
 		p.alive = true
 		p.cordoned = next.othersLive(i) && s.cordonInFolder
-		// The folder of a router without a living process is cleared as the slot is acquired.
+		// When a slot is acquired while no other process of the router lives, the folder is cleared.
 		next.state.cordonInFolder = p.cordoned
 		var effects []Effect
 		p.machine, effects = New(numberOf(i), 0, DefaultSettings)
@@ -78,7 +78,7 @@
 	})
 }
 
-// search lets a process find its predecessor, and links the two.
+// search lets a process find its predecessor and connects the two.
 func (b *branches) search(i int) {
 	s := &b.from.state
 	if !s.processes[i].searching {
@@ -97,7 +97,7 @@
 				next.state.processes[i].linkBroken = false
 			}
 		}
-		// An end that the search shows is noticed as well, as EventProcessEnded.
+		// If the search shows that a process has ended, EventProcessEnded is delivered separately.
 		next.step(i, Event{Kind: EventPredecessorFound, Process: found})
 	})
 }
@@ -107,10 +107,11 @@
 	if s.processes[i].cordoned == s.cordonInFolder {
 		return
 	}
-	b.guaranteed("reads the folder", i, 0, func(next *model) { next.state.processes[i].cordoned = s.cordonInFolder })
+	b.guaranteed("reads the cordons", i, 0, func(next *model) { next.state.processes[i].cordoned = s.cordonInFolder })
 }
 
-// receive lets process i receive what process j has sent: a message, or else that its end or the link's was noticed.
+// receive delivers to process i the next message of process j or, if there is none, the end of process j or of the
+// link to it.
 func (b *branches) receive(i, j int) {
 	s := &b.from.state
 	p := &s.processes[i]
@@ -132,7 +133,7 @@
 	}
 }
 
-// receiveTwice duplicates a message of the protocol.
+// receiveTwice delivers a message of the protocol twice.
 func (b *branches) receiveTwice(i, j int) {
 	s := &b.from.state
 	message := s.queues[j][i].messages[0]
@@ -143,14 +144,14 @@
 		next.state.left.duplicates--
 		next.deliver(j, i)
 		if next.state.processes[i].alive && next.state.processes[j].alive {
-			next.state.queues[j][i].push(message) // late as well: it arrives after all that was sent since
+			next.state.queues[j][i].push(message) // late as well: after all messages sent in between
 		}
 	})
 }
 
 func (b *branches) abandonClaim(i, j int) {
 	if b.from.state.processes[i].claims[j] {
-		b.optional("abandons its claim at", i, j, func(next *model) { next.state.processes[i].claims[j] = false })
+		b.optional("gives up its claim at", i, j, func(next *model) { next.state.processes[i].claims[j] = false })
 	}
 }
 
@@ -169,11 +170,12 @@
 	})
 }
 
-// timers lets the timers of a process run out, each without the other.
+// timers lets each timer of a process expire, one without the other.
 func (b *branches) timers(i int) {
 	s := &b.from.state
 	p := &s.processes[i]
-	// A process repeats its request; it is enough to let it do so when no such request is under way.
+	// In the model a process repeats its hello only when no message is in flight between it and its predecessor. More
+	// repetitions would add states without new behavior.
 	idle := true
 	if predecessor := p.machine.predecessor; predecessor != NoProcess {
 		j := indexOf(predecessor)
@@ -185,16 +187,16 @@
 	}
 	if p.machine.nextHelloAt > 0 && idle {
 		b.optional("repeats its hello", i, 0, func(next *model) {
-			next.state.processes[i].machine.awaitDeadline = 1e6 // this time only the other timer runs out
+			next.state.processes[i].machine.awaitDeadline = 1e6 // only the other timer expires this time
 			next.step(i, Event{Kind: EventTick})
 		})
 	}
 	if p.awaits() {
-		b.optional("has waited long", i, 0, func(next *model) { next.expireAwait(i) })
+		b.optional("stops waiting for its predecessor", i, 0, func(next *model) { next.expireAwait(i) })
 	}
 }
 
-// awaitRunsOut ends the wait for the predecessor; the timer of the next hello stays as it is.
+// expireAwait ends the wait for the predecessor. The timer of the next hello keeps its value.
 func (x *model) expireAwait(i int) {
 	p := &x.state.processes[i]
 	nextHelloAt := p.machine.nextHelloAt
@@ -222,22 +224,22 @@
 		})
 	}
 	if p.machine.phase == PhaseFinishing || p.machine.phase == PhaseDraining {
-		b.optional("has nothing open", i, 0, func(next *model) { next.step(i, Event{Kind: EventIdle}) })
+		b.optional("has no open request or session", i, 0, func(next *model) { next.step(i, Event{Kind: EventIdle}) })
 	}
 }
 
-// clients lets an operator set the cordon, and a client send the request.
+// externalInputs lets an operator set the cordon, and a client send the request.
 func (b *branches) externalInputs(i int) {
 	s := &b.from.state
 	p := &s.processes[i]
 	if s.left.cordons > 0 && p.accepts {
-		b.optional("gets the cordon", i, 0, func(next *model) {
+		b.optional("receives the cordon", i, 0, func(next *model) {
 			next.state.left.cordons--
 			next.state.cordonInFolder, next.state.processes[i].cordoned = true, true
 		})
 	}
 	if s.left.requests > 0 && (p.accepts || p.machine.phase == PhaseSuperseded || p.machine.phase == PhaseFinishing) {
-		b.optional("gets the request", i, 0, func(next *model) {
+		b.optional("receives the request", i, 0, func(next *model) {
 			next.state.left.requests--
 			next.submit(i)
 		})
--- a/internal/decide/hotrestart/model_explore_test.go
+++ b/internal/decide/hotrestart/model_explore_test.go
@@ -9,7 +9,7 @@
 
 var stateSeed = maphash.MakeSeed()
 
-// arrival is how a world was reached first.
+// origin is the change by which a state was first reached, and the hash of the state before it.
 type origin struct {
 	from    uint64
 	change  string
@@ -17,22 +17,22 @@
 	other   int8
 }
 
-// exploration is a search, by breadth, of the worlds that a budget leads to.
+// exploration is a breadth-first search of the states that the adversary can reach within its budget.
 type exploration struct {
-	origins                 map[uint64]origin // by the hash of a world
+	origins                 map[uint64]origin // by the hash of a state
 	frontier                []pendingState
 	failure                 string
 	ignoreSilentPredecessor bool
 }
 
-// reached is a world that is still to be left.
+// pendingState is a state whose next states have not been visited yet.
 type pendingState struct {
 	state modelState
 	hash  uint64
 }
 
-// explore visits every world within depth steps of the start. It returns the number of worlds, how depthReached it went, and
-// the shortest way to the first world that breaks a rule.
+// explore visits every state within depth steps of the initial one. It returns the number of states, the depth that
+// was reached, and the shortest sequence of changes to the first state that violates an invariant.
 func explore(left budget, depth int, ignoreSilentPredecessor bool) (states, depthReached int, failure string) {
 	start := modelState{left: left}
 	hash := maphash.Comparable(stateSeed, start)
@@ -54,7 +54,7 @@
 	return len(e.origins), depthReached, ""
 }
 
-// leave visits each world that follows, and checks the one that is left.
+// expand visits each next state of a state, then checks the state itself.
 func (e *exploration) expand(current pendingState) {
 	x := &model{state: current.state, ignoreSilentPredecessor: e.ignoreSilentPredecessor}
 	quiescent := true
@@ -67,7 +67,7 @@
 	}
 }
 
-// reach checks a world that was not states before, and keeps it to be left later.
+// enqueue checks a state that has not been seen before and adds it to the frontier.
 func (e *exploration) enqueue(next *model, from pendingState, change change) {
 	if e.failure != "" || next.state.queueOverflowed {
 		return
@@ -84,7 +84,7 @@
 	e.frontier = append(e.frontier, pendingState{next.state, hash})
 }
 
-// history returns the changes that led to a world, a line each.
+// history returns the changes that led to a state, one per line.
 func (e *exploration) history(hash uint64) string {
 	var lines []string
 	for len(lines) < 100 {
@@ -102,9 +102,10 @@
 	return text.String()
 }
 
-// Every interleaving, to the depth of the flag, keeps the rules. They are: the shares of all processes fit the limits
-// at each moment; a cordon set at any process is kept by all that serve; a request runs once; a process accepts, or
-// is about to.
+// Checks the invariants in every interleaving up to the depth of each case: the shares of all processes stay within
+// the limits at each moment; a cordon set at one process is kept by all processes that serve; a request runs at most
+// once; some process accepts clients or is about to. Guards against orders of events that break one of them, such as a
+// crash or a lost link in the middle of a hot restart.
 func TestModelInvariants(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -112,34 +113,35 @@
 		depth int
 	}{
 		{
-			"two processes, all changes",
+			"two processes, all kinds of change",
 			budget{starts: 2, kills: 1, linkLosses: 1, duplicates: 1, stops: 2, cordons: 1, requests: 2},
 			16,
 		},
 		{"two processes, kills and cordons", budget{starts: 2, kills: 2, stops: 1, cordons: 2}, 60},
-		{"two processes, requests and lost links", budget{starts: 2, kills: 1, linkLosses: 2, stops: 1, requests: 3}, 60},
-		{"three processes, kills and signals", budget{starts: 3, kills: 2, stops: 2, cordons: 1}, 60},
+		{"two processes, requests, lost links", budget{starts: 2, kills: 1, linkLosses: 2, stops: 1, requests: 3}, 60},
+		{"three processes, kills and stop requests", budget{starts: 3, kills: 2, stops: 2, cordons: 1}, 60},
 		{"three processes, requests", budget{starts: 3, kills: 1, stops: 1, requests: 2}, 60},
 		{"three processes, lost links", budget{starts: 3, kills: 1, linkLosses: 1, stops: 1, cordons: 1}, 60},
 		{
-			"three processes, all changes",
+			"three processes, all kinds of change",
 			budget{starts: 3, kills: 1, linkLosses: 1, duplicates: 1, stops: 1, cordons: 1, requests: 2},
 			12,
 		},
 	} {
 		states, depthReached, failure := explore(c.left, c.depth, false)
-		t.Logf("%s: %d states to depth %d (all there are: %t)", c.name, states, depthReached, depthReached < c.depth)
+		t.Logf("%s: %d states to depth %d (complete: %t)", c.name, states, depthReached, depthReached < c.depth)
 		if failure != "" {
 			t.Errorf("%s: %s", c.name, failure)
 		}
 	}
 }
 
-// With the former fault brought back, a silent predecessor that is taken for none, the model finds it.
+// Checks that the model finds a known fault: a process that treats a silent predecessor as if there were none may
+// serve without the cordons, and use more than the limits. Guards against a model that no longer detects violations.
 func TestModelDetectsIgnoredPredecessor(t *testing.T) {
 	states, depthReached, failure := explore(budget{starts: 2, cordons: 1}, 20, true)
 	if failure == "" {
-		t.Fatalf("not found in %d states to depth %d", states, depthReached)
+		t.Fatalf("no violation found in %d states up to depth %d", states, depthReached)
 	}
 	t.Logf("%d states: %s", states, failure)
 }
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -2,36 +2,37 @@
 
 import "fmt"
 
-// The model: up to three processes of a router, the links between them, a clock that may let any armed timer run out at
-// any moment (so that every process is as slow as it likes), and an adversary with a budget of kills, broken links,
-// duplicated messages, signals, one cordon, and one idempotency id of a request that clients send again and again.
+// The model consists of up to three processes of a router, the links between them, and a clock that may let any armed
+// timer expire at any moment, so that every process may be arbitrarily slow. An adversary has a budget of kills,
+// broken links, duplicate messages, stop requests, one cordon, and one idempotency id of a request that clients send
+// repeatedly.
 //
-// What the machine leaves to its caller is modelled as it is built: the folder of cordons, which each process that
-// has met another one watches, and the consent that the other process has to grant before a request begins.
+// What the machine leaves to its caller is modeled as it is implemented: the folder of cordons, which each process
+// that has met another one watches, and the consent of the other process before a request starts.
 
 const modelProcesses = 3
 
-// budget is what the adversary may do.
+// budget is how many actions of each kind the adversary may take.
 type budget struct{ starts, kills, linkLosses, duplicates, stops, cordons, requests int8 }
 
-// wireMessage is a message of the model: one of the protocol, or one about the idempotency id.
+// wireMessage is a message of the model: a message of the protocol, or one about the idempotency id.
 type wireMessage uint8
 
 const (
-	// The low bits of claim, grant and denial say which attempt to begin the request they belong to.
+	// The low bits of a claim, grant or denial hold the number of the attempt to start the request.
 	mayHaveRun   wireMessage = claimAttempts - 1 // the request may have run at the sender
-	claimAttempt wireMessage = 32                // may the sender begin it?
+	claimAttempt wireMessage = 32                // asks whether the sender may start the request
 	claimGranted wireMessage = 64
 	claimDenied  wireMessage = 128
-	// idInState is added to MessageState: the id is one that may have run, by the sender's snapshot.
+	// idInState is added to MessageState when the id may have run according to the sender's state.
 	idInState wireMessage = 8
-	// lastProtocolMessage is the greatest message of the protocol.
+	// lastProtocolMessage is the highest message of the protocol.
 	lastProtocolMessage wireMessage = wireMessage(MessageHandBack)
 
 	claimAttempts = 16
 )
 
-// messageQueue holds the messages on their way from one process to another.
+// messageQueue holds the messages in flight from one process to another.
 type messageQueue struct {
 	length   uint8
 	messages [6]wireMessage
@@ -54,38 +55,39 @@
 	return first
 }
 
-// modelProcess is one process of a world, with what its caller keeps.
+// modelProcess is one process of the model and the state that its caller keeps.
 type modelProcess struct {
 	machine       Machine
 	alive         bool
-	searching     bool // it looks for its predecessor
+	searching     bool // is looking for its predecessor
 	accepts       bool
-	cordoned      bool                 // it knows of the cordon
-	idConsumed    bool                 // the id may have run, as far as it knows
-	linkBroken    bool                 // a link broke and was not joined again
-	idInLastState bool                 // what the latest state says of the id
-	attempt       uint8                // the last attempt to begin the request
+	cordoned      bool                 // knows of the cordon
+	idConsumed    bool                 // knows that the id may have run
+	linkBroken    bool                 // a link broke and has not been established again
+	idInLastState bool                 // whether the latest received state contains the id
+	attempt       uint8                // number of the last attempt to start the request
 	linked        [modelProcesses]bool // the link to that process is up
-	linkLost      [modelProcesses]bool // the loss of that link is still to be noticed
-	ended         [modelProcesses]bool // the end of that process is still to be noticed
-	claims        [modelProcesses]bool // the consent of that process is requested
+	linkLost      [modelProcesses]bool // the loss of that link has not been noticed yet
+	ended         [modelProcesses]bool // the end of that process has not been noticed yet
+	claims        [modelProcesses]bool // the consent of that process has been requested
 }
 
-// world is one state of the model.
+// modelState is one state of the model.
 type modelState struct {
 	processes      [modelProcesses]modelProcess
 	queues         [modelProcesses][modelProcesses]messageQueue // from, to
 	cordonInFolder bool
 	left           budget
 	runs           int8
-	// knowledgeLost says that what only killed processes knew is lost with them, as in any crash; a journal on disk
-	// is for that.
+	// idRecordLost is set when the only record of the id may have been lost with a killed process, as in any crash;
+	// only a journal on disk would prevent that.
 	idRecordLost bool
-	// queueOverflowing says that the state is left out.
+	// queueOverflowed is set when a queue was full; the search skips such states.
 	queueOverflowed bool
 }
 
-// model explores worlds; ignoreSilentPredecessor brings the fault back that the machine was written against.
+// model computes the next states of a state. ignoreSilentPredecessor reintroduces a fault that the machine prevents: a
+// silent predecessor is treated as if there were none.
 type model struct {
 	state                   modelState
 	ignoreSilentPredecessor bool
@@ -95,13 +97,13 @@
 func numberOf(i int) ProcessNumber      { return FirstProcess + ProcessNumber(i) }
 func indexOf(process ProcessNumber) int { return int(process - FirstProcess) }
 
-// step hands an event to a process's machine and carries its effects out.
+// step passes an event to the machine of a process and carries out its effects.
 func (x *model) step(i int, event Event) {
 	p := &x.state.processes[i]
 	now := 0.0
 	if event.Kind == EventTick {
 		now = p.machine.Due()
-		if x.ignoreSilentPredecessor && p.machine.phase == PhaseAwaitingState { // a silent predecessor was taken for none
+		if x.ignoreSilentPredecessor && p.machine.phase == PhaseAwaitingState { // the reintroduced fault
 			p.machine.phase, p.machine.predecessor = PhaseFindingPredecessor, NoProcess
 			event = Event{Kind: EventPredecessorFound}
 		}
@@ -111,9 +113,9 @@
 		x.carryOut(i, effect)
 	}
 	if before == PhaseEnded && p.machine.phase != PhaseEnded {
-		x.failure = "an ended process goes on"
+		x.failure = "a process left the phase ended"
 	}
-	// Times are left out of the state: every timer that is armed may run out.
+	// Times are not part of the state, since any armed timer may expire.
 	p.machine.awaitDeadline = 0
 	if p.machine.nextHelloAt > 0 {
 		p.machine.nextHelloAt = 1
@@ -155,7 +157,7 @@
 	}
 }
 
-// othersLive reports whether a process other than i lives.
+// othersLive reports whether a process other than i is alive.
 func (x *model) othersLive(i int) bool {
 	for j := range modelProcesses {
 		if j != i && x.state.processes[j].alive {
@@ -165,12 +167,13 @@
 	return false
 }
 
-// end ends a process; what it has sent still arrives, and then its end is noticed.
+// end ends a process. What it has sent still arrives; after that its end is noticed.
 func (x *model) end(i int) {
 	s := &x.state
 	p := &s.processes[i]
 	if p.linkBroken || p.machine.successor == NoProcess && p.machine.predecessor == NoProcess {
-		// A plain end: a process that starts after it starts from nothing. So it is where a link broke for good.
+		// A process that ends without a predecessor or a successor passes nothing on to a process that starts later.
+		// Neither does one whose link broke for good.
 		s.idRecordLost = true
 	}
 	for j := range modelProcesses {
@@ -187,7 +190,8 @@
 	}
 }
 
-// idKnown reports whether a living process knows that the id may have run, or is about to receive that it may.
+// idKnown reports whether a living process knows that the id may have run, or a message that says so is in flight to
+// one.
 func (s *modelState) idKnown() bool {
 	for j := range modelProcesses {
 		if s.processes[j].alive && s.processes[j].idConsumed {
@@ -205,7 +209,7 @@
 	return false
 }
 
-// deliver hands the next message of i to j.
+// deliver passes the next message from process i to process j.
 func (x *model) deliver(i, j int) {
 	message := x.state.queues[i][j].pop()
 	p := &x.state.processes[j]
@@ -214,7 +218,7 @@
 		p.idConsumed = true
 	case message&claimAttempt != 0:
 		answer := claimGranted
-		if p.idConsumed || p.claims[i] { // where both claim at once neither begins
+		if p.idConsumed || p.claims[i] { // when both claim at once, neither starts the request
 			answer = claimDenied
 		}
 		p.idConsumed = p.idConsumed || answer == claimGranted
@@ -261,27 +265,27 @@
 	}
 }
 
-// claim requests process j's consent for process i, unless a claim is open already.
+// claim requests the consent of process j for process i, unless process i has an open claim.
 func (x *model) claim(i, j int) {
 	p := &x.state.processes[i]
 	if p.claims != [modelProcesses]bool{} {
 		return
 	}
 	if !p.linked[j] || !x.state.processes[j].alive {
-		return // rejected: there is no process to claim from, and the end of that process has not been noticed
+		return // rejected: the link or the other process is gone, and its end has not been noticed yet
 	}
 	p.attempt++
 	p.claims[j] = true
 	x.send(i, j, claimAttempt|wireMessage(p.attempt))
 }
 
-// shareParts are the parts of the platform's limit that the shares allow.
+// shareParts is how much of the platform's limit each share allows.
 var shareParts = [...]int{ShareNone: 1, ShareReserve: 4, ShareHalf: 40, ShareFull: 80}
 
 // partsLimit is the platform's limit for all processes of a router together.
 const partsLimit = 90
 
-// check returns which rule a world breaks, or nothing; quiescent says that nothing is under way.
+// check returns the invariant that the state violates, or "". quiescent means that no guaranteed change is left.
 func (x *model) check(quiescent bool) string {
 	if x.failure != "" {
 		return x.failure
@@ -307,20 +311,20 @@
 		}
 	}
 	if sum > partsLimit {
-		return fmt.Sprintf("shares of %d where %d is the limit", sum, partsLimit)
+		return fmt.Sprintf("the shares add up to %d, which exceeds the limit of %d", sum, partsLimit)
 	}
 	if quiescent && living > 0 && accepting+starting == 0 {
-		return "no process accepts, or is about to"
+		return "no process accepts clients or is about to"
 	}
 	return ""
 }
 
-// isComing reports whether a process is about to accept.
+// isStarting reports whether a process is about to accept clients.
 func (p *modelProcess) isStarting() bool {
 	return p.machine.phase == PhaseFindingPredecessor || p.awaits()
 }
 
-// awaits reports whether a process waits for its predecessor, for a limited time.
+// awaits reports whether a process waits for its predecessor; this wait has a deadline.
 func (p *modelProcess) awaits() bool {
 	return p.machine.phase == PhaseAwaitingState || p.machine.phase == PhaseAwaitingGoAhead
 }
@@ -328,10 +332,10 @@
 func (x *model) checkProcess(i int, quiescent bool) string {
 	p := &x.state.processes[i]
 	if p.accepts != p.machine.Accepts() {
-		return fmt.Sprintf("process %d accepts: %t, and the machine says %t", i, p.accepts, p.machine.Accepts())
+		return fmt.Sprintf("process %d accepts clients: %t, its machine reports: %t", i, p.accepts, p.machine.Accepts())
 	}
 	if quiescent && p.cordoned != x.state.cordonInFolder && p.machine.hasAccepted {
-		return fmt.Sprintf("process %d keeps the cordon: %t, and it is in force: %t", i, p.cordoned, x.state.cordonInFolder)
+		return fmt.Sprintf("process %d applies the cordon: %t, it is set: %t", i, p.cordoned, x.state.cordonInFolder)
 	}
 	return ""
 }
--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -8,15 +8,15 @@
 	"windflow/internal/tracetest"
 )
 
-// Every step of the machine stays as it was recorded in testdata/traces.txt, over chains of processes that start, fail
-// and are requested to end at random. It guards against refactorings that change a decision.
+// Fails when a change alters any step of the machine, compared with the recording in testdata/traces.txt. The
+// recording has chains of processes that start, fail and are requested to end at random.
 func TestTraces(t *testing.T) {
 	var scenarios []tracetest.Scenario
 	for _, processes := range []int{2, 3} {
 		for _, k := range []struct {
 			name               string
 			settings           Settings
-			unexpectedPerMille int // of a thousand events, those that do not fit the phase
+			unexpectedPerMille int // how many of 1000 events do not fit the phase
 		}{
 			{"sound", DefaultSettings, 0},
 			{"strange-events", DefaultSettings, 150},
@@ -36,11 +36,11 @@
 }
 
 const (
-	traceChains = 300 // for each scenario
-	traceEvents = 250 // for each chain
+	traceChains = 300 // per scenario
+	traceEvents = 250 // per chain
 )
 
-// chains plays chains of processes with the settings of one, each with a seed of its own.
+// chainScenario runs chains of processes with the settings of the template, each with its own seed.
 func chainScenario(name string, template chain) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, hash *tracetest.Hash) {
 		t.Helper()
@@ -65,7 +65,7 @@
 	}
 }
 
-// chain is a row of processes, of which at most so many live at a time, and the events on their way to them.
+// chain is a sequence of processes, of which at most maxLiving are alive at a time, and the events in flight to them.
 type chain struct {
 	hash               *tracetest.Hash
 	rng                *rand.Rand
@@ -73,7 +73,7 @@
 	maxLiving          int
 	unexpectedPerMille int
 	now                float64
-	processes          []*tracedProcess // those that live, oldest first
+	processes          []*tracedProcess // the living ones, oldest first
 	started            int
 	inFlight           []delivery
 }
@@ -83,7 +83,7 @@
 	searching bool
 }
 
-// delivery is an event on its way to a process.
+// delivery is an event in flight to a process.
 type delivery struct {
 	to    ProcessNumber
 	event Event
@@ -97,12 +97,12 @@
 	c.record(p, effects)
 }
 
-// handle passes an event to a process, and records its effects.
+// handle passes an event to a process and records its effects.
 func (c *chain) handle(p *tracedProcess, event Event) {
 	c.record(p, p.machine.Step(c.now, event))
 }
 
-// record writes effects and the state after them, and carries the effects out.
+// record records effects and the resulting state, then carries out the effects.
 func (c *chain) record(p *tracedProcess, effects []Effect) {
 	for _, effect := range effects {
 		c.hash.Step(1 + int(effect.Action))
@@ -143,7 +143,7 @@
 	}
 }
 
-// end removes a process, and has the others notice it after what it sent.
+// end removes a process. The other processes are notified after they have received what it sent.
 func (c *chain) end(ended *tracedProcess) {
 	left := c.processes[:0]
 	for _, p := range c.processes {
@@ -179,7 +179,7 @@
 	case n < 88:
 		c.loseLink(p)
 	case n < 90:
-		c.end(p) // killed
+		c.end(p) // the process is killed
 	case n < 92:
 		c.handle(p, Event{Kind: EventStopRequested})
 	case n < 96:
@@ -189,7 +189,7 @@
 	}
 }
 
-// search answers a process that looks for the newest living one before it.
+// search reports to a process that looks for its predecessor the newest living process before it.
 func (c *chain) search(p *tracedProcess) {
 	if !p.searching {
 		return
@@ -204,7 +204,7 @@
 	c.handle(p, Event{Kind: EventPredecessorFound, Process: found})
 }
 
-// deliver hands some process its next event, now and then twice.
+// deliver passes the next event to a random process; with a probability of 1 in 20 the event is delivered again later.
 func (c *chain) deliver() {
 	if len(c.inFlight) == 0 {
 		return
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// tick lets the time pass until a process is due.
+// tick advances the time until the process is due.
 func (c *chain) tick(p *tracedProcess) {
 	if due := p.machine.Due(); due < c.now+1e5 {
 		c.now = max(c.now, due)
@@ -241,7 +241,7 @@
 	}
 }
 
-// loseLink drops what is on its way between a process and its predecessor, and has both notice.
+// loseLink drops all messages in flight between a process and its predecessor, and notifies both.
 func (c *chain) loseLink(p *tracedProcess) {
 	predecessor := c.find(p.machine.Predecessor())
 	if predecessor == nil {
@@ -258,12 +258,12 @@
 	c.handle(predecessor, Event{Kind: EventLinkLost, Process: p.machine.Self})
 }
 
-// between reports whether one of two processes is the sender of an event, and the other the receiver.
+// between reports whether the event is sent by one of the two processes to the other.
 func (d delivery) between(one, other ProcessNumber) bool {
 	return d.to == one && d.event.Process == other || d.to == other && d.event.Process == one
 }
 
-// stray returns any event from any process, those of version 1 among them.
+// handleUnexpected passes a random event from a random process, which may have protocol version 1.
 func (c *chain) handleUnexpected(p *tracedProcess) {
 	processes := []ProcessNumber{
 		NoProcess, LegacyPredecessor, LegacySuccessor,
--- a/internal/decide/hotrestart/transition.go
+++ b/internal/decide/hotrestart/transition.go
@@ -1,6 +1,6 @@
 package hotrestart
 
-// transition is one step of a machine: the machine, the time, and the effects so far.
+// transition is one step of a machine. It collects the effects of the step.
 type transition struct {
 	*Machine
 	now     float64
@@ -45,7 +45,7 @@
 	}
 }
 
-// processEnded continues without a process that has ended.
+// processEnded handles the end of the predecessor or the successor.
 func (t *transition) processEnded(process ProcessNumber) {
 	if process == NoProcess {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// requestStop begins the end of this process.
+// requestStop starts the shutdown of this process.
 func (t *transition) requestStop() {
 	if t.stopRequested {
 		return
@@ -66,12 +66,12 @@
 	t.stopRequested = true
 	switch t.phase {
 	case PhaseFindingPredecessor, PhaseAwaitingState, PhaseAwaitingGoAhead:
-		t.end() // nothing was accepted; a predecessor that sent its go-ahead sees the end and accepts again
+		t.end() // no client was accepted; a predecessor that sent its go-ahead notices the end and accepts again
 	case PhaseSuperseded:
 		t.finish()
 	case PhaseServing, PhaseDegraded:
 		if t.predecessor != NoProcess && t.phase == PhaseServing {
-			t.send(t.predecessor, MessageHandBack) // a predecessor that was not requested to end too accepts again
+			t.send(t.predecessor, MessageHandBack) // the predecessor accepts again unless it also has to end
 		}
 		t.nextHelloAt = 0
 		t.drain()
@@ -79,7 +79,7 @@
 	}
 }
 
-// useFullShareIfAlone raises the share to the full limits once no other process is left.
+// useFullShareIfAlone raises the share to the full limits when no other process is left.
 func (t *transition) useFullShareIfAlone() {
 	if t.predecessor == NoProcess && t.successor == NoProcess && t.hasAccepted && t.stateKnown {
 		t.setShare(ShareFull)
--- a/internal/decide/hotrestart/transition_predecessor.go
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -1,17 +1,17 @@
 package hotrestart
 
-// The transitions that concern the predecessor.
+// Transitions caused by the predecessor or by its absence.
 
-// scheduleHello arms the timer of the next question to the predecessor.
+// scheduleHello sets the time of the next hello to the predecessor.
 func (t *transition) scheduleHello() { t.nextHelloAt = t.now + t.settings.HelloIntervalMS }
 
-// findPredecessor looks for the newest living process before this one, and arms the timer to do so again.
+// findPredecessor looks for the newest living process that started before this one and schedules the next search.
 func (t *transition) findPredecessor() {
 	t.scheduleHello()
 	t.emit(Effect{Action: ActionFindPredecessor})
 }
 
-// tick handles the timers that have run out.
+// tick handles the timers that have expired.
 func (t *transition) tick() {
 	if t.now >= t.awaitDeadline {
 		t.awaitTimedOut()
@@ -24,14 +24,15 @@
 	}
 }
 
-// awaitTimedOut serves without what a silent predecessor was to send.
+// awaitTimedOut starts to serve without the state or the go-ahead that a silent predecessor did not send.
 func (t *transition) awaitTimedOut() {
 	switch t.phase {
 	case PhaseAwaitingState:
 		t.setShare(ShareReserve)
 		t.serve(PhaseDegraded)
 	case PhaseAwaitingGoAhead:
-		// The predecessor uses its half and has sent all ids; it reads that it is to stop accepting when it reads on.
+		// The predecessor uses only its half of the limits and has sent all its idempotency ids. When it resumes, it
+		// reads MessageReady and stops accepting.
 		t.serve(PhaseServing)
 	case PhaseFindingPredecessor, PhaseServing, PhaseDegraded, PhaseSuperseded, PhaseFinishing, PhaseDraining,
 		PhaseEnded:
@@ -44,7 +45,7 @@
 	case !t.needsPredecessorState():
 		t.nextHelloAt = 0
 	case found < t.predecessor:
-		t.scheduleHello() // the predecessor has ended; its messages and EventProcessEnded are still to come
+		t.scheduleHello() // the predecessor has ended, but its last messages and EventProcessEnded have not arrived yet
 	case found == NoProcess:
 		t.noPredecessor()
 	default:
@@ -52,7 +53,7 @@
 	}
 }
 
-// noPredecessor serves where no predecessor lives.
+// noPredecessor continues without a predecessor when no process that started earlier is alive.
 func (t *transition) noPredecessor() {
 	t.predecessor, t.nextHelloAt, t.stateKnown = NoProcess, 0, true
 	switch t.phase {
@@ -70,7 +71,7 @@
 func (t *transition) requestState(found ProcessNumber) {
 	if found != t.predecessor {
 		if t.phase == PhaseAwaitingGoAhead || t.phase == PhaseServing {
-			return // EventProcessEnded for the former predecessor is still to come
+			return // EventProcessEnded for the previous predecessor has not arrived yet
 		}
 		t.predecessor, t.helloPending = found, false
 	}
@@ -78,13 +79,13 @@
 		t.phase = PhaseAwaitingState
 	}
 	t.scheduleHello()
-	if !t.helloPending { // a slow predecessor would otherwise have many hellos to answer
+	if !t.helloPending { // repeated hellos would pile up at a slow predecessor
 		t.helloPending = true
 		t.send(found, MessageHello)
 	}
 }
 
-// waitReceived extends the time of a predecessor that lives but has no state to send yet.
+// waitReceived extends the deadline of a predecessor that is alive but has no state to send yet.
 func (t *transition) waitReceived(from ProcessNumber) {
 	if from != t.predecessor {
 		return
@@ -107,8 +108,8 @@
 		t.awaitDeadline = max(t.awaitDeadline, t.now+t.settings.GoAheadTimeoutMS)
 	case PhaseDegraded:
 		t.phase = PhaseServing
-	case PhaseAwaitingGoAhead, PhaseServing: // the link broke in between
-	case PhaseDraining: // too late to replace the predecessor, but its ids are needed
+	case PhaseAwaitingGoAhead, PhaseServing: // the state was received before, and the link broke since
+	case PhaseDraining: // too late to replace the predecessor, but its idempotency ids are needed
 		t.restoreState()
 		return
 	case PhaseFindingPredecessor, PhaseSuperseded, PhaseFinishing, PhaseEnded:
@@ -124,7 +125,7 @@
 	t.emit(Effect{Action: ActionRestoreState})
 }
 
-// goAhead accepts clients, since the predecessor accepts no more.
+// handleGoAhead starts to accept clients, since the predecessor has stopped accepting.
 func (t *transition) handleGoAhead(from ProcessNumber) {
 	if from != t.predecessor || t.phase != PhaseAwaitingGoAhead && t.phase != PhaseServing {
 		return
@@ -135,8 +136,8 @@
 	}
 }
 
-// linkLost calls a living predecessor again after its link broke. It waits for the next interval: a predecessor that
-// hangs at its end would otherwise be called without a pause.
+// linkLost schedules the next hello to a living predecessor after the link to it broke. It does not call at once: a
+// predecessor that hangs while it ends would be called in a busy loop.
 func (t *transition) linkLost(process ProcessNumber) {
 	if process == t.predecessor && process != NoProcess && t.needsPredecessorState() {
 		t.helloPending = false
@@ -144,7 +145,7 @@
 	}
 }
 
-// predecessorEnded continues without the predecessor.
+// predecessorEnded continues after the end of the predecessor.
 func (t *transition) predecessorEnded() {
 	t.predecessor, t.goAheadReceived, t.helloPending = NoProcess, false, false
 	switch t.phase {
@@ -153,7 +154,7 @@
 		t.findPredecessor()
 	case PhaseDegraded:
 		t.findPredecessor()
-		return // the share stays until it is known that there is no other predecessor
+		return // the share does not change until it is known that there is no other predecessor
 	case PhaseAwaitingGoAhead:
 		t.nextHelloAt = 0
 		t.serve(PhaseServing)
--- a/internal/decide/hotrestart/transition_successor.go
+++ b/internal/decide/hotrestart/transition_successor.go
@@ -1,8 +1,8 @@
 package hotrestart
 
-// The transitions that concern the successor.
+// Transitions caused by the successor.
 
-// answerHello sends this process's state to a successor that requests it, or tells it to wait.
+// answerHello sends this process's state to a successor that requests it, or tells the successor to wait.
 func (t *transition) answerHello(from ProcessNumber) {
 	if !t.maySendStateTo(from) {
 		t.send(from, MessageWait)
@@ -13,13 +13,14 @@
 	t.send(from, MessageState)
 }
 
-// readyReceived stops accepting: for the successor, or for the predecessor where this process was requested to end.
+// readyReceived stops accepting clients, either in favor of the successor or, if this process was requested to end, in
+// favor of the predecessor.
 func (t *transition) readyReceived(from ProcessNumber) {
 	switch {
 	case from == t.successor && !t.handedBack && t.acceptsInFull():
 		t.yieldToSuccessor()
 	case from == t.successor && !t.handedBack && (t.phase == PhaseSuperseded || t.phase == PhaseFinishing):
-		// It repeats its request, since the link broke.
+		// The successor repeats its request because the link broke.
 	case from == t.predecessor && from != NoProcess && t.phase == PhaseDraining:
 		t.emit(Effect{Action: ActionStopAccepting})
 		t.finish()
@@ -37,7 +38,7 @@
 	}
 }
 
-// acceptAgain accepts in place of a successor that was requested to end.
+// acceptAgain resumes accepting clients in place of a successor that was requested to end.
 func (t *transition) acceptAgain(from ProcessNumber) {
 	if from != t.successor || t.phase != PhaseSuperseded || t.handedBack {
 		return
@@ -47,7 +48,7 @@
 	t.send(from, MessageReady)
 }
 
-// successorEnded continues without the successor.
+// successorEnded continues after the end of the successor.
 func (t *transition) successorEnded() {
 	t.successor = NoProcess
 	switch t.phase {
