--- a/internal/decide/doc.go
+++ b/internal/decide/doc.go
@@ -1,3 +1,4 @@
-// Package decide is the parent of the packages that make decisions for the subsystems, one package each: state and rules
-// without I/O, goroutines, clocks or randomness, so that a test can bring about any order of events and replay it.
+// Package decide is the parent of the packages that make the decisions of the router and the keepers, one package for
+// each subject. They hold state and rules without I/O, goroutines, clocks or randomness, so that a test can produce
+// any order of events and replay it.
 package decide
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -11,28 +11,28 @@
 	"testing"
 )
 
-// computingPackages are the packages of the standard library that only compute. None of them reads a clock, draws
-// random numbers, opens anything or starts goroutines; time is not among them, so that no decision can read the
-// clock.
+// pureStdlibPackages are the packages of the standard library that decision packages may import. None of them reads a
+// clock, draws random numbers, does I/O or starts goroutines. Package time is left out, so that no decision can read
+// the clock.
 var pureStdlibPackages = []string{
 	"bytes", "cmp", "container/heap", "container/list", "crypto/sha256", "encoding/binary", "encoding/hex",
 	"encoding/json", "errors", "fmt", "hash/fnv", "iter",
 	"maps", "math", "math/big", "math/bits", "slices", "sort", "strconv", "strings", "unicode", "unicode/utf8",
 }
 
-// Packages below internal/decide decide only from what their callers pass. It guards against decisions that can't be
-// replayed.
+// Fails when a package below internal/decide, or internal/incident, imports a package that can do I/O, read a clock or
+// draw random numbers. Such a decision would depend on more than its arguments and could not be replayed in a test.
 func TestDecisionsDoNoIO(t *testing.T) {
 	files := 0
 	for _, dir := range []string{".", "../incident"} {
 		files += checkImports(t, dir)
 	}
 	if files < 4 {
-		t.Error(files, "files")
+		t.Errorf("checked %d files, want at least 4", files)
 	}
 }
 
-// checkImports checks the imports of all product files below a directory, and returns the number of these files.
+// checkImports checks the imports of all non-test files below a directory and returns the number of files checked.
 func checkImports(t *testing.T, dir string) (files int) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -62,7 +62,7 @@
 	return files
 }
 
-// mayImport tells whether a decision package may import another package.
+// mayImport reports whether a decision package may import the named package.
 func mayImport(name string) bool {
 	return slices.Contains(pureStdlibPackages, name) ||
 		strings.HasPrefix(name, "windflow/internal/decide/") ||
--- a/internal/decide/pressure/demand.go
+++ b/internal/decide/pressure/demand.go
@@ -3,32 +3,36 @@
 import "math"
 
 const (
-	// demandLife is the time over which demand is averaged, in milliseconds: a router sees a load of one group
-	// once in seconds.
+	// demandTimeConstant is the time constant, in milliseconds, with which demand is averaged. It is long because one
+	// router sees a load of one group only every few seconds.
 	demandTimeConstant = 30_000.0
-	// minObservation is how long demand is observed before it counts, in milliseconds.
+	// minObservation is how long, in milliseconds, demand is observed before it is used.
 	minObservation = 5000.0
-	// maxLockUtilization is the share of the time for which loads may lock a group on the engines that load it, and
-	// maxCoreUtilization the share of their cores that its readers may use on theirs: beyond, queries wait long.
+	// maxLockUtilization is the maximum share of the time for which loads may lock a group on its loading engines, and
+	// maxCoreUtilization the maximum share of the cores that readers may use on the other engines. Above these shares
+	// queries wait long.
 	maxLockUtilization, maxCoreUtilization = 0.6, 0.6
-	// usualLoaderShare is the share of the engines that load a group where its demand does not need more.
+	// defaultLoaderShare is the share of the engines that load a group unless its demand requires more.
 	defaultLoaderShare = 0.5
-	// maxDemandGroups bounds the groups whose demand is kept: statements may name any number.
+	// maxDemandGroups limits the number of groups whose demand is kept, since statements may name any number of
+	// groups.
 	maxDemandGroups = 1024
-	// maxQueryMS bounds what one query counts: one wild estimate would outweigh all others for minutes.
+	// maxQueryMS limits the demand counted for one query: one estimate that is far too high would otherwise outweigh
+	// all others for minutes.
 	maxQueryMS = 600_000.0
 	// minGroupDemandMS is the demand below which a group is forgotten.
 	minGroupDemandMS = 1
 )
 
-// groupDemand is the recent demand of one group in milliseconds, decayed to the time of its Demand.
+// groupDemand is the recent demand of one group in milliseconds, decayed to Demand.decayedTo.
 type groupDemand struct {
-	lockTime float64 // for which loads lock the group
-	readWork float64 // of queries that loads block, on one core
+	lockTime float64 // time for which loads lock the group
+	readWork float64 // work on one core of queries that loads block
 }
 
-// Demand keeps the demand that reaches one router by table group, and divides the engines of a group into those that
-// load it and those that read it. All routers see about the same mix, so that their divisions agree within an engine.
+// Demand tracks by table group the demand that reaches one router, and divides the engines of a group into those that
+// load it and those that read it. All routers see about the same mix of queries, so their divisions differ by at most
+// about one engine.
 type Demand struct {
 	startedAt float64
 	decayedTo float64
@@ -36,8 +40,8 @@
 	groups    map[int64]groupDemand
 }
 
-// Add counts a query of a group: the time for which it would lock the group, or the work on one core of a query that
-// loads block, both in milliseconds.
+// Add counts a query of a group: lockTime is the time for which it would lock the group; readWork is the work on one
+// core if it is a query that loads block. Both are in milliseconds. Negative values, NaN and group 0 are ignored.
 func (d *Demand) Add(group int64, lockTime, readWork, now float64) {
 	if group == 0 || !(lockTime >= 0) || !(readWork >= 0) {
 		return
@@ -57,7 +61,7 @@
 	d.groups[group] = groupDemand{sum.lockTime + lockTime*scale, sum.readWork + readWork*scale}
 }
 
-// hasRoomFor tells whether demand of a group can be kept.
+// hasRoomFor reports whether the demand of a group can be kept.
 func (d *Demand) hasRoomFor(group int64, now float64) bool {
 	if _, known := d.groups[group]; known || len(d.groups) < maxDemandGroups {
 		return true
@@ -66,7 +70,7 @@
 	return len(d.groups) < maxDemandGroups
 }
 
-// Decay decays all demand to a time, and forgets groups with next to none.
+// Decay decays all demand to the time now and forgets groups with almost no demand.
 func (d *Demand) Decay(now float64) {
 	scale := math.Exp((d.decayedTo - now) / demandTimeConstant)
 	for id, group := range d.groups {
@@ -81,18 +85,19 @@
 	d.decayedTo = now
 }
 
-// Fleet is what there is for a group.
+// Fleet describes the engines that are available for a group and the routers that share them.
 type Fleet struct {
-	Engines int     // of the fleet
-	Subset  int     // those of them that this router uses
-	Cores   float64 // of each engine
-	Routers int     // that share the engines, with about the same traffic
+	Engines int     // engines of the fleet
+	Subset  int     // engines of the fleet that this router uses
+	Cores   float64 // cores of each engine
+	Routers int     // routers that share the engines, each with about the same traffic
 }
 
-// LoaderCount returns how many engines of the subset load a group; the others read it. It is half of them, rounded down
-// but at least one, and more where the group's loads would wait for each other while its readers leave capacity. One
-// engine is not divided. A subset of a larger fleet is always halved, since other routers share each of its engines
-// with other subsets: a group's demand on the subset is not known.
+// LoaderCount returns how many engines of the subset load a group; the others read it. The result is half of the
+// subset, rounded down but at least one. It is higher when the group's loads would wait for each other and its readers
+// do not need all of the remaining capacity. A single engine both loads and reads. A subset of a larger fleet is
+// always halved: other routers share each of its engines in other subsets, so the demand of the group on this subset
+// is not known.
 func (d *Demand) LoaderCount(group int64, fleet Fleet, now float64) int {
 	defaultCount := max(int(defaultLoaderShare*float64(fleet.Subset)), 1)
 	sum, known := d.groups[group]
@@ -100,7 +105,8 @@
 	if !known || observed < minObservation || !(fleet.Cores > 0) || fleet.Subset < fleet.Engines {
 		return defaultCount
 	}
-	// A constant rate that is observed for a time has decayed to rate*demandLife*(1-exp(-time/demandLife)).
+	// With a constant rate, the demand after an observed time is
+	// rate*demandTimeConstant*(1-exp(-time/demandTimeConstant)).
 	rate := math.Exp((d.decayedTo-now)/demandTimeConstant) * float64(max(fleet.Routers, 1)) /
 		(demandTimeConstant * (1 - math.Exp((d.startedAt-now)/demandTimeConstant)))
 	locked, busyCores := sum.lockTime*rate, sum.readWork*rate
--- a/internal/decide/pressure/demand_test.go
+++ b/internal/decide/pressure/demand_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// traffic is the demand of one table group over the fleet.
+// traffic is the demand for one table group in the whole fleet.
 type traffic struct {
-	loads    float64 // a second
-	lockedMS float64 // by each load
-	cores    float64 // that the group's readers keep busy
+	loads    float64 // per second
+	lockedMS float64 // lock time of each load
+	cores    float64 // cores kept busy by readers of the group
 }
 
-// addTo adds what one of three routers sees of the traffic.
+// addTo adds the part of the traffic that one of three routers sees.
 func (tr traffic) addTo(d *Demand, group int64, fromMS, durationMS float64) {
 	const stepMS = 50.0
 	for at := fromMS; at < fromMS+durationMS; at += stepMS {
@@ -23,8 +23,9 @@
 	}
 }
 
-// The engines of a group are divided by its demand: half of them load it, and more where its loads would wait for each
-// other and its readers leave capacity.
+// Checks that half of the engines load a group, and more only if its loads would wait for each other and its readers
+// leave capacity. Guards against readers that lose their engines to loads, and loads that queue while engines are
+// idle.
 func TestLoaderCount(t *testing.T) {
 	const startMS, laterMS = 1e9, 300_000
 	for _, test := range []struct {
@@ -32,42 +33,44 @@
 		engines    int
 		traffic    traffic
 		durationMS float64
-		want       int // at the end of the traffic
-		wantLater  int
+		want       int // expected count at the end of the traffic
+		wantLater  int // and 300 s later
 	}{
 		{"one engine", 1, traffic{1, 1000, 1}, 60_000, 1, 1},
-		{"two", 2, traffic{1, 1000, 1}, 60_000, 1, 1},
-		{"quiet: many loads, few readers", 7, traffic{1.5, 1800, 15}, 60_000, 4, 3},
-		{"loads that would want all", 7, traffic{100, 5000, 15}, 60_000, 4, 3},
-		{"few readers of a hot group", 10, traffic{3, 2000, 6}, 60_000, 9, 5},
-		{"readers need the capacity", 6, traffic{2, 1800, 22}, 60_000, 3, 3},
-		{"readers need more than there is", 6, traffic{2, 1800, 500}, 60_000, 3, 3},
+		{"two engines", 2, traffic{1, 1000, 1}, 60_000, 1, 1},
+		{"many loads, few readers", 7, traffic{1.5, 1800, 15}, 60_000, 4, 3},
+		{"loads that need more than all engines", 7, traffic{100, 5000, 15}, 60_000, 4, 3},
+		{"many loads of a group with very few readers", 10, traffic{3, 2000, 6}, 60_000, 9, 5},
+		{"readers need the remaining capacity", 6, traffic{2, 1800, 22}, 60_000, 3, 3},
+		{"readers need more than all engines", 6, traffic{2, 1800, 500}, 60_000, 3, 3},
 		{"few loads", 10, traffic{0.3, 1500, 5}, 60_000, 5, 5},
-		{"too early to say", 7, traffic{1.5, 1800, 15}, 4000, 3, 3},
-		{"early", 7, traffic{1.5, 1800, 15}, 8000, 4, 3},
-		{"an odd number", 9, traffic{0, 0, 1}, 60_000, 4, 4},
+		{"observed for less than the minimum", 7, traffic{1.5, 1800, 15}, 4000, 3, 3},
+		{"observed for little more than the minimum", 7, traffic{1.5, 1800, 15}, 8000, 4, 3},
+		{"odd number of engines", 9, traffic{0, 0, 1}, 60_000, 4, 4},
 	} {
 		var demand Demand
 		test.traffic.addTo(&demand, 7, startMS, test.durationMS)
 		end := startMS + test.durationMS
 		fleet := Fleet{Engines: test.engines, Subset: test.engines, Cores: 12, Routers: 3}
 		if got := demand.LoaderCount(7, fleet, end); got != test.want {
-			t.Errorf("%s: %d of %d load, want %d", test.name, got, test.engines, test.want)
+			t.Errorf("%s: %d of %d engines load the group, want %d", test.name, got, test.engines, test.want)
 		}
 		if got := demand.LoaderCount(7, fleet, end+laterMS); got != test.wantLater {
-			t.Errorf("%s, long over: %d of %d load, want %d", test.name, got, test.engines, test.wantLater)
+			t.Errorf("%s, 300 s after the traffic: %d of %d engines load the group, want %d",
+				test.name, got, test.engines, test.wantLater)
 		}
 		subset := Fleet{Engines: 60, Subset: 5, Cores: 12, Routers: 80}
 		if got := demand.LoaderCount(7, subset, end); got != 2 {
-			t.Errorf("%s: %d of five out of sixty load", test.name, got)
+			t.Errorf("%s: %d engines of a subset of 5 out of 60 load the group, want 2", test.name, got)
 		}
 		if got := demand.LoaderCount(8, fleet, end); got != max(test.engines/2, 1) {
-			t.Errorf("%s: of a group never seen %d load", test.name, got)
+			t.Errorf("%s: %d engines load a group without demand, want %d", test.name, got, max(test.engines/2, 1))
 		}
 	}
 }
 
-// Routers that each see a random third of the traffic divide the engines the same way, within one engine.
+// Checks that routers which each see a random third of the traffic agree on the number of loading engines, within one
+// engine plus a tenth of the fleet. Guards against routers whose loads block the readers of others.
 func TestRoutersAgreeOnLoaderCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(2, 40).Draw(t, "engines")
@@ -85,12 +88,13 @@
 			least, most = min(least, got), max(most, got)
 		}
 		if most-least > 1+engines/10 {
-			t.Fatalf("between %d and %d of %d engines load", least, most, engines)
+			t.Fatalf("the routers let between %d and %d of %d engines load the group", least, most, engines)
 		}
 	})
 }
 
-// Whatever is added, at least one engine loads a group, and one reads it where there are two; what is kept is bounded.
+// Checks that for any demand, including invalid values, at least one engine loads a group and, if there are two, at
+// least one reads it, and that the number of groups kept is limited.
 func TestDemandIsBounded(t *testing.T) {
 	extremes := []float64{0, 1, 1e9, -5, math.NaN(), math.Inf(1), math.MaxFloat64}
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,7 +107,7 @@
 			d.Add(group, lockTime, readWork, now)
 		}
 		if len(d.groups) > maxDemandGroups {
-			t.Fatalf("%d groups are kept", len(d.groups))
+			t.Fatalf("%d groups are kept, want at most %d", len(d.groups), maxDemandGroups)
 		}
 		n := rapid.IntRange(1, 60).Draw(t, "engines")
 		f := Fleet{
@@ -114,7 +118,7 @@
 		}
 		for group := range d.groups {
 			if got := d.LoaderCount(group, f, now); got < 1 || f.Subset > 1 && got >= f.Subset {
-				t.Fatalf("%d of %d engines load", got, f.Subset)
+				t.Fatalf("%d of %d engines load the group", got, f.Subset)
 			}
 		}
 	})
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// reportLag is how far a report may lie behind, in milliseconds: what was sent that long before it arrived may be
-	// missing from it.
+	// reportLag is the maximum delay of a load report, in milliseconds: queries sent less than this time before the
+	// report arrived may be missing from it.
 	reportLag = 300.0
-	// reportLife is how long a report counts, in milliseconds; calmReportLife is how long it shows that the engine is
-	// calm, which is no reason to wait.
+	// reportMaxAge is how long a load report is used, in milliseconds. spareReportMaxAge is how long it counts as
+	// evidence of spare capacity; it is longer, since such a report is no reason to make queries wait.
 	reportMaxAge, spareReportMaxAge = 1000.0, 2000.0
-	// maxCalmUtilization is the share of cores, disks and memory in use below which an engine counts as calm.
+	// maxSpareUtilization is the share of cores, disks and memory in use below which an engine has spare capacity.
 	maxSpareUtilization = 0.8
-	// maxWaitingFactor bounds what waiting queries add to an engine's cost factor.
+	// maxWaitingFactor limits what waiting queries add to the cost factor of an engine.
 	maxWaitingFactor = 5.0
-	// grantFactor is the memory that an engine grants over the estimate, where it chooses itself.
+	// grantFactor is the ratio of the memory that an engine grants to the estimate, where the engine chooses the
+	// grant.
 	grantFactor = 1.25
-	// maxObservedLocks bounds the groups on which another router's load is remembered.
+	// maxObservedLocks limits the number of groups for which loads of other routers are remembered.
 	maxObservedLocks = 256
-	// pagingMemoryShare is the memory share up to which a paging engine takes queries. Grants go by estimates, and
-	// queries use what they need of them: no more than the memory is in use at one fifth over.
+	// pagingMemoryShare is the share of granted memory up to which an engine that pages is sent queries. Grants follow
+	// estimates, of which queries use only a part: with grants for one fifth more than the memory, the memory in use
+	// still does not exceed it.
 	pagingMemoryShare = 1.2
 )
 
-// Engine is one router's view of one engine. The zero Engine has nothing running and has never reported.
+// Engine is the view that one router has of one engine. The zero Engine has no running queries and no load report.
 type Engine struct {
-	loads         map[int64]int     // this router's running loads, by group
-	observedLocks map[int64]float64 // until when other routers' loads lock a group
-	report        LoadReport        // the last one
+	loads         map[int64]int     // running loads of this router, by group
+	observedLocks map[int64]float64 // when loads of other routers are expected to release a group
+	report        LoadReport        // the latest report
 	reportedAt    float64
 	reported      bool
 	unreported    []sentGrant
 }
 
-// sentGrant is the grant of a query that the last report may not contain yet.
+// sentGrant is the memory grant of a query that may be missing from the latest report.
 type sentGrant struct{ at, mb float64 }
 
 // AttemptStarted counts a query that this router sends to the engine.
@@ -49,14 +51,14 @@
 	if mb := limits.memoryGrant(query); mb > 0 {
 		e.unreported = append(e.unreported, sentGrant{now, mb})
 	}
-	// A report that still counts includes older grants.
+	// A report that is still in use includes older grants.
 	counts := func(s sentGrant) bool { return now-s.at <= reportMaxAge+reportLag }
 	if i := slices.IndexFunc(e.unreported, counts); i > 0 {
 		e.unreported = slices.Delete(e.unreported, 0, i)
 	}
 }
 
-// AttemptEnded takes off a query that does not run there any more, or that this router no longer waits for.
+// AttemptEnded removes a query that has ended on the engine, or for which this router no longer waits.
 func (e *Engine) AttemptEnded(query Query) {
 	if !query.LocksTableGroup || e.loads[query.TableGroup] == 0 {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// LockObserved records that another router's load blocks a query of a group, and when it is expected to end.
+// LockObserved records that a load of another router blocks queries of a group, and when that load is expected to end.
 func (e *Engine) LockObserved(group int64, now, until float64) {
 	if group == 0 || !(until > now) {
 		return
@@ -84,13 +86,13 @@
 	e.observedLocks[group] = until
 }
 
-// LoadReported takes the engine's load report.
+// LoadReported stores the engine's load report and removes the grants that it includes.
 func (e *Engine) LoadReported(report LoadReport, now float64) {
 	e.report, e.reportedAt, e.reported = report.sanitized(), now, true
 	e.unreported = slices.DeleteFunc(e.unreported, func(s sentGrant) bool { return s.at < now-reportLag })
 }
 
-// Headroom returns what one more query would meet.
+// Headroom returns what an additional query would find on the engine.
 func (e *Engine) Headroom(query Query, limits Limits, now float64) (headroom Headroom) {
 	if query.TableGroup != 0 && (query.LocksTableGroup || query.BlockedByLoad) {
 		headroom.BlockedByLock = e.loads[query.TableGroup] > 0 || e.observedLocks[query.TableGroup] > now
@@ -105,7 +107,8 @@
 	return headroom
 }
 
-// HasSpareCapacity reports whether the engine reports spare capacity of all kinds; cores is how many it has.
+// HasSpareCapacity reports whether the engine's latest load report shows spare capacity of all kinds. cores is the
+// number of cores of the engine.
 func (e *Engine) HasSpareCapacity(cores, now float64) bool {
 	report := &e.report
 	return e.reported && now-e.reportedAt < spareReportMaxAge && (report.Busy >= 0 || report.InFlight >= 0) &&
@@ -113,7 +116,8 @@
 		max(report.Busy, report.Disk, report.Memory, report.InFlight/cores) < maxSpareUtilization
 }
 
-// CostFactor is how much worse a choice than an idle engine this one is by its report; 1 without a recent report.
+// CostFactor returns by what factor this engine is a worse choice than an idle one, according to its load report; 1
+// without a recent report. cores is the number of cores of the engine.
 func (e *Engine) CostFactor(cores, now float64) float64 {
 	report := &e.report
 	if !e.reported || now-e.reportedAt >= reportMaxAge {
--- a/internal/decide/pressure/engine_test.go
+++ b/internal/decide/pressure/engine_test.go
@@ -11,33 +11,33 @@
 
 var paging = Limits{MemoryMB: 1000, MaxGrantShare: 0.4, Shortage: ShortagePage}
 
-// The queries of TestHeadroom belong to one table group.
+// The queries of TestHeadroom belong to the same table group.
 var (
 	reader = Query{NeedMB: 80, TableGroup: 5, BlockedByLoad: true}
 	load   = Query{NeedMB: 200, TableGroup: 5, LocksTableGroup: true}
 )
 
-// report returns a function that has an engine report at a time.
+// loadReported returns an event: the engine sends a load report at a time.
 func loadReported(r LoadReport, at float64) func(*Engine) {
 	return func(e *Engine) { e.LoadReported(r, at) }
 }
 
-// start returns a function that starts a query on an engine at a time.
+// attemptStarted returns an event: a query is sent to the engine at a time.
 func attemptStarted(query Query, at float64) func(*Engine) {
 	return func(e *Engine) { e.AttemptStarted(query, paging, at) }
 }
 
-// end returns a function that ends a query on an engine.
+// attemptEnded returns an event: a query ends on the engine.
 func attemptEnded(query Query) func(*Engine) {
 	return func(e *Engine) { e.AttemptEnded(query) }
 }
 
-// lock returns a function that observes another router's load of group 5 at time 500.
+// lockObserved returns an event: at time 500, a load of another router is observed to lock group 5 until a time.
 func lockObserved(until float64) func(*Engine) {
 	return func(e *Engine) { e.LockObserved(5, 500, until) }
 }
 
-// headroomTest is the headroom of an engine for a query at time 1000, after some events.
+// headroomTest is the expected headroom of an engine for a query at time 1000, after some events.
 type headroomTest struct {
 	name   string
 	events events
@@ -45,6 +45,7 @@
 	want   Headroom
 }
 
+// Guards against a wrong memory share or lock state, by which an engine is sent too many queries or none.
 func TestHeadroom(t *testing.T) {
 	for _, test := range slices.Concat(reportTests(), lockTests()) {
 		var engine Engine
@@ -61,72 +62,88 @@
 	}
 }
 
-// events are played one after the other.
+// events are applied in their order.
 type events = []func(*Engine)
 
-// reportTests are those of the memory share, which load reports tell.
+// reportTests cover the memory share, which depends on load reports.
 func reportTests() []headroomTest {
 	half := LoadReport{Memory: 0.5}
 	notANumber := LoadReport{Memory: math.NaN()}
 	noMemory := LoadReport{Memory: -1, Busy: 0.5}
 	return []headroomTest{
-		{"nothing known", nil, reader, Headroom{}},
-		{"an idle engine", events{loadReported(LoadReport{}, 900)}, reader, Headroom{MemoryShare: 0.1}},
-		{"half granted", events{loadReported(half, 900)}, reader, Headroom{MemoryShare: 0.6}},
-		{"a report that is old", events{loadReported(half, 0)}, reader, Headroom{}},
-		{"a report without memory", events{loadReported(noMemory, 900)}, reader, Headroom{}},
-		{"a report that is no number", events{loadReported(notANumber, 900)}, reader, Headroom{}},
-		{"a query without an estimate", events{loadReported(half, 900)}, Query{}, Headroom{MemoryShare: 0.5}},
+		{"no report and no queries", nil, reader, Headroom{}},
+		{"idle engine", events{loadReported(LoadReport{}, 900)}, reader, Headroom{MemoryShare: 0.1}},
+		{"half of the memory granted", events{loadReported(half, 900)}, reader, Headroom{MemoryShare: 0.6}},
+		{"outdated report", events{loadReported(half, 0)}, reader, Headroom{}},
+		{"report without a memory share", events{loadReported(noMemory, 900)}, reader, Headroom{}},
+		{"report with NaN as memory share", events{loadReported(notANumber, 900)}, reader, Headroom{}},
+		{"query without an estimate", events{loadReported(half, 900)}, Query{}, Headroom{MemoryShare: 0.5}},
 		{
-			"a wild estimate gets no more than one may have",
+			"huge estimate, limited by the maximum grant",
 			events{loadReported(half, 900)},
 			Query{NeedMB: 1e12},
 			Headroom{MemoryShare: 0.9},
 		},
-		{"sent since the report", events{loadReported(half, 800), attemptStarted(reader, 900)}, reader, Headroom{MemoryShare: 0.7}},
 		{
-			"sent just before the report, which lags",
+			"query sent after the report",
+			events{loadReported(half, 800), attemptStarted(reader, 900)},
+			reader,
+			Headroom{MemoryShare: 0.7},
+		},
+		{
+			"query sent within the report's lag",
 			events{attemptStarted(reader, 600), loadReported(half, 800)},
 			reader,
 			Headroom{MemoryShare: 0.7},
 		},
-		{"sent long before the report", events{attemptStarted(reader, 400), loadReported(half, 800)}, reader, Headroom{MemoryShare: 0.6}},
+		{
+			"query sent long before the report",
+			events{attemptStarted(reader, 400), loadReported(half, 800)},
+			reader,
+			Headroom{MemoryShare: 0.6},
+		},
 	}
 }
 
-// lockTests are those of loads that lock a table group.
+// lockTests cover loads that lock a table group.
 func lockTests() []headroomTest {
 	return []headroomTest{
-		{"behind an own load", events{attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
-		{"a load behind another", events{attemptStarted(load, 0)}, load, Headroom{BlockedByLock: true}},
+		{"reader while an own load runs", events{attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
+		{"load while an own load runs", events{attemptStarted(load, 0)}, load, Headroom{BlockedByLock: true}},
 		{
-			"beside a load of another group",
+			"reader of another group than the load",
 			events{attemptStarted(load, 0)},
 			Query{TableGroup: 6, BlockedByLoad: true},
 			Headroom{},
 		},
-		{"of a class that loads do not block", events{attemptStarted(load, 0)}, Query{TableGroup: 5}, Headroom{}},
-		{"after the load", events{attemptStarted(load, 0), attemptEnded(load)}, reader, Headroom{}},
+		{"query that loads do not block", events{attemptStarted(load, 0)}, Query{TableGroup: 5}, Headroom{}},
+		{"reader after the load has ended", events{attemptStarted(load, 0), attemptEnded(load)}, reader, Headroom{}},
 		{
-			"after one of two loads",
+			"reader after one of two loads has ended",
 			events{attemptStarted(load, 0), attemptStarted(load, 0), attemptEnded(load)},
 			reader,
 			Headroom{BlockedByLock: true},
 		},
-		{"loads that ended twice", events{attemptEnded(load), attemptEnded(load), attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
 		{
-			"a load without a group",
+			"load after more ends than starts",
+			events{attemptEnded(load), attemptEnded(load), attemptStarted(load, 0)},
+			reader,
+			Headroom{BlockedByLock: true},
+		},
+		{
+			"load without a group",
 			events{attemptStarted(Query{LocksTableGroup: true}, 0)},
 			Query{BlockedByLoad: true},
 			Headroom{},
 		},
-		{"another router's load", events{lockObserved(1500)}, reader, Headroom{BlockedByLock: true}},
-		{"another router's load, by now over", events{lockObserved(900)}, reader, Headroom{}},
-		{"a lock without an end", events{lockObserved(math.NaN())}, reader, Headroom{}},
+		{"load of another router", events{lockObserved(1500)}, reader, Headroom{BlockedByLock: true}},
+		{"load of another router that has ended", events{lockObserved(900)}, reader, Headroom{}},
+		{"lock with NaN as its end", events{lockObserved(math.NaN())}, reader, Headroom{}},
 	}
 }
 
-// Only where a shortage hurts all is there a bound, and a fleet whose reports say 'idle' is always below it.
+// Checks that the memory share has a maximum only where a shortage of memory slows down all queries, and that this
+// maximum is above 1: engines that report idle memory must always stay below it.
 func TestMaxMemoryShare(t *testing.T) {
 	for shortage, want := range map[MemoryShortage]float64{
 		ShortageWait:   math.Inf(1),
@@ -134,11 +151,13 @@
 		ShortagePage:   1.2,
 	} {
 		if got := (Limits{Shortage: shortage}).MaxMemoryShare(); got != want {
-			t.Errorf("%v: %v, want %v", shortage, got, want)
+			t.Errorf("shortage %v: maximum memory share %v, want %v", shortage, got, want)
 		}
 	}
 }
 
+// Guards against an engine that counts as having spare capacity without a recent report that shows it, and against
+// cost factors that use outdated or invalid figures.
 func TestSpareCapacityAndCostFactor(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -148,25 +167,26 @@
 		factor float64
 	}{
 		{"idle", LoadReport{0, 0, 0, 0, 0}, 0, true, 1},
-		{"half", LoadReport{6, -1, 0.5, -1, 0.25}, 0, true, 1.75 * 1.5},
+		{"half loaded", LoadReport{6, -1, 0.5, -1, 0.25}, 0, true, 1.75 * 1.5},
 		{"busy", LoadReport{24, -1, 0.9, -1, 0.5}, 0, false, 2.4 * 3},
-		{"more memory granted than there is", LoadReport{1, 0, 0.1, 0, 3.9}, 0, false, 5 * (1 + 1.0/12)},
-		{"a long queue", LoadReport{1, 1000, 0, 0, 0}, 0, false, 6 * (1 + 1.0/12)},
-		{"only disks", LoadReport{-1, -1, -1, 0.5, -1}, 0, false, 1.5},
-		{"nothing", LoadReport{-1, -1, -1, -1, -1}, 0, false, 1},
-		{"no numbers", LoadReport{math.NaN(), math.Inf(1), math.NaN(), math.Inf(-1), math.NaN()}, 0, false, 1},
-		{"half, a second ago", LoadReport{6, -1, 0.5, -1, 0.25}, 1000, true, 1},
-		{"half, two seconds ago", LoadReport{6, -1, 0.5, -1, 0.25}, 2000, false, 1},
+		{"more memory granted than exists", LoadReport{1, 0, 0.1, 0, 3.9}, 0, false, 5 * (1 + 1.0/12)},
+		{"long queue", LoadReport{1, 1000, 0, 0, 0}, 0, false, 6 * (1 + 1.0/12)},
+		{"only the disk share is known", LoadReport{-1, -1, -1, 0.5, -1}, 0, false, 1.5},
+		{"all figures unknown", LoadReport{-1, -1, -1, -1, -1}, 0, false, 1},
+		{"NaN or infinite", LoadReport{math.NaN(), math.Inf(1), math.NaN(), math.Inf(-1), math.NaN()}, 0, false, 1},
+		{"half loaded, one second ago", LoadReport{6, -1, 0.5, -1, 0.25}, 1000, true, 1},
+		{"half loaded, two seconds ago", LoadReport{6, -1, 0.5, -1, 0.25}, 2000, false, 1},
 	} {
 		var engine Engine
 		engine.LoadReported(test.report, 1e6)
 		spare, factor := engine.HasSpareCapacity(12, 1e6+test.age), engine.CostFactor(12, 1e6+test.age)
 		if spare != test.spare || math.Abs(factor-test.factor) > 1e-9 {
-			t.Errorf("%s: calm %v factor %v, want %v and %v", test.name, spare, factor, test.spare, test.factor)
+			t.Errorf("%s: spare capacity %v, cost factor %v, want %v and %v",
+				test.name, spare, factor, test.spare, test.factor)
 		}
 	}
 	if engine := (&Engine{}); engine.HasSpareCapacity(12, 1e6) || engine.CostFactor(12, 1e6) != 1 {
-		t.Error("an engine that never reported is calm, or has a cost factor")
+		t.Error("an engine without a report has spare capacity or a cost factor other than 1")
 	}
 }
 
@@ -194,7 +214,7 @@
 	return LoadReport{Memory: rapid.SampledFrom(shares).Draw(t, "share")}
 }
 
-// checkStartIsMonotone starts a drawn query, and checks that another one does not meet less than before.
+// checkStartIsMonotone starts a random query and checks that another query does not find less load than before.
 func checkStartIsMonotone(t *rapid.T, engine *Engine, other Query, limits Limits, now float64) (started Query) {
 	t.Helper()
 	before := engine.Headroom(other, limits, now)
@@ -202,13 +222,14 @@
 	engine.AttemptStarted(started, limits, now)
 	after := engine.Headroom(other, limits, now)
 	if after.MemoryShare < before.MemoryShare || before.BlockedByLock && !after.BlockedByLock {
-		t.Fatalf("%+v before and %+v after one more was sent", before, after)
+		t.Fatalf("headroom is %+v before a query was sent and %+v after it", before, after)
 	}
 	return started
 }
 
-// Whatever happens, answers are numbers; more in flight never looks like less; and with all ended and an idle report
-// nothing blocks a query: there is no state in which nothing would be sent any more.
+// Checks for any order of events that results are valid numbers, that more queries in flight never look like less
+// load, and that nothing blocks a query when all queries have ended and the engine reports idle. Guards against a
+// state in which an engine is never sent a query again.
 func TestHeadroomIsMonotoneAndRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := drawLimits(t)
@@ -232,7 +253,7 @@
 				engine.LockObserved(query.TableGroup, now, now+rapid.Float64Range(-100, 5000).Draw(t, "for"))
 			}
 			if got := engine.Headroom(query, limits, now); math.IsNaN(got.MemoryShare) || got.MemoryShare < 0 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("headroom is %+v, want a memory share that is a number and not negative", got)
 			}
 		}
 		for _, query := range running {
@@ -243,7 +264,7 @@
 		small := Query{NeedMB: 1, TableGroup: 1, BlockedByLoad: true}
 		got := engine.Headroom(small, Limits{MemoryMB: 1000, Shortage: ShortagePage}, now)
 		if got.BlockedByLock || got.MemoryShare > paging.MaxMemoryShare() {
-			t.Fatalf("nothing runs, and one more query meets %+v", got)
+			t.Fatalf("no query runs and the engine reports idle, but the headroom is %+v", got)
 		}
 	})
 }
--- a/internal/decide/pressure/query.go
+++ b/internal/decide/pressure/query.go
@@ -2,47 +2,48 @@
 
 import "math"
 
-// MemoryShortage is what an engine does when its memory grants exceed its memory.
+// MemoryShortage is what an engine does when its memory grants would exceed its memory.
 type MemoryShortage int
 
-// Forms of shortage. A query that waits, or gets what is left, hurts itself; where all are admitted, it hurts all.
+// Kinds of memory shortage. A shortage slows down only the query that has to wait or gets a smaller grant; an engine
+// that admits all queries slows down all of them.
 const (
 	ShortageWait   MemoryShortage = iota // the query waits in the engine's queue
-	ShortageShrink                       // the query gets what is left, and spills
+	ShortageShrink                       // the query is granted the remaining memory and spills
 	ShortagePage                         // the query is admitted, and all queries slow down
 )
 
-// Limits are what the settings say of an engine; 0 means unknown.
+// Limits holds the configured limits of an engine; 0 means unknown.
 type Limits struct {
 	MemoryMB      float64
-	MaxGrantShare float64 // share of the memory that one query gets at most
+	MaxGrantShare float64 // maximum share of the memory granted to one query
 	Shortage      MemoryShortage
 }
 
-// Query is what is known of a query before it runs.
+// Query describes a query before it runs.
 type Query struct {
-	NeedMB          float64 // by estimate; 0 if unknown
+	NeedMB          float64 // estimated memory; 0 if unknown
 	TableGroup      int64   // 0 for none
-	LocksTableGroup bool    // it is a load: it locks its group while it runs
-	BlockedByLoad   bool    // it is blocked while a load locks its group
+	LocksTableGroup bool    // the query is a load: it locks its group while it runs
+	BlockedByLoad   bool    // the query is blocked while a load locks its group
 }
 
-// LoadReport is what an engine reports of itself; a figure below 0 is unknown.
+// LoadReport holds the figures that an engine reports about itself; a figure below 0 is unknown.
 type LoadReport struct {
-	InFlight float64 // queries that it has accepted
-	Waiting  float64 // those of them that wait for memory
-	Busy     float64 // share of its cores in use
-	Disk     float64 // share of its disks in use
-	Memory   float64 // share of its memory that is granted
+	InFlight float64 // accepted queries
+	Waiting  float64 // accepted queries that wait for memory
+	Busy     float64 // share of the cores in use
+	Disk     float64 // share of the disks in use
+	Memory   float64 // share of the memory that is granted
 }
 
-// Headroom is what one more query would meet.
+// Headroom is what an additional query would find on an engine.
 type Headroom struct {
-	MemoryShare   float64 // share of the memory granted with it; 0 if unknown
-	BlockedByLock bool    // a load locks its group
+	MemoryShare   float64 // share of the memory granted, including the query; 0 if unknown
+	BlockedByLock bool    // a load locks the query's group
 }
 
-// sound is the report with figures that are NaN or infinite taken for unknown.
+// sanitized returns the report with NaN and infinite figures replaced by unknown.
 func (r LoadReport) sanitized() LoadReport {
 	for _, figure := range []*float64{&r.InFlight, &r.Waiting, &r.Busy, &r.Disk, &r.Memory} {
 		if math.IsNaN(*figure) || math.IsInf(*figure, 0) {
@@ -52,7 +53,7 @@
 	return r
 }
 
-// grant is the memory that the engine will grant a query, where it chooses itself.
+// memoryGrant returns the memory, in MB, that the engine is expected to grant a query where it chooses the grant.
 func (l Limits) memoryGrant(query Query) float64 {
 	if !(query.NeedMB > 0) {
 		return 0
@@ -64,8 +65,8 @@
 	return mb
 }
 
-// MaxMemoryShare is the share of its memory up to which an engine takes further queries. There is no bound where a
-// shortage hurts only the query that meets it.
+// MaxMemoryShare returns the share of granted memory up to which an engine is sent further queries. It is +Inf where a
+// shortage slows down only the query that meets it.
 func (l Limits) MaxMemoryShare() float64 {
 	if l.Shortage == ShortagePage {
 		return pagingMemoryShare
--- a/internal/decide/pressure/trace_test.go
+++ b/internal/decide/pressure/trace_test.go
@@ -8,7 +8,8 @@
 	"windflow/internal/tracetest"
 )
 
-// The pressure on engines, and how groups are divided, stays as it was recorded in testdata/traces.txt.
+// Fails when a change alters the estimated load of engines or how groups are divided among engines, compared with the
+// recording in testdata/traces.txt.
 func TestTraces(t *testing.T) {
 	tracetest.Check(t, []tracetest.Scenario{
 		{Name: "engines/few-groups", Run: func(_ *testing.T, h *tracetest.Hash) { traceEngines(h, 5) }},
@@ -52,7 +53,7 @@
 	}
 }
 
-// traceObservedLocks observes other routers' loads on more groups than are remembered, some of which end.
+// traceObservedLocks observes loads of other routers on more groups than are remembered; some of the loads end.
 func traceObservedLocks(h *tracetest.Hash) {
 	var engine Engine
 	for i := range 600 {
@@ -79,7 +80,7 @@
 	}
 }
 
-// randomReport returns a report with some figures that are unknown or no numbers.
+// randomReport returns a report in which some figures are unknown or not finite.
 func randomReport(rng *rand.Rand) LoadReport {
 	report := LoadReport{
 		InFlight: float64(rng.IntN(20)),
@@ -135,7 +136,7 @@
 	}
 }
 
-// randomTimeMS returns milliseconds, some of which are invalid.
+// randomTimeMS returns a time in milliseconds; some results are invalid.
 func randomTimeMS(rng *rand.Rand, mean float64) float64 {
 	switch rng.IntN(200) {
 	case 0:
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -1,25 +1,26 @@
-// Package quota decides whether a tenant exceeds its quota: a token bucket whose rate may change with every use. The
-// package has no clock: callers pass times in milliseconds.
+// Package quota decides whether a tenant exceeds its quota, with a token bucket whose rate may change with every use.
+// The package has no clock: callers pass times in milliseconds.
 package quota
 
 const (
-	// burstSeconds is how much may come at once, in seconds of the rate.
+	// burstSeconds is the part of the burst that grows with the rate: the tokens of this many seconds.
 	burstSeconds = 2.0
-	// minBurst is added to each burst: a tenant with the smallest rate would otherwise exceed it with its first
-	// request.
+	// extraBurst is added to every burst, in tokens. Without it, the first request of a tenant with a very low rate
+	// would exceed the quota.
 	extraBurst = 5.0
-	// msPerSecond converts times, which are in milliseconds, for rates, which are per second.
+	// msPerSecond relates times, which are in milliseconds, to rates, which are per second.
 	msPerSecond = 1000
 )
 
-// Bucket is the token bucket of one tenant. The zero Bucket is full at its first use.
+// Bucket is the token bucket of one tenant. The zero Bucket is full when it is first used.
 type Bucket struct {
 	tokens   float64
 	filledAt float64
 	used     bool
 }
 
-// Take takes a token from a bucket that fills at rate tokens a second, and tells whether there was one.
+// Take takes one token from a bucket that is filled with rate tokens per second, and reports whether a token was
+// available.
 func (b *Bucket) Take(rate, now float64) bool {
 	size := burstSeconds*max(rate, 0) + extraBurst
 	if !b.used {
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// Traffic at the rate never exceeds the quota, traffic at twice the rate does in half of its requests, and a long idle
-// time allows no more than a burst.
+// Checks the share of rejected requests: none at the tenant's rate, half of them at twice the rate. Guards against a
+// long idle time that allows more than one burst.
 func TestRejectedShare(t *testing.T) {
 	const requests = 10_000
 	for _, test := range []struct {
 		name          string
-		rate, traffic float64 // a second
-		idleMS        float64 // before the traffic begins
+		rate, traffic float64 // per second
+		idleMS        float64 // idle time before the traffic starts
 		rejectedShare float64 // share of the requests
 	}{
-		{"at its rate", 20, 20, 0, 0},
-		{"below", 20, 7, 0, 0},
-		{"twice", 20, 40, 0, 0.5},
-		{"four times", 5, 20, 0, 0.75},
-		{"twice after a day", 20, 40, 86_400_000, 0.5},
-		{"of a tenant without a quota", 0, 10, 0, 1},
-		{"below zero", -5, 10, 0, 1},
+		{"at the rate", 20, 20, 0, 0},
+		{"below the rate", 20, 7, 0, 0},
+		{"twice the rate", 20, 40, 0, 0.5},
+		{"four times the rate", 5, 20, 0, 0.75},
+		{"twice the rate after an idle day", 20, 40, 86_400_000, 0.5},
+		{"rate of zero", 0, 10, 0, 1},
+		{"negative rate", -5, 10, 0, 1},
 	} {
 		var bucket Bucket
 		rejected, now := 0, 1e9
@@ -36,12 +36,13 @@
 			}
 		}
 		if got := float64(rejected) / requests; math.Abs(got-test.rejectedShare) > 0.01 {
-			t.Errorf("%s: %.3f over the quota, want %.3f", test.name, got, test.rejectedShare)
+			t.Errorf("%s: a share of %.3f of the requests was rejected, want %.3f", test.name, got, test.rejectedShare)
 		}
 	}
 }
 
-// In any span no more is admitted than the rate brings in it, and a burst.
+// Checks that the requests admitted in any span of time are at most what the rate allows in it, plus one burst, also
+// with a clock that goes back.
 func TestAdmittedWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
@@ -54,9 +55,9 @@
 				admitted++
 			}
 		}
-		// A clock that goes back before the first use may start it there.
+		// The first use may be before time 0, since the clock may go back first.
 		if most := rate*(latest+500)/1000 + burstSeconds*rate + extraBurst; admitted > most {
-			t.Fatalf("%v of at most %v", admitted, most)
+			t.Fatalf("%v requests were admitted, want at most %v", admitted, most)
 		}
 	})
 }
--- a/internal/decide/quota/trace_test.go
+++ b/internal/decide/quota/trace_test.go
@@ -8,15 +8,14 @@
 	"windflow/internal/tracetest"
 )
 
-// What buckets answer stays as it was recorded in testdata/traces.txt.
+// Fails when a change alters which requests a bucket admits, compared with the recording in testdata/traces.txt.
 func TestTraces(t *testing.T) {
 	tracetest.Check(t, []tracetest.Scenario{
 		{Name: "buckets", Run: func(_ *testing.T, h *tracetest.Hash) { traceBuckets(h) }},
 	})
 }
 
-// traceBuckets takes tokens at rates and times of all kinds, some of them invalid, and now and then at a time in the
-// past.
+// traceBuckets takes tokens at random rates and times. Some rates are invalid, and some times are in the past.
 func traceBuckets(h *tracetest.Hash) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2026))
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-// sumCase is a number of routers that share a rate of one engine.
+// fleetCase is a number of routers that share the rate of one engine.
 type fleetCase struct {
 	routers    int
 	perSecond  float64 // quanta for all routers
-	restarting bool    // seven in ten routers restart on the way
+	restarting bool    // seven in ten routers restart during the run
 }
 
 const (
 	fleetMaxAge    = 1500.0
 	fleetDuration  = 12_000.0
-	fleetRestartAt = 5000.0 // when routers restart
+	fleetRestartAt = 5000.0 // when the routers restart
 )
 
-// received plays all routers and returns when each of their quanta accrued.
+// quantumTimes runs all routers and returns when each of their quanta was due.
 func (c fleetCase) quantumTimes() (times []float64) {
 	rng := rand.New(rand.NewPCG(uint64(c.routers), uint64(c.perSecond)))
 	even := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
@@ -45,7 +45,7 @@
 	return times
 }
 
-// countBetween counts the times after from, up to to.
+// countBetween counts the times after from, up to and including to.
 func countBetween(times []float64, from, to float64) (n float64) {
 	for _, at := range times {
 		if at > from && at <= to {
@@ -55,8 +55,9 @@
 	return n
 }
 
-// However many routers there are, and however frequent each takes one: what all of them receive in a window is what the
-// rate amounts to there, within one quantum. Where seven in ten restart, chance is added to that.
+// Checks that all routers together receive in any window what the rate yields there, within one quantum, for any
+// number of routers and any call frequency. If seven in ten routers restart, random variation is added to that. Guards
+// against an engine that is overloaded while it warms up, or not used.
 func TestRoutersTogetherReceiveTheRate(t *testing.T) {
 	for _, routers := range []int{40, 270, 300, 1000} {
 		for _, perSecond := range []float64{0.8, 5, 30} {
@@ -72,7 +73,7 @@
 	times := c.quantumTimes()
 	want := c.perSecond * fleetMaxAge / 1000
 	slack := 1.01
-	if c.restarting { // a router that restarts has another offset in time: chance replaces evenness
+	if c.restarting { // a restarted router has another offset in time, so the quanta are no longer spread evenly
 		slack += 3 * math.Sqrt(want)
 	}
 	for from := 0.0; from < fleetDuration-2*fleetMaxAge; from += 100 {
@@ -83,6 +84,7 @@
 	}
 }
 
+// Guards against a quantum that does not expire, and against several quanta after an idle time.
 func TestQuantumExpires(t *testing.T) {
 	budget := NewBudget(0, 1, 0, 0)
 	budget.SetRate(Rate{}.WithPoint(0, 1), 0)
@@ -95,24 +97,25 @@
 		{1900, 800, 1000, false},
 		{2000, 800, 2000, true},
 		{1500, 800, 2000, true}, // a time in the past: nothing is received twice
-		{9700, 800, 9000, true}, // seven accrued: one counts
+		{9700, 800, 9000, true}, // seven quanta came due, and one counts
 		{9800, 700, 9000, false},
 	} {
 		if since, ok := budget.Available(test.at, test.maxAge); ok != test.ok || math.Abs(since-test.since) > 0.001 {
-			t.Errorf("at %v: since %v, %v; want %v, %v", test.at, since, ok, test.since, test.ok)
+			t.Errorf("at %v: quantum due at %v, available %v; want %v, %v", test.at, since, ok, test.since, test.ok)
 		}
 	}
 	for _, rate := range []float64{0, -1} {
 		budget.SetRate(Rate{}.WithPoint(0, rate), 9900)
 		_, ok := budget.Available(30_000-1000*rate, 700)
 		if ok || budget.fraction < 0 || math.IsNaN(budget.fraction) {
-			t.Errorf("a rate of %v accrued a quantum, or consumed one: %+v", rate, budget)
+			t.Errorf("a rate of %v yielded a quantum or an invalid fraction: %+v", rate, budget)
 		}
 	}
 }
 
-// A budget receives the same quanta at the same times however frequent it is called, and those that adding up in small
-// steps returns. It guards against a router that calls infrequent and gets more, or less.
+// Checks that a budget receives the same quanta at the same times however often it is called, and that their number
+// matches the integral of the rate. Guards against a router that gets more or fewer quanta because it calls less
+// often.
 func TestQuantaDoNotDependOnCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.Float64Range(0, 1e6).Draw(t, "start")
@@ -128,56 +131,57 @@
 			if frequent.hasReceived && since != last {
 				quanta, last = quanta+1, since
 			}
-			if rapid.IntRange(0, 400).Draw(t, "ask") == 0 {
+			if rapid.IntRange(0, 400).Draw(t, "call") == 0 {
 				checkSameQuantum(t, &frequent, &infrequent, now)
 			}
 		}
 		total := fraction + rate.integral(start, last)
 		if frequent.hasReceived && math.Abs(total-float64(quanta)) > 1e-6 {
-			t.Fatalf("%d quanta by %v, where the rate amounts to %v", quanta, last, total)
+			t.Fatalf("%d quanta by %v, want the integral of the rate, %v", quanta, last, total)
 		}
 	})
 }
 
-// checkSameQuantum calls the budget that is called infrequent, and compares it with the other one.
+// checkSameQuantum calls the infrequently called budget and compares it with the other one.
 func checkSameQuantum(t *rapid.T, frequent, infrequent *Budget, now float64) {
 	t.Helper()
 	since, _ := frequent.Available(now, math.Inf(1))
 	differs := infrequent.lastDue != since || infrequent.hasReceived != frequent.hasReceived
 	if due := infrequent.NextDue(); due <= now != differs {
-		t.Fatalf("due at %v by now %v, and the one called frequent has its quantum since %v, the other %v",
+		t.Fatalf("next due at %v at time %v, but the last quantum was due at %v if called frequently, at %v if not",
 			due, now, since, infrequent.lastDue)
 	}
 	got, _ := infrequent.Available(now, math.Inf(1))
 	if frequent.hasReceived && math.Abs(got-since) > 1e-6*(1+math.Abs(since)) {
-		t.Fatalf("called frequent it has a quantum since %v, called infrequent since %v", since, got)
+		t.Fatalf("the last quantum was due at %v if called frequently, at %v if not", since, got)
 	}
 }
 
-// A rate that changes leaves what has accumulated until then.
+// Checks that a change of the rate keeps what has accumulated. Guards against a router that receives nothing, or too
+// much, while the rate changes often.
 func TestSetRateKeepsTheFraction(t *testing.T) {
 	budget := NewBudget(0, 1, 0, 0)
 	budget.SetRate(Rate{}.WithPoint(0, 1), 0)
-	budget.SetRate(Rate{}.WithPoint(0, 2), 500) // half a quantum is there, the other half takes a quarter of a second
+	budget.SetRate(Rate{}.WithPoint(0, 2), 500) // half a quantum has accumulated, the other half takes 250 ms
 	if budget.NextDue() != 750 {
-		t.Errorf("the quantum is due at %v, want 750", budget.NextDue())
+		t.Errorf("after a change of the rate the quantum is due at %v, want 750", budget.NextDue())
 	}
 	budget.SetRate(Rate{}, 700)
 	if !math.IsInf(budget.NextDue(), 1) {
-		t.Errorf("without a rate one is due at %v", budget.NextDue())
+		t.Errorf("with a rate of 0 a quantum is due at %v, want +Inf", budget.NextDue())
 	}
-	budget.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 were there, and nothing accrued meanwhile
+	budget.SetRate(Rate{}.WithPoint(0, 1), 10_000) // 0.9 of a quantum had accumulated, and nothing was added at rate 0
 	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
-		t.Errorf("the quantum is due at %v, want 10100", budget.NextDue())
+		t.Errorf("after a rate of 0 the quantum is due at %v, want 10100", budget.NextDue())
 	}
 	if _, ok := budget.Available(10_050, 1e9); ok {
-		t.Error("a quantum before its time")
+		t.Error("a quantum is available before it is due")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 1000 { // however frequent the same rate is set
+	for range 1000 { // the same rate is set repeatedly
 		budget.SetRate(Rate{}.WithPoint(0, 1), 10_000+100*rng.Float64())
 	}
 	if math.Abs(budget.NextDue()-10_100) > 1e-6 {
-		t.Errorf("set again and again, the quantum is due at %v, want 10100", budget.NextDue())
+		t.Errorf("after setting the same rate repeatedly the quantum is due at %v, want 10100", budget.NextDue())
 	}
 }
--- a/internal/decide/slowstart/rate.go
+++ b/internal/decide/slowstart/rate.go
@@ -3,31 +3,32 @@
 import "math"
 
 const (
-	// maxPoints bounds the points of a rate: where it sets in, where its slope changes twice, and where it levels off.
+	// maxPoints limits the points of a rate: one where it starts, two where its slope changes, and one where it
+	// becomes constant.
 	maxPoints = 4
-	// msPerSecond converts times, which are in milliseconds, for rates, which are per second.
+	// msPerSecond relates times, which are in milliseconds, to rates, which are per second.
 	msPerSecond = 1000
 )
 
-// Rate is how many quanta a second a router receives, over time: piecewise linear between its points, constant before
-// the first and after the last one. The points are in order of time, and no rate is below 0. The zero Rate is 0 at all
-// times.
+// Rate is the number of quanta per second that a router receives, as a function of time: linear between its points,
+// constant before the first point and after the last one. The points are in order of time, and no rate is below 0. The
+// zero Rate is 0 at all times.
 type Rate struct {
 	points [maxPoints]point
 	n      int
 }
 
-// point is the rate at one time, in milliseconds.
+// point is the rate, in quanta per second, at a time in milliseconds.
 type point struct{ at, rate float64 }
 
-// piece is the seg of a rate from some time to its next point.
+// segment is the part of a rate from some time to the next point.
 type segment struct {
-	start, end float64 // the rates at both ends
+	start, end float64 // rates at both ends
 	length     float64 // in milliseconds; infinite after the last point
 }
 
-// WithPoint returns the rate with one more point, no earlier than the last one. A rate below 0, or NaN, counts as 0.
-// Points beyond four are ignored.
+// WithPoint returns the rate with one more point, which must not be earlier than the last one. A rate below 0, or NaN,
+// counts as 0. A rate holds four points; further ones are ignored.
 func (r Rate) WithPoint(at, rate float64) Rate {
 	if r.n < maxPoints {
 		if !(rate > 0) {
@@ -39,7 +40,7 @@
 	return r
 }
 
-// pieceFrom returns the piece that a time lies in, from that time on.
+// segmentFrom returns the part of the segment at the time from that starts at this time.
 func (r *Rate) segmentFrom(from float64) segment {
 	if r.n == 0 {
 		return segment{0, 0, math.Inf(1)}
@@ -59,7 +60,7 @@
 	}
 }
 
-// integral returns how many quanta come due between two times.
+// integral returns the number of quanta, including fractions, that accumulate between two times.
 func (r *Rate) integral(from, to float64) (quanta float64) {
 	for from < to {
 		seg := r.segmentFrom(from)
@@ -75,7 +76,7 @@
 	return quanta
 }
 
-// timeOf returns when so many quanta have come due since another time: infinity for never.
+// dueAt returns when the given number of quanta has accumulated since the time from; +Inf for never.
 func (r *Rate) dueAt(from, quanta float64) float64 {
 	left := quanta * msPerSecond
 	for {
@@ -95,7 +96,8 @@
 	}
 }
 
-// timeOf returns after how many milliseconds of the piece so much has come due, in thousandths of a quantum.
+// timeToAccrue returns after how many milliseconds of the segment an amount, in thousandths of a quantum, has
+// accumulated.
 func (s segment) timeToAccrue(amount float64) float64 {
 	slope := (s.end - s.start) / s.length
 	root := s.start + math.Sqrt(max(s.start*s.start+2*slope*amount, 0))
--- a/internal/decide/slowstart/trace_test.go
+++ b/internal/decide/slowstart/trace_test.go
@@ -9,7 +9,8 @@
 	"windflow/internal/tracetest"
 )
 
-// When quanta are due, and which items are chosen, stays as it was recorded in testdata/traces.txt.
+// Fails when a change alters when quanta are due or which items a router's subset has, compared with the recording in
+// testdata/traces.txt.
 func TestTraces(t *testing.T) {
 	tracetest.Check(t, []tracetest.Scenario{
 		{Name: "chunks", Run: func(_ *testing.T, h *tracetest.Hash) { traceBudgets(h) }},
@@ -18,7 +19,7 @@
 	})
 }
 
-// randomRate returns a rate of up to five points, some of them invalid.
+// randomRate returns a rate to which up to five points were added, some of them invalid.
 func randomRate(rng *rand.Rand, from float64) (r Rate) {
 	at := from - rng.Float64()*2000
 	for range rng.IntN(6) {
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -1,4 +1,5 @@
-// Package subset chooses, without communication, which engines of a fleet each router uses: deterministic subsetting.
+// Package subset chooses which engines of a fleet each router uses, by deterministic subsetting: the routers do not
+// communicate.
 package subset
 
 import (
@@ -6,12 +7,14 @@
 	"slices"
 )
 
-// maxRounds bounds how many candidates are looked at, in multiples of the number of items: some of them coincide.
+// maxRounds limits how many candidates are tried, in multiples of the number of items. More than one round is needed
+// since several candidates may be the same item.
 const maxRounds = 4
 
-// Choose returns the indices of the items that a router uses: size different ones out of items, in an order of the
-// router's own. Routers are numbered from 0. Over all of them each item is chosen about as often as any other, and
-// routers with neighbouring numbers get items that lie apart. If size is not below items, all are chosen, in order.
+// Choose returns the indices of the items that a router uses: size different indices below items, in an order that
+// depends on the router. Routers are numbered from 0. Over all routers each item is chosen about equally often, and
+// routers with adjacent numbers get items that are far apart. If size is at least items, all indices are returned in
+// ascending order.
 func Choose(router, routers, items, size int) []int {
 	chosen := make([]int, 0, max(min(size, items), 0))
 	if size >= items {
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Each item is chosen by about as many routers, and no router gets one twice or one that is not there.
+// Checks that all items are chosen by about the same number of routers, and that no router gets an item twice or an
+// index out of range. Guards against engines that are used by too many routers or by none.
 func TestChoose(t *testing.T) {
 	for _, k := range []struct{ routers, items, each, least, most int }{
 		{300, 80, 14, 45, 60},
@@ -19,7 +20,7 @@
 		for i := range max(k.routers, 1) {
 			chosen := Choose(i, k.routers, k.items, k.each)
 			if len(chosen) != min(k.each, k.items) {
-				t.Errorf("%+v: router %d got %d items", k, i, len(chosen))
+				t.Errorf("%+v: router %d got %d items, want %d", k, i, len(chosen), min(k.each, k.items))
 			}
 			for j, item := range chosen {
 				if users[item]++; slices.Contains(chosen[:j], item) {
@@ -29,7 +30,7 @@
 		}
 		for item, n := range users {
 			if n < k.least || n > k.most {
-				t.Errorf("%+v: item %d was chosen %d times", k, item, n)
+				t.Errorf("%+v: item %d was chosen %d times, want %d to %d", k, item, n, k.least, k.most)
 			}
 		}
 	}
