--- a/internal/hotrestartipc/cordons.go
+++ b/internal/hotrestartipc/cordons.go
@@ -7,11 +7,12 @@
 	"path/filepath"
 )
 
-// cordonFolder stores the cordons of a router as empty files, named for the engines, in a folder that all processes
-// of the router read: a cordon is in force for a process that starts while the one that the operator called hangs.
+// cordonFolder stores the cordons of a router as empty files, each with the name of an engine, in a folder that all
+// processes of the router read. A cordon therefore also applies to a process that starts while the process to which
+// the operator sent it hangs.
 type cordonFolder string
 
-// set stores that an engine is cordoned, or that it is not any more; either may be stored twice.
+// set stores whether an engine is cordoned. Storing the same value twice is not an error.
 func (f cordonFolder) set(engine string, cordoned bool) error {
 	path := filepath.Join(string(f), engine)
 	if !cordoned {
@@ -31,7 +32,7 @@
 	return file.Close()
 }
 
-// list returns the engines that are cordoned.
+// list returns the cordoned engines.
 func (f cordonFolder) list() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -44,5 +45,5 @@
 	return engines, err
 }
 
-// clear ends all cordons.
+// clear removes all cordons.
 func (f cordonFolder) clear() { _ = os.RemoveAll(string(f)) }
--- a/internal/hotrestartipc/credentials.go
+++ b/internal/hotrestartipc/credentials.go
@@ -8,10 +8,11 @@
 	"syscall"
 )
 
-// errOtherUser ends a link to a process of another user.
+// errOtherUser is returned for a peer process that runs as another user.
 var errOtherUser = errors.New("the other process belongs to another user")
 
-// checkSameUser rejects a peer of another user than this process's or root, where the folder is shared.
+// checkSameUser returns an error if the peer runs neither as this process's user nor as root. Other users may be able
+// to connect, since the folder of the sockets may be shared.
 func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -28,7 +29,7 @@
 		return fmt.Errorf("read the other process's credentials: %w", credentialsErr)
 	}
 	if int(credentials.Uid) != os.Getuid() && credentials.Uid != 0 {
-		return fmt.Errorf("%w: %d", errOtherUser, credentials.Uid)
+		return fmt.Errorf("%w: uid %d, want %d or 0", errOtherUser, credentials.Uid, os.Getuid())
 	}
 	return nil
 }
--- a/internal/hotrestartipc/descriptors.go
+++ b/internal/hotrestartipc/descriptors.go
@@ -5,17 +5,17 @@
 	"syscall"
 )
 
-// receivedName is the name of a file that another process sent.
+// receivedFileName is the name given to files received from another process.
 const receivedFileName = "handed over"
 
-// descriptorSize is the size of a descriptor in a control message.
+// descriptorSize is the size in bytes of a descriptor in a control message.
 const descriptorSize = 4
 
-// controlSpace returns the size of a control message with that many descriptors.
+// controlSpace returns the size in bytes of a control message that carries the given number of descriptors.
 func controlSpace(files int) int { return syscall.CmsgSpace(descriptorSize * files) }
 
-// withDescriptor calls use with a file's descriptor. File.Fd is not used: it may set the descriptor to blocking mode,
-// and with it the socket of all processes that share it.
+// withDescriptor calls use with the descriptor of a file. It does not use File.Fd, which may set the descriptor to
+// blocking mode, and with it the socket in all processes that share it.
 func withDescriptor(file *os.File, use func(fd int) error) error {
 	raw, err := file.SyscallConn()
 	if err != nil {
@@ -28,7 +28,7 @@
 	return useErr
 }
 
-// duplicate returns a file with a duplicate of another one's descriptor.
+// duplicate returns a file with a duplicate of the given file's descriptor.
 func duplicate(file *os.File) (*os.File, error) {
 	duplicated := -1
 	err := withDescriptor(file, func(fd int) (err error) {
@@ -42,7 +42,7 @@
 	return os.NewFile(uintptr(duplicated), file.Name()), nil
 }
 
-// duplicateAll duplicates each file, or none.
+// duplicateAll duplicates all files, or none if one of them fails.
 func duplicateAll(files []*os.File) ([]*os.File, error) {
 	duplicates := make([]*os.File, 0, len(files))
 	for _, file := range files {
@@ -56,7 +56,7 @@
 	return duplicates, nil
 }
 
-// descriptorsOf returns the descriptors of files, which stay open while the files do.
+// descriptorsOf returns the descriptors of files. They are valid while the files are open.
 func descriptorsOf(files []*os.File) ([]int, error) {
 	var descriptors []int
 	for _, file := range files {
@@ -71,7 +71,7 @@
 	return descriptors, nil
 }
 
-// receivedFiles returns the files of a control message.
+// receivedFiles returns the files whose descriptors a control message carries.
 func receivedFiles(control []byte) (files []*os.File) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// flock applies a lock operation to a file.
+// flock applies a lock operation of flock(2) to a file and retries if a signal interrupts it.
 func flock(file *os.File, operation int) error {
 	return withDescriptor(file, func(fd int) error {
 		for {
--- a/internal/hotrestartipc/doc.go
+++ b/internal/hotrestartipc/doc.go
@@ -1,6 +1,6 @@
-// Package hotrestartipc connects the processes of a router that is being restarted without downtime. A process
-// acquires a slot among the processes of its router: a Unix socket on which later processes find it, a lock that
-// shows whether it lives, and a folder of cordons that all of them share. Two processes exchange framed messages,
-// with file descriptors where needed, over a link. What the messages mean is up to the caller; package hotrestart
-// decides who sends which.
+// Package hotrestartipc is the communication between the processes of a router during a hot restart, which replaces a
+// process without downtime. Each process acquires a slot among the processes of its router: a Unix socket on which
+// later processes connect to it, a lock that shows whether it is alive, and a folder of cordons that all processes
+// share. Two processes exchange framed messages, some with file descriptors, over a link. The caller defines what the
+// messages mean; package hotrestart decides which process sends which message.
 package hotrestartipc
--- a/internal/hotrestartipc/encoded_test.go
+++ b/internal/hotrestartipc/encoded_test.go
@@ -6,13 +6,14 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; the types of their fields
-// are found from them.
+// encodedTypes returns the types of this package that are sent or stored as JSON. The types of their fields are found
+// through them.
 func encodedTypes() []any {
 	return []any{Message{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Checks that each encoded field has a tag with its name on the wire. Without a tag, renaming the field in the code
+// would change the encoding.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/hotrestartipc/frame.go
+++ b/internal/hotrestartipc/frame.go
@@ -8,36 +8,37 @@
 	"os"
 )
 
-// A frame is length:4 version:1 files:1 and a Message as JSON; length counts what follows it, big-endian. The
-// descriptors of a frame are sent with its first byte.
+// A frame has a header and a Message as JSON. The header is the length (4 bytes, big-endian), the version (1 byte) and
+// the number of files (1 byte); the length counts the bytes after itself. The descriptors of a frame are sent with its
+// first byte.
 const (
 	lengthSize      = 4
 	versionOffset   = 4
 	fileCountOffset = 5
 	headerLength    = 6
-	// lengthOfRest is the part of a header that its length counts.
+	// countedHeaderLength is the part of the header that the length counts.
 	countedHeaderLength = headerLength - lengthSize
-	// frameVersion is the version of this layout, which has not changed. What messages mean is negotiated in hello and
-	// state (hotrestart.ProtocolVersion).
+	// frameVersion is the version of this layout, which has never changed. The version of the messages' content is
+	// negotiated in hello and state (hotrestart.ProtocolVersion).
 	frameVersion = 1
-	// maxFrameLength bounds a message: a state holds some thousands of idempotency ids.
+	// maxFrameLength limits the length of a frame. A state message holds several thousand idempotency ids.
 	maxFrameLength = 8 << 20
-	// maxFiles is how many descriptors one message may carry.
+	// maxFiles is the maximum number of descriptors that one message may carry.
 	maxFiles = 8
-	// readChunk is how much is read from a connection at once.
+	// readChunkSize is how many bytes are read from a connection at once.
 	readChunkSize = 64 << 10
 )
 
-// Errors of a link's peer; each ends the link.
+// Errors caused by the peer. Each of them ends the link.
 var (
 	errPeerClosed         = errors.New("link closed by the other process")
-	errFrameLength        = errors.New("frame length out of range")
-	errFrameVersion       = errors.New("unknown frame version")
+	errFrameLength        = errors.New("invalid frame length")
+	errFrameVersion       = errors.New("unsupported frame version")
 	errMalformedFrame     = errors.New("malformed frame")
-	errMissingDescriptors = errors.New("message without its descriptors")
+	errMissingDescriptors = errors.New("frame without all of its descriptors")
 )
 
-// encodeFrame returns a message as a frame; its descriptors are sent beside it.
+// encodeFrame returns a message as a frame, without its descriptors, which are sent separately.
 func encodeFrame(message Message) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return append(frame, text...), nil
 }
 
-// parseFrame decodes the first frame of a buffer and returns how many bytes it takes; the message is nil while the
+// parseFrame decodes the first frame in a buffer and returns the number of bytes it uses. The message is nil if the
 // frame is incomplete.
 func parseFrame(buffer []byte) (*Message, int, error) {
 	if len(buffer) < headerLength {
@@ -58,9 +59,9 @@
 	end := lengthSize + length
 	switch {
 	case length < countedHeaderLength || length > maxFrameLength:
-		return nil, 0, fmt.Errorf("%w: %d bytes", errFrameLength, length)
+		return nil, 0, fmt.Errorf("%w: %d, want %d to %d", errFrameLength, length, countedHeaderLength, maxFrameLength)
 	case buffer[versionOffset] != frameVersion:
-		return nil, 0, fmt.Errorf("%w: %d, and this process speaks %d", errFrameVersion, buffer[versionOffset], frameVersion)
+		return nil, 0, fmt.Errorf("%w: %d, want %d", errFrameVersion, buffer[versionOffset], frameVersion)
 	case len(buffer) < end:
 		return nil, 0, nil
 	}
@@ -69,17 +70,17 @@
 		return nil, 0, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	if message.Kind == "" {
-		return nil, 0, fmt.Errorf("%w: no kind", errMalformedFrame)
+		return nil, 0, fmt.Errorf("%w: message without a kind", errMalformedFrame)
 	}
 	return message, end, nil
 }
 
-// frameReader reads frames, with their descriptors, from a connection.
+// frameReader reads frames and their descriptors from a connection.
 type frameReader struct {
 	conn    *net.UnixConn
 	chunk   []byte
 	control []byte // control messages, which carry descriptors
-	buffer  []byte // what was read and is not decoded yet
+	buffer  []byte // bytes read but not decoded yet
 	files   []*os.File
 }
 
@@ -87,11 +88,11 @@
 	return &frameReader{conn: conn, chunk: make([]byte, readChunkSize), control: make([]byte, controlSpace(maxFiles))}
 }
 
-// fill waits for more bytes.
+// fill waits for more bytes and their descriptors.
 func (r *frameReader) fill() error {
 	n, controlLength, _, _, err := r.conn.ReadMsgUnix(r.chunk, r.control)
 	if err != nil {
-		return err // the lengths may be -1
+		return err // the lengths may be -1 after an error
 	}
 	if n == 0 {
 		return errPeerClosed
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// next returns the next complete message, or nil. The receiver closes its files.
+// next returns the next complete message, or nil if there is none. The caller has to close its files.
 func (r *frameReader) next() (*Message, error) {
 	message, used, err := parseFrame(r.buffer)
 	if message == nil {
@@ -109,12 +110,12 @@
 	}
 	count := int(r.buffer[fileCountOffset])
 	if count > len(r.files) {
-		return nil, errMissingDescriptors
+		return nil, fmt.Errorf("%w: %d received, want %d", errMissingDescriptors, len(r.files), count)
 	}
 	message.Files, r.files = r.files[:count:count], r.files[count:]
 	r.buffer = r.buffer[used:]
 	return message, nil
 }
 
-// close closes the files that belong to no complete message.
+// close closes the files that were received but belong to no complete message.
 func (r *frameReader) close() { closeAll(r.files) }
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -10,12 +10,13 @@
 
 const goldenFrames = "frames.bin"
 
-// frameSamples are messages as a link writes them; the second one is without a body.
+// frameSamples are messages as a link writes them. The second one has no body.
 func frameSamples() []Message {
 	return []Message{NewMessage("use", map[string]int{"sessions": 41}), {Kind: "bye"}, NewMessage("go-ahead", nil)}
 }
 
-// A link writes frames as it did when the golden file was recorded.
+// Checks that a link writes the frames in the golden file. Guards against a change of the encoding that a process of
+// another version could not read.
 func TestGoldenFramesAreWritten(t *testing.T) {
 	path, lis := listen(t)
 	here, there := dial(t, path, lis)
@@ -34,7 +35,8 @@
 	golden.Equal(t, goldenFrames, text)
 }
 
-// A link reads the recorded frames, in their order.
+// Checks that a link reads the frames in the golden file, in order. Guards against a change that makes messages of an
+// earlier version unreadable.
 func TestGoldenFramesAreRead(t *testing.T) {
 	text := golden.Read(t, goldenFrames)
 	path, lis := listen(t)
@@ -49,15 +51,15 @@
 		select {
 		case got := <-e.received:
 			if got.Kind != want.Kind || bodyText(got) != bodyText(want) {
-				t.Errorf("read %s %s, not %s %s", got.Kind, got.Body, want.Kind, want.Body)
+				t.Errorf("read message %s %s, want %s %s", got.Kind, got.Body, want.Kind, want.Body)
 			}
 		case <-time.After(time.Minute):
-			t.Fatal("a recorded frame was not read")
+			t.Fatal("a frame of the golden file was not read within a minute")
 		}
 	}
 }
 
-// bodyText returns a body; none and null are the same to whoever reads it.
+// bodyText returns the body of a message. No body and null are equivalent for the receiver.
 func bodyText(m Message) string {
 	if len(m.Body) == 0 {
 		return "null"
@@ -65,7 +67,8 @@
 	return string(m.Body)
 }
 
-// The paths by which processes of a router find each other depend on its name alone.
+// Checks that the path of a router's socket depends only on the router's name, as recorded in the golden file.
+// Otherwise processes of different versions would not find each other.
 func TestGoldenPaths(t *testing.T) {
 	got := ""
 	for _, name := range []string{"n0", "n0 127.0.0.1:3306", ""} {
--- a/internal/hotrestartipc/golden_slot_test.go
+++ b/internal/hotrestartipc/golden_slot_test.go
@@ -21,7 +21,7 @@
 	goldenRouter = "n0 127.0.0.1:3306"
 )
 
-// shortFolder returns an empty folder whose path is short enough for a Unix socket.
+// shortFolder returns an empty folder with a path short enough for a Unix socket.
 func shortFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "wf")
@@ -42,7 +42,7 @@
 	return p
 }
 
-// setCordon stores a cordon, or its end.
+// setCordon stores whether an engine is cordoned.
 func setCordon(t *testing.T, p *ProcessSlot, engine string, cordoned bool) {
 	t.Helper()
 	if err := p.SetCordon(engine, cordoned); err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// listFolder returns the files below a folder, each named "PATH MODE", with their content.
+// listFolder returns the files in a folder and its subfolders with their content. Each is named "PATH MODE".
 func listFolder(t *testing.T, dir string) []txtar.File {
 	t.Helper()
 	var files []txtar.File
@@ -78,7 +78,8 @@
 	return files
 }
 
-// Two processes acquire slots and store cordons, and leave the recorded files, byte for byte and with the same modes.
+// Checks that two processes that acquire slots and store cordons write the recorded files, with the same content and
+// modes. Guards against a change that a process of another version could not read.
 func TestGoldenFolderIsWritten(t *testing.T) {
 	dir := shortFolder(t)
 	first := acquireGoldenSlot(t, dir)
@@ -93,8 +94,8 @@
 	golden.Equal(t, goldenFolder, txtar.Format(&txtar.Archive{Files: listFolder(t, dir)}))
 }
 
-// restoreFolder writes the regular files of the recorded folder, and locks those of the living processes, as they do
-// themselves.
+// restoreFolder writes the regular files and folders of the recorded folder, and locks the files of the given
+// processes as if they were alive.
 func restoreFolder(t *testing.T, dir string, living ...hotrestart.ProcessNumber) {
 	t.Helper()
 	archive, err := txtar.ParseFile(golden.Path(goldenFolder))
@@ -135,41 +136,47 @@
 	}
 }
 
-// A process that finds the recorded folder acquires the next slot, knows who lives, and reads the cordons.
+// Checks that a process that starts with the recorded folder acquires the next slot, finds which processes are alive,
+// and reads the cordons. Guards against a change that makes files of an earlier version unreadable.
 func TestGoldenFolderIsRead(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir, hotrestart.FirstProcess+1)
 	p := acquireGoldenSlot(t, dir)
 	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.FirstProcess+1 ||
 		p.Alive(hotrestart.FirstProcess) {
-		t.Errorf("process %d, after %d, the first lives: %v", p.Process, p.Predecessor(), p.Alive(hotrestart.FirstProcess))
+		t.Errorf("process %d after %d, first process alive: %v; want process %d after %d, first process not alive",
+			p.Process, p.Predecessor(), p.Alive(hotrestart.FirstProcess),
+			hotrestart.FirstProcess+2, hotrestart.FirstProcess+1)
 	}
 	got, err := p.Cordoned()
 	if want := []string{"s-00000002", "s-00c41f7a"}; err != nil || !slices.Equal(got, want) {
-		t.Errorf("cordoned are %q, %v, not %q", got, err, want)
+		t.Errorf("cordoned engines are %q (error: %v), want %q", got, err, want)
 	}
 }
 
-// Where no process of the recorded folder lives, its cordons end and its numbers are not used again.
+// Checks that when no process of the recorded folder is alive, its cordons are removed and its process numbers are not
+// used again.
 func TestGoldenFolderOfEndedProcesses(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	p := acquireGoldenSlot(t, dir)
 	if p.Process != hotrestart.FirstProcess+2 || p.Predecessor() != hotrestart.NoProcess {
-		t.Errorf("process %d, after %d", p.Process, p.Predecessor())
+		t.Errorf("process %d with predecessor %d, want process %d without one",
+			p.Process, p.Predecessor(), hotrestart.FirstProcess+2)
 	}
 	if got, err := p.Cordoned(); err != nil || len(got) > 0 {
-		t.Errorf("cordoned are %q, %v", got, err)
+		t.Errorf("cordoned engines are %q (error: %v), want none", got, err)
 	}
 }
 
-// The roster alone keeps a number from being used again.
+// Checks that the file with the last process number is enough to keep a number from being used again, without any lock
+// file.
 func TestGoldenCounterFileIsRead(t *testing.T) {
 	dir := shortFolder(t)
 	restoreFolder(t, dir)
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
 	if err != nil || len(locks) != 2 {
-		t.Fatal(locks, err)
+		t.Fatalf("lock files are %q (error: %v), want 2", locks, err)
 	}
 	for _, lock := range locks {
 		if err := os.Remove(lock); err != nil {
@@ -177,6 +184,6 @@
 		}
 	}
 	if p := acquireGoldenSlot(t, dir); p.Process != hotrestart.FirstProcess+2 {
-		t.Errorf("process %d", p.Process)
+		t.Errorf("acquired process number %d, want %d", p.Process, hotrestart.FirstProcess+2)
 	}
 }
--- a/internal/hotrestartipc/link.go
+++ b/internal/hotrestartipc/link.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// maxQueued bounds the messages that wait for a peer that does not read; past it the link ends.
+	// maxQueued limits the messages that wait for a peer that does not read. The link ends when the limit is exceeded.
 	maxQueued = 16384
-	// writeTimeout is how long a peer may keep one message from being written. A process that was stopped for some
-	// seconds keeps its link: a link that ends while both processes live is the harder case.
+	// writeTimeout is how long writing one message may take. It is long enough for a process that was stopped for some
+	// seconds to keep its link, since a link that ends while both processes are alive is harder to handle.
 	writeTimeout = 30 * time.Second
 )
 
 // errPeerNotReading ends a link whose queue is full.
-var errPeerNotReading = errors.New("the other process does not read")
+var errPeerNotReading = errors.New("send queue full: the other process does not read")
 
-// Link is a connection to another process of the router. Its goroutines end with the connection, or by Close.
+// Link is a connection to another process of the router. Its goroutines end when the connection ends or Close is
+// called.
 type Link struct {
 	conn      *net.UnixConn
 	queue     chan queueEntry
@@ -31,13 +32,14 @@
 	onEnd     func(error)
 }
 
-// queued is a message to write, or the request to close the link behind those before it.
+// queueEntry is a message to write, or a request to close the link after the messages queued before it.
 type queueEntry struct {
 	message Message
 	close   bool
 }
 
-// Dial connects to the process that listens at path. An error says that there is none, or none that answers.
+// Dial connects to the process that listens at path. It returns an error if no process listens there or none answers
+// within the timeout.
 func Dial(path string, timeout time.Duration) (*net.UnixConn, error) {
 	conn, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
@@ -46,9 +48,9 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// StartLink starts a link on a connection, which it takes over. onMessage is called with each message that is received,
-// and onEnd once, at the end, with the reason; both are called from goroutines of the link. A link to a process of
-// another user ends at once.
+// StartLink starts a link on a connection and takes ownership of the connection. onMessage is called for each message
+// received, and onEnd once, when the link ends, with the reason. Both are called from goroutines of the link. A link
+// to a process of another user ends immediately.
 func StartLink(conn *net.UnixConn, onMessage func(Message), onEnd func(error)) *Link {
 	l := &Link{
 		conn:      conn,
@@ -62,7 +64,8 @@
 	return l
 }
 
-// Send queues a message and never blocks. Its files are duplicated: the caller may close its own at once.
+// Send queues a message and never blocks. It duplicates the message's files, so the caller may close them when Send
+// returns.
 func (l *Link) Send(message Message) {
 	files, err := duplicateAll(message.Files)
 	if err != nil {
@@ -81,7 +84,8 @@
 // Pending returns the number of messages that wait to be written.
 func (l *Link) Pending() int { return len(l.queue) }
 
-// Close ends the link once what was sent has been written, or its time is up.
+// Close ends the link when the queued messages have been written or a write has timed out. If the queue is full, it
+// ends the link immediately.
 func (l *Link) Close() {
 	select {
 	case l.queue <- queueEntry{close: true}:
@@ -90,8 +94,8 @@
 	}
 }
 
-// end closes the connection and reports why, once. The report has a goroutine of its own, so that Send and Close never
-// call back into their caller.
+// end closes the connection and calls onEnd with the reason, once. onEnd runs in its own goroutine, so that Send and
+// Close never call back into their caller.
 func (l *Link) end(err error) {
 	l.once.Do(func() {
 		close(l.done)
@@ -136,7 +140,7 @@
 	return err
 }
 
-// writeFirstByte writes a frame's first byte with the descriptors, and returns the remainder of the frame.
+// writeFirstByte writes the first byte of a frame together with the descriptors, and returns the rest of the frame.
 func (l *Link) writeFirstByte(frame []byte, files []*os.File) ([]byte, error) {
 	descriptors, err := descriptorsOf(files)
 	if err != nil {
@@ -162,7 +166,7 @@
 	l.end(err)
 }
 
-// deliver hands over the messages that are complete.
+// deliver calls onMessage for each complete message.
 func (l *Link) deliver(reader *frameReader) error {
 	for {
 		message, err := reader.next()
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -26,7 +26,7 @@
 	return e
 }
 
-// listen listens on a socket in a folder whose path is short.
+// listen listens on a socket in a folder with a short path.
 func listen(t *testing.T) (string, *net.UnixListener) {
 	t.Helper()
 	path, err := SocketPath(shortFolder(t), "n0")
@@ -53,7 +53,8 @@
 	return here, there
 }
 
-// Messages go both ways, complete and in order, with their descriptors; Close lets what was sent before arrive.
+// Checks that messages arrive in both directions, complete, in order and with their descriptors, and that Close lets
+// the messages sent before it arrive.
 func TestMessagesAndDescriptors(t *testing.T) {
 	path, lis := listen(t)
 	a, b := dial(t, path, lis)
@@ -67,16 +68,17 @@
 	_ = w.Close() // the link has a duplicate
 	two.link.Send(NewMessage("back", 5))
 	if m := <-one.received; m.Kind != "back" {
-		t.Errorf("got %+v", m)
+		t.Errorf("received %+v, want a message of kind back", m)
 	}
 	one.link.Close()
 	var text string
 	if m := <-two.received; m.Kind != "big" || m.Decode(&text) != nil || len(text) != 300_000 || len(m.Files) != 0 {
-		t.Errorf("%s with %d bytes, %d files", m.Kind, len(text), len(m.Files))
+		t.Errorf("received %s with %d bytes and %d files, want big with 300000 bytes and no files",
+			m.Kind, len(text), len(m.Files))
 	}
 	m := <-two.received
 	if m.Kind != "file" || len(m.Files) != 1 {
-		t.Fatalf("got %+v", m)
+		t.Fatalf("received %+v, want a message of kind file with one file", m)
 	}
 	if _, err := m.Files[0].WriteString("through"); err != nil {
 		t.Fatal(err)
@@ -95,15 +97,16 @@
 
 func TestSocketPathIsShort(t *testing.T) {
 	if _, err := SocketPath("/"+strings.Repeat("x", 100), "n0"); err == nil {
-		t.Error("a path that is too long for a socket")
+		t.Error("no error for a path that is too long for a Unix socket")
 	}
 	a, _ := SocketPath("/tmp", "n0")
 	if b, _ := SocketPath("/tmp", "n1"); a == b {
-		t.Error("two routers have the same path")
+		t.Error("routers n0 and n1 have the same path")
 	}
 }
 
-// What can't be read, or is of another version, ends the link.
+// Checks that a frame that can't be decoded, or has another version, ends the link with the matching error. Guards
+// against a peer whose messages are misread.
 func TestInvalidFrameEndsLink(t *testing.T) {
 	frame := func(version byte, text string) []byte {
 		b := binary.BigEndian.AppendUint32(nil, uint32(len(text)+countedHeaderLength))
@@ -114,13 +117,13 @@
 		frame []byte
 		want  error
 	}{
-		{"another version", frame(frameVersion+1, `{"kind":"x"}`), errFrameVersion},
+		{"unsupported version", frame(frameVersion+1, `{"kind":"x"}`), errFrameVersion},
 		{"no JSON", frame(frameVersion, "x"), errMalformedFrame},
-		{"no kind", frame(frameVersion, "{}"), errMalformedFrame},
-		{"too long", []byte{0xff, 0xff, 0xff, 0xff, frameVersion, 0}, errFrameLength},
-		{"too short", []byte{0, 0, 0, 1, frameVersion, 0}, errFrameLength},
+		{"message without a kind", frame(frameVersion, "{}"), errMalformedFrame},
+		{"length too large", []byte{0xff, 0xff, 0xff, 0xff, frameVersion, 0}, errFrameLength},
+		{"length too small", []byte{0, 0, 0, 1, frameVersion, 0}, errFrameLength},
 		{
-			"a descriptor that is not there",
+			"missing descriptor",
 			append([]byte{0, 0, 0, 14, frameVersion, 1}, `{"kind":"x"}`...), errMissingDescriptors,
 		},
 	} {
@@ -131,42 +134,42 @@
 			t.Fatal(err)
 		}
 		if err := <-e.ended; errors.Is(err, io.EOF) || !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: the link ended with error %v, want %v", c.name, err, c.want)
 		}
 		if len(e.received) != 0 {
-			t.Errorf("%s: was received", c.name)
+			t.Errorf("%s: a message was received", c.name)
 		}
 		_ = there.Close()
 	}
 }
 
-// A peer that does not read ends the link, and blocks nobody.
+// Checks that a peer that does not read its messages ends the link and that Send never blocks on it.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	path, lis := listen(t)
 	a, b := dial(t, path, lis)
 	defer b.Close()
 	e := startLinkEnd(a)
-	for range 2 * maxQueued { // more than the system's buffers and the queue hold
+	for range 2 * maxQueued { // more than the buffers of the system and the queue hold
 		e.link.Send(NewMessage("x", strings.Repeat("y", 1000)))
 	}
 	if err := <-e.ended; !errors.Is(err, errPeerNotReading) {
-		t.Errorf("the link ended for another reason: %v", err)
+		t.Errorf("the link ended with error %v, want %v", err, errPeerNotReading)
 	}
 }
 
-// However a frame is split, it is read once, and completely.
+// Checks that a frame is decoded exactly once, when all of its bytes have arrived.
 func TestParseFrame(t *testing.T) {
 	want := Message{Kind: "a", Body: []byte("5")}
 	b := binary.BigEndian.AppendUint32(nil, countedHeaderLength+21)
 	b = append(append(b, frameVersion, 0), `{"kind":"a","body":5}`...)
 	for i := range b {
 		if m, _, err := parseFrame(b[:i]); m != nil || err != nil {
-			t.Errorf("after %d bytes: %v, %v", i, m, err)
+			t.Errorf("after %d bytes: message %v, error %v, want neither", i, m, err)
 		}
 	}
 	m, n, err := parseFrame(append(b, "more"...))
 	if err != nil || n != len(b) {
-		t.Fatal(n, err)
+		t.Fatalf("parsed %d bytes (error: %v), want %d", n, err, len(b))
 	}
 	if diff := cmp.Diff(want, *m); diff != "" {
 		t.Error(diff)
--- a/internal/hotrestartipc/process_counter.go
+++ b/internal/hotrestartipc/process_counter.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// rosterTimeout bounds the wait for another process that is acquiring its slot.
+	// counterLockTimeout limits the wait for another process that is acquiring its slot.
 	counterLockTimeout = 2 * time.Second
-	// rosterRetryInterval is the time between two attempts to lock the roster.
+	// counterRetryInterval is the time between two attempts to lock the counter file.
 	counterRetryInterval = 10 * time.Millisecond
-	// rosterSize is how much of the roster is read.
+	// counterFileSize is how many bytes of the counter file are read.
 	counterFileSize = 32
 )
 
-// errRosterLocked rejects a process while another one keeps the roster locked.
-var errCounterLocked = errors.New("another process is acquiring its slot and does not finish")
+// errCounterLocked is returned when another process keeps the counter file locked for too long.
+var errCounterLocked = errors.New("process counter is locked by another process that is acquiring its slot")
 
-// roster is the locked file that holds the greatest process number ever acquired: a number that was acquired again
-// would be taken for the process that had it.
+// processCounter is the locked file with the highest process number ever acquired. Numbers must not be used again: a
+// new process with the number of an ended one would be mistaken for it.
 type processCounter struct{ file *os.File }
 
-// lockRoster opens and locks the roster.
+// lockProcessCounter opens the counter file and locks it.
 func lockProcessCounter(path string) (*processCounter, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -41,13 +41,13 @@
 		}
 		if time.Now().After(deadline) {
 			_ = file.Close()
-			return nil, fmt.Errorf("%s: %w: %w", path, errCounterLocked, err)
+			return nil, fmt.Errorf("%s: %w: no lock after %v: %w", path, errCounterLocked, counterLockTimeout, err)
 		}
 		time.Sleep(counterRetryInterval)
 	}
 }
 
-// last returns the greatest number ever acquired; 0 where none was.
+// last returns the highest number ever acquired, or NoProcess if the file holds none.
 func (c *processCounter) last() hotrestart.ProcessNumber {
 	text := make([]byte, counterFileSize)
 	n, _ := c.file.ReadAt(text, 0)
@@ -58,11 +58,11 @@
 	return number
 }
 
-// setLast stores the greatest number acquired.
+// setLast stores the highest number acquired.
 func (c *processCounter) setLast(number hotrestart.ProcessNumber) error {
 	_, err := c.file.WriteAt(fmt.Appendf(nil, "%-20d\n", number), 0)
 	return err
 }
 
-// unlock closes the roster, which unlocks it.
+// unlock closes the file, which releases its lock.
 func (c *processCounter) unlock() { _ = c.file.Close() }
--- a/internal/hotrestartipc/slot.go
+++ b/internal/hotrestartipc/slot.go
@@ -12,13 +12,13 @@
 	"windflow/internal/decide/hotrestart"
 )
 
-// dialTimeout bounds a dial; a process that is stopped still has connections established by the kernel.
+// dialTimeout limits a dial. The kernel establishes connections even to a process that is stopped.
 const dialTimeout = time.Second
 
-// ProcessSlot is a process's position in the order of the processes of one router, and the folder that they share.
-// Each slot has a socket, on which later processes find this one, and a file that the process keeps locked while it
-// lives: the system releases the lock with the process, whatever becomes of it, and a process that is stopped keeps
-// it.
+// ProcessSlot is the position of a process in the order of one router's processes, and its access to the folder that
+// they share. Each slot has a socket, on which later processes connect to this one, and a file that the process keeps
+// locked while it is alive. The system releases the lock when the process ends for any reason; a process that is only
+// stopped keeps it.
 type ProcessSlot struct {
 	Process  hotrestart.ProcessNumber
 	Listener *net.UnixListener
@@ -26,8 +26,9 @@
 	lock     *os.File
 }
 
-// AcquireSlot acquires the next slot among the processes of the router of that name in a folder. Where none of them
-// lives, what they left behind is removed, the cordons too: a plain restart starts from nothing.
+// AcquireSlot acquires in folder dir the next slot among the processes of the router with the given name. If none of
+// them is alive, it removes their files, including the cordons: after a restart that is not a hot restart, nothing of
+// the previous state applies.
 func AcquireSlot(dir, name string) (*ProcessSlot, error) {
 	paths, err := newSlotPaths(dir, name)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return slot, nil
 }
 
-// removeDead removes the files of processes that have ended, and returns the greatest number that has files.
+// removeDead removes the files of processes that have ended, and returns the highest process number that has a lock
+// file.
 func (s *ProcessSlot) removeDead() (last hotrestart.ProcessNumber) {
 	anyAlive := s.legacyAlive()
 	for _, process := range s.paths.processes() {
@@ -92,22 +94,23 @@
 	return os.Chmod(path, 0o600)
 }
 
-// Alive reports whether a process lives; one that is stopped does.
+// Alive reports whether a process is alive; a stopped process is.
 func (s *ProcessSlot) Alive(process hotrestart.ProcessNumber) bool {
 	if process == hotrestart.LegacyPredecessor {
 		return s.legacyAlive()
 	}
 	file, err := os.Open(s.paths.lockFile(process))
 	if err != nil {
-		// Short of descriptors it can't be known, and must not pass for an end.
+		// If the lock file can't be opened, for example because the process has no descriptors left, it is not known
+		// whether the other process is alive. It must not be treated as ended.
 		return !errors.Is(err, fs.ErrNotExist)
 	}
 	defer file.Close()
 	return flock(file, syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-// legacyAlive reports whether a process of version 1 listens on the socket of those. A process with a slot that is
-// published there does not count.
+// legacyAlive reports whether a process of version 1 listens on the socket of that version. A process with a slot that
+// is published there does not count.
 func (s *ProcessSlot) legacyAlive() bool {
 	legacyPath := s.paths.socket(hotrestart.LegacyPredecessor)
 	legacy, err := os.Stat(legacyPath)
@@ -127,7 +130,7 @@
 	return true
 }
 
-// Predecessor returns the newest living process before this one, or NoProcess.
+// Predecessor returns the newest living process that started before this one, or NoProcess.
 func (s *ProcessSlot) Predecessor() hotrestart.ProcessNumber {
 	for _, process := range slices.Backward(s.paths.processes()) {
 		if process < s.Process && s.Alive(process) {
@@ -140,12 +143,12 @@
 	return hotrestart.NoProcess
 }
 
-// Connect connects to a process.
+// Connect connects to the socket of a process.
 func (s *ProcessSlot) Connect(process hotrestart.ProcessNumber) (*net.UnixConn, error) {
 	return Dial(s.paths.socket(process), dialTimeout)
 }
 
-// PublishToLegacy lets processes of version 1 find this one.
+// PublishToLegacy makes this process reachable for processes of version 1.
 func (s *ProcessSlot) PublishToLegacy() error {
 	prepared := s.paths.published()
 	_ = os.Remove(prepared)
@@ -153,16 +156,16 @@
 		return err
 	}
 	err := os.Rename(prepared, s.paths.socket(hotrestart.LegacyPredecessor))
-	_ = os.Remove(prepared) // a rename onto another name of the same file leaves both
+	_ = os.Remove(prepared) // renaming to another link of the same file keeps both
 	return err
 }
 
-// SetCordon stores that an engine is cordoned, or that it is not any more; either may be stored twice.
+// SetCordon stores whether an engine is cordoned. Storing the same value twice is not an error.
 func (s *ProcessSlot) SetCordon(engine string, cordoned bool) error {
 	return s.paths.cordons().set(engine, cordoned)
 }
 
-// Cordoned returns the engines that are cordoned.
+// Cordoned returns the cordoned engines.
 func (s *ProcessSlot) Cordoned() ([]string, error) { return s.paths.cordons().list() }
 
 // Close releases the slot.
