--- a/internal/decide/backoff/zone.go
+++ b/internal/decide/backoff/zone.go
@@ -5,9 +5,9 @@
 // nothing about the other engines and count once. The zero ZoneBackoff has recorded no failure and is not active.
 type ZoneBackoff struct {
 	backoff          Backoff
-	failures         int   // consecutive failures, not counting repeated failures of the same engine
-	lastFailedEngine int64 // engine of the last counted failure
-	extendableAt     float64
+	failures         int     // consecutive failures, not counting repeated failures of the same engine
+	lastFailedEngine int64   // engine of the last counted failure
+	extendableAt     float64 // time from which a failure may start or extend the backoff
 }
 
 // RecordFailure counts a failed attempt on an engine and starts or extends the backoff when threshold engines have
--- a/internal/decide/hotrestart/model_test.go
+++ b/internal/decide/hotrestart/model_test.go
@@ -77,7 +77,7 @@
 	processes      [modelProcesses]modelProcess
 	queues         [modelProcesses][modelProcesses]messageQueue // from, to
 	cordonInFolder bool
-	left           budget
+	left           budget // what the adversary may still do
 	runs           int8
 	// idRecordLost is set when the only record of the id may have been lost with a killed process, as in any crash;
 	// only a journal on disk would prevent that.
--- a/internal/decide/pressure/demand_test.go
+++ b/internal/decide/pressure/demand_test.go
@@ -76,7 +76,7 @@
 		engines := rapid.IntRange(2, 40).Draw(t, "engines")
 		f := Fleet{Engines: engines, Subset: engines, Cores: 12, Routers: 3}
 		loads, cores := rapid.Float64Range(0.5, 4).Draw(t, "loads"), rapid.Float64Range(5, 60).Draw(t, "cores")
-		least, most := engines, 0
+		minLoaders, maxLoaders := engines, 0
 		for range 3 {
 			var d Demand
 			for at := 0.0; at < 90_000; at += 1000 {
@@ -85,10 +85,10 @@
 				d.Add(1, 0, cores/3*1000*n.Draw(t, "work"), at)
 			}
 			got := d.LoaderCount(1, f, 90_000)
-			least, most = min(least, got), max(most, got)
+			minLoaders, maxLoaders = min(minLoaders, got), max(maxLoaders, got)
 		}
-		if most-least > 1+engines/10 {
-			t.Fatalf("the routers let between %d and %d of %d engines load the group", least, most, engines)
+		if maxLoaders-minLoaders > 1+engines/10 {
+			t.Fatalf("the routers let between %d and %d of %d engines load the group", minLoaders, maxLoaders, engines)
 		}
 	})
 }
--- a/internal/decide/pressure/query.go
+++ b/internal/decide/pressure/query.go
@@ -59,8 +59,8 @@
 		return 0
 	}
 	mb := query.NeedMB * grantFactor
-	if most := l.MemoryMB * l.MaxGrantShare; most > 0 {
-		mb = min(mb, most)
+	if maxGrant := l.MemoryMB * l.MaxGrantShare; maxGrant > 0 {
+		mb = min(mb, maxGrant)
 	}
 	return mb
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -56,8 +56,8 @@
 			}
 		}
 		// The first use may be before time 0, since the clock may go back first.
-		if most := rate*(latest+500)/1000 + burstSeconds*rate + extraBurst; admitted > most {
-			t.Fatalf("%v requests were admitted, want at most %v", admitted, most)
+		if limit := rate*(latest+500)/1000 + burstSeconds*rate + extraBurst; admitted > limit {
+			t.Fatalf("%v requests were admitted, want at most %v", admitted, limit)
 		}
 	})
 }
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -24,10 +24,10 @@
 // quantumTimes runs all routers and returns when each of their quanta was due.
 func (c fleetCase) quantumTimes() (times []float64) {
 	rng := rand.New(rand.NewPCG(uint64(c.routers), uint64(c.perSecond)))
-	even := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
+	equalShare := Rate{}.WithPoint(0, c.perSecond/float64(c.routers))
 	for i := range c.routers {
 		budget := NewBudget(i, c.routers, 0.3, 0)
-		budget.SetRate(even, 0)
+		budget.SetRate(equalShare, 0)
 		interval := float64(1 + rng.IntN(400)) // between two calls
 		last := -1.0
 		restarts := c.restarting && rng.Float64() < 0.7
@@ -35,7 +35,7 @@
 			if restarts && now > fleetRestartAt {
 				restarts = false
 				budget = NewBudget(i, c.routers, 0.3, now)
-				budget.SetRate(even, now)
+				budget.SetRate(equalShare, now)
 			}
 			if since, ok := budget.Available(now, fleetMaxAge); ok && since != last {
 				times, last = append(times, since), since
@@ -72,12 +72,12 @@
 	t.Helper()
 	times := c.quantumTimes()
 	want := c.perSecond * fleetMaxAge / 1000
-	slack := 1.01
+	tolerance := 1.01
 	if c.restarting { // a restarted router has another offset in time, so the quanta are no longer spread evenly
-		slack += 3 * math.Sqrt(want)
+		tolerance += 3 * math.Sqrt(want)
 	}
 	for from := 0.0; from < fleetDuration-2*fleetMaxAge; from += 100 {
-		if n := countBetween(times, from, from+fleetMaxAge); math.Abs(n-want) > slack {
+		if n := countBetween(times, from, from+fleetMaxAge); math.Abs(n-want) > tolerance {
 			t.Errorf("%+v: %v quanta in the window from %v, want %.1f", c, n, from, want)
 			return
 		}
--- a/internal/hotrestartipc/golden_frame_test.go
+++ b/internal/hotrestartipc/golden_frame_test.go
@@ -19,16 +19,16 @@
 // another version could not read.
 func TestGoldenFramesAreWritten(t *testing.T) {
 	path, lis := listen(t)
-	here, there := dial(t, path, lis)
-	e := startLinkEnd(here)
+	local, remote := dial(t, path, lis)
+	e := startLinkEnd(local)
 	for _, m := range frameSamples() {
 		e.link.Send(m)
 	}
 	e.link.Close()
-	if err := there.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
+	if err := remote.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
-	text, err := io.ReadAll(there)
+	text, err := io.ReadAll(remote)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,11 +40,11 @@
 func TestGoldenFramesAreRead(t *testing.T) {
 	text := golden.Read(t, goldenFrames)
 	path, lis := listen(t)
-	here, there := dial(t, path, lis)
-	defer there.Close()
-	e := startLinkEnd(here)
+	local, remote := dial(t, path, lis)
+	defer remote.Close()
+	e := startLinkEnd(local)
 	defer e.link.Close()
-	if _, err := there.Write(text); err != nil {
+	if _, err := remote.Write(text); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range frameSamples() {
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -41,16 +41,16 @@
 	return path, lis
 }
 
-func dial(t *testing.T, path string, lis *net.UnixListener) (here, there *net.UnixConn) {
+func dial(t *testing.T, path string, lis *net.UnixListener) (local, remote *net.UnixConn) {
 	t.Helper()
-	here, err := Dial(path, time.Minute)
+	local, err := Dial(path, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if there, err = lis.AcceptUnix(); err != nil {
+	if remote, err = lis.AcceptUnix(); err != nil {
 		t.Fatal(err)
 	}
-	return here, there
+	return local, remote
 }
 
 // Checks that messages arrive in both directions, complete, in order and with their descriptors, and that Close lets
@@ -128,9 +128,9 @@
 		},
 	} {
 		path, lis := listen(t)
-		here, there := dial(t, path, lis)
-		e := startLinkEnd(here)
-		if _, err := there.Write(c.frame); err != nil {
+		local, remote := dial(t, path, lis)
+		e := startLinkEnd(local)
+		if _, err := remote.Write(c.frame); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-e.ended; errors.Is(err, io.EOF) || !errors.Is(err, c.want) {
@@ -139,7 +139,7 @@
 		if len(e.received) != 0 {
 			t.Errorf("%s: a message was received", c.name)
 		}
-		_ = there.Close()
+		_ = remote.Close()
 	}
 }
 
