--- a/internal/hotrestartipc/frame.go
+++ b/internal/hotrestartipc/frame.go
@@ -59,7 +59,8 @@
 	end := lengthSize + length
 	switch {
 	case length < countedHeaderLength || length > maxFrameLength:
-		return nil, 0, fmt.Errorf("%w: %d, want %d to %d", errFrameLength, length, countedHeaderLength, maxFrameLength)
+		return nil, 0, fmt.Errorf("%w: %d bytes, want %d to %d",
+			errFrameLength, length, countedHeaderLength, maxFrameLength)
 	case buffer[versionOffset] != frameVersion:
 		return nil, 0, fmt.Errorf("%w: %d, want %d", errFrameVersion, buffer[versionOffset], frameVersion)
 	case len(buffer) < end:
