--- a/internal/decide/hotrestart/trace_test.go
+++ b/internal/decide/hotrestart/trace_test.go
@@ -8,15 +8,15 @@
 	"windflow/internal/tracetest"
 )
 
-// Every step of the machine stays as it was recorded in testdata/traces.txt, over chains of processes that start, fail
-// and are requested to end at random. It guards against refactorings that change a decision.
+// Fails when a change alters any step of the machine, compared with the recording in testdata/traces.txt. The
+// recording has chains of processes that start, fail and are requested to end at random.
 func TestTraces(t *testing.T) {
 	var scenarios []tracetest.Scenario
 	for _, processes := range []int{2, 3} {
 		for _, k := range []struct {
-			name          string
-			settings      Settings
-			strayPerMille int // of a thousand events, those that do not fit the phase
+			name               string
+			settings           Settings
+			unexpectedPerMille int // how many of 1000 events do not fit the phase
 		}{
 			{"sound", DefaultSettings, 0},
 			{"strange-events", DefaultSettings, 150},
@@ -27,8 +27,8 @@
 				GoAheadTimeoutMS: 120,
 			}, 20},
 		} {
-			c := chain{settings: k.settings, most: processes, strayPerMille: k.strayPerMille}
-			scenarios = append(scenarios, chains(fmt.Sprintf("%d-processes/%s", processes, k.name), c))
+			c := chain{settings: k.settings, maxLiving: processes, unexpectedPerMille: k.unexpectedPerMille}
+			scenarios = append(scenarios, chainScenario(fmt.Sprintf("%d-processes/%s", processes, k.name), c))
 		}
 	}
 	scenarios = append(scenarios, tracetest.Scenario{Name: "versions", Run: traceVersions})
@@ -36,18 +36,18 @@
 }
 
 const (
-	traceChains = 300 // for each scenario
-	traceEvents = 250 // for each chain
+	traceChains = 300 // per scenario
+	traceEvents = 250 // per chain
 )
 
-// chains plays chains of processes with the settings of one, each with a seed of its own.
-func chains(name string, template chain) tracetest.Scenario {
+// chainScenario runs chains of processes with the settings of the template, each with its own seed.
+func chainScenario(name string, template chain) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, hash *tracetest.Hash) {
 		t.Helper()
 		for seed := range uint64(traceChains) {
 			c := template
 			c.hash = hash
-			c.rng = rand.New(rand.NewPCG(seed, uint64(c.most)))
+			c.rng = rand.New(rand.NewPCG(seed, uint64(c.maxLiving)))
 			for range traceEvents {
 				c.step()
 			}
@@ -65,17 +65,17 @@
 	}
 }
 
-// chain is a row of processes, of which at most so many live at a time, and the events on their way to them.
+// chain is a sequence of processes, of which at most maxLiving are alive at a time, and the events in flight to them.
 type chain struct {
-	hash          *tracetest.Hash
-	rng           *rand.Rand
-	settings      Settings
-	most          int
-	strayPerMille int
-	now           float64
-	processes     []*tracedProcess // those that live, oldest first
-	started       int
-	underWay      []delivery
+	hash               *tracetest.Hash
+	rng                *rand.Rand
+	settings           Settings
+	maxLiving          int
+	unexpectedPerMille int
+	now                float64
+	processes          []*tracedProcess // the living ones, oldest first
+	started            int
+	inFlight           []delivery
 }
 
 type tracedProcess struct {
@@ -83,7 +83,7 @@
 	searching bool
 }
 
-// delivery is an event on its way to a process.
+// delivery is an event in flight to a process.
 type delivery struct {
 	to    ProcessNumber
 	event Event
@@ -97,12 +97,12 @@
 	c.record(p, effects)
 }
 
-// handle passes an event to a process, and records its effects.
+// handle passes an event to a process and records its effects.
 func (c *chain) handle(p *tracedProcess, event Event) {
 	c.record(p, p.machine.Step(c.now, event))
 }
 
-// record writes effects and the state after them, and carries the effects out.
+// record records effects and the resulting state, then carries out the effects.
 func (c *chain) record(p *tracedProcess, effects []Effect) {
 	for _, effect := range effects {
 		c.hash.Step(1 + int(effect.Action))
@@ -135,7 +135,7 @@
 		p.searching = true
 	case ActionSend:
 		received := Event{Kind: EventMessageReceived, Process: p.machine.Self, Message: effect.Message}
-		c.underWay = append(c.underWay, delivery{effect.Process, received})
+		c.inFlight = append(c.inFlight, delivery{effect.Process, received})
 	case ActionEnd:
 		c.hash.Int(int64(len(p.machine.Step(c.now, Event{Kind: EventStopRequested}))))
 		c.end(p)
@@ -143,28 +143,28 @@
 	}
 }
 
-// end removes a process, and has the others notice it after what it sent.
+// end removes a process. The other processes are notified after they have received what it sent.
 func (c *chain) end(ended *tracedProcess) {
 	left := c.processes[:0]
 	for _, p := range c.processes {
 		if p != ended {
 			left = append(left, p)
 			event := Event{Kind: EventProcessEnded, Process: ended.machine.Self}
-			c.underWay = append(c.underWay, delivery{p.machine.Self, event})
+			c.inFlight = append(c.inFlight, delivery{p.machine.Self, event})
 		}
 	}
 	c.processes = left
 }
 
 func (c *chain) step() {
-	if len(c.processes) == 0 || len(c.processes) < c.most && c.rng.IntN(12) == 0 {
+	if len(c.processes) == 0 || len(c.processes) < c.maxLiving && c.rng.IntN(12) == 0 {
 		c.start()
 		return
 	}
 	c.now += float64(c.rng.IntN(60))
 	p := c.processes[c.rng.IntN(len(c.processes))]
-	if c.rng.IntN(1000) < c.strayPerMille {
-		c.stray(p)
+	if c.rng.IntN(1000) < c.unexpectedPerMille {
+		c.handleUnexpected(p)
 		return
 	}
 	switch n := c.rng.IntN(100); {
@@ -179,7 +179,7 @@
 	case n < 88:
 		c.loseLink(p)
 	case n < 90:
-		c.end(p) // killed
+		c.end(p) // the process is killed
 	case n < 92:
 		c.handle(p, Event{Kind: EventStopRequested})
 	case n < 96:
@@ -189,7 +189,7 @@
 	}
 }
 
-// search answers a process that looks for the newest living one before it.
+// search reports to a process that looks for its predecessor the newest living process before it.
 func (c *chain) search(p *tracedProcess) {
 	if !p.searching {
 		return
@@ -204,18 +204,18 @@
 	c.handle(p, Event{Kind: EventPredecessorFound, Process: found})
 }
 
-// deliver hands some process its next event, now and then twice.
+// deliver passes the next event to a random process; with a probability of 1 in 20 the event is delivered again later.
 func (c *chain) deliver() {
-	if len(c.underWay) == 0 {
+	if len(c.inFlight) == 0 {
 		return
 	}
-	to := c.underWay[c.rng.IntN(len(c.underWay))].to
-	for i, next := range c.underWay {
+	to := c.inFlight[c.rng.IntN(len(c.inFlight))].to
+	for i, next := range c.inFlight {
 		if next.to != to {
 			continue
 		}
 		if c.rng.IntN(20) > 0 {
-			c.underWay = append(c.underWay[:i:i], c.underWay[i+1:]...)
+			c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 		}
 		if p := c.find(to); p != nil {
 			c.handle(p, next.event)
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// tick lets the time pass until a process is due.
+// tick advances the time until the process is due.
 func (c *chain) tick(p *tracedProcess) {
 	if due := p.machine.Due(); due < c.now+1e5 {
 		c.now = max(c.now, due)
@@ -241,30 +241,30 @@
 	}
 }
 
-// loseLink drops what is on its way between a process and its predecessor, and has both notice.
+// loseLink drops all messages in flight between a process and its predecessor, and notifies both.
 func (c *chain) loseLink(p *tracedProcess) {
 	predecessor := c.find(p.machine.Predecessor())
 	if predecessor == nil {
 		return
 	}
 	var left []delivery
-	for _, d := range c.underWay {
+	for _, d := range c.inFlight {
 		if !d.between(p.machine.Self, predecessor.machine.Self) {
 			left = append(left, d)
 		}
 	}
-	c.underWay = left
+	c.inFlight = left
 	c.handle(p, Event{Kind: EventLinkLost, Process: predecessor.machine.Self})
 	c.handle(predecessor, Event{Kind: EventLinkLost, Process: p.machine.Self})
 }
 
-// between reports whether one of two processes is the sender of an event, and the other the receiver.
+// between reports whether the event is sent by one of the two processes to the other.
 func (d delivery) between(one, other ProcessNumber) bool {
 	return d.to == one && d.event.Process == other || d.to == other && d.event.Process == one
 }
 
-// stray returns any event from any process, those of version 1 among them.
-func (c *chain) stray(p *tracedProcess) {
+// handleUnexpected passes a random event from a random process, which may have protocol version 1.
+func (c *chain) handleUnexpected(p *tracedProcess) {
 	processes := []ProcessNumber{
 		NoProcess, LegacyPredecessor, LegacySuccessor,
 		p.machine.Self, p.machine.Predecessor(), p.machine.Successor(),
