--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -239,7 +239,7 @@
 	}
 	w.loop = router.NewLoop(w.now)
 	log := slog.New(slog.DiscardHandler)
-	clients := &router.ByKind{}
+	clients := &router.ClientByKind{}
 	w.noHedging = rapid.Bool().Draw(t, "no second copies")
 	core, err := router.New(w.loop, dispatch.Config{
 		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 func newNode(cfg *settings.Node, own *installation.Settings, log *slog.Logger) *node {
 	n := &node{
 		loop: router.NewLoop(clock.NewSystem()), life: newLifecycle(),
-		active: activeSettings{platform: cfg, site: own}, services: services{byKind: &router.ByKind{}},
+		active: activeSettings{platform: cfg, site: own}, services: services{byKind: &router.ClientByKind{}},
 	}
 	n.log = log
 	if own.Records != nil {
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -45,7 +45,7 @@
 		acceptor:    flight.acceptor(cfg.Listen),
 		start: func(l limits) (err error) {
 			flight.client = flightsql.NewClient(n.loop, l.engines.ConnectTimeoutMS, maxFlightLoads)
-			services.byKind.Kinds = flight.clientsOf(cfg.EngineKinds)
+			services.byKind.Clients = flight.clientsOf(cfg.EngineKinds)
 			seed := n.active.platform.SeedValue
 			flight.front, err = flightsql.NewFront(*cfg, services.core, n.loop, seed, restart.generation, n.log)
 			if err != nil {
@@ -64,7 +64,7 @@
 				kept, now.MaxConnections = append(kept, "/flightsql/max_connections"), cfg.MaxConnections
 			}
 			flight.client.Configure(l.engines.ConnectTimeoutMS)
-			services.byKind.Kinds = flight.clientsOf(now.EngineKinds)
+			services.byKind.Clients = flight.clientsOf(now.EngineKinds)
 			return kept
 		},
 		counters: func() []counterGroup {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -130,8 +130,8 @@
 		}
 	}
 	kinds := make(chan int, 1)
-	n.loop.Post(func() { kinds <- len(n.services.byKind.Kinds) })
-	if got := <-kinds; got != 1 || n.services.byKind.Kinds["std"] == nil {
+	n.loop.Post(func() { kinds <- len(n.services.byKind.Clients) })
+	if got := <-kinds; got != 1 || n.services.byKind.Clients["std"] == nil {
 		t.Errorf("%d kinds of engine speak Flight SQL", got)
 	}
 	if load, _ := n.services.core.Class("load"); load.Semantics != 2 {
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -15,7 +15,7 @@
 type services struct {
 	net       *netio.Poller
 	core      *router.Core
-	byKind    *router.ByKind // clients of engines, by the kind of engine
+	byKind    *router.ClientByKind // clients of engines, by the kind of engine
 	engines   *enginehttp.Client
 	front     *mysql.Front
 	endpoints *discovery.Watcher
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -185,7 +185,7 @@
 // end ends an attempt and reports that to the module. The first attempt that is served answers the request.
 func (t *attemptTracker) end(attempt *attempt, end End) {
 	if attempt.ended {
-		t.statistics.Counters.EndsAfterEnd++
+		t.statistics.Counters.DuplicateEnds++
 		return
 	}
 	request := attempt.request
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -17,7 +17,7 @@
 	Actions         int64    `status:"actions"` // returned by the dispatch module
 	Steps           int64    `status:"steps"`
 	MaxOpen         int64    `status:"max_open"`   // most requests open at the same time
-	EndsAfterEnd    int64    `status:"after_done"` // ends reported for attempts that had ended already
+	DuplicateEnds   int64    `status:"after_done"` // ends reported for attempts that had ended already
 }
 
 // ClassCounters count the requests of a class by their answers, and the attempts that were sent completely to engines.
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -68,7 +68,7 @@
 	case statement == "":
 		return nil, ErrEmptyStatement
 	case hasSeveralStatements(statement):
-		return nil, ErrSeveralStatements
+		return nil, ErrMultipleStatements
 	}
 	if number, ok := tableGroup(statement); ok {
 		request.TableGroup = dispatch.TableGroupOf(number)
--- a/internal/router/request_error.go
+++ b/internal/router/request_error.go
@@ -9,8 +9,8 @@
 	ErrIDInUse = errors.New("a request with that id is still open, or may have run")
 	// ErrEmptyStatement says that a request has no statement.
 	ErrEmptyStatement = errors.New("the statement is empty")
-	// ErrSeveralStatements says that a request has more than one statement.
-	ErrSeveralStatements = errors.New("several statements; a query is one")
+	// ErrMultipleStatements says that a request has more than one statement.
+	ErrMultipleStatements = errors.New("several statements; a query is one")
 )
 
 // FieldError says what is wrong with a field of a request. Its text is part of the answer to the client.
