--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -24,7 +24,7 @@
 // attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch
 // module.
 type attemptTracker struct {
-	shared
+	dependencies
 	client EngineClient
 	// onServed is called with an attempt that served its request, if that is still open.
 	onServed func(*attempt, *Result)
@@ -38,8 +38,8 @@
 		return
 	}
 	now := t.loop.Now()
-	next := &attempt{request: request, number: len(request.attempts), engine: action.Engine, startedAt: now}
-	request.attempts = append(request.attempts, next)
+	newAttempt := &attempt{request: request, number: len(request.attempts), engine: action.Engine, startedAt: now}
+	request.attempts = append(request.attempts, newAttempt)
 	request.outstanding++
 	wait := request.deadline - now
 	if action.Timeout > 0 {
@@ -49,14 +49,14 @@
 	maxAttempts := t.settings.Load().maxAttempts
 	switch {
 	case !request.open(), !listed, wait <= 0, maxAttempts > 0 && len(request.attempts) > maxAttempts:
-		next.call = unstartedAttempt{}
-		t.end(next, End{Outcome: dispatch.NotSent})
+		newAttempt.call = unstartedAttempt{}
+		t.end(newAttempt, End{Outcome: dispatch.NotSent})
 	case t.endpoints.unavailable[action.Engine]:
 		// Two events about the engine were posted in one step: the module decided after the first one.
-		next.call = unstartedAttempt{}
-		t.end(next, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
+		newAttempt.call = unstartedAttempt{}
+		t.end(newAttempt, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
 	default:
-		t.send(next, engine, wait, clock.Millis(action.StartWithin))
+		t.send(newAttempt, engine, wait, clock.Millis(action.StartWithin))
 	}
 }
 
@@ -85,7 +85,7 @@
 		call.LatestStartMS = attempt.startedAt + startWithin
 	}
 	attempt.call = t.client.Start(call, func(end End) { t.end(attempt, end) })
-	t.endAt(attempt, attempt.startedAt+wait, "no answer in time")
+	t.setTimeout(attempt, attempt.startedAt+wait, "no answer in time")
 	if startWithin > 0 {
 		attempt.startLimit = t.loop.After(startWithin, func() {
 			t.cancelUnsent(attempt, dispatch.ConnectFailed, "not started in time")
@@ -93,8 +93,8 @@
 	}
 }
 
-// endAt sets when an attempt times out.
-func (t *attemptTracker) endAt(attempt *attempt, at float64, detail string) {
+// setTimeout sets when an attempt times out.
+func (t *attemptTracker) setTimeout(attempt *attempt, at float64, detail string) {
 	attempt.timeout.Stop()
 	attempt.timeout = t.loop.At(at, func() { t.end(attempt, End{Outcome: dispatch.TimedOut, Detail: detail}) })
 }
@@ -157,7 +157,7 @@
 func (t *attemptTracker) limitTimeouts(request *request, shutdownAt float64) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.timeout != nil {
-			t.endAt(attempt, shutdownAt, "router shuts down")
+			t.setTimeout(attempt, shutdownAt, "router shuts down")
 		}
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -29,8 +29,8 @@
 	shutdownAt float64           // when the process ends; 0 while that is not known
 }
 
-// shared are the parts of a core that attemptTracker and responder both use.
-type shared struct {
+// dependencies are the parts of a core that attemptTracker and responder both use.
+type dependencies struct {
 	loop       *Loop
 	log        *slog.Logger
 	settings   *atomic.Pointer[settings]
@@ -56,30 +56,30 @@
 		endpoints:  newEndpointTable(client),
 	}
 	core.ids = newRequestIDs(&core.Hooks)
-	parts := shared{
+	parts := dependencies{
 		loop: loop, log: log,
 		settings: &core.settings, hooks: &core.Hooks, statistics: &core.Statistics,
 		queue: &core.queue, requests: core.requests, ids: core.ids, endpoints: core.endpoints,
 	}
-	core.attempts = &attemptTracker{shared: parts, client: client}
-	core.responder = &responder{shared: parts, attempts: core.attempts}
+	core.attempts = &attemptTracker{dependencies: parts, client: client}
+	core.responder = &responder{dependencies: parts, attempts: core.attempts}
 	core.attempts.onServed = core.responder.serve
-	core.use(cfg)
+	core.applySettings(cfg)
 	loop.AfterStep = core.decide
 	return core, nil
 }
 
 // Configure puts a changed configuration in force; open requests are not touched. It returns the names of the parts
 // that can't change while the router runs and stayed as they were. After an error nothing has changed.
-func (c *Core) Configure(cfg dispatch.Config) (kept []string, err error) {
-	inForce, kept, err := c.module.Configure(cfg)
+func (c *Core) Configure(cfg dispatch.Config) (unchanged []string, err error) {
+	applied, unchanged, err := c.module.Configure(cfg)
 	if err == nil {
-		c.use(inForce)
+		c.applySettings(applied)
 	}
-	return kept, err
+	return unchanged, err
 }
 
-func (c *Core) use(cfg dispatch.Config) {
+func (c *Core) applySettings(cfg dispatch.Config) {
 	for _, class := range cfg.Classes {
 		c.addClass(class.Name)
 	}
@@ -127,7 +127,7 @@
 	if class.Semantics == dispatch.AtMostOnce {
 		c.claim(request)
 	} else {
-		c.arrive(request)
+		c.queueArrival(request)
 	}
 	return Handle{request}, nil
 }
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// arrive queues the arrival of a request for the module.
-func (c *Core) arrive(request *request) {
-	c.requests.arrive(request)
+// queueArrival queues the arrival of a request for the module.
+func (c *Core) queueArrival(request *request) {
+	c.requests.markArriving(request)
 	c.queue.add(dispatch.Arrival{
 		Request: request.key, Class: request.Class, Tenant: request.Tenant, TableGroup: request.TableGroup,
 		Estimate: clock.Duration(request.EstimateMS), NeedMB: request.NeedMB,
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -14,11 +14,11 @@
 func TestEachRequestGetsOneAnswer(t *testing.T) {
 	served := End{Outcome: dispatch.Served, Result: &Result{}}
 	for _, test := range []struct {
-		name  string
-		class string
-		play  func(*harness, Handle)
-		want  []string
-		calls int
+		name     string
+		class    string
+		scenario func(*harness, Handle)
+		want     []string
+		calls    int
 	}{
 		{"served twice", "lookup", func(h *harness, _ Handle) {
 			h.endAttempt(0, served)
@@ -54,7 +54,7 @@
 	} {
 		h := newHarness(t)
 		handler, handle := h.submit(test.class, 3000, 0)
-		test.play(h, handle)
+		test.scenario(h, handle)
 		h.advance(2971)
 		if diff := cmp.Diff(test.want, handler.answers); diff != "" {
 			t.Errorf("%s: %s", test.name, diff)
--- a/internal/router/decide.go
+++ b/internal/router/decide.go
@@ -25,7 +25,7 @@
 			c.execute(action)
 		}
 		c.endpoints.delete(removed)
-		c.requests.arrived()
+		c.requests.finishArrivals()
 	}
 }
 
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -9,7 +9,7 @@
 )
 
 // A draining or removed engine gets nothing new, and connections to an address that an engine has left are forgotten.
-func TestEndpointsThatDrainOrMove(t *testing.T) {
+func TestDrainingOrMovedEndpoints(t *testing.T) {
 	h := newHarness(t)
 	h.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 	h.submit("lookup", 1000, 0)
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -60,7 +60,7 @@
 // request is sent until then.
 func (c *Core) claim(request *request) {
 	if c.ClaimID == nil {
-		c.arrive(request)
+		c.queueArrival(request)
 		return
 	}
 	c.ClaimID(request.ID, func(reply ClaimReply) {
@@ -69,11 +69,11 @@
 		}
 		switch reply {
 		case ClaimGranted:
-			c.arrive(request)
+			c.queueArrival(request)
 		case ClaimDenied:
 			c.responder.fail(request, ReasonEngine)
 		case ClaimTimedOut:
-			c.responder.rejectUnclaimed(request)
+			c.responder.rejectClaimTimeout(request)
 		}
 	})
 }
--- a/internal/router/hot_restart_test.go
+++ b/internal/router/hot_restart_test.go
@@ -26,36 +26,36 @@
 // Two processes of one router know each other's ids: an id that is open in one, or whose request may have run there, is
 // not accepted in the other.
 func TestIDsOfTheOtherProcess(t *testing.T) {
-	one, two := newHarness(t), newHarness(t)
-	forward := func(change IDChange) { two.loop.Post(func() { two.core.OtherProcessChanged(change) }) }
-	one.submit("load", 20_000, 0) // id 1
-	one.loop.Post(func() {
-		state := one.core.State()
-		one.core.OnIDChange = forward
-		two.loop.Post(func() { two.core.RestoreState(state) })
+	predecessor, successor := newHarness(t), newHarness(t)
+	forward := func(change IDChange) { successor.loop.Post(func() { successor.core.OtherProcessChanged(change) }) }
+	predecessor.submit("load", 20_000, 0) // id 1
+	predecessor.loop.Post(func() {
+		state := predecessor.core.State()
+		predecessor.core.OnIDChange = forward
+		successor.loop.Post(func() { successor.core.RestoreState(state) })
 	})
-	one.runLoop()
-	one.submit("lookup", 20_000, 0) // id 2
+	predecessor.runLoop()
+	predecessor.submit("lookup", 20_000, 0) // id 2
 	inUse := func(id int) (inUse bool) {
-		two.loop.Post(func() {
-			_, err := two.core.Submit(&Request{
+		successor.loop.Post(func() {
+			_, err := successor.core.Submit(&Request{
 				ID: fmt.Sprintf("%016x", id), Class: "lookup", Statement: "S",
-				SentAtMS: two.clock.MS, BudgetMS: 3000,
+				SentAtMS: successor.clock.MS, BudgetMS: 3000,
 			}, &recordingHandler{})
 			inUse = errors.Is(err, ErrIDInUse)
 		})
-		two.runLoop()
+		successor.runLoop()
 		return inUse
 	}
 	if !inUse(1) || !inUse(2) || inUse(3) {
 		t.Error("an id that is open in the other process was accepted, or a new one was not")
 	}
-	one.endAttempt(1, End{Outcome: dispatch.Served, Result: &Result{}})
-	one.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
+	predecessor.endAttempt(1, End{Outcome: dispatch.Served, Result: &Result{}})
+	predecessor.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
 	if inUse(2) || !inUse(1) {
 		t.Error("an id that is free again was not accepted, or that of a load that may have run was")
 	}
-	two.loop.Post(two.core.OtherProcessEnded)
+	successor.loop.Post(successor.core.OtherProcessEnded)
 	if !inUse(1) {
 		t.Error("a load that may have run was forgotten with the other process")
 	}
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -8,7 +8,7 @@
 	OnIDChange func(IDChange)
 	// ClaimID, if set, requests the other process's grant that the request with an id may start here. It calls
 	// then once, in the loop: before it returns with ClaimGranted if there is no other process, else later.
-	ClaimID func(id string, then func(ClaimReply))
+	ClaimID func(id string, onReply func(ClaimReply))
 	// Observer, if set, sees requests and attempts; it decides nothing.
 	Observer Observer
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -41,8 +41,8 @@
 	maxEstimate = 1e9
 	// requestIDLength is the number of hex digits of a request id.
 	requestIDLength = 16
-	// maxClippedBytes is how much of foreign text an error or a log line quotes.
-	maxClippedBytes = 40
+	// maxQuotedBytes is how much of foreign text an error or a log line quotes.
+	maxQuotedBytes = 40
 )
 
 // NewRequest checks the fields and reads the table group of the statement. field returns the text of a field, or "" if
@@ -56,7 +56,7 @@
 		return nil, &FieldError{Field: FieldClass, Err: ErrFieldMissing}
 	}
 	if !isRequestID(request.ID) {
-		return nil, &FieldError{Field: FieldID, Err: fmt.Errorf("%q is not 16 hex digits", clip(request.ID))}
+		return nil, &FieldError{Field: FieldID, Err: fmt.Errorf("%q is not 16 hex digits", truncate(request.ID))}
 	}
 	if err := request.readNumbers(field); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	switch {
 	case statement == "":
 		return nil, ErrEmptyStatement
-	case hasSeveralStatements(statement):
+	case hasMultipleStatements(statement):
 		return nil, ErrMultipleStatements
 	}
 	if number, ok := tableGroup(statement); ok {
@@ -94,7 +94,7 @@
 		}
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(value) || value < 0 || value > number.limit || number.required && value == 0 {
-			err := fmt.Errorf("%q is not a number from 0 to %g", clip(text), number.limit)
+			err := fmt.Errorf("%q is not a number from 0 to %g", truncate(text), number.limit)
 			return &FieldError{Field: number.name, Err: err}
 		}
 		*number.value = value
@@ -108,7 +108,7 @@
 	case "1":
 		r.Retry = true
 	default:
-		return &FieldError{Field: FieldRetry, Err: fmt.Errorf("%q is neither 1 nor absent", clip(text))}
+		return &FieldError{Field: FieldRetry, Err: fmt.Errorf("%q is neither 1 nor absent", truncate(text))}
 	}
 	return nil
 }
@@ -125,10 +125,10 @@
 	return true
 }
 
-// clip shortens foreign text for an error or a log line.
-func clip(text string) string {
-	if len(text) > maxClippedBytes {
-		return text[:maxClippedBytes] + "..."
+// truncate shortens foreign text for an error or a log line.
+func truncate(text string) string {
+	if len(text) > maxQuotedBytes {
+		return text[:maxQuotedBytes] + "..."
 	}
 	return text
 }
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -70,14 +70,14 @@
 // openIDs returns the clients' ids of the open requests, sorted.
 func (t *requestTable) openIDs() []string { return slices.Sorted(maps.Keys(t.open)) }
 
-// arrive marks a request whose arrival is queued for the module.
-func (t *requestTable) arrive(request *request) {
+// markArriving marks a request whose arrival is queued for the module.
+func (t *requestTable) markArriving(request *request) {
 	request.arriving = true
 	t.arriving = append(t.arriving, request)
 }
 
-// arrived is called when the module has handled the queued arrivals.
-func (t *requestTable) arrived() {
+// finishArrivals is called when the module has handled the queued arrivals.
+func (t *requestTable) finishArrivals() {
 	for _, request := range t.arriving {
 		request.arriving = false
 		t.removeEnded(request)
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestSeveralStatements(t *testing.T) {
+func TestMultipleStatements(t *testing.T) {
 	for statement, want := range map[string]bool{
 		"SELECT 1": false, "SELECT 1;": false, "SELECT 1 ; -- done\n": false, "SELECT ';x' FROM a_1.t": false,
 		"SELECT 1 /* ;x */": false, "SELECT 1;;": false, "SELECT 1; DROP TABLE staging.batch": true, "; SELECT 1": true,
 		"SELECT `a;b` FROM c": false, "": false,
 	} {
-		if got := hasSeveralStatements(statement); got != want {
+		if got := hasMultipleStatements(statement); got != want {
 			t.Errorf("%q: %v", statement, got)
 		}
 	}
@@ -72,11 +72,11 @@
 }
 
 func TestNewRequest(t *testing.T) {
-	good := map[string]string{
+	valid := map[string]string{
 		"method": "lookup", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "a",
 		"est": "820.0", "mem": "96", "again": "1",
 	}
-	request, err := NewRequest(func(n string) string { return good[n] }, "SELECT 1 FROM s_3.t", 5)
+	request, err := NewRequest(func(n string) string { return valid[n] }, "SELECT 1 FROM s_3.t", 5)
 	want := &Request{
 		ID: "9b1f03aa5c7e2d41", Class: "lookup", Tenant: "a", Statement: "SELECT 1 FROM s_3.t",
 		TableGroup: dispatch.TableGroupOf(3), SentAtMS: 5, BudgetMS: 1500, EstimateMS: 820, NeedMB: 96, Retry: true,
@@ -84,7 +84,7 @@
 	if diff := cmp.Diff(want, request); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
-	for _, test := range []struct{ field, bad, text string }{
+	for _, test := range []struct{ field, invalid, text string }{
 		{"method", "", "field method is missing"},
 		{"rid", "9b1f03aa5c7e2d4g", `field rid: "9b1f03aa5c7e2d4g" is not 16 hex digits`},
 		{"budget", "0", `field budget: "0" is not a number from 0 to 3.6e+06`},
@@ -94,13 +94,13 @@
 	} {
 		_, err := NewRequest(func(name string) string {
 			if name == test.field {
-				return test.bad
+				return test.invalid
 			}
-			return good[name]
+			return valid[name]
 		}, "SELECT 1", 5)
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.text {
-			t.Errorf("%s=%q: error %v", test.field, test.bad, err)
+			t.Errorf("%s=%q: error %v", test.field, test.invalid, err)
 		}
 	}
 }
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -36,7 +36,7 @@
 
 // responder sends requests their final answers.
 type responder struct {
-	shared
+	dependencies
 	attempts *attemptTracker
 }
 
@@ -65,8 +65,8 @@
 	r.sendRejection(request, handler, r.rejectionReason(request), retryAfterMS)
 }
 
-// rejectUnclaimed rejects a request because the other process did not answer the claim of its id.
-func (r *responder) rejectUnclaimed(request *request) {
+// rejectClaimTimeout rejects a request because the other process did not answer the claim of its id.
+func (r *responder) rejectClaimTimeout(request *request) {
 	handler := r.close(request)
 	retryAfterMS := r.settings.Load().retryAfter(claimRetryAfterMS)
 	r.sendRejection(request, handler, "no word of the router's other process", retryAfterMS)
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -22,7 +22,7 @@
 }
 
 func newSettings(cfg dispatch.Config) *settings {
-	created := &settings{
+	result := &settings{
 		classes:            make(map[string]dispatch.Class, len(cfg.Classes)),
 		tenants:            make(map[string]bool, len(cfg.Tenants)),
 		maxAttempts:        cfg.MaxAttempts,
@@ -31,24 +31,24 @@
 		cancelAllowed:      cfg.CancelAllowed,
 	}
 	for _, class := range cfg.Classes {
-		created.classes[class.Name] = class
+		result.classes[class.Name] = class
 	}
 	for _, tenant := range cfg.Tenants {
-		created.tenants[tenant.Name] = true
+		result.tenants[tenant.Name] = true
 	}
 	if cfg.RetryAfter.Allowed {
-		created.maxRetryAfterMS = clock.Millis(cfg.RetryAfter.Max)
+		result.maxRetryAfterMS = clock.Millis(cfg.RetryAfter.Max)
 	}
-	return created
+	return result
 }
 
 // checkNames returns a FieldError if the settings do not know the class or the tenant of a request.
 func (s *settings) checkNames(request *Request) error {
 	if _, ok := s.classes[request.Class]; !ok {
-		return &FieldError{Field: FieldClass, Err: fmt.Errorf("unknown class %q", clip(request.Class))}
+		return &FieldError{Field: FieldClass, Err: fmt.Errorf("unknown class %q", truncate(request.Class))}
 	}
 	if request.Tenant != "" && len(s.tenants) > 0 && !s.tenants[request.Tenant] {
-		return &FieldError{Field: FieldTenant, Err: fmt.Errorf("unknown tenant %q", clip(request.Tenant))}
+		return &FieldError{Field: FieldTenant, Err: fmt.Errorf("unknown tenant %q", truncate(request.Tenant))}
 	}
 	return nil
 }
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -23,8 +23,8 @@
 		},
 	}
 	handler, _ := h.submit("lookup", 3000, 0)
-	if kept, err := h.core.Configure(cfg); err != nil || len(kept) > 0 {
-		t.Fatal(kept, err)
+	if unchanged, err := h.core.Configure(cfg); err != nil || len(unchanged) > 0 {
+		t.Fatal(unchanged, err)
 	}
 	h.endAttempt(0, End{Outcome: dispatch.EngineFull})
 	h.advance(400)
@@ -38,8 +38,8 @@
 		t.Errorf("latency objective %v", class.LatencyObjective)
 	}
 	cfg.Classes = cfg.Classes[:1]
-	if kept, err := h.core.Configure(cfg); err != nil || len(kept) != 1 || kept[0] != "classes" {
-		t.Error(kept, err)
+	if unchanged, err := h.core.Configure(cfg); err != nil || len(unchanged) != 1 || unchanged[0] != "classes" {
+		t.Error(unchanged, err)
 	}
 	if _, ok := h.core.Class("load"); !ok {
 		t.Error("a class was lost")
--- a/internal/router/statement_scanner.go
+++ b/internal/router/statement_scanner.go
@@ -46,9 +46,9 @@
 		case c == ' ' || c == '\t' || c == '\n' || c == '\r':
 			s.position++
 		case strings.HasPrefix(remaining, "/*"):
-			s.skipTo("*/", len("/*"))
+			s.skipPast("*/", len("/*"))
 		case c == '#' || strings.HasPrefix(remaining, "-- ") || strings.HasPrefix(remaining, "--\n") || remaining == "--":
-			s.skipTo("\n", 1)
+			s.skipPast("\n", 1)
 		case c == '\'' || c == '"':
 			s.position += quotedLength(remaining)
 		default:
@@ -57,11 +57,11 @@
 	}
 }
 
-// skipTo skips all up to the end mark, which it looks for from the offset on, or to the end of the text.
-func (s *statementScanner) skipTo(end string, offset int) {
+// skipPast skips all up to the end mark, which it looks for from the offset on, or to the end of the text.
+func (s *statementScanner) skipPast(terminator string, offset int) {
 	from := s.position + offset
-	if i := strings.Index(s.text[from:], end); i >= 0 {
-		s.position = from + i + len(end)
+	if i := strings.Index(s.text[from:], terminator); i >= 0 {
+		s.position = from + i + len(terminator)
 	} else {
 		s.position = len(s.text)
 	}
--- a/internal/router/table_group.go
+++ b/internal/router/table_group.go
@@ -16,18 +16,18 @@
 	scanner := statementScanner{text: statement}
 	atTable := false
 	for {
-		word := scanner.next()
+		token := scanner.next()
 		switch {
-		case word == "":
+		case token == "":
 			return group, ok
-		case word == ".":
+		case token == ".":
 			continue
 		case scanner.dotFollows():
-			number, has := schemaGroup(word)
-			if has && atTable {
+			number, found := schemaGroup(token)
+			if found && atTable {
 				return number, true
 			}
-			if has && !ok {
+			if found && !ok {
 				group, ok = number, true
 			}
 			for scanner.dotFollows() { // skip the remainder of the qualified name
@@ -36,14 +36,14 @@
 			}
 			continue
 		}
-		atTable = tableFollows(word, atTable)
+		atTable = tableFollows(token, atTable)
 	}
 }
 
 // tableFollows reports whether a name after the word is that of a table. Words that say nothing about that leave it as
 // it was before the word.
-func tableFollows(word string, before bool) bool {
-	switch strings.ToUpper(word) {
+func tableFollows(token string, before bool) bool {
+	switch strings.ToUpper(token) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
 		return true
 	case "WHERE", "SET", "SELECT", "GROUP", "ORDER", "HAVING", "LIMIT", "VALUES", "ON", "USING", "(", ")":
@@ -52,16 +52,16 @@
 	return before
 }
 
-// hasSeveralStatements reports whether anything but white space and comments follows a semicolon. Such a text is two
+// hasMultipleStatements reports whether anything but white space and comments follows a semicolon. Such a text is two
 // queries under one id, and the fields describe only one of them.
-func hasSeveralStatements(statement string) bool {
+func hasMultipleStatements(statement string) bool {
 	scanner := statementScanner{text: statement}
 	ended := false
-	for word := scanner.next(); word != ""; word = scanner.next() {
-		if ended && word != ";" {
+	for token := scanner.next(); token != ""; token = scanner.next() {
+		if ended && token != ";" {
 			return true
 		}
-		ended = ended || word == ";"
+		ended = ended || token == ";"
 	}
 	return false
 }
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -38,7 +38,7 @@
 		}
 		for i, exchange := range archive.Files {
 			t.Run(exchange.Name, func(t *testing.T) {
-				got := play(string(exchange.Data), start(t))
+				got := replay(string(exchange.Data), start(t))
 				if *update {
 					archive.Files[i].Data = []byte(got)
 				} else if diff := cmp.Diff(string(exchange.Data), got); diff != "" {
@@ -54,12 +54,12 @@
 	}
 }
 
-// play carries out the lines of an exchange, and returns it with what they show now.
-func play(exchange string, carryOut func(line string) string) string {
+// replay carries out the lines of an exchange, and returns it with what they show now.
+func replay(exchange string, execute func(line string) string) string {
 	var got strings.Builder
 	for line := range strings.Lines(exchange) {
 		if strings.TrimSpace(line) != "" && !strings.HasPrefix(line, outputPrefix) {
-			got.WriteString(line + carryOut(strings.TrimSuffix(line, "\n")))
+			got.WriteString(line + execute(strings.TrimSuffix(line, "\n")))
 		}
 	}
 	return got.String()
