--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// childEnv is set in a process that prints the size of its descriptor table and ends.
+// childEnv is the environment variable that makes the test binary print the size of its descriptor table and exit.
 const childEnv = "DESCRIPTORS_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// A process that imports the package has a table for all that its limit allows, up to a bound, before its first line
-// runs, also where its standard streams are closed.
+// A process that imports the package has a descriptor table for its limit of open files, up to MAX_TABLE_SIZE, when its
+// Go code starts. This must also hold if standard streams are closed, because the package duplicates one of them.
 func TestInitialTableSize(t *testing.T) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -51,7 +51,7 @@
 		cmd.Env = append(os.Environ(), childEnv+"=1")
 		out, err := cmd.Output()
 		if got := strings.TrimSpace(string(out)); err != nil || got != c.want {
-			t.Errorf("limit %s%s: a table of %s, want %s; %v", c.limit, c.closed, got, c.want, err)
+			t.Errorf("limit %s, closed %q: table size %q, error %v; want %s", c.limit, c.closed, got, err, c.want)
 		}
 	}
 }
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -1,5 +1,5 @@
-// Package routertest has helpers for the tests of the router's fronts and engine clients: recorded exchanges, a running
-// loop, and an address at which connections fail.
+// Package routertest has helpers for the tests of the router's fronts and engine clients: replaying recorded exchanges,
+// running a loop in the background, and an address that refuses connections.
 package routertest
 
 import (
@@ -17,19 +17,19 @@
 	"windflow/internal/router"
 )
 
-var update = flag.Bool("update", false, "record the exchanges anew")
+var update = flag.Bool("update", false, "overwrite the recorded exchanges with the current results")
 
-// outputPrefix indents the lines of an exchange that show the outcome of the line above them.
+// outputPrefix starts the lines of an exchange that hold the expected output of the command line above them.
 const outputPrefix = "  "
 
-// RunExchanges plays the exchanges recorded in testdata, each as a subtest, and compares them with what the code under
-// test does now. start sets one of them up. The function that it returns carries out a line, and returns what that
-// shows as lines indented by two spaces.
+// RunExchanges replays the exchanges that the archives testdata/*.txtar hold, each as a subtest, and compares the
+// output with the recorded one. start sets up one exchange. It returns a function that executes a command line and
+// returns the output, as lines indented by two spaces.
 func RunExchanges(t *testing.T, start func(*testing.T) func(line string) string) {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(paths) == 0 {
-		t.Fatal("no exchanges:", err)
+		t.Fatal("no exchanges found in testdata/*.txtar:", err)
 	}
 	for _, path := range paths {
 		archive, err := txtar.ParseFile(path)
@@ -54,7 +54,7 @@
 	}
 }
 
-// replay carries out the lines of an exchange, and returns it with what they show now.
+// replay executes the command lines of an exchange, and returns them with their current output.
 func replay(exchange string, execute func(line string) string) string {
 	var got strings.Builder
 	for line := range strings.Lines(exchange) {
@@ -65,8 +65,8 @@
 	return got.String()
 }
 
-// RunLoop runs a loop in a goroutine of its own. The function that it returns stops the loop and waits for its last
-// step.
+// RunLoop runs a loop in a new goroutine. The function that it returns stops the loop and waits until its last step has
+// ended.
 func RunLoop(loop *router.Loop) (stop func()) {
 	stopping, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -79,8 +79,8 @@
 	}
 }
 
-// RefusingAddress returns an address at which connections are refused for as long as the test runs: a socket is bound
-// to it and does not listen. An address that is merely free could be taken by another program before it is dialled.
+// RefusingAddress returns an address on the host at which connections are refused until the test ends: a socket is
+// bound to it and does not listen. Another program could take an address that is merely free before the test dials it.
 func RefusingAddress(t *testing.T, host [4]byte) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
