--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -8,22 +8,22 @@
 	"windflow/dispatch"
 )
 
-// Request is a query as a front submits it, independent of the wire protocol.
+// Request is a query or an update as a front submits it, independent of the wire protocol.
 type Request struct {
-	ID         string  `json:"ID"` // the client's, 16 hex digits
+	ID         string  `json:"ID"` // chosen by the client, 16 hex digits
 	Class      string  `json:"Class"`
 	Tenant     string  `json:"Tenant"`
-	Statement  string  `json:"Statement"` // without the fields
-	TableGroup int64   `json:"Group"`     // as dispatch.TableGroupOf numbers it; 0 if there is none
-	SentAtMS   float64 `json:"Sent"`
-	BudgetMS   float64 `json:"Budget"`     // how long the client waits from SentAtMS on
-	EstimateMS float64 `json:"EstimateMS"` // 0 if unknown
-	NeedMB     float64 `json:"NeedMB"`     // 0 if unknown
-	Retry      bool    `json:"Again"`      // the client sends the request again
+	Statement  string  `json:"Statement"`  // without the comment or header that holds the request's fields
+	TableGroup int64   `json:"Group"`      // result of dispatch.TableGroupOf; 0 if the statement names none
+	SentAtMS   float64 `json:"Sent"`       // when the client sent the request, on the loop's clock
+	BudgetMS   float64 `json:"Budget"`     // how long the client waits for the answer, counted from SentAtMS
+	EstimateMS float64 `json:"EstimateMS"` // client's estimate of the processing time; 0 if unknown
+	NeedMB     float64 `json:"NeedMB"`     // client's estimate of the memory needed; 0 if unknown
+	Retry      bool    `json:"Again"`      // the client has sent the request before
 	Update     bool    `json:"Update"`     // the client requested an update, not rows
 }
 
-// The names of a request's fields, the same on every front.
+// Names of a request's fields. They are the same in every protocol.
 const (
 	FieldClass    = "method"
 	FieldID       = "rid"
@@ -35,18 +35,19 @@
 )
 
 const (
-	// maxBudgetMS bounds a request's budget to an hour.
+	// maxBudgetMS is the largest budget of a request: an hour.
 	maxBudgetMS = 3_600_000
-	// maxEstimate bounds the estimates of a request, in milliseconds and MB.
+	// maxEstimate is the largest estimate of a request, in milliseconds for processing time and in MB for memory.
 	maxEstimate = 1e9
 	// requestIDLength is the number of hex digits of a request id.
 	requestIDLength = 16
-	// maxQuotedBytes is how much of foreign text an error or a log line quotes.
+	// maxQuotedBytes is the maximum length of client text that an error or a log line quotes.
 	maxQuotedBytes = 40
 )
 
-// NewRequest checks the fields and reads the table group of the statement. field returns the text of a field, or "" if
-// it is absent. A request with an error must not reach an engine; the error of a field is a FieldError.
+// NewRequest returns a request from its fields and its statement, from which it derives the table group. field returns
+// the text of a field, or "" if it is absent. It fails with a FieldError if a required field is missing or a field is
+// invalid, and with ErrEmptyStatement or ErrMultipleStatements if there is not exactly one statement.
 func NewRequest(field func(string) string, statement string, sentAtMS float64) (*Request, error) {
 	request := &Request{
 		Class: field(FieldClass), ID: field(FieldID), Tenant: field(FieldTenant),
@@ -76,7 +77,7 @@
 	return request, nil
 }
 
-// readNumbers reads the fields that are numbers.
+// readNumbers parses the numeric fields: the budget, which is required, and the estimates.
 func (r *Request) readNumbers(field func(string) string) error {
 	for _, number := range []struct {
 		name     string
@@ -108,7 +109,7 @@
 	case "1":
 		r.Retry = true
 	default:
-		return &FieldError{Field: FieldRetry, Err: fmt.Errorf("%q is neither 1 nor absent", truncate(text))}
+		return &FieldError{Field: FieldRetry, Err: fmt.Errorf("%q is not 0 or 1", truncate(text))}
 	}
 	return nil
 }
@@ -125,7 +126,7 @@
 	return true
 }
 
-// truncate shortens foreign text for an error or a log line.
+// truncate shortens client text to maxQuotedBytes for an error or a log line.
 func truncate(text string) string {
 	if len(text) > maxQuotedBytes {
 		return text[:maxQuotedBytes] + "..."
--- a/internal/router/request_error.go
+++ b/internal/router/request_error.go
@@ -3,19 +3,19 @@
 import "errors"
 
 var (
-	// ErrFieldMissing says that a required field of a request is missing.
+	// ErrFieldMissing reports that a required field of a request is missing.
 	ErrFieldMissing = errors.New("field is missing")
-	// ErrIDInUse says that a request with that id is still open, or may have run and must not run again.
+	// ErrIDInUse reports that a request with the same id is still open, or that it may have run and must not run again.
 	ErrIDInUse = errors.New("a request with that id is still open, or may have run")
-	// ErrEmptyStatement says that a request has no statement.
+	// ErrEmptyStatement reports that a request has no statement.
 	ErrEmptyStatement = errors.New("the statement is empty")
-	// ErrMultipleStatements says that a request has more than one statement.
-	ErrMultipleStatements = errors.New("several statements; a query is one")
+	// ErrMultipleStatements reports that a request has more than one statement.
+	ErrMultipleStatements = errors.New("the request has multiple statements, expected exactly one")
 )
 
-// FieldError says what is wrong with a field of a request. Its text is part of the answer to the client.
+// FieldError reports an invalid or missing field of a request. Its text is part of the answer to the client.
 type FieldError struct {
-	Field string // the name of the field
+	Field string // name of the field, such as FieldID
 	Err   error
 }
 
@@ -27,5 +27,5 @@
 	return "field " + e.Field + ": " + e.Err.Error()
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns Err.
 func (e *FieldError) Unwrap() error { return e.Err }
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -45,7 +45,7 @@
 			got = int64(n)
 		}
 		if got != test.want {
-			t.Errorf("%q: group %d, want %d", test.statement, got, test.want)
+			t.Errorf("%q: table group %d, want %d", test.statement, got, test.want)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 		"SELECT `a;b` FROM c": false, "": false,
 	} {
 		if got := hasMultipleStatements(statement); got != want {
-			t.Errorf("%q: %v", statement, got)
+			t.Errorf("%q: got %v, want %v", statement, got, want)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	f.Add("SELECT 1 FROM `a_1`.t")
 	f.Fuzz(func(t *testing.T, s string) {
 		if n, ok := tableGroup(s); !ok && n != 0 {
-			t.Error(s)
+			t.Errorf("%q: table group %d, but ok is false", s, n)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 		{"budget", "0", `field budget: "0" is not a number from 0 to 3.6e+06`},
 		{"est", "-1", `field est: "-1" is not a number from 0 to 1e+09`},
 		{"mem", "1e99", `field mem: "1e99" is not a number from 0 to 1e+09`},
-		{"again", "yes", `field again: "yes" is neither 1 nor absent`},
+		{"again", "yes", `field again: "yes" is not 0 or 1`},
 	} {
 		_, err := NewRequest(func(name string) string {
 			if name == test.field {
