--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -10,7 +10,8 @@
 	"windflow/dispatch"
 )
 
-// Whatever becomes of its attempts, a request gets exactly one answer, before its client stops waiting.
+// A request gets exactly one answer before its client's deadline, however its attempts end, and none if the client
+// abandons it.
 func TestEachRequestGetsOneAnswer(t *testing.T) {
 	served := End{Outcome: dispatch.Served, Result: &Result{}}
 	for _, test := range []struct {
@@ -24,8 +25,8 @@
 			h.endAttempt(0, served)
 			h.endAttempt(0, served)
 		}, []string{"served"}, 1},
-		{"silent engine", "lookup", func(h *harness, _ Handle) {}, []string{"rejected 1000"}, 1},
-		{"silent engine with a load", "load", func(h *harness, _ Handle) {}, []string{"failed 1"}, 1},
+		{"silent engine", "lookup", func(*harness, Handle) {}, []string{"rejected 1000"}, 1},
+		{"silent engine with a load", "load", func(*harness, Handle) {}, []string{"failed 1"}, 1},
 		{"served after the deadline", "load", func(h *harness, _ Handle) {
 			h.advance(2980)
 			h.endAttempt(0, served)
@@ -57,39 +58,40 @@
 		test.scenario(h, handle)
 		h.advance(2971)
 		if diff := cmp.Diff(test.want, handler.answers); diff != "" {
-			t.Errorf("%s: %s", test.name, diff)
+			t.Errorf("%s: answers, want -, got +\n%s", test.name, diff)
 		}
 		h.advance(3000)
 		if len(handler.answers) != len(test.want) || len(h.client.calls) != test.calls {
-			t.Errorf("%s: answers %v, %d calls, want %d", test.name, handler.answers, len(h.client.calls), test.calls)
+			t.Errorf("%s: %d calls, want %d; answers %v", test.name, len(h.client.calls), test.calls, handler.answers)
 		}
 		if h.core.OpenRequests() != 0 || len(h.core.requests.byKey) != 0 {
-			t.Errorf("%s: %d open, %d in the table", test.name, h.core.OpenRequests(), len(h.core.requests.byKey))
+			t.Errorf("%s: %d open, %d in the table; want none", test.name, h.core.OpenRequests(), len(h.core.requests.byKey))
 		}
 		counters := h.core.Counters
 		answered := counters.Served + counters.Rejected + counters.Failed + counters.Abandoned
 		if counters.Received != answered || counters.Overdue != 0 {
-			t.Errorf("%s: counters %+v", test.name, counters)
+			t.Errorf("%s: counters %+v: want as many answers as requests, none overdue", test.name, counters)
 		}
 	}
 }
 
-// A deadline counts from when the client sent the request: the engine gets the time that is left, and a request that
-// arrives too late is answered at once, without an attempt.
+// The budget of a request counts from the time at which the client sent it, not from its arrival. The engine gets the
+// time that remains, and a request that arrives after its deadline is answered at once, without an attempt.
 func TestDeadlineCountsFromSending(t *testing.T) {
 	h := newHarness(t)
 	h.submit("lookup", 1000, 400)
 	if got := h.client.calls[0].WaitMS; got != 600-answerMarginMS {
-		t.Errorf("the engine got %v ms", got)
+		t.Errorf("the engine got %v ms, want %v", got, 600-answerMarginMS)
 	}
 	handler, _ := h.submit("lookup", 1000, 1200)
 	if len(handler.answers) != 1 || len(h.client.calls) != 1 {
-		t.Errorf("answers %v, %d attempts", handler.answers, len(h.client.calls))
+		t.Errorf("request after its deadline: answers %v, %d calls in total; want one answer, 1 call", handler.answers,
+			len(h.client.calls))
 	}
 }
 
-// A request that names an unknown class or tenant reaches no engine, and neither does one whose id is that of an open
-// request or of an at-most-once request that may have run. The first request with that id is not disturbed.
+// A request of an unknown class or tenant is not sent to an engine, and neither is one whose id belongs to an open
+// request or to an at-most-once request that may have run. The first request with such an id is answered as usual.
 func TestInvalidRequestReachesNoEngine(t *testing.T) {
 	h := newHarness(t)
 	submit := func(id, class, tenant string) (err error) {
@@ -112,7 +114,7 @@
 		err := submit(test.id, test.class, test.tenant)
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.text {
-			t.Errorf("%+v: %v", test, err)
+			t.Errorf("%+v: error %v", test, err)
 		}
 	}
 	h.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
@@ -120,10 +122,10 @@
 		t.Error(diff)
 	}
 	if err := submit(usedID, "load", "south"); !errors.Is(err, ErrIDInUse) {
-		t.Error("the id of a load that may have run was accepted again:", err)
+		t.Errorf("reusing the id of a load that may have run: error %v, want ErrIDInUse", err)
 	}
 	if len(h.client.calls) != 1 {
-		t.Fatalf("%d calls", len(h.client.calls))
+		t.Fatalf("%d calls, want 1", len(h.client.calls))
 	}
 	// The id of a load that never ran may be used again, and so may the id of an idempotent request.
 	for _, class := range []string{"load", "lookup"} {
@@ -134,19 +136,19 @@
 			h.advance(400)
 		}
 		if err := submit(id, class, ""); err != nil {
-			t.Errorf("%s, never run: %v", class, err)
+			t.Errorf("reusing the id of a %s that never ran: error %v", class, err)
 		}
 	}
 	for i := range 2 * maxConsumedIDs {
 		h.core.ids.consumed.add(strconv.Itoa(i))
 	}
 	if n := len(h.core.ids.consumed.index); n != maxConsumedIDs {
-		t.Errorf("%d ids are remembered", n)
+		t.Errorf("%d consumed ids are stored, want %d", n, maxConsumedIDs)
 	}
 }
 
-// Each class is listed from the start. It counts requests by their answers, and attempts when they have been sent, not
-// when the engine client got them.
+// ByClass has an entry for each configured class before any request. Requests are counted by their answers, and
+// attempts when they have been sent completely, not when the engine client is called.
 func TestClassCounters(t *testing.T) {
 	h := newHarness(t)
 	h.submit("lookup", 3000, 0)
--- a/internal/router/encoded_test.go
+++ b/internal/router/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON, without the types that these
-// contain.
+// encodedTypes returns a value of each type of this package that is sent or stored as JSON. Types that are only part of
+// these are left out.
 func encodedTypes() []any {
 	return []any{State{}, IDChange{}, Request{}}
 }
 
-// Each encoded field has its key in a tag, so that its name in the code can change.
+// Each encoded field has its key in a tag. Without the tag, renaming the field would change the encoding.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -8,13 +8,15 @@
 	"windflow/dispatch"
 )
 
-// A draining or removed engine gets nothing new, and connections to an address that an engine has left are forgotten.
+// A draining or removed engine gets no new attempt. The engine client is told to forget an engine that has moved, was
+// removed or is missing from a complete list, so that it does not reuse connections to its old address.
 func TestDrainingOrMovedEndpoints(t *testing.T) {
 	h := newHarness(t)
 	h.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 	h.submit("lookup", 1000, 0)
 	if len(h.client.calls) != 1 || h.client.calls[0].Engine.Address != "10.0.0.2:1" || len(h.client.forgotten) != 1 {
-		t.Errorf("calls %+v, forgotten %v", h.client.calls, h.client.forgotten)
+		t.Errorf("moved engine: calls %+v, forgotten %v; want one call at the new address, one forgotten",
+			h.client.calls, h.client.forgotten)
 	}
 	for _, state := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
 		h.updateEndpoint(dispatch.ListIncremental, state, "10.0.0.2:1")
@@ -24,18 +26,19 @@
 		}
 	}
 	if len(h.client.forgotten) != 2 {
-		t.Errorf("forgotten %v", h.client.forgotten)
+		t.Errorf("removed engine: forgotten %v, want two", h.client.forgotten)
 	}
 	h.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 	h.loop.Post(func() { h.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	h.runLoop()
 	if len(h.client.forgotten) != 3 {
-		t.Errorf("an engine that a complete list leaves out: forgotten %v", h.client.forgotten)
+		t.Errorf("engine missing from a complete list: forgotten %v, want three", h.client.forgotten)
 	}
 }
 
-// Engines come and go, and their ids never return: removed engines are forgotten, but not before the module has handled
-// the removal, because it may still start attempts there until then.
+// Removed engines are deleted from the table. Without that, the table would grow while engines with new ids replace old
+// ones. They are not deleted before the dispatch module has handled the removal, because it may start attempts there
+// until then.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	h := newHarness(t)
 	for i := range 50 {
@@ -49,17 +52,17 @@
 		h.runLoop()
 	}
 	if len(h.core.endpoints.engines) != 2 {
-		t.Errorf("%d engines are in the table: %v", len(h.core.endpoints.engines), h.core.endpoints.engines)
+		t.Errorf("%d engines are in the table, want 2: %v", len(h.core.endpoints.engines), h.core.endpoints.engines)
 	}
 	h.loop.Post(func() { h.core.UpdateEndpoints(dispatch.EndpointList{Mode: dispatch.ListComplete}, nil) })
 	h.runLoop()
 	if len(h.core.endpoints.engines) != 0 {
-		t.Errorf("after an empty complete list: %v", h.core.endpoints.engines)
+		t.Errorf("after an empty complete list, the table still has %v", h.core.endpoints.engines)
 	}
 }
 
-// A cordon is in force when it is confirmed: nothing more is sent, and attempts that were not started are canceled. An
-// engine that no list has named can't be cordoned.
+// When Cordon returns, the cordon is active: no attempt is started at the engine, and attempts that have not started
+// there are canceled. An engine that no endpoint list has contained can't be cordoned.
 func TestCordonCancelsUnstartedAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.submit("lookup", 3000, 0)
@@ -74,16 +77,17 @@
 	}
 	h.submit("lookup", 3000, 0)
 	if len(h.client.calls) != 1 || len(h.client.unstartedCanceled) == 0 {
-		t.Errorf("%d calls, unstarted canceled at %v", len(h.client.calls), h.client.unstartedCanceled)
+		t.Errorf("%d calls, unstarted attempts canceled at %v; want 1 call, at least one cancel", len(h.client.calls),
+			h.client.unstartedCanceled)
 	}
 	if h.core.AvoidedEngines() != 1 || h.core.ListedEngines() != 1 {
-		t.Errorf("avoided %d of %d engines", h.core.AvoidedEngines(), h.core.ListedEngines())
+		t.Errorf("%d of %d engines are avoided, want 1 of 1", h.core.AvoidedEngines(), h.core.ListedEngines())
 	}
 	h.loop.Post(func() {
 		confirmed["uncordoned"], confirmed["unknown uncordoned"] = h.core.Uncordon(7), h.core.Uncordon(8)
 	})
 	h.runLoop()
 	if !confirmed["uncordoned"] || confirmed["unknown uncordoned"] || len(h.client.calls) != 2 {
-		t.Errorf("after the cordon: %v, %d calls", confirmed, len(h.client.calls))
+		t.Errorf("after Uncordon: results %v, %d calls; want 2 calls", confirmed, len(h.client.calls))
 	}
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -10,14 +10,14 @@
 	"windflow/internal/clock"
 )
 
-// fakeEngineClient records the calls of an engine client. Tests end its attempts by calling done.
+// fakeEngineClient is an EngineClient that records how it is called. Its attempts end when the test calls done.
 type fakeEngineClient struct {
 	calls             []Call
-	done              []func(End) // of each call
+	done              []func(End) // the done function of each call
 	forgotten         []Engine
 	unstartedCanceled []Engine
 	canceled          []string        // request ids
-	unsent            map[string]bool // ids of requests whose attempts are never sent
+	unsent            map[string]bool // ids of requests whose attempts count as not sent
 	unsentCanceled    []string        // request ids
 }
 
@@ -36,7 +36,7 @@
 type fakeAttempt struct {
 	unstartedAttempt
 	client *fakeEngineClient
-	id     string // the request's
+	id     string // client's id of the request
 }
 
 func (a fakeAttempt) Cancel() { a.client.canceled = append(a.client.canceled, a.id) }
@@ -49,7 +49,7 @@
 	return true
 }
 
-// recordingHandler keeps the answers to one request.
+// recordingHandler is a ResponseHandler that records the answers to one request as text.
 type recordingHandler struct{ answers []string }
 
 func (r *recordingHandler) Served(*Result) { r.answers = append(r.answers, "served") }
@@ -65,17 +65,17 @@
 // harnessEngine is the engine that each harness lists.
 const harnessEngine dispatch.EngineID = 7
 
-// harness is a core with one engine, on a clock that the test sets.
+// harness runs a Core with one engine and a fake engine client on a clock that the test sets.
 type harness struct {
 	t      *testing.T
 	clock  *clock.Manual
 	loop   *Loop
 	core   *Core
 	client *fakeEngineClient
-	lastID int // of the requests that submit submitted
+	lastID int // number of the last request that submit submitted
 }
 
-// newHarness returns a harness; the functions change its configuration.
+// newHarness returns a harness whose engine is live. The functions modify its configuration before the start.
 func newHarness(t *testing.T, change ...func(*dispatch.Config)) *harness {
 	t.Helper()
 	h := &harness{t: t, clock: &clock.Manual{MS: 1e12}, client: &fakeEngineClient{}}
@@ -106,33 +106,33 @@
 	return h
 }
 
-// updateEndpoint lists the engine in that state at that address, in a step of its own.
+// updateEndpoint applies a list with the engine in that state at that address, in a step of its own.
 func (h *harness) updateEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, address string) {
 	h.loop.Post(func() { h.applyEndpoint(mode, state, address) })
 	h.runLoop()
 }
 
-// applyEndpoint lists the engine in that state at that address. It is called in the loop.
+// applyEndpoint applies a list with the engine in that state at that address. It must be called in the loop.
 func (h *harness) applyEndpoint(mode dispatch.ListMode, state dispatch.EndpointState, address string) {
 	endpoint := dispatch.Endpoint{ID: harnessEngine, Kind: "k", CapacityWeight: 1, State: state}
 	list := dispatch.EndpointList{Mode: mode, Endpoints: []dispatch.Endpoint{endpoint}}
 	h.core.UpdateEndpoints(list, map[dispatch.EngineID]string{harnessEngine: address})
 }
 
-// runLoop steps until nothing is left to do.
+// runLoop executes steps until nothing is left to do at the current time.
 func (h *harness) runLoop() {
 	for h.loop.Step() {
 	}
 }
 
-// advance moves the clock on, a millisecond at a time.
+// advance moves the clock forward by ms, one millisecond at a time, and runs the loop at each.
 func (h *harness) advance(ms float64) {
 	for end := h.clock.MS + ms; h.clock.MS < end; h.clock.MS++ {
 		h.runLoop()
 	}
 }
 
-// submit submits a request that its client sent ageMS ago.
+// submit submits a request with a new id, which its client sent ageMS milliseconds ago.
 func (h *harness) submit(class string, budgetMS, ageMS float64) (*recordingHandler, Handle) {
 	h.t.Helper()
 	h.lastID++
@@ -152,10 +152,10 @@
 	return handler, handle
 }
 
-// requestID is the id of the latest request that submit submitted.
+// requestID returns the id of the last request that submit submitted.
 func (h *harness) requestID() string { return fmt.Sprintf("%016x", h.lastID) }
 
-// endAttempt ends an attempt, by its index among the calls.
+// endAttempt ends the attempt with that index in the fake engine client's calls.
 func (h *harness) endAttempt(call int, end End) {
 	h.loop.Post(func() { h.client.done[call](end) })
 	h.runLoop()
--- a/internal/router/hot_restart_test.go
+++ b/internal/router/hot_restart_test.go
@@ -8,7 +8,8 @@
 	"windflow/dispatch"
 )
 
-// Open requests are answered by the shutdown deadline.
+// Requests that are open when the shutdown deadline is set, or submitted after that, are answered when the deadline is
+// reached at the latest, and by the dispatch module, not by the answer guard.
 func TestShutdownDeadlineAnswersBeforeTheEnd(t *testing.T) {
 	h := newHarness(t)
 	load, _ := h.submit("load", 20_000, 0)
@@ -16,15 +17,15 @@
 	lookup, _ := h.submit("lookup", 20_000, 0)
 	h.advance(520)
 	if len(load.answers) != 1 || len(lookup.answers) != 1 {
-		t.Errorf("answers %v and %v", load.answers, lookup.answers)
+		t.Errorf("answers %v to the load, %v to the lookup; want one each", load.answers, lookup.answers)
 	}
 	if h.core.OpenRequests() != 0 || h.core.Counters.Overdue != 0 {
-		t.Errorf("%d open, %d overdue", h.core.OpenRequests(), h.core.Counters.Overdue)
+		t.Errorf("%d requests open, %d overdue; want none", h.core.OpenRequests(), h.core.Counters.Overdue)
 	}
 }
 
-// Two processes of one router know each other's ids: an id that is open in one, or whose request may have run there, is
-// not accepted in the other.
+// During a hot restart, a process rejects an id that is open in the other process, or whose at-most-once request may
+// have run there. Otherwise a client that uses the id again could make both processes run the request.
 func TestIDsOfTheOtherProcess(t *testing.T) {
 	predecessor, successor := newHarness(t), newHarness(t)
 	forward := func(change IDChange) { successor.loop.Post(func() { successor.core.OtherProcessChanged(change) }) }
@@ -48,15 +49,15 @@
 		return inUse
 	}
 	if !inUse(1) || !inUse(2) || inUse(3) {
-		t.Error("an id that is open in the other process was accepted, or a new one was not")
+		t.Error("an id that is open in the other process was accepted, or a new id was rejected")
 	}
 	predecessor.endAttempt(1, End{Outcome: dispatch.Served, Result: &Result{}})
 	predecessor.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
 	if inUse(2) || !inUse(1) {
-		t.Error("an id that is free again was not accepted, or that of a load that may have run was")
+		t.Error("the id of an answered lookup was rejected, or the id of a load that may have run was accepted")
 	}
 	successor.loop.Post(successor.core.OtherProcessEnded)
 	if !inUse(1) {
-		t.Error("a load that may have run was forgotten with the other process")
+		t.Error("after the other process ended, the id of a load that may have run there was accepted")
 	}
 }
--- a/internal/router/loop_test.go
+++ b/internal/router/loop_test.go
@@ -9,19 +9,19 @@
 	"windflow/internal/clock"
 )
 
-// After a stall, the loop runs what arrived meanwhile before its timers, which may say that it did not arrive. It
-// guards against failing a load for want of an answer that is there, and against timers that wait forever or without
-// a stall.
+// After a stall, the loop runs the functions that are posted for data that arrived during the stall before its timers.
+// Otherwise a timeout could fail a load whose answer has arrived. The timers must not wait forever if caughtUp is never
+// called, and must not wait without a stall.
 func TestTimersWaitForInboxAfterStall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		lateMS   float64 // of the timer
-		caughtUp bool    // whether what arrived is posted, and caughtUp called
+		lateMS   float64 // how late the timer is
+		caughtUp bool    // whether the answer is posted and caughtUp called
 		stalls   int
 		want     []string
 	}{
 		{"on time", 5, true, 0, []string{"timer", "answer"}},
-		{"late as on a busy machine", 300, true, 0, []string{"timer", "answer"}},
+		{"late, below the stall threshold", 300, true, 0, []string{"timer", "answer"}},
 		{"stalled", 3000, true, 1, []string{"answer", "timer"}},
 		{"stalled, and caughtUp is never called", 3000, false, 1, []string{"timer"}},
 	} {
@@ -45,7 +45,7 @@
 			} else {
 				now.MS += maxCatchUpMS - 1
 				if loop.Step(); len(ran) > 0 {
-					t.Errorf("ran %v while the timers are paused", ran)
+					t.Errorf("ran %v while the timers were paused, want nothing", ran)
 				}
 				now.MS++
 				loop.Step()
@@ -56,7 +56,7 @@
 			loop.After(5, func() { ran = append(ran, "next") })
 			now.MS += 5
 			if loop.Step(); ran[len(ran)-1] != "next" {
-				t.Errorf("ran %v: the timer after the stall waits", ran)
+				t.Errorf("ran %v: a timer that was set after the stall did not run in time", ran)
 			}
 		})
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// A timer that sets itself anew for a time in the past does not block the loop: what is posted runs, and so do the
-// other timers.
+// A timer that sets itself again for a time in the past does not block the loop: it runs once per step, and posted
+// functions and other timers run as well.
 func TestTimerInThePastDoesNotBlockLoop(t *testing.T) {
 	now := &clock.Manual{MS: 100}
 	loop := NewLoop(now)
@@ -98,6 +98,6 @@
 	loop.Step()
 	loop.Step()
 	if !posted || !later || repeats != 3 {
-		t.Errorf("posted %v, later %v, repeats %d", posted, later, repeats)
+		t.Errorf("posted function ran: %v, other timer ran: %v, repeats %d; want true, true, 3", posted, later, repeats)
 	}
 }
--- a/internal/router/progress_test.go
+++ b/internal/router/progress_test.go
@@ -7,10 +7,9 @@
 	"windflow/dispatch"
 )
 
-// What answers say besides an end reaches the module: progress of engines that report it, load reports of all. It
-// guards against attempts that are taken for lost and canceled while their engine reports that they are in progress,
-// and against a flood of events: each answer repeats the load report, and each attempt may bring four answers a
-// second.
+// The dispatch module gets the progress that engines report, if that is configured, and the load reports. Without the
+// progress, it would cancel attempts as lost while their engine reports that they are running. The number of events is
+// limited: each answer repeats the load report, and each attempt may cause four answers a second.
 func TestProgressReachesDispatch(t *testing.T) {
 	reporting := func(cfg *dispatch.Config) { cfg.Features.ProgressInterval, cfg.CancelAllowed = time.Second, true }
 	load := dispatch.LoadReport{InFlight: 3, Waiting: -1, Busy: 0.5, Disk: -1, Memory: 1.2, Failing: -1}
@@ -20,26 +19,26 @@
 		progress   AttemptProgress
 		intervalMS float64 // between two answers
 		canceled   int
-		maxEvents  int // for the module
+		maxEvents  int // for the dispatch module
 	}{
-		{"a silent engine", reporting, AttemptProgress{}, 1e9, 1, 0},
-		{"in progress", reporting, AttemptProgress{}, 250, 0, 9},
+		{"no answer", reporting, AttemptProgress{}, 1e9, 1, 0},
+		{"alive", reporting, AttemptProgress{}, 250, 0, 9},
 		{
-			"in progress with a load report that stays the same", reporting,
+			"alive, with an unchanged load report", reporting,
 			AttemptProgress{Report: &load},
 			100, 0, 9 + 17,
 		},
-		{"a fraction done", reporting, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
+		{"fraction done", reporting, AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5}, 250, 0, 16},
 		{
-			"no progress reports in the configuration", func(*dispatch.Config) {},
+			"progress reports not configured", func(*dispatch.Config) {},
 			AttemptProgress{Kind: dispatch.ProgressFraction, Amount: 0.5},
 			250, 0, 0,
 		},
-		{"an end", reporting, AttemptProgress{Final: true}, 250, 1, 0},
+		{"final answer", reporting, AttemptProgress{Final: true}, 250, 1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, test.change)
-			for range 20 { // the module learns the class's service times
+			for range 20 { // the dispatch module learns the class's service times
 				h.submit("lookup", 3000, 0)
 				h.advance(200)
 				h.endAttempt(len(h.client.done)-1, End{Outcome: dispatch.Served, Result: &Result{}})
@@ -61,7 +60,7 @@
 				t.Errorf("%d attempts were canceled, want %d", got, test.canceled)
 			}
 			if events > test.maxEvents {
-				t.Errorf("the module got %d events, want %d at most", events, test.maxEvents)
+				t.Errorf("the dispatch module got %d events, want at most %d", events, test.maxEvents)
 			}
 		})
 	}
--- a/internal/router/races_test.go
+++ b/internal/router/races_test.go
@@ -9,9 +9,9 @@
 	"windflow/dispatch"
 )
 
-// An abandoned request gets no attempt any more: neither one that the engine client has and that waits for its
-// connection, nor one that the module decided on in the same step. What has started continues, and is canceled if the
-// configuration allows that.
+// After a request is abandoned, no attempt of it is sent: neither one that waits in the engine client for a connection,
+// nor one that the dispatch module decides on in the same step. An attempt that was sent continues, or is canceled if
+// the configuration allows that.
 func TestAbandonedRequestGetsNoAttempt(t *testing.T) {
 	h := newHarness(t, func(cfg *dispatch.Config) {
 		cfg.CancelAllowed, cfg.HedgingAllowed, cfg.MaxAttempts = true, true, 5
@@ -31,18 +31,18 @@
 	})
 	h.runLoop()
 	if diff := cmp.Diff([]string{unsentID, loadID}, h.client.unsentCanceled); diff != "" {
-		t.Error("canceled before they were sent:", diff)
+		t.Error("requests whose attempts were canceled before they were sent, want -, got +\n" + diff)
 	}
 	if diff := cmp.Diff([]string{runningID}, h.client.canceled); diff != "" {
-		t.Error("canceled:", diff)
+		t.Error("requests whose attempts were canceled after they were sent, want -, got +\n" + diff)
 	}
 	if n := len(h.core.requests.byKey); n > 0 || h.core.OpenRequests() > 0 {
-		t.Errorf("%d requests are in the table, %d open", n, h.core.OpenRequests())
+		t.Errorf("%d requests are in the table, %d open; want none", n, h.core.OpenRequests())
 	}
 	if h.core.ids.consumed.has(loadID) {
-		t.Error("a load that was never sent counts as one that may have run")
+		t.Error("the id of a load that was never sent is consumed")
 	}
-	// An attempt ends and its client goes away before the module has handled either.
+	// An attempt ends and the request is abandoned in one step, before the dispatch module has handled either event.
 	_, handle := h.submit("lookup", 3000, 0)
 	calls := len(h.client.calls)
 	h.loop.Post(func() {
@@ -51,12 +51,13 @@
 	})
 	h.advance(1000)
 	if len(h.client.calls) != calls {
-		t.Error("a retry for a client that is gone")
+		t.Error("an attempt was started for an abandoned request")
 	}
 }
 
-// When an engine drains, is removed or moves, the attempts that were not started there are canceled and retried
-// at another engine. An event about an engine that is posted in one step with a request precedes it.
+// When an engine drains, is removed or moves, attempts that have not started there are canceled, so that they don't
+// start there later and can be retried at another engine. The dispatch module handles an event about an engine before a
+// request that is posted in the same step, so that the request is not sent by an outdated state of the engine.
 func TestEndpointEventCancelsUnstartedAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -77,20 +78,21 @@
 		h.runLoop()
 		want := []Engine{{ID: harnessEngine, Address: "10.0.0.1:1", Kind: "k"}}
 		if diff := cmp.Diff(want, h.client.unstartedCanceled); diff != "" {
-			t.Errorf("%s: unstarted attempts canceled at: %s", test.name, diff)
+			t.Errorf("%s: engines whose unstarted attempts were canceled, want -, got +\n%s", test.name, diff)
 		}
 		calls := h.client.calls
 		if test.state != dispatch.Live && len(calls) != 1 {
-			t.Errorf("%s: sent by an outdated view: %+v", test.name, calls)
+			t.Errorf("%s: an attempt was sent to the engine after the event: %+v", test.name, calls)
 		}
 		if test.state == dispatch.Live && calls[len(calls)-1].Engine.Address != test.address {
-			t.Errorf("%s: sent to the former address: %+v", test.name, calls)
+			t.Errorf("%s: an attempt was sent to the old address: %+v", test.name, calls)
 		}
 	}
 }
 
-// A retry of a request that is idempotent only within a window does not start after the window, even if its connection
-// is established later: it ends as one that never ran, and the module gets that end.
+// A retry of a request that is idempotent only within a time window does not start after the window, even if its
+// connection is established after that. It ends with an outcome that proves that it never ran, and the dispatch module
+// gets that outcome.
 func TestLatestStart(t *testing.T) {
 	h := newHarness(t, func(cfg *dispatch.Config) {
 		cfg.Classes = append(cfg.Classes, dispatch.Class{
@@ -103,20 +105,21 @@
 	h.advance(100)
 	h.endAttempt(0, End{Outcome: dispatch.ConnectionReset})
 	if n := len(h.client.calls); n != 2 || h.client.calls[0].LatestStartMS != 0 {
-		t.Fatalf("%d calls, the latest start of the first %v", n, h.client.calls[0].LatestStartMS)
+		t.Fatalf("%d calls, latest start of the first %v; want 2 calls, no latest start", n,
+			h.client.calls[0].LatestStartMS)
 	}
 	if left := h.client.calls[1].LatestStartMS - h.clock.MS; left <= 0 || left > 200 {
-		t.Errorf("the latest start of the second in %v ms", left)
+		t.Errorf("the second call must start within %v ms, want over 0 and at most 200", left)
 	}
 	h.advance(250)
 	if len(h.client.unsentCanceled) != 1 || len(h.client.calls) != 2 || len(handler.answers) != 1 {
-		t.Errorf("canceled before they were sent %v, %d calls, answers %v",
+		t.Errorf("canceled before they were sent: %v, %d calls, answers %v; want one canceled, 2 calls, one answer",
 			h.client.unsentCanceled, len(h.client.calls), handler.answers)
 	}
 }
 
-// Of two events about an engine in one step the module decides by the first, and releases queued requests; no attempt
-// is started by that decision.
+// Two events about an engine arrive in one step: it is live, then draining or removed. The dispatch module decides
+// after the first event to start a queued request there. That attempt must not be sent.
 func TestTwoEndpointEventsInOneStep(t *testing.T) {
 	for _, second := range []dispatch.EndpointState{dispatch.Draining, dispatch.Removed} {
 		h := newHarness(t)
@@ -129,13 +132,13 @@
 		})
 		h.runLoop()
 		if len(h.client.calls) > 0 {
-			t.Errorf("%d: started at an engine that is draining or removed", second)
+			t.Errorf("state %d: an attempt was sent to a draining or removed engine", second)
 		}
 		h.updateEndpoint(dispatch.ListIncremental, dispatch.Live, "10.0.0.2:1")
 		h.advance(500)
 		unavailable := h.core.endpoints.unavailable
 		if len(h.client.calls) != 1 || len(handler.answers) > 0 || len(unavailable) > 0 {
-			t.Errorf("%d: %d calls after it is back, answers %v, unavailable %v",
+			t.Errorf("state %d: after the engine is live again: %d calls, answers %v, unavailable %v; want 1 call only",
 				second, len(h.client.calls), handler.answers, unavailable)
 		}
 	}
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -9,7 +9,8 @@
 	"windflow/dispatch"
 )
 
-// A changed configuration is in force at once: here for the attempts of an open request, and for the tenants.
+// A changed configuration applies at once, here to the number of attempts of an open request, to the tenants and to the
+// latency objective. A changed list of classes can't be applied while the router runs, and classes are kept.
 func TestConfigure(t *testing.T) {
 	h := newHarness(t)
 	cfg := dispatch.Config{
@@ -29,20 +30,20 @@
 	h.endAttempt(0, End{Outcome: dispatch.EngineFull})
 	h.advance(400)
 	if diff := cmp.Diff([]string{"rejected 0"}, handler.answers); diff != "" || len(h.client.calls) != 1 {
-		t.Errorf("%d calls, %s", len(h.client.calls), diff)
+		t.Errorf("%d calls, want 1; answers, want -, got +\n%s", len(h.client.calls), diff)
 	}
 	if err := h.core.CheckNames(&Request{Class: "load", Tenant: "south"}); err == nil {
-		t.Error("a tenant that the new configuration does not name is still accepted")
+		t.Error("a tenant that is not in the new configuration was accepted")
 	}
 	if class, _ := h.core.Class("load"); class.LatencyObjective != 2*time.Second {
-		t.Errorf("latency objective %v", class.LatencyObjective)
+		t.Errorf("latency objective %v, want 2s", class.LatencyObjective)
 	}
 	cfg.Classes = cfg.Classes[:1]
 	if unchanged, err := h.core.Configure(cfg); err != nil || len(unchanged) != 1 || unchanged[0] != "classes" {
 		t.Error(unchanged, err)
 	}
 	if _, ok := h.core.Class("load"); !ok {
-		t.Error("a class was lost")
+		t.Error("a class that is missing in the new configuration was removed")
 	}
 	cfg.Classes = nil
 	if _, err := h.core.Configure(cfg); err == nil {
