--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -5,32 +5,33 @@
 	"windflow/internal/clock"
 )
 
-// attempt is one attempt of a request at an engine.
+// attempt is one execution of a request at an engine, with its timers and its outcome.
 type attempt struct {
 	request    *request
-	number     int // among the request's attempts, from 0
+	number     int // index among the request's attempts, from 0
 	engine     dispatch.EngineID
 	startedAt  float64
-	progressAt float64 // when its progress was last passed to the module
-	call       Attempt // nil until the engine client has started it
+	progressAt float64 // when its progress was last passed to the dispatch module
+	call       Attempt // nil until EngineClient.Start has returned
 	timeout    *Timer
-	startLimit *Timer // at its latest start, if it has one
-	exclusive  bool   // see Call
-	canceled   bool   // the engine was requested to cancel it
+	startLimit *Timer // fires at the latest allowed start; nil if there is none
+	exclusive  bool   // see Call.Exclusive
+	canceled   bool   // the engine client was requested to cancel it
 	ended      bool
-	outcome    dispatch.Outcome // once it has ended
+	outcome    dispatch.Outcome // valid if ended is set
 }
 
 // attemptTracker starts attempts on the engine client, and reports their progress and their ends to the dispatch
-// module.
+// module. It also cancels attempts and limits their time.
 type attemptTracker struct {
 	dependencies
 	client EngineClient
-	// onServed is called with an attempt that served its request, if that is still open.
+	// onServed is called with the attempt and the result when an attempt is served while its request is open.
 	onServed func(*attempt, *Result)
 }
 
-// start starts an attempt. One that can no longer be sent ends at once, in a way that proves that it never ran.
+// start starts an attempt. If it can't be sent any more, it ends at once, with an outcome that proves that it never
+// ran.
 func (t *attemptTracker) start(action dispatch.StartAttempt) {
 	request := t.requests.get(action.Request)
 	if request == nil {
@@ -52,15 +53,16 @@
 		newAttempt.call = unstartedAttempt{}
 		t.end(newAttempt, End{Outcome: dispatch.NotSent})
 	case t.endpoints.unavailable[action.Engine]:
-		// Two events about the engine were posted in one step: the module decided after the first one.
+		// Two events about the engine were posted in one step, and the dispatch module decided after the first of them.
 		newAttempt.call = unstartedAttempt{}
-		t.end(newAttempt, End{Outcome: dispatch.ConnectFailed, Detail: "engine draining or removed"})
+		t.end(newAttempt, End{Outcome: dispatch.ConnectFailed, Detail: "engine is draining or removed"})
 	default:
 		t.send(newAttempt, engine, wait, clock.Millis(action.StartWithin))
 	}
 }
 
-// send passes an attempt to the engine client. A startWithin over 0 limits the time until the attempt starts.
+// send passes an attempt to the engine client. The attempt times out after wait milliseconds. If startWithin is over 0,
+// the attempt fails unless it starts within that many milliseconds.
 func (t *attemptTracker) send(attempt *attempt, engine Engine, wait, startWithin float64) {
 	request, current := attempt.request, t.settings.Load()
 	t.statistics.Counters.Attempts++
@@ -68,7 +70,8 @@
 		t.hooks.Observer.AttemptStarted(attempt.engine)
 	}
 	semantics := current.classes[request.Class].Semantics
-	// An at-most-once request that may have run gets no further attempt, and its end is due at once.
+	// An exclusive attempt ends only when the engine has ended it. An at-most-once request needs no such wait: once it
+	// may have run, it gets no further attempt.
 	attempt.exclusive = current.exclusive && semantics != dispatch.AtMostOnce
 	if semantics == dispatch.AtMostOnce {
 		t.ids.consume(request.ID)
@@ -93,13 +96,13 @@
 	}
 }
 
-// setTimeout sets when an attempt times out.
+// setTimeout makes an attempt time out at that time, in place of its earlier timeout.
 func (t *attemptTracker) setTimeout(attempt *attempt, at float64, detail string) {
 	attempt.timeout.Stop()
 	attempt.timeout = t.loop.At(at, func() { t.end(attempt, End{Outcome: dispatch.TimedOut, Detail: detail}) })
 }
 
-// setResources sets the memory grant of a request's next attempts, and the priority of all of them.
+// setResources sets the memory grant of a request's next attempts, and the priority of its outstanding and next ones.
 func (t *attemptTracker) setResources(action dispatch.SetResources) {
 	request := t.requests.get(action.Request)
 	if request == nil {
@@ -117,7 +120,7 @@
 	}
 }
 
-// cancel cancels an attempt. An exclusive one stays outstanding until the engine has canceled it.
+// cancel cancels an attempt. An exclusive attempt stays outstanding until the engine has canceled it.
 func (t *attemptTracker) cancel(action dispatch.CancelAttempt) {
 	request := t.requests.get(action.Request)
 	if request == nil || action.Attempt >= len(request.attempts) {
@@ -138,32 +141,32 @@
 	}
 }
 
-// cancelUnsent ends an attempt that was not sent completely, as one that never ran. It guards against attempts that
-// start long after the module decided on them, because they wait for a connection or for a dial.
+// cancelUnsent ends an attempt with an outcome that proves that it never ran, if it was not sent completely. This
+// prevents an attempt that waits for a connection or a dial from starting long after the dispatch module decided on it.
 func (t *attemptTracker) cancelUnsent(attempt *attempt, outcome dispatch.Outcome, detail string) {
 	if !attempt.ended && attempt.call != nil && attempt.call.CancelUnsent() {
 		t.end(attempt, End{Outcome: outcome, Detail: detail})
 	}
 }
 
-// cancelAllUnsent ends those attempts of an answered request that were not sent completely.
+// cancelAllUnsent ends the attempts of an answered or abandoned request that were not sent completely.
 func (t *attemptTracker) cancelAllUnsent(request *request) {
 	for _, attempt := range request.attempts {
 		t.cancelUnsent(attempt, dispatch.NotSent, "request answered or abandoned")
 	}
 }
 
-// limitTimeouts moves the timeouts of a request's outstanding attempts to the shutdown deadline.
+// limitTimeouts sets the timeouts of a request's outstanding attempts to the shutdown deadline.
 func (t *attemptTracker) limitTimeouts(request *request, shutdownAt float64) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.timeout != nil {
-			t.setTimeout(attempt, shutdownAt, "router shuts down")
+			t.setTimeout(attempt, shutdownAt, "router is shutting down")
 		}
 	}
 }
 
-// progress passes an engine's load report to the module and, if engines report progress, that of an attempt. An answer
-// that says only that the attempt is alive is passed on twice per progress interval at most.
+// progress passes an engine's load report to the dispatch module, and the attempt's progress if engines are configured
+// to report it. Progress of the kind ProgressAlive is passed at most twice per progress interval.
 func (t *attemptTracker) progress(attempt *attempt, progress AttemptProgress) {
 	now := t.loop.Now()
 	if progress.Report != nil && t.endpoints.recordLoad(attempt.engine, *progress.Report, now) {
@@ -182,7 +185,8 @@
 	})
 }
 
-// end ends an attempt and reports that to the module. The first attempt that is served answers the request.
+// end ends an attempt and reports its outcome to the dispatch module. The first attempt that is served answers the
+// request.
 func (t *attemptTracker) end(attempt *attempt, end End) {
 	if attempt.ended {
 		t.statistics.Counters.DuplicateEnds++
@@ -199,7 +203,8 @@
 	request.outstanding--
 	t.statistics.Counters.Outcomes[end.Outcome]++
 	if provesNotRun(end.Outcome) {
-		t.ids.release(request.ID) // no earlier attempt may have run: the module would not have started this one
+		// No earlier attempt may have run either, or the dispatch module would not have started this one.
+		t.ids.release(request.ID)
 	}
 	if end.Outcome != dispatch.Served {
 		t.log.Debug("attempt ended", "request_id", request.ID, "class", request.Class, "outcome", end.Outcome,
@@ -211,7 +216,7 @@
 	t.requests.removeEnded(request)
 }
 
-// reportEnd queues the end of an attempt for the module.
+// reportEnd queues the end of an attempt for the dispatch module.
 func (t *attemptTracker) reportEnd(attempt *attempt, result *Result) {
 	event := dispatch.AttemptEnd{
 		Request: attempt.request.key, Attempt: attempt.number, Outcome: attempt.outcome,
@@ -223,7 +228,7 @@
 	t.queue.add(event)
 }
 
-// provesNotRun reports whether an outcome proves that the attempt never ran.
+// provesNotRun reports whether an outcome proves that the attempt never ran on an engine.
 func provesNotRun(outcome dispatch.Outcome) bool {
 	return outcome == dispatch.EngineFull || outcome == dispatch.ConnectFailed || outcome == dispatch.NotSent
 }
--- a/internal/router/client_by_kind.go
+++ b/internal/router/client_by_kind.go
@@ -1,6 +1,7 @@
 package router
 
-// ClientByKind is an EngineClient that passes each call to the client for the engine's kind, or to Default if there is none.
+// ClientByKind is an EngineClient that delegates to the client for the engine's kind, or to Default if Clients has none
+// for it.
 type ClientByKind struct {
 	Clients map[string]EngineClient
 	Default EngineClient
--- a/internal/router/consumed_ids.go
+++ b/internal/router/consumed_ids.go
@@ -1,14 +1,14 @@
 package router
 
-// consumedIDs remembers the ids of the latest at-most-once requests that may have run. It guards against a client that
-// uses an id again: an engine that has run the request would run it once more.
+// consumedIDs is a ring buffer of the ids of the latest at-most-once requests that may have run. They must not be used
+// again: if a client sends such an id a second time, an engine could run the request twice.
 type consumedIDs struct {
-	index map[string]int // position in ids
+	index map[string]int // position of each id in ids
 	ids   [maxConsumedIDs]string
-	next  int
+	next  int // position in ids of the next id to store
 }
 
-// maxConsumedIDs covers some minutes of at-most-once requests.
+// maxConsumedIDs is the number of ids that are stored: those of some minutes of at-most-once requests.
 const maxConsumedIDs = 4096
 
 func (c *consumedIDs) has(id string) bool {
@@ -16,7 +16,7 @@
 	return ok
 }
 
-// add remembers an id and forgets the oldest one if there is no space left.
+// add stores an id, in place of the oldest one if the buffer is full. It does nothing if the id is stored already.
 func (c *consumedIDs) add(id string) {
 	if c.has(id) {
 		return
@@ -26,7 +26,7 @@
 	c.next = (c.next + 1) % maxConsumedIDs
 }
 
-// remove forgets an id that is proven never to have run.
+// remove deletes an id whose request is proven never to have run.
 func (c *consumedIDs) remove(id string) {
 	if i, ok := c.index[id]; ok {
 		c.ids[i] = ""
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -8,15 +8,15 @@
 	"windflow/internal/clock"
 )
 
-// Core coordinates the router's parts around the dispatch module. Except where noted, its methods are called in the
-// loop's goroutine.
+// Core connects the fronts, the engine client and the endpoint list to the dispatch module. Except where noted, its
+// methods must be called in the loop's goroutine.
 type Core struct {
 	Hooks
 	Statistics
 
 	loop      *Loop
 	module    *dispatch.Controller
-	settings  atomic.Pointer[settings] // loaded from any goroutine, stored in the loop
+	settings  atomic.Pointer[settings] // loaded from any goroutine, stored only in the loop's goroutine
 	requests  *requestTable
 	ids       *requestIDs
 	endpoints *endpointTable
@@ -24,12 +24,12 @@
 	responder *responder
 
 	queue      eventQueue
-	actions    []dispatch.Action // reused by each round of decide
+	actions    []dispatch.Action // buffer that decide reuses
 	holding    bool              // see HoldDecisions
-	shutdownAt float64           // when the process ends; 0 while that is not known
+	shutdownAt float64           // when the process ends, in milliseconds on the loop's clock; 0 if not known
 }
 
-// dependencies are the parts of a core that attemptTracker and responder both use.
+// dependencies are the parts of a Core that both attemptTracker and responder use.
 type dependencies struct {
 	loop       *Loop
 	log        *slog.Logger
@@ -42,7 +42,8 @@
 	endpoints  *endpointTable
 }
 
-// New returns a core for a dispatch configuration. It sets the loop's AfterStep.
+// New returns a core that runs on the loop and sends attempts to the client. It sets the loop's AfterStep. It fails if
+// the dispatch configuration is invalid.
 func New(loop *Loop, cfg dispatch.Config, client EngineClient, log *slog.Logger) (*Core, error) {
 	module, err := dispatch.New(cfg)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return core, nil
 }
 
-// Configure puts a changed configuration in force; open requests are not touched. It returns the names of the parts
-// that can't change while the router runs and stayed as they were. After an error nothing has changed.
+// Configure applies a changed configuration. Open requests stay open. It returns the names of the parts that differ but
+// keep their old values, because they can't change while the router runs. If it returns an error, nothing has changed.
 func (c *Core) Configure(cfg dispatch.Config) (unchanged []string, err error) {
 	applied, unchanged, err := c.module.Configure(cfg)
 	if err == nil {
@@ -86,23 +87,24 @@
 	c.settings.Store(newSettings(cfg))
 }
 
-// Class returns a class of the configuration. It may be called from any goroutine.
+// Class returns the class with that name, or false if the configuration has none. It may be called from any goroutine.
 func (c *Core) Class(name string) (dispatch.Class, bool) {
 	class, ok := c.settings.Load().classes[name]
 	return class, ok
 }
 
-// CheckNames returns a FieldError if the configuration does not know the class or the tenant that a request names. Such
-// a request must not reach an engine, which can't use it but would count it. It may be called from any goroutine.
+// CheckNames returns a FieldError if the class or the tenant of the request is not configured. Such a request must not
+// reach an engine, which can't run it but would count it. It may be called from any goroutine.
 func (c *Core) CheckNames(request *Request) error { return c.settings.Load().checkNames(request) }
 
-// OpenRequests is the number of requests that are to be answered.
+// OpenRequests returns the number of requests that have not been answered or abandoned yet.
 func (c *Core) OpenRequests() int { return c.requests.openCount() }
 
-// Handle names a submitted request for Abandon.
+// Handle identifies a submitted request in a call of Abandon.
 type Handle struct{ request *request }
 
-// Submit submits a request. After an error, which is a FieldError, the handler is not called.
+// Submit opens a request, whose handler gets the final answer. If it returns an error, which is a FieldError, the
+// request is not opened and the handler is not called.
 func (c *Core) Submit(submitted *Request, handler ResponseHandler) (Handle, error) {
 	if err := c.checkRequest(submitted); err != nil {
 		c.Counters.Malformed++
@@ -132,7 +134,7 @@
 	return Handle{request}, nil
 }
 
-// checkRequest checks what a request names, and that its id is not in use.
+// checkRequest checks that the class and tenant of a request exist, and that its id is not in use.
 func (c *Core) checkRequest(submitted *Request) error {
 	if err := c.CheckNames(submitted); err != nil {
 		return err
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// queueArrival queues the arrival of a request for the module.
+// queueArrival queues the arrival of a request for the dispatch module.
 func (c *Core) queueArrival(request *request) {
 	c.requests.markArriving(request)
 	c.queue.add(dispatch.Arrival{
@@ -153,10 +155,11 @@
 	})
 }
 
-// Abandon says that the client is gone: its request gets no answer. It does nothing once the request is answered.
+// Abandon ends a request without an answer, because its client disconnected or canceled it. It does nothing if the
+// request has been answered.
 func (c *Core) Abandon(handle Handle) { c.responder.abandon(handle.request) }
 
-// UpdateEndpoints applies an endpoint list with the addresses of its engines, and queues it for the module.
+// UpdateEndpoints applies an endpoint list with the addresses of its engines, and queues it for the dispatch module.
 func (c *Core) UpdateEndpoints(list dispatch.EndpointList, addresses map[dispatch.EngineID]string) {
 	c.Counters.EndpointUpdates++
 	if c.Observer != nil {
@@ -171,17 +174,17 @@
 	}
 }
 
-// KnowsEngine reports whether a list has named an engine.
+// KnowsEngine reports whether any endpoint list so far has contained the engine.
 func (c *Core) KnowsEngine(id dispatch.EngineID) bool {
-	c.decide() // the module may not have handled the list that names the engine
+	c.decide() // the list that contains the engine may still be queued for the dispatch module
 	return c.module.Knows(id)
 }
 
-// Cordon keeps new work from an engine, on an operator's request, until Uncordon; once it returns, nothing more is
-// started there. It returns false if no list has named the engine.
+// Cordon stops new work for an engine, on an operator's request, until Uncordon. Once it has returned, no attempt is
+// started there. It returns false if no endpoint list has contained the engine.
 func (c *Core) Cordon(id dispatch.EngineID) bool { return c.setCordon(id, dispatch.Cordon{Engine: id}) }
 
-// Uncordon ends a cordon. It returns false if no list has named the engine.
+// Uncordon ends a cordon. It returns false if no endpoint list has contained the engine.
 func (c *Core) Uncordon(id dispatch.EngineID) bool {
 	return c.setCordon(id, dispatch.Uncordon{Engine: id})
 }
@@ -198,18 +201,19 @@
 	return true
 }
 
-// ListedEngines is the number of engines in the list.
+// ListedEngines returns the number of engines in the endpoint table.
 func (c *Core) ListedEngines() int { return c.endpoints.count() }
 
-// AvoidedEngines is the number of listed engines that get no work now, because of a cordon or by the module's choice.
+// AvoidedEngines returns the number of listed engines that currently get no work, because they are cordoned or because
+// the dispatch module avoids them.
 func (c *Core) AvoidedEngines() int { return c.module.AvoidedEngines(clock.Duration(c.loop.Now())) }
 
-// FillView fills a view of the fleet as the module sees it.
+// FillView sets the view to the dispatch module's current state of the engines and queues. It reuses the view's slice.
 func (c *Core) FillView(view *dispatch.View) { c.module.FillView(clock.Duration(c.loop.Now()), view) }
 
-// HoldDecisions makes the core collect events and pass none to the module, until it is called with false. It is for a
-// process that stalled, and guards against requests that waited meanwhile being sent by an outdated view of the
-// fleet: the events about engines that have come until then go ahead of them.
+// HoldDecisions with true makes the core collect events without passing them to the dispatch module, until it is called
+// with false. It is used after the process stalled: events about engines that arrive while decisions are held are
+// handled before the requests that waited, so that these are not sent by an outdated state of the engines.
 func (c *Core) HoldDecisions(hold bool) {
 	c.holding = hold
 	if hold {
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -1,35 +1,37 @@
 package router
 
-// Counters count what the core received, sent and answered. The tags are the names in SHOW STATUS.
+// Counters count the requests, attempts, events and actions of a Core since its start. The tags are the names in SHOW
+// STATUS.
 type Counters struct {
 	Received        int64    `status:"taken"`
 	Served          int64    `status:"served"`
 	Rejected        int64    `status:"refused"`
 	Failed          int64    `status:"failed"`
-	Abandoned       int64    `status:"abandoned"` // by clients that went away or canceled
+	Abandoned       int64    `status:"abandoned"` // by clients that disconnected or canceled
 	Malformed       int64    `status:"malformed"`
 	Attempts        int64    `status:"sends"`
 	Expired         int64    `status:"late"`    // requests whose deadline had passed on arrival
-	Overdue         int64    `status:"overdue"` // requests that the answer guard failed
+	Overdue         int64    `status:"overdue"` // requests that failed because the answer guard fired
 	EndpointUpdates int64    `status:"lists"`
-	Outcomes        [8]int64 `status:"ends"`    // ended attempts by dispatch.Outcome
-	Events          int64    `status:"handled"` // handled by the dispatch module
-	Actions         int64    `status:"actions"` // returned by the dispatch module
-	Steps           int64    `status:"steps"`
-	MaxOpen         int64    `status:"max_open"`   // most requests open at the same time
-	DuplicateEnds   int64    `status:"after_done"` // ends reported for attempts that had ended already
+	Outcomes        [8]int64 `status:"ends"`       // ended attempts, indexed by dispatch.Outcome
+	Events          int64    `status:"handled"`    // events passed to the dispatch module
+	Actions         int64    `status:"actions"`    // actions that the dispatch module returned
+	Steps           int64    `status:"steps"`      // calls of Core.decide: one for each step of the loop, and some between
+	MaxOpen         int64    `status:"max_open"`   // maximum of requests open at the same time
+	DuplicateEnds   int64    `status:"after_done"` // ends reported for attempts that had already ended
 }
 
-// ClassCounters count the requests of a class by their answers, and the attempts that were sent completely to engines.
+// ClassCounters count the requests of a class by their answers. Forwards counts the attempts that were sent completely
+// to an engine.
 type ClassCounters struct{ Served, Rejected, Failed, Forwards int64 }
 
-// Statistics are the core's counters. They belong to the loop's goroutine.
+// Statistics are the counters of a Core. They must be used only in the loop's goroutine.
 type Statistics struct {
 	Counters Counters
-	ByClass  map[string]*ClassCounters // has each class of the settings from the start
+	ByClass  map[string]*ClassCounters // by class name; has an entry for each configured class, used or not
 }
 
-// addClass makes sure that a class is listed, with its counters at zero if it is new.
+// addClass adds a class with zero counters unless it is present.
 func (s *Statistics) addClass(name string) {
 	if s.ByClass[name] == nil {
 		s.ByClass[name] = &ClassCounters{}
--- a/internal/router/decide.go
+++ b/internal/router/decide.go
@@ -5,7 +5,8 @@
 	"windflow/internal/clock"
 )
 
-// decide passes the gathered events to the module and carries out the actions that it returns, until no event is left.
+// decide passes the queued events to the dispatch module and executes the actions that it returns, until no event is
+// left. It does nothing but count a step while decisions are held.
 func (c *Core) decide() {
 	c.Counters.Steps++
 	if c.holding {
@@ -29,7 +30,7 @@
 	}
 }
 
-// execute carries out an action of the module.
+// execute executes one action of the dispatch module.
 func (c *Core) execute(action dispatch.Action) {
 	switch action := action.(type) {
 	case dispatch.StartAttempt:
@@ -46,6 +47,6 @@
 		c.loop.After(clock.Millis(action.After), func() {
 			c.queue.add(dispatch.TimerFired{Tag: action.Tag})
 		})
-	case dispatch.Subscribe: // discovery pushes changes of the list unasked
+	case dispatch.Subscribe: // nothing to do: discovery pushes changes of the endpoint list without a subscription
 	}
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -10,22 +10,23 @@
 type endpointTable struct {
 	client  EngineClient
 	engines map[dispatch.EngineID]Engine
-	// removed engines stay in the table until the module has handled their removal: an event that was gathered ahead of
-	// it may still have the module start an attempt there.
+	// removed lists removed engines that are still in the table. They stay until the dispatch module has handled the
+	// removal, because it may start an attempt there in reply to an event that it handles before.
 	removed []dispatch.EngineID
-	// unavailable engines are draining or removed by the latest event, which the module may not have handled yet.
+	// unavailable has the engines that are draining or removed by the latest event, which the dispatch module may not
+	// have handled yet.
 	unavailable map[dispatch.EngineID]bool
 	loads       map[dispatch.EngineID]reportedLoad
 }
 
-// reportedLoad is an engine's latest load report, and when it was passed to the module.
+// reportedLoad is the load report of an engine that was last passed to the dispatch module, and when.
 type reportedLoad struct {
 	report dispatch.LoadReport
 	at     float64
 }
 
-// loadReportIntervalMS is how often the module gets a load report that stays the same: every answer of an engine
-// brings one.
+// loadReportIntervalMS is the time after which an unchanged load report is passed to the dispatch module again. Without
+// it, every answer of an engine would cause an event, because every answer contains a load report.
 const loadReportIntervalMS = 250.0
 
 func newEndpointTable(client EngineClient) *endpointTable {
@@ -37,10 +38,10 @@
 	}
 }
 
-// count is the number of engines in the table.
+// count returns the number of engines in the table.
 func (t *endpointTable) count() int { return len(t.engines) }
 
-// removeUnlisted removes the engines that a complete list leaves out; their addresses may pass to others.
+// removeUnlisted removes the engines that are not in a complete list. Other engines may get their addresses.
 func (t *endpointTable) removeUnlisted(endpoints []dispatch.Endpoint) {
 	for id, engine := range t.engines {
 		if slices.ContainsFunc(endpoints, func(e dispatch.Endpoint) bool { return e.ID == id }) {
@@ -76,27 +77,28 @@
 		t.removed = slices.DeleteFunc(t.removed, func(r dispatch.EngineID) bool { return r == id })
 	}
 	if known && (moved || !live) {
-		// The module chose the engine while it was live, at its old address. Unstarted attempts could start much
-		// later, when that is no longer true or another engine has the address.
+		// The dispatch module chose the engine while it was live at its old address. Attempts that have not started
+		// could start much later, when the engine gets no new work or another engine has the address.
 		t.client.CancelUnstarted(old)
 	}
 }
 
-// cancelUnstarted ends the attempts that have not been started at an engine, if it is in the table.
+// cancelUnstarted ends the attempts of which nothing was sent to an engine. It does nothing if the engine is not in the
+// table.
 func (t *endpointTable) cancelUnstarted(id dispatch.EngineID) {
 	if engine, ok := t.engines[id]; ok {
 		t.client.CancelUnstarted(engine)
 	}
 }
 
-// takeRemoved returns the removed engines that are still in the table, and starts a new list of them.
+// takeRemoved returns the removed engines that are still in the table, and clears the list of them.
 func (t *endpointTable) takeRemoved() []dispatch.EngineID {
 	removed := t.removed
 	t.removed = nil
 	return removed
 }
 
-// delete drops engines from the table; their ids need not return.
+// delete deletes engines from the table. It frees their entries even if their ids never appear again.
 func (t *endpointTable) delete(ids []dispatch.EngineID) {
 	for _, id := range ids {
 		delete(t.engines, id)
@@ -105,8 +107,9 @@
 	}
 }
 
-// recordLoad keeps an engine's load report and tells whether it is due for the module: it has changed, or the last one
-// was passed on some time ago.
+// recordLoad reports whether an engine's load report has to be passed to the dispatch module, and stores it if so: that
+// is the case if it has changed, or if the last one was passed loadReportIntervalMS ago or earlier. Reports of engines
+// that are not in the table are ignored.
 func (t *endpointTable) recordLoad(id dispatch.EngineID, report dispatch.LoadReport, now float64) bool {
 	if _, listed := t.engines[id]; !listed {
 		return false
--- a/internal/router/engine_client.go
+++ b/internal/router/engine_client.go
@@ -2,96 +2,100 @@
 
 import "windflow/dispatch"
 
-// Engine is an engine of the endpoint list.
+// Engine is an engine of the endpoint list, with the address that attempts are sent to.
 type Engine struct {
 	ID      dispatch.EngineID
 	Address string
 	Kind    string
 }
 
-// Call is one attempt for an engine client to carry out.
+// Call holds what an engine client needs to execute one attempt.
 type Call struct {
-	Engine     Engine
-	ID         string // the request's
-	Class      string
-	Statement  string
-	WaitMS     float64 // how long the router waits for the answer
-	GrantMB    float64 // memory granted; 0 leaves it to the engine
-	Priority   int
-	Update     bool // the client requested an update, not rows
-	AtMostOnce bool // it must not run twice: proof that it never ran justifies a new connection
-	// Exclusive says that no further attempt of the request may start while an engine may have this one in progress:
-	// its end is reported when the engine has none of it any more, and not before.
+	Engine    Engine
+	ID        string // the client's request id
+	Class     string
+	Statement string
+	WaitMS    float64 // how long the router waits for the answer, in milliseconds
+	GrantMB   float64 // granted memory; if 0, the engine chooses
+	Priority  int
+	Update    bool // the client requested an update, not rows
+	// AtMostOnce means that the attempt must not run twice. The client may open a new connection for it, if that lets it
+	// prove that the attempt never ran.
+	AtMostOnce bool
+	// Exclusive means that no other attempt of the request may start while this one may be running on an engine: the
+	// client reports its end only when the engine is no longer running it.
 	Exclusive bool
-	// CancelAllowed says that the engine may be requested to cancel the attempt.
+	// CancelAllowed means that the client may request the engine to cancel the attempt.
 	CancelAllowed bool
-	// LatestStartMS is when it may start at the latest, on the loop's clock; 0 for any time.
+	// LatestStartMS is the latest time at which the attempt may start, in milliseconds on the loop's clock; 0 for no
+	// limit.
 	LatestStartMS float64
-	// OnSent is called in the loop, at most once, when the last byte of the attempt has been sent to the engine.
+	// OnSent is called in the loop's goroutine, at most once, when the last byte of the attempt has been sent to the
+	// engine.
 	OnSent func()
-	// OnProgress, if set, is called in the loop with each readable answer of the engine.
+	// OnProgress, if set, is called in the loop's goroutine with each valid answer of the engine.
 	OnProgress func(AttemptProgress)
 }
 
-// AttemptProgress is what an answer of an engine says besides the attempt's end: that the attempt is in progress, and
-// the engine's load if it reports that.
+// AttemptProgress holds the progress of an attempt and the load of its engine, as one answer of the engine reports
+// them.
 type AttemptProgress struct {
 	Kind   dispatch.ProgressKind
-	Amount float64
-	Report *dispatch.LoadReport
-	Final  bool // the answer ends the attempt, and does not report its progress
+	Amount float64              // see the constants of dispatch.ProgressKind
+	Report *dispatch.LoadReport // nil if the answer has none
+	Final  bool                 // the answer ends the attempt and reports no progress
 }
 
-// Cell is one value of a row, as text.
+// Cell is one value of a result row, as text.
 type Cell struct {
 	Text string
 	Null bool
 }
 
-// Result is the result of a request. Cells holds the rows one after the other.
+// Result is the result of a request. Cells holds the values row by row, len(Columns) for each row.
 type Result struct {
 	Columns     []string
 	Cells       []Cell
-	WorkMS      float64 // processing time that the query needed; 0 if the engine did not report it
-	NeedMB      float64 // memory that the query needed; 0 if the engine did not report it
+	WorkMS      float64 // processing time of the query in milliseconds; 0 if the engine did not report it
+	NeedMB      float64 // memory that the query used; 0 if the engine did not report it
 	ChangedRows int64   // rows that an update changed; -1 or 0 if the engine did not report it
 }
 
-// MaxResultBytes bounds the text of a result.
+// MaxResultBytes is the maximum size of the text in a result.
 const MaxResultBytes = 48_000
 
-// End is how an attempt ended. Result is set if Outcome is Served.
+// End describes how an attempt ended. Result is set if Outcome is dispatch.Served.
 type End struct {
 	Outcome dispatch.Outcome
 	Result  *Result
-	Detail  string // for the log
+	Detail  string // explanation of the outcome, for the debug log
 }
 
-// Attempt is an attempt that an engine client has in progress.
+// Attempt controls an attempt that an engine client has accepted.
 type Attempt interface {
 	SetPriority(int)
-	// Cancel requests the engine to cancel the query. Abandon follows or, if the call is Exclusive, the client
-	// reports the end when the engine has canceled it.
+	// Cancel requests the engine to cancel the query. The caller calls Abandon afterwards, unless the call is
+	// Exclusive: then the client reports the end when the engine has canceled the query.
 	Cancel()
-	// Abandon ends the interest in the attempt: its end is not reported any more.
+	// Abandon discards the attempt: the client does not report its end after that.
 	Abandon()
-	// CancelUnsent takes back an attempt that was not sent completely, so that it never runs; false says that it is too
-	// late. As after Abandon, its end is not reported.
+	// CancelUnsent cancels an attempt that was not sent completely, so that it never runs, and returns true; the client
+	// does not report its end after that. It returns false if the attempt was sent.
 	CancelUnsent() bool
 }
 
-// EngineClient carries attempts out.
+// EngineClient executes attempts on engines. Its methods are called in the loop's goroutine.
 type EngineClient interface {
-	// Start starts an attempt. It calls done at most once, in the loop, and never before it has returned.
+	// Start starts an attempt. The client calls done at most once, in the loop's goroutine, after Start has returned.
 	Start(call Call, done func(End)) Attempt
-	// Forget says that an engine is gone: connections kept for it are not used any more.
+	// Forget tells the client that an engine is no longer at its address: idle connections to it must not be reused.
 	Forget(Engine)
-	// CancelUnstarted says that an engine gets no new work, or that it has moved to another address: each attempt of
-	// which nothing was sent ends as ConnectFailed. Started attempts continue.
+	// CancelUnstarted ends each attempt of which nothing was sent to the engine as ConnectFailed, because the engine
+	// gets no new work or has another address. Attempts that have started continue.
 	CancelUnstarted(Engine)
 }
 
-// unstartedAttempt is the call of an attempt that no engine client has started.
+// unstartedAttempt implements Attempt without effect, for attempts that were never passed to an engine client.
 type unstartedAttempt struct{}
 
 func (unstartedAttempt) SetPriority(int)    {}
--- a/internal/router/event_queue.go
+++ b/internal/router/event_queue.go
@@ -6,11 +6,11 @@
 	"windflow/dispatch"
 )
 
-// eventQueue gathers events for the dispatch module during a step of the loop.
+// eventQueue collects events for the dispatch module during a step of the loop.
 type eventQueue struct {
 	events []dispatch.Event
-	// engineEvents are about engines: endpoint lists, cordons, restored snapshots. They go ahead of all others, because
-	// a request that was gathered before them would else be sent by an outdated view of the fleet.
+	// engineEvents are endpoint lists, cordons and restored snapshots. The dispatch module handles them before all other
+	// events, because it would otherwise decide on a queued request by an outdated state of the engines.
 	engineEvents []dispatch.Event
 }
 
@@ -22,7 +22,7 @@
 
 func (q *eventQueue) empty() bool { return len(q.events)+len(q.engineEvents) == 0 }
 
-// take returns the gathered events in the order in which the module is to handle them, and empties the queue.
+// take returns the events in the order in which the dispatch module has to handle them, and empties the queue.
 func (q *eventQueue) take() []dispatch.Event {
 	events := slices.Concat(q.engineEvents, q.events)
 	q.events, q.engineEvents = nil, nil
--- a/internal/router/hot_restart.go
+++ b/internal/router/hot_restart.go
@@ -5,27 +5,28 @@
 	"windflow/internal/clock"
 )
 
-// State is what another process needs to continue in place of this one.
+// State is the state that this process passes to its successor in a hot restart.
 type State struct {
 	OpenIDs     []string          `json:"open"`
 	ConsumedIDs []string          `json:"spent"`
 	Dispatch    dispatch.Snapshot `json:"module"`
 }
 
-// ClaimReply is the other process's reply to the claim of an id, before an at-most-once request with it starts here.
+// ClaimReply is the other process's reply to a claim. This process claims the id of an at-most-once request before it
+// starts the request.
 type ClaimReply int
 
 // Replies to a claim.
 const (
 	ClaimGranted  ClaimReply = iota // the request may start
-	ClaimDenied                     // it may have run in the other process
+	ClaimDenied                     // the request may have run in the other process
 	ClaimTimedOut                   // there was no reply in time
 )
 
-// claimRetryAfterMS is the Retry-After of a request that is rejected because its claim timed out.
+// claimRetryAfterMS is the Retry-After, in milliseconds, of a request that is rejected because its claim timed out.
 const claimRetryAfterMS = 500.0
 
-// State returns the core's state.
+// State returns the core's current state for another process, after the dispatch module has handled all queued events.
 func (c *Core) State() State {
 	c.decide()
 	return State{
@@ -35,15 +36,15 @@
 	}
 }
 
-// RestoreState continues from another process's state. A later state replaces an earlier one.
+// RestoreState applies the state of another process. The open ids of a later state replace those of an earlier one.
 func (c *Core) RestoreState(state State) {
 	c.ids.restore(state.OpenIDs, state.ConsumedIDs)
 	c.queue.addEngineEvent(dispatch.RestoreSnapshot{Snapshot: state.Dispatch})
 	c.decide()
 }
 
-// SetShutdownDeadline says when the process ends, in milliseconds on the loop's clock: each request is answered by
-// then. It guards against answers that are cut off by the kill at the end of a planned restart.
+// SetShutdownDeadline sets the time at which the process ends, in milliseconds on the loop's clock. Each request is
+// answered before that. Otherwise the kill at the end of a planned restart would cut off answers.
 func (c *Core) SetShutdownDeadline(at float64) {
 	c.shutdownAt = at
 	for _, request := range c.requests.open {
@@ -52,19 +53,20 @@
 	c.queue.add(dispatch.ShutdownDeadline{At: clock.Duration(at)})
 }
 
-// OtherProcessChanged applies a change of an id in the other process: one that is open there can't be opened here.
+// OtherProcessChanged applies a change of the status of a request id in the other process. A request whose id is open
+// there can't be submitted here.
 func (c *Core) OtherProcessChanged(change IDChange) { c.ids.applyChange(change) }
 
-// claim requests a grant of the other process, if there is one, before an at-most-once request starts. It guards
-// against an id that a client sends to both processes while the change that says so is on its way. Nothing of the
-// request is sent until then.
+// claim requests a grant for the id of an at-most-once request from the other process, if there is one. The request
+// waits for the grant before it is passed to the dispatch module. Without it, a client could send the same id to both
+// processes, and each would start the request before it receives the other's IDChange.
 func (c *Core) claim(request *request) {
 	if c.ClaimID == nil {
 		c.queueArrival(request)
 		return
 	}
 	c.ClaimID(request.ID, func(reply ClaimReply) {
-		if !request.open() { // the client is gone
+		if !request.open() { // answered or abandoned while the claim was pending
 			return
 		}
 		switch reply {
@@ -78,12 +80,14 @@
 	})
 }
 
-// GrantClaim answers the other process's claim of an id. An id that is granted counts here as one that may have run.
+// GrantClaim reports whether the other process may start the request whose id it claims. A granted id counts in this
+// process as one whose request may have run.
 func (c *Core) GrantClaim(id string) bool {
 	return !c.requests.isOpen(id) && c.ids.grant(id)
 }
 
-// AdoptCordons cordons engines that operators have cordoned in another process, whether a list has named them or not.
+// AdoptCordons cordons engines that operators have cordoned in another process, including engines that no endpoint list
+// has contained.
 func (c *Core) AdoptCordons(cordoned []dispatch.EngineID) {
 	c.queue.addEngineEvent(dispatch.RestoreSnapshot{
 		Snapshot: dispatch.Snapshot{Known: cordoned, Cordoned: cordoned, CompletedWork: -1},
@@ -94,15 +98,16 @@
 	}
 }
 
-// Usage returns what this process has running on each engine.
+// Usage returns the load that this process's attempts put on each engine, for the other process.
 func (c *Core) Usage() dispatch.OtherProcessUsage {
 	return c.module.Usage(clock.Duration(c.loop.Now()))
 }
 
-// SetOtherProcessUsage sets what the other process has running on each engine.
+// SetOtherProcessUsage sets the load that the other process's attempts put on each engine.
 func (c *Core) SetOtherProcessUsage(usage dispatch.OtherProcessUsage) { c.queue.add(usage) }
 
-// OtherProcessEnded says that the other process has ended: nothing of it runs any more, and none of its ids is open.
+// OtherProcessEnded clears the open ids and the usage of the other process after that has ended. Ids of requests that
+// may have run there stay in use.
 func (c *Core) OtherProcessEnded() {
 	c.ids.otherProcessEnded()
 	c.SetOtherProcessUsage(dispatch.OtherProcessUsage{})
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -8,39 +8,40 @@
 	"windflow/internal/clock"
 )
 
-// Loop runs everything that touches the router's state in one goroutine, step by step: the functions that other
-// goroutines have posted, then the timers that are due, then AfterStep. Nothing in a step may block.
+// Loop is an event loop: it runs all code that uses the router's state in one goroutine. Each step runs the functions
+// that other goroutines have posted, then the timers that are due, then AfterStep. None of these may block.
 type Loop struct {
-	// AfterStep runs at the end of each step, when all that was ready has run.
+	// AfterStep runs at the end of each step in which a posted function or a timer ran.
 	AfterStep func()
-	// OnStall, if set, is called when the loop finds that it stalled: usually with the entire process, so that what
-	// arrived meanwhile has not been posted yet. It calls caughtUp, from any goroutine, when that is done. Until then
-	// no timer runs, so that an answer that has come is not taken for one that is missing.
+	// OnStall, if set, is called when a timer runs so late that the loop must have stalled, usually because the entire
+	// process was stopped. Data that arrived during the stall may not have been posted yet. OnStall must arrange a call
+	// of caughtUp, from any goroutine, once it has been posted. Until then, for at most maxCatchUpMS, no timer runs:
+	// otherwise a timeout could fire although the answer has arrived.
 	OnStall func(caughtUp func())
 
 	clock        clock.Clock
 	timers       timerHeap
-	due          []*Timer // of the current step
+	due          []*Timer // buffer for the timers that a step runs
 	lastSequence uint64
-	pausedUntil  float64 // when timers run again at the latest; 0 if they are not paused
+	pausedUntil  float64 // latest end of the current pause of the timers; 0 if they are not paused
 	caughtUpAt   float64 // when the last pause of the timers ended
 
 	mu    sync.Mutex
 	inbox []func()
-	spare []func() // the inbox of the step before, for reuse
+	spare []func() // buffer of the last step's inbox, for reuse
 	wake  chan struct{}
 }
 
 const (
-	// stallThresholdMS is how late a timer has to be for the loop to count as stalled.
+	// stallThresholdMS is the delay of a timer above which the loop counts as stalled.
 	stallThresholdMS = 400.0
-	// maxCatchUpMS bounds how long timers are paused then.
+	// maxCatchUpMS is the longest pause of the timers after a stall.
 	maxCatchUpMS = 200.0
-	// maxSleep is how long Run sleeps if no timer is set.
+	// maxSleep is how long Run sleeps if no timer is set and nothing is posted.
 	maxSleep = time.Hour
 )
 
-// NewLoop returns a loop on that clock.
+// NewLoop returns a loop that takes its time from the clock.
 func NewLoop(c clock.Clock) *Loop {
 	return &Loop{clock: c, wake: make(chan struct{}, 1), AfterStep: func() {}}
 }
@@ -48,8 +49,8 @@
 // Now returns the loop's time in milliseconds.
 func (l *Loop) Now() float64 { return l.clock.Now() }
 
-// Post has fn run in the loop's goroutine, after what was posted before it. It never blocks and may be called from any
-// goroutine.
+// Post schedules fn to run in the loop's goroutine, after the functions that were posted before it. It never blocks and
+// may be called from any goroutine.
 func (l *Loop) Post(fn func()) {
 	l.mu.Lock()
 	l.inbox = append(l.inbox, fn)
@@ -60,7 +61,8 @@
 	}
 }
 
-// At has fn run in the loop's goroutine once the clock shows that time in milliseconds.
+// At schedules fn to run in the loop's goroutine when the clock has reached ms. It must be called in that
+// goroutine, or before the loop runs.
 func (l *Loop) At(ms float64, fn func()) *Timer {
 	l.lastSequence++
 	timer := &Timer{at: ms, sequence: l.lastSequence, fn: fn, loop: l}
@@ -68,13 +70,14 @@
 	return timer
 }
 
-// After has fn run in the loop's goroutine once that many milliseconds have passed.
+// After schedules fn to run in the loop's goroutine after ms milliseconds. It must be called in that goroutine, or
+// before the loop runs.
 func (l *Loop) After(ms float64, fn func()) *Timer { return l.At(l.Now()+ms, fn) }
 
-// PendingTimers is the number of timers that are set. It must be called in the loop's goroutine.
+// PendingTimers returns the number of timers that are set. It must be called in the loop's goroutine.
 func (l *Loop) PendingTimers() int { return len(l.timers) }
 
-// Step runs all that is posted and due, then AfterStep, and reports whether there was anything to do.
+// Step runs the posted functions and the timers that are due. If there were any, it runs AfterStep and returns true.
 func (l *Loop) Step() bool {
 	posted := l.runPosted()
 	fired := l.runTimers()
@@ -85,7 +88,7 @@
 	return true
 }
 
-// runPosted runs what was posted before the call, and reports whether that was anything.
+// runPosted runs the functions that were posted before the call, and reports whether there were any.
 func (l *Loop) runPosted() bool {
 	l.mu.Lock()
 	posted := l.inbox
@@ -99,9 +102,9 @@
 	return len(posted) > 0
 }
 
-// runTimers runs the timers that are due, and reports whether there were any. Timers that are set meanwhile wait for
-// the next step, even if they are due: one that sets itself anew for a time in the past would never let the loop go
-// on.
+// runTimers runs the timers that are due at the start of the call, and reports whether there were any. Timers that are
+// set during the call wait for the next step, even if they are due: a timer that sets itself again for a time in the
+// past would otherwise block the loop forever.
 func (l *Loop) runTimers() bool {
 	due := l.due[:0]
 	for now := l.Now(); len(l.timers) > 0 && l.timers[0].at <= now && !l.timersPaused(now); {
@@ -115,8 +118,8 @@
 	return len(due) > 0
 }
 
-// timersPaused reports whether timers that are due have to wait, because the loop stalled and what arrived meanwhile
-// has not been posted yet.
+// timersPaused reports whether due timers must wait, because the loop stalled and the data that arrived during the
+// stall has not been posted yet. It starts and ends the pause. At least one timer must be set.
 func (l *Loop) timersPaused(now float64) bool {
 	switch {
 	case l.pausedUntil > now:
@@ -133,7 +136,7 @@
 	return false
 }
 
-// Run steps until stop is closed.
+// Run executes steps, and sleeps while there is nothing to do, until stop is closed.
 func (l *Loop) Run(stop <-chan struct{}) {
 	sleep := time.NewTimer(0)
 	defer sleep.Stop()
@@ -156,7 +159,7 @@
 	}
 }
 
-// untilNextTimer is how long the loop may sleep.
+// untilNextTimer returns how long the loop may sleep if nothing is posted.
 func (l *Loop) untilNextTimer() time.Duration {
 	if len(l.timers) == 0 {
 		return maxSleep
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -2,24 +2,26 @@
 
 import "windflow/dispatch"
 
-// Hooks are optional callbacks of the core, in the loop.
+// Hooks are optional callbacks of a Core. They are called in the loop's goroutine.
 type Hooks struct {
-	// OnIDChange, if set, is called when the status of a request id changes.
+	// OnIDChange, if set, is called when the status of a request id changes in this process.
 	OnIDChange func(IDChange)
-	// ClaimID, if set, requests the other process's grant that the request with an id may start here. It calls
-	// then once, in the loop: before it returns with ClaimGranted if there is no other process, else later.
+	// ClaimID, if set, requests a grant from the other process of a hot restart that the request with that id may start
+	// here. It calls onReply once, in the loop's goroutine: with ClaimGranted before it returns if there is no other
+	// process, else after it has returned.
 	ClaimID func(id string, onReply func(ClaimReply))
-	// Observer, if set, sees requests and attempts; it decides nothing.
+	// Observer, if set, is notified of requests and attempts.
 	Observer Observer
 }
 
-// Observer sees requests and attempts, in the loop. It must not block, and must not keep or change what it is passed.
+// Observer is notified of requests and attempts, in the loop's goroutine. It has no influence on them. Its methods must
+// not block, and must not keep or modify their arguments.
 type Observer interface {
 	RequestArrived(*Request)
 	RequestAnswered(*Request, Answer)
 	AttemptStarted(dispatch.EngineID)
-	// EndpointsChanged is called when the endpoint list has changed; the module handles the change at the end of the
-	// step.
+	// EndpointsChanged is called when an endpoint list arrives. The dispatch module handles it at the end of the loop's
+	// step, after this call.
 	EndpointsChanged()
 	AttemptEnded(engine dispatch.EngineID, outcome dispatch.Outcome, tookMS float64)
 }
@@ -32,14 +34,14 @@
 	AnswerServed AnswerKind = iota
 	AnswerRejected
 	AnswerFailed
-	AnswerClientGone // the client was gone, and got no answer
+	AnswerClientGone // no answer: the client disconnected or canceled the request
 )
 
-// Answer is the end of a request.
+// Answer describes how and when a request ended, for the observer.
 type Answer struct {
 	Kind        AnswerKind
-	TookMS      float64           // since the client sent the request
-	ObjectiveMS float64           // the class's latency objective for it, if it was served
-	Reason      string            // of rejections and failures
-	Engine      dispatch.EngineID // of the last attempt; 0 for none
+	TookMS      float64           // milliseconds since the client sent the request
+	ObjectiveMS float64           // latency objective of its class for the request; 0 unless it was served
+	Reason      string            // why it was rejected or failed
+	Engine      dispatch.EngineID // engine that served it, or of its last attempt; 0 if there was none
 }
--- a/internal/router/request_ids.go
+++ b/internal/router/request_ids.go
@@ -1,6 +1,6 @@
 package router
 
-// IDChange is a change of the status of a client's request id, for another process of the same router.
+// IDChange is a change of the status of a request id. Each process of a hot restart sends its changes to the other.
 type IDChange struct {
 	ID     string   `json:"id"`
 	Status IDStatus `json:"what"`
@@ -12,13 +12,13 @@
 // Statuses of a request id.
 const (
 	IDOpen     IDStatus = iota // the request is open
-	IDDone                     // the request is answered or abandoned
+	IDDone                     // the request was answered or abandoned
 	IDConsumed                 // the at-most-once request may have run
 	IDReleased                 // the at-most-once request is proven not to have run
 )
 
-// requestIDs knows the ids that no new request may use besides those of open requests: ids of at-most-once requests
-// that may have run, and ids that are open in the other process of a hot restart.
+// requestIDs holds the ids that a new request must not use, apart from the ids of open requests: ids of at-most-once
+// requests that may have run, and ids that are open in the other process of a hot restart.
 type requestIDs struct {
 	consumed     consumedIDs
 	otherProcess map[string]bool // ids open in the other process
@@ -33,23 +33,23 @@
 	}
 }
 
-// inUse reports whether an id is consumed here or open in the other process.
+// inUse reports whether an id is consumed or open in the other process.
 func (r *requestIDs) inUse(id string) bool { return r.otherProcess[id] || r.consumed.has(id) }
 
-// publish passes a change of this process's ids on.
+// publish calls OnIDChange with a change of an id of this process.
 func (r *requestIDs) publish(id string, status IDStatus) {
 	if r.hooks.OnIDChange != nil {
 		r.hooks.OnIDChange(IDChange{ID: id, Status: status})
 	}
 }
 
-// consume marks the id of a request that may run from now on.
+// consume marks the id of an at-most-once request that may run from now on.
 func (r *requestIDs) consume(id string) {
 	r.consumed.add(id)
 	r.publish(id, IDConsumed)
 }
 
-// release frees an id whose request is proven not to have run.
+// release makes the id of a request that is proven not to have run available again.
 func (r *requestIDs) release(id string) {
 	if r.consumed.has(id) {
 		r.publish(id, IDReleased)
@@ -57,8 +57,8 @@
 	r.consumed.remove(id)
 }
 
-// grant consumes an id that the other process claims, unless it is consumed already. The other process knows of it, so
-// the change is not published.
+// grant consumes an id that the other process claims, and reports whether it could: it is false if the id was consumed
+// already. It does not publish the change, because the other process gets the reply to its claim.
 func (r *requestIDs) grant(id string) bool {
 	if r.consumed.has(id) {
 		return false
@@ -70,7 +70,7 @@
 // consumedIDs returns the ids of requests that may have run, the oldest first.
 func (r *requestIDs) consumedIDs() []string { return r.consumed.list() }
 
-// otherProcessEnded forgets the ids that were open in the other process.
+// otherProcessEnded removes the ids that were open in the other process.
 func (r *requestIDs) otherProcessEnded() { clear(r.otherProcess) }
 
 // applyChange applies a change that the other process published.
@@ -87,7 +87,8 @@
 	}
 }
 
-// restore takes the ids of another process's state; its open ids replace those of an earlier state.
+// restore applies the ids of another process's state. The open ids replace those of an earlier state; the consumed ids
+// are added.
 func (r *requestIDs) restore(open, consumed []string) {
 	r.otherProcessEnded()
 	for _, id := range open {
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -8,21 +8,21 @@
 	"windflow/dispatch"
 )
 
-// request is a submitted request, with its attempts.
+// request is a submitted request with its attempts, its deadline and the handler of its answer.
 type request struct {
 	*Request
 	key         dispatch.RequestID
 	handler     ResponseHandler // nil once the request is answered or abandoned
 	deadline    float64
 	attempts    []*attempt
-	outstanding int // attempts that have not ended
+	outstanding int // number of attempts that have not ended
 	grantMB     float64
 	priority    int
 	guard       *Timer // see answerGuardMS
-	arriving    bool   // the module has not handled the arrival yet, and may still start attempts
+	arriving    bool   // the dispatch module has not handled the arrival yet, and may still start attempts
 }
 
-// open reports whether the request is still to be answered.
+// open reports whether the request has not been answered or abandoned yet.
 func (r *request) open() bool { return r.handler != nil }
 
 func (r *request) lastAttempt() *attempt {
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// requestTable holds requests from their submission until they are answered and their attempts have ended.
+// requestTable holds requests from their submission until they are answered or abandoned and all attempts have ended.
 type requestTable struct {
 	byKey    map[dispatch.RequestID]*request
 	open     map[string]*request // by the client's id
-	arriving []*request
+	arriving []*request          // requests whose arrival is queued for the dispatch module
 	lastKey  uint64
 }
 
@@ -44,7 +44,7 @@
 	return &requestTable{byKey: map[dispatch.RequestID]*request{}, open: map[string]*request{}}
 }
 
-// add opens a request under a key of its own.
+// add opens a request and assigns it a new key.
 func (t *requestTable) add(submitted *Request, handler ResponseHandler, deadline float64) *request {
 	t.lastKey++
 	added := &request{
@@ -58,25 +58,26 @@
 	return added
 }
 
-// get returns a request by its key, or nil.
+// get returns the request with that key, or nil if there is none.
 func (t *requestTable) get(key dispatch.RequestID) *request { return t.byKey[key] }
 
-// isOpen reports whether a request with the client's id is open.
+// isOpen reports whether a request with that client id is open.
 func (t *requestTable) isOpen(id string) bool { return t.open[id] != nil }
 
-// openCount is the number of open requests.
+// openCount returns the number of open requests.
 func (t *requestTable) openCount() int { return len(t.open) }
 
 // openIDs returns the clients' ids of the open requests, sorted.
 func (t *requestTable) openIDs() []string { return slices.Sorted(maps.Keys(t.open)) }
 
-// markArriving marks a request whose arrival is queued for the module.
+// markArriving marks a request whose arrival is queued for the dispatch module.
 func (t *requestTable) markArriving(request *request) {
 	request.arriving = true
 	t.arriving = append(t.arriving, request)
 }
 
-// finishArrivals is called when the module has handled the queued arrivals.
+// finishArrivals unmarks the arriving requests after the dispatch module has handled their arrivals, and removes those
+// that have ended.
 func (t *requestTable) finishArrivals() {
 	for _, request := range t.arriving {
 		request.arriving = false
@@ -93,7 +94,7 @@
 	return handler
 }
 
-// removeEnded removes a request that is not open and has no outstanding attempt.
+// removeEnded removes a request if it is not open and has no outstanding attempt.
 func (t *requestTable) removeEnded(request *request) {
 	if !request.open() && request.outstanding == 0 {
 		delete(t.byKey, request.key)
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -5,7 +5,7 @@
 	"windflow/internal/clock"
 )
 
-// Reason tells a front why a request failed.
+// Reason is why a request failed. The front derives the error for the client from it.
 type Reason int
 
 // Reasons for a failure.
@@ -14,33 +14,35 @@
 	ReasonDeadline               // the request's deadline has passed
 )
 
-// ResponseHandler is the front's end of a request. Exactly one of its methods is called, once, unless the front takes
-// the request back with Abandon.
+// ResponseHandler receives the final answer to a request and is implemented by the fronts. Exactly one of its methods
+// is called, once, in the loop's goroutine, unless the front calls Abandon first.
 type ResponseHandler interface {
 	Served(*Result)
-	// Rejected says that the request did not run, and after how many milliseconds the client should retry.
+	// Rejected means that the request did not run and that the client may retry it after retryAfterMS milliseconds. If
+	// that is 0, the router gives no advice on when to retry.
 	Rejected(retryAfterMS float64)
+	// Failed means that the request failed. It may have run.
 	Failed(Reason)
 }
 
 const (
-	// answerMarginMS is kept before the client's deadline, so that the final answer is sent while the client still
-	// waits.
+	// answerMarginMS is the time before the client's deadline at which the router's own deadline for the request ends,
+	// so that the final answer reaches the client while it still waits.
 	answerMarginMS = 30.0
-	// answerGuardMS is when, after a request's deadline, the core answers in place of the module. It guards against a
-	// request without an answer, whatever the cause; it never fires while the module does its work.
+	// answerGuardMS is the time after a request's deadline at which the core fails the request if the dispatch module
+	// has not answered it, whatever the cause. The guard never fires while the dispatch module works correctly.
 	answerGuardMS = 15.0
-	// deadlineToleranceMS is how long before its deadline a request that fails counts as one whose deadline has passed.
+	// deadlineToleranceMS is the time before a request's deadline from which on a failure counts as a passed deadline.
 	deadlineToleranceMS = 1.0
 )
 
-// responder sends requests their final answers.
+// responder sends the final answers of requests to their handlers, and counts and reports them.
 type responder struct {
 	dependencies
 	attempts *attemptTracker
 }
 
-// armGuard sets the answer guard of a request by its deadline.
+// armGuard sets the answer guard of a request to answerGuardMS after its deadline.
 func (r *responder) armGuard(request *request) {
 	request.guard.Stop()
 	request.guard = r.loop.At(max(request.deadline, r.loop.Now())+answerGuardMS, func() { r.failOverdue(request) })
@@ -56,7 +58,7 @@
 	handler.Served(result)
 }
 
-// reject rejects a request as the module decided.
+// reject rejects a request, as the dispatch module decided.
 func (r *responder) reject(request *request, retryAfterMS float64) {
 	if request == nil || !request.open() {
 		return
@@ -65,7 +67,7 @@
 	r.sendRejection(request, handler, r.rejectionReason(request), retryAfterMS)
 }
 
-// rejectClaimTimeout rejects a request because the other process did not answer the claim of its id.
+// rejectClaimTimeout rejects a request because the other process did not reply to the claim of its id in time.
 func (r *responder) rejectClaimTimeout(request *request) {
 	handler := r.close(request)
 	retryAfterMS := r.settings.Load().retryAfter(claimRetryAfterMS)
@@ -79,7 +81,7 @@
 	handler.Rejected(retryAfterMS)
 }
 
-// failByModule fails a request as the module decided.
+// failByModule fails a request, as the dispatch module decided.
 func (r *responder) failByModule(request *request) {
 	if request == nil || !request.open() {
 		return
@@ -99,7 +101,7 @@
 	handler.Failed(reason)
 }
 
-// failOverdue answers in place of the module; see answerGuardMS.
+// failOverdue fails a request that the dispatch module has not answered; see answerGuardMS.
 func (r *responder) failOverdue(request *request) {
 	if !request.open() {
 		return
@@ -110,7 +112,7 @@
 	r.queue.add(dispatch.ClientGone{Request: request.key})
 }
 
-// abandon ends a request whose client is gone; it gets no answer.
+// abandon ends a request without an answer, because its client disconnected or canceled it.
 func (r *responder) abandon(request *request) {
 	if request == nil || !request.open() {
 		return
@@ -121,8 +123,8 @@
 	r.observe(request, Answer{Kind: AnswerClientGone})
 }
 
-// close closes a request and returns its handler. Attempts that were sent continue being reported to the module; the
-// others are taken back, because no client waits for them.
+// close closes a request and returns its handler. It cancels attempts that were not sent completely, because no client
+// waits for them. Other attempts are still reported to the dispatch module.
 func (r *responder) close(request *request) ResponseHandler {
 	handler := r.requests.close(request)
 	request.guard.Stop()
@@ -134,7 +136,8 @@
 	return handler
 }
 
-// limitDeadline moves the deadline of a request to the shutdown deadline, if that is earlier.
+// limitDeadline sets the deadline of a request and the timeouts of its attempts to the shutdown deadline, if that is
+// earlier than the request's deadline.
 func (r *responder) limitDeadline(request *request, shutdownAt float64) {
 	if request.deadline <= shutdownAt {
 		return
@@ -144,7 +147,7 @@
 	r.attempts.limitTimeouts(request, shutdownAt)
 }
 
-// observe reports an answer to the observer.
+// observe reports an answer to the observer, if there is one.
 func (r *responder) observe(request *request, answer Answer) {
 	if r.hooks.Observer == nil {
 		return
@@ -156,8 +159,8 @@
 	r.hooks.Observer.RequestAnswered(request.Request, answer)
 }
 
-// objective is the time in milliseconds within which an answer meets the class's latency objective, by the work that
-// the engine reported, else by the client's estimate.
+// objective returns the latency objective for a request in milliseconds. It depends on the class and on the work that
+// the engine reported, or on the client's estimate if the engine reported none.
 func (r *responder) objective(request *request, result *Result) float64 {
 	class := r.settings.Load().classes[request.Class]
 	work := request.EstimateMS
@@ -167,7 +170,8 @@
 	return clock.Millis(class.LatencyObjective) + class.ObjectiveStretch*work/float64(max(class.Threads, 1))
 }
 
-// outcomeReasons are the texts of records for how the last attempt ended.
+// outcomeReasons are the reasons in Answer for the outcome of a request's last attempt. Records store them: the texts
+// must not change.
 var outcomeReasons = map[dispatch.Outcome]string{
 	dispatch.EngineFailed:    "the engine failed",
 	dispatch.EngineFull:      "the engine was full",
@@ -178,7 +182,7 @@
 	dispatch.NotSent:         "not sent",
 }
 
-// failureReason is the text of a failure in records.
+// failureReason returns the reason in Answer for a failed request. Records store it.
 func failureReason(request *request, reason Reason) string {
 	text := "no attempt"
 	if last := request.lastAttempt(); last != nil {
@@ -193,7 +197,8 @@
 	return text
 }
 
-// rejectionReason is the text in records of a rejection by the module, by what the core knows of it.
+// rejectionReason returns the reason in Answer for a request that the dispatch module rejected. Records store it. The
+// dispatch module gives no reason, so it is derived from the last attempt and the endpoint table.
 func (r *responder) rejectionReason(request *request) string {
 	switch last := request.lastAttempt(); {
 	case last != nil:
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -7,17 +7,17 @@
 	"windflow/internal/clock"
 )
 
-// settings are the parts of the dispatch configuration that the core itself uses. A value does not change once it is
-// in force; it is replaced entirely.
+// settings are the parts of the dispatch configuration that the core itself uses. A value is immutable after
+// newSettings has returned it; a changed configuration replaces it.
 type settings struct {
 	classes     map[string]dispatch.Class
 	tenants     map[string]bool // if empty, requests may name any tenant
-	maxAttempts int             // for a request; 0 for no limit
+	maxAttempts int             // attempts of a request; 0 for no limit
 	// progressIntervalMS is the time between progress reports of outstanding attempts; 0 if engines send none.
 	progressIntervalMS float64
 	exclusive          bool // no two attempts of a request may be outstanding at the same time
-	cancelAllowed      bool
-	// maxRetryAfterMS bounds the Retry-After of a rejection to what clients honour; 0 if they honour none.
+	cancelAllowed      bool // engines may be requested to cancel attempts
+	// maxRetryAfterMS is the largest Retry-After that clients honour; 0 if they honour none.
 	maxRetryAfterMS float64
 }
 
@@ -42,7 +42,7 @@
 	return result
 }
 
-// checkNames returns a FieldError if the settings do not know the class or the tenant of a request.
+// checkNames returns a FieldError if the class or the tenant of a request is not configured.
 func (s *settings) checkNames(request *Request) error {
 	if _, ok := s.classes[request.Class]; !ok {
 		return &FieldError{Field: FieldClass, Err: fmt.Errorf("unknown class %q", truncate(request.Class))}
@@ -53,5 +53,5 @@
 	return nil
 }
 
-// retryAfter bounds a Retry-After in milliseconds to what clients honour.
+// retryAfter returns a Retry-After in milliseconds, limited to what clients honour.
 func (s *settings) retryAfter(ms float64) float64 { return min(ms, s.maxRetryAfterMS) }
--- a/internal/router/statement_scanner.go
+++ b/internal/router/statement_scanner.go
@@ -2,13 +2,14 @@
 
 import "strings"
 
-// statementScanner splits a statement into names and single marks. It leaves out strings and comments.
+// statementScanner splits an SQL statement into tokens: names and numbers as a whole, everything else byte by byte. It
+// skips string literals and comments.
 type statementScanner struct {
 	text     string
 	position int
 }
 
-// next returns the next name or mark, and "" at the end of the statement.
+// next returns the next token, or "" at the end of the statement. A quoted name is returned without its backquotes.
 func (s *statementScanner) next() string {
 	s.skip()
 	if s.position >= len(s.text) {
@@ -32,13 +33,13 @@
 	return remaining[:length]
 }
 
-// dotFollows reports whether a dot is next.
+// dotFollows reports whether the next token is a dot.
 func (s *statementScanner) dotFollows() bool {
 	s.skip()
 	return s.position < len(s.text) && s.text[s.position] == '.'
 }
 
-// skip skips white space, comments and strings.
+// skip skips white space, comments and string literals.
 func (s *statementScanner) skip() {
 	for s.position < len(s.text) {
 		remaining := s.text[s.position:]
@@ -57,7 +58,8 @@
 	}
 }
 
-// skipPast skips all up to the end mark, which it looks for from the offset on, or to the end of the text.
+// skipPast moves past the next terminator, or to the end of the text if there is none. The search starts at the
+// offset from the current position.
 func (s *statementScanner) skipPast(terminator string, offset int) {
 	from := s.position + offset
 	if i := strings.Index(s.text[from:], terminator); i >= 0 {
@@ -67,7 +69,8 @@
 	}
 }
 
-// quotedLength is the length of the quoted text at the start of text, with its quotes.
+// quotedLength returns the length of the quoted text at the start of text, with its quotes. Without a closing quote, it
+// is the length of text.
 func quotedLength(text string) int {
 	quote := text[0]
 	for i := 1; i < len(text); i++ {
--- a/internal/router/table_group.go
+++ b/internal/router/table_group.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// stagingSchema is the schema whose number, if it has one, is not that of a table group.
+// stagingSchema is the name of the staging schemas. The number in the name of one, if any, is not a table group.
 const stagingSchema = "staging"
 
-// tableGroup returns the number after the underscore in the name of the schema that a statement reads or writes, if
-// there is one. Names in strings and comments don't count, nor does the schema staging. A name at a table's position
-// (after FROM, JOIN, INTO, UPDATE or TABLE, or after a comma of such a list) takes precedence over a qualified name at
-// any other position, which may be of an alias.
+// tableGroup returns the table group that a statement reads or writes: the number after the last underscore in the name
+// of a schema. ok is false if there is none. Names in string literals and comments are ignored, and so are staging
+// schemas. A schema of a name where a table is expected (after FROM, JOIN, INTO, UPDATE or TABLE, or after a comma in
+// such a list) takes precedence over the qualifier of any other name, which may be an alias.
 func tableGroup(statement string) (group uint32, ok bool) {
 	scanner := statementScanner{text: statement}
 	atTable := false
@@ -40,8 +40,8 @@
 	}
 }
 
-// tableFollows reports whether a name after the word is that of a table. Words that say nothing about that leave it as
-// it was before the word.
+// tableFollows reports whether a name after the token is that of a table. For tokens that do not determine that, it
+// returns before, its result for the token before this one.
 func tableFollows(token string, before bool) bool {
 	switch strings.ToUpper(token) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
@@ -52,8 +52,8 @@
 	return before
 }
 
-// hasMultipleStatements reports whether anything but white space and comments follows a semicolon. Such a text is two
-// queries under one id, and the fields describe only one of them.
+// hasMultipleStatements reports whether a semicolon is followed by anything but white space, comments and semicolons.
+// Such a text would be several queries under one request id, and the fields would describe only one of them.
 func hasMultipleStatements(statement string) bool {
 	scanner := statementScanner{text: statement}
 	ended := false
@@ -66,7 +66,7 @@
 	return false
 }
 
-// schemaGroup returns the number in the name of a schema.
+// schemaGroup returns the table group in the name of a schema, and whether there is one.
 func schemaGroup(schema string) (uint32, bool) {
 	underscore := strings.LastIndexByte(schema, '_')
 	if underscore < 1 || strings.EqualFold(schema[:underscore], stagingSchema) {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// Timer is a call set for later. Only the loop's goroutine may stop it.
+// Timer runs a function at a set time, once, in the loop's goroutine. It may only be stopped in that goroutine.
 type Timer struct {
 	at       float64
-	sequence uint64 // orders timers of the same time
-	index    int    // in the heap; -1 once the timer has run or was stopped
+	sequence uint64 // orders timers that are set for the same time
+	index    int    // position in the heap; -1 if the timer has run or was stopped
 	fn       func()
 	loop     *Loop
 }
@@ -22,7 +22,7 @@
 	}
 }
 
-// run calls the timer's function unless the timer was stopped.
+// run calls the timer's function, unless an earlier timer of the same step has stopped the timer.
 func (t *Timer) run() {
 	if fn := t.fn; fn != nil {
 		t.fn = nil
@@ -30,7 +30,7 @@
 	}
 }
 
-// timerHeap is a heap.Interface with the next timer first.
+// timerHeap is a heap.Interface with the earliest timer first.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
