--- a/internal/keeper/api.go
+++ b/internal/keeper/api.go
@@ -9,7 +9,7 @@
 )
 
 // answerTimeout is the time a caller has to take an answer.
-const answerTimeout = 20 * time.Second
+const responseTimeout = 20 * time.Second
 
 // api routes the HTTP calls of operators, followers and other keepers to the services that answer them.
 type api struct {
@@ -46,10 +46,10 @@
 		"POST " + rosterPath: a.enrollment.handleRoster,
 	}
 	mux := http.NewServeMux()
-	for pattern, answer := range endpoints {
+	for pattern, handle := range endpoints {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			a.counters.calls.Add(1)
-			a.write(w, answer(w, r))
+			a.write(w, handle(w, r))
 		})
 	}
 	return mux
@@ -71,16 +71,16 @@
 	return okResponse(status)
 }
 
-func (a *api) write(w http.ResponseWriter, answer response) {
-	if answer.status >= http.StatusBadRequest {
+func (a *api) write(w http.ResponseWriter, result response) {
+	if result.status >= http.StatusBadRequest {
 		a.counters.callsRejected.Add(1)
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
-	if answer.body == nil {
-		w.WriteHeader(answer.status)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
+	if result.body == nil {
+		w.WriteHeader(result.status)
 		return
 	}
-	text, err := json.Marshal(answer.body)
+	text, err := json.Marshal(result.body)
 	if err != nil {
 		a.log.Error("response encoding failed", "error", err)
 		w.WriteHeader(http.StatusInternalServerError)
@@ -88,6 +88,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
-	w.WriteHeader(answer.status)
+	w.WriteHeader(result.status)
 	_, _ = w.Write(append(text, '\n'))
 }
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -29,7 +29,7 @@
 	replication  *replication
 	proxy        *leaderProxy
 	counters     *counters
-	turn         chan struct{} // contains one token: one change at a time is checked and replicated
+	semaphore    chan struct{} // contains one token: one change at a time is checked and replicated
 }
 
 func newChangeService(
@@ -43,7 +43,7 @@
 		replication:  replication,
 		proxy:        proxy,
 		counters:     counters,
-		turn:         make(chan struct{}, 1),
+		semaphore:    make(chan struct{}, 1),
 	}
 }
 
@@ -100,12 +100,12 @@
 // made a revision meanwhile) does nothing.
 func (s *changeService) commit(ctx context.Context, change configlog.Change) response {
 	select {
-	case s.turn <- struct{}{}:
-		defer func() { <-s.turn }()
+	case s.semaphore <- struct{}{}:
+		defer func() { <-s.semaphore }()
 	case <-ctx.Done():
 		return unavailableResponse(errorBusy, effectNone, busyReason)
 	}
-	if err := s.replication.settle(); err != nil {
+	if err := s.replication.ensureCaughtUp(); err != nil {
 		return s.replication.failureResponse(err, effectNone)
 	}
 	change.AtMS = time.Now().UnixMilli()
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -10,7 +10,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-func number(n uint64) *uint64 { return &n }
+func uint64Pointer(n uint64) *uint64 { return &n }
 
 // operatorCall is a call to a keeper and its answer.
 type operatorCall struct {
@@ -85,13 +85,13 @@
 	if c := g.waitForRevision(other, 3); string(c.Entries["/settings/over-share-worth"]) != "2" {
 		t.Errorf("revision 3: %s", c.Entries)
 	}
-	var h struct {
+	var history struct {
 		Oldest    uint64               `json:"oldest"`
 		Revisions []configlog.Revision `json:"revisions"`
 	}
-	if code := g.get(other, "/v1/revisions?from=2&most=2", &h); code != 200 ||
-		len(h.Revisions) != 2 || h.Revisions[0].ID != "c1" || h.Revisions[0].AtMS == 0 {
-		t.Errorf("revisions: %d %+v", code, h)
+	if code := g.get(other, "/v1/revisions?from=2&most=2", &history); code != 200 ||
+		len(history.Revisions) != 2 || history.Revisions[0].ID != "c1" || history.Revisions[0].AtMS == 0 {
+		t.Errorf("revisions: %d %+v", code, history)
 	}
 	if code := g.get(other, "/v1/config?revision=9", &r); code != 404 {
 		t.Errorf("a revision that isn't there: %d", code)
@@ -105,19 +105,19 @@
 func TestForwardedCallIsNotForwardedAgain(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	other := (g.leader() + 1) % 3
-	q, err := http.NewRequest(http.MethodPost, "http://"+g.members[other].options.HTTPAddr+"/v1/changes",
+	request, err := http.NewRequest(http.MethodPost, "http://"+g.members[other].options.HTTPAddr+"/v1/changes",
 		strings.NewReader(`{"id":"a","put":{"/settings/over-share-worth":1}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Header.Set("Windflow-Keeper", "k9")
-	a, err := client.Do(q)
+	request.Header.Set("Windflow-Keeper", "k9")
+	answer, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = a.Body.Close()
-	if a.StatusCode != http.StatusServiceUnavailable {
-		t.Error(a.Status)
+	_ = answer.Body.Close()
+	if answer.StatusCode != http.StatusServiceUnavailable {
+		t.Error(answer.Status)
 	}
 	if s := g.status(other); s.Counters["passed_on"] != 0 || s.Revision != 0 {
 		t.Errorf("%+v", s)
@@ -131,11 +131,11 @@
 	for round := range uint64(20) {
 		var replies [2]reply
 		var codes [2]int
-		var both sync.WaitGroup
+		var calls sync.WaitGroup
 		for i := range 2 {
-			both.Go(func() {
+			calls.Go(func() {
 				c := put(fmt.Sprint(round, "-", i), "/settings/over-share-worth", fmt.Sprint(i))
-				c.Expect = number(round)
+				c.Expect = uint64Pointer(round)
 				var err error
 				codes[i], err = sendCall("http://"+g.members[i].options.HTTPAddr, http.MethodPost, "/v1/changes", c, &replies[i])
 				if err != nil {
@@ -143,13 +143,13 @@
 				}
 			})
 		}
-		both.Wait()
-		won, lost := 0, 1
+		calls.Wait()
+		accepted, rejected := 0, 1
 		if codes[0] != 200 {
-			won, lost = 1, 0
+			accepted, rejected = 1, 0
 		}
-		if codes[won] != 200 || replies[won].Revision != round+1 || codes[lost] != 409 || replies[lost].Kind != "conflict" ||
-			replies[lost].Revision != round+1 {
+		if codes[accepted] != 200 || replies[accepted].Revision != round+1 || codes[rejected] != 409 || replies[rejected].Kind != "conflict" ||
+			replies[rejected].Revision != round+1 {
 			t.Fatalf("round %d: %v %+v", round, codes, replies)
 		}
 	}
--- a/internal/keeper/config_reader.go
+++ b/internal/keeper/config_reader.go
@@ -69,22 +69,22 @@
 	if failure != nil {
 		return *failure
 	}
-	most, failure := queryUint(r, "most")
+	limit, failure := queryUint(r, "most")
 	if failure != nil {
 		return *failure
 	}
-	now := c.stateMachine.summary()
+	current := c.stateMachine.summary()
 	count := uint64(defaultHistoryLength)
-	if most != nil {
-		count = min(*most, maxHistoryLength)
+	if limit != nil {
+		count = min(*limit, maxHistoryLength)
 	}
 	first := uint64(0)
 	switch {
 	case from != nil:
 		first = *from
-	case now.Revision >= count:
-		first = now.Revision - count + 1
+	case current.Revision >= count:
+		first = current.Revision - count + 1
 	}
 	history := c.stateMachine.history(first, int(count))
-	return okResponse(revisionHistory{Oldest: now.Oldest, Revision: now.Revision, Revisions: history})
+	return okResponse(revisionHistory{Oldest: current.Oldest, Revision: current.Revision, Revisions: history})
 }
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -67,15 +67,15 @@
 		t.Errorf("%+v", v)
 	}
 	g.waitForConvergence(g.change(0, put("fourth", "/settings/over-share-worth", "4")))
-	stopped := g.leader()
-	g.members[stopped].signal(syscall.SIGSTOP)
-	other := (stopped + 1) % 3
-	waitUntil(t, "another leader", func() bool { return g.leader() != stopped })
+	paused := g.leader()
+	g.members[paused].signal(syscall.SIGSTOP)
+	other := (paused + 1) % 3
+	waitUntil(t, "another leader", func() bool { return g.leader() != paused })
 	v = g.waitForConvergenceAt(other, g.change(other, put("fifth", "/settings/over-share-worth", "5")))
 	if len(v.InForce) != 3 || v.Revision != 5 {
 		t.Errorf("with a keeper stopped: %+v", v)
 	}
-	g.members[stopped].signal(syscall.SIGCONT)
+	g.members[paused].signal(syscall.SIGCONT)
 	for _, c := range clients[:2] {
 		c.Stop()
 	}
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -33,9 +33,9 @@
 // confirmed after the leases were gathered.
 type convergenceReport struct {
 	configlog.ConvergenceStatus
-	Keeper   string `json:"keeper"` // the keeper that made the report
-	Majority bool   `json:"majority"`
-	Why      string `json:"why,omitempty"` // why no majority confirms the report
+	Keeper            string `json:"keeper"` // the keeper that made the report
+	Majority          bool   `json:"majority"`
+	UnconfirmedReason string `json:"why,omitempty"` // why no majority confirms the report
 }
 
 // gatheredLeases are the leases of all keepers that could be queried.
@@ -118,7 +118,7 @@
 	status.Converged = false
 	report := convergenceReport{ConvergenceStatus: status, Keeper: s.keeperID}
 	if failure, ok := failed.body.(errorBody); ok {
-		report.Why = failure.Reason
+		report.UnconfirmedReason = failure.Reason
 	}
 	return okResponse(report)
 }
@@ -130,7 +130,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		gathered.leases = append(gathered.leases, answer.Leases...)
-		if !answered || !answer.Settled {
+		if !answered || !answer.Complete {
 			gathered.unreached = append(gathered.unreached, id)
 		}
 	}
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -17,8 +17,8 @@
 // limitFileSize bounds the files of a running keeper, which simulates a full disk: a write that grows a file fails.
 func (g *group) limitFileSize(i int, bytes uint64) {
 	g.t.Helper()
-	l := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
-	if err := unix.Prlimit(g.members[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &l, nil); err != nil {
+	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
+	if err := unix.Prlimit(g.members[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		g.t.Fatal(err)
 	}
 }
@@ -26,11 +26,11 @@
 // fillDisk prevents a keeper's log from growing.
 func (g *group) fillDisk(i int) {
 	g.t.Helper()
-	f, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
+	info, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.limitFileSize(i, uint64(f.Size()))
+	g.limitFileSize(i, uint64(info.Size()))
 }
 
 func largeChange(n int) configlog.Change {
@@ -48,23 +48,23 @@
 	for i := range g.members {
 		g.fillDisk(i)
 	}
-	var no reply
+	var failure reply
 	n := 1
 	for ; ; n++ {
-		no = reply{}
-		code := g.post(0, "/v1/changes", largeChange(n), &no)
+		failure = reply{}
+		code := g.post(0, "/v1/changes", largeChange(n), &failure)
 		if code == 503 {
 			break
 		}
 		if code != 200 {
-			t.Fatalf("%d %+v", code, no)
+			t.Fatalf("%d %+v", code, failure)
 		}
-		last = no.Revision
+		last = failure.Revision
 	}
-	if no.Done == "" || no.Reason == "" {
-		t.Errorf("%+v", no)
+	if failure.Done == "" || failure.Reason == "" {
+		t.Errorf("%+v", failure)
 	}
-	said := 0
+	reported := 0
 	for i, p := range g.members {
 		if !p.alive() {
 			t.Fatalf("%s has ended", p.options.ID)
@@ -73,10 +73,10 @@
 			t.Errorf("%s serves %d", p.options.ID, c.Revision)
 		}
 		if strings.Contains(g.status(i).DiskError, "file too large") {
-			said++
+			reported++
 		}
 	}
-	if said == 0 {
+	if reported == 0 {
 		t.Error("no status reports that a disk is full")
 	}
 	f.pollUntil(1, last)
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -141,7 +141,7 @@
 		}
 		return okResponse(struct{}{})
 	}
-	return e.proxy.attempt(r.Context(), leaderCall{method: r.Method, local: join, isForwarded: true})
+	return e.proxy.attempt(r.Context(), leaderCall{method: r.Method, runLocally: join, isForwarded: true})
 }
 
 // forgetResult is the answer to `DELETE /v1/followers/NAME`.
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -87,7 +87,7 @@
 	reason string
 }
 
-func unusableFolders() []folderCase {
+func folderCases() []folderCase {
 	return []folderCase{
 		{"nothing", func(*testing.T, string) {}, ""},
 		{"an early stage", replaceText("keeper.json", "member", "founding"), ""},
@@ -111,7 +111,7 @@
 }
 
 // Each damage is recognized at the start and named in log and status; none of the files is lost.
-func TestUnusableFolders(t *testing.T) {
+func TestDamagedAndForeignFolders(t *testing.T) {
 	g := startGroup(t, 1, func(_ int, o *keeper.Options) {
 		o.SnapshotThreshold, o.SnapshotInterval = 8, 50*time.Millisecond
 	})
@@ -123,8 +123,8 @@
 	waitUntil(t, "a snapshot", func() bool { return snapshots(intact) > 0 })
 	g.change(0, put("board", "/board", `"`+entryValue+`"`))
 	waitUntil(t, "membership", func() bool { return g.status(0).Folder.Stage == "member" })
-	p.end(syscall.SIGTERM)
-	for _, c := range unusableFolders() {
+	p.terminate(syscall.SIGTERM)
+	for _, c := range folderCases() {
 		p.options.Dir = filepath.Join(t.TempDir(), "copy")
 		if err := os.CopyFS(p.options.Dir, os.DirFS(intact)); err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 	}
 	p.start()
 	s := g.status(0)
-	p.end(syscall.SIGKILL)
+	p.terminate(syscall.SIGKILL)
 	if c.reason == "" {
 		if len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
 			g.t.Errorf("%s: %+v", c.name, s.Folder)
@@ -176,14 +176,14 @@
 	dir := g.members[victim].options.Dir
 	for n, c := range []struct {
 		damage func()
-		why    string
+		reason string
 	}{
 		{func() {
 			editContent(t, filepath.Join(dir, "raft.db"), func(b []byte) []byte { return b[:4*os.Getpagesize()] })
 		}, "damaged: raft.db"},
 		{func() {
 			remove(t, dir)
-			g.members[other].end(syscall.SIGTERM)
+			g.members[other].terminate(syscall.SIGTERM)
 			if err := os.CopyFS(dir, os.DirFS(g.members[other].options.Dir)); err != nil {
 				t.Fatal(err)
 			}
@@ -192,7 +192,7 @@
 		}, "foreign: of keeper"},
 	} {
 		last := g.waitForRevision(victim, uint64(30+n)).Revision
-		g.members[victim].end(syscall.SIGTERM)
+		g.members[victim].terminate(syscall.SIGTERM)
 		c.damage()
 		g.members[victim].start()
 		g.waitForRevision(victim, last)
@@ -200,8 +200,8 @@
 			s := g.status(victim)
 			return s.Folder.Votes && s.Folder.Stage == "member"
 		})
-		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.why) {
-			t.Errorf("aside %q, want %q", s.Folder.Aside, c.why)
+		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.reason) {
+			t.Errorf("aside %q, want %q", s.Folder.Aside, c.reason)
 		}
 		mustContain(t, g.members[victim].logText(), "folder set aside", "joining existing group without a folder")
 		g.checkEqualState(g.change(victim, put(fmt.Sprint("after", n), "/settings/over-share-worth", "0")))
@@ -215,32 +215,32 @@
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	leader := g.leader()
-	late, lost := (leader+1)%3, (leader+2)%3
+	lagging, lost := (leader+1)%3, (leader+2)%3
 	// The leader and the keeper that will lose its folder have the change.
-	g.links[[2]int{leader, late}][0].setSilent(forth, true)
+	g.links[[2]int{leader, lagging}][0].setBlocked(forward, true)
 	g.change(leader, put("second", "/settings/over-share-worth", "2"))
 	g.waitForRevision(lost, 2)
 	g.kill(lost)
 	remove(t, g.members[lost].options.Dir)
 	// It restarts, learns that the group exists, and receives none of the leader's entries.
-	g.links[[2]int{leader, lost}][0].setSilent(forth, true)
+	g.links[[2]int{leader, lost}][0].setBlocked(forward, true)
 	g.members[lost].start()
 	waitUntil(t, "the empty keeper joining the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
 	g.kill(leader)
-	var no reply
-	if code := g.post(late, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &no); code != 503 ||
-		no.Kind != "no-majority" {
-		t.Errorf("the two that lack revision 2 answered %d %+v", code, no)
+	var failure reply
+	if code := g.post(lagging, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &failure); code != 503 ||
+		failure.Kind != "no-majority" {
+		t.Errorf("the two that lack revision 2 answered %d %+v", code, failure)
 	}
 	if s := g.status(lost); s.Folder.Votes || s.Revision != 0 {
 		t.Errorf("%+v", s)
 	}
-	for _, o := range []int{late, lost} {
-		g.links[[2]int{leader, o}][0].setSilent(forth, false)
+	for _, o := range []int{lagging, lost} {
+		g.links[[2]int{leader, o}][0].setBlocked(forward, false)
 	}
 	g.members[leader].start()
 	g.leader()
-	if rev := g.change(late, put("fourth", "/settings/over-share-worth", "4")); rev < 3 {
+	if rev := g.change(lagging, put("fourth", "/settings/over-share-worth", "4")); rev < 3 {
 		t.Error("revision", rev)
 	}
 	if c := g.waitForRevision(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
@@ -256,7 +256,7 @@
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	for i := range g.members {
-		g.members[i].end(syscall.SIGTERM)
+		g.members[i].terminate(syscall.SIGTERM)
 	}
 	for _, i := range []int{0, 1} {
 		remove(t, g.members[i].options.Dir)
@@ -267,15 +267,15 @@
 	for _, i := range []int{0, 1} {
 		waitUntil(t, "the empty keepers joining the group", func() bool { return g.status(i).Folder.Stage == "joining" })
 	}
-	var no reply
-	if code := g.post(2, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &no); code != 503 {
-		t.Errorf("%d %+v", code, no)
+	var failure reply
+	if code := g.post(2, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &failure); code != 503 {
+		t.Errorf("%d %+v", code, failure)
 	}
-	g.members[0].end(syscall.SIGTERM)
+	g.members[0].terminate(syscall.SIGTERM)
 	g.members[0].options.AcceptLoss = true
 	g.members[0].start()
-	if at := g.leader(); at != 2 {
-		t.Errorf("%s leads, which had nothing", g.members[at].options.ID)
+	if leader := g.leader(); leader != 2 {
+		t.Errorf("%s leads, which had nothing", g.members[leader].options.ID)
 	}
 	g.checkEqualState(g.change(0, put("third", "/settings/over-share-worth", "3")))
 	if c := g.waitForRevision(0, 1); string(c.Entries["/settings/over-share-worth"]) != "1" {
@@ -298,14 +298,14 @@
 	victim := (g.leader() + 1) % 3
 	g.waitForRevision(victim, 40)
 	// The leader sends a snapshot to a keeper that starts empty.
-	g.members[victim].end(syscall.SIGTERM)
+	g.members[victim].terminate(syscall.SIGTERM)
 	remove(t, g.members[victim].options.Dir)
 	leader := g.members[g.leader()].options.Dir
 	waitUntil(t, "a snapshot of the leader", func() bool { return snapshots(leader) > 0 })
 	g.members[victim].start()
 	g.waitForRevision(victim, 40)
 	waitUntil(t, "the right to vote again", func() bool { return g.status(victim).Folder.Votes })
-	g.members[victim].end(syscall.SIGTERM)
+	g.members[victim].terminate(syscall.SIGTERM)
 	damageSnapshots(t, g.members[victim].options.Dir)
 	g.members[victim].start()
 	g.checkEqualState(40)
@@ -346,14 +346,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	strange := filepath.Join(dir, "letter.txt")
-	if err := os.WriteFile(strange, []byte("dear"), 0o600); err != nil {
+	unknownFile := filepath.Join(dir, "letter.txt")
+	if err := os.WriteFile(unknownFile, []byte("dear"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g.members[0].start()
 	g.leader()
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	if text, err := os.ReadFile(strange); err != nil || string(text) != "dear" {
+	if text, err := os.ReadFile(unknownFile); err != nil || string(text) != "dear" {
 		t.Error(string(text), err)
 	}
 	_ = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -89,14 +89,14 @@
 ) (update configlog.Update, found bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	requested := false
+	enrollmentRequested := false
 	for {
 		update, registered, changed := s.stateMachine.nextUpdate(status)
-		if !registered && !requested {
+		if !registered && !enrollmentRequested {
 			// Once a call: several processes under one name, more than the roster keeps, would replace each other for
 			// ever.
 			s.pending.add(followerProcess{status.Name, status.Instance})
-			requested = true
+			enrollmentRequested = true
 		}
 		if registered && !update.IsEmpty() && !update.KeeperBehind {
 			return update, true
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -89,10 +89,10 @@
 		t.Errorf("both have it: %+v", v)
 	}
 	// A waiting poll returns the change; a waiting rollout call returns the followers' statuses.
-	type got struct{ code int }
-	calls := make(chan got, 2)
-	go func() { calls <- got{a.poll(1, 700)} }()
-	go func() { calls <- got{b.poll(2, 700)} }()
+	type pollResult struct{ code int }
+	calls := make(chan pollResult, 2)
+	go func() { calls <- pollResult{a.poll(1, 700)} }()
+	go func() { calls <- pollResult{b.poll(2, 700)} }()
 	waitUntil(t, "two waiting calls", func() bool {
 		return g.status(1).Counters["waiting"] == 1 &&
 			g.status(2).Counters["waiting"] == 1
@@ -191,20 +191,20 @@
 // snapshot.
 func TestFollowerThousandChangesBehind(t *testing.T) {
 	g := startGroup(t, 3, nil)
-	wide, narrow := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
+	follower50, follower51 := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
 	for n := range 50 {
 		g.change(0, put(fmt.Sprint("base", n), fmt.Sprintf("/settings/parties/q%d", n), `{"quota-rps":1}`))
 	}
-	wide.pollUntil(1, 50)
+	follower50.pollUntil(1, 50)
 	change := put("c0", "/settings/over-share-worth", "0")
 	g.change(0, change)
-	narrow.pollUntil(1, 51)
-	from := time.Now()
+	follower51.pollUntil(1, 51)
+	start := time.Now()
 	for n := 1; n < 1000; n++ {
 		g.change(0, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%5), fmt.Sprintf(`{"quota-rps":%d}`, n)))
 	}
-	t.Logf("999 changes one after the other in %v", time.Since(from).Round(time.Millisecond))
-	for _, f := range []*follower{&wide, &narrow} {
+	t.Logf("999 changes one after the other in %v", time.Since(start).Round(time.Millisecond))
+	for _, f := range []*follower{&follower50, &follower51} {
 		f.updates = nil
 		g.waitForRevision(2, 1050)
 		f.pollUntil(2, 1050)
@@ -213,18 +213,18 @@
 				len(f.updates[0].Put), len(f.content))
 		}
 	}
-	fresh := follower{g: g, name: "fresh", instance: "1"}
-	fresh.pollUntil(1, 1050)
-	if len(fresh.updates) != 1 || !reflect.DeepEqual(fresh.content, wide.content) {
-		t.Errorf("fresh: %d updates, %d entries", len(fresh.updates), len(fresh.content))
+	newFollower := follower{g: g, name: "fresh", instance: "1"}
+	newFollower.pollUntil(1, 1050)
+	if len(newFollower.updates) != 1 || !reflect.DeepEqual(newFollower.content, follower50.content) {
+		t.Errorf("fresh: %d updates, %d entries", len(newFollower.updates), len(newFollower.content))
 	}
-	first := follower{
+	follower1 := follower{
 		g: g, name: "first", instance: "1", revision: 1,
 		hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}),
 	}
-	first.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
-	first.pollUntil(2, 1050)
-	if len(first.updates) != 1 || !reflect.DeepEqual(first.content, wide.content) {
-		t.Errorf("at revision 1: %d updates, %d entries", len(first.updates), len(first.content))
+	follower1.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
+	follower1.pollUntil(2, 1050)
+	if len(follower1.updates) != 1 || !reflect.DeepEqual(follower1.content, follower50.content) {
+		t.Errorf("at revision 1: %d updates, %d entries", len(follower1.updates), len(follower1.content))
 	}
 }
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -22,7 +22,7 @@
 type step struct{ method, path, body string }
 
 // varying are the parts of answers that differ from run to run; their names stay in the golden files.
-var varying = []*regexp.Regexp{
+var varyingFields = []*regexp.Regexp{
 	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|` +
 		`term|last_index|applied_index)":[0-9.e+]+`),
 	regexp.MustCompile(`"(dir)":"[^"]*"`),
@@ -30,8 +30,8 @@
 	regexp.MustCompile(`(dial) tcp [0-9.:]+`),
 }
 
-func withoutVarying(text []byte) []byte {
-	for _, part := range varying {
+func maskVaryingFields(text []byte) []byte {
+	for _, part := range varyingFields {
 		text = part.ReplaceAll(text, []byte(`"$1":VARIES`))
 	}
 	return text
@@ -47,22 +47,22 @@
 		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTPAddr: host + ":7401", RaftAddr: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTPAddr: host + ":7401", RaftAddr: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
 		Check: rejectEight, OnReady: func(address string) { ready <- address }, Retention: configlog.Retention{Revisions: 3},
-		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenWithin,
+		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenTimeout,
 	}
 	tweak(&o)
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, o) }()
+	result := make(chan error, 1)
+	go func() { result <- Run(ctx, o) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
 	select {
 	case address := <-ready:
 		return address
-	case err := <-ended:
-		ended <- err
+	case err := <-result:
+		result <- err
 		t.Fatal(err)
 	}
 	return ""
@@ -80,7 +80,7 @@
 // runCalls makes the calls in turn and returns calls and answers, without the parts that vary.
 func runCalls(t *testing.T, address string, header http.Header, steps []step) []byte {
 	t.Helper()
-	var said bytes.Buffer
+	var transcript bytes.Buffer
 	for _, s := range steps {
 		request, err := http.NewRequest(s.method, "http://"+address+s.path, strings.NewReader(s.body))
 		if err != nil {
@@ -99,16 +99,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&said, "> %s %s\n> %.300s\n< %d %s Retry-After=%q\n< %s\n\n", s.method, s.path, s.body, answer.StatusCode,
-			answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), bytes.TrimSpace(withoutVarying(body)))
+		fmt.Fprintf(&transcript, "> %s %s\n> %.300s\n< %d %s Retry-After=%q\n< %s\n\n", s.method, s.path, s.body, answer.StatusCode,
+			answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), bytes.TrimSpace(maskVaryingFields(body)))
 	}
-	return said.Bytes()
+	return transcript.Bytes()
 }
 
 // waitForLeader returns once a keeper leads and has recorded that it is a member.
 func waitForLeader(t *testing.T, address string) {
 	t.Helper()
-	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(goldenTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		answer, err := http.Get("http://" + address + "/v1/status")
 		if err != nil {
 			t.Fatal(err)
@@ -193,7 +193,7 @@
 			fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, discoveryAddresses),
 		}
 	}
-	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
+	currentReport := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
 	golden.Equal(t, "calls-followers.txt", runCalls(t, address, nil, []step{
 		put("a", "1"),
 		{"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`},
@@ -202,7 +202,7 @@
 		{"POST", "/v1/follow", report("r3", 0, "0", "")},
 		put("b", "2"),
 		{"POST", "/v1/follow", report("r1", 1, "1", "")},
-		{"POST", "/v1/follow", now},
+		{"POST", "/v1/follow", currentReport},
 		{"POST", "/v1/follow", report("r2", 1, "1", rejection)},
 		{"POST", "/v1/follow", report("r4", 2, "9", "")},
 		{"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
@@ -227,7 +227,7 @@
 
 // A keeper that waits for the others, and one without capacity for followers, answer with the recorded bytes.
 func TestGoldenUnavailableResponses(t *testing.T) {
-	lonely := startSingleKeeper(t, func(o *Options) {
+	address := startSingleKeeper(t, func(o *Options) {
 		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: LoopbackHost() + ":1", RaftAddr: LoopbackHost() + ":1"})
 		o.ChangeTimeout, o.MaxWaitingFollowers = 50*time.Millisecond, -1
 	})
@@ -244,7 +244,7 @@
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
 		{"GET", "/v1/config", ""},
 	}
-	golden.Equal(t, "calls-unserved.txt", runCalls(t, lonely, nil, steps))
-	passed := http.Header{"Windflow-Keeper": {"k2"}}
-	golden.Equal(t, "calls-unserved-passed.txt", runCalls(t, lonely, passed, []step{steps[4], steps[7]}))
+	golden.Equal(t, "calls-unserved.txt", runCalls(t, address, nil, steps))
+	forwardedHeader := http.Header{"Windflow-Keeper": {"k2"}}
+	golden.Equal(t, "calls-unserved-passed.txt", runCalls(t, address, forwardedHeader, []step{steps[4], steps[7]}))
 }
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -26,7 +26,7 @@
 // goldenFolders contains the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
 const goldenFolders = "folders.tar.gz"
 
-const goldenWithin = 20 * time.Second
+const goldenTimeout = 20 * time.Second
 
 // recordedChanges has a revert, a removal and more revisions than are kept.
 func recordedChanges() (list []configlog.Change) {
@@ -69,7 +69,7 @@
 			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTPAddr: p.HTTPAddr, RaftAddr: p.RaftAddr, Peers: peers,
 			Check: func(map[string]json.RawMessage) *configerror.Error { return nil }, Log: slog.New(slog.DiscardHandler),
 			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond,
-			ChangeTimeout: goldenWithin,
+			ChangeTimeout: goldenTimeout,
 		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
@@ -92,8 +92,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said string
-	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	var lastFailure string
+	for deadline := time.Now().Add(goldenTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		r, err := http.NewRequest(method, "http://"+c.addresses[i]+path, bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -101,7 +101,7 @@
 		r.Close = true
 		answer, err := http.DefaultClient.Do(r)
 		if err != nil {
-			said = err.Error()
+			lastFailure = err.Error()
 			continue
 		}
 		text, _ := io.ReadAll(answer.Body)
@@ -109,9 +109,9 @@
 		if answer.StatusCode == http.StatusOK {
 			return text
 		}
-		said = answer.Status + " " + string(text)
+		lastFailure = answer.Status + " " + string(text)
 	}
-	t.Fatalf("k%d: %s %s: %s", i+1, method, path, said)
+	t.Fatalf("k%d: %s %s: %s", i+1, method, path, lastFailure)
 	return nil
 }
 
@@ -196,15 +196,15 @@
 		if err := (checksummedLog{s.entries}).GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
-		what := ""
+		description := ""
 		switch l.Type {
 		case raft.LogCommand:
-			what = string(l.Data[commandHeaderSize:])
+			description = string(l.Data[commandHeaderSize:])
 		case raft.LogConfiguration:
-			what = members(raft.DecodeConfiguration(l.Data))
+			description = members(raft.DecodeConfiguration(l.Data))
 		case raft.LogNoop, raft.LogBarrier, raft.LogAddPeerDeprecated, raft.LogRemovePeerDeprecated:
 		}
-		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, what)
+		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, description)
 	}
 }
 
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -126,19 +126,19 @@
 		t.Fatal(err)
 	}
 	f := openTestFolder(t, dir)
-	stamp := regexp.MustCompile(`aside-\d{8}T\d{6}\.\d{3}Z`)
+	timestamp := regexp.MustCompile(`aside-\d{8}T\d{6}\.\d{3}Z`)
 	var tree bytes.Buffer
 	err := filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
 		if err == nil && !entry.IsDir() {
 			content, _ := os.ReadFile(path)
 			name, _ := filepath.Rel(dir, path)
-			fmt.Fprintf(&tree, "%s: %q\n", stamp.ReplaceAllString(name, "aside-TIME"), content)
+			fmt.Fprintf(&tree, "%s: %q\n", timestamp.ReplaceAllString(name, "aside-TIME"), content)
 		}
 		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintln(&tree, stamp.ReplaceAllString(strings.Join(f.listAside(), "\n"), "aside-TIME"))
+	fmt.Fprintln(&tree, timestamp.ReplaceAllString(strings.Join(f.listAside(), "\n"), "aside-TIME"))
 	golden.Equal(t, "aside.txt", tree.Bytes())
 }
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -40,9 +40,9 @@
 
 // Entries of the replicated log have the bytes that an earlier program wrote, and are read as it meant them.
 func TestGoldenCommands(t *testing.T) {
-	var all []any
+	var samples []any
 	for file, want := range sampleCommands() {
-		all = append(all, want)
+		samples = append(samples, want)
 		data, err := want.encode()
 		if err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 			t.Errorf("%s: %v %s", file, err, diff)
 		}
 	}
-	golden.AllFieldsSet(t, all...)
+	golden.AllFieldsSet(t, samples...)
 }
 
 // sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
@@ -96,19 +96,19 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, file, s.(snapshotState))
-	read := newStateMachine(configlog.Retention{})
-	if err := read.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
+	restored := newStateMachine(configlog.Retention{})
+	if err := restored.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(describeStateMachine(read), "", " ")
+	text, err := json.MarshalIndent(describeStateMachine(restored), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "snapshot.json", append(text, '\n'))
-	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), golden.Read(t, file)) {
+	if second, err := restored.Snapshot(); err != nil || !bytes.Equal(second.(snapshotState), golden.Read(t, file)) {
 		t.Errorf("a snapshot of what was read differs: %v", err)
 	}
-	if out := read.Apply(&raft.Log{
+	if out := restored.Apply(&raft.Log{
 		Index: 9, Type: raft.LogCommand,
 		Data: golden.Read(t, "command-forget.bin"),
 	}); out != true {
@@ -127,12 +127,12 @@
 }
 
 func describeStateMachine(m *stateMachine) machineContent {
-	now := m.summary()
+	current := m.summary()
 	out := machineContent{
-		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
+		Oldest: current.Oldest, Revision: current.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
 		Unknown: m.unregistered([]followerProcess{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}}),
 	}
-	for rev := now.Oldest; rev <= now.Revision; rev++ {
+	for rev := current.Oldest; rev <= current.Revision; rev++ {
 		c, _, _ := m.contentAt(&rev)
 		out.Contents = append(out.Contents, c)
 	}
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -57,7 +57,7 @@
 		for _, p := range g.members {
 			if p.cmd != nil && p.alive() {
 				_ = p.cmd.Process.Kill()
-				<-p.ended
+				<-p.exited
 			}
 			if t.Failed() {
 				t.Logf("%s logged:\n%s", p.options.ID, p.logText())
@@ -79,12 +79,12 @@
 }
 
 // partition interrupts the links between two sides, or restores them.
-func (g *group) partition(silent bool, a, b []int) {
+func (g *group) partition(blocked bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
 			for _, l := range append(g.links[[2]int{i, j}], g.links[[2]int{j, i}]...) {
-				l.setSilent(forth, silent)
-				l.setSilent(back, silent)
+				l.setBlocked(forward, blocked)
+				l.setBlocked(reverse, blocked)
 			}
 		}
 	}
@@ -109,44 +109,44 @@
 }
 
 // leader waits until the live keepers agree on a leader, and returns its index.
-func (g *group) leader() (at int) {
+func (g *group) leader() (index int) {
 	g.t.Helper()
 	waitUntil(g.t, "a leader", func() bool {
-		at = -1
+		index = -1
 		for i, p := range g.members {
 			var s status
 			if p.cmd == nil || !p.alive() || g.tryStatus(i, &s) != nil || s.State != "Leader" || !s.Majority {
 				continue
 			}
-			at = i
+			index = i
 		}
-		if at < 0 {
+		if index < 0 {
 			return false
 		}
-		n := 0
+		agreeing := 0
 		for i, p := range g.members {
 			var s status
-			if p.cmd != nil && p.alive() && g.tryStatus(i, &s) == nil && s.Leader == g.members[at].options.ID {
-				n++
+			if p.cmd != nil && p.alive() && g.tryStatus(i, &s) == nil && s.Leader == g.members[index].options.ID {
+				agreeing++
 			}
 		}
-		return n > len(g.members)/2
+		return agreeing > len(g.members)/2
 	})
-	return at
+	return index
 }
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
 // impatientClient is for calls that a stopped or unreachable keeper need not answer.
-var impatientClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+var shortTimeoutClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (g *group) tryStatus(i int, s *status) error {
-	a, err := impatientClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
+	answer, err := shortTimeoutClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = a.Body.Close() }()
-	return json.NewDecoder(a.Body).Decode(s)
+	defer func() { _ = answer.Body.Close() }()
+	return json.NewDecoder(answer.Body).Decode(s)
 }
 
 func (g *group) status(i int) (s status) {
@@ -189,22 +189,22 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	q, err := http.NewRequest(method, base+path, body)
+	request, err := http.NewRequest(method, base+path, body)
 	if err != nil {
 		return 0, err
 	}
-	a, err := client.Do(q)
+	answer, err := client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = a.Body.Close() }()
-	text, err := io.ReadAll(a.Body)
+	defer func() { _ = answer.Body.Close() }()
+	text, err := io.ReadAll(answer.Body)
 	if err == nil && out != nil && len(text) > 0 {
 		if err = json.Unmarshal(text, out); err != nil {
 			err = fmt.Errorf("%w: %s", err, text)
 		}
 	}
-	return a.StatusCode, err
+	return answer.StatusCode, err
 }
 
 // reply has all fields of an answer to a change.
@@ -260,4 +260,4 @@
 	}
 }
 
-func (g *group) kill(i int) { g.t.Helper(); g.members[i].end(syscall.SIGKILL) }
+func (g *group) kill(i int) { g.t.Helper(); g.members[i].terminate(syscall.SIGKILL) }
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -19,37 +19,37 @@
 func TestIdleKeepers(t *testing.T) {
 	g := startGroup(t, 5, nil)
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
-	type figures struct {
+	type measurement struct {
 		term, bytes int64
 		ticks       int
 	}
-	look := func(i int) (f figures) {
+	measure := func(i int) (f measurement) {
 		var s struct {
 			Term     int64            `json:"term"`
 			Counters map[string]int64 `json:"counters"`
 		}
 		g.get(i, "/v1/status", &s)
-		return figures{
+		return measurement{
 			term: s.Term, bytes: s.Counters["raft_bytes_in"] + s.Counters["raft_bytes_out"],
 			ticks: cpuTicks(t, g.members[i].cmd.Process.Pid),
 		}
 	}
-	var before [5]figures
+	var before [5]measurement
 	for i := range before {
-		before[i] = look(i)
+		before[i] = measure(i)
 	}
 	leader := g.leader()
 	time.Sleep(*idle) // what is measured is the time without any call
 	for i := range before {
-		now, rss := look(i), residentKB(t, g.members[i].cmd.Process.Pid)
+		after, rss := measure(i), residentKB(t, g.members[i].cmd.Process.Pid)
 		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v",
 			g.members[i].options.ID, rss,
-			float64(now.ticks-before[i].ticks)/idle.Seconds(), float64(now.bytes-before[i].bytes)/idle.Seconds(),
-			now.term-before[i].term, i == leader)
-		if rss > maxIdleKB && !raced {
+			float64(after.ticks-before[i].ticks)/idle.Seconds(), float64(after.bytes-before[i].bytes)/idle.Seconds(),
+			after.term-before[i].term, i == leader)
+		if rss > maxIdleKB && !raceEnabled {
 			t.Errorf("%s has %d kB resident", g.members[i].options.ID, rss)
 		}
-		if now.bytes == before[i].bytes {
+		if after.bytes == before[i].bytes {
 			t.Errorf("%s neither sends nor receives a heartbeat", g.members[i].options.ID)
 		}
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -190,7 +190,7 @@
 		case <-ticker.C:
 		}
 		k.leases.tick()
-		k.membership.checkProgress(ctx)
+		k.membership.advanceStage(ctx)
 	}
 }
 
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -26,13 +26,13 @@
 type leaderCall struct {
 	method, path string
 	body         []byte
-	local        func(context.Context) response // carries the call out at the leader
+	runLocally   func(context.Context) response // carries the call out at the leader
 	isForwarded  bool                           // by another keeper: it is not forwarded again
 }
 
-func newLeaderCall(r *http.Request, path string, body []byte, local func(context.Context) response) leaderCall {
+func newLeaderCall(r *http.Request, path string, body []byte, runLocally func(context.Context) response) leaderCall {
 	return leaderCall{
-		method: r.Method, path: path, body: body, local: local, isForwarded: r.Header.Get(forwardedByHeader) != "",
+		method: r.Method, path: path, body: body, runLocally: runLocally, isForwarded: r.Header.Get(forwardedByHeader) != "",
 	}
 }
 
@@ -71,7 +71,7 @@
 	peer, known := p.peers.peer(leader)
 	switch {
 	case isSelf:
-		return call.local(ctx)
+		return call.runLocally(ctx)
 	case !p.replication.running():
 		return unavailableResponse(errorStarting, effectNone,
 			"keeper %s has an empty folder and waits for the other keepers", p.keeperID)
@@ -93,13 +93,13 @@
 	var watch sync.WaitGroup
 	defer watch.Wait()
 	defer cancel()
-	watch.Go(func() { p.cancelWithoutLeader(ctx, leader.ID, cancel) })
+	watch.Go(func() { p.cancelOnLeaderChange(ctx, leader.ID, cancel) })
 
 	request, err := p.peers.newRequest(ctx, leader, call.method, call.path, call.body)
 	if err != nil {
 		return unavailableResponse(errorNoMajority, effectNone, "%v", err)
 	}
-	answer, err := p.peers.do(request)
+	httpResponse, err := p.peers.do(request)
 	if err != nil {
 		effect := effectUnknown
 		if dialFailed(err) {
@@ -107,12 +107,12 @@
 		}
 		return unavailableResponse(errorNoMajority, effect, "the leader %s does not answer: %v", leader.ID, withoutURL(err))
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxPeerAnswerBytes))
+	defer func() { _ = httpResponse.Body.Close() }()
+	text, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxPeerResponseBytes))
 	if err != nil {
 		return unavailableResponse(errorNoMajority, effectUnknown, "the leader %s broke off: %v", leader.ID, withoutURL(err))
 	}
-	return forwardedResponse(answer.StatusCode, text)
+	return forwardedResponse(httpResponse.StatusCode, text)
 }
 
 // forwardedResponse decodes an answer that may be retried; others are passed through as they are.
@@ -127,7 +127,7 @@
 }
 
 // cancelWithoutLeader cancels as soon as a keeper doesn't lead, and returns when ctx ends.
-func (p *leaderProxy) cancelWithoutLeader(ctx context.Context, id string, cancel context.CancelFunc) {
+func (p *leaderProxy) cancelOnLeaderChange(ctx context.Context, id string, cancel context.CancelFunc) {
 	for {
 		leaderChanged := p.replication.leaderChanged.wait()
 		if leader, _ := p.replication.leader(); leader != id {
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -41,7 +41,7 @@
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	leader := g.leader()
 	receiver, third := (leader+1)%3, (leader+2)%3
-	g.links[[2]int{receiver, leader}][1].setSilent(back, true)
+	g.links[[2]int{receiver, leader}][1].setBlocked(reverse, true)
 	answer := g.send(receiver, put("second", "/settings/over-share-worth", "2"))
 	g.waitForRevision(third, 2)
 	g.kill(leader)
@@ -67,7 +67,7 @@
 	before := g.lastIndex(leader)
 	others := []int{(leader + 1) % 3, (leader + 2) % 3}
 	for _, o := range others {
-		g.links[[2]int{leader, o}][0].setSilent(forth, true)
+		g.links[[2]int{leader, o}][0].setBlocked(forward, true)
 	}
 	answer := g.send(leader, put("second", "/settings/over-share-worth", "2"))
 	waitUntil(t, "the change in the leader's own log", func() bool { return g.lastIndex(leader) > before })
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, o := range others {
-		g.links[[2]int{leader, o}][0].setSilent(forth, false)
+		g.links[[2]int{leader, o}][0].setBlocked(forward, false)
 	}
 	g.members[leader].start()
 	g.checkEqualState(2)
@@ -102,27 +102,27 @@
 func TestLeaderPausedAndResumed(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	old := g.leader()
+	paused := g.leader()
 	f := follower{g: g, name: "r1", instance: "a"}
-	f.pollUntil(old, 1)
-	f.report(old)
-	g.members[old].signal(syscall.SIGSTOP)
-	now := old
-	waitUntil(t, "another leader", func() bool { now = g.leader(); return now != old })
-	f.pollUntil(now, 1)
-	g.change(now, put("second", "/settings/over-share-worth", "2"))
+	f.pollUntil(paused, 1)
+	f.report(paused)
+	g.members[paused].signal(syscall.SIGSTOP)
+	newLeader := paused
+	waitUntil(t, "another leader", func() bool { newLeader = g.leader(); return newLeader != paused })
+	f.pollUntil(newLeader, 1)
+	g.change(newLeader, put("second", "/settings/over-share-worth", "2"))
 	// These wait in the paused keeper's sockets and are the first that it reads.
 	rollout := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
-		v.code, v.err = sendCall("http://"+g.members[old].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
+		v.code, v.err = sendCall("http://"+g.members[paused].options.HTTPAddr, http.MethodGet, "/v1/rollout", nil, &v)
 		rollout <- v
 	}()
-	conflict := g.send(old, configlog.Change{
-		ID: "second", Expect: number(1), Put: put("", "/settings/over-share-worth", "2").Put,
+	conflict := g.send(paused, configlog.Change{
+		ID: "second", Expect: uint64Pointer(1), Put: put("", "/settings/over-share-worth", "2").Put,
 	})
-	repeated := g.send(old, put("second", "/settings/over-share-worth", "2"))
-	g.members[old].signal(syscall.SIGCONT)
+	repeated := g.send(paused, put("second", "/settings/over-share-worth", "2"))
+	g.members[paused].signal(syscall.SIGCONT)
 	if v := <-rollout; v.err != nil || v.code != 200 || v.Converged {
 		t.Errorf("no follower has revision 2, but the status is %+v", v)
 	}
@@ -140,20 +140,20 @@
 // the design note.
 func TestNewLeaderAfterKill(t *testing.T) {
 	g := startGroup(t, 5, nil)
-	var took []time.Duration
+	var durations []time.Duration
 	for n := range *kills {
 		leader := g.leader()
-		from := time.Now()
+		start := time.Now()
 		g.kill(leader)
 		g.change((leader+1)%5, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n)))
-		took = append(took, time.Since(from).Round(time.Millisecond))
+		durations = append(durations, time.Since(start).Round(time.Millisecond))
 		g.members[leader].start()
 		g.checkEqualState(uint64(n + 1))
 	}
-	slices.Sort(took)
-	t.Logf("from the kill to the first accepted change: %v", took)
-	if worst := took[len(took)-1]; worst > 6*time.Second {
-		t.Errorf("a new leader took %v", worst)
+	slices.Sort(durations)
+	t.Logf("from the kill to the first accepted change: %v", durations)
+	if slowest := durations[len(durations)-1]; slowest > 6*time.Second {
+		t.Errorf("a new leader took %v", slowest)
 	}
 }
 
@@ -170,7 +170,7 @@
 		return n
 	}
 	before := timeouts()
-	g.members[leader].end(syscall.SIGTERM)
+	g.members[leader].terminate(syscall.SIGTERM)
 	mustContain(t, g.members[leader].logText(), "keeper stopped")
 	if text := g.members[leader].logText(); strings.Contains(text, "leadership transfer failed") {
 		t.Error(text)
@@ -223,19 +223,19 @@
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	g.checkEqualState(1)
 	leader := g.leader()
-	few := []int{leader, (leader + 1) % 5}
-	many := []int{(leader + 2) % 5, (leader + 3) % 5, (leader + 4) % 5}
-	here, there := follower{g: g, name: "few", instance: "a"}, follower{g: g, name: "many", instance: "b"}
-	for _, f := range []*follower{&here, &there} {
-		f.pollUntil(few[1], 1)
-		f.report(few[1])
+	minority := []int{leader, (leader + 1) % 5}
+	majority := []int{(leader + 2) % 5, (leader + 3) % 5, (leader + 4) % 5}
+	minorityFollower, majorityFollower := follower{g: g, name: "few", instance: "a"}, follower{g: g, name: "many", instance: "b"}
+	for _, f := range []*follower{&minorityFollower, &majorityFollower} {
+		f.pollUntil(minority[1], 1)
+		f.report(minority[1])
 	}
-	g.partition(true, few, many)
+	g.partition(true, minority, majority)
 	var answers []<-chan pendingReply
-	for n, i := range few {
+	for n, i := range minority {
 		answers = append(answers, g.send(i, put(fmt.Sprint("few", n), "/settings/over-share-worth", "7")))
 	}
-	for n, i := range few {
+	for n, i := range minority {
 		if p := <-answers[n]; p.err != nil || p.code != 503 || p.Kind != "no-majority" || p.Reason == "" || p.Done == "" {
 			t.Errorf("the minority answered %+v", p)
 		}
@@ -243,41 +243,41 @@
 			t.Errorf("the minority serves %+v", c)
 		}
 	}
-	if rev := g.change(many[0], put("many", "/settings/over-share-worth", "2")); rev != 2 {
+	if rev := g.change(majority[0], put("many", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Error("revision", rev)
 	}
-	there.pollUntil(many[1], 2)
-	there.report(many[1])
+	majorityFollower.pollUntil(majority[1], 2)
+	majorityFollower.report(majority[1])
 	var v rolloutReply
-	if code := g.get(many[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority ||
-		!slices.Contains(v.UnreachedKeepers, g.members[few[0]].options.ID) ||
-		!slices.Contains(v.UnreachedKeepers, g.members[few[1]].options.ID) {
+	if code := g.get(majority[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority ||
+		!slices.Contains(v.UnreachedKeepers, g.members[minority[0]].options.ID) ||
+		!slices.Contains(v.UnreachedKeepers, g.members[minority[1]].options.ID) {
 		t.Errorf("the majority doesn't know what the other region has, and answered %d %+v", code, v)
 	}
 	v = rolloutReply{}
-	if code := g.get(few[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
+	if code := g.get(minority[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
 		t.Errorf("the minority's convergence status: %d %+v", code, v)
 	}
 	// A follower that is on no majority's roster receives nothing: the convergence status of the majority could not
 	// include it.
-	newcomer := follower{g: g, name: "new", instance: "c"}
-	if code := newcomer.poll(few[1], 300); code != http.StatusNoContent {
+	newFollower := follower{g: g, name: "new", instance: "c"}
+	if code := newFollower.poll(minority[1], 300); code != http.StatusNoContent {
 		t.Errorf("a newcomer at the minority: %d", code)
 	}
-	g.partition(false, few, many)
+	g.partition(false, minority, majority)
 	// A change that the old leader had accepted before it stepped down may be committed or not; it has one revision at
 	// most, the same at all keepers.
 	g.leader()
-	last := g.change(few[0], put("last", "/settings/over-share-worth", "3"))
+	last := g.change(minority[0], put("last", "/settings/over-share-worth", "3"))
 	g.checkEqualState(last)
-	here.pollUntil(few[0], last)
-	here.report(few[0])
-	there.pollUntil(many[0], last)
-	there.report(many[0])
-	newcomer.pollUntil(few[1], last)
-	newcomer.report(few[1])
+	minorityFollower.pollUntil(minority[0], last)
+	minorityFollower.report(minority[0])
+	majorityFollower.pollUntil(majority[0], last)
+	majorityFollower.report(majority[0])
+	newFollower.pollUntil(minority[1], last)
+	newFollower.report(minority[1])
 	v = rolloutReply{}
-	if code := g.get(few[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last ||
+	if code := g.get(minority[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last ||
 		len(v.InForce) != 3 {
 		t.Errorf("joined: %d %+v", code, v)
 	}
--- a/internal/keeper/lease_table.go
+++ b/internal/keeper/lease_table.go
@@ -20,8 +20,8 @@
 type keeperLeases struct {
 	Keeper string `json:"keeper"`
 	// Settled is false for one lease after a start or a long stop: some followers may not have called yet.
-	Settled bool              `json:"settled"`
-	Leases  []configlog.Lease `json:"leases"`
+	Complete bool              `json:"settled"`
+	Leases   []configlog.Lease `json:"leases"`
 }
 
 func newLeaseTable(keeperID string, duration time.Duration) *leaseTable {
@@ -55,5 +55,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.nowMS()
-	return keeperLeases{Keeper: t.keeperID, Settled: t.leases.IsComplete(now), Leases: t.leases.Live(now)}
+	return keeperLeases{Keeper: t.keeperID, Complete: t.leases.IsComplete(now), Leases: t.leases.Live(now)}
 }
--- a/internal/keeper/link_test.go
+++ b/internal/keeper/link_test.go
@@ -13,14 +13,14 @@
 	target   string
 	mu       sync.Mutex
 	changed  *sync.Cond
-	silent   [2]bool // forth, back
+	blocked  [2]bool // forth, back
 	closed   bool
 	conns    map[net.Conn]bool
 }
 
 const (
-	forth = 0
-	back  = 1
+	forward = 0
+	reverse = 1
 )
 
 func newLink(t *testing.T, listen, target string) *link {
@@ -48,7 +48,7 @@
 
 func (r *link) connect(c net.Conn) {
 	// An interrupted link establishes no connection, though the listener's queue has accepted the caller's half.
-	if !r.waitUntilOpen(forth) {
+	if !r.waitUntilUnblocked(forward) {
 		_ = c.Close()
 		return
 	}
@@ -60,8 +60,8 @@
 	if !r.track(c, to) {
 		return
 	}
-	go r.pump(c, to, forth)
-	r.pump(to, c, back)
+	go r.copyData(c, to, forward)
+	r.copyData(to, c, reverse)
 }
 
 func (r *link) track(conns ...net.Conn) bool {
@@ -76,11 +76,11 @@
 	return !r.closed
 }
 
-func (r *link) pump(from, to net.Conn, way int) {
+func (r *link) copyData(from, to net.Conn, direction int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if !r.waitUntilOpen(way) {
+		if !r.waitUntilUnblocked(direction) {
 			break
 		}
 		if n > 0 {
@@ -100,19 +100,19 @@
 }
 
 // waitUntilOpen waits while a direction is interrupted; false once the link is closed.
-func (r *link) waitUntilOpen(way int) bool {
+func (r *link) waitUntilUnblocked(direction int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.silent[way] && !r.closed {
+	for r.blocked[direction] && !r.closed {
 		r.changed.Wait()
 	}
 	return !r.closed
 }
 
-func (r *link) setSilent(way int, silent bool) {
+func (r *link) setBlocked(direction int, blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent[way] = silent
+	r.blocked[direction] = blocked
 	r.changed.Broadcast()
 }
 
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -16,18 +16,18 @@
 	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat
 	// timeouts: longer than any election in which it may have voted before the loss, which a candidate abandons after
 	// two of them.
-	quietHeartbeats = 5
+	votingPauseHeartbeats = 5
 )
 
 // membership decides how this keeper becomes a member of the group, and records its progress in the folder.
 type membership struct {
-	options     *Options
-	log         *slog.Logger
-	folder      *folder
-	replication *replication
-	peers       *peerClient
-	startedAt   time.Time
-	recorded    atomic.Value // string; the stage in the folder, for readers in other goroutines
+	options       *Options
+	log           *slog.Logger
+	folder        *folder
+	replication   *replication
+	peers         *peerClient
+	startedAt     time.Time
+	recordedStage atomic.Value // string; the stage in the folder, for readers in other goroutines
 }
 
 // peerStatus is the status that keepers exchange with each other.
@@ -49,18 +49,18 @@
 // listAside lists what was set aside in the folder.
 func (m *membership) listAside() []string { return m.folder.listAside() }
 
-func (m *membership) stage() string { return m.recorded.Load().(string) }
+func (m *membership) stage() string { return m.recordedStage.Load().(string) }
 
 func (m *membership) recordStage(stage string) error {
 	if err := m.folder.recordStage(stage); err != nil {
 		return err
 	}
-	m.recorded.Store(stage)
+	m.recordedStage.Store(stage)
 	return nil
 }
 
 // advance records a stage; a failure is logged, and tried again at the next check of the progress.
-func (m *membership) advance(stage string) bool {
+func (m *membership) tryRecordStage(stage string) bool {
 	if err := m.recordStage(stage); err != nil {
 		m.log.Error("folder stage write failed", "stage", stage, "error", err)
 		return false
@@ -86,7 +86,7 @@
 			return err
 		}
 	}
-	logger := raftLog{target: m.log.With("part", "raft"), name: "raft"}
+	logger := raftLogger{target: m.log.With("part", "raft"), name: "raft"}
 	stores, err := openStores(m.options.Dir, logger)
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 func (m *membership) discoverGroup(ctx context.Context) (stage string, err error) {
 	lastReported := ""
 	for {
-		members, unanswered := m.surveyPeers(ctx)
+		members, unanswered := m.queryPeers(ctx)
 		if len(members) > 0 {
 			m.log.Warn("joining existing group without a folder", "peer", members[0])
 			return stageJoining, nil
@@ -117,9 +117,9 @@
 			m.log.Info("group founded", "keepers", len(m.options.Peers))
 			return stageFounding, nil
 		}
-		if now := strings.Join(unanswered, ", "); now != lastReported {
-			lastReported = now
-			m.log.Warn("waiting for other keepers", "unanswered", now)
+		if current := strings.Join(unanswered, ", "); current != lastReported {
+			lastReported = current
+			m.log.Warn("waiting for other keepers", "unanswered", current)
 		}
 		select {
 		case <-ctx.Done():
@@ -131,7 +131,7 @@
 
 // surveyPeers queries the other keepers once, and returns those that belong to the group and those that did not answer
 // that counts.
-func (m *membership) surveyPeers(ctx context.Context) (members, unanswered []string) {
+func (m *membership) queryPeers(ctx context.Context) (members, unanswered []string) {
 	statuses := m.peers.statuses(ctx)
 	for _, peer := range m.peers.others() {
 		status, answered := statuses[peer.ID]
@@ -149,11 +149,11 @@
 }
 
 // checkProgress advances the stage when it is due.
-func (m *membership) checkProgress(ctx context.Context) {
+func (m *membership) advanceStage(ctx context.Context) {
 	switch m.stage() {
 	case stageFounding:
 		if m.replication.hasEntries() {
-			m.advance(stageMember)
+			m.tryRecordStage(stageMember)
 		}
 	case stageJoining:
 		m.resumeVoting(ctx)
@@ -165,7 +165,7 @@
 func (m *membership) resumeVoting(ctx context.Context) {
 	id, _ := m.replication.leader()
 	peer, known := m.peers.peer(id)
-	if !known || time.Since(m.startedAt) < quietHeartbeats*m.options.Heartbeat {
+	if !known || time.Since(m.startedAt) < votingPauseHeartbeats*m.options.Heartbeat {
 		return
 	}
 	// The index may be reached only later; the next check requests a new one then.
@@ -176,7 +176,7 @@
 	if err := m.replication.waitApplied(ctx, leader.LastIndex); err != nil {
 		return
 	}
-	if !m.advance(stageMember) {
+	if !m.tryRecordStage(stageMember) {
 		return
 	}
 	m.replication.votingSuspended.Store(false)
--- a/internal/keeper/norace_test.go
+++ b/internal/keeper/norace_test.go
@@ -2,4 +2,4 @@
 
 package keeper_test
 
-const raced = false
+const raceEnabled = false
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -19,7 +19,7 @@
 	// forwardedByHeader marks a call from one keeper to another, with the id of the calling one.
 	forwardedByHeader = "Windflow-Keeper"
 	// maxPeerAnswerBytes bounds what is read of another keeper's answer: the leases of all followers fit.
-	maxPeerAnswerBytes = 64 << 20
+	maxPeerResponseBytes = 64 << 20
 	// peerCallTimeout is for one call to another keeper that answers from memory.
 	peerCallTimeout = time.Second
 
@@ -112,15 +112,15 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.do(request)
+	httpResponse, err := c.do(request)
 	if err != nil {
 		return withoutURL(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("keeper %s answers %s", peer.ID, answer.Status)
+	defer func() { _ = httpResponse.Body.Close() }()
+	if httpResponse.StatusCode != http.StatusOK {
+		return fmt.Errorf("keeper %s answers %s", peer.ID, httpResponse.Status)
 	}
-	return json.NewDecoder(io.LimitReader(answer.Body, maxPeerAnswerBytes)).Decode(out)
+	return json.NewDecoder(io.LimitReader(httpResponse.Body, maxPeerResponseBytes)).Decode(out)
 }
 
 // statuses fetches the status of all other keepers, concurrently; those that don't answer are missing.
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -64,7 +64,7 @@
 	options keeper.Options
 	env     []string
 	cmd     *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 	logFile string
 }
 
@@ -94,12 +94,12 @@
 	}
 	_ = w.Close()
 	_ = log.Close()
-	ended := make(chan struct{})
-	p.ended = ended
+	exited := make(chan struct{})
+	p.exited = exited
 	cmd := p.cmd
 	go func() {
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 	line := make(chan string, 1)
 	go func() {
@@ -127,7 +127,7 @@
 	select {
 	case line := <-ready:
 		if line != "ready "+p.options.HTTPAddr+"\n" {
-			<-p.ended
+			<-p.exited
 			p.t.Fatalf("%s: no readiness line but %q; %s", p.options.ID, line, p.logText())
 		}
 	case <-time.After(waitTimeout):
@@ -140,7 +140,7 @@
 	p.t.Helper()
 	p.launch()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s still runs; %s", p.options.ID, p.logText())
 	}
@@ -167,7 +167,7 @@
 
 func (p *process) alive() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return p.cmd != nil
@@ -175,11 +175,11 @@
 }
 
 // end sends a signal that ends the process, and waits for its end.
-func (p *process) end(s syscall.Signal) {
+func (p *process) terminate(s syscall.Signal) {
 	p.t.Helper()
 	p.signal(s)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(waitTimeout):
 		_ = p.cmd.Process.Kill()
 		p.t.Fatalf("%s does not end; %s", p.options.ID, p.logText())
@@ -187,17 +187,17 @@
 }
 
 // waitUntil waits until done returns true.
-func waitUntil(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, condition string, done func() bool) {
 	t.Helper()
-	end := time.NewTimer(waitTimeout)
-	defer end.Stop()
-	again := time.NewTicker(10 * time.Millisecond)
-	defer again.Stop()
+	timeout := time.NewTimer(waitTimeout)
+	defer timeout.Stop()
+	retry := time.NewTicker(10 * time.Millisecond)
+	defer retry.Stop()
 	for !done() {
 		select {
-		case <-again.C:
-		case <-end.C:
-			t.Fatalf("not within %v: %s", waitTimeout, what)
+		case <-retry.C:
+		case <-timeout.C:
+			t.Fatalf("not within %v: %s", waitTimeout, condition)
 		}
 	}
 }
--- a/internal/keeper/race_test.go
+++ b/internal/keeper/race_test.go
@@ -2,4 +2,4 @@
 
 package keeper_test
 
-const raced = true
+const raceEnabled = true
--- a/internal/keeper/raft_log.go
+++ b/internal/keeper/raft_log.go
@@ -12,13 +12,13 @@
 )
 
 // raftLog writes the messages of hashicorp/raft, which takes an hclog.Logger only, to an slog.Logger.
-type raftLog struct {
+type raftLogger struct {
 	target *slog.Logger
 	name   string
 	args   []any
 }
 
-var _ hclog.Logger = raftLog{}
+var _ hclog.Logger = raftLogger{}
 
 func slogLevel(level hclog.Level) slog.Level {
 	switch level {
@@ -34,11 +34,11 @@
 	return slog.LevelInfo
 }
 
-func (l raftLog) Log(level hclog.Level, msg string, args ...any) {
+func (l raftLogger) Log(level hclog.Level, msg string, args ...any) {
 	l.write(slogLevel(level), msg, args)
 }
 
-func (l raftLog) write(level slog.Level, msg string, args []any) {
+func (l raftLogger) write(level slog.Level, msg string, args []any) {
 	if !l.enabled(level) {
 		return
 	}
@@ -51,40 +51,42 @@
 	l.target.Log(context.Background(), level, msg, args...)
 }
 
-func (l raftLog) enabled(level slog.Level) bool { return l.target.Enabled(context.Background(), level) }
-
-func (l raftLog) Trace(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
-func (l raftLog) Debug(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
-func (l raftLog) Info(msg string, args ...any)  { l.write(slog.LevelInfo, msg, args) }
-func (l raftLog) Warn(msg string, args ...any)  { l.write(slog.LevelWarn, msg, args) }
-func (l raftLog) Error(msg string, args ...any) { l.write(slog.LevelError, msg, args) }
-func (l raftLog) IsTrace() bool                 { return false }
-func (l raftLog) IsDebug() bool                 { return l.enabled(slog.LevelDebug) }
-func (l raftLog) IsInfo() bool                  { return l.enabled(slog.LevelInfo) }
-func (l raftLog) IsWarn() bool                  { return l.enabled(slog.LevelWarn) }
-func (l raftLog) IsError() bool                 { return l.enabled(slog.LevelError) }
-func (l raftLog) ImpliedArgs() []any            { return l.args }
-func (l raftLog) Name() string                  { return l.name }
-
-func (l raftLog) With(args ...any) hclog.Logger {
-	return raftLog{target: l.target.With(args...), name: l.name, args: append(append([]any(nil), l.args...), args...)}
+func (l raftLogger) enabled(level slog.Level) bool {
+	return l.target.Enabled(context.Background(), level)
 }
 
-func (l raftLog) Named(name string) hclog.Logger {
+func (l raftLogger) Trace(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
+func (l raftLogger) Debug(msg string, args ...any) { l.write(slog.LevelDebug, msg, args) }
+func (l raftLogger) Info(msg string, args ...any)  { l.write(slog.LevelInfo, msg, args) }
+func (l raftLogger) Warn(msg string, args ...any)  { l.write(slog.LevelWarn, msg, args) }
+func (l raftLogger) Error(msg string, args ...any) { l.write(slog.LevelError, msg, args) }
+func (l raftLogger) IsTrace() bool                 { return false }
+func (l raftLogger) IsDebug() bool                 { return l.enabled(slog.LevelDebug) }
+func (l raftLogger) IsInfo() bool                  { return l.enabled(slog.LevelInfo) }
+func (l raftLogger) IsWarn() bool                  { return l.enabled(slog.LevelWarn) }
+func (l raftLogger) IsError() bool                 { return l.enabled(slog.LevelError) }
+func (l raftLogger) ImpliedArgs() []any            { return l.args }
+func (l raftLogger) Name() string                  { return l.name }
+
+func (l raftLogger) With(args ...any) hclog.Logger {
+	return raftLogger{target: l.target.With(args...), name: l.name, args: append(append([]any(nil), l.args...), args...)}
+}
+
+func (l raftLogger) Named(name string) hclog.Logger {
 	if l.name != "" {
 		name = l.name + "." + name
 	}
 	return l.ResetNamed(name)
 }
 
-func (l raftLog) ResetNamed(name string) hclog.Logger {
-	return raftLog{target: l.target, name: name, args: l.args}
+func (l raftLogger) ResetNamed(name string) hclog.Logger {
+	return raftLogger{target: l.target, name: name, args: l.args}
 }
 
 // SetLevel does nothing: the level is that of the slog.Logger.
-func (l raftLog) SetLevel(hclog.Level) {}
+func (l raftLogger) SetLevel(hclog.Level) {}
 
-func (l raftLog) GetLevel() hclog.Level {
+func (l raftLogger) GetLevel() hclog.Level {
 	switch {
 	case l.IsDebug():
 		return hclog.Debug
@@ -97,10 +99,10 @@
 	}
 }
 
-func (l raftLog) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
+func (l raftLogger) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
 	return slog.NewLogLogger(l.target.Handler(), slog.LevelInfo)
 }
 
-func (l raftLog) StandardWriter(o *hclog.StandardLoggerOptions) io.Writer {
+func (l raftLogger) StandardWriter(o *hclog.StandardLoggerOptions) io.Writer {
 	return l.StandardLogger(o).Writer()
 }
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -37,10 +37,10 @@
 	// leaderChanged notifies of each change of the leader, as far as this node knows.
 	leaderChanged *notifier
 
-	started     chan struct{} // closed once node and stores are set
-	node        *raft.Raft
-	stores      *stores
-	settledTerm atomic.Uint64 // the term in which all entries of former terms are known to be applied
+	started      chan struct{} // closed once node and stores are set
+	node         *raft.Raft
+	stores       *stores
+	caughtUpTerm atomic.Uint64 // the term in which all entries of former terms are known to be applied
 }
 
 func newReplication(options *Options, machine *stateMachine, counters *counters) *replication {
@@ -56,7 +56,7 @@
 
 // start runs the raft node on the stores, which it owns from then on, also when it fails. With bootstrap the group is
 // founded with the keepers of the options.
-func (r *replication) start(listener net.Listener, stores *stores, logger raftLog, bootstrap bool) error {
+func (r *replication) start(listener net.Listener, stores *stores, logger raftLogger, bootstrap bool) error {
 	r.stores = stores
 	config := r.raftConfig(logger)
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (r *replication) raftConfig(logger raftLog) *raft.Config {
+func (r *replication) raftConfig(logger raftLogger) *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(r.options.ID)
 	config.HeartbeatTimeout = r.options.Heartbeat
@@ -180,7 +180,7 @@
 func (r *replication) hasEntries() bool { return r.running() && r.node.LastIndex() > 1 }
 
 // votes reports whether this keeper takes part in elections.
-func (r *replication) votes() bool { return !r.votingSuspended.Load() }
+func (r *replication) canVote() bool { return !r.votingSuspended.Load() }
 
 // nodeStatus is the state of the raft node.
 type nodeStatus struct {
@@ -220,15 +220,15 @@
 func (r *replication) verifyLeader() error { return r.node.VerifyLeader().Error() }
 
 // settle waits, once in each term that this keeper leads, until the entries of former leaders are applied here.
-func (r *replication) settle() error {
+func (r *replication) ensureCaughtUp() error {
 	term := r.node.CurrentTerm()
-	if term == r.settledTerm.Load() {
+	if term == r.caughtUpTerm.Load() {
 		return nil
 	}
 	if err := r.barrier(); err != nil {
 		return err
 	}
-	r.settledTerm.Store(term)
+	r.caughtUpTerm.Store(term)
 	return nil
 }
 
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -22,7 +22,7 @@
 	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
 		to := g.members[f.SelectKeeper(len(g.members))].options.HTTPAddr
 		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Status()})
@@ -48,10 +48,10 @@
 		if err == nil {
 			continue
 		}
-		lost := f.CallFailed(float64(time.Since(began).Milliseconds()), float64(n%16)/16)
+		delayMS := f.CallFailed(float64(time.Since(start).Milliseconds()), float64(n%16)/16)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(lost) * time.Millisecond):
+		case <-time.After(time.Duration(delayMS) * time.Millisecond):
 		}
 	}
 }
@@ -62,16 +62,16 @@
 	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	defer all.Wait()
+	var followers sync.WaitGroup
+	defer followers.Wait()
 	defer stop()
-	from := time.Now()
+	start := time.Now()
 	for n := range *followerCount {
-		all.Go(func() { g.runFollower(ctx, n) })
+		followers.Go(func() { g.runFollower(ctx, n) })
 	}
 	waitUntil(t, "all on the roster", func() bool { return g.status(0).Roster == *followerCount })
-	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(from).Round(time.Millisecond))
-	look := func() (ticks int, in, out int64) {
+	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(start).Round(time.Millisecond))
+	measure := func() (ticks int, in, out int64) {
 		for i := range g.members {
 			s := g.status(i)
 			ticks += cpuTicks(t, g.members[i].cmd.Process.Pid)
@@ -79,9 +79,9 @@
 		}
 		return ticks, in, out
 	}
-	ticks, in, out := look()
-	from = time.Now()
-	var took []time.Duration
+	ticks, in, out := measure()
+	start = time.Now()
+	var durations []time.Duration
 	for n := range 10 {
 		sent := time.Now()
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
@@ -90,24 +90,24 @@
 			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing),
 				v.UnreachedKeepers)
 		}
-		took = append(took, time.Since(sent).Round(time.Millisecond))
+		durations = append(durations, time.Since(sent).Round(time.Millisecond))
 	}
-	moreTicks, moreIn, moreOut := look()
-	slices.Sort(took)
-	t.Logf("from the call to reported convergence: %v", took)
-	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(from).Seconds(),
-		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount),
+	moreTicks, moreIn, moreOut := measure()
+	slices.Sort(durations)
+	t.Logf("from the call to reported convergence: %v", durations)
+	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(start).Seconds(),
+		float64(moreTicks-ticks)/time.Since(start).Seconds(), (moreIn-in)/int64(*followerCount),
 		(moreOut-out)/int64(*followerCount))
 	for i := range g.members {
 		t.Logf("%s: %d kB resident, %d calls waiting", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
 			g.status(i).Counters["waiting"])
 	}
-	dead := g.leader()
-	g.kill(dead)
+	killed := g.leader()
+	g.kill(killed)
 	sent := time.Now()
-	rev := g.change((dead+1)%3, put("last", "/settings/over-share-worth", "99"))
-	v := g.waitForConvergenceAt((dead+1)%3, rev)
-	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
+	rev := g.change((killed+1)%3, put("last", "/settings/over-share-worth", "99"))
+	v := g.waitForConvergenceAt((killed+1)%3, rev)
+	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[killed].options.ID) {
 		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
 	t.Logf("from the kill of the leader to the convergence of a change: %v",
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -81,8 +81,8 @@
 	if out := other.Apply(logEntry(t, 9, changeEntry("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
 		t.Errorf("a change from before the snapshot: %+v", out)
 	}
-	cut := s.(snapshotState)[:len(s.(snapshotState))-1]
-	if err := newStateMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(cut))); err == nil {
+	truncated := s.(snapshotState)[:len(s.(snapshotState))-1]
+	if err := newStateMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(truncated))); err == nil {
 		t.Error("a snapshot that is cut off is read")
 	}
 }
@@ -124,9 +124,9 @@
 }
 
 // Messages of raft are logged with their level, fields and formats.
-func TestRaftLog(t *testing.T) {
+func TestRaftLogger(t *testing.T) {
 	var out bytes.Buffer
-	l := raftLog{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
+	l := raftLogger{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
 	l.Debug("suppressed")
 	l.Named("x").With("peer", "k2").Warn("logged", "list", hclog.Fmt("%+v", []int{1, 2}))
 	if text := out.String(); strings.Contains(text, "suppressed") ||
@@ -141,7 +141,7 @@
 	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", RaftAddr: "[::1]:1", HTTPAddr: "[::1]:2"}) {
 		t.Error(peers, err)
 	}
-	six := "a=h:1/h:2,b=h:1/h:2,c=h:1/h:2,d=h:1/h:2,e=h:1/h:2,f=h:1/h:2"
+	sixKeepers := "a=h:1/h:2,b=h:1/h:2,c=h:1/h:2,d=h:1/h:2,e=h:1/h:2,f=h:1/h:2"
 	for _, c := range []struct{ text, err string }{
 		{"", `--peers: ""`},
 		{"k1", `"k1"`},
@@ -151,7 +151,7 @@
 		{"k1=:1/h:1", "k1: "},
 		{"k1=h:1/h:2,k1=h:1/h:2", "k1 is named twice"},
 		{"k 1=h:1/h:2", `id "k 1"`},
-		{six, "6 keepers"},
+		{sixKeepers, "6 keepers"},
 	} {
 		peers, err := ParsePeers(c.text)
 		if err == nil {
--- a/internal/keeper/status.go
+++ b/internal/keeper/status.go
@@ -25,24 +25,24 @@
 // keeperStatus is the answer to `GET /v1/status`. The fields of this and the types below are in the order of their
 // keys, as they have always been encoded.
 type keeperStatus struct {
-	AppliedIndex *uint64        `json:"applied_index,omitempty"` // with a raft node only
-	Cluster      string         `json:"cluster"`
-	Counters     counterStatus  `json:"counters"`
-	DiskError    string         `json:"disk_error,omitempty"` // the latest
-	Folder       folderStatus   `json:"folder"`
-	Followers    int            `json:"followers"`
-	Hash         configlog.Hash `json:"hash"`
-	ID           string         `json:"id"`
-	LastIndex    *uint64        `json:"last_index,omitempty"` // with a raft node only
-	Leader       string         `json:"leader"`
-	Majority     bool           `json:"majority"` // whether a leader is in touch
-	Oldest       uint64         `json:"oldest"`   // revision that is kept
-	Revision     uint64         `json:"revision"`
-	Roster       int            `json:"roster"`
-	Settled      bool           `json:"settled"`
-	State        string         `json:"state"`
-	Term         uint64         `json:"term"`
-	UptimeMS     int64          `json:"uptime_ms"`
+	AppliedIndex   *uint64        `json:"applied_index,omitempty"` // with a raft node only
+	Cluster        string         `json:"cluster"`
+	Counters       counterStatus  `json:"counters"`
+	DiskError      string         `json:"disk_error,omitempty"` // the latest
+	Folder         folderStatus   `json:"folder"`
+	Followers      int            `json:"followers"`
+	Hash           configlog.Hash `json:"hash"`
+	ID             string         `json:"id"`
+	LastIndex      *uint64        `json:"last_index,omitempty"` // with a raft node only
+	Leader         string         `json:"leader"`
+	Majority       bool           `json:"majority"` // whether a leader is in touch
+	Oldest         uint64         `json:"oldest"`   // revision that is kept
+	Revision       uint64         `json:"revision"`
+	Roster         int            `json:"roster"`
+	LeasesComplete bool           `json:"settled"`
+	State          string         `json:"state"`
+	Term           uint64         `json:"term"`
+	UptimeMS       int64          `json:"uptime_ms"`
 }
 
 type folderStatus struct {
@@ -96,24 +96,24 @@
 
 // handleStatus is `GET /v1/status`.
 func (s *statusService) handleStatus(http.ResponseWriter, *http.Request) response {
-	inForce := s.stateMachine.summary()
+	summary := s.stateMachine.summary()
 	live := s.leases.live()
 	leader, _ := s.replication.leader()
 	status := keeperStatus{
-		Cluster:   s.options.Cluster,
-		Counters:  s.counters.status(),
-		Folder:    s.folderStatus(),
-		Followers: len(live.Leases),
-		Hash:      inForce.Hash,
-		ID:        s.options.ID,
-		Leader:    leader,
-		Majority:  leader != "",
-		Oldest:    inForce.Oldest,
-		Revision:  inForce.Revision,
-		Roster:    len(s.stateMachine.followerNames()),
-		Settled:   live.Settled,
-		State:     stateWaiting,
-		UptimeMS:  s.leases.uptime().Milliseconds(),
+		Cluster:        s.options.Cluster,
+		Counters:       s.counters.status(),
+		Folder:         s.folderStatus(),
+		Followers:      len(live.Leases),
+		Hash:           summary.Hash,
+		ID:             s.options.ID,
+		Leader:         leader,
+		Majority:       leader != "",
+		Oldest:         summary.Oldest,
+		Revision:       summary.Revision,
+		Roster:         len(s.stateMachine.followerNames()),
+		LeasesComplete: live.Complete,
+		State:          stateWaiting,
+		UptimeMS:       s.leases.uptime().Milliseconds(),
 	}
 	if s.replication.running() {
 		s.addRaftStatus(&status)
@@ -129,7 +129,7 @@
 		Aside: s.membership.listAside(),
 		Dir:   s.options.Dir,
 		Stage: s.membership.stage(),
-		Votes: s.replication.votes(),
+		Votes: s.replication.canVote(),
 	}
 }
 
--- a/internal/keeper/stores.go
+++ b/internal/keeper/stores.go
@@ -57,7 +57,7 @@
 	}
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, log)
 	if err == nil {
-		if _, none := entries.GetUint64(createdKey); none != nil {
+		if _, missing := entries.GetUint64(createdKey); missing != nil {
 			err = entries.SetUint64(createdKey, 1)
 		}
 	}
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -73,7 +73,7 @@
 			return
 		case request = <-t.NetworkTransport.Consumer():
 		}
-		if t.votingSuspended.Load() && rejectElection(request) {
+		if t.votingSuspended.Load() && rejectElectionRequest(request) {
 			continue
 		}
 		select {
@@ -85,7 +85,7 @@
 }
 
 // rejectElection answers a request that belongs to an election; false for any other.
-func rejectElection(request raft.RPC) bool {
+func rejectElectionRequest(request raft.RPC) bool {
 	switch request.Command.(type) {
 	case *raft.RequestVoteRequest:
 		request.Respond(&raft.RequestVoteResponse{}, errVotingSuspended)
