--- a/internal/keeper/api.go
+++ b/internal/keeper/api.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// answerTimeout is the time a caller has to take an answer.
+// responseTimeout bounds how long writing a response to a caller may take.
 const responseTimeout = 20 * time.Second
 
-// api routes the HTTP calls of operators, followers and other keepers to the services that answer them.
+// api routes the HTTP calls of operators, followers and other keepers to the services that handle them.
 type api struct {
 	log         *slog.Logger
 	counters    *counters
@@ -26,7 +26,7 @@
 	replication *replication
 }
 
-// endpoint answers one kind of call. It may set headers of w and writes nothing to it.
+// endpoint handles one kind of call and returns the response. It may set headers of w but must not write to it.
 type endpoint func(w http.ResponseWriter, r *http.Request) response
 
 func (a *api) handler() http.Handler {
@@ -39,7 +39,7 @@
 		"POST /v1/follow":             a.follow.handleFollow,
 		"DELETE /v1/followers/{name}": a.enrollment.handleForget,
 		"GET /v1/status":              a.status.handleStatus,
-		// From keeper to keeper.
+		// Calls between keepers.
 		"GET " + leasesPath:  a.handleLeases,
 		"GET " + peerPath:    a.handlePeer,
 		"GET " + leaderPath:  a.handleLeader,
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -10,10 +10,10 @@
 	"windflow/internal/decide/configlog"
 )
 
-// maxChangeAttempts bounds how often a change is checked again because another revision was made meanwhile.
+// maxChangeAttempts bounds how often a change is checked and proposed when another revision is committed in between.
 const maxChangeAttempts = 3
 
-const busyReason = "too many changes wait for the one before them"
+const busyReason = "other changes are being committed; try again later"
 
 const (
 	changesPath = "/v1/changes"
@@ -29,7 +29,7 @@
 	replication  *replication
 	proxy        *leaderProxy
 	counters     *counters
-	semaphore    chan struct{} // contains one token: one change at a time is checked and replicated
+	semaphore    chan struct{} // capacity 1: changes are checked and replicated one at a time
 }
 
 func newChangeService(
@@ -47,13 +47,14 @@
 	}
 }
 
-// changeResult is the answer to a change that has a revision.
+// changeResult is the response to a committed change. Repeated reports that the change's id was committed before, and
+// that Revision is the one it was given then.
 type changeResult struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
 }
 
-// handleChange is `POST /v1/changes`.
+// handleChange handles `POST /v1/changes`.
 func (s *changeService) handleChange(w http.ResponseWriter, r *http.Request) response {
 	var change configlog.Change
 	body, failure := readBody(w, r, maxBodyBytes, &change)
@@ -63,7 +64,7 @@
 	return s.propose(r, change, body, changesPath)
 }
 
-// handleRevert is `POST /v1/revert`.
+// handleRevert handles `POST /v1/revert`.
 func (s *changeService) handleRevert(w http.ResponseWriter, r *http.Request) response {
 	var request struct {
 		ID     string  `json:"id"`
@@ -95,9 +96,9 @@
 	return result
 }
 
-// commit checks and replicates a change, as the leader. It handles one change at a time, so that each is
-// checked against the content that it will be applied to; an entry whose base is no longer in force (another leader
-// made a revision meanwhile) does nothing.
+// commit checks and replicates a change; this keeper must be the leader. Changes are handled one at a time, so that
+// each is checked against the content that it will be applied to. If another leader has committed a revision in
+// between, the base of the log entry is no longer current and the entry has no effect.
 func (s *changeService) commit(ctx context.Context, change configlog.Change) response {
 	select {
 	case s.semaphore <- struct{}{}:
@@ -117,15 +118,16 @@
 	return unavailableResponse(errorBusy, effectNone, busyReason)
 }
 
-// attempt checks a change against the content in force and replicates it. done is false if another revision was
-// made meanwhile.
+// attempt checks a change against the current content and replicates it. done is false if another revision was
+// committed in between, so that the change has to be checked again.
 func (s *changeService) attempt(change configlog.Change) (result response, done bool) {
 	base, content, changeErr := s.stateMachine.preview(change)
 	if changeErr == nil {
 		changeErr = s.check(content)
 	}
 	if changeErr != nil {
-		// A leader that was cut off or stopped must not answer for a group that has gone on without it.
+		// A leader that was partitioned or paused may hold outdated content, and must not reject a change on that
+		// basis: the group may have elected another leader and committed revisions since.
 		if err := s.replication.verifyLeader(); err != nil {
 			return s.replication.failureResponse(err, effectNone), true
 		}
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -10,33 +10,34 @@
 	"windflow/internal/decide/configlog"
 )
 
-// command is one entry of the replicated log. Exactly one of its fields is set.
+// command is the payload of one entry of the replicated log. Exactly one field is set.
 type command struct {
 	Change *changeCommand    `json:"change,omitempty"`
-	Join   []followerProcess `json:"join,omitempty"`   // processes that called for the first time
-	Forget string            `json:"forget,omitempty"` // name of a follower that is gone for good
+	Join   []followerProcess `json:"join,omitempty"`   // follower processes to add to the roster
+	Forget string            `json:"forget,omitempty"` // name of a follower to remove from the roster
 }
 
-// followerProcess is one process of a follower.
+// followerProcess identifies one process of a follower: a restarted follower keeps its name and gets a new instance.
 type followerProcess struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 }
 
-// changeCommand is a change that was checked against the content at revision Base; on any other one it does nothing.
+// changeCommand is a change that was checked against the content at revision Base. It has no effect if another revision
+// is current when it is applied.
 type changeCommand struct {
 	Base   uint64           `json:"base"`
 	Change configlog.Change `json:"change"`
 }
 
 const (
-	// commandFormat is the first byte of each entry; a CRC-32C of the JSON, and the JSON itself, follow.
+	// commandFormat is the first byte of each entry. The CRC-32C of the JSON and the JSON itself follow.
 	commandFormat = 1
-	// commandHeaderSize is the size of the format and the checksum.
+	// commandHeaderSize is the size in bytes of the format and the checksum.
 	commandHeaderSize = 1 + 4
 )
 
-// castagnoli is the table of CRC-32C.
+// castagnoli is the polynomial table of CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func (c command) encode() ([]byte, error) {
@@ -50,13 +51,13 @@
 	return append(out, body...), nil
 }
 
-// verifyCommand returns an error for an entry that is not as it was written.
+// verifyCommand returns an error if an encoded command is truncated, has an unknown format or fails its checksum.
 func verifyCommand(data []byte) error {
 	if len(data) < commandHeaderSize {
-		return errors.New("entry is cut off")
+		return errors.New("entry is truncated")
 	}
 	if data[0] != commandFormat {
-		return fmt.Errorf("entry has format %d, this program knows %d", data[0], commandFormat)
+		return fmt.Errorf("entry has format %d; this program supports format %d", data[0], commandFormat)
 	}
 	if crc32.Checksum(data[commandHeaderSize:], castagnoli) != binary.BigEndian.Uint32(data[1:]) {
 		return errors.New("entry does not match its checksum")
--- a/internal/keeper/config_reader.go
+++ b/internal/keeper/config_reader.go
@@ -14,29 +14,29 @@
 	maxHistoryLength     = 1000
 )
 
-// configReader answers queries from the local state, which may be behind the leader by a moment, or while this keeper
-// is cut off.
+// configReader answers reads of the configuration from this keeper's local state. The state may lag behind the
+// leader's, by more than a moment if this keeper is partitioned from the group.
 type configReader struct {
 	stateMachine *stateMachine
-	stopping     <-chan struct{} // closed when calls have to end
+	stopping     <-chan struct{} // closed when open calls have to end
 }
 
-// configContent is the answer to `GET /v1/config`.
+// configContent is the response to `GET /v1/config`.
 type configContent struct {
 	Revision uint64                     `json:"revision"`
 	Hash     configlog.Hash             `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// revisionHistory is the answer to `GET /v1/revisions`. The fields are in the order of their keys, as they have always
-// been encoded.
+// revisionHistory is the response to `GET /v1/revisions`. The fields are in the alphabetical order of their keys,
+// because that is the order in which earlier versions encoded them.
 type revisionHistory struct {
 	Oldest    uint64               `json:"oldest"`
 	Revision  uint64               `json:"revision"`
 	Revisions []configlog.Revision `json:"revisions"`
 }
 
-// handleConfig is `GET /v1/config`. It waits up to wait_ms for a revision that doesn't exist yet.
+// handleConfig handles `GET /v1/config`. It waits up to wait_ms milliseconds for a revision that does not exist yet.
 func (c *configReader) handleConfig(_ http.ResponseWriter, r *http.Request) response {
 	revision, wait, failure := queryRevisionAndWait(r)
 	if failure != nil {
@@ -63,7 +63,8 @@
 	}
 }
 
-// handleRevisions is `GET /v1/revisions`: the latest ones, or those from a revision on.
+// handleRevisions handles `GET /v1/revisions`. It returns up to `most` revisions: those that start at `from`, or the
+// latest ones if `from` is absent.
 func (c *configReader) handleRevisions(_ http.ResponseWriter, r *http.Request) response {
 	from, failure := queryUint(r, "from")
 	if failure != nil {
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// convergencePollInterval is between two looks at all keepers' leases while a caller waits for convergence.
+	// convergencePollInterval is the time between two queries of all keepers' leases while a caller waits for
+	// convergence.
 	convergencePollInterval = 100 * time.Millisecond
 
 	rolloutPath = "/v1/rollout"
 )
 
-// convergenceService reports at which followers a revision is in force.
+// convergenceService reports which followers have put a revision into effect.
 type convergenceService struct {
 	keeperID     string
 	stateMachine *stateMachine
@@ -26,27 +27,29 @@
 	peers        *peerClient
 	proxy        *leaderProxy
 	leases       *leaseTable
-	stopping     <-chan struct{} // closed when calls have to end
+	stopping     <-chan struct{} // closed when open calls have to end
 }
 
-// convergenceReport is the answer to `GET /v1/rollout`. Converged is true only from a leader that a majority has
-// confirmed after the leases were gathered.
+// convergenceReport is the response to `GET /v1/rollout`. Converged is true only if the report comes from a leader that
+// a majority has confirmed after the leases were gathered.
 type convergenceReport struct {
 	configlog.ConvergenceStatus
-	Keeper            string `json:"keeper"` // the keeper that made the report
+	Keeper            string `json:"keeper"` // id of the keeper that created the report
 	Majority          bool   `json:"majority"`
-	UnconfirmedReason string `json:"why,omitempty"` // why no majority confirms the report
+	UnconfirmedReason string `json:"why,omitempty"` // why no majority has confirmed the report
 }
 
-// gatheredLeases are the leases of all keepers that could be queried.
+// gatheredLeases holds the leases that all reachable keepers reported.
 type gatheredLeases struct {
 	leases []configlog.Lease
-	// unreached keepers did not answer, or some of their followers may not have called yet.
+	// unreached lists the ids of the keepers that did not respond or whose leases may be incomplete, because some of
+	// their followers may not have called yet.
 	unreached []string
 }
 
-// handleRollout is `GET /v1/rollout`. It waits until the revision is in force everywhere, at most for wait_ms. The
-// leader creates the report; while there is none, this keeper reports what it knows, and that no majority confirms it.
+// handleRollout handles `GET /v1/rollout`. It waits until the revision is in effect at all followers, for at most
+// wait_ms milliseconds. The leader creates the report. If there is no leader, this keeper reports what it knows and
+// that no majority has confirmed it.
 func (s *convergenceService) handleRollout(_ http.ResponseWriter, r *http.Request) response {
 	revision, wait, failure := queryRevisionAndWait(r)
 	if failure != nil {
@@ -78,7 +81,7 @@
 	return rolloutPath + "?" + query.Encode()
 }
 
-// sleep waits for the duration; false if the call has to end first.
+// sleep waits for the duration. It returns false if the call has to end before that.
 func (s *convergenceService) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -89,7 +92,8 @@
 	return false
 }
 
-// reportAsLeader reports once the revision is in force everywhere or the deadline is over.
+// reportAsLeader returns the leader's report as soon as the revision is in effect at all followers, at the latest after
+// the deadline.
 func (s *convergenceService) reportAsLeader(ctx context.Context, revision *uint64, deadline time.Time) response {
 	gathered := s.gatherLeases(ctx)
 	for !s.stateMachine.convergence(revision, gathered).Converged {
@@ -99,9 +103,9 @@
 		}
 		gathered = s.gatherLeases(ctx)
 	}
-	// A majority confirms, after the leases were gathered, that this keeper leads, and all that it had agreed on
-	// until then is applied here: no revision and no follower that a keeper knew when it was queried is missing in the
-	// report.
+	// After the leases were gathered, a majority confirms that this keeper leads, and all entries committed until then
+	// are applied here. So the report includes each revision and each follower that any keeper knew when it was
+	// queried.
 	if err := s.replication.barrier(); err != nil {
 		return s.replication.failureResponse(err, effectNone)
 	}
@@ -112,7 +116,8 @@
 	})
 }
 
-// reportUnconfirmed returns the report of this keeper alone, which no majority has confirmed.
+// reportUnconfirmed returns a report from this keeper's local state, which no majority has confirmed. failed is the
+// response that states why there is no report from the leader.
 func (s *convergenceService) reportUnconfirmed(ctx context.Context, revision *uint64, failed response) response {
 	status := s.stateMachine.convergence(revision, s.gatherLeases(ctx))
 	status.Converged = false
@@ -123,7 +128,7 @@
 	return okResponse(report)
 }
 
-// gatherLeases fetches the leases of all keepers, concurrently.
+// gatherLeases fetches the leases of all keepers concurrently.
 func (s *convergenceService) gatherLeases(ctx context.Context) (gathered gatheredLeases) {
 	var mu sync.Mutex
 	add := func(id string, answer keeperLeases, answered bool) {
--- a/internal/keeper/counters.go
+++ b/internal/keeper/counters.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// counters count events since the keeper started; GET /v1/status reports them.
+// counters counts events since the keeper started; `GET /v1/status` reports them.
 type counters struct {
 	calls, callsRejected atomic.Int64
-	bytesIn, bytesOut    atomic.Int64 // of HTTP connections, headers included
-	raftIn, raftOut      atomic.Int64 // bytes of the replication
+	bytesIn, bytesOut    atomic.Int64 // bytes on HTTP connections, headers included
+	raftIn, raftOut      atomic.Int64 // bytes of replication traffic
 
 	changesReceived, changesMade     atomic.Int64
 	changesRejected, changesUnserved atomic.Int64
-	forwarded                        atomic.Int64 // calls that were forwarded to the leader
+	forwarded                        atomic.Int64 // calls forwarded to the leader
 
-	polls, pollsRejected       atomic.Int64 // followers' calls
-	pollsOpen                  atomic.Int64 // now, not in all
+	polls, pollsRejected       atomic.Int64 // followers' polls
+	pollsOpen                  atomic.Int64 // number open now, not a total
 	snapshotsSent, updatesSent atomic.Int64
 
 	diskErrors    atomic.Int64
--- a/internal/keeper/counting_listener.go
+++ b/internal/keeper/counting_listener.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// countingListener accepts connections that count their bytes, headers included.
+// countingListener adds the bytes read from and written to its connections, headers included, to two counters.
 type countingListener struct {
 	net.Listener
 	in, out *atomic.Int64
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// maxPendingFollowers bounds the processes that wait to be enrolled, and maxJoinBatch those in one log entry.
+	// maxPendingFollowers bounds the processes that wait to be enrolled.
 	maxPendingFollowers = configlog.MaxMembers
-	maxJoinBatch        = 500
-	// The backoff after a failed attempt: with a full disk each attempt costs an election.
+	// maxJoinBatch bounds the processes in one log entry.
+	maxJoinBatch = 500
+	// minJoinBackoff and maxJoinBackoff bound the backoff after a failed attempt. It limits the number of elections:
+	// with a full disk, each attempt causes one.
 	minJoinBackoff = 100 * time.Millisecond
 	maxJoinBackoff = 2 * time.Second
 )
 
-// enrollment adds the processes of followers to the replicated roster, and removes followers from it.
+// enrollment adds follower processes to the roster, the replicated list of all follower processes, and removes
+// followers from it.
 type enrollment struct {
 	timeout      time.Duration
 	stateMachine *stateMachine
@@ -41,11 +44,11 @@
 	}
 }
 
-// pendingFollowers are processes of followers that are not on the roster yet.
+// pendingFollowers is the set of follower processes that wait to be added to the roster.
 type pendingFollowers struct {
 	mu        sync.Mutex
 	processes map[followerProcess]bool
-	added     chan struct{} // contains a token after processes were added
+	added     chan struct{} // capacity 1; receives a value when processes are added
 }
 
 func newPendingFollowers() *pendingFollowers {
@@ -80,7 +83,7 @@
 	return batch
 }
 
-// run enrolls pending processes in batches, independent of the calls that reported them, until ctx ends.
+// run enrolls pending processes in batches until ctx ends. It is independent of the calls that reported the processes.
 func (e *enrollment) run(ctx context.Context) {
 	backoff := minJoinBackoff
 	for {
@@ -109,7 +112,7 @@
 	}
 }
 
-// enroll adds processes to the roster, here or at the leader; false if that has to be tried again.
+// enroll adds processes to the roster, directly or through the leader. It returns false if the caller has to retry.
 func (e *enrollment) enroll(ctx context.Context, batch []followerProcess) bool {
 	leader, isSelf := e.replication.leader()
 	if isSelf {
@@ -124,7 +127,7 @@
 	return e.peers.post(ctx, peer, e.timeout, rosterPath, batch, &empty) == nil
 }
 
-// handleRoster is `POST /v1/roster`, from keeper to keeper.
+// handleRoster handles `POST /v1/roster`, with which a keeper asks the leader to add processes to the roster.
 func (e *enrollment) handleRoster(w http.ResponseWriter, r *http.Request) response {
 	var batch []followerProcess
 	if _, failure := readBody(w, r, maxBodyBytes, &batch); failure != nil {
@@ -144,12 +147,13 @@
 	return e.proxy.attempt(r.Context(), leaderCall{method: r.Method, runLocally: join, isForwarded: true})
 }
 
-// forgetResult is the answer to `DELETE /v1/followers/NAME`.
+// forgetResult is the response to `DELETE /v1/followers/NAME`. Forgotten is false if no such follower was on the
+// roster.
 type forgetResult struct {
 	Forgotten bool `json:"forgotten"`
 }
 
-// handleForget is `DELETE /v1/followers/NAME`.
+// handleForget handles `DELETE /v1/followers/NAME`, which removes a follower from the roster.
 func (e *enrollment) handleForget(_ http.ResponseWriter, r *http.Request) response {
 	name := r.PathValue("name")
 	call := newLeaderCall(r, r.URL.EscapedPath(), nil, func(context.Context) response {
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -13,32 +13,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// The files in a keeper's folder. Others are left alone.
+// Files in a keeper's folder. The keeper does not touch other files.
 const (
-	identityFile = "keeper.json" // the keeper that the folder belongs to
+	identityFile = "keeper.json" // identity of the keeper that the folder belongs to
 	logFile      = "raft.db"     // entries of the replicated log
-	voteFile     = "vote.db"     // term and vote
+	voteFile     = "vote.db"     // current term and latest vote
 	snapshotDir  = "snapshots"
 	lockFile     = "lock"
-	asidePrefix  = "aside-" // followed by a time: a folder with what was set aside
-	reasonFile   = "why.txt"
+	asidePrefix  = "aside-"  // followed by a time; a folder with files that were set aside
+	reasonFile   = "why.txt" // in a folder of files set aside: the reason
 )
 
-// asideTimeFormat is the format of the time in the name of a folder that was set aside.
+// asideTimeFormat is the format of the time in the name of a folder with files that were set aside.
 const asideTimeFormat = "20060102T150405.000Z"
 
-// keeperFiles are set aside together.
+// keeperFiles are the files that are set aside together.
 var keeperFiles = []string{identityFile, logFile, voteFile, snapshotDir}
 
-// folderFormat is the version of these files; a folder of another version is foreign.
+// folderFormat is the version of the file formats. A folder of another version is not used but set aside.
 const folderFormat = 1
 
-// Stages of a keeper's folder.
+// Stages of a keeper's membership, as recorded in its folder.
 const (
-	stageNew      = "new"      // empty; the keeper doesn't know whether the group exists
-	stageFounding = "founding" // founded the group together with all others, which were new, too
-	stageJoining  = "joining"  // lost and created again while the group exists; takes no part in elections yet
-	stageMember   = "member"
+	stageNew      = "new"      // the folder is empty and the keeper does not know yet whether the group exists
+	stageFounding = "founding" // the keeper bootstrapped the group together with all others, which were new as well
+	stageJoining  = "joining"  // the folder was lost while the group exists; the keeper does not vote yet
+	stageMember   = "member"   // the keeper is a full member and votes
 )
 
 // folderIdentity is the content of identityFile.
@@ -49,7 +49,7 @@
 	Stage   string `json:"stage"`
 }
 
-// folder is a keeper's directory, locked by this process.
+// folder is a keeper's directory on disk, locked by this process.
 type folder struct {
 	dir      string
 	identity folderIdentity
@@ -57,8 +57,9 @@
 	log      *slog.Logger
 }
 
-// openFolder locks a folder and checks its files. Files that belong to another keeper or group, or are damaged, are
-// moved to a folder aside-TIME below it, and the keeper starts with an empty one. Errors name the flag --dir.
+// openFolder locks a folder, creating it if necessary, and checks its files. Files that are damaged or belong to
+// another keeper or group are moved to the subfolder aside-TIME, and the keeper starts as if the folder were empty. It
+// fails if another process has locked the folder. Errors name the flag --dir.
 func openFolder(dir, cluster, id string, log *slog.Logger) (*folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
@@ -70,7 +71,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, fmt.Errorf("--dir: %s is in use by another process; a folder has one keeper at a time", dir)
+			return nil, fmt.Errorf("--dir: %s is in use by another process; only one keeper can use a folder", dir)
 		}
 		return nil, fmt.Errorf("--dir: %s: lock: %w", dir, err)
 	}
@@ -83,7 +84,7 @@
 	return f, nil
 }
 
-// load reads the identity, and sets files aside that must not be used.
+// load reads the folder's identity, or sets its files aside if they must not be used.
 func (f *folder) load() error {
 	existing, err := f.existingFiles()
 	if err != nil || len(existing) == 0 {
@@ -114,8 +115,8 @@
 	return existing, nil
 }
 
-// unusableError describes why the files in a folder must not be used. Other errors of verify are such that setting
-// the files aside would not help, for example a missing permission.
+// unusableError is the reason why the files in a folder must not be used and are set aside. For other errors of verify,
+// such as a missing permission, setting the files aside would not help.
 type unusableError struct{ reason string }
 
 func (e *unusableError) Error() string { return e.reason }
@@ -128,7 +129,8 @@
 	return &unusableError{"damaged: " + fmt.Sprintf(format, args...)}
 }
 
-// verify returns the identity of a folder whose files can be used.
+// verify checks the files in the folder and returns its identity. It returns an unusableError if the files must not be
+// used.
 func (f *folder) verify() (folderIdentity, error) {
 	found, err := f.readIdentity()
 	if err != nil {
@@ -139,7 +141,7 @@
 		return found, nil
 	case stageFounding, stageJoining, stageMember:
 	default:
-		return folderIdentity{}, damagedFolder("%s: stage %q", identityFile, found.Stage)
+		return folderIdentity{}, damagedFolder("%s: unknown stage %q", identityFile, found.Stage)
 	}
 	lastIndex, err := verifyStores(f.dir)
 	var damage *damageError
@@ -149,15 +151,15 @@
 	if err != nil {
 		return folderIdentity{}, err
 	}
-	// The stage is written a moment after the first entries. New keepers rely on it: if they learned that nobody has
-	// anything, they would found a second group.
+	// The stage is written shortly after the first entries, so a crash in between leaves the earlier stage. New keepers
+	// rely on the stage: if no keeper reported to be a member, they would bootstrap a second group.
 	if found.Stage == stageFounding && lastIndex > 1 {
 		found.Stage = stageMember
 	}
 	return found, nil
 }
 
-// readIdentity returns the identity in the folder if it is that of this keeper.
+// readIdentity reads the identity file. It returns an unusableError unless the identity is that of this keeper.
 func (f *folder) readIdentity() (found folderIdentity, err error) {
 	text, err := os.ReadFile(filepath.Join(f.dir, identityFile))
 	switch {
@@ -171,7 +173,7 @@
 	}
 	switch {
 	case found.Format != folderFormat:
-		return found, foreignFolder("format %d, this program knows %d", found.Format, folderFormat)
+		return found, foreignFolder("format %d; this program supports format %d", found.Format, folderFormat)
 	case found.Cluster != f.identity.Cluster:
 		return found, foreignFolder("of cluster %q, not %q", found.Cluster, f.identity.Cluster)
 	case found.ID != f.identity.ID:
@@ -180,25 +182,26 @@
 	return found, nil
 }
 
+// setAside moves files into a new subfolder aside-TIME, together with a file that states the reason.
 func (f *folder) setAside(files []string, reason string) error {
 	name := asidePrefix + time.Now().UTC().Format(asideTimeFormat)
 	target := filepath.Join(f.dir, name)
 	if err := os.Mkdir(target, 0o700); err != nil {
-		return fmt.Errorf("--dir: set aside: %w", err)
+		return fmt.Errorf("--dir: set files aside: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(target, reasonFile), []byte(reason+"\n"), 0o600); err != nil {
-		return fmt.Errorf("--dir: set aside: %w", err)
+		return fmt.Errorf("--dir: set files aside: %w", err)
 	}
 	for _, file := range files {
 		if err := os.Rename(filepath.Join(f.dir, file), filepath.Join(target, file)); err != nil {
-			return fmt.Errorf("--dir: set aside: %w", err)
+			return fmt.Errorf("--dir: set files aside: %w", err)
 		}
 	}
 	f.log.Warn("folder set aside", "dir", f.dir, "aside", name, "reason", reason)
 	return syncDir(f.dir)
 }
 
-// listAside lists all that was ever set aside, as NAME: REASON.
+// listAside lists the subfolders with files that were set aside, each as "NAME: REASON".
 func (f *folder) listAside() []string {
 	list := []string{}
 	entries, _ := os.ReadDir(f.dir)
@@ -211,7 +214,7 @@
 	return list
 }
 
-// recordStage writes the stage. It is on disk when this returns.
+// recordStage writes the stage to the identity file, and returns once it is on disk.
 func (f *folder) recordStage(stage string) error {
 	identity := f.identity
 	identity.Stage = stage
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -13,7 +13,7 @@
 	"windflow/internal/keeper"
 )
 
-// editContent changes the bytes of one file.
+// editContent replaces the content of a file with the result of change.
 func editContent(t *testing.T, path string, change func(b []byte) []byte) {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -30,19 +30,19 @@
 	return len(found)
 }
 
-// damageSnapshots flips a byte in each snapshot's content.
+// damageSnapshots inverts a byte in the content of each snapshot.
 func damageSnapshots(t *testing.T, dir string) {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
 	if err != nil || len(found) == 0 {
-		t.Fatal("no snapshot in ", dir, err)
+		t.Fatalf("no snapshot in %s: %v", dir, err)
 	}
 	for _, path := range found {
 		editContent(t, path, func(b []byte) []byte { b[20] ^= 0xff; return b })
 	}
 }
 
-// folderDamage changes a keeper's folder.
+// folderDamage damages or changes the files in a keeper's folder.
 type folderDamage func(t *testing.T, dir string)
 
 func editFile(name string, edit func(content []byte) []byte) folderDamage {
@@ -77,10 +77,11 @@
 
 func fillWithZeros(content []byte) []byte { clear(content); return content }
 
-// entryValue is a value of the last change in the folders of unusableFolders.
-const entryValue = "a value that is looked for"
+// entryValue is a value in the last change of the folder that folderCases damages.
+const entryValue = "a value to corrupt"
 
-// folderCase is a folder with a damage, and the reason for which it is set aside; "" if it is used.
+// folderCase damages a folder. reason is part of the expected reason for setting the files aside, or empty if the
+// keeper has to use the folder.
 type folderCase struct {
 	name   string
 	damage folderDamage
@@ -89,28 +90,29 @@
 
 func folderCases() []folderCase {
 	return []folderCase{
-		{"nothing", func(*testing.T, string) {}, ""},
-		{"an early stage", replaceText("keeper.json", "member", "founding"), ""},
-		{"log cut off", editFile("raft.db", truncateTo(4*os.Getpagesize())), "damaged: raft.db"},
-		{"log of zeros", editFile("raft.db", fillWithZeros), "damaged: raft.db"},
-		{"log empty", editFile("raft.db", truncateTo(0)), "damaged: raft.db"},
-		{"an entry", replaceText("raft.db", entryValue, "a value that is looked f0r"), "does not match its checksum"},
-		{"no log", removeFile("raft.db"), "damaged: raft.db is missing"},
-		{"no votes", removeFile("vote.db"), "damaged: vote.db is missing"},
-		{"votes of zeros", editFile("vote.db", fillWithZeros), "damaged: vote.db"},
-		{"votes empty", editFile("vote.db", truncateTo(0)), "damaged: vote.db"},
-		{"a snapshot", damageSnapshots, "damaged: snapshot"},
-		{"no snapshot", removeFile("snapshots"), "damaged: raft.db: entries 1 to"},
-		{"marker", editFile("keeper.json", truncateTo(5)), "damaged: keeper.json"},
-		{"stage", replaceText("keeper.json", "member", "guest"), `damaged: keeper.json: stage "guest"`},
-		{"no marker", removeFile("keeper.json"), "foreign: keeper.json is missing"},
-		{"another format", replaceText("keeper.json", `"format":1`, `"format":9`), "foreign: format 9"},
-		{"another group's", replaceText("keeper.json", `"windflow"`, `"other"`), `foreign: of cluster "other"`},
-		{"another keeper's", replaceText("keeper.json", `"k1"`, `"k2"`), `foreign: of keeper "k2"`},
+		{"undamaged", func(*testing.T, string) {}, ""},
+		{"stage not yet updated", replaceText("keeper.json", "member", "founding"), ""},
+		{"truncated log", editFile("raft.db", truncateTo(4*os.Getpagesize())), "damaged: raft.db"},
+		{"zeroed log", editFile("raft.db", fillWithZeros), "damaged: raft.db"},
+		{"empty log", editFile("raft.db", truncateTo(0)), "damaged: raft.db"},
+		{"corrupted entry", replaceText("raft.db", entryValue, "a value to c0rrupt"), "does not match its checksum"},
+		{"missing log", removeFile("raft.db"), "damaged: raft.db is missing"},
+		{"missing vote file", removeFile("vote.db"), "damaged: vote.db is missing"},
+		{"zeroed vote file", editFile("vote.db", fillWithZeros), "damaged: vote.db"},
+		{"empty vote file", editFile("vote.db", truncateTo(0)), "damaged: vote.db"},
+		{"corrupted snapshot", damageSnapshots, "damaged: snapshot"},
+		{"missing snapshot", removeFile("snapshots"), "damaged: raft.db: entries 1 to"},
+		{"truncated identity", editFile("keeper.json", truncateTo(5)), "damaged: keeper.json"},
+		{"unknown stage", replaceText("keeper.json", "member", "guest"), `damaged: keeper.json: unknown stage "guest"`},
+		{"missing identity", removeFile("keeper.json"), "foreign: keeper.json is missing"},
+		{"unknown format", replaceText("keeper.json", `"format":1`, `"format":9`), "foreign: format 9"},
+		{"folder of another group", replaceText("keeper.json", `"windflow"`, `"other"`), `foreign: of cluster "other"`},
+		{"folder of another keeper", replaceText("keeper.json", `"k1"`, `"k2"`), `foreign: of keeper "k2"`},
 	}
 }
 
-// Each damage is recognized at the start and named in log and status; none of the files is lost.
+// A keeper detects each kind of damage when it starts, reports it in its log and its status, and keeps all files in a
+// subfolder.
 func TestDamagedAndForeignFolders(t *testing.T) {
 	g := startGroup(t, 1, func(_ int, o *keeper.Options) {
 		o.SnapshotThreshold, o.SnapshotInterval = 8, 50*time.Millisecond
@@ -134,7 +136,8 @@
 	}
 }
 
-// checkFolderCase starts and kills the only keeper of the group on its folder.
+// checkFolderCase starts the only keeper of the group on its damaged folder, kills it and checks whether its files were
+// set aside.
 func (g *group) checkFolderCase(c folderCase) {
 	g.t.Helper()
 	p := g.members[0]
@@ -147,24 +150,25 @@
 	p.terminate(syscall.SIGKILL)
 	if c.reason == "" {
 		if len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
-			g.t.Errorf("%s: %+v", c.name, s.Folder)
+			g.t.Errorf("%s: the folder is not used as it is: %+v", c.name, s.Folder)
 		}
 		return
 	}
 	if len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.reason) {
-		g.t.Errorf("%s: aside %q, want %q", c.name, s.Folder.Aside, c.reason)
+		g.t.Errorf("%s: set aside %q, want a single one with %q", c.name, s.Folder.Aside, c.reason)
 		return
 	}
 	mustContain(g.t, p.logText(), "folder set aside")
 	name, _, _ := strings.Cut(s.Folder.Aside[0], ":")
 	for _, file := range before {
 		if _, err := os.Lstat(filepath.Join(p.options.Dir, name, file.Name())); err != nil && file.Name() != "lock" {
-			g.t.Errorf("%s: %v", c.name, err)
+			g.t.Errorf("%s: a file was not kept: %v", c.name, err)
 		}
 	}
 }
 
-// A keeper that sets its folder aside catches up from the others under the same id, and votes again.
+// A keeper that set its files aside keeps its id, catches up from the other keepers and votes again. The files are
+// damaged in one case and belong to another keeper in the other.
 func TestFolderSetAside(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
@@ -196,44 +200,44 @@
 		c.damage()
 		g.members[victim].start()
 		g.waitForRevision(victim, last)
-		waitUntil(t, "the right to vote again", func() bool {
+		waitUntil(t, "voting being resumed", func() bool {
 			s := g.status(victim)
 			return s.Folder.Votes && s.Folder.Stage == "member"
 		})
 		if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], c.reason) {
-			t.Errorf("aside %q, want %q", s.Folder.Aside, c.reason)
+			t.Errorf("set aside %q, want a single one with %q", s.Folder.Aside, c.reason)
 		}
 		mustContain(t, g.members[victim].logText(), "folder set aside", "joining existing group without a folder")
 		g.checkEqualState(g.change(victim, put(fmt.Sprint("after", n), "/settings/over-share-worth", "0")))
 	}
 }
 
-// A keeper that lost its folder doesn't vote until it has what the leader had: otherwise its vote could make a keeper
-// the leader that lacks an accepted change.
+// A keeper that lost its folder does not vote until it has all entries that the leader had. Otherwise its vote could
+// elect a leader that lacks a committed change.
 func TestKeeperWithoutFolderDoesNotVote(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2500 * time.Millisecond })
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
 	leader := g.leader()
 	lagging, lost := (leader+1)%3, (leader+2)%3
-	// The leader and the keeper that will lose its folder have the change.
+	// Only the leader and the keeper that will lose its folder receive the second change.
 	g.links[[2]int{leader, lagging}][0].setBlocked(forward, true)
 	g.change(leader, put("second", "/settings/over-share-worth", "2"))
 	g.waitForRevision(lost, 2)
 	g.kill(lost)
 	remove(t, g.members[lost].options.Dir)
-	// It restarts, learns that the group exists, and receives none of the leader's entries.
+	// The keeper without its folder restarts and learns that the group exists, but receives no entries from the leader.
 	g.links[[2]int{leader, lost}][0].setBlocked(forward, true)
 	g.members[lost].start()
-	waitUntil(t, "the empty keeper joining the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
+	waitUntil(t, "the empty keeper to join the group", func() bool { return g.status(lost).Folder.Stage == "joining" })
 	g.kill(leader)
 	var failure reply
 	if code := g.post(lagging, "/v1/changes", put("third", "/settings/over-share-worth", "3"), &failure); code != 503 ||
 		failure.Kind != "no-majority" {
-		t.Errorf("the two that lack revision 2 answered %d %+v", code, failure)
+		t.Errorf("without a keeper that has revision 2: status %d, want 503 and no-majority: %+v", code, failure)
 	}
 	if s := g.status(lost); s.Folder.Votes || s.Revision != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("the keeper without its folder votes or has a revision: %+v", s)
 	}
 	for _, o := range []int{lagging, lost} {
 		g.links[[2]int{leader, o}][0].setBlocked(forward, false)
@@ -241,16 +245,16 @@
 	g.members[leader].start()
 	g.leader()
 	if rev := g.change(lagging, put("fourth", "/settings/over-share-worth", "4")); rev < 3 {
-		t.Error("revision", rev)
+		t.Errorf("revision %d, want at least 3", rev)
 	}
 	if c := g.waitForRevision(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
 		t.Errorf("revision 2: %s", c.Entries)
 	}
-	waitUntil(t, "the right to vote again", func() bool { return g.status(lost).Folder.Votes })
+	waitUntil(t, "voting being resumed", func() bool { return g.status(lost).Folder.Votes })
 }
 
-// After a majority has lost its folders nothing is changed until an operator accepts the loss; then the state of the
-// last keeper is retained.
+// After a majority of the keepers has lost its folders, no change is committed until an operator accepts the loss. Then
+// the group continues with the state of the remaining keeper.
 func TestPermanentLossOfMajority(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 2 * time.Second })
@@ -265,17 +269,17 @@
 		p.start()
 	}
 	for _, i := range []int{0, 1} {
-		waitUntil(t, "the empty keepers joining the group", func() bool { return g.status(i).Folder.Stage == "joining" })
+		waitUntil(t, "the empty keepers to join the group", func() bool { return g.status(i).Folder.Stage == "joining" })
 	}
 	var failure reply
 	if code := g.post(2, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &failure); code != 503 {
-		t.Errorf("%d %+v", code, failure)
+		t.Errorf("change without a majority: status %d, want 503: %+v", code, failure)
 	}
 	g.members[0].terminate(syscall.SIGTERM)
 	g.members[0].options.AcceptLoss = true
 	g.members[0].start()
 	if leader := g.leader(); leader != 2 {
-		t.Errorf("%s leads, which had nothing", g.members[leader].options.ID)
+		t.Errorf("%s leads, although it lost its folder", g.members[leader].options.ID)
 	}
 	g.checkEqualState(g.change(0, put("third", "/settings/over-share-worth", "3")))
 	if c := g.waitForRevision(0, 1); string(c.Entries["/settings/over-share-worth"]) != "1" {
@@ -286,7 +290,8 @@
 	}
 }
 
-// The newest snapshot is damaged, and the entries before it are compacted.
+// A keeper whose newest snapshot is damaged catches up from the others; the log entries before the snapshot no longer
+// exist.
 func TestDamagedSnapshot(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) {
@@ -297,20 +302,20 @@
 	}
 	victim := (g.leader() + 1) % 3
 	g.waitForRevision(victim, 40)
-	// The leader sends a snapshot to a keeper that starts empty.
+	// The keeper restarts with an empty folder, so that the leader sends it a snapshot.
 	g.members[victim].terminate(syscall.SIGTERM)
 	remove(t, g.members[victim].options.Dir)
 	leader := g.members[g.leader()].options.Dir
 	waitUntil(t, "a snapshot of the leader", func() bool { return snapshots(leader) > 0 })
 	g.members[victim].start()
 	g.waitForRevision(victim, 40)
-	waitUntil(t, "the right to vote again", func() bool { return g.status(victim).Folder.Votes })
+	waitUntil(t, "voting being resumed", func() bool { return g.status(victim).Folder.Votes })
 	g.members[victim].terminate(syscall.SIGTERM)
 	damageSnapshots(t, g.members[victim].options.Dir)
 	g.members[victim].start()
 	g.checkEqualState(40)
 	if s := g.status(victim); len(s.Folder.Aside) != 1 || !strings.Contains(s.Folder.Aside[0], "damaged: snapshot") {
-		t.Errorf("%+v", s.Folder)
+		t.Errorf("the damaged snapshot was not set aside: %+v", s.Folder)
 	}
 }
 
@@ -324,7 +329,8 @@
 	}
 }
 
-// A second process on a folder ends with an error that names the folder, and the first continues.
+// A second keeper process on the same folder exits with an error that names the folder, and the first one keeps
+// running.
 func TestFolderLock(t *testing.T) {
 	g := startGroup(t, 1, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -332,33 +338,33 @@
 	second.options.HTTPAddr, second.options.RaftAddr = keeper.LoopbackHost()+":7401", keeper.LoopbackHost()+":7402"
 	mustContain(t, second.expectFailure(), "--dir", g.members[0].options.Dir, "in use by another process")
 	if rev := g.change(0, put("second", "/settings/over-share-worth", "2")); rev != 2 {
-		t.Error("revision", rev)
+		t.Errorf("revision %d, want 2", rev)
 	}
 	if s := g.status(0); len(s.Folder.Aside) != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("files were set aside: %+v", s)
 	}
 }
 
-// Files in the folder that are not a keeper's stay.
+// Files in the folder that do not belong to the keeper are left in place.
 func TestUnknownFilesAreKept(t *testing.T) {
 	g := newGroup(t, 1, nil)
 	dir := g.members[0].options.Dir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	unknownFile := filepath.Join(dir, "letter.txt")
-	if err := os.WriteFile(unknownFile, []byte("dear"), 0o600); err != nil {
+	unknownFile := filepath.Join(dir, "notes.txt")
+	if err := os.WriteFile(unknownFile, []byte("notes"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g.members[0].start()
 	g.leader()
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
-	if text, err := os.ReadFile(unknownFile); err != nil || string(text) != "dear" {
-		t.Error(string(text), err)
+	if text, err := os.ReadFile(unknownFile); err != nil || string(text) != "notes" {
+		t.Errorf("the unknown file has content %q: %v", text, err)
 	}
 	_ = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if strings.HasPrefix(d.Name(), "aside-") {
-			t.Error(path)
+			t.Errorf("files were set aside: %s", path)
 		}
 		return err
 	})
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -8,16 +8,16 @@
 	"windflow/internal/decide/configlog"
 )
 
-// followService answers the long polls of followers, the routers.
+// followService handles the long polls of the followers, which are the routers.
 type followService struct {
-	maxPollWait   time.Duration // used where a call names none
+	maxPollWait   time.Duration // applies if a call does not specify wait_ms
 	leaseDuration time.Duration
 	maxWaiting    int
 	stateMachine  *stateMachine
 	leases        *leaseTable
 	pending       *pendingFollowers
 	counters      *counters
-	stopping      <-chan struct{} // closed when calls have to end
+	stopping      <-chan struct{} // closed when open calls have to end
 }
 
 func newFollowService(
@@ -36,9 +36,9 @@
 	}
 }
 
-// handleFollow is `POST /v1/follow`: a follower reports its status and receives a newer revision, as soon as there is
-// one. A process that is not on the replicated roster receives nothing until it is: from then on no convergence status
-// leaves it out.
+// handleFollow handles `POST /v1/follow`: a follower reports its status and receives a newer revision as soon as there
+// is one. A process receives nothing until it is on the replicated roster, because from then on every convergence
+// status includes it.
 func (s *followService) handleFollow(w http.ResponseWriter, r *http.Request) response {
 	var request struct {
 		Report configlog.FollowerStatus `json:"report"`
@@ -72,7 +72,8 @@
 	return okResponse(update)
 }
 
-// pollWait bounds the wait that a follower requests to half a lease, so that its lease outlives the call.
+// pollWait limits the wait that a follower requests to half of the lease duration, so that the follower's lease does
+// not expire during the call.
 func (s *followService) pollWait(requestedMS *int) time.Duration {
 	if requestedMS == nil {
 		return s.maxPollWait
@@ -81,9 +82,9 @@
 	return time.Duration(min(max(*requestedMS, 0), limitMS)) * time.Millisecond
 }
 
-// waitForUpdate returns what a follower needs as soon as there is something; false when the time is up. That this
-// keeper is behind the follower is reported only at the end: the keeper may yet catch up, and the follower doesn't call
-// again at once.
+// waitForUpdate returns the next update for a follower as soon as there is one, or false after the wait. That this
+// keeper is behind the follower is reported only at the end of the wait: the keeper may catch up until then, and an
+// immediate report would make the follower repeat its call at once.
 func (s *followService) waitForUpdate(
 	ctx context.Context, status configlog.FollowerStatus, wait time.Duration,
 ) (update configlog.Update, found bool) {
@@ -93,8 +94,8 @@
 	for {
 		update, registered, changed := s.stateMachine.nextUpdate(status)
 		if !registered && !enrollmentRequested {
-			// Once a call: several processes under one name, more than the roster keeps, would replace each other for
-			// ever.
+			// At most once per call: if more processes share a name than the roster keeps for it, they would replace
+			// each other endlessly.
 			s.pending.add(followerProcess{status.Name, status.Instance})
 			enrollmentRequested = true
 		}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maintenanceInterval is between two checks of leases and of the stage; well below a quarter of a lease.
+	// maintenanceInterval is the time between two checks of the leases and the stage. It must be well below a quarter
+	// of the lease duration.
 	maintenanceInterval = 500 * time.Millisecond
-	// shutdownTimeout bounds the wait for open calls at the end.
+	// shutdownTimeout bounds the wait for open calls at shutdown.
 	shutdownTimeout = 3 * time.Second
-	// spareConns are the connections beyond those of waiting followers.
+	// spareConns is the number of HTTP connections allowed beyond those of waiting followers.
 	spareConns = 512
 
 	headerTimeout   = 5 * time.Second
@@ -26,7 +27,7 @@
 	maxHeaderBytes  = 16 << 10
 )
 
-// keeper is one running keeper.
+// keeper holds the parts of one running keeper.
 type keeper struct {
 	options     *Options
 	log         *slog.Logger
@@ -37,11 +38,11 @@
 	membership  *membership
 	enrollment  *enrollment
 	api         *api
-	stopping    chan struct{} // closed when calls have to end
+	stopping    chan struct{} // closed when open calls have to end
 }
 
-// Run serves as one keeper. It returns when ctx ends, after leadership was given up, or with the error that kept it
-// from serving.
+// Run runs one keeper until ctx ends; a leader then transfers leadership before Run returns. It returns an error if the
+// keeper cannot start or can no longer serve.
 func Run(ctx context.Context, options Options) error {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -70,7 +71,7 @@
 	return instance.run(ctx, httpListener, raftListener)
 }
 
-// newKeeper wires the parts of a keeper together and starts nothing.
+// newKeeper creates and connects the parts of a keeper without starting anything.
 func newKeeper(options *Options, folder *folder, leases *leaseTable) *keeper {
 	counters := &counters{}
 	stopping := make(chan struct{})
@@ -131,8 +132,8 @@
 	}
 }
 
-// run answers HTTP calls from the start on, so that other keepers can request its status, and replicates as soon as
-// it is known whether to found or to join a group.
+// run serves HTTP calls from the beginning, so that other keepers can query this keeper's status. Replication starts
+// once it is known whether to bootstrap or to join a group.
 func (k *keeper) run(ctx context.Context, httpListener, raftListener net.Listener) error {
 	server := k.newServer()
 	var serving sync.WaitGroup
@@ -179,7 +180,7 @@
 	}
 }
 
-// maintain checks leases and stage at intervals until ctx ends.
+// maintain checks the leases and the stage every maintenanceInterval until ctx ends.
 func (k *keeper) maintain(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -194,7 +195,7 @@
 	}
 }
 
-// shutdown transfers leadership first, then ends calls, then the replication.
+// shutdown transfers leadership, then ends the open calls, and then stops the replication.
 func (k *keeper) shutdown(server *http.Server) error {
 	k.replication.transferLeadership()
 	close(k.stopping)
--- a/internal/keeper/leader_proxy.go
+++ b/internal/keeper/leader_proxy.go
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// leaderRetryInterval is between two attempts to reach a leader.
+// leaderRetryInterval is the time between two attempts to reach a leader.
 const leaderRetryInterval = 200 * time.Millisecond
 
-// leaderProxy carries calls out at the leader: here if this keeper leads, else by forwarding them.
+// leaderProxy runs calls at the leader: on this keeper if it leads, otherwise by forwarding them.
 type leaderProxy struct {
 	keeperID    string
 	replication *replication
 	peers       *peerClient
 	forwarded   *atomic.Int64
-	stopping    <-chan struct{} // closed when calls have to end
+	stopping    <-chan struct{} // closed when open calls have to end
 }
 
-// leaderCall is a call that the leader carries out.
+// leaderCall is a call that only the leader can run.
 type leaderCall struct {
 	method, path string
 	body         []byte
-	runLocally   func(context.Context) response // carries the call out at the leader
-	isForwarded  bool                           // by another keeper: it is not forwarded again
+	runLocally   func(context.Context) response // runs the call if this keeper leads
+	isForwarded  bool                           // received from another keeper; must not be forwarded again
 }
 
 func newLeaderCall(r *http.Request, path string, body []byte, runLocally func(context.Context) response) leaderCall {
 	return leaderCall{
-		method: r.Method, path: path, body: body, runLocally: runLocally, isForwarded: r.Header.Get(forwardedByHeader) != "",
+		method: r.Method, path: path, body: body, runLocally: runLocally,
+		isForwarded: r.Header.Get(forwardedByHeader) != "",
 	}
 }
 
-// do retries a call until the timeout while there is no leader or it is lost, so the call has to be idempotent. A
-// call that was forwarded to this keeper is attempted once.
+// do runs a call at the leader, and retries until the timeout while there is no leader or the leader is lost; the call
+// must therefore be idempotent. A call that was forwarded to this keeper is attempted only once.
 func (p *leaderProxy) do(ctx context.Context, timeout time.Duration, call leaderCall) response {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -65,7 +66,7 @@
 	}
 }
 
-// attempt sends a call once.
+// attempt runs a call at the leader once, without retries.
 func (p *leaderProxy) attempt(ctx context.Context, call leaderCall) response {
 	leader, isSelf := p.replication.leader()
 	peer, known := p.peers.peer(leader)
@@ -79,15 +80,15 @@
 		return unavailableResponse(errorNoMajority, effectNone, "keeper %s does not lead", p.keeperID)
 	case !known || leader == p.keeperID:
 		return unavailableResponse(errorNoMajority, effectNone,
-			"keeper %s is in touch with no majority of the %d keepers; nothing is changed without one",
+			"keeper %s knows no leader; a leader needs a majority of the %d keepers",
 			p.keeperID, p.peers.groupSize())
 	}
 	p.forwarded.Add(1)
 	return p.forward(ctx, peer, call)
 }
 
-// forward sends a call to the leader. It stops waiting when another keeper leads: the answer of a leader that was
-// stopped or cut off may never arrive.
+// forward sends a call to the leader and returns its response. It stops waiting once this keeper no longer regards that
+// keeper as the leader, because the response of a leader that was stopped or partitioned may never arrive.
 func (p *leaderProxy) forward(ctx context.Context, leader Peer, call leaderCall) response {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
@@ -110,12 +111,14 @@
 	defer func() { _ = httpResponse.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxPeerResponseBytes))
 	if err != nil {
-		return unavailableResponse(errorNoMajority, effectUnknown, "the leader %s broke off: %v", leader.ID, withoutURL(err))
+		return unavailableResponse(errorNoMajority, effectUnknown,
+			"the leader %s did not complete its response: %v", leader.ID, withoutURL(err))
 	}
 	return forwardedResponse(httpResponse.StatusCode, text)
 }
 
-// forwardedResponse decodes an answer that may be retried; others are passed through as they are.
+// forwardedResponse decodes an error response after which the call may be retried; other responses are passed through
+// unchanged.
 func forwardedResponse(status int, text []byte) response {
 	if status == http.StatusServiceUnavailable {
 		var failure errorBody
@@ -126,7 +129,7 @@
 	return response{status, json.RawMessage(text)}
 }
 
-// cancelWithoutLeader cancels as soon as a keeper doesn't lead, and returns when ctx ends.
+// cancelOnLeaderChange calls cancel once the keeper with this id is no longer the leader, and returns when ctx ends.
 func (p *leaderProxy) cancelOnLeaderChange(ctx context.Context, id string, cancel context.CancelFunc) {
 	for {
 		leaderChanged := p.replication.leaderChanged.wait()
--- a/internal/keeper/lease_table.go
+++ b/internal/keeper/lease_table.go
@@ -7,7 +7,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// leaseTable contains the leases of the followers that call this keeper.
+// leaseTable holds the leases of the followers that call this keeper. A follower's lease lasts until some time after
+// its latest call.
 type leaseTable struct {
 	keeperID  string
 	startedAt time.Time
@@ -16,10 +17,11 @@
 	leases *configlog.Leases
 }
 
-// keeperLeases are the leases of one keeper, as GET /v1/leases returns them.
+// keeperLeases is the response to `GET /v1/leases`: the leases of one keeper.
 type keeperLeases struct {
 	Keeper string `json:"keeper"`
-	// Settled is false for one lease after a start or a long stop: some followers may not have called yet.
+	// Complete is false for one lease duration after the process started or was paused for long: some live followers
+	// may not have called yet.
 	Complete bool              `json:"settled"`
 	Leases   []configlog.Lease `json:"leases"`
 }
@@ -32,10 +34,10 @@
 	}
 }
 
-// uptime is measured on a monotonic clock.
+// uptime returns the time since the keeper started, by the monotonic clock.
 func (t *leaseTable) uptime() time.Duration { return time.Since(t.startedAt) }
 
-// nowMS is the uptime in milliseconds, the clock of configlog.Leases.
+// nowMS returns the uptime in milliseconds, which configlog.Leases uses as its clock.
 func (t *leaseTable) nowMS() float64 { return float64(t.uptime()) / float64(time.Millisecond) }
 
 func (t *leaseTable) renew(status configlog.FollowerStatus) {
@@ -44,7 +46,7 @@
 	t.leases.Renew(t.nowMS(), status)
 }
 
-// tick records that the process runs, so that the table detects a pause of it.
+// tick records that the process is running. The table detects a pause of the process by missing ticks.
 func (t *leaseTable) tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// discoveryInterval is between two rounds of querying the other keepers at the start.
+	// discoveryInterval is the time between two queries of the other keepers while a new keeper starts.
 	discoveryInterval = 200 * time.Millisecond
-	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat
-	// timeouts: longer than any election in which it may have voted before the loss, which a candidate abandons after
-	// two of them.
+	// votingPauseHeartbeats is the minimum time, in heartbeat timeouts, for which a keeper that lost its folder does
+	// not vote. It must exceed the length of any election in which the keeper may have voted before the loss; a
+	// candidate abandons an election after two heartbeat timeouts.
 	votingPauseHeartbeats = 5
 )
 
-// membership decides how this keeper becomes a member of the group, and records its progress in the folder.
+// membership decides how this keeper becomes a member of the group, and records its stage in the folder.
 type membership struct {
 	options       *Options
 	log           *slog.Logger
@@ -27,10 +27,10 @@
 	replication   *replication
 	peers         *peerClient
 	startedAt     time.Time
-	recordedStage atomic.Value // string; the stage in the folder, for readers in other goroutines
+	recordedStage atomic.Value // a string: the stage in the folder, for concurrent readers
 }
 
-// peerStatus is the status that keepers exchange with each other.
+// peerStatus is the response to `GET /v1/peer`, with which keepers query each other.
 type peerStatus struct {
 	Cluster string `json:"cluster"`
 	ID      string `json:"id"`
@@ -46,7 +46,7 @@
 	}
 }
 
-// listAside lists what was set aside in the folder.
+// listAside lists the files that were set aside in the folder.
 func (m *membership) listAside() []string { return m.folder.listAside() }
 
 func (m *membership) stage() string { return m.recordedStage.Load().(string) }
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// advance records a stage; a failure is logged, and tried again at the next check of the progress.
+// tryRecordStage records a stage. It logs a failure and returns false; advanceStage retries at its next call.
 func (m *membership) tryRecordStage(stage string) bool {
 	if err := m.recordStage(stage); err != nil {
 		m.log.Error("folder stage write failed", "stage", stage, "error", err)
@@ -77,7 +77,8 @@
 	return status
 }
 
-// join finds out whether this keeper founds the group, joins it or belongs to it, and starts the replication.
+// join determines whether this keeper bootstraps the group, joins it or is already a member, and starts the
+// replication.
 func (m *membership) join(ctx context.Context, listener net.Listener) error {
 	stage := m.folder.identity.Stage
 	if stage == stageNew {
@@ -102,9 +103,9 @@
 	return m.replication.start(listener, stores, logger, stage == stageFounding)
 }
 
-// discoverGroup waits until it is clear whether the group exists. It exists if any keeper belongs to it; then this one
-// joins. It is founded only when every keeper answers and none has anything: were a majority enough, then keepers that
-// lost their folders could found a second group while the members of the first are down.
+// discoverGroup waits until it is known whether the group exists, and returns stageJoining or stageFounding. The group
+// exists if any keeper is a member. It is bootstrapped only if all keepers respond and none is a member: if a majority
+// were enough, keepers that lost their folders could bootstrap a second group while the members of the first are down.
 func (m *membership) discoverGroup(ctx context.Context) (stage string, err error) {
 	lastReported := ""
 	for {
@@ -129,8 +130,8 @@
 	}
 }
 
-// surveyPeers queries the other keepers once, and returns those that belong to the group and those that did not answer
-// that counts.
+// queryPeers queries the other keepers once. It returns the ids of those that belong to the group, and describes those
+// that did not respond or responded as another keeper.
 func (m *membership) queryPeers(ctx context.Context) (members, unanswered []string) {
 	statuses := m.peers.statuses(ctx)
 	for _, peer := range m.peers.others() {
@@ -148,7 +149,7 @@
 	return members, unanswered
 }
 
-// checkProgress advances the stage when it is due.
+// advanceStage records the next stage once its conditions are met. It is called periodically.
 func (m *membership) advanceStage(ctx context.Context) {
 	switch m.stage() {
 	case stageFounding:
@@ -160,15 +161,15 @@
 	}
 }
 
-// resumeVoting lets a keeper that lost its folder take part in elections again, once it has all entries that the
-// leader had at some moment after the loss: they include whatever this keeper had confirmed before.
+// resumeVoting lets a keeper that lost its folder vote again once it has all entries that the leader had at some time
+// after the loss. These include every entry that this keeper had acknowledged before the loss.
 func (m *membership) resumeVoting(ctx context.Context) {
 	id, _ := m.replication.leader()
 	peer, known := m.peers.peer(id)
 	if !known || time.Since(m.startedAt) < votingPauseHeartbeats*m.options.Heartbeat {
 		return
 	}
-	// The index may be reached only later; the next check requests a new one then.
+	// If this keeper does not reach the index in time, the next call of advanceStage queries the leader again.
 	var leader leaderStatus
 	if err := m.peers.get(ctx, peer, leaderPath, &leader); err != nil || leader.ID != id {
 		return
--- a/internal/keeper/notifier.go
+++ b/internal/keeper/notifier.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// notifier wakes all goroutines that wait for the next event.
+// notifier wakes all goroutines that wait for the next event. It is safe for concurrent use.
 type notifier struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -10,7 +10,7 @@
 
 func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
-// notify wakes those that wait on a channel that wait has returned so far.
+// notify closes the channel that wait has returned since the previous event.
 func (n *notifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/keeper/peer_client.go
+++ b/internal/keeper/peer_client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// forwardedByHeader marks a call from one keeper to another, with the id of the calling one.
+	// forwardedByHeader is set on calls from one keeper to another, to the id of the calling keeper.
 	forwardedByHeader = "Windflow-Keeper"
-	// maxPeerAnswerBytes bounds what is read of another keeper's answer: the leases of all followers fit.
+	// maxPeerResponseBytes bounds how much of another keeper's response is read. The leases of all followers fit.
 	maxPeerResponseBytes = 64 << 20
-	// peerCallTimeout is for one call to another keeper that answers from memory.
+	// peerCallTimeout bounds connecting to another keeper, and a call that the other keeper answers from memory.
 	peerCallTimeout = time.Second
 
 	maxIdleConnsPerPeer = 8
@@ -38,7 +38,7 @@
 // peerClient makes HTTP calls to the other keepers of the group.
 type peerClient struct {
 	ownID string
-	peers []Peer // this keeper included
+	peers []Peer // all keepers of the group, this one included
 	http  *http.Client
 }
 
@@ -57,10 +57,10 @@
 // isSelf reports whether a peer is this keeper.
 func (c *peerClient) isSelf(peer Peer) bool { return peer.ID == c.ownID }
 
-// groupSize is the number of keepers, this one included.
+// groupSize returns the number of keepers, this one included.
 func (c *peerClient) groupSize() int { return len(c.peers) }
 
-// peer finds a keeper by its id.
+// peer returns the keeper with this id, and whether there is one.
 func (c *peerClient) peer(id string) (Peer, bool) {
 	i := slices.IndexFunc(c.peers, func(peer Peer) bool { return peer.ID == id })
 	if i < 0 {
@@ -69,7 +69,7 @@
 	return c.peers[i], true
 }
 
-// others returns all keepers but this one.
+// others returns all keepers except this one.
 func (c *peerClient) others() []Peer {
 	return slices.DeleteFunc(slices.Clone(c.peers), func(peer Peer) bool { return peer.ID == c.ownID })
 }
@@ -85,15 +85,15 @@
 	return request, nil
 }
 
-// do sends a request; the caller closes the body of the answer.
+// do sends a request. The caller must close the body of the response.
 func (c *peerClient) do(request *http.Request) (*http.Response, error) { return c.http.Do(request) }
 
-// get fetches path from a peer within peerCallTimeout and decodes the answer into out.
+// get fetches path from a peer within peerCallTimeout and decodes the JSON response into out.
 func (c *peerClient) get(ctx context.Context, peer Peer, path string, out any) error {
 	return c.call(ctx, peer, peerCallTimeout, http.MethodGet, path, nil, out)
 }
 
-// post sends in as JSON and decodes the answer into out.
+// post sends in as JSON and decodes the JSON response into out.
 func (c *peerClient) post(ctx context.Context, peer Peer, timeout time.Duration, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return c.call(ctx, peer, timeout, http.MethodPost, path, body, out)
 }
 
-// call sends a request and decodes the answer; any status but 200 is an error.
+// call sends a request and decodes the JSON response into out. A status other than 200 is an error.
 func (c *peerClient) call(
 	ctx context.Context, peer Peer, timeout time.Duration, method, path string, body []byte, out any,
 ) error {
@@ -118,12 +118,13 @@
 	}
 	defer func() { _ = httpResponse.Body.Close() }()
 	if httpResponse.StatusCode != http.StatusOK {
-		return fmt.Errorf("keeper %s answers %s", peer.ID, httpResponse.Status)
+		return fmt.Errorf("keeper %s responded with status %s", peer.ID, httpResponse.Status)
 	}
 	return json.NewDecoder(io.LimitReader(httpResponse.Body, maxPeerResponseBytes)).Decode(out)
 }
 
-// statuses fetches the status of all other keepers, concurrently; those that don't answer are missing.
+// statuses fetches the status of all other keepers concurrently. The result, by keeper id, lacks those that did not
+// respond.
 func (c *peerClient) statuses(ctx context.Context) map[string]peerStatus {
 	var mu sync.Mutex
 	statuses := map[string]peerStatus{}
@@ -143,7 +144,7 @@
 	return statuses
 }
 
-// withoutURL removes the URL from an error of http.Client.
+// withoutURL removes the method and the URL from an error of http.Client.
 func withoutURL(err error) error {
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
@@ -152,7 +153,7 @@
 	return err
 }
 
-// dialFailed reports whether a call failed before anything of it could be sent.
+// dialFailed reports whether a call failed while connecting, so that nothing was sent.
 func dialFailed(err error) bool {
 	var opError *net.OpError
 	return errors.As(err, &opError) && opError.Op == "dial"
--- a/internal/keeper/raft_logger.go
+++ b/internal/keeper/raft_logger.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLog writes the messages of hashicorp/raft, which takes an hclog.Logger only, to an slog.Logger.
+// raftLogger is an hclog.Logger, the only kind that hashicorp/raft accepts, that writes to an slog.Logger.
 type raftLogger struct {
 	target *slog.Logger
 	name   string
@@ -83,7 +83,7 @@
 	return raftLogger{target: l.target, name: name, args: l.args}
 }
 
-// SetLevel does nothing: the level is that of the slog.Logger.
+// SetLevel does nothing, because the slog.Logger determines the level.
 func (l raftLogger) SetLevel(hclog.Level) {}
 
 func (l raftLogger) GetLevel() hclog.Level {
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// enqueueTimeout bounds the wait for raft to take an entry.
+	// enqueueTimeout bounds the wait until raft accepts an entry into its queue.
 	enqueueTimeout = time.Second
-	// replicationIOTimeout bounds one call between raft nodes.
+	// replicationIOTimeout bounds the network I/O of one call between raft nodes.
 	replicationIOTimeout = 2 * time.Second
 	maxAppendEntries     = 16
 	raftConnsPerPeer     = 3
-	// appliedPollInterval bounds the wait for one more entry to be applied.
+	// appliedPollInterval bounds how long waitApplied waits for the next entry to be applied.
 	appliedPollInterval = 500 * time.Millisecond
 )
 
-// replication owns the raft node of a keeper. Its methods may be called before start; the keeper leads nothing then.
+// replication owns the raft node of a keeper. Unless stated otherwise, methods may be called before start; until then
+// there is no leader.
 type replication struct {
 	options      *Options
 	log          *slog.Logger
 	stateMachine *stateMachine
 	counters     *counters
 
-	// votingSuspended keeps the node out of elections; see electionTransport.
+	// votingSuspended is true while the node must neither vote nor become a candidate; see electionTransport.
 	votingSuspended atomic.Bool
-	// leaderChanged notifies of each change of the leader, as far as this node knows.
+	// leaderChanged notifies of each change of the leader that this node learns of.
 	leaderChanged *notifier
 
 	started      chan struct{} // closed once node and stores are set
 	node         *raft.Raft
 	stores       *stores
-	caughtUpTerm atomic.Uint64 // the term in which all entries of former terms are known to be applied
+	caughtUpTerm atomic.Uint64 // latest term in which ensureCaughtUp succeeded
 }
 
 func newReplication(options *Options, machine *stateMachine, counters *counters) *replication {
@@ -54,8 +55,8 @@
 	}
 }
 
-// start runs the raft node on the stores, which it owns from then on, also when it fails. With bootstrap the group is
-// founded with the keepers of the options.
+// start runs the raft node on the stores. It takes ownership of the stores, even if it fails. If bootstrap is set, it
+// bootstraps the group with the keepers listed in the options.
 func (r *replication) start(listener net.Listener, stores *stores, logger raftLogger, bootstrap bool) error {
 	r.stores = stores
 	config := r.raftConfig(logger)
@@ -73,7 +74,7 @@
 		}
 		_ = transport.Close()
 		stores.close()
-		return fmt.Errorf("the replication can't start: %w", err)
+		return fmt.Errorf("replication cannot start: %w", err)
 	}
 	r.node.RegisterObserver(raft.NewObserver(nil, false, func(observation *raft.Observation) bool {
 		switch observation.Data.(type) {
@@ -114,24 +115,24 @@
 	return r.checkMembers()
 }
 
-// bootstrap writes the list of keepers as the first entry, the same at each of them.
+// bootstrap writes the list of keepers as the first log entry. The entry must be identical on all keepers.
 func (r *replication) bootstrap(config *raft.Config, transport raft.Transport) error {
 	var group raft.Configuration
 	for _, peer := range r.options.Peers {
-		// The ids serve as addresses, too: see addressProvider.
+		// The id also serves as the address; addressProvider translates it.
 		server := raft.Server{ID: raft.ServerID(peer.ID), Address: raft.ServerAddress(peer.ID)}
 		group.Servers = append(group.Servers, server)
 	}
 	slices.SortFunc(group.Servers, func(a, b raft.Server) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	err := raft.BootstrapCluster(config, r.stores.entries, r.stores.votes, r.stores.snapshots, transport, group)
-	if errors.Is(err, raft.ErrCantBootstrap) { // done before a crash
+	if errors.Is(err, raft.ErrCantBootstrap) { // already bootstrapped before a crash
 		return nil
 	}
 	return err
 }
 
-// checkMembers rejects a --peers that names other keepers than the group was founded with: each would count another
-// majority.
+// checkMembers returns an error if --peers lists other keepers than the group was bootstrapped with. Otherwise the
+// keepers would disagree about what a majority is.
 func (r *replication) checkMembers() error {
 	future := r.node.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -151,7 +152,7 @@
 	slices.Sort(founded)
 	slices.Sort(configured)
 	if !slices.Equal(founded, configured) {
-		return fmt.Errorf("--peers: names %s, but the group was founded with %s",
+		return fmt.Errorf("--peers: lists keepers %s, but the group was created with keepers %s",
 			strings.Join(configured, ", "), strings.Join(founded, ", "))
 	}
 	return nil
@@ -167,7 +168,7 @@
 	}
 }
 
-// leader returns the leader that this keeper knows, and whether it is this keeper.
+// leader returns the id of the leader that this keeper knows, empty if none, and whether this keeper is the leader.
 func (r *replication) leader() (id string, isSelf bool) {
 	if !r.running() {
 		return "", false
@@ -176,10 +177,10 @@
 	return string(leader), string(leader) == r.options.ID && r.node.State() == raft.Leader
 }
 
-// hasEntries reports whether the log has more than the list of keepers that it was founded with.
+// hasEntries reports whether the log has entries besides the first, the list of keepers from the bootstrap.
 func (r *replication) hasEntries() bool { return r.running() && r.node.LastIndex() > 1 }
 
-// votes reports whether this keeper takes part in elections.
+// canVote reports whether this keeper takes part in elections.
 func (r *replication) canVote() bool { return !r.votingSuspended.Load() }
 
 // nodeStatus is the state of the raft node.
@@ -189,7 +190,7 @@
 	lastContact                   time.Time // with the leader
 }
 
-// nodeStatus must be called on a running node only.
+// nodeStatus returns the state of the raft node, which must be running.
 func (r *replication) nodeStatus() nodeStatus {
 	return nodeStatus{
 		state:        r.node.State(),
@@ -200,7 +201,8 @@
 	}
 }
 
-// apply replicates a command, and returns the result of the state machine once a majority has it.
+// apply replicates a command. Once a majority has stored it and it is applied here, apply returns the result of
+// stateMachine.Apply. The node must be running.
 func (r *replication) apply(entry command) (any, error) {
 	data, err := entry.encode()
 	if err != nil {
@@ -213,13 +215,15 @@
 	return future.Response(), nil
 }
 
-// barrier returns once a majority has confirmed that this keeper leads and all entries before are applied here.
+// barrier returns nil once a majority has confirmed that this keeper leads and all earlier entries are applied here.
+// The node must be running.
 func (r *replication) barrier() error { return r.node.Barrier(enqueueTimeout).Error() }
 
-// verifyLeader returns nil once a majority has confirmed that this keeper leads.
+// verifyLeader returns nil once a majority has confirmed that this keeper leads. The node must be running.
 func (r *replication) verifyLeader() error { return r.node.VerifyLeader().Error() }
 
-// settle waits, once in each term that this keeper leads, until the entries of former leaders are applied here.
+// ensureCaughtUp waits until the entries of former leaders are applied here. After it has succeeded, it returns at once
+// for the rest of the term. The node must be running.
 func (r *replication) ensureCaughtUp() error {
 	term := r.node.CurrentTerm()
 	if term == r.caughtUpTerm.Load() {
@@ -232,7 +236,8 @@
 	return nil
 }
 
-// leaderStatus is the status that the leader returns once a majority has confirmed that it leads.
+// leaderStatus is the response to `GET /v1/leader`, which the leader returns once a majority has confirmed that it
+// leads.
 type leaderStatus struct {
 	ID        string `json:"id"`
 	LastIndex uint64 `json:"last_index"`
@@ -248,7 +253,7 @@
 	return leaderStatus{ID: r.options.ID, LastIndex: r.node.LastIndex()}, nil
 }
 
-// waitApplied waits until the entry at index is applied here. It returns an error when no entry is applied for
+// waitApplied waits until the entry at index is applied here. It returns an error if no entry is applied for
 // appliedPollInterval.
 func (r *replication) waitApplied(ctx context.Context, index uint64) error {
 	for r.node.AppliedIndex() < index {
@@ -264,8 +269,8 @@
 	return nil
 }
 
-// transferLeadership hands leadership to another keeper, if this one leads, so that the others need no timeout to
-// notice that it stops.
+// transferLeadership transfers leadership to another keeper if this one leads. The other keepers then need not wait for
+// the heartbeat timeout when this one stops.
 func (r *replication) transferLeadership() {
 	if !r.running() || r.node.State() != raft.Leader || len(r.options.Peers) == 1 {
 		return
@@ -285,8 +290,8 @@
 	return err
 }
 
-// failureResponse answers a call whose entry could not be replicated. effect is reported where the error doesn't
-// imply that nothing was done.
+// failureResponse returns the response to a call whose entry could not be replicated. It reports effect, unless the
+// error implies that the call had no effect.
 func (r *replication) failureResponse(err error, effect changeEffect) response {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader),
@@ -298,9 +303,9 @@
 		errors.Is(err, raft.ErrAbortedByRestore):
 		return unavailableResponse(errorNoMajority, effect, "keeper %s lost its majority: %v", r.options.ID, err)
 	}
-	// What is left are errors of writing the entry to the local disk.
+	// All other errors come from writing the entry to the local disk.
 	r.counters.recordDiskError(err)
 	r.log.Error("log entry write failed", "error", err)
 	return unavailableResponse(errorDisk, effect,
-		"keeper %s can't write to its folder: %v; what is in force goes on being served", r.options.ID, err)
+		"keeper %s cannot write to its folder: %v; it continues to serve the current revision", r.options.ID, err)
 }
--- a/internal/keeper/request.go
+++ b/internal/keeper/request.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// maxBodyBytes bounds what is read of a change: configlog.MaxChange in the longest encoding that makes sense.
+	// maxBodyBytes bounds the body of a change. A change of configlog.MaxChange bytes fits in any reasonable encoding.
 	maxBodyBytes = 4 << 20
-	// maxStatusBytes bounds what is read of a follower's status.
+	// maxStatusBytes bounds the body of a follower's status.
 	maxStatusBytes = 64 << 10
-	// bodyTimeout is the time a caller has to send a body.
+	// bodyTimeout bounds how long a caller may take to send a body.
 	bodyTimeout = 10 * time.Second
-	// maxWait bounds how long a caller may have its call wait for a revision or for convergence.
+	// maxWait bounds how long a call may wait for a revision or for convergence.
 	maxWait = 30 * time.Second
 )
 
-// readBody decodes one JSON value, and nothing after it, into out and returns its text. A response is returned for a
-// body that is wrong, nil otherwise.
+// readBody decodes a body that consists of a single JSON value into out, and returns the text of the body. If the body
+// is too large or malformed, it returns the error response to send.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64, out any) ([]byte, *response) {
-	// The deadline is removed again, because it would end a call that is kept open.
+	// The deadline is removed after the body is read, because it would otherwise end a long poll.
 	conn := http.NewResponseController(w)
 	_ = conn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
@@ -38,7 +38,7 @@
 			"the body has more than %d bytes", maxBytes)
 		return nil, &failure
 	case err != nil:
-		failure := malformedResponse("the body can't be read: %v", err)
+		failure := malformedResponse("the body cannot be read: %v", err)
 		return nil, &failure
 	}
 	if err := decodeStrictly(string(text), out); err != nil {
@@ -48,7 +48,7 @@
 	return text, nil
 }
 
-// decodeStrictly accepts no unknown field and nothing after the value.
+// decodeStrictly decodes a JSON value. It returns an error if there are unknown fields or data after the value.
 func decodeStrictly(text string, out any) error {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// describeDecodeError describes an error of encoding/json with the field that it is about.
+// describeDecodeError returns a message for an error of decodeStrictly that names the field at fault, if known.
 func describeDecodeError(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
 		if typeError.Field != "" {
 			return fmt.Sprintf("field %s: a %s is no %s", typeError.Field, typeError.Value, typeName(typeError.Type))
 		}
-		// The text of encoding/json ends with the type.
+		// The error text of encoding/json ends with the Go type.
 		return strings.TrimSuffix(err.Error(), typeError.Type.String()) + typeName(typeError.Type)
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
@@ -77,8 +77,8 @@
 	return err.Error()
 }
 
-// typeName returns the name that a decoding error has for a type. Operators have always seen the Go names of this
-// package's types; types that were renamed keep the name they had.
+// typeName returns the name of a type in the text of a decoding error. The texts are part of the interface and contain
+// the names of Go types, so a type that was renamed is reported under its former name.
 func typeName(goType reflect.Type) string {
 	switch goType {
 	case reflect.TypeFor[followerProcess]():
@@ -89,7 +89,8 @@
 	return goType.String()
 }
 
-// queryUint reads a natural number of the query; nil if it is absent.
+// queryUint parses a nonnegative integer from the query string. It returns nil if the field is absent, and an error
+// response if it is not a number.
 func queryUint(r *http.Request, field string) (*uint64, *response) {
 	text := r.URL.Query().Get(field)
 	if text == "" {
@@ -103,7 +104,7 @@
 	return &value, nil
 }
 
-// queryWait reads wait_ms, at most maxWait; 0 if it is absent.
+// queryWait parses wait_ms from the query string. It returns 0 if it is absent, and at most maxWait.
 func queryWait(r *http.Request) (time.Duration, *response) {
 	waitMS, failure := queryUint(r, "wait_ms")
 	if waitMS == nil || failure != nil {
@@ -112,7 +113,7 @@
 	return time.Duration(min(*waitMS, uint64(maxWait.Milliseconds()))) * time.Millisecond, nil
 }
 
-// queryRevisionAndWait reads the two parameters of the calls that wait for a revision.
+// queryRevisionAndWait parses the parameters revision and wait_ms of calls that wait for a revision.
 func queryRevisionAndWait(r *http.Request) (revision *uint64, wait time.Duration, failure *response) {
 	if revision, failure = queryUint(r, "revision"); failure != nil {
 		return nil, 0, failure
--- a/internal/keeper/response.go
+++ b/internal/keeper/response.go
@@ -7,21 +7,21 @@
 	"windflow/internal/decide/configerror"
 )
 
-// response is the answer to an HTTP call, from here or from the leader.
+// response is the response to an HTTP call, created by this keeper or received from the leader.
 type response struct {
 	status int
 	body   any // encoded as JSON; nil for no body
 }
 
-// errorBody is the body of an error response, where it is no configerror.Error.
+// errorBody is the body of an error response, unless that is a configerror.Error.
 type errorBody struct {
 	Kind   errorKind `json:"kind"`
 	Reason string    `json:"reason"`
-	// Done is the effect of a change; empty for other calls.
+	// Done is the effect that a failed change has had; empty for other calls.
 	Done changeEffect `json:"done,omitempty"`
 }
 
-// errorKind is the kind of an errorBody, as callers see it.
+// errorKind classifies an errorBody for callers.
 type errorKind string
 
 const (
@@ -32,12 +32,12 @@
 	errorStarting   errorKind = "starting"
 )
 
-// changeEffect is the effect of a failed change.
+// changeEffect states what is known about the effect of a failed change.
 type changeEffect string
 
 const (
 	effectNone changeEffect = "nothing"
-	// effectUnknown: a repeated call with the same id returns it.
+	// effectUnknown means that the change may be committed; repeating the call with the same id tells.
 	effectUnknown changeEffect = "unknown"
 )
 
@@ -51,7 +51,7 @@
 	return response{status, errorBody{Kind: kind, Reason: fmt.Sprintf(format, args...)}}
 }
 
-// unavailableResponse answers a change that another leader, or this one later, may accept.
+// unavailableResponse returns the response to a call that may succeed if it is retried, here or at another leader.
 func unavailableResponse(kind errorKind, effect changeEffect, format string, args ...any) response {
 	return response{
 		http.StatusServiceUnavailable,
@@ -59,7 +59,8 @@
 	}
 }
 
-// changeErrorResponse maps the error of a change or a query to a status.
+// changeErrorResponse returns the response for the error of a change or a read, with the HTTP status that fits its
+// kind.
 func changeErrorResponse(err *configerror.Error) response {
 	switch err.Kind {
 	case configerror.Conflict, configerror.IDReused:
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -13,11 +13,11 @@
 	"windflow/internal/decide/configlog"
 )
 
-// maxSnapshotBytes bounds a snapshot that is read.
+// maxSnapshotBytes bounds how much of a snapshot is read.
 const maxSnapshotBytes = 1 << 30
 
-// stateMachine is the replicated state: the log of revisions and the roster of followers. Raft alone changes it, by
-// entries that a majority has; the calls of operators and followers read it.
+// stateMachine is the replicated state: the log of revisions and the roster of followers. Only raft changes it, with
+// entries that a majority has stored; the calls of operators and followers read it.
 type stateMachine struct {
 	changed *notifier
 
@@ -32,16 +32,17 @@
 // nextChange returns a channel that is closed when the state changes.
 func (m *stateMachine) nextChange() <-chan struct{} { return m.changed.wait() }
 
-// changeOutcome is what Apply returns for a change.
+// changeOutcome is the result of Apply for a change.
 type changeOutcome struct {
 	configlog.Result
-	// BaseMoved reports that the change was checked against a revision that is no longer in force; nothing was done.
+	// BaseMoved reports that the change was not applied, because it was checked against a revision that is no longer
+	// current.
 	BaseMoved bool
 }
 
-// Apply implements raft.FSM: it carries a committed entry out. It returns a changeOutcome for a change, whether the
-// follower was known for a Forget, and nil for a Join. It panics on an entry that can't be decoded: were the entry
-// skipped, then this keeper would have another content than the others under the same revision.
+// Apply implements raft.FSM: it applies a committed entry. It returns a changeOutcome for a Change, whether the
+// follower was on the roster for a Forget, and nil for a Join. It panics on an entry that cannot be decoded: if the
+// entry were skipped, this keeper would have different content than the others under the same revision.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	decoded, err := decodeCommand(entry.Data)
 	if err != nil {
@@ -69,10 +70,10 @@
 	return changeOutcome{Result: m.log.Apply(change.Change)}
 }
 
-// snapshotState is the encoded state. It implements raft.FSMSnapshot.
+// snapshotState is an encoded copy of the state. It implements raft.FSMSnapshot.
 type snapshotState []byte
 
-// Snapshot implements raft.FSM: it copies the state, which raft writes while it applies further entries.
+// Snapshot implements raft.FSM: it returns a copy of the state, which raft persists while it applies further entries.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,7 @@
 	return snapshotState(encoded), err
 }
 
-// Persist writes the state to the sink.
+// Persist implements raft.FSMSnapshot: it writes the state to the sink.
 func (s snapshotState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
@@ -89,10 +90,10 @@
 	return sink.Close()
 }
 
-// Release does nothing: the garbage collector frees the state.
+// Release implements raft.FSMSnapshot. It does nothing, because the garbage collector frees the state.
 func (s snapshotState) Release() {}
 
-// Restore implements raft.FSM: it replaces the state by that of a snapshot.
+// Restore implements raft.FSM: it replaces the state with that of a snapshot.
 func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
 	defer func() { _ = snapshot.Close() }()
 	encoded, err := io.ReadAll(io.LimitReader(snapshot, maxSnapshotBytes))
@@ -112,9 +113,9 @@
 
 // logSummary describes the log of revisions.
 type logSummary struct {
-	Revision uint64         // in force
-	Oldest   uint64         // that is kept
-	Hash     configlog.Hash // of the content in force
+	Revision uint64         // current revision
+	Oldest   uint64         // oldest revision that is kept
+	Hash     configlog.Hash // of the current content
 }
 
 func (m *stateMachine) summary() logSummary {
@@ -123,7 +124,7 @@
 	return logSummary{Revision: m.log.Revision(), Oldest: m.log.OldestRevision(), Hash: m.log.Hash()}
 }
 
-// preview returns the content that a change would result in, and the revision that the change would be applied to.
+// preview returns the content that a change would produce, and the revision that the change would be applied to.
 func (m *stateMachine) preview(
 	change configlog.Change,
 ) (base uint64, content map[string]json.RawMessage, changeErr *configerror.Error) {
@@ -133,8 +134,8 @@
 	return m.log.Revision(), content, changeErr
 }
 
-// nextUpdate returns what a follower needs and whether its process is on the roster. changed is closed when either may
-// differ.
+// nextUpdate returns the next update for a follower and whether its process is on the roster. changed is closed when
+// either result may have changed.
 func (m *stateMachine) nextUpdate(
 	status configlog.FollowerStatus,
 ) (update configlog.Update, registered bool, changed <-chan struct{}) {
@@ -143,8 +144,8 @@
 	return m.log.NextUpdate(status), m.log.HasMember(status.Name, status.Instance), m.changed.wait()
 }
 
-// contentAt returns the content at a revision; nil means the one in force. changed is closed when another
-// revision is in force.
+// contentAt returns the content at a revision; nil means the current one. It returns an error if the revision does not
+// exist or is no longer kept. changed is closed when the state changes.
 func (m *stateMachine) contentAt(
 	revision *uint64,
 ) (content configContent, changeErr *configerror.Error, changed <-chan struct{}) {
@@ -177,21 +178,21 @@
 	return configlog.HashEntries(entries)
 }
 
-// history returns up to count revisions, in order.
+// history returns up to count revisions in ascending order, starting with the revision from.
 func (m *stateMachine) history(from uint64, count int) []configlog.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.History(from, count)
 }
 
-// followerNames returns the names on the roster.
+// followerNames returns the names of the followers on the roster.
 func (m *stateMachine) followerNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.Members()
 }
 
-// unregistered returns those of some processes that are not on the roster.
+// unregistered returns the processes that are not on the roster.
 func (m *stateMachine) unregistered(processes []followerProcess) []followerProcess {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,7 +201,7 @@
 	})
 }
 
-// convergence returns at which followers a revision is in force; nil means the revision in force here.
+// convergence returns which followers have put a revision into effect; nil means the current revision of this keeper.
 func (m *stateMachine) convergence(revision *uint64, gathered gatheredLeases) configlog.ConvergenceStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -32,8 +32,8 @@
 	}}}
 }
 
-// A change applies only to the content that it was checked against: two changes, each valid by itself, may be invalid
-// together.
+// A change applies only to the content that it was checked against, because two changes that are each valid may be
+// invalid together.
 func TestChangeRequiresItsBase(t *testing.T) {
 	m := newStateMachine(configlog.Retention{})
 	if out := m.Apply(logEntry(t, 1, changeEntry("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
@@ -48,7 +48,7 @@
 	}
 }
 
-// A state that is restored from a snapshot is the same, and continues the same.
+// A state that is restored from a snapshot equals the original and handles further entries in the same way.
 func TestSnapshotRoundTrip(t *testing.T) {
 	m := newStateMachine(configlog.Retention{Revisions: 2})
 	for i, c := range []command{
@@ -72,46 +72,46 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("who waits isn't woken by a snapshot")
+		t.Error("Restore did not notify the goroutines that wait for a change")
 	}
 	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) ||
 		len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
-		t.Errorf("%+v, %+v, %v", m.summary(), other.summary(), other.followerNames())
+		t.Errorf("original %+v, restored %+v, followers %v", m.summary(), other.summary(), other.followerNames())
 	}
 	if out := other.Apply(logEntry(t, 9, changeEntry("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
-		t.Errorf("a change from before the snapshot: %+v", out)
+		t.Errorf("repeated change from before the snapshot: %+v", out)
 	}
 	truncated := s.(snapshotState)[:len(s.(snapshotState))-1]
 	if err := newStateMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(truncated))); err == nil {
-		t.Error("a snapshot that is cut off is read")
+		t.Error("a truncated snapshot was restored without an error")
 	}
 }
 
-// A damaged entry is recognized, and isn't skipped.
+// A damaged log entry is detected when it is read, and applying one panics instead of skipping it.
 func TestDamagedEntry(t *testing.T) {
 	l := logEntry(t, 1, changeEntry("a", 0, "1"))
 	for _, c := range []struct {
 		data []byte
 		err  string
 	}{
-		{l.Data[:3], "cut off"},
+		{l.Data[:3], "truncated"},
 		{append([]byte{9}, l.Data[1:]...), "format 9"},
 		{append(slices.Clone(l.Data[:len(l.Data)-1]), '!'), "checksum"},
 	} {
 		if err := verifyCommand(c.data); err == nil || !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%v, want %q", err, c.err)
+			t.Errorf("error %v, want one with %q", err, c.err)
 		}
 		store := raft.NewInmemStore()
 		if err := store.StoreLog(&raft.Log{Index: 1, Type: raft.LogCommand, Data: c.data}); err != nil {
 			t.Fatal(err)
 		}
 		if err := (checksummedLog{store}).GetLog(1, new(raft.Log)); err == nil {
-			t.Error("a damaged entry is given out")
+			t.Error("GetLog returned a damaged entry")
 		}
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%q: passed over", c.err)
+					t.Errorf("entry with error %q was applied without a panic", c.err)
 				}
 			}()
 			newStateMachine(configlog.Retention{}).Apply(&raft.Log{Index: 1, Data: c.data})
@@ -119,11 +119,11 @@
 	}
 	err := (checksummedLog{raft.NewInmemStore()}).GetLog(7, new(raft.Log))
 	if err != raft.ErrLogNotFound { //nolint:errorlint // raft compares with ==, so the error must not be wrapped
-		t.Errorf("raft compares %v with %v", err, raft.ErrLogNotFound)
+		t.Errorf("GetLog of a missing entry returned %v, want %v", err, raft.ErrLogNotFound)
 	}
 }
 
-// Messages of raft are logged with their level, fields and formats.
+// Messages of raft are logged with their level and fields, and formatted arguments are expanded.
 func TestRaftLogger(t *testing.T) {
 	var out bytes.Buffer
 	l := raftLogger{target: slog.New(slog.NewTextHandler(&out, nil)), name: "raft"}
@@ -135,11 +135,11 @@
 	}
 }
 
-// The flag --peers is parsed, and errors name it.
+// ParsePeers and the validation of the options accept valid values of --peers, and name the fault of invalid ones.
 func TestParsePeers(t *testing.T) {
 	peers, err := ParsePeers("k1=h1:1/h1:2,k2=[::1]:1/[::1]:2")
 	if err != nil || len(peers) != 2 || peers[1] != (Peer{ID: "k2", RaftAddr: "[::1]:1", HTTPAddr: "[::1]:2"}) {
-		t.Error(peers, err)
+		t.Errorf("peers %+v, error %v", peers, err)
 	}
 	sixKeepers := "a=h:1/h:2,b=h:1/h:2,c=h:1/h:2,d=h:1/h:2,e=h:1/h:2,f=h:1/h:2"
 	for _, c := range []struct{ text, err string }{
@@ -161,7 +161,7 @@
 			}.withDefaults()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.err)
+			t.Errorf("--peers %q: error %v, want one with %q", c.text, err, c.err)
 		}
 	}
 }
--- a/internal/keeper/status.go
+++ b/internal/keeper/status.go
@@ -9,7 +9,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// stateWaiting is the state of a keeper before its raft node starts.
+// stateWaiting is the reported state of a keeper whose raft node has not started yet.
 const stateWaiting = "Waiting"
 
 // statusService reports the state of this keeper.
@@ -22,21 +22,21 @@
 	counters     *counters
 }
 
-// keeperStatus is the answer to `GET /v1/status`. The fields of this and the types below are in the order of their
-// keys, as they have always been encoded.
+// keeperStatus is the response to `GET /v1/status`. The fields of this type and of the types below are in the
+// alphabetical order of their keys, because that is the order in which earlier versions encoded them.
 type keeperStatus struct {
-	AppliedIndex   *uint64        `json:"applied_index,omitempty"` // with a raft node only
+	AppliedIndex   *uint64        `json:"applied_index,omitempty"` // absent until the raft node starts
 	Cluster        string         `json:"cluster"`
 	Counters       counterStatus  `json:"counters"`
-	DiskError      string         `json:"disk_error,omitempty"` // the latest
+	DiskError      string         `json:"disk_error,omitempty"` // the latest error
 	Folder         folderStatus   `json:"folder"`
 	Followers      int            `json:"followers"`
 	Hash           configlog.Hash `json:"hash"`
 	ID             string         `json:"id"`
-	LastIndex      *uint64        `json:"last_index,omitempty"` // with a raft node only
+	LastIndex      *uint64        `json:"last_index,omitempty"` // absent until the raft node starts
 	Leader         string         `json:"leader"`
-	Majority       bool           `json:"majority"` // whether a leader is in touch
-	Oldest         uint64         `json:"oldest"`   // revision that is kept
+	Majority       bool           `json:"majority"` // whether this keeper is in contact with a leader
+	Oldest         uint64         `json:"oldest"`   // oldest revision that is kept
 	Revision       uint64         `json:"revision"`
 	Roster         int            `json:"roster"`
 	LeasesComplete bool           `json:"settled"`
@@ -94,7 +94,7 @@
 	}
 }
 
-// handleStatus is `GET /v1/status`.
+// handleStatus handles `GET /v1/status`.
 func (s *statusService) handleStatus(http.ResponseWriter, *http.Request) response {
 	summary := s.stateMachine.summary()
 	live := s.leases.live()
@@ -138,8 +138,8 @@
 	status.State = node.state.String()
 	status.Term = node.term
 	status.LastIndex, status.AppliedIndex = &node.lastIndex, &node.appliedIndex
-	// A leader without a majority steps down by itself within its lease; a follower may still name a leader that has
-	// been silent for a while.
+	// A leader without a majority steps down by itself when its leader lease expires. A raft follower, however, may
+	// still report a leader that it has not heard from for some time.
 	if node.state != raft.Leader && time.Since(node.lastContact) > 2*s.options.Heartbeat {
 		status.Majority = false
 	}
--- a/internal/keeper/stores.go
+++ b/internal/keeper/stores.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// keptSnapshots are kept on disk; the newest counts, the one before is for a write of the newest that is cut short.
+	// keptSnapshots is the number of snapshots kept on disk: the newest, and the one before it in case that writing the
+	// newest was interrupted.
 	keptSnapshots = 2
-	// reservedVoteBytes are allocated on the disk for term and vote; reservingWrites at the start make the pages that
-	// later writes use in turn.
+	// reservedVoteBytes is the disk space that is allocated in advance for term and vote.
 	reservedVoteBytes = 256 << 10
-	reservingWrites   = 16
-	// databaseLockTimeout bounds the wait for another process that has a database open.
+	// reservingWrites is the number of writes at startup. They create the database pages that later writes reuse.
+	reservingWrites = 16
+	// databaseLockTimeout bounds the wait for a database that another process has open.
 	databaseLockTimeout = time.Second
 )
 
 var (
-	// createdKey is in the database of entries from its creation on.
+	// createdKey is written to the log database when it is created.
 	createdKey = []byte("made")
-	// reservingKey is the key of the reserving writes.
+	// reservingKey is the key that the reserving writes set; see reserveVotePages.
 	reservingKey = []byte("turn")
 	// currentTermKey is the key under which raft stores the term.
 	currentTermKey = []byte("CurrentTerm")
@@ -36,15 +37,16 @@
 
 var databaseOptions = &bbolt.Options{Timeout: databaseLockTimeout, FreelistType: bbolt.FreelistMapType}
 
-// stores are what raft keeps on disk. Term and vote are stored apart from the entries: raft ends the process when it
-// can't write them, so they must not meet a full disk together with the entries.
+// stores holds the data that raft keeps on disk. Term and vote have a file of their own with reserved space, apart from
+// the log entries: raft panics if it cannot write them, so it must be possible to write them when the disk is too full
+// for log entries.
 type stores struct {
 	entries   *raftboltdb.BoltStore
 	votes     *raftboltdb.BoltStore
 	snapshots *raft.FileSnapshotStore
 }
 
-// openStores opens the stores below dir. Errors name the flag --dir.
+// openStores opens the stores in dir, creating them if necessary. Errors name the flag --dir.
 func openStores(dir string, log hclog.Logger) (*stores, error) {
 	votes, err := openVotes(filepath.Join(dir, voteFile))
 	if err != nil {
@@ -85,7 +87,7 @@
 	return votes, nil
 }
 
-// reserveVotePages makes sure that term and vote can be written later, also on a full disk.
+// reserveVotePages ensures that term and vote can still be written when the disk is full.
 func reserveVotePages(path string, votes *raftboltdb.BoltStore) error {
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
@@ -93,7 +95,7 @@
 	}
 	err = unix.Fallocate(int(file.Fd()), 0, 0, reservedVoteBytes)
 	if errors.Is(err, unix.EOPNOTSUPP) {
-		err = nil // the writes below allocate the pages by themselves
+		err = nil // without fallocate, the writes below allocate the pages
 	}
 	if err := errors.Join(err, file.Close()); err != nil {
 		return err
@@ -111,13 +113,14 @@
 	_ = s.votes.Close()
 }
 
-// checksummedLog returns no entry that differs from what was written: a damaged one must not reach other keepers.
+// checksummedLog verifies the checksum of each command that it reads, so that a damaged entry is not sent to other
+// keepers.
 type checksummedLog struct{ raft.LogStore }
 
 // GetLog implements raft.LogStore.
 func (c checksummedLog) GetLog(index uint64, entry *raft.Log) error {
 	if err := c.LogStore.GetLog(index, entry); err != nil {
-		return err // not wrapped: raft compares it with ErrLogNotFound
+		return err // not wrapped, because raft compares it with ErrLogNotFound by ==
 	}
 	if entry.Type == raft.LogCommand {
 		if err := verifyCommand(entry.Data); err != nil {
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -12,7 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftStream is what the transport of the replication dials and accepts with. It implements raft.StreamLayer.
+// raftStream dials and accepts the connections between raft nodes, and counts their bytes. It implements
+// raft.StreamLayer.
 type raftStream struct{ countingListener }
 
 // Dial implements raft.StreamLayer.
@@ -24,8 +25,8 @@
 	return countingConn{conn, s.in, s.out}, nil
 }
 
-// addressProvider finds a keeper's address by its id. The replicated list of the group has ids only, so that a keeper
-// that moves needs another --peers and no change to that list.
+// addressProvider maps a keeper's id to its address. The replicated list of the group's members has only ids, so that
+// moving a keeper to another address requires a change of --peers but not of that list.
 type addressProvider struct{ peers []Peer }
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -37,13 +38,13 @@
 	return raft.ServerAddress(p.peers[i].RaftAddr), nil
 }
 
-// errVotingSuspended answers votes in which a keeper does not participate.
+// errVotingSuspended is the error for election requests that are sent or received while voting is suspended.
 var errVotingSuspended = errors.New(
 	"this keeper has lost its folder and takes no part in elections until it has caught up")
 
-// electionTransport is the network transport without elections while voting is suspended. A keeper whose folder was
-// lost no longer knows which entries it has confirmed; were it to vote, or to be a candidate, with what it has left,
-// then an entry that was accepted with its confirmation could be lost.
+// electionTransport is a network transport that blocks elections while voting is suspended. A keeper that lost its
+// folder no longer knows which entries it has acknowledged. If it voted or became a candidate without them, an entry
+// that was committed with its acknowledgment could be lost.
 type electionTransport struct {
 	*raft.NetworkTransport
 	votingSuspended *atomic.Bool
@@ -52,7 +53,7 @@
 	filtering       sync.WaitGroup
 }
 
-// newElectionTransport starts a goroutine that ends with Close.
+// newElectionTransport wraps a network transport. It starts a goroutine that runs until Close.
 func newElectionTransport(network *raft.NetworkTransport, votingSuspended *atomic.Bool) *electionTransport {
 	t := &electionTransport{
 		NetworkTransport: network,
@@ -64,7 +65,7 @@
 	return t
 }
 
-// filter forwards requests, except those that rejectElection answers.
+// filter passes received requests on to raft. While voting is suspended, it rejects those that belong to elections.
 func (t *electionTransport) filter() {
 	for {
 		var request raft.RPC
@@ -84,7 +85,8 @@
 	}
 }
 
-// rejectElection answers a request that belongs to an election; false for any other.
+// rejectElectionRequest rejects a request that belongs to an election. It returns false, without responding, for any
+// other request.
 func rejectElectionRequest(request raft.RPC) bool {
 	switch request.Command.(type) {
 	case *raft.RequestVoteRequest:
@@ -122,7 +124,7 @@
 	return t.NetworkTransport.RequestPreVote(id, target, request, answer)
 }
 
-// Close implements raft.WithClose. It must be called once; raft does so.
+// Close implements raft.WithClose. It must be called exactly once; raft calls it at shutdown.
 func (t *electionTransport) Close() error {
 	close(t.done)
 	t.filtering.Wait()
--- a/internal/keeper/verify.go
+++ b/internal/keeper/verify.go
@@ -18,19 +18,19 @@
 	"windflow/internal/decide/configlog"
 )
 
-// damageError describes what is damaged in a folder. Other errors of the functions below are the machine's, not the
-// content's.
+// damageError describes damaged content of a folder. Other errors of the functions below are system errors, such as a
+// missing permission, which say nothing about the content.
 type damageError struct{ reason string }
 
 func (e *damageError) Error() string { return e.reason }
 
 func damaged(format string, args ...any) error { return &damageError{fmt.Sprintf(format, args...)} }
 
-// lastEntry describes the end of a log; it is zero for an empty one.
+// lastEntry identifies the last entry of a log; it is zero for an empty log.
 type lastEntry struct{ index, term uint64 }
 
-// verifyStores reads all that raft left in a folder, and returns a damageError if it can't be used. lastIndex is the
-// index of the last entry, in the log or in a snapshot.
+// verifyStores reads all raft data in a folder, and returns a damageError if it cannot be used. lastIndex is the index
+// of the last entry in the log or in the newest snapshot.
 func verifyStores(dir string) (lastIndex uint64, err error) {
 	votePath, logPath := filepath.Join(dir, voteFile), filepath.Join(dir, logFile)
 	for _, path := range []string{votePath, logPath} {
@@ -59,7 +59,7 @@
 	return max(last.index, snapshotIndex), nil
 }
 
-// verifyTerm checks that the stored term is one in which the last entry can have been written.
+// verifyTerm returns a damageError if the stored term is lower than minTerm, the term of the last entry.
 func verifyTerm(path string, minTerm uint64) (err error) {
 	store, err := openBoltStore(path)
 	if err != nil {
@@ -71,13 +71,13 @@
 		return err
 	}
 	if term < minTerm {
-		return damaged("%s is at term %d, the last entry came in term %d", voteFile, term, minTerm)
+		return damaged("%s has term %d, but the last entry has term %d", voteFile, term, minTerm)
 	}
 	return nil
 }
 
-// verifyDatabase reads each page in use of a bbolt file. Pages past the end of a truncated file fault, and bbolt panics
-// on some that make no sense; both count as damage.
+// verifyDatabase reads each page in use of a bbolt file. Reading past the end of a truncated file causes a memory
+// fault, and bbolt panics on some invalid pages; verifyDatabase returns a damageError for both.
 func verifyDatabase(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -102,7 +102,7 @@
 }
 
 func readAllValues(db *bbolt.DB) error {
-	checksum := uint32(0) // not used; computing it reads each byte
+	checksum := uint32(0) // unused; computing it reads every byte
 	return db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error {
 			return bucket.ForEach(func(_, value []byte) error {
@@ -118,8 +118,8 @@
 	return errors.As(err, &pathError) || errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EFBIG)
 }
 
-// verifySnapshots reads the newest snapshot against its checksum and returns the index of its last entry; 0 without
-// one.
+// verifySnapshots reads the newest snapshot and verifies its checksum. It returns the index of the last entry in the
+// snapshot, or 0 if there is no snapshot.
 func verifySnapshots(dir string) (newestIndex uint64, err error) {
 	if _, err := os.Lstat(filepath.Join(dir, snapshotDir)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
@@ -143,7 +143,7 @@
 	return newest.Index, nil
 }
 
-// verifyEntries checks that the entries that follow the newest snapshot are complete and as they were written.
+// verifyEntries checks that the log continues the newest snapshot without a gap and that no entry is damaged.
 func verifyEntries(path string, snapshotIndex uint64) (last lastEntry, err error) {
 	store, err := openBoltStore(path)
 	if err != nil {
@@ -151,7 +151,8 @@
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
 	if _, err := store.GetUint64(createdKey); err != nil {
-		return lastEntry{}, damaged("%s has lost its content", logFile) // bbolt treats an empty file as a new one
+		// bbolt initializes an empty file as a new database without this key.
+		return lastEntry{}, damaged("%s has lost its content", logFile)
 	}
 	firstIndex, err := store.FirstIndex()
 	if err != nil {
@@ -172,7 +173,7 @@
 			return lastEntry{}, damaged("%s: entry %d: %v", logFile, i, err)
 		}
 		if entry.Index != i {
-			return lastEntry{}, damaged("%s: entry %d says that it is %d", logFile, i, entry.Index)
+			return lastEntry{}, damaged("%s: entry %d has index %d", logFile, i, entry.Index)
 		}
 		last.term = entry.Term
 	}
