--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -14,16 +14,16 @@
 	"windflow/internal/keeper"
 )
 
-// routerClients starts the clients of routers r0 to r2 at the keepers of a group.
+// routerClients starts the configuration clients of the routers r0 to r2 against the keepers of a group.
 type routerClients struct {
 	g *group
 }
 
-// start runs a client until the test ends. It rejects one revision; 0 for none.
+// start runs the client of router n until the test ends. The client rejects the given revision; 0 means none.
 func (r routerClients) start(n int, incarnation int64, dir string, rejected uint64) *configclient.Client {
 	r.g.t.Helper()
 	cfg := configclient.Config{Dir: dir, MaxPollWaitMS: 1000}
-	for i := range r.g.members { // each starts with another one
+	for i := range r.g.members { // each router starts with a different keeper
 		cfg.Addresses = append(cfg.Addresses, r.g.members[(n+i)%3].options.HTTPAddr)
 	}
 	instance := configlog.NewInstance(incarnation, uint64(n))
@@ -40,8 +40,8 @@
 	return client
 }
 
-// The routers' client with real keepers: a revision, one that a router rejects, a keeper that is paused during a
-// call, a client that restarts with its copy and one without.
+// The routers' client works against real keepers: it applies a revision, reports a rejected one, survives that a keeper
+// is paused during a call, and restarts both with and without its local copy.
 func TestConfigClientAgainstKeepers(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 2500 * time.Millisecond })
@@ -52,28 +52,28 @@
 	for n, dir := range dirs {
 		c := routers.start(n, 1, dir, map[int]uint64{1: 3}[n])
 		if got := c.Latest().Revision; got != 1 {
-			t.Errorf("r%d starts with revision %d", n, got)
+			t.Errorf("r%d starts with revision %d, want 1", n, got)
 		}
 		clients = append(clients, c)
 	}
 	g.waitForConvergence(g.change(0, put("second", "/settings/over-share-worth", "2")))
 	g.change(0, put("third", "/settings/over-share-worth", "3"))
 	var v rolloutReply
-	waitUntil(t, "a rejection and two followers that have it", func() bool {
+	waitUntil(t, "one rejection and two followers with revision 3", func() bool {
 		v = g.rollout(0, "revision=3")
 		return len(v.Rejected) == 1 && len(v.InForce) == 2
 	})
 	if v.Converged || v.Rejected[0].Name != "r1" || v.Rejected[0].Rejected.Reason != "no" {
-		t.Errorf("%+v", v)
+		t.Errorf("after a rejection by r1: %+v", v)
 	}
 	g.waitForConvergence(g.change(0, put("fourth", "/settings/over-share-worth", "4")))
 	paused := g.leader()
 	g.members[paused].signal(syscall.SIGSTOP)
 	other := (paused + 1) % 3
-	waitUntil(t, "another leader", func() bool { return g.leader() != paused })
+	waitUntil(t, "a new leader", func() bool { return g.leader() != paused })
 	v = g.waitForConvergenceAt(other, g.change(other, put("fifth", "/settings/over-share-worth", "5")))
 	if len(v.InForce) != 3 || v.Revision != 5 {
-		t.Errorf("with a keeper stopped: %+v", v)
+		t.Errorf("with a paused keeper: %+v", v)
 	}
 	g.members[paused].signal(syscall.SIGCONT)
 	for _, c := range clients[:2] {
@@ -87,14 +87,14 @@
 		names[s.Name] = true
 	}
 	if len(names) != 3 {
-		t.Errorf("after restarts: %+v", v)
+		t.Errorf("after restarts, not all routers have the revision: %+v", v)
 	}
 	for n, c := range clients {
 		if r := c.Latest(); r.Revision != rev || string(r.Entries["/settings/over-share-worth"]) != "6" {
-			t.Errorf("r%d: %+v", n, r)
+			t.Errorf("r%d has %+v", n, r)
 		}
 	}
 	if code := g.get(other, "/v1/config?revision=6", &struct{}{}); code != http.StatusOK {
-		t.Error(code)
+		t.Errorf("GET /v1/config: status %d, want 200", code)
 	}
 }
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -14,7 +14,8 @@
 	"windflow/internal/keeper"
 )
 
-// limitFileSize bounds the files of a running keeper, which simulates a full disk: a write that grows a file fails.
+// limitFileSize limits the size of the files that a running keeper can write. It simulates a full disk: a write that
+// extends a file beyond the limit fails.
 func (g *group) limitFileSize(i int, bytes uint64) {
 	g.t.Helper()
 	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
@@ -23,7 +24,7 @@
 	}
 }
 
-// fillDisk prevents a keeper's log from growing.
+// fillDisk prevents a keeper's log file from growing.
 func (g *group) fillDisk(i int) {
 	g.t.Helper()
 	info, err := os.Stat(filepath.Join(g.members[i].options.Dir, "raft.db"))
@@ -37,8 +38,8 @@
 	return put(fmt.Sprint("c", n), "/board", `"`+strings.Repeat("x", 20<<10)+fmt.Sprint(n)+`"`)
 }
 
-// With all disks full no change is lost or made in part, and calls are answered; with free space changes are accepted
-// again.
+// While the disks of all keepers are full, no change is lost or partly applied, and the keepers respond to calls. Once
+// there is free space, they accept changes again.
 func TestAllDisksFull(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
@@ -57,27 +58,27 @@
 			break
 		}
 		if code != 200 {
-			t.Fatalf("%d %+v", code, failure)
+			t.Fatalf("status %d, want 503: %+v", code, failure)
 		}
 		last = failure.Revision
 	}
 	if failure.Done == "" || failure.Reason == "" {
-		t.Errorf("%+v", failure)
+		t.Errorf("the reply lacks done or reason: %+v", failure)
 	}
 	reported := 0
 	for i, p := range g.members {
 		if !p.alive() {
-			t.Fatalf("%s has ended", p.options.ID)
+			t.Fatalf("%s has exited", p.options.ID)
 		}
 		if c := g.waitForRevision(i, last); c.Revision != last {
-			t.Errorf("%s serves %d", p.options.ID, c.Revision)
+			t.Errorf("%s serves revision %d, want %d", p.options.ID, c.Revision, last)
 		}
 		if strings.Contains(g.status(i).DiskError, "file too large") {
 			reported++
 		}
 	}
 	if reported == 0 {
-		t.Error("no status reports that a disk is full")
+		t.Error("no keeper reports in its status that its disk is full")
 	}
 	f.pollUntil(1, last)
 	for i := range g.members {
@@ -85,12 +86,12 @@
 	}
 	g.leader()
 	if rev := g.change(1, largeChange(n)); rev != last+1 {
-		t.Errorf("with room again: revision %d after %d", rev, last)
+		t.Errorf("with free space again: revision %d after %d", rev, last)
 	}
 	g.checkEqualState(last + 1)
 }
 
-// With the leader's disk full another keeper leads and accepts the changes.
+// When only the leader's disk is full, another keeper becomes the leader and accepts the changes.
 func TestLeaderDiskFull(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.ChangeTimeout = 20 * time.Second })
 	last := g.change(0, largeChange(0))
@@ -101,11 +102,11 @@
 		last = g.change(receiver, largeChange(n))
 	}
 	if s := g.status(full); !strings.Contains(s.DiskError, "file too large") || !g.members[full].alive() {
-		t.Errorf("%+v", s)
+		t.Errorf("the keeper with the full disk has exited or does not report it: %+v", s)
 	}
 	g.limitFileSize(full, unix.RLIM_INFINITY)
 	g.checkEqualState(last)
 	if last != 20 {
-		t.Error("revision", last)
+		t.Errorf("revision %d, want 20", last)
 	}
 }
--- a/internal/keeper/encoded_test.go
+++ b/internal/keeper/encoded_test.go
@@ -6,8 +6,8 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that are sent or stored as JSON; golden.Tagged finds the types within
-// them.
+// encodedTypes returns a value of each type of this package that is sent or stored as JSON. golden.AllFieldsTagged also
+// checks the types nested in them.
 func encodedTypes() []any {
 	return []any{
 		command{},
@@ -26,7 +26,7 @@
 	}
 }
 
-// Each encoded field has a tag, so that its name in the code can change.
+// Each encoded field has a JSON tag, so that renaming the Go field does not change its encoded name.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -12,7 +12,7 @@
 	"windflow/internal/keeper"
 )
 
-// rolloutReply is the answer to GET /v1/rollout.
+// rolloutReply is the response to GET /v1/rollout.
 type rolloutReply struct {
 	configlog.ConvergenceStatus
 	Keeper   string `json:"keeper"`
@@ -22,7 +22,7 @@
 	err      error
 }
 
-// follower is a fake router.
+// follower simulates the follower in a router.
 type follower struct {
 	g              *group
 	name, instance string
@@ -33,7 +33,7 @@
 	updates        []configlog.Update
 }
 
-// poll makes one call and applies the update.
+// poll makes one call to keeper i, applies the update, if any, and returns the HTTP status.
 func (f *follower) poll(i int, waitMS int) (code int) {
 	f.g.t.Helper()
 	var u configlog.Update
@@ -59,12 +59,12 @@
 	}
 	f.revision, f.hash = u.To, u.Hash
 	if h := configlog.HashEntries(f.content); h != u.Hash {
-		f.g.t.Errorf("%s: content of revision %d has hash %s, not %s", f.name, u.To, h, u.Hash)
+		f.g.t.Errorf("%s: content of revision %d has hash %s, want %s", f.name, u.To, h, u.Hash)
 	}
 	return code
 }
 
-// pollUntil polls a keeper until the follower has a revision.
+// pollUntil polls keeper i until the follower has at least the revision.
 func (f *follower) pollUntil(i int, rev uint64) {
 	f.g.t.Helper()
 	waitUntil(f.g.t, fmt.Sprintf("%s at revision %d", f.name, rev), func() bool {
@@ -72,10 +72,11 @@
 	})
 }
 
-// report reports to a keeper what is in force.
+// report reports the follower's current revision to keeper i.
 func (f *follower) report(i int) { f.g.t.Helper(); f.poll(i, 0) }
 
-// The convergence status from a follower's first call on, with a rejection and with a follower that is gone.
+// The convergence status includes followers from their first call on, reports a rejection, lists a follower that no
+// longer calls as missing, and drops it once it is forgotten.
 func TestConvergenceStatus(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.LeaseDuration = 1500 * time.Millisecond })
 	a, b := follower{g: g, name: "ra", instance: "1"}, follower{g: g, name: "rb", instance: "1"}
@@ -86,9 +87,9 @@
 	b.report(2)
 	v := g.rollout(1, "revision=1&wait_ms=10000")
 	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
-		t.Errorf("both have it: %+v", v)
+		t.Errorf("both followers have the revision: %+v", v)
 	}
-	// A waiting poll returns the change; a waiting rollout call returns the followers' statuses.
+	// A waiting poll returns when a change is committed.
 	type pollResult struct{ code int }
 	calls := make(chan pollResult, 2)
 	go func() { calls <- pollResult{a.poll(1, 700)} }()
@@ -100,7 +101,7 @@
 	g.change(0, put("second", "/settings/over-share-worth", "2"))
 	for range 2 {
 		if c := <-calls; c.code != 200 {
-			t.Errorf("waiting calls: %d", c.code)
+			t.Errorf("waiting poll: status %d, want 200", c.code)
 		}
 	}
 	a.report(1)
@@ -110,45 +111,45 @@
 	}
 	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.poll(2, 0); code != http.StatusNoContent {
-		t.Errorf("a follower that rejected the revision is offered it again: %d", code)
+		t.Errorf("a follower that rejected the revision is offered it again: status %d", code)
 	}
 	v = g.rollout(0, "revision=2")
 	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 ||
 		v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
-		t.Errorf("one rejection: %+v", v)
+		t.Errorf("with one rejection: %+v", v)
 	}
-	waitUntil(t, "a follower that doesn't call is gone", func() bool {
+	waitUntil(t, "the follower that no longer calls to be missing", func() bool {
 		a.poll(1, 0)
 		v = g.rollout(0, "")
 		return reflect.DeepEqual(v.Missing, []string{"rb"})
 	})
 	if len(v.Rejected) != 0 || v.Revision != 2 {
-		t.Errorf("gone: %+v", v)
+		t.Errorf("with a missing follower: %+v", v)
 	}
 	var forgotten struct {
 		Forgotten bool `json:"forgotten"`
 	}
 	if code := g.do(1, http.MethodDelete, "/v1/followers/rb", nil, &forgotten); code != 200 || !forgotten.Forgotten {
-		t.Errorf("forget: %d %+v", code, forgotten)
+		t.Errorf("forget: status %d, %+v", code, forgotten)
 	}
 	if code := g.do(2, http.MethodDelete, "/v1/followers/rb", nil, &forgotten); code != 200 || forgotten.Forgotten {
-		t.Errorf("forget again: %d %+v", code, forgotten)
+		t.Errorf("repeated forget: status %d, %+v", code, forgotten)
 	}
 	a.poll(1, 0)
 	if v = g.rollout(2, ""); len(v.Missing) != 0 {
-		t.Errorf("forgotten: %+v", v)
+		t.Errorf("after the missing follower was forgotten: %+v", v)
 	}
 }
 
 func (g *group) rollout(i int, query string) (v rolloutReply) {
 	g.t.Helper()
 	if code := g.get(i, "/v1/rollout?"+query, &v); code != 200 {
-		g.t.Fatalf("rollout: %d", code)
+		g.t.Fatalf("rollout: status %d, want 200", code)
 	}
 	return v
 }
 
-// A keeper that has just started can't know all live followers, so the convergence status names it as unreached.
+// A keeper that has just started may not know all live followers yet, so the convergence status lists it as unreached.
 func TestRestartedKeeperCountsAsUnreached(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -156,14 +157,14 @@
 	a.pollUntil(0, 1)
 	a.report(0)
 	if v := g.rollout(1, ""); len(v.UnreachedKeepers) != 3 {
-		t.Errorf("all have just started: %+v", v)
+		t.Errorf("all keepers have just started: %+v", v)
 	}
 	if v := g.rollout(1, "wait_ms=10000"); !v.Converged {
-		t.Errorf("the only follower is listed: %+v", v)
+		t.Errorf("the only follower has the revision: %+v", v)
 	}
 }
 
-// A keeper has a bounded number of open polls and rejects the next.
+// A keeper rejects a poll when the maximum number of polls is open.
 func TestWaitingFollowersAreBounded(t *testing.T) {
 	g := startGroup(t, 1, func(_ int, o *keeper.Options) { o.MaxWaitingFollowers = 2 })
 	done := make(chan int, 2)
@@ -174,24 +175,24 @@
 	waitUntil(t, "two waiting calls", func() bool { return g.status(0).Counters["waiting"] == 2 })
 	f := follower{g: g, name: "r9", instance: "1"}
 	if code := f.poll(0, 1000); code != http.StatusServiceUnavailable {
-		t.Errorf("the third call: %d", code)
+		t.Errorf("the third poll: status %d, want 503", code)
 	}
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
 	for range 2 {
 		if code := <-done; code != 200 {
-			t.Errorf("a waiting call: %d", code)
+			t.Errorf("a waiting poll: status %d, want 200", code)
 		}
 	}
 	if code := f.poll(0, 1000); code != http.StatusOK {
-		t.Errorf("with room: %d", code)
+		t.Errorf("after the other polls ended: status %d, want 200", code)
 	}
 }
 
-// A follower that is a thousand revisions behind receives one update: the difference if that is smaller, else a
-// snapshot.
+// A follower that is a thousand revisions behind receives a single update: the difference if that is smaller than the
+// complete content, otherwise a snapshot.
 func TestFollowerThousandChangesBehind(t *testing.T) {
 	g := startGroup(t, 3, nil)
-	follower50, follower51 := follower{g: g, name: "wide", instance: "1"}, follower{g: g, name: "narrow", instance: "1"}
+	follower50, follower51 := follower{g: g, name: "at-50", instance: "1"}, follower{g: g, name: "at-51", instance: "1"}
 	for n := range 50 {
 		g.change(0, put(fmt.Sprint("base", n), fmt.Sprintf("/settings/parties/q%d", n), `{"quota-rps":1}`))
 	}
@@ -203,7 +204,7 @@
 	for n := 1; n < 1000; n++ {
 		g.change(0, put(fmt.Sprint("c", n), fmt.Sprintf("/settings/parties/p%d", n%5), fmt.Sprintf(`{"quota-rps":%d}`, n)))
 	}
-	t.Logf("999 changes one after the other in %v", time.Since(start).Round(time.Millisecond))
+	t.Logf("999 consecutive changes in %v", time.Since(start).Round(time.Millisecond))
 	for _, f := range []*follower{&follower50, &follower51} {
 		f.updates = nil
 		g.waitForRevision(2, 1050)
@@ -213,18 +214,18 @@
 				len(f.updates[0].Put), len(f.content))
 		}
 	}
-	newFollower := follower{g: g, name: "fresh", instance: "1"}
+	newFollower := follower{g: g, name: "new", instance: "1"}
 	newFollower.pollUntil(1, 1050)
 	if len(newFollower.updates) != 1 || !reflect.DeepEqual(newFollower.content, follower50.content) {
-		t.Errorf("fresh: %d updates, %d entries", len(newFollower.updates), len(newFollower.content))
+		t.Errorf("new follower: %d updates, %d entries", len(newFollower.updates), len(newFollower.content))
 	}
 	follower1 := follower{
-		g: g, name: "first", instance: "1", revision: 1,
+		g: g, name: "at-1", instance: "1", revision: 1,
 		hash: configlog.HashEntries(map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}),
 	}
 	follower1.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
 	follower1.pollUntil(2, 1050)
 	if len(follower1.updates) != 1 || !reflect.DeepEqual(follower1.content, follower50.content) {
-		t.Errorf("at revision 1: %d updates, %d entries", len(follower1.updates), len(follower1.content))
+		t.Errorf("follower at revision 1: %d updates, %d entries", len(follower1.updates), len(follower1.content))
 	}
 }
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -18,10 +18,11 @@
 	"windflow/internal/golden"
 )
 
-// step is one call to a keeper. An empty body is none.
+// step is one HTTP call to a keeper; an empty body means none.
 type step struct{ method, path, body string }
 
-// varying are the parts of answers that differ from run to run; their names stay in the golden files.
+// varyingFields match the parts of responses that differ between runs. The golden files contain their names without the
+// values.
 var varyingFields = []*regexp.Regexp{
 	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|` +
 		`term|last_index|applied_index)":[0-9.e+]+`),
@@ -37,7 +38,7 @@
 	return text
 }
 
-// startSingleKeeper runs a keeper k1 with these options until the test ends, and returns the address of its calls.
+// startSingleKeeper runs a keeper k1 until the test ends, with options modified by tweak, and returns its HTTP address.
 func startSingleKeeper(t *testing.T, tweak func(*Options)) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,7 +69,7 @@
 	return ""
 }
 
-// rejectEight is a check of content that rejects the number 8.
+// rejectEight is a Check that rejects content in which /settings/over-share-worth is 8.
 func rejectEight(entries map[string]json.RawMessage) *configerror.Error {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
@@ -77,7 +78,8 @@
 	return &configerror.Error{Kind: configerror.Invalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
-// runCalls makes the calls in turn and returns calls and answers, without the parts that vary.
+// runCalls makes the calls one after the other. It returns a transcript of the calls and the responses, with varying
+// values masked.
 func runCalls(t *testing.T, address string, header http.Header, steps []step) []byte {
 	t.Helper()
 	var transcript bytes.Buffer
@@ -105,7 +107,7 @@
 	return transcript.Bytes()
 }
 
-// waitForLeader returns once a keeper leads and has recorded that it is a member.
+// waitForLeader returns once the keeper leads and has recorded the stage "member".
 func waitForLeader(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(goldenTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -119,10 +121,11 @@
 			return
 		}
 	}
-	t.Fatal("no leader")
+	t.Fatalf("the keeper at %s is not the leader within %v", address, goldenTimeout)
 }
 
-// discoveryAddresses is an entry that makes the complete content larger than a change of another entry.
+// discoveryAddresses is the value of an entry that is long enough to make the complete content larger than a change of
+// another entry.
 const discoveryAddresses = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, weight, trailingFields string) string {
@@ -135,7 +138,7 @@
 		name, revision, hash, trailingFields)
 }
 
-// Operators' calls are answered with the recorded bytes, errors included.
+// The responses to operators' calls, errors included, match the recorded ones byte for byte.
 func TestGoldenOperatorCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -180,7 +183,7 @@
 	}))
 }
 
-// Followers' calls and the convergence of a revision are answered with the recorded bytes.
+// The responses to followers' calls and to queries of a revision's convergence match the recorded ones byte for byte.
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -225,7 +228,8 @@
 	}))
 }
 
-// A keeper that waits for the others, and one without capacity for followers, answer with the recorded bytes.
+// The responses of a keeper that waits for the other keepers and has no capacity for followers match the recorded ones
+// byte for byte.
 func TestGoldenUnavailableResponses(t *testing.T) {
 	address := startSingleKeeper(t, func(o *Options) {
 		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: LoopbackHost() + ":1", RaftAddr: LoopbackHost() + ":1"})
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -23,12 +23,13 @@
 	"windflow/internal/golden"
 )
 
-// goldenFolders contains the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
+// goldenFolders contains the folders of the keepers k1 to k3 after the changes of recordedChanges.
 const goldenFolders = "folders.tar.gz"
 
+// goldenTimeout bounds each wait of the golden tests.
 const goldenTimeout = 20 * time.Second
 
-// recordedChanges has a revert, a removal and more revisions than are kept.
+// recordedChanges returns changes that include a revert and a removal and create more revisions than are kept.
 func recordedChanges() (list []configlog.Change) {
 	for i := range 5 {
 		list = append(list, configlog.Change{
@@ -43,16 +44,16 @@
 	return append(list, configlog.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
 }
 
-// leaderField is the part of an answer that differs from run to run.
+// leaderField matches the part of a response that differs between runs.
 var leaderField = regexp.MustCompile(`"leader":"[^"]*"`)
 
-// inProcessGroup is a group of keepers that run in the test's process.
+// inProcessGroup is a group of keepers that run in the test process.
 type inProcessGroup struct {
-	addresses []string // of the calls
+	addresses []string // for HTTP calls
 	stop      func()
 }
 
-// startInProcessGroup runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
+// startInProcessGroup runs three keepers on the folders k1 to k3 in dir until stop is called or the test ends.
 func startInProcessGroup(t *testing.T, dir string) *inProcessGroup {
 	t.Helper()
 	var peers []Peer
@@ -73,7 +74,7 @@
 		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
-				t.Errorf("%s ended: %v", o.ID, err)
+				t.Errorf("keeper %s failed: %v", o.ID, err)
 			}
 		})
 	}
@@ -85,7 +86,7 @@
 	return c
 }
 
-// call calls a keeper of the group until it answers with status 200, and returns the body.
+// call repeats a call to keeper i until the status is 200, and returns the body of the response.
 func (c *inProcessGroup) call(t *testing.T, i int, method, path string, in any) []byte {
 	t.Helper()
 	body, err := json.Marshal(in)
@@ -115,12 +116,12 @@
 	return nil
 }
 
-// followBody is the call of a follower that has nothing yet.
+// followBody returns the body of the call of a follower that has no revision yet.
 func followBody(name string) any {
 	return map[string]configlog.FollowerStatus{"report": {Name: name, Instance: name + "-1"}}
 }
 
-// recordFolders writes the golden folders with this program.
+// recordFolders records the golden folders with the current program.
 func recordFolders(t *testing.T) {
 	t.Helper()
 	dir := t.TempDir()
@@ -137,12 +138,12 @@
 	for i := range 3 {
 		c.call(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", len(changes)), nil)
 	}
-	time.Sleep(2 * time.Second) // for a snapshot, and for the stage to be written
+	time.Sleep(2 * time.Second) // for a snapshot to be taken and the stage to be written
 	c.stop()
 	golden.Write(t, goldenFolders, golden.Pack(t, dir))
 }
 
-// Folders that an earlier program wrote are unchanged, file by file.
+// The current program reads the same content from folders that an earlier version wrote.
 func TestGoldenFolders(t *testing.T) {
 	if golden.Recording(t, goldenFolders) {
 		recordFolders(t)
@@ -157,7 +158,7 @@
 	golden.Equal(t, "folders.txt", []byte(text.String()))
 }
 
-// describeFolder writes a folder's identity, vote, entries and snapshots as text.
+// describeFolder writes the identity, vote, entries and snapshots of a keeper's folder as text.
 func describeFolder(t *testing.T, out io.Writer, dir, id string) {
 	t.Helper()
 	f, err := openFolder(dir, "golden", id, slog.New(slog.DiscardHandler))
@@ -239,8 +240,7 @@
 	return strings.Join(names, " ")
 }
 
-// A group that is started on folders of an earlier program serves the revisions that are in them, and accepts further
-// changes.
+// A group that starts on folders written by an earlier version serves their revisions and accepts further changes.
 func TestGoldenFoldersServe(t *testing.T) {
 	c := startInProcessGroup(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
 	last := len(recordedChanges())
@@ -255,11 +255,11 @@
 	golden.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
 	got := c.call(t, 0, http.MethodPost, "/v1/changes", recordedChanges()[3])
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
-		t.Errorf("a change of before, sent again: %s, want %s", got, want)
+		t.Errorf("repeated recorded change: %s, want %s", got, want)
 	}
 	got = c.call(t, 1, http.MethodPost, "/v1/changes",
 		configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
 	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
-		t.Errorf("a new change: %s, want %s", got, want)
+		t.Errorf("new change: %s, want %s", got, want)
 	}
 }
--- a/internal/keeper/golden_peers_test.go
+++ b/internal/keeper/golden_peers_test.go
@@ -21,7 +21,7 @@
 	"windflow/internal/golden"
 )
 
-// peerAnswers are what a keeper of an earlier program answers to another one, by path.
+// peerAnswers are the responses of a keeper of an earlier version to another keeper, by path.
 var peerAnswers = map[string]string{
 	"/v1/peer": `{"cluster":"golden","id":"k2","stage":"member","leader":"k3"}`,
 	"/v1/leases": `{"keeper":"k2","settled":true,"leases":[{"name":"r1","instance":"i","revision":4,"hash":"` +
@@ -32,7 +32,8 @@
 	"/v1/roster": `{}`,
 }
 
-// callsToPeer makes each call that keepers make to each other, and returns the requests as they were received.
+// callsToPeer makes each kind of call that keepers make to each other. It returns the received requests as text, and
+// the decoded responses.
 func callsToPeer(t *testing.T) (requests []byte, status peerStatus, leases []configlog.Lease, leader leaderStatus) {
 	t.Helper()
 	var received bytes.Buffer
@@ -60,7 +61,7 @@
 	return received.Bytes(), status, leases, leader
 }
 
-// Keepers call each other as before, and read answers as they were given before.
+// Keepers send the same requests to each other as earlier versions, and can decode the responses of earlier versions.
 func TestGoldenCallsToPeers(t *testing.T) {
 	requests, status, leases, leader := callsToPeer(t)
 	golden.Equal(t, "calls-to-peers.txt", requests)
@@ -83,7 +84,7 @@
 	golden.AllFieldsSet(t, status, leader, leases)
 }
 
-// openTestFolder opens a folder of keeper k1 of the group "golden" until the test ends.
+// openTestFolder opens dir as the folder of keeper k1 of the group "golden" and closes it when the test ends.
 func openTestFolder(t *testing.T, dir string) *folder {
 	t.Helper()
 	f, err := openFolder(dir, "golden", "k1", slog.New(slog.DiscardHandler))
@@ -94,7 +95,7 @@
 	return f
 }
 
-// The identity of a folder has the recorded bytes at each stage, and is read from them.
+// The identity file of each stage matches the recorded one byte for byte, and a recorded one can be read.
 func TestGoldenFolderIdentity(t *testing.T) {
 	for _, stage := range []string{stageNew, stageFounding, stageJoining, stageMember} {
 		dir, file := t.TempDir(), "keeper-"+stage+".json"
@@ -114,11 +115,11 @@
 		t.Fatal(err)
 	}
 	if f := openTestFolder(t, dir); f.identity.Stage != stageNew || len(f.listAside()) != 0 {
-		t.Errorf("read as %+v, set aside: %v", f.identity, f.listAside())
+		t.Errorf("recorded identity is read as %+v, set aside: %v", f.identity, f.listAside())
 	}
 }
 
-// Files are set aside under the recorded names, with the reason.
+// Files that are set aside get the recorded names, and the reason is stored with them.
 func TestGoldenSetAside(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "keeper.json"), bytes.Replace(golden.Read(t, "keeper-new.json"),
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -15,7 +15,7 @@
 
 func pointerTo[T any](v T) *T { return &v }
 
-// sampleCommands are the entries of a replicated log, by golden file; together they set each field.
+// sampleCommands returns commands by the name of their golden file. Together they set every field.
 func sampleCommands() map[string]command {
 	put := map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage("1.5"),
@@ -38,7 +38,7 @@
 	}
 }
 
-// Entries of the replicated log have the bytes that an earlier program wrote, and are read as it meant them.
+// Commands are encoded to the same bytes as by earlier versions, and recorded commands are decoded correctly.
 func TestGoldenCommands(t *testing.T) {
 	var samples []any
 	for file, want := range sampleCommands() {
@@ -56,7 +56,7 @@
 	golden.AllFieldsSet(t, samples...)
 }
 
-// sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
+// sampleMachine returns a state that exercises all parts of a snapshot: compacted revisions, a revert and a roster.
 func sampleMachine(t *testing.T) *stateMachine {
 	t.Helper()
 	m := newStateMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
@@ -87,7 +87,7 @@
 	return m
 }
 
-// A snapshot of the state has the bytes that an earlier program wrote, and all of it is read back.
+// A snapshot is encoded to the same bytes as by an earlier version, and a recorded snapshot is restored completely.
 func TestGoldenSnapshot(t *testing.T) {
 	const file = "snapshot.bin"
 	m := sampleMachine(t)
@@ -106,24 +106,24 @@
 	}
 	golden.Equal(t, "snapshot.json", append(text, '\n'))
 	if second, err := restored.Snapshot(); err != nil || !bytes.Equal(second.(snapshotState), golden.Read(t, file)) {
-		t.Errorf("a snapshot of what was read differs: %v", err)
+		t.Errorf("a snapshot of the restored state differs: %v", err)
 	}
 	if out := restored.Apply(&raft.Log{
 		Index: 9, Type: raft.LogCommand,
 		Data: golden.Read(t, "command-forget.bin"),
 	}); out != true {
-		t.Errorf("r2 is not forgotten: %v", out)
+		t.Errorf("applying the command that forgets r2 returned %v, want true", out)
 	}
 }
 
-// machineContent is the complete state of a state machine, as its methods return it.
+// machineContent is the complete state of a state machine as returned by its methods.
 type machineContent struct {
 	Oldest   uint64               `json:"oldest"`
 	Revision uint64               `json:"revision"`
 	History  []configlog.Revision `json:"history"`
 	Contents []configContent      `json:"contents"`
 	Roster   []string             `json:"roster"`
-	Unknown  []followerProcess    `json:"unknown"` // of the follower processes ever registered
+	Unknown  []followerProcess    `json:"unknown"` // the processes ever registered that are no longer on the roster
 }
 
 func describeStateMachine(m *stateMachine) machineContent {
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -15,14 +15,14 @@
 	"windflow/internal/keeper"
 )
 
-// group is a group of keeper processes with links that can be interrupted.
+// group is a group of keeper processes that are connected by links that can be blocked.
 type group struct {
 	t       *testing.T
 	members []*process
-	links   map[[2]int][]*link // from, to: of replication and of calls
+	links   map[[2]int][]*link // by calling and called keeper: [0] for replication, [1] for HTTP calls
 }
 
-// newGroup prepares n keepers and starts none. Tweak may change the options of each.
+// newGroup prepares n keepers without starting them. If tweak is not nil, it can modify the options of each.
 func newGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := &group{t: t, links: map[[2]int][]*link{}}
@@ -67,7 +67,7 @@
 	return g
 }
 
-// startGroup prepares a group and starts it; it has a leader when this returns.
+// startGroup prepares a group, starts it and waits until it has a leader.
 func startGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := newGroup(t, n, tweak)
@@ -78,7 +78,7 @@
 	return g
 }
 
-// partition interrupts the links between two sides, or restores them.
+// partition blocks or unblocks all links between the keepers in a and those in b.
 func (g *group) partition(blocked bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
@@ -90,7 +90,7 @@
 	}
 }
 
-// status is what the tests read of a keeper's status.
+// status has the fields of a keeper's status that the tests use.
 type status struct {
 	ID       string `json:"id"`
 	Leader   string `json:"leader"`
@@ -108,7 +108,7 @@
 	DiskError string           `json:"disk_error"`
 }
 
-// leader waits until the live keepers agree on a leader, and returns its index.
+// leader waits until a majority of the keepers agrees on a leader, and returns the leader's index.
 func (g *group) leader() (index int) {
 	g.t.Helper()
 	waitUntil(g.t, "a leader", func() bool {
@@ -137,8 +137,11 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// impatientClient is for calls that a stopped or unreachable keeper need not answer.
-var shortTimeoutClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+// shortTimeoutClient is for calls to keepers that may be stopped or unreachable.
+var shortTimeoutClient = &http.Client{
+	Timeout:   500 * time.Millisecond,
+	Transport: &http.Transport{DisableKeepAlives: true},
+}
 
 func (g *group) tryStatus(i int, s *status) error {
 	answer, err := shortTimeoutClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
@@ -152,7 +155,7 @@
 func (g *group) status(i int) (s status) {
 	g.t.Helper()
 	if code := g.get(i, "/v1/status", &s); code != http.StatusOK {
-		g.t.Fatalf("status: %d", code)
+		g.t.Fatalf("status of keeper %d: HTTP status %d", i, code)
 	}
 	return s
 }
@@ -207,7 +210,7 @@
 	return answer.StatusCode, err
 }
 
-// reply has all fields of an answer to a change.
+// reply has all fields of the response to a change.
 type reply struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
@@ -221,33 +224,34 @@
 	return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
 }
 
-// change makes a change and returns its revision.
+// change commits a change through keeper i and returns its revision.
 func (g *group) change(i int, c configlog.Change) uint64 {
 	g.t.Helper()
 	var r reply
 	if code := g.post(i, "/v1/changes", c, &r); code != http.StatusOK {
-		g.t.Fatalf("change %s at %s: %d %+v", c.ID, g.members[i].options.ID, code, r)
+		g.t.Fatalf("change %s at %s: status %d: %+v", c.ID, g.members[i].options.ID, code, r)
 	}
 	return r.Revision
 }
 
-// config is the answer to GET /v1/config.
+// config is the response to GET /v1/config.
 type config struct {
 	Revision uint64                     `json:"revision"`
 	Hash     string                     `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// waitForRevision waits until a keeper has a revision, and returns its content.
+// waitForRevision waits until keeper i has a revision, and returns the content of the revision.
 func (g *group) waitForRevision(i int, rev uint64) (c config) {
 	g.t.Helper()
 	if code := g.get(i, fmt.Sprintf("/v1/config?revision=%d&wait_ms=20000", rev), &c); code != http.StatusOK {
-		g.t.Fatalf("%s has no revision %d: %d", g.members[i].options.ID, rev, code)
+		g.t.Fatalf("%s does not have revision %d: status %d", g.members[i].options.ID, rev, code)
 	}
 	return c
 }
 
-// checkEqualState checks that all keepers have the same content in force, at this revision.
+// checkEqualState waits until all keepers have the revision, and checks that it is current and has the same content at
+// all of them.
 func (g *group) checkEqualState(rev uint64) {
 	g.t.Helper()
 	first := g.waitForRevision(0, rev)
@@ -255,7 +259,8 @@
 		c := g.waitForRevision(i, rev)
 		s := g.status(i)
 		if c.Hash != first.Hash || s.Revision != rev || s.Hash != first.Hash {
-			g.t.Errorf("%s: revision %d hash %s, in force %d %s; k1 has %s", s.ID, rev, c.Hash, s.Revision, s.Hash, first.Hash)
+			g.t.Errorf("%s: revision %d has hash %s, the current revision %d has %s; at k1 the hash is %s",
+				s.ID, rev, c.Hash, s.Revision, s.Hash, first.Hash)
 		}
 	}
 }
--- a/internal/keeper/idle_test.go
+++ b/internal/keeper/idle_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-var idle = flag.Duration("idle", 2*time.Second, "how long TestIdleKeepers looks on")
+var idle = flag.Duration("idle", 2*time.Second, "how long TestIdleKeepers measures")
 
-// maxIdleKB bounds the resident memory of an idle keeper, in kB; the race detector takes several times as much.
+// maxIdleKB bounds the resident memory of an idle keeper, in kB. It does not apply under the race detector, which needs
+// several times as much.
 const maxIdleKB = 64 << 10
 
-// Memory, processor time and replication traffic of five idle keepers. With -idle 60s it measures the figures of the
-// design note.
+// Idle keepers stay within a memory limit and exchange heartbeats. The test logs memory, processor time and replication
+// traffic of five idle keepers; with -idle 60s it measures the figures of the design note.
 func TestIdleKeepers(t *testing.T) {
 	g := startGroup(t, 5, nil)
 	g.checkEqualState(g.change(0, put("first", "/settings/over-share-worth", "1")))
@@ -39,18 +40,18 @@
 		before[i] = measure(i)
 	}
 	leader := g.leader()
-	time.Sleep(*idle) // what is measured is the time without any call
+	time.Sleep(*idle) // the keepers receive no calls during the measurement
 	for i := range before {
 		after, rss := measure(i), residentKB(t, g.members[i].cmd.Process.Pid)
-		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes a second between keepers, %d elections; leader %v",
+		t.Logf("%s: %d kB resident, %.2f%% of a core, %.0f bytes per second between keepers, %d elections; leader: %v",
 			g.members[i].options.ID, rss,
 			float64(after.ticks-before[i].ticks)/idle.Seconds(), float64(after.bytes-before[i].bytes)/idle.Seconds(),
 			after.term-before[i].term, i == leader)
 		if rss > maxIdleKB && !raceEnabled {
-			t.Errorf("%s has %d kB resident", g.members[i].options.ID, rss)
+			t.Errorf("%s has %d kB of resident memory, want at most %d", g.members[i].options.ID, rss, maxIdleKB)
 		}
 		if after.bytes == before[i].bytes {
-			t.Errorf("%s neither sends nor receives a heartbeat", g.members[i].options.ID)
+			t.Errorf("%s neither sent nor received a heartbeat", g.members[i].options.ID)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	return kb
 }
 
-// cpuTicks returns a process's processor time in hundredths of a second.
+// cpuTicks returns the processor time that a process has used, in hundredths of a second.
 func cpuTicks(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -14,16 +14,16 @@
 	"windflow/internal/keeper"
 )
 
-var kills = flag.Int("kills", 1, "leaders that TestNewLeaderAfterKill kills")
+var kills = flag.Int("kills", 1, "number of leaders that TestNewLeaderAfterKill kills")
 
-// pendingReply is the answer to a change that was sent without waiting.
+// pendingReply is the result of a change that was sent asynchronously.
 type pendingReply struct {
 	code int
 	err  error
 	reply
 }
 
-// send sends a change without waiting for the answer.
+// send sends a change to keeper i and returns a channel that receives the result.
 func (g *group) send(i int, change configlog.Change) <-chan pendingReply {
 	out := make(chan pendingReply, 1)
 	go func() {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// The leader is killed after a change is committed and before it could answer: the keeper that forwarded the change
-// retries at the next leader, and the operator who retries receives the same revision.
+// The leader is killed after it has committed a change but before it can respond. The keeper that forwarded the change
+// retries at the next leader, and an operator who repeats the change receives the same revision.
 func TestLeaderKilledBetweenCommitAndAnswer(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -47,19 +47,19 @@
 	g.kill(leader)
 	p := <-answer
 	if p.err != nil || p.code != 200 || p.Revision != 2 || !p.Repeated {
-		t.Errorf("%+v", p)
+		t.Errorf("forwarded change: %+v, want repeated revision 2", p)
 	}
 	var r reply
 	if code := g.post(third, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
 		r.Revision != 2 || !r.Repeated {
-		t.Errorf("repeated: %d %+v", code, r)
+		t.Errorf("repeated change: status %d, %+v, want repeated revision 2", code, r)
 	}
 	g.members[leader].start()
 	g.checkEqualState(2)
 }
 
-// The leader is killed with a change that only its own log has. The repeated call makes one revision, also when the old
-// leader restarts with its log.
+// The leader is killed while only its own log contains a change. Repeating the change creates a single revision, also
+// after the former leader restarts with its log.
 func TestLeaderKilledBeforeCommit(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -73,14 +73,14 @@
 	waitUntil(t, "the change in the leader's own log", func() bool { return g.lastIndex(leader) > before })
 	g.kill(leader)
 	if p := <-answer; p.err == nil && p.code == 200 {
-		t.Errorf("accepted without a majority: %+v", p)
+		t.Errorf("the change was accepted without a majority: %+v", p)
 	}
 	g.leader()
 	for _, o := range others {
 		var r reply
 		if code := g.post(o, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
 			r.Revision != 2 || r.Repeated != (o == others[1]) {
-			t.Errorf("%d %+v", code, r)
+			t.Errorf("repeated change at keeper %d: status %d, %+v", o, code, r)
 		}
 	}
 	for _, o := range others {
@@ -98,7 +98,8 @@
 	return s.LastIndex
 }
 
-// A leader that was paused while the others continued claims nothing false when it is resumed.
+// A leader that is paused while the others elect a new one gives no wrong responses after it is resumed: it neither
+// reports convergence nor rejects or commits a change from its outdated state.
 func TestLeaderPausedAndResumed(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("first", "/settings/over-share-worth", "1"))
@@ -108,10 +109,10 @@
 	f.report(paused)
 	g.members[paused].signal(syscall.SIGSTOP)
 	newLeader := paused
-	waitUntil(t, "another leader", func() bool { newLeader = g.leader(); return newLeader != paused })
+	waitUntil(t, "a new leader", func() bool { newLeader = g.leader(); return newLeader != paused })
 	f.pollUntil(newLeader, 1)
 	g.change(newLeader, put("second", "/settings/over-share-worth", "2"))
-	// These wait in the paused keeper's sockets and are the first that it reads.
+	// The following calls wait in the paused keeper's sockets, so it reads them first when it is resumed.
 	rollout := make(chan rolloutReply, 1)
 	go func() {
 		var v rolloutReply
@@ -124,19 +125,19 @@
 	repeated := g.send(paused, put("second", "/settings/over-share-worth", "2"))
 	g.members[paused].signal(syscall.SIGCONT)
 	if v := <-rollout; v.err != nil || v.code != 200 || v.Converged {
-		t.Errorf("no follower has revision 2, but the status is %+v", v)
+		t.Errorf("no follower has revision 2, but the paused leader reports %+v", v)
 	}
 	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) ||
 		p.code != 200 && p.code != 503 {
-		t.Errorf("repeated: %+v", p)
+		t.Errorf("repeated change: %+v", p)
 	}
 	if p := <-conflict; p.err != nil || p.code != 409 && p.code != 503 {
-		t.Errorf("the id of another change: %+v", p)
+		t.Errorf("another change with the same id: %+v", p)
 	}
 	g.checkEqualState(2)
 }
 
-// Time to a new leader after a kill, by the first change that is accepted. With -kills 10 it measures the figures of
+// After the leader is killed, a new leader accepts a change within 6 s. With -kills 10 the test measures the figures of
 // the design note.
 func TestNewLeaderAfterKill(t *testing.T) {
 	g := startGroup(t, 5, nil)
@@ -153,11 +154,12 @@
 	slices.Sort(durations)
 	t.Logf("from the kill to the first accepted change: %v", durations)
 	if slowest := durations[len(durations)-1]; slowest > 6*time.Second {
-		t.Errorf("a new leader took %v", slowest)
+		t.Errorf("the first change was accepted after %v, want at most 6s", slowest)
 	}
 }
 
-// A keeper that shuts down transfers leadership first: the next change needs no timeout.
+// A leader that shuts down transfers leadership first, so that the next change does not have to wait for the heartbeat
+// timeout.
 func TestLeaderShutdownTransfersLeadership(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	leader := g.leader()
@@ -176,14 +178,14 @@
 		t.Error(text)
 	}
 	if rev := g.change(other, put("second", "/settings/over-share-worth", "2")); rev != 2 {
-		t.Error("revision", rev)
+		t.Errorf("revision %d, want 2", rev)
 	}
 	if n := timeouts() - before; n > 0 {
-		t.Errorf("%d keepers waited for a leader that had notified them", n)
+		t.Errorf("%d keepers waited for the heartbeat timeout", n)
 	}
 }
 
-// Nothing that was accepted is lost when all keepers are killed at once.
+// No committed change is lost when all keepers are killed at once and restarted.
 func TestRestartOfAllKeepers(t *testing.T) {
 	g := startGroup(t, 3, func(_ int, o *keeper.Options) { o.SnapshotThreshold = 8 })
 	f := follower{g: g, name: "r1", instance: "a"}
@@ -207,16 +209,18 @@
 		t.Errorf("before %v, after %v", before, after)
 	}
 	if s := g.status(0); s.Roster != 1 || len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
-		t.Errorf("%+v", s)
+		t.Errorf("status after the restart: %+v", s)
 	}
 	var r reply
 	if code := g.post(0, "/v1/changes", put("c3", "/settings/parties/p3", `{"quota-rps":4}`), &r); code != 200 ||
 		r.Revision != 4 || !r.Repeated {
-		t.Errorf("a change from before: %d %+v", code, r)
+		t.Errorf("repeated change from before the restart: status %d, %+v", code, r)
 	}
 }
 
-// A partition separates three keepers from two, the old leader among the two.
+// A partition separates the leader and another keeper from a majority of three. The minority serves its current
+// revision and rejects changes, the majority commits changes, and after the partition all keepers and followers
+// converge.
 func TestNetworkPartition(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 5, func(_ int, o *keeper.Options) { o.ChangeTimeout = 3 * time.Second })
@@ -225,7 +229,8 @@
 	leader := g.leader()
 	minority := []int{leader, (leader + 1) % 5}
 	majority := []int{(leader + 2) % 5, (leader + 3) % 5, (leader + 4) % 5}
-	minorityFollower, majorityFollower := follower{g: g, name: "few", instance: "a"}, follower{g: g, name: "many", instance: "b"}
+	minorityFollower := follower{g: g, name: "minority", instance: "a"}
+	majorityFollower := follower{g: g, name: "majority", instance: "b"}
 	for _, f := range []*follower{&minorityFollower, &majorityFollower} {
 		f.pollUntil(minority[1], 1)
 		f.report(minority[1])
@@ -233,18 +238,18 @@
 	g.partition(true, minority, majority)
 	var answers []<-chan pendingReply
 	for n, i := range minority {
-		answers = append(answers, g.send(i, put(fmt.Sprint("few", n), "/settings/over-share-worth", "7")))
+		answers = append(answers, g.send(i, put(fmt.Sprint("minority", n), "/settings/over-share-worth", "7")))
 	}
 	for n, i := range minority {
 		if p := <-answers[n]; p.err != nil || p.code != 503 || p.Kind != "no-majority" || p.Reason == "" || p.Done == "" {
-			t.Errorf("the minority answered %+v", p)
+			t.Errorf("change at the minority: %+v, want status 503 and no-majority", p)
 		}
 		if c := g.waitForRevision(i, 1); c.Revision != 1 {
-			t.Errorf("the minority serves %+v", c)
+			t.Errorf("the minority serves %+v, want revision 1", c)
 		}
 	}
-	if rev := g.change(majority[0], put("many", "/settings/over-share-worth", "2")); rev != 2 {
-		t.Error("revision", rev)
+	if rev := g.change(majority[0], put("majority", "/settings/over-share-worth", "2")); rev != 2 {
+		t.Errorf("revision %d, want 2", rev)
 	}
 	majorityFollower.pollUntil(majority[1], 2)
 	majorityFollower.report(majority[1])
@@ -252,21 +257,21 @@
 	if code := g.get(majority[2], "/v1/rollout?revision=2", &v); code != 200 || v.Converged || !v.Majority ||
 		!slices.Contains(v.UnreachedKeepers, g.members[minority[0]].options.ID) ||
 		!slices.Contains(v.UnreachedKeepers, g.members[minority[1]].options.ID) {
-		t.Errorf("the majority doesn't know what the other region has, and answered %d %+v", code, v)
+		t.Errorf("the majority cannot reach the followers of the minority, but reported status %d, %+v", code, v)
 	}
 	v = rolloutReply{}
 	if code := g.get(minority[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
-		t.Errorf("the minority's convergence status: %d %+v", code, v)
+		t.Errorf("convergence status from the minority: status %d, %+v", code, v)
 	}
-	// A follower that is on no majority's roster receives nothing: the convergence status of the majority could not
-	// include it.
+	// A new follower at the minority cannot be added to the roster and receives nothing, because the convergence status
+	// of the majority would not include it.
 	newFollower := follower{g: g, name: "new", instance: "c"}
 	if code := newFollower.poll(minority[1], 300); code != http.StatusNoContent {
-		t.Errorf("a newcomer at the minority: %d", code)
+		t.Errorf("new follower at the minority: status %d, want 204", code)
 	}
 	g.partition(false, minority, majority)
-	// A change that the old leader had accepted before it stepped down may be committed or not; it has one revision at
-	// most, the same at all keepers.
+	// A change that the former leader accepted before it stepped down may or may not be committed. It has at most one
+	// revision, which is the same at all keepers.
 	g.leader()
 	last := g.change(minority[0], put("last", "/settings/over-share-worth", "3"))
 	g.checkEqualState(last)
@@ -279,6 +284,6 @@
 	v = rolloutReply{}
 	if code := g.get(minority[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last ||
 		len(v.InForce) != 3 {
-		t.Errorf("joined: %d %+v", code, v)
+		t.Errorf("after the partition: status %d, %+v", code, v)
 	}
 }
--- a/internal/keeper/link_test.go
+++ b/internal/keeper/link_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// link is a proxy from one keeper to another that can be interrupted in each direction. It delivers the data when it is
-// restored, as a network does that lost packets for a while.
+// link is a TCP proxy from one keeper to another that can be blocked in each direction. It delivers the pending data
+// when it is unblocked, like a network that has lost packets for a while.
 type link struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
 	changed  *sync.Cond
-	blocked  [2]bool // forth, back
+	blocked  [2]bool // indexed by forward and reverse
 	closed   bool
 	conns    map[net.Conn]bool
 }
@@ -47,7 +47,7 @@
 }
 
 func (r *link) connect(c net.Conn) {
-	// An interrupted link establishes no connection, though the listener's queue has accepted the caller's half.
+	// A blocked link does not connect to the target, although the listener has accepted the caller's connection.
 	if !r.waitUntilUnblocked(forward) {
 		_ = c.Close()
 		return
@@ -99,7 +99,7 @@
 	delete(r.conns, to)
 }
 
-// waitUntilOpen waits while a direction is interrupted; false once the link is closed.
+// waitUntilUnblocked waits while a direction is blocked. It returns false once the link is closed.
 func (r *link) waitUntilUnblocked(direction int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/keeper/process_test.go
+++ b/internal/keeper/process_test.go
@@ -18,10 +18,11 @@
 	"windflow/internal/keeper"
 )
 
-// processEnv names the variable with the options of a keeper, as JSON: the test binary that finds it runs that keeper.
+// processEnv is the environment variable with the options of a keeper as JSON. If it is set, the test binary runs that
+// keeper instead of the tests.
 const processEnv = "WINDFLOW_TEST_KEEPER"
 
-// rejectedPointer is the entry that the check of these keepers rejects.
+// rejectedPointer is the entry for which the Check of these keepers rejects the value -1.
 const rejectedPointer = "/settings/rules/look-back-ns"
 
 func TestMain(m *testing.M) {
@@ -58,7 +59,7 @@
 	return keeper.Run(ctx, o)
 }
 
-// process is one keeper of a group.
+// process is one keeper of a group that runs as a separate process.
 type process struct {
 	t       *testing.T
 	options keeper.Options
@@ -68,7 +69,8 @@
 	logFile string
 }
 
-// launch starts the keeper without waiting for anything but its process.
+// launch starts the keeper's process. The returned channel receives the line that the keeper writes once it accepts
+// calls.
 func (p *process) launch() (ready <-chan string) {
 	p.t.Helper()
 	o := p.options
@@ -110,7 +112,7 @@
 	return line
 }
 
-// encodableOptions leaves out the fields that can't be encoded as JSON.
+// encodableOptions returns the fields of the options that can be encoded as JSON.
 func encodableOptions(o keeper.Options) map[string]any {
 	return map[string]any{
 		"ID": o.ID, "Cluster": o.Cluster, "Dir": o.Dir, "HTTPAddr": o.HTTPAddr, "RaftAddr": o.RaftAddr, "Peers": o.Peers,
@@ -120,7 +122,7 @@
 	}
 }
 
-// start starts the keeper and waits until it accepts calls.
+// start starts the keeper and waits until it accepts HTTP calls.
 func (p *process) start() {
 	p.t.Helper()
 	ready := p.launch()
@@ -128,24 +130,24 @@
 	case line := <-ready:
 		if line != "ready "+p.options.HTTPAddr+"\n" {
 			<-p.exited
-			p.t.Fatalf("%s: no readiness line but %q; %s", p.options.ID, line, p.logText())
+			p.t.Fatalf("%s: readiness line %q is not as expected; %s", p.options.ID, line, p.logText())
 		}
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s is not ready; %s", p.options.ID, p.logText())
+		p.t.Fatalf("%s is not ready within %v; %s", p.options.ID, waitTimeout, p.logText())
 	}
 }
 
-// expectFailure starts the keeper, and returns its log once it has ended by itself with an error.
+// expectFailure starts the keeper, waits until it exits with an error, and returns its log.
 func (p *process) expectFailure() string {
 	p.t.Helper()
 	p.launch()
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s still runs; %s", p.options.ID, p.logText())
+		p.t.Fatalf("%s is still running; %s", p.options.ID, p.logText())
 	}
 	if p.cmd.ProcessState.Success() {
-		p.t.Fatalf("%s ended without an error", p.options.ID)
+		p.t.Fatalf("%s exited without an error", p.options.ID)
 	}
 	return p.logText()
 }
@@ -174,7 +176,7 @@
 	}
 }
 
-// end sends a signal that ends the process, and waits for its end.
+// terminate sends a signal that terminates the process, and waits until it has exited.
 func (p *process) terminate(s syscall.Signal) {
 	p.t.Helper()
 	p.signal(s)
@@ -182,11 +184,12 @@
 	case <-p.exited:
 	case <-time.After(waitTimeout):
 		_ = p.cmd.Process.Kill()
-		p.t.Fatalf("%s does not end; %s", p.options.ID, p.logText())
+		p.t.Fatalf("%s does not exit; %s", p.options.ID, p.logText())
 	}
 }
 
-// waitUntil waits until done returns true.
+// waitUntil polls done until it returns true. It fails the test after waitTimeout with a message that names the
+// condition.
 func waitUntil(t *testing.T, condition string, done func() bool) {
 	t.Helper()
 	timeout := time.NewTimer(waitTimeout)
@@ -197,12 +200,12 @@
 		select {
 		case <-retry.C:
 		case <-timeout.C:
-			t.Fatalf("not within %v: %s", waitTimeout, condition)
+			t.Fatalf("timeout after %v waiting for %s", waitTimeout, condition)
 		}
 	}
 }
 
-// waitTimeout bounds each wait of a test; no test passes by reaching it.
+// waitTimeout bounds each wait of a test. A test that reaches it fails.
 const waitTimeout = 30 * time.Second
 
 func mustContain(t *testing.T, text string, parts ...string) {
--- a/internal/keeper/request_test.go
+++ b/internal/keeper/request_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The texts of decoding errors are part of the interface: they keep the names of types as operators know them.
+// The texts of decoding errors are part of the interface: they contain the former names of types that were renamed.
 func TestDecodeErrorTexts(t *testing.T) {
 	var (
 		batch   []followerProcess
@@ -35,6 +35,6 @@
 		}
 	}
 	if err := decodeStrictly(`[{"name":"r1","instance":"i"}]`, &batch); err != nil || len(batch) != 1 {
-		t.Errorf("%v, %v", batch, err)
+		t.Errorf("valid batch decoded to %v, error %v", batch, err)
 	}
 }
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -15,9 +15,9 @@
 	"windflow/internal/decide/configlog"
 )
 
-var followerCount = flag.Int("followers", 100, "followers of TestManyFollowers")
+var followerCount = flag.Int("followers", 100, "number of followers in TestManyFollowers")
 
-// runFollower is a fake router with the follower of configlog, until ctx ends.
+// runFollower simulates router n, using configlog.Follower, until ctx ends.
 func (g *group) runFollower(ctx context.Context, n int) {
 	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
@@ -56,8 +56,8 @@
 	}
 }
 
-// Many followers join at once; changes converge one after the other; a keeper is killed, and its followers continue
-// with the others. With -followers 600 it measures the figures of the design note.
+// Many followers join at once and consecutive changes converge. After the leader is killed, its followers continue with
+// the other keepers. With -followers 600 the test measures the figures of the design note.
 func TestManyFollowers(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
@@ -69,7 +69,7 @@
 	for n := range *followerCount {
 		followers.Go(func() { g.runFollower(ctx, n) })
 	}
-	waitUntil(t, "all on the roster", func() bool { return g.status(0).Roster == *followerCount })
+	waitUntil(t, "all followers on the roster", func() bool { return g.status(0).Roster == *followerCount })
 	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(start).Round(time.Millisecond))
 	measure := func() (ticks int, in, out int64) {
 		for i := range g.members {
@@ -87,19 +87,19 @@
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
 		v := g.waitForConvergence(rev)
 		if len(v.InForce) != *followerCount {
-			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing),
-				v.UnreachedKeepers)
+			t.Fatalf("revision %d: in effect at %d followers, %d missing, unreached keepers %v",
+				rev, len(v.InForce), len(v.Missing), v.UnreachedKeepers)
 		}
 		durations = append(durations, time.Since(sent).Round(time.Millisecond))
 	}
 	moreTicks, moreIn, moreOut := measure()
 	slices.Sort(durations)
-	t.Logf("from the call to reported convergence: %v", durations)
-	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(start).Seconds(),
+	t.Logf("time from a change to reported convergence: %v", durations)
+	t.Logf("%.1f s: %.1f%% of a core for all keepers, %d bytes in and %d out per follower", time.Since(start).Seconds(),
 		float64(moreTicks-ticks)/time.Since(start).Seconds(), (moreIn-in)/int64(*followerCount),
 		(moreOut-out)/int64(*followerCount))
 	for i := range g.members {
-		t.Logf("%s: %d kB resident, %d calls waiting", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
+		t.Logf("%s: %d kB resident, %d polls open", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
 			g.status(i).Counters["waiting"])
 	}
 	killed := g.leader()
@@ -108,9 +108,10 @@
 	rev := g.change((killed+1)%3, put("last", "/settings/over-share-worth", "99"))
 	v := g.waitForConvergenceAt((killed+1)%3, rev)
 	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[killed].options.ID) {
-		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
+		t.Errorf("in effect at %d followers, missing %v, unreached keepers %v",
+			len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
-	t.Logf("from the kill of the leader to the convergence of a change: %v",
+	t.Logf("time from the kill of the leader to the convergence of a change: %v",
 		time.Since(sent).Round(time.Millisecond))
 }
 
@@ -121,7 +122,7 @@
 
 func (g *group) waitForConvergenceAt(i int, rev uint64) (v rolloutReply) {
 	g.t.Helper()
-	waitUntil(g.t, fmt.Sprintf("revision %d everywhere", rev), func() bool {
+	waitUntil(g.t, fmt.Sprintf("convergence of revision %d", rev), func() bool {
 		v = g.rollout(i, fmt.Sprintf("revision=%d&wait_ms=10000", rev))
 		return v.Converged
 	})
