--- a/internal/keeper/api.go
+++ b/internal/keeper/api.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// answerTimeout is the time a caller has to take an answer.
-const answerTimeout = 20 * time.Second
+// responseTimeout bounds how long writing a response to a caller may take.
+const responseTimeout = 20 * time.Second
 
-// api routes the HTTP calls of operators, followers and other keepers to the services that answer them.
+// api routes the HTTP calls of operators, followers and other keepers to the services that handle them.
 type api struct {
 	log         *slog.Logger
 	counters    *counters
@@ -26,7 +26,7 @@
 	replication *replication
 }
 
-// endpoint answers one kind of call. It may set headers of w and writes nothing to it.
+// endpoint handles one kind of call and returns the response. It may set headers of w but must not write to it.
 type endpoint func(w http.ResponseWriter, r *http.Request) response
 
 func (a *api) handler() http.Handler {
@@ -39,17 +39,17 @@
 		"POST /v1/follow":             a.follow.handleFollow,
 		"DELETE /v1/followers/{name}": a.enrollment.handleForget,
 		"GET /v1/status":              a.status.handleStatus,
-		// From keeper to keeper.
+		// Calls between keepers.
 		"GET " + leasesPath:  a.handleLeases,
 		"GET " + peerPath:    a.handlePeer,
 		"GET " + leaderPath:  a.handleLeader,
 		"POST " + rosterPath: a.enrollment.handleRoster,
 	}
 	mux := http.NewServeMux()
-	for pattern, answer := range endpoints {
+	for pattern, handle := range endpoints {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			a.counters.calls.Add(1)
-			a.write(w, answer(w, r))
+			a.write(w, handle(w, r))
 		})
 	}
 	return mux
@@ -71,16 +71,16 @@
 	return okResponse(status)
 }
 
-func (a *api) write(w http.ResponseWriter, answer response) {
-	if answer.status >= http.StatusBadRequest {
+func (a *api) write(w http.ResponseWriter, result response) {
+	if result.status >= http.StatusBadRequest {
 		a.counters.callsRejected.Add(1)
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
-	if answer.body == nil {
-		w.WriteHeader(answer.status)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
+	if result.body == nil {
+		w.WriteHeader(result.status)
 		return
 	}
-	text, err := json.Marshal(answer.body)
+	text, err := json.Marshal(result.body)
 	if err != nil {
 		a.log.Error("response encoding failed", "error", err)
 		w.WriteHeader(http.StatusInternalServerError)
@@ -88,6 +88,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
-	w.WriteHeader(answer.status)
+	w.WriteHeader(result.status)
 	_, _ = w.Write(append(text, '\n'))
 }
--- a/internal/keeper/golden_calls_test.go
+++ b/internal/keeper/golden_calls_test.go
@@ -18,11 +18,12 @@
 	"windflow/internal/golden"
 )
 
-// step is one call to a keeper. An empty body is none.
+// step is one HTTP call to a keeper; an empty body means none.
 type step struct{ method, path, body string }
 
-// varying are the parts of answers that differ from run to run; their names stay in the golden files.
-var varying = []*regexp.Regexp{
+// varyingFields match the parts of responses that differ between runs. The golden files contain their names without the
+// values.
+var varyingFields = []*regexp.Regexp{
 	regexp.MustCompile(`"(at_ms|until_ms|uptime_ms|calls|refused|bytes_in|bytes_out|raft_bytes_in|raft_bytes_out|` +
 		`term|last_index|applied_index)":[0-9.e+]+`),
 	regexp.MustCompile(`"(dir)":"[^"]*"`),
@@ -30,14 +31,14 @@
 	regexp.MustCompile(`(dial) tcp [0-9.:]+`),
 }
 
-func withoutVarying(text []byte) []byte {
-	for _, part := range varying {
+func maskVaryingFields(text []byte) []byte {
+	for _, part := range varyingFields {
 		text = part.ReplaceAll(text, []byte(`"$1":VARIES`))
 	}
 	return text
 }
 
-// startSingleKeeper runs a keeper k1 with these options until the test ends, and returns the address of its calls.
+// startSingleKeeper runs a keeper k1 until the test ends, with options modified by tweak, and returns its HTTP address.
 func startSingleKeeper(t *testing.T, tweak func(*Options)) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,28 +48,28 @@
 		ID: "k1", Cluster: "golden", Dir: t.TempDir(), HTTPAddr: host + ":7401", RaftAddr: host + ":7402",
 		Peers: []Peer{{ID: "k1", HTTPAddr: host + ":7401", RaftAddr: host + ":7402"}}, Log: slog.New(slog.DiscardHandler),
 		Check: rejectEight, OnReady: func(address string) { ready <- address }, Retention: configlog.Retention{Revisions: 3},
-		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenWithin,
+		MaxPollWait: 20 * time.Millisecond, LeaseDuration: 10 * time.Minute, ChangeTimeout: goldenTimeout,
 	}
 	tweak(&o)
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, o) }()
+	result := make(chan error, 1)
+	go func() { result <- Run(ctx, o) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
 	select {
 	case address := <-ready:
 		return address
-	case err := <-ended:
-		ended <- err
+	case err := <-result:
+		result <- err
 		t.Fatal(err)
 	}
 	return ""
 }
 
-// rejectEight is a check of content that rejects the number 8.
+// rejectEight is a Check that rejects content in which /settings/over-share-worth is 8.
 func rejectEight(entries map[string]json.RawMessage) *configerror.Error {
 	const pointer = "/settings/over-share-worth"
 	if string(entries[pointer]) != "8" {
@@ -77,10 +78,11 @@
 	return &configerror.Error{Kind: configerror.Invalid, Pointer: pointer, Reason: "is 8", Revision: 4}
 }
 
-// runCalls makes the calls in turn and returns calls and answers, without the parts that vary.
+// runCalls makes the calls one after the other. It returns a transcript of the calls and the responses, with varying
+// values masked.
 func runCalls(t *testing.T, address string, header http.Header, steps []step) []byte {
 	t.Helper()
-	var said bytes.Buffer
+	var transcript bytes.Buffer
 	for _, s := range steps {
 		request, err := http.NewRequest(s.method, "http://"+address+s.path, strings.NewReader(s.body))
 		if err != nil {
@@ -99,16 +101,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&said, "> %s %s\n> %.300s\n< %d %s Retry-After=%q\n< %s\n\n", s.method, s.path, s.body, answer.StatusCode,
-			answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), bytes.TrimSpace(withoutVarying(body)))
+		fmt.Fprintf(&transcript, "> %s %s\n> %.300s\n< %d %s Retry-After=%q\n< %s\n\n", s.method, s.path, s.body, answer.StatusCode,
+			answer.Header.Get("Content-Type"), answer.Header.Get("Retry-After"), bytes.TrimSpace(maskVaryingFields(body)))
 	}
-	return said.Bytes()
+	return transcript.Bytes()
 }
 
-// waitForLeader returns once a keeper leads and has recorded that it is a member.
+// waitForLeader returns once the keeper leads and has recorded the stage "member".
 func waitForLeader(t *testing.T, address string) {
 	t.Helper()
-	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(goldenTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		answer, err := http.Get("http://" + address + "/v1/status")
 		if err != nil {
 			t.Fatal(err)
@@ -119,10 +121,11 @@
 			return
 		}
 	}
-	t.Fatal("no leader")
+	t.Fatalf("the keeper at %s is not the leader within %v", address, goldenTimeout)
 }
 
-// discoveryAddresses is an entry that makes the complete content larger than a change of another entry.
+// discoveryAddresses is the value of an entry that is long enough to make the complete content larger than a change of
+// another entry.
 const discoveryAddresses = `"board-1.example:7300,board-2.example:7300"`
 
 func report(name string, revision uint64, weight, trailingFields string) string {
@@ -135,7 +138,7 @@
 		name, revision, hash, trailingFields)
 }
 
-// Operators' calls are answered with the recorded bytes, errors included.
+// The responses to operators' calls, errors included, match the recorded ones byte for byte.
 func TestGoldenOperatorCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -180,7 +183,7 @@
 	}))
 }
 
-// Followers' calls and the convergence of a revision are answered with the recorded bytes.
+// The responses to followers' calls and to queries of a revision's convergence match the recorded ones byte for byte.
 func TestGoldenFollowerCalls(t *testing.T) {
 	address := startSingleKeeper(t, func(*Options) {})
 	waitForLeader(t, address)
@@ -193,7 +196,7 @@
 			fmt.Sprintf(`{"id":%q,"put":{"/settings/over-share-worth":%s,"/board":%s}}`, id, value, discoveryAddresses),
 		}
 	}
-	now := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
+	currentReport := strings.Replace(report("r1", 2, "2", ""), "5000", "0", 1)
 	golden.Equal(t, "calls-followers.txt", runCalls(t, address, nil, []step{
 		put("a", "1"),
 		{"POST", "/v1/roster", `[{"name":"r5","instance":"00000000000a-000000000000000b"}]`},
@@ -202,7 +205,7 @@
 		{"POST", "/v1/follow", report("r3", 0, "0", "")},
 		put("b", "2"),
 		{"POST", "/v1/follow", report("r1", 1, "1", "")},
-		{"POST", "/v1/follow", now},
+		{"POST", "/v1/follow", currentReport},
 		{"POST", "/v1/follow", report("r2", 1, "1", rejection)},
 		{"POST", "/v1/follow", report("r4", 2, "9", "")},
 		{"POST", "/v1/follow", strings.Replace(report("r5", 7, "9", ""), "5000", "100", 1)},
@@ -225,9 +228,10 @@
 	}))
 }
 
-// A keeper that waits for the others, and one without capacity for followers, answer with the recorded bytes.
+// The responses of a keeper that waits for the other keepers and has no capacity for followers match the recorded ones
+// byte for byte.
 func TestGoldenUnavailableResponses(t *testing.T) {
-	lonely := startSingleKeeper(t, func(o *Options) {
+	address := startSingleKeeper(t, func(o *Options) {
 		o.Peers = append(o.Peers, Peer{ID: "k2", HTTPAddr: LoopbackHost() + ":1", RaftAddr: LoopbackHost() + ":1"})
 		o.ChangeTimeout, o.MaxWaitingFollowers = 50*time.Millisecond, -1
 	})
@@ -244,7 +248,7 @@
 		{"POST", "/v1/follow", report("r1", 0, "0", "")},
 		{"GET", "/v1/config", ""},
 	}
-	golden.Equal(t, "calls-unserved.txt", runCalls(t, lonely, nil, steps))
-	passed := http.Header{"Windflow-Keeper": {"k2"}}
-	golden.Equal(t, "calls-unserved-passed.txt", runCalls(t, lonely, passed, []step{steps[4], steps[7]}))
+	golden.Equal(t, "calls-unserved.txt", runCalls(t, address, nil, steps))
+	forwardedHeader := http.Header{"Windflow-Keeper": {"k2"}}
+	golden.Equal(t, "calls-unserved-passed.txt", runCalls(t, address, forwardedHeader, []step{steps[4], steps[7]}))
 }
--- a/internal/keeper/golden_folder_test.go
+++ b/internal/keeper/golden_folder_test.go
@@ -23,12 +23,13 @@
 	"windflow/internal/golden"
 )
 
-// goldenFolders contains the folders of three keepers, k1 to k3, that made the changes of foldersChanges.
+// goldenFolders contains the folders of the keepers k1 to k3 after the changes of recordedChanges.
 const goldenFolders = "folders.tar.gz"
 
-const goldenWithin = 20 * time.Second
+// goldenTimeout bounds each wait of the golden tests.
+const goldenTimeout = 20 * time.Second
 
-// recordedChanges has a revert, a removal and more revisions than are kept.
+// recordedChanges returns changes that include a revert and a removal and create more revisions than are kept.
 func recordedChanges() (list []configlog.Change) {
 	for i := range 5 {
 		list = append(list, configlog.Change{
@@ -43,16 +44,16 @@
 	return append(list, configlog.Change{ID: "change-7", RevertTo: pointerTo(uint64(4)), Note: "back"})
 }
 
-// leaderField is the part of an answer that differs from run to run.
+// leaderField matches the part of a response that differs between runs.
 var leaderField = regexp.MustCompile(`"leader":"[^"]*"`)
 
-// inProcessGroup is a group of keepers that run in the test's process.
+// inProcessGroup is a group of keepers that run in the test process.
 type inProcessGroup struct {
-	addresses []string // of the calls
+	addresses []string // for HTTP calls
 	stop      func()
 }
 
-// startInProcessGroup runs three keepers on the folders k1 to k3 below dir, until stop is called or the test ends.
+// startInProcessGroup runs three keepers on the folders k1 to k3 in dir until stop is called or the test ends.
 func startInProcessGroup(t *testing.T, dir string) *inProcessGroup {
 	t.Helper()
 	var peers []Peer
@@ -69,11 +70,11 @@
 			ID: p.ID, Cluster: "golden", Dir: filepath.Join(dir, p.ID), HTTPAddr: p.HTTPAddr, RaftAddr: p.RaftAddr, Peers: peers,
 			Check: func(map[string]json.RawMessage) *configerror.Error { return nil }, Log: slog.New(slog.DiscardHandler),
 			Retention: configlog.Retention{Revisions: 4}, SnapshotThreshold: 6, SnapshotInterval: 20 * time.Millisecond,
-			ChangeTimeout: goldenWithin,
+			ChangeTimeout: goldenTimeout,
 		}
 		running.Go(func() {
 			if err := Run(ctx, o); err != nil {
-				t.Errorf("%s ended: %v", o.ID, err)
+				t.Errorf("keeper %s failed: %v", o.ID, err)
 			}
 		})
 	}
@@ -85,15 +86,15 @@
 	return c
 }
 
-// call calls a keeper of the group until it answers with status 200, and returns the body.
+// call repeats a call to keeper i until the status is 200, and returns the body of the response.
 func (c *inProcessGroup) call(t *testing.T, i int, method, path string, in any) []byte {
 	t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said string
-	for end := time.Now().Add(goldenWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	var lastFailure string
+	for deadline := time.Now().Add(goldenTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		r, err := http.NewRequest(method, "http://"+c.addresses[i]+path, bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -101,7 +102,7 @@
 		r.Close = true
 		answer, err := http.DefaultClient.Do(r)
 		if err != nil {
-			said = err.Error()
+			lastFailure = err.Error()
 			continue
 		}
 		text, _ := io.ReadAll(answer.Body)
@@ -109,18 +110,18 @@
 		if answer.StatusCode == http.StatusOK {
 			return text
 		}
-		said = answer.Status + " " + string(text)
+		lastFailure = answer.Status + " " + string(text)
 	}
-	t.Fatalf("k%d: %s %s: %s", i+1, method, path, said)
+	t.Fatalf("k%d: %s %s: %s", i+1, method, path, lastFailure)
 	return nil
 }
 
-// followBody is the call of a follower that has nothing yet.
+// followBody returns the body of the call of a follower that has no revision yet.
 func followBody(name string) any {
 	return map[string]configlog.FollowerStatus{"report": {Name: name, Instance: name + "-1"}}
 }
 
-// recordFolders writes the golden folders with this program.
+// recordFolders records the golden folders with the current program.
 func recordFolders(t *testing.T) {
 	t.Helper()
 	dir := t.TempDir()
@@ -137,12 +138,12 @@
 	for i := range 3 {
 		c.call(t, i, http.MethodGet, fmt.Sprintf("/v1/config?revision=%d&wait_ms=10000", len(changes)), nil)
 	}
-	time.Sleep(2 * time.Second) // for a snapshot, and for the stage to be written
+	time.Sleep(2 * time.Second) // for a snapshot to be taken and the stage to be written
 	c.stop()
 	golden.Write(t, goldenFolders, golden.Pack(t, dir))
 }
 
-// Folders that an earlier program wrote are unchanged, file by file.
+// The current program reads the same content from folders that an earlier version wrote.
 func TestGoldenFolders(t *testing.T) {
 	if golden.Recording(t, goldenFolders) {
 		recordFolders(t)
@@ -157,7 +158,7 @@
 	golden.Equal(t, "folders.txt", []byte(text.String()))
 }
 
-// describeFolder writes a folder's identity, vote, entries and snapshots as text.
+// describeFolder writes the identity, vote, entries and snapshots of a keeper's folder as text.
 func describeFolder(t *testing.T, out io.Writer, dir, id string) {
 	t.Helper()
 	f, err := openFolder(dir, "golden", id, slog.New(slog.DiscardHandler))
@@ -196,15 +197,15 @@
 		if err := (checksummedLog{s.entries}).GetLog(i, &l); err != nil {
 			t.Fatal(err)
 		}
-		what := ""
+		description := ""
 		switch l.Type {
 		case raft.LogCommand:
-			what = string(l.Data[commandHeaderSize:])
+			description = string(l.Data[commandHeaderSize:])
 		case raft.LogConfiguration:
-			what = members(raft.DecodeConfiguration(l.Data))
+			description = members(raft.DecodeConfiguration(l.Data))
 		case raft.LogNoop, raft.LogBarrier, raft.LogAddPeerDeprecated, raft.LogRemovePeerDeprecated:
 		}
-		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, what)
+		fmt.Fprintf(out, "entry %d, term %d, %v: %s\n", l.Index, l.Term, l.Type, description)
 	}
 }
 
@@ -239,8 +240,7 @@
 	return strings.Join(names, " ")
 }
 
-// A group that is started on folders of an earlier program serves the revisions that are in them, and accepts further
-// changes.
+// A group that starts on folders written by an earlier version serves their revisions and accepts further changes.
 func TestGoldenFoldersServe(t *testing.T) {
 	c := startInProcessGroup(t, golden.Unpack(t, golden.Read(t, goldenFolders)))
 	last := len(recordedChanges())
@@ -255,11 +255,11 @@
 	golden.Equal(t, "folders-served.txt", leaderField.ReplaceAll(text.Bytes(), []byte(`"leader":"ID"`)))
 	got := c.call(t, 0, http.MethodPost, "/v1/changes", recordedChanges()[3])
 	if want := `{"revision":4,"repeated":true}` + "\n"; string(got) != want {
-		t.Errorf("a change of before, sent again: %s, want %s", got, want)
+		t.Errorf("repeated recorded change: %s, want %s", got, want)
 	}
 	got = c.call(t, 1, http.MethodPost, "/v1/changes",
 		configlog.Change{ID: "new", Remove: []string{"/settings/parties/p1"}})
 	if want := `{"revision":8,"repeated":false}` + "\n"; string(got) != want {
-		t.Errorf("a new change: %s, want %s", got, want)
+		t.Errorf("new change: %s, want %s", got, want)
 	}
 }
--- a/internal/keeper/golden_state_machine_test.go
+++ b/internal/keeper/golden_state_machine_test.go
@@ -15,7 +15,7 @@
 
 func pointerTo[T any](v T) *T { return &v }
 
-// sampleCommands are the entries of a replicated log, by golden file; together they set each field.
+// sampleCommands returns commands by the name of their golden file. Together they set every field.
 func sampleCommands() map[string]command {
 	put := map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage("1.5"),
@@ -38,11 +38,11 @@
 	}
 }
 
-// Entries of the replicated log have the bytes that an earlier program wrote, and are read as it meant them.
+// Commands are encoded to the same bytes as by earlier versions, and recorded commands are decoded correctly.
 func TestGoldenCommands(t *testing.T) {
-	var all []any
+	var samples []any
 	for file, want := range sampleCommands() {
-		all = append(all, want)
+		samples = append(samples, want)
 		data, err := want.encode()
 		if err != nil {
 			t.Fatal(err)
@@ -53,10 +53,10 @@
 			t.Errorf("%s: %v %s", file, err, diff)
 		}
 	}
-	golden.AllFieldsSet(t, all...)
+	golden.AllFieldsSet(t, samples...)
 }
 
-// sampleMachine is a state in which a snapshot has something of everything: compacted revisions, a revert, a roster.
+// sampleMachine returns a state that exercises all parts of a snapshot: compacted revisions, a revert and a roster.
 func sampleMachine(t *testing.T) *stateMachine {
 	t.Helper()
 	m := newStateMachine(configlog.Retention{Revisions: 3, Bytes: 1 << 20})
@@ -87,7 +87,7 @@
 	return m
 }
 
-// A snapshot of the state has the bytes that an earlier program wrote, and all of it is read back.
+// A snapshot is encoded to the same bytes as by an earlier version, and a recorded snapshot is restored completely.
 func TestGoldenSnapshot(t *testing.T) {
 	const file = "snapshot.bin"
 	m := sampleMachine(t)
@@ -96,43 +96,43 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, file, s.(snapshotState))
-	read := newStateMachine(configlog.Retention{})
-	if err := read.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
+	restored := newStateMachine(configlog.Retention{})
+	if err := restored.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, file)))); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(describeStateMachine(read), "", " ")
+	text, err := json.MarshalIndent(describeStateMachine(restored), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "snapshot.json", append(text, '\n'))
-	if again, err := read.Snapshot(); err != nil || !bytes.Equal(again.(snapshotState), golden.Read(t, file)) {
-		t.Errorf("a snapshot of what was read differs: %v", err)
+	if second, err := restored.Snapshot(); err != nil || !bytes.Equal(second.(snapshotState), golden.Read(t, file)) {
+		t.Errorf("a snapshot of the restored state differs: %v", err)
 	}
-	if out := read.Apply(&raft.Log{
+	if out := restored.Apply(&raft.Log{
 		Index: 9, Type: raft.LogCommand,
 		Data: golden.Read(t, "command-forget.bin"),
 	}); out != true {
-		t.Errorf("r2 is not forgotten: %v", out)
+		t.Errorf("applying the command that forgets r2 returned %v, want true", out)
 	}
 }
 
-// machineContent is the complete state of a state machine, as its methods return it.
+// machineContent is the complete state of a state machine as returned by its methods.
 type machineContent struct {
 	Oldest   uint64               `json:"oldest"`
 	Revision uint64               `json:"revision"`
 	History  []configlog.Revision `json:"history"`
 	Contents []configContent      `json:"contents"`
 	Roster   []string             `json:"roster"`
-	Unknown  []followerProcess    `json:"unknown"` // of the follower processes ever registered
+	Unknown  []followerProcess    `json:"unknown"` // the processes ever registered that are no longer on the roster
 }
 
 func describeStateMachine(m *stateMachine) machineContent {
-	now := m.summary()
+	current := m.summary()
 	out := machineContent{
-		Oldest: now.Oldest, Revision: now.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
+		Oldest: current.Oldest, Revision: current.Revision, History: m.history(0, 1000), Roster: m.followerNames(),
 		Unknown: m.unregistered([]followerProcess{{"r1", "first"}, {"r1", "second"}, {"r2", "only"}, {"r3", "gone"}}),
 	}
-	for rev := now.Oldest; rev <= now.Revision; rev++ {
+	for rev := current.Oldest; rev <= current.Revision; rev++ {
 		c, _, _ := m.contentAt(&rev)
 		out.Contents = append(out.Contents, c)
 	}
--- a/internal/keeper/group_test.go
+++ b/internal/keeper/group_test.go
@@ -15,14 +15,14 @@
 	"windflow/internal/keeper"
 )
 
-// group is a group of keeper processes with links that can be interrupted.
+// group is a group of keeper processes that are connected by links that can be blocked.
 type group struct {
 	t       *testing.T
 	members []*process
-	links   map[[2]int][]*link // from, to: of replication and of calls
+	links   map[[2]int][]*link // by calling and called keeper: [0] for replication, [1] for HTTP calls
 }
 
-// newGroup prepares n keepers and starts none. Tweak may change the options of each.
+// newGroup prepares n keepers without starting them. If tweak is not nil, it can modify the options of each.
 func newGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := &group{t: t, links: map[[2]int][]*link{}}
@@ -57,7 +57,7 @@
 		for _, p := range g.members {
 			if p.cmd != nil && p.alive() {
 				_ = p.cmd.Process.Kill()
-				<-p.ended
+				<-p.exited
 			}
 			if t.Failed() {
 				t.Logf("%s logged:\n%s", p.options.ID, p.logText())
@@ -67,7 +67,7 @@
 	return g
 }
 
-// startGroup prepares a group and starts it; it has a leader when this returns.
+// startGroup prepares a group, starts it and waits until it has a leader.
 func startGroup(t *testing.T, n int, tweak func(i int, o *keeper.Options)) *group {
 	t.Helper()
 	g := newGroup(t, n, tweak)
@@ -78,19 +78,19 @@
 	return g
 }
 
-// partition interrupts the links between two sides, or restores them.
-func (g *group) partition(silent bool, a, b []int) {
+// partition blocks or unblocks all links between the keepers in a and those in b.
+func (g *group) partition(blocked bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
 			for _, l := range append(g.links[[2]int{i, j}], g.links[[2]int{j, i}]...) {
-				l.setSilent(forth, silent)
-				l.setSilent(back, silent)
+				l.setBlocked(forward, blocked)
+				l.setBlocked(reverse, blocked)
 			}
 		}
 	}
 }
 
-// status is what the tests read of a keeper's status.
+// status has the fields of a keeper's status that the tests use.
 type status struct {
 	ID       string `json:"id"`
 	Leader   string `json:"leader"`
@@ -108,51 +108,54 @@
 	DiskError string           `json:"disk_error"`
 }
 
-// leader waits until the live keepers agree on a leader, and returns its index.
-func (g *group) leader() (at int) {
+// leader waits until a majority of the keepers agrees on a leader, and returns the leader's index.
+func (g *group) leader() (index int) {
 	g.t.Helper()
 	waitUntil(g.t, "a leader", func() bool {
-		at = -1
+		index = -1
 		for i, p := range g.members {
 			var s status
 			if p.cmd == nil || !p.alive() || g.tryStatus(i, &s) != nil || s.State != "Leader" || !s.Majority {
 				continue
 			}
-			at = i
+			index = i
 		}
-		if at < 0 {
+		if index < 0 {
 			return false
 		}
-		n := 0
+		agreeing := 0
 		for i, p := range g.members {
 			var s status
-			if p.cmd != nil && p.alive() && g.tryStatus(i, &s) == nil && s.Leader == g.members[at].options.ID {
-				n++
+			if p.cmd != nil && p.alive() && g.tryStatus(i, &s) == nil && s.Leader == g.members[index].options.ID {
+				agreeing++
 			}
 		}
-		return n > len(g.members)/2
+		return agreeing > len(g.members)/2
 	})
-	return at
+	return index
 }
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// impatientClient is for calls that a stopped or unreachable keeper need not answer.
-var impatientClient = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+// shortTimeoutClient is for calls to keepers that may be stopped or unreachable.
+var shortTimeoutClient = &http.Client{
+	Timeout:   500 * time.Millisecond,
+	Transport: &http.Transport{DisableKeepAlives: true},
+}
 
 func (g *group) tryStatus(i int, s *status) error {
-	a, err := impatientClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
+	answer, err := shortTimeoutClient.Get("http://" + g.members[i].options.HTTPAddr + "/v1/status")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = a.Body.Close() }()
-	return json.NewDecoder(a.Body).Decode(s)
+	defer func() { _ = answer.Body.Close() }()
+	return json.NewDecoder(answer.Body).Decode(s)
 }
 
 func (g *group) status(i int) (s status) {
 	g.t.Helper()
 	if code := g.get(i, "/v1/status", &s); code != http.StatusOK {
-		g.t.Fatalf("status: %d", code)
+		g.t.Fatalf("status of keeper %d: HTTP status %d", i, code)
 	}
 	return s
 }
@@ -189,25 +192,25 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	q, err := http.NewRequest(method, base+path, body)
+	request, err := http.NewRequest(method, base+path, body)
 	if err != nil {
 		return 0, err
 	}
-	a, err := client.Do(q)
+	answer, err := client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = a.Body.Close() }()
-	text, err := io.ReadAll(a.Body)
+	defer func() { _ = answer.Body.Close() }()
+	text, err := io.ReadAll(answer.Body)
 	if err == nil && out != nil && len(text) > 0 {
 		if err = json.Unmarshal(text, out); err != nil {
 			err = fmt.Errorf("%w: %s", err, text)
 		}
 	}
-	return a.StatusCode, err
+	return answer.StatusCode, err
 }
 
-// reply has all fields of an answer to a change.
+// reply has all fields of the response to a change.
 type reply struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
@@ -221,33 +224,34 @@
 	return configlog.Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
 }
 
-// change makes a change and returns its revision.
+// change commits a change through keeper i and returns its revision.
 func (g *group) change(i int, c configlog.Change) uint64 {
 	g.t.Helper()
 	var r reply
 	if code := g.post(i, "/v1/changes", c, &r); code != http.StatusOK {
-		g.t.Fatalf("change %s at %s: %d %+v", c.ID, g.members[i].options.ID, code, r)
+		g.t.Fatalf("change %s at %s: status %d: %+v", c.ID, g.members[i].options.ID, code, r)
 	}
 	return r.Revision
 }
 
-// config is the answer to GET /v1/config.
+// config is the response to GET /v1/config.
 type config struct {
 	Revision uint64                     `json:"revision"`
 	Hash     string                     `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// waitForRevision waits until a keeper has a revision, and returns its content.
+// waitForRevision waits until keeper i has a revision, and returns the content of the revision.
 func (g *group) waitForRevision(i int, rev uint64) (c config) {
 	g.t.Helper()
 	if code := g.get(i, fmt.Sprintf("/v1/config?revision=%d&wait_ms=20000", rev), &c); code != http.StatusOK {
-		g.t.Fatalf("%s has no revision %d: %d", g.members[i].options.ID, rev, code)
+		g.t.Fatalf("%s does not have revision %d: status %d", g.members[i].options.ID, rev, code)
 	}
 	return c
 }
 
-// checkEqualState checks that all keepers have the same content in force, at this revision.
+// checkEqualState waits until all keepers have the revision, and checks that it is current and has the same content at
+// all of them.
 func (g *group) checkEqualState(rev uint64) {
 	g.t.Helper()
 	first := g.waitForRevision(0, rev)
@@ -255,9 +259,10 @@
 		c := g.waitForRevision(i, rev)
 		s := g.status(i)
 		if c.Hash != first.Hash || s.Revision != rev || s.Hash != first.Hash {
-			g.t.Errorf("%s: revision %d hash %s, in force %d %s; k1 has %s", s.ID, rev, c.Hash, s.Revision, s.Hash, first.Hash)
+			g.t.Errorf("%s: revision %d has hash %s, the current revision %d has %s; at k1 the hash is %s",
+				s.ID, rev, c.Hash, s.Revision, s.Hash, first.Hash)
 		}
 	}
 }
 
-func (g *group) kill(i int) { g.t.Helper(); g.members[i].end(syscall.SIGKILL) }
+func (g *group) kill(i int) { g.t.Helper(); g.members[i].terminate(syscall.SIGKILL) }
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// discoveryInterval is between two rounds of querying the other keepers at the start.
+	// discoveryInterval is the time between two queries of the other keepers while a new keeper starts.
 	discoveryInterval = 200 * time.Millisecond
-	// quietHeartbeats is how long a keeper that lost its folder stays out of elections at least, in heartbeat
-	// timeouts: longer than any election in which it may have voted before the loss, which a candidate abandons after
-	// two of them.
-	quietHeartbeats = 5
+	// votingPauseHeartbeats is the minimum time, in heartbeat timeouts, for which a keeper that lost its folder does
+	// not vote. It must exceed the length of any election in which the keeper may have voted before the loss; a
+	// candidate abandons an election after two heartbeat timeouts.
+	votingPauseHeartbeats = 5
 )
 
-// membership decides how this keeper becomes a member of the group, and records its progress in the folder.
+// membership decides how this keeper becomes a member of the group, and records its stage in the folder.
 type membership struct {
-	options     *Options
-	log         *slog.Logger
-	folder      *folder
-	replication *replication
-	peers       *peerClient
-	startedAt   time.Time
-	recorded    atomic.Value // string; the stage in the folder, for readers in other goroutines
+	options       *Options
+	log           *slog.Logger
+	folder        *folder
+	replication   *replication
+	peers         *peerClient
+	startedAt     time.Time
+	recordedStage atomic.Value // a string: the stage in the folder, for concurrent readers
 }
 
-// peerStatus is the status that keepers exchange with each other.
+// peerStatus is the response to `GET /v1/peer`, with which keepers query each other.
 type peerStatus struct {
 	Cluster string `json:"cluster"`
 	ID      string `json:"id"`
@@ -46,21 +46,21 @@
 	}
 }
 
-// listAside lists what was set aside in the folder.
+// listAside lists the files that were set aside in the folder.
 func (m *membership) listAside() []string { return m.folder.listAside() }
 
-func (m *membership) stage() string { return m.recorded.Load().(string) }
+func (m *membership) stage() string { return m.recordedStage.Load().(string) }
 
 func (m *membership) recordStage(stage string) error {
 	if err := m.folder.recordStage(stage); err != nil {
 		return err
 	}
-	m.recorded.Store(stage)
+	m.recordedStage.Store(stage)
 	return nil
 }
 
-// advance records a stage; a failure is logged, and tried again at the next check of the progress.
-func (m *membership) advance(stage string) bool {
+// tryRecordStage records a stage. It logs a failure and returns false; advanceStage retries at its next call.
+func (m *membership) tryRecordStage(stage string) bool {
 	if err := m.recordStage(stage); err != nil {
 		m.log.Error("folder stage write failed", "stage", stage, "error", err)
 		return false
@@ -77,7 +77,8 @@
 	return status
 }
 
-// join finds out whether this keeper founds the group, joins it or belongs to it, and starts the replication.
+// join determines whether this keeper bootstraps the group, joins it or is already a member, and starts the
+// replication.
 func (m *membership) join(ctx context.Context, listener net.Listener) error {
 	stage := m.folder.identity.Stage
 	if stage == stageNew {
@@ -86,7 +87,7 @@
 			return err
 		}
 	}
-	logger := raftLog{target: m.log.With("part", "raft"), name: "raft"}
+	logger := raftLogger{target: m.log.With("part", "raft"), name: "raft"}
 	stores, err := openStores(m.options.Dir, logger)
 	if err != nil {
 		return err
@@ -102,13 +103,13 @@
 	return m.replication.start(listener, stores, logger, stage == stageFounding)
 }
 
-// discoverGroup waits until it is clear whether the group exists. It exists if any keeper belongs to it; then this one
-// joins. It is founded only when every keeper answers and none has anything: were a majority enough, then keepers that
-// lost their folders could found a second group while the members of the first are down.
+// discoverGroup waits until it is known whether the group exists, and returns stageJoining or stageFounding. The group
+// exists if any keeper is a member. It is bootstrapped only if all keepers respond and none is a member: if a majority
+// were enough, keepers that lost their folders could bootstrap a second group while the members of the first are down.
 func (m *membership) discoverGroup(ctx context.Context) (stage string, err error) {
 	lastReported := ""
 	for {
-		members, unanswered := m.surveyPeers(ctx)
+		members, unanswered := m.queryPeers(ctx)
 		if len(members) > 0 {
 			m.log.Warn("joining existing group without a folder", "peer", members[0])
 			return stageJoining, nil
@@ -117,9 +118,9 @@
 			m.log.Info("group founded", "keepers", len(m.options.Peers))
 			return stageFounding, nil
 		}
-		if now := strings.Join(unanswered, ", "); now != lastReported {
-			lastReported = now
-			m.log.Warn("waiting for other keepers", "unanswered", now)
+		if current := strings.Join(unanswered, ", "); current != lastReported {
+			lastReported = current
+			m.log.Warn("waiting for other keepers", "unanswered", current)
 		}
 		select {
 		case <-ctx.Done():
@@ -129,9 +130,9 @@
 	}
 }
 
-// surveyPeers queries the other keepers once, and returns those that belong to the group and those that did not answer
-// that counts.
-func (m *membership) surveyPeers(ctx context.Context) (members, unanswered []string) {
+// queryPeers queries the other keepers once. It returns the ids of those that belong to the group, and describes those
+// that did not respond or responded as another keeper.
+func (m *membership) queryPeers(ctx context.Context) (members, unanswered []string) {
 	statuses := m.peers.statuses(ctx)
 	for _, peer := range m.peers.others() {
 		status, answered := statuses[peer.ID]
@@ -148,27 +149,27 @@
 	return members, unanswered
 }
 
-// checkProgress advances the stage when it is due.
-func (m *membership) checkProgress(ctx context.Context) {
+// advanceStage records the next stage once its conditions are met. It is called periodically.
+func (m *membership) advanceStage(ctx context.Context) {
 	switch m.stage() {
 	case stageFounding:
 		if m.replication.hasEntries() {
-			m.advance(stageMember)
+			m.tryRecordStage(stageMember)
 		}
 	case stageJoining:
 		m.resumeVoting(ctx)
 	}
 }
 
-// resumeVoting lets a keeper that lost its folder take part in elections again, once it has all entries that the
-// leader had at some moment after the loss: they include whatever this keeper had confirmed before.
+// resumeVoting lets a keeper that lost its folder vote again once it has all entries that the leader had at some time
+// after the loss. These include every entry that this keeper had acknowledged before the loss.
 func (m *membership) resumeVoting(ctx context.Context) {
 	id, _ := m.replication.leader()
 	peer, known := m.peers.peer(id)
-	if !known || time.Since(m.startedAt) < quietHeartbeats*m.options.Heartbeat {
+	if !known || time.Since(m.startedAt) < votingPauseHeartbeats*m.options.Heartbeat {
 		return
 	}
-	// The index may be reached only later; the next check requests a new one then.
+	// If this keeper does not reach the index in time, the next call of advanceStage queries the leader again.
 	var leader leaderStatus
 	if err := m.peers.get(ctx, peer, leaderPath, &leader); err != nil || leader.ID != id {
 		return
@@ -176,7 +177,7 @@
 	if err := m.replication.waitApplied(ctx, leader.LastIndex); err != nil {
 		return
 	}
-	if !m.advance(stageMember) {
+	if !m.tryRecordStage(stageMember) {
 		return
 	}
 	m.replication.votingSuspended.Store(false)
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -15,14 +15,14 @@
 	"windflow/internal/decide/configlog"
 )
 
-var followerCount = flag.Int("followers", 100, "followers of TestManyFollowers")
+var followerCount = flag.Int("followers", 100, "number of followers in TestManyFollowers")
 
-// runFollower is a fake router with the follower of configlog, until ctx ends.
+// runFollower simulates router n, using configlog.Follower, until ctx ends.
 func (g *group) runFollower(ctx context.Context, n int) {
 	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
 		to := g.members[f.SelectKeeper(len(g.members))].options.HTTPAddr
 		text, _ := json.Marshal(map[string]any{"wait_ms": 2000, "report": f.Status()})
@@ -48,30 +48,30 @@
 		if err == nil {
 			continue
 		}
-		lost := f.CallFailed(float64(time.Since(began).Milliseconds()), float64(n%16)/16)
+		delayMS := f.CallFailed(float64(time.Since(start).Milliseconds()), float64(n%16)/16)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(lost) * time.Millisecond):
+		case <-time.After(time.Duration(delayMS) * time.Millisecond):
 		}
 	}
 }
 
-// Many followers join at once; changes converge one after the other; a keeper is killed, and its followers continue
-// with the others. With -followers 600 it measures the figures of the design note.
+// Many followers join at once and consecutive changes converge. After the leader is killed, its followers continue with
+// the other keepers. With -followers 600 the test measures the figures of the design note.
 func TestManyFollowers(t *testing.T) {
 	g := startGroup(t, 3, nil)
 	g.change(0, put("base", "/settings/over-share-worth", "1"))
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	defer all.Wait()
+	var followers sync.WaitGroup
+	defer followers.Wait()
 	defer stop()
-	from := time.Now()
+	start := time.Now()
 	for n := range *followerCount {
-		all.Go(func() { g.runFollower(ctx, n) })
+		followers.Go(func() { g.runFollower(ctx, n) })
 	}
-	waitUntil(t, "all on the roster", func() bool { return g.status(0).Roster == *followerCount })
-	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(from).Round(time.Millisecond))
-	look := func() (ticks int, in, out int64) {
+	waitUntil(t, "all followers on the roster", func() bool { return g.status(0).Roster == *followerCount })
+	t.Logf("%d followers are on the roster after %v", *followerCount, time.Since(start).Round(time.Millisecond))
+	measure := func() (ticks int, in, out int64) {
 		for i := range g.members {
 			s := g.status(i)
 			ticks += cpuTicks(t, g.members[i].cmd.Process.Pid)
@@ -79,38 +79,39 @@
 		}
 		return ticks, in, out
 	}
-	ticks, in, out := look()
-	from = time.Now()
-	var took []time.Duration
+	ticks, in, out := measure()
+	start = time.Now()
+	var durations []time.Duration
 	for n := range 10 {
 		sent := time.Now()
 		rev := g.change(n%3, put(fmt.Sprint("c", n), "/settings/over-share-worth", fmt.Sprint(n+2)))
 		v := g.waitForConvergence(rev)
 		if len(v.InForce) != *followerCount {
-			t.Fatalf("revision %d: in force at %d, gone %d, unreached %v", rev, len(v.InForce), len(v.Missing),
-				v.UnreachedKeepers)
+			t.Fatalf("revision %d: in effect at %d followers, %d missing, unreached keepers %v",
+				rev, len(v.InForce), len(v.Missing), v.UnreachedKeepers)
 		}
-		took = append(took, time.Since(sent).Round(time.Millisecond))
+		durations = append(durations, time.Since(sent).Round(time.Millisecond))
 	}
-	moreTicks, moreIn, moreOut := look()
-	slices.Sort(took)
-	t.Logf("from the call to reported convergence: %v", took)
-	t.Logf("%.1f s: %.1f%% of a core at all keepers, %d bytes in and %d out for each follower", time.Since(from).Seconds(),
-		float64(moreTicks-ticks)/time.Since(from).Seconds(), (moreIn-in)/int64(*followerCount),
+	moreTicks, moreIn, moreOut := measure()
+	slices.Sort(durations)
+	t.Logf("time from a change to reported convergence: %v", durations)
+	t.Logf("%.1f s: %.1f%% of a core for all keepers, %d bytes in and %d out per follower", time.Since(start).Seconds(),
+		float64(moreTicks-ticks)/time.Since(start).Seconds(), (moreIn-in)/int64(*followerCount),
 		(moreOut-out)/int64(*followerCount))
 	for i := range g.members {
-		t.Logf("%s: %d kB resident, %d calls waiting", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
+		t.Logf("%s: %d kB resident, %d polls open", g.members[i].options.ID, residentKB(t, g.members[i].cmd.Process.Pid),
 			g.status(i).Counters["waiting"])
 	}
-	dead := g.leader()
-	g.kill(dead)
+	killed := g.leader()
+	g.kill(killed)
 	sent := time.Now()
-	rev := g.change((dead+1)%3, put("last", "/settings/over-share-worth", "99"))
-	v := g.waitForConvergenceAt((dead+1)%3, rev)
-	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[dead].options.ID) {
-		t.Errorf("in force at %d, gone %v, unreached %v", len(v.InForce), v.Missing, v.UnreachedKeepers)
+	rev := g.change((killed+1)%3, put("last", "/settings/over-share-worth", "99"))
+	v := g.waitForConvergenceAt((killed+1)%3, rev)
+	if len(v.InForce) != *followerCount || !slices.Contains(v.UnreachedKeepers, g.members[killed].options.ID) {
+		t.Errorf("in effect at %d followers, missing %v, unreached keepers %v",
+			len(v.InForce), v.Missing, v.UnreachedKeepers)
 	}
-	t.Logf("from the kill of the leader to the convergence of a change: %v",
+	t.Logf("time from the kill of the leader to the convergence of a change: %v",
 		time.Since(sent).Round(time.Millisecond))
 }
 
@@ -121,7 +122,7 @@
 
 func (g *group) waitForConvergenceAt(i int, rev uint64) (v rolloutReply) {
 	g.t.Helper()
-	waitUntil(g.t, fmt.Sprintf("revision %d everywhere", rev), func() bool {
+	waitUntil(g.t, fmt.Sprintf("convergence of revision %d", rev), func() bool {
 		v = g.rollout(i, fmt.Sprintf("revision=%d&wait_ms=10000", rev))
 		return v.Converged
 	})
