--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -48,7 +48,7 @@
 	s.Start()
 	defer s.Close()
 	p := &keeperConn{}
-	f := configlog.NewFollower("router-0001", configlog.NewInstance(1, 1))
+	f := configlog.NewFollower("router-0001", configlog.NewInstanceID(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, fresh, err := p.poll(context.Background(), l.Addr().String(), f.Status(), 2000); fresh || err != nil {
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -43,7 +43,7 @@
 }
 
 // New returns a client that does nothing yet. The name is the router's, the instance this process's; see
-// configlog.NewInstance.
+// configlog.NewInstanceID.
 func New(config Config, name, instance string, log *slog.Logger) *Client {
 	client := &Client{
 		log:       log,
@@ -194,7 +194,7 @@
 		c.log.Info("keeper reachable", "keeper", address)
 	}
 	if !isNewer {
-		c.follower.Unchanged()
+		c.follower.CallSucceeded()
 		if time.Since(sentAt) < wait/2 {
 			sleep(ctx, time.Duration((0.5+rand.Float64())*float64(earlyAnswerDelay)))
 		}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -70,7 +70,7 @@
 
 func newTestClient(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
-	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstance(1, 1), discard)
+	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstanceID(1, 1), discard)
 	t.Cleanup(c.Stop)
 	return c
 }
@@ -189,7 +189,7 @@
 				bad.handler(w, r)
 			})
 			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0",
-				configlog.NewInstance(1, 1), discard)
+				configlog.NewInstanceID(1, 1), discard)
 			t.Cleanup(c.Stop)
 			c.Start(r.apply)
 			<-met // it was polled, whatever it answers
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -171,7 +171,7 @@
 	k, dir := keepertest.New(t), t.TempDir()
 	rev := k.Change(overQuotaWeight("0.7"))
 	saveCopy(t, k, dir)
-	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstance(2, 2),
+	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstanceID(2, 2),
 		discard), newRouter()
 	t.Cleanup(c.Stop)
 	c.Restore(20*time.Second, r.apply)
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -42,7 +42,7 @@
 // goldenSaved returns the copy of revision 12 as the follower's state has it.
 func goldenSaved(t *testing.T) configlog.SavedRevision {
 	t.Helper()
-	f := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
+	f := configlog.NewFollower("n/0", configlog.NewInstanceID(10, 11))
 	update := configlog.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: configlog.HashEntries(goldenEntries())}
 	if _, ok, err := f.Offer(update); !ok || err != nil {
 		t.Fatal(ok, err)
@@ -76,7 +76,7 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), golden.Read(t, goldenCopy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Config{Dir: dir}, "n/0", configlog.NewInstance(10, 11), discard)
+	c := New(Config{Dir: dir}, "n/0", configlog.NewInstanceID(10, 11), discard)
 	t.Cleanup(c.Stop)
 	c.Restore(time.Second, func(Revision) error { return nil })
 	want := Revision{Revision: 12, Hash: configlog.HashEntries(goldenEntries()), Entries: goldenEntries()}
@@ -136,7 +136,7 @@
 // A poll has the recorded bytes, header and body, and the recorded answers are decoded.
 func TestGoldenCall(t *testing.T) {
 	report := configlog.FollowerStatus{
-		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
+		Name: "n/0", Instance: configlog.NewInstanceID(10, 11), Revision: 12, Hash: goldenHash(1),
 		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
 	}
 	// The keeper's answer is a file next to the call, in the form that the keepers' golden calls have.
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -47,7 +47,7 @@
 }
 
 // NewFollower returns a follower at revision 0, which is the router's own file alone. The instance is that of
-// NewInstance.
+// NewInstanceID.
 func NewFollower(name, instance string) *Follower {
 	return &Follower{
 		name: name, instance: instance,
@@ -86,7 +86,7 @@
 	same := update.To == f.current.revision && update.Hash == f.current.hash
 	if update.IsEmpty() || same || f.hasRejected(update.To, update.Hash) {
 		f.needsSnapshot = f.needsSnapshot && !same
-		f.Unchanged()
+		f.CallSucceeded()
 		return nil, false, nil
 	}
 	candidate, err := f.current.apply(update)
@@ -94,7 +94,7 @@
 		f.needsSnapshot = true
 		return nil, false, err
 	}
-	f.Unchanged()
+	f.CallSucceeded()
 	f.candidate = &candidate
 	return candidate.entries, true, nil
 }
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -343,7 +343,7 @@
 	}
 	now += MaxBackoffMS
 	at := f.SelectKeeper(3)
-	f.Unchanged()
+	f.CallSucceeded()
 	if f.SelectKeeper(3) != at || f.CallFailed(now, 0) != 0 || f.SelectKeeper(3) == at {
 		t.Error("an answer doesn't end it, or a loss doesn't move on")
 	}
--- a/internal/decide/configlog/followerstatus.go
+++ b/internal/decide/configlog/followerstatus.go
@@ -11,7 +11,7 @@
 // (NACK), if any.
 type FollowerStatus struct {
 	Name     string     `json:"name"`     // of the router, the same after a restart
-	Instance string     `json:"instance"` // of the process; see NewInstance
+	Instance string     `json:"instance"` // of the process; see NewInstanceID
 	Revision uint64     `json:"revision"` // 0 for the router's own file alone
 	Hash     Hash       `json:"hash"`
 	Rejected *Rejection `json:"refused,omitempty"`
@@ -25,10 +25,10 @@
 	Reason   string `json:"reason"`
 }
 
-// NewInstance returns the identifier of a process, from its start in Unix milliseconds and a random number. It
+// NewInstanceID returns the identifier of a process, from its start in Unix milliseconds and a random number. It
 // differs from that of any other process, and is greater than that of earlier processes of the same router unless the
 // clock went back; then Convergence is more careful for a while.
-func NewInstance(startedMS int64, random uint64) string {
+func NewInstanceID(startedMS int64, random uint64) string {
 	return fmt.Sprintf("%012x-%016x", max(startedMS, 0), random)
 }
 
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -21,7 +21,7 @@
 func goldenStatus() FollowerStatus {
 	return FollowerStatus{
 		Name:     "n/0",
-		Instance: NewInstance(1_796_000_000_123, 0xfedcba9876543210),
+		Instance: NewInstanceID(1_796_000_000_123, 0xfedcba9876543210),
 		Revision: 12,
 		Hash:     goldenHash(1),
 		Rejected: &Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -77,8 +77,8 @@
 // SelectKeeper returns which of n keepers, 0 to n-1, is called next: the same until a call fails.
 func (f *Follower) SelectKeeper(n int) int { return f.selection.selectKeeper(n) }
 
-// Unchanged records that a keeper answered that there is nothing new. Offer includes it for what it accepts.
-func (f *Follower) Unchanged() { f.selection.answered() }
+// CallSucceeded records that a keeper answered that there is nothing new. Offer includes it for what it accepts.
+func (f *Follower) CallSucceeded() { f.selection.answered() }
 
 // CallFailed records that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
 // before the next, which goes to another keeper. A failure that is reported during the wait changes nothing: the next
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -218,9 +218,9 @@
 		l.members["a"] != (memberProcesses{"4", "2"}) {
 		t.Error(l.members)
 	}
-	if NewInstance(1000, 7) >= NewInstance(1001, 3) || NewInstance(-5, 1) != NewInstance(0, 1) ||
-		len(NewInstance(1<<40, 1<<63)) > MaxIDBytes {
-		t.Error(NewInstance(1000, 7))
+	if NewInstanceID(1000, 7) >= NewInstanceID(1001, 3) || NewInstanceID(-5, 1) != NewInstanceID(0, 1) ||
+		len(NewInstanceID(1<<40, 1<<63)) > MaxIDBytes {
+		t.Error(NewInstanceID(1000, 7))
 	}
 	if l.HasMember("b", "") || l.HasMember("b", "2") || l.HasMember("c", "1") {
 		t.Error(l.members)
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -33,7 +33,7 @@
 	Saved() SavedRevision
 	SelectKeeper(n int) int
 	CallFailed(nowMS, jitter float64) float64
-	Unchanged()
+	CallSucceeded()
 }
 
 // parts are the functions under test; mutants replace some of them.
@@ -177,7 +177,7 @@
 // startRouter starts a router's next process, with what its disk has.
 func (w *simulation) startRouter(r *router) {
 	r.incarnation++
-	r.client = w.follower(NewFollower(r.name, NewInstance(int64(w.nowMS), uint64(r.incarnation))))
+	r.client = w.follower(NewFollower(r.name, NewInstanceID(int64(w.nowMS), uint64(r.incarnation))))
 	r.alive, r.answered, r.offered = true, false, false
 	r.inForce, r.revision, r.rejections = map[string]json.RawMessage{}, 0, map[string]int{}
 	if r.copy != nil {
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -265,14 +265,14 @@
 	t.Helper()
 	for seed := range uint64(100) {
 		draw := drawFromTraceSeed(seed)
-		f := &tracedFollower{Follower: NewFollower("r", NewInstance(int64(seed)*1000, seed)), h: h}
+		f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(int64(seed)*1000, seed)), h: h}
 		now := 0.0
 		for range 60 {
 			now += float64(draw(1500, "wait"))
 			f.SelectKeeper(draw(6, "keepers"))
 			switch draw(5, "outcome") {
 			case 0:
-				f.Unchanged()
+				f.CallSucceeded()
 			case 1:
 				_, _, _ = f.Offer(Update{From: 3, To: 2, KeeperBehind: true})
 			default:
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(60) {
 		draw := drawFromTraceSeed(seed)
 		l := NewLog(Retention{Revisions: 8})
-		f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, seed)), h: h}
+		f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(1, seed)), h: h}
 		copies := []SavedRevision{f.Saved()}
 		for i := range 80 {
 			l.Apply(draw.change(fmt.Sprint("c", i), l.Revision()))
@@ -185,7 +185,7 @@
 func traceRejections(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	l := NewLog(Retention{})
-	f := &tracedFollower{Follower: NewFollower("r", NewInstance(1, 1)), h: h}
+	f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(1, 1)), h: h}
 	var updates []Update
 	for i := range 24 {
 		l.Apply(
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -20,7 +20,7 @@
 	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
 		return nil, err
 	}
-	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
+	instance := configlog.NewInstanceID(time.Now().UnixMilli(), rand.Uint64())
 	client := configclient.New(section, h.config.Name, instance, slog.New(slog.DiscardHandler))
 	client.Start(func(rev configclient.Revision) error {
 		cfg, err := validate.Overlay(h.spec.Config, rev.Entries)
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -26,7 +26,7 @@
 	for i := range r.g.members { // each starts with another one
 		cfg.Addresses = append(cfg.Addresses, r.g.members[(n+i)%3].options.HTTPAddr)
 	}
-	instance := configlog.NewInstance(incarnation, uint64(n))
+	instance := configlog.NewInstanceID(incarnation, uint64(n))
 	client := configclient.New(cfg, fmt.Sprint("r", n), instance, slog.New(slog.DiscardHandler))
 	apply := func(revision configclient.Revision) error {
 		if revision.Revision == rejected {
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -19,7 +19,7 @@
 
 // runFollower is a fake router with the follower of configlog, until ctx ends.
 func (g *group) runFollower(ctx context.Context, n int) {
-	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstance(1, uint64(n+1)))
+	f := configlog.NewFollower(fmt.Sprintf("r%03d", n), configlog.NewInstanceID(1, uint64(n+1)))
 	c := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
 	began := time.Now()
@@ -32,7 +32,7 @@
 		if err == nil {
 			switch a.StatusCode {
 			case http.StatusNoContent:
-				f.Unchanged()
+				f.CallSucceeded()
 			case http.StatusOK:
 				if err = json.NewDecoder(a.Body).Decode(&u); err == nil {
 					var ok bool
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -54,7 +54,7 @@
 // newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration
 // does, with an instance that is another one in each incarnation. own is the text of the router's own file.
 func newKeeperSync(n *node, files *reloader, own []byte) *keeperSync {
-	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
+	instance := configlog.NewInstanceID(time.Now().UnixMilli(), rand.Uint64())
 	return &keeperSync{
 		log: n.log, loop: n.loop, done: n.life.done, active: &n.active, configurator: &n.configurator, files: files,
 		partner: n.restart.partner,
