--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -70,7 +70,7 @@
 }
 
 // What a follower gets that is 1,000 revisions late, at 1,000 entries.
-func BenchmarkUpdateSinceLate(b *testing.B) {
+func BenchmarkUpdateSinceLongDelta(b *testing.B) {
 	l := newLargeLog(b, 1000)
 	rev, h := l.Revision(), l.Hash()
 	for i := range 1000 {
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -57,7 +57,7 @@
 }
 
 func (c Change) checkFields() *configerror.Error {
-	if err := checkLabel("id", c.ID); err != nil {
+	if err := checkIdentifier("id", c.ID); err != nil {
 		return configerror.Invalidf("", "%s", err)
 	}
 	entries := len(c.Put) + len(c.Remove)
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// errEndsEarly is a state that has fewer bytes than its lengths say.
-var errEndsEarly = errors.New("it ends early")
+// errTruncated is a state that has fewer bytes than its lengths say.
+var errTruncated = errors.New("it ends early")
 
 // encoder appends numbers, texts and records to a buffer.
 type encoder struct{ buffer []byte }
@@ -126,7 +126,7 @@
 
 func (d *decoder) fail() {
 	if d.err == nil {
-		d.err = errEndsEarly
+		d.err = errTruncated
 	}
 	d.buffer = nil
 }
--- a/internal/decide/configlog/convergence.go
+++ b/internal/decide/configlog/convergence.go
@@ -74,17 +74,17 @@
 // router that has never been answered.
 func (l *Log) Convergence(revision uint64, leases []Lease, unreached []string) ConvergenceStatus {
 	status := newConvergenceStatus(revision, unreached)
-	names, processes := map[string]bool{}, map[processKey]bool{}
+	leasedNames, leasedProcesses := map[string]bool{}, map[processKey]bool{}
 	for _, lease := range latestLeases(leases) {
-		names[lease.Name], processes[lease.key()] = true, true
+		leasedNames[lease.Name], leasedProcesses[lease.key()] = true, true
 		status.add(lease.FollowerStatus, l.isContentAt(lease.Revision, lease.Hash))
 	}
 	latestMissing := false
 	for _, name := range l.Members() {
-		if !processes[processKey{name, l.members[name].latest}] {
+		if !leasedProcesses[processKey{name, l.members[name].latest}] {
 			latestMissing = true
 		}
-		if !names[name] {
+		if !leasedNames[name] {
 			status.Missing = append(status.Missing, name)
 		}
 	}
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -7,11 +7,11 @@
 )
 
 func joinNames(processes []FollowerProcess) string {
-	out := ""
-	for _, s := range processes {
-		out += s.Name + s.Instance
+	names := ""
+	for _, process := range processes {
+		names += process.Name + process.Instance
 	}
-	return out
+	return names
 }
 
 // A lease lasts for its length, is renewed by each call, and is new again after it ended.
@@ -62,7 +62,7 @@
 func newLogWithLeases(
 	t *testing.T,
 	members ...string,
-) (*Log, func(name, instance string, rev uint64, until float64) Lease) {
+) (*Log, func(name, instance string, rev uint64, untilMS float64) Lease) {
 	t.Helper()
 	l := NewLog(Retention{})
 	hashes := []Hash{{}}
@@ -73,10 +73,10 @@
 	for _, n := range members {
 		l.AddMember(n, "1")
 	}
-	return l, func(name, instance string, rev uint64, until float64) Lease {
+	return l, func(name, instance string, rev uint64, untilMS float64) Lease {
 		return Lease{
 			FollowerStatus: FollowerStatus{Name: name, Instance: instance, Revision: rev, Hash: hashes[rev]},
-			UntilMS:        until,
+			UntilMS:        untilMS,
 		}
 	}
 }
@@ -88,23 +88,23 @@
 	rejects.Rejected = &Rejection{Revision: 5, Pointer: "/settings/a", Reason: "no"}
 	rejectedBefore := lease("d", "1", 4, 0)
 	rejectedBefore.Rejected = &Rejection{Revision: 4}
-	v := l.Convergence(
+	status := l.Convergence(
 		5,
 		[]Lease{lease("b", "1", 4, 0), lease("a", "1", 6, 0), rejects, rejectedBefore, lease("n", "1", 5, 0)},
 		nil,
 	)
-	if joinNames(v.InForce) != "a1n1" || joinNames(v.Behind) != "b1d1" || joinNames(v.Rejected) != "c1" ||
-		v.Rejected[0].Rejected.Pointer != "/settings/a" ||
-		!reflect.DeepEqual(v.Missing, []string{"z"}) ||
-		v.Converged ||
-		v.Revision != 5 {
-		t.Errorf("%+v", v)
+	if joinNames(status.InForce) != "a1n1" || joinNames(status.Behind) != "b1d1" || joinNames(status.Rejected) != "c1" ||
+		status.Rejected[0].Rejected.Pointer != "/settings/a" ||
+		!reflect.DeepEqual(status.Missing, []string{"z"}) ||
+		status.Converged ||
+		status.Revision != 5 {
+		t.Errorf("%+v", status)
 	}
 	l, lease = newLogWithLeases(t, "a", "b")
 	a, b := lease("a", "1", 5, 0), lease("b", "1", 5, 0)
-	past := lease("a", "1", 5, 0)
-	past.Rejected = &Rejection{Revision: 6}
-	for name, c := range map[string]struct {
+	rejectsLater := lease("a", "1", 5, 0)
+	rejectsLater.Rejected = &Rejection{Revision: 6}
+	for name, test := range map[string]struct {
 		leases    []Lease
 		unreached []string
 		want      bool
@@ -118,10 +118,10 @@
 		"gone, a keeper unreached": {[]Lease{a}, []string{"k"}, false},
 		"an earlier process only, a keeper unreached": {[]Lease{a, lease("b", "0", 5, 0)}, []string{"k"}, false},
 		"went to another keeper":                      {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), b}, nil, true},
-		"a rejection that is later":                   {[]Lease{past}, nil, true},
+		"a rejection that is later":                   {[]Lease{rejectsLater}, nil, true},
 	} {
-		if v := l.Convergence(5, c.leases, c.unreached); v.Converged != c.want {
-			t.Errorf("%s: %+v", name, v)
+		if status := l.Convergence(5, test.leases, test.unreached); status.Converged != test.want {
+			t.Errorf("%s: %+v", name, status)
 		}
 	}
 	text, err := json.Marshal(NewLog(Retention{}).Convergence(1, nil, nil))
@@ -140,23 +140,23 @@
 	at := func(rev uint64, h Hash) []Lease {
 		return []Lease{{FollowerStatus: FollowerStatus{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
 	}
-	if v := l.Convergence(2, at(2, l.Hash()), nil); !v.Converged || joinNames(v.InForce) != "a1" {
-		t.Errorf("%+v", v)
+	if status := l.Convergence(2, at(2, l.Hash()), nil); !status.Converged || joinNames(status.InForce) != "a1" {
+		t.Errorf("%+v", status)
 	}
-	if v := l.Convergence(2, at(2, Hash{}), nil); v.Converged || joinNames(v.Diverged) != "a1" {
-		t.Errorf("%+v", v)
+	if status := l.Convergence(2, at(2, Hash{}), nil); status.Converged || joinNames(status.Diverged) != "a1" {
+		t.Errorf("%+v", status)
 	}
-	if v := l.Convergence(2, at(7, l.Hash()), nil); v.Converged || joinNames(v.Diverged) != "a1" {
-		t.Errorf("%+v", v)
+	if status := l.Convergence(2, at(7, l.Hash()), nil); status.Converged || joinNames(status.Diverged) != "a1" {
+		t.Errorf("%+v", status)
 	}
-	if v := l.Convergence(3, at(3, l.Hash()), nil); v.Converged { // there is no revision 3
-		t.Errorf("%+v", v)
+	if status := l.Convergence(3, at(3, l.Hash()), nil); status.Converged { // there is no revision 3
+		t.Errorf("%+v", status)
 	}
 	h := l.Hash()
 	for _, id := range []string{"b", "c", "d"} {
 		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if v := l.Convergence(1, at(2, h), nil); v.Converged { // compacted: its content can't be known
-		t.Errorf("%+v", v)
+	if status := l.Convergence(1, at(2, h), nil); status.Converged { // compacted: its content can't be known
+		t.Errorf("%+v", status)
 	}
 }
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -12,14 +12,14 @@
 // document is the content of a revision: values by JSON pointer, of which none is a prefix of another. Its hash and its
 // size are kept up to date with each put.
 type document struct {
-	entries map[string]json.RawMessage
-	below   map[string]int // number of entries below each path that is an ancestor of one
-	bytes   int            // of the entries' pointers and values
-	hash    Hash
+	entries     map[string]json.RawMessage
+	descendants map[string]int // number of entries below each path that is an ancestor of one
+	bytes       int            // of the entries' pointers and values
+	hash        Hash
 }
 
 func newDocument() document {
-	return document{entries: map[string]json.RawMessage{}, below: map[string]int{}}
+	return document{entries: map[string]json.RawMessage{}, descendants: map[string]int{}}
 }
 
 // edit is one entry that a revision changes. A nil value means no entry, so that an edit can be undone.
@@ -55,22 +55,22 @@
 // put sets an entry, or removes it for a nil value.
 func (d *document) put(pointer string, value json.RawMessage) {
 	if before, ok := d.entries[pointer]; ok {
-		d.hash = d.hash.minus(digest(pointer, before))
+		d.hash = d.hash.minus(entryDigest(pointer, before))
 		d.bytes -= entryBytes(pointer, before)
-		d.countBelow(pointer, -1)
+		d.countDescendant(pointer, -1)
 	}
 	setEntry(d.entries, pointer, value)
 	if value != nil {
-		d.hash = d.hash.plus(digest(pointer, value))
+		d.hash = d.hash.plus(entryDigest(pointer, value))
 		d.bytes += entryBytes(pointer, value)
-		d.countBelow(pointer, 1)
+		d.countDescendant(pointer, 1)
 	}
 }
 
-func (d *document) countBelow(pointer string, by int) {
+func (d *document) countDescendant(pointer string, delta int) {
 	for ancestor := range ancestors(pointer) {
-		if d.below[ancestor] += by; d.below[ancestor] == 0 {
-			delete(d.below, ancestor)
+		if d.descendants[ancestor] += delta; d.descendants[ancestor] == 0 {
+			delete(d.descendants, ancestor)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 				return configerror.Invalidf(e.pointer, "it lies within the entry %s", ancestor)
 			}
 		}
-		if d.below[e.pointer] > removedBelow[e.pointer] {
+		if d.descendants[e.pointer] > removedBelow[e.pointer] {
 			return configerror.Invalidf(e.pointer, "there are entries below it")
 		}
 	}
--- a/internal/decide/configlog/encoding.go
+++ b/internal/decide/configlog/encoding.go
@@ -57,32 +57,32 @@
 		return err
 	}
 	input := &decoder{buffer: body}
-	read := NewLog(Retention{Revisions: int(input.number()), Bytes: int(input.number())})
-	read.history.oldest, read.history.oldestHash = input.number(), input.hash()
+	decoded := NewLog(Retention{Revisions: int(input.number()), Bytes: int(input.number())})
+	decoded.history.oldest, decoded.history.oldestHash = input.number(), input.hash()
 	for range input.count() {
-		read.document.put(input.text(), input.optional())
+		decoded.document.put(input.text(), input.optional())
 	}
-	if hash := input.hash(); input.err == nil && hash != read.document.hash {
+	if hash := input.hash(); input.err == nil && hash != decoded.document.hash {
 		return fmt.Errorf("%w: the entries don't have the hash that the state says", ErrDamaged)
 	}
 	for range input.count() {
-		read.history.add(input.record())
+		decoded.history.add(input.record())
 	}
 	for range input.count() {
 		id := input.text()
-		read.ids.applied[id] = appliedChange{revision: input.number(), digest: input.hash()}
-		read.ids.order = append(read.ids.order, id)
+		decoded.ids.applied[id] = appliedChange{revision: input.number(), digest: input.hash()}
+		decoded.ids.order = append(decoded.ids.order, id)
 	}
 	for range input.count() {
-		read.members[input.text()] = memberProcesses{latest: input.text(), previous: input.text()}
+		decoded.members[input.text()] = memberProcesses{latest: input.text(), previous: input.text()}
 	}
-	if input.err == nil && !read.isContentAt(read.Revision(), read.document.hash) {
+	if input.err == nil && !decoded.isContentAt(decoded.Revision(), decoded.document.hash) {
 		return fmt.Errorf("%w: the last revision doesn't have the hash of the entries", ErrDamaged)
 	}
 	if err := input.finish(); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	*l = *read
+	*l = *decoded
 	return nil
 }
 
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -26,7 +26,7 @@
 			AtMS:   7,
 		},
 	)
-	l.mustApply(tb, Change{ID: "c", RevertTo: number(2)})
+	l.mustApply(tb, Change{ID: "c", RevertTo: revisionPtr(2)})
 	l.mustApply(tb, put("d", "/settings/a", "1")) // changes nothing
 	l.mustApply(tb, put("e", "/settings/parties/p", `{"quota-rps":1}`))
 	l.AddMember("r1", "1")
@@ -42,12 +42,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back := NewLog(Retention{Revisions: 1})
-		back.mustApply(t, put("else", "/settings/else", "1"))
-		if err := back.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, back) {
-			t.Errorf("%v\n%+v\n%+v", err, l, back)
+		decoded := NewLog(Retention{Revisions: 1})
+		decoded.mustApply(t, put("else", "/settings/else", "1"))
+		if err := decoded.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, decoded) {
+			t.Errorf("%v\n%+v\n%+v", err, l, decoded)
 		}
-		again, _ := back.MarshalBinary()
+		again, _ := decoded.MarshalBinary()
 		if !bytes.Equal(state, again) {
 			t.Error("it's written in another way")
 		}
@@ -74,21 +74,21 @@
 		checkDamaged(fmt.Sprint("cut at ", i), state[:i], "state")
 	}
 	checkDamaged("foreign", bytes.Repeat([]byte("raft"), 100), "no state")
-	form := bytes.Clone(state)
-	form[len(stateMagic)-1]++
-	checkDamaged("later form", form, "form 2")
+	otherVersion := bytes.Clone(state)
+	otherVersion[len(stateMagic)-1]++
+	checkDamaged("later form", otherVersion, "form 2")
 	checkDamaged("longer", append(bytes.Clone(state), 0), "checksum")
 	// With a checksum that fits, as a faulty program would write it.
-	sealed := func(body []byte) []byte {
-		sum := sha256.Sum256(body)
-		return append(bytes.Clone(body), sum[:]...)
+	withChecksum := func(body []byte) []byte {
+		checksum := sha256.Sum256(body)
+		return append(bytes.Clone(body), checksum[:]...)
 	}
 	body := state[:len(state)-sha256.Size]
-	checkDamaged("left over", sealed(append(bytes.Clone(body), 0)), "left over")
-	checkDamaged("early end", sealed(body[:len(body)-1]), "ends early")
+	checkDamaged("left over", withChecksum(append(bytes.Clone(body), 0)), "left over")
+	checkDamaged("early end", withChecksum(body[:len(body)-1]), "ends early")
 	checkDamaged(
 		"entry",
-		sealed(bytes.Replace(body, []byte("/settings/filler"), []byte("/settings/fillet"), 1)),
+		withChecksum(bytes.Replace(body, []byte("/settings/filler"), []byte("/settings/fillet"), 1)),
 		"entries",
 	)
 }
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -135,14 +135,14 @@
 		if !ok {
 			return next, fmt.Errorf("%w: revision %d removes %s, which isn't there", ErrMismatch, update.To, pointer)
 		}
-		next.hash = next.hash.minus(digest(pointer, value))
+		next.hash = next.hash.minus(entryDigest(pointer, value))
 		delete(next.entries, pointer)
 	}
 	for pointer, value := range update.Put {
 		if before, ok := next.entries[pointer]; ok {
-			next.hash = next.hash.minus(digest(pointer, before))
+			next.hash = next.hash.minus(entryDigest(pointer, before))
 		}
-		next.hash = next.hash.plus(digest(pointer, value))
+		next.hash = next.hash.plus(entryDigest(pointer, value))
 		next.entries[pointer] = value
 	}
 	return next, nil
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -31,7 +31,7 @@
 }
 
 // Deltas and snapshots are accepted one after another; an empty update is no candidate.
-func TestFollowerFollows(t *testing.T) {
+func TestFollowerAppliesUpdates(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{Revisions: 2}), NewFollower("r", "1")
 	f.checkContent(t, 0, nil)
 	f.mustFollow(t, l)
@@ -118,7 +118,7 @@
 
 // A rejected revision leaves the one before in force, is reported, and isn't a candidate again until rejections are
 // cleared.
-func TestFollowerRejects(t *testing.T) {
+func TestFollowerRejectsRevision(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	f.mustFollow(t, l)
 	before := l.Entries()
@@ -133,13 +133,13 @@
 		f.checkContent(t, 1, before)
 	}
 	reject()
-	r := f.Status()
-	if r.Rejected == nil || r.Rejected.Revision != 2 || r.Rejected.Hash != l.Hash() ||
-		r.Rejected.Pointer != "/settings/a" ||
-		r.Check() != nil {
-		t.Errorf("%+v", r.Rejected)
+	status := f.Status()
+	if status.Rejected == nil || status.Rejected.Revision != 2 || status.Rejected.Hash != l.Hash() ||
+		status.Rejected.Pointer != "/settings/a" ||
+		status.Check() != nil {
+		t.Errorf("%+v", status.Rejected)
 	}
-	if u := l.NextUpdate(r); !u.IsEmpty() {
+	if u := l.NextUpdate(status); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
 	// Also from a keeper that doesn't know of the rejection, and as a snapshot.
@@ -207,7 +207,7 @@
 }
 
 // A copy is taken if it's what was saved and not older than what is in force.
-func TestFollowerRestores(t *testing.T) {
+func TestFollowerRestoresSavedRevision(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	l.mustApply(t, put("a", "/settings/a", "1"))
 	f.mustFollow(t, l)
@@ -277,7 +277,7 @@
 	restored.AddMember("r", "1")
 	f.SelectKeeper(3)
 	for i := range 3 {
-		if _, ahead := f.KeepersAreBehind(); ahead {
+		if _, behind := f.KeepersAreBehind(); behind {
 			t.Error("ahead of all after", i)
 		}
 		if _, ok, err := f.Offer(restored.NextUpdate(f.Status())); ok || !errors.Is(err, ErrBehind) {
@@ -286,40 +286,40 @@
 		f.CallFailed(float64(i)*10_000, 0)
 		f.checkContent(t, 3, l.Entries())
 	}
-	if theirs, ahead := f.KeepersAreBehind(); !ahead || theirs != 1 {
-		t.Error(theirs, ahead)
+	if keeperRevision, behind := f.KeepersAreBehind(); !behind || keeperRevision != 1 {
+		t.Error(keeperRevision, behind)
 	}
-	v := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil)
-	if v.Converged || joinNames(v.Diverged) != "r1" {
-		t.Errorf("%+v", v)
+	status := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil)
+	if status.Converged || joinNames(status.Diverged) != "r1" {
+		t.Errorf("%+v", status)
 	}
 	for i, id := range []string{"x", "y"} {
 		restored.mustApply(t, put(id, "/settings/c", string(rune('1'+i))))
 	}
-	v = restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil)
-	if v.Converged || joinNames(v.Diverged) != "r1" {
-		t.Errorf("%+v", v) // the same number, another content
+	status = restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil)
+	if status.Converged || joinNames(status.Diverged) != "r1" {
+		t.Errorf("%+v", status) // the same number, another content
 	}
 	if u := restored.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.mustFollow(t, restored)
-	if _, ahead := f.KeepersAreBehind(); ahead {
+	if _, behind := f.KeepersAreBehind(); behind {
 		t.Error("still ahead")
 	}
-	if v := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !v.Converged {
-		t.Errorf("%+v", v)
+	if status := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !status.Converged {
+		t.Errorf("%+v", status)
 	}
 }
 
 // Losses go round the keepers at once, then wait longer with each round, up to a bound; an answer ends that.
 func TestKeeperSelectionBackoff(t *testing.T) {
 	f := NewFollower("r", "1")
-	now, polls := 0.0, map[int]int{}
+	now, calls := 0.0, map[int]int{}
 	for i := range 3 {
-		polls[f.SelectKeeper(3)]++
+		calls[f.SelectKeeper(3)]++
 		wait := f.CallFailed(now, 0.999)
-		if most := 100.0; i < 2 && wait >= most || i == 2 && (wait < 250 || wait > 500) {
+		if limit := 100.0; i < 2 && wait >= limit || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
 		}
 		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // reported twice
@@ -327,8 +327,8 @@
 		}
 		now += wait
 	}
-	if len(polls) != 3 {
-		t.Error(polls)
+	if len(calls) != 3 {
+		t.Error(calls)
 	}
 	last := 0.0
 	for i := range 30 {
@@ -342,9 +342,9 @@
 		t.Error(wait)
 	}
 	now += MaxBackoffMS
-	at := f.SelectKeeper(3)
+	keeper := f.SelectKeeper(3)
 	f.CallSucceeded()
-	if f.SelectKeeper(3) != at || f.CallFailed(now, 0) != 0 || f.SelectKeeper(3) == at {
+	if f.SelectKeeper(3) != keeper || f.CallFailed(now, 0) != 0 || f.SelectKeeper(3) == keeper {
 		t.Error("an answer doesn't end it, or a loss doesn't move on")
 	}
 	// Followers spread over the keepers.
@@ -352,8 +352,8 @@
 	for i := range 600 {
 		first[NewFollower("r", "process "+strings.Repeat("i", i)).SelectKeeper(5)]++
 	}
-	for k := range 5 {
-		if first[k] < 60 {
+	for keeper := range 5 {
+		if first[keeper] < 60 {
 			t.Error(first)
 		}
 	}
@@ -364,12 +364,12 @@
 
 // A report's fields are checked before it is taken.
 func TestFollowerStatusCheck(t *testing.T) {
-	for field, r := range map[string]FollowerStatus{
+	for field, status := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
 		"instance": {Name: "r"},
 		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNoteBytes+1)}},
 	} {
-		if err := r.Check(); err == nil || !strings.Contains(err.Error(), "field "+field) {
+		if err := status.Check(); err == nil || !strings.Contains(err.Error(), "field "+field) {
 			t.Error(field, err)
 		}
 	}
@@ -392,7 +392,7 @@
 		}
 	}
 	// The same bytes split in another way are another entry, and a sum goes back to where it was.
-	a, b := digest("/settings/a", json.RawMessage("11")), digest("/settings/a1", json.RawMessage("1"))
+	a, b := entryDigest("/settings/a", json.RawMessage("11")), entryDigest("/settings/a1", json.RawMessage("1"))
 	if a == b || h.plus(a).plus(b).minus(a).minus(b) != h || h.plus(a) != a.plus(h) || h.minus(h) != (Hash{}) {
 		t.Error(a, b)
 	}
--- a/internal/decide/configlog/followerstatus.go
+++ b/internal/decide/configlog/followerstatus.go
@@ -34,10 +34,10 @@
 
 // Check returns which field of a status is not valid, or nil.
 func (s FollowerStatus) Check() error {
-	if err := checkLabel("name", s.Name); err != nil {
+	if err := checkIdentifier("name", s.Name); err != nil {
 		return err
 	}
-	if err := checkLabel("instance", s.Instance); err != nil {
+	if err := checkIdentifier("instance", s.Instance); err != nil {
 		return err
 	}
 	if r := s.Rejected; r != nil && (len(r.Pointer) > MaxPointerBytes || len(r.Reason) > MaxNoteBytes) {
@@ -47,14 +47,14 @@
 	return nil
 }
 
-// checkLabel validates IDs and names, which become part of log lines, paths of URLs and answers.
-func checkLabel(field, label string) error {
+// checkIdentifier validates IDs and names, which become part of log lines, paths of URLs and answers.
+func checkIdentifier(field, value string) error {
 	switch {
-	case label == "":
+	case value == "":
 		return fmt.Errorf("field %s is missing", field)
-	case len(label) > MaxIDBytes:
-		return fmt.Errorf("field %s has %d bytes, more than %d", field, len(label), MaxIDBytes)
-	case !utf8.ValidString(label) || strings.ContainsFunc(label, unicode.IsControl):
+	case len(value) > MaxIDBytes:
+		return fmt.Errorf("field %s has %d bytes, more than %d", field, len(value), MaxIDBytes)
+	case !utf8.ValidString(value) || strings.ContainsFunc(value, unicode.IsControl):
 		return fmt.Errorf("field %s has a control character or is no UTF-8", field)
 	}
 	return nil
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -131,7 +131,7 @@
 
 // goldenChanges are applied to a log that retains three revisions.
 func goldenChanges() []Change {
-	back := uint64(4)
+	revertTo := uint64(4)
 	expect := uint64(2)
 	return []Change{
 		{
@@ -153,7 +153,7 @@
 		},
 		{ID: "d", Put: map[string]json.RawMessage{"/board": json.RawMessage(`"board:7301"`)}, AtMS: 1_796_000_000_004},
 		{ID: "e", Remove: []string{"/board"}, AtMS: 1_796_000_000_005},
-		{ID: "f", RevertTo: &back, Note: "back", AtMS: 1_796_000_000_006},
+		{ID: "f", RevertTo: &revertTo, Note: "back", AtMS: 1_796_000_000_006},
 	}
 }
 
--- a/internal/decide/configlog/hash.go
+++ b/internal/decide/configlog/hash.go
@@ -23,14 +23,14 @@
 
 // UnmarshalText reads 64 hex digits; anything else is an error.
 func (h *Hash) UnmarshalText(text []byte) error {
-	var read Hash
-	if len(text) != 2*len(read) {
-		return fmt.Errorf("a hash has %d hex digits, not %d", 2*len(read), len(text))
+	var decoded Hash
+	if len(text) != 2*len(decoded) {
+		return fmt.Errorf("a hash has %d hex digits, not %d", 2*len(decoded), len(text))
 	}
-	if _, err := hex.Decode(read[:], text); err != nil {
+	if _, err := hex.Decode(decoded[:], text); err != nil {
 		return fmt.Errorf("a hash is made of hex digits: %w", err)
 	}
-	*h = read
+	*h = decoded
 	return nil
 }
 
@@ -47,11 +47,11 @@
 	return out
 }
 
-// digest returns what one entry adds to the hash. The length goes first, so that no other split of the same bytes
+// entryDigest returns what one entry adds to the hash. The length goes first, so that no other split of the same bytes
 // into a pointer and a value has the same digest.
-func digest(pointer string, value json.RawMessage) Hash {
-	var short [256]byte // most entries fit, and need no allocation
-	text := binary.LittleEndian.AppendUint32(short[:0], uint32(len(pointer)))
+func entryDigest(pointer string, value json.RawMessage) Hash {
+	var buffer [256]byte // most entries fit, and need no allocation
+	text := binary.LittleEndian.AppendUint32(buffer[:0], uint32(len(pointer)))
 	text = append(text, pointer...)
 	text = append(text, value...)
 	return sha256.Sum256(text)
@@ -61,7 +61,7 @@
 // the form that a Log returns; the same value in another form has another hash.
 func HashEntries(entries map[string]json.RawMessage) (h Hash) {
 	for pointer, value := range entries {
-		h = h.plus(digest(pointer, value))
+		h = h.plus(entryDigest(pointer, value))
 	}
 	return h
 }
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -19,40 +19,40 @@
 
 // keeperSelection decides which keeper a follower calls, and how long it waits after a failed call.
 type keeperSelection struct {
-	start          uint32 // differs between processes, so that followers spread over the keepers
-	moves          uint32
+	offset         uint32 // differs between processes, so that followers spread over the keepers
+	switches       uint32
 	keepers        int     // number of keepers at the latest selection
 	failures       int     // in a row
 	behindAnswers  int     // answers in a row of keepers that are behind
 	behindRevision uint64  // the highest revision among those
-	untilMS        float64 // end of the wait after the latest failure
+	waitUntilMS    float64 // end of the wait after the latest failure
 }
 
 func newKeeperSelection(instance string) keeperSelection {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
-	return keeperSelection{start: h.Sum32(), keepers: 1}
+	return keeperSelection{offset: h.Sum32(), keepers: 1}
 }
 
 func (s *keeperSelection) selectKeeper(keepers int) int {
 	s.keepers = max(keepers, 1)
-	return int((s.start + s.moves) % uint32(s.keepers))
+	return int((s.offset + s.switches) % uint32(s.keepers))
 }
 
-// answered resets the counts of failures and of keepers that are behind.
-func (s *keeperSelection) answered() { s.failures, s.behindAnswers, s.behindRevision = 0, 0, 0 }
+// callSucceeded resets the counts of failures and of keepers that are behind.
+func (s *keeperSelection) callSucceeded() { s.failures, s.behindAnswers, s.behindRevision = 0, 0, 0 }
 
-// answeredBehind counts an answer of a keeper that is behind the follower.
-func (s *keeperSelection) answeredBehind(keeperRevision uint64) {
+// countBehind counts an answer of a keeper that is behind the follower.
+func (s *keeperSelection) countBehind(keeperRevision uint64) {
 	s.behindAnswers++
 	s.behindRevision = max(s.behindRevision, keeperRevision)
 }
 
 func (s *keeperSelection) callFailed(nowMS, jitter float64) (waitMS float64) {
-	if nowMS < s.untilMS {
-		return s.untilMS - nowMS
+	if nowMS < s.waitUntilMS {
+		return s.waitUntilMS - nowMS
 	}
-	s.moves++
+	s.switches++
 	s.failures++
 	jitter = min(max(jitter, 0), 1)
 	if s.failures < s.keepers {
@@ -61,7 +61,7 @@
 		backoffMS := s.backoffMS()
 		waitMS = backoffMS/2 + jitter*backoffMS/2
 	}
-	s.untilMS = nowMS + waitMS
+	s.waitUntilMS = nowMS + waitMS
 	return waitMS
 }
 
@@ -78,7 +78,7 @@
 func (f *Follower) SelectKeeper(n int) int { return f.selection.selectKeeper(n) }
 
 // CallSucceeded records that a keeper answered that there is nothing new. Offer includes it for what it accepts.
-func (f *Follower) CallSucceeded() { f.selection.answered() }
+func (f *Follower) CallSucceeded() { f.selection.callSucceeded() }
 
 // CallFailed records that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
 // before the next, which goes to another keeper. A failure that is reported during the wait changes nothing: the next
@@ -96,6 +96,6 @@
 
 // keeperBehind counts the answer of a keeper that is behind and returns the error for it.
 func (f *Follower) keeperBehind(keeperRevision uint64) error {
-	f.selection.answeredBehind(keeperRevision)
+	f.selection.countBehind(keeperRevision)
 	return fmt.Errorf("%w: it is at revision %d, this follower at %d", ErrBehind, keeperRevision, f.current.revision)
 }
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -15,7 +15,7 @@
 	return Change{ID: id, Put: map[string]json.RawMessage{pointer: json.RawMessage(value)}}
 }
 
-func number(n uint64) *uint64 { return &n }
+func revisionPtr(n uint64) *uint64 { return &n }
 
 // mustApply applies a change that must not be rejected or repeated.
 func (l *Log) mustApply(tb testing.TB, c Change) uint64 {
@@ -41,13 +41,13 @@
 		t.Errorf("%+v", r)
 	}
 	c := put("b", "/board", `"127.0.0.1:1"`)
-	c.Expect = number(0)
+	c.Expect = revisionPtr(0)
 	if r := l.Apply(c); r.Err == nil || r.Err.Kind != configerror.Conflict || r.Err.Revision != 1 || r.Revision != 1 {
 		t.Errorf("%+v", r)
 	}
-	c.Expect = number(1)
+	c.Expect = revisionPtr(1)
 	l.mustApply(t, c)
-	l.mustApply(t, Change{ID: "c", RevertTo: number(1)})
+	l.mustApply(t, Change{ID: "c", RevertTo: revisionPtr(1)})
 	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" ||
 		l.Hash() != HashEntries(l.Entries()) {
 		t.Error(l.Revision(), l.Entries())
@@ -88,8 +88,8 @@
 		"odd note":        {Change{ID: "x", Note: "\xff", Remove: list}, invalid, "", "field note"},
 		"time":            {Change{ID: "x", AtMS: -1, Remove: list}, invalid, "", "field at_ms"},
 		"nothing":         {Change{ID: "x"}, invalid, "", "no put"},
-		"revert and put":  {Change{ID: "x", RevertTo: number(0), Remove: list}, invalid, "", "field revert_to"},
-		"revert ahead":    {Change{ID: "x", RevertTo: number(2)}, invalid, "", "field revert_to"},
+		"revert and put":  {Change{ID: "x", RevertTo: revisionPtr(0), Remove: list}, invalid, "", "field revert_to"},
+		"revert ahead":    {Change{ID: "x", RevertTo: revisionPtr(2)}, invalid, "", "field revert_to"},
 		"place":           {put("x", "/listen", `"a:1"`), invalid, "/listen", "own"},
 		"value":           {put("x", "/settings/a", "{"), invalid, "/settings/a", "JSON"},
 		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, invalid, "/seed", "own"},
@@ -100,7 +100,7 @@
 		"above an entry":  {put("x", "/settings/rules", "{}"), invalid, "/settings/rules", "below"},
 		"within itself":   {nested, invalid, "/settings/q/r", "/settings/q"},
 		"large change":    {many, invalid, "", "bytes"},
-		"conflict":        {Change{ID: "x", Expect: number(7), Remove: list}, configerror.Conflict, "", "field expect"},
+		"conflict":        {Change{ID: "x", Expect: revisionPtr(7), Remove: list}, configerror.Conflict, "", "field expect"},
 		"reused":          {Change{ID: "base", Remove: list}, configerror.IDReused, "", "field id"},
 	}
 }
@@ -126,8 +126,8 @@
 			r.Revision != 1 {
 			t.Errorf("%s: %+v, %v", name, r, r.Err)
 		}
-		if _, f := l.Preview(c.Change); !reflect.DeepEqual(f, r.Err) {
-			t.Errorf("%s: the preview says %v", name, f)
+		if _, rejected := l.Preview(c.Change); !reflect.DeepEqual(rejected, r.Err) {
+			t.Errorf("%s: the preview says %v", name, rejected)
 		}
 	}
 	if after, _ := l.MarshalBinary(); !bytes.Equal(before, after) {
@@ -175,7 +175,7 @@
 }
 
 // IDs are remembered past the records, but not for ever.
-func TestIDsAreRememberedWithinBounds(t *testing.T) {
+func TestRememberedIDsAreBounded(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	l.mustApply(t, put("first", "/settings/a", "0"))
 	for i := range MaxRememberedIDs - 1 {
@@ -190,8 +190,8 @@
 	}
 	l.mustApply(t, put("first", "/settings/a", "0"))
 	// A preview of an applied change is the content in force, and no error.
-	if c, f := l.Preview(put("first", "/settings/a", "0")); f != nil || len(c) != 1 {
-		t.Error(c, f)
+	if entries, rejected := l.Preview(put("first", "/settings/a", "0")); rejected != nil || len(entries) != 1 {
+		t.Error(entries, rejected)
 	}
 }
 
@@ -203,8 +203,8 @@
 		l.AddMember("c", "") {
 		t.Error(l.Members())
 	}
-	if r := l.Members(); !reflect.DeepEqual(r, []string{"a", "b"}) {
-		t.Error(r)
+	if names := l.Members(); !reflect.DeepEqual(names, []string{"a", "b"}) {
+		t.Error(names)
 	}
 	// Two that live side by side don't push each other out.
 	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") ||
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -23,10 +23,10 @@
 	revisions map[string]uint64
 }
 
-func newModel(keep int) *model {
+func newModel(retention int) *model {
 	return &model{
 		contents:  []map[string]json.RawMessage{{}},
-		retention: keep,
+		retention: retention,
 		ids:       map[string]string{},
 		revisions: map[string]uint64{},
 	}
@@ -42,8 +42,8 @@
 	c.AtMS = 0
 	c.Remove = slices.Sorted(slices.Values(c.Remove))
 	text, _ := json.Marshal(c)
-	if said, ok := m.ids[c.ID]; ok {
-		if said != string(text) {
+	if encoded, ok := m.ids[c.ID]; ok {
+		if encoded != string(text) {
 			return string(configerror.IDReused), m.revisions[c.ID]
 		}
 		return "repeated", m.revisions[c.ID]
@@ -82,9 +82,9 @@
 
 // drawer draws a number from 0 to n-1: by rapid, or from a seeded generator where a mutant has to be
 // caught.
-type drawer func(n int, what string) int
+type drawFunc func(n int, what string) int
 
-func drawFromRapid(t *rapid.T) drawer {
+func drawFromRapid(t *rapid.T) drawFunc {
 	return func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 }
 
@@ -99,13 +99,13 @@
 }
 
 // change draws a change, often an invalid one. The filler makes the document larger than a delta, most of the time.
-func (draw drawer) change(id string, now uint64) Change {
+func (draw drawFunc) change(id string, now uint64) Change {
 	c := Change{ID: id, AtMS: int64(draw(3, "at"))}
 	if draw(4, "cas") == 0 {
-		c.Expect = number(now + uint64(draw(2, "off")))
+		c.Expect = revisionPtr(now + uint64(draw(2, "off")))
 	}
 	if draw(4, "revert") == 0 {
-		c.RevertTo = number(now - min(now, uint64(draw(8, "back")/2)))
+		c.RevertTo = revisionPtr(now - min(now, uint64(draw(8, "back")/2)))
 		return c
 	}
 	c.Put = map[string]json.RawMessage{}
@@ -166,8 +166,8 @@
 			m.compare(t, l)
 		}
 		state, _ := l.MarshalBinary()
-		back := NewLog(Retention{})
-		if err := back.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, back) {
+		decoded := NewLog(Retention{})
+		if err := decoded.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, decoded) {
 			t.Fatal("the state didn't come back", err)
 		}
 	})
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -8,68 +8,68 @@
 // mutants each break a property.
 var mutants = []struct {
 	name, property string
-	breaks         func(*parts)
+	breaks         func(*implementation)
 }{
-	{"applies a delta onto whatever it has", propertyNoMix, func(v *parts) {
-		v.follower = func(f *Follower) client { return wrongBase{f} }
+	{"applies a delta onto whatever it has", propertyNoMixedRevisions, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return appliesToAnyRevision{f} }
 	}},
-	{"takes half of an update", propertyNoMix, func(v *parts) {
-		v.follower = func(f *Follower) client { return partialUpdate{f} }
+	{"takes half of an update", propertyNoMixedRevisions, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return ignoresRemovals{f} }
 	}},
-	{"takes a copy that isn't what was saved", propertyNoMix, func(v *parts) {
-		v.follower = func(f *Follower) client { return uncheckedRestore{f} }
+	{"takes a copy that isn't what was saved", propertyNoMixedRevisions, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return restoresUnchecked{f} }
 	}},
-	{"accepts an older snapshot", propertyNeverBack, func(v *parts) {
-		v.follower = func(f *Follower) client { return goingBack{f} }
+	{"accepts an older snapshot", propertyRevisionNeverDecreases, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return acceptsOlderSnapshot{f} }
 	}},
-	{"forgets what it rejected", propertyNoRepeatedRejection, func(v *parts) {
-		v.follower = func(f *Follower) client { return forgetful{f} }
+	{"forgets what it rejected", propertyNoRepeatedRejection, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return forgetsRejections{f} }
 	}},
-	{"never requests a snapshot", propertyEventualConvergence, func(v *parts) {
-		v.follower = func(f *Follower) client { return stubborn{f} }
+	{"never requests a snapshot", propertyEventualConvergence, func(impl *implementation) {
+		impl.follower = func(f *Follower) client { return ignoresSnapshots{f} }
 	}},
-	{"log without a memory of IDs", propertyAppliedOnce, func(v *parts) {
-		v.apply = func(l *Log, c Change) Result {
+	{"log without a memory of IDs", propertyAppliedOnce, func(impl *implementation) {
+		impl.apply = func(l *Log, c Change) Result {
 			delete(l.ids.applied, c.ID)
 			return l.Apply(c)
 		}
 	}},
-	{"log that doesn't compare before it sets", propertyAppliedOnce, func(v *parts) {
-		v.apply = func(l *Log, c Change) Result {
+	{"log that doesn't compare before it sets", propertyAppliedOnce, func(impl *implementation) {
+		impl.apply = func(l *Log, c Change) Result {
 			if c.Expect = nil; l.ids.applied[c.ID] != (appliedChange{}) {
 				return Result{Repeated: true}
 			}
 			return l.Apply(c)
 		}
 	}},
-	{"convergence that ignores unreached keepers", propertyNoFalseConvergence, func(v *parts) {
-		v.convergence = func(l *Log, rev uint64, leases []Lease, _ []string) ConvergenceStatus {
+	{"convergence that ignores unreached keepers", propertyNoFalseConvergence, func(impl *implementation) {
+		impl.convergence = func(l *Log, rev uint64, leases []Lease, _ []string) ConvergenceStatus {
 			return l.Convergence(rev, leases, nil)
 		}
 	}},
-	{"convergence by names alone", propertyNoFalseConvergence, func(v *parts) {
-		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+	{"convergence by names alone", propertyNoFalseConvergence, func(impl *implementation) {
+		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, nil)
 			status.Converged = status.Converged && (len(unreached) == 0 || len(status.Missing) == 0)
 			return status
 		}
 	}},
-	{"convergence that ignores who is behind", propertyNoFalseConvergence, func(v *parts) {
-		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+	{"convergence that ignores who is behind", propertyNoFalseConvergence, func(impl *implementation) {
+		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, unreached)
 			status.Converged = len(status.InForce) > 0
 			return status
 		}
 	}},
-	{"convergence that counts missing members", propertyEventualConvergence, func(v *parts) {
-		v.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
+	{"convergence that counts missing members", propertyEventualConvergence, func(impl *implementation) {
+		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, unreached)
 			status.Converged = status.Converged && len(status.Missing) == 0
 			return status
 		}
 	}},
-	{"keeper that is reached before its leases are complete", propertyNoFalseConvergence, func(v *parts) {
-		v.isComplete = func(*Leases, float64) bool { return true }
+	{"keeper that is reached before its leases are complete", propertyNoFalseConvergence, func(impl *implementation) {
+		impl.isComplete = func(*Leases, float64) bool { return true }
 	}},
 }
 
@@ -82,9 +82,9 @@
 	return entries, true, nil
 }
 
-type wrongBase struct{ *Follower }
+type appliesToAnyRevision struct{ *Follower }
 
-func (f wrongBase) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f appliesToAnyRevision) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	if f.candidate != nil || u.Snapshot || u.KeeperBehind || u.To <= f.current.revision {
 		return f.Follower.Offer(u)
 	}
@@ -96,9 +96,9 @@
 	return f.forceCandidate(u.To, entries)
 }
 
-type partialUpdate struct{ *Follower }
+type ignoresRemovals struct{ *Follower }
 
-func (f partialUpdate) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f ignoresRemovals) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	entries, ok, err := f.Follower.Offer(u)
 	if ok && !u.Snapshot && len(u.Remove) > 0 {
 		next := maps.Clone(entries)
@@ -110,35 +110,35 @@
 	return entries, ok, err
 }
 
-type uncheckedRestore struct{ *Follower }
+type restoresUnchecked struct{ *Follower }
 
-func (f uncheckedRestore) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
+func (f restoresUnchecked) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
 	if s.Revision == 0 {
 		return nil, false, nil
 	}
 	return f.forceCandidate(s.Revision, s.Entries)
 }
 
-type goingBack struct{ *Follower }
+type acceptsOlderSnapshot struct{ *Follower }
 
-func (f goingBack) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f acceptsOlderSnapshot) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	if f.candidate == nil && u.Snapshot && u.To < f.current.revision {
 		return f.forceCandidate(u.To, u.Put)
 	}
 	return f.Follower.Offer(u)
 }
 
-type forgetful struct{ *Follower }
+type forgetsRejections struct{ *Follower }
 
-func (f forgetful) Reject(pointer, reason string) {
+func (f forgetsRejections) Reject(pointer, reason string) {
 	f.Follower.Reject(pointer, reason)
 	f.ClearRejections()
 }
 
-// stubborn ignores snapshots.
-type stubborn struct{ *Follower }
+// ignoresSnapshots ignores snapshots.
+type ignoresSnapshots struct{ *Follower }
 
-func (f stubborn) Offer(u Update) (map[string]json.RawMessage, bool, error) {
+func (f ignoresSnapshots) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	if u.Snapshot && f.current.revision > 0 {
 		return nil, false, ErrStale
 	}
--- a/internal/decide/configlog/pointer.go
+++ b/internal/decide/configlog/pointer.go
@@ -11,8 +11,8 @@
 // tenantsPath is the path of the entries of tenants, which the platform's settings call parties.
 const tenantsPath = "/settings/parties/"
 
-// routerSettings are the settings that belong to one router and can't be the same everywhere.
-var routerSettings = map[string]string{"me": "the place of the router", "zone": "the zone of the router"}
+// perRouterSettings are the settings that belong to one router and can't be the same everywhere.
+var perRouterSettings = map[string]string{"me": "the place of the router", "zone": "the zone of the router"}
 
 // CheckPointer returns why a pointer can't name an entry, or nil. Settings that belong to a single router are not
 // allowed: only /board, what is below /settings except me and zone, and /settings/parties/NAME can be put. Names of
@@ -71,8 +71,8 @@
 		return fmt.Errorf("only /board and what lies below /settings can be put; the rest is each router's own")
 	case len(names) == 1:
 		return fmt.Errorf("the settings are put entry by entry, below /settings")
-	case routerSettings[names[1]] != "":
-		return fmt.Errorf("%s is its own", routerSettings[names[1]])
+	case perRouterSettings[names[1]] != "":
+		return fmt.Errorf("%s is its own", perRouterSettings[names[1]])
 	case pointer == "/settings/parties":
 		return fmt.Errorf("parties are put one by one, as %sNAME", tenantsPath)
 	}
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -30,11 +30,11 @@
 			t.Errorf("%q is taken", p)
 		}
 	}
-	if n, ok := TenantName("/settings/parties/a~1b~01"); n != "a/b~1" || !ok {
-		t.Error(n, ok)
+	if name, ok := TenantName("/settings/parties/a~1b~01"); name != "a/b~1" || !ok {
+		t.Error(name, ok)
 	}
-	if n, ok := TenantName("/settings/parties/a/b"); ok {
-		t.Error(n)
+	if name, ok := TenantName("/settings/parties/a/b"); ok {
+		t.Error(name)
 	}
 }
 
@@ -62,9 +62,9 @@
 			t.Errorf("%s is no fixed point: %s, %v", want, again, err)
 		}
 		text, err := json.Marshal(Update{Put: map[string]json.RawMessage{"/settings/x": got}})
-		var back Update
-		if err != nil || json.Unmarshal(text, &back) != nil || string(back.Put["/settings/x"]) != want {
-			t.Errorf("%s is read from an update as %s", want, back.Put["/settings/x"])
+		var decoded Update
+		if err != nil || json.Unmarshal(text, &decoded) != nil || string(decoded.Put["/settings/x"]) != want {
+			t.Errorf("%s is read from an update as %s", want, decoded.Put["/settings/x"])
 		}
 	}
 	for in, pointer := range map[string]string{
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -13,14 +13,14 @@
 
 // The properties that a simulation checks after each step.
 const (
-	propertyNoMix               = "no follower has a mix of revisions"
-	propertyNeverBack           = "no follower goes back within a process"
-	propertyNoFalseConvergence  = "no revision converges falsely"
-	propertyAppliedOnce         = "a repeated change is applied once"
-	propertyNoRepeatedRejection = "what was rejected is not offered again"
-	propertyEventualConvergence = "all have the last revision once the faults end"
-	leaseMS                     = 6000.0
-	simulationRetention         = 6 // revisions that the logs keep
+	propertyNoMixedRevisions       = "no follower has a mix of revisions"
+	propertyRevisionNeverDecreases = "no follower goes back within a process"
+	propertyNoFalseConvergence     = "no revision converges falsely"
+	propertyAppliedOnce            = "a repeated change is applied once"
+	propertyNoRepeatedRejection    = "what was rejected is not offered again"
+	propertyEventualConvergence    = "all have the last revision once the faults end"
+	leaseMS                        = 6000.0
+	simulationRetention            = 6 // revisions that the logs keep
 )
 
 // client is what the simulation calls of a follower; mutants override some of it.
@@ -36,17 +36,17 @@
 	CallSucceeded()
 }
 
-// parts are the functions under test; mutants replace some of them.
-type parts struct {
+// implementation are the functions under test; mutants replace some of them.
+type implementation struct {
 	follower    func(*Follower) client
 	apply       func(*Log, Change) Result
 	convergence func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus
 	isComplete  func(l *Leases, nowMS float64) bool
 }
 
-// soundParts are those of the package.
-func soundParts() parts {
-	return parts{
+// packageImplementation are those of the package.
+func packageImplementation() implementation {
+	return implementation{
 		follower:    func(f *Follower) client { return f },
 		apply:       (*Log).Apply,
 		convergence: (*Log).Convergence,
@@ -75,21 +75,21 @@
 
 // router is one follower, over all its processes.
 type router struct {
-	name            string
-	incarnation     int
-	client          client
-	alive           bool
-	partitioned     bool // from all keepers
-	rejectsOdd      bool // it rejects each content with an odd value at /settings/d
-	inForce         map[string]json.RawMessage
-	revision        uint64
-	pending         map[string]json.RawMessage
-	offered         bool
-	copy            *SavedRevision // on its disk
-	answeredMS      float64
-	answered        bool           // answered in this process
-	rejections      map[string]int // times by revision and hash
-	offeredRevision uint64         // the revision that is offered
+	name             string
+	incarnation      int
+	client           client
+	alive            bool
+	partitioned      bool // from all keepers
+	rejectsOddValues bool // it rejects each content with an odd value at /settings/d
+	inForce          map[string]json.RawMessage
+	revision         uint64
+	pending          map[string]json.RawMessage
+	offered          bool
+	saved            *SavedRevision // on its disk
+	answeredMS       float64
+	answered         bool           // answered in this process
+	rejections       map[string]int // times by revision and hash
+	offeredRevision  uint64         // the revision that is offered
 }
 
 // message is a call or an answer on its way.
@@ -102,8 +102,8 @@
 
 // simulation runs keepers and routers on one clock; the messages between them are delivered in random order.
 type simulation struct {
-	parts
-	draw     drawer
+	implementation
+	draw     drawFunc
 	nowMS    float64
 	commands []command
 	model    *model // what the commands make
@@ -113,16 +113,16 @@
 	messages []message
 }
 
-func newSimulation(draw drawer, v parts) *simulation {
-	w := &simulation{
-		parts:  v,
-		draw:   draw,
-		model:  newModel(simulationRetention),
-		leader: NewLog(Retention{Revisions: simulationRetention}),
+func newSimulation(draw drawFunc, impl implementation) *simulation {
+	sim := &simulation{
+		implementation: impl,
+		draw:           draw,
+		model:          newModel(simulationRetention),
+		leader:         NewLog(Retention{Revisions: simulationRetention}),
 	}
 	for i := range 3 {
-		w.keepers = append(
-			w.keepers,
+		sim.keepers = append(
+			sim.keepers,
 			&keeper{
 				name:   fmt.Sprint("k", i),
 				log:    NewLog(Retention{Revisions: simulationRetention}),
@@ -132,11 +132,11 @@
 		)
 	}
 	for i := range 1 + draw(3, "routers") {
-		r := &router{name: fmt.Sprint("r", i), rejectsOdd: i == 2}
-		w.routers = append(w.routers, r)
-		w.startRouter(r)
+		r := &router{name: fmt.Sprint("r", i), rejectsOddValues: i == 2}
+		sim.routers = append(sim.routers, r)
+		sim.startRouter(r)
 	}
-	w.commit(
+	sim.commit(
 		command{
 			change: Change{
 				ID: "filler",
@@ -146,55 +146,55 @@
 			},
 		},
 	)
-	return w
+	return sim
 }
 
 // commit appends what a majority has agreed on. Keepers apply it when they come to it.
-func (w *simulation) commit(c command) {
-	w.commands = append(w.commands, c)
-	w.run(w.leader, c)
+func (sim *simulation) commit(c command) {
+	sim.commands = append(sim.commands, c)
+	sim.run(sim.leader, c)
 	if c.name == "" {
-		w.model.apply(c.change)
+		sim.model.apply(c.change)
 	}
 }
 
 // applyCommitted applies so many further commands at a keeper.
-func (w *simulation) applyCommitted(k *keeper, most int) {
-	for ; most > 0 && k.applied < len(w.commands); most-- {
-		w.run(k.log, w.commands[k.applied])
+func (sim *simulation) applyCommitted(k *keeper, limit int) {
+	for ; limit > 0 && k.applied < len(sim.commands); limit-- {
+		sim.run(k.log, sim.commands[k.applied])
 		k.applied++
 	}
 }
 
-func (w *simulation) run(l *Log, c command) {
+func (sim *simulation) run(l *Log, c command) {
 	if c.name != "" {
 		l.AddMember(c.name, c.instance)
 		return
 	}
-	w.apply(l, c.change)
+	sim.apply(l, c.change)
 }
 
 // startRouter starts a router's next process, with what its disk has.
-func (w *simulation) startRouter(r *router) {
+func (sim *simulation) startRouter(r *router) {
 	r.incarnation++
-	r.client = w.follower(NewFollower(r.name, NewInstanceID(int64(w.nowMS), uint64(r.incarnation))))
+	r.client = sim.follower(NewFollower(r.name, NewInstanceID(int64(sim.nowMS), uint64(r.incarnation))))
 	r.alive, r.answered, r.offered = true, false, false
 	r.inForce, r.revision, r.rejections = map[string]json.RawMessage{}, 0, map[string]int{}
-	if r.copy != nil {
-		if content, ok, err := r.client.Restore(*r.copy); ok && err == nil {
-			r.pending, r.offered, r.offeredRevision = content, true, r.copy.Revision
-			w.acceptOrReject(r)
+	if r.saved != nil {
+		if content, ok, err := r.client.Restore(*r.saved); ok && err == nil {
+			r.pending, r.offered, r.offeredRevision = content, true, r.saved.Revision
+			sim.acceptOrReject(r)
 		}
 	}
 }
 
 // acceptOrReject makes a router accept or reject its candidate.
-func (w *simulation) acceptOrReject(r *router) {
+func (sim *simulation) acceptOrReject(r *router) {
 	if !r.offered {
 		return
 	}
 	r.offered = false
-	if v := string(r.pending["/settings/d"]); r.rejectsOdd && (v == "1" || v == "3") {
+	if v := string(r.pending["/settings/d"]); r.rejectsOddValues && (v == "1" || v == "3") {
 		r.rejections[fmt.Sprint(r.offeredRevision, HashEntries(r.pending))]++
 		r.client.Reject("/settings/d", "it is odd")
 		return
@@ -204,15 +204,15 @@
 }
 
 // call polls the keeper that a router would poll.
-func (w *simulation) call(i int) {
-	r := w.routers[i]
+func (sim *simulation) call(index int) {
+	r := sim.routers[index]
 	if r.alive && !r.offered {
-		w.messages = append(
-			w.messages,
+		sim.messages = append(
+			sim.messages,
 			message{
-				router:      i,
+				router:      index,
 				incarnation: r.incarnation,
-				keeper:      r.client.SelectKeeper(len(w.keepers)),
+				keeper:      r.client.SelectKeeper(len(sim.keepers)),
 				status:      r.client.Status(),
 			},
 		)
@@ -220,16 +220,16 @@
 }
 
 // deliver delivers a message; one that can't be taken is lost.
-func (w *simulation) deliver(m message) {
-	r, k := w.routers[m.router], w.keepers[m.keeper]
+func (sim *simulation) deliver(m message) {
+	r, k := sim.routers[m.router], sim.keepers[m.keeper]
 	if !m.answer {
-		if update, ok := w.answer(k, r, m); ok {
+		if update, ok := sim.answer(k, r, m); ok {
 			m.answer, m.update = true, update
-			w.messages = append(w.messages, m)
+			sim.messages = append(sim.messages, m)
 			return
 		}
 		if r.alive && r.incarnation == m.incarnation {
-			r.client.CallFailed(w.nowMS, 0.5)
+			r.client.CallFailed(sim.nowMS, 0.5)
 		}
 		return
 	}
@@ -238,7 +238,7 @@
 	}
 	content, ok, err := r.client.Offer(m.update)
 	if err != nil {
-		r.client.CallFailed(w.nowMS, 0.5)
+		r.client.CallFailed(sim.nowMS, 0.5)
 	}
 	if ok {
 		r.pending, r.offered, r.offeredRevision = content, true, m.update.To
@@ -246,61 +246,61 @@
 }
 
 // answer makes a keeper renew the lease, add the member, and answer.
-func (w *simulation) answer(k *keeper, r *router, m message) (Update, bool) {
+func (sim *simulation) answer(k *keeper, r *router, m message) (Update, bool) {
 	if !k.up || r.partitioned {
 		return Update{}, false
 	}
-	k.leases.Renew(w.nowMS, m.status)
+	k.leases.Renew(sim.nowMS, m.status)
 	if !k.log.HasMember(m.status.Name, m.status.Instance) {
 		if k.partitioned {
 			return Update{}, false
 		}
-		w.commit(command{name: m.status.Name, instance: m.status.Instance})
-		w.applyCommitted(k, len(w.commands))
+		sim.commit(command{name: m.status.Name, instance: m.status.Instance})
+		sim.applyCommitted(k, len(sim.commands))
 	}
 	if r.alive && r.incarnation == m.incarnation {
-		r.answered, r.answeredMS = true, w.nowMS
+		r.answered, r.answeredMS = true, sim.nowMS
 	}
 	return k.log.NextUpdate(m.status), true
 }
 
 // advance lets time pass; keepers that run say so each second.
-func (w *simulation) advance(ms float64) {
+func (sim *simulation) advance(ms float64) {
 	for ; ms > 0; ms -= 1000 {
-		w.nowMS += min(ms, 1000)
-		for _, k := range w.keepers {
+		sim.nowMS += min(ms, 1000)
+		for _, k := range sim.keepers {
 			if k.up {
-				k.leases.Tick(w.nowMS)
+				k.leases.Tick(sim.nowMS)
 			}
 		}
 	}
 }
 
 // convergenceAt returns the leader's convergence status of a revision.
-func (w *simulation) convergenceAt(rev uint64) ConvergenceStatus {
+func (sim *simulation) convergenceAt(rev uint64) ConvergenceStatus {
 	var leases []Lease
 	var unreached []string
-	for _, k := range w.keepers {
+	for _, k := range sim.keepers {
 		if !k.up || k.partitioned {
 			unreached = append(unreached, k.name)
 			continue
 		}
 		// Leases that aren't complete count, but so does their keeper as unreached.
-		leases = append(leases, k.leases.Live(w.nowMS)...)
-		if !w.isComplete(k.leases, w.nowMS) {
+		leases = append(leases, k.leases.Live(sim.nowMS)...)
+		if !sim.isComplete(k.leases, sim.nowMS) {
 			unreached = append(unreached, k.name)
 		}
 	}
-	return w.convergence(w.leader, rev, leases, unreached)
+	return sim.convergence(sim.leader, rev, leases, unreached)
 }
 
 // crashKeeper ends a keeper, which loses its leases, and what it has applied since its snapshot.
-func (w *simulation) crashKeeper(k *keeper) {
+func (sim *simulation) crashKeeper(k *keeper) {
 	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: simulationRetention}), 0
 }
 
 // startKeeper starts a keeper from its snapshot.
-func (w *simulation) startKeeper(k *keeper) error {
+func (sim *simulation) startKeeper(k *keeper) error {
 	k.up, k.leases = true, NewLeases(leaseMS)
 	if k.disk == nil {
 		return nil
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -54,7 +54,7 @@
 }
 
 // drawFromTraceSeed draws the same numbers for a seed each time.
-func drawFromTraceSeed(seed uint64) drawer {
+func drawFromTraceSeed(seed uint64) drawFunc {
 	rng := rand.New(rand.NewPCG(seed, 2026))
 	return func(n int, _ string) int { return rng.IntN(n) }
 }
@@ -63,43 +63,43 @@
 func traceSimulation(t *testing.T, h *tracetest.Hash, seed uint64) {
 	t.Helper()
 	for round := range uint64(30) {
-		w := newSimulation(drawFromTraceSeed(seed*1000+round), tracedParts(h))
+		sim := newSimulation(drawFromTraceSeed(seed*1000+round), tracedImplementation(h))
 		for i := range 250 {
-			if err := w.step(i); err != nil {
+			if err := sim.step(i); err != nil {
 				t.Fatal(err)
 			}
 			if i%10 == 9 {
-				w.convergenceAt(w.model.revision() - min(w.model.revision(), uint64(i%3)))
+				sim.convergenceAt(sim.model.revision() - min(sim.model.revision(), uint64(i%3)))
 			}
 		}
-		if err := w.checkSettled(); err != nil {
+		if err := sim.checkSettled(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// tracedParts is what the package returns, written into a trace.
-func tracedParts(h *tracetest.Hash) parts {
-	v := soundParts()
-	return parts{
+// tracedImplementation is what the package returns, written into a trace.
+func tracedImplementation(h *tracetest.Hash) implementation {
+	original := packageImplementation()
+	return implementation{
 		follower: func(f *Follower) client { return &tracedFollower{Follower: f, h: h} },
 		apply: func(l *Log, c Change) Result {
-			r := v.apply(l, c)
+			r := original.apply(l, c)
 			traceResult(h, r)
-			traceHead(h, l)
+			traceInForce(h, l)
 			return r
 		},
 		convergence: func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			traceLeases(h, leases)
-			status := v.convergence(l, rev, leases, unreached)
+			status := original.convergence(l, rev, leases, unreached)
 			traceConvergence(h, status)
 			return status
 		},
 		isComplete: func(l *Leases, nowMS float64) bool {
-			settled := v.isComplete(l, nowMS)
+			complete := original.isComplete(l, nowMS)
 			h.Step(stepComplete)
-			h.Bool(settled)
-			return settled
+			h.Bool(complete)
+			return complete
 		},
 	}
 }
@@ -111,18 +111,18 @@
 }
 
 func (f *tracedFollower) Status() FollowerStatus {
-	r := f.Follower.Status()
-	traceStatus(f.h, r)
-	return r
+	status := f.Follower.Status()
+	traceStatus(f.h, status)
+	return status
 }
 
 func (f *tracedFollower) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	traceUpdate(f.h, u)
 	content, ok, err := f.Follower.Offer(u)
 	traceOffered(f.h, content, ok, err)
-	theirs, ahead := f.KeepersAreBehind()
-	f.h.Uint(theirs)
-	f.h.Bool(ahead)
+	keeperRevision, behind := f.KeepersAreBehind()
+	f.h.Uint(keeperRevision)
+	f.h.Bool(behind)
 	return content, ok, err
 }
 
@@ -147,10 +147,10 @@
 }
 
 func (f *tracedFollower) CallFailed(nowMS, jitter float64) float64 {
-	wait := f.Follower.CallFailed(nowMS, jitter)
+	waitMS := f.Follower.CallFailed(nowMS, jitter)
 	f.h.Step(stepCallFailed)
-	f.h.Float(wait)
-	return wait
+	f.h.Float(waitMS)
+	return waitMS
 }
 
 // traceLog puts valid and invalid changes into a log, and calls all its methods.
@@ -164,24 +164,24 @@
 			c := draw.change(id, l.Revision())
 			c.Note = []string{"", "why"}[draw(2, "note")]
 			if draw(12, "broken") == 0 {
-				spoil(draw, &c)
+				makeInvalid(draw, &c)
 			}
 			preview, rejected := l.Preview(c)
 			traceError(h, rejected)
 			traceEntries(h, preview)
 			traceResult(h, l.Apply(c))
-			traceHead(h, l)
+			traceInForce(h, l)
 			traceMembers(h, draw, l)
 			traceAnswers(h, draw, l)
 		}
 		l = roundTrip(t, l)
-		traceHead(h, l)
+		traceInForce(h, l)
 		traceHistory(h, l.History(0, 1000))
 	}
 }
 
-// spoil makes a change one that is rejected.
-func spoil(draw drawer, c *Change) {
+// makeInvalid makes a change one that is rejected.
+func makeInvalid(draw drawFunc, c *Change) {
 	switch draw(10, "spoil") {
 	case 0:
 		c.ID = ""
@@ -198,7 +198,7 @@
 	case 6:
 		c.Note = strings.Repeat("n", 1024+draw(2, "longer"))
 	case 7:
-		c.RevertTo, c.Remove = number(0), []string{"/board"}
+		c.RevertTo, c.Remove = revisionPtr(0), []string{"/board"}
 	case 8:
 		c.Put, c.Remove = map[string]json.RawMessage{"/board": json.RawMessage(`"b:1"`)}, []string{"/board"}
 	case 9:
@@ -206,7 +206,7 @@
 	}
 }
 
-func traceMembers(h *tracetest.Hash, draw drawer, l *Log) {
+func traceMembers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
 	h.Step(stepMembers)
 	switch draw(6, "roster") {
@@ -224,25 +224,25 @@
 }
 
 // traceAnswers traces what followers at any revision get, what there was, and where a revision is in force.
-func traceAnswers(h *tracetest.Hash, draw drawer, l *Log) {
+func traceAnswers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	var leases []Lease
 	for range draw(5, "leases") {
 		rev := uint64(draw(int(l.Revision())+3, "revision"))
 		content, rejected := l.EntriesAt(rev)
 		traceError(h, rejected)
 		traceEntries(h, content)
-		r := FollowerStatus{
+		status := FollowerStatus{
 			Name:     fmt.Sprint("r", draw(4, "name")),
 			Instance: fmt.Sprint("i", draw(9, "instance")),
 			Revision: rev,
 			Hash:     HashEntries(content),
 		}
 		if draw(3, "refuses") == 0 {
-			r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
+			status.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
-		traceUpdate(h, l.UpdateSince(rev, r.Hash))
-		traceUpdate(h, l.NextUpdate(r))
-		leases = append(leases, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
+		traceUpdate(h, l.UpdateSince(rev, status.Hash))
+		traceUpdate(h, l.NextUpdate(status))
+		leases = append(leases, Lease{FollowerStatus: status, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
 	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), leases, unreached))
@@ -253,11 +253,11 @@
 func roundTrip(t *testing.T, l *Log) *Log {
 	t.Helper()
 	state, err := l.MarshalBinary()
-	back := NewLog(Retention{})
-	if err := errors.Join(err, back.UnmarshalBinary(state)); err != nil {
+	decoded := NewLog(Retention{})
+	if err := errors.Join(err, decoded.UnmarshalBinary(state)); err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return decoded
 }
 
 // traceKeeperSelection has followers lose keepers and find them again.
@@ -266,9 +266,9 @@
 	for seed := range uint64(100) {
 		draw := drawFromTraceSeed(seed)
 		f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(int64(seed)*1000, seed)), h: h}
-		now := 0.0
+		nowMS := 0.0
 		for range 60 {
-			now += float64(draw(1500, "wait"))
+			nowMS += float64(draw(1500, "wait"))
 			f.SelectKeeper(draw(6, "keepers"))
 			switch draw(5, "outcome") {
 			case 0:
@@ -276,7 +276,7 @@
 			case 1:
 				_, _, _ = f.Offer(Update{From: 3, To: 2, KeeperBehind: true})
 			default:
-				f.CallFailed(now, float64(draw(120, "jitter")-10)/100)
+				f.CallFailed(nowMS, float64(draw(120, "jitter")-10)/100)
 			}
 		}
 	}
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/tracecode_test.go
@@ -14,7 +14,7 @@
 // Kinds of step in a trace.
 const (
 	stepResult      = 1
-	stepHead        = 2
+	stepInForce     = 2
 	stepError       = 3
 	stepUpdate      = 4
 	stepStatus      = 5
@@ -37,9 +37,9 @@
 	traceError(h, r.Err)
 }
 
-// traceHead writes what a log has in force.
-func traceHead(h *tracetest.Hash, l *Log) {
-	h.Step(stepHead)
+// traceInForce writes what a log has in force.
+func traceInForce(h *tracetest.Hash, l *Log) {
+	h.Step(stepInForce)
 	h.Uint(l.Revision())
 	h.Uint(l.OldestRevision())
 	hash := l.Hash()
@@ -50,15 +50,15 @@
 	traceEntries(h, l.Entries())
 }
 
-func traceError(h *tracetest.Hash, f *configerror.Error) {
+func traceError(h *tracetest.Hash, rejected *configerror.Error) {
 	h.Step(stepError)
-	h.Bool(f != nil)
-	if f == nil {
+	h.Bool(rejected != nil)
+	if rejected == nil {
 		return
 	}
-	h.String(string(f.Kind)) // it is part of the protocol
-	h.String(f.Pointer)
-	h.Uint(f.Revision)
+	h.String(string(rejected.Kind)) // it is part of the protocol
+	h.String(rejected.Pointer)
+	h.Uint(rejected.Revision)
 }
 
 func traceEntries(h *tracetest.Hash, content map[string]json.RawMessage) {
@@ -88,13 +88,13 @@
 	}
 }
 
-func traceStatus(h *tracetest.Hash, r FollowerStatus) {
+func traceStatus(h *tracetest.Hash, status FollowerStatus) {
 	h.Step(stepStatus)
-	h.String(r.Name)
-	h.String(r.Instance)
-	h.Uint(r.Revision)
-	h.Bytes(r.Hash[:])
-	traceRejection(h, r.Rejected)
+	h.String(status.Name)
+	h.String(status.Instance)
+	h.Uint(status.Revision)
+	h.Bytes(status.Hash[:])
+	traceRejection(h, status.Rejected)
 }
 
 func traceRejection(h *tracetest.Hash, r *Rejection) {
@@ -136,22 +136,22 @@
 	traceEntries(h, s.Entries)
 }
 
-func traceConvergence(h *tracetest.Hash, v ConvergenceStatus) {
+func traceConvergence(h *tracetest.Hash, status ConvergenceStatus) {
 	h.Step(stepConvergence)
-	h.Uint(v.Revision)
-	for _, processes := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
+	h.Uint(status.Revision)
+	for _, processes := range [][]FollowerProcess{status.InForce, status.Behind, status.Rejected, status.Diverged} {
 		h.Int(int64(len(processes)))
-		for _, s := range processes {
-			h.String(s.Name)
-			h.String(s.Instance)
-			h.Uint(s.Revision)
-			h.Bytes(s.Hash[:])
-			traceRejection(h, s.Rejected)
+		for _, process := range processes {
+			h.String(process.Name)
+			h.String(process.Instance)
+			h.Uint(process.Revision)
+			h.Bytes(process.Hash[:])
+			traceRejection(h, process.Rejected)
 		}
 	}
-	traceStrings(h, v.Missing)
-	traceStrings(h, v.UnreachedKeepers)
-	h.Bool(v.Converged)
+	traceStrings(h, status.Missing)
+	traceStrings(h, status.UnreachedKeepers)
+	h.Bool(status.Converged)
 }
 
 func traceLeases(h *tracetest.Hash, leases []Lease) {
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -20,22 +20,22 @@
 		draw := drawFromTraceSeed(seed)
 		l := NewLog(Retention{Revisions: 8})
 		f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(1, seed)), h: h}
-		copies := []SavedRevision{f.Saved()}
+		saved := []SavedRevision{f.Saved()}
 		for i := range 80 {
 			l.Apply(draw.change(fmt.Sprint("c", i), l.Revision()))
-			f.randomStep(draw, l, &copies)
+			f.randomStep(draw, l, &saved)
 		}
 	}
 }
 
 // randomStep makes a follower do one random action.
-func (f *tracedFollower) randomStep(draw drawer, l *Log, copies *[]SavedRevision) {
-	r := f.Status()
+func (f *tracedFollower) randomStep(draw drawFunc, l *Log, saved *[]SavedRevision) {
+	status := f.Status()
 	switch draw(12, "step") {
 	case 0, 1, 2:
-		_, _, _ = f.Offer(l.NextUpdate(r))
+		_, _, _ = f.Offer(l.NextUpdate(status))
 	case 3:
-		_, _, _ = f.Offer(damaged(draw, l.UpdateSince(r.Revision, r.Hash)))
+		_, _, _ = f.Offer(damageUpdate(draw, l.UpdateSince(status.Revision, status.Hash)))
 	case 4:
 		_, _, _ = f.Offer(l.UpdateSince(uint64(draw(int(l.Revision())+2, "from")), Hash{}))
 	case 5, 6, 7:
@@ -45,18 +45,18 @@
 	case 9:
 		f.ClearRejections()
 	case 10:
-		*copies = append(*copies, f.Saved())
+		*saved = append(*saved, f.Saved())
 	case 11:
-		s := (*copies)[draw(len(*copies), "copy")]
+		chosen := (*saved)[draw(len(*saved), "copy")]
 		if draw(4, "damage") == 0 {
-			s.Revision++
+			chosen.Revision++
 		}
-		_, _, _ = f.Restore(s)
+		_, _, _ = f.Restore(chosen)
 	}
 }
 
-// damaged returns an update whose content isn't what it says.
-func damaged(draw drawer, u Update) Update {
+// damageUpdate returns an update whose content isn't what it says.
+func damageUpdate(draw drawFunc, u Update) Update {
 	switch draw(4, "damage") {
 	case 0:
 		u.Hash[draw(32, "byte")]++
@@ -131,18 +131,18 @@
 	"1 2",
 	"\xff",
 	`{"a":null}`,
-	nested(
+	nestedArrays(
 		63,
 	),
-	nested(64),
-	nested(65),
-	nested(66),
+	nestedArrays(64),
+	nestedArrays(65),
+	nestedArrays(66),
 	`"` + strings.Repeat("x", 64<<10-2) + `"`,
 	`"` + strings.Repeat("x", 64<<10-1) + `"`,
 }
 
-// nested returns lists within each other. Bounds are written as numbers here, so that a changed bound shows.
-func nested(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
+// nestedArrays returns lists within each other. Bounds are written as numbers here, so that a changed bound shows.
+func nestedArrays(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
 
 // traceDocument tries each value at each pointer.
 func traceDocument(t *testing.T, h *tracetest.Hash) {
@@ -156,7 +156,7 @@
 		for _, v := range traceValues {
 			l := NewLog(Retention{})
 			traceResult(h, l.Apply(Change{ID: "a", Put: map[string]json.RawMessage{p: json.RawMessage(v)}}))
-			traceHead(h, l)
+			traceInForce(h, l)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	for _, i := range []int{remembered, 60, 49, 50, 51, 0} {
 		traceResult(h, l.Apply(change(i)))
 	}
-	traceHead(h, l)
+	traceInForce(h, l)
 }
 
 // traceRejections makes a follower reject one revision after another, and offers it all of them again.
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -72,22 +72,22 @@
 // A follower that rejected the revision in force gets nothing until there is another one.
 func TestNextUpdateAfterRejection(t *testing.T) {
 	l := newLogWithFiller(t, Retention{})
-	r := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
+	status := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
 	l.mustApply(t, put("a", "/settings/a", "1"))
-	if u := l.NextUpdate(r); u.IsEmpty() {
+	if u := l.NextUpdate(status); u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
-	r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
-	if u := l.NextUpdate(r); !u.IsEmpty() {
+	status.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
+	if u := l.NextUpdate(status); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
-	r.Rejected.Hash = Hash{1}
-	if u := l.NextUpdate(r); u.IsEmpty() {
+	status.Rejected.Hash = Hash{1}
+	if u := l.NextUpdate(status); u.IsEmpty() {
 		t.Error("other content under the rejected number is not offered")
 	}
-	r.Rejected.Hash = l.Hash()
+	status.Rejected.Hash = l.Hash()
 	l.mustApply(t, put("b", "/settings/a", "2"))
-	if u := l.NextUpdate(r); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
+	if u := l.NextUpdate(status); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -101,13 +101,13 @@
 	if l.Revision() != 20 || l.OldestRevision() != 15 || len(l.History(0, 100)) != 5 {
 		t.Error(l.Revision(), l.OldestRevision())
 	}
-	if c, f := l.EntriesAt(15); f != nil || string(c["/settings/a"]) != "14" {
-		t.Error(c, f)
+	if entries, rejected := l.EntriesAt(15); rejected != nil || string(entries["/settings/a"]) != "14" {
+		t.Error(entries, rejected)
 	}
-	if _, f := l.EntriesAt(14); f == nil || f.Kind != configerror.Compacted || f.Revision != 15 {
-		t.Error(f)
+	if _, rejected := l.EntriesAt(14); rejected == nil || rejected.Kind != configerror.Compacted || rejected.Revision != 15 {
+		t.Error(rejected)
 	}
-	r := l.Apply(Change{ID: "back", RevertTo: number(14)})
+	r := l.Apply(Change{ID: "back", RevertTo: revisionPtr(14)})
 	if r.Err == nil || r.Err.Kind != configerror.Compacted || r.Revision != 20 {
 		t.Errorf("%+v", r)
 	}
@@ -117,16 +117,16 @@
 	l = NewLog(Retention{Bytes: 3000})
 	for i := range 20 {
 		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", `"`+strings.Repeat("x", 400+i)+`"`))
-		sum := 0
+		size := 0
 		for _, r := range l.history.records {
-			sum += r.bytes()
+			size += r.bytes()
 		}
-		if sum != l.history.bytes || sum > 3000 {
-			t.Fatal(i, sum, l.history.bytes)
+		if size != l.history.bytes || size > 3000 {
+			t.Fatal(i, size, l.history.bytes)
 		}
 	}
-	if kept := l.Revision() - l.OldestRevision(); kept < 2 || kept > 3 {
-		t.Error(kept)
+	if retained := l.Revision() - l.OldestRevision(); retained < 2 || retained > 3 {
+		t.Error(retained)
 	}
 	l.mustApply(t, put("large", "/settings/b", `"`+strings.Repeat("x", 9000)+`"`))
 	if l.Revision()-l.OldestRevision() != 1 {
--- a/internal/decide/configlog/value.go
+++ b/internal/decide/configlog/value.go
@@ -71,7 +71,7 @@
 func decodeValue(decoder *json.Decoder, depth int) (any, error) {
 	token, err := decoder.Token()
 	if err != nil {
-		return nil, notJSON(err)
+		return nil, invalidJSONError(err)
 	}
 	switch token := token.(type) {
 	case json.Number:
@@ -83,7 +83,7 @@
 		if token == '{' {
 			return decodeObject(decoder, depth+1)
 		}
-		return decodeList(decoder, depth+1)
+		return decodeArray(decoder, depth+1)
 	}
 	return token, nil
 }
@@ -94,13 +94,13 @@
 	for decoder.More() {
 		token, err := decoder.Token()
 		if err != nil {
-			return nil, notJSON(err)
+			return nil, invalidJSONError(err)
 		}
 		name, ok := token.(string)
 		if !ok {
-			return nil, notJSON(fmt.Errorf("%v is no name", token))
+			return nil, invalidJSONError(fmt.Errorf("%v is no name", token))
 		}
-		if _, twice := object[name]; twice {
+		if _, duplicate := object[name]; duplicate {
 			return nil, fmt.Errorf("the name %.40q stands twice in an object", name)
 		}
 		if object[name], err = decodeValue(decoder, depth); err != nil {
@@ -110,8 +110,8 @@
 	return object, skipClosing(decoder)
 }
 
-// decodeList returns the list whose opening bracket is read already.
-func decodeList(decoder *json.Decoder, depth int) (any, error) {
+// decodeArray returns the list whose opening bracket is read already.
+func decodeArray(decoder *json.Decoder, depth int) (any, error) {
 	list := []any{}
 	for decoder.More() {
 		value, err := decodeValue(decoder, depth)
@@ -125,12 +125,12 @@
 
 func skipClosing(decoder *json.Decoder) error {
 	if _, err := decoder.Token(); err != nil {
-		return notJSON(err)
+		return invalidJSONError(err)
 	}
 	return nil
 }
 
-func notJSON(err error) error { return fmt.Errorf("the value is not valid JSON: %w", err) }
+func invalidJSONError(err error) error { return fmt.Errorf("the value is not valid JSON: %w", err) }
 
 // shortestNumber returns the shortest form of a number. Integers keep their digits, because nanoseconds can exceed
 // what a float64 represents exactly.
--- a/internal/decide/configlog/value_test.go
+++ b/internal/decide/configlog/value_test.go
@@ -7,7 +7,7 @@
 )
 
 // A value that is cut off anywhere is an error, and never a shorter value.
-func TestDecodeValueCutOff(t *testing.T) {
+func TestDecodeValueRejectsTruncatedInput(t *testing.T) {
 	const text = `{"a":[1,{"b":"c"}],"d":null}`
 	decode := func(text string) (any, error) {
 		decoder := json.NewDecoder(strings.NewReader(text))
