--- a/internal/decide/configerror/configerror.go
+++ b/internal/decide/configerror/configerror.go
@@ -1,6 +1,6 @@
-// Package configerror has the one error of a change or an entry of the configuration that is rejected. The
-// configuration log, the reader of settings and the validation return it; keepers answer operators with its JSON, and
-// routers report its pointer and reason to keepers.
+// Package configerror defines the error for a rejected change or entry of the configuration. The configuration log, the
+// settings reader and the validation return it. Keepers send it to operators as JSON, and routers report its pointer
+// and reason to keepers.
 package configerror
 
 import (
@@ -8,30 +8,31 @@
 	"fmt"
 )
 
-// Kind says why a change or an entry is rejected.
+// Kind classifies the reasons for rejecting a change or an entry.
 type Kind string
 
 const (
-	// Invalid is a change or an entry that is wrong in itself or doesn't fit the configuration.
+	// Invalid means that a change or an entry is malformed or is not valid together with the rest of the configuration.
 	Invalid Kind = "invalid"
-	// Conflict is a change that expects another revision; Error.Revision is the one in force.
+	// Conflict means that a change expects another revision than the one in force, which is Error.Revision.
 	Conflict Kind = "conflict"
-	// Compacted means that the call names a revision that the log no longer retains; Error.Revision is the oldest
+	// Compacted means that the request names a revision that the log no longer retains; Error.Revision is the oldest
 	// retained one.
 	Compacted Kind = "compacted"
-	// IDReused is a change with the ID of a different one; Error.Revision is the revision which that one made.
+	// IDReused means that an earlier change with a different content had the same ID; Error.Revision is the revision
+	// that the earlier change created.
 	IDReused Kind = "reused"
 )
 
-// Error is why a change, an entry or a query of a revision is rejected.
+// Error describes why a change, an entry or a request for a revision was rejected.
 type Error struct {
 	Kind     Kind   `json:"kind"`
-	Pointer  string `json:"pointer,omitempty"` // JSON pointer (RFC 6901) of the entry at fault; empty without one
-	Reason   string `json:"reason"`            // for an operator, with the name of the field
-	Revision uint64 `json:"revision"`          // its meaning depends on Kind; 0 for entries
+	Pointer  string `json:"pointer,omitempty"` // JSON pointer (RFC 6901) of the rejected entry, if any
+	Reason   string `json:"reason"`            // for operators; names the field
+	Revision uint64 `json:"revision"`          // its meaning depends on Kind; 0 for a rejected entry
 }
 
-// Error returns the pointer, if any, and the reason in one line.
+// Error returns the pointer, if any, and the reason on one line.
 func (e *Error) Error() string {
 	if e.Pointer == "" {
 		return e.Reason
@@ -44,7 +45,8 @@
 	return &Error{Kind: Invalid, Pointer: pointer, Reason: fmt.Sprintf(format, args...)}
 }
 
-// From returns the Error that err is or wraps, one of kind Invalid with the text of any other error, and nil for nil.
+// From returns the Error that err is or wraps. It converts any other error to one of kind Invalid with the same text,
+// and returns nil for nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/decide/configlog/change.go
+++ b/internal/decide/configlog/change.go
@@ -10,34 +10,35 @@
 	"windflow/internal/decide/configerror"
 )
 
-// Change is a proposal for a revision, as operators send it in JSON. It puts and removes entries, or reverts to the
-// content of an earlier revision; one of the two has to be there.
+// Change is a proposal for a new revision, which operators send as JSON. It either puts and removes entries or reverts
+// to the content of an earlier revision.
 type Change struct {
-	// ID is the idempotency key: of the latest MaxRememberedIDs changes none is applied twice. 1 to MaxIDBytes.
+	// ID is the idempotency key, 1 to MaxIDBytes bytes long: a change whose ID is among those of the latest
+	// MaxRememberedIDs changes is not applied again.
 	ID string `json:"id"`
-	// Expect is the revision that has to be in force for the change to be applied; nil means any.
+	// Expect is the revision that must be in force for the change to be applied; nil accepts any.
 	Expect *uint64 `json:"expect,omitempty"`
 	// Put holds new values by JSON pointer (RFC 6901); CheckPointer defines which pointers are allowed.
 	Put map[string]json.RawMessage `json:"put,omitempty"`
-	// Remove names entries to remove; each has to exist.
+	// Remove lists the pointers of the entries to remove; each entry must exist.
 	Remove []string `json:"remove,omitempty"`
-	// RevertTo requests a new revision with the content of that one; Put and Remove are empty then.
+	// RevertTo requests a new revision with the content of this earlier one; Put and Remove must be empty then.
 	RevertTo *uint64 `json:"revert_to,omitempty"`
-	// Note is the operator's reason; at most MaxNoteBytes.
+	// Note is the operator's reason for the change, at most MaxNoteBytes bytes long.
 	Note string `json:"note,omitempty"`
-	// AtMS is when the keeper proposed it, in Unix milliseconds of its clock. It is shown and decides nothing.
+	// AtMS is when the keeper proposed the change, in Unix milliseconds of its clock. It is for display only.
 	AtMS int64 `json:"at_ms"`
 }
 
-// Result is what became of a Change. Where Err is nil, Revision is the one that the change made, now or (Repeated) at
-// an earlier call; otherwise nothing was changed and Revision is the one in force.
+// Result is the outcome of applying a Change. If Err is nil, Revision is the one that the change created, either in
+// this call or, if Repeated is set, in an earlier one. Otherwise nothing was changed and Revision is the one in force.
 type Result struct {
 	Revision uint64             `json:"revision"`
 	Repeated bool               `json:"repeated"`
 	Err      *configerror.Error `json:"fault,omitempty"`
 }
 
-// check validates what does not depend on the document, and returns the values to put in canonical form.
+// check validates everything that does not depend on the document, and returns the values to put in canonical form.
 func (c Change) check() (map[string]json.RawMessage, *configerror.Error) {
 	if rejected := c.checkFields(); rejected != nil {
 		return nil, rejected
@@ -51,7 +52,7 @@
 		return nil, rejected
 	}
 	if size := putBytes + removeBytes; size > MaxChangeBytes {
-		return nil, configerror.Invalidf("", "the change has %d bytes, more than %d", size, MaxChangeBytes)
+		return nil, configerror.Invalidf("", "the change has %d bytes; the limit is %d", size, MaxChangeBytes)
 	}
 	return put, nil
 }
@@ -63,20 +64,20 @@
 	entries := len(c.Put) + len(c.Remove)
 	switch {
 	case len(c.Note) > MaxNoteBytes:
-		return configerror.Invalidf("", "field note has %d bytes, more than %d", len(c.Note), MaxNoteBytes)
+		return configerror.Invalidf("", "field note has %d bytes; the limit is %d", len(c.Note), MaxNoteBytes)
 	case !utf8.ValidString(c.Note):
-		return configerror.Invalidf("", "field note is no UTF-8")
+		return configerror.Invalidf("", "field note is not valid UTF-8")
 	case c.AtMS < 0:
-		return configerror.Invalidf("", "field at_ms is below zero")
+		return configerror.Invalidf("", "field at_ms is %d; it must not be negative", c.AtMS)
 	case c.RevertTo != nil && entries > 0:
-		return configerror.Invalidf("", "field revert_to: a revert has no put and no remove beside it")
+		return configerror.Invalidf("", "field revert_to can't be combined with put or remove")
 	case c.RevertTo == nil && entries == 0:
 		return configerror.Invalidf("", "the change has no put, no remove and no revert_to")
 	}
 	return nil
 }
 
-// canonicalPut returns the values to put in canonical form, and their size with their pointers.
+// canonicalPut returns the values to put in canonical form, and the size of the pointers and values in bytes.
 func (c Change) canonicalPut() (put map[string]json.RawMessage, size int, rejected *configerror.Error) {
 	put = make(map[string]json.RawMessage, len(c.Put))
 	for _, pointer := range slices.Sorted(maps.Keys(c.Put)) {
@@ -93,7 +94,7 @@
 	return put, size, nil
 }
 
-// checkRemove returns the size of the pointers to remove.
+// checkRemove validates the pointers to remove and returns their size in bytes.
 func (c Change) checkRemove(put map[string]json.RawMessage) (size int, rejected *configerror.Error) {
 	seen := make(map[string]bool, len(c.Remove))
 	for _, pointer := range c.Remove {
@@ -101,10 +102,10 @@
 			return 0, configerror.Invalidf(pointer, "%s", err)
 		}
 		if put[pointer] != nil {
-			return 0, configerror.Invalidf(pointer, "it is put and removed in one change")
+			return 0, configerror.Invalidf(pointer, "the entry is both put and removed by the change")
 		}
 		if seen[pointer] {
-			return 0, configerror.Invalidf(pointer, "it is removed twice in one change")
+			return 0, configerror.Invalidf(pointer, "the entry is removed twice by the change")
 		}
 		seen[pointer] = true
 		size += len(pointer)
@@ -112,13 +113,13 @@
 	return size, nil
 }
 
-// digest identifies what a change says except its time, which differs when the call is repeated. put are its values in
-// canonical form.
+// digest returns a hash of all fields of a change except AtMS, which differs when the call is repeated. put holds the
+// change's values in canonical form.
 func (c Change) digest(put map[string]json.RawMessage) Hash {
 	c.Put, c.AtMS = put, 0
 	c.Remove = slices.Sorted(slices.Values(c.Remove))
 	text, err := json.Marshal(c)
-	if err != nil { // impossible: the values are valid JSON
+	if err != nil { // can't happen: the values are valid JSON
 		text = []byte(err.Error())
 	}
 	return sha256.Sum256(text)
--- a/internal/decide/configlog/changeids.go
+++ b/internal/decide/configlog/changeids.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// appliedChange is what is remembered of a change by its ID.
+// appliedChange holds what is needed to recognize a repeated change.
 type appliedChange struct {
-	revision uint64
-	digest   Hash // of the change; see Change.digest
+	revision uint64 // the revision that the change created
+	digest   Hash   // Change.digest of the change
 }
 
-// changeIDs are the IDs of the latest MaxRememberedIDs changes.
+// changeIDs holds the IDs of the latest MaxRememberedIDs changes.
 type changeIDs struct {
 	applied map[string]appliedChange
 	order   []string // oldest first
 }
 
-// add remembers an ID, and forgets the oldest beyond the bound.
+// add stores the ID of a new change and evicts the oldest IDs beyond MaxRememberedIDs.
 func (c *changeIDs) add(id string, change appliedChange) {
 	c.applied[id] = change
 	c.order = append(c.order, id)
--- a/internal/decide/configlog/changeplan.go
+++ b/internal/decide/configlog/changeplan.go
@@ -8,7 +8,8 @@
 	"windflow/internal/decide/configerror"
 )
 
-// changePlan is what a change would do: its edits, or, for a repeated one, the revision that it made before.
+// changePlan is the effect of a valid change: its edits or, for a repeated change, the revision that it created
+// earlier.
 type changePlan struct {
 	digest   Hash
 	edits    []edit
@@ -16,8 +17,8 @@
 	revision uint64
 }
 
-// plan checks a change and returns what it would do. The checks have a fixed order, so that all keepers return the
-// same error.
+// plan validates a change against the log and returns its effect. The checks have a fixed order, so that all keepers
+// return the same error.
 func (l *Log) plan(change Change) (changePlan, *configerror.Error) {
 	put, rejected := change.check()
 	if rejected != nil {
@@ -40,7 +41,8 @@
 	return changePlan{digest: digest, edits: edits}, nil
 }
 
-// repeatedPlan is the plan of a change whose ID was used before.
+// repeatedPlan returns the plan of a change whose ID was used before, or an error of kind IDReused if the earlier
+// change had a different content.
 func repeatedPlan(id string, digest Hash, before appliedChange) (changePlan, *configerror.Error) {
 	if before.digest != digest {
 		return changePlan{}, &configerror.Error{
@@ -51,7 +53,7 @@
 	return changePlan{digest: digest, repeated: true, revision: before.revision}, nil
 }
 
-// editsOf returns the edits of a checked change; put are its values in canonical form.
+// editsOf returns the edits of a change that has passed Change.check; put holds its values in canonical form.
 func (l *Log) editsOf(change Change, put map[string]json.RawMessage) ([]edit, *configerror.Error) {
 	if change.RevertTo != nil {
 		if rejected := l.history.checkRetained(*change.RevertTo); rejected != nil {
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -7,15 +7,15 @@
 	"fmt"
 )
 
-// errTruncated is a state that has fewer bytes than its lengths say.
-var errTruncated = errors.New("it ends early")
+// errTruncated means that a state has fewer bytes than its encoded lengths require.
+var errTruncated = errors.New("the state is truncated")
 
-// encoder appends numbers, texts and records to a buffer.
+// encoder appends encoded numbers, strings and records to a buffer.
 type encoder struct{ buffer []byte }
 
 func (e *encoder) number(n uint64) { e.buffer = binary.AppendUvarint(e.buffer, n) }
 
-// bytes appends bytes whose number the decoder knows.
+// bytes appends bytes without their length, which the decoder must know.
 func (e *encoder) bytes(b []byte) { e.buffer = append(e.buffer, b...) }
 
 func (e *encoder) text(s string) {
@@ -23,7 +23,7 @@
 	e.buffer = append(e.buffer, s...)
 }
 
-// optional distinguishes nil from an empty value.
+// optional appends a value that may be nil. The encoded length is one higher than the actual one, because 0 means nil.
 func (e *encoder) optional(value json.RawMessage) {
 	if value == nil {
 		e.number(0)
@@ -52,10 +52,10 @@
 	}
 }
 
-// decoder reads what encoder wrote. After its first error it returns zero values.
+// decoder reads what encoder wrote. After the first error all methods return zero values.
 type decoder struct {
-	buffer []byte // not read yet
-	err    error
+	buffer []byte // bytes not read yet
+	err    error  // the first error
 }
 
 func (d *decoder) number() uint64 {
@@ -68,7 +68,8 @@
 	return n
 }
 
-// count reads a number of items, each of which has at least one byte: a wrong number can't claim more than there is.
+// count reads a number of items. Each item takes at least one byte, so a number above that of the bytes left is an
+// error: a damaged state can't cause an endless loop.
 func (d *decoder) count() uint64 {
 	n := d.number()
 	if n > uint64(len(d.buffer)) {
@@ -116,10 +117,10 @@
 	return out
 }
 
-// finish returns the first error, or one for bytes that are left.
+// finish returns the first error, or an error if bytes are left.
 func (d *decoder) finish() error {
 	if d.err == nil && len(d.buffer) > 0 {
-		return fmt.Errorf("%d bytes are left over", len(d.buffer))
+		return fmt.Errorf("%d unexpected bytes follow the state", len(d.buffer))
 	}
 	return d.err
 }
--- a/internal/decide/configlog/convergence.go
+++ b/internal/decide/configlog/convergence.go
@@ -6,36 +6,42 @@
 	"slices"
 )
 
-// FollowerProcess is one running process of a follower and what it has in force.
+// FollowerProcess is a running process of a follower with the revision that it has in force.
 type FollowerProcess struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 	Revision uint64 `json:"revision"`
 	Hash     Hash   `json:"hash"`
-	// Rejected says why it stays at its revision, for processes in ConvergenceStatus.Rejected; nil for others.
+	// Rejected is the rejection that keeps the process at its revision; nil except in ConvergenceStatus.Rejected.
 	Rejected *Rejection `json:"refused,omitempty"`
 }
 
-// ConvergenceStatus says where a revision is in force.
+// ConvergenceStatus reports which follower processes have a revision in force.
 type ConvergenceStatus struct {
-	Revision uint64            `json:"revision"`
-	InForce  []FollowerProcess `json:"in_force"`
-	Behind   []FollowerProcess `json:"behind"`  // running, before the revision
-	Rejected []FollowerProcess `json:"refused"` // running, before the revision, which or a later one they rejected
-	// Diverged are running, but have content that the log does not have under their revision, or no longer retains:
-	// they are ahead of keepers that were restored from an older state, or about to get a snapshot.
+	Revision uint64 `json:"revision"`
+	// InForce holds running processes with this or a later revision.
+	InForce []FollowerProcess `json:"in_force"`
+	// Behind holds running processes with an earlier revision.
+	Behind []FollowerProcess `json:"behind"`
+	// Rejected holds running processes with an earlier revision that rejected this revision or a later one.
+	Rejected []FollowerProcess `json:"refused"`
+	// Diverged holds running processes with this or a later revision whose content differs from that of their revision
+	// in the log, or whose revision the log does not retain. They are either ahead of keepers that were restored from
+	// an older state, or about to receive a snapshot.
 	Diverged []FollowerProcess `json:"foreign"`
-	// Missing are members without a lease, which ended or can't reach a keeper; they don't count.
-	Missing          []string `json:"gone"`
-	UnreachedKeepers []string `json:"unreached"` // not polled, or their leases are not complete
-	// Converged says that each running process has the revision or a later one in force.
+	// Missing names the members without a lease. They have ended or can't reach a keeper, and do not prevent
+	// convergence.
+	Missing []string `json:"gone"`
+	// UnreachedKeepers names the keepers that were not reached or whose leases are not complete.
+	UnreachedKeepers []string `json:"unreached"`
+	// Converged means that each running process has this revision or a later one in force.
 	Converged bool `json:"everywhere"`
 }
 
 func newConvergenceStatus(revision uint64, unreached []string) ConvergenceStatus {
 	status := ConvergenceStatus{
 		Revision: revision,
-		// Empty lists, which JSON writes as [] and not as null.
+		// Empty slices are encoded as [] in JSON, nil ones as null.
 		InForce: []FollowerProcess{}, Behind: []FollowerProcess{}, Rejected: []FollowerProcess{},
 		Diverged: []FollowerProcess{}, Missing: []string{}, UnreachedKeepers: []string{},
 	}
@@ -43,8 +49,8 @@
 	return status
 }
 
-// add sorts a process into the list where it belongs. hasContent says whether its content is that of its revision in
-// the log.
+// add appends a process to the list that matches its status. hasContent reports whether the process has the content
+// that the log has for its revision.
 func (s *ConvergenceStatus) add(status FollowerStatus, hasContent bool) {
 	process := FollowerProcess{
 		Name: status.Name, Instance: status.Instance, Revision: status.Revision, Hash: status.Hash,
@@ -63,15 +69,15 @@
 	}
 }
 
-// Convergence returns where a revision is in force, by the leases of all keepers that were reached, as Live returns
-// them, and the names of the keepers that were not reached or whose leases are not complete (IsComplete). A process
-// counts only if the log has its content under its revision. A revision that does not exist yet is in force nowhere.
-// The log has to be that of the leader, or caught up with it.
+// Convergence reports which follower processes have a revision in force. leases holds the leases that Leases.Live
+// returned on all keepers that were reached; unreached names the keepers that were not reached or whose leases are not
+// complete (Leases.IsComplete). A process counts as in force only if the log has its content under its revision. A
+// revision that does not exist yet is in force nowhere. The log must be the leader's or caught up with it.
 //
-// With an unreached keeper, Converged needs a lease of the latest process of each member: a process without one might
-// be running and calling that keeper. A lease of the member's name is not enough, since it may be that of an earlier
-// process. What this can't see is a predecessor at an unreached keeper whose successor calls another one, and a
-// router that has never been answered.
+// If a keeper is unreached, Converged requires a lease of the latest process of each member, because a process without
+// a lease might be running and calling that keeper. A lease with the member's name alone is not enough: it may be the
+// lease of an earlier process. Two cases are not detected: a predecessor that calls an unreached keeper while its
+// successor calls another one, and a router that no keeper has ever answered.
 func (l *Log) Convergence(revision uint64, leases []Lease, unreached []string) ConvergenceStatus {
 	status := newConvergenceStatus(revision, unreached)
 	leasedNames, leasedProcesses := map[string]bool{}, map[processKey]bool{}
@@ -88,15 +94,16 @@
 			status.Missing = append(status.Missing, name)
 		}
 	}
-	// Without any process the answer is no: an operator would take it that some router has the revision in force.
+	// Without any process the revision has not converged: operators would conclude that some router has it in force.
 	status.Converged = len(status.InForce) > 0 &&
 		len(status.Behind)+len(status.Rejected)+len(status.Diverged) == 0 &&
 		(len(unreached) == 0 || !latestMissing)
 	return status
 }
 
-// latestLeases returns one lease for each process, by name and instance. A process that went from one keeper to
-// another has two for a while: the one with the higher revision is the later, because a follower never goes back.
+// latestLeases returns one lease for each process, ordered by name and instance. A process that switched from one
+// keeper to another has two leases until the first expires. The one with the higher revision is the later one, because
+// the revision of a process never decreases.
 func latestLeases(leases []Lease) []Lease {
 	latest := map[processKey]Lease{}
 	for _, lease := range leases {
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -9,12 +9,12 @@
 	"windflow/internal/decide/configerror"
 )
 
-// document is the content of a revision: values by JSON pointer, of which none is a prefix of another. Its hash and its
-// size are kept up to date with each put.
+// document is the content of a revision: values by JSON pointer. No entry is below another one. put keeps the hash and
+// the size up to date.
 type document struct {
 	entries     map[string]json.RawMessage
-	descendants map[string]int // number of entries below each path that is an ancestor of one
-	bytes       int            // of the entries' pointers and values
+	descendants map[string]int // number of entries below each proper prefix of a pointer
+	bytes       int            // total size of pointers and values
 	hash        Hash
 }
 
@@ -22,18 +22,19 @@
 	return document{entries: map[string]json.RawMessage{}, descendants: map[string]int{}}
 }
 
-// edit is one entry that a revision changes. A nil value means no entry, so that an edit can be undone.
+// edit is the change of one entry by a revision. It has the value before and after, so that it can be undone; nil means
+// that there is no entry.
 type edit struct {
 	pointer       string
 	before, after json.RawMessage
 }
 
-// addedBytes returns by how much the edit makes the document larger.
+// addedBytes returns the change of the document's size in bytes.
 func (e edit) addedBytes() int {
 	return entryBytes(e.pointer, e.after) - entryBytes(e.pointer, e.before)
 }
 
-// addedEntries returns by how many entries the edit makes the document larger.
+// addedEntries returns the change of the number of entries: 1, 0 or -1.
 func (e edit) addedEntries() int {
 	switch {
 	case e.after == nil:
@@ -44,7 +45,7 @@
 	return 0
 }
 
-// entryBytes is the size of an entry; 0 for a nil value, which means no entry.
+// entryBytes returns the size of an entry in bytes; 0 for a nil value, which means that there is no entry.
 func entryBytes(pointer string, value json.RawMessage) int {
 	if value == nil {
 		return 0
@@ -52,7 +53,7 @@
 	return len(pointer) + len(value)
 }
 
-// put sets an entry, or removes it for a nil value.
+// put sets an entry, or removes it if the value is nil.
 func (d *document) put(pointer string, value json.RawMessage) {
 	if before, ok := d.entries[pointer]; ok {
 		d.hash = d.hash.minus(entryDigest(pointer, before))
@@ -75,8 +76,8 @@
 	}
 }
 
-// edits returns what changes the document to these values (nil: no entry), sorted by pointer, without entries that
-// are equal.
+// edits returns the edits that give the entries these values, sorted by pointer. A nil value removes the entry. Entries
+// that already have the value are left out.
 func (d *document) edits(values map[string]json.RawMessage) (out []edit) {
 	for _, pointer := range slices.Sorted(maps.Keys(values)) {
 		before, after := d.entries[pointer], values[pointer]
@@ -87,8 +88,7 @@
 	return out
 }
 
-// check rejects edits after which the document would break its invariants: one pointer the prefix of another, or too
-// large.
+// check rejects edits that would put one entry below another one or make the document too large.
 func (d *document) check(edits []edit) *configerror.Error {
 	if rejected := d.checkNesting(edits); rejected != nil {
 		return rejected
@@ -99,15 +99,15 @@
 		count += e.addedEntries()
 	}
 	if size > MaxDocumentBytes {
-		return configerror.Invalidf("", "the document would have %d bytes, more than %d", size, MaxDocumentBytes)
+		return configerror.Invalidf("", "the document would have %d bytes; the limit is %d", size, MaxDocumentBytes)
 	}
 	if count > MaxEntries {
-		return configerror.Invalidf("", "the document would have %d entries, more than %d", count, MaxEntries)
+		return configerror.Invalidf("", "the document would have %d entries; the limit is %d", count, MaxEntries)
 	}
 	return nil
 }
 
-// checkNesting rejects an added entry that would be below or above another one.
+// checkNesting rejects edits that add an entry below or above another one.
 func (d *document) checkNesting(edits []edit) *configerror.Error {
 	added, removed, removedBelow := map[string]bool{}, map[string]bool{}, map[string]int{}
 	for _, e := range edits {
@@ -127,22 +127,22 @@
 		}
 		for ancestor := range ancestors(e.pointer) {
 			if added[ancestor] || d.entries[ancestor] != nil && !removed[ancestor] {
-				return configerror.Invalidf(e.pointer, "it lies within the entry %s", ancestor)
+				return configerror.Invalidf(e.pointer, "the pointer is below the entry %s", ancestor)
 			}
 		}
 		if d.descendants[e.pointer] > removedBelow[e.pointer] {
-			return configerror.Invalidf(e.pointer, "there are entries below it")
+			return configerror.Invalidf(e.pointer, "there are entries below this pointer")
 		}
 	}
 	return nil
 }
 
-// equalValues compares two values, of which nil means no entry.
+// equalValues reports whether two values are equal; nil, which means no entry, differs from an empty value.
 func equalValues(a, b json.RawMessage) bool {
 	return (a == nil) == (b == nil) && bytes.Equal(a, b)
 }
 
-// setEntry sets an entry, or removes it for a nil value.
+// setEntry sets an entry, or removes it if the value is nil.
 func setEntry(entries map[string]json.RawMessage, pointer string, value json.RawMessage) {
 	if value == nil {
 		delete(entries, pointer)
--- a/internal/decide/configlog/encoding.go
+++ b/internal/decide/configlog/encoding.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// stateMagic begins an encoded Log; its last byte is the version of the format.
+// stateMagic is the prefix of an encoded Log; the last byte is the format version.
 var stateMagic = []byte("wfrollout\x01")
 
-// MarshalBinary returns the complete state followed by a checksum. The same state has the same bytes. The error is
+// MarshalBinary returns the complete state followed by a checksum. Equal states have equal encodings. The error is
 // always nil.
 func (l *Log) MarshalBinary() ([]byte, error) {
 	capacity := len(stateMagic) + 2*l.document.bytes + l.history.bytes + 64*len(l.ids.applied) + 1024
@@ -49,8 +49,8 @@
 	return append(out.buffer, checksum[:]...), nil
 }
 
-// UnmarshalBinary replaces the Log by a state of MarshalBinary, with its retention. An error wraps ErrDamaged, says
-// what is wrong with the state, and leaves the Log as it was.
+// UnmarshalBinary replaces the Log, including its retention, by a state that MarshalBinary returned. If the state is
+// invalid, it returns an error that wraps ErrDamaged and leaves the Log unchanged.
 func (l *Log) UnmarshalBinary(state []byte) error {
 	body, err := stateBody(state)
 	if err != nil {
@@ -63,7 +63,7 @@
 		decoded.document.put(input.text(), input.optional())
 	}
 	if hash := input.hash(); input.err == nil && hash != decoded.document.hash {
-		return fmt.Errorf("%w: the entries don't have the hash that the state says", ErrDamaged)
+		return fmt.Errorf("%w: the entries have hash %s, but the state records %s", ErrDamaged, decoded.document.hash, hash)
 	}
 	for range input.count() {
 		decoded.history.add(input.record())
@@ -77,7 +77,7 @@
 		decoded.members[input.text()] = memberProcesses{latest: input.text(), previous: input.text()}
 	}
 	if input.err == nil && !decoded.isContentAt(decoded.Revision(), decoded.document.hash) {
-		return fmt.Errorf("%w: the last revision doesn't have the hash of the entries", ErrDamaged)
+		return fmt.Errorf("%w: the hash of the latest revision is not that of the entries", ErrDamaged)
 	}
 	if err := input.finish(); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -86,19 +86,20 @@
 	return nil
 }
 
-// stateBody checks the frame of an encoded Log and returns what is between the magic and the checksum.
+// stateBody checks the magic, the format version and the checksum of an encoded Log, and returns the bytes in between.
 func stateBody(state []byte) ([]byte, error) {
 	end, magicEnd := len(state)-sha256.Size, len(stateMagic)
 	switch {
 	case end < magicEnd:
-		return nil, fmt.Errorf("%w: the state has %d bytes and ends early", ErrDamaged, len(state))
+		return nil, fmt.Errorf("%w: the state has %d bytes, fewer than the minimum of %d",
+			ErrDamaged, len(state), magicEnd+sha256.Size)
 	case !bytes.Equal(state[:magicEnd-1], stateMagic[:magicEnd-1]):
-		return nil, fmt.Errorf("%w: this is no state of a configuration log", ErrDamaged)
+		return nil, fmt.Errorf("%w: the data is not the state of a configuration log", ErrDamaged)
 	case state[magicEnd-1] != stateMagic[magicEnd-1]:
-		return nil, fmt.Errorf("%w: the state has form %d, this program reads %d",
+		return nil, fmt.Errorf("%w: the state has format version %d; this program reads version %d",
 			ErrDamaged, state[magicEnd-1], stateMagic[magicEnd-1])
 	case sha256.Sum256(state[:end]) != [sha256.Size]byte(state[end:]):
-		return nil, fmt.Errorf("%w: the state doesn't have the checksum that it says", ErrDamaged)
+		return nil, fmt.Errorf("%w: the checksum does not match the state", ErrDamaged)
 	}
 	return state[magicEnd:end], nil
 }
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// newSampleLog returns a log with everything that a state can hold.
+// newSampleLog returns a log with at least one of each thing that a state can contain.
 func newSampleLog(tb testing.TB) *Log {
 	tb.Helper()
 	l := newLogWithFiller(tb, Retention{Revisions: 4, Bytes: 1 << 20})
@@ -27,7 +27,7 @@
 		},
 	)
 	l.mustApply(tb, Change{ID: "c", RevertTo: revisionPtr(2)})
-	l.mustApply(tb, put("d", "/settings/a", "1")) // changes nothing
+	l.mustApply(tb, put("d", "/settings/a", "1")) // leaves the content as it is
 	l.mustApply(tb, put("e", "/settings/parties/p", `{"quota-rps":1}`))
 	l.AddMember("r1", "1")
 	l.AddMember("r2", "1")
@@ -35,7 +35,7 @@
 	return l
 }
 
-// A state that was read is the one that was written, in every respect.
+// A decoded state equals the encoded one, and encoding it again gives the same bytes.
 func TestStateRoundTrip(t *testing.T) {
 	for _, l := range []*Log{NewLog(Retention{}), newSampleLog(t)} {
 		state, err := l.MarshalBinary()
@@ -49,12 +49,12 @@
 		}
 		again, _ := decoded.MarshalBinary()
 		if !bytes.Equal(state, again) {
-			t.Error("it's written in another way")
+			t.Error("encoding the decoded state gives other bytes")
 		}
 	}
 }
 
-// A damaged state is an error, wherever it's damaged, and leaves the log unchanged.
+// UnmarshalBinary rejects a state with a flipped bit or a missing end at any position, and leaves the log unchanged.
 func TestDamagedState(t *testing.T) {
 	state, _ := newSampleLog(t).MarshalBinary()
 	l := NewLog(Retention{})
@@ -71,21 +71,21 @@
 		broken := bytes.Clone(state)
 		broken[i] ^= 1 << (i % 8)
 		checkDamaged(fmt.Sprint("byte ", i), broken, "state")
-		checkDamaged(fmt.Sprint("cut at ", i), state[:i], "state")
+		checkDamaged(fmt.Sprint("truncated to ", i), state[:i], "state")
 	}
-	checkDamaged("foreign", bytes.Repeat([]byte("raft"), 100), "no state")
+	checkDamaged("other data", bytes.Repeat([]byte("raft"), 100), "not the state")
 	otherVersion := bytes.Clone(state)
 	otherVersion[len(stateMagic)-1]++
-	checkDamaged("later form", otherVersion, "form 2")
+	checkDamaged("later format", otherVersion, "format version 2")
 	checkDamaged("longer", append(bytes.Clone(state), 0), "checksum")
-	// With a checksum that fits, as a faulty program would write it.
+	// States with a correct checksum, as a faulty program could write them.
 	withChecksum := func(body []byte) []byte {
 		checksum := sha256.Sum256(body)
 		return append(bytes.Clone(body), checksum[:]...)
 	}
 	body := state[:len(state)-sha256.Size]
-	checkDamaged("left over", withChecksum(append(bytes.Clone(body), 0)), "left over")
-	checkDamaged("early end", withChecksum(body[:len(body)-1]), "ends early")
+	checkDamaged("additional byte", withChecksum(append(bytes.Clone(body), 0)), "unexpected bytes")
+	checkDamaged("missing byte", withChecksum(body[:len(body)-1]), "truncated")
 	checkDamaged(
 		"entry",
 		withChecksum(bytes.Replace(body, []byte("/settings/filler"), []byte("/settings/fillet"), 1)),
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -10,44 +10,46 @@
 	"strings"
 )
 
-// Why a follower doesn't use an update. After each of them, CallFailed has to be called: another keeper is polled,
-// after a wait.
+// The errors of Follower.Offer and Follower.Restore; Log.UnmarshalBinary returns ErrDamaged as well. After an error of
+// Offer, the caller must call CallFailed, so that the follower polls another keeper after a wait.
 var (
-	// ErrBehind is a keeper that is before the follower, which keeps its revision; see KeepersAreBehind.
-	ErrBehind = errors.New("the keeper is behind")
-	// ErrStale is an answer to an earlier call: it begins at another revision or ends before what is in force.
-	ErrStale = errors.New("the update doesn't begin where this follower is")
-	// ErrMismatch is an update whose content doesn't have the hash that it says.
-	ErrMismatch = errors.New("the content doesn't have the hash that was said")
-	// ErrPending is an update that arrives before the one before was accepted or rejected.
-	ErrPending = errors.New("the update before is neither accepted nor refused")
-	// ErrDamaged is a copy or a state that isn't what was written.
+	// ErrBehind means that the keeper has an earlier revision than the follower, which keeps its own; see
+	// KeepersAreBehind.
+	ErrBehind = errors.New("the keeper is behind the follower")
+	// ErrStale means that an update, such as a late answer to an earlier call, starts at another revision than the one
+	// in force or leads to an earlier one; or that a saved copy is not later than the revision in force.
+	ErrStale = errors.New("stale update")
+	// ErrMismatch means that an update does not lead to content with the hash that it declares.
+	ErrMismatch = errors.New("the update does not match its hash")
+	// ErrPending means that the previous candidate has been neither accepted nor rejected.
+	ErrPending = errors.New("the previous update is neither accepted nor rejected")
+	// ErrDamaged means that a saved copy or an encoded state differs from what was written.
 	ErrDamaged = errors.New("damaged")
 )
 
-// maxRejections is how many rejections a follower remembers: those of the latest revisions.
+// maxRejections is how many rejections a follower remembers. Those of the highest revisions are kept.
 const maxRejections = 16
 
-// content is a revision with all its entries. It is never changed, so that callers can continue reading the entries.
+// content is a revision with all its entries. It is immutable, so that callers can keep reading the entries.
 type content struct {
 	revision uint64
 	hash     Hash
 	entries  map[string]json.RawMessage
 }
 
-// Follower is the router's side: what it has in force, what it is offered, and which keeper it calls when. It has the
-// content of exactly one revision in force, beside at most one candidate, and its revision never goes back.
+// Follower is the router's side of the configuration log. It holds the one revision in force and at most one candidate,
+// and decides which keeper to call and when. The revision in force never decreases.
 type Follower struct {
 	name, instance string
 	current        content
-	candidate      *content    // offered, neither accepted nor rejected
-	rejections     []Rejection // of revisions after the current one, by revision
-	needsSnapshot  bool        // an update didn't fit
+	candidate      *content    // offered, but neither accepted nor rejected yet; nil if there is none
+	rejections     []Rejection // of revisions after the current one, ordered by revision
+	needsSnapshot  bool        // an update could not be applied to the current content
 	selection      keeperSelection
 }
 
-// NewFollower returns a follower at revision 0, which is the router's own file alone. The instance is that of
-// NewInstanceID.
+// NewFollower returns a follower at revision 0, which has no entries: the router uses its own file alone. instance is
+// the result of NewInstanceID.
 func NewFollower(name, instance string) *Follower {
 	return &Follower{
 		name: name, instance: instance,
@@ -56,8 +58,9 @@
 	}
 }
 
-// Status returns what the next call reports to a keeper, which is also the ACK or NACK of what the last one brought.
-// After an update that didn't fit, the hash is left out, so that a keeper answers with a snapshot.
+// Status returns what the next call reports to a keeper. It also acknowledges (ACK) or rejects (NACK) the update that
+// the previous call returned. After an update that could not be applied, the hash is zero, so that the keeper answers
+// with a snapshot.
 func (f *Follower) Status() FollowerStatus {
 	status := FollowerStatus{Name: f.name, Instance: f.instance, Revision: f.current.revision, Hash: f.current.hash}
 	if n := len(f.rejections); n > 0 {
@@ -70,9 +73,10 @@
 	return status
 }
 
-// Offer takes a keeper's answer. With ok, the content is a candidate: apply it and call Accept, or Reject if that
-// fails. Without ok and error there is nothing to do. The content must not be changed. After an error (ErrBehind,
-// ErrStale, ErrMismatch, ErrPending) the follower has the same content as before.
+// Offer takes a keeper's answer. If ok is true, entries is the complete content of a candidate revision, which the
+// caller must apply and then Accept, or Reject if applying fails; entries must not be modified. If ok is false and err
+// is nil, there is nothing to apply. After an error (ErrBehind, ErrStale, ErrMismatch or ErrPending) the revision in
+// force is unchanged.
 func (f *Follower) Offer(update Update) (entries map[string]json.RawMessage, ok bool, err error) {
 	if f.candidate != nil {
 		return nil, false, ErrPending
@@ -81,7 +85,8 @@
 		return nil, false, f.keeperBehind(update.To)
 	}
 	if update.To < f.current.revision || !update.Snapshot && update.From != f.current.revision {
-		return nil, false, fmt.Errorf("%w: from %d to %d at %d", ErrStale, update.From, update.To, f.current.revision)
+		return nil, false, fmt.Errorf("%w: it leads from revision %d to %d, but revision %d is in force",
+			ErrStale, update.From, update.To, f.current.revision)
 	}
 	same := update.To == f.current.revision && update.Hash == f.current.hash
 	if update.IsEmpty() || same || f.hasRejected(update.To, update.Hash) {
@@ -99,14 +104,15 @@
 	return candidate.entries, true, nil
 }
 
-// apply returns the content that an update makes, and an error that wraps ErrMismatch if it isn't what the update says.
+// apply returns the content after an update. If the hash of the result is not the one in the update, it returns an
+// error that wraps ErrMismatch.
 func (c content) apply(update Update) (content, error) {
 	next, err := c.withUpdate(update)
 	if err != nil {
 		return content{}, err
 	}
 	if next.hash != update.Hash {
-		return content{}, fmt.Errorf("%w: revision %d", ErrMismatch, update.To)
+		return content{}, fmt.Errorf("%w: revision %d has hash %s, not %s", ErrMismatch, update.To, next.hash, update.Hash)
 	}
 	return next, nil
 }
@@ -118,7 +124,7 @@
 	return c.withDelta(update)
 }
 
-// newContent copies the entries.
+// newContent returns a content with a copy of the entries and their hash.
 func newContent(revision uint64, entries map[string]json.RawMessage) content {
 	entries = maps.Clone(entries)
 	if entries == nil {
@@ -127,13 +133,13 @@
 	return content{revision: revision, hash: HashEntries(entries), entries: entries}
 }
 
-// withDelta returns the content after an update that is no snapshot.
+// withDelta returns the content after an update that is not a snapshot.
 func (c content) withDelta(update Update) (content, error) {
 	next := content{revision: update.To, hash: c.hash, entries: maps.Clone(c.entries)}
 	for _, pointer := range update.Remove {
 		value, ok := next.entries[pointer]
 		if !ok {
-			return next, fmt.Errorf("%w: revision %d removes %s, which isn't there", ErrMismatch, update.To, pointer)
+			return next, fmt.Errorf("%w: revision %d removes %s, which does not exist", ErrMismatch, update.To, pointer)
 		}
 		next.hash = next.hash.minus(entryDigest(pointer, value))
 		delete(next.entries, pointer)
@@ -148,7 +154,7 @@
 	return next, nil
 }
 
-// Accept records that the candidate is in force. Without a candidate it does nothing.
+// Accept makes the candidate the revision in force. It does nothing if there is no candidate.
 func (f *Follower) Accept() {
 	if f.candidate == nil {
 		return
@@ -157,9 +163,9 @@
 	f.rejections = slices.DeleteFunc(f.rejections, func(r Rejection) bool { return r.Revision <= f.current.revision })
 }
 
-// Reject records that the candidate couldn't be applied, at which pointer and why; the revision before stays in force.
-// The same content under the same number isn't offered again by this process until ClearRejections, even if a keeper
-// that is behind has offered another one in between. Without a candidate it does nothing.
+// Reject records that the candidate could not be applied, at which pointer and for which reason. The current revision
+// stays in force. Offer does not return the same content under the same revision again until ClearRejections, even if a
+// keeper that is behind offers another revision in between. It does nothing if there is no candidate.
 func (f *Follower) Reject(pointer, reason string) {
 	if f.candidate == nil {
 		return
@@ -181,7 +187,7 @@
 	return slices.ContainsFunc(f.rejections, func(r Rejection) bool { return r.Revision == revision && r.Hash == hash })
 }
 
-// truncate returns at most limit bytes of a text, without a part of a character.
+// truncate shortens a text to at most limit bytes and removes invalid UTF-8, such as a character that was cut.
 func truncate(text string, limit int) string {
 	if len(text) > limit {
 		text = text[:limit]
@@ -189,19 +195,20 @@
 	return strings.ToValidUTF8(text, "")
 }
 
-// ClearRejections forgets what was rejected, so that it is offered once more: for when the router's own file has
-// changed.
+// ClearRejections forgets all rejections, so that rejected revisions are offered again. It is called when the router's
+// own file has changed, since they may be valid together with the new file.
 func (f *Follower) ClearRejections() { f.rejections = nil }
 
-// Saved returns the copy of what is in force.
+// Saved returns the revision in force as a copy to be stored on disk.
 func (f *Follower) Saved() SavedRevision {
 	saved := SavedRevision{Revision: f.current.revision, Hash: f.current.hash, Entries: f.current.entries}
 	saved.Checksum = saved.checksum()
 	return saved
 }
 
-// Restore offers a copy as Offer does an update, to be accepted or rejected. The error wraps ErrDamaged for one that
-// isn't what was saved, ErrStale for one that isn't after what is in force, and ErrPending as in Offer.
+// Restore makes a saved copy the candidate, to be accepted or rejected as after Offer. The error wraps ErrDamaged if
+// the copy differs from what was saved, ErrStale if its revision is not later than the one in force, and ErrPending if
+// there is a candidate already. A copy of revision 0 at revision 0 returns ok false without an error.
 func (f *Follower) Restore(saved SavedRevision) (entries map[string]json.RawMessage, ok bool, err error) {
 	if f.candidate != nil {
 		return nil, false, ErrPending
@@ -209,12 +216,12 @@
 	candidate := newContent(saved.Revision, saved.Entries)
 	switch {
 	case saved.Checksum != saved.checksum() || saved.Hash != candidate.hash:
-		return nil, false, fmt.Errorf("%w: the copy of revision %d doesn't have the hash that it says",
+		return nil, false, fmt.Errorf("%w: the saved copy of revision %d does not match its hash and checksum",
 			ErrDamaged, saved.Revision)
 	case saved.Revision == 0 && f.current.revision == 0:
 		return nil, false, nil
 	case saved.Revision <= f.current.revision:
-		return nil, false, fmt.Errorf("%w: the copy has revision %d, in force is %d",
+		return nil, false, fmt.Errorf("%w: the saved copy has revision %d, but revision %d is in force",
 			ErrStale, saved.Revision, f.current.revision)
 	}
 	f.candidate = &candidate
--- a/internal/decide/configlog/history.go
+++ b/internal/decide/configlog/history.go
@@ -8,18 +8,18 @@
 	"windflow/internal/decide/configerror"
 )
 
-// Retention bounds how much of the past a Log retains for deltas, history and reverts. All replicas need the same,
-// because it decides what a revert gets; a state that is read has its own. Zero means the values of
-// DefaultRetention.
+// Retention limits how many past changes a Log retains for deltas, history and reverts. All replicas must have the same
+// retention, because it decides whether a revert is possible; an encoded state therefore includes it. A value of zero
+// or below means that of DefaultRetention.
 type Retention struct {
-	Revisions int `json:"revisions"` // changes that are retained
-	Bytes     int `json:"bytes"`     // estimated size of these; the latest is always retained
+	Revisions int `json:"revisions"` // maximum number of retained changes
+	Bytes     int `json:"bytes"`     // maximum estimated size of the retained changes; the latest is always retained
 }
 
 // DefaultRetention covers more than a day at 1,500 changes a day.
 var DefaultRetention = Retention{Revisions: 2_000, Bytes: 8 << 20}
 
-// orDefault replaces values that are not above zero.
+// orDefault replaces values of zero or below by those of DefaultRetention.
 func (r Retention) orDefault() Retention {
 	if r.Revisions <= 0 {
 		r.Revisions = DefaultRetention.Revisions
@@ -30,23 +30,23 @@
 	return r
 }
 
-// Revision is one change that was applied, as History returns it. Put and Remove are the difference to the revision
-// before, also for a revert.
+// Revision is an applied change as Log.History returns it. Put and Remove are the difference from the previous
+// revision, also for a revert.
 type Revision struct {
 	Revision uint64                     `json:"revision"`
 	ID       string                     `json:"id"`
 	Note     string                     `json:"note,omitempty"`
-	AtMS     int64                      `json:"at_ms"` // Unix milliseconds of the proposing keeper's clock
+	AtMS     int64                      `json:"at_ms"` // Unix milliseconds on the proposing keeper's clock
 	RevertTo *uint64                    `json:"revert_to,omitempty"`
-	Hash     Hash                       `json:"hash"` // of the complete document at this revision
+	Hash     Hash                       `json:"hash"` // the hash of the complete document at this revision
 	Put      map[string]json.RawMessage `json:"put,omitempty"`
 	Remove   []string                   `json:"remove,omitempty"`
 }
 
-// recordOverheadBytes estimates what a record takes beside its texts.
+// recordOverheadBytes is the estimated size of a record without its strings and values.
 const recordOverheadBytes = 200
 
-// record is one revision: what it changed, and the hash of the document after it.
+// record is the change that created a revision, with the hash of the document after it.
 type record struct {
 	id, note string
 	atMS     int64 // Unix milliseconds
@@ -55,7 +55,7 @@
 	edits    []edit // sorted by pointer
 }
 
-// bytes estimates the size of the record.
+// bytes returns the estimated size of the record.
 func (r *record) bytes() int {
 	n := recordOverheadBytes + len(r.id) + len(r.note)
 	for _, e := range r.edits {
@@ -64,7 +64,7 @@
 	return n
 }
 
-// revision returns the record as history shows it.
+// revision returns the record in the form of Log.History.
 func (r *record) revision(number uint64) Revision {
 	out := Revision{Revision: number, ID: r.id, Note: r.note, AtMS: r.atMS, RevertTo: r.revertTo, Hash: r.hash}
 	for _, e := range r.edits {
@@ -80,13 +80,13 @@
 	return out
 }
 
-// history is the latest revisions of a log.
+// history holds the retained changes of a log.
 type history struct {
 	retention  Retention
-	oldest     uint64 // the revision before records[0]
-	oldestHash Hash
-	records    []record
-	bytes      int // estimated size of records
+	oldest     uint64   // the revision before records[0], which is the oldest one whose content can be restored
+	oldestHash Hash     // the hash of the document at oldest
+	records    []record // oldest first
+	bytes      int      // estimated size of records
 }
 
 // latest returns the revision in force.
@@ -98,7 +98,7 @@
 	h.bytes += r.bytes()
 }
 
-// compact drops the oldest records beyond the retention, but never the latest one.
+// compact drops the oldest records that exceed the retention, but never the latest record.
 func (h *history) compact() {
 	drop, last := 0, len(h.records)-1
 	for drop < last && (len(h.records)-drop > h.retention.Revisions || h.bytes > h.retention.Bytes) {
@@ -112,7 +112,8 @@
 	}
 }
 
-// checkRetained rejects a revision whose content is not available.
+// checkRetained returns an error of kind Compacted for a revision that is no longer retained, and of kind Invalid for
+// one that does not exist yet.
 func (h *history) checkRetained(revision uint64) *configerror.Error {
 	switch latest := h.latest(); {
 	case revision < h.oldest:
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// hashAt returns the hash at a revision, and whether that is retained.
+// hashAt returns the hash of the document at a revision, and whether the revision is retained.
 func (h *history) hashAt(revision uint64) (Hash, bool) {
 	switch {
 	case revision < h.oldest || revision > h.latest():
@@ -140,10 +141,11 @@
 	return h.records[revision-h.oldest-1].hash, true
 }
 
-// since returns the records after a retained revision, oldest first.
+// since returns the records after a revision, oldest first. The revision must be retained.
 func (h *history) since(revision uint64) []record { return h.records[revision-h.oldest:] }
 
-// valuesAt returns the values at a retained revision of the entries that have changed since; nil for no entry.
+// valuesAt returns the values that the entries changed after a revision had at that revision; nil means that there was
+// no entry. The revision must be retained.
 func (h *history) valuesAt(revision uint64) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	for _, r := range slices.Backward(h.since(revision)) {
@@ -154,7 +156,7 @@
 	return values
 }
 
-// list returns at most limit retained revisions, beginning with from, oldest first.
+// list returns at most limit retained revisions starting at from, oldest first.
 func (h *history) list(from uint64, limit int) []Revision {
 	out := []Revision{}
 	for number := max(from, h.oldest+1); number <= h.latest() && len(out) < limit; number++ {
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -5,27 +5,26 @@
 	"hash/fnv"
 )
 
-// Waits between calls, in milliseconds.
+// The waits between calls after a failure, in milliseconds.
 const (
-	// maxFailoverWaitMS bounds the wait after a failure while there is a keeper that wasn't called since the last
-	// answer.
+	// maxFailoverWaitMS limits the wait before a keeper that was not called since the last successful call.
 	maxFailoverWaitMS = 100
-	// minBackoffMS is the longest wait after each keeper has failed once; it doubles with each further round.
+	// minBackoffMS is the longest wait after each keeper has failed once. It doubles with each further round.
 	minBackoffMS = 500
-	// MaxBackoffMS bounds the wait. It is below the usual lease of 6,000, so that a follower that finds a keeper again
-	// wasn't missing for longer than the others took to answer.
+	// MaxBackoffMS limits the wait. It is below the usual lease of 6,000 ms, so that a follower calls a keeper that can
+	// be reached again before the leases of that keeper count as complete.
 	MaxBackoffMS = 4_000
 )
 
 // keeperSelection decides which keeper a follower calls, and how long it waits after a failed call.
 type keeperSelection struct {
-	offset         uint32 // differs between processes, so that followers spread over the keepers
-	switches       uint32
-	keepers        int     // number of keepers at the latest selection
-	failures       int     // in a row
-	behindAnswers  int     // answers in a row of keepers that are behind
-	behindRevision uint64  // the highest revision among those
-	waitUntilMS    float64 // end of the wait after the latest failure
+	offset         uint32  // hash of the instance, so that followers spread over the keepers
+	switches       uint32  // number of switches to the next keeper
+	keepers        int     // number of keepers at the latest selection; at least 1
+	failures       int     // consecutive failed calls
+	behindAnswers  int     // answers of keepers that are behind, since the last successful call
+	behindRevision uint64  // the highest revision among these keepers
+	waitUntilMS    float64 // when the wait after the latest failure ends
 }
 
 func newKeeperSelection(instance string) keeperSelection {
@@ -39,7 +38,7 @@
 	return int((s.offset + s.switches) % uint32(s.keepers))
 }
 
-// callSucceeded resets the counts of failures and of keepers that are behind.
+// callSucceeded resets the counts of failures and of answers of keepers that are behind.
 func (s *keeperSelection) callSucceeded() { s.failures, s.behindAnswers, s.behindRevision = 0, 0, 0 }
 
 // countBehind counts an answer of a keeper that is behind the follower.
@@ -65,7 +64,7 @@
 	return waitMS
 }
 
-// backoffMS returns the longest wait after the present number of failures.
+// backoffMS returns the longest wait after the current number of failures.
 func (s *keeperSelection) backoffMS() float64 {
 	backoffMS := float64(minBackoffMS)
 	for round := s.failures / s.keepers; round > 1 && backoffMS < MaxBackoffMS; round-- {
@@ -74,28 +73,31 @@
 	return min(backoffMS, MaxBackoffMS)
 }
 
-// SelectKeeper returns which of n keepers, 0 to n-1, is called next: the same until a call fails.
+// SelectKeeper returns the index, from 0 to n-1, of the keeper to call next among n keepers. It stays the same until a
+// call fails.
 func (f *Follower) SelectKeeper(n int) int { return f.selection.selectKeeper(n) }
 
-// CallSucceeded records that a keeper answered that there is nothing new. Offer includes it for what it accepts.
+// CallSucceeded records that a keeper answered, which ends the backoff. Offer calls it unless it returns an error;
+// other callers need it only for answers that they do not pass to Offer.
 func (f *Follower) CallSucceeded() { f.selection.callSucceeded() }
 
-// CallFailed records that a call failed, or that its answer couldn't be used, and returns the milliseconds to wait
-// before the next, which goes to another keeper. A failure that is reported during the wait changes nothing: the next
-// keeper hasn't been called yet. jitter is uniform from 0 to 1. nowMS is of a monotonic clock.
+// CallFailed records that a call failed or that its answer could not be used. It returns the milliseconds to wait
+// before the next call, which goes to another keeper. A failure reported during the wait only returns the rest of the
+// wait, because the next keeper has not been called yet. nowMS is the time on a monotonic clock, and jitter is
+// uniformly distributed from 0 to 1.
 func (f *Follower) CallFailed(nowMS, jitter float64) (waitMS float64) {
 	return f.selection.callFailed(nowMS, jitter)
 }
 
-// KeepersAreBehind returns whether as many answers in a row as there are keepers were from keepers that are behind,
-// and the highest revision among them: the keepers were restored from an older state. The follower keeps its revision
-// until they are past it.
+// KeepersAreBehind reports whether as many answers as there are keepers came from keepers that are behind, without a
+// successful call in between, and returns the highest revision among these keepers. This happens after the keepers were
+// restored from an older state. The follower keeps its revision until the keepers have passed it.
 func (f *Follower) KeepersAreBehind() (keeperRevision uint64, behind bool) {
 	return f.selection.behindRevision, f.selection.behindAnswers >= f.selection.keepers
 }
 
-// keeperBehind counts the answer of a keeper that is behind and returns the error for it.
+// keeperBehind counts an answer of a keeper that is behind and returns an error that wraps ErrBehind.
 func (f *Follower) keeperBehind(keeperRevision uint64) error {
 	f.selection.countBehind(keeperRevision)
-	return fmt.Errorf("%w: it is at revision %d, this follower at %d", ErrBehind, keeperRevision, f.current.revision)
+	return fmt.Errorf("%w: the keeper is at revision %d, the follower at %d", ErrBehind, keeperRevision, f.current.revision)
 }
--- a/internal/decide/configlog/log.go
+++ b/internal/decide/configlog/log.go
@@ -7,10 +7,9 @@
 	"windflow/internal/decide/configerror"
 )
 
-// Log is the replicated configuration log: the document in force with its history, the IDs of the changes that were
-// applied, and the followers that are members. The same calls of Apply, AddMember and RemoveMember in the same order
-// lead to the same Log at each keeper, and rejected ones change nothing. Values that it returns are shared and must not
-// be changed.
+// Log is a replica of the configuration log: the document in force, its history, the IDs of the latest changes and the
+// members. The same calls of Apply, AddMember and RemoveMember in the same order lead to the same Log on each keeper;
+// rejected calls change nothing. The values that its methods return are shared and must not be modified.
 type Log struct {
 	document document
 	history  history
@@ -18,7 +17,7 @@
 	members  members
 }
 
-// NewLog returns a Log at revision 0, which has no entries.
+// NewLog returns an empty Log at revision 0.
 func NewLog(retention Retention) *Log {
 	return &Log{
 		document: newDocument(),
@@ -31,20 +30,20 @@
 // Revision returns the revision in force; 0 before the first change.
 func (l *Log) Revision() uint64 { return l.history.latest() }
 
-// OldestRevision returns the first revision whose content is retained.
+// OldestRevision returns the earliest revision whose content is retained.
 func (l *Log) OldestRevision() uint64 { return l.history.oldest }
 
 // Hash returns the hash of the content in force.
 func (l *Log) Hash() Hash { return l.document.hash }
 
-// Size returns the number of entries in force, and the bytes of their pointers and values.
+// Size returns the number of entries in force and the total size of their pointers and values in bytes.
 func (l *Log) Size() (entries, bytes int) { return len(l.document.entries), l.document.bytes }
 
 // Entries returns the content in force.
 func (l *Log) Entries() map[string]json.RawMessage { return maps.Clone(l.document.entries) }
 
-// EntriesAt returns the content at a revision: an error of kind Compacted for one before OldestRevision, of kind
-// Invalid for one that does not exist yet.
+// EntriesAt returns the content at a revision. It returns an error of kind Compacted for a revision before
+// OldestRevision, and of kind Invalid for one that does not exist yet.
 func (l *Log) EntriesAt(revision uint64) (map[string]json.RawMessage, *configerror.Error) {
 	if rejected := l.history.checkRetained(revision); rejected != nil {
 		return nil, rejected
@@ -56,11 +55,11 @@
 	return entries, nil
 }
 
-// History returns at most limit revisions, beginning with from, oldest first; those that are not retained are left out.
+// History returns at most limit revisions starting at from, oldest first. Revisions that are not retained are left out.
 func (l *Log) History(from uint64, limit int) []Revision { return l.history.list(from, limit) }
 
-// Preview returns the content that a change would lead to, without applying it. For a change that was applied already
-// it is the content in force.
+// Preview returns the content that a change would lead to, without applying it. For a change that was already applied,
+// this is the content in force.
 func (l *Log) Preview(change Change) (map[string]json.RawMessage, *configerror.Error) {
 	plan, rejected := l.plan(change)
 	if rejected != nil {
@@ -73,7 +72,7 @@
 	return entries, nil
 }
 
-// Apply applies a change, or returns why it is rejected; the Log is unchanged then.
+// Apply applies a change. If the change is rejected, Result.Err is the reason and the Log is unchanged.
 func (l *Log) Apply(change Change) Result {
 	plan, rejected := l.plan(change)
 	switch {
@@ -96,16 +95,16 @@
 	return Result{Revision: l.Revision()}
 }
 
-// AddMember records a follower's process and returns whether it is new. A keeper that is called by a process for
-// which HasMember is false proposes it, and answers once it is added. A name or instance that is not valid is not
-// added, nor is a name beyond MaxMembers.
+// AddMember adds a follower's process and reports whether it was added. A keeper that is called by a process for which
+// HasMember returns false proposes this call to the log and answers once it is applied. Invalid names and instances,
+// processes that are already recorded, and new names beyond MaxMembers are not added.
 func (l *Log) AddMember(name, instance string) bool { return l.members.add(name, instance) }
 
-// HasMember returns whether a process is one of the two latest of its name.
+// HasMember reports whether a process is one of the two recorded processes of the member with this name.
 func (l *Log) HasMember(name, instance string) bool { return l.members[name].has(instance) }
 
-// RemoveMember removes a follower that will not return, and returns whether it was a member.
+// RemoveMember removes a follower that will not return, and reports whether it was a member.
 func (l *Log) RemoveMember(name string) bool { return l.members.remove(name) }
 
-// Members returns the names of all followers that were added and not removed, sorted.
+// Members returns the sorted names of all followers that were added and not removed.
 func (l *Log) Members() []string { return l.members.names() }
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -17,7 +17,7 @@
 
 func revisionPtr(n uint64) *uint64 { return &n }
 
-// mustApply applies a change that must not be rejected or repeated.
+// mustApply applies a change, which must be neither rejected nor a repetition, and returns its revision.
 func (l *Log) mustApply(tb testing.TB, c Change) uint64 {
 	tb.Helper()
 	r := l.Apply(c)
@@ -27,7 +27,8 @@
 	return r.Revision
 }
 
-// A change, its repetition, a conflict and a revert.
+// A repeated change is applied once, an ID can't be reused for another change, Expect must match the revision in force,
+// and a revert restores an earlier content.
 func TestChangeRepeatConflictRevert(t *testing.T) {
 	l := NewLog(Retention{})
 	if rev := l.mustApply(t, put("a", "/settings/over-share-worth", "0.5")); rev != 1 {
@@ -58,7 +59,7 @@
 	}
 }
 
-// rejectedChange is a change with the error that rejects it.
+// rejectedChange is an invalid change with the expected error.
 type rejectedChange struct {
 	Change
 	kind    configerror.Kind
@@ -66,7 +67,7 @@
 	reason  string
 }
 
-// rejectedChanges are changes of a log that has the entries /settings/rules/cold-ns and /settings/list.
+// rejectedChanges returns invalid changes of a log that has the entries /settings/rules/cold-ns and /settings/list.
 func rejectedChanges() map[string]rejectedChange {
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
 	many := Change{ID: "x", Put: map[string]json.RawMessage{}}
@@ -81,31 +82,31 @@
 	nested := put("x", "/settings/q", "1")
 	nested.Put["/settings/q/r"] = json.RawMessage("1")
 	return map[string]rejectedChange{
-		"no id":           {Change{Remove: list}, invalid, "", "field id"},
-		"long id":         {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), invalid, "", "field id"},
-		"odd id":          {put("a\nb", "/settings/a", "1"), invalid, "", "field id"},
-		"long note":       {longNote, invalid, "", "field note"},
-		"odd note":        {Change{ID: "x", Note: "\xff", Remove: list}, invalid, "", "field note"},
-		"time":            {Change{ID: "x", AtMS: -1, Remove: list}, invalid, "", "field at_ms"},
-		"nothing":         {Change{ID: "x"}, invalid, "", "no put"},
-		"revert and put":  {Change{ID: "x", RevertTo: revisionPtr(0), Remove: list}, invalid, "", "field revert_to"},
-		"revert ahead":    {Change{ID: "x", RevertTo: revisionPtr(2)}, invalid, "", "field revert_to"},
-		"place":           {put("x", "/listen", `"a:1"`), invalid, "/listen", "own"},
-		"value":           {put("x", "/settings/a", "{"), invalid, "/settings/a", "JSON"},
-		"remove place":    {Change{ID: "x", Remove: []string{"/seed"}}, invalid, "/seed", "own"},
-		"remove none":     {Change{ID: "x", Remove: []string{"/settings/a"}}, invalid, "/settings/a", "no such entry"},
-		"remove twice":    {Change{ID: "x", Remove: append(list, list...)}, invalid, "/settings/list", "twice"},
-		"put and remove":  {putAndRemove, invalid, "/settings/list", "put and removed"},
-		"within an entry": {put("x", "/settings/list/0", "1"), invalid, "/settings/list/0", "/settings/list"},
-		"above an entry":  {put("x", "/settings/rules", "{}"), invalid, "/settings/rules", "below"},
-		"within itself":   {nested, invalid, "/settings/q/r", "/settings/q"},
-		"large change":    {many, invalid, "", "bytes"},
-		"conflict":        {Change{ID: "x", Expect: revisionPtr(7), Remove: list}, configerror.Conflict, "", "field expect"},
-		"reused":          {Change{ID: "base", Remove: list}, configerror.IDReused, "", "field id"},
+		"no id":                        {Change{Remove: list}, invalid, "", "field id"},
+		"long id":                      {put(strings.Repeat("x", MaxIDBytes+1), "/settings/a", "1"), invalid, "", "field id"},
+		"control character in id":      {put("a\nb", "/settings/a", "1"), invalid, "", "field id"},
+		"long note":                    {longNote, invalid, "", "field note"},
+		"note is not UTF-8":            {Change{ID: "x", Note: "\xff", Remove: list}, invalid, "", "field note"},
+		"negative time":                {Change{ID: "x", AtMS: -1, Remove: list}, invalid, "", "field at_ms"},
+		"empty change":                 {Change{ID: "x"}, invalid, "", "no put"},
+		"revert and put":               {Change{ID: "x", RevertTo: revisionPtr(0), Remove: list}, invalid, "", "field revert_to"},
+		"revert to a later revision":   {Change{ID: "x", RevertTo: revisionPtr(2)}, invalid, "", "field revert_to"},
+		"pointer":                      {put("x", "/listen", `"a:1"`), invalid, "/listen", "own"},
+		"value":                        {put("x", "/settings/a", "{"), invalid, "/settings/a", "JSON"},
+		"remove pointer":               {Change{ID: "x", Remove: []string{"/seed"}}, invalid, "/seed", "own"},
+		"remove missing entry":         {Change{ID: "x", Remove: []string{"/settings/a"}}, invalid, "/settings/a", "no such entry"},
+		"remove twice":                 {Change{ID: "x", Remove: append(list, list...)}, invalid, "/settings/list", "twice"},
+		"put and remove":               {putAndRemove, invalid, "/settings/list", "both put and removed"},
+		"below an entry":               {put("x", "/settings/list/0", "1"), invalid, "/settings/list/0", "/settings/list"},
+		"above an entry":               {put("x", "/settings/rules", "{}"), invalid, "/settings/rules", "below"},
+		"below an entry of the change": {nested, invalid, "/settings/q/r", "/settings/q"},
+		"large change":                 {many, invalid, "", "bytes"},
+		"conflict":                     {Change{ID: "x", Expect: revisionPtr(7), Remove: list}, configerror.Conflict, "", "field expect"},
+		"reused":                       {Change{ID: "base", Remove: list}, configerror.IDReused, "", "field id"},
 	}
 }
 
-// Each rejection has its kind and pointer, and leaves the log unchanged.
+// Each invalid change is rejected with the expected kind, pointer and reason, and leaves the log unchanged.
 func TestRejectedChanges(t *testing.T) {
 	l := NewLog(Retention{})
 	l.mustApply(
@@ -127,13 +128,13 @@
 			t.Errorf("%s: %+v, %v", name, r, r.Err)
 		}
 		if _, rejected := l.Preview(c.Change); !reflect.DeepEqual(rejected, r.Err) {
-			t.Errorf("%s: the preview says %v", name, rejected)
+			t.Errorf("%s: Preview returns %v", name, rejected)
 		}
 	}
 	if after, _ := l.MarshalBinary(); !bytes.Equal(before, after) {
-		t.Error("a rejected change changed something")
+		t.Error("a rejected change modified the state")
 	}
-	// A change may remove the entries that would be above or below the new ones.
+	// A change may put an entry above or below existing entries that it removes.
 	l.mustApply(t, Change{
 		ID: "over",
 		Put: map[string]json.RawMessage{
@@ -147,7 +148,7 @@
 	}
 }
 
-// The document has bounds, which a change can't pass bit by bit.
+// The limits of the document's size and number of entries also hold if it grows by many small changes.
 func TestDocumentBounds(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	huge := json.RawMessage(`"` + strings.Repeat("x", MaxValueBytes-2) + `"`)
@@ -174,7 +175,7 @@
 	}
 }
 
-// IDs are remembered past the records, but not for ever.
+// Change IDs are remembered for longer than the retained records, but only the latest MaxRememberedIDs.
 func TestRememberedIDsAreBounded(t *testing.T) {
 	l := NewLog(Retention{Revisions: 2})
 	l.mustApply(t, put("first", "/settings/a", "0"))
@@ -189,13 +190,13 @@
 		t.Error(len(l.ids.applied), len(l.ids.order))
 	}
 	l.mustApply(t, put("first", "/settings/a", "0"))
-	// A preview of an applied change is the content in force, and no error.
+	// Preview of an applied change returns the content in force without an error.
 	if entries, rejected := l.Preview(put("first", "/settings/a", "0")); rejected != nil || len(entries) != 1 {
 		t.Error(entries, rejected)
 	}
 }
 
-// Each name is a member once, with its two latest processes; an invalid one, or one beyond the bound, is not added.
+// Each name is a member once, with its two latest processes. Invalid names and names beyond MaxMembers are not added.
 func TestMembers(t *testing.T) {
 	l := NewLog(Retention{})
 	if !l.AddMember("b", "1") || !l.AddMember("a", "1") || l.AddMember("b", "1") || l.AddMember("", "1") ||
@@ -206,14 +207,14 @@
 	if names := l.Members(); !reflect.DeepEqual(names, []string{"a", "b"}) {
 		t.Error(names)
 	}
-	// Two that live side by side don't push each other out.
+	// Two processes that run at the same time do not replace each other.
 	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") ||
 		l.HasMember("a", "1") ||
 		!l.HasMember("a", "2") ||
 		!l.HasMember("a", "4") {
 		t.Error(l.members)
 	}
-	// A late call of an earlier process doesn't make it the latest.
+	// A late call of an earlier process does not make it the latest process.
 	if !l.AddMember("a", "3") || l.members["a"] != (memberProcesses{"4", "3"}) || !l.AddMember("a", "2") ||
 		l.members["a"] != (memberProcesses{"4", "2"}) {
 		t.Error(l.members)
--- a/internal/decide/configlog/members.go
+++ b/internal/decide/configlog/members.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// memberProcesses are the instances of the two latest processes of a follower: during a hot restart both are alive.
+// memberProcesses holds the instances of a follower's two latest processes. During a hot restart both are running.
 type memberProcesses struct{ latest, previous string }
 
 func (p memberProcesses) has(instance string) bool {
 	return instance != "" && (p.latest == instance || p.previous == instance)
 }
 
-// members are all followers that ever called a keeper and are not removed, by name.
+// members holds all followers that have called a keeper and were not removed, by name.
 type members map[string]memberProcesses
 
-// add records a process and returns whether it is new. Of two processes the one with the greater instance is the later,
-// whichever is added first: a call of a process that has ended can arrive late.
+// add records a process and reports whether it was added. Of two processes, the one with the greater instance is the
+// later one, whichever is added first, because a call of a process that has ended can arrive late.
 func (m members) add(name, instance string) bool {
 	processes, known := m[name]
 	full := !known && len(m) >= MaxMembers
@@ -31,7 +31,7 @@
 	return true
 }
 
-// remove returns whether there was such a member.
+// remove deletes a member and reports whether it existed.
 func (m members) remove(name string) bool {
 	_, known := m[name]
 	delete(m, name)
--- a/internal/decide/configlog/pointer.go
+++ b/internal/decide/configlog/pointer.go
@@ -8,25 +8,26 @@
 	"unicode/utf8"
 )
 
-// tenantsPath is the path of the entries of tenants, which the platform's settings call parties.
+// tenantsPath is the prefix of the pointers of tenants, which the settings call parties.
 const tenantsPath = "/settings/parties/"
 
-// perRouterSettings are the settings that belong to one router and can't be the same everywhere.
-var perRouterSettings = map[string]string{"me": "the place of the router", "zone": "the zone of the router"}
+// perRouterSettings describes the settings that differ between routers and therefore can't be in the shared document.
+var perRouterSettings = map[string]string{"me": "the router's index", "zone": "the router's zone"}
 
-// CheckPointer returns why a pointer can't name an entry, or nil. Settings that belong to a single router are not
-// allowed: only /board, what is below /settings except me and zone, and /settings/parties/NAME can be put. Names of
-// settings are lower-case letters, digits, '-', '_' and '.', because the reader of settings ignores case.
+// CheckPointer returns an error if a pointer can't address an entry of the shared document. Allowed are /board,
+// pointers below /settings except /settings/me and /settings/zone, which belong to a single router, and
+// /settings/parties/NAME. Setting names consist of lower-case letters, digits, '-', '_' and '.': the settings reader
+// ignores case, so names that differ only in case would refer to the same setting.
 func CheckPointer(pointer string) error {
 	switch {
 	case pointer == "":
-		return fmt.Errorf("the whole document can't be put, only its entries")
+		return fmt.Errorf("the pointer is empty: the document can't be put as a whole, only its entries")
 	case len(pointer) > MaxPointerBytes:
-		return fmt.Errorf("the pointer has %d bytes, more than %d", len(pointer), MaxPointerBytes)
+		return fmt.Errorf("the pointer has %d bytes; the limit is %d", len(pointer), MaxPointerBytes)
 	case !utf8.ValidString(pointer):
-		return fmt.Errorf("the pointer is no UTF-8")
+		return fmt.Errorf("the pointer is not valid UTF-8")
 	case pointer[0] != '/':
-		return fmt.Errorf("a JSON pointer begins with /")
+		return fmt.Errorf("a JSON pointer must begin with /")
 	case strings.ContainsFunc(pointer, unicode.IsControl):
 		return fmt.Errorf("the pointer has a control character")
 	}
@@ -42,7 +43,7 @@
 func checkEscapes(pointer string) error {
 	for i := range len(pointer) {
 		if pointer[i] == '~' && (i+1 == len(pointer) || pointer[i+1] != '0' && pointer[i+1] != '1') {
-			return fmt.Errorf("in a JSON pointer 0 or 1 follows a ~ (RFC 6901)")
+			return fmt.Errorf("in a JSON pointer, ~ must be followed by 0 or 1 (RFC 6901)")
 		}
 	}
 	return nil
@@ -51,17 +52,17 @@
 func checkTenantName(name string) error {
 	switch {
 	case name == "":
-		return fmt.Errorf("the party has no name")
+		return fmt.Errorf("the pointer has no party name after %s", tenantsPath)
 	case strings.Contains(name, "/"):
 		return fmt.Errorf(
-			"a party is put as a whole, with its pointer %sNAME (a / in a name is written ~1)",
+			"a party can only be put as a whole, at %sNAME (write a / in the name as ~1)",
 			tenantsPath,
 		)
 	}
 	return nil
 }
 
-// checkSettingPath checks the pointer of an entry that is no tenant.
+// checkSettingPath checks a pointer that does not address a tenant.
 func checkSettingPath(pointer string) error {
 	names := strings.Split(pointer, "/")[1:]
 	switch {
@@ -70,11 +71,11 @@
 	case names[0] != "settings":
 		return fmt.Errorf("only /board and what lies below /settings can be put; the rest is each router's own")
 	case len(names) == 1:
-		return fmt.Errorf("the settings are put entry by entry, below /settings")
+		return fmt.Errorf("the settings can't be put as a whole, only entries below /settings")
 	case perRouterSettings[names[1]] != "":
-		return fmt.Errorf("%s is its own", perRouterSettings[names[1]])
+		return fmt.Errorf("%s can't be put: each router sets it in its own file", perRouterSettings[names[1]])
 	case pointer == "/settings/parties":
-		return fmt.Errorf("parties are put one by one, as %sNAME", tenantsPath)
+		return fmt.Errorf("parties must be put one by one, at %sNAME", tenantsPath)
 	}
 	for _, name := range names[1:] {
 		if err := checkSettingName(name); err != nil {
@@ -92,18 +93,19 @@
 func checkSettingName(name string) error {
 	switch {
 	case strings.Trim(name, settingNameChars) != "":
-		return fmt.Errorf("%q is no name of a setting: those have lower-case letters, digits, '-', '_' and '.'", name)
+		return fmt.Errorf("%q is not a setting name: only lower-case letters, digits, '-', '_' and '.' are allowed", name)
 	case name == "":
-		return fmt.Errorf("a name in the pointer is empty")
+		return fmt.Errorf("the pointer has an empty name")
 	case name == "-":
-		return fmt.Errorf("'-' names no entry, but the place after the last one")
+		return fmt.Errorf("'-' refers to the position after the last array element, not to an entry")
 	case len(name) > 1 && name[0] == '0' && strings.Trim(name, digits) == "":
-		return fmt.Errorf("%q is no place in a list: those have no zeros in front", name)
+		return fmt.Errorf("%q is not an array index: leading zeros are not allowed", name)
 	}
 	return nil
 }
 
-// TenantName returns the name of the tenant that a pointer addresses, and false for a pointer that addresses none.
+// TenantName returns the unescaped name of the tenant that a pointer addresses, or false if it does not address a
+// tenant.
 func TenantName(pointer string) (string, bool) {
 	name, ok := strings.CutPrefix(pointer, tenantsPath)
 	if !ok || name == "" || strings.Contains(name, "/") {
--- a/internal/decide/configlog/savedrevision.go
+++ b/internal/decide/configlog/savedrevision.go
@@ -6,15 +6,15 @@
 	"encoding/json"
 )
 
-// SavedRevision is a follower's copy on disk of the revision that was in force last.
+// SavedRevision is the copy on disk of the revision that a follower had in force last.
 type SavedRevision struct {
 	Revision uint64                     `json:"revision"`
 	Hash     Hash                       `json:"hash"`
-	Checksum Hash                       `json:"sum"` // of Revision and Hash, which the entries' hash doesn't cover
+	Checksum Hash                       `json:"sum"` // covers Revision and Hash; Hash covers the entries
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// checksum returns what Checksum has to be.
+// checksum computes the correct value of Checksum.
 func (s SavedRevision) checksum() Hash {
 	text := binary.LittleEndian.AppendUint64([]byte("windflow saved\n"), s.Revision)
 	return sha256.Sum256(append(text, s.Hash[:]...))
--- a/internal/decide/configlog/update.go
+++ b/internal/decide/configlog/update.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// Update brings a follower from revision From to To. With Snapshot, Put is the complete content of To; otherwise Put
-// and Remove are the difference. Hash is that of the complete content of To. KeeperBehind says that the keeper is at
-// To, which is before the follower's From, and has nothing for it.
+// Update brings a follower from revision From to revision To. If Snapshot is set, Put is the complete content of To;
+// otherwise Put and Remove are the difference between the two revisions. Hash is the hash of the complete content of
+// To. If KeeperBehind is set, the keeper is at revision To, which is before the follower's revision From, and the
+// update has no content.
 type Update struct {
 	From         uint64                     `json:"from"`
 	To           uint64                     `json:"to"`
@@ -19,12 +20,13 @@
 	Hash         Hash                       `json:"hash"`
 }
 
-// IsEmpty returns whether the update has nothing new for the follower that it is for.
+// IsEmpty reports whether the update leaves the follower at its revision.
 func (u Update) IsEmpty() bool { return u.From == u.To && !u.Snapshot && !u.KeeperBehind }
 
-// UpdateSince returns what a follower needs that has this revision with this hash: nothing, the difference, or a
-// snapshot, whichever has fewer bytes. A follower whose content is not that of its revision here, or whose revision
-// is not retained, gets a snapshot; one that is ahead of this keeper gets KeeperBehind.
+// UpdateSince returns the update to the revision in force for a follower that has a revision with the given hash. It is
+// empty, a difference or a snapshot; of the latter two, the one with fewer bytes. The follower gets a snapshot if its
+// hash is not that of its revision in this log or if its revision is not retained, and KeeperBehind if its revision is
+// later than the one in force here.
 func (l *Log) UpdateSince(revision uint64, hash Hash) Update {
 	current := l.Revision()
 	update := Update{From: revision, To: current, Hash: l.document.hash}
@@ -39,8 +41,8 @@
 	return update
 }
 
-// NextUpdate returns what the follower with this status needs: as UpdateSince, but nothing while the revision in
-// force is the one that it rejected, since the follower would reject it again.
+// NextUpdate returns the update for a follower with this status. It is that of UpdateSince, but empty while the
+// follower has rejected the revision in force, since it would reject it again.
 func (l *Log) NextUpdate(status FollowerStatus) Update {
 	r := status.Rejected
 	if r != nil && r.Revision == l.Revision() && r.Hash == l.document.hash && status.Revision <= r.Revision {
@@ -49,14 +51,14 @@
 	return l.UpdateSince(status.Revision, status.Hash)
 }
 
-// isContentAt returns whether a hash is that of a retained revision.
+// isContentAt reports whether a revision is retained and its content has this hash.
 func (l *Log) isContentAt(revision uint64, hash Hash) bool {
 	retained, ok := l.history.hashAt(revision)
 	return ok && retained == hash
 }
 
-// fillDelta adds the difference to the content of update.From, which has to be retained. It returns false, and adds
-// nothing, if the difference has no fewer bytes than a snapshot.
+// fillDelta adds the difference from update.From, which must be retained, to the update. If the difference has at least
+// as many bytes as a snapshot, it adds nothing and returns false.
 func (l *Log) fillDelta(update *Update) bool {
 	before, ok := l.changedSince(update.From)
 	if !ok {
@@ -77,15 +79,16 @@
 	return true
 }
 
-// changedSince returns the values at a revision of the entries that were changed after it; nil for no entry. ok is
-// false if their present values have no fewer bytes than the document.
+// changedSince returns the values that the entries changed after a revision had at that revision; nil means that there
+// was no entry. ok is false if the current pointers and values of the entries that differ now have at least as many
+// bytes as the document.
 func (l *Log) changedSince(revision uint64) (before map[string]json.RawMessage, ok bool) {
 	before = map[string]json.RawMessage{}
 	size := 0
 	for _, r := range l.history.since(revision) {
 		for _, e := range r.edits {
 			if _, seen := before[e.pointer]; seen {
-				continue // the first edit has the value at the revision
+				continue // only the first edit has the value at the revision
 			}
 			before[e.pointer] = e.before
 			value := l.document.entries[e.pointer]
--- a/internal/decide/configlog/value.go
+++ b/internal/decide/configlog/value.go
@@ -10,15 +10,15 @@
 	"unicode/utf8"
 )
 
-// canonicalValue returns the one form in which a value is stored, so that equal content has equal bytes: no blanks,
-// names of objects sorted, numbers in their shortest form. The form is also a fixed point of encoding/json, which
-// escapes <, > and & where it writes a RawMessage: a value arrives with the bytes that were hashed.
+// canonicalValue returns a JSON value in canonical form: without white space, with sorted object names and with numbers
+// in their shortest form. Equal values then have equal bytes. encoding/json, which escapes <, > and & when it encodes a
+// RawMessage, leaves the canonical form unchanged, so that a follower receives the bytes that were hashed.
 func canonicalValue(pointer string, raw json.RawMessage) (json.RawMessage, error) {
 	if len(raw) > MaxChangeBytes {
-		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(raw), MaxValueBytes)
+		return nil, fmt.Errorf("the value has %d bytes; the limit is %d", len(raw), MaxValueBytes)
 	}
 	if !utf8.Valid(raw) {
-		return nil, fmt.Errorf("the value is no UTF-8")
+		return nil, fmt.Errorf("the value is not valid UTF-8")
 	}
 	if !json.Valid(raw) {
 		return nil, fmt.Errorf("the value is not valid JSON")
@@ -34,40 +34,41 @@
 	}
 	out, err := json.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("the value can't be written: %w", err)
+		return nil, fmt.Errorf("the value can't be encoded: %w", err)
 	}
 	if len(out) > MaxValueBytes {
-		return nil, fmt.Errorf("the value has %d bytes, more than %d", len(out), MaxValueBytes)
+		return nil, fmt.Errorf("the value has %d bytes; the limit is %d", len(out), MaxValueBytes)
 	}
 	return out, nil
 }
 
-// checkValueType checks what the pointer alone says of a value. Everything else is validated with the complete
-// configuration.
+// checkValueType checks the requirements on a value that follow from its pointer alone. All others are validated with
+// the complete configuration.
 func checkValueType(pointer string, value any) error {
 	if value == nil {
-		return fmt.Errorf("null is no value; remove takes an entry out")
+		return fmt.Errorf("the value is null; use remove to remove an entry")
 	}
 	if _, ok := value.(string); !ok && pointer == "/board" {
-		return fmt.Errorf("the board is a string, address:port")
+		return fmt.Errorf("the board must be a string of the form address:port")
 	}
 	if !strings.HasPrefix(pointer, tenantsPath) {
 		return nil
 	}
 	tenant, ok := value.(map[string]any)
 	if !ok {
-		return fmt.Errorf("a party is an object")
+		return fmt.Errorf("a party must be a JSON object")
 	}
 	for field := range tenant {
 		if strings.EqualFold(field, "name") {
-			return fmt.Errorf("the name of a party stands in its pointer, not in its value")
+			return fmt.Errorf("a party must not have the field %q: its name is part of the pointer", field)
 		}
 	}
 	return nil
 }
 
-// decodeValue returns the next value, with its numbers in their shortest form. The text has to be valid JSON. A name
-// that occurs twice in an object is an error, though JSON allows it: readers differ in which of the two they use.
+// decodeValue decodes the next value and brings its numbers into their shortest form. The input must be valid JSON. A
+// duplicate name in an object is an error although JSON allows it, because decoders differ in which of the values they
+// use.
 func decodeValue(decoder *json.Decoder, depth int) (any, error) {
 	token, err := decoder.Token()
 	if err != nil {
@@ -78,7 +79,7 @@
 		return shortestNumber(string(token))
 	case json.Delim:
 		if depth == maxValueDepth {
-			return nil, fmt.Errorf("more than %d lists and objects lie within each other", maxValueDepth)
+			return nil, fmt.Errorf("arrays and objects are nested more than %d levels deep", maxValueDepth)
 		}
 		if token == '{' {
 			return decodeObject(decoder, depth+1)
@@ -88,7 +89,7 @@
 	return token, nil
 }
 
-// decodeObject returns the object whose opening brace is read already.
+// decodeObject decodes the rest of an object after its opening brace.
 func decodeObject(decoder *json.Decoder, depth int) (any, error) {
 	object := map[string]any{}
 	for decoder.More() {
@@ -98,10 +99,10 @@
 		}
 		name, ok := token.(string)
 		if !ok {
-			return nil, invalidJSONError(fmt.Errorf("%v is no name", token))
+			return nil, invalidJSONError(fmt.Errorf("the object name %v is not a string", token))
 		}
 		if _, duplicate := object[name]; duplicate {
-			return nil, fmt.Errorf("the name %.40q stands twice in an object", name)
+			return nil, fmt.Errorf("the name %.40q occurs twice in an object", name)
 		}
 		if object[name], err = decodeValue(decoder, depth); err != nil {
 			return nil, err
@@ -110,7 +111,7 @@
 	return object, skipClosing(decoder)
 }
 
-// decodeArray returns the list whose opening bracket is read already.
+// decodeArray decodes the rest of an array after its opening bracket.
 func decodeArray(decoder *json.Decoder, depth int) (any, error) {
 	list := []any{}
 	for decoder.More() {
@@ -132,8 +133,8 @@
 
 func invalidJSONError(err error) error { return fmt.Errorf("the value is not valid JSON: %w", err) }
 
-// shortestNumber returns the shortest form of a number. Integers keep their digits, because nanoseconds can exceed
-// what a float64 represents exactly.
+// shortestNumber returns the shortest form of a number. Integers keep all their digits, because a float64 can't
+// represent every number of nanoseconds exactly.
 func shortestNumber(s string) (any, error) {
 	if !strings.ContainsAny(s, ".eE") {
 		if s == "-0" {
@@ -143,7 +144,7 @@
 	}
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil {
-		return "", fmt.Errorf("the number %.40s is beyond what a float64 holds", s)
+		return "", fmt.Errorf("the number %.40s is out of the range of a float64", s)
 	}
 	if f == math.Trunc(f) && math.Abs(f) < 1<<53 {
 		return json.Number(strconv.FormatInt(int64(f), 10)), nil
