--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// newLargeLog returns a log with so many tenants, as a large installation has, put in changes of at most 5,000, and
-// then 100 changes of one each.
+// newLargeLog returns a log with the given number of tenants, which were put in changes of at most 5,000 each, followed
+// by 100 changes of one tenant each.
 func newLargeLog(b *testing.B, entries int) *Log {
 	b.Helper()
 	l := NewLog(Retention{})
 	for n := 0; n < entries; {
-		c := Change{ID: fmt.Sprint("grow ", n), Put: map[string]json.RawMessage{}}
+		c := Change{ID: fmt.Sprint("initial ", n), Put: map[string]json.RawMessage{}}
 		for ; n < entries && len(c.Put) < 5000; n++ {
 			c.Put[tenantPointer(n)] = json.RawMessage(`{"quota-rps":100,"share":1}`)
 		}
 		l.mustApply(b, c)
 	}
 	for i := range 100 {
-		l.mustApply(b, put(fmt.Sprint("one ", i), tenantPointer(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i)))
+		l.mustApply(b, put(fmt.Sprint("single ", i), tenantPointer(i%entries), fmt.Sprintf(`{"quota-rps":%d}`, i)))
 	}
 	return l
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// One change of one entry.
+// Applies a change of one entry.
 func BenchmarkApply(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
 		b.Helper()
@@ -55,21 +55,21 @@
 	})
 }
 
-// What a follower gets that is one revision late.
+// Computes the update of a follower that is one revision behind.
 func BenchmarkUpdateSinceDelta(b *testing.B) {
-	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, _ int) {
 		b.Helper()
 		rev := l.Revision() - 1
 		h, _ := l.history.hashAt(rev)
 		for b.Loop() {
 			if u := l.UpdateSince(rev, h); u.Snapshot || len(u.Put) != 1 {
-				b.Fatal("no delta")
+				b.Fatal("the update is not the expected delta")
 			}
 		}
 	})
 }
 
-// What a follower gets that is 1,000 revisions late, at 1,000 entries.
+// Computes the update of a follower that is 1,000 revisions behind a document of 1,000 entries.
 func BenchmarkUpdateSinceLongDelta(b *testing.B) {
 	l := newLargeLog(b, 1000)
 	rev, h := l.Revision(), l.Hash()
@@ -79,50 +79,50 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if u := l.UpdateSince(rev, h); u.Snapshot || len(u.Put) != 400 {
-			b.Fatal("no delta")
+			b.Fatal("the update is not the expected delta")
 		}
 	}
 }
 
-// What a follower gets that has nothing.
+// Computes the update of a follower that needs a snapshot.
 func BenchmarkUpdateSinceSnapshot(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
 		b.Helper()
 		for b.Loop() {
 			if u := l.UpdateSince(0, Hash{1}); !u.Snapshot || len(u.Put) != entries {
-				b.Fatal("no snapshot")
+				b.Fatal("the update is not a complete snapshot")
 			}
 		}
 	})
 }
 
-// The hash that Apply keeps up to date, and the hash of all entries, as a follower computes it of a snapshot.
+// Compares the hash that Apply keeps up to date with hashing all entries, which a follower does for a snapshot.
 func BenchmarkHash(b *testing.B) {
-	b.Run("kept", func(b *testing.B) {
-		benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+	b.Run("maintained", func(b *testing.B) {
+		benchmarkSizes(b, func(b *testing.B, l *Log, _ int) {
 			b.Helper()
 			for b.Loop() {
 				if l.Hash() == (Hash{}) {
-					b.Fatal("no hash")
+					b.Fatal("the hash is zero")
 				}
 			}
 		})
 	})
-	b.Run("anew", func(b *testing.B) {
-		benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+	b.Run("recomputed", func(b *testing.B) {
+		benchmarkSizes(b, func(b *testing.B, l *Log, _ int) {
 			b.Helper()
 			for b.Loop() {
 				if HashEntries(l.document.entries) != l.document.hash {
-					b.Fatal("another hash")
+					b.Fatal("the computed hash differs from the maintained one")
 				}
 			}
 		})
 	})
 }
 
-// The complete state, as a keeper's snapshot has it, and its size.
+// Encodes the complete state for a keeper's snapshot and reports its size.
 func BenchmarkMarshalBinary(b *testing.B) {
-	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, _ int) {
 		b.Helper()
 		size := 0
 		for b.Loop() {
@@ -136,9 +136,9 @@
 	})
 }
 
-// A follower that takes a delta of one entry.
+// Offers a follower a delta of one entry.
 func BenchmarkOfferDelta(b *testing.B) {
-	benchmarkSizes(b, func(b *testing.B, l *Log, entries int) {
+	benchmarkSizes(b, func(b *testing.B, l *Log, _ int) {
 		b.Helper()
 		f := NewFollower("r", "1")
 		rev := l.Revision() - 1
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// joinNames returns the names of the processes, each followed by its instance, as one string.
 func joinNames(processes []FollowerProcess) string {
 	names := ""
 	for _, process := range processes {
@@ -14,12 +15,13 @@
 	return names
 }
 
-// A lease lasts for its length, is renewed by each call, and is new again after it ended.
+// A lease expires after its length unless it is renewed. Renew reports a first call for a new process and again after
+// the lease has expired.
 func TestLeases(t *testing.T) {
 	l := NewLeases(6000)
 	a, b := FollowerStatus{Name: "a", Instance: "1", Revision: 3}, FollowerStatus{Name: "a", Instance: "2"}
 	if !l.Renew(1000, b) || !l.Renew(1000, a) || l.Renew(3000, a) {
-		t.Error("first")
+		t.Error("Renew must return true for the first call of each process only")
 	}
 	live := l.Live(6999)
 	if len(live) != 2 || live[0].Instance != "1" || live[0].UntilMS != 9000 || live[1].UntilMS != 7000 {
@@ -29,36 +31,37 @@
 		t.Errorf("%+v", live)
 	}
 	if l.Renew(8999, a) || !l.Renew(15_000, a) || !l.Renew(15_000, b) {
-		t.Error("first after a lease")
+		t.Error("Renew must return true for the first call after a lease has expired")
 	}
 }
 
-// Leases are complete when a length has passed without a gap.
+// Leases are complete once the keeper has run for the length of a lease without a gap of more than half of that length.
 func TestLeasesComplete(t *testing.T) {
 	l := NewLeases(6000)
 	for ms := 100.0; ms < 6100; ms += 1000 {
 		if l.IsComplete(ms) {
-			t.Fatal(ms)
+			t.Fatalf("the leases are complete at %v ms already", ms)
 		}
 	}
 	if !l.IsComplete(6100) || !l.IsComplete(9100) {
-		t.Error("not complete")
+		t.Error("the leases are not complete after the length of a lease")
 	}
-	if l.IsComplete(12_101) { // stopped for more than half of a lease
-		t.Error("complete at once after a stop")
+	if l.IsComplete(12_101) { // after a gap of more than half of a lease
+		t.Error("the leases are complete directly after a gap")
 	}
 	for ms := 12_101.0; ms < 18_101; ms += 1500 {
 		l.Tick(ms)
 		if l.IsComplete(ms) {
-			t.Fatal(ms)
+			t.Fatalf("the leases are complete at %v ms already", ms)
 		}
 	}
 	if !l.IsComplete(18_101) {
-		t.Error("not complete again")
+		t.Error("the leases are not complete one length after the gap")
 	}
 }
 
-// newLogWithLeases returns a log with revisions 1 to 6, to check reports against.
+// newLogWithLeases returns a log with revisions 1 to 6 and the given members, and a function that returns a lease of a
+// process that has one of these revisions in force.
 func newLogWithLeases(
 	t *testing.T,
 	members ...string,
@@ -81,7 +84,8 @@
 	}
 }
 
-// Processes are in force, behind, rejecting or missing; a missing one is named and doesn't count.
+// Convergence lists processes as in force, behind or rejecting. Members without a lease are listed as missing; they
+// prevent convergence only if a keeper is unreached.
 func TestConvergence(t *testing.T) {
 	l, lease := newLogWithLeases(t, "z", "a", "b", "c", "d")
 	rejects := lease("c", "1", 4, 0)
@@ -109,16 +113,16 @@
 		unreached []string
 		want      bool
 	}{
-		"all":                      {[]Lease{a, b}, nil, true},
-		"one is gone":              {[]Lease{a}, nil, true},
-		"nobody":                   {nil, nil, false},
-		"one behind":               {[]Lease{a, lease("b", "1", 4, 0)}, nil, false},
-		"an older process":         {[]Lease{lease("a", "0", 4, 0), a, b}, nil, false},
-		"all, a keeper unreached":  {[]Lease{a, b}, []string{"k"}, true},
-		"gone, a keeper unreached": {[]Lease{a}, []string{"k"}, false},
-		"an earlier process only, a keeper unreached": {[]Lease{a, lease("b", "0", 5, 0)}, []string{"k"}, false},
-		"went to another keeper":                      {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), b}, nil, true},
-		"a rejection that is later":                   {[]Lease{rejectsLater}, nil, true},
+		"all in force":                           {[]Lease{a, b}, nil, true},
+		"one member missing":                     {[]Lease{a}, nil, true},
+		"no process":                             {nil, nil, false},
+		"one process behind":                     {[]Lease{a, lease("b", "1", 4, 0)}, nil, false},
+		"an earlier process behind":              {[]Lease{lease("a", "0", 4, 0), a, b}, nil, false},
+		"all in force, a keeper unreached":       {[]Lease{a, b}, []string{"k"}, true},
+		"one member missing, a keeper unreached": {[]Lease{a}, []string{"k"}, false},
+		"a lease of an earlier process only, a keeper unreached": {[]Lease{a, lease("b", "0", 5, 0)}, []string{"k"}, false},
+		"leases of one process at two keepers":                   {[]Lease{lease("a", "1", 4, 9), lease("a", "1", 5, 5), b}, nil, true},
+		"a later revision rejected":                              {[]Lease{rejectsLater}, nil, true},
 	} {
 		if status := l.Convergence(5, test.leases, test.unreached); status.Converged != test.want {
 			t.Errorf("%s: %+v", name, status)
@@ -132,7 +136,8 @@
 	}
 }
 
-// A follower counts only with the content that the log has under its revision.
+// A process whose content differs from that of its revision in the log is diverged and prevents convergence. So is one
+// whose revision the log does not have.
 func TestConvergenceByContent(t *testing.T) {
 	l := newLogWithFiller(t, Retention{Revisions: 2})
 	l.AddMember("a", "1")
@@ -156,7 +161,7 @@
 	for _, id := range []string{"b", "c", "d"} {
 		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
-	if status := l.Convergence(1, at(2, h), nil); status.Converged { // compacted: its content can't be known
+	if status := l.Convergence(1, at(2, h), nil); status.Converged { // compacted: revision 2 has no content to compare with
 		t.Errorf("%+v", status)
 	}
 }
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// checkContent checks what a follower has in force, by its status and by its copy.
+// checkContent checks the revision in force and its content in the follower's status and saved copy.
 func (f *Follower) checkContent(tb testing.TB, rev uint64, content map[string]json.RawMessage) {
 	tb.Helper()
 	s := f.Saved()
 	if s.Revision != rev || f.Status().Revision != rev || !maps.EqualFunc(s.Entries, content, equal) ||
 		s.Hash != HashEntries(content) {
-		tb.Fatalf("it holds %d %v, not %d %v", s.Revision, s.Entries, rev, content)
+		tb.Fatalf("revision %d with %v is in force, want %d with %v", s.Revision, s.Entries, rev, content)
 	}
 }
 
-// mustFollow takes what the log has for the follower.
+// mustFollow offers the log's next update to the follower, which must accept it.
 func (f *Follower) mustFollow(tb testing.TB, l *Log) {
 	tb.Helper()
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
@@ -30,7 +30,7 @@
 	f.checkContent(tb, l.Revision(), l.Entries())
 }
 
-// Deltas and snapshots are accepted one after another; an empty update is no candidate.
+// A follower accepts deltas and snapshots one after another. An empty update is not a candidate.
 func TestFollowerAppliesUpdates(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{Revisions: 2}), NewFollower("r", "1")
 	f.checkContent(t, 0, nil)
@@ -54,7 +54,7 @@
 	f.mustFollow(t, l)
 }
 
-// An update that isn't for this follower, or whose content isn't what it says, changes nothing and is an error.
+// An update that does not start at the follower's revision or does not match its hash is an error and changes nothing.
 func TestFollowerIgnoresInvalidUpdates(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	old := l.NextUpdate(f.Status())
@@ -71,31 +71,31 @@
 		}
 		f.checkContent(t, 2, content)
 	}
-	checkIgnored("a snapshot from before", old, ErrStale)
-	checkIgnored("nothing, from before", late, ErrStale)
-	checkIgnored("a delta once more", delta, ErrStale)
-	checkIgnored("a delta of another log", Update{From: 3, To: 4}, ErrStale)
-	checkIgnored("behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
+	checkIgnored("an earlier snapshot", old, ErrStale)
+	checkIgnored("an earlier empty update", late, ErrStale)
+	checkIgnored("a repeated delta", delta, ErrStale)
+	checkIgnored("a delta from a later revision", Update{From: 3, To: 4}, ErrStale)
+	checkIgnored("a keeper that is behind", Update{From: 2, To: 1, KeeperBehind: true}, ErrBehind)
 	if f.Status().Hash != f.current.hash {
-		t.Error("a snapshot is requested without need")
+		t.Error("a snapshot is requested without a failed update")
 	}
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	broken := l.NextUpdate(f.Status())
 	broken.Put = map[string]json.RawMessage{"/settings/a": json.RawMessage("3")}
-	checkIgnored("a value that isn't the one", broken, ErrMismatch)
+	checkIgnored("a wrong value", broken, ErrMismatch)
 	if f.Status().Hash != (Hash{}) {
-		t.Error("no snapshot is requested")
+		t.Error("no snapshot is requested after a failed update")
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	} else {
 		u.Put["/settings/x"] = json.RawMessage("1")
-		checkIgnored("an entry too many", u, ErrMismatch)
+		checkIgnored("an additional entry", u, ErrMismatch)
 	}
-	checkIgnored("a remove of nothing", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
+	checkIgnored("removal of an entry that does not exist", Update{From: 2, To: 3, Remove: []string{"/settings/none"}}, ErrMismatch)
 	f.mustFollow(t, l)
 	if f.Status().Hash != l.Hash() {
-		t.Error("a snapshot is still requested")
+		t.Error("a snapshot is still requested after one was accepted")
 	}
 	l.mustApply(t, put("c", "/settings/a", "4"))
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
@@ -110,14 +110,14 @@
 	f.Accept()
 	f.checkContent(t, 4, l.Entries())
 	f.Accept()
-	f.Reject("", "nothing is offered")
+	f.Reject("", "there is no candidate")
 	if f.checkContent(t, 4, l.Entries()); f.Status().Rejected != nil {
 		t.Error(f.Status().Rejected)
 	}
 }
 
-// A rejected revision leaves the one before in force, is reported, and isn't a candidate again until rejections are
-// cleared.
+// After a rejection the previous revision stays in force, the rejection is reported, and the rejected revision is not a
+// candidate again until rejections are cleared.
 func TestFollowerRejectsRevision(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	f.mustFollow(t, l)
@@ -142,7 +142,7 @@
 	if u := l.NextUpdate(status); !u.IsEmpty() {
 		t.Errorf("%+v", u)
 	}
-	// Also from a keeper that doesn't know of the rejection, and as a snapshot.
+	// This also holds for an update of a keeper that does not know about the rejection, and for a snapshot.
 	for _, again := range []Update{u, l.UpdateSince(0, Hash{})} {
 		if _, ok, err := f.Offer(again); ok || err != nil {
 			t.Error(ok, err)
@@ -150,17 +150,17 @@
 	}
 	f.ClearRejections()
 	if f.Status().Rejected != nil {
-		t.Error("still rejected")
+		t.Error("the status still reports a rejection")
 	}
 	reject()
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	f.mustFollow(t, l)
 	if f.Status().Rejected != nil {
-		t.Error("still rejected")
+		t.Error("the status still reports a rejection")
 	}
 }
 
-// An offer of a keeper that is behind doesn't make a follower forget its rejections, whose number is bounded.
+// A follower remembers a limited number of rejections, even if a keeper that is behind offers other revisions.
 func TestFollowerRemembersRejections(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	f.mustFollow(t, l)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A copy is taken if it's what was saved and not older than what is in force.
+// Restore accepts a saved copy only if it is undamaged and later than the revision in force.
 func TestFollowerRestoresSavedRevision(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	l.mustApply(t, put("a", "/settings/a", "1"))
@@ -248,10 +248,10 @@
 	if _, ok, err := next.Restore(saved); ok || !errors.Is(err, ErrStale) {
 		t.Error(ok, err)
 	}
-	// A copy may be rejected like any revision; after one that was accepted, a delta follows.
+	// A copy may be rejected like any revision. An accepted copy is followed by a delta.
 	third := NewFollower("r", "3")
 	if _, ok, _ := third.Restore(saved); !ok {
-		t.Fatal("not taken")
+		t.Fatal("the saved copy is not a candidate")
 	}
 	third.Reject("/settings/a", "no")
 	third.checkContent(t, 0, nil)
@@ -262,8 +262,8 @@
 	next.mustFollow(t, l)
 }
 
-// Keepers that were restored from an older state are behind a follower: its revision stays in force, it reports that,
-// and takes a snapshot when they are past it.
+// Keepers that were restored from an older state are behind a follower. The follower keeps its revision, reports that
+// the keepers are behind, and accepts a snapshot once they have passed its revision.
 func TestKeepersRestoredFromOlderState(t *testing.T) {
 	l, f := newLogWithFiller(t, Retention{}), NewFollower("r", "1")
 	old, _ := l.MarshalBinary()
@@ -278,7 +278,7 @@
 	f.SelectKeeper(3)
 	for i := range 3 {
 		if _, behind := f.KeepersAreBehind(); behind {
-			t.Error("ahead of all after", i)
+			t.Errorf("all keepers count as behind after %d answers", i)
 		}
 		if _, ok, err := f.Offer(restored.NextUpdate(f.Status())); ok || !errors.Is(err, ErrBehind) {
 			t.Fatal(ok, err)
@@ -298,21 +298,21 @@
 	}
 	status = restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil)
 	if status.Converged || joinNames(status.Diverged) != "r1" {
-		t.Errorf("%+v", status) // the same number, another content
+		t.Errorf("%+v", status) // the revision has the same number, but other content
 	}
 	if u := restored.NextUpdate(f.Status()); !u.Snapshot {
 		t.Errorf("%+v", u)
 	}
 	f.mustFollow(t, restored)
 	if _, behind := f.KeepersAreBehind(); behind {
-		t.Error("still ahead")
+		t.Error("the keepers still count as behind")
 	}
 	if status := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !status.Converged {
 		t.Errorf("%+v", status)
 	}
 }
 
-// Losses go round the keepers at once, then wait longer with each round, up to a bound; an answer ends that.
+// The wait is short until all keepers have failed, then grows up to MaxBackoffMS. A successful call resets it.
 func TestKeeperSelectionBackoff(t *testing.T) {
 	f := NewFollower("r", "1")
 	now, calls := 0.0, map[int]int{}
@@ -322,7 +322,7 @@
 		if limit := 100.0; i < 2 && wait >= limit || i == 2 && (wait < 250 || wait > 500) {
 			t.Error(i, wait)
 		}
-		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // reported twice
+		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // the failure is reported twice
 			t.Error(again, wait)
 		}
 		now += wait
@@ -345,9 +345,9 @@
 	keeper := f.SelectKeeper(3)
 	f.CallSucceeded()
 	if f.SelectKeeper(3) != keeper || f.CallFailed(now, 0) != 0 || f.SelectKeeper(3) == keeper {
-		t.Error("an answer doesn't end it, or a loss doesn't move on")
+		t.Error("a successful call does not reset the wait, or a failure does not switch to another keeper")
 	}
-	// Followers spread over the keepers.
+	// Followers are spread over the keepers.
 	first := map[int]int{}
 	for i := range 600 {
 		first[NewFollower("r", "process "+strings.Repeat("i", i)).SelectKeeper(5)]++
@@ -358,11 +358,11 @@
 		}
 	}
 	if NewFollower("r", "1").SelectKeeper(0) != 0 {
-		t.Error("no keepers")
+		t.Error("without keepers the index is not 0")
 	}
 }
 
-// A report's fields are checked before it is taken.
+// Check names the invalid field of a status.
 func TestFollowerStatusCheck(t *testing.T) {
 	for field, status := range map[string]FollowerStatus{
 		"name":     {Instance: "1"},
@@ -378,7 +378,7 @@
 	}
 }
 
-// A hash is read as it's written, and nothing else is.
+// The text form of a hash decodes to the same hash. Any other text is an error and leaves the hash unchanged.
 func TestHashText(t *testing.T) {
 	h := HashEntries(map[string]json.RawMessage{"/settings/a": json.RawMessage("1")})
 	text, err := json.Marshal(h)
@@ -391,7 +391,7 @@
 			t.Error(s, err)
 		}
 	}
-	// The same bytes split in another way are another entry, and a sum goes back to where it was.
+	// The same bytes split into another pointer and value have another digest, and subtraction undoes addition.
 	a, b := entryDigest("/settings/a", json.RawMessage("11")), entryDigest("/settings/a1", json.RawMessage("1"))
 	if a == b || h.plus(a).plus(b).minus(a).minus(b) != h || h.plus(a) != a.plus(h) || h.minus(h) != (Hash{}) {
 		t.Error(a, b)
--- a/internal/decide/configlog/golden_test.go
+++ b/internal/decide/configlog/golden_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// goldenMessages are the encoded types by golden file, all fields set.
+// goldenMessages returns a value of each encoded type, with all fields set, by the name of its golden file.
 func goldenMessages() map[string]any {
 	revertTo, expect := uint64(3), uint64(7)
 	put := map[string]json.RawMessage{
@@ -99,7 +99,7 @@
 	}
 }
 
-// Each type has the JSON of an earlier program, and is read as it was meant.
+// The JSON of each type is that of earlier versions of the program, and decodes to the same value.
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range goldenMessages() {
 		golden.AllFieldsSet(t, want)
@@ -118,7 +118,7 @@
 	}
 }
 
-// The kinds of errors in messages.
+// The names of the error kinds are those of earlier versions of the program.
 func TestGoldenErrorKinds(t *testing.T) {
 	text, err := json.Marshal(
 		[]configerror.Kind{configerror.Invalid, configerror.Conflict, configerror.Compacted, configerror.IDReused},
@@ -129,7 +129,7 @@
 	golden.Equal(t, "fault-kinds.json", append(text, '\n'))
 }
 
-// goldenChanges are applied to a log that retains three revisions.
+// goldenChanges returns the changes of the golden log, which retains three revisions.
 func goldenChanges() []Change {
 	revertTo := uint64(4)
 	expect := uint64(2)
@@ -157,8 +157,8 @@
 	}
 }
 
-// A log has the bytes of an earlier program. What is read from them has the same content and past, and
-// knows the changes that were applied, so that none is applied twice.
+// The encoded state of a log has the bytes of earlier versions of the program. The decoded log has the same content and
+// history, and remembers the applied changes, so that none is applied twice.
 func TestGoldenLog(t *testing.T) {
 	const file = "log.bin"
 	l := NewLog(Retention{Revisions: 3, Bytes: 1 << 20})
@@ -198,7 +198,7 @@
 	}
 	for i, c := range goldenChanges() {
 		if r := read.Apply(c); !r.Repeated || r.Revision != uint64(i+1) {
-			t.Errorf("%s, made anew: %+v", c.ID, r)
+			t.Errorf("repeated change %s: %+v", c.ID, r)
 		}
 	}
 	history, err := json.MarshalIndent(read.History(0, 100), "", " ")
--- a/internal/decide/configlog/jsontags_test.go
+++ b/internal/decide/configlog/jsontags_test.go
@@ -7,8 +7,8 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
-// itself.
+// encodedTypes returns a value of each type that is sent or stored as JSON. The types of their fields are checked as
+// well.
 func encodedTypes() []any {
 	return []any{
 		Change{},
@@ -24,7 +24,7 @@
 	}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has a JSON tag, so that renaming the Go field does not change the encoding.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/decide/configlog/model_test.go
+++ b/internal/decide/configlog/model_test.go
@@ -14,13 +14,13 @@
 	"windflow/internal/decide/configerror"
 )
 
-// model is a plain implementation of a log: each revision's complete content, and no bounds but the number of
-// revisions.
+// model is a simple reference implementation of a log. It stores the complete content of each revision and limits only
+// the number of revisions.
 type model struct {
 	contents  []map[string]json.RawMessage
 	retention int
-	ids       map[string]string // what each ID said
-	revisions map[string]uint64
+	ids       map[string]string // encoded change by ID
+	revisions map[string]uint64 // revision by change ID
 }
 
 func newModel(retention int) *model {
@@ -36,8 +36,8 @@
 func (m *model) oldest() uint64                      { return uint64(max(0, len(m.contents)-1-m.retention)) }
 func (m *model) content() map[string]json.RawMessage { return m.contents[len(m.contents)-1] }
 
-// apply returns the kind of rejection, "repeated" or nothing, and the revision. Its changes have canonical values and
-// places that can be put.
+// apply applies a change and returns the kind of rejection, "repeated" or "", and the revision. The values of the
+// change must be canonical and its pointers valid.
 func (m *model) apply(c Change) (string, uint64) {
 	c.AtMS = 0
 	c.Remove = slices.Sorted(slices.Values(c.Remove))
@@ -80,8 +80,7 @@
 	return "", m.revision()
 }
 
-// drawer draws a number from 0 to n-1: by rapid, or from a seeded generator where a mutant has to be
-// caught.
+// drawFunc draws a number from 0 to n-1, either from rapid or, to test mutants, from a seeded generator.
 type drawFunc func(n int, what string) int
 
 func drawFromRapid(t *rapid.T) drawFunc {
@@ -98,19 +97,19 @@
 	"/settings/parties/q",
 }
 
-// change draws a change, often an invalid one. The filler makes the document larger than a delta, most of the time.
+// change draws a change, which is often invalid. The filler makes the document larger than most deltas.
 func (draw drawFunc) change(id string, now uint64) Change {
 	c := Change{ID: id, AtMS: int64(draw(3, "at"))}
-	if draw(4, "cas") == 0 {
-		c.Expect = revisionPtr(now + uint64(draw(2, "off")))
+	if draw(4, "has expect") == 0 {
+		c.Expect = revisionPtr(now + uint64(draw(2, "expect offset")))
 	}
 	if draw(4, "revert") == 0 {
-		c.RevertTo = revisionPtr(now - min(now, uint64(draw(8, "back")/2)))
+		c.RevertTo = revisionPtr(now - min(now, uint64(draw(8, "revisions back")/2)))
 		return c
 	}
 	c.Put = map[string]json.RawMessage{}
 	for range 1 + draw(2, "puts") {
-		p := samplePointers[draw(len(samplePointers), "place")]
+		p := samplePointers[draw(len(samplePointers), "pointer")]
 		v := fmt.Sprint(draw(4, "value"))
 		switch {
 		case p == "/board":
@@ -120,18 +119,18 @@
 		}
 		c.Put[p] = json.RawMessage(v)
 	}
-	if draw(6, "fill") == 0 {
-		c.Put["/settings/filler"] = json.RawMessage(`"` + strings.Repeat("x", 50+100*draw(3, "fill")) + `"`)
+	if draw(6, "has filler") == 0 {
+		c.Put["/settings/filler"] = json.RawMessage(`"` + strings.Repeat("x", 50+100*draw(3, "filler size")) + `"`)
 	}
 	for range draw(3, "removes") {
-		if p := samplePointers[draw(len(samplePointers), "place")]; c.Put[p] == nil && !slices.Contains(c.Remove, p) {
+		if p := samplePointers[draw(len(samplePointers), "pointer")]; c.Put[p] == nil && !slices.Contains(c.Remove, p) {
 			c.Remove = append(c.Remove, p)
 		}
 	}
 	return c
 }
 
-// checkProperty draws the same in every run, unless the command line says otherwise.
+// checkProperty checks a property with a fixed seed and number of checks, unless the command line sets them.
 func checkProperty(t *testing.T, checks string, prop func(*rapid.T)) {
 	t.Helper()
 	restore := fixRapidSeed(t, checks)
@@ -139,15 +138,15 @@
 	rapid.Check(t, prop)
 }
 
-// The log does what the model does: results, contents of all retained revisions, and what every follower gets
-// from whatever revision leads to the content in force. Its state is read back the same at any step.
+// A log and the model agree on the results of random changes and on the contents of all retained revisions. The update
+// from any revision leads to the content in force, and a decoded state equals the encoded one.
 func TestLogMatchesModel(t *testing.T) {
 	checkProperty(t, "200", func(t *rapid.T) {
 		draw := drawFromRapid(t)
 		l, m := NewLog(Retention{Revisions: 5}), newModel(5)
 		for i := range 40 {
 			id := fmt.Sprint(i)
-			if draw(8, "again") == 0 {
+			if draw(8, "reuse id") == 0 {
 				id = fmt.Sprint(draw(i+1, "id"))
 			}
 			c := draw.change(id, m.revision())
@@ -156,29 +155,30 @@
 			r := l.Apply(c)
 			switch {
 			case r.Err != nil && (string(r.Err.Kind) != kind || !reflect.DeepEqual(rejected, r.Err)):
-				t.Fatalf("%+v: %v, by preview %v, not %q", c, r.Err, rejected, kind)
+				t.Fatalf("%+v: rejected with %v, by Preview with %v, want kind %q", c, r.Err, rejected, kind)
 			case r.Err == nil &&
 				(r.Revision != rev || r.Repeated != (kind == "repeated") || kind != "" && kind != "repeated" || rejected != nil):
-				t.Fatalf("%+v: %+v, not %q %d, preview %v", c, r, kind, rev, rejected)
+				t.Fatalf("%+v: result %+v, want kind %q and revision %d; Preview rejects with %v", c, r, kind, rev, rejected)
 			case r.Err == nil && !maps.EqualFunc(preview, m.content(), equal):
-				t.Fatalf("%+v: preview %v", c, preview)
+				t.Fatalf("%+v: Preview returns %v, want %v", c, preview, m.content())
 			}
 			m.compare(t, l)
 		}
 		state, _ := l.MarshalBinary()
 		decoded := NewLog(Retention{})
 		if err := decoded.UnmarshalBinary(state); err != nil || !reflect.DeepEqual(l, decoded) {
-			t.Fatal("the state didn't come back", err)
+			t.Fatal("the decoded state differs from the encoded one:", err)
 		}
 	})
 }
 
+// compare checks that a log has the revisions, contents and updates that follow from the model.
 func (m *model) compare(t *rapid.T, l *Log) {
 	if l.Revision() != m.revision() || l.OldestRevision() != m.oldest() ||
 		!maps.EqualFunc(l.Entries(), m.content(), equal) ||
 		l.Hash() != HashEntries(m.content()) {
 		t.Fatalf(
-			"%d from %d %v, not %d from %d %v",
+			"revision %d, oldest %d, content %v; want revision %d, oldest %d, content %v",
 			l.Revision(),
 			l.OldestRevision(),
 			l.Entries(),
@@ -191,10 +191,10 @@
 		got, rejected := l.EntriesAt(uint64(rev))
 		if uint64(rev) < m.oldest() {
 			if rejected == nil || rejected.Kind != configerror.Compacted || rejected.Revision != m.oldest() {
-				t.Fatalf("%d: %v %v", rev, got, rejected)
+				t.Fatalf("compacted revision %d: content %v, error %v", rev, got, rejected)
 			}
 		} else if rejected != nil || !maps.EqualFunc(got, want, equal) {
-			t.Fatalf("%d: %v %v, not %v", rev, got, rejected, want)
+			t.Fatalf("revision %d: content %v, error %v, want %v", rev, got, rejected, want)
 		}
 		u := l.UpdateSince(uint64(rev), HashEntries(want))
 		to := maps.Clone(want)
@@ -203,14 +203,14 @@
 		} else {
 			for _, p := range u.Remove {
 				if to[p] == nil {
-					t.Fatalf("from %d: removes %s", rev, p)
+					t.Fatalf("the update from revision %d removes %s, which does not exist", rev, p)
 				}
 				delete(to, p)
 			}
 			maps.Copy(to, u.Put)
 		}
 		if !maps.EqualFunc(to, m.content(), equal) || u.Hash != l.Hash() || u.To != m.revision() || u.KeeperBehind {
-			t.Fatalf("from %d: %+v", rev, u)
+			t.Fatalf("the update from revision %d does not lead to the content in force: %+v", rev, u)
 		}
 	}
 }
--- a/internal/decide/configlog/mutants_test.go
+++ b/internal/decide/configlog/mutants_test.go
@@ -5,36 +5,36 @@
 	"maps"
 )
 
-// mutants each break a property.
+// mutants are faulty variants of the package. Each violates the named property.
 var mutants = []struct {
 	name, property string
 	breaks         func(*implementation)
 }{
-	{"applies a delta onto whatever it has", propertyNoMixedRevisions, func(impl *implementation) {
+	{"follower applies a delta to any revision", propertyNoMixedRevisions, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return appliesToAnyRevision{f} }
 	}},
-	{"takes half of an update", propertyNoMixedRevisions, func(impl *implementation) {
+	{"follower ignores the removals of a delta", propertyNoMixedRevisions, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return ignoresRemovals{f} }
 	}},
-	{"takes a copy that isn't what was saved", propertyNoMixedRevisions, func(impl *implementation) {
+	{"follower restores a damaged copy", propertyNoMixedRevisions, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return restoresUnchecked{f} }
 	}},
-	{"accepts an older snapshot", propertyRevisionNeverDecreases, func(impl *implementation) {
+	{"follower accepts an older snapshot", propertyRevisionNeverDecreases, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return acceptsOlderSnapshot{f} }
 	}},
-	{"forgets what it rejected", propertyNoRepeatedRejection, func(impl *implementation) {
+	{"follower forgets rejections", propertyNoRepeatedRejection, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return forgetsRejections{f} }
 	}},
-	{"never requests a snapshot", propertyEventualConvergence, func(impl *implementation) {
+	{"follower ignores snapshots", propertyEventualConvergence, func(impl *implementation) {
 		impl.follower = func(f *Follower) client { return ignoresSnapshots{f} }
 	}},
-	{"log without a memory of IDs", propertyAppliedOnce, func(impl *implementation) {
+	{"log does not remember change IDs", propertyAppliedOnce, func(impl *implementation) {
 		impl.apply = func(l *Log, c Change) Result {
 			delete(l.ids.applied, c.ID)
 			return l.Apply(c)
 		}
 	}},
-	{"log that doesn't compare before it sets", propertyAppliedOnce, func(impl *implementation) {
+	{"log ignores the expected revision and reuse of IDs", propertyAppliedOnce, func(impl *implementation) {
 		impl.apply = func(l *Log, c Change) Result {
 			if c.Expect = nil; l.ids.applied[c.ID] != (appliedChange{}) {
 				return Result{Repeated: true}
@@ -42,38 +42,38 @@
 			return l.Apply(c)
 		}
 	}},
-	{"convergence that ignores unreached keepers", propertyNoFalseConvergence, func(impl *implementation) {
+	{"convergence ignores unreached keepers", propertyNoFalseConvergence, func(impl *implementation) {
 		impl.convergence = func(l *Log, rev uint64, leases []Lease, _ []string) ConvergenceStatus {
 			return l.Convergence(rev, leases, nil)
 		}
 	}},
-	{"convergence by names alone", propertyNoFalseConvergence, func(impl *implementation) {
+	{"convergence ignores instances", propertyNoFalseConvergence, func(impl *implementation) {
 		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, nil)
 			status.Converged = status.Converged && (len(unreached) == 0 || len(status.Missing) == 0)
 			return status
 		}
 	}},
-	{"convergence that ignores who is behind", propertyNoFalseConvergence, func(impl *implementation) {
+	{"convergence ignores processes that are behind", propertyNoFalseConvergence, func(impl *implementation) {
 		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, unreached)
 			status.Converged = len(status.InForce) > 0
 			return status
 		}
 	}},
-	{"convergence that counts missing members", propertyEventualConvergence, func(impl *implementation) {
+	{"missing members prevent convergence", propertyEventualConvergence, func(impl *implementation) {
 		impl.convergence = func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			status := l.Convergence(rev, leases, unreached)
 			status.Converged = status.Converged && len(status.Missing) == 0
 			return status
 		}
 	}},
-	{"keeper that is reached before its leases are complete", propertyNoFalseConvergence, func(impl *implementation) {
+	{"incomplete leases count as complete", propertyNoFalseConvergence, func(impl *implementation) {
 		impl.isComplete = func(*Leases, float64) bool { return true }
 	}},
 }
 
-// forceCandidate makes a content the candidate, whatever the follower has.
+// forceCandidate makes the entries the candidate without any check.
 func (f *Follower) forceCandidate(
 	rev uint64,
 	entries map[string]json.RawMessage,
@@ -82,6 +82,7 @@
 	return entries, true, nil
 }
 
+// appliesToAnyRevision applies deltas without checking the revision or the hash.
 type appliesToAnyRevision struct{ *Follower }
 
 func (f appliesToAnyRevision) Offer(u Update) (map[string]json.RawMessage, bool, error) {
@@ -96,6 +97,7 @@
 	return f.forceCandidate(u.To, entries)
 }
 
+// ignoresRemovals keeps the entries that a delta removes.
 type ignoresRemovals struct{ *Follower }
 
 func (f ignoresRemovals) Offer(u Update) (map[string]json.RawMessage, bool, error) {
@@ -110,6 +112,7 @@
 	return entries, ok, err
 }
 
+// restoresUnchecked restores saved copies without checking the hash or the checksum.
 type restoresUnchecked struct{ *Follower }
 
 func (f restoresUnchecked) Restore(s SavedRevision) (map[string]json.RawMessage, bool, error) {
@@ -119,6 +122,7 @@
 	return f.forceCandidate(s.Revision, s.Entries)
 }
 
+// acceptsOlderSnapshot accepts a snapshot of an earlier revision.
 type acceptsOlderSnapshot struct{ *Follower }
 
 func (f acceptsOlderSnapshot) Offer(u Update) (map[string]json.RawMessage, bool, error) {
@@ -128,6 +132,7 @@
 	return f.Follower.Offer(u)
 }
 
+// forgetsRejections clears rejections at once.
 type forgetsRejections struct{ *Follower }
 
 func (f forgetsRejections) Reject(pointer, reason string) {
@@ -135,7 +140,7 @@
 	f.ClearRejections()
 }
 
-// ignoresSnapshots ignores snapshots.
+// ignoresSnapshots returns ErrStale for a snapshot after revision 0.
 type ignoresSnapshots struct{ *Follower }
 
 func (f ignoresSnapshots) Offer(u Update) (map[string]json.RawMessage, bool, error) {
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The places that can be put, and those that are each router's own.
+// CheckPointer accepts pointers to shared entries and rejects malformed pointers and settings of a single router.
 func TestCheckPointer(t *testing.T) {
 	for _, p := range []string{
 		"/board", "/settings/over-share-worth", "/settings/rules/look-back-ns", "/settings/limits/attempts-cap",
@@ -27,7 +27,7 @@
 		"/settings/parties/" + strings.Repeat("x", MaxPointerBytes),
 	} {
 		if err := CheckPointer(p); err == nil {
-			t.Errorf("%q is taken", p)
+			t.Errorf("%q is accepted", p)
 		}
 	}
 	if name, ok := TenantName("/settings/parties/a~1b~01"); name != "a/b~1" || !ok {
@@ -38,11 +38,11 @@
 	}
 }
 
-// Equal content has one form, which the JSON of an update doesn't change.
+// Equal values have one canonical form, which encoding an update as JSON does not change.
 func TestCanonicalValues(t *testing.T) {
-	const blanks = ` { "b" : 1 , "a" : [ ] } `
+	const withSpaces = ` { "b" : 1 , "a" : [ ] } `
 	for in, want := range map[string]string{
-		blanks:                        `{"a":[],"b":1}`,
+		withSpaces:                    `{"a":[],"b":1}`,
 		`0.50`:                        `0.5`,
 		`1e3`:                         `1000`,
 		`-0`:                          `0`,
@@ -55,16 +55,16 @@
 	} {
 		got, err := canonicalValue("/settings/x", json.RawMessage(in))
 		if err != nil || string(got) != want {
-			t.Errorf("%s: %s, %v, not %s", in, got, err, want)
+			t.Errorf("%s: canonical form %s, error %v, want %s", in, got, err, want)
 		}
 		again, err := canonicalValue("/settings/x", got)
 		if err != nil || string(again) != want {
-			t.Errorf("%s is no fixed point: %s, %v", want, again, err)
+			t.Errorf("the canonical form %s changes to %s, error %v", want, again, err)
 		}
 		text, err := json.Marshal(Update{Put: map[string]json.RawMessage{"/settings/x": got}})
 		var decoded Update
 		if err != nil || json.Unmarshal(text, &decoded) != nil || string(decoded.Put["/settings/x"]) != want {
-			t.Errorf("%s is read from an update as %s", want, decoded.Put["/settings/x"])
+			t.Errorf("%s is decoded from an update as %s", want, decoded.Put["/settings/x"])
 		}
 	}
 	for in, pointer := range map[string]string{
@@ -84,7 +84,7 @@
 		`{"quota-rps":1,"Name":"b"}`: "/settings/parties/a",
 	} {
 		if got, err := canonicalValue(pointer, json.RawMessage(in)); err == nil {
-			t.Errorf("%.40s at %s is taken as %.40s", in, pointer, got)
+			t.Errorf("the invalid value %.40s at %s is accepted as %.40s", in, pointer, got)
 		}
 	}
 }
--- a/internal/decide/configlog/randomsimulation_test.go
+++ b/internal/decide/configlog/randomsimulation_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// fixRapidSeed makes rapid draw the same in every run, unless the command line says otherwise.
+// fixRapidSeed fixes rapid's seed and number of checks, unless the command line sets them.
 func fixRapidSeed(t *testing.T, checks string) (restore func()) {
 	t.Helper()
 	var set []string
@@ -40,19 +40,19 @@
 	switch sim.draw(22, "step") {
 	case 0, 1:
 		sim.commit(command{change: sim.draw.change(fmt.Sprint("c", i), sim.model.revision())})
-	case 2: // the same once more, as one does who got no answer
-		if c := sim.commands[sim.draw(len(sim.commands), "again")]; c.name == "" {
+	case 2: // repeats a change, as an operator does who got no answer
+		if c := sim.commands[sim.draw(len(sim.commands), "repeated command")]; c.name == "" {
 			sim.commit(c)
 		}
 	case 3, 4:
-		sim.applyCommitted(k, 1+sim.draw(4, "most"))
+		sim.applyCommitted(k, 1+sim.draw(4, "limit"))
 	case 5, 6, 7:
 		sim.call(routerIndex)
 	case 8, 9, 10, 11:
 		if len(sim.messages) > 0 {
 			n := sim.draw(len(sim.messages), "message")
 			m := sim.messages[n]
-			if sim.draw(4, "kept") != 0 { // else it is delivered once more
+			if sim.draw(4, "remove") != 0 { // otherwise it is delivered again later
 				sim.messages = append(sim.messages[:n], sim.messages[n+1:]...)
 			}
 			sim.deliver(m)
@@ -68,7 +68,7 @@
 		sim.routerFails(r)
 	case 16, 17:
 		return sim.keeperFails(k)
-	case 18: // a call whose answer is lost
+	case 18: // a call that arrives, but whose answer is lost
 		before := len(sim.messages)
 		sim.call(routerIndex)
 		if len(sim.messages) > before {
@@ -78,13 +78,13 @@
 		}
 	case 19:
 		sim.advance([]float64{20, 400, 2000, 7000}[sim.draw(4, "ms")])
-	default: // a call that goes as it should
+	default: // a call without faults
 		sim.exchange(routerIndex)
 	}
 	return nil
 }
 
-// exchange is a call and its answer at once, and what the router makes of it.
+// exchange delivers a call and its answer at once; the router accepts or rejects the update.
 func (sim *simulation) exchange(routerIndex int) {
 	r := sim.routers[routerIndex]
 	sim.acceptOrReject(r)
@@ -98,19 +98,19 @@
 	sim.acceptOrReject(r)
 }
 
-// routerFails stops or starts a router, with and without the copy on its disk, or begins or ends a partition.
+// routerFails stops a router, starts it with a good, damaged or lost copy on its disk, or begins or ends its partition.
 func (sim *simulation) routerFails(r *router) {
 	switch what := sim.draw(6, "router fails"); {
 	case what == 5:
 		r.partitioned = !r.partitioned
 	case r.alive && what > 1:
 		r.alive = false
-	default: // at once after its crash, or some time after
+	default: // starts a new process, after a stop or instead of the running one
 		if what == 0 {
 			r.saved = nil
 		}
 		if what == 1 && r.saved != nil && len(r.saved.Entries) > 0 {
-			// The disk returned something else than was written.
+			// The disk returns other data than was written.
 			s := *r.saved
 			s.Entries = maps.Clone(s.Entries)
 			s.Entries["/settings/damage"] = json.RawMessage("1")
@@ -121,7 +121,7 @@
 }
 
 // keeperFails crashes or starts a keeper, begins or ends its partition from the majority, or makes it write its
-// snapshot. A majority stays, because without one nothing happens.
+// snapshot. A majority stays up and connected, because without one no change is committed.
 func (sim *simulation) keeperFails(k *keeper) error {
 	others := 0
 	for _, o := range sim.keepers {
@@ -142,7 +142,7 @@
 	case others < 2:
 	case what == 1:
 		sim.crashKeeper(k)
-	case what < 4: // it's there again at once
+	case what < 4: // it crashes and starts at once
 		sim.crashKeeper(k)
 		return sim.startKeeper(k)
 	default:
@@ -160,7 +160,7 @@
 			if status.Converged && r.alive && r.answered && r.answeredMS+leaseMS > sim.nowMS && r.revision < rev {
 				return &violationError{
 					propertyNoFalseConvergence,
-					fmt.Sprintf("%s is alive at %d, said of %d: %+v", r.name, r.revision, rev, status),
+					fmt.Sprintf("%s is running at revision %d, but revision %d is reported as converged: %+v", r.name, r.revision, rev, status),
 				}
 			}
 		}
@@ -178,13 +178,13 @@
 		if s.Revision < r.revision {
 			return &violationError{
 				propertyRevisionNeverDecreases,
-				fmt.Sprintf("%s went from %d to %d", r.name, r.revision, s.Revision),
+				fmt.Sprintf("%s went from revision %d to %d", r.name, r.revision, s.Revision),
 			}
 		}
 		r.revision = s.Revision
 		if s.Revision > sim.model.revision() || !maps.EqualFunc(s.Entries, sim.model.contents[s.Revision], equal) ||
 			!maps.EqualFunc(r.inForce, s.Entries, equal) {
-			return &violationError{propertyNoMixedRevisions, fmt.Sprintf("%s at %d has %v", r.name, s.Revision, s.Entries)}
+			return &violationError{propertyNoMixedRevisions, fmt.Sprintf("%s at revision %d has %v", r.name, s.Revision, s.Entries)}
 		}
 		for what, times := range r.rejections {
 			if times > 1 {
@@ -200,15 +200,15 @@
 			!maps.EqualFunc(k.log.document.entries, sim.model.contents[rev], equal) {
 			return &violationError{
 				propertyAppliedOnce,
-				fmt.Sprintf("%s at %d of %d has %v", k.name, rev, sim.model.revision(), k.log.document.entries),
+				fmt.Sprintf("%s at revision %d of %d has %v", k.name, rev, sim.model.revision(), k.log.document.entries),
 			}
 		}
 	}
 	return nil
 }
 
-// checkSettled ends all faults except stopped routers, and checks that the last revision converges unless a running
-// router rejects it.
+// checkSettled ends all faults, but does not start stopped routers. It then checks that the last revision converges
+// unless a running router rejects it, and that all keepers have the leader's state.
 func (sim *simulation) checkSettled() error {
 	sim.messages = nil
 	for _, k := range sim.keepers {
@@ -236,13 +236,14 @@
 	for _, k := range sim.keepers {
 		sim.applyCommitted(k, len(sim.commands))
 		if got, _ := k.log.MarshalBinary(); !bytes.Equal(got, want) {
-			return &violationError{propertyAppliedOnce, k.name + " has another state than the leader"}
+			return &violationError{propertyAppliedOnce, k.name + " has a state that differs from the leader's"}
 		}
 	}
 	return err
 }
 
-// checkLastRevision checks that each running router has the last revision, or rejects it, and that the leader says so.
+// checkLastRevision checks that each running router has the last revision or rejects it, and that the leader reports
+// the same.
 func (sim *simulation) checkLastRevision() error {
 	last, running, rejecting := sim.model.revision(), 0, false
 	for _, r := range sim.routers {
@@ -258,19 +259,20 @@
 		if r.revision != last {
 			return &violationError{
 				propertyEventualConvergence,
-				fmt.Sprintf("%s is at %d of %d", r.name, r.revision, last),
+				fmt.Sprintf("%s is at revision %d of %d", r.name, r.revision, last),
 			}
 		}
 	}
 	v := sim.convergenceAt(last)
 	if v.Converged != (running > 0 && !rejecting) || len(v.Rejected) > 0 != rejecting ||
 		len(v.Missing) > len(sim.routers)-running {
-		return &violationError{propertyEventualConvergence, fmt.Sprintf("the leader says %+v", v)}
+		return &violationError{propertyEventualConvergence, fmt.Sprintf("the leader reports %+v", v)}
 	}
 	return nil
 }
 
-// simulate runs a simulation through random steps, and then until it has settled.
+// simulate runs a simulation for a number of random steps, checks all properties after each, and checks the state after
+// all faults have ended.
 func simulate(draw drawFunc, impl implementation, steps int) error {
 	sim := newSimulation(draw, impl)
 	for i := range steps {
@@ -287,10 +289,8 @@
 	return sim.checkSettled()
 }
 
-// In any order of calls that are lost, duplicated and late, of keepers and routers that crash, are partitioned and
-// come back with or without their disks, each router has exactly one revision in force, none goes back within a
-// process, no revision converges falsely, a repeated change is applied once, nothing rejected is offered again, and
-// all have the last revision once the faults end.
+// The package keeps all properties of the simulation although calls are lost, duplicated and delayed, and keepers and
+// routers crash, are partitioned and restart with or without their disks.
 func TestRandomFaultSimulation(t *testing.T) {
 	checkProperty(t, "200", func(t *rapid.T) {
 		if err := simulate(drawFromRapid(t), packageImplementation(), 120); err != nil {
@@ -305,13 +305,13 @@
 	return func(n int, _ string) int { return r.IntN(n) }
 }
 
-// The check of TestRandomFaultSimulation sees each property broken: a variant that breaks it is caught, by that property, while
-// the sound parts pass the first seeds of the same draws.
+// The simulation of TestRandomFaultSimulation detects each mutant as a violation of the expected property. The
+// unmodified package passes with the first of the same seeds.
 func TestMutantsAreDetected(t *testing.T) {
 	const unmodifiedSeeds, mutantSeeds = 200, 1000
 	for seed := range uint64(unmodifiedSeeds) {
 		if err := simulate(drawFromSeed(seed), packageImplementation(), 120); err != nil {
-			t.Fatalf("the sound parts, seed %d: %v", seed, err)
+			t.Fatalf("unmodified package, seed %d: %v", seed, err)
 		}
 	}
 	for _, mutant := range mutants {
@@ -331,7 +331,7 @@
 					}
 				}
 			}
-			t.Errorf("not caught by %q in %d seeds; by others: %v", mutant.property, mutantSeeds, violations)
+			t.Errorf("no violation of %q in %d seeds; violations of other properties: %v", mutant.property, mutantSeeds, violations)
 		})
 	}
 }
--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -6,24 +6,24 @@
 	"maps"
 )
 
-// violationError is a property that doesn't hold in a simulation.
-type violationError struct{ property, how string }
+// violationError reports a property that does not hold in a simulation.
+type violationError struct{ property, detail string }
 
-func (v *violationError) Error() string { return v.property + ": " + v.how }
+func (v *violationError) Error() string { return v.property + ": " + v.detail }
 
-// The properties that a simulation checks after each step.
+// The properties that a simulation checks, and its parameters.
 const (
-	propertyNoMixedRevisions       = "no follower has a mix of revisions"
-	propertyRevisionNeverDecreases = "no follower goes back within a process"
-	propertyNoFalseConvergence     = "no revision converges falsely"
+	propertyNoMixedRevisions       = "no follower mixes the content of two revisions"
+	propertyRevisionNeverDecreases = "the revision of a follower process never decreases"
+	propertyNoFalseConvergence     = "no revision is wrongly reported as converged"
 	propertyAppliedOnce            = "a repeated change is applied once"
-	propertyNoRepeatedRejection    = "what was rejected is not offered again"
-	propertyEventualConvergence    = "all have the last revision once the faults end"
+	propertyNoRepeatedRejection    = "rejected content is not offered again"
+	propertyEventualConvergence    = "all routers have the last revision after the faults end"
 	leaseMS                        = 6000.0
-	simulationRetention            = 6 // revisions that the logs keep
+	simulationRetention            = 6 // number of revisions that the logs retain
 )
 
-// client is what the simulation calls of a follower; mutants override some of it.
+// client has the methods of a follower that the simulation calls. Mutants override some of them.
 type client interface {
 	Status() FollowerStatus
 	Offer(Update) (map[string]json.RawMessage, bool, error)
@@ -36,7 +36,7 @@
 	CallSucceeded()
 }
 
-// implementation are the functions under test; mutants replace some of them.
+// implementation holds the functions under test. Mutants replace some of them.
 type implementation struct {
 	follower    func(*Follower) client
 	apply       func(*Log, Change) Result
@@ -44,7 +44,7 @@
 	isComplete  func(l *Leases, nowMS float64) bool
 }
 
-// packageImplementation are those of the package.
+// packageImplementation returns the functions of the package.
 func packageImplementation() implementation {
 	return implementation{
 		follower:    func(f *Follower) client { return f },
@@ -54,45 +54,45 @@
 	}
 }
 
-// command is one entry of what the keepers replicate.
+// command is an entry of the log that the keepers replicate.
 type command struct {
 	change   Change
-	name     string // of a follower that joins, instead of a change
+	name     string // set if the command adds a member instead of a change
 	instance string
 }
 
-// keeper is one of the control processes.
+// keeper is a simulated keeper with its replica of the log.
 type keeper struct {
 	name        string
 	log         *Log
-	applied     int // of the world's commands
+	applied     int // number of applied commands of the simulation
 	leases      *Leases
 	up          bool
-	partitioned bool // from the majority
-	disk        []byte
-	diskAt      int
+	partitioned bool   // from the majority
+	disk        []byte // the snapshot on disk
+	diskAt      int    // number of commands that the snapshot includes
 }
 
-// router is one follower, over all its processes.
+// router is a simulated router with its current process.
 type router struct {
 	name             string
-	incarnation      int
+	incarnation      int // number of the current process
 	client           client
 	alive            bool
 	partitioned      bool // from all keepers
-	rejectsOddValues bool // it rejects each content with an odd value at /settings/d
+	rejectsOddValues bool // it rejects any content with an odd value at /settings/d
 	inForce          map[string]json.RawMessage
 	revision         uint64
-	pending          map[string]json.RawMessage
-	offered          bool
-	saved            *SavedRevision // on its disk
+	pending          map[string]json.RawMessage // the entries of the candidate
+	offered          bool                       // there is a candidate
+	saved            *SavedRevision             // the copy on its disk
 	answeredMS       float64
-	answered         bool           // answered in this process
-	rejections       map[string]int // times by revision and hash
-	offeredRevision  uint64         // the revision that is offered
+	answered         bool           // a keeper has answered this process
+	rejections       map[string]int // number of rejections by revision and hash
+	offeredRevision  uint64         // the revision of the candidate
 }
 
-// message is a call or an answer on its way.
+// message is a call or an answer that has not been delivered.
 type message struct {
 	router, incarnation, keeper int
 	status                      FollowerStatus
@@ -106,8 +106,8 @@
 	draw     drawFunc
 	nowMS    float64
 	commands []command
-	model    *model // what the commands make
-	leader   *Log   // has always applied all of them
+	model    *model // the expected result of the commands
+	leader   *Log   // has applied all commands
 	keepers  []*keeper
 	routers  []*router
 	messages []message
@@ -149,7 +149,7 @@
 	return sim
 }
 
-// commit appends what a majority has agreed on. Keepers apply it when they come to it.
+// commit appends a command that a majority has accepted. The leader applies it at once, keepers later.
 func (sim *simulation) commit(c command) {
 	sim.commands = append(sim.commands, c)
 	sim.run(sim.leader, c)
@@ -158,7 +158,7 @@
 	}
 }
 
-// applyCommitted applies so many further commands at a keeper.
+// applyCommitted applies at most limit further commands at a keeper.
 func (sim *simulation) applyCommitted(k *keeper, limit int) {
 	for ; limit > 0 && k.applied < len(sim.commands); limit-- {
 		sim.run(k.log, sim.commands[k.applied])
@@ -174,7 +174,7 @@
 	sim.apply(l, c.change)
 }
 
-// startRouter starts a router's next process, with what its disk has.
+// startRouter starts a router's next process, which restores the copy on its disk, if any.
 func (sim *simulation) startRouter(r *router) {
 	r.incarnation++
 	r.client = sim.follower(NewFollower(r.name, NewInstanceID(int64(sim.nowMS), uint64(r.incarnation))))
@@ -203,7 +203,7 @@
 	r.client.Accept()
 }
 
-// call polls the keeper that a router would poll.
+// call sends a router's call to the keeper that it selects, unless it has a candidate.
 func (sim *simulation) call(index int) {
 	r := sim.routers[index]
 	if r.alive && !r.offered {
@@ -219,7 +219,7 @@
 	}
 }
 
-// deliver delivers a message; one that can't be taken is lost.
+// deliver delivers a message. It is lost if the receiver is down or partitioned.
 func (sim *simulation) deliver(m message) {
 	r, k := sim.routers[m.router], sim.keepers[m.keeper]
 	if !m.answer {
@@ -233,7 +233,7 @@
 		}
 		return
 	}
-	if !r.alive || r.partitioned { // an answer to an earlier process arrives at the next, which has to ignore it
+	if !r.alive || r.partitioned { // the current process must ignore answers to earlier ones
 		return
 	}
 	content, ok, err := r.client.Offer(m.update)
@@ -245,8 +245,8 @@
 	}
 }
 
-// answer makes a keeper renew the lease, add the member, and answer.
-func (sim *simulation) answer(k *keeper, r *router, m message) (Update, bool) {
+// answer makes a keeper renew the lease, add the member if necessary, and answer. ok is false if it does not answer.
+func (sim *simulation) answer(k *keeper, r *router, m message) (update Update, ok bool) {
 	if !k.up || r.partitioned {
 		return Update{}, false
 	}
@@ -264,7 +264,7 @@
 	return k.log.NextUpdate(m.status), true
 }
 
-// advance lets time pass; keepers that run say so each second.
+// advance advances the clock in steps of at most a second. Running keepers call Tick at each step.
 func (sim *simulation) advance(ms float64) {
 	for ; ms > 0; ms -= 1000 {
 		sim.nowMS += min(ms, 1000)
@@ -285,7 +285,7 @@
 			unreached = append(unreached, k.name)
 			continue
 		}
-		// Leases that aren't complete count, but so does their keeper as unreached.
+		// Incomplete leases are used as well, but their keeper counts as unreached.
 		leases = append(leases, k.leases.Live(sim.nowMS)...)
 		if !sim.isComplete(k.leases, sim.nowMS) {
 			unreached = append(unreached, k.name)
@@ -294,7 +294,7 @@
 	return sim.convergence(sim.leader, rev, leases, unreached)
 }
 
-// crashKeeper ends a keeper, which loses its leases, and what it has applied since its snapshot.
+// crashKeeper stops a keeper, which loses its leases and everything that it applied after its snapshot.
 func (sim *simulation) crashKeeper(k *keeper) {
 	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: simulationRetention}), 0
 }
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -13,8 +13,8 @@
 	"windflow/internal/tracetest"
 )
 
-// The results of the log, the leases, the convergence and the followers stay as they were recorded in
-// testdata/traces.txt. It guards against changes that are meant to leave decisions as they are and do not.
+// The results of the log, the leases, the convergence and the followers are those recorded in testdata/traces.txt. This
+// detects refactorings that change decisions by mistake.
 func TestTraces(t *testing.T) {
 	var all []tracetest.Scenario
 	for seed := range uint64(4) {
@@ -59,7 +59,7 @@
 	return func(n int, _ string) int { return rng.IntN(n) }
 }
 
-// traceSimulation plays keepers and routers with all faults, and writes all calls of the package and their results.
+// traceSimulation runs simulations with all faults and traces the calls of the package with their results.
 func traceSimulation(t *testing.T, h *tracetest.Hash, seed uint64) {
 	t.Helper()
 	for round := range uint64(30) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// tracedImplementation is what the package returns, written into a trace.
+// tracedImplementation returns the functions of the package, wrapped so that their results are traced.
 func tracedImplementation(h *tracetest.Hash) implementation {
 	original := packageImplementation()
 	return implementation{
@@ -104,7 +104,7 @@
 	}
 }
 
-// tracedFollower records the calls of a follower and their results.
+// tracedFollower traces the calls of a follower with their results.
 type tracedFollower struct {
 	*Follower
 	h *tracetest.Hash
@@ -153,17 +153,17 @@
 	return waitMS
 }
 
-// traceLog puts valid and invalid changes into a log, and calls all its methods.
+// traceLog applies valid and invalid changes to a log and traces the results of all its methods.
 func traceLog(t *testing.T, h *tracetest.Hash, retention Retention) {
 	t.Helper()
 	for seed := range uint64(40) {
 		draw := drawFromTraceSeed(seed)
 		l := NewLog(retention)
 		for i := range 60 {
-			id := fmt.Sprint("c", i-draw(8, "again")/7*draw(i+1, "back"))
+			id := fmt.Sprint("c", i-draw(8, "reuse id")/7*draw(i+1, "earlier id"))
 			c := draw.change(id, l.Revision())
 			c.Note = []string{"", "why"}[draw(2, "note")]
-			if draw(12, "broken") == 0 {
+			if draw(12, "invalid") == 0 {
 				makeInvalid(draw, &c)
 			}
 			preview, rejected := l.Preview(c)
@@ -180,9 +180,9 @@
 	}
 }
 
-// makeInvalid makes a change one that is rejected.
+// makeInvalid modifies a change so that it is rejected in most cases.
 func makeInvalid(draw drawFunc, c *Change) {
-	switch draw(10, "spoil") {
+	switch draw(10, "fault") {
 	case 0:
 		c.ID = ""
 	case 1:
@@ -206,10 +206,11 @@
 	}
 }
 
+// traceMembers adds or removes a random member and traces the results and all members.
 func traceMembers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
 	h.Step(stepMembers)
-	switch draw(6, "roster") {
+	switch draw(6, "member operation") {
 	case 0:
 		h.Bool(l.RemoveMember(name))
 	case 1:
@@ -223,7 +224,7 @@
 	}
 }
 
-// traceAnswers traces what followers at any revision get, what there was, and where a revision is in force.
+// traceAnswers traces the contents and updates of random revisions, the convergence of one, and part of the history.
 func traceAnswers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	var leases []Lease
 	for range draw(5, "leases") {
@@ -237,7 +238,7 @@
 			Revision: rev,
 			Hash:     HashEntries(content),
 		}
-		if draw(3, "refuses") == 0 {
+		if draw(3, "rejects") == 0 {
 			status.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
 		traceUpdate(h, l.UpdateSince(rev, status.Hash))
@@ -245,11 +246,11 @@
 		leases = append(leases, Lease{FollowerStatus: status, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
-	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), leases, unreached))
+	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "converged revision")), leases, unreached))
 	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
 }
 
-// roundTrip returns a log as it is read back from its state.
+// roundTrip encodes a log and returns the decoded one.
 func roundTrip(t *testing.T, l *Log) *Log {
 	t.Helper()
 	state, err := l.MarshalBinary()
@@ -260,7 +261,7 @@
 	return decoded
 }
 
-// traceKeeperSelection has followers lose keepers and find them again.
+// traceKeeperSelection traces the selected keepers and the waits of followers after successful and failed calls.
 func traceKeeperSelection(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	for seed := range uint64(100) {
@@ -282,7 +283,7 @@
 	}
 }
 
-// sortedKeys returns the pointers of a content in a fixed order.
+// sortedKeys returns the sorted pointers of a content.
 func sortedKeys(content map[string]json.RawMessage) []string {
 	return slices.Sorted(maps.Keys(content))
 }
--- a/internal/decide/configlog/traceencoding_test.go
+++ b/internal/decide/configlog/traceencoding_test.go
@@ -8,10 +8,10 @@
 	"windflow/internal/tracetest"
 )
 
-// This file writes what the package returns into a trace, field by field. The numbers of the kinds are those of the
-// recorded traces and must not change. Reasons that the package writes itself are left out: they decide nothing.
+// This file writes the results of the package to a trace, field by field. Error texts of the package are left out, so
+// that rewording them does not change the traces.
 
-// Kinds of step in a trace.
+// The kinds of steps in a trace. The recorded traces contain these numbers, so they must not change.
 const (
 	stepResult      = 1
 	stepInForce     = 2
@@ -37,7 +37,7 @@
 	traceError(h, r.Err)
 }
 
-// traceInForce writes what a log has in force.
+// traceInForce traces the revision in force of a log with its hash, size and entries.
 func traceInForce(h *tracetest.Hash, l *Log) {
 	h.Step(stepInForce)
 	h.Uint(l.Revision())
@@ -56,7 +56,7 @@
 	if rejected == nil {
 		return
 	}
-	h.String(string(rejected.Kind)) // it is part of the protocol
+	h.String(string(rejected.Kind)) // part of the protocol, unlike the reason
 	h.String(rejected.Pointer)
 	h.Uint(rejected.Revision)
 }
@@ -105,7 +105,7 @@
 	h.Uint(r.Revision)
 	h.Bytes(r.Hash[:])
 	h.String(r.Pointer)
-	h.String(r.Reason) // the caller's
+	h.String(r.Reason) // chosen by the caller of Reject
 }
 
 func traceOffered(h *tracetest.Hash, content map[string]json.RawMessage, ok bool, err error) {
@@ -115,7 +115,7 @@
 	h.Int(errorNumber(err))
 }
 
-// errorNumber returns the index of an error among those of a follower, 0 for none.
+// errorNumber returns the number of a follower's error, starting at 1; 0 for nil and -1 for an unknown error.
 func errorNumber(err error) int64 {
 	if err == nil {
 		return 0
--- a/internal/decide/configlog/tracefollower_test.go
+++ b/internal/decide/configlog/tracefollower_test.go
@@ -10,10 +10,10 @@
 	"windflow/internal/tracetest"
 )
 
-// This file has the traces of a follower by itself, which is offered what no sound keeper sends, of the places and
-// values that a change may have, and of a log that has forgotten the oldest ids.
+// This file has the traces of a follower that also gets invalid updates, of the pointers and values of changes, and of
+// a log that has dropped the oldest change IDs.
 
-// traceFollower offers a follower updates and copies of all kinds, in any order.
+// traceFollower offers a follower valid and invalid updates and saved copies in random order.
 func traceFollower(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	for seed := range uint64(60) {
@@ -47,7 +47,7 @@
 	case 10:
 		*saved = append(*saved, f.Saved())
 	case 11:
-		chosen := (*saved)[draw(len(*saved), "copy")]
+		chosen := (*saved)[draw(len(*saved), "saved copy")]
 		if draw(4, "damage") == 0 {
 			chosen.Revision++
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-// damageUpdate returns an update whose content isn't what it says.
+// damageUpdate returns an update with a wrong hash, entry or revision.
 func damageUpdate(draw drawFunc, u Update) Update {
 	switch draw(4, "damage") {
 	case 0:
@@ -141,10 +141,11 @@
 	`"` + strings.Repeat("x", 64<<10-1) + `"`,
 }
 
-// nestedArrays returns lists within each other. Bounds are written as numbers here, so that a changed bound shows.
+// nestedArrays returns arrays nested to a depth. The limits are written as numbers in this file, so that a changed
+// constant is detected.
 func nestedArrays(depth int) string { return strings.Repeat("[", depth) + strings.Repeat("]", depth) }
 
-// traceDocument tries each value at each pointer.
+// traceDocument traces the result of putting each value at each pointer.
 func traceDocument(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	for _, p := range tracePointers {
@@ -161,7 +162,7 @@
 	}
 }
 
-// traceIDs makes more changes than a log remembers by id, and makes some of them again.
+// traceIDs applies more changes than a log remembers IDs, and then repeats some of them.
 func traceIDs(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	l := NewLog(Retention{Revisions: 3})
@@ -181,7 +182,7 @@
 	traceInForce(h, l)
 }
 
-// traceRejections makes a follower reject one revision after another, and offers it all of them again.
+// traceRejections makes a follower reject one revision after another, and then offers all of them again.
 func traceRejections(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	l := NewLog(Retention{})
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -19,8 +19,8 @@
 	return l
 }
 
-// What a follower gets: nothing, the difference, or a snapshot by cost, by another hash and by compaction;
-// KeeperBehind if it's ahead.
+// UpdateSince returns an empty update, a delta, or a snapshot if the delta is not smaller, the hash differs or the
+// revision is compacted. For a follower that is ahead it returns KeeperBehind.
 func TestUpdateSince(t *testing.T) {
 	l := newLogWithFiller(t, Retention{Revisions: 3})
 	one, h1 := l.Revision(), l.Hash()
@@ -37,7 +37,7 @@
 	if u := l.UpdateSince(4, l.Hash()); !u.IsEmpty() || u.Put != nil || u.Hash != l.Hash() {
 		t.Errorf("%+v", u)
 	}
-	// /settings/a was put and removed since: it isn't in the update.
+	// /settings/a was put and removed after that revision, so it is not in the update.
 	if u := l.UpdateSince(one, h1); u.Snapshot || len(u.Put) != 1 || len(u.Remove) != 0 || u.From != 1 || u.To != 4 {
 		t.Errorf("%+v", u)
 	}
@@ -56,9 +56,9 @@
 			t.Errorf("%s: %+v", why, u)
 		}
 	}
-	snapshot(2, h1, "another content under that number")
-	snapshot(4, h1, "another content under the number in force")
-	snapshot(0, Hash{}, "compacted")
+	snapshot(2, h1, "other content at an earlier revision")
+	snapshot(4, h1, "other content at the revision in force")
+	snapshot(0, Hash{}, "compacted revision")
 	l.mustApply(t, Change{ID: "d", Remove: []string{"/settings/filler"}})
 	three, _ := l.EntriesAt(3)
 	snapshot(3, HashEntries(three), "the delta has more bytes than a snapshot")
@@ -69,7 +69,7 @@
 
 func equal(a, b json.RawMessage) bool { return string(a) == string(b) }
 
-// A follower that rejected the revision in force gets nothing until there is another one.
+// A follower that rejected the revision in force gets empty updates until there is another revision.
 func TestNextUpdateAfterRejection(t *testing.T) {
 	l := newLogWithFiller(t, Retention{})
 	status := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
@@ -83,7 +83,7 @@
 	}
 	status.Rejected.Hash = Hash{1}
 	if u := l.NextUpdate(status); u.IsEmpty() {
-		t.Error("other content under the rejected number is not offered")
+		t.Error("other content at the rejected revision is not offered")
 	}
 	status.Rejected.Hash = l.Hash()
 	l.mustApply(t, put("b", "/settings/a", "2"))
@@ -92,7 +92,7 @@
 	}
 }
 
-// The past is kept by number and by bytes, and the newest change always.
+// History is limited by the number of revisions and by size, but always retains the latest change.
 func TestCompaction(t *testing.T) {
 	l := NewLog(Retention{Revisions: 5})
 	for i := range 20 {
--- a/internal/decide/configlog/value_test.go
+++ b/internal/decide/configlog/value_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A value that is cut off anywhere is an error, and never a shorter value.
+// A value that is truncated at any position is an error and is not decoded as a shorter value.
 func TestDecodeValueRejectsTruncatedInput(t *testing.T) {
 	const text = `{"a":[1,{"b":"c"}],"d":null}`
 	decode := func(text string) (any, error) {
@@ -20,7 +20,7 @@
 	for length := range len(text) {
 		value, err := decode(text[:length])
 		if err == nil || !strings.HasPrefix(err.Error(), "the value is not valid JSON: ") {
-			t.Errorf("%s: %v, error %v", text[:length], value, err)
+			t.Errorf("%s: decoded as %v, error %v", text[:length], value, err)
 		}
 	}
 }
