--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -25,10 +25,10 @@
 	}
 	live := l.Live(6999)
 	if len(live) != 2 || live[0].Instance != "1" || live[0].UntilMS != 9000 || live[1].UntilMS != 7000 {
-		t.Errorf("%+v", live)
+		t.Errorf("unexpected leases before the expiry: %+v", live)
 	}
 	if live := l.Live(7000); len(live) != 1 || live[0].Revision != 3 {
-		t.Errorf("%+v", live)
+		t.Errorf("unexpected leases at the expiry of one: %+v", live)
 	}
 	if l.Renew(8999, a) || !l.Renew(15_000, a) || !l.Renew(15_000, b) {
 		t.Error("Renew must return true for the first call after a lease has expired")
@@ -102,7 +102,7 @@
 		!reflect.DeepEqual(status.Missing, []string{"z"}) ||
 		status.Converged ||
 		status.Revision != 5 {
-		t.Errorf("%+v", status)
+		t.Errorf("unexpected convergence status: %+v", status)
 	}
 	l, lease = newLogWithLeases(t, "a", "b")
 	a, b := lease("a", "1", 5, 0), lease("b", "1", 5, 0)
@@ -146,22 +146,22 @@
 		return []Lease{{FollowerStatus: FollowerStatus{Name: "a", Instance: "1", Revision: rev, Hash: h}}}
 	}
 	if status := l.Convergence(2, at(2, l.Hash()), nil); !status.Converged || joinNames(status.InForce) != "a1" {
-		t.Errorf("%+v", status)
+		t.Errorf("same content: %+v", status)
 	}
 	if status := l.Convergence(2, at(2, Hash{}), nil); status.Converged || joinNames(status.Diverged) != "a1" {
-		t.Errorf("%+v", status)
+		t.Errorf("other content at the revision: %+v", status)
 	}
 	if status := l.Convergence(2, at(7, l.Hash()), nil); status.Converged || joinNames(status.Diverged) != "a1" {
-		t.Errorf("%+v", status)
+		t.Errorf("a revision after that of the log: %+v", status)
 	}
 	if status := l.Convergence(3, at(3, l.Hash()), nil); status.Converged { // there is no revision 3
-		t.Errorf("%+v", status)
+		t.Errorf("a revision that does not exist is reported as converged: %+v", status)
 	}
 	h := l.Hash()
 	for _, id := range []string{"b", "c", "d"} {
 		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
 	if status := l.Convergence(1, at(2, h), nil); status.Converged { // compacted: revision 2 has no content to compare with
-		t.Errorf("%+v", status)
+		t.Errorf("a compacted revision counts as in force: %+v", status)
 	}
 }
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -24,7 +24,7 @@
 func (f *Follower) mustFollow(tb testing.TB, l *Log) {
 	tb.Helper()
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
-		tb.Fatal(ok, err)
+		tb.Fatalf("Offer returns %v, %v; want a candidate", ok, err)
 	}
 	f.Accept()
 	f.checkContent(tb, l.Revision(), l.Entries())
@@ -37,17 +37,17 @@
 	f.mustFollow(t, l)
 	l.mustApply(t, put("a", "/settings/a", "1"))
 	if u := l.NextUpdate(f.Status()); u.Snapshot {
-		t.Errorf("%+v", u)
+		t.Errorf("the update is not a delta: %+v", u)
 	}
 	f.mustFollow(t, l)
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); ok || err != nil {
-		t.Error(ok, err)
+		t.Errorf("an empty update: Offer returns %v, %v", ok, err)
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		l.mustApply(t, put(id, "/settings/a", `"`+id+`"`))
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
-		t.Errorf("%+v", u)
+		t.Errorf("the update is not a snapshot: %+v", u)
 	}
 	f.mustFollow(t, l)
 	l.mustApply(t, Change{ID: "e", Remove: []string{"/settings/filler", "/settings/a"}})
@@ -87,7 +87,7 @@
 		t.Error("no snapshot is requested after a failed update")
 	}
 	if u := l.NextUpdate(f.Status()); !u.Snapshot {
-		t.Errorf("%+v", u)
+		t.Errorf("the update is not a snapshot: %+v", u)
 	} else {
 		u.Put["/settings/x"] = json.RawMessage("1")
 		checkIgnored("an additional entry", u, ErrMismatch)
@@ -99,20 +99,20 @@
 	}
 	l.mustApply(t, put("c", "/settings/a", "4"))
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); !ok || err != nil {
-		t.Fatal(ok, err)
+		t.Fatalf("Offer returns %v, %v; want a candidate", ok, err)
 	}
 	if _, ok, err := f.Offer(l.NextUpdate(f.Status())); ok || !errors.Is(err, ErrPending) {
-		t.Error(ok, err)
+		t.Errorf("Offer with a pending candidate returns %v, %v", ok, err)
 	}
 	if _, _, err := f.Restore(SavedRevision{Revision: 9}); !errors.Is(err, ErrPending) {
-		t.Error(err)
+		t.Errorf("Restore with a pending candidate returns %v", err)
 	}
 	f.Accept()
 	f.checkContent(t, 4, l.Entries())
 	f.Accept()
 	f.Reject("", "there is no candidate")
 	if f.checkContent(t, 4, l.Entries()); f.Status().Rejected != nil {
-		t.Error(f.Status().Rejected)
+		t.Errorf("Reject without a candidate is reported as %+v", f.Status().Rejected)
 	}
 }
 
@@ -127,7 +127,7 @@
 	reject := func() {
 		t.Helper()
 		if _, ok, err := f.Offer(u); !ok || err != nil {
-			t.Fatal(ok, err)
+			t.Fatalf("Offer returns %v, %v; want a candidate", ok, err)
 		}
 		f.Reject("/settings/a", strings.Repeat("é", MaxNoteBytes))
 		f.checkContent(t, 1, before)
@@ -137,15 +137,15 @@
 	if status.Rejected == nil || status.Rejected.Revision != 2 || status.Rejected.Hash != l.Hash() ||
 		status.Rejected.Pointer != "/settings/a" ||
 		status.Check() != nil {
-		t.Errorf("%+v", status.Rejected)
+		t.Errorf("unexpected rejection %+v", status.Rejected)
 	}
 	if u := l.NextUpdate(status); !u.IsEmpty() {
-		t.Errorf("%+v", u)
+		t.Errorf("the update after a rejection is not empty: %+v", u)
 	}
 	// This also holds for an update of a keeper that does not know about the rejection, and for a snapshot.
 	for _, again := range []Update{u, l.UpdateSince(0, Hash{})} {
 		if _, ok, err := f.Offer(again); ok || err != nil {
-			t.Error(ok, err)
+			t.Errorf("a rejected revision is offered again: %v, %v", ok, err)
 		}
 	}
 	f.ClearRejections()
@@ -172,7 +172,7 @@
 	offer := func(u Update, want bool) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok != want || err != nil {
-			t.Fatal(ok, err)
+			t.Fatalf("Offer returns %v, %v; want %v", ok, err, want)
 		}
 	}
 	offer(three, true)
@@ -182,7 +182,7 @@
 	offer(three, false)
 	offer(two, false)
 	if r := f.Status().Rejected; r == nil || r.Revision != 3 {
-		t.Errorf("%+v", r)
+		t.Errorf("unexpected latest rejection %+v", r)
 	}
 	f.ClearRejections()
 	offer(three, true)
@@ -202,7 +202,7 @@
 	l.mustApply(t, put("d", "/settings/a", "9"))
 	f.mustFollow(t, l)
 	if f.Status().Rejected != nil || len(f.rejections) != 0 {
-		t.Error(f.rejections)
+		t.Errorf("rejections remain after a later revision was accepted: %+v", f.rejections)
 	}
 }
 
@@ -237,16 +237,16 @@
 		next.checkContent(t, 0, nil)
 	}
 	if _, ok, err := next.Restore(NewFollower("r", "0").Saved()); ok || err != nil {
-		t.Error(ok, err)
+		t.Errorf("a copy of revision 0: Restore returns %v, %v", ok, err)
 	}
 	if _, ok, err := next.Restore(saved); !ok || err != nil {
-		t.Fatal(ok, err)
+		t.Fatalf("Restore returns %v, %v; want a candidate", ok, err)
 	}
 	next.checkContent(t, 0, nil)
 	next.Accept()
 	next.checkContent(t, 2, l.Entries())
 	if _, ok, err := next.Restore(saved); ok || !errors.Is(err, ErrStale) {
-		t.Error(ok, err)
+		t.Errorf("a copy of the revision in force: Restore returns %v, %v", ok, err)
 	}
 	// A copy may be rejected like any revision. An accepted copy is followed by a delta.
 	third := NewFollower("r", "3")
@@ -257,7 +257,7 @@
 	third.checkContent(t, 0, nil)
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	if u := l.NextUpdate(next.Status()); u.Snapshot {
-		t.Errorf("%+v", u)
+		t.Errorf("the update after a restored copy is not a delta: %+v", u)
 	}
 	next.mustFollow(t, l)
 }
@@ -281,34 +281,34 @@
 			t.Errorf("all keepers count as behind after %d answers", i)
 		}
 		if _, ok, err := f.Offer(restored.NextUpdate(f.Status())); ok || !errors.Is(err, ErrBehind) {
-			t.Fatal(ok, err)
+			t.Fatalf("a keeper that is behind: Offer returns %v, %v", ok, err)
 		}
 		f.CallFailed(float64(i)*10_000, 0)
 		f.checkContent(t, 3, l.Entries())
 	}
 	if keeperRevision, behind := f.KeepersAreBehind(); !behind || keeperRevision != 1 {
-		t.Error(keeperRevision, behind)
+		t.Errorf("KeepersAreBehind returns %d, %v; want 1, true", keeperRevision, behind)
 	}
 	status := restored.Convergence(1, []Lease{{FollowerStatus: f.Status()}}, nil)
 	if status.Converged || joinNames(status.Diverged) != "r1" {
-		t.Errorf("%+v", status)
+		t.Errorf("the follower is not diverged: %+v", status)
 	}
 	for i, id := range []string{"x", "y"} {
 		restored.mustApply(t, put(id, "/settings/c", string(rune('1'+i))))
 	}
 	status = restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil)
 	if status.Converged || joinNames(status.Diverged) != "r1" {
-		t.Errorf("%+v", status) // the revision has the same number, but other content
+		t.Errorf("other content at the same revision is not diverged: %+v", status)
 	}
 	if u := restored.NextUpdate(f.Status()); !u.Snapshot {
-		t.Errorf("%+v", u)
+		t.Errorf("the update is not a snapshot: %+v", u)
 	}
 	f.mustFollow(t, restored)
 	if _, behind := f.KeepersAreBehind(); behind {
 		t.Error("the keepers still count as behind")
 	}
 	if status := restored.Convergence(3, []Lease{{FollowerStatus: f.Status()}}, nil); !status.Converged {
-		t.Errorf("%+v", status)
+		t.Errorf("not converged: %+v", status)
 	}
 }
 
@@ -320,26 +320,26 @@
 		calls[f.SelectKeeper(3)]++
 		wait := f.CallFailed(now, 0.999)
 		if limit := 100.0; i < 2 && wait >= limit || i == 2 && (wait < 250 || wait > 500) {
-			t.Error(i, wait)
+			t.Errorf("wait %v ms after failure %d", wait, i)
 		}
 		if again := f.CallFailed(now+wait/2, 0.5); math.Abs(again-wait/2) > 1e-9 { // the failure is reported twice
-			t.Error(again, wait)
+			t.Errorf("wait %v ms after a repeated report, want half of %v ms", again, wait)
 		}
 		now += wait
 	}
 	if len(calls) != 3 {
-		t.Error(calls)
+		t.Errorf("calls by keeper: %v, want one call of each", calls)
 	}
 	last := 0.0
 	for i := range 30 {
 		wait := f.CallFailed(now, 0)
 		if now += wait; wait < last || wait > MaxBackoffMS/2 || i%3 == 0 && wait < 250 {
-			t.Error(i, wait, last)
+			t.Errorf("wait %v ms after failure %d, previously %v ms", wait, i, last)
 		}
 		last = wait
 	}
 	if wait := f.CallFailed(now, 5); wait != MaxBackoffMS {
-		t.Error(wait)
+		t.Errorf("wait %v ms with a jitter above 1, want the maximum", wait)
 	}
 	now += MaxBackoffMS
 	keeper := f.SelectKeeper(3)
@@ -354,7 +354,7 @@
 	}
 	for keeper := range 5 {
 		if first[keeper] < 60 {
-			t.Error(first)
+			t.Errorf("uneven numbers of followers by keeper: %v", first)
 		}
 	}
 	if NewFollower("r", "1").SelectKeeper(0) != 0 {
@@ -370,11 +370,11 @@
 		"refused":  {Name: "r", Instance: "1", Rejected: &Rejection{Reason: strings.Repeat("x", MaxNoteBytes+1)}},
 	} {
 		if err := status.Check(); err == nil || !strings.Contains(err.Error(), "field "+field) {
-			t.Error(field, err)
+			t.Errorf("invalid field %s: error %v", field, err)
 		}
 	}
 	if err := (FollowerStatus{Name: "r", Instance: "1"}).Check(); err != nil {
-		t.Error(err)
+		t.Errorf("valid status: error %v", err)
 	}
 }
 
@@ -382,18 +382,18 @@
 func TestHashText(t *testing.T) {
 	h := HashEntries(map[string]json.RawMessage{"/settings/a": json.RawMessage("1")})
 	text, err := json.Marshal(h)
-	var back Hash
-	if err != nil || json.Unmarshal(text, &back) != nil || back != h || string(text) != `"`+h.String()+`"` {
-		t.Error(string(text), err, back)
+	var decoded Hash
+	if err != nil || json.Unmarshal(text, &decoded) != nil || decoded != h || string(text) != `"`+h.String()+`"` {
+		t.Errorf("text %s, error %v, decoded as %v", text, err, decoded)
 	}
 	for _, s := range []string{"", "00", strings.Repeat("x", 64), strings.Repeat("0", 66)} {
-		if err := back.UnmarshalText([]byte(s)); err == nil || back != h {
-			t.Error(s, err)
+		if err := decoded.UnmarshalText([]byte(s)); err == nil || decoded != h {
+			t.Errorf("text %q: error %v, hash %v", s, err, decoded)
 		}
 	}
 	// The same bytes split into another pointer and value have another digest, and subtraction undoes addition.
 	a, b := entryDigest("/settings/a", json.RawMessage("11")), entryDigest("/settings/a1", json.RawMessage("1"))
 	if a == b || h.plus(a).plus(b).minus(a).minus(b) != h || h.plus(a) != a.plus(h) || h.minus(h) != (Hash{}) {
-		t.Error(a, b)
+		t.Errorf("wrong sums, or equal digests: %v, %v", a, b)
 	}
 }
--- a/internal/decide/configlog/log_test.go
+++ b/internal/decide/configlog/log_test.go
@@ -32,30 +32,30 @@
 func TestChangeRepeatConflictRevert(t *testing.T) {
 	l := NewLog(Retention{})
 	if rev := l.mustApply(t, put("a", "/settings/over-share-worth", "0.5")); rev != 1 {
-		t.Error(rev)
+		t.Errorf("first revision %d, want 1", rev)
 	}
 	if r := l.Apply(put("a", "/settings/over-share-worth", " 0.50 ")); r.Err != nil || !r.Repeated || r.Revision != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("repeated change: %+v", r)
 	}
 	r := l.Apply(put("a", "/settings/over-share-worth", "0.6"))
 	if r.Err == nil || r.Err.Kind != configerror.IDReused || r.Err.Revision != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("reused ID: %+v", r)
 	}
 	c := put("b", "/board", `"127.0.0.1:1"`)
 	c.Expect = revisionPtr(0)
 	if r := l.Apply(c); r.Err == nil || r.Err.Kind != configerror.Conflict || r.Err.Revision != 1 || r.Revision != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("wrong expected revision: %+v", r)
 	}
 	c.Expect = revisionPtr(1)
 	l.mustApply(t, c)
 	l.mustApply(t, Change{ID: "c", RevertTo: revisionPtr(1)})
 	if l.Revision() != 3 || len(l.Entries()) != 1 || string(l.Entries()["/settings/over-share-worth"]) != "0.5" ||
 		l.Hash() != HashEntries(l.Entries()) {
-		t.Error(l.Revision(), l.Entries())
+		t.Errorf("after the revert: revision %d, entries %v", l.Revision(), l.Entries())
 	}
 	h := l.History(0, 10)
 	if len(h) != 3 || h[2].Remove[0] != "/board" || *h[2].RevertTo != 1 || h[2].Hash != h[0].Hash {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected history %+v", h)
 	}
 }
 
@@ -144,7 +144,7 @@
 		Remove: []string{"/settings/rules/cold-ns", "/settings/list"},
 	})
 	if len(l.Entries()) != 2 {
-		t.Error(l.Entries())
+		t.Errorf("unexpected entries %v", l.Entries())
 	}
 }
 
@@ -159,7 +159,7 @@
 	if entries, size := l.Size(); rejected == nil || !strings.Contains(rejected.Reason, "document") ||
 		entries != MaxDocumentBytes/MaxValueBytes-1 ||
 		size > MaxDocumentBytes {
-		t.Error(rejected, entries, size)
+		t.Errorf("rejected with %v at %d entries and %d bytes", rejected, entries, size)
 	}
 	l = NewLog(Retention{Revisions: 2})
 	for i, n := 0, 0; n < MaxEntries; i++ {
@@ -171,7 +171,7 @@
 		l.mustApply(t, c)
 	}
 	if r := l.Apply(put("more", "/settings/y", "1")); r.Err == nil || !strings.Contains(r.Err.Reason, "entries") {
-		t.Errorf("%+v", r)
+		t.Errorf("a change beyond the number of entries: %+v", r)
 	}
 }
 
@@ -183,16 +183,16 @@
 		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
 	if r := l.Apply(put("first", "/settings/a", "0")); !r.Repeated || r.Revision != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("repeated change: %+v", r)
 	}
 	l.mustApply(t, put("one more", "/settings/a", "0"))
 	if len(l.ids.applied) != MaxRememberedIDs || len(l.ids.order) != MaxRememberedIDs {
-		t.Error(len(l.ids.applied), len(l.ids.order))
+		t.Errorf("%d IDs by ID and %d in order, want %d", len(l.ids.applied), len(l.ids.order), MaxRememberedIDs)
 	}
 	l.mustApply(t, put("first", "/settings/a", "0"))
 	// Preview of an applied change returns the content in force without an error.
 	if entries, rejected := l.Preview(put("first", "/settings/a", "0")); rejected != nil || len(entries) != 1 {
-		t.Error(entries, rejected)
+		t.Errorf("Preview of an applied change returns %v, %v", entries, rejected)
 	}
 }
 
@@ -202,37 +202,37 @@
 	if !l.AddMember("b", "1") || !l.AddMember("a", "1") || l.AddMember("b", "1") || l.AddMember("", "1") ||
 		l.AddMember("\x00", "1") ||
 		l.AddMember("c", "") {
-		t.Error(l.Members())
+		t.Errorf("unexpected result of AddMember; members %v", l.Members())
 	}
 	if names := l.Members(); !reflect.DeepEqual(names, []string{"a", "b"}) {
-		t.Error(names)
+		t.Errorf("unexpected members %v", names)
 	}
 	// Two processes that run at the same time do not replace each other.
 	if !l.AddMember("a", "2") || l.AddMember("a", "1") || l.AddMember("a", "2") || !l.AddMember("a", "4") ||
 		l.HasMember("a", "1") ||
 		!l.HasMember("a", "2") ||
 		!l.HasMember("a", "4") {
-		t.Error(l.members)
+		t.Errorf("wrong processes of member a: %v", l.members)
 	}
 	// A late call of an earlier process does not make it the latest process.
 	if !l.AddMember("a", "3") || l.members["a"] != (memberProcesses{"4", "3"}) || !l.AddMember("a", "2") ||
 		l.members["a"] != (memberProcesses{"4", "2"}) {
-		t.Error(l.members)
+		t.Errorf("wrong processes of member a: %v", l.members)
 	}
 	if NewInstanceID(1000, 7) >= NewInstanceID(1001, 3) || NewInstanceID(-5, 1) != NewInstanceID(0, 1) ||
 		len(NewInstanceID(1<<40, 1<<63)) > MaxIDBytes {
-		t.Error(NewInstanceID(1000, 7))
+		t.Errorf("wrong order or length of instances, such as %s", NewInstanceID(1000, 7))
 	}
 	if l.HasMember("b", "") || l.HasMember("b", "2") || l.HasMember("c", "1") {
-		t.Error(l.members)
+		t.Errorf("HasMember is true for an unknown process; members %v", l.members)
 	}
 	if !l.RemoveMember("a") || l.RemoveMember("a") || len(l.Members()) != 1 || l.HasMember("a", "4") {
-		t.Error(l.Members())
+		t.Errorf("unexpected members after a removal: %v", l.Members())
 	}
 	for i := range MaxMembers {
 		l.AddMember(fmt.Sprint(i), "1")
 	}
 	if len(l.Members()) != MaxMembers || l.AddMember("late", "1") || !l.AddMember("b", "2") {
-		t.Error(len(l.Members()))
+		t.Errorf("%d members, want %d", len(l.Members()), MaxMembers)
 	}
 }
--- a/internal/decide/configlog/pointer_test.go
+++ b/internal/decide/configlog/pointer_test.go
@@ -31,10 +31,10 @@
 		}
 	}
 	if name, ok := TenantName("/settings/parties/a~1b~01"); name != "a/b~1" || !ok {
-		t.Error(name, ok)
+		t.Errorf("tenant name %q, %v", name, ok)
 	}
 	if name, ok := TenantName("/settings/parties/a/b"); ok {
-		t.Error(name)
+		t.Errorf("a pointer below a tenant has the tenant name %q", name)
 	}
 }
 
--- a/internal/decide/configlog/update_test.go
+++ b/internal/decide/configlog/update_test.go
@@ -35,17 +35,17 @@
 		},
 	)
 	if u := l.UpdateSince(4, l.Hash()); !u.IsEmpty() || u.Put != nil || u.Hash != l.Hash() {
-		t.Errorf("%+v", u)
+		t.Errorf("the update at the revision in force is not empty: %+v", u)
 	}
 	// /settings/a was put and removed after that revision, so it is not in the update.
 	if u := l.UpdateSince(one, h1); u.Snapshot || len(u.Put) != 1 || len(u.Remove) != 0 || u.From != 1 || u.To != 4 {
-		t.Errorf("%+v", u)
+		t.Errorf("unexpected delta from revision 1: %+v", u)
 	}
-	_, h2 := l.EntriesAt(2)
+	_, rejected := l.EntriesAt(2)
 	two, _ := l.EntriesAt(2)
 	u := l.UpdateSince(2, HashEntries(two))
-	if h2 != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
-		t.Errorf("%+v", u)
+	if rejected != nil || u.Snapshot || !reflect.DeepEqual(u.Remove, []string{"/settings/a"}) {
+		t.Errorf("unexpected delta from revision 2: %+v", u)
 	}
 	snapshot := func(rev uint64, h Hash, why string) {
 		t.Helper()
@@ -63,7 +63,7 @@
 	three, _ := l.EntriesAt(3)
 	snapshot(3, HashEntries(three), "the delta has more bytes than a snapshot")
 	if u := l.UpdateSince(9, h1); !u.KeeperBehind || u.Snapshot || u.Put != nil || u.To != l.Revision() {
-		t.Errorf("%+v", u)
+		t.Errorf("a follower that is ahead: %+v", u)
 	}
 }
 
@@ -75,11 +75,11 @@
 	status := FollowerStatus{Name: "r", Instance: "i", Revision: l.Revision(), Hash: l.Hash()}
 	l.mustApply(t, put("a", "/settings/a", "1"))
 	if u := l.NextUpdate(status); u.IsEmpty() {
-		t.Errorf("%+v", u)
+		t.Errorf("the update before the rejection is empty: %+v", u)
 	}
 	status.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Reason: "no"}
 	if u := l.NextUpdate(status); !u.IsEmpty() {
-		t.Errorf("%+v", u)
+		t.Errorf("the update after the rejection is not empty: %+v", u)
 	}
 	status.Rejected.Hash = Hash{1}
 	if u := l.NextUpdate(status); u.IsEmpty() {
@@ -88,7 +88,7 @@
 	status.Rejected.Hash = l.Hash()
 	l.mustApply(t, put("b", "/settings/a", "2"))
 	if u := l.NextUpdate(status); u.To != 3 || u.From != 1 || len(u.Put) != 1 {
-		t.Errorf("%+v", u)
+		t.Errorf("unexpected update to the next revision: %+v", u)
 	}
 }
 
@@ -99,20 +99,20 @@
 		l.mustApply(t, put(fmt.Sprint(i), "/settings/a", fmt.Sprint(i)))
 	}
 	if l.Revision() != 20 || l.OldestRevision() != 15 || len(l.History(0, 100)) != 5 {
-		t.Error(l.Revision(), l.OldestRevision())
+		t.Errorf("revision %d, oldest %d", l.Revision(), l.OldestRevision())
 	}
 	if entries, rejected := l.EntriesAt(15); rejected != nil || string(entries["/settings/a"]) != "14" {
-		t.Error(entries, rejected)
+		t.Errorf("the oldest retained revision: entries %v, error %v", entries, rejected)
 	}
 	if _, rejected := l.EntriesAt(14); rejected == nil || rejected.Kind != configerror.Compacted || rejected.Revision != 15 {
-		t.Error(rejected)
+		t.Errorf("a compacted revision: error %v", rejected)
 	}
 	r := l.Apply(Change{ID: "back", RevertTo: revisionPtr(14)})
 	if r.Err == nil || r.Err.Kind != configerror.Compacted || r.Revision != 20 {
-		t.Errorf("%+v", r)
+		t.Errorf("revert to a compacted revision: %+v", r)
 	}
 	if h := l.History(17, 2); len(h) != 2 || h[0].Revision != 17 || h[1].ID != "17" {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected history %+v", h)
 	}
 	l = NewLog(Retention{Bytes: 3000})
 	for i := range 20 {
@@ -122,14 +122,14 @@
 			size += r.bytes()
 		}
 		if size != l.history.bytes || size > 3000 {
-			t.Fatal(i, size, l.history.bytes)
+			t.Fatalf("change %d: the records have %d bytes, the history counts %d", i, size, l.history.bytes)
 		}
 	}
 	if retained := l.Revision() - l.OldestRevision(); retained < 2 || retained > 3 {
-		t.Error(retained)
+		t.Errorf("%d revisions are retained, want 2 or 3", retained)
 	}
 	l.mustApply(t, put("large", "/settings/b", `"`+strings.Repeat("x", 9000)+`"`))
 	if l.Revision()-l.OldestRevision() != 1 {
-		t.Error(l.OldestRevision())
+		t.Errorf("the oldest revision is %d; only the latest change must be retained", l.OldestRevision())
 	}
 }
