--- a/internal/decide/configlog/simulation_test.go
+++ b/internal/decide/configlog/simulation_test.go
@@ -6,24 +6,24 @@
 	"maps"
 )
 
-// violationError is a property that doesn't hold in a simulation.
-type violationError struct{ property, how string }
+// violationError reports a property that does not hold in a simulation.
+type violationError struct{ property, detail string }
 
-func (v *violationError) Error() string { return v.property + ": " + v.how }
+func (v *violationError) Error() string { return v.property + ": " + v.detail }
 
-// The properties that a simulation checks after each step.
+// The properties that a simulation checks, and its parameters.
 const (
-	propertyNoMix               = "no follower has a mix of revisions"
-	propertyNeverBack           = "no follower goes back within a process"
-	propertyNoFalseConvergence  = "no revision converges falsely"
-	propertyAppliedOnce         = "a repeated change is applied once"
-	propertyNoRepeatedRejection = "what was rejected is not offered again"
-	propertyEventualConvergence = "all have the last revision once the faults end"
-	leaseMS                     = 6000.0
-	simulationRetention         = 6 // revisions that the logs keep
+	propertyNoMixedRevisions       = "no follower mixes the content of two revisions"
+	propertyRevisionNeverDecreases = "the revision of a follower process never decreases"
+	propertyNoFalseConvergence     = "no revision is wrongly reported as converged"
+	propertyAppliedOnce            = "a repeated change is applied once"
+	propertyNoRepeatedRejection    = "rejected content is not offered again"
+	propertyEventualConvergence    = "all routers have the last revision after the faults end"
+	leaseMS                        = 6000.0
+	simulationRetention            = 6 // number of revisions that the logs retain
 )
 
-// client is what the simulation calls of a follower; mutants override some of it.
+// client has the methods of a follower that the simulation calls. Mutants override some of them.
 type client interface {
 	Status() FollowerStatus
 	Offer(Update) (map[string]json.RawMessage, bool, error)
@@ -33,20 +33,20 @@
 	Saved() SavedRevision
 	SelectKeeper(n int) int
 	CallFailed(nowMS, jitter float64) float64
-	Unchanged()
+	CallSucceeded()
 }
 
-// parts are the functions under test; mutants replace some of them.
-type parts struct {
+// implementation holds the functions under test. Mutants replace some of them.
+type implementation struct {
 	follower    func(*Follower) client
 	apply       func(*Log, Change) Result
 	convergence func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus
 	isComplete  func(l *Leases, nowMS float64) bool
 }
 
-// soundParts are those of the package.
-func soundParts() parts {
-	return parts{
+// packageImplementation returns the functions of the package.
+func packageImplementation() implementation {
+	return implementation{
 		follower:    func(f *Follower) client { return f },
 		apply:       (*Log).Apply,
 		convergence: (*Log).Convergence,
@@ -54,45 +54,45 @@
 	}
 }
 
-// command is one entry of what the keepers replicate.
+// command is an entry of the log that the keepers replicate.
 type command struct {
 	change   Change
-	name     string // of a follower that joins, instead of a change
+	name     string // set if the command adds a member instead of a change
 	instance string
 }
 
-// keeper is one of the control processes.
+// keeper is a simulated keeper with its replica of the log.
 type keeper struct {
 	name        string
 	log         *Log
-	applied     int // of the world's commands
+	applied     int // number of applied commands of the simulation
 	leases      *Leases
 	up          bool
-	partitioned bool // from the majority
-	disk        []byte
-	diskAt      int
+	partitioned bool   // from the majority
+	disk        []byte // the snapshot on disk
+	diskAt      int    // number of commands that the snapshot includes
 }
 
-// router is one follower, over all its processes.
+// router is a simulated router with its current process.
 type router struct {
-	name            string
-	incarnation     int
-	client          client
-	alive           bool
-	partitioned     bool // from all keepers
-	rejectsOdd      bool // it rejects each content with an odd value at /settings/d
-	inForce         map[string]json.RawMessage
-	revision        uint64
-	pending         map[string]json.RawMessage
-	offered         bool
-	copy            *SavedRevision // on its disk
-	answeredMS      float64
-	answered        bool           // answered in this process
-	rejections      map[string]int // times by revision and hash
-	offeredRevision uint64         // the revision that is offered
+	name             string
+	incarnation      int // number of the current process
+	client           client
+	alive            bool
+	partitioned      bool // from all keepers
+	rejectsOddValues bool // it rejects any content with an odd value at /settings/d
+	inForce          map[string]json.RawMessage
+	revision         uint64
+	pending          map[string]json.RawMessage // the entries of the candidate
+	offered          bool                       // there is a candidate
+	saved            *SavedRevision             // the copy on its disk
+	answeredMS       float64
+	answered         bool           // a keeper has answered this process
+	rejections       map[string]int // number of rejections by revision and hash
+	offeredRevision  uint64         // the revision of the candidate
 }
 
-// message is a call or an answer on its way.
+// message is a call or an answer that has not been delivered.
 type message struct {
 	router, incarnation, keeper int
 	status                      FollowerStatus
@@ -102,27 +102,27 @@
 
 // simulation runs keepers and routers on one clock; the messages between them are delivered in random order.
 type simulation struct {
-	parts
-	draw     drawer
+	implementation
+	draw     drawFunc
 	nowMS    float64
 	commands []command
-	model    *model // what the commands make
-	leader   *Log   // has always applied all of them
+	model    *model // the expected result of the commands
+	leader   *Log   // has applied all commands
 	keepers  []*keeper
 	routers  []*router
 	messages []message
 }
 
-func newSimulation(draw drawer, v parts) *simulation {
-	w := &simulation{
-		parts:  v,
-		draw:   draw,
-		model:  newModel(simulationRetention),
-		leader: NewLog(Retention{Revisions: simulationRetention}),
+func newSimulation(draw drawFunc, impl implementation) *simulation {
+	sim := &simulation{
+		implementation: impl,
+		draw:           draw,
+		model:          newModel(simulationRetention),
+		leader:         NewLog(Retention{Revisions: simulationRetention}),
 	}
 	for i := range 3 {
-		w.keepers = append(
-			w.keepers,
+		sim.keepers = append(
+			sim.keepers,
 			&keeper{
 				name:   fmt.Sprint("k", i),
 				log:    NewLog(Retention{Revisions: simulationRetention}),
@@ -132,11 +132,11 @@
 		)
 	}
 	for i := range 1 + draw(3, "routers") {
-		r := &router{name: fmt.Sprint("r", i), rejectsOdd: i == 2}
-		w.routers = append(w.routers, r)
-		w.startRouter(r)
+		r := &router{name: fmt.Sprint("r", i), rejectsOddValues: i == 2}
+		sim.routers = append(sim.routers, r)
+		sim.startRouter(r)
 	}
-	w.commit(
+	sim.commit(
 		command{
 			change: Change{
 				ID: "filler",
@@ -146,55 +146,55 @@
 			},
 		},
 	)
-	return w
+	return sim
 }
 
-// commit appends what a majority has agreed on. Keepers apply it when they come to it.
-func (w *simulation) commit(c command) {
-	w.commands = append(w.commands, c)
-	w.run(w.leader, c)
+// commit appends a command that a majority has accepted. The leader applies it at once, keepers later.
+func (sim *simulation) commit(c command) {
+	sim.commands = append(sim.commands, c)
+	sim.run(sim.leader, c)
 	if c.name == "" {
-		w.model.apply(c.change)
+		sim.model.apply(c.change)
 	}
 }
 
-// applyCommitted applies so many further commands at a keeper.
-func (w *simulation) applyCommitted(k *keeper, most int) {
-	for ; most > 0 && k.applied < len(w.commands); most-- {
-		w.run(k.log, w.commands[k.applied])
+// applyCommitted applies at most limit further commands at a keeper.
+func (sim *simulation) applyCommitted(k *keeper, limit int) {
+	for ; limit > 0 && k.applied < len(sim.commands); limit-- {
+		sim.run(k.log, sim.commands[k.applied])
 		k.applied++
 	}
 }
 
-func (w *simulation) run(l *Log, c command) {
+func (sim *simulation) run(l *Log, c command) {
 	if c.name != "" {
 		l.AddMember(c.name, c.instance)
 		return
 	}
-	w.apply(l, c.change)
+	sim.apply(l, c.change)
 }
 
-// startRouter starts a router's next process, with what its disk has.
-func (w *simulation) startRouter(r *router) {
+// startRouter starts a router's next process, which restores the copy on its disk, if any.
+func (sim *simulation) startRouter(r *router) {
 	r.incarnation++
-	r.client = w.follower(NewFollower(r.name, NewInstance(int64(w.nowMS), uint64(r.incarnation))))
+	r.client = sim.follower(NewFollower(r.name, NewInstanceID(int64(sim.nowMS), uint64(r.incarnation))))
 	r.alive, r.answered, r.offered = true, false, false
 	r.inForce, r.revision, r.rejections = map[string]json.RawMessage{}, 0, map[string]int{}
-	if r.copy != nil {
-		if content, ok, err := r.client.Restore(*r.copy); ok && err == nil {
-			r.pending, r.offered, r.offeredRevision = content, true, r.copy.Revision
-			w.acceptOrReject(r)
+	if r.saved != nil {
+		if content, ok, err := r.client.Restore(*r.saved); ok && err == nil {
+			r.pending, r.offered, r.offeredRevision = content, true, r.saved.Revision
+			sim.acceptOrReject(r)
 		}
 	}
 }
 
 // acceptOrReject makes a router accept or reject its candidate.
-func (w *simulation) acceptOrReject(r *router) {
+func (sim *simulation) acceptOrReject(r *router) {
 	if !r.offered {
 		return
 	}
 	r.offered = false
-	if v := string(r.pending["/settings/d"]); r.rejectsOdd && (v == "1" || v == "3") {
+	if v := string(r.pending["/settings/d"]); r.rejectsOddValues && (v == "1" || v == "3") {
 		r.rejections[fmt.Sprint(r.offeredRevision, HashEntries(r.pending))]++
 		r.client.Reject("/settings/d", "it is odd")
 		return
@@ -203,104 +203,104 @@
 	r.client.Accept()
 }
 
-// call polls the keeper that a router would poll.
-func (w *simulation) call(i int) {
-	r := w.routers[i]
+// call sends a router's call to the keeper that it selects, unless it has a candidate.
+func (sim *simulation) call(index int) {
+	r := sim.routers[index]
 	if r.alive && !r.offered {
-		w.messages = append(
-			w.messages,
+		sim.messages = append(
+			sim.messages,
 			message{
-				router:      i,
+				router:      index,
 				incarnation: r.incarnation,
-				keeper:      r.client.SelectKeeper(len(w.keepers)),
+				keeper:      r.client.SelectKeeper(len(sim.keepers)),
 				status:      r.client.Status(),
 			},
 		)
 	}
 }
 
-// deliver delivers a message; one that can't be taken is lost.
-func (w *simulation) deliver(m message) {
-	r, k := w.routers[m.router], w.keepers[m.keeper]
+// deliver delivers a message. It is lost if the receiver is down or partitioned.
+func (sim *simulation) deliver(m message) {
+	r, k := sim.routers[m.router], sim.keepers[m.keeper]
 	if !m.answer {
-		if update, ok := w.answer(k, r, m); ok {
+		if update, ok := sim.answer(k, r, m); ok {
 			m.answer, m.update = true, update
-			w.messages = append(w.messages, m)
+			sim.messages = append(sim.messages, m)
 			return
 		}
 		if r.alive && r.incarnation == m.incarnation {
-			r.client.CallFailed(w.nowMS, 0.5)
+			r.client.CallFailed(sim.nowMS, 0.5)
 		}
 		return
 	}
-	if !r.alive || r.partitioned { // an answer to an earlier process arrives at the next, which has to ignore it
+	if !r.alive || r.partitioned { // the current process must ignore answers to earlier ones
 		return
 	}
 	content, ok, err := r.client.Offer(m.update)
 	if err != nil {
-		r.client.CallFailed(w.nowMS, 0.5)
+		r.client.CallFailed(sim.nowMS, 0.5)
 	}
 	if ok {
 		r.pending, r.offered, r.offeredRevision = content, true, m.update.To
 	}
 }
 
-// answer makes a keeper renew the lease, add the member, and answer.
-func (w *simulation) answer(k *keeper, r *router, m message) (Update, bool) {
+// answer makes a keeper renew the lease, add the member if necessary, and answer. ok is false if it does not answer.
+func (sim *simulation) answer(k *keeper, r *router, m message) (update Update, ok bool) {
 	if !k.up || r.partitioned {
 		return Update{}, false
 	}
-	k.leases.Renew(w.nowMS, m.status)
+	k.leases.Renew(sim.nowMS, m.status)
 	if !k.log.HasMember(m.status.Name, m.status.Instance) {
 		if k.partitioned {
 			return Update{}, false
 		}
-		w.commit(command{name: m.status.Name, instance: m.status.Instance})
-		w.applyCommitted(k, len(w.commands))
+		sim.commit(command{name: m.status.Name, instance: m.status.Instance})
+		sim.applyCommitted(k, len(sim.commands))
 	}
 	if r.alive && r.incarnation == m.incarnation {
-		r.answered, r.answeredMS = true, w.nowMS
+		r.answered, r.answeredMS = true, sim.nowMS
 	}
 	return k.log.NextUpdate(m.status), true
 }
 
-// advance lets time pass; keepers that run say so each second.
-func (w *simulation) advance(ms float64) {
+// advance advances the clock in steps of at most a second. Running keepers call Tick at each step.
+func (sim *simulation) advance(ms float64) {
 	for ; ms > 0; ms -= 1000 {
-		w.nowMS += min(ms, 1000)
-		for _, k := range w.keepers {
+		sim.nowMS += min(ms, 1000)
+		for _, k := range sim.keepers {
 			if k.up {
-				k.leases.Tick(w.nowMS)
+				k.leases.Tick(sim.nowMS)
 			}
 		}
 	}
 }
 
 // convergenceAt returns the leader's convergence status of a revision.
-func (w *simulation) convergenceAt(rev uint64) ConvergenceStatus {
+func (sim *simulation) convergenceAt(rev uint64) ConvergenceStatus {
 	var leases []Lease
 	var unreached []string
-	for _, k := range w.keepers {
+	for _, k := range sim.keepers {
 		if !k.up || k.partitioned {
 			unreached = append(unreached, k.name)
 			continue
 		}
-		// Leases that aren't complete count, but so does their keeper as unreached.
-		leases = append(leases, k.leases.Live(w.nowMS)...)
-		if !w.isComplete(k.leases, w.nowMS) {
+		// Incomplete leases are used as well, but their keeper counts as unreached.
+		leases = append(leases, k.leases.Live(sim.nowMS)...)
+		if !sim.isComplete(k.leases, sim.nowMS) {
 			unreached = append(unreached, k.name)
 		}
 	}
-	return w.convergence(w.leader, rev, leases, unreached)
+	return sim.convergence(sim.leader, rev, leases, unreached)
 }
 
-// crashKeeper ends a keeper, which loses its leases, and what it has applied since its snapshot.
-func (w *simulation) crashKeeper(k *keeper) {
+// crashKeeper stops a keeper, which loses its leases and everything that it applied after its snapshot.
+func (sim *simulation) crashKeeper(k *keeper) {
 	k.up, k.log, k.applied = false, NewLog(Retention{Revisions: simulationRetention}), 0
 }
 
 // startKeeper starts a keeper from its snapshot.
-func (w *simulation) startKeeper(k *keeper) error {
+func (sim *simulation) startKeeper(k *keeper) error {
 	k.up, k.leases = true, NewLeases(leaseMS)
 	if k.disk == nil {
 		return nil
--- a/internal/decide/configlog/trace_test.go
+++ b/internal/decide/configlog/trace_test.go
@@ -13,8 +13,8 @@
 	"windflow/internal/tracetest"
 )
 
-// The results of the log, the leases, the convergence and the followers stay as they were recorded in
-// testdata/traces.txt. It guards against changes that are meant to leave decisions as they are and do not.
+// The results of the log, the leases, the convergence and the followers are those recorded in testdata/traces.txt. This
+// detects refactorings that change decisions by mistake.
 func TestTraces(t *testing.T) {
 	var all []tracetest.Scenario
 	for seed := range uint64(4) {
@@ -54,75 +54,75 @@
 }
 
 // drawFromTraceSeed draws the same numbers for a seed each time.
-func drawFromTraceSeed(seed uint64) drawer {
+func drawFromTraceSeed(seed uint64) drawFunc {
 	rng := rand.New(rand.NewPCG(seed, 2026))
 	return func(n int, _ string) int { return rng.IntN(n) }
 }
 
-// traceSimulation plays keepers and routers with all faults, and writes all calls of the package and their results.
+// traceSimulation runs simulations with all faults and traces the calls of the package with their results.
 func traceSimulation(t *testing.T, h *tracetest.Hash, seed uint64) {
 	t.Helper()
 	for round := range uint64(30) {
-		w := newSimulation(drawFromTraceSeed(seed*1000+round), tracedParts(h))
+		sim := newSimulation(drawFromTraceSeed(seed*1000+round), tracedImplementation(h))
 		for i := range 250 {
-			if err := w.step(i); err != nil {
+			if err := sim.step(i); err != nil {
 				t.Fatal(err)
 			}
 			if i%10 == 9 {
-				w.convergenceAt(w.model.revision() - min(w.model.revision(), uint64(i%3)))
+				sim.convergenceAt(sim.model.revision() - min(sim.model.revision(), uint64(i%3)))
 			}
 		}
-		if err := w.checkSettled(); err != nil {
+		if err := sim.checkSettled(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// tracedParts is what the package returns, written into a trace.
-func tracedParts(h *tracetest.Hash) parts {
-	v := soundParts()
-	return parts{
+// tracedImplementation returns the functions of the package, wrapped so that their results are traced.
+func tracedImplementation(h *tracetest.Hash) implementation {
+	original := packageImplementation()
+	return implementation{
 		follower: func(f *Follower) client { return &tracedFollower{Follower: f, h: h} },
 		apply: func(l *Log, c Change) Result {
-			r := v.apply(l, c)
+			r := original.apply(l, c)
 			traceResult(h, r)
-			traceHead(h, l)
+			traceInForce(h, l)
 			return r
 		},
 		convergence: func(l *Log, rev uint64, leases []Lease, unreached []string) ConvergenceStatus {
 			traceLeases(h, leases)
-			status := v.convergence(l, rev, leases, unreached)
+			status := original.convergence(l, rev, leases, unreached)
 			traceConvergence(h, status)
 			return status
 		},
 		isComplete: func(l *Leases, nowMS float64) bool {
-			settled := v.isComplete(l, nowMS)
+			complete := original.isComplete(l, nowMS)
 			h.Step(stepComplete)
-			h.Bool(settled)
-			return settled
+			h.Bool(complete)
+			return complete
 		},
 	}
 }
 
-// tracedFollower records the calls of a follower and their results.
+// tracedFollower traces the calls of a follower with their results.
 type tracedFollower struct {
 	*Follower
 	h *tracetest.Hash
 }
 
 func (f *tracedFollower) Status() FollowerStatus {
-	r := f.Follower.Status()
-	traceStatus(f.h, r)
-	return r
+	status := f.Follower.Status()
+	traceStatus(f.h, status)
+	return status
 }
 
 func (f *tracedFollower) Offer(u Update) (map[string]json.RawMessage, bool, error) {
 	traceUpdate(f.h, u)
 	content, ok, err := f.Follower.Offer(u)
 	traceOffered(f.h, content, ok, err)
-	theirs, ahead := f.KeepersAreBehind()
-	f.h.Uint(theirs)
-	f.h.Bool(ahead)
+	keeperRevision, behind := f.KeepersAreBehind()
+	f.h.Uint(keeperRevision)
+	f.h.Bool(behind)
 	return content, ok, err
 }
 
@@ -147,42 +147,42 @@
 }
 
 func (f *tracedFollower) CallFailed(nowMS, jitter float64) float64 {
-	wait := f.Follower.CallFailed(nowMS, jitter)
+	waitMS := f.Follower.CallFailed(nowMS, jitter)
 	f.h.Step(stepCallFailed)
-	f.h.Float(wait)
-	return wait
+	f.h.Float(waitMS)
+	return waitMS
 }
 
-// traceLog puts valid and invalid changes into a log, and calls all its methods.
+// traceLog applies valid and invalid changes to a log and traces the results of all its methods.
 func traceLog(t *testing.T, h *tracetest.Hash, retention Retention) {
 	t.Helper()
 	for seed := range uint64(40) {
 		draw := drawFromTraceSeed(seed)
 		l := NewLog(retention)
 		for i := range 60 {
-			id := fmt.Sprint("c", i-draw(8, "again")/7*draw(i+1, "back"))
+			id := fmt.Sprint("c", i-draw(8, "reuse id")/7*draw(i+1, "earlier id"))
 			c := draw.change(id, l.Revision())
 			c.Note = []string{"", "why"}[draw(2, "note")]
-			if draw(12, "broken") == 0 {
-				spoil(draw, &c)
+			if draw(12, "invalid") == 0 {
+				makeInvalid(draw, &c)
 			}
 			preview, rejected := l.Preview(c)
 			traceError(h, rejected)
 			traceEntries(h, preview)
 			traceResult(h, l.Apply(c))
-			traceHead(h, l)
+			traceInForce(h, l)
 			traceMembers(h, draw, l)
 			traceAnswers(h, draw, l)
 		}
 		l = roundTrip(t, l)
-		traceHead(h, l)
+		traceInForce(h, l)
 		traceHistory(h, l.History(0, 1000))
 	}
 }
 
-// spoil makes a change one that is rejected.
-func spoil(draw drawer, c *Change) {
-	switch draw(10, "spoil") {
+// makeInvalid modifies a change so that it is rejected in most cases.
+func makeInvalid(draw drawFunc, c *Change) {
+	switch draw(10, "fault") {
 	case 0:
 		c.ID = ""
 	case 1:
@@ -198,7 +198,7 @@
 	case 6:
 		c.Note = strings.Repeat("n", 1024+draw(2, "longer"))
 	case 7:
-		c.RevertTo, c.Remove = number(0), []string{"/board"}
+		c.RevertTo, c.Remove = revisionPtr(0), []string{"/board"}
 	case 8:
 		c.Put, c.Remove = map[string]json.RawMessage{"/board": json.RawMessage(`"b:1"`)}, []string{"/board"}
 	case 9:
@@ -206,10 +206,11 @@
 	}
 }
 
-func traceMembers(h *tracetest.Hash, draw drawer, l *Log) {
+// traceMembers adds or removes a random member and traces the results and all members.
+func traceMembers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	name, instance := fmt.Sprint("r", draw(4, "name")), fmt.Sprint("i", draw(9, "instance"))
 	h.Step(stepMembers)
-	switch draw(6, "roster") {
+	switch draw(6, "member operation") {
 	case 0:
 		h.Bool(l.RemoveMember(name))
 	case 1:
@@ -223,66 +224,66 @@
 	}
 }
 
-// traceAnswers traces what followers at any revision get, what there was, and where a revision is in force.
-func traceAnswers(h *tracetest.Hash, draw drawer, l *Log) {
+// traceAnswers traces the contents and updates of random revisions, the convergence of one, and part of the history.
+func traceAnswers(h *tracetest.Hash, draw drawFunc, l *Log) {
 	var leases []Lease
 	for range draw(5, "leases") {
 		rev := uint64(draw(int(l.Revision())+3, "revision"))
 		content, rejected := l.EntriesAt(rev)
 		traceError(h, rejected)
 		traceEntries(h, content)
-		r := FollowerStatus{
+		status := FollowerStatus{
 			Name:     fmt.Sprint("r", draw(4, "name")),
 			Instance: fmt.Sprint("i", draw(9, "instance")),
 			Revision: rev,
 			Hash:     HashEntries(content),
 		}
-		if draw(3, "refuses") == 0 {
-			r.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
+		if draw(3, "rejects") == 0 {
+			status.Rejected = &Rejection{Revision: l.Revision(), Hash: l.Hash(), Pointer: "/settings/d", Reason: "odd"}
 		}
-		traceUpdate(h, l.UpdateSince(rev, r.Hash))
-		traceUpdate(h, l.NextUpdate(r))
-		leases = append(leases, Lease{FollowerStatus: r, UntilMS: float64(draw(1000, "until"))})
+		traceUpdate(h, l.UpdateSince(rev, status.Hash))
+		traceUpdate(h, l.NextUpdate(status))
+		leases = append(leases, Lease{FollowerStatus: status, UntilMS: float64(draw(1000, "until"))})
 	}
 	unreached := [][]string{nil, {"k2"}, {"k3", "k1"}}[draw(3, "unreached")]
-	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "judged")), leases, unreached))
+	traceConvergence(h, l.Convergence(uint64(draw(int(l.Revision())+2, "converged revision")), leases, unreached))
 	traceHistory(h, l.History(uint64(draw(int(l.Revision())+2, "from")), 3))
 }
 
-// roundTrip returns a log as it is read back from its state.
+// roundTrip encodes a log and returns the decoded one.
 func roundTrip(t *testing.T, l *Log) *Log {
 	t.Helper()
 	state, err := l.MarshalBinary()
-	back := NewLog(Retention{})
-	if err := errors.Join(err, back.UnmarshalBinary(state)); err != nil {
+	decoded := NewLog(Retention{})
+	if err := errors.Join(err, decoded.UnmarshalBinary(state)); err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return decoded
 }
 
-// traceKeeperSelection has followers lose keepers and find them again.
+// traceKeeperSelection traces the selected keepers and the waits of followers after successful and failed calls.
 func traceKeeperSelection(t *testing.T, h *tracetest.Hash) {
 	t.Helper()
 	for seed := range uint64(100) {
 		draw := drawFromTraceSeed(seed)
-		f := &tracedFollower{Follower: NewFollower("r", NewInstance(int64(seed)*1000, seed)), h: h}
-		now := 0.0
+		f := &tracedFollower{Follower: NewFollower("r", NewInstanceID(int64(seed)*1000, seed)), h: h}
+		nowMS := 0.0
 		for range 60 {
-			now += float64(draw(1500, "wait"))
+			nowMS += float64(draw(1500, "wait"))
 			f.SelectKeeper(draw(6, "keepers"))
 			switch draw(5, "outcome") {
 			case 0:
-				f.Unchanged()
+				f.CallSucceeded()
 			case 1:
 				_, _, _ = f.Offer(Update{From: 3, To: 2, KeeperBehind: true})
 			default:
-				f.CallFailed(now, float64(draw(120, "jitter")-10)/100)
+				f.CallFailed(nowMS, float64(draw(120, "jitter")-10)/100)
 			}
 		}
 	}
 }
 
-// sortedKeys returns the pointers of a content in a fixed order.
+// sortedKeys returns the sorted pointers of a content.
 func sortedKeys(content map[string]json.RawMessage) []string {
 	return slices.Sorted(maps.Keys(content))
 }
--- a/internal/decide/configlog/tracecode_test.go
+++ b/internal/decide/configlog/traceencoding_test.go
@@ -8,13 +8,13 @@
 	"windflow/internal/tracetest"
 )
 
-// This file writes what the package returns into a trace, field by field. The numbers of the kinds are those of the
-// recorded traces and must not change. Reasons that the package writes itself are left out: they decide nothing.
+// This file writes the results of the package to a trace, field by field. Error texts of the package are left out, so
+// that rewording them does not change the traces.
 
-// Kinds of step in a trace.
+// The kinds of steps in a trace. The recorded traces contain these numbers, so they must not change.
 const (
 	stepResult      = 1
-	stepHead        = 2
+	stepInForce     = 2
 	stepError       = 3
 	stepUpdate      = 4
 	stepStatus      = 5
@@ -37,9 +37,9 @@
 	traceError(h, r.Err)
 }
 
-// traceHead writes what a log has in force.
-func traceHead(h *tracetest.Hash, l *Log) {
-	h.Step(stepHead)
+// traceInForce traces the revision in force of a log with its hash, size and entries.
+func traceInForce(h *tracetest.Hash, l *Log) {
+	h.Step(stepInForce)
 	h.Uint(l.Revision())
 	h.Uint(l.OldestRevision())
 	hash := l.Hash()
@@ -50,15 +50,15 @@
 	traceEntries(h, l.Entries())
 }
 
-func traceError(h *tracetest.Hash, f *configerror.Error) {
+func traceError(h *tracetest.Hash, rejected *configerror.Error) {
 	h.Step(stepError)
-	h.Bool(f != nil)
-	if f == nil {
+	h.Bool(rejected != nil)
+	if rejected == nil {
 		return
 	}
-	h.String(string(f.Kind)) // it is part of the protocol
-	h.String(f.Pointer)
-	h.Uint(f.Revision)
+	h.String(string(rejected.Kind)) // part of the protocol, unlike the reason
+	h.String(rejected.Pointer)
+	h.Uint(rejected.Revision)
 }
 
 func traceEntries(h *tracetest.Hash, content map[string]json.RawMessage) {
@@ -88,13 +88,13 @@
 	}
 }
 
-func traceStatus(h *tracetest.Hash, r FollowerStatus) {
+func traceStatus(h *tracetest.Hash, status FollowerStatus) {
 	h.Step(stepStatus)
-	h.String(r.Name)
-	h.String(r.Instance)
-	h.Uint(r.Revision)
-	h.Bytes(r.Hash[:])
-	traceRejection(h, r.Rejected)
+	h.String(status.Name)
+	h.String(status.Instance)
+	h.Uint(status.Revision)
+	h.Bytes(status.Hash[:])
+	traceRejection(h, status.Rejected)
 }
 
 func traceRejection(h *tracetest.Hash, r *Rejection) {
@@ -105,7 +105,7 @@
 	h.Uint(r.Revision)
 	h.Bytes(r.Hash[:])
 	h.String(r.Pointer)
-	h.String(r.Reason) // the caller's
+	h.String(r.Reason) // chosen by the caller of Reject
 }
 
 func traceOffered(h *tracetest.Hash, content map[string]json.RawMessage, ok bool, err error) {
@@ -115,7 +115,7 @@
 	h.Int(errorNumber(err))
 }
 
-// errorNumber returns the index of an error among those of a follower, 0 for none.
+// errorNumber returns the number of a follower's error, starting at 1; 0 for nil and -1 for an unknown error.
 func errorNumber(err error) int64 {
 	if err == nil {
 		return 0
@@ -136,22 +136,22 @@
 	traceEntries(h, s.Entries)
 }
 
-func traceConvergence(h *tracetest.Hash, v ConvergenceStatus) {
+func traceConvergence(h *tracetest.Hash, status ConvergenceStatus) {
 	h.Step(stepConvergence)
-	h.Uint(v.Revision)
-	for _, processes := range [][]FollowerProcess{v.InForce, v.Behind, v.Rejected, v.Diverged} {
+	h.Uint(status.Revision)
+	for _, processes := range [][]FollowerProcess{status.InForce, status.Behind, status.Rejected, status.Diverged} {
 		h.Int(int64(len(processes)))
-		for _, s := range processes {
-			h.String(s.Name)
-			h.String(s.Instance)
-			h.Uint(s.Revision)
-			h.Bytes(s.Hash[:])
-			traceRejection(h, s.Rejected)
+		for _, process := range processes {
+			h.String(process.Name)
+			h.String(process.Instance)
+			h.Uint(process.Revision)
+			h.Bytes(process.Hash[:])
+			traceRejection(h, process.Rejected)
 		}
 	}
-	traceStrings(h, v.Missing)
-	traceStrings(h, v.UnreachedKeepers)
-	h.Bool(v.Converged)
+	traceStrings(h, status.Missing)
+	traceStrings(h, status.UnreachedKeepers)
+	h.Bool(status.Converged)
 }
 
 func traceLeases(h *tracetest.Hash, leases []Lease) {
