--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -153,7 +153,7 @@
 	case !req.finished && req.outstanding == 0:
 		t.retry(req, event.Outcome)
 	}
-	t.settle(req)
+	t.removeIfComplete(req)
 	t.release()
 }
 
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -18,7 +18,7 @@
 	largeFleetThreadsPerCore           = 3.0
 	excessGain, excessFrom, excessFull = 0.1, 0.1, 0.5
 	// calmFactor is the factor by which the bound is raised on a calm engine; reports lag, so it is never lifted.
-	calmFactor = 2.0
+	lightLoadFactor = 2.0
 	// preferredFactor is how far preferred queries may exceed the bound: they are short and go first.
 	preferredFactor = 2.0
 	// maxSlownessFactor bounds how far the bound on an engine shrinks with its slowness: another program may have
@@ -65,7 +65,7 @@
 
 // roundsUp reports whether an even share of an engine is half of a query or more: then each engine may run one, else
 // the share counts over all engines together. It uses even shares, since all routers would round up at once.
-func (c *capacityLimiter) roundsUp(req *request) bool {
+func (c *capacityLimiter) roundsShareUp(req *request) bool {
 	cores, _ := c.endpoints.total()
 	even := threadsPerCore * cores / float64(max(c.env.config.Routers, 1))
 	return 2*even >= float64(len(c.endpoints.listedEngines())*req.class.Threads)
@@ -73,18 +73,18 @@
 
 // threadBound is the threads a core that this router may run in the mean.
 func (c *capacityLimiter) threadBound() float64 {
-	congestion, calmBound := c.congestion()
-	return (calmBound - (calmBound-congestedThreadsPerCore)*congestion) * c.env.fleetShare()
+	congestion, uncongestedBound := c.congestion()
+	return (uncongestedBound - (uncongestedBound-congestedThreadsPerCore)*congestion) * c.env.fleetShare()
 }
 
 // congestion is how congested the fleet is, from 0 to 1, and the threads a core without congestion.
-func (c *capacityLimiter) congestion() (congestion, calmBound float64) {
+func (c *capacityLimiter) congestion() (congestion, uncongestedBound float64) {
 	if c.largeFleet() {
-		excess := c.excess * c.env.decay(c.excessAt, evidenceLife)
+		excess := c.excess * c.env.decay(c.excessAt, evidenceDecayTime)
 		return unitClamp((excess - excessFrom) / (excessFull - excessFrom)), largeFleetThreadsPerCore
 	}
 	estimate := &c.classes.preferred.estimate
-	ratio := 1 + (estimate.serviceTimeRatio()-1)*c.env.decay(estimate.observedAt, evidenceLife)
+	ratio := 1 + (estimate.serviceTimeRatio()-1)*c.env.decay(estimate.observedAt, evidenceDecayTime)
 	return unitClamp((ratio - congestionFrom) / (congestionFull - congestionFrom)), threadsPerCore
 }
 
@@ -93,41 +93,41 @@
 
 // observeServiceTime takes the service time of one attempt over the best one of its class.
 func (c *capacityLimiter) observeServiceTime(ratio float64) {
-	excess := c.excess * c.env.decay(c.excessAt, evidenceLife)
+	excess := c.excess * c.env.decay(c.excessAt, evidenceDecayTime)
 	c.excess = excess + excessGain*(min(ratio, maxBoundedFactor)-1-excess)
 	c.excessAt = c.env.now
 }
 
 // fits reports whether this router may run one more request at all: its share of the fleet's threads and memory.
-func (c *capacityLimiter) fits(req *request) bool {
+func (c *capacityLimiter) fitsFleetShare(req *request) bool {
 	usable := c.usable()
 	grant := c.wantedGrant(req)
 	memoryShare := usable.memoryMB * c.env.fleetShare()
 	if grant > 0 && usable.memoryMB > 0 && usable.grantedMB > 0 && usable.grantedMB+grant > memoryShare {
 		return false
 	}
-	if req.class == c.classes.preferred || usable.threads == 0 || c.roundsUp(req) {
+	if req.class == c.classes.preferred || usable.threads == 0 || c.roundsShareUp(req) {
 		return true
 	}
 	threads := float64(req.class.Threads)
-	return usable.threads+threads <= calmFactor*c.threadBound()*usable.cores+calmFactor*threads
+	return usable.threads+threads <= lightLoadFactor*c.threadBound()*usable.cores+lightLoadFactor*threads
 }
 
 // hasHeadroom reports whether an engine may take one more request: it considers backoff and ejection, the memory
 // that this router may grant, loads that would block the request, and the thread bound, which is raised on a
 // calm engine. spread is by how much this router's share grows on an engine since it uses few of them.
-func (c *capacityLimiter) hasHeadroom(target *engine, req *request, spread float64) bool {
+func (c *capacityLimiter) hasHeadroom(target *engine, req *request, shareFactor float64) bool {
 	if !c.outliers.accepts(target) || !c.pressureAllows(target, req) {
 		return false
 	}
 	if target.warmUp.active(c.env.now) && c.env.config.WarmUp.OverloadFactor > 0 && c.largeFleet() {
 		return true // its slow start budget is the bound
 	}
-	memoryShare := target.memoryMB * c.env.fleetShare() * spread
+	memoryShare := target.memoryMB * c.env.fleetShare() * shareFactor
 	if target.usage.grantedMB > 0 && target.memoryMB > 0 && req.neededMB > 0 && target.usage.grantedMB >= memoryShare {
 		return false
 	}
-	return c.threadsAllow(target, req, spread)
+	return c.threadsAllow(target, req, shareFactor)
 }
 
 // pressureAllows reports whether neither a lock nor a lack of memory on an engine speaks against a request.
@@ -142,14 +142,14 @@
 }
 
 // threadsAllow reports whether the thread bound allows a request on an engine.
-func (c *capacityLimiter) threadsAllow(target *engine, req *request, spread float64) bool {
-	bound, roundsUp := c.threadBound(), c.roundsUp(req)
+func (c *capacityLimiter) threadsAllow(target *engine, req *request, shareFactor float64) bool {
+	bound, roundsUp := c.threadBound(), c.roundsShareUp(req)
 	if target.pressure.Calm(target.cores, c.env.nowMS()) {
-		bound *= calmFactor
+		bound *= lightLoadFactor
 		roundsUp = true
 	}
 	slowness := min(max(target.health.currentSlowness(c.env), 1), maxSlownessFactor)
-	engineBound := bound * target.cores * spread / slowness
+	engineBound := bound * target.cores * shareFactor / slowness
 	if req.class == c.classes.preferred {
 		return target.usage.preferredThreads+target.usage.threads < preferredFactor*engineBound
 	}
@@ -166,25 +166,25 @@
 		return 0
 	}
 	grant := req.neededMB * req.class.estimate.grantCorrection * grantHeadroom
-	if most := c.maxGrant(); most > 0 {
-		return min(grant, most) // a wild estimate would wait for memory that no engine grants
+	if limit := c.maxGrant(); limit > 0 {
+		return min(grant, limit) // a wild estimate would wait for memory that no engine grants
 	}
 	return grant
 }
 
 // maxGrant is the most that any kind of engine grants to one query.
-func (c *capacityLimiter) maxGrant() (most float64) {
+func (c *capacityLimiter) maxGrant() (largest float64) {
 	for _, kind := range c.env.config.Kinds {
-		most = max(most, kind.MemoryMB*c.env.config.Features.MaxGrantShare)
+		largest = max(largest, kind.MemoryMB*c.env.config.Features.MaxGrantShare)
 	}
-	return most
+	return largest
 }
 
 // grant is the memory grant of a request on an engine.
 func (c *capacityLimiter) grant(req *request, e *engine) float64 {
 	grant := c.wantedGrant(req)
-	if most := e.memoryMB * c.env.config.Features.MaxGrantShare; most > 0 {
-		return min(grant, most)
+	if limit := e.memoryMB * c.env.config.Features.MaxGrantShare; limit > 0 {
+		return min(grant, limit)
 	}
 	return grant
 }
@@ -198,7 +198,7 @@
 
 // attemptEnded removes an attempt from its engine.
 func (c *capacityLimiter) attemptEnded(a *attempt) {
-	a.engine.running = without(a.engine.running, a)
+	a.engine.running = removeItem(a.engine.running, a)
 	a.engine.pressure.AttemptEnded(a.request.query())
 	c.count(a, -1)
 }
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -60,7 +60,7 @@
 	e.usage.threads, c.capacity.threads = threadsPerCore*8/2, threadsPerCore*8/2 // half of the usual bound
 	for slowness, want := range map[float64]bool{1: true, 1.5: true, 3: false, 100: false} {
 		e.health.slowness, e.health.slownessAt = slowness, h.now
-		if got := c.capacity.hasHeadroom(e, req, c.selector.spread()); got != want {
+		if got := c.capacity.hasHeadroom(e, req, c.selector.shareFactor()); got != want {
 			t.Errorf("slower by %v: headroom %v", slowness, got)
 		}
 	}
@@ -84,7 +84,7 @@
 
 // A few preferred queries that a load blocked are no congestion: each counts a bounded time. It guards against a bound
 // that shrinks, and holds reports back until they expire, while the engines have capacity.
-func TestBlockedQueriesAreNoCongestion(t *testing.T) {
+func TestBlockedQueriesDoNotCountAsCongestion(t *testing.T) {
 	for _, test := range []struct {
 		interval    int // one in so many queries takes a hundred times as long as the others
 		serviceTime time.Duration
@@ -102,7 +102,7 @@
 }
 
 // A wide query rounds up on each engine only where an even share of an engine is half of one.
-func TestWideQueryRoundsUpOnceInLargeFleet(t *testing.T) {
+func TestWideQueryShareRoundsUpByFleetSize(t *testing.T) {
 	for _, test := range []struct{ routers, want int }{{4, 4}, {250, 1}} {
 		config, list := largeFleetConfig(test.routers, 4, 0)
 		h := newHarness(t, config)
--- a/dispatch/classes.go
+++ b/dispatch/classes.go
@@ -83,27 +83,27 @@
 }
 
 // largestWork is the usual work of the class with the most, in core seconds.
-func (set *classSet) largestWork() (most float64) {
+func (set *classSet) largestWork() (largest float64) {
 	for _, k := range set.all {
-		most = max(most, k.estimate.usualWork())
+		largest = max(largest, k.estimate.usualWork())
 	}
-	return most
+	return largest
 }
 
 // configure takes changed settings and returns those in force, with the names of the settings that were not taken.
 // Open requests belong to their classes, so the names, semantics and shape of the classes stay.
-func (set *classSet) configure(changed, inForce []Class) (settings []Class, kept []string) {
+func (set *classSet) configure(changed, inForce []Class) (settings []Class, notApplied []string) {
 	sameName := func(k Class, known *class) bool { return k.Name == known.Name }
 	if !slices.EqualFunc(changed, set.all, sameName) {
-		kept, changed = append(kept, "classes"), inForce
+		notApplied, changed = append(notApplied, "classes"), inForce
 	}
 	settings = slices.Clone(changed)
 	for i, known := range set.all {
 		if k := &settings[i]; !known.configure(k) {
-			kept = append(kept, "classes["+strconv.Itoa(i)+"]: effect, order, threads, load or wait")
+			notApplied = append(notApplied, "classes["+strconv.Itoa(i)+"]: effect, order, threads, load or wait")
 		}
 	}
-	return settings, kept
+	return settings, notApplied
 }
 
 // configure takes changed settings, in which it restores what can't change; false says that there was such a change.
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -81,14 +81,14 @@
 // Configure applies changed settings to a running controller and returns those in force. What is queued, running and
 // learned stays. The names, semantics and shape of the classes stay too, since open requests belong to them; settings
 // that were not taken for that reason are named in kept. After an error nothing has changed.
-func (c *Controller) Configure(config Config) (inForce Config, kept []string, err error) {
+func (c *Controller) Configure(config Config) (inForce Config, notApplied []string, err error) {
 	if err := validate(config); err != nil {
 		return c.env.config, nil, err
 	}
 	current := c.env.config
-	config.Classes, kept = c.classes.configure(config.Classes, current.Classes)
+	config.Classes, notApplied = c.classes.configure(config.Classes, current.Classes)
 	if config.PolledDiscovery != current.PolledDiscovery {
-		kept = append(kept, "discovery")
+		notApplied = append(notApplied, "discovery")
 		config.PolledDiscovery = current.PolledDiscovery
 	}
 	config.Seed, config.RouterIndex = current.Seed, current.RouterIndex // the randomness was seeded with them
@@ -98,7 +98,7 @@
 	c.quotas.configure()
 	c.queues.setLimit(config.MaxQueued)
 	c.fleet.applyKinds()
-	return config, kept, nil
+	return config, notApplied, nil
 }
 
 // Handle takes one event and appends the actions that follow from it. Time never goes back.
--- a/dispatch/controller_test.go
+++ b/dispatch/controller_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSameEventsSameActions(t *testing.T) {
-	play := func() []Action {
+	run := func() []Action {
 		h := newHarness(t, twoClassConfig())
 		h.updateEndpoints(ListComplete, testEngines(7)...)
 		for i := range 300 {
@@ -19,7 +19,7 @@
 		}
 		return h.actions
 	}
-	if !reflect.DeepEqual(play(), play()) {
+	if !reflect.DeepEqual(run(), run()) {
 		t.Error("the same events led to other actions")
 	}
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -9,13 +9,13 @@
 //   - estimates.go: service time estimates of each class
 //   - outliers.go, health.go: outlier detection, ejection and backoff
 //   - warmup.go: slow start of engines that have just started
-//   - capacity.go, usage.go: capacity, congestion and what this router has running
+//   - capacity.go, usage.go: capacity, congestion and the work that this router runs
 //   - quotas.go: the tenants' quotas
-//   - queues.go: class queues and their delay-ratio release (LaPadula's delay-ratio control, Segal, ITC 9)
-//   - selection.go, subset.go: engine selection by subset, affinity and power of two choices
-//   - retries.go, ordering.go: what may be sent, sent again or rejected
-//   - deadlines.go, polling.go: timers and deadlines, polling of discovery
-//   - hotrestart.go: the state that two processes of one router exchange
+//   - queues.go: class queues and their delay-ratio release (LaPadula's delay-ratio control, see Segal, ITC 9)
+//   - selection.go, subset.go: engine selection by subset, affinity and the power of two choices
+//   - retries.go, ordering.go: which requests may be sent, sent again or rejected
+//   - deadlines.go, polling.go: timers, deadlines and polling of discovery
+//   - hotrestart.go: state that the two processes of one router exchange
 //
 // Controller, in controller.go, passes each event to the parts it concerns: requestTracker (requests.go, attempts.go)
 // follows requests, fleetState (fleet.go) synchronizes the parts that know engines, and outcomeLearner (outcomes.go)
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -92,7 +92,7 @@
 			startedAt, restarted = t.env.now, true
 		}
 	}
-	newStart := entry.StartedAt != e.StartedAt || e.warmUp.alwaysWarm()
+	newStart := entry.StartedAt != e.StartedAt || e.warmUp.neverWarmedUp()
 	if entry.StartedAt > 0 && newStart && entry.StartedAt+t.env.config.WarmUp.Duration > t.env.now {
 		startedAt, restarted = entry.StartedAt, true
 	}
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -54,7 +54,7 @@
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
 // after returns the times in an ascending list that lie after one of them.
-func after(times []time.Duration, since time.Duration) []time.Duration {
+func timesAfter(times []time.Duration, since time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] <= since {
 		i++
@@ -63,7 +63,7 @@
 }
 
 // without removes an item from a list, if it is in it.
-func without[T comparable](list []T, item T) []T {
+func removeItem[T comparable](list []T, item T) []T {
 	if i := slices.Index(list, item); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -9,7 +9,7 @@
 	// meanGain is the weight of one observation in a class's means over all engines.
 	meanGain = 0.03
 	// evidenceLife is the time in which evidence fades to 1/e when nothing renews it.
-	evidenceLife = 5 * time.Second
+	evidenceDecayTime = 5 * time.Second
 	// maxEstimateFactor bounds an estimate against the class's mean, both ways: a wild one would outweigh a day of
 	// others.
 	maxEstimateFactor = 100.0
@@ -50,7 +50,7 @@
 // current is the mean, which decays to the best one while nothing is observed: a class that congestion made look
 // too slow is tried again in time.
 func (s *serviceEstimate) current(env *environment) float64 {
-	return s.best + (s.mean-s.best)*env.decay(s.observedAt, evidenceLife)
+	return s.best + (s.mean-s.best)*env.decay(s.observedAt, evidenceDecayTime)
 }
 
 // usualWork is the class's usual work in core seconds.
@@ -91,7 +91,7 @@
 }
 
 // learnNeed learns the memory that a query needed against its estimate.
-func (s *serviceEstimate) learnNeed(neededMB, estimatedMB float64) {
+func (s *serviceEstimate) learnMemoryNeed(neededMB, estimatedMB float64) {
 	s.grantCorrection += meanGain * (neededMB/estimatedMB - s.grantCorrection)
 }
 
@@ -121,11 +121,11 @@
 
 // restore takes over a snapshot, unless a figure in it makes no sense: it may come from another version of the program.
 func (s *serviceEstimate) restore(old ClassSnapshot) {
-	for _, figure := range []float64{
+	for _, value := range []float64{
 		old.Observations, old.MeanServiceTime, old.BoundedServiceTime, old.BestServiceTime,
 		old.MeanEstimate, old.GrantCorrection,
 	} {
-		if !(figure > 0) {
+		if !(value > 0) {
 			return
 		}
 	}
@@ -141,9 +141,9 @@
 }
 
 // finiteOrZero returns a client's figure, or 0 if it is unknown, not finite or not above 0.
-func finiteOrZero(figure float64) float64 {
-	if !(figure > 0) || math.IsInf(figure, 1) {
+func finiteOrZero(value float64) float64 {
+	if !(value > 0) || math.IsInf(value, 1) {
 		return 0
 	}
-	return figure
+	return value
 }
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestServiceEstimateRestoresSoundSnapshotsOnly(t *testing.T) {
+func TestServiceEstimateRestoresOnlyValidSnapshots(t *testing.T) {
 	learned := serviceEstimate{
 		mean: 3, bounded: 2, best: 1, clientEstimate: 4, grantCorrection: 0.5, observations: 6, observedAt: time.Second,
 	}
@@ -127,7 +127,7 @@
 	env := h.controller.env
 	estimate.best, estimate.mean, estimate.observedAt, env.now = 1, 10, h.now, h.now
 	before := estimate.current(env)
-	env.now += 4 * evidenceLife
+	env.now += 4 * evidenceDecayTime
 	if after := estimate.current(env); before != 10 || after > 1.5 {
 		t.Errorf("mean %v, later %v", before, after)
 	}
@@ -135,21 +135,21 @@
 
 // A wild estimate neither moves a class's mean by much nor waits for memory that no engine grants; table groups that
 // are named once are not remembered for good.
-func TestWildEstimatesAreBounded(t *testing.T) {
+func TestExtremeEstimatesAreBounded(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
 	usual := Arrival{Class: "quick", Estimate: 100 * ms, NeedMB: 10, TimeLeft: 3 * time.Second}
 	for range 50 {
 		h.endLatest(h.arriveWith(usual), Served)
 	}
-	wild := h.arriveWith(Arrival{Class: "quick", Estimate: 1000 * time.Hour, NeedMB: 1e9, TimeLeft: 3 * time.Second})
+	extreme := h.arriveWith(Arrival{Class: "quick", Estimate: 1000 * time.Hour, NeedMB: 1e9, TimeLeft: 3 * time.Second})
 	c := h.controller
 	if mean := c.classes.all[0].estimate.clientEstimate; mean > 0.5 {
 		t.Errorf("the mean estimate rose to %v s", mean)
 	}
-	got, most := c.capacity.wantedGrant(c.requests.byID[wild.id]), 8192*h.config.Features.MaxGrantShare
-	if got != most {
-		t.Errorf("%v MB are wanted, want %v", got, most)
+	got, limit := c.capacity.wantedGrant(c.requests.byID[extreme.id]), 8192*h.config.Features.MaxGrantShare
+	if got != limit {
+		t.Errorf("%v MB are wanted, want %v", got, limit)
 	}
 	for i := range 3 * maxAffinities {
 		arrival := Arrival{Class: "quick", TableGroup: int64(i + 1), TimeLeft: 3 * time.Second}
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -59,7 +59,7 @@
 func (o Outcome) provesNotRun() bool { return o == EngineFull || o == ConnectFailed || o == NotSent }
 
 // unclear reports whether the engine may continue running an attempt that ended so.
-func (o Outcome) unclear() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
+func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
 // LoadReport is what an engine reports of its load; a negative value is unknown.
 type LoadReport struct {
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -98,7 +98,7 @@
 func (f *fleetState) setOtherProcessUsage(engines []EngineUsage) {
 	byEngine := map[EngineID]EngineUsage{}
 	for _, usage := range engines {
-		byEngine[usage.ID] = usage.sound()
+		byEngine[usage.ID] = usage.withoutNegatives()
 	}
 	for _, e := range f.endpoints.engines() {
 		f.capacity.setOtherProcess(e, byEngine[e.ID])
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -34,7 +34,7 @@
 // What each of hundreds of routers does with the little that it observes adds up to service: on a fleet most of whose
 // engines are new, one whose routers restart, one that loses a zone. It guards against storms that the routers cause
 // themselves, and against warming engines that are unused or collapse.
-func TestFleetServes(t *testing.T) {
+func TestFleetServesMinimumShare(t *testing.T) {
 	scenario := fleetScenario{
 		seed: 1, routers: 270, engines: 80, cores: 24, zones: 5, load: 0.6, slowShare: 0.125,
 		duration: 26 * time.Second,
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -53,7 +53,7 @@
 	if h.slowness == 1 {
 		return 1
 	}
-	return 1 + (h.slowness-1)*env.decay(h.slownessAt, evidenceLife)
+	return 1 + (h.slowness-1)*env.decay(h.slownessAt, evidenceDecayTime)
 }
 
 // observeSlowness takes the service time of one attempt over the class's mean.
@@ -69,7 +69,7 @@
 	if h.failureShare == 0 {
 		return 0
 	}
-	return h.failureShare * env.decay(h.failureShareAt, evidenceLife)
+	return h.failureShare * env.decay(h.failureShareAt, evidenceDecayTime)
 }
 
 // observe moves the failure share towards an outcome: 1 for a failure, 0 for an answer.
@@ -99,12 +99,12 @@
 }
 
 // failedLately reports whether there was evidence of failure a moment ago.
-func (h *health) failedLately(env *environment) bool {
+func (h *health) recentlyFailed(env *environment) bool {
 	return env.now-h.failureShareAt < 2*fullBackoff
 }
 
 // fullLately reports whether the engine was full a moment ago.
-func (h *health) fullLately(env *environment) bool {
+func (h *health) recentlyFull(env *environment) bool {
 	return h.fullAt > 0 && env.now-h.fullAt < fullBackoff
 }
 
@@ -116,8 +116,8 @@
 
 // restore takes over what another process of this router knew, unless it makes no sense.
 func (h *health) restore(old EngineSnapshot) bool {
-	sound := old.Slowness > 0 && old.FailureShare >= 0 && old.FailureShare <= 1 && old.ConnectionFailures >= 0
-	if !sound {
+	valid := old.Slowness > 0 && old.FailureShare >= 0 && old.FailureShare <= 1 && old.ConnectionFailures >= 0
+	if !valid {
 		return false
 	}
 	h.slowness, h.slownessAt = old.Slowness, old.SlownessAt
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -7,7 +7,7 @@
 )
 
 // healthAt is an engine's health at time one hour.
-func healthAt() (*health, *environment) {
+func newTestHealth() (*health, *environment) {
 	h := newHealth()
 	return &h, &environment{now: time.Hour}
 }
@@ -24,9 +24,9 @@
 		{"slow", []float64{3}, 0, 1.2},
 		{"bounded", []float64{1e9}, 0, 1 + slownessGain*(maxSlowness-1)},
 		{"fast", []float64{0}, 0, 1 + slownessGain*(minSlowness-1)},
-		{"slow, a time constant ago", []float64{3}, evidenceLife, 1 + 0.2/math.E},
+		{"slow, a time constant ago", []float64{3}, evidenceDecayTime, 1 + 0.2/math.E},
 	} {
-		h, env := healthAt()
+		h, env := newTestHealth()
 		for _, ratio := range test.ratios {
 			h.observeSlowness(env, ratio)
 		}
@@ -48,12 +48,12 @@
 		{"none", nil, failureGain, 0, false},
 		{"one silent attempt", []float64{1}, failureGain, 0, false},
 		{"two silent attempts", []float64{1, 1}, failureGain, 0, true},
-		{"five breaks", []float64{1, 1, 1, 1, 1}, breakGain, 0, false},
-		{"six breaks", []float64{1, 1, 1, 1, 1, 1}, breakGain, 0, true},
+		{"five breaks", []float64{1, 1, 1, 1, 1}, errorGain, 0, false},
+		{"six breaks", []float64{1, 1, 1, 1, 1, 1}, errorGain, 0, true},
 		{"an answer after two", []float64{1, 1, 0}, failureGain, 0, false},
-		{"two, decayed", []float64{1, 1}, failureGain, evidenceLife, false},
+		{"two, decayed", []float64{1, 1}, failureGain, evidenceDecayTime, false},
 	} {
-		h, env := healthAt()
+		h, env := newTestHealth()
 		for _, outcome := range test.outcomes {
 			h.observe(env, outcome, test.gain)
 		}
@@ -64,13 +64,13 @@
 	}
 }
 
-func TestConnectionFailuresMarkDown(t *testing.T) {
+func TestConnectionFailuresMarkEngineDown(t *testing.T) {
 	for name, recover := range map[string]func(*health, *environment){
 		"connected": func(h *health, _ *environment) { h.recordConnected() },
 		"full":      func(h *health, env *environment) { h.recordFull(env) },
 		"cordoned":  func(h *health, _ *environment) { h.cordonChanged(true) },
 	} {
-		h, env := healthAt()
+		h, env := newTestHealth()
 		for i := range maxConnectionFailures {
 			if h.down() {
 				t.Errorf("down after %d failures", i)
@@ -86,15 +86,15 @@
 	}
 }
 
-func TestFullEngineAndProbationEnd(t *testing.T) {
-	h, env := healthAt()
+func TestFullBackoffAndProbationEnd(t *testing.T) {
+	h, env := newTestHealth()
 	h.recordFull(env)
 	env.now += fullBackoff - 1
-	if !h.fullLately(env) {
+	if !h.recentlyFull(env) {
 		t.Error("not full a moment later")
 	}
 	env.now++
-	if h.fullLately(env) {
+	if h.recentlyFull(env) {
 		t.Error("full after the backoff")
 	}
 	if h.cordonChanged(false); !h.onProbation {
@@ -105,8 +105,8 @@
 	}
 }
 
-func TestHealthRestoresSoundSnapshotsOnly(t *testing.T) {
-	sound := EngineSnapshot{
+func TestHealthRestoresOnlyValidSnapshots(t *testing.T) {
+	valid := EngineSnapshot{
 		Slowness: 2, SlownessAt: 1, FailureShare: 0.5, FailureShareAt: 2, ConnectionFailures: 3, OnProbation: true,
 	}
 	for name, test := range map[string]struct {
@@ -121,7 +121,7 @@
 		"failures below 0":   {func(s *EngineSnapshot) { s.ConnectionFailures = -1 }, false},
 		"nothing but a zero": {func(s *EngineSnapshot) { *s = EngineSnapshot{} }, false},
 	} {
-		snapshot := sound
+		snapshot := valid
 		test.change(&snapshot)
 		h := newHealth()
 		if got := h.restore(snapshot); got != test.want {
@@ -155,7 +155,7 @@
 
 // sixRequests has six requests at a time, so that the other engines have work too, and returns how many attempts were
 // made on an engine. If that is down, these fail.
-func (h *harness) sixRequests(id EngineID, down bool) (attempts int) {
+func (h *harness) runSixRequests(id EngineID, down bool) (attempts int) {
 	h.t.Helper()
 	h.advance(20 * ms)
 	var open []*clientRequest
@@ -185,16 +185,16 @@
 	h := newHarness(t, withShortWarmUp(twoClassConfig()))
 	h.updateEndpoints(ListComplete, testEngines(3)...)
 	client := h.arrive("quick", "")
-	dead := client.engines[0]
+	crashed := client.engines[0]
 	h.endLatest(client, ConnectionReset)
-	if len(client.engines) != 2 || client.engines[1] == dead {
+	if len(client.engines) != 2 || client.engines[1] == crashed {
 		t.Fatalf("not run on another engine: %v", client.engines)
 	}
 	h.endLatest(client, Served)
-	e := h.controller.endpoints.byID[dead]
+	e := h.controller.endpoints.byID[crashed]
 	attempts := 0
 	for range rounds {
-		attempts += h.sixRequests(dead, true)
+		attempts += h.runSixRequests(crashed, true)
 	}
 	most := maxConnectionFailures + int(rounds*20*ms/(2*fullBackoff)) + 1
 	if e.health.connectionFailures < maxConnectionFailures || attempts > most {
@@ -202,7 +202,7 @@
 			e.health.connectionFailures, attempts, most)
 	}
 	for range rounds {
-		h.sixRequests(dead, false)
+		h.runSixRequests(crashed, false)
 		if e.health.connectionFailures == 0 {
 			break
 		}
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -53,7 +53,7 @@
 }
 
 // sound is the usage without negative figures: it was received from another process.
-func (u EngineUsage) sound() EngineUsage {
+func (u EngineUsage) withoutNegatives() EngineUsage {
 	return EngineUsage{
 		ID:               u.ID,
 		Threads:          max(u.Threads, 0),
@@ -136,7 +136,7 @@
 
 // setOtherProcessUsage replaces what the other process has running and queued.
 func (c *Controller) setOtherProcessUsage(event OtherProcessUsage) {
-	c.queues.setOtherLength(event.Queued, c.env.config.MaxQueued)
+	c.queues.setOtherProcessLength(event.Queued, c.env.config.MaxQueued)
 	c.fleet.setOtherProcessUsage(event.Engines)
 	c.requests.release()
 }
--- a/dispatch/hotrestart_test.go
+++ b/dispatch/hotrestart_test.go
@@ -7,7 +7,7 @@
 )
 
 // usedHarness is a controller that knows cordons, a warming engine and what its classes take.
-func usedHarness(t *testing.T, config Config) *harness {
+func newHarnessWithHistory(t *testing.T, config Config) *harness {
 	t.Helper()
 	h := newHarness(t, config)
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -42,7 +42,7 @@
 // warming engine that is overloaded after a hot restart, and a cordon that ends with the process that it was sent to.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := withWarmUp(twoClassConfig())
-	predecessor := usedHarness(t, config)
+	predecessor := newHarnessWithHistory(t, config)
 	snapshot := predecessor.encodedSnapshot()
 	h := newHarness(t, config)
 	h.now = predecessor.now
@@ -65,7 +65,7 @@
 // Figures that make no sense are not restored.
 func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	config := withWarmUp(twoClassConfig())
-	h := usedHarness(t, config)
+	h := newHarnessWithHistory(t, config)
 	snapshot := h.encodedSnapshot()
 	snapshot.Engines = []EngineSnapshot{{ID: 1, Slowness: -1, FailureShare: 7, ConnectionFailures: -1}}
 	snapshot.Classes = []ClassSnapshot{{Name: "quick", MeanServiceTime: -1, Observations: 1}}
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -38,7 +38,7 @@
 	if !req.ordered || key == nil {
 		return
 	}
-	key.requests = without(key.requests, req)
+	key.requests = removeItem(key.requests, req)
 	if len(key.requests) == 0 && key.cooldownEnd <= o.env.now {
 		delete(o.keys, req.key)
 	}
@@ -46,7 +46,7 @@
 
 // recordOutcome starts the key's cooldown where the engine may continue running the attempt.
 func (o *keyOrder) recordOutcome(req *request, outcome Outcome) {
-	if !req.ordered || !outcome.unclear() {
+	if !req.ordered || !outcome.mayStillRun() {
 		return
 	}
 	key := o.keys[req.key]
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -18,12 +18,12 @@
 		l.learnServed(ended, event)
 	case EngineFailed:
 		ended.request.engineErrors++
-		l.fleet.outliers.attributeFailure(ended.engine, breakGain)
-		l.fleet.outliers.recordBreak(1)
+		l.fleet.outliers.attributeFailure(ended.engine, errorGain)
+		l.fleet.outliers.recordErrorShare(1)
 		health.recordConnected()
 	case ConnectFailed, ConnectionReset:
-		l.fleet.outliers.attributeFailure(ended.engine, breakGain)
-		l.fleet.outliers.recordBreak(1)
+		l.fleet.outliers.attributeFailure(ended.engine, errorGain)
+		l.fleet.outliers.recordErrorShare(1)
 		health.recordConnectionFailure()
 	case EngineFull:
 		health.recordFull(l.env)
@@ -38,7 +38,7 @@
 // learnServed learns from a served attempt.
 func (l *outcomeLearner) learnServed(a *attempt, event AttemptEnd) {
 	l.fleet.outliers.recordAnswer(a.engine)
-	l.fleet.outliers.recordBreak(0)
+	l.fleet.outliers.recordErrorShare(0)
 	health := &a.engine.health
 	health.recordServed()
 	if health.down() {
@@ -57,7 +57,7 @@
 	switch {
 	case req.neededMB <= 0:
 	case neededMB > 0:
-		req.class.estimate.learnNeed(neededMB, req.neededMB)
+		req.class.estimate.learnMemoryNeed(neededMB, req.neededMB)
 	case !a.spilled && a.grantMB > 0 && l.env.config.Features.ProgressInterval > 0:
 		req.class.estimate.learnNoSpill()
 	}
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -14,7 +14,7 @@
 	failureGain = 0.3
 	// breakGain is that of an error or a lost connection: six in a row eject, as fewer are chance where the network
 	// resets one connection in ten.
-	breakGain = 0.1
+	errorGain = 0.1
 	// ejectionThreshold is the failure share from which an engine gets one query at a time.
 	ejectionThreshold = 0.45
 	// maxEjectedShare is the share of engines that may be ejected: past it, the others would be overloaded.
@@ -39,17 +39,17 @@
 	tracked   []*engine // those that are ejected, or were lately
 	ejected   float64   // listed engines among them that are ejected, until countUntil
 	// countUntil is the time until which that count is valid; 0 for a new count at once.
-	countUntil time.Duration
-	breakShare float64 // share of attempts that break, over all engines
+	countValidUntil time.Duration
+	errorShare      float64 // share of attempts that break, over all engines
 }
 
 // invalidate makes the next call count the ejected engines again.
-func (d *outlierDetector) invalidate() { d.countUntil = 0 }
+func (d *outlierDetector) invalidate() { d.countValidUntil = 0 }
 
 // forget drops an engine that was removed.
 func (d *outlierDetector) forget(e *engine) {
 	if e.health.tracked {
-		d.tracked = without(d.tracked, e)
+		d.tracked = removeItem(d.tracked, e)
 	}
 }
 
@@ -76,9 +76,9 @@
 }
 
 // recordBreak moves the share of attempts that break, on whatever engine, towards 1 for a break and 0 for an answer.
-func (d *outlierDetector) recordBreak(outcome float64) {
+func (d *outlierDetector) recordErrorShare(outcome float64) {
 	engines := float64(max(len(d.endpoints.listedEngines()), 1))
-	d.breakShare += breakGain / engines * (outcome - d.breakShare)
+	d.errorShare += errorGain / engines * (outcome - d.errorShare)
 }
 
 // recordOutcome counts an outcome for the backoff from the engine and its zone: a router of a large fleet backs off
@@ -107,7 +107,7 @@
 // backedOff reports whether an engine was full a moment ago, or is backed off from, alone or with its zone; a zone
 // does not count while all zones are backed off from.
 func (d *outlierDetector) backedOff(e *engine) bool {
-	if e.health.fullLately(d.env) || e.health.backoff.Active(d.env.nowMS()) {
+	if e.health.recentlyFull(d.env) || e.health.backoff.Active(d.env.nowMS()) {
 		return true
 	}
 	return e.zone.Active(d.env.nowMS()) && !d.endpoints.allZonesBackedOff()
@@ -118,7 +118,7 @@
 	if d.backedOff(target) {
 		return false
 	}
-	failedLately := target.health.failedLately(d.env)
+	failedLately := target.health.recentlyFailed(d.env)
 	if failedLately && target.health.down() {
 		return false
 	}
@@ -160,25 +160,25 @@
 	if !suspect.health.tracked {
 		suspect.health.tracked = true
 		d.tracked = append(d.tracked, suspect)
-		if suspect.listed && d.countUntil > 0 {
+		if suspect.listed && d.countValidUntil > 0 {
 			d.ejected++
 		}
 	}
-	d.countUntil = min(d.countUntil, d.ejectedUntil(suspect))
+	d.countValidUntil = min(d.countValidUntil, d.staysEjectedUntil(suspect))
 }
 
 // ejectedUntil is a time shortly before an engine's failure share fades to the threshold.
-func (d *outlierDetector) ejectedUntil(e *engine) time.Duration {
-	fading := seconds(evidenceLife.Seconds() * math.Log(e.health.failureShare/ejectionThreshold))
-	return e.health.failureShareAt + fading - time.Microsecond
+func (d *outlierDetector) staysEjectedUntil(e *engine) time.Duration {
+	decayTime := seconds(evidenceDecayTime.Seconds() * math.Log(e.health.failureShare/ejectionThreshold))
+	return e.health.failureShareAt + decayTime - time.Microsecond
 }
 
 // ejectedCount counts the listed engines that are ejected.
 func (d *outlierDetector) ejectedCount() float64 {
-	if d.env.now < d.countUntil {
+	if d.env.now < d.countValidUntil {
 		return d.ejected
 	}
-	d.ejected, d.countUntil = 0, math.MaxInt64
+	d.ejected, d.countValidUntil = 0, math.MaxInt64
 	d.tracked = slices.DeleteFunc(d.tracked, func(e *engine) bool {
 		e.health.tracked = e.health.ejected(d.env)
 		if !e.health.tracked {
@@ -187,7 +187,7 @@
 		if e.listed {
 			d.ejected++
 		}
-		d.countUntil = min(d.countUntil, d.ejectedUntil(e))
+		d.countValidUntil = min(d.countValidUntil, d.staysEjectedUntil(e))
 		return false
 	})
 	return d.ejected
--- a/dispatch/outliers_test.go
+++ b/dispatch/outliers_test.go
@@ -98,7 +98,7 @@
 			e.running = append(e.running, &attempt{})
 		}
 		req := &request{class: c.classes.all[0], estimate: 1, deadline: h.now + time.Second}
-		if got := !c.capacity.hasHeadroom(c.endpoints.all[0], req, c.selector.spread()); got != test.ejected {
+		if got := !c.capacity.hasHeadroom(c.endpoints.all[0], req, c.selector.shareFactor()); got != test.ejected {
 			t.Errorf("%d of 4 failing: ejected %v, want %v", test.failing, got, test.ejected)
 		}
 	}
@@ -128,7 +128,7 @@
 		c.outliers.attributeFailure(e, failureGain)
 		e.health.connectionFailures++
 	}
-	h.now += evidenceLife
+	h.now += evidenceDecayTime
 	c.env.now = h.now
 	if got := c.outliers.ejectedCount(); got != 0 || e.health.ejected(c.env) {
 		t.Fatalf("%v engines are ejected after the evidence has decayed", got)
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -41,7 +41,7 @@
 	length  int           // queued requests
 	limit   int           // requests queued before those that miss their objective are rejected
 	// otherLength is how many requests the other process of this router has queued during a hot restart.
-	otherLength int
+	otherProcessLength int
 	// credit is how many releases are left to the side that the ratio rule chose.
 	credit            int
 	creditToPreferred bool
@@ -59,7 +59,7 @@
 func (q *classQueues) setLimit(configured int) {
 	q.limit = math.MaxInt
 	if configured > 0 {
-		q.limit = max(configured-q.otherLength, 0)
+		q.limit = max(configured-q.otherProcessLength, 0)
 	}
 }
 
@@ -67,8 +67,8 @@
 func (q *classQueues) len() int { return q.length }
 
 // setOtherLength takes how many requests the other process of this router has queued.
-func (q *classQueues) setOtherLength(n, configuredLimit int) {
-	q.otherLength = max(n, 0)
+func (q *classQueues) setOtherProcessLength(n, configuredLimit int) {
+	q.otherProcessLength = max(n, 0)
 	q.setLimit(configuredLimit)
 }
 
@@ -102,7 +102,7 @@
 	req.queued = false
 	q.length--
 	list := q.queueOf(req.class).listOf(req)
-	*list = without(*list, req)
+	*list = removeItem(*list, req)
 }
 
 // release starts queued requests by the ratio rule for as long as start can start one. Requests that blocked keeps
@@ -111,7 +111,7 @@
 	if q.length == 0 {
 		return
 	}
-	pass := &releasePass{classQueues: q, now: now, stuck: map[*classQueue]bool{}, blocked: blocked, start: start}
+	pass := &releasePass{classQueues: q, now: now, skipped: map[*classQueue]bool{}, blocked: blocked, start: start}
 	pass.run()
 }
 
@@ -119,7 +119,7 @@
 type releasePass struct {
 	*classQueues
 	now     time.Duration
-	stuck   map[*classQueue]bool // queues from which no request can be started now
+	skipped map[*classQueue]bool // queues from which no request can be started now
 	blocked func(*request) bool
 	start   func(*request) bool
 }
@@ -127,7 +127,7 @@
 func (p *releasePass) run() {
 	for queue := p.next(); queue != nil; queue = p.next() {
 		if !p.releaseFirst(queue.ready) {
-			p.stuck[queue] = true
+			p.skipped[queue] = true
 			p.credit = 0
 		}
 	}
@@ -166,9 +166,9 @@
 		return p.longestWaiting()
 	}
 	if p.credit <= 0 {
-		many, manyPreferred := releaseRatio(preferred, others, weighted/others)
-		p.credit = many + 1
-		p.creditToPreferred = manyPreferred
+		releases, forPreferred := releaseRatio(preferred, others, weighted/others)
+		p.credit = releases + 1
+		p.creditToPreferred = forPreferred
 	}
 	p.credit--
 	if (p.credit > 0) == p.creditToPreferred {
@@ -182,7 +182,7 @@
 	for _, queue := range p.queues {
 		n := float64(len(queue.ready))
 		switch {
-		case p.stuck[queue]:
+		case p.skipped[queue]:
 		case queue.class == p.classes.preferred:
 			preferred = n
 		default:
@@ -194,7 +194,7 @@
 }
 
 // releaseRatio is how many of one side go for each of the other, and whether the many are preferred ones.
-func releaseRatio(preferred, others, ratio float64) (many int, manyPreferred bool) {
+func releaseRatio(preferred, others, ratio float64) (releases int, forPreferred bool) {
 	if preferred*ratio >= others {
 		return int(min(math.Ceil(preferred*ratio/others), maxReleaseRatio)), true
 	}
@@ -207,7 +207,7 @@
 	var longest *classQueue
 	longestShare := -1.0
 	for _, queue := range p.queues {
-		if queue.class == p.classes.preferred || p.stuck[queue] || len(queue.ready) == 0 {
+		if queue.class == p.classes.preferred || p.skipped[queue] || len(queue.ready) == 0 {
 			continue
 		}
 		head := queue.ready[0]
@@ -222,12 +222,12 @@
 // releaseDeferred releases deferred requests, when no other one is left to release.
 func (p *releasePass) releaseDeferred() {
 	for _, queue := range p.queues {
-		if len(queue.deferred) == 0 || p.stuck[queue] || len(queue.ready) > 0 {
+		if len(queue.deferred) == 0 || p.skipped[queue] || len(queue.ready) > 0 {
 			continue
 		}
 		for p.releaseFirst(queue.deferred) {
 			// each call releases one more
 		}
-		p.stuck[queue] = true
+		p.skipped[queue] = true
 	}
 }
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -8,8 +8,8 @@
 func TestReleaseRatio(t *testing.T) {
 	for _, test := range []struct {
 		preferred, others, ratio float64
-		many                     int
-		manyPreferred            bool
+		releases                 int
+		forPreferred             bool
 	}{
 		{4, 2, 1, 2, true},
 		{2, 2, 1, 1, true},
@@ -20,9 +20,9 @@
 		{1, 500, 2, 7, false},
 		{1, 4, 4, 1, true},
 	} {
-		many, manyPreferred := releaseRatio(test.preferred, test.others, test.ratio)
-		if many != test.many || manyPreferred != test.manyPreferred {
-			t.Errorf("%+v: %d, preferred ones %v", test, many, manyPreferred)
+		releases, forPreferred := releaseRatio(test.preferred, test.others, test.ratio)
+		if releases != test.releases || forPreferred != test.forPreferred {
+			t.Errorf("%+v: %d, preferred ones %v", test, releases, forPreferred)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		classes := newClassSet(twoClassConfig().Classes)
 		queues := newClassQueues(classes)
 		queues.setLimit(test.configured)
-		queues.setOtherLength(test.other, test.configured)
+		queues.setOtherProcessLength(test.other, test.configured)
 		for range test.queued {
 			queues.push(&request{class: classes.all[0]}, false)
 		}
--- a/dispatch/quotas.go
+++ b/dispatch/quotas.go
@@ -10,7 +10,7 @@
 	// quotaSlack is how far a tenant may exceed its quota at this router: routers see uneven parts of each tenant.
 	quotaSlack = 1.2
 	// trafficLife is the time over which this router's traffic is averaged: longer than bursts, shorter than a shift.
-	trafficLife = 30 * time.Second
+	trafficDecayTime = 30 * time.Second
 	// minTrafficShare is the least share of all traffic that this router counts on, over an even share.
 	minTrafficShare = 1.0 / 5
 )
@@ -59,7 +59,7 @@
 func (q *tenantQuotas) tenant(name string) *tenant { return q.tenants[name] }
 
 func (q *tenantQuotas) recordArrival() {
-	q.rate = q.rate*q.env.decay(q.rateAt, trafficLife) + 1/trafficLife.Seconds()
+	q.rate = q.rate*q.env.decay(q.rateAt, trafficDecayTime) + 1/trafficDecayTime.Seconds()
 	q.rateAt = q.env.now
 }
 
@@ -78,7 +78,7 @@
 	if q.total <= 0 {
 		return even
 	}
-	observed := 1 - q.env.decay(q.startedAt-time.Second, trafficLife)
-	usual := (q.rate + even*q.total/trafficLife.Seconds()) / observed
+	observed := 1 - q.env.decay(q.startedAt-time.Second, trafficDecayTime)
+	usual := (q.rate + even*q.total/trafficDecayTime.Seconds()) / observed
 	return min(max(usual/q.total, even*minTrafficShare), 1)
 }
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -7,7 +7,7 @@
 )
 
 // quotasOf returns the quotas of some tenants at time one hour, on one of two routers.
-func quotasOf(tenants ...Tenant) *tenantQuotas {
+func newTestQuotas(tenants ...Tenant) *tenantQuotas {
 	env := &environment{now: time.Hour, config: Config{Routers: 2, Tenants: tenants}}
 	q := newTenantQuotas(env)
 	q.start()
@@ -28,7 +28,7 @@
 		{"half of the quotas", 10, 5, 0.5},
 		{"overload", 10, 100, 1},
 	} {
-		q := quotasOf(Tenant{Name: "a", Quota: test.quota})
+		q := newTestQuotas(Tenant{Name: "a", Quota: test.quota})
 		interval := time.Duration(math.MaxInt64)
 		if test.arrivals > 0 {
 			interval = seconds(1 / test.arrivals)
@@ -49,7 +49,7 @@
 // A tenant without a quota and an unknown one never exceed it; one with a quota does once its burst is used up, and a
 // new quota applies without a new burst.
 func TestTenantQuotas(t *testing.T) {
-	q := quotasOf(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
+	q := newTestQuotas(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
 	exceeded := func(name string) (n int) {
 		for range 100 {
 			if q.exceeded(q.tenant(name)) {
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -90,7 +90,7 @@
 
 // handle has both controllers handle an event, and compares their actions and sums.
 func (m *mirroredControllers) handle(event Event) {
-	m.recounting.capacity.recountAt, m.recounting.outliers.countUntil = 0, 0
+	m.recounting.capacity.recountAt, m.recounting.outliers.countValidUntil = 0, 0
 	m.recounting.endpoints.unsorted, m.recounting.endpoints.anyRemoved = true, true
 	got, want := m.incremental.Handle(m.now, event, nil), m.recounting.Handle(m.now, event, nil)
 	if !reflect.DeepEqual(got, want) {
@@ -101,7 +101,7 @@
 	}
 	m.checkSums(event)
 	m.recounting.capacity.warmResources()
-	m.recounting.warmUps.withBudget()
+	m.recounting.warmUps.enginesWithBudget()
 	m.recounting.recountBudgeted()
 	m.recounting.outliers.ejectedCount()
 }
@@ -128,7 +128,7 @@
 		m.Fatalf("%#v at %v: %v engines are ejected, want %v", event, m.now, got, want)
 	}
 	var ids []EngineID
-	for _, e := range c.warmUps.withBudget() {
+	for _, e := range c.warmUps.enginesWithBudget() {
 		ids = append(ids, e.ID)
 	}
 	if want := c.recountBudgeted(); !slices.Equal(ids, want) {
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -145,7 +145,7 @@
 	if t.env.now >= req.deadline {
 		return true
 	}
-	if !t.capacity.largeFleet() || !t.observedLately(req.class) {
+	if !t.capacity.largeFleet() || !t.recentlyObserved(req.class) {
 		return false
 	}
 	estimate := &req.class.estimate
@@ -155,8 +155,8 @@
 }
 
 // observedLately reports whether a class was observed recently; one that was not has to be tried again.
-func (t *requestTracker) observedLately(k *class) bool {
-	return t.env.now-k.estimate.observedAt < 2*evidenceLife
+func (t *requestTracker) recentlyObserved(k *class) bool {
+	return t.env.now-k.estimate.observedAt < 2*evidenceDecayTime
 }
 
 // missesObjective reports whether a request that is started now would miss its latency objective.
@@ -198,11 +198,11 @@
 	}
 	req.finished = true
 	t.queues.remove(req)
-	t.settle(req)
+	t.removeIfComplete(req)
 }
 
 // settle forgets a finished request once no attempt is outstanding, and lets the next one of its key proceed.
-func (t *requestTracker) settle(req *request) {
+func (t *requestTracker) removeIfComplete(req *request) {
 	if !req.finished || req.outstanding > 0 {
 		return
 	}
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -13,7 +13,7 @@
 
 func (rules *retryRules) recordArrival() {
 	window := rules.env.config.RetryBudget.Window
-	rules.arrivals = append(after(rules.arrivals, rules.env.now-window), rules.env.now)
+	rules.arrivals = append(timesAfter(rules.arrivals, rules.env.now-window), rules.env.now)
 }
 
 func (rules *retryRules) recordRetry() { rules.retries = append(rules.retries, rules.env.now) }
@@ -105,8 +105,8 @@
 		return true
 	}
 	delay := budget.startDelay()
-	rules.arrivals = after(rules.arrivals, rules.env.now-budget.Window+delay)
-	rules.retries = after(rules.retries, rules.env.now-budget.Window-delay-1)
+	rules.arrivals = timesAfter(rules.arrivals, rules.env.now-budget.Window+delay)
+	rules.retries = timesAfter(rules.retries, rules.env.now-budget.Window-delay-1)
 	return float64(len(rules.retries)+1) <= budget.Free+budget.PerRequest*float64(len(rules.arrivals))
 }
 
@@ -117,21 +117,21 @@
 	within := rules.warmUps.startWithin(e)
 	earlier := req.attempts[:len(req.attempts)-1]
 	if delay := rules.env.config.RetryBudget.startDelay(); len(earlier) > 0 && delay > 0 {
-		within = tighter(within, delay)
+		within = tighterBound(within, delay)
 	}
 	if req.class.Semantics == Idempotent {
 		return within
 	}
 	for _, a := range earlier {
 		if a.mayHaveRun {
-			within = tighter(within, max(a.startedAt+req.class.IdempotencyWindow-rules.env.now, 1))
+			within = tighterBound(within, max(a.startedAt+req.class.IdempotencyWindow-rules.env.now, 1))
 		}
 	}
 	return within
 }
 
 // tighter is the tighter one of a bound, 0 for none, and a further bound.
-func tighter(bound, further time.Duration) time.Duration {
+func tighterBound(bound, further time.Duration) time.Duration {
 	if bound == 0 || further < bound {
 		return further
 	}
--- a/dispatch/retries_test.go
+++ b/dispatch/retries_test.go
@@ -7,7 +7,7 @@
 
 // retryHarness returns a harness with a request of a class with one attempt on the first engine a second ago, and two
 // more engines: the second one in another zone and cell, the third one in those of the first.
-func retryHarness(class Class, mayHaveRun bool) (*retryRules, *request, [3]*engine) {
+func newRetryTest(class Class, mayHaveRun bool) (*retryRules, *request, [3]*engine) {
 	env := &environment{now: time.Hour}
 	rules := &retryRules{env: env, warmUps: &warmUpLimiter{env: env}}
 	engines := [3]*engine{
@@ -43,7 +43,7 @@
 		{"by key of a cell, not run", byKey(ScopeCell, 2*time.Second), false, true, true, true},
 		{"by key, window over", byKey(ScopeAll, 900*ms), true, false, false, false},
 	} {
-		rules, req, engines := retryHarness(test.class, test.mayHaveRun)
+		rules, req, engines := newRetryTest(test.class, test.mayHaveRun)
 		if got := rules.mayRepeatOn(req, engines[1]); got != test.onOther {
 			t.Errorf("%s: may repeat in another zone and cell: %v", test.name, got)
 		}
@@ -106,7 +106,7 @@
 		{"warming engine", Class{}, RetryBudget{}, true, 500 * ms},
 		{"window before warming engine", byKey, RetryBudget{}, true, 300 * ms},
 	} {
-		rules, req, engines := retryHarness(test.class, true)
+		rules, req, engines := newRetryTest(test.class, true)
 		rules.env.config.RetryBudget = test.budget
 		rules.env.config.WarmUp.OverloadWindow = 2 * time.Second
 		if test.warming {
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -12,8 +12,8 @@
 	// minOwnZoneEngines is from how many calm engines of its own zone on a request stays in its zone, since traffic
 	// between zones is slower. They are calm up to maxOwnZoneThreads a core of this router's share, maxCalmSlowness
 	// and maxCalmFailureShare.
-	minOwnZoneEngines, maxOwnZoneThreads = 2, 2.0
-	maxCalmSlowness, maxCalmFailureShare = 1.5, 0.1
+	minOwnZoneEngines, maxOwnZoneThreads       = 2, 2.0
+	maxOwnZoneSlowness, maxOwnZoneFailureShare = 1.5, 0.1
 	// minCostSlowness bounds how much a fast engine is favoured.
 	minCostSlowness = 0.5
 )
@@ -30,15 +30,15 @@
 
 // pick draws two engines of those with headroom and takes the one with the lower cost; nil if there is none.
 func (s *selector) pick(req *request) *engine {
-	candidates := s.forRequest(req)
+	candidates := s.enginesFor(req)
 	if s.ordering.blocks(req) || len(candidates) == 0 {
 		return nil
 	}
-	if e := s.warmingWithBudget(req); e != nil || !s.capacity.fits(req) {
+	if e := s.warmingWithBudget(req); e != nil || !s.capacity.fitsFleetShare(req) {
 		return e
 	}
 	if !s.capacity.largeFleet() {
-		if calm := s.calmInOwnZone(candidates, req); len(calm) >= minOwnZoneEngines {
+		if calm := s.lightlyLoadedInOwnZone(candidates, req); len(calm) >= minOwnZoneEngines {
 			candidates = calm
 		}
 	}
@@ -66,14 +66,14 @@
 
 // eligible reports whether a request may start on an engine now, by the rules and by the engine's headroom.
 func (s *selector) eligible(e *engine, req *request) bool {
-	return s.retries.allows(req, e) && s.capacity.hasHeadroom(e, req, s.spread())
+	return s.retries.allows(req, e) && s.capacity.hasHeadroom(e, req, s.shareFactor())
 }
 
 // calmInOwnZone returns the engines of this router's zone that are calm and have headroom.
-func (s *selector) calmInOwnZone(candidates []*engine, req *request) []*engine {
+func (s *selector) lightlyLoadedInOwnZone(candidates []*engine, req *request) []*engine {
 	s.ownZone = s.ownZone[:0]
 	for _, e := range candidates {
-		if e.Zone == s.env.config.Zone && s.isCalm(e) && s.eligible(e, req) {
+		if e.Zone == s.env.config.Zone && s.isLightlyLoaded(e) && s.eligible(e, req) {
 			s.ownZone = append(s.ownZone, e)
 		}
 	}
@@ -81,9 +81,9 @@
 }
 
 // isCalm reports whether an engine is warm, healthy and has little of this router's work.
-func (s *selector) isCalm(e *engine) bool {
-	if e.warmUp.active(s.env.now) || e.health.currentSlowness(s.env) > maxCalmSlowness ||
-		e.health.currentFailureShare(s.env) > maxCalmFailureShare {
+func (s *selector) isLightlyLoaded(e *engine) bool {
+	if e.warmUp.active(s.env.now) || e.health.currentSlowness(s.env) > maxOwnZoneSlowness ||
+		e.health.currentFailureShare(s.env) > maxOwnZoneFailureShare {
 		return false
 	}
 	return e.usage.threads+e.usage.preferredThreads < maxOwnZoneThreads*s.env.fleetShare()*e.cores
@@ -96,10 +96,10 @@
 	if len(listed) == 0 {
 		return nil
 	}
-	if e := s.warmingWithBudget(req); e != nil || !s.capacity.fits(req) {
+	if e := s.warmingWithBudget(req); e != nil || !s.capacity.fitsFleetShare(req) {
 		return e
 	}
-	candidates := s.forRequest(req)
+	candidates := s.enginesFor(req)
 	e := s.cheapestOf(req, candidates, len(candidates))
 	if e != nil || len(candidates) == len(listed) || s.boundToTableGroup(req, candidates) {
 		return e
@@ -120,8 +120,8 @@
 			accepting++
 		}
 	}
-	concerned := req.class.LocksTableGroup || req.class.BlockedByLoad
-	return s.classes.anyBlockedByLoad && concerned && 2*accepting >= len(candidates)
+	usesTableLock := req.class.LocksTableGroup || req.class.BlockedByLoad
+	return s.classes.anyBlockedByLoad && usesTableLock && 2*accepting >= len(candidates)
 }
 
 // warmingWithBudget returns the cheapest warming engine, wherever it is, that this router has budget for.
@@ -129,7 +129,7 @@
 	if !s.capacity.largeFleet() {
 		return nil
 	}
-	warming := s.warmUps.withBudget()
+	warming := s.warmUps.enginesWithBudget()
 	return s.cheapestOf(req, warming, len(warming))
 }
 
@@ -157,9 +157,9 @@
 
 // cost is this router's work a core on an engine with one more request, scaled by the evidence against the engine.
 func (s *selector) cost(e *engine, req *request) float64 {
-	failures := max(e.health.currentFailureShare(s.env)-s.outliers.breakShare, 0)
+	failures := max(e.health.currentFailureShare(s.env)-s.outliers.errorShare, 0)
 	scale := max(e.health.currentSlowness(s.env), minCostSlowness) * (1 + failureWeight*failures)
-	scale *= e.pressure.CostFactor(e.cores, s.env.nowMS()) / s.warmUps.factor(e)
+	scale *= e.pressure.CostFactor(e.cores, s.env.nowMS()) / s.warmUps.capacityShare(e)
 	if e.health.onProbation && len(e.running) == 0 {
 		scale /= failureWeight
 	}
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -6,7 +6,7 @@
 )
 
 // Loads on one table group must not share an engine while another one is free.
-func TestLoadsOnOneGroupSpread(t *testing.T) {
+func TestLoadsOnOneTableGroupUseDifferentEngines(t *testing.T) {
 	config := twoClassConfig()
 	config.Classes[1].LocksTableGroup = true
 	for seed := range uint64(20) {
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -16,7 +16,7 @@
 	// that read it; in a large fleet from minLargeFleetAffinity on.
 	minAffinitySubset, minLargeFleetAffinity = 3, 5
 	// affinityLife is how long that division is used at least: demand shifts slowly.
-	affinityLife = 5 * time.Second
+	affinityLifetime = 5 * time.Second
 	// maxAffinities bounds the table groups whose engines are remembered: statements may name any number.
 	maxAffinities = 1024
 )
@@ -30,15 +30,15 @@
 // subsetChooser tells which engines this router uses: all of a small fleet, else a subset, and of these some for each
 // table group.
 type subsetChooser struct {
-	env        *environment
-	endpoints  *endpointTable
-	classes    *classSet
-	capacity   *capacityLimiter
-	subset     []*engine
-	size       int // of the subset; 0 has it chosen again
-	demand     pressure.Demand
-	affinities map[affinityKey][]*engine
-	dividedAt  time.Duration
+	env             *environment
+	endpoints       *endpointTable
+	classes         *classSet
+	capacity        *capacityLimiter
+	subset          []*engine
+	size            int // of the subset; 0 has it chosen again
+	demand          pressure.Demand
+	affinities      map[affinityKey][]*engine
+	affinitiesSince time.Duration
 }
 
 func newSubsetChooser(
@@ -91,35 +91,35 @@
 }
 
 // spread is by how much this router's share of an engine grows since it uses few of them.
-func (s *subsetChooser) spread() float64 {
+func (s *subsetChooser) shareFactor() float64 {
 	return float64(len(s.endpoints.listedEngines())) / float64(max(len(s.subset), 1))
 }
 
 // forRequest returns the engines of the subset that a request's table group is read from or, for a load, loaded on:
 // readers take one end of the group's order of engines, loads the other. A subset of few is not divided: halves of
 // three or four engines would be congested.
-func (s *subsetChooser) forRequest(req *request) []*engine {
+func (s *subsetChooser) enginesFor(req *request) []*engine {
 	subset := s.engines()
 	tooFew := len(subset) < minAffinitySubset || s.capacity.largeFleet() && len(subset) < minLargeFleetAffinity
 	if req.tableGroup == 0 || tooFew {
 		return subset
 	}
-	if s.env.now-s.dividedAt > affinityLife {
+	if s.env.now-s.affinitiesSince > affinityLifetime {
 		clear(s.affinities)
-		s.dividedAt = s.env.now
+		s.affinitiesSince = s.env.now
 	}
 	key := affinityKey{req.tableGroup, req.class.LocksTableGroup}
 	if s.affinities[key] == nil {
 		if len(s.affinities) >= maxAffinities {
 			clear(s.affinities)
 		}
-		s.affinities[key] = s.divide(subset, key)
+		s.affinities[key] = s.affinityEngines(subset, key)
 	}
 	return s.affinities[key]
 }
 
 // divide returns the engines of a subset that belong to one side of a table group.
-func (s *subsetChooser) divide(subset []*engine, key affinityKey) []*engine {
+func (s *subsetChooser) affinityEngines(subset []*engine, key affinityKey) []*engine {
 	ranked := slices.Clone(subset)
 	slices.SortFunc(ranked, func(a, b *engine) int {
 		return cmp.Compare(rank(key.tableGroup, a.ID), rank(key.tableGroup, b.ID))
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -66,7 +66,7 @@
 }
 
 // playLoadsAndReaders plays requests of two table groups on one of three routers. Up to forty are open at a time.
-func playLoadsAndReaders(t *testing.T, engines, router int, use groupUse) {
+func runLoadsAndReaders(t *testing.T, engines, router int, use groupUse) {
 	t.Helper()
 	config := loadConfig()
 	config.Routers, config.RouterIndex, config.Seed = 3, router, uint64(7+router)
@@ -123,7 +123,7 @@
 	for _, engines := range []int{2, 3, 5, 6, 7, 10} {
 		use := newGroupUse()
 		for router := range 3 {
-			playLoadsAndReaders(t, engines, router, use)
+			runLoadsAndReaders(t, engines, router, use)
 		}
 		use.check(t, engines)
 	}
@@ -136,7 +136,7 @@
 	h.updateEndpoints(ListComplete, testEngines(6)...)
 	h.controller.env.now = h.now
 	req := &request{class: h.controller.classes.all[0], tableGroup: 9, estimate: 1, deadline: h.now + time.Second}
-	readers := h.controller.selector.forRequest(req)
+	readers := h.controller.selector.enginesFor(req)
 	down := map[EngineID]bool{}
 	for _, e := range readers[1:] {
 		down[e.ID] = true
@@ -173,7 +173,7 @@
 				class = h.controller.classes.all[1]
 			}
 			var ids []EngineID
-			for _, e := range h.controller.selector.forRequest(&request{class: class, tableGroup: 17}) {
+			for _, e := range h.controller.selector.enginesFor(&request{class: class, tableGroup: 17}) {
 				ids = append(ids, e.ID)
 			}
 			if router > 0 && !slices.Equal(ids, seen[load]) {
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -19,7 +19,7 @@
 	// warmUpStartFraction is the part of the overload window within which an attempt has to start on a warming engine.
 	warmUpStartFraction = 4
 	// completedWorkLife is the time over which work done by warm engines is averaged.
-	completedWorkLife = 10 * time.Second
+	completedWorkDecayTime = 10 * time.Second
 	// quantumSlack is how far the work of the largest class may move from what budgets were computed from.
 	quantumSlack = 1.05
 	// roundingSlack keeps a sum of equal amounts of work from exceeding its bound by rounding.
@@ -53,7 +53,7 @@
 func (w *warmUp) extend(end time.Duration) { w.end = max(end, w.end) }
 
 // alwaysWarm reports whether the engine never had to warm up.
-func (w *warmUp) alwaysWarm() bool { return w.end == 0 }
+func (w *warmUp) neverWarmedUp() bool { return w.end == 0 }
 
 // sentSince adds up the work that was sent from a time on.
 func (w *warmUp) sentSince(since time.Duration, sum float64) float64 {
@@ -94,7 +94,7 @@
 }
 
 // factor is the share of its capacity that an engine has by now.
-func (l *warmUpLimiter) factor(e *engine) float64 {
+func (l *warmUpLimiter) capacityShare(e *engine) float64 {
 	initial := l.initialShare()
 	if !e.warmUp.active(l.env.now) || initial == 1 {
 		return 1
@@ -123,7 +123,7 @@
 	if a.engine.warmUp.active(l.env.now) {
 		return
 	}
-	earlier := l.completedWork * l.env.decay(l.completedWorkAt, completedWorkLife)
+	earlier := l.completedWork * l.env.decay(l.completedWorkAt, completedWorkDecayTime)
 	l.completedWork = earlier + a.request.class.estimate.usualWork()
 	l.completedWorkAt = l.env.now
 }
@@ -176,8 +176,8 @@
 func (l *warmUpLimiter) rate() float64 {
 	rate := unobservedRate * capacityUtilization * l.env.fleetShare()
 	if warm := l.capacity.warmResources(); warm.cores > 0 {
-		completed := warmRateMargin * l.completedWork * l.env.decay(l.completedWorkAt, completedWorkLife)
-		rate = max(rate, completed/completedWorkLife.Seconds()/warm.cores)
+		completed := warmRateMargin * l.completedWork * l.env.decay(l.completedWorkAt, completedWorkDecayTime)
+		rate = max(rate, completed/completedWorkDecayTime.Seconds()/warm.cores)
 	}
 	return rate
 }
@@ -242,7 +242,7 @@
 }
 
 // withBudget returns the warming engines that this router has budget for.
-func (l *warmUpLimiter) withBudget() []*engine {
+func (l *warmUpLimiter) enginesWithBudget() []*engine {
 	l.capacity.refresh()
 	largest := l.classes.largestWork()
 	moved := largest > l.quantum*quantumSlack || largest < l.quantum/quantumSlack
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -38,7 +38,7 @@
 
 // manyRouters is a fleet of routers of uneven traffic that lose all warm engines to a drain and have only warming ones.
 // The routers are played one after the other.
-type manyRouters struct {
+type drainSimulation struct {
 	t         *testing.T
 	rng       *rand.Rand
 	seed      uint64
@@ -48,19 +48,19 @@
 }
 
 const (
-	manyRoutersCount   = 40
-	manyRoutersWarm    = 50 // engines that drain
-	manyRoutersWarming = 6  // engines that replace them
-	manyRoutersWork    = 0.125
-	manyRoutersWindow  = 2 * time.Second
+	drainRouters       = 40
+	drainedEngines     = 50 // engines that drain
+	replacementEngines = 6  // engines that replace them
+	drainQueryWork     = 0.125
+	drainWindow        = 2 * time.Second
 )
 
 // play plays one router from time 30 s on, with a burst from the drain on.
-func (m *manyRouters) play(index int) {
+func (m *drainSimulation) runRouter(index int) {
 	m.t.Helper()
-	config, list := largeFleetConfig(manyRoutersCount, manyRoutersWarm, index)
+	config, list := largeFleetConfig(drainRouters, drainedEngines, index)
 	config.WarmUp.InitialShare, config.WarmUp.Duration = 0.4, 12*time.Second
-	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2.5, manyRoutersWindow
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2.5, drainWindow
 	config.Seed = m.seed*1000 + uint64(index)
 	c, err := New(config)
 	if err != nil {
@@ -71,7 +71,7 @@
 	perSecond := 1 + 4*m.rng.Float64()*m.rng.Float64()*2
 	n := 0
 	for at := begin; at < m.startedAt+10*time.Second; at += seconds(m.rng.ExpFloat64() / perSecond) {
-		if n > 0 && at > m.startedAt && len(c.endpoints.listed) == manyRoutersWarm {
+		if n > 0 && at > m.startedAt && len(c.endpoints.listed) == drainedEngines {
 			c.Handle(at, EndpointList{Mode: ListIncremental, Endpoints: m.replacements(list)}, nil)
 			perSecond *= 5
 		}
@@ -81,8 +81,8 @@
 }
 
 // replacements drains the warm engines and starts the warming ones.
-func (m *manyRouters) replacements(warm []Endpoint) []Endpoint {
-	list := testEngines(manyRoutersWarm + manyRoutersWarming)[manyRoutersWarm:]
+func (m *drainSimulation) replacements(warm []Endpoint) []Endpoint {
+	list := testEngines(drainedEngines + replacementEngines)[drainedEngines:]
 	for i := range list {
 		list[i].StartedAt = m.startedAt
 	}
@@ -95,16 +95,16 @@
 
 // request delivers a request, and serves it if it is started. A timer rejects those queued too long, which would
 // block their queue.
-func (m *manyRouters) request(c *Controller, at time.Duration, id RequestID) {
+func (m *drainSimulation) request(c *Controller, at time.Duration, id RequestID) {
 	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
 	for _, action := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
 		start, ok := action.(StartAttempt)
 		if !ok {
 			continue
 		}
-		if start.Engine > manyRoutersWarm {
-			m.work[start.Engine] += manyRoutersWork
-			m.windows[fmt.Sprint(start.Engine, at/manyRoutersWindow)] += manyRoutersWork
+		if start.Engine > drainedEngines {
+			m.work[start.Engine] += drainQueryWork
+			m.windows[fmt.Sprint(start.Engine, at/drainWindow)] += drainQueryWork
 		}
 		c.Handle(at+125*ms, AttemptEnd{Request: id, Outcome: Served, Last: true}, nil)
 	}
@@ -113,20 +113,20 @@
 // Many routers of uneven traffic together stay under what warming engines may be sent, and all of these get work.
 func TestManyRoutersDoNotOverloadWarmingEngines(t *testing.T) {
 	for seed := range uint64(3) {
-		m := &manyRouters{
+		m := &drainSimulation{
 			t: t, rng: rand.New(rand.NewPCG(seed, 3)), seed: seed, startedAt: 40 * time.Second,
 			work: map[EngineID]float64{}, windows: map[string]float64{},
 		}
-		for i := range manyRoutersCount {
-			m.play(i)
+		for i := range drainRouters {
+			m.runRouter(i)
 		}
 		for key, work := range m.windows {
 			if limit := 0.4 * 8 * 0.85 * 2.5 * 2; work > limit {
 				t.Errorf("seed %d, window %s: %.1f s of work, limit %.1f", seed, key, work, limit)
 			}
 		}
-		if len(m.work) < manyRoutersWarming {
-			t.Errorf("seed %d: only %d of %d warming engines got work", seed, len(m.work), manyRoutersWarming)
+		if len(m.work) < replacementEngines {
+			t.Errorf("seed %d: only %d of %d warming engines got work", seed, len(m.work), replacementEngines)
 		}
 	}
 }
@@ -161,9 +161,9 @@
 
 // Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved
 // their budgets and use them at once: what was due in two windows, and one query more, may meet in one.
-func TestBudgetsUsedAtOnce(t *testing.T) {
+func TestSavedBudgetsUsedTogetherDoNotOverload(t *testing.T) {
 	const routers, window = 300, 1500 * ms
-	most, total := 0.0, 0
+	highest, total := 0.0, 0
 	for burst := range 40 {
 		startedAt := 30 * time.Second
 		at := startedAt + time.Second + time.Duration(burst)*100*ms
@@ -172,17 +172,17 @@
 			starts += burstStarts(t, i, routers, startedAt, at, window)
 		}
 		factor := 0.4 + 0.6*(at-startedAt).Seconds()/12
-		most = max(most, 4*float64(starts)/(2*8*0.85*factor*window.Seconds()))
+		highest = max(highest, 4*float64(starts)/(2*8*0.85*factor*window.Seconds()))
 		total += starts
 	}
-	if most > 1 || total == 0 {
-		t.Errorf("%.2f of what a warming engine may be sent in a window; %d queries in all", most, total)
+	if highest > 1 || total == 0 {
+		t.Errorf("%.2f of what a warming engine may be sent in a window; %d queries in all", highest, total)
 	}
 }
 
 // Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up
 // began, each at a fraction of its own: they do not all have a quantum at once, whenever they start.
-func TestHotRestartsBeginNoBurst(t *testing.T) {
+func TestHotRestartsDoNotStartBursts(t *testing.T) {
 	most := 0
 	for k := range 40 {
 		users := 0
