--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Action is something that the controller wants done.
+// Action is an instruction of the controller to its host.
 //
 //sumtype:decl
 type Action interface{ action() }
 
-// StartAttempt starts the request's next attempt.
+// StartAttempt starts the next attempt of a request on an engine.
 type StartAttempt struct {
 	Request     RequestID
 	Engine      EngineID
-	Timeout     time.Duration // 0: until the client's deadline
-	StartWithin time.Duration // the attempt must not start later than this; 0: it may start at any time
+	Timeout     time.Duration // 0 means until the client's deadline
+	StartWithin time.Duration // latest start of the attempt, counted from this action; 0 means no limit
 }
 
 // SetResources sets the memory grant of the request's next attempt and the priority of all its attempts.
 type SetResources struct {
 	Request  RequestID
-	GrantMB  float64 // 0 leaves it to the engine
+	GrantMB  float64 // 0 leaves the choice to the engine
 	Priority int
 }
 
-// CancelAttempt stops waiting for an attempt and tells its engine to stop.
+// CancelAttempt stops waiting for an attempt and tells its engine to stop executing it.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// Reject is a final answer that promises that a retry is harmless.
+// Reject is a final answer which guarantees that the client can safely retry.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0 means no advice
 }
 
-// FailRequest is a final answer that promises nothing.
+// FailRequest is a final answer without that guarantee: the request may have run.
 type FailRequest struct{ Request RequestID }
 
-// Subscribe requests changes of the endpoint list from discovery.
+// Subscribe asks discovery for the next change of the endpoint list.
 type Subscribe struct{}
 
-// SetTimer requests a TimerFired event.
+// SetTimer requests a TimerFired event with the same tag after the given time.
 type SetTimer struct {
 	Tag   int64
 	After time.Duration
@@ -54,5 +54,5 @@
 func (Subscribe) action()     {}
 func (SetTimer) action()      {}
 
-// preferredPriority is the priority of the preferred class; the other classes have 0.
+// preferredPriority is the priority of the preferred class. All other classes have priority 0.
 const preferredPriority = 2
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// badPlanFactor is how many times slower than expected an attempt has to be to count as a bad plan.
-	badPlanFactor = 4.0
-	// badPlanRemainder is how many times the expected time it still has to take.
+	// badPlanFactor and badPlanRemainder detect a bad query plan: the projected total time exceeds the expected time by
+	// more than badPlanFactor, and the remaining time exceeds badPlanRemainder times the expected time.
+	badPlanFactor    = 4.0
 	badPlanRemainder = 2
-	// silentIntervals is after how many progress intervals without a report an attempt counts as silent; reports come
-	// also from the engine's queue.
+	// silentIntervals is the number of progress intervals without a report after which an attempt counts as silent.
+	// Engines also report on queries in their queue.
 	silentIntervals = 1.6
-	// silentFactor is the multiple of the expected time after which it counts as silent where engines send no progress.
+	// silentFactor is the multiple of the expected time after which an attempt counts as silent if engines send no
+	// progress reports.
 	silentFactor = 6.0
-	// minFraction bounds a reported fraction done, which the total time is computed from.
+	// minFraction is the lower bound of a reported fraction done, because the projected total time is divided by it.
 	minFraction = 0.01
-	// maxEngineErrors is how many engines may answer a request with an error before the request is taken to be at
-	// fault: usual ones err in a few of a thousand answers, and each further error would speak against one more
-	// engine.
+	// maxEngineErrors is the number of engines that may answer a request with an error before the request itself is
+	// considered the cause. Usual requests get an error in a few of a thousand answers, and each further error would
+	// wrongly count against one more engine.
 	maxEngineErrors = 2
 )
 
-// attempt returns an attempt that has not ended, or nil.
+// attempt returns the attempt with that index if it is still outstanding, else nil.
 func (t *requestTracker) attempt(id RequestID, index int) *attempt {
 	req := t.byID[id]
 	if req == nil || index < 0 || index >= len(req.attempts) || req.attempts[index].ended {
@@ -29,7 +30,7 @@
 	return req.attempts[index]
 }
 
-// start starts the request's next attempt on an engine.
+// start starts the request's next attempt on an engine, if the retry rules and the ordering of its key allow it.
 func (t *requestTracker) start(req *request, target *engine) {
 	if !t.retries.allows(req, target) || t.ordering.blocks(req) {
 		return
@@ -70,14 +71,14 @@
 	t.env.emit(StartAttempt{Request: a.request.id, Engine: a.engine.ID, StartWithin: within})
 }
 
-// cancel stops an attempt; its end is still reported.
+// cancel cancels an attempt. Its end is reported later by an AttemptEnd event.
 func (t *requestTracker) cancel(a *attempt) {
 	a.cancelled = true
 	t.env.emit(CancelAttempt{Request: a.request.id, Attempt: a.index})
 }
 
-// reroute cancels an attempt that takes far too long, so that the request runs on another engine. It helps against
-// bad plans, stuck engines and lost answers; it hurts when the estimate, not the run, was wrong.
+// reroute cancels an attempt that takes far too long, so that the request runs on another engine. This helps against
+// bad plans, stuck engines and lost answers, but wastes work if the estimate was wrong.
 func (t *requestTracker) reroute(a *attempt) {
 	req := a.request
 	if req.finished || a.cancelled || a.streaming || t.env.now+req.expectedTime(t.env) > req.deadline {
@@ -88,14 +89,14 @@
 	}
 }
 
-// isSilent reports whether no progress of an attempt was reported for too long: a link is cut, an engine is stuck, or
-// an answer is lost.
+// isSilent reports whether an attempt has sent no progress for too long because a network link is cut, an engine is
+// stuck or an answer is lost.
 func (t *requestTracker) isSilent(a *attempt) bool {
 	return !a.ended && !a.attributed && !a.streaming && t.env.now > t.silentAt(a)
 }
 
-// silentAt is when an attempt counts as silent if no further progress is reported. A pause of this process restarts the
-// time.
+// silentAt returns the time at which an attempt counts as silent if no further progress is reported. The interval
+// restarts after a pause of this process.
 func (t *requestTracker) silentAt(a *attempt) time.Duration {
 	limit := seconds(silentFactor * a.request.expectedTime(t.env).Seconds() * a.engine.health.currentSlowness(t.env))
 	if interval := t.env.config.Features.ProgressInterval; interval > 0 {
@@ -104,7 +105,7 @@
 	return max(a.progressAt, t.deadlines.pausedAt) + limit
 }
 
-// onProgress takes a progress report of an attempt.
+// onProgress handles a progress report of an attempt.
 func (t *requestTracker) onProgress(event AttemptProgress) {
 	reported := t.attempt(event.Request, event.Attempt)
 	if reported == nil {
@@ -124,7 +125,7 @@
 	}
 }
 
-// onFraction reroutes an attempt whose progress shows a bad plan.
+// onFraction reroutes an attempt if its reported progress indicates a bad query plan.
 func (t *requestTracker) onFraction(a *attempt, fraction float64) {
 	elapsed := (t.env.now - a.startedAt).Seconds()
 	total := elapsed / max(fraction, minFraction)
@@ -134,7 +135,7 @@
 	}
 }
 
-// onAttemptEnd takes the outcome of an attempt, and retries or ends its request.
+// onAttemptEnd records the outcome of an attempt, and then retries or ends its request.
 func (t *requestTracker) onAttemptEnd(event AttemptEnd) {
 	a := t.attempt(event.Request, event.Attempt)
 	if a == nil {
@@ -157,13 +158,13 @@
 	t.release()
 }
 
-// retry queues a request for its next attempt, or ends it when there can be none.
+// retry queues a request for its next attempt, or ends the request if no further attempt is possible.
 func (t *requestTracker) retry(req *request, outcome Outcome) {
 	switch {
 	case !t.retries.mayRetry(req, outcome):
 		t.reject(req)
 	case req.engineErrors >= maxEngineErrors:
-		t.fail(req) // after a rejection the client would send the same again
+		t.fail(req) // after a rejection the client would send the same request again
 	default:
 		t.enqueue(req, true)
 	}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -19,12 +19,12 @@
 		}
 	}
 	if !reflect.DeepEqual(got, []int{2, 0}) {
-		t.Errorf("priorities %v, want 2 for the shortest latency objective and 0 for the other", got)
+		t.Errorf("priorities are %v, want 2 for the class with the shortest latency objective and 0 for the other", got)
 	}
 }
 
-// An attempt with a bad plan is cancelled where that is allowed, its end awaited, and the request run on another
-// engine.
+// An attempt with a bad plan is cancelled if cancelling is allowed. After its end is reported, the request runs on
+// another engine.
 func TestBadPlanIsRerouted(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		config := twoClassConfig()
@@ -42,19 +42,19 @@
 		actions := h.handle(AttemptProgress{Request: client.id, Kind: ProgressFraction, Amount: 0.05})
 		cancelled := reflect.DeepEqual(actions, []Action{CancelAttempt{Request: client.id, Attempt: 0}})
 		if cancelled != allowed {
-			t.Fatalf("cancel allowed %v: %v", allowed, actions)
+			t.Fatalf("cancelling allowed: %v, but the actions are %v", allowed, actions)
 		}
 		if !allowed {
 			continue
 		}
 		h.endLatest(client, Cancelled)
 		if len(client.engines) != 2 || client.engines[1] == client.engines[0] {
-			t.Errorf("not run on another engine: %v", client.engines)
+			t.Errorf("request ran on engines %v, want two different ones", client.engines)
 		}
 	}
 }
 
-// A cut link shows as silence: the attempt is cancelled, and the failure attributed to the engine.
+// A silent attempt, as after a cut network link, is cancelled and counted as a failure of its engine.
 func TestSilentAttemptIsRerouted(t *testing.T) {
 	config := twoClassConfig()
 	config.CancelAllowed, config.Features.ProgressInterval = true, 500*ms
@@ -71,16 +71,16 @@
 		}
 	}
 	if !reflect.DeepEqual(cancelled, []Action{CancelAttempt{Request: silent.id}}) {
-		t.Fatalf("cancelled %v, want only the silent attempt", cancelled)
+		t.Fatalf("cancelled attempts are %v, want only the silent one", cancelled)
 	}
 	e := h.controller.endpoints.byID[silent.engines[0]]
 	if share := e.health.currentFailureShare(h.controller.env); share < 0.25 {
-		t.Errorf("failure share %v of a silent engine", share)
+		t.Errorf("failure share of the silent engine is %v, want at least 0.25", share)
 	}
 }
 
-// A request that two engines answered with an error fails: it guards the engines' health, and their time, against
-// requests that no engine can run.
+// A request that two engines answered with an error fails. Without this limit, a request that no engine can run would
+// waste the engines' time and make healthy engines count as failing.
 func TestRepeatedEngineErrorsFailRequest(t *testing.T) {
 	config := twoClassConfig()
 	config.MaxAttempts = 5
@@ -89,12 +89,13 @@
 	client := h.arrive("quick", "")
 	h.endLatest(client, EngineFailed)
 	if len(client.engines) != 2 {
-		t.Fatalf("%d attempts after one error", len(client.engines))
+		t.Fatalf("%d attempts after one error, want 2", len(client.engines))
 	}
 	before := len(h.actions)
 	h.endLatest(client, EngineFailed)
 	failed := slices.Contains(h.actions[before:], Action(FailRequest{Request: client.id}))
 	if len(client.engines) != 2 || client.answers != 1 || !failed {
-		t.Errorf("%d attempts, %d answers, %v", len(client.engines), client.answers, h.actions[before:])
+		t.Errorf("%d attempts and %d answers after two errors, want 2 and 1; actions %v",
+			len(client.engines), client.answers, h.actions[before:])
 	}
 }
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -6,36 +6,41 @@
 )
 
 const (
-	// threadsPerCore is the bound on running threads a core: cores and disks overlap up to about there, and queries
-	// of the preferred class run beside it. Under congestion it goes down to congestedThreadsPerCore.
+	// threadsPerCore is the maximum number of running threads per core: the work of cores and disks overlaps up to about
+	// this value, and queries of the preferred class run in addition. Under congestion the maximum falls to
+	// congestedThreadsPerCore.
 	threadsPerCore, congestedThreadsPerCore = 2.0, 1.2
 	// congestionFrom and congestionFull are the service time ratios of the preferred class at which congestion is 0 and
 	// 1.
 	congestionFrom, congestionFull = 1.2, 2.2
-	// largeFleetThreadsPerCore is the bound in a large fleet without congestion: shares are small there, and uneven.
-	// excessFrom and excessFull are the excess service times of all classes at which congestion is 0 and 1 there;
-	// excessGain is the weight of one observation.
+	// largeFleetThreadsPerCore is the maximum in a large fleet without congestion, where each router's share is small
+	// and uneven. There, excessFrom and excessFull are the excess service times over all classes at which congestion is
+	// 0 and 1, and excessGain is the weight of one observation of the excess.
 	largeFleetThreadsPerCore           = 3.0
 	excessGain, excessFrom, excessFull = 0.1, 0.1, 0.5
-	// calmFactor is the factor by which the bound is raised on a calm engine; reports lag, so it is never lifted.
+	// lightLoadFactor raises the thread bound on a lightly loaded engine. The bound is never removed because load
+	// reports lag behind.
 	lightLoadFactor = 2.0
-	// preferredFactor is how far preferred queries may exceed the bound: they are short and go first.
+	// preferredFactor is the factor by which queries of the preferred class may exceed the thread bound, as they are
+	// short and have priority.
 	preferredFactor = 2.0
-	// maxSlownessFactor bounds how far the bound on an engine shrinks with its slowness: another program may have
-	// most of its cores.
+	// maxSlownessFactor limits how much the thread bound of a slow engine shrinks. An engine can be slow because another
+	// program uses most of its cores.
 	maxSlownessFactor = 3.0
-	// grantHeadroom is granted over the corrected estimate: estimates scatter, and spilling costs most.
+	// grantHeadroom is the factor by which a memory grant exceeds the corrected estimate: estimates vary, and spilling
+	// costs more than unused memory.
 	grantHeadroom = 1.25
-	// recountInterval is how long sums are valid at most: it bounds what a fault in updating them could cost.
+	// recountInterval is the maximum time for which cached sums are used. It limits the effect of a fault in the code
+	// that updates them.
 	recountInterval = 10 * time.Second
-	// grantUnitMB is the unit of sums of grants: sums of integers leave no rounding error behind.
+	// grantUnitMB is the unit in which grants are added up. Sums of integers accumulate no rounding errors.
 	grantUnitMB = 1.0 / 1024
 )
 
-// resources are what engines have, and what this router has running there.
+// resources describes what engines have and what this router runs on them.
 type resources struct{ cores, memoryMB, threads, grantedMB float64 }
 
-// capacityLimiter bounds what this router runs, on each engine and in total.
+// capacityLimiter limits the work that this router runs, on each engine and in total.
 type capacityLimiter struct {
 	env       *environment
 	endpoints *endpointTable
@@ -43,41 +48,45 @@
 	outliers  *outlierDetector
 	warmUps   *warmUpLimiter
 
-	threads, grantedMB float64 // what this router has running, on all engines
-	// warm sums up the warm engines, in a large fleet without those of lost zones; warmGrants are the grants there,
-	// in units, and warming are the other engines that are not warm. All are valid until recountAt; 0 has them
-	// computed at once.
+	threads, grantedMB float64 // used by this router on all engines
+	// warm adds up the resources of the warm engines; in a large fleet the engines of lost zones are left out.
+	// warmGrants adds up their memory grants in units of grantUnitMB, and warming lists the engines that warm up. All
+	// three are valid until recountAt; 0 means that they are recomputed at the next use.
 	warm       resources
 	warmGrants int64
 	warming    []*engine
 	recountAt  time.Duration
-	// excess is how much longer answers take than in a calm fleet: 0 for not at all.
+	// excess is how much longer answers take than in an uncongested fleet, as a share of the best service time; 0 means
+	// no delay. It decays from excessAt on.
 	excess   float64
 	excessAt time.Duration
 }
 
-// largeFleet reports whether so many routers share the fleet that an even share of an engine is a fraction of a query.
+// largeFleet reports whether so many routers share the fleet that an even share of an engine is only a fraction of a
+// query.
 func (c *capacityLimiter) largeFleet() bool {
 	cores, _ := c.endpoints.total()
 	widest := float64(len(c.endpoints.listedEngines()) * c.classes.widestThreads)
 	return 4*threadsPerCore*cores*c.env.fleetShare() < widest
 }
 
-// roundsUp reports whether an even share of an engine is half of a query or more: then each engine may run one, else
-// the share counts over all engines together. It uses even shares, since all routers would round up at once.
+// roundsShareUp reports whether an even share of an engine is at least half of a query. If so, each engine may run
+// one such query, else the share is counted over all engines together. The check uses even shares because all routers
+// would round up at the same time.
 func (c *capacityLimiter) roundsShareUp(req *request) bool {
 	cores, _ := c.endpoints.total()
 	even := threadsPerCore * cores / float64(max(c.env.config.Routers, 1))
 	return 2*even >= float64(len(c.endpoints.listedEngines())*req.class.Threads)
 }
 
-// threadBound is the threads a core that this router may run in the mean.
+// threadBound returns the average number of threads per core that this router may run.
 func (c *capacityLimiter) threadBound() float64 {
 	congestion, uncongestedBound := c.congestion()
 	return (uncongestedBound - (uncongestedBound-congestedThreadsPerCore)*congestion) * c.env.fleetShare()
 }
 
-// congestion is how congested the fleet is, from 0 to 1, and the threads a core without congestion.
+// congestion returns how congested the fleet is, from 0 to 1, and the maximum number of threads per core without
+// congestion.
 func (c *capacityLimiter) congestion() (congestion, uncongestedBound float64) {
 	if c.largeFleet() {
 		excess := c.excess * c.env.decay(c.excessAt, evidenceDecayTime)
@@ -88,17 +97,18 @@
 	return unitClamp((ratio - congestionFrom) / (congestionFull - congestionFrom)), threadsPerCore
 }
 
-// unitClamp bounds a value to the range from 0 to 1.
+// unitClamp limits a value to the range from 0 to 1.
 func unitClamp(value float64) float64 { return min(max(value, 0), 1) }
 
-// observeServiceTime takes the service time of one attempt over the best one of its class.
+// observeServiceTime records the service time of one attempt as a multiple of the best service time of its class.
 func (c *capacityLimiter) observeServiceTime(ratio float64) {
 	excess := c.excess * c.env.decay(c.excessAt, evidenceDecayTime)
 	c.excess = excess + excessGain*(min(ratio, maxBoundedFactor)-1-excess)
 	c.excessAt = c.env.now
 }
 
-// fits reports whether this router may run one more request at all: its share of the fleet's threads and memory.
+// fitsFleetShare reports whether one more request fits in this router's share of the threads and the memory of the
+// fleet.
 func (c *capacityLimiter) fitsFleetShare(req *request) bool {
 	usable := c.usable()
 	grant := c.wantedGrant(req)
@@ -113,15 +123,16 @@
 	return usable.threads+threads <= lightLoadFactor*c.threadBound()*usable.cores+lightLoadFactor*threads
 }
 
-// hasHeadroom reports whether an engine may take one more request: it considers backoff and ejection, the memory
-// that this router may grant, loads that would block the request, and the thread bound, which is raised on a
-// calm engine. spread is by how much this router's share grows on an engine since it uses few of them.
+// hasHeadroom reports whether an engine can take one more request. It considers backoff and ejection, the memory that
+// this router may grant, loads that would block the request, and the thread bound, which is higher on a lightly
+// loaded engine. shareFactor is the factor by which this router's share of an engine grows because the router uses
+// only a subset.
 func (c *capacityLimiter) hasHeadroom(target *engine, req *request, shareFactor float64) bool {
 	if !c.outliers.accepts(target) || !c.pressureAllows(target, req) {
 		return false
 	}
 	if target.warmUp.active(c.env.now) && c.env.config.WarmUp.OverloadFactor > 0 && c.largeFleet() {
-		return true // its slow start budget is the bound
+		return true // the engine's slow start budget limits its requests
 	}
 	memoryShare := target.memoryMB * c.env.fleetShare() * shareFactor
 	if target.usage.grantedMB > 0 && target.memoryMB > 0 && req.neededMB > 0 && target.usage.grantedMB >= memoryShare {
@@ -130,7 +141,7 @@
 	return c.threadsAllow(target, req, shareFactor)
 }
 
-// pressureAllows reports whether neither a lock nor a lack of memory on an engine speaks against a request.
+// pressureAllows reports whether an engine is neither blocked by a lock nor short of memory for a request.
 func (c *capacityLimiter) pressureAllows(e *engine, req *request) bool {
 	limits := c.endpoints.limits(e)
 	headroom := e.pressure.Headroom(req.query(), limits, c.env.nowMS())
@@ -160,19 +171,20 @@
 	return target.usage.threads < engineBound && usable.threads+float64(req.class.Threads) <= bound*usable.cores
 }
 
-// wantedGrant is the memory that a request needs: its estimate, corrected by what spilled; 0 where nothing is known.
+// wantedGrant returns the memory in MB to grant to a request: its estimate, corrected by what the class needed
+// before; 0 if no estimate is known.
 func (c *capacityLimiter) wantedGrant(req *request) float64 {
 	if !c.env.config.Features.Grants || req.neededMB <= 0 {
 		return 0
 	}
 	grant := req.neededMB * req.class.estimate.grantCorrection * grantHeadroom
 	if limit := c.maxGrant(); limit > 0 {
-		return min(grant, limit) // a wild estimate would wait for memory that no engine grants
+		return min(grant, limit) // a request with an extreme estimate would wait for memory that no engine grants
 	}
 	return grant
 }
 
-// maxGrant is the most that any kind of engine grants to one query.
+// maxGrant returns the largest memory grant in MB that any kind of engine gives to one query.
 func (c *capacityLimiter) maxGrant() (largest float64) {
 	for _, kind := range c.env.config.Kinds {
 		largest = max(largest, kind.MemoryMB*c.env.config.Features.MaxGrantShare)
@@ -180,7 +192,7 @@
 	return largest
 }
 
-// grant is the memory grant of a request on an engine.
+// grant returns the memory grant of a request on an engine, in MB.
 func (c *capacityLimiter) grant(req *request, e *engine) float64 {
 	grant := c.wantedGrant(req)
 	if limit := e.memoryMB * c.env.config.Features.MaxGrantShare; limit > 0 {
@@ -189,14 +201,14 @@
 	return grant
 }
 
-// attemptStarted counts an attempt on its engine.
+// attemptStarted adds a started attempt to the usage of its engine.
 func (c *capacityLimiter) attemptStarted(a *attempt) {
 	a.engine.running = append(a.engine.running, a)
 	a.engine.pressure.AttemptStarted(a.request.query(), c.endpoints.limits(a.engine), c.env.nowMS())
 	c.count(a, 1)
 }
 
-// attemptEnded removes an attempt from its engine.
+// attemptEnded removes an ended attempt from the usage of its engine.
 func (c *capacityLimiter) attemptEnded(a *attempt) {
 	a.engine.running = removeItem(a.engine.running, a)
 	a.engine.pressure.AttemptEnded(a.request.query())
@@ -214,7 +226,7 @@
 	c.usageChanged(a.engine, before)
 }
 
-// setOtherProcess counts what the other process of this router has running on an engine.
+// setOtherProcess records what the other process of this router runs on an engine.
 func (c *capacityLimiter) setOtherProcess(e *engine, usage EngineUsage) {
 	before := e.usage
 	e.usage.replaceOtherProcess(usage)
@@ -223,7 +235,7 @@
 	c.usageChanged(e, before)
 }
 
-// usageChanged updates the sums over the warm engines.
+// usageChanged updates the sums over the warm engines after the usage of an engine has changed.
 func (c *capacityLimiter) usageChanged(e *engine, before engineUsage) {
 	if e.usage.countedWarm {
 		c.warm.threads += e.usage.threads - before.threads
@@ -231,8 +243,8 @@
 	}
 }
 
-// usable is what the bounds on all of this router's requests go by: in a large fleet the warm engines, since what
-// warming ones run has a budget of its own.
+// usable returns the resources that limit the total of this router's requests. In a large fleet only warm engines
+// count, because the work on warming engines has a budget of its own.
 func (c *capacityLimiter) usable() resources {
 	if c.largeFleet() {
 		return c.warmResources()
@@ -241,7 +253,8 @@
 	return resources{cores, memoryMB, c.threads, c.grantedMB}
 }
 
-// warmResources sums up the warm engines; in a large fleet those of lost zones are left out: others serve their part.
+// warmResources adds up the resources of the warm engines. In a large fleet the engines of lost zones are left out,
+// because other engines serve their requests.
 func (c *capacityLimiter) warmResources() resources {
 	c.refresh()
 	sum := c.warm
@@ -249,10 +262,10 @@
 	return sum
 }
 
-// invalidate marks the sums for a new computation at their next use.
+// invalidate makes the next use recompute the sums.
 func (c *capacityLimiter) invalidate() { c.recountAt = 0 }
 
-// endpointsChanged marks the sums for a new computation over the changed engines.
+// endpointsChanged makes the next use recompute the sums over the changed list of engines.
 func (c *capacityLimiter) endpointsChanged() {
 	for _, e := range c.endpoints.engines() {
 		e.usage.countedWarm = false
@@ -260,8 +273,8 @@
 	c.invalidate()
 }
 
-// refresh recomputes the sums if they are no longer valid: the endpoint list or the settings have changed, an
-// engine has become warm or has restarted, or a zone is lost or found.
+// refresh recomputes the sums if they are no longer valid. They become invalid when the endpoint list or the settings
+// change, an engine becomes warm or restarts, or a zone is lost or available again.
 func (c *capacityLimiter) refresh() {
 	if c.env.now >= c.recountAt {
 		c.recount()
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// However much traffic there is, the bounds of all routers add up to what the fleet can do. It guards against a share
-// by own traffic over the tenants' quotas: in a burst each router then used up to all of the fleet, and the
-// congestion outlived the burst.
+// The thread bounds of all routers add up to the capacity of the fleet, whatever the traffic. This guards against a
+// bound by the router's own traffic relative to the tenants' quotas: in a burst each router then used up to the whole
+// fleet, and the congestion outlasted the burst.
 func TestThreadBoundDoesNotGrowWithTraffic(t *testing.T) {
 	config := twoClassConfig()
 	config.Routers, config.Tenants = 2, []Tenant{{Name: "a", Quota: 5}}
 	h := newHarness(t, config)
 	h.updateEndpoints(ListComplete, testEngines(3)...)
-	calm := h.controller.capacity.threadBound()
+	before := h.controller.capacity.threadBound()
 	for range 300 {
 		h.arriveWith(Arrival{Class: "quick", Tenant: "a", TimeLeft: time.Second})
 		h.advance(10 * ms)
 	}
-	if got := h.controller.capacity.threadBound(); got != calm || got != threadsPerCore/2 {
-		t.Errorf("bound %v a core under load, %v before, want %v", got, calm, threadsPerCore/2)
+	if got := h.controller.capacity.threadBound(); got != before || got != threadsPerCore/2 {
+		t.Errorf("bound is %v threads per core under load and %v before, want %v", got, before, threadsPerCore/2)
 	}
 	if share := h.controller.quotas.trafficShare(); share <= 0.5 {
-		t.Errorf("own traffic is %v of the quotas: the load of this test is too small", share)
+		t.Errorf("own traffic is %v of the quotas, want more than 0.5: the test sends too few requests", share)
 	}
 }
 
@@ -42,13 +42,13 @@
 	} {
 		estimate.best, estimate.bounded, estimate.observedAt = 1, test.ratio, h.now
 		if got := h.controller.capacity.threadBound(); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("at %v times the best: %v threads a core, want %v", test.ratio, got, test.want)
+			t.Errorf("service times of %v times the best: %v threads per core, want %v", test.ratio, got, test.want)
 		}
 	}
 }
 
-// The thread bound shrinks on an engine that is slower than the others: where another program has most of the cores,
-// the usual bound would overload it.
+// The thread bound shrinks on an engine that is slower than the others. Where another program uses most of the cores,
+// the usual bound would overload the engine.
 func TestThreadBoundShrinksOnSlowEngine(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -61,12 +61,13 @@
 	for slowness, want := range map[float64]bool{1: true, 1.5: true, 3: false, 100: false} {
 		e.health.slowness, e.health.slownessAt = slowness, h.now
 		if got := c.capacity.hasHeadroom(e, req, c.selector.shareFactor()); got != want {
-			t.Errorf("slower by %v: headroom %v", slowness, got)
+			t.Errorf("slowness %v: has headroom: %v", slowness, got)
 		}
 	}
 }
 
-// serveQuick has requests of the preferred class served, each after a while; one in interval takes a second.
+// serveQuick sends n requests of the preferred class and ends each as served after serviceTime. If interval is not 0,
+// one in interval requests takes a second.
 func (h *harness) serveQuick(n int, serviceTime time.Duration, interval int) {
 	h.t.Helper()
 	for i := range n {
@@ -82,11 +83,12 @@
 	}
 }
 
-// A few preferred queries that a load blocked are no congestion: each counts a bounded time. It guards against a bound
-// that shrinks, and holds reports back until they expire, while the engines have capacity.
+// A few preferred queries that are blocked by a load do not count as congestion, since the time counted for each is
+// bounded. This guards against a thread bound that shrinks and holds back reports until they expire, although the
+// engines have capacity.
 func TestBlockedQueriesDoNotCountAsCongestion(t *testing.T) {
 	for _, test := range []struct {
-		interval    int // one in so many queries takes a hundred times as long as the others
+		interval    int // one in this many queries takes a hundred times as long as the others
 		serviceTime time.Duration
 		congested   bool
 	}{{25, 10 * ms, false}, {1000, 30 * ms, true}} {
@@ -96,12 +98,12 @@
 		h.serveQuick(200, test.serviceTime, test.interval)
 		bound := h.controller.capacity.threadBound()
 		if got := bound < threadsPerCore-0.1; got != test.congested {
-			t.Errorf("one in %d blocked, others served in %v: bound %v", test.interval, test.serviceTime, bound)
+			t.Errorf("one in %d queries blocked, others served in %v: bound is %v", test.interval, test.serviceTime, bound)
 		}
 	}
 }
 
-// A wide query rounds up on each engine only where an even share of an engine is half of one.
+// An even share is rounded up to one wide query on each engine only if it is at least half of a query.
 func TestWideQueryShareRoundsUpByFleetSize(t *testing.T) {
 	for _, test := range []struct{ routers, want int }{{4, 4}, {250, 1}} {
 		config, list := largeFleetConfig(test.routers, 4, 0)
@@ -111,13 +113,13 @@
 			h.arrive("big", "")
 		}
 		if len(h.starts) != test.want {
-			t.Errorf("%d routers: %d wide queries run, want %d", test.routers, len(h.starts), test.want)
+			t.Errorf("%d routers: %d wide queries started, want %d", test.routers, len(h.starts), test.want)
 		}
 	}
 }
 
-// The bound of a large fleet leaves out the engines of lost zones, but not those that may be cut off: where few zones
-// are silent, or most of them. What a router observed of a single engine does not undo that.
+// In a large fleet the usable capacity excludes the engines of lost zones, but not zones that may only be cut off:
+// few zones are silent, or most of them. Later outcomes of single engines do not change that.
 func TestUsableCapacityWithoutLostZones(t *testing.T) {
 	for _, test := range []struct{ zones, silent, usableEngines int }{
 		{5, 0, 60},
@@ -148,13 +150,13 @@
 			}
 		}
 		if got := c.capacity.usable().cores; got != all*float64(test.usableEngines)/60 {
-			t.Errorf("%+v: %g of %g cores are usable", test, got, all)
+			t.Errorf("%+v: %g of %g cores usable", test, got, all)
 		}
 		for _, e := range c.endpoints.listed {
 			c.fleet.recordOutcome(&attempt{request: req, engine: e}, Served)
 		}
 		if got := c.capacity.usable().cores; got != all {
-			t.Errorf("%+v, then all answer: %g of %g cores are usable", test, got, all)
+			t.Errorf("%+v, after all engines answered: %g of %g cores usable", test, got, all)
 		}
 	}
 }
--- a/dispatch/classes.go
+++ b/dispatch/classes.go
@@ -6,10 +6,11 @@
 	"strconv"
 )
 
-// class is a class of requests with what has been learned of it.
+// class is a class of requests and what the router has learned about it.
 type class struct {
 	Class
-	// objectiveRatio is R of the delay-ratio control: its latency objective over that of the preferred class.
+	// objectiveRatio is R of the delay-ratio control: the latency objective of the class divided by the latency
+	// objective of the preferred class.
 	objectiveRatio float64
 	estimate       serviceEstimate
 }
@@ -19,7 +20,7 @@
 	return &class{Class: settings, estimate: newServiceEstimate(settings)}
 }
 
-// allowsEngine reports whether a class may be placed on an engine.
+// allowsEngine reports whether requests of the class may run on an engine.
 func (k *class) allowsEngine(e *engine) bool {
 	if len(k.Zones) > 0 && !slices.Contains(k.Zones, e.Zone) {
 		return false
@@ -27,7 +28,8 @@
 	return len(k.Kinds) == 0 || slices.Contains(k.Kinds, e.Kind)
 }
 
-// sameScope reports whether two engines drop repeats of each other's requests of a class.
+// sameScope reports whether two engines belong to the same idempotency scope, so that each drops repeats of requests
+// that the other has run.
 func (k *class) sameScope(a, b *engine) bool {
 	switch k.IdempotencyScope {
 	case ScopeZone:
@@ -39,11 +41,11 @@
 	return true
 }
 
-// classSet holds the classes of the settings and what follows from all of them.
+// classSet holds all configured classes and values that depend on all of them.
 type classSet struct {
 	all              []*class
-	preferred        *class // the one with the shortest latency objective
-	widestThreads    int    // threads of the widest class
+	preferred        *class // class with the shortest latency objective
+	widestThreads    int    // largest thread count of any class
 	anyBlockedByLoad bool
 }
 
@@ -56,7 +58,7 @@
 	return set
 }
 
-// derive computes what follows from the settings of all classes.
+// derive computes the values that depend on the settings of all classes.
 func (set *classSet) derive() {
 	set.preferred = set.all[0]
 	for _, k := range set.all {
@@ -71,7 +73,7 @@
 	}
 }
 
-// byName returns the class of that name, or the first one if there is none.
+// byName returns the class of that name, or the first class if there is no such class.
 func (set *classSet) byName(name string) *class {
 	found := set.all[0]
 	for _, k := range set.all {
@@ -82,7 +84,7 @@
 	return found
 }
 
-// largestWork is the usual work of the class with the most, in core seconds.
+// largestWork returns the usual work of the class with the most work, in core seconds.
 func (set *classSet) largestWork() (largest float64) {
 	for _, k := range set.all {
 		largest = max(largest, k.estimate.usualWork())
@@ -90,8 +92,8 @@
 	return largest
 }
 
-// configure takes changed settings and returns those in force, with the names of the settings that were not taken.
-// Open requests belong to their classes, so the names, semantics and shape of the classes stay.
+// configure applies changed settings and returns the settings in force and the names of those that were not applied.
+// Open requests belong to their classes, so the names, semantics and shape of the classes cannot change.
 func (set *classSet) configure(changed, inForce []Class) (settings []Class, notApplied []string) {
 	sameName := func(k Class, known *class) bool { return k.Name == known.Name }
 	if !slices.EqualFunc(changed, set.all, sameName) {
@@ -106,7 +108,8 @@
 	return settings, notApplied
 }
 
-// configure takes changed settings, in which it restores what can't change; false says that there was such a change.
+// configure applies changed settings and restores those that cannot change in changed. It returns false if any of
+// these was different.
 func (k *class) configure(changed *Class) bool {
 	wanted := *changed
 	wanted.Threads = max(wanted.Threads, 1)
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -2,79 +2,80 @@
 
 import "time"
 
-// Semantics tells what may be done with a request that may already have run.
+// Semantics says whether a request that may already have run can be sent again.
 type Semantics int
 
-// The three kinds of effect that the requests of a class can have.
+// Semantics of the requests of a class.
 const (
 	Idempotent      Semantics = iota // safe to repeat
-	IdempotentByKey                  // an idempotency scope drops repeats for a window
+	IdempotentByKey                  // the engines of an idempotency scope drop repeats within a time window
 	AtMostOnce                       // unsafe to repeat
 )
 
-// IdempotencyScope is the group of engines that drops repeats of an IdempotentByKey request.
+// IdempotencyScope is the group of engines that drop repeats of an IdempotentByKey request.
 type IdempotencyScope int
 
-// Idempotency scopes.
+// Idempotency scopes: all engines, the engines of one zone, or the engines of one cell.
 const (
 	ScopeAll IdempotencyScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// MemoryShortage is what an engine does when its memory grants exceed its memory.
+// MemoryShortage is the reaction of an engine when its memory grants exceed its memory.
 type MemoryShortage int
 
-// Forms of memory shortage.
+// Reactions to a memory shortage.
 const (
 	ShortageWait   MemoryShortage = iota // the query waits in the engine's queue
-	ShortageShrink                       // the query gets what is left, and spills to disk
-	ShortagePage                         // the query is admitted, and all queries slow down
+	ShortageShrink                       // the query gets the remaining memory and spills to disk
+	ShortagePage                         // the query is admitted, and all queries slow down as memory is paged out
 )
 
-// Class describes one class of requests.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Name              string
-	LatencyObjective  time.Duration // an answer within it earns the full weight
-	ObjectiveStretch  float64       // the objective grows by this multiple of the request's work per thread
-	Deadline          time.Duration // how long the client waits at most
+	LatencyObjective  time.Duration // an answer within this time earns the full weight
+	ObjectiveStretch  float64       // multiple of the request's work per thread that is added to the objective
+	Deadline          time.Duration // longest time that the client waits
 	PriorityWeight    float64
 	LateWeightShare   float64 // share of the weight that an answer between objective and deadline earns
 	Semantics         Semantics
 	IdempotencyScope  IdempotencyScope
-	IdempotencyWindow time.Duration // how long repeats are dropped, from the first attempt that may have run
+	IdempotencyWindow time.Duration // time for which repeats are dropped, from the first attempt that may have run
 	OrderByKey        bool
-	Zones             []string // if any: the only zones allowed
-	Kinds             []string // if any: the only engine kinds allowed
+	Zones             []string // zones whose engines may run the requests; empty means all
+	Kinds             []string // engine kinds that may run the requests; empty means all
 	Threads           int
-	LocksTableGroup   bool // a load: it locks its table group on its engine while it runs
-	BlockedByLoad     bool // it is blocked while a load locks its table group on its engine
+	LocksTableGroup   bool // the requests are loads: each locks its table group on its engine while it runs
+	BlockedByLoad     bool // the requests are blocked while a load locks their table group on their engine
 }
 
-// Tenant is a customer with a quota of the service.
+// Tenant is a customer with a quota for requests.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all routers
+	Quota float64 // requests per second over all routers
 }
 
-// EngineKind is a type of machine that engines run on.
+// EngineKind describes a type of machine that engines run on.
 type EngineKind struct {
 	Name     string
 	Cores    float64
 	MemoryMB float64
 }
 
-// RetryBudget bounds the retries of all requests over a sliding window; a zero Window means no bound.
+// RetryBudget limits the retries of all requests within a sliding window. A Window of zero means no limit.
 type RetryBudget struct {
 	Window     time.Duration
-	Free       float64 // retries allowed whatever the traffic
-	PerRequest float64 // further retries allowed for each request that arrived within the window
+	Free       float64 // retries allowed independently of the traffic
+	PerRequest float64 // additional retries allowed for each request that arrived within the window
 }
 
-// maxRetryStartDelay bounds how late after its decision a retry may start where a budget bounds retries.
+// maxRetryStartDelay is the maximum time between the decision to retry and the start of the retry, if a retry budget
+// applies.
 const maxRetryStartDelay = 400 * time.Millisecond
 
-// startDelay is the time after its decision within which a retry has to start; 0 without a budget.
+// startDelay returns the time after the decision within which a retry has to start, or 0 without a budget.
 func (b RetryBudget) startDelay() time.Duration { return min(maxRetryStartDelay, b.Window/4) }
 
 // Config holds the settings of a router's controller.
@@ -87,43 +88,43 @@
 	Tenants     []Tenant
 	Kinds       []EngineKind
 
-	OverQuotaWeight  float64 // share of its weight that traffic beyond a tenant's quota earns
-	MaxAttempts      int     // for each request; 0 means no limit
-	MaxQueued        int     // requests queued before those that miss their objective are rejected; 0 means no limit
+	OverQuotaWeight  float64 // share of its weight that a request beyond a tenant's quota earns
+	MaxAttempts      int     // per request; 0 means no limit
+	MaxQueued        int     // queue length above which requests that miss their objective are rejected; 0 means no limit
 	CancelAllowed    bool
 	HedgingAllowed   bool // a second attempt may start while the first is outstanding
 	RetryAfter       RetryAfter
 	RetryBudget      RetryBudget
 	Features         EngineFeatures
 	WarmUp           WarmUp
-	PolledDiscovery  bool // changes of the endpoint list arrive only after a Subscribe
+	PolledDiscovery  bool // changes of the endpoint list arrive only after a Subscribe action
 	DiscoveryTimeout time.Duration
-	KeyCooldown      time.Duration // after an unclear outcome, before the next request of the same key
-	Tick             time.Duration // batches of events come no more often than this
+	KeyCooldown      time.Duration // delay of the next request of a key after an outcome that is unclear
+	Tick             time.Duration // minimum time between two batches of events
 }
 
-// RetryAfter is the advice that a rejection may carry for the client.
+// RetryAfter configures the retry delay that a rejection may recommend to the client.
 type RetryAfter struct {
 	Allowed bool
 	Max     time.Duration
 }
 
-// EngineFeatures are what the engines of the installation can do.
+// EngineFeatures describes what the engines of the installation support.
 type EngineFeatures struct {
-	Grants           bool // they heed memory grants
+	Grants           bool // engines observe memory grants
 	MaxGrantShare    float64
-	Priorities       bool // they heed priorities
+	Priorities       bool // engines observe priorities
 	MemoryShortage   MemoryShortage
-	ProgressInterval time.Duration // time between two progress reports of an attempt; 0 means none are sent
+	ProgressInterval time.Duration // time between two progress reports of an attempt; 0 means that engines send none
 }
 
-// WarmUp bounds what all routers together may send to an engine that has just started.
+// WarmUp limits what all routers together may send to an engine that has just started.
 type WarmUp struct {
-	InitialShare   float64 // share of its capacity with which an engine starts
+	InitialShare   float64 // share of its capacity that an engine has when it starts
 	Duration       time.Duration
-	OverloadFactor float64 // multiple of its present capacity above which a warming engine collapses
+	OverloadFactor float64 // multiple of its current capacity above which a warming engine collapses
 	OverloadWindow time.Duration
 }
 
-// Check returns a *ConfigError for the first invalid setting: New and Configure reject the same ones.
+// Check returns a *ConfigError for the first invalid setting. New and Configure reject the same settings.
 func (config Config) Check() error { return validate(config) }
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// Controller decides for one router. It is not safe for concurrent use.
+// Controller makes the decisions of one router. It is not safe for concurrent use.
 //
-// It coordinates the parts of the decision: it passes each event to the parts that learn from it, and then has queued
-// requests released.
+// It passes each event to the components that learn from it, and then starts queued requests if there is capacity.
 type Controller struct {
 	env       *environment
 	endpoints *endpointTable
@@ -20,10 +19,10 @@
 	requests  *requestTracker
 	deadlines *deadlines
 	poll      *discoveryPoll
-	started   bool // the first event has come
+	started   bool // the first event has arrived
 }
 
-// New checks the settings and returns a controller. Its error is a *ConfigError.
+// New returns a controller with the given settings, or a *ConfigError if a setting is invalid.
 func New(config Config) (*Controller, error) {
 	if err := validate(config); err != nil {
 		return nil, err
@@ -44,7 +43,7 @@
 	return controller, nil
 }
 
-// connectFleet creates the parts that know the engines.
+// connectFleet creates the components that hold the state of the engines.
 func (c *Controller) connectFleet() {
 	c.outliers = &outlierDetector{env: c.env, endpoints: c.endpoints}
 	c.warmUps = &warmUpLimiter{env: c.env, classes: c.classes}
@@ -64,7 +63,7 @@
 	}
 }
 
-// connectRequests creates the parts that follow requests.
+// connectRequests creates the components that follow requests.
 func (c *Controller) connectRequests() {
 	ordering := newKeyOrder(c.env)
 	retries := &retryRules{env: c.env, warmUps: c.warmUps}
@@ -78,9 +77,10 @@
 	}
 }
 
-// Configure applies changed settings to a running controller and returns those in force. What is queued, running and
-// learned stays. The names, semantics and shape of the classes stay too, since open requests belong to them; settings
-// that were not taken for that reason are named in kept. After an error nothing has changed.
+// Configure applies changed settings to a running controller and returns the settings in force. Queued and running
+// requests and everything learned are kept. The names, semantics and shape of the classes cannot change because open
+// requests belong to them; notApplied names the settings that were ignored for that reason. If an error is returned,
+// nothing has changed.
 func (c *Controller) Configure(config Config) (inForce Config, notApplied []string, err error) {
 	if err := validate(config); err != nil {
 		return c.env.config, nil, err
@@ -91,7 +91,7 @@
 		notApplied = append(notApplied, "discovery")
 		config.PolledDiscovery = current.PolledDiscovery
 	}
-	config.Seed, config.RouterIndex = current.Seed, current.RouterIndex // the randomness was seeded with them
+	config.Seed, config.RouterIndex = current.Seed, current.RouterIndex // the random source was seeded with them
 	c.env.config = config
 	c.env.revision++
 	c.classes.derive()
@@ -101,7 +101,7 @@
 	return config, notApplied, nil
 }
 
-// Handle takes one event and appends the actions that follow from it. Time never goes back.
+// Handle processes one event and appends the resulting actions. The time must not decrease between calls.
 func (c *Controller) Handle(now time.Duration, event Event, actions []Action) []Action {
 	c.env.now, c.env.actions = now, actions
 	if !c.started {
@@ -112,7 +112,7 @@
 	return c.env.takeActions()
 }
 
-// begin starts the measurements and subscribes to discovery, when the first event arrives.
+// begin starts the measurements and subscribes to discovery when the first event arrives.
 func (c *Controller) begin() {
 	c.started = true
 	c.quotas.start()
@@ -154,7 +154,7 @@
 	}
 }
 
-// onEndpointList takes an update of the endpoint list.
+// onEndpointList handles an update of the endpoint list.
 func (c *Controller) onEndpointList(event EndpointList) {
 	if event.Mode == ListFailed {
 		c.poll.failed()
@@ -167,14 +167,14 @@
 	c.requests.release()
 }
 
-// setCordoned cordons or uncordons an engine.
+// setCordoned cordons or uncordons an engine and starts queued requests if there is capacity.
 func (c *Controller) setCordoned(id EngineID, cordoned bool) {
 	if c.fleet.setCordoned(id, cordoned) {
 		c.requests.release()
 	}
 }
 
-// onTimer looks at all open requests when the timer is due.
+// onTimer checks all open requests when the timer is due.
 func (c *Controller) onTimer(event TimerFired) {
 	if !c.deadlines.fired(event) {
 		return
@@ -184,14 +184,14 @@
 	c.requests.release()
 }
 
-// Knows reports whether an endpoint list has named an engine.
+// Knows reports whether an endpoint list has named the engine, unless it was named too long ago to be remembered.
 func (c *Controller) Knows(id EngineID) bool { return c.endpoints.cordons.knows(id) }
 
-// Cordoned reports whether an engine gets no work by an operator's order.
+// Cordoned reports whether an operator has excluded an engine from new work.
 func (c *Controller) Cordoned(id EngineID) bool { return c.endpoints.cordons.isCordoned(id) }
 
-// AvoidedEngines counts the engines in the endpoint list that get no ordinary work at that time: they drain, are
-// cordoned, fail or are down.
+// AvoidedEngines returns the number of engines in the endpoint list that get no regular work at that time because
+// they are draining, cordoned, failing or down.
 func (c *Controller) AvoidedEngines(now time.Duration) int {
 	c.env.advance(now)
 	return c.outliers.avoided()
--- a/dispatch/controller_test.go
+++ b/dispatch/controller_test.go
@@ -20,11 +20,11 @@
 		return h.actions
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("the same events led to other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
-// allocationsPerRequest is what a request allocates on a fleet: its arrival, its end and a timer.
+// allocationsPerRequest returns the number of allocations for one request: its arrival, its end and a timer.
 func allocationsPerRequest(t *testing.T, engines int) float64 {
 	t.Helper()
 	config, list := largeFleetConfig(1, engines, 0)
@@ -43,10 +43,10 @@
 	})
 }
 
-// What an event allocates does not grow with the fleet.
+// The number of allocations per event does not grow with the fleet.
 func TestAllocationsDoNotGrowWithFleet(t *testing.T) {
 	few, many := allocationsPerRequest(t, 8), allocationsPerRequest(t, 80)
 	if many > few+1 {
-		t.Errorf("%v allocations a request with 8 engines, %v with 80", few, many)
+		t.Errorf("%v allocations per request with 8 engines, %v with 80", few, many)
 	}
 }
--- a/dispatch/cordons.go
+++ b/dispatch/cordons.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// maxKnownEngines is some days of engines.
+// maxKnownEngines is the number of engines remembered. It covers the engines of several days.
 const maxKnownEngines = 8192
 
-// cordonList remembers the latest engines that an endpoint list has named, and all those that are cordoned.
+// cordonList holds the engines most recently named by an endpoint list, and all engines that are cordoned.
 type cordonList struct {
-	cordoned map[EngineID]bool // of all remembered engines
-	order    []EngineID        // as they were first named
+	cordoned map[EngineID]bool // for each remembered engine, whether it is cordoned
+	order    []EngineID        // in the order in which they were first named
 }
 
 func newCordonList() cordonList { return cordonList{cordoned: map[EngineID]bool{}} }
@@ -20,7 +20,7 @@
 
 func (l *cordonList) isCordoned(id EngineID) bool { return l.cordoned[id] }
 
-// add remembers an engine; the oldest one that is not cordoned makes room for it.
+// add remembers an engine. If the list is full, the oldest engine that is not cordoned is dropped.
 func (l *cordonList) add(id EngineID) {
 	if l.knows(id) {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// set cordons or uncordons a known engine; false says that nothing changed.
+// set cordons or uncordons a known engine. It returns false if nothing changed.
 func (l *cordonList) set(id EngineID, cordoned bool) bool {
 	if !l.knows(id) || l.isCordoned(id) == cordoned {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// all returns the remembered engines and those of them that are cordoned.
+// all returns the remembered engines and the cordoned engines among them.
 func (l *cordonList) all() (known, cordoned []EngineID) {
 	for _, id := range l.order {
 		if l.cordoned[id] {
--- a/dispatch/cordons_test.go
+++ b/dispatch/cordons_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The list remembers engines in the order in which they were named, and drops the oldest one that is not cordoned.
+// The list returns engines in the order in which they were first named, and drops the oldest engine that is not
+// cordoned.
 func TestCordonList(t *testing.T) {
 	list := newCordonList()
 	if list.set(1, true) || list.knows(1) {
@@ -29,11 +30,11 @@
 	}
 	list.dropOldest()
 	if !list.knows(1) || list.knows(2) {
-		t.Error("the cordoned engine was dropped in place of the other one")
+		t.Error("the cordoned engine was dropped instead of the other one")
 	}
 }
 
-// serveAndCount has requests served one after the other, and returns how many attempts an engine got.
+// serveAndCount has n requests served one after the other, and returns the number of attempts on the given engine.
 func (h *harness) serveAndCount(n int, id EngineID) (attempts int) {
 	h.t.Helper()
 	for range n {
@@ -50,9 +51,9 @@
 	return attempts
 }
 
-// A cordoned engine gets nothing until it is uncordoned, whatever the endpoint list says meanwhile, a restart
-// included. Then it warms up and yet gets a request while others are idle. Repeats change nothing, and an engine that
-// was once listed stays known.
+// A cordoned engine gets no work until it is uncordoned, even if the endpoint list removes it, adds it again or
+// reports a restart. Afterwards it warms up and soon gets a request although other engines are idle. Repeated orders
+// change nothing, and the controller still knows an engine after its removal.
 func TestCordonHoldsUntilUncordon(t *testing.T) {
 	h := newHarness(t, withWarmUp(twoClassConfig()))
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -76,20 +77,20 @@
 		}
 	}
 	if n := h.controller.AvoidedEngines(h.now); n != 1 {
-		t.Errorf("%d engines are avoided", n)
+		t.Errorf("%d engines are avoided, want 1", n)
 	}
 	h.handle(Uncordon{Engine: 3})
 	if e := h.controller.endpoints.byID[3]; e.warmUp.end <= h.now || h.serveAndCount(20, 3) == 0 {
-		t.Errorf("after the cordon: warm at %v of %v, or no work in 0.8 s", e.warmUp.end, h.now)
+		t.Errorf("after the cordon: warm-up ends at %v (now %v), or the engine got no work in 0.8 s", e.warmUp.end, h.now)
 	}
 	entry.State = Removed
 	h.updateEndpoints(ListIncremental, entry)
 	if !h.controller.Knows(3) || h.controller.Cordoned(3) {
-		t.Error("an engine that was removed is not known any more, or cordoned")
+		t.Error("the removed engine is unknown or cordoned")
 	}
 }
 
-// Only so many listed engines are remembered, but all cordoned ones.
+// The number of remembered engines is limited, but cordoned engines are never dropped.
 func TestKnownEnginesAreBounded(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(2)...)
@@ -99,9 +100,9 @@
 		list.add(EngineID(100 + i))
 	}
 	if len(list.cordoned) != maxKnownEngines || len(list.order) != maxKnownEngines {
-		t.Errorf("%d and %d engines are remembered, want %d", len(list.cordoned), len(list.order), maxKnownEngines)
+		t.Errorf("%d and %d engines remembered, want %d", len(list.cordoned), len(list.order), maxKnownEngines)
 	}
 	if !h.controller.Cordoned(1) || h.controller.Knows(2) {
-		t.Error("the cordoned engine was forgotten, or the oldest other one was not")
+		t.Error("the cordoned engine was dropped, or the oldest other one was not")
 	}
 }
--- a/dispatch/deadlines.go
+++ b/dispatch/deadlines.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// housekeepingInterval is the time in which queued requests are checked twice.
+	// housekeepingInterval is twice the time between two checks of queued requests.
 	housekeepingInterval = 20 * time.Millisecond
-	// pauseThreshold is how late a timer fires after a pause of this process.
+	// pauseThreshold is the delay of a timer above which this process is assumed to have been paused.
 	pauseThreshold = 5 * housekeepingInterval
-	// housekeepingTag is the tag of the one timer that the controller sets.
+	// housekeepingTag is the tag of the only timer that the controller sets.
 	housekeepingTag = 1
 )
 
-// deadlines manages the one timer of a controller.
+// deadlines manages the only timer of a controller.
 type deadlines struct {
 	env       *environment
-	timerAt   time.Duration // when the timer fires
-	nextCheck time.Duration // when an open request has to be checked
-	pausedAt  time.Duration // when a pause of this process ended
+	timerAt   time.Duration // time at which the timer fires
+	nextCheck time.Duration // time of the next check of open requests
+	pausedAt  time.Duration // end of the latest pause of this process
 }
 
-// reset forgets the timer, and when open requests have to be checked.
+// reset clears the timer and the time of the next check of open requests.
 func (d *deadlines) reset() { d.timerAt, d.nextCheck = math.MaxInt64, math.MaxInt64 }
 
-// checkAt schedules the check of open requests at a time, or earlier.
+// checkAt makes sure that open requests are checked at the given time or earlier.
 func (d *deadlines) checkAt(at time.Duration) { d.nextCheck = min(d.nextCheck, at) }
 
-// fired reports whether a timer that fired is the one that was set last; then none is set any more. Hosts may round a
-// time down, so one that fires a tick early is in time.
+// fired reports whether an event comes from the timer that was set last, and clears that timer if so. An event up to
+// one tick early counts, because hosts may round the time down.
 func (d *deadlines) fired(event TimerFired) bool {
 	if event.Tag != housekeepingTag || d.env.now+d.env.config.Tick < d.timerAt {
 		return false
@@ -41,8 +41,8 @@
 	return true
 }
 
-// setTimer sets a timer for what is due next, unless an earlier one is set: queued requests are checked often for
-// capacity, others only for silence and their deadline.
+// setTimer sets the timer for the next due time, unless it is already set for an earlier one. Queued requests are
+// checked often because capacity may become free; other requests are checked only for silence and for their deadline.
 func (d *deadlines) setTimer(anyQueued bool, nextPoll time.Duration) {
 	due := min(d.nextCheck, nextPoll)
 	if anyQueued {
--- a/dispatch/deadlines_test.go
+++ b/dispatch/deadlines_test.go
@@ -12,18 +12,18 @@
 	return d
 }
 
-// The timer is set for what is due next, no earlier than the next tick, and again only for something earlier.
+// The timer is set for the next due time, but not before the next tick, and set again only for an earlier time.
 func TestSetTimer(t *testing.T) {
 	const never = time.Duration(math.MaxInt64)
 	for _, test := range []struct {
 		name              string
-		checkIn, pollIn   time.Duration // from now; negative for never
+		checkIn, pollIn   time.Duration // from now; negative means never
 		anyQueued         bool
-		want, wantEarlier time.Duration // of the timer, and of one that is set when a check is due after 6 ms
+		want, wantEarlier time.Duration // expected timer, and expected timer after a check becomes due in 6 ms
 	}{
 		{"nothing is due", -1, -1, false, 0, 6 * ms},
 		{"a check", time.Second, -1, false, time.Second, 6 * ms},
-		{"a poll before it", time.Second, 300 * ms, false, 300 * ms, 6 * ms},
+		{"a poll before the check", time.Second, 300 * ms, false, 300 * ms, 6 * ms},
 		{"a queued request", time.Second, -1, true, housekeepingInterval / 2, 6 * ms},
 		{"overdue", 0, -1, false, 5 * ms, 0},
 	} {
@@ -45,13 +45,13 @@
 				got = action.(SetTimer).After
 			}
 			if got != want {
-				t.Errorf("%s, call %d: the timer is set for %v, want %v", test.name, i+1, got, want)
+				t.Errorf("%s, call %d: timer set for %v, want %v", test.name, i+1, got, want)
 			}
 		}
 	}
 }
 
-// A timer counts if it has the tag and is due, within a tick; one that fires late shows a pause of the process.
+// A timer event counts if its tag matches and it is due within a tick. A late one indicates a pause of the process.
 func TestTimerFires(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -71,12 +71,12 @@
 		d.setTimer(false, math.MaxInt64)
 		d.env.now += test.after
 		if got := d.fired(TimerFired{Tag: test.tag}); got != test.fired || (d.pausedAt == d.env.now) != test.paused {
-			t.Errorf("%s: fired %v, paused at %v of %v", test.name, got, d.pausedAt, d.env.now)
+			t.Errorf("%s: fired: %v, pause ended at %v, now %v", test.name, got, d.pausedAt, d.env.now)
 		}
 	}
 }
 
-// Events in every tick must not postpone a timer that is already due.
+// Events in every tick do not postpone a timer that is already due.
 func TestDueTimerIsNotPostponed(t *testing.T) {
 	c, err := New(twoClassConfig())
 	if err != nil {
@@ -91,15 +91,15 @@
 				due = now + action.After
 			case FailRequest, Reject:
 				answered = true
-			case StartAttempt, SetResources, CancelAttempt, Subscribe: // of no interest here
+			case StartAttempt, SetResources, CancelAttempt, Subscribe: // not needed in this test
 			}
 		}
 	}
 	handle(EndpointList{Mode: ListComplete, Endpoints: testEngines(1)})
 	handle(Arrival{Request: "x", Class: "quick", TimeLeft: time.Second})
-	for range 220 { // the attempt reports nothing; another event arrives in every tick
+	for range 220 { // the attempt reports nothing, and another event arrives in every tick
 		now += 5 * ms
-		if due > 0 && now+100*time.Microsecond >= due { // hosts round: a timer may fire a little early
+		if due > 0 && now+100*time.Microsecond >= due { // hosts round times, so a timer may fire slightly early
 			due = 0
 			handle(TimerFired{Tag: housekeepingTag})
 		}
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -9,12 +9,12 @@
 	"windflow/internal/decide/pressure"
 )
 
-// engine is an engine that an endpoint list has named, with what is known of it.
+// engine is an engine that an endpoint list has named, with everything known about it.
 type engine struct {
 	Endpoint
 	cores    float64
 	memoryMB float64
-	listed   bool // it is live and not cordoned
+	listed   bool // live and not cordoned
 	zone     *zone
 	running  []*attempt
 	usage    engineUsage
@@ -23,43 +23,43 @@
 	pressure pressure.Engine
 }
 
-// zone is a failure domain that the endpoint list names.
+// zone is a failure domain named by the endpoint list.
 type zone struct {
 	backoff.ZoneBackoff
-	active bool // it has a listed engine
+	active bool // at least one of its engines is listed
 }
 
 // endpointTable holds the engines that the endpoint list names.
 type endpointTable struct {
 	env         *environment
 	cordons     cordonList
-	all         []*engine // by their ids
+	all         []*engine // sorted by id
 	byID        map[EngineID]*engine
 	listed      []*engine
-	cores       float64 // of the listed engines
+	cores       float64 // sum over the listed engines
 	memoryMB    float64
 	zones       map[string]*zone
 	activeZones []*zone
 	unsorted    bool // engines were added since the last refresh
-	anyRemoved  bool // engines were removed since
+	anyRemoved  bool // engines were removed since the last refresh
 }
 
 func newEndpointTable(env *environment) *endpointTable {
 	return &endpointTable{env: env, cordons: newCordonList(), byID: map[EngineID]*engine{}, zones: map[string]*zone{}}
 }
 
-// engines returns all engines by their ids, also those that are not listed.
+// engines returns all engines sorted by id, including those that are not listed.
 func (t *endpointTable) engines() []*engine { return t.all }
 
-// listedEngines returns the engines that are live and not cordoned, by their ids.
+// listedEngines returns the engines that are live and not cordoned, sorted by id.
 func (t *endpointTable) listedEngines() []*engine { return t.listed }
 
-// engine returns an engine, or nil for an unknown one.
+// engine returns the engine with that id, or nil if it is unknown.
 func (t *endpointTable) engine(id EngineID) *engine { return t.byID[id] }
 
 func (t *endpointTable) isEmpty() bool { return len(t.all) == 0 }
 
-// total is what all listed engines have.
+// total returns the sums of the cores and the memory in MB of all listed engines.
 func (t *endpointTable) total() (cores, memoryMB float64) { return t.cores, t.memoryMB }
 
 // setCordoned cordons or uncordons an engine and returns it, or nil if nothing changed or the engine is unknown.
@@ -74,7 +74,7 @@
 	return e
 }
 
-// removeAll marks all engines as removed, until a complete list names them again.
+// removeAll marks all engines as removed. A complete list then marks the engines that it names as present again.
 func (t *endpointTable) removeAll() {
 	for _, e := range t.all {
 		e.listed = false
@@ -83,7 +83,8 @@
 	}
 }
 
-// update takes one entry of an endpoint list. restarted says that the engine has to warm up, from startedAt on.
+// update applies one entry of an endpoint list. restarted reports whether the engine has to warm up, from startedAt
+// on.
 func (t *endpointTable) update(entry Endpoint, firstList bool) (e *engine, startedAt time.Duration, restarted bool) {
 	e = t.byID[entry.ID]
 	if e == nil {
@@ -115,7 +116,7 @@
 	return e
 }
 
-// applyKind sets an engine's cores and memory to those of its kind.
+// applyKind sets the cores and the memory of an engine to the values of its kind.
 func (t *endpointTable) applyKind(e *engine) {
 	for _, kind := range t.env.config.Kinds {
 		if kind.Name == e.Kind && kind.Cores > 0 {
@@ -125,14 +126,14 @@
 	}
 }
 
-// applyKinds applies changed kinds of engine.
+// applyKinds applies changed engine kinds to all engines.
 func (t *endpointTable) applyKinds() {
 	for _, e := range t.all {
 		t.applyKind(e)
 	}
 }
 
-// zone returns the zone of that name.
+// zone returns the zone of that name and creates it if needed.
 func (t *endpointTable) zone(name string) *zone {
 	z := t.zones[name]
 	if z == nil {
@@ -142,8 +143,8 @@
 	return z
 }
 
-// refresh recomputes the listed engines and their sums, and forgets engines that were removed and run nothing any
-// more. It returns the forgotten ones.
+// refresh recomputes the listed engines and their sums, and forgets removed engines that run no attempt any more. It
+// returns the forgotten engines.
 func (t *endpointTable) refresh() (forgotten []*engine) {
 	forgotten = t.forgetRemoved()
 	if t.unsorted {
@@ -170,7 +171,7 @@
 	}
 	for _, z := range t.activeZones {
 		if !slices.Contains(wereActive, z) {
-			z.ZoneBackoff = backoff.ZoneBackoff{} // nothing is kept of a zone without listed engines
+			z.ZoneBackoff = backoff.ZoneBackoff{} // backoff state is not kept while a zone has no listed engines
 		}
 	}
 	return forgotten
@@ -186,7 +187,7 @@
 			return false
 		}
 		if len(e.running) > 0 {
-			t.anyRemoved = true // it is forgotten later
+			t.anyRemoved = true // a later refresh forgets it, when its attempts have ended
 			return false
 		}
 		delete(t.byID, e.ID)
@@ -196,13 +197,13 @@
 	return forgotten
 }
 
-// averageCores is the cores of a listed engine in the mean.
+// averageCores returns the average number of cores of a listed engine.
 func (t *endpointTable) averageCores() float64 { return t.cores / float64(len(t.listed)) }
 
-// allZonesBackedOff reports whether all zones with listed engines are backed off from.
+// allZonesBackedOff reports whether the backoff is active for all zones that have listed engines.
 func (t *endpointTable) allZonesBackedOff() bool { return t.zonesBackedOff() >= len(t.activeZones) }
 
-// zonesBackedOff counts the zones that are backed off from.
+// zonesBackedOff returns the number of zones whose backoff is active.
 func (t *endpointTable) zonesBackedOff() (n int) {
 	for _, z := range t.activeZones {
 		if z.Active(t.env.nowMS()) {
@@ -212,8 +213,9 @@
 	return n
 }
 
-// zonesLost reports whether so many zones do not answer that their engines are rather lost than cut off. Where few
-// zones or most of them are silent, routers beyond a cut link may still use these engines.
+// zonesLost reports whether so many zones do not answer that their engines have probably failed. If only few zones or
+// most of them are silent, a network link is more likely cut, and routers on the other side of it may still use these
+// engines.
 func (t *endpointTable) zonesLost() bool {
 	suspect := 0
 	for _, z := range t.activeZones {
@@ -224,7 +226,7 @@
 	return 4*suspect > len(t.activeZones) && 2*suspect <= len(t.activeZones)
 }
 
-// limits are what the settings say of an engine.
+// limits returns the settings that apply to an engine's memory.
 func (t *endpointTable) limits(e *engine) pressure.Limits {
 	return pressure.Limits{
 		MemoryMB:      e.memoryMB,
@@ -233,7 +235,7 @@
 	}
 }
 
-// recordReport takes an engine's load report.
+// recordReport records a load report of an engine.
 func (t *endpointTable) recordReport(e *engine, report LoadReport) {
 	e.pressure.LoadReported(pressure.LoadReport{
 		InFlight: report.InFlight,
@@ -246,7 +248,8 @@
 
 func byEngineID(a, b *engine) int { return cmp.Compare(a.ID, b.ID) }
 
-// rank orders engines for a table group, each group in an order of its own (splitmix64).
+// rank returns the sort key of an engine for a table group. Each table group orders the engines differently, by a
+// splitmix64 hash.
 func rank(tableGroup int64, id EngineID) uint64 {
 	x := uint64(tableGroup-1)*0x9e3779b97f4a7c15 + uint64(id)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -22,14 +22,14 @@
 	}
 }
 
-// A restarted router with a stale list learns from outcomes and from the complete list that follows.
+// A restarted router with an outdated list learns from outcomes and from the complete list that follows.
 func TestCompleteListReplacesCachedList(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListCached, testEngines(3)...)
 	client := h.arrive("quick", "")
 	h.endLatest(client, ConnectFailed)
 	if len(client.engines) != 2 || client.engines[0] == client.engines[1] {
-		t.Fatalf("tried %v", client.engines)
+		t.Fatalf("tried engines %v, want two different ones", client.engines)
 	}
 	h.endLatest(client, Served)
 	h.updateEndpoints(ListComplete, testEngines(3)[1:]...)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Removed engines with nothing outstanding are forgotten.
+// Removed engines without outstanding attempts are forgotten.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	for i := range 200 {
@@ -56,6 +56,6 @@
 	}
 	table := h.controller.endpoints
 	if len(table.all) > 2 || len(table.byID) > 2 {
-		t.Errorf("%d engines remembered, %d by id", len(table.all), len(table.byID))
+		t.Errorf("%d engines remembered, %d by id, want at most 2", len(table.all), len(table.byID))
 	}
 }
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// environment is what every part of a controller reads: the settings in force, the time of the event that is being
-// handled, and the source of randomness. It also collects the actions of that event.
+// environment holds what every component of a controller reads: the settings in force, the time of the event being
+// handled, and the random source. It also collects the actions of that event.
 type environment struct {
 	config   Config
-	revision int // of the settings; Configure increments it
+	revision int // revision of the settings in force; Configure increments it
 	now      time.Duration
 	random   *rand.Rand
 	actions  []Action
@@ -21,7 +21,7 @@
 	return &environment{config: config, random: rand.New(rand.NewPCG(config.Seed, uint64(config.RouterIndex)))}
 }
 
-// advance moves the time on; it never goes back.
+// advance sets the current time. It never decreases.
 func (env *environment) advance(now time.Duration) { env.now = max(env.now, now) }
 
 func (env *environment) emit(action Action) { env.actions = append(env.actions, action) }
@@ -33,18 +33,20 @@
 	return actions
 }
 
-// nowMS is the time in milliseconds, as the packages under internal/decide take it.
+// nowMS returns the current time in milliseconds, the unit of the packages below internal/decide.
 func (env *environment) nowMS() float64 { return milliseconds(env.now) }
 
-// decay is what is left now of evidence from an earlier time, which falls to 1/e in each time constant.
+// decay returns the remaining weight of an observation made at since. The weight falls to 1/e within each time
+// constant.
 func (env *environment) decay(since, timeConstant time.Duration) float64 {
 	return math.Exp(-(env.now - since).Seconds() / timeConstant.Seconds())
 }
 
-// fleetShare is this router's share of the fleet: the same for all routers, so that their shares add up to 1.
+// fleetShare returns this router's share of the fleet. It is the same for all routers, so that the shares add up to
+// 1.
 func (env *environment) fleetShare() float64 { return 1 / float64(max(env.config.Routers, 1)) }
 
-// answerMargin is kept before a client's deadline, so that a queued request is answered in time.
+// answerMargin returns the time reserved before a client's deadline, so that a queued request is answered in time.
 func (env *environment) answerMargin() time.Duration {
 	return 2*housekeepingInterval + 2*env.config.Tick
 }
@@ -53,7 +55,7 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// after returns the times in an ascending list that lie after one of them.
+// timesAfter returns the part of an ascending list of times that is later than since.
 func timesAfter(times []time.Duration, since time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] <= since {
@@ -62,7 +64,7 @@
 	return times[i:]
 }
 
-// without removes an item from a list, if it is in it.
+// removeItem removes the first occurrence of an item from a list in place.
 func removeItem[T comparable](list []T, item T) []T {
 	if i := slices.Index(list, item); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -6,61 +6,64 @@
 )
 
 const (
-	// meanGain is the weight of one observation in a class's means over all engines.
+	// meanGain is the weight of one observation in a class's averages over all engines.
 	meanGain = 0.03
-	// evidenceLife is the time in which evidence fades to 1/e when nothing renews it.
+	// evidenceDecayTime is the time in which the weight of evidence falls to 1/e if no new evidence arrives.
 	evidenceDecayTime = 5 * time.Second
-	// maxEstimateFactor bounds an estimate against the class's mean, both ways: a wild one would outweigh a day of
-	// others.
+	// maxEstimateFactor is the maximum ratio between a client's estimate and the mean of its class, in both directions.
+	// An extreme estimate would otherwise outweigh all others of a day.
 	maxEstimateFactor = 100.0
-	// minServiceTime is the least time that is observed, in seconds: means are divided by it.
+	// minServiceTime is the minimum observed service time in seconds, as observations are divided by means.
 	minServiceTime = 1e-6
-	// maxServiceTimeFactor bounds an observed time against the mean.
+	// maxServiceTimeFactor is the maximum ratio of an observed service time to the mean.
 	maxServiceTimeFactor = 20.0
-	// maxBoundedFactor bounds an observed time against the best mean, in the bounded mean and in the fleet's excess
-	// service time: a few queries that a load blocked must not pass for congestion.
+	// maxBoundedFactor is the maximum ratio of an observed service time to the best mean, in the bounded mean and in the
+	// fleet's excess service time. It keeps a few queries blocked by a load from being mistaken for congestion.
 	maxBoundedFactor = 4.0
-	// fewObservations and manyObservations are how many observations the best mean follows the mean, in a large fleet
-	// and in a small one. Up to manyObservations each one has the same weight in the mean.
+	// fewObservations and manyObservations are the numbers of observations for which the best mean follows the mean, in
+	// a large and in a small fleet. Until manyObservations is reached, all observations have the same weight in the
+	// mean.
 	fewObservations, manyObservations = 8, 30
 	// spillGain is the weight of one spilling query in the grant correction.
 	spillGain = 0.05
-	// noSpillFactor is what a query that did not spill leaves of the grant correction, down to minGrantCorrection.
+	// noSpillFactor is the factor applied to the grant correction for each query that did not spill. The correction does
+	// not fall below minGrantCorrection.
 	noSpillFactor, minGrantCorrection = 0.995, 0.3
 )
 
-// serviceEstimate is what has been learned of a class's service times. Times are those of a query on one thread times
-// its threads, in seconds, divided by the client's estimate where there is one.
+// serviceEstimate holds what has been learned about the service times of a class. A service time is the elapsed time
+// of a query multiplied by its threads, in seconds, and divided by the client's estimate if there is one.
 type serviceEstimate struct {
 	mean            float64
-	bounded         float64 // mean of times that are bounded one by one; it shows how congested the fleet is
-	best            float64 // least mean so far, that of a calm fleet
-	clientEstimate  float64 // mean of the clients' estimates, 1 without any
-	grantCorrection float64 // memory needed over the client's estimate
+	bounded         float64 // mean of individually bounded times; it shows how congested the fleet is
+	best            float64 // lowest mean so far, as in an uncongested fleet
+	clientEstimate  float64 // mean of the clients' estimates; 1 without any
+	grantCorrection float64 // memory needed divided by the client's estimate
 	observations    float64
 	observedAt      time.Duration
 }
 
-// newServiceEstimate starts from a quarter of the latency objective on each thread; the first answers correct it.
+// newServiceEstimate returns an initial estimate of a quarter of the latency objective for each thread. The first
+// answers correct it.
 func newServiceEstimate(settings Class) serviceEstimate {
 	guess := settings.LatencyObjective.Seconds() / 4 * float64(settings.Threads)
 	return serviceEstimate{mean: guess, bounded: guess, best: guess, clientEstimate: 1, grantCorrection: 1}
 }
 
-// current is the mean, which decays to the best one while nothing is observed: a class that congestion made look
-// too slow is tried again in time.
+// current returns the mean, which decays towards the best mean while nothing is observed. Thus a class that seemed
+// too slow during congestion is tried again after a while.
 func (s *serviceEstimate) current(env *environment) float64 {
 	return s.best + (s.mean-s.best)*env.decay(s.observedAt, evidenceDecayTime)
 }
 
-// usualWork is the class's usual work in core seconds.
+// usualWork returns the usual work of the class in core seconds.
 func (s *serviceEstimate) usualWork() float64 { return s.clientEstimate * s.best }
 
-// serviceTimeRatio is the bounded mean over the best one: 1 for a calm fleet.
+// serviceTimeRatio returns the bounded mean divided by the best mean; 1 means an uncongested fleet.
 func (s *serviceEstimate) serviceTimeRatio() float64 { return s.bounded / s.best }
 
-// learnClientEstimate takes a client's estimate of its request's work in seconds and returns it, bounded.
-// longest is the work that takes as long as the latency objective.
+// learnClientEstimate records a client's estimate of the work of its request, in seconds, and returns the estimate
+// within its limits. longest is the work that takes as long as the latency objective.
 func (s *serviceEstimate) learnClientEstimate(estimate, longest float64) float64 {
 	if s.observations == 0 {
 		s.clientEstimate = min(max(estimate, longest/maxEstimateFactor), longest)
@@ -72,8 +75,8 @@
 	return estimate
 }
 
-// observe learns from the service time of one attempt. In a large fleet a router sees few of them, so that the best
-// mean is fixed sooner.
+// observe records the service time of one attempt. In a large fleet each router sees few attempts, so the best mean
+// is fixed after fewer observations.
 func (s *serviceEstimate) observe(env *environment, serviceTime float64, largeFleet bool) {
 	gain := meanGain
 	if s.observations < manyObservations {
@@ -90,22 +93,22 @@
 	}
 }
 
-// learnNeed learns the memory that a query needed against its estimate.
+// learnMemoryNeed updates the grant correction with the memory that a query needed compared to its estimate.
 func (s *serviceEstimate) learnMemoryNeed(neededMB, estimatedMB float64) {
 	s.grantCorrection += meanGain * (neededMB/estimatedMB - s.grantCorrection)
 }
 
-// learnSpill learns that a query would have needed more than it was granted.
+// learnSpill raises the grant correction after a query that needed more memory than it was granted.
 func (s *serviceEstimate) learnSpill(neededMB, estimatedMB float64) {
 	s.grantCorrection += spillGain * (neededMB/estimatedMB - s.grantCorrection)
 }
 
-// learnNoSpill learns that a query did not spill with what it was granted.
+// learnNoSpill lowers the grant correction after a query that did not spill with its grant.
 func (s *serviceEstimate) learnNoSpill() {
 	s.grantCorrection = max(s.grantCorrection*noSpillFactor, minGrantCorrection)
 }
 
-// snapshot is what another process of this router takes over.
+// snapshot returns the state that another process of this router takes over.
 func (s *serviceEstimate) snapshot(name string) ClassSnapshot {
 	return ClassSnapshot{
 		Name:               name,
@@ -119,7 +122,8 @@
 	}
 }
 
-// restore takes over a snapshot, unless a figure in it makes no sense: it may come from another version of the program.
+// restore replaces the estimate by a snapshot. A snapshot with an invalid value is ignored, as it may come from
+// another version of the program.
 func (s *serviceEstimate) restore(old ClassSnapshot) {
 	for _, value := range []float64{
 		old.Observations, old.MeanServiceTime, old.BoundedServiceTime, old.BestServiceTime,
@@ -140,7 +144,7 @@
 	}
 }
 
-// finiteOrZero returns a client's figure, or 0 if it is unknown, not finite or not above 0.
+// finiteOrZero returns a value sent by a client, or 0 if it is not a positive finite number.
 func finiteOrZero(value float64) float64 {
 	if !(value > 0) || math.IsInf(value, 1) {
 		return 0
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// estimateClass has a latency objective of four seconds, so that the first guess is one second on each of two threads.
+// estimateClass has a latency objective of four seconds, so that the initial estimate is one second on each of two
+// threads.
 var estimateClass = Class{LatencyObjective: 4 * time.Second, Threads: 2}
 
 func TestServiceEstimateStartsFromObjective(t *testing.T) {
@@ -16,7 +17,7 @@
 		t.Errorf("%+v, want %+v", estimate, want)
 	}
 	if got := estimate.learnClientEstimate(0.5, 8); got != 0.5 || estimate.usualWork() != 0.5 {
-		t.Errorf("the first estimate counts %v, the usual work is %v", got, estimate.usualWork())
+		t.Errorf("first estimate is counted as %v and usual work is %v, want 0.5 for both", got, estimate.usualWork())
 	}
 }
 
@@ -29,10 +30,10 @@
 		mean, best   float64
 	}{
 		{"one", 1, 3, false, 3, 3},
-		{"a wild one is bounded", 1, 1e9, false, 2 * maxServiceTimeFactor, 2 * maxServiceTimeFactor},
+		{"an extreme one is bounded", 1, 1e9, false, 2 * maxServiceTimeFactor, 2 * maxServiceTimeFactor},
 		{"several", 7, 3, true, 3, 3},
-		{"the best of a large fleet is fixed sooner", 20, 3, true, 3, 3},
-		{"a shorter one is the best", 40, 1, false, 1, 1},
+		{"the best mean of a large fleet is fixed sooner", 20, 3, true, 3, 3},
+		{"shorter times lower the best mean", 40, 1, false, 1, 1},
 	} {
 		estimate := newServiceEstimate(estimateClass)
 		env := &environment{now: time.Hour}
@@ -40,12 +41,12 @@
 			estimate.observe(env, test.serviceTime, test.largeFleet)
 		}
 		if math.Abs(estimate.mean-test.mean) > 1e-9 || math.Abs(estimate.best-test.best) > 1e-9 {
-			t.Errorf("%s: mean %v, best %v", test.name, estimate.mean, estimate.best)
+			t.Errorf("%s: mean is %v and best mean is %v", test.name, estimate.mean, estimate.best)
 		}
 	}
 }
 
-// After its learning phase, the best mean does not follow a congested fleet, which the ratio shows.
+// After the learning phase, the best mean does not follow a congested fleet, but the service time ratio does.
 func TestServiceTimeRatioShowsCongestion(t *testing.T) {
 	for largeFleet, learning := range map[bool]int{true: fewObservations, false: manyObservations} {
 		estimate := newServiceEstimate(estimateClass)
@@ -54,13 +55,13 @@
 			estimate.observe(env, 1, largeFleet)
 		}
 		if ratio := estimate.serviceTimeRatio(); math.Abs(ratio-1) > 1e-9 {
-			t.Errorf("large fleet %v: ratio %v of a calm fleet", largeFleet, ratio)
+			t.Errorf("large fleet %v: service time ratio is %v without congestion, want 1", largeFleet, ratio)
 		}
 		for range 200 {
 			estimate.observe(env, 3, largeFleet)
 		}
 		if ratio := estimate.serviceTimeRatio(); math.Abs(estimate.best-1) > 1e-9 || ratio < 2.9 {
-			t.Errorf("large fleet %v: best %v, ratio %v under congestion", largeFleet, estimate.best, ratio)
+			t.Errorf("large fleet %v: best mean is %v and ratio is %v under congestion", largeFleet, estimate.best, ratio)
 		}
 	}
 }
@@ -73,7 +74,7 @@
 		change func(*ClassSnapshot)
 		taken  bool
 	}{
-		"sound":           {func(*ClassSnapshot) {}, true},
+		"valid":           {func(*ClassSnapshot) {}, true},
 		"mean NaN":        {func(s *ClassSnapshot) { s.MeanServiceTime = math.NaN() }, false},
 		"no observations": {func(s *ClassSnapshot) { s.Observations = 0 }, false},
 		"best below zero": {func(s *ClassSnapshot) { s.BestServiceTime = -1 }, false},
@@ -91,9 +92,9 @@
 	}
 }
 
-// Where no progress reports tell of spilling, grants follow the need that outcomes report. It guards against taking
-// the absence of reports for proof that less would do: grants then fell to 0.3 of the estimate, and 0.4 to 0.8 of all
-// queries spilled.
+// If engines send no progress reports, grants follow the memory that outcomes report. This guards against treating
+// missing spill reports as proof that less memory suffices: grants then fell to 0.3 of the estimate, and 0.4 to 0.8
+// of all queries spilled.
 func TestGrantFollowsNeed(t *testing.T) {
 	for _, test := range []struct{ needOverEstimate, want float64 }{{1, 1}, {1.5, 1.5}, {0.7, 0.7}, {0, 1}} {
 		h := newHarness(t, twoClassConfig())
@@ -114,13 +115,13 @@
 			}
 		}
 		if math.Abs(got-test.want) > 0.05 {
-			t.Errorf("need of %v times the estimate: granted %v of it before the headroom, want %v",
+			t.Errorf("need of %v times the estimate: grant without headroom is %v times the estimate, want %v",
 				test.needOverEstimate, got, test.want)
 		}
 	}
 }
 
-// A class whose answers were slow under congestion is tried again when it had no answer for a while.
+// A class whose answers were slow during congestion is tried again after it had no answer for a while.
 func TestSlowMeanDecays(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	estimate := &h.controller.classes.all[1].estimate
@@ -129,12 +130,12 @@
 	before := estimate.current(env)
 	env.now += 4 * evidenceDecayTime
 	if after := estimate.current(env); before != 10 || after > 1.5 {
-		t.Errorf("mean %v, later %v", before, after)
+		t.Errorf("mean is %v, and %v after four decay times", before, after)
 	}
 }
 
-// A wild estimate neither moves a class's mean by much nor waits for memory that no engine grants; table groups that
-// are named once are not remembered for good.
+// An extreme estimate changes the mean of its class only slightly and does not wait for memory that no engine grants.
+// Table groups that are named only once are not remembered forever.
 func TestExtremeEstimatesAreBounded(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -145,17 +146,17 @@
 	extreme := h.arriveWith(Arrival{Class: "quick", Estimate: 1000 * time.Hour, NeedMB: 1e9, TimeLeft: 3 * time.Second})
 	c := h.controller
 	if mean := c.classes.all[0].estimate.clientEstimate; mean > 0.5 {
-		t.Errorf("the mean estimate rose to %v s", mean)
+		t.Errorf("mean estimate rose to %v s, want at most 0.5", mean)
 	}
 	got, limit := c.capacity.wantedGrant(c.requests.byID[extreme.id]), 8192*h.config.Features.MaxGrantShare
 	if got != limit {
-		t.Errorf("%v MB are wanted, want %v", got, limit)
+		t.Errorf("wanted grant is %v MB, want %v", got, limit)
 	}
 	for i := range 3 * maxAffinities {
 		arrival := Arrival{Class: "quick", TableGroup: int64(i + 1), TimeLeft: 3 * time.Second}
 		h.endLatest(h.arriveWith(arrival), Served)
 	}
 	if n := len(c.selector.affinities); n > maxAffinities {
-		t.Errorf("%d groups are remembered", n)
+		t.Errorf("%d table groups remembered, want at most %d", n, maxAffinities)
 	}
 }
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// EngineID identifies an engine; it carries no meaning.
+// EngineID identifies an engine. Its value has no other meaning.
 type EngineID uint64
 
-// RequestID identifies a request; it is returned unaltered.
+// RequestID identifies a request. Actions return it unchanged.
 type RequestID string
 
-// EndpointState is the condition of an engine in the endpoint list.
+// EndpointState is the state of an engine in the endpoint list.
 type EndpointState int
 
-// Conditions of a listed engine.
+// States of an engine in the endpoint list.
 const (
 	Live EndpointState = iota
 	Draining
 	Removed
 )
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is one entry of the endpoint list: an engine with its location, kind and state.
 type Endpoint struct {
 	ID             EngineID
 	Cell           int
@@ -26,21 +26,21 @@
 	Kind           string
 	CapacityWeight float64
 	State          EndpointState
-	StartedAt      time.Duration // latest start, 0 if long ago
+	StartedAt      time.Duration // time of the latest start; 0 if that is long ago
 }
 
-// ListMode tells how an endpoint list is to be read.
+// ListMode says how an endpoint list relates to the previous one.
 type ListMode int
 
 // Modes of an endpoint list.
 const (
 	ListComplete ListMode = iota
 	ListIncremental
-	ListCached // complete, as last known, possibly stale
-	ListFailed // a poll for the list failed; no entries
+	ListCached // complete, but from a copy that may be out of date
+	ListFailed // a poll for the list failed; there are no entries
 )
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome int
 
 // Outcomes of an attempt. EngineFull, ConnectFailed and NotSent prove that it never ran.
@@ -55,29 +55,29 @@
 	NotSent
 )
 
-// provesNotRun reports whether an attempt that ended so never ran.
+// provesNotRun reports whether the outcome proves that the attempt never ran.
 func (o Outcome) provesNotRun() bool { return o == EngineFull || o == ConnectFailed || o == NotSent }
 
-// unclear reports whether the engine may continue running an attempt that ended so.
+// mayStillRun reports whether the engine may still be running the attempt after this outcome.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
-// LoadReport is what an engine reports of its load; a negative value is unknown.
+// LoadReport holds the load that an engine reports. A negative value means unknown.
 type LoadReport struct {
 	InFlight, Waiting, Busy, Disk, Memory, Failing float64
 }
 
-// ProgressKind is the meaning of an AttemptProgress.
+// ProgressKind says what an AttemptProgress reports.
 type ProgressKind int
 
 // Kinds of progress report.
 const (
-	ProgressAlive    ProgressKind = 0 // it is under way, and nothing more is known
-	ProgressFraction ProgressKind = 1 // Amount is the share done
-	ProgressSpilling ProgressKind = 2 // Amount is the memory missing, in MB
+	ProgressAlive    ProgressKind = 0 // the attempt is in progress; nothing more is known
+	ProgressFraction ProgressKind = 1 // Amount is the fraction done
+	ProgressSpilling ProgressKind = 2 // Amount is the missing memory in MB
 	ProgressBlocked  ProgressKind = 3 // Amount is 1 while it waits for memory, 2 while a load blocks it
 )
 
-// blockedOnLoad is the Amount of a ProgressBlocked report of an attempt that a load blocks.
+// blockedOnLoad is the Amount of a ProgressBlocked report if a load blocks the attempt.
 const blockedOnLoad = 2
 
 // Event is an input of the controller.
@@ -91,23 +91,24 @@
 	Endpoints []Endpoint
 }
 
-// Arrival is a new request.
+// Arrival reports a new request from a client.
 type Arrival struct {
 	Request    RequestID
 	Class      string
 	Tenant     string
 	Key        string
-	TableGroup int64         // as TableGroupOf numbers it; 0 if there is none
-	Estimate   time.Duration // of the work of all threads; 0 if unknown
-	NeedMB     float64       // estimate of the memory needed; 0 if unknown
+	TableGroup int64         // as returned by TableGroupOf; 0 if there is none
+	Estimate   time.Duration // work of all threads together; 0 if unknown
+	NeedMB     float64       // estimated memory in MB; 0 if unknown
 	TimeLeft   time.Duration
 	Resent     bool
 }
 
-// TableGroupOf numbers a table group for Arrival: the platform counts groups from 0, which here means none.
+// TableGroupOf returns the number of a table group for Arrival. The platform counts groups from 0, but Arrival uses 0
+// for no group.
 func TableGroupOf(n uint32) int64 { return int64(n) + 1 }
 
-// AttemptProgress is a progress report of an outstanding attempt.
+// AttemptProgress reports progress of an outstanding attempt.
 type AttemptProgress struct {
 	Request RequestID
 	Attempt int
@@ -115,46 +116,46 @@
 	Amount  float64
 }
 
-// AttemptEnd is the outcome of an attempt.
+// AttemptEnd reports the end and the outcome of an attempt.
 type AttemptEnd struct {
 	Request RequestID
 	Attempt int
 	Outcome Outcome
 	Took    time.Duration
-	Last    bool // the request is finished
+	Last    bool // the request is finished and gets no further attempt
 	Report  *LoadReport
-	Work    time.Duration // what a served query needed; 0 if unknown
+	Work    time.Duration // work that a served query needed; 0 if unknown
 	NeedMB  float64
 }
 
-// ResponseStarted says that an attempt's answer began to flow to the client.
+// ResponseStarted reports that the answer of an attempt has begun to reach the client.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// ClientGone says that the client closed, cancelled or left; no answer is expected any more.
+// ClientGone reports that the client disconnected or cancelled its request and expects no answer.
 type ClientGone struct{ Request RequestID }
 
-// Cordon is an operator's order that an engine gets no new work until an Uncordon, whatever the endpoint list says.
+// Cordon is an operator's order to send no new work to an engine until an Uncordon, whatever the endpoint list says.
 type Cordon struct{ Engine EngineID }
 
-// Uncordon ends a Cordon; the engine has been restarted meanwhile.
+// Uncordon ends a Cordon. The engine has been restarted in between.
 type Uncordon struct{ Engine EngineID }
 
-// TimerFired says that a timer set earlier by SetTimer fired.
+// TimerFired reports that a timer requested by SetTimer has fired.
 type TimerFired struct{ Tag int64 }
 
-// EngineLoad is a load report that arrived apart from the end of an attempt.
+// EngineLoad carries a load report that arrived independently of the end of an attempt.
 type EngineLoad struct {
 	Engine EngineID
 	Report LoadReport
 }
 
-// RestoreSnapshot makes a controller continue from the state of another one.
+// RestoreSnapshot makes a controller continue from the state of another controller.
 type RestoreSnapshot struct{ Snapshot Snapshot }
 
-// ShutdownDeadline says that the controller's process ends at that time: no request may take longer.
+// ShutdownDeadline reports that the process ends at the given time, by which every request has to be finished.
 type ShutdownDeadline struct{ At time.Duration }
 
 func (EndpointList) event()      {}
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fleetState holds the parts that know the engines, and synchronizes them when engines join, leave, restart or are
-// cordoned.
+// fleetState holds the components with state for each engine, and keeps them consistent when engines join, leave,
+// restart or are cordoned.
 type fleetState struct {
 	env       *environment
 	endpoints *endpointTable
@@ -13,7 +13,7 @@
 	subsets   *subsetChooser
 }
 
-// update takes an endpoint list from discovery.
+// update applies an endpoint list from discovery.
 func (f *fleetState) update(list EndpointList) {
 	if list.Mode != ListIncremental {
 		f.endpoints.removeAll()
@@ -27,7 +27,7 @@
 	f.refresh()
 }
 
-// refresh updates all parts after a change of the engines.
+// refresh updates all components after a change of the set of engines.
 func (f *fleetState) refresh() {
 	for _, e := range f.endpoints.refresh() {
 		f.capacity.setOtherProcess(e, EngineUsage{})
@@ -38,7 +38,7 @@
 	f.outliers.invalidate()
 }
 
-// restartWarmUp treats an engine as started at a time: what was learned of it is no longer valid.
+// restartWarmUp treats an engine as started at the given time and discards what was learned about it before.
 func (f *fleetState) restartWarmUp(e *engine, at time.Duration) {
 	e.health.restart()
 	f.warmUps.begin(e, at)
@@ -46,8 +46,8 @@
 	f.outliers.invalidate()
 }
 
-// setCordoned cordons or uncordons an engine; an uncordoned one has been restarted, and gets a first request soon. It
-// returns false if nothing changed for a known engine.
+// setCordoned cordons or uncordons an engine. An uncordoned engine has been restarted and soon gets a first request.
+// It returns false if nothing changed or the engine is unknown.
 func (f *fleetState) setCordoned(id EngineID, cordoned bool) bool {
 	e := f.endpoints.setCordoned(id, cordoned)
 	if e == nil {
@@ -59,21 +59,21 @@
 	return true
 }
 
-// applyKinds updates all parts after a change of the engine kinds.
+// applyKinds updates all components after a change of the engine kinds.
 func (f *fleetState) applyKinds() {
 	f.endpoints.applyKinds()
 	f.refresh()
 }
 
-// recordOutcome counts an outcome for the backoff from engines and zones. A zone that is lost or found changes what
-// this router may use.
+// recordOutcome records an outcome for the backoff from engines and zones. If a zone is lost or available again, the
+// resources that this router may use change.
 func (f *fleetState) recordOutcome(a *attempt, outcome Outcome) {
 	if f.outliers.recordOutcome(a, outcome, f.capacity.largeFleet()) {
 		f.capacity.invalidate()
 	}
 }
 
-// snapshot adds to a snapshot what is known of the engines.
+// snapshot adds the state of all engines to a snapshot.
 func (f *fleetState) snapshot(s *Snapshot) {
 	s.Known, s.Cordoned = f.endpoints.cordons.all()
 	for _, e := range f.endpoints.engines() {
@@ -82,7 +82,7 @@
 	s.CompletedWork, s.CompletedWorkAt = f.warmUps.completed()
 }
 
-// restoreEngine takes over what another process knew of an engine.
+// restoreEngine takes over the state of an engine from another process.
 func (f *fleetState) restoreEngine(e *engine, old EngineSnapshot) {
 	if old.WarmUpEnd > e.warmUp.end || old.WarmUpEnd > f.env.now {
 		f.restartWarmUp(e, min(old.WarmUpStart, f.env.now))
@@ -94,7 +94,7 @@
 	}
 }
 
-// setOtherProcessUsage takes what the other process of this router has running in place of what it had.
+// setOtherProcessUsage replaces the recorded usage of the other process of this router on all engines.
 func (f *fleetState) setOtherProcessUsage(engines []EngineUsage) {
 	byEngine := map[EngineID]EngineUsage{}
 	for _, usage := range engines {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// fleetServesTest is a scenario with what has to be served of it.
+// fleetServesTest is a scenario with the share of the priority weight that has to be served.
 type fleetServesTest struct {
 	name           string
 	change         func(*fleetScenario)
-	minServed      float64 // of the priority weight, from the fault on
-	minServedAtEnd float64 // in the last four seconds
+	minServed      float64 // share of the priority weight, from the fault on
+	minServedAtEnd float64 // the same share in the last four seconds
 }
 
 var fleetServesTests = []fleetServesTest{
-	{"calm", func(s *fleetScenario) { s.slowShare = 0 }, 0.98, 0.98},
-	{"join", func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 }, 0.77, 0.84},
-	{"roll", func(s *fleetScenario) {
+	{"no fault", func(s *fleetScenario) { s.slowShare = 0 }, 0.98, 0.98},
+	{"most engines replaced", func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 }, 0.77, 0.84},
+	{"engines and routers replaced in a burst", func(s *fleetScenario) {
 		s.replacedShare, s.slowShare, s.restartedShare, s.burstFactor = 0.5, 0, 0.3, 1.8
 	}, 0.74, 0.95},
-	{"herd", func(s *fleetScenario) { s.restartedShare = 0.7 }, 0.96, 0.97},
-	{"split", func(s *fleetScenario) {
+	{"most routers restart", func(s *fleetScenario) { s.restartedShare = 0.7 }, 0.96, 0.97},
+	{"network partition", func(s *fleetScenario) {
 		s.partitioned, s.slowShare, s.faultFor = true, 0, 6*time.Second
 	}, 0.98, 0.98},
-	{"zone", func(s *fleetScenario) { s.zoneLost, s.faultFor = true, 5*time.Second }, 0.94, 0.93},
-	{"half of a small fleet", func(s *fleetScenario) {
+	{"zone lost", func(s *fleetScenario) { s.zoneLost, s.faultFor = true, 5*time.Second }, 0.94, 0.93},
+	{"half of a small fleet lost", func(s *fleetScenario) {
 		s.routers, s.engines, s.zones = 80, 30, 2
 		s.zoneLost, s.listDelay, s.faultFor, s.burstFactor = true, 3*time.Second, 7*time.Second, 1.3
 	}, 0.78, 0.95},
 }
 
-// What each of hundreds of routers does with the little that it observes adds up to service: on a fleet most of whose
-// engines are new, one whose routers restart, one that loses a zone. It guards against storms that the routers cause
-// themselves, and against warming engines that are unused or collapse.
+// Hundreds of routers that each observe little together serve enough when most engines are new, routers restart or a
+// zone is lost. This guards against request storms caused by the routers themselves, and against warming engines that
+// are unused or collapse.
 func TestFleetServesMinimumShare(t *testing.T) {
 	scenario := fleetScenario{
 		seed: 1, routers: 270, engines: 80, cores: 24, zones: 5, load: 0.6, slowShare: 0.125,
@@ -49,38 +49,38 @@
 			f.run()
 			served, servedAtEnd := f.served(6, 26), f.served(22, 26)
 			if served < test.minServed {
-				t.Errorf("%.3f of the weight was served, want %.2f", served, test.minServed)
+				t.Errorf("served %.3f of the weight, want at least %.2f", served, test.minServed)
 			}
 			if servedAtEnd < test.minServedAtEnd {
-				t.Errorf("%.3f of the weight was served at the end, want %.2f", servedAtEnd, test.minServedAtEnd)
+				t.Errorf("served %.3f of the weight at the end, want at least %.2f", servedAtEnd, test.minServedAtEnd)
 			}
 			f.checkWarmingLoad()
 			starts, answeredFull := f.totals()
 			if answeredFull*10 > starts {
-				t.Errorf("%d of %d attempts were answered full", answeredFull, starts)
+				t.Errorf("%d of %d attempts were rejected by full engines, want at most a tenth", answeredFull, starts)
 			}
-			t.Logf("served %.3f, at the end %.3f; most to a warming engine %.2f; %d attempts, %d full",
+			t.Logf("served %.3f, at the end %.3f; highest load of a warming engine %.2f; %d attempts, %d rejected as full",
 				served, servedAtEnd, f.warmingLoad.maxShare, starts, answeredFull)
 		})
 	}
 }
 
-// maxWarmingShare is how much of what it can take a warming engine may be sent.
+// maxWarmingShare is the maximum load of a warming engine as a share of what it can handle.
 const maxWarmingShare = 0.8
 
-// checkWarmingLoad checks that no warming engine collapsed or was close to it.
+// checkWarmingLoad checks that no warming engine collapsed or came close to it.
 func (f *fleetSimulation) checkWarmingLoad() {
 	f.t.Helper()
 	if load := f.warmingLoad; load.collapsed > 0 || load.maxShare > maxWarmingShare {
-		f.t.Errorf("%d warming engines collapsed; the most sent to one was %.2f of what it can take",
+		f.t.Errorf("%d warming engines collapsed; the highest load of one was %.2f of its limit",
 			load.collapsed, load.maxShare)
 	}
 }
 
-// Warming engines are not overloaded by the sum over all routers, however many these are, in a burst and with routers
-// that restart, with one that has five times the mean traffic, and where all attempts that wait for a connection
-// start together. Up to 2 root of N + 2 queries beyond the N that an engine can take are chance. Small and large
-// fleets are tried, and both sides of their border.
+// All routers together do not overload warming engines, however many routers there are. The scenario has a burst,
+// restarting routers, one router with five times the mean traffic, and attempts that start together after waiting for
+// a connection. Up to 2 sqrt(N) + 2 queries beyond the N that an engine can handle are attributed to chance. Small
+// and large fleets on both sides of the limit between them are tested.
 func TestWarmingEnginesAreNotOverloaded(t *testing.T) {
 	scenario := fleetScenario{
 		seed: 11, zones: 3, load: 1.1, duration: 16 * time.Second, slowShare: 0.1, replacedShare: 0.6,
@@ -113,13 +113,14 @@
 			f.run()
 			load := f.warmingLoad
 			if load.collapsed > 0 || load.maxExcess > 1 {
-				t.Errorf("%d warming engines collapsed; most sent to one %.2f of what it can take, %.2f of chance",
+				t.Errorf("%d warming engines collapsed; highest load of one %.2f of its limit, excess %.2f of chance",
 					load.collapsed, load.maxShare, load.maxExcess)
 			}
 			if largeFleet != test.largeFleet || load.maxShare == 0 {
-				t.Errorf("large fleet %v, most %.2f", largeFleet, load.maxShare)
+				t.Errorf("large fleet: %v, want %v; highest load of a warming engine %.2f, want above 0",
+					largeFleet, test.largeFleet, load.maxShare)
 			}
-			t.Logf("served %.3f, most %.2f, excess %.2f", f.served(5, 16), load.maxShare, load.maxExcess)
+			t.Logf("served %.3f, highest load %.2f, excess %.2f", f.served(5, 16), load.maxShare, load.maxExcess)
 		})
 	}
 }
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -7,48 +7,51 @@
 )
 
 const (
-	// slownessGain is the weight of one observation in an engine's slowness: about ten decide.
+	// slownessGain is the weight of one observation in an engine's slowness, which about ten observations determine.
 	slownessGain = 0.1
-	// minSlowness and maxSlowness bound one observation.
+	// minSlowness and maxSlowness are the limits of one observation.
 	minSlowness, maxSlowness = 0.05, 20.0
-	// maxConnectionFailures is how many attempts in a row have to meet no connection, or lose it, for an engine to
-	// count as down: it is tried once in each backoff, and warms up once it answers again.
+	// maxConnectionFailures is the number of consecutive attempts without a connection, or with a lost one, after which
+	// an engine counts as down. A down engine is tried once in each backoff and warms up once it answers again.
 	maxConnectionFailures = 5
-	// fullBackoff is how long an engine that was full gets nothing: sessions end about that often. An ejected engine
-	// gets nothing for twice as long: in overload it alone would have capacity, and draw all that is queued.
+	// fullBackoff is the time for which an engine gets no requests after it was full, as sessions end about that often.
+	// An ejected engine gets none for twice as long: in overload it would be the only engine with capacity and would
+	// attract all queued requests.
 	fullBackoff = 250 * time.Millisecond
 )
 
-// health is what has been learned of one engine from attempts. Evidence decays when nothing renews it.
+// health holds what has been learned about one engine from attempts. The weight of evidence decays unless new
+// evidence arrives.
 type health struct {
-	slowness           float64 // its service times over the usual ones
+	slowness           float64 // its service times divided by the usual ones
 	slownessAt         time.Duration
-	failureShare       float64 // of its late attempts
+	failureShare       float64 // decaying share of its recent attempts that failed
 	failureShareAt     time.Duration
-	connectionFailures int // attempts in a row that met no connection, or lost it
+	connectionFailures int // consecutive attempts that found no connection or lost it
 	fullAt             time.Duration
-	onProbation        bool // it was uncordoned, and has served nothing since
+	onProbation        bool // it was uncordoned and has not served a request since
 	backoff            backoff.Backoff
-	tracked            bool // the outlier detector tracks it
+	tracked            bool // it is in the list of the outlier detector
 }
 
 func newHealth() health { return health{slowness: 1} }
 
-// restart forgets what concerns the engine's previous incarnation.
+// restart discards what was learned before the engine's latest start.
 func (h *health) restart() {
 	h.slowness = 1
 	h.failureShare = 0
 	h.backoff.RecordSuccess()
 }
 
-// cordonChanged forgets the failures before a cordon; on probation an engine is sent a first request soon.
+// cordonChanged clears the connection failures and the full state when a cordon begins or ends. After its end the
+// engine is on probation and soon gets a first request.
 func (h *health) cordonChanged(cordoned bool) {
 	h.onProbation = !cordoned
 	h.connectionFailures = 0
 	h.fullAt = 0
 }
 
-// currentSlowness is the engine's slowness, fading to 1.
+// currentSlowness returns the engine's slowness, which decays to 1.
 func (h *health) currentSlowness(env *environment) float64 {
 	if h.slowness == 1 {
 		return 1
@@ -56,7 +59,7 @@
 	return 1 + (h.slowness-1)*env.decay(h.slownessAt, evidenceDecayTime)
 }
 
-// observeSlowness takes the service time of one attempt over the class's mean.
+// observeSlowness records the service time of one attempt as a multiple of the mean of its class.
 func (h *health) observeSlowness(env *environment, ratio float64) {
 	current := h.currentSlowness(env)
 	ratio = min(max(ratio, minSlowness), maxSlowness)
@@ -64,7 +67,7 @@
 	h.slownessAt = env.now
 }
 
-// currentFailureShare is the engine's share of failures, fading so that it is tried again.
+// currentFailureShare returns the engine's share of failures, which decays so that an ejected engine is tried again.
 func (h *health) currentFailureShare(env *environment) float64 {
 	if h.failureShare == 0 {
 		return 0
@@ -72,49 +75,51 @@
 	return h.failureShare * env.decay(h.failureShareAt, evidenceDecayTime)
 }
 
-// observe moves the failure share towards an outcome: 1 for a failure, 0 for an answer.
+// observe moves the failure share towards an outcome: 1 for a failure, 0 for an answer. gain is the weight of the
+// outcome.
 func (h *health) observe(env *environment, outcome, gain float64) {
 	h.failureShare = h.currentFailureShare(env)*(1-gain) + gain*outcome
 	h.failureShareAt = env.now
 }
 
-// renewFailure keeps the failure share from fading for a while.
+// renewFailure restarts the decay of the failure share.
 func (h *health) renewFailure(env *environment) { h.failureShareAt = env.now }
 
-// recordConnected records that a connection was established.
+// recordConnected resets the count of consecutive connection failures.
 func (h *health) recordConnected() { h.connectionFailures = 0 }
 
-// recordConnectionFailure records that no connection was established, or that one broke.
+// recordConnectionFailure counts a connection that could not be established or was lost.
 func (h *health) recordConnectionFailure() { h.connectionFailures++ }
 
-// recordServed ends probation.
+// recordServed ends the probation after a served request.
 func (h *health) recordServed() { h.onProbation = false }
 
-// down reports whether connections to the engine can no longer be established.
+// down reports whether so many connections in a row failed that the engine counts as down.
 func (h *health) down() bool { return h.connectionFailures >= maxConnectionFailures }
 
-// ejected reports whether so many attempts fail that other engines are preferred.
+// ejected reports whether so many attempts failed that other engines are preferred.
 func (h *health) ejected(env *environment) bool {
 	return h.currentFailureShare(env) >= ejectionThreshold
 }
 
-// failedLately reports whether there was evidence of failure a moment ago.
+// recentlyFailed reports whether there was evidence of a failure within the last two full backoffs.
 func (h *health) recentlyFailed(env *environment) bool {
 	return env.now-h.failureShareAt < 2*fullBackoff
 }
 
-// fullLately reports whether the engine was full a moment ago.
+// recentlyFull reports whether the engine was full within the last full backoff.
 func (h *health) recentlyFull(env *environment) bool {
 	return h.fullAt > 0 && env.now-h.fullAt < fullBackoff
 }
 
-// recordFull records that the engine was full; it has answered, so it is not down.
+// recordFull records that the engine was full. As it answered, it is not down.
 func (h *health) recordFull(env *environment) {
 	h.fullAt = env.now
 	h.connectionFailures = 0
 }
 
-// restore takes over what another process of this router knew, unless it makes no sense.
+// restore replaces the state by a snapshot of another process of this router. It returns false and changes nothing if
+// the snapshot is invalid.
 func (h *health) restore(old EngineSnapshot) bool {
 	valid := old.Slowness > 0 && old.FailureShare >= 0 && old.FailureShare <= 1 && old.ConnectionFailures >= 0
 	if !valid {
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// healthAt is an engine's health at time one hour.
+// newTestHealth returns the initial health of an engine and an environment whose time is one hour.
 func newTestHealth() (*health, *environment) {
 	h := newHealth()
 	return &h, &environment{now: time.Hour}
@@ -32,7 +32,7 @@
 		}
 		env.now += test.after
 		if got := h.currentSlowness(env); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: slowness is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 func TestFailureShareEjects(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		outcomes []float64 // 1 for a failure
+		outcomes []float64 // 1 for a failure, 0 for an answer
 		gain     float64
 		after    time.Duration
 		ejected  bool
@@ -59,7 +59,7 @@
 		}
 		env.now += test.after
 		if got := h.ejected(env); got != test.ejected {
-			t.Errorf("%s: ejected %v with a share of %.3f", test.name, got, h.currentFailureShare(env))
+			t.Errorf("%s: ejected: %v with a failure share of %.3f", test.name, got, h.currentFailureShare(env))
 		}
 	}
 }
@@ -73,15 +73,15 @@
 		h, env := newTestHealth()
 		for i := range maxConnectionFailures {
 			if h.down() {
-				t.Errorf("down after %d failures", i)
+				t.Errorf("engine is down after %d connection failures", i)
 			}
 			h.recordConnectionFailure()
 		}
 		if !h.down() {
-			t.Errorf("not down after %d failures", maxConnectionFailures)
+			t.Errorf("engine is not down after %d connection failures", maxConnectionFailures)
 		}
 		if recover(h, env); h.down() {
-			t.Errorf("%s: still down", name)
+			t.Errorf("%s: engine is still down", name)
 		}
 	}
 }
@@ -91,17 +91,17 @@
 	h.recordFull(env)
 	env.now += fullBackoff - 1
 	if !h.recentlyFull(env) {
-		t.Error("not full a moment later")
+		t.Error("engine does not count as full before the backoff has ended")
 	}
 	env.now++
 	if h.recentlyFull(env) {
-		t.Error("full after the backoff")
+		t.Error("engine counts as full after the backoff")
 	}
 	if h.cordonChanged(false); !h.onProbation {
-		t.Error("not on probation after a cordon")
+		t.Error("engine is not on probation after a cordon")
 	}
 	if h.recordServed(); h.onProbation {
-		t.Error("on probation after an answer")
+		t.Error("engine is still on probation after an answer")
 	}
 }
 
@@ -113,19 +113,19 @@
 		change func(*EngineSnapshot)
 		want   bool
 	}{
-		"sound":              {func(*EngineSnapshot) {}, true},
-		"slowness of zero":   {func(s *EngineSnapshot) { s.Slowness = 0 }, false},
-		"slowness NaN":       {func(s *EngineSnapshot) { s.Slowness = math.NaN() }, false},
-		"share above one":    {func(s *EngineSnapshot) { s.FailureShare = 1.1 }, false},
-		"share below zero":   {func(s *EngineSnapshot) { s.FailureShare = -0.1 }, false},
-		"failures below 0":   {func(s *EngineSnapshot) { s.ConnectionFailures = -1 }, false},
-		"nothing but a zero": {func(s *EngineSnapshot) { *s = EngineSnapshot{} }, false},
+		"valid":            {func(*EngineSnapshot) {}, true},
+		"slowness of zero": {func(s *EngineSnapshot) { s.Slowness = 0 }, false},
+		"slowness NaN":     {func(s *EngineSnapshot) { s.Slowness = math.NaN() }, false},
+		"share above one":  {func(s *EngineSnapshot) { s.FailureShare = 1.1 }, false},
+		"share below zero": {func(s *EngineSnapshot) { s.FailureShare = -0.1 }, false},
+		"failures below 0": {func(s *EngineSnapshot) { s.ConnectionFailures = -1 }, false},
+		"all values zero":  {func(s *EngineSnapshot) { *s = EngineSnapshot{} }, false},
 	} {
 		snapshot := valid
 		test.change(&snapshot)
 		h := newHealth()
 		if got := h.restore(snapshot); got != test.want {
-			t.Errorf("%s: restored %v", name, got)
+			t.Errorf("%s: restored: %v", name, got)
 		}
 		want := newHealth()
 		if test.want {
@@ -138,23 +138,23 @@
 	}
 }
 
-// An engine that rejects requests fast must not attract the others.
+// An engine that rejects requests fast does not attract further requests.
 func TestFullEngineIsBackedOffFrom(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(1)...)
 	client := h.arrive("quick", "")
 	h.endLatest(client, EngineFull)
 	if len(client.engines) != 1 {
-		t.Fatal("started again on an engine that was full a moment ago")
+		t.Fatal("started again on an engine that was just full")
 	}
 	h.advance(fullBackoff + 50*ms)
 	if len(client.engines) != 2 {
-		t.Error("not tried again after the backoff")
+		t.Error("engine was not tried again after the backoff")
 	}
 }
 
-// sixRequests has six requests at a time, so that the other engines have work too, and returns how many attempts were
-// made on an engine. If that is down, these fail.
+// runSixRequests runs six requests at a time, so that the other engines have work too, and returns the number of
+// attempts on the given engine. These fail if down is set.
 func (h *harness) runSixRequests(id EngineID, down bool) (attempts int) {
 	h.t.Helper()
 	h.advance(20 * ms)
@@ -178,8 +178,8 @@
 	return attempts
 }
 
-// An engine crashes while discovery is silent: the router's own outcomes show it, and the engine warms up when it
-// answers again.
+// If an engine crashes during a discovery outage, the router detects it from its own outcomes. The engine warms up
+// when it answers again.
 func TestCrashDuringDiscoveryOutage(t *testing.T) {
 	const rounds = 400
 	h := newHarness(t, withShortWarmUp(twoClassConfig()))
@@ -188,7 +188,7 @@
 	crashed := client.engines[0]
 	h.endLatest(client, ConnectionReset)
 	if len(client.engines) != 2 || client.engines[1] == crashed {
-		t.Fatalf("not run on another engine: %v", client.engines)
+		t.Fatalf("request ran on engines %v, want two different ones", client.engines)
 	}
 	h.endLatest(client, Served)
 	e := h.controller.endpoints.byID[crashed]
@@ -198,7 +198,7 @@
 	}
 	most := maxConnectionFailures + int(rounds*20*ms/(2*fullBackoff)) + 1
 	if e.health.connectionFailures < maxConnectionFailures || attempts > most {
-		t.Fatalf("%d connections failed in a row; it was tried %d times, want at most %d",
+		t.Fatalf("%d consecutive connections failed and the engine was tried %d times, want at most %d",
 			e.health.connectionFailures, attempts, most)
 	}
 	for range rounds {
@@ -208,6 +208,6 @@
 		}
 	}
 	if e.health.connectionFailures > 0 || h.now >= e.warmUp.end {
-		t.Error("it is back and does not warm up")
+		t.Error("the recovered engine has connection failures or does not warm up")
 	}
 }
--- a/dispatch/hotrestart.go
+++ b/dispatch/hotrestart.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Snapshot is what a controller knows of the fleet, for the controller of the process that replaces it. Times are on a
-// clock that both use.
+// Snapshot holds what a controller knows about the fleet, for the controller of the process that replaces it. Times
+// refer to a clock that both processes use.
 //
-// The JSON names are those that earlier versions of the program read and write.
+// The JSON names are kept because earlier versions of the program read and write them.
 type Snapshot struct {
 	Known           []EngineID       `json:"Known"` // engines that an endpoint list has named
 	Cordoned        []EngineID       `json:"Excluded"`
@@ -15,7 +15,7 @@
 	CompletedWorkAt time.Duration    `json:"DoneAt"`
 }
 
-// EngineSnapshot is what a controller knows of an engine.
+// EngineSnapshot holds what a controller knows about one engine.
 type EngineSnapshot struct {
 	ID                 EngineID      `json:"ID"`
 	StartedAt          time.Duration `json:"Born"`
@@ -29,7 +29,7 @@
 	OnProbation        bool          `json:"Owed"`
 }
 
-// ClassSnapshot is what a controller has learned of a class.
+// ClassSnapshot holds what a controller has learned about one class.
 type ClassSnapshot struct {
 	Name               string        `json:"Name"`
 	MeanServiceTime    float64       `json:"Mean"`
@@ -41,8 +41,8 @@
 	ObservedAt         time.Duration `json:"SeenAt"`
 }
 
-// EngineUsage is what a controller has running on an engine, and what it sent there within the overload window of
-// warming engines.
+// EngineUsage describes what a controller runs on an engine, and the work that it sent to the engine within the
+// overload window while the engine was warming up.
 type EngineUsage struct {
 	ID               EngineID `json:"ID"`
 	Threads          float64  `json:"Threads"`
@@ -52,7 +52,7 @@
 	WarmUpWork       float64  `json:"Cold"`
 }
 
-// sound is the usage without negative figures: it was received from another process.
+// withoutNegatives returns the usage with negative values replaced by 0, as it was received from another process.
 func (u EngineUsage) withoutNegatives() EngineUsage {
 	return EngineUsage{
 		ID:               u.ID,
@@ -64,13 +64,14 @@
 	}
 }
 
-// OtherProcessUsage says what the other process of this router has running; it counts as this one's own.
+// OtherProcessUsage reports what the other process of this router runs during a hot restart. It counts as this
+// process's own usage.
 type OtherProcessUsage struct {
 	Engines []EngineUsage `json:"Engines"`
 	Queued  int           `json:"Held"`
 }
 
-// Snapshot returns what the controller knows.
+// Snapshot returns the state that a successor continues from.
 func (c *Controller) Snapshot() Snapshot {
 	var s Snapshot
 	c.fleet.snapshot(&s)
@@ -95,7 +96,7 @@
 	}
 }
 
-// restore continues from a snapshot. What makes no sense in it is left out: it may come from another version of the
+// restore continues from a snapshot. Invalid values in it are ignored, as it may come from another version of the
 // program.
 func (c *Controller) restore(snapshot Snapshot) {
 	for _, id := range snapshot.Known {
@@ -119,7 +120,7 @@
 	c.warmUps.restoreCompleted(snapshot.CompletedWork, snapshot.CompletedWorkAt)
 }
 
-// Usage returns what the controller itself has on each engine, and in its queues.
+// Usage returns what the controller itself, without the other process, runs on each engine and has queued.
 func (c *Controller) Usage(now time.Duration) OtherProcessUsage {
 	c.env.advance(now)
 	usage := OtherProcessUsage{Queued: c.queues.len()}
@@ -134,7 +135,7 @@
 	return usage
 }
 
-// setOtherProcessUsage replaces what the other process has running and queued.
+// setOtherProcessUsage replaces the recorded usage and queue length of the other process.
 func (c *Controller) setOtherProcessUsage(event OtherProcessUsage) {
 	c.queues.setOtherProcessLength(event.Queued, c.env.config.MaxQueued)
 	c.fleet.setOtherProcessUsage(event.Engines)
--- a/dispatch/hotrestart_test.go
+++ b/dispatch/hotrestart_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// usedHarness is a controller that knows cordons, a warming engine and what its classes take.
+// newHarnessWithHistory returns a harness whose controller knows cordons, a warming engine and the service times of
+// its classes.
 func newHarnessWithHistory(t *testing.T, config Config) *harness {
 	t.Helper()
 	h := newHarness(t, config)
@@ -25,7 +26,7 @@
 	return h
 }
 
-// encodedSnapshot is the controller's snapshot as another process decodes it.
+// encodedSnapshot returns the controller's snapshot after encoding and decoding, as another process gets it.
 func (h *harness) encodedSnapshot() (snapshot Snapshot) {
 	h.t.Helper()
 	text, err := json.Marshal(h.controller.Snapshot())
@@ -38,8 +39,8 @@
 	return snapshot
 }
 
-// A successor knows what its predecessor knew: cordons, warm-ups, failures, what classes take. It guards against a
-// warming engine that is overloaded after a hot restart, and a cordon that ends with the process that it was sent to.
+// A successor takes over cordons, warm-ups, failures and service times from its predecessor. This guards against
+// overloading a warming engine after a hot restart, and against a cordon that ends with the process that received it.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := withWarmUp(twoClassConfig())
 	predecessor := newHarnessWithHistory(t, config)
@@ -54,15 +55,15 @@
 	}
 	before, after := predecessor.controller.endpoints.byID[3].warmUp, c.endpoints.byID[3].warmUp
 	if before.end != after.end || before.start != after.start || after.end <= h.now {
-		t.Errorf("engine 3 was warm at %v, now at %v", before.end, after.end)
+		t.Errorf("warm-up of engine 3 ended at %v before the restart and ends at %v after it", before.end, after.end)
 	}
 	learned, restored := predecessor.controller.classes.all[0].estimate, c.classes.all[0].estimate
 	if learned != restored {
-		t.Errorf("learned %+v, restored %+v", learned, restored)
+		t.Errorf("learned estimate is %+v, restored estimate is %+v", learned, restored)
 	}
 }
 
-// Figures that make no sense are not restored.
+// Invalid values are not restored.
 func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	config := withWarmUp(twoClassConfig())
 	h := newHarnessWithHistory(t, config)
@@ -76,7 +77,8 @@
 	}
 }
 
-// What the other process has running counts as own work, towards warming engines too, and is not reported back.
+// The usage of the other process counts as this process's own, also towards warming engines, and is not reported
+// back.
 func TestOtherProcessUsageCounts(t *testing.T) {
 	h := newHarness(t, withWarmUp(twoClassConfig()))
 	h.updateEndpoints(ListComplete, testEngines(2)...)
@@ -90,11 +92,11 @@
 		t.Error("started on an engine that the other process has filled")
 	}
 	if own := c.Usage(h.now).Engines; len(own) != 0 {
-		t.Errorf("the other process's work is reported as own: %+v", own)
+		t.Errorf("the other process's usage is reported as own: %+v", own)
 	}
 	h.handle(OtherProcessUsage{Engines: []EngineUsage{{ID: 1, WarmUpWork: 1e6}}})
 	if c.capacity.threads > 4*1 || c.endpoints.byID[1].usage.work > 100 {
-		t.Errorf("work that has ended is still counted: %v threads", c.capacity.threads)
+		t.Errorf("ended work is still counted: %v threads", c.capacity.threads)
 	}
 	c.fleet.restartWarmUp(c.endpoints.byID[1], h.now)
 	for range 20 {
@@ -104,7 +106,7 @@
 		h.advance(10 * ms)
 	}
 	if own := c.Usage(h.now).Engines; len(own) == 0 {
-		t.Error("own work is not reported")
+		t.Error("own usage is not reported")
 	}
 	h.handle(OtherProcessUsage{})
 	removed := testEngines(1)
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// keyOrder runs requests of the same ordering key one after the other.
+// keyOrder runs requests with the same ordering key one after the other.
 type keyOrder struct {
 	env  *environment
 	keys map[string]*orderedKey
 }
 
-// orderedKey holds the open requests of one key in their order.
+// orderedKey holds the open requests of one key in the order of their arrival.
 type orderedKey struct {
 	requests []*request
-	// cooldownEnd is when the next request may start after one whose outcome is unclear: it may still run.
+	// cooldownEnd is the earliest start of the next request after one with an unclear outcome, which may still be
+	// running.
 	cooldownEnd time.Duration
 }
 
@@ -19,7 +20,7 @@
 	return &keyOrder{env: env, keys: map[string]*orderedKey{}}
 }
 
-// add puts a request behind the earlier ones of its key, if its class is ordered.
+// add appends a request to the earlier requests of its key, if its class is ordered.
 func (o *keyOrder) add(req *request) {
 	if !req.ordered {
 		return
@@ -32,7 +33,7 @@
 	key.requests = append(key.requests, req)
 }
 
-// remove lets the next request of the key proceed.
+// remove removes a request, so that the next request of its key can start.
 func (o *keyOrder) remove(req *request) {
 	key := o.keys[req.key]
 	if !req.ordered || key == nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// recordOutcome starts the key's cooldown where the engine may continue running the attempt.
+// recordOutcome starts the cooldown of the key if the engine may still be running the attempt.
 func (o *keyOrder) recordOutcome(req *request, outcome Outcome) {
 	if !req.ordered || !outcome.mayStillRun() {
 		return
@@ -53,7 +54,7 @@
 	key.cooldownEnd = max(key.cooldownEnd, o.env.now+o.env.config.KeyCooldown)
 }
 
-// blocks reports whether a request has to wait for its key.
+// blocks reports whether a request has to wait for an earlier request or the cooldown of its key.
 func (o *keyOrder) blocks(req *request) bool {
 	if !req.ordered {
 		return false
--- a/dispatch/ordering_test.go
+++ b/dispatch/ordering_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Requests of one key run in order; after an unclear outcome the next one waits for the cooldown, and a key without
+// Requests of one key run in order. After an unclear outcome the next one waits for the cooldown, and a key without
 // requests is forgotten.
 func TestKeyOrder(t *testing.T) {
 	env := &environment{now: time.Hour, config: Config{KeyCooldown: time.Second}}
@@ -21,7 +21,7 @@
 		t.Helper()
 		for req, blocked := range want {
 			if got := order.blocks(req); got != blocked {
-				t.Errorf("%s: request of key %s, ordered %v: blocked %v", when, req.key, req.ordered, got)
+				t.Errorf("%s: request of key %s (ordered: %v): blocked: %v", when, req.key, req.ordered, got)
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 	order.remove(third)
 	order.remove(other)
 	if len(order.keys) != 0 {
-		t.Errorf("%d keys are remembered without requests", len(order.keys))
+		t.Errorf("%d keys remembered without requests, want 0", len(order.keys))
 	}
 }
 
@@ -56,7 +56,7 @@
 	first, second := h.arrive("quick", "t"), h.arrive("quick", "t")
 	other := h.arrive("quick", "u")
 	if len(first.engines) != 1 || len(second.engines) != 0 || len(other.engines) != 1 {
-		t.Fatal("requests of one key must run one at a time, others at any time")
+		t.Fatal("requests of one key must run one at a time, and other requests at any time")
 	}
 	h.handle(ClientGone{Request: first.id})
 	first.gone = true
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -1,12 +1,12 @@
 package dispatch
 
-// outcomeLearner learns from attempts what their engines and classes are like.
+// outcomeLearner updates the estimates of engines and classes from the outcomes of attempts.
 type outcomeLearner struct {
 	env   *environment
 	fleet *fleetState
 }
 
-// learn learns from an outcome about the engine and the request's class.
+// learn updates what is known about the engine and the request's class from an outcome.
 func (l *outcomeLearner) learn(ended *attempt, event AttemptEnd) {
 	if event.Report != nil {
 		l.fleet.endpoints.recordReport(ended.engine, *event.Report)
@@ -35,7 +35,7 @@
 	}
 }
 
-// learnServed learns from a served attempt.
+// learnServed updates what is known from a served attempt.
 func (l *outcomeLearner) learnServed(a *attempt, event AttemptEnd) {
 	l.fleet.outliers.recordAnswer(a.engine)
 	l.fleet.outliers.recordErrorShare(0)
@@ -50,8 +50,8 @@
 	l.learnMemory(a, event.NeedMB)
 }
 
-// learnMemory learns the memory that the class needs over its estimates. Only where progress reports would tell of
-// spilling does their absence say that less would do.
+// learnMemory updates the ratio of needed to estimated memory of the class. The absence of a spill report shows that
+// less memory suffices only if engines send progress reports.
 func (l *outcomeLearner) learnMemory(a *attempt, neededMB float64) {
 	req := a.request
 	switch {
@@ -63,7 +63,7 @@
 	}
 }
 
-// observeServiceTime compares an attempt's time with what its class usually takes.
+// observeServiceTime records the service time of an attempt relative to the usual service time of its class.
 func (l *outcomeLearner) observeServiceTime(a *attempt) {
 	req := a.request
 	estimate := &req.class.estimate
@@ -74,7 +74,7 @@
 	l.fleet.capacity.observeServiceTime(serviceTime / estimate.best)
 }
 
-// onSpill learns from an attempt that spills how much memory its class needs.
+// onSpill updates the memory need of the class from an attempt that spills to disk.
 func (l *outcomeLearner) onSpill(a *attempt, missingMB float64) {
 	req := a.request
 	if !a.spilled && a.grantMB > 0 && req.neededMB > 0 && missingMB > 0 {
@@ -83,7 +83,7 @@
 	a.spilled = true
 }
 
-// onBlocked records another router's load that blocks an attempt, and guesses how long it lasts.
+// onBlocked records that a load of another router blocks an attempt, and estimates how long the load takes.
 func (l *outcomeLearner) onBlocked(a *attempt) {
 	k, now := a.request.class, l.env.nowMS()
 	a.engine.pressure.LockObserved(a.request.tableGroup, now, now+1000*k.estimate.usualWork()/float64(k.Threads))
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// failureGain is the weight of an answer, or of an attempt that fell silent, in an engine's failure share; two of
-	// the latter in a row eject it.
+	// failureGain is the weight of an answer, or of an attempt that became silent, in the failure share of an engine.
+	// Two silent attempts in a row eject an engine.
 	failureGain = 0.3
-	// breakGain is that of an error or a lost connection: six in a row eject, as fewer are chance where the network
-	// resets one connection in ten.
+	// errorGain is the weight of an error or a lost connection in the failure share. Six in a row eject an engine,
+	// because fewer can be chance where the network resets one connection in ten.
 	errorGain = 0.1
-	// ejectionThreshold is the failure share from which an engine gets one query at a time.
+	// ejectionThreshold is the failure share from which an engine is ejected: it then gets one query at a time.
 	ejectionThreshold = 0.45
-	// maxEjectedShare is the share of engines that may be ejected: past it, the others would be overloaded.
+	// maxEjectedShare is the maximum share of engines that may be ejected. If more were ejected, the others would be
+	// overloaded.
 	maxEjectedShare = 0.5
-	// zoneFailures is how many engines of a zone in a row must fail to answer for the zone to be backed off from.
+	// zoneFailures is the number of consecutive engines of a zone that have to fail to answer before the zone is backed
+	// off from.
 	zoneFailures = 3
-	// minBackoffJitter and backoffJitterRange spread the ends of backoffs that began together.
+	// minBackoffJitter and backoffJitterRange spread the ends of backoffs that started at the same time.
 	minBackoffJitter, backoffJitterRange = 0.75, 0.5
 )
 
-// engineBackoff and zoneBackoff are the backoffs from an engine and from a zone, in milliseconds.
+// engineBackoff and zoneBackoff are the backoff policies for an engine and for a zone, in milliseconds.
 var (
 	engineBackoff = backoff.Policy{Initial: 250, Max: 4000}
 	zoneBackoff   = backoff.Policy{Initial: 500, Max: 2000}
 )
 
-// outlierDetector attributes failures to engines, ejects those that fail too often, and backs off from engines and
+// outlierDetector attributes failures to engines, ejects engines that fail too often, and backs off from engines and
 // zones that do not answer.
 type outlierDetector struct {
 	env       *environment
 	endpoints *endpointTable
-	tracked   []*engine // those that are ejected, or were lately
-	ejected   float64   // listed engines among them that are ejected, until countUntil
-	// countUntil is the time until which that count is valid; 0 for a new count at once.
+	tracked   []*engine // engines that are ejected or were recently
+	ejected   float64   // number of listed engines that are ejected, valid until countValidUntil
+	// countValidUntil is the time until which ejected is valid; 0 means that it is recounted at the next use.
 	countValidUntil time.Duration
-	errorShare      float64 // share of attempts that break, over all engines
+	errorShare      float64 // share of attempts that end in an error or a lost connection, over all engines
 }
 
-// invalidate makes the next call count the ejected engines again.
+// invalidate makes the next use count the ejected engines again.
 func (d *outlierDetector) invalidate() { d.countValidUntil = 0 }
 
-// forget drops an engine that was removed.
+// forget drops an engine that was removed from the endpoint list.
 func (d *outlierDetector) forget(e *engine) {
 	if e.health.tracked {
 		d.tracked = removeItem(d.tracked, e)
@@ -59,14 +61,14 @@
 	d.track(e)
 }
 
-// recordAnswer counts an answer in an engine's favour.
+// recordAnswer lowers the failure share of an engine after an answer.
 func (d *outlierDetector) recordAnswer(e *engine) {
 	e.health.observe(d.env, 0, failureGain)
 	d.track(e)
 }
 
-// recordAttempt renews the evidence against an engine that is down: it is tried once in each backoff, whenever that
-// ends.
+// recordAttempt restarts the decay of the failure share of a down engine, so that it is tried only once in each
+// backoff, whenever that ends.
 func (d *outlierDetector) recordAttempt(e *engine) {
 	e.zone.RecordAttempt(d.env.nowMS(), zoneBackoff)
 	if e.health.down() {
@@ -75,16 +77,17 @@
 	}
 }
 
-// recordBreak moves the share of attempts that break, on whatever engine, towards 1 for a break and 0 for an answer.
+// recordErrorShare moves the share of attempts that end in an error or a lost connection, on any engine, towards 1
+// for an error and 0 for an answer.
 func (d *outlierDetector) recordErrorShare(outcome float64) {
 	engines := float64(max(len(d.endpoints.listedEngines()), 1))
 	d.errorShare += errorGain / engines * (outcome - d.errorShare)
 }
 
-// recordOutcome counts an outcome for the backoff from the engine and its zone: a router of a large fleet backs off
-// from an engine that had no connection, answer or capacity, and from a zone where several had none in a row.
-// One router tries seldom, but all routers together try often. zoneChanged says that the zone is suspect now, or not
-// any more.
+// recordOutcome records an outcome for the backoff from the engine and its zone. In a large fleet, a router backs off
+// from an engine that did not accept a connection, did not answer or was full, and from a zone in which several
+// engines in a row did not answer. A single router would try such engines rarely, but all routers together would try
+// often. zoneChanged reports whether the zone has become suspect or is no longer suspect.
 func (d *outlierDetector) recordOutcome(a *attempt, outcome Outcome, largeFleet bool) (zoneChanged bool) {
 	target, now := a.engine, d.env.nowMS()
 	timedOut := outcome == TimedOut && !a.attributed && d.env.now+d.env.answerMargin() < a.request.deadline
@@ -104,8 +107,8 @@
 	return target.zone.Suspect() != suspect
 }
 
-// backedOff reports whether an engine was full a moment ago, or is backed off from, alone or with its zone; a zone
-// does not count while all zones are backed off from.
+// backedOff reports whether an engine was full recently or the backoff from the engine or its zone is active. The
+// backoff from a zone is ignored while it is active for all zones.
 func (d *outlierDetector) backedOff(e *engine) bool {
 	if e.health.recentlyFull(d.env) || e.health.backoff.Active(d.env.nowMS()) {
 		return true
@@ -113,7 +116,7 @@
 	return e.zone.Active(d.env.nowMS()) && !d.endpoints.allZonesBackedOff()
 }
 
-// accepts reports whether an engine's failures allow that it gets work.
+// accepts reports whether the recent failures of an engine allow sending it a request.
 func (d *outlierDetector) accepts(target *engine) bool {
 	if d.backedOff(target) {
 		return false
@@ -134,10 +137,10 @@
 	return d.ejectedCount() <= maxEjectedShare*float64(len(d.endpoints.listedEngines()))
 }
 
-// avoided counts the engines in the endpoint list that get no ordinary work: they drain, are cordoned, fail or are
-// down.
+// avoided returns the number of engines in the endpoint list that get no regular work because they are draining,
+// cordoned, failing or down.
 func (d *outlierDetector) avoided() (n int) {
-	ejectionAllowed := d.ejectionAllowed() // else engines that fail are used like others
+	ejectionAllowed := d.ejectionAllowed() // otherwise failing engines are used like the others
 	for _, e := range d.endpoints.engines() {
 		if e.State == Removed {
 			continue
@@ -149,7 +152,8 @@
 	return n
 }
 
-// track records an engine that is ejected, or was lately.
+// track adds an engine that is ejected to the tracked engines, and invalidates the count of ejected engines where
+// needed.
 func (d *outlierDetector) track(suspect *engine) {
 	if suspect.health.failureShare < ejectionThreshold {
 		if suspect.health.tracked {
@@ -167,13 +171,13 @@
 	d.countValidUntil = min(d.countValidUntil, d.staysEjectedUntil(suspect))
 }
 
-// ejectedUntil is a time shortly before an engine's failure share fades to the threshold.
+// staysEjectedUntil returns a time shortly before an engine's failure share decays to the ejection threshold.
 func (d *outlierDetector) staysEjectedUntil(e *engine) time.Duration {
 	decayTime := seconds(evidenceDecayTime.Seconds() * math.Log(e.health.failureShare/ejectionThreshold))
 	return e.health.failureShareAt + decayTime - time.Microsecond
 }
 
-// ejectedCount counts the listed engines that are ejected.
+// ejectedCount returns the number of listed engines that are ejected.
 func (d *outlierDetector) ejectedCount() float64 {
 	if d.env.now < d.countValidUntil {
 		return d.ejected
--- a/dispatch/outliers_test.go
+++ b/dispatch/outliers_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A network that resets one attempt in eight, whatever the engine, ejects none and has none warm up: it guards against
-// taking chance for a failing fleet, which would then reject work.
+// If the network resets one attempt in eight on every engine, no engine is ejected or warms up. This guards against
+// mistaking chance for a failing fleet, which would make the router reject work.
 func TestRandomResetsEjectNoEngine(t *testing.T) {
 	config := withShortWarmUp(twoClassConfig())
 	config.MaxAttempts = 5
@@ -32,11 +32,11 @@
 		}
 	}
 	if unavailable > 20 {
-		t.Errorf("an engine was ejected or warmed up in %d of 10000 cases", unavailable)
+		t.Errorf("an engine was ejected or warmed up in %d of 10000 cases, want at most 20", unavailable)
 	}
 }
 
-// An engine that fails fast looks idle, and yet must not attract requests.
+// An engine that fails fast looks idle but must not attract requests.
 func TestFastFailingEngineGetsFewRequests(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -55,11 +55,12 @@
 		}
 	}
 	if n == 0 || n > 20 {
-		t.Errorf("the failing engine got %d of 200", n)
+		t.Errorf("the failing engine got %d of 200 requests, want 1 to 20", n)
 	}
 }
 
-// When all others are at their bound, an engine that fails at once has headroom; it must not get what is queued.
+// If all other engines are at their bound, an engine that fails at once has headroom. It must not get the queued
+// requests.
 func TestEjectedEngineIsBackedOffFromInOverload(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(3)...)
@@ -73,15 +74,15 @@
 	}
 	client := h.arrive("big", "")
 	if len(client.engines) != 0 {
-		t.Fatal("started on an engine that just failed three times")
+		t.Fatal("request started on an engine that just failed three times")
 	}
 	h.advance(2*fullBackoff + 50*ms)
 	if len(client.engines) != 1 {
-		t.Error("not tried after the backoff")
+		t.Error("the engine was not tried after the backoff")
 	}
 }
 
-// With most engines failing, none is ejected: the few others could not carry all traffic.
+// If most engines fail, none is ejected, because the few others could not carry all traffic.
 func TestEjectionIsLimited(t *testing.T) {
 	for _, test := range []struct {
 		failing int
@@ -99,12 +100,12 @@
 		}
 		req := &request{class: c.classes.all[0], estimate: 1, deadline: h.now + time.Second}
 		if got := !c.capacity.hasHeadroom(c.endpoints.all[0], req, c.selector.shareFactor()); got != test.ejected {
-			t.Errorf("%d of 4 failing: ejected %v, want %v", test.failing, got, test.ejected)
+			t.Errorf("%d of 4 engines fail: ejected: %v, want %v", test.failing, got, test.ejected)
 		}
 	}
 }
 
-// Failing engines count as avoided until so many fail that all are used again.
+// Failing engines count as avoided until so many fail that all engines are used again.
 func TestAvoidedEnginesFollowEjectionLimit(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(4)...)
@@ -112,12 +113,12 @@
 		h.controller.env.now = h.now
 		h.controller.outliers.attributeFailure(h.controller.endpoints.all[i], 1)
 		if got := h.controller.AvoidedEngines(h.now); got != want {
-			t.Errorf("%d engines fail: %d avoided, want %d", i+1, got, want)
+			t.Errorf("%d engines fail: %d engines avoided, want %d", i+1, got, want)
 		}
 	}
 }
 
-// An attempt on an engine that is down renews the evidence against it, and it counts as ejected.
+// An attempt on a down engine restarts the decay of its failure share, and the engine counts as ejected.
 func TestAttemptOnDownEngineRenewsFailure(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(1)...)
@@ -131,17 +132,17 @@
 	h.now += evidenceDecayTime
 	c.env.now = h.now
 	if got := c.outliers.ejectedCount(); got != 0 || e.health.ejected(c.env) {
-		t.Fatalf("%v engines are ejected after the evidence has decayed", got)
+		t.Fatalf("%v engines ejected after the evidence has decayed, want 0", got)
 	}
 	if h.arrive("quick", ""); len(h.starts) != 1 {
 		t.Fatal("the engine was not tried")
 	}
 	if got, want := c.outliers.ejectedCount(), c.recountEjected(); got != want || want != 1 {
-		t.Errorf("%v engines are ejected, %v fail, want 1", got, want)
+		t.Errorf("%v engines counted as ejected and %v recounted, want 1", got, want)
 	}
 }
 
-// zoneFailureHarness is a router of a large fleet after failed connections to all engines of zone z0.
+// zoneFailureHarness returns a router of a large fleet after failed connections to all engines of zone z0.
 func zoneFailureHarness(t *testing.T) (h *harness, list []Endpoint) {
 	t.Helper()
 	config, list := largeFleetConfig(300, 8, 0)
@@ -157,8 +158,9 @@
 	return h, list
 }
 
-// A router of a large fleet backs off from an engine that did not answer, alone or with its zone, but not where all
-// listed zones are backed off from, nor after a cordon has ended. An engine that is no longer listed does not count.
+// A router of a large fleet backs off from an engine or a zone that does not answer. It does not back off if all
+// listed zones are backed off from, or after the cordon of the engine has ended. Zones without listed engines do not
+// count.
 func TestZoneBackoffInLargeFleet(t *testing.T) {
 	h, list := zoneFailureHarness(t)
 	c := h.controller
@@ -168,10 +170,10 @@
 	if c.endpoints.byID[7].health.backoff.RecordSuccess(); !c.outliers.backedOff(c.endpoints.byID[7]) {
 		t.Error("an engine of a zone that is backed off from is used")
 	}
-	h.updateEndpoints(ListComplete, list[0], list[2], list[4]) // none of z1
+	h.updateEndpoints(ListComplete, list[0], list[2], list[4]) // no engine of z1
 	c.endpoints.byID[3].health.backoff.RecordSuccess()
 	if c.outliers.backedOff(c.endpoints.byID[3]) {
-		t.Error("all listed zones are backed off from")
+		t.Error("an engine is backed off from although the backoff covers all listed zones")
 	}
 	h, _ = zoneFailureHarness(t)
 	h.handle(Cordon{Engine: 1})
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// maxReleaseRatio is Rmax of the delay-ratio control (see the package comment); its field experiment used 7:1.
+	// maxReleaseRatio is Rmax of the delay-ratio control (see the package comment). The field experiment with that
+	// control used 7:1.
 	maxReleaseRatio = 7.0
-	// deferFactor is the multiple of the expected time past which a queued request is deferred: what is started too
-	// late earns little and slows those in time.
+	// deferFactor is the multiple of the expected time that has to be left before the objective; a queued request with
+	// less time is deferred. A request that starts too late earns little and slows down those that can meet their
+	// objective.
 	deferFactor = 2.0
-	// heavyFactor is the work over the class's mean from which a queued request is deferred: in a shortage, it would
-	// cost several others their objective.
+	// heavyFactor is the multiple of its class's mean work from which a queued request is deferred. In a shortage it
+	// would make several other requests miss their objective.
 	heavyFactor = 2.0
-	// maxReleaseTries is how many requests of one queue are tried before the queue counts as blocked.
+	// maxReleaseTries is the number of requests of one queue that are tried before the queue is skipped.
 	maxReleaseTries = 3
 )
 
-// classQueue holds the queued requests of one class, first come, first served.
+// classQueue holds the queued requests of one class in first-come, first-served order.
 type classQueue struct {
 	class    *class
 	ready    []*request
-	deferred []*request // over quota, heavy, or past their objective: released when no queue has a ready one
+	deferred []*request // over quota, heavy, or unable to meet their objective: released when no queue has a ready request
 }
 
-// listOf is the list that a request belongs to.
+// listOf returns the list of the queue that a request belongs to.
 func (q *classQueue) listOf(req *request) *[]*request {
 	if req.deferred {
 		return &q.deferred
@@ -37,12 +39,14 @@
 // classQueues queues requests by class and releases them by the delay-ratio rule.
 type classQueues struct {
 	classes *classSet
-	queues  []*classQueue // in the order of the classes
-	length  int           // queued requests
-	limit   int           // requests queued before those that miss their objective are rejected
-	// otherLength is how many requests the other process of this router has queued during a hot restart.
+	queues  []*classQueue // in the order of the configured classes
+	length  int           // number of queued requests
+	limit   int           // number of queued requests above which requests that miss their objective are rejected
+	// otherProcessLength is the number of requests that the other process of this router has queued during a hot
+	// restart.
 	otherProcessLength int
-	// credit is how many releases are left to the side that the ratio rule chose.
+	// credit is the number of releases left in the current round of the ratio rule. creditToPreferred says whether the
+	// preferred class gets all releases of the round but one, or only that one.
 	credit            int
 	creditToPreferred bool
 }
@@ -55,7 +59,7 @@
 	return q
 }
 
-// setLimit sets the limit of the settings; 0 means none. The other process's queue counts towards it.
+// setLimit sets the configured limit; 0 means none. Requests queued by the other process count towards it.
 func (q *classQueues) setLimit(configured int) {
 	q.limit = math.MaxInt
 	if configured > 0 {
@@ -63,10 +67,10 @@
 	}
 }
 
-// len is the number of queued requests.
+// len returns the number of queued requests.
 func (q *classQueues) len() int { return q.length }
 
-// setOtherLength takes how many requests the other process of this router has queued.
+// setOtherProcessLength sets the number of requests that the other process of this router has queued.
 func (q *classQueues) setOtherProcessLength(n, configuredLimit int) {
 	q.otherProcessLength = max(n, 0)
 	q.setLimit(configuredLimit)
@@ -79,10 +83,10 @@
 	return q.queues[i]
 }
 
-// isEmpty reports whether no ready request of a class is queued.
+// isEmpty reports whether a class has no ready request in its queue.
 func (q *classQueues) isEmpty(k *class) bool { return len(q.queueOf(k).ready) == 0 }
 
-// push queues a request: at the end, or in front.
+// push adds a request to its queue, at the front or at the end.
 func (q *classQueues) push(req *request, front bool) {
 	q.length++
 	req.queued = true
@@ -94,7 +98,7 @@
 	}
 }
 
-// remove takes a request out of its queue, if it is in one.
+// remove removes a request from its queue if it is queued.
 func (q *classQueues) remove(req *request) {
 	if !req.queued {
 		return
@@ -105,8 +109,8 @@
 	*list = removeItem(*list, req)
 }
 
-// release starts queued requests by the ratio rule for as long as start can start one. Requests that blocked keeps
-// queued are passed over.
+// release starts queued requests by the ratio rule until start cannot start any more. It passes over requests for
+// which blocked returns true.
 func (q *classQueues) release(now time.Duration, blocked, start func(*request) bool) {
 	if q.length == 0 {
 		return
@@ -115,11 +119,11 @@
 	pass.run()
 }
 
-// releasePass is one release of queued requests.
+// releasePass is one run of releasing queued requests.
 type releasePass struct {
 	*classQueues
 	now     time.Duration
-	skipped map[*classQueue]bool // queues from which no request can be started now
+	skipped map[*classQueue]bool // queues from which no request can be started in this run
 	blocked func(*request) bool
 	start   func(*request) bool
 }
@@ -133,7 +137,7 @@
 	}
 }
 
-// releaseFirst starts the first request of a list that can be started.
+// releaseFirst starts the first request of a list that can be started, and reports whether there was one.
 func (p *releasePass) releaseFirst(list []*request) bool {
 	tries := 0
 	for _, req := range list {
@@ -151,9 +155,10 @@
 	return false
 }
 
-// next picks the queue to release from; nil means that no more can be released. With q1 preferred and q2 other requests
-// queued: when q1 R >= q2, ceil(q1 R/q2) preferred ones go for each other one, else ceil(q2/(q1 R)) others for each
-// preferred one, at most Rmax; one empty side leaves all releases to the other.
+// next returns the queue to release from, or nil if nothing more can be released. Let q1 be the number of queued
+// preferred requests and q2 the number of others. If q1 R >= q2, ceil(q1 R/q2) preferred requests are released for
+// each other request, else ceil(q2/(q1 R)) other requests for each preferred one, in both cases at most Rmax. If one
+// side is empty, all releases go to the other side.
 func (p *releasePass) next() *classQueue {
 	preferred, others, weighted := p.lengths()
 	switch {
@@ -177,7 +182,8 @@
 	return p.longestWaiting()
 }
 
-// lengths counts the ready requests of the preferred class and of the others, and the latter weighted by their ratio.
+// lengths returns the number of ready requests of the preferred class, the number of the others, and the latter
+// weighted by the objective ratio of their class.
 func (p *releasePass) lengths() (preferred, others, weighted float64) {
 	for _, queue := range p.queues {
 		n := float64(len(queue.ready))
@@ -193,7 +199,8 @@
 	return preferred, others, weighted
 }
 
-// releaseRatio is how many of one side go for each of the other, and whether the many are preferred ones.
+// releaseRatio returns how many requests of one side are released for each request of the other side, and whether the
+// former are preferred requests.
 func releaseRatio(preferred, others, ratio float64) (releases int, forPreferred bool) {
 	if preferred*ratio >= others {
 		return int(min(math.Ceil(preferred*ratio/others), maxReleaseRatio)), true
@@ -201,8 +208,8 @@
 	return int(min(math.Ceil(others/(preferred*ratio)), maxReleaseRatio)), false
 }
 
-// longestWaiting is the queue of the class, not the preferred one, whose first request has waited longest against its
-// objective.
+// longestWaiting returns the queue, other than the preferred one, whose first request has waited longest relative to
+// its latency objective.
 func (p *releasePass) longestWaiting() *classQueue {
 	var longest *classQueue
 	longestShare := -1.0
@@ -219,14 +226,15 @@
 	return longest
 }
 
-// releaseDeferred releases deferred requests, when no other one is left to release.
+// releaseDeferred releases deferred requests from the queues that have no ready request. It is called when no ready
+// request is left to release.
 func (p *releasePass) releaseDeferred() {
 	for _, queue := range p.queues {
 		if len(queue.deferred) == 0 || p.skipped[queue] || len(queue.ready) > 0 {
 			continue
 		}
 		for p.releaseFirst(queue.deferred) {
-			// each call releases one more
+			// each call releases one request
 		}
 		p.skipped[queue] = true
 	}
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -22,12 +22,12 @@
 	} {
 		releases, forPreferred := releaseRatio(test.preferred, test.others, test.ratio)
 		if releases != test.releases || forPreferred != test.forPreferred {
-			t.Errorf("%+v: %d, preferred ones %v", test, releases, forPreferred)
+			t.Errorf("%+v: %d releases, for preferred requests: %v", test, releases, forPreferred)
 		}
 	}
 }
 
-// threeClassConfig has one more class of wide queries.
+// threeClassConfig returns settings with one more class of wide queries.
 func threeClassConfig() Config {
 	config := twoClassConfig()
 	config.Classes = append(config.Classes, Class{
@@ -36,7 +36,8 @@
 	return config
 }
 
-// fillQueues has requests ready in the queues of the three classes; each class has the same objective ratio.
+// fillQueues returns queues with the given numbers of ready requests in three classes, which all have the same
+// objective ratio.
 func fillQueues(t *testing.T, lengths [3]int, ratio float64) *classQueues {
 	t.Helper()
 	classes := newClassSet(threeClassConfig().Classes)
@@ -52,7 +53,7 @@
 	return queues
 }
 
-// The queues are released in the order of the delay-ratio control. Each letter is the initial of a class.
+// Requests are released in the order of the delay-ratio control. Each letter is the initial of a class.
 func TestReleaseOrder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -60,11 +61,11 @@
 		want    string
 		ratio   float64
 	}{
-		{"preferred side", [3]int{4, 2, 0}, "qqbqqb", 1},
-		{"other side", [3]int{1, 4, 0}, "bbqbb", 2},
+		{"more preferred requests", [3]int{4, 2, 0}, "qqbqqb", 1},
+		{"more other requests", [3]int{1, 4, 0}, "bbqbb", 2},
 		{"preferred empty", [3]int{0, 3, 0}, "bbb", 1},
 		{"others empty", [3]int{3, 0, 0}, "qqq", 1},
-		{"cap", [3]int{9, 1, 0}, "qqqqqqqbqq", 9},
+		{"maximum ratio", [3]int{9, 1, 0}, "qqqqqqqbqq", 9},
 		{"three classes", [3]int{2, 1, 1}, "qbql", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// releaseAll releases what can be started, and returns the identifiers in order.
+// releaseAll releases all requests that can be started, and returns their identifiers in order.
 func releaseAll(queues *classQueues, blocked, mayStart func(*request) bool) (released string) {
 	queues.release(time.Second, blocked, func(req *request) bool {
 		if !mayStart(req) {
@@ -94,8 +95,8 @@
 	return released
 }
 
-// Requests are queued at the end or in front; deferred ones are released last, blocked ones passed over, and a queue is
-// skipped after a few that can't start.
+// Requests are queued at the end or at the front. Deferred requests are released last, blocked requests are passed
+// over, and a queue is skipped after a few requests that cannot start.
 func TestClassQueues(t *testing.T) {
 	never, always := func(*request) bool { return false }, func(*request) bool { return true }
 	is := func(ids string) func(*request) bool {
@@ -110,13 +111,13 @@
 	}
 	for _, test := range []struct {
 		name              string
-		queued            string // in order; upper case is deferred, "d" is queued in front
+		queued            string // in order; upper case is deferred, and "d" is queued at the front
 		blocked, mayStart func(*request) bool
 		want              string
 	}{
 		{"empty", "", never, always, ""},
 		{"first come, first served", "abc", never, always, "abc"},
-		{"in front", "abcd", never, always, "dabc"},
+		{"at the front", "abcd", never, always, "dabc"},
 		{"deferred last", "AbBc", never, always, "bcAB"},
 		{"blocked passed over", "abc", is("b"), always, "ac"},
 		{"none can start", "abc", never, never, ""},
@@ -131,18 +132,18 @@
 			queues.push(req, id == 'd')
 		}
 		if queues.len() != len(test.queued) || queues.isEmpty(classes.all[1]) != (test.queued == "") {
-			t.Errorf("%s: %d queued", test.name, queues.len())
+			t.Errorf("%s: %d requests queued", test.name, queues.len())
 		}
 		if got := releaseAll(queues, test.blocked, test.mayStart); got != test.want {
 			t.Errorf("%s: released %q, want %q", test.name, got, test.want)
 		}
 		if got := queues.len(); got != len(test.queued)-len(test.want) {
-			t.Errorf("%s: %d still queued", test.name, got)
+			t.Errorf("%s: %d requests still queued", test.name, got)
 		}
 	}
 }
 
-// The limit on queued requests counts those of the other process.
+// The limit on queued requests includes those of the other process.
 func TestQueueLimitCountsOtherProcess(t *testing.T) {
 	for _, test := range []struct {
 		configured, other, queued int
@@ -164,14 +165,14 @@
 			queues.push(&request{class: classes.all[0]}, false)
 		}
 		if got := queues.overLimit(); got != test.over {
-			t.Errorf("%+v: over the limit %v", test, got)
+			t.Errorf("%+v: over the limit: %v", test, got)
 		}
 	}
 }
 
-// Requests that can't meet their objective any more are queued up to a bound, and rejected at once beyond. It guards
-// against queued requests that use up the clients' connections, which others need that could still be served. Both
-// processes of a hot restart count.
+// Requests that can no longer meet their objective are queued up to a limit and rejected beyond it. This guards
+// against queued requests that use up the clients' connections, which other requests could still use successfully.
+// Both processes of a hot restart count.
 func TestQueuedRequestsAreBounded(t *testing.T) {
 	config := twoClassConfig()
 	config.MaxQueued = 10
@@ -188,7 +189,7 @@
 			answered += client.answers
 		}
 		if n := h.controller.queues.len(); n != test.want || answered != 60-test.want-len(h.starts) {
-			t.Errorf("%+v: %d queued and %d answered, %d started", test, n, answered, len(h.starts))
+			t.Errorf("%+v: %d requests queued, %d answered and %d started", test, n, answered, len(h.starts))
 		}
 	}
 }
--- a/dispatch/quotas.go
+++ b/dispatch/quotas.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// quotaSlack is how far a tenant may exceed its quota at this router: routers see uneven parts of each tenant.
+	// quotaSlack is the factor by which a tenant may exceed its quota at this router, as the traffic of each tenant is
+	// spread unevenly over the routers.
 	quotaSlack = 1.2
-	// trafficLife is the time over which this router's traffic is averaged: longer than bursts, shorter than a shift.
+	// trafficDecayTime is the time over which this router's traffic is averaged. It is longer than a burst and shorter
+	// than a lasting change of the traffic.
 	trafficDecayTime = 30 * time.Second
-	// minTrafficShare is the least share of all traffic that this router counts on, over an even share.
+	// minTrafficShare is the minimum share of all traffic that this router assumes, relative to an even share.
 	minTrafficShare = 1.0 / 5
 )
 
-// tenant is a customer with its quota and what is left of it.
+// tenant holds the quota of a tenant and the unused part of it.
 type tenant struct {
-	quota  float64 // requests a second over all routers
+	quota  float64 // requests per second over all routers
 	bucket quota.Bucket
 }
 
-// tenantQuotas tells which requests are over their tenant's quota.
+// tenantQuotas determines which requests exceed the quota of their tenant.
 type tenantQuotas struct {
 	env       *environment
 	tenants   map[string]*tenant
-	total     float64 // quota of all tenants
-	rate      float64 // this router's arrivals a second, decaying
+	total     float64 // sum of the quotas of all tenants
+	rate      float64 // arrivals per second at this router, decaying
 	rateAt    time.Duration
 	startedAt time.Duration
 }
@@ -37,7 +39,7 @@
 	return q
 }
 
-// configure takes the tenants of the settings; what was left of a known tenant's quota stays.
+// configure applies the configured tenants. A known tenant keeps the unused part of its quota.
 func (q *tenantQuotas) configure() {
 	known := q.tenants
 	q.tenants, q.total = map[string]*tenant{}, 0
@@ -52,10 +54,10 @@
 	}
 }
 
-// start starts the measurement of traffic.
+// start begins the measurement of traffic.
 func (q *tenantQuotas) start() { q.startedAt, q.rateAt = q.env.now, q.env.now }
 
-// tenant returns a tenant, or nil for an unknown one.
+// tenant returns the tenant of that name, or nil if it is unknown.
 func (q *tenantQuotas) tenant(name string) *tenant { return q.tenants[name] }
 
 func (q *tenantQuotas) recordArrival() {
@@ -63,7 +65,8 @@
 	q.rateAt = q.env.now
 }
 
-// exceeded counts a request of a tenant and tells whether it is over the tenant's share of this router's usual traffic.
+// exceeded counts a request of a tenant and reports whether it exceeds the part of the tenant's quota for this
+// router, which follows the router's share of the traffic.
 func (q *tenantQuotas) exceeded(t *tenant) bool {
 	if t == nil || t.quota <= 0 {
 		return false
@@ -71,8 +74,8 @@
 	return !t.bucket.Take(t.quota*q.trafficShare()*quotaSlack, q.env.nowMS())
 }
 
-// trafficShare is this router's share of all traffic, by the quotas of all tenants. It passes an even share in
-// overload, so nothing that adds up over all routers may depend on it.
+// trafficShare returns this router's share of all traffic, relative to the sum of all quotas. In overload the shares
+// of all routers add up to more than 1, so they must not be used for values that have to add up over all routers.
 func (q *tenantQuotas) trafficShare() float64 {
 	even := q.env.fleetShare()
 	if q.total <= 0 {
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// quotasOf returns the quotas of some tenants at time one hour, on one of two routers.
+// newTestQuotas returns the quotas of the given tenants on one of two routers, at time one hour.
 func newTestQuotas(tenants ...Tenant) *tenantQuotas {
 	env := &environment{now: time.Hour, config: Config{Routers: 2, Tenants: tenants}}
 	q := newTenantQuotas(env)
@@ -14,12 +14,12 @@
 	return q
 }
 
-// The router's share of all traffic is an even one at first, and follows its arrivals within bounds.
+// The router's share of all traffic is an even share at first, and follows its arrivals within limits.
 func TestTrafficShareFollowsArrivals(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		quota    float64 // of all tenants
-		arrivals float64 // a second, for two minutes
+		quota    float64 // sum over all tenants
+		arrivals float64 // per second, for two minutes
 		want     float64
 	}{
 		{"without quotas", 0, 100, 0.5},
@@ -41,13 +41,13 @@
 			}
 		}
 		if got := q.trafficShare(); math.Abs(got-test.want) > 0.03 {
-			t.Errorf("%s: share %.3f, want %.3f", test.name, got, test.want)
+			t.Errorf("%s: traffic share is %.3f, want %.3f", test.name, got, test.want)
 		}
 	}
 }
 
-// A tenant without a quota and an unknown one never exceed it; one with a quota does once its burst is used up, and a
-// new quota applies without a new burst.
+// A tenant without a quota and an unknown tenant never exceed it. A tenant with a quota does once its burst is used
+// up, and a changed quota does not grant a new burst.
 func TestTenantQuotas(t *testing.T) {
 	q := newTestQuotas(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
 	exceeded := func(name string) (n int) {
@@ -60,20 +60,20 @@
 	}
 	for name, want := range map[string]bool{"a": true, "none": false, "unknown": false} {
 		if got := exceeded(name); got > 0 != want {
-			t.Errorf("%s: %d of 100 requests are over quota", name, got)
+			t.Errorf("%s: %d of 100 requests over quota", name, got)
 		}
 	}
 	q.env.config.Tenants = []Tenant{{Name: "b", Quota: 1}, {Name: "a", Quota: 2}}
 	q.configure()
 	if got := exceeded("a"); got != 100 {
-		t.Errorf("%d of 100 requests are over quota after another quota was set", got)
+		t.Errorf("%d of 100 requests over quota after a change of the quota, want all", got)
 	}
 	if q.total != 3 {
-		t.Errorf("quotas of %v in all, want 3", q.total)
+		t.Errorf("sum of quotas is %v, want 3", q.total)
 	}
 }
 
-// A tenant over its quota is marked, others are not.
+// Requests of a tenant over its quota are marked, requests of other tenants are not.
 func TestOverQuotaTenantIsMarked(t *testing.T) {
 	config := twoClassConfig()
 	config.Tenants = []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
@@ -91,6 +91,6 @@
 		}
 	}
 	if over["a"] == 0 || over["b"] > 0 {
-		t.Errorf("over quota: %v", over)
+		t.Errorf("requests over quota by tenant: %v, want some for a and none for b", over)
 	}
 }
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -7,7 +7,7 @@
 	"windflow/internal/decide/pressure"
 )
 
-// request is an open request, or one that is answered and still has an attempt outstanding.
+// request is an open request, or an answered one that still has an outstanding attempt.
 type request struct {
 	id           RequestID
 	class        *class
@@ -15,40 +15,40 @@
 	key          string
 	tenant       *tenant
 	arrivedAt    time.Duration
-	objective    time.Duration // an answer until then is in time
-	deadline     time.Duration // the client waits until then
-	estimate     float64       // of the work in seconds, by the client, else by the class's mean
-	hasEstimate  bool          // the client sent the estimate
-	neededMB     float64       // by the client's estimate; 0 if unknown
+	objective    time.Duration // an answer by this time meets the latency objective
+	deadline     time.Duration // the client waits until this time
+	estimate     float64       // work in seconds, by the client's estimate or else the mean estimate of the class
+	hasEstimate  bool          // the client sent an estimate
+	neededMB     float64       // as estimated by the client; 0 if unknown
 	attempts     []*attempt
-	outstanding  int // attempts that have not ended
-	engineErrors int // attempts that an engine answered with an error
+	outstanding  int // number of attempts that have not ended
+	engineErrors int // number of attempts that an engine answered with an error
 	finished     bool
 	queued       bool
-	deferred     bool // it is queued behind those that can still meet their objective
+	deferred     bool // queued behind the requests that can still meet their objective
 	overQuota    bool
-	ordered      bool // it runs after earlier requests of its key
+	ordered      bool // runs after the earlier requests of its key
 }
 
-// attempt is one attempt of a request at an engine.
+// attempt is one execution of a request on an engine.
 type attempt struct {
 	request    *request
 	engine     *engine
 	index      int
 	startedAt  time.Duration
-	progressAt time.Duration // of the last report
+	progressAt time.Duration // time of the last progress report
 	work       float64       // estimated, in core seconds
 	grantMB    float64
 	ended      bool
 	cancelled  bool
 	streaming  bool // its answer is being sent to the client
-	preferred  bool // its class was the preferred one when it started
+	preferred  bool // its class was the preferred class when it started
 	mayHaveRun bool
 	spilled    bool
-	attributed bool // its silence was attributed to the engine
+	attributed bool // its silence was counted as a failure of the engine
 }
 
-// requestTracker follows open requests from their arrival to their final answer.
+// requestTracker manages requests from their arrival to their final answer.
 type requestTracker struct {
 	env       *environment
 	classes   *classSet
@@ -63,10 +63,10 @@
 	deadlines *deadlines
 	learner   *outcomeLearner
 	byID      map[RequestID]*request
-	open      []*request // those that are not finished, and some that are
+	open      []*request // all unfinished requests, and finished ones until the next sweep
 }
 
-// onArrival admits a request: it is started at once, queued, or rejected.
+// onArrival handles a new request: it is started at once, queued or rejected.
 func (t *requestTracker) onArrival(event Arrival) {
 	t.retries.recordArrival()
 	t.quotas.recordArrival()
@@ -79,7 +79,7 @@
 		t.reject(req)
 		return
 	}
-	if t.queues.isEmpty(req.class) { // else the newcomer would overtake those that wait
+	if t.queues.isEmpty(req.class) { // otherwise the new request would overtake queued ones
 		if e := t.selector.pick(req); e != nil {
 			t.start(req, e)
 			return
@@ -117,15 +117,16 @@
 	return req
 }
 
-// work is the request's estimated work in core seconds, that of its class where the client sent no estimate.
+// work returns the request's estimated work in core seconds. If the client sent no estimate, it is the usual work of
+// the class.
 func (r *request) work() float64 { return r.estimate * r.class.estimate.best }
 
-// expectedTime is the time that the request takes at present on an engine of usual speed.
+// expectedTime returns the time that the request currently takes on an engine of average speed.
 func (r *request) expectedTime(env *environment) time.Duration {
 	return seconds(r.class.estimate.current(env) * r.estimate / float64(r.class.Threads))
 }
 
-// query is what the pressure on an engine depends on.
+// query returns the properties of the request that the pressure on an engine depends on.
 func (r *request) query() pressure.Query {
 	return pressure.Query{
 		NeedMB:          r.neededMB,
@@ -135,12 +136,12 @@
 	}
 }
 
-// threadTimeMS is the usual time of the request on its threads, in milliseconds.
+// threadTimeMS returns the usual elapsed time of the request in milliseconds when it runs on all its threads.
 func (r *request) threadTimeMS() float64 { return 1000 * r.work() / float64(r.class.Threads) }
 
-// cannotFinishInTime reports whether a new request should not be started at all: it arrived after its deadline or, in
-// a large fleet, would end too late. Engines continue running queries whose clients have left, which adds up over all
-// routers.
+// cannotFinishInTime reports whether a new request should not be started at all because it arrived after its deadline
+// or, in a large fleet, would end too late. Engines continue to run queries whose clients have disconnected, and this
+// adds up over all routers.
 func (t *requestTracker) cannotFinishInTime(req *request) bool {
 	if t.env.now >= req.deadline {
 		return true
@@ -154,24 +155,25 @@
 	return end >= req.deadline || req.class.LateWeightShare == 0 && end > req.objective
 }
 
-// observedLately reports whether a class was observed recently; one that was not has to be tried again.
+// recentlyObserved reports whether a request of the class ended recently. A class without recent observations has to
+// be tried again.
 func (t *requestTracker) recentlyObserved(k *class) bool {
 	return t.env.now-k.estimate.observedAt < 2*evidenceDecayTime
 }
 
-// missesObjective reports whether a request that is started now would miss its latency objective.
+// missesObjective reports whether a request would miss its latency objective if it started now.
 func (t *requestTracker) missesObjective(req *request) bool {
 	return t.env.now+seconds(deferFactor*req.expectedTime(t.env).Seconds()) > req.objective
 }
 
-// enqueue queues a request, in front if an attempt of it was returned.
+// enqueue queues a request, at the front if one of its attempts has ended without an answer.
 func (t *requestTracker) enqueue(req *request, front bool) {
 	heavy := req.estimate > heavyFactor*req.class.estimate.clientEstimate
 	req.deferred = req.overQuota || t.missesObjective(req) || heavy
 	t.queues.push(req, front)
 }
 
-// reject answers a request at once: it is rejected where a retry is harmless, and fails otherwise.
+// reject ends a request with a rejection if the client can safely retry, and with a failure otherwise.
 func (t *requestTracker) reject(req *request) {
 	t.finish(req)
 	if !t.retries.mayReject(req) {
@@ -185,13 +187,13 @@
 	t.env.emit(Reject{Request: req.id, RetryAfter: retryAfter})
 }
 
-// fail answers a request at once, and promises nothing.
+// fail ends a request with an answer that does not guarantee a safe retry.
 func (t *requestTracker) fail(req *request) {
 	t.finish(req)
 	t.env.emit(FailRequest{Request: req.id})
 }
 
-// finish ends a request; its outstanding attempts continue.
+// finish marks a request as finished. Its outstanding attempts continue.
 func (t *requestTracker) finish(req *request) {
 	if req.finished {
 		return
@@ -201,7 +203,8 @@
 	t.removeIfComplete(req)
 }
 
-// settle forgets a finished request once no attempt is outstanding, and lets the next one of its key proceed.
+// removeIfComplete removes a finished request without outstanding attempts, so that the next request of its key can
+// start.
 func (t *requestTracker) removeIfComplete(req *request) {
 	if !req.finished || req.outstanding > 0 {
 		return
@@ -210,7 +213,8 @@
 	t.ordering.remove(req)
 }
 
-// onClientGone ends a request whose client has left, and cancels what still runs of it where that is allowed.
+// onClientGone ends a request whose client has disconnected, and cancels its outstanding attempts if cancelling is
+// allowed.
 func (t *requestTracker) onClientGone(id RequestID) {
 	req := t.byID[id]
 	if req == nil {
@@ -225,7 +229,7 @@
 	t.release()
 }
 
-// sweepOpen checks each open request once and drops those that are finished.
+// sweepOpen checks each open request once and drops finished requests from the list.
 func (t *requestTracker) sweepOpen() {
 	open := t.open[:0]
 	for _, req := range t.open {
@@ -239,7 +243,8 @@
 	t.open = open
 }
 
-// sweep ends an open request in time, or moves it behind those that can still meet their objective.
+// sweep reroutes silent attempts of an open request. It ends the request if its time is over, and defers it if it can
+// no longer meet its objective.
 func (t *requestTracker) sweep(req *request) {
 	if req.finished {
 		return
@@ -262,7 +267,8 @@
 	}
 }
 
-// mustLeaveQueue reports whether a queued request has to be rejected now.
+// mustLeaveQueue reports whether a queued request has to be rejected now: its deadline is near, it must not be sent
+// again, or it misses its objective and either late answers earn nothing or the queues are over their limit.
 func (t *requestTracker) mustLeaveQueue(req *request) bool {
 	if t.env.now+t.env.answerMargin() >= req.deadline || !t.retries.mayRepeat(req) {
 		return true
@@ -270,7 +276,7 @@
 	return t.missesObjective(req) && (req.class.LateWeightShare == 0 || t.queues.overLimit())
 }
 
-// nextCheck is when an open request has to be checked again.
+// nextCheck returns the time at which an open request has to be checked again.
 func (t *requestTracker) nextCheck(req *request) time.Duration {
 	next := req.deadline
 	for _, a := range req.attempts {
@@ -281,7 +287,7 @@
 	return next
 }
 
-// onResponseStarted records that the answer of an attempt is streamed: the deadline does not apply any more.
+// onResponseStarted records that the answer of an attempt is being streamed. The deadline no longer applies.
 func (t *requestTracker) onResponseStarted(event ResponseStarted) {
 	if a := t.attempt(event.Request, event.Attempt); a != nil {
 		a.streaming = true
@@ -289,7 +295,8 @@
 	}
 }
 
-// setShutdownDeadline limits the deadlines of open requests; an attempt that would end later is not started any more.
+// setShutdownDeadline limits the deadlines of open requests to the end of the process. Attempts that would end later
+// are not started any more.
 func (t *requestTracker) setShutdownDeadline(at time.Duration) {
 	for _, req := range t.open {
 		req.deadline = min(req.deadline, at)
@@ -298,7 +305,7 @@
 	t.deadlines.checkAt(t.env.now)
 }
 
-// release starts queued requests for as long as an engine has headroom for one.
+// release starts queued requests as long as an engine has headroom for one of them.
 func (t *requestTracker) release() {
 	t.queues.release(t.env.now, t.ordering.blocks, func(req *request) bool {
 		e := t.selector.cheapest(req)
--- a/dispatch/requests_test.go
+++ b/dispatch/requests_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// An arrival with no time left is answered in the call that brings it.
+// An arrival without time left is answered while its event is handled.
 func TestExpiredArrivalIsAnsweredAtOnce(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(2)...)
 	if client := h.arriveWith(Arrival{Class: "big"}); client.answers != 1 || len(h.starts) != 0 {
-		t.Errorf("%d answers, %d attempts", client.answers, len(h.starts))
+		t.Errorf("%d answers and %d attempts, want 1 and 0", client.answers, len(h.starts))
 	}
 }
 
@@ -19,11 +19,11 @@
 	client := h.arrive("big", "")
 	h.advance(20 * time.Second)
 	if client.answers != 1 {
-		t.Errorf("%d answers without engines", client.answers)
+		t.Errorf("%d answers without engines, want 1", client.answers)
 	}
 }
 
-// When the process ends, each request has been answered.
+// Every request has been answered when the process ends.
 func TestShutdownDeadlineEndsRequests(t *testing.T) {
 	h := newHarness(t, twoClassConfig())
 	h.updateEndpoints(ListComplete, testEngines(1)...)
@@ -35,7 +35,7 @@
 	h.handle(ShutdownDeadline{At: h.now + 2*time.Second})
 	h.advance(2*time.Second + 10*ms)
 	if running.answers != 1 {
-		t.Error("a running request got no answer")
+		t.Error("the running request got no answer")
 	}
 	for _, client := range queued {
 		if client.answers != 1 {
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// retryRules decides what may be sent, sent again or rejected, by the semantics of the classes, the bounds on attempts
-// and the retry budget. No other part decides that.
+// retryRules decides what may be sent, sent again or rejected, based on the semantics of the classes, the limits on
+// attempts and the retry budget. No other component makes these decisions.
 type retryRules struct {
 	env      *environment
 	warmUps  *warmUpLimiter
-	arrivals []time.Duration // within the budget's window
-	retries  []time.Duration // within the budget's window
+	arrivals []time.Duration // of requests, within the budget's window
+	retries  []time.Duration // starts of retries, within the budget's window
 }
 
 func (rules *retryRules) recordArrival() {
@@ -18,7 +18,7 @@
 
 func (rules *retryRules) recordRetry() { rules.retries = append(rules.retries, rules.env.now) }
 
-// allows reports whether the request's next attempt may start on an engine now: it respects draining, placement, the
+// allows reports whether the request's next attempt may start on an engine now. It checks draining, placement, the
 // number of attempts, idempotency, the retry budget and the engine's slow start.
 func (rules *retryRules) allows(req *request, target *engine) bool {
 	switch {
@@ -41,7 +41,7 @@
 	return limit > 0 && len(req.attempts) >= limit
 }
 
-// mayReject reports whether a rejection may promise the client that a retry is harmless.
+// mayReject reports whether a rejection can guarantee that the client can safely retry.
 func (rules *retryRules) mayReject(req *request) bool {
 	if req.class.Semantics == Idempotent {
 		return true
@@ -58,7 +58,7 @@
 	return true
 }
 
-// mayRepeat reports whether any engine could take a further attempt.
+// mayRepeat reports whether a further attempt is possible on any engine.
 func (rules *retryRules) mayRepeat(req *request) bool {
 	for _, a := range req.attempts {
 		if a.mayHaveRun {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// mayRepeatOn reports whether a further attempt on an engine can't have an effect that an earlier one had already.
+// mayRepeatOn reports whether a further attempt on an engine cannot repeat the effect of an earlier attempt.
 func (rules *retryRules) mayRepeatOn(req *request, e *engine) bool {
 	if req.class.Semantics == Idempotent {
 		return true
@@ -85,19 +85,19 @@
 	return true
 }
 
-// mayRetry reports whether a request that has no attempt outstanding any more is to be queued for a retry.
+// mayRetry reports whether a request without outstanding attempts is queued for a retry.
 func (rules *retryRules) mayRetry(req *request, outcome Outcome) bool {
 	tooLate := rules.env.now+rules.env.config.Tick >= req.deadline
 	return !tooLate && !rules.attemptsExhausted(req) && outcome != NotSent && rules.mayRepeat(req)
 }
 
-// mayReroute reports whether an outstanding attempt may be cancelled so that the request runs at another engine.
+// mayReroute reports whether an outstanding attempt may be cancelled so that the request runs on another engine.
 func (rules *retryRules) mayReroute(req *request) bool {
 	return rules.env.config.CancelAllowed && req.class.Semantics != AtMostOnce && !rules.attemptsExhausted(req) &&
 		rules.budgetAllows()
 }
 
-// budgetAllows reports whether the retry budget has one retry left, even if that starts as late as it may.
+// budgetAllows reports whether the retry budget allows one more retry, even if it starts at the latest possible time.
 func (rules *retryRules) budgetAllows() bool {
 	budget := rules.env.config.RetryBudget
 	if budget.Window <= 0 {
@@ -110,9 +110,10 @@
 	return float64(len(rules.retries)+1) <= budget.Free+budget.PerRequest*float64(len(rules.arrivals))
 }
 
-// startWithin is the time within which the attempt that was added last has to start; 0 means that it may start at any
-// time. What may run twice only within a window must not start after it, a retry must not start after what the budget
-// counts it for, and an attempt on a warming engine must not run together with what is counted later.
+// startWithin returns the time within which the most recently added attempt has to start; 0 means no limit. A request
+// that may run twice only within an idempotency window must not start after it, a retry must not start after the time
+// for which the budget counts it, and an attempt on a warming engine must not overlap with work that is counted in a
+// later window.
 func (rules *retryRules) startWithin(req *request, e *engine) time.Duration {
 	within := rules.warmUps.startWithin(e)
 	earlier := req.attempts[:len(req.attempts)-1]
@@ -130,7 +131,7 @@
 	return within
 }
 
-// tighter is the tighter one of a bound, 0 for none, and a further bound.
+// tighterBound returns the smaller of two bounds. A bound of 0 means none; further is never 0.
 func tighterBound(bound, further time.Duration) time.Duration {
 	if bound == 0 || further < bound {
 		return further
--- a/dispatch/retries_test.go
+++ b/dispatch/retries_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// retryHarness returns a harness with a request of a class with one attempt on the first engine a second ago, and two
-// more engines: the second one in another zone and cell, the third one in those of the first.
+// newRetryTest returns a request with one attempt, started on the first engine a second ago, and three engines. The
+// second one is in another zone and cell than the first, the third one is in the same zone and cell.
 func newRetryTest(class Class, mayHaveRun bool) (*retryRules, *request, [3]*engine) {
 	env := &environment{now: time.Hour}
 	rules := &retryRules{env: env, warmUps: &warmUpLimiter{env: env}}
@@ -22,8 +22,8 @@
 	return rules, req, engines
 }
 
-// What may be sent again, and where, and whether a rejection promises that a retry is harmless, follows from the
-// semantics of the class.
+// The semantics of the class determine whether and where a request may be sent again, and whether a rejection
+// guarantees that the client can safely retry.
 func TestRetryRulesFollowSemantics(t *testing.T) {
 	byKey := func(scope IdempotencyScope, window time.Duration) Class {
 		return Class{Semantics: IdempotentByKey, IdempotencyScope: scope, IdempotencyWindow: window}
@@ -45,18 +45,18 @@
 	} {
 		rules, req, engines := newRetryTest(test.class, test.mayHaveRun)
 		if got := rules.mayRepeatOn(req, engines[1]); got != test.onOther {
-			t.Errorf("%s: may repeat in another zone and cell: %v", test.name, got)
+			t.Errorf("%s: may repeat in another zone and cell: %v, want %v", test.name, got, test.onOther)
 		}
 		if got := rules.mayRepeatOn(req, engines[2]); got != test.onSameScope {
-			t.Errorf("%s: may repeat in the same zone and cell: %v", test.name, got)
+			t.Errorf("%s: may repeat in the same zone and cell: %v, want %v", test.name, got, test.onSameScope)
 		}
 		if got := rules.mayReject(req); got != test.rejected {
-			t.Errorf("%s: may reject: %v", test.name, got)
+			t.Errorf("%s: may reject: %v, want %v", test.name, got, test.rejected)
 		}
 	}
 }
 
-// The retry budget counts retries against arrivals within its window.
+// The retry budget compares retries with arrivals within its window.
 func TestRetryBudget(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -66,10 +66,10 @@
 		allows            bool
 	}{
 		{"no budget", RetryBudget{}, 0, 1000, 0, true},
-		{"free ones", RetryBudget{Window: 4 * time.Second, Free: 2}, 0, 1, 0, true},
-		{"free ones used", RetryBudget{Window: 4 * time.Second, Free: 2}, 0, 2, 0, false},
+		{"free retries", RetryBudget{Window: 4 * time.Second, Free: 2}, 0, 1, 0, true},
+		{"free retries used up", RetryBudget{Window: 4 * time.Second, Free: 2}, 0, 2, 0, false},
 		{"by arrivals", RetryBudget{Window: 4 * time.Second, PerRequest: 0.1}, 20, 1, 0, true},
-		{"by arrivals, used", RetryBudget{Window: 4 * time.Second, PerRequest: 0.1}, 20, 2, 0, false},
+		{"by arrivals, used up", RetryBudget{Window: 4 * time.Second, PerRequest: 0.1}, 20, 2, 0, false},
 		{"arrivals too long ago", RetryBudget{Window: 4 * time.Second, PerRequest: 0.1}, 20, 0, 4 * time.Second, false},
 		{"retries too long ago", RetryBudget{Window: 4 * time.Second, Free: 2}, 0, 2, 5 * time.Second, true},
 	} {
@@ -83,12 +83,12 @@
 		}
 		env.now += test.after
 		if got := rules.budgetAllows(); got != test.allows {
-			t.Errorf("%s: allows %v", test.name, got)
+			t.Errorf("%s: budget allows a retry: %v, want %v", test.name, got, test.allows)
 		}
 	}
 }
 
-// A retry has to start before its idempotency window and its retry budget are over, and soon on a warming engine.
+// A retry has to start within its idempotency window and its retry budget, and soon on a warming engine.
 func TestStartWithin(t *testing.T) {
 	byKey := Class{Semantics: IdempotentByKey, IdempotencyWindow: 1300 * ms}
 	for _, test := range []struct {
@@ -114,7 +114,7 @@
 		}
 		req.attempts = append(req.attempts, &attempt{request: req, engine: engines[2], startedAt: rules.env.now})
 		if got := rules.startWithin(req, engines[2]); got != test.want {
-			t.Errorf("%s: within %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: has to start within %v, want %v", test.name, got, test.want)
 		}
 	}
 }
