--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -1,34 +1,36 @@
 package dispatch
 
 const (
-	// sampleSize is how many engines are drawn for two with headroom, and looked at when queued requests are released.
+	// sampleSize is the number of engines sampled to find two with headroom, and the number examined when queued
+	// requests are released.
 	sampleSize = 8
-	// wideSampleSize is how many are looked at, at most, where zones are cut off.
+	// wideSampleSize is the maximum number of engines examined while zones are backed off from.
 	wideSampleSize = 96
-	// failureWeight scales an engine's cost by its failure share over the breaks of all, so that an engine that fails
-	// fast does not look idle. It also keeps retries off the same engine, and sends a first request to one on
-	// probation.
+	// failureWeight scales an engine's cost by its failure share beyond the error share of the whole fleet, so that an
+	// engine that fails fast does not look idle. It also keeps retries away from engines that were already tried, and
+	// attracts a first request to an engine on probation.
 	failureWeight = 20.0
-	// minOwnZoneEngines is from how many calm engines of its own zone on a request stays in its zone, since traffic
-	// between zones is slower. They are calm up to maxOwnZoneThreads a core of this router's share, maxCalmSlowness
-	// and maxCalmFailureShare.
+	// minOwnZoneEngines is the number of lightly loaded engines in its own zone from which on a request stays in the
+	// zone, as traffic between zones is slower. An engine is lightly loaded up to maxOwnZoneThreads per core of this
+	// router's share, a slowness of maxOwnZoneSlowness and a failure share of maxOwnZoneFailureShare.
 	minOwnZoneEngines, maxOwnZoneThreads       = 2, 2.0
 	maxOwnZoneSlowness, maxOwnZoneFailureShare = 1.5, 0.1
-	// minCostSlowness bounds how much a fast engine is favoured.
+	// minCostSlowness is the lower limit of the slowness in the cost, so that a fast engine is not favoured too much.
 	minCostSlowness = 0.5
 )
 
-// selector chooses the engine for a request: of two random ones with headroom, the one with less of this router's work.
+// selector chooses the engine for a request: of two random engines with headroom, the one with less work from this
+// router.
 type selector struct {
 	subsetChooser
 	outliers *outlierDetector
 	warmUps  *warmUpLimiter
 	retries  *retryRules
 	ordering *keyOrder
-	ownZone  []*engine // see calmInOwnZone
+	ownZone  []*engine // buffer of lightlyLoadedInOwnZone
 }
 
-// pick draws two engines of those with headroom and takes the one with the lower cost; nil if there is none.
+// pick samples two engines with headroom and returns the one with the lower cost, or nil if there is none.
 func (s *selector) pick(req *request) *engine {
 	candidates := s.enginesFor(req)
 	if s.ordering.blocks(req) || len(candidates) == 0 {
@@ -38,8 +40,8 @@
 		return e
 	}
 	if !s.capacity.largeFleet() {
-		if calm := s.lightlyLoadedInOwnZone(candidates, req); len(calm) >= minOwnZoneEngines {
-			candidates = calm
+		if local := s.lightlyLoadedInOwnZone(candidates, req); len(local) >= minOwnZoneEngines {
+			candidates = local
 		}
 	}
 	var first *engine
@@ -57,19 +59,19 @@
 			cheaper = e
 		}
 		if cheaper.health.ejected(s.env) {
-			break // both are bad: look at more
+			break // both candidates are ejected: examine more engines
 		}
 		return cheaper
 	}
 	return s.cheapest(req)
 }
 
-// eligible reports whether a request may start on an engine now, by the rules and by the engine's headroom.
+// eligible reports whether the retry rules and the engine's headroom allow a request to start on it now.
 func (s *selector) eligible(e *engine, req *request) bool {
 	return s.retries.allows(req, e) && s.capacity.hasHeadroom(e, req, s.shareFactor())
 }
 
-// calmInOwnZone returns the engines of this router's zone that are calm and have headroom.
+// lightlyLoadedInOwnZone returns the engines in this router's zone that are lightly loaded and have headroom.
 func (s *selector) lightlyLoadedInOwnZone(candidates []*engine, req *request) []*engine {
 	s.ownZone = s.ownZone[:0]
 	for _, e := range candidates {
@@ -80,7 +82,7 @@
 	return s.ownZone
 }
 
-// isCalm reports whether an engine is warm, healthy and has little of this router's work.
+// isLightlyLoaded reports whether an engine is warm and healthy and has little work from this router.
 func (s *selector) isLightlyLoaded(e *engine) bool {
 	if e.warmUp.active(s.env.now) || e.health.currentSlowness(s.env) > maxOwnZoneSlowness ||
 		e.health.currentFailureShare(s.env) > maxOwnZoneFailureShare {
@@ -89,8 +91,8 @@
 	return e.usage.threads+e.usage.preferredThreads < maxOwnZoneThreads*s.env.fleetShare()*e.cores
 }
 
-// cheapest returns the engine of the subset with headroom and the lowest cost or, where none has headroom, the best of
-// a few others; nil if there is none.
+// cheapest returns the engine of the subset with headroom and the lowest cost. If none has headroom, it returns the
+// best of a few other engines, or nil if there is none.
 func (s *selector) cheapest(req *request) *engine {
 	listed := s.endpoints.listedEngines()
 	if len(listed) == 0 {
@@ -111,8 +113,8 @@
 	return s.cheapestOf(req, listed, samples)
 }
 
-// boundToTableGroup reports whether a request has to keep to the engines of its table group, for as long as half of
-// them accept work: on other engines, loads and the requests that they block would delay each other.
+// boundToTableGroup reports whether a request has to stay on the engines of its table group. This holds as long as
+// half of them accept work: on other engines, loads and the requests that they block would delay each other.
 func (s *selector) boundToTableGroup(req *request, candidates []*engine) bool {
 	accepting := 0
 	for _, e := range candidates {
@@ -124,7 +126,8 @@
 	return s.classes.anyBlockedByLoad && usesTableLock && 2*accepting >= len(candidates)
 }
 
-// warmingWithBudget returns the cheapest warming engine, wherever it is, that this router has budget for.
+// warmingWithBudget returns the cheapest warming engine for which this router has budget, whether or not it is in the
+// subset.
 func (s *selector) warmingWithBudget(req *request) *engine {
 	if !s.capacity.largeFleet() {
 		return nil
@@ -133,8 +136,8 @@
 	return s.cheapestOf(req, warming, len(warming))
 }
 
-// cheapestOf looks at some of the candidates, from a random one on, so that ties fall on any of them; many looks are
-// spread evenly, since neighbours may have failed together.
+// cheapestOf examines some of the candidates, beginning at a random one so that ties are broken randomly. Large
+// samples are spread evenly, because neighbouring engines may have failed together.
 func (s *selector) cheapestOf(req *request, candidates []*engine, samples int) *engine {
 	var best *engine
 	lowest := 0.0
@@ -155,7 +158,8 @@
 	return best
 }
 
-// cost is this router's work a core on an engine with one more request, scaled by the evidence against the engine.
+// cost returns this router's work per core on an engine with one more request, scaled by the evidence against the
+// engine.
 func (s *selector) cost(e *engine, req *request) float64 {
 	failures := max(e.health.currentFailureShare(s.env)-s.outliers.errorShare, 0)
 	scale := max(e.health.currentSlowness(s.env), minCostSlowness) * (1 + failureWeight*failures)
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Loads on one table group must not share an engine while another one is free.
+// Loads on one table group do not share an engine while another engine is free.
 func TestLoadsOnOneTableGroupUseDifferentEngines(t *testing.T) {
 	config := twoClassConfig()
 	config.Classes[1].LocksTableGroup = true
@@ -19,12 +19,12 @@
 			used[client.engines[0]] = true
 		}
 		if len(used) < 4 {
-			t.Fatalf("seed %d: four loads on one group use %d engines", seed, len(used))
+			t.Fatalf("seed %d: four loads on one table group use %d engines, want 4", seed, len(used))
 		}
 	}
 }
 
-// When the engines of its subset can take nothing, a router uses others.
+// A router uses other engines if the engines of its subset cannot take any request.
 func TestOtherEnginesAreUsedWhenSubsetIsFull(t *testing.T) {
 	config, list := largeFleetConfig(250, 60, 3)
 	h := newHarness(t, config)
@@ -40,6 +40,6 @@
 		h.advance(10 * ms)
 	}
 	if len(client.engines) == 0 || subset[client.engines[0]] {
-		t.Errorf("started on %v, want an engine that is not of the subset", client.engines)
+		t.Errorf("request started on %v, want an engine outside the subset", client.engines)
 	}
 }
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// minSubset is how many engines a router uses at least, to lose some of them; minLargeFleetSubset in a large fleet.
+	// minSubset is the minimum number of engines that a router uses, so that it can lose some of them. In a large fleet
+	// it is minLargeFleetSubset.
 	minSubset, minLargeFleetSubset = 8, 3
-	// minAffinitySubset is from how many engines on a subset is divided into those that load a table group and those
-	// that read it; in a large fleet from minLargeFleetAffinity on.
+	// minAffinitySubset is the size from which a subset is divided into engines that load a table group and engines that
+	// read it. In a large fleet it is minLargeFleetAffinity.
 	minAffinitySubset, minLargeFleetAffinity = 3, 5
-	// affinityLife is how long that division is used at least: demand shifts slowly.
+	// affinityLifetime is the minimum time for which that division is used, as demand changes slowly.
 	affinityLifetime = 5 * time.Second
-	// maxAffinities bounds the table groups whose engines are remembered: statements may name any number.
+	// maxAffinities is the maximum number of table groups whose engines are cached, because statements may name any
+	// number of groups.
 	maxAffinities = 1024
 )
 
-// affinityKey names the engines that read a table group, or those that load it.
+// affinityKey identifies the engines that read a table group, or those that load it.
 type affinityKey struct {
 	tableGroup int64
 	load       bool
 }
 
-// subsetChooser tells which engines this router uses: all of a small fleet, else a subset, and of these some for each
-// table group.
+// subsetChooser determines which engines this router uses: all engines of a small fleet, otherwise a subset, and for
+// each table group a part of that.
 type subsetChooser struct {
 	env             *environment
 	endpoints       *endpointTable
 	classes         *classSet
 	capacity        *capacityLimiter
 	subset          []*engine
-	size            int // of the subset; 0 has it chosen again
+	size            int // of the subset; 0 means that it is chosen again
 	demand          pressure.Demand
 	affinities      map[affinityKey][]*engine
 	affinitiesSince time.Duration
@@ -50,13 +52,13 @@
 	}
 }
 
-// endpointsChanged makes the next call choose the subset and its division again.
+// endpointsChanged makes the next use choose the subset and its division again.
 func (s *subsetChooser) endpointsChanged() {
 	s.size = 0
 	clear(s.affinities)
 }
 
-// recordDemand counts a request's demand on its table group.
+// recordDemand records a request's demand on its table group.
 func (s *subsetChooser) recordDemand(req *request) {
 	lockTime, readWork := 0.0, 0.0
 	if req.class.LocksTableGroup {
@@ -68,9 +70,9 @@
 	s.demand.Add(req.tableGroup, lockTime, readWork, s.env.nowMS())
 }
 
-// engines returns the subset: all engines of a small fleet, else as many as the threads that this router may run, and
-// in a large one as many as it may run of the widest queries. Subsets are distributed evenly by the routers' numbers:
-// the fewer routers share an engine, the more of its queries each of them knows.
+// engines returns the subset: all engines of a small fleet, otherwise as many as the threads that this router may
+// run, and in a large fleet as many as the widest queries that it may run. Subsets are distributed evenly by the
+// router index. The fewer routers share an engine, the more of the engine's queries each of them knows.
 func (s *subsetChooser) engines() []*engine {
 	listed := s.endpoints.listedEngines()
 	cores, _ := s.endpoints.total()
@@ -90,14 +92,15 @@
 	return s.subset
 }
 
-// spread is by how much this router's share of an engine grows since it uses few of them.
+// shareFactor returns the factor by which this router's share of an engine grows because the router uses only a
+// subset.
 func (s *subsetChooser) shareFactor() float64 {
 	return float64(len(s.endpoints.listedEngines())) / float64(max(len(s.subset), 1))
 }
 
-// forRequest returns the engines of the subset that a request's table group is read from or, for a load, loaded on:
-// readers take one end of the group's order of engines, loads the other. A subset of few is not divided: halves of
-// three or four engines would be congested.
+// enginesFor returns the engines of the subset that a request's table group is read from or, for a load, loaded on.
+// Readers use the first engines in the group's order and loads the last ones. A small subset is not divided, because
+// halves of three or four engines would be congested.
 func (s *subsetChooser) enginesFor(req *request) []*engine {
 	subset := s.engines()
 	tooFew := len(subset) < minAffinitySubset || s.capacity.largeFleet() && len(subset) < minLargeFleetAffinity
@@ -118,7 +121,7 @@
 	return s.affinities[key]
 }
 
-// divide returns the engines of a subset that belong to one side of a table group.
+// affinityEngines returns the engines of a subset that read or load a table group.
 func (s *subsetChooser) affinityEngines(subset []*engine, key affinityKey) []*engine {
 	ranked := slices.Clone(subset)
 	slices.SortFunc(ranked, func(a, b *engine) int {
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -18,7 +18,7 @@
 	return config
 }
 
-// groupUse is which engines several routers read table groups from, and which they load them on.
+// groupUse records the engines that several routers read table groups from, and those that they load them on.
 type groupUse struct {
 	readers, loaders map[int64]map[EngineID]bool
 }
@@ -42,7 +42,7 @@
 	engines[group][client.engines[0]] = true
 }
 
-// check checks that groups are loaded and read, on different engines if there are more than two.
+// check checks that each group is loaded and read, and on different engines if there are more than two.
 func (u groupUse) check(t *testing.T, engines int) {
 	t.Helper()
 	for group, loaders := range u.loaders {
@@ -54,7 +54,7 @@
 			}
 		}
 		if both > 0 && engines > 2 || len(loaders) == 0 || len(readers) == 0 {
-			t.Errorf("%d engines: group %d is loaded on %v and read on %v", engines, group, loaders, readers)
+			t.Errorf("%d engines: table group %d is loaded on %v and read on %v", engines, group, loaders, readers)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	group int64
 }
 
-// playLoadsAndReaders plays requests of two table groups on one of three routers. Up to forty are open at a time.
+// runLoadsAndReaders simulates requests of two table groups on one of three routers, with up to forty open at a time.
 func runLoadsAndReaders(t *testing.T, engines, router int, use groupUse) {
 	t.Helper()
 	config := loadConfig()
@@ -94,7 +94,7 @@
 	}
 }
 
-// checkOneLoadEach checks that no engine runs two loads of a table group.
+// checkOneLoadEach checks that no engine runs two loads of the same table group.
 func (h *harness) checkOneLoadEach(engines int) {
 	h.t.Helper()
 	type groupOnEngine struct {
@@ -110,15 +110,17 @@
 			key := groupOnEngine{e.ID, a.request.tableGroup}
 			loads[key]++
 			if loads[key] > 1 {
-				h.t.Fatalf("%d engines: two loads of group %d at once on engine %d", engines, key.group, key.engine)
+				h.t.Fatalf("%d engines: two loads of table group %d at the same time on engine %d",
+					engines, key.group, key.engine)
 			}
 		}
 	}
 }
 
-// Loads and the queries that they block go to different engines, on every router the same ones, however many are in
-// flight. It guards against a convoy: of two routers that each know only their own loads, one sent readers to engines
-// that the other's loads locked, and in a shortage each sent them behind its own. No engine runs two loads of a group.
+// Loads and the queries that they block use different engines, the same ones on every router, however many requests
+// are in flight. This guards against a convoy: two routers that each knew only their own loads sent readers to
+// engines locked by the other router's loads, and in a shortage behind their own loads. No engine runs two loads of
+// one group.
 func TestLoadsAndReadersUseDifferentEngines(t *testing.T) {
 	for _, engines := range []int{2, 3, 5, 6, 7, 10} {
 		use := newGroupUse()
@@ -129,8 +131,8 @@
 	}
 }
 
-// Where most of a group's engines are down, its readers go to others: bound to their engines, they would all be
-// rejected.
+// If most engines of a table group are down, its readers use other engines. If they kept to the group's engines, all
+// of them would be rejected.
 func TestReadersLeaveAffinityEnginesThatAreDown(t *testing.T) {
 	h := newHarness(t, loadConfig())
 	h.updateEndpoints(ListComplete, testEngines(6)...)
@@ -142,7 +144,7 @@
 		down[e.ID] = true
 	}
 	others := 0
-	for range 200 { // none that is started on an engine that is up ends, so that the one left fills up
+	for range 200 { // attempts on available engines do not end, so that the only one left in the group fills up
 		h.advance(20 * ms)
 		client := h.arriveWith(Arrival{Class: "quick", TableGroup: 9, TimeLeft: 3 * time.Second, Estimate: 50 * ms})
 		for client.isOpen() && down[client.lastEngine()] {
@@ -153,12 +155,12 @@
 		}
 	}
 	if others == 0 {
-		t.Error("no reader left the engines of its group")
+		t.Error("no reader used an engine outside its table group's engines")
 	}
 }
 
-// Routers that do not communicate read a table group from the same engines and load it on others. It guards against
-// readers that another router's load blocks, and against reads that find nothing in an engine's cache.
+// Routers that do not communicate agree on the engines that read a table group and on those that load it. This guards
+// against readers blocked by another router's load, and against reads that miss an engine's cache.
 func TestRoutersAgreeOnAffinity(t *testing.T) {
 	seen := map[bool][]EngineID{}
 	for router := range 3 {
@@ -177,19 +179,19 @@
 				ids = append(ids, e.ID)
 			}
 			if router > 0 && !slices.Equal(ids, seen[load]) {
-				t.Errorf("router %d uses %v, another one %v", router, ids, seen[load])
+				t.Errorf("router %d uses engines %v, another router uses %v", router, ids, seen[load])
 			}
 			seen[load] = ids
 		}
 	}
 	for _, id := range seen[true] {
 		if slices.Contains(seen[false], id) {
-			t.Errorf("engine %v both reads and loads the group: %v and %v", id, seen[false], seen[true])
+			t.Errorf("engine %v both reads and loads the table group: readers %v, loaders %v", id, seen[false], seen[true])
 		}
 	}
 }
 
-// Routers of a large fleet use a few engines each; every engine is used by about as many routers.
+// Each router of a large fleet uses a few engines, and about the same number of routers use each engine.
 func TestSubsetsUseEnginesEvenly(t *testing.T) {
 	for _, test := range []struct{ routers, engines, size int }{{250, 60, 3}, {80, 18, 3}, {4, 8, 8}, {1, 10, 10}} {
 		users := map[EngineID]int{}
@@ -199,7 +201,7 @@
 			h.updateEndpoints(ListComplete, list...)
 			subset := h.controller.selector.engines()
 			if len(subset) != test.size {
-				t.Fatalf("%+v: a subset of %d engines", test, len(subset))
+				t.Fatalf("%+v: subset has %d engines", test, len(subset))
 			}
 			for _, e := range subset {
 				users[e.ID]++
@@ -208,7 +210,7 @@
 		even := test.routers * test.size / test.engines
 		for i := range test.engines {
 			if n := users[EngineID(i+1)]; n < even-4 || n > even+5 {
-				t.Errorf("%+v: engine %d has %d users, want about %d", test, i+1, n, even)
+				t.Errorf("%+v: engine %d is used by %d routers, want about %d", test, i+1, n, even)
 			}
 		}
 	}
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -1,17 +1,16 @@
 package dispatch
 
-// engineUsage is what this router has running on an engine, together with the other process of this router during a hot
-// restart.
+// engineUsage describes what this router runs on an engine, including its other process during a hot restart.
 type engineUsage struct {
-	threads          float64 // of queries of other than the preferred class
+	threads          float64 // of queries of all classes except the preferred class
 	preferredThreads float64
 	work             float64 // estimated, in core seconds
 	grantedMB        float64
-	otherProcess     EngineUsage // the part of the other process
-	countedWarm      bool        // it is in the sums over the warm engines
+	otherProcess     EngineUsage // part of the other process
+	countedWarm      bool        // included in the sums over the warm engines
 }
 
-// add adds an attempt to the usage, or takes it off with sign -1.
+// add adds an attempt to the usage, or removes it if sign is -1.
 func (u *engineUsage) add(a *attempt, sign float64) {
 	threads := sign * float64(a.request.class.Threads)
 	if a.preferred {
@@ -23,7 +22,7 @@
 	u.grantedMB = max(u.grantedMB+sign*a.grantMB, 0)
 }
 
-// replaceOtherProcess replaces the usage of the other process.
+// replaceOtherProcess replaces the part of the other process.
 func (u *engineUsage) replaceOtherProcess(usage EngineUsage) {
 	former := u.otherProcess
 	u.otherProcess = usage
@@ -33,7 +32,7 @@
 	u.grantedMB = max(u.grantedMB+usage.GrantedMB-former.GrantedMB, 0)
 }
 
-// own is the usage of this process alone.
+// own returns the usage of this process alone.
 func (u *engineUsage) own(id EngineID) EngineUsage {
 	return EngineUsage{
 		ID:               id,
--- a/dispatch/validate_test.go
+++ b/dispatch/validate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The first invalid setting is named in a *ConfigError.
+// The error for an invalid setting is a *ConfigError that names the setting.
 func TestInvalidSettingsAreNamed(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"classes":          func(c *Config) { c.Classes = nil },
@@ -20,7 +20,7 @@
 		change(&config)
 		_, err := New(config)
 		if configError := (*ConfigError)(nil); !errors.As(err, &configError) || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("setting %s: error is %v, want a *ConfigError that names the setting", name, err)
 		}
 	}
 }
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// EngineView is what a controller knows of an engine, for records and consoles.
+// EngineView shows what a controller knows about an engine, for records and consoles.
 type EngineView struct {
 	ID                 EngineID
 	Zone, Kind         string
-	State              EndpointState // as the endpoint list says
+	State              EndpointState // as in the endpoint list
 	Cordoned           bool
 	WarmingUp          bool
-	Ejected            bool // so many of its attempts fail that other engines are preferred
-	Down               bool // attempts in a row met no connection, or lost it
+	Ejected            bool // so many of its attempts failed that other engines are preferred
+	Down               bool // too many consecutive attempts found no connection or lost it
 	WarmUpEnd          time.Duration
-	Slowness           float64 // its service times over the usual ones
-	FailureShare       float64 // of its late attempts, fading
-	ConnectionFailures int     // attempts in a row that met no connection, or lost it
-	Running            int     // this process's attempts
-	Threads            float64 // of these attempts
+	Slowness           float64 // its service times divided by the usual ones
+	FailureShare       float64 // decaying share of its recent attempts that failed
+	ConnectionFailures int     // number of consecutive attempts that found no connection or lost it
+	Running            int     // number of attempts of this process
+	Threads            float64 // threads of these attempts
 	Work               float64 // estimated work of these attempts in core seconds
 }
 
-// View is what a controller knows of the fleet.
+// View shows what a controller knows about the fleet.
 type View struct {
 	Engines        []EngineView
 	Queued         int
 	Congestion     float64 // from 0 to 1
-	ThreadsPerCore float64 // bound of this router's threads
+	ThreadsPerCore float64 // maximum number of threads per core for this router
 }
 
-// FillView fills a view, whose slice it uses again. It changes nothing but the controller's time.
+// FillView fills a view and reuses its slice. It changes nothing but the controller's time.
 func (c *Controller) FillView(now time.Duration, view *View) {
 	c.env.advance(now)
 	view.Queued = c.queues.len()
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	// warmRateMargin is the part of the rate of warm engines that a warming one's slice is computed from, and
-	// warmUpBudgetShare the part of its present capacity that budgets divide.
+	// warmRateMargin is the part of the work rate of warm engines from which this router's share of a warming engine is
+	// computed. warmUpBudgetShare is the part of a warming engine's current capacity that the budgets of all routers
+	// divide among them.
 	warmRateMargin, warmUpBudgetShare = 0.8, 0.95
-	// capacityUtilization is how busy the cores of an engine are at its capacity, as the platform counts it.
+	// capacityUtilization is the utilization of an engine's cores at its capacity, as defined by the platform.
 	capacityUtilization = 0.85
-	// unobservedRate is the part of an even share that this router counts on before it has observed a rate.
+	// unobservedRate is the part of an even share that this router assumes before it has observed a rate.
 	unobservedRate = 0.5
-	// warmUpStartFraction is the part of the overload window within which an attempt has to start on a warming engine.
+	// warmUpStartFraction divides the overload window: an attempt has to start on a warming engine within that part of
+	// it.
 	warmUpStartFraction = 4
-	// completedWorkLife is the time over which work done by warm engines is averaged.
+	// completedWorkDecayTime is the time over which the work completed by warm engines is averaged.
 	completedWorkDecayTime = 10 * time.Second
-	// quantumSlack is how far the work of the largest class may move from what budgets were computed from.
+	// quantumSlack is the factor by which the work of the largest class may change before the budgets are recomputed.
 	quantumSlack = 1.05
-	// roundingSlack keeps a sum of equal amounts of work from exceeding its bound by rounding.
+	// roundingSlack keeps a sum of equal amounts of work from exceeding its limit by rounding errors.
 	roundingSlack = 1e-9
 )
 
-// warmUp is the slow start of one engine.
+// warmUp holds the slow start of one engine.
 type warmUp struct {
 	start, end  time.Duration
-	sent        []sentWork // within the overload window
+	sent        []sentWork // sent within the overload window
 	budget      slowstart.Budget
 	budgetBasis budgetBasis
-	budgetDueMS float64 // when the budget is next due, in the heap of budgets
+	budgetDueMS float64 // time at which the budget is next due, the key of the heap of budgets
 }
 
-// sentWork is work that was sent to a warming engine.
+// sentWork is an amount of work that was sent to a warming engine, in core seconds.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// budgetBasis is what the rate of a budget was computed from.
+// budgetBasis holds the values from which the rate of a budget was computed.
 type budgetBasis struct {
 	quantum, cores float64
-	revision       int // of the settings
+	revision       int // revision of the settings
 }
 
 func (w *warmUp) active(now time.Duration) bool { return now < w.end }
 
-// extend moves the end of the warm-up to a time, unless it is later already.
+// extend moves the end of the warm-up to the given time if that is later.
 func (w *warmUp) extend(end time.Duration) { w.end = max(end, w.end) }
 
-// alwaysWarm reports whether the engine never had to warm up.
+// neverWarmedUp reports whether the engine has never had to warm up.
 func (w *warmUp) neverWarmedUp() bool { return w.end == 0 }
 
-// sentSince adds up the work that was sent from a time on.
+// sentSince returns sum plus the work that was sent from the given time on.
 func (w *warmUp) sentSince(since time.Duration, sum float64) float64 {
 	for _, sent := range w.sent {
 		if sent.at >= since {
@@ -65,25 +67,25 @@
 	return sum
 }
 
-// warmUpLimiter keeps what all routers together send to a warming engine within what it can take. In a small fleet
-// each router has a slice of it. In a large one, a slice is less than one query: it accumulates until it covers a
-// query of the largest class, the quantum, which may be used within a window.
+// warmUpLimiter limits what all routers together send to a warming engine to what the engine can handle. In a small
+// fleet each router gets a share of it. In a large fleet a share is less than one query: it accumulates until it
+// covers a query of the largest class, the quantum, which may then be used within a window.
 type warmUpLimiter struct {
 	env             *environment
 	classes         *classSet
 	capacity        *capacityLimiter
-	completedWork   float64 // finished on warm engines, decaying, in core seconds
+	completedWork   float64 // completed on warm engines, decaying, in core seconds
 	completedWorkAt time.Duration
-	quantum         float64   // of budgets, in core seconds
-	due             []*engine // warming engines, as a heap by when their budgets are next due
-	budgeted        []*engine // those that have budget, or had some a while ago, by their ids
+	quantum         float64   // unit of budgets, in core seconds
+	due             []*engine // warming engines, as a heap ordered by the time at which their budgets are next due
+	budgeted        []*engine // engines that have budget, or had some recently, sorted by id
 	warming         []*engine
 }
 
-// start starts the measurement of completed work.
+// start begins the measurement of completed work.
 func (l *warmUpLimiter) start() { l.completedWorkAt = l.env.now }
 
-// begin starts an engine's warm-up from a time on.
+// begin starts the warm-up of an engine at the given time.
 func (l *warmUpLimiter) begin(e *engine, at time.Duration) {
 	config := &l.env.config
 	e.warmUp.start = at
@@ -93,7 +95,7 @@
 	e.warmUp.budgetBasis = budgetBasis{}
 }
 
-// factor is the share of its capacity that an engine has by now.
+// capacityShare returns the share of its capacity that an engine has at present.
 func (l *warmUpLimiter) capacityShare(e *engine) float64 {
 	initial := l.initialShare()
 	if !e.warmUp.active(l.env.now) || initial == 1 {
@@ -103,7 +105,7 @@
 	return initial + (1-initial)*min(elapsed, 1)
 }
 
-// initialShare is that share when an engine has just started.
+// initialShare returns the share of its capacity that an engine has when it starts.
 func (l *warmUpLimiter) initialShare() float64 {
 	if l.env.config.WarmUp.Duration <= 0 || l.env.config.WarmUp.InitialShare <= 0 {
 		return 1
@@ -111,14 +113,14 @@
 	return l.env.config.WarmUp.InitialShare
 }
 
-// recordSent counts an attempt on a warming engine.
+// recordSent counts an attempt sent to a warming engine.
 func (l *warmUpLimiter) recordSent(a *attempt) {
 	if w := &a.engine.warmUp; w.active(l.env.now) {
 		w.sent = append(w.sent, sentWork{l.env.now, a.request.class.estimate.usualWork()})
 	}
 }
 
-// recordCompleted counts an attempt that a warm engine has served.
+// recordCompleted counts an attempt that was served by a warm engine.
 func (l *warmUpLimiter) recordCompleted(a *attempt) {
 	if a.engine.warmUp.active(l.env.now) {
 		return
@@ -128,19 +130,19 @@
 	l.completedWorkAt = l.env.now
 }
 
-// completed returns the completed work and the time that it has decayed to.
+// completed returns the completed work and the time to which it has decayed.
 func (l *warmUpLimiter) completed() (work float64, at time.Duration) {
 	return l.completedWork, l.completedWorkAt
 }
 
-// restoreCompleted takes over the completed work of another process, unless it makes no sense.
+// restoreCompleted takes over the completed work from another process unless it is invalid.
 func (l *warmUpLimiter) restoreCompleted(work float64, at time.Duration) {
 	if work >= 0 && at <= l.env.now {
 		l.completedWork, l.completedWorkAt = work, at
 	}
 }
 
-// startWithin is the time within which an attempt has to start on an engine; 0 means that it may start at any time.
+// startWithin returns the time within which an attempt has to start on an engine; 0 means no limit.
 func (l *warmUpLimiter) startWithin(e *engine) time.Duration {
 	if !e.warmUp.active(l.env.now) {
 		return 0
@@ -148,7 +150,7 @@
 	return l.env.config.WarmUp.OverloadWindow / warmUpStartFraction
 }
 
-// allows reports whether an engine's slow start leaves room for one more request.
+// allows reports whether an engine's slow start allows one more request.
 func (l *warmUpLimiter) allows(req *request, target *engine) bool {
 	config := &l.env.config
 	if !target.warmUp.active(l.env.now) || config.WarmUp.OverloadFactor <= 0 {
@@ -172,7 +174,7 @@
 	return target.warmUp.sentSince(since, sum) <= bound
 }
 
-// rate is the work a core a second that this router takes to be its part of a warm engine's.
+// rate returns the work per core and second that this router assumes as its share of a warm engine.
 func (l *warmUpLimiter) rate() float64 {
 	rate := unobservedRate * capacityUtilization * l.env.fleetShare()
 	if warm := l.capacity.warmResources(); warm.cores > 0 {
@@ -182,11 +184,11 @@
 	return rate
 }
 
-// budgetRate is the rate at which budget for an engine accrues to this router, in quanta.
+// budgetRate returns the rate at which this router's budget for an engine accrues, in quanta per second.
 func (l *warmUpLimiter) budgetRate(target *engine, quantum float64) (rate slowstart.Rate) {
 	window, overload := l.env.config.WarmUp.OverloadWindow.Seconds(), l.env.config.WarmUp.OverloadFactor
 	warmRate := capacityUtilization * target.cores
-	crossing := math.Inf(1) // the engine's rate at which the two bounds of quantaPerSecond meet
+	crossing := math.Inf(1) // engine rate at which the two limits in quantaPerSecond are equal
 	if d := overload - 2*warmUpBudgetShare; d > 0 {
 		crossing = quantum / window / d
 	}
@@ -198,7 +200,7 @@
 	initial := l.initialShare()
 	start, end := milliseconds(target.warmUp.start), milliseconds(target.warmUp.start+l.env.config.WarmUp.Duration)
 	rate = rate.WithPoint(start, quantaPerSecond(warmRate*initial))
-	for _, engineRate := range []float64{quantum / window / overload, crossing} { // where the rate sets in, and bends
+	for _, engineRate := range []float64{quantum / window / overload, crossing} { // start and bend of the rate
 		if part := (engineRate/warmRate - initial) / (1 - initial); part > 0 && part < 1 {
 			rate = rate.WithPoint(start+part*(end-start), quantaPerSecond(engineRate))
 		}
@@ -206,13 +208,14 @@
 	return rate.WithPoint(end, quantaPerSecond(warmRate))
 }
 
-// setWarming takes the warming engines.
+// setWarming replaces the list of warming engines.
 func (l *warmUpLimiter) setWarming(engines []*engine) {
 	l.warming = engines
 	l.computeBudgets()
 }
 
-// computeBudgets computes the budgets of all warming engines from the quantum, and orders them by when they are due.
+// computeBudgets recomputes the budgets of all warming engines from the quantum, and orders the engines by the time
+// at which their budgets are due.
 func (l *warmUpLimiter) computeBudgets() {
 	l.due, l.budgeted = l.due[:0], l.budgeted[:0]
 	if l.env.config.WarmUp.OverloadFactor <= 0 || !l.capacity.largeFleet() {
@@ -231,7 +234,7 @@
 	}
 }
 
-// budget returns an engine's budget, computed from the present quantum.
+// budget returns an engine's budget, updated for the current quantum and settings.
 func (l *warmUpLimiter) budget(e *engine) *slowstart.Budget {
 	w := &e.warmUp
 	if basis := (budgetBasis{l.quantum, e.cores, l.env.revision}); w.budgetBasis != basis {
@@ -241,7 +244,7 @@
 	return &w.budget
 }
 
-// withBudget returns the warming engines that this router has budget for.
+// enginesWithBudget returns the warming engines for which this router has budget.
 func (l *warmUpLimiter) enginesWithBudget() []*engine {
 	l.capacity.refresh()
 	largest := l.classes.largestWork()
@@ -259,7 +262,7 @@
 	return l.budgeted
 }
 
-// collectDue adds the engines whose budget has come due to those that have budget.
+// collectDue adds engines whose budget has become due to the engines that have budget.
 func (l *warmUpLimiter) collectDue(now, window float64) {
 	for len(l.due) > 0 && l.due[0].warmUp.budgetDueMS <= now {
 		e := l.due[0]
@@ -272,7 +275,7 @@
 	}
 }
 
-// siftDown moves an engine down the heap to where it belongs.
+// siftDown moves the engine at index i down the heap until the heap is ordered.
 func siftDown(heap []*engine, i int) {
 	for {
 		least := i
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -23,7 +23,8 @@
 				h.endLatest(client, Served)
 			}
 		}
-		// 8 cores at 85% busy, times 0.4, times 2, a window of 1 s, and an even part of it.
+		// 8 cores at 85% utilization, times the initial share of 0.4, times the overload factor of 2, in a window of 1 s,
+		// divided among the routers.
 		limit := 8 * 0.85 * 0.4 * 2 / float64(routers)
 		work := h.controller.classes.all[0].estimate.usualWork()
 		starts, most := h.warmingStarts[1], 0
@@ -31,31 +32,32 @@
 			most = max(most, countAfter(starts[:i+1], at-time.Second))
 		}
 		if most == 0 || float64(most)*work > limit*1.3 {
-			t.Errorf("%d routers: %d queries of %.3f s in a window, limit %.2f s", routers, most, work, limit)
+			t.Errorf("%d routers: %d queries of %.3f s in one window, want at least 1 and at most 1.3 times %.2f s",
+				routers, most, work, limit)
 		}
 	}
 }
 
-// manyRouters is a fleet of routers of uneven traffic that lose all warm engines to a drain and have only warming ones.
-// The routers are played one after the other.
+// drainSimulation is a fleet of routers with uneven traffic that lose all warm engines to a drain and are left with
+// warming engines. The routers are simulated one after the other.
 type drainSimulation struct {
 	t         *testing.T
 	rng       *rand.Rand
 	seed      uint64
-	startedAt time.Duration        // of the new engines
-	work      map[EngineID]float64 // by warming engine
-	windows   map[string]float64   // by warming engine and window
+	startedAt time.Duration        // start of the new engines
+	work      map[EngineID]float64 // sent to each warming engine
+	windows   map[string]float64   // sent to each warming engine in each window
 }
 
 const (
 	drainRouters       = 40
-	drainedEngines     = 50 // engines that drain
-	replacementEngines = 6  // engines that replace them
+	drainedEngines     = 50 // engines that are drained
+	replacementEngines = 6  // engines that replace the drained ones
 	drainQueryWork     = 0.125
 	drainWindow        = 2 * time.Second
 )
 
-// play plays one router from time 30 s on, with a burst from the drain on.
+// runRouter simulates one router from time 30 s on, with a burst that starts with the drain.
 func (m *drainSimulation) runRouter(index int) {
 	m.t.Helper()
 	config, list := largeFleetConfig(drainRouters, drainedEngines, index)
@@ -80,7 +82,7 @@
 	}
 }
 
-// replacements drains the warm engines and starts the warming ones.
+// replacements returns a list update that drains the warm engines and starts the warming ones.
 func (m *drainSimulation) replacements(warm []Endpoint) []Endpoint {
 	list := testEngines(drainedEngines + replacementEngines)[drainedEngines:]
 	for i := range list {
@@ -93,8 +95,8 @@
 	return list
 }
 
-// request delivers a request, and serves it if it is started. A timer rejects those queued too long, which would
-// block their queue.
+// request delivers a request and serves it if it is started. A timer event first rejects requests that have been
+// queued for too long, which would block their queue.
 func (m *drainSimulation) request(c *Controller, at time.Duration, id RequestID) {
 	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
 	for _, action := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
@@ -110,7 +112,8 @@
 	}
 }
 
-// Many routers of uneven traffic together stay under what warming engines may be sent, and all of these get work.
+// Many routers with uneven traffic together do not exceed what warming engines may be sent, and all warming engines
+// get work.
 func TestManyRoutersDoNotOverloadWarmingEngines(t *testing.T) {
 	for seed := range uint64(3) {
 		m := &drainSimulation{
@@ -126,13 +129,13 @@
 			}
 		}
 		if len(m.work) < replacementEngines {
-			t.Errorf("seed %d: only %d of %d warming engines got work", seed, len(m.work), replacementEngines)
+			t.Errorf("seed %d: %d of %d warming engines got work, want all", seed, len(m.work), replacementEngines)
 		}
 	}
 }
 
-// burstStarts makes a router of a large fleet use its budget for a warming engine within a window, after having saved
-// it, and returns how many queries it starts.
+// burstStarts returns how many queries a router of a large fleet starts within a window on a warming engine, after it
+// has accumulated budget for that engine.
 func burstStarts(t *testing.T, index, routers int, startedAt, at, window time.Duration) (starts int) {
 	t.Helper()
 	config, _ := largeFleetConfig(routers, 1, index)
@@ -159,8 +162,9 @@
 	return starts
 }
 
-// Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved
-// their budgets and use them at once: what was due in two windows, and one query more, may meet in one.
+// Warming engines that are small compared to a query are not overloaded even if all routers of a large fleet save
+// their budgets and use them at the same time. The budget of two windows and one more query may then meet in one
+// window.
 func TestSavedBudgetsUsedTogetherDoNotOverload(t *testing.T) {
 	const routers, window = 300, 1500 * ms
 	highest, total := 0.0, 0
@@ -176,12 +180,14 @@
 		total += starts
 	}
 	if highest > 1 || total == 0 {
-		t.Errorf("%.2f of what a warming engine may be sent in a window; %d queries in all", highest, total)
+		t.Errorf("a warming engine was sent %.2f of its limit in a window, want at most 1; %d queries in total",
+			highest, total)
 	}
 }
 
-// Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up
-// began, each at a fraction of its own: they do not all have a quantum at once, whenever they start.
+// A successor takes over the warm-up of an engine with a budget that begins when the warm-up began, at a different
+// fraction of a quantum on each router. Thus successors do not all have a quantum at the same time, whenever they
+// start.
 func TestHotRestartsDoNotStartBursts(t *testing.T) {
 	most := 0
 	for k := range 40 {
@@ -205,12 +211,12 @@
 		most = max(most, users)
 	}
 	if most == 0 || most > 6 {
-		t.Errorf("%d of 40 successors used a warming engine within ten seconds, want some and not all", most)
+		t.Errorf("%d of 40 successors used a warming engine within ten seconds, want 1 to 6", most)
 	}
 }
 
-// An engine that restarts while it warms up gets a new budget, from its new start on: the mirrored controllers of
-// TestIncrementalSumsDecideAsRecounted share the code that does this.
+// An engine that restarts during its warm-up gets a new budget that begins at the new start. The mirrored controllers
+// of TestIncrementalSumsDecideAsRecounted do not check this, as both run the same code for it.
 func TestRestartedEngineGetsNewBudget(t *testing.T) {
 	config := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
 	h := newHarness(t, config)
@@ -222,7 +228,7 @@
 		h.controller.capacity.warmResources()
 		e := h.controller.endpoints.byID[1]
 		if due := e.warmUp.budget.NextDue(); due <= milliseconds(startedAt) || due > milliseconds(e.warmUp.end) {
-			t.Errorf("started at %v, its next quantum is due at %v ms", startedAt, due)
+			t.Errorf("engine started at %v: next quantum is due at %v ms, want a time within the warm-up", startedAt, due)
 		}
 	}
 }
