--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -27,8 +27,8 @@
 	// maxSlownessFactor limits how much the thread bound of a slow engine shrinks. An engine can be slow because another
 	// program uses most of its cores.
 	maxSlownessFactor = 3.0
-	// grantHeadroom is the factor by which a memory grant exceeds the corrected estimate: estimates vary, and spilling
-	// costs more than unused memory.
+	// grantHeadroom is the factor by which a memory grant exceeds the corrected estimate, because estimates vary and
+	// spilling is the most expensive outcome.
 	grantHeadroom = 1.25
 	// recountInterval is the maximum time for which cached sums are used. It limits the effect of a fault in the code
 	// that updates them.
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -119,7 +119,8 @@
 }
 
 // In a large fleet the usable capacity excludes the engines of lost zones, but not zones that may only be cut off:
-// few zones are silent, or most of them. Later outcomes of single engines do not change that.
+// few zones are silent, or most of them. An outcome of a single engine does not change that. Once all engines answer,
+// the whole capacity is usable again.
 func TestUsableCapacityWithoutLostZones(t *testing.T) {
 	for _, test := range []struct{ zones, silent, usableEngines int }{
 		{5, 0, 60},
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -99,7 +99,7 @@
 	WarmUp           WarmUp
 	PolledDiscovery  bool // changes of the endpoint list arrive only after a Subscribe action
 	DiscoveryTimeout time.Duration
-	KeyCooldown      time.Duration // delay of the next request of a key after an outcome that is unclear
+	KeyCooldown      time.Duration // wait before the next request of a key after an unclear outcome
 	Tick             time.Duration // minimum time between two batches of events
 }
 
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -17,7 +17,7 @@
 var fleetServesTests = []fleetServesTest{
 	{"no fault", func(s *fleetScenario) { s.slowShare = 0 }, 0.98, 0.98},
 	{"most engines replaced", func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 }, 0.77, 0.84},
-	{"engines and routers replaced in a burst", func(s *fleetScenario) {
+	{"engines replaced and routers restarted in a burst", func(s *fleetScenario) {
 		s.replacedShare, s.slowShare, s.restartedShare, s.burstFactor = 0.5, 0, 0.3, 1.8
 	}, 0.74, 0.95},
 	{"most routers restart", func(s *fleetScenario) { s.restartedShare = 0.7 }, 0.96, 0.97},
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -46,7 +46,7 @@
 	// restart.
 	otherProcessLength int
 	// credit is the number of releases left in the current round of the ratio rule. creditToPreferred says whether the
-	// preferred class gets all releases of the round but one, or only that one.
+	// preferred class gets all releases of the round except the last one, or only the last one.
 	credit            int
 	creditToPreferred bool
 }
@@ -109,8 +109,8 @@
 	*list = removeItem(*list, req)
 }
 
-// release starts queued requests by the ratio rule until start cannot start any more. It passes over requests for
-// which blocked returns true.
+// release starts queued requests by the ratio rule as long as start succeeds for one of them. It passes over requests
+// for which blocked returns true.
 func (q *classQueues) release(now time.Duration, blocked, start func(*request) bool) {
 	if q.length == 0 {
 		return
--- a/dispatch/quotas.go
+++ b/dispatch/quotas.go
@@ -74,8 +74,8 @@
 	return !t.bucket.Take(t.quota*q.trafficShare()*quotaSlack, q.env.nowMS())
 }
 
-// trafficShare returns this router's share of all traffic, relative to the sum of all quotas. In overload the shares
-// of all routers add up to more than 1, so they must not be used for values that have to add up over all routers.
+// trafficShare returns this router's share of all traffic, relative to the sum of all quotas. In overload it exceeds
+// an even share, so it must not be used for values that have to add up over all routers.
 func (q *tenantQuotas) trafficShare() float64 {
 	even := q.env.fleetShare()
 	if q.total <= 0 {
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -200,7 +200,8 @@
 	initial := l.initialShare()
 	start, end := milliseconds(target.warmUp.start), milliseconds(target.warmUp.start+l.env.config.WarmUp.Duration)
 	rate = rate.WithPoint(start, quantaPerSecond(warmRate*initial))
-	for _, engineRate := range []float64{quantum / window / overload, crossing} { // start and bend of the rate
+	// The rate becomes positive at the first of these engine rates, and its slope changes at the second one.
+	for _, engineRate := range []float64{quantum / window / overload, crossing} {
 		if part := (engineRate/warmRate - initial) / (1 - initial); part > 0 && part < 1 {
 			rate = rate.WithPoint(start+part*(end-start), quantaPerSecond(engineRate))
 		}
