--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// threadsPerCore is the maximum number of running threads per core: the work of cores and disks overlaps up to about
-	// this value, and queries of the preferred class run in addition. Under congestion the maximum falls to
+	// threadsPerCore is the maximum number of running threads per core: the work of cores and disks overlaps up to
+	// about this value, and queries of the preferred class run in addition. Under congestion the maximum falls to
 	// congestedThreadsPerCore.
 	threadsPerCore, congestedThreadsPerCore = 2.0, 1.2
 	// congestionFrom and congestionFull are the service time ratios of the preferred class at which congestion is 0 and
@@ -24,8 +24,8 @@
 	// preferredFactor is the factor by which queries of the preferred class may exceed the thread bound, as they are
 	// short and have priority.
 	preferredFactor = 2.0
-	// maxSlownessFactor limits how much the thread bound of a slow engine shrinks. An engine can be slow because another
-	// program uses most of its cores.
+	// maxSlownessFactor limits how much the thread bound of a slow engine shrinks. An engine can be slow because
+	// another program uses most of its cores.
 	maxSlownessFactor = 3.0
 	// grantHeadroom is the factor by which a memory grant exceeds the corrected estimate, because estimates vary and
 	// spilling is the most expensive outcome.
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -98,7 +98,8 @@
 		h.serveQuick(200, test.serviceTime, test.interval)
 		bound := h.controller.capacity.threadBound()
 		if got := bound < threadsPerCore-0.1; got != test.congested {
-			t.Errorf("one in %d queries blocked, others served in %v: bound is %v", test.interval, test.serviceTime, bound)
+			t.Errorf("one in %d queries blocked, others served in %v: bound is %v",
+				test.interval, test.serviceTime, bound)
 		}
 	}
 }
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -90,7 +90,7 @@
 
 	OverQuotaWeight  float64 // share of its weight that a request beyond a tenant's quota earns
 	MaxAttempts      int     // per request; 0 means no limit
-	MaxQueued        int     // queue length above which requests that miss their objective are rejected; 0 means no limit
+	MaxQueued        int     // queue length above which requests that miss their objective are rejected; 0: no limit
 	CancelAllowed    bool
 	HedgingAllowed   bool // a second attempt may start while the first is outstanding
 	RetryAfter       RetryAfter
--- a/dispatch/cordons_test.go
+++ b/dispatch/cordons_test.go
@@ -81,7 +81,8 @@
 	}
 	h.handle(Uncordon{Engine: 3})
 	if e := h.controller.endpoints.byID[3]; e.warmUp.end <= h.now || h.serveAndCount(20, 3) == 0 {
-		t.Errorf("after the cordon: warm-up ends at %v (now %v), or the engine got no work in 0.8 s", e.warmUp.end, h.now)
+		t.Errorf("after the cordon: warm-up ends at %v (now %v), or the engine got no work in 0.8 s",
+			e.warmUp.end, h.now)
 	}
 	entry.State = Removed
 	h.updateEndpoints(ListIncremental, entry)
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -17,8 +17,8 @@
 	minServiceTime = 1e-6
 	// maxServiceTimeFactor is the maximum ratio of an observed service time to the mean.
 	maxServiceTimeFactor = 20.0
-	// maxBoundedFactor is the maximum ratio of an observed service time to the best mean, in the bounded mean and in the
-	// fleet's excess service time. It keeps a few queries blocked by a load from being mistaken for congestion.
+	// maxBoundedFactor is the maximum ratio of an observed service time to the best mean, in the bounded mean and in
+	// the fleet's excess service time. It keeps a few queries blocked by a load from being mistaken for congestion.
 	maxBoundedFactor = 4.0
 	// fewObservations and manyObservations are the numbers of observations for which the best mean follows the mean, in
 	// a large and in a small fleet. Until manyObservations is reached, all observations have the same weight in the
@@ -26,8 +26,8 @@
 	fewObservations, manyObservations = 8, 30
 	// spillGain is the weight of one spilling query in the grant correction.
 	spillGain = 0.05
-	// noSpillFactor is the factor applied to the grant correction for each query that did not spill. The correction does
-	// not fall below minGrantCorrection.
+	// noSpillFactor is the factor applied to the grant correction for each query that did not spill. The correction
+	// does not fall below minGrantCorrection.
 	noSpillFactor, minGrantCorrection = 0.995, 0.3
 )
 
--- a/dispatch/estimates_test.go
+++ b/dispatch/estimates_test.go
@@ -61,7 +61,8 @@
 			estimate.observe(env, 3, largeFleet)
 		}
 		if ratio := estimate.serviceTimeRatio(); math.Abs(estimate.best-1) > 1e-9 || ratio < 2.9 {
-			t.Errorf("large fleet %v: best mean is %v and ratio is %v under congestion", largeFleet, estimate.best, ratio)
+			t.Errorf("large fleet %v: best mean is %v and ratio is %v under congestion",
+				largeFleet, estimate.best, ratio)
 		}
 	}
 }
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -59,7 +59,7 @@
 			if answeredFull*10 > starts {
 				t.Errorf("%d of %d attempts were rejected by full engines, want at most a tenth", answeredFull, starts)
 			}
-			t.Logf("served %.3f, at the end %.3f; highest load of a warming engine %.2f; %d attempts, %d rejected as full",
+			t.Logf("served %.3f, at the end %.3f; highest load of a warming engine %.2f; %d attempts, %d full",
 				served, servedAtEnd, f.warmingLoad.maxShare, starts, answeredFull)
 		})
 	}
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -25,7 +25,7 @@
 type classQueue struct {
 	class    *class
 	ready    []*request
-	deferred []*request // over quota, heavy, or unable to meet their objective: released when no queue has a ready request
+	deferred []*request // over quota, heavy or too late: released when no queue has a ready request
 }
 
 // listOf returns the list of the queue that a request belongs to.
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -13,8 +13,8 @@
 	// minSubset is the minimum number of engines that a router uses, so that it can lose some of them. In a large fleet
 	// it is minLargeFleetSubset.
 	minSubset, minLargeFleetSubset = 8, 3
-	// minAffinitySubset is the size from which a subset is divided into engines that load a table group and engines that
-	// read it. In a large fleet it is minLargeFleetAffinity.
+	// minAffinitySubset is the size from which a subset is divided into engines that load a table group and engines
+	// that read it. In a large fleet it is minLargeFleetAffinity.
 	minAffinitySubset, minLargeFleetAffinity = 3, 5
 	// affinityLifetime is the minimum time for which that division is used, as demand changes slowly.
 	affinityLifetime = 5 * time.Second
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -186,7 +186,8 @@
 	}
 	for _, id := range seen[true] {
 		if slices.Contains(seen[false], id) {
-			t.Errorf("engine %v both reads and loads the table group: readers %v, loaders %v", id, seen[false], seen[true])
+			t.Errorf("engine %v both reads and loads the table group: readers %v, loaders %v",
+				id, seen[false], seen[true])
 		}
 	}
 }
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -23,8 +23,8 @@
 				h.endLatest(client, Served)
 			}
 		}
-		// 8 cores at 85% utilization, times the initial share of 0.4, times the overload factor of 2, in a window of 1 s,
-		// divided among the routers.
+		// 8 cores at 85% utilization, times the initial share of 0.4, times the overload factor of 2, in a window of 1
+		// s, divided among the routers.
 		limit := 8 * 0.85 * 0.4 * 2 / float64(routers)
 		work := h.controller.classes.all[0].estimate.usualWork()
 		starts, most := h.warmingStarts[1], 0
@@ -228,7 +228,8 @@
 		h.controller.capacity.warmResources()
 		e := h.controller.endpoints.byID[1]
 		if due := e.warmUp.budget.NextDue(); due <= milliseconds(startedAt) || due > milliseconds(e.warmUp.end) {
-			t.Errorf("engine started at %v: next quantum is due at %v ms, want a time within the warm-up", startedAt, due)
+			t.Errorf("engine started at %v: next quantum is due at %v ms, want a time within the warm-up",
+				startedAt, due)
 		}
 	}
 }
