--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -23,7 +23,8 @@
 				h.endLatest(client, Served)
 			}
 		}
-		// 8 cores at 85% busy, times 0.4, times 2, a window of 1 s, and an even part of it.
+		// 8 cores at 85% utilization, times the initial share of 0.4, times the overload factor of 2, in a window of 1
+		// s, divided among the routers.
 		limit := 8 * 0.85 * 0.4 * 2 / float64(routers)
 		work := h.controller.classes.all[0].estimate.usualWork()
 		starts, most := h.warmingStarts[1], 0
@@ -31,36 +32,37 @@
 			most = max(most, countAfter(starts[:i+1], at-time.Second))
 		}
 		if most == 0 || float64(most)*work > limit*1.3 {
-			t.Errorf("%d routers: %d queries of %.3f s in a window, limit %.2f s", routers, most, work, limit)
+			t.Errorf("%d routers: %d queries of %.3f s in one window, want at least 1 and at most 1.3 times %.2f s",
+				routers, most, work, limit)
 		}
 	}
 }
 
-// manyRouters is a fleet of routers of uneven traffic that lose all warm engines to a drain and have only warming ones.
-// The routers are played one after the other.
-type manyRouters struct {
+// drainSimulation is a fleet of routers with uneven traffic that lose all warm engines to a drain and are left with
+// warming engines. The routers are simulated one after the other.
+type drainSimulation struct {
 	t         *testing.T
 	rng       *rand.Rand
 	seed      uint64
-	startedAt time.Duration        // of the new engines
-	work      map[EngineID]float64 // by warming engine
-	windows   map[string]float64   // by warming engine and window
+	startedAt time.Duration        // start of the new engines
+	work      map[EngineID]float64 // sent to each warming engine
+	windows   map[string]float64   // sent to each warming engine in each window
 }
 
 const (
-	manyRoutersCount   = 40
-	manyRoutersWarm    = 50 // engines that drain
-	manyRoutersWarming = 6  // engines that replace them
-	manyRoutersWork    = 0.125
-	manyRoutersWindow  = 2 * time.Second
+	drainRouters       = 40
+	drainedEngines     = 50 // engines that are drained
+	replacementEngines = 6  // engines that replace the drained ones
+	drainQueryWork     = 0.125
+	drainWindow        = 2 * time.Second
 )
 
-// play plays one router from time 30 s on, with a burst from the drain on.
-func (m *manyRouters) play(index int) {
+// runRouter simulates one router from time 30 s on, with a burst that starts with the drain.
+func (m *drainSimulation) runRouter(index int) {
 	m.t.Helper()
-	config, list := largeFleetConfig(manyRoutersCount, manyRoutersWarm, index)
+	config, list := largeFleetConfig(drainRouters, drainedEngines, index)
 	config.WarmUp.InitialShare, config.WarmUp.Duration = 0.4, 12*time.Second
-	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2.5, manyRoutersWindow
+	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2.5, drainWindow
 	config.Seed = m.seed*1000 + uint64(index)
 	c, err := New(config)
 	if err != nil {
@@ -71,7 +73,7 @@
 	perSecond := 1 + 4*m.rng.Float64()*m.rng.Float64()*2
 	n := 0
 	for at := begin; at < m.startedAt+10*time.Second; at += seconds(m.rng.ExpFloat64() / perSecond) {
-		if n > 0 && at > m.startedAt && len(c.endpoints.listed) == manyRoutersWarm {
+		if n > 0 && at > m.startedAt && len(c.endpoints.listed) == drainedEngines {
 			c.Handle(at, EndpointList{Mode: ListIncremental, Endpoints: m.replacements(list)}, nil)
 			perSecond *= 5
 		}
@@ -80,9 +82,9 @@
 	}
 }
 
-// replacements drains the warm engines and starts the warming ones.
-func (m *manyRouters) replacements(warm []Endpoint) []Endpoint {
-	list := testEngines(manyRoutersWarm + manyRoutersWarming)[manyRoutersWarm:]
+// replacements returns a list update that drains the warm engines and starts the warming ones.
+func (m *drainSimulation) replacements(warm []Endpoint) []Endpoint {
+	list := testEngines(drainedEngines + replacementEngines)[drainedEngines:]
 	for i := range list {
 		list[i].StartedAt = m.startedAt
 	}
@@ -93,46 +95,47 @@
 	return list
 }
 
-// request delivers a request, and serves it if it is started. A timer rejects those queued too long, which would
-// block their queue.
-func (m *manyRouters) request(c *Controller, at time.Duration, id RequestID) {
+// request delivers a request and serves it if it is started. A timer event first rejects requests that have been
+// queued for too long, which would block their queue.
+func (m *drainSimulation) request(c *Controller, at time.Duration, id RequestID) {
 	c.Handle(at, TimerFired{Tag: housekeepingTag}, nil)
 	for _, action := range c.Handle(at, Arrival{Request: id, Class: "quick", TimeLeft: time.Second}, nil) {
 		start, ok := action.(StartAttempt)
 		if !ok {
 			continue
 		}
-		if start.Engine > manyRoutersWarm {
-			m.work[start.Engine] += manyRoutersWork
-			m.windows[fmt.Sprint(start.Engine, at/manyRoutersWindow)] += manyRoutersWork
+		if start.Engine > drainedEngines {
+			m.work[start.Engine] += drainQueryWork
+			m.windows[fmt.Sprint(start.Engine, at/drainWindow)] += drainQueryWork
 		}
 		c.Handle(at+125*ms, AttemptEnd{Request: id, Outcome: Served, Last: true}, nil)
 	}
 }
 
-// Many routers of uneven traffic together stay under what warming engines may be sent, and all of these get work.
+// Many routers with uneven traffic together do not exceed what warming engines may be sent, and all warming engines
+// get work.
 func TestManyRoutersDoNotOverloadWarmingEngines(t *testing.T) {
 	for seed := range uint64(3) {
-		m := &manyRouters{
+		m := &drainSimulation{
 			t: t, rng: rand.New(rand.NewPCG(seed, 3)), seed: seed, startedAt: 40 * time.Second,
 			work: map[EngineID]float64{}, windows: map[string]float64{},
 		}
-		for i := range manyRoutersCount {
-			m.play(i)
+		for i := range drainRouters {
+			m.runRouter(i)
 		}
 		for key, work := range m.windows {
 			if limit := 0.4 * 8 * 0.85 * 2.5 * 2; work > limit {
 				t.Errorf("seed %d, window %s: %.1f s of work, limit %.1f", seed, key, work, limit)
 			}
 		}
-		if len(m.work) < manyRoutersWarming {
-			t.Errorf("seed %d: only %d of %d warming engines got work", seed, len(m.work), manyRoutersWarming)
+		if len(m.work) < replacementEngines {
+			t.Errorf("seed %d: %d of %d warming engines got work, want all", seed, len(m.work), replacementEngines)
 		}
 	}
 }
 
-// burstStarts makes a router of a large fleet use its budget for a warming engine within a window, after having saved
-// it, and returns how many queries it starts.
+// burstStarts returns how many queries a router of a large fleet starts within a window on a warming engine, after it
+// has accumulated budget for that engine.
 func burstStarts(t *testing.T, index, routers int, startedAt, at, window time.Duration) (starts int) {
 	t.Helper()
 	config, _ := largeFleetConfig(routers, 1, index)
@@ -159,11 +162,12 @@
 	return starts
 }
 
-// Warming engines that are small against a query are not overloaded either where all routers of a large fleet saved
-// their budgets and use them at once: what was due in two windows, and one query more, may meet in one.
-func TestBudgetsUsedAtOnce(t *testing.T) {
+// Warming engines that are small compared to a query are not overloaded even if all routers of a large fleet save
+// their budgets and use them at the same time. The budget of two windows and one more query may then meet in one
+// window.
+func TestSavedBudgetsUsedTogetherDoNotOverload(t *testing.T) {
 	const routers, window = 300, 1500 * ms
-	most, total := 0.0, 0
+	highest, total := 0.0, 0
 	for burst := range 40 {
 		startedAt := 30 * time.Second
 		at := startedAt + time.Second + time.Duration(burst)*100*ms
@@ -172,17 +176,19 @@
 			starts += burstStarts(t, i, routers, startedAt, at, window)
 		}
 		factor := 0.4 + 0.6*(at-startedAt).Seconds()/12
-		most = max(most, 4*float64(starts)/(2*8*0.85*factor*window.Seconds()))
+		highest = max(highest, 4*float64(starts)/(2*8*0.85*factor*window.Seconds()))
 		total += starts
 	}
-	if most > 1 || total == 0 {
-		t.Errorf("%.2f of what a warming engine may be sent in a window; %d queries in all", most, total)
+	if highest > 1 || total == 0 {
+		t.Errorf("a warming engine was sent %.2f of its limit in a window, want at most 1; %d queries in total",
+			highest, total)
 	}
 }
 
-// Successors take over what their predecessors know of a warming engine with a budget that begins when its warm-up
-// began, each at a fraction of its own: they do not all have a quantum at once, whenever they start.
-func TestHotRestartsBeginNoBurst(t *testing.T) {
+// A successor takes over the warm-up of an engine with a budget that begins when the warm-up began, at a different
+// fraction of a quantum on each router. Thus successors do not all have a quantum at the same time, whenever they
+// start.
+func TestHotRestartsDoNotStartBursts(t *testing.T) {
 	most := 0
 	for k := range 40 {
 		users := 0
@@ -205,12 +211,12 @@
 		most = max(most, users)
 	}
 	if most == 0 || most > 6 {
-		t.Errorf("%d of 40 successors used a warming engine within ten seconds, want some and not all", most)
+		t.Errorf("%d of 40 successors used a warming engine within ten seconds, want 1 to 6", most)
 	}
 }
 
-// An engine that restarts while it warms up gets a new budget, from its new start on: the mirrored controllers of
-// TestIncrementalSumsDecideAsRecounted share the code that does this.
+// An engine that restarts during its warm-up gets a new budget that begins at the new start. The mirrored controllers
+// of TestIncrementalSumsDecideAsRecounted do not check this, as both run the same code for it.
 func TestRestartedEngineGetsNewBudget(t *testing.T) {
 	config := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
 	h := newHarness(t, config)
@@ -222,7 +228,8 @@
 		h.controller.capacity.warmResources()
 		e := h.controller.endpoints.byID[1]
 		if due := e.warmUp.budget.NextDue(); due <= milliseconds(startedAt) || due > milliseconds(e.warmUp.end) {
-			t.Errorf("started at %v, its next quantum is due at %v ms", startedAt, due)
+			t.Errorf("engine started at %v: next quantum is due at %v ms, want a time within the warm-up",
+				startedAt, due)
 		}
 	}
 }
