--- a/internal/decide/configlog/encoding.go
+++ b/internal/decide/configlog/encoding.go
@@ -63,7 +63,8 @@
 		decoded.document.put(input.text(), input.optional())
 	}
 	if hash := input.hash(); input.err == nil && hash != decoded.document.hash {
-		return fmt.Errorf("%w: the entries have hash %s, but the state records %s", ErrDamaged, decoded.document.hash, hash)
+		return fmt.Errorf("%w: the entries have hash %s, but the state records %s",
+			ErrDamaged, decoded.document.hash, hash)
 	}
 	for range input.count() {
 		decoded.history.add(input.record())
--- a/internal/decide/configlog/follower.go
+++ b/internal/decide/configlog/follower.go
@@ -112,7 +112,8 @@
 		return content{}, err
 	}
 	if next.hash != update.Hash {
-		return content{}, fmt.Errorf("%w: revision %d has hash %s, not %s", ErrMismatch, update.To, next.hash, update.Hash)
+		return content{}, fmt.Errorf("%w: revision %d has hash %s, not %s",
+			ErrMismatch, update.To, next.hash, update.Hash)
 	}
 	return next, nil
 }
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -99,5 +99,6 @@
 // keeperBehind counts an answer of a keeper that is behind and returns an error that wraps ErrBehind.
 func (f *Follower) keeperBehind(keeperRevision uint64) error {
 	f.selection.countBehind(keeperRevision)
-	return fmt.Errorf("%w: the keeper is at revision %d, the follower at %d", ErrBehind, keeperRevision, f.current.revision)
+	return fmt.Errorf("%w: the keeper is at revision %d, the follower at %d",
+		ErrBehind, keeperRevision, f.current.revision)
 }
--- a/internal/decide/configlog/pointer.go
+++ b/internal/decide/configlog/pointer.go
@@ -93,7 +93,8 @@
 func checkSettingName(name string) error {
 	switch {
 	case strings.Trim(name, settingNameChars) != "":
-		return fmt.Errorf("%q is not a setting name: only lower-case letters, digits, '-', '_' and '.' are allowed", name)
+		return fmt.Errorf("%q is not a setting name: only lower-case letters, digits, '-', '_' and '.' are allowed",
+			name)
 	case name == "":
 		return fmt.Errorf("the pointer has an empty name")
 	case name == "-":
