--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -55,7 +55,7 @@
 		{"/settings/over-share-worth", `"x"`, "a string does not fit"},
 		{"/settings/specifics/width-by-class", `[1]`, "has 1 values for 3 entries"},
 		{"/settings/classes/2/goal-time-ns", `0`, "classes[2]"},
-		{"/settings/classes/2/name", `"lookup"`, "used twice"},
+		{"/settings/classes/2/name", `"lookup"`, "already the name of another class"},
 		{"/listen", `"127.0.0.1:1"`, "own"},
 		{"/settings/specifics/overbooked", `"maybe"`, "unknown value"},
 		{"/settings/classes", `[]`, ""},
