--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -121,14 +121,14 @@
 	if d.backedOff(target) {
 		return false
 	}
-	failedLately := target.health.recentlyFailed(d.env)
-	if failedLately && target.health.down() {
+	recentlyFailed := target.health.recentlyFailed(d.env)
+	if recentlyFailed && target.health.down() {
 		return false
 	}
 	if !target.health.ejected(d.env) {
 		return true
 	}
-	idle := len(target.running) == 0 && !failedLately
+	idle := len(target.running) == 0 && !recentlyFailed
 	return idle || !d.ejectionAllowed()
 }
 
