--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -23,15 +23,15 @@
 
 // adminBackend serves operators: it implements admin.Backend.
 type adminBackend struct {
-	log      *slog.Logger
-	loop     *router.Loop
-	services *services
-	machine  *hotrestart.Machine
-	accepted *listeners
-	leaving  func() bool
-	cordons  *cordonStore
-	keepers  func() *keeperSync // nil for none
-	server   *admin.Server      // nil until turned on
+	log       *slog.Logger
+	loop      *router.Loop
+	services  *services
+	machine   *hotrestart.Machine
+	listeners *listeners
+	leaving   func() bool
+	cordons   *cordonStore
+	keepers   func() *keeperSync // nil for none
+	server    *admin.Server      // nil until turned on
 }
 
 // open has operators served on a listener, for the first time or again.
@@ -69,7 +69,7 @@
 		return errOtherAccepts
 	case !a.machine.Ready():
 		return errors.New(phase.String())
-	case a.accepted.incomplete():
+	case a.listeners.incomplete():
 		return errAddressInUse
 	}
 	return nil
@@ -104,9 +104,11 @@
 }
 
 // Cordon implements admin.Backend.
-func (a *adminBackend) Cordon(id string, answer func(known bool)) { a.cordons.order(id, true, answer) }
+func (a *adminBackend) Cordon(id string, answer func(known bool)) {
+	a.cordons.setCordon(id, true, answer)
+}
 
 // Uncordon implements admin.Backend.
 func (a *adminBackend) Uncordon(id string, answer func(known bool)) {
-	a.cordons.order(id, false, answer)
+	a.cordons.setCordon(id, false, answer)
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -49,13 +49,13 @@
 }
 
 // grant answers the other process's claim.
-func (c *idClaims) grant(from *peer, claim idClaimMessage) {
+func (c *idClaims) handleClaim(from *peer, claim idClaimMessage) {
 	claim.Granted = c.services.core.GrantClaim(claim.ID)
 	from.send(msgClaimIDReply, claim)
 }
 
 // replied takes the other process's answer.
-func (c *idClaims) replied(_ *peer, claim idClaimMessage) {
+func (c *idClaims) handleReply(_ *peer, claim idClaimMessage) {
 	reply := router.ClaimDenied
 	if claim.Granted {
 		reply = router.ClaimGranted
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -21,7 +21,7 @@
 	// cordonPollInterval is how often the folder of cordons is read. The rule on cordons leaves a second.
 	cordonPollInterval = 250 * time.Millisecond
 	// maxQueuedFolderWork is how much work with the folder waits at most.
-	maxQueuedFolderWork = 64
+	maxQueuedFolderTasks = 64
 )
 
 // errFolderBlocked says that earlier work with the folder of cordons does not come to an end.
@@ -40,23 +40,23 @@
 // router read, so that it is in force in each of them, and is passed on as a message too, so that an operator's
 // answer is true in both at once.
 type cordonStore struct {
-	log        *slog.Logger
-	loop       *router.Loop
-	slot       *hotrestartipc.ProcessSlot // has the folder; nil for none
-	services   *services
-	partner    *partnerLink
-	cordoned   map[dispatch.EngineID]bool // as the folder has them
-	memoryOnly bool                       // the folder can't be written: cordons go by messages alone
-	work       chan func()                // work with the folder, in order
-	pending    pendingReplies[bool]
+	log         *slog.Logger
+	loop        *router.Loop
+	slot        *hotrestartipc.ProcessSlot // has the folder; nil for none
+	services    *services
+	partner     *partnerLink
+	cordoned    map[dispatch.EngineID]bool // as the folder has them
+	memoryOnly  bool                       // the folder can't be written: cordons go by messages alone
+	folderTasks chan func()                // work with the folder, in order
+	pending     pendingReplies[bool]
 }
 
 func newCordonStore(log *slog.Logger, loop *router.Loop, services *services, partner *partnerLink) *cordonStore {
 	return &cordonStore{
 		log: log, loop: loop, services: services, partner: partner,
-		cordoned: map[dispatch.EngineID]bool{},
-		work:     make(chan func(), maxQueuedFolderWork),
-		pending:  newPendingReplies[bool](loop),
+		cordoned:    map[dispatch.EngineID]bool{},
+		folderTasks: make(chan func(), maxQueuedFolderTasks),
+		pending:     newPendingReplies[bool](loop),
 	}
 }
 
@@ -69,7 +69,7 @@
 	defer poll.Stop()
 	for {
 		select {
-		case f := <-s.work:
+		case f := <-s.folderTasks:
 			f()
 		case <-poll.C:
 			if s.slot != nil {
@@ -83,9 +83,9 @@
 
 // enqueue queues work with the folder after what was queued before; where that does not end, it calls
 // blocked instead.
-func (s *cordonStore) enqueue(do, blocked func()) {
+func (s *cordonStore) enqueue(task, blocked func()) {
 	select {
-	case s.work <- do:
+	case s.folderTasks <- task:
 	default:
 		blocked()
 	}
@@ -93,14 +93,14 @@
 
 // order carries out an operator's order on an engine, and answers once it is in force in all processes of this router:
 // false for an engine that none of them knows.
-func (s *cordonStore) order(engine string, cordon bool, answer func(known bool)) {
+func (s *cordonStore) setCordon(engine string, cordon bool, answer func(known bool)) {
 	id, err := settings.ParseEngineID(engine)
 	if err != nil {
 		answer(false)
 		return
 	}
 	known := s.services.core.KnowsEngine(id)
-	s.store(id, cordon, known, func() { s.passOn(id, cordon, known, answer) })
+	s.store(id, cordon, known, func() { s.forward(id, cordon, known, answer) })
 }
 
 // store writes a cordon, or its end, where all processes of this router see it, then applies it here, then continues.
@@ -144,7 +144,7 @@
 }
 
 // passOn tells the other process of an operator's order, and answers the operator once it is in force there too.
-func (s *cordonStore) passOn(id dispatch.EngineID, cordon, known bool, answer func(known bool)) {
+func (s *cordonStore) forward(id dispatch.EngineID, cordon, known bool, answer func(known bool)) {
 	if !s.partner.connected() {
 		answer(known)
 		return
@@ -154,22 +154,22 @@
 }
 
 // ordered carries out an operator's order to the other process, and replies once it is in force here.
-func (s *cordonStore) ordered(from *peer, order cordonMessage) {
-	order.Known = s.services.core.KnowsEngine(order.ID)
-	reply := func() { from.send(msgCordonReply, order) }
-	if from.version >= 2 && !order.MemoryOnly && !s.memoryOnly {
+func (s *cordonStore) handleRequest(from *peer, request cordonMessage) {
+	request.Known = s.services.core.KnowsEngine(request.ID)
+	reply := func() { from.send(msgCordonReply, request) }
+	if from.version >= 2 && !request.MemoryOnly && !s.memoryOnly {
 		// The other process has stored it, and must not be overtaken by a second note of this one's; what is read of
 		// the folder from now on has it.
 		s.refresh(reply)
 		return
 	}
-	s.memoryOnly = s.memoryOnly || order.MemoryOnly
-	s.store(order.ID, order.Cordon, order.Known, reply)
+	s.memoryOnly = s.memoryOnly || request.MemoryOnly
+	s.store(request.ID, request.Cordon, request.Known, reply)
 }
 
 // replied takes the other process's answer to an order.
-func (s *cordonStore) replied(_ *peer, order cordonMessage) {
-	s.pending.resolve(order.Number, order.Known)
+func (s *cordonStore) handleReply(_ *peer, reply cordonMessage) {
+	s.pending.resolve(reply.Number, reply.Known)
 }
 
 // partnerLost ends the wait for a process whose link has ended.
@@ -207,12 +207,12 @@
 	if s.memoryOnly || maps.Equal(stored, s.cordoned) {
 		return
 	}
-	former := s.cordoned
+	previous := s.cordoned
 	s.cordoned = stored
 	if !s.services.built() {
 		return // they are in force once it is built
 	}
-	for id := range former {
+	for id := range previous {
 		if !stored[id] {
 			s.services.core.Uncordon(id)
 		}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	harness.waitFor("room for more after a reload",
-		func() bool { return descriptorTableSize(t, router.Process.Pid) >= tableSize(9000, limit.Cur) })
+		func() bool { return descriptorTableSize(t, router.Process.Pid) >= requiredTableSize(9000, limit.Cur) })
 }
 
 func TestTableSize(t *testing.T) {
@@ -67,11 +67,11 @@
 		{1024, 1 << 20, 1024},
 		{1024, 256, 256},
 		{0, 512, 512},
-		{0, 1 << 30, maxTableSize},
-		{1 << 30, ^uint64(0), maxTableSize},
+		{0, 1 << 30, maxDescriptorTableSize},
+		{1 << 30, ^uint64(0), maxDescriptorTableSize},
 		{5, 0, 1},
 	} {
-		if n := tableSize(k.sockets, k.limit); n != k.want {
+		if n := requiredTableSize(k.sockets, k.limit); n != k.want {
 			t.Errorf("sockets %d, limit %d: %d, want %d", k.sockets, k.limit, n, k.want)
 		}
 	}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -24,9 +24,9 @@
 
 const (
 	// generations is how many values a generation has; two processes that live at the same time have different ones.
-	generations = 16
+	generationCount = 16
 	// farewellMS is the time for the last messages of a process that ends.
-	farewellMS = 100.0
+	linkFlushMS = 100.0
 )
 
 // restartActions are the machine's effects on a process, beside talking to other processes, and what the coordinator
@@ -99,7 +99,7 @@
 	if c.links.slot != nil {
 		self = c.links.slot.Process
 	}
-	c.generation = uint8(self % generations)
+	c.generation = uint8(self % generationCount)
 	var effects []hotrestart.Effect
 	c.machine, effects = hotrestart.New(self, c.loop.Now(), hotrestart.DefaultSettings)
 	for _, effect := range effects {
@@ -112,12 +112,12 @@
 
 // step hands the machine an event and carries out what it wants.
 func (c *coordinator) step(event hotrestart.Event) {
-	before := c.machine.Phase()
+	oldPhase := c.machine.Phase()
 	for _, effect := range c.machine.Step(c.loop.Now(), event) {
 		c.carryOut(effect)
 	}
-	if now := c.machine.Phase(); now != before {
-		c.log.Info("hot restart phase changed", "phase", now.String(), "former_phase", before.String(),
+	if newPhase := c.machine.Phase(); newPhase != oldPhase {
+		c.log.Info("hot restart phase changed", "phase", newPhase.String(), "former_phase", oldPhase.String(),
 			"process", uint64(c.machine.Self), "predecessor", uint64(c.machine.Predecessor()),
 			"successor", uint64(c.machine.Successor()))
 	}
@@ -158,7 +158,7 @@
 func (c *coordinator) stopRequested() { c.step(hotrestart.Event{Kind: hotrestart.EventStopRequested}) }
 
 // quiet tells the machine that nothing has been open for a while.
-func (c *coordinator) quiet() { c.step(hotrestart.Event{Kind: hotrestart.EventIdle}) }
+func (c *coordinator) reportIdle() { c.step(hotrestart.Event{Kind: hotrestart.EventIdle}) }
 
 func (c *coordinator) phase() hotrestart.Phase { return c.machine.Phase() }
 func (c *coordinator) share() hotrestart.Share { return c.machine.Share() }
@@ -175,7 +175,7 @@
 func (c *coordinator) hasPredecessor() bool { return c.machine.Predecessor() != hotrestart.NoProcess }
 
 // hasOther reports whether another process takes part in a hot restart with this one.
-func (c *coordinator) hasOther() bool {
+func (c *coordinator) hasOtherProcess() bool {
 	return c.hasPredecessor() || c.machine.Successor() != hotrestart.NoProcess
 }
 
@@ -237,5 +237,5 @@
 		c.life.stop()
 		return
 	}
-	c.loop.After(farewellMS, c.life.stop)
+	c.loop.After(linkFlushMS, c.life.stop)
 }
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -17,7 +17,7 @@
 
 const (
 	// aliveIntervalMS is how often a process whose link has ended is looked at.
-	aliveIntervalMS = 25.0
+	livenessPollMS = 25.0
 	// acceptRetryInterval is the pause after a failed accept.
 	acceptRetryInterval = 50 * time.Millisecond
 )
@@ -27,7 +27,7 @@
 	link    *hotrestartipc.Link
 	process hotrestart.ProcessNumber // None until it has said hello
 	version int
-	bye     bool // it said goodbye and lives on
+	saidBye bool // it said goodbye and lives on
 }
 
 // send queues a message; its files stay the caller's, who may close them at once.
@@ -167,28 +167,28 @@
 }
 
 // linkEnded continues after a link that ended; the process at its other end may live.
-func (c *coordinator) linkEnded(ended *peer, err error) {
-	if ended.process == hotrestart.NoProcess || c.links.byProcess[ended.process] != ended {
+func (c *coordinator) linkEnded(link *peer, err error) {
+	if link.process == hotrestart.NoProcess || c.links.byProcess[link.process] != link {
 		return
 	}
-	delete(c.links.byProcess, ended.process)
-	if c.partner.peer == ended {
+	delete(c.links.byProcess, link.process)
+	if c.partner.peer == link {
 		c.actions.partnerLost()
 	}
-	if ended.bye || ended.process != hotrestart.LegacySuccessor && c.links.slot.Alive(ended.process) {
-		c.log.Info("process link closed", "process", uint64(ended.process), "error", err)
-		c.step(hotrestart.Event{Kind: hotrestart.EventLinkLost, Process: ended.process})
-		if !ended.bye {
-			c.watchProcess(ended.process)
+	if link.saidBye || link.process != hotrestart.LegacySuccessor && c.links.slot.Alive(link.process) {
+		c.log.Info("process link closed", "process", uint64(link.process), "error", err)
+		c.step(hotrestart.Event{Kind: hotrestart.EventLinkLost, Process: link.process})
+		if !link.saidBye {
+			c.watchProcess(link.process)
 		}
 		return
 	}
-	c.processEnded(ended.process)
+	c.processEnded(link.process)
 }
 
 // watchProcess waits for the end of a process to which the link has ended.
 func (c *coordinator) watchProcess(process hotrestart.ProcessNumber) {
-	c.loop.After(aliveIntervalMS, func() {
+	c.loop.After(livenessPollMS, func() {
 		switch {
 		case c.links.byProcess[process] != nil:
 		case c.links.slot.Alive(process):
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -118,7 +118,7 @@
 
 // receiveBye records that the process at the other end lives on though its link ends.
 func receiveBye(from *peer, _ *hotrestartipc.Message) error {
-	from.bye = true
+	from.saidBye = true
 	return nil
 }
 
@@ -191,7 +191,7 @@
 	}
 	from.version, _ = hotrestart.NegotiateVersion(state.Version)
 	if c.generation == state.Generation { // of a process of version 1, which counts by itself
-		c.generation = (state.Generation + generations/2) % generations
+		c.generation = (state.Generation + generationCount/2) % generationCount
 	}
 	c.received.state, c.received.files = state, map[string]*os.File{}
 	for i, file := range message.Files {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -14,7 +14,7 @@
 const (
 	// memoryShare is the share of the memory limit that the runtime's heap may have: stacks, the poller's buffers and
 	// the kernel's view of freed pages need the remainder.
-	memoryShare = 0.7
+	heapShare = 0.7
 	// spareConns of either process's connections to engines are left out while there are two: its listeners, log,
 	// poller and link come twice too.
 	spareConns = 16
@@ -28,18 +28,18 @@
 
 // limits are what a configuration assigns to each service.
 type limits struct {
-	inbound int // bytes read and not yet handled
-	mysql   mysql.Config
-	engines enginehttp.Config
+	inboundBytes int // bytes read and not yet handled
+	mysql        mysql.Config
+	engines      enginehttp.Config
 }
 
 // limitsOf returns what the configuration assigns to each service, less the descriptors that parts hold, which the
 // configuration does not name.
-func limitsOf(cfg *settings.Node, partDescriptors int) (limits, error) {
+func limitsFromConfig(cfg *settings.Node, partDescriptors int) (limits, error) {
 	bounds, err := validate.DivideResources(cfg, partDescriptors)
 	return limits{
-		inbound: bounds.InboundBytes,
-		mysql:   mysql.Config{MaxSessions: bounds.ClientSessions, MaxBuffered: bounds.BufferedBytes},
+		inboundBytes: bounds.InboundBytes,
+		mysql:        mysql.Config{MaxSessions: bounds.ClientSessions, MaxBuffered: bounds.BufferedBytes},
 		engines: enginehttp.Config{
 			MaxConns: bounds.EngineConnections, ConnectTimeoutMS: float64(cfg.Settings.Limits.ConnectTimeoutNS) / 1e6,
 			IdleMS: float64(cfg.Settings.Limits.ConnectionIdleNS) / 1e6,
@@ -58,21 +58,21 @@
 // restrict takes the other process's part off the limits. Sessions are divided as they are: the old process accepts
 // no more, and what it closes is opened at the new one. Connections to engines are halved, until the old one leaves. A
 // process beside one that hangs keeps to what every process leaves for a successor.
-func (l *limits) restrict(part processShare) {
-	l.inbound /= 2
+func (l *limits) restrict(share processShare) {
+	l.inboundBytes /= 2
 	l.mysql.MaxBuffered /= 2
-	if part.share != hotrestart.ShareHalf {
+	if share.share != hotrestart.ShareHalf {
 		l.mysql.MaxSessions = min(l.mysql.MaxSessions, reserveSessions)
 		l.engines.MaxConns = min(l.engines.MaxConns, reserveConns)
 		return
 	}
-	l.mysql.MaxSessions = max(l.mysql.MaxSessions-part.partner.Sessions, l.mysql.MaxSessions/3)
+	l.mysql.MaxSessions = max(l.mysql.MaxSessions-share.partner.Sessions, l.mysql.MaxSessions/3)
 	half := max(l.engines.MaxConns/2-spareConns, minEngineConns)
 	switch {
-	case part.leaving:
-		l.engines.MaxConns = max(min(part.engineConns, half), minEngineConns)
-	case part.partner.Leaving:
-		l.engines.MaxConns = max(l.engines.MaxConns-max(part.partner.EngineConns, minEngineConns)-2*spareConns, half)
+	case share.leaving:
+		l.engines.MaxConns = max(min(share.engineConns, half), minEngineConns)
+	case share.partner.Leaving:
+		l.engines.MaxConns = max(l.engines.MaxConns-max(share.partner.EngineConns, minEngineConns)-2*spareConns, half)
 	default:
 		l.engines.MaxConns = half
 	}
@@ -90,30 +90,30 @@
 }
 
 // of returns this process's limits by a configuration.
-func (l *limiter) of(cfg *settings.Node) (limits, error) {
-	all, err := limitsOf(cfg, l.parts.descriptors())
+func (l *limiter) compute(cfg *settings.Node) (limits, error) {
+	bounds, err := limitsFromConfig(cfg, l.parts.descriptors())
 	if share := l.share(); err == nil && share != hotrestart.ShareFull {
 		restriction := processShare{share: share, partner: l.partner(), leaving: l.leaving()}
 		if l.services.engines != nil {
 			restriction.engineConns = l.services.engines.ConnCount()
 		}
-		all.restrict(restriction)
+		bounds.restrict(restriction)
 	}
-	return all, err
+	return bounds, err
 }
 
 // update applies the configuration in force once the other process's part has changed.
 func (l *limiter) update() {
-	if all, err := l.of(l.active.platform); err == nil {
-		l.apply(all)
+	if bounds, err := l.compute(l.active.platform); err == nil {
+		l.apply(bounds)
 	}
 }
 
 // apply puts limits in force.
-func (l *limiter) apply(all limits) {
-	l.services.net.SetMaxInbound(all.inbound)
-	l.services.front.Configure(all.mysql)
-	l.services.engines.Configure(all.engines)
+func (l *limiter) apply(bounds limits) {
+	l.services.net.SetMaxInbound(bounds.inboundBytes)
+	l.services.front.Configure(bounds.mysql)
+	l.services.engines.Configure(bounds.engines)
 }
 
 // applyToRuntime keeps the Go runtime within the deployment's limits; two processes of one router have half of the
@@ -127,6 +127,6 @@
 		if l.share() != hotrestart.ShareFull {
 			memory /= 2
 		}
-		debug.SetMemoryLimit(int64(float64(memory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(memory) * heapShare))
 	}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -13,7 +13,7 @@
 	for _, sockets := range []int{96, 128, 192, 256, 384, 1024} {
 		cfg := &settings.Node{}
 		cfg.Limits.Sockets, cfg.Limits.MemoryMB = sockets, 64
-		one, err := limitsOf(cfg, 0)
+		one, err := limitsFromConfig(cfg, 0)
 		if err != nil {
 			t.Errorf("%d descriptors: %v", sockets, err)
 			continue
@@ -29,7 +29,8 @@
 		if n := sockets/3 + b.mysql.MaxSessions + a.engines.MaxConns + b.engines.MaxConns; n > sockets {
 			t.Errorf("%d descriptors: two processes hold %d", sockets, n)
 		}
-		if a.mysql.MaxBuffered+b.mysql.MaxBuffered > one.mysql.MaxBuffered || a.inbound+b.inbound > one.inbound {
+		if a.mysql.MaxBuffered+b.mysql.MaxBuffered > one.mysql.MaxBuffered ||
+			a.inboundBytes+b.inboundBytes > one.inboundBytes {
 			t.Errorf("%d descriptors: two processes buffer more than one", sockets)
 		}
 		// One that hangs has all of its own, and the new one keeps to what is left for a successor.
@@ -43,7 +44,7 @@
 			t.Errorf("%d descriptors: %d connections to engines", sockets, b.engines.MaxConns)
 		}
 	}
-	if _, err := limitsOf(&settings.Node{}, 0); err != nil {
+	if _, err := limitsFromConfig(&settings.Node{}, 0); err != nil {
 		t.Error("without limits:", err)
 	}
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -51,7 +51,7 @@
 	idle           map[string]net.Listener // listeners on which this process does not accept, by name
 	missing        []string                // listeners whose address can't be had yet
 	taken          []string                // listeners on which another process accepts too, or did
-	passed         *os.File                // the clients' socket, where the platform holds it
+	platformSocket *os.File                // the clients' socket, where the platform holds it
 	clients        *netio.Listener         // on which clients are accepted; nil until then
 	clientsAddress string
 	listedEngines  func() int // for the log
@@ -60,7 +60,7 @@
 // open gets all listeners; none accepts clients yet.
 func (l *listeners) open() error {
 	for _, acceptor := range l.acceptors() {
-		if err := l.provide(acceptor); err != nil {
+		if err := l.prepare(acceptor); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 		if !slices.Contains(missing, acceptor.name) {
 			continue
 		}
-		if err := l.provide(acceptor); err != nil {
+		if err := l.prepare(acceptor); err != nil {
 			l.life.fail(err)
 			return
 		}
@@ -149,7 +149,7 @@
 func (l *listeners) export(state *stateMessage) (files []*os.File) {
 	state.Addresses = map[string]string{}
 	for _, acceptor := range l.acceptors() {
-		if acceptor.name == clientListener && l.passed != nil {
+		if acceptor.name == clientListener && l.platformSocket != nil {
 			continue
 		}
 		file, err := l.fileOf(acceptor)
@@ -185,7 +185,7 @@
 
 // provide gets one listener. That of operators accepts at once: a check of readiness may come early. An address
 // that a process which hangs has bound is missing for now.
-func (l *listeners) provide(acceptor acceptor) error {
+func (l *listeners) prepare(acceptor acceptor) error {
 	opened, shared, err := l.listen(acceptor)
 	if errors.Is(err, syscall.EADDRINUSE) && l.machine.Phase() == hotrestart.PhaseDegraded {
 		l.missing = append(l.missing, acceptor.name)
@@ -244,8 +244,8 @@
 		return nil, fmt.Errorf("%s: %q is no descriptor", passedSocketEnv, descriptor)
 	}
 	syscall.CloseOnExec(fd)
-	l.passed = os.NewFile(uintptr(fd), "passed socket")
-	opened, err := netio.Inherit(l.passed)
+	l.platformSocket = os.NewFile(uintptr(fd), "passed socket")
+	opened, err := netio.Inherit(l.platformSocket)
 	if err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d: %w", passedSocketEnv, fd, err)
 	}
@@ -264,7 +264,7 @@
 	for _, idle := range l.idle {
 		_ = idle.Close()
 	}
-	if l.passed != nil {
-		_ = l.passed.Close()
+	if l.platformSocket != nil {
+		_ = l.platformSocket.Close()
 	}
 }
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -36,16 +36,16 @@
 // pipe or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its
 // end.
 type logWriter struct {
-	to        io.Writer
+	out       io.Writer
 	queue     chan []byte
 	flushes   chan chan struct{}
 	dropped   atomic.Int64
 	onDropped func(lines int64) // called once there is room again
 }
 
-func newLogWriter(to io.Writer) *logWriter {
+func newLogWriter(out io.Writer) *logWriter {
 	l := &logWriter{
-		to: to, queue: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{}), onDropped: func(int64) {},
+		out: out, queue: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{}), onDropped: func(int64) {},
 	}
 	go l.run()
 	return l
@@ -76,7 +76,7 @@
 }
 
 func (l *logWriter) write(line []byte) {
-	_, _ = l.to.Write(line)
+	_, _ = l.out.Write(line)
 	if n := l.dropped.Swap(0); n > 0 {
 		l.onDropped(n)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,13 +42,13 @@
 }
 
 // newNode wires a router that has no services yet.
-func newNode(cfg *settings.Node, own *installation.Settings, log *slog.Logger) *node {
+func newNode(cfg *settings.Node, site *installation.Settings, log *slog.Logger) *node {
 	n := &node{
 		loop: router.NewLoop(clock.NewSystem()), life: newLifecycle(),
-		active: activeSettings{platform: cfg, site: own}, services: services{byKind: &router.ByKind{}},
+		active: activeSettings{platform: cfg, site: site}, services: services{byKind: &router.ByKind{}},
 	}
 	n.log = log
-	if own.Records != nil {
+	if site.Records != nil {
 		n.log = n.recordedLog.tee(log, n.loop.Now)
 	}
 	n.wireHotRestart()
@@ -57,10 +57,10 @@
 		msgIDChange:     decoded(func(_ *peer, change router.IDChange) { n.services.core.OtherProcessChanged(change) }),
 		msgKill:         decoded(func(_ *peer, kill killMessage) { n.services.front.Kill(kill.SessionID, kill.QueryOnly) }),
 		msgUsage:        decoded(func(_ *peer, usage usageMessage) { n.usage.update(usage); n.limiter.update() }),
-		msgClaimID:      decoded(n.claims.grant),
-		msgClaimIDReply: decoded(n.claims.replied),
-		msgCordon:       decoded(n.cordons.ordered),
-		msgCordonReply:  decoded(n.cordons.replied),
+		msgClaimID:      decoded(n.claims.handleClaim),
+		msgClaimIDReply: decoded(n.claims.handleReply),
+		msgCordon:       decoded(n.cordons.handleRequest),
+		msgCordonReply:  decoded(n.cordons.handleReply),
 	})
 	return n
 }
@@ -81,8 +81,8 @@
 	}
 	n.shutdown = shutdownSequence{
 		log: n.log, loop: n.loop, active: &n.active, services: &n.services, parts: &n.parts, restart: n.restart,
-		accepted: &n.listeners, since: n.stalls.since,
-		reduce: func() { n.limiter.update(); n.usage.report() },
+		listeners: &n.listeners, earliestEventTime: n.stalls.earliestEventTime,
+		shrinkLimits: func() { n.limiter.update(); n.usage.report() },
 	}
 }
 
@@ -97,7 +97,7 @@
 	}
 	n.stalls.log, n.stalls.loop, n.stalls.services, n.stalls.refresh = n.log, n.loop, &n.services, n.cordons.refresh
 	n.admin = adminBackend{
-		log: n.log, loop: n.loop, services: &n.services, machine: &n.restart.machine, accepted: &n.listeners,
+		log: n.log, loop: n.loop, services: &n.services, machine: &n.restart.machine, listeners: &n.listeners,
 		leaving: n.leaving, cordons: n.cordons, keepers: func() *keeperSync { return n.keepers },
 	}
 	n.status = statusReporter{
@@ -115,7 +115,7 @@
 // begin starts the coordinator, in a process slot where hotRestart says so, and what runs beside the loop; the caller
 // runs the loop.
 func (n *node) begin(hotRestart bool) {
-	n.stalls.beat()
+	n.stalls.heartbeat()
 	go n.stalls.watch(n.life.done)
 	if hotRestart {
 		n.links.acquireSlot(n.active.platform)
@@ -176,7 +176,7 @@
 	if err != nil {
 		return limits{}, fmt.Errorf("field settings: %w", err)
 	}
-	bounds, err := n.limiter.of(cfg)
+	bounds, err := n.limiter.compute(cfg)
 	if err != nil {
 		return limits{}, err
 	}
@@ -193,7 +193,7 @@
 	if n.services.net, err = netio.New(n.loop, "", nil, n.log); err != nil {
 		return limits{}, err
 	}
-	n.services.net.SetMaxInbound(bounds.inbound)
+	n.services.net.SetMaxInbound(bounds.inboundBytes)
 	n.services.engines = enginehttp.NewClient(n.loop, n.services.net, bounds.engines, n.log)
 	n.services.byKind.Default = n.services.engines
 	n.services.core = core
@@ -216,8 +216,8 @@
 		pause:  n.listeners.closeClients,
 	}}
 	all = append(all, n.parts.acceptors()...)
-	if control := n.active.platform.AdminAddress; control != "" {
-		all = append(all, n.admin.acceptor(control))
+	if address := n.active.platform.AdminAddress; address != "" {
+		all = append(all, n.admin.acceptor(address))
 	}
 	return all
 }
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -25,7 +25,7 @@
 	// leave hands over to a successor, which accepts.
 	leave func(to *peer)
 	// farewell hands over what is left when nothing is open any more.
-	farewell func(to *peer)
+	handOverRest func(to *peer)
 	// end ends a router that has no successor.
 	end func()
 	// stop releases what the part has at the end of the process.
@@ -33,7 +33,7 @@
 	// partnerChanged reports which process shares the router, nil for none.
 	partnerChanged func(partner *peer)
 	// alone reports that the other process has ended, or has nothing to hand over.
-	alone func()
+	noHandover func()
 	// handlers take messages of the other process, by kind.
 	handlers map[string]messageHandler
 }
@@ -73,10 +73,10 @@
 }
 
 // configure passes other settings on, and returns the fields that can't change.
-func (s *partSet) configure(now *installation.Settings, l limits) (kept []string) {
+func (s *partSet) configure(updated *installation.Settings, l limits) (kept []string) {
 	for _, p := range s.all {
 		if p.configure != nil {
-			kept = append(kept, p.configure(now, l)...)
+			kept = append(kept, p.configure(updated, l)...)
 		}
 	}
 	return kept
@@ -130,10 +130,10 @@
 }
 
 // farewell has parts hand over what is left when nothing is open any more.
-func (s *partSet) farewell(to *peer) {
+func (s *partSet) handOverRest(to *peer) {
 	for _, p := range s.all {
-		if p.farewell != nil && to != nil {
-			p.farewell(to)
+		if p.handOverRest != nil && to != nil {
+			p.handOverRest(to)
 		}
 	}
 }
@@ -164,10 +164,10 @@
 }
 
 // alone tells the parts that the other process has ended.
-func (s *partSet) alone() {
+func (s *partSet) noHandover() {
 	for _, p := range s.all {
-		if p.alone != nil {
-			p.alone()
+		if p.noHandover != nil {
+			p.noHandover()
 		}
 	}
 }
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -32,8 +32,8 @@
 			speaker.Announce()
 			return nil
 		},
-		configure: func(now *installation.Settings, _ limits) []string {
-			speaker.Configure(*now.BGP)
+		configure: func(updated *installation.Settings, _ limits) []string {
+			speaker.Configure(*updated.BGP)
 			return nil
 		},
 		counters: func() []counterGroup { return []counterGroup{{bgpPartName, &speaker.Counters}} },
@@ -50,7 +50,7 @@
 		},
 		end: func() { speaker.Close() },
 		// Connects, if it waited for the other process's session.
-		alone: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) },
+		noHandover: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) },
 		handlers: map[string]messageHandler{
 			msgBGP: func(_ *peer, m *hotrestartipc.Message) error {
 				var session bgp.SessionState
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -56,15 +56,15 @@
 			return nil
 		},
 		configure: func(s *installation.Settings, l limits) (kept []string) {
-			now := s.FlightSQL
-			if now.Listen != cfg.Listen {
-				kept, now.Listen = append(kept, "/flightsql/listen"), cfg.Listen
+			updated := s.FlightSQL
+			if updated.Listen != cfg.Listen {
+				kept, updated.Listen = append(kept, "/flightsql/listen"), cfg.Listen
 			}
-			if now.MaxConnections != cfg.MaxConnections {
-				kept, now.MaxConnections = append(kept, "/flightsql/max_connections"), cfg.MaxConnections
+			if updated.MaxConnections != cfg.MaxConnections {
+				kept, updated.MaxConnections = append(kept, "/flightsql/max_connections"), cfg.MaxConnections
 			}
 			flight.client.Configure(l.engines.ConnectTimeoutMS)
-			services.byKind.Kinds = flight.clientsOf(now.EngineKinds)
+			services.byKind.Kinds = flight.clientsOf(updated.EngineKinds)
 			return kept
 		},
 		counters: func() []counterGroup {
@@ -74,7 +74,7 @@
 		},
 		busy:           func() bool { return flight.front.ActiveCalls() > 0 },
 		leave:          func(*peer) { flight.front.Drain() },
-		farewell:       flight.releaseTickets,
+		handOverRest:   flight.releaseTickets,
 		stop:           flight.stop,
 		partnerChanged: flight.claims.setPartner,
 		handlers:       flight.handlers(),
@@ -147,10 +147,10 @@
 // ticketClaims requests tickets that this process does not have from the other process of this router. gRPC's
 // goroutines use it.
 type ticketClaims struct {
-	mu      sync.Mutex
-	last    int64 // number
-	waiting map[int64]chan *flightsql.Ticket
-	partner *peer // nil for none
+	mu         sync.Mutex
+	lastNumber int64 // number
+	waiting    map[int64]chan *flightsql.Ticket
+	partner    *peer // nil for none
 }
 
 // setPartner sets the link for claims; without another process all claims end without a ticket.
@@ -174,8 +174,8 @@
 		c.mu.Unlock()
 		return nil
 	}
-	c.last++
-	number, reply := c.last, make(chan *flightsql.Ticket, 1)
+	c.lastNumber++
+	number, reply := c.lastNumber, make(chan *flightsql.Ticket, 1)
 	c.waiting[number] = reply
 	c.mu.Unlock()
 	partner.send(msgTicketClaim, ticketClaimMessage{Number: number, Handle: handle})
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -36,7 +36,7 @@
 	done         <-chan struct{} // closed at the end of the loop
 	active       *activeSettings
 	configurator *configurator
-	files        *reloader
+	reloader     *reloader
 	partner      *partnerLink
 	client       *configclient.Client
 	reloads      chan struct{} // a SIGHUP that was not taken yet
@@ -46,21 +46,21 @@
 
 // configurationInForce is the configuration that is in force, as someone found it.
 type configurationInForce struct {
-	own     []byte                // text of the router's own file
-	overlay configclient.Revision // of the keepers over it; 0 for none
-	changes int                   // how often it has changed
+	fileText []byte                // text of the router's own file
+	overlay  configclient.Revision // of the keepers over it; 0 for none
+	changes  int                   // how often it has changed
 }
 
 // newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration
 // does, with an instance that is another one in each incarnation. own is the text of the router's own file.
-func newKeeperSync(n *node, files *reloader, own []byte) *keeperSync {
+func newKeeperSync(n *node, reloader *reloader, fileText []byte) *keeperSync {
 	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
 	return &keeperSync{
-		log: n.log, loop: n.loop, done: n.life.done, active: &n.active, configurator: &n.configurator, files: files,
+		log: n.log, loop: n.loop, done: n.life.done, active: &n.active, configurator: &n.configurator, reloader: reloader,
 		partner: n.restart.partner,
 		client:  configclient.New(*n.active.site.Keepers, n.active.platform.Name, instance, n.log),
 		reloads: make(chan struct{}, 1),
-		inForce: configurationInForce{own: own},
+		inForce: configurationInForce{fileText: fileText},
 	}
 }
 
@@ -82,7 +82,7 @@
 // router is built. The loop does not run yet.
 func (k *keeperSync) restore() {
 	k.client.Restore(keeperStartTimeout, func(revision configclient.Revision) error {
-		cfg, err := overlaid(k.inForce.own, revision)
+		cfg, err := overlayConfig(k.inForce.fileText, revision)
 		if err == nil {
 			k.active.platform, k.inForce.overlay = cfg, revision
 		}
@@ -93,8 +93,8 @@
 }
 
 // overlaid checks a revision over a text of the router's own file. Its error is a *configerror.Error.
-func overlaid(own []byte, revision configclient.Revision) (*settings.Node, error) {
-	cfg, err := validate.Overlay(own, revision.Entries)
+func overlayConfig(fileText []byte, revision configclient.Revision) (*settings.Node, error) {
+	cfg, err := validate.Overlay(fileText, revision.Entries)
 	if err != nil {
 		return nil, configerror.From(err)
 	}
@@ -152,12 +152,12 @@
 		case revision.Revision == base.overlay.Revision && revision.Hash == base.overlay.Hash:
 			return nil, nil // from the other process
 		}
-		cfg, err := overlaid(base.own, revision)
+		cfg, err := overlayConfig(base.fileText, revision)
 		if err != nil {
 			return nil, err
 		}
 		return func() error {
-			if err := k.commit(cfg, k.active.site, base.own, revision); err != nil {
+			if err := k.commit(cfg, k.active.site, base.fileText, revision); err != nil {
 				return configerror.Invalidf("", "%s", err)
 			}
 			return nil
@@ -167,14 +167,14 @@
 
 // commit brings a configuration in force, in the loop, and tells the other process of this router.
 func (k *keeperSync) commit(
-	cfg *settings.Node, own *installation.Settings, text []byte, revision configclient.Revision,
+	cfg *settings.Node, site *installation.Settings, fileText []byte, revision configclient.Revision,
 ) error {
-	if err := k.configurator.apply(cfg, own); err != nil {
+	if err := k.configurator.apply(cfg, site); err != nil {
 		return err
 	}
-	later := revision.Revision > k.revision()
-	k.inForce = configurationInForce{own: text, overlay: revision, changes: k.inForce.changes + 1}
-	if later {
+	newer := revision.Revision > k.revision()
+	k.inForce = configurationInForce{fileText: fileText, overlay: revision, changes: k.inForce.changes + 1}
+	if newer {
 		k.log.Info("configuration applied", "revision", revision.Revision, "entries", len(revision.Entries))
 		k.partner.send(msgConfiguration, revision)
 	}
@@ -191,9 +191,9 @@
 		k.log.Error("received configuration corrupt", "revision", revision.Revision)
 		return
 	}
-	cfg, err := overlaid(k.inForce.own, revision)
+	cfg, err := overlayConfig(k.inForce.fileText, revision)
 	if err == nil {
-		err = k.commit(cfg, k.active.site, k.inForce.own, revision)
+		err = k.commit(cfg, k.active.site, k.inForce.fileText, revision)
 	}
 	if err != nil {
 		k.log.Error("received configuration rejected", "revision", revision.Revision, "error", err)
@@ -223,7 +223,7 @@
 			return
 		}
 		if err != nil {
-			k.files.rejected(err)
+			k.reloader.rejected(err)
 			continue
 		}
 		k.client.Retry() // what was rejected may fit now
@@ -232,17 +232,17 @@
 
 // reloadOnce reads the files and overlays the router's own with the entries in force.
 func (k *keeperSync) reloadOnce() error {
-	_, text, own, err := k.files.read()
+	_, fileText, site, err := k.reloader.read()
 	if err != nil {
 		return err
 	}
 	return k.change(func(base configurationInForce) (func() error, error) {
-		cfg, err := overlaid(text, base.overlay)
+		cfg, err := overlayConfig(fileText, base.overlay)
 		if err != nil {
 			return nil, err
 		}
-		copied := *own // what can't change is put back in it
-		return func() error { return k.commit(cfg, &copied, text, base.overlay) }, nil
+		siteCopy := *site // what can't change is put back in it
+		return func() error { return k.commit(cfg, &siteCopy, fileText, base.overlay) }, nil
 	})
 }
 
@@ -261,12 +261,12 @@
 			return nil
 		},
 		configure: func(s *installation.Settings, _ limits) (kept []string) {
-			now := s.Keepers
-			if now.Dir != cfg.Dir {
-				kept, now.Dir = append(kept, "/keepers/dir"), cfg.Dir
+			updated := s.Keepers
+			if updated.Dir != cfg.Dir {
+				kept, updated.Dir = append(kept, "/keepers/dir"), cfg.Dir
 			}
-			if !slices.Equal(now.Addresses, cfg.Addresses) || now.MaxPollWaitMS != cfg.MaxPollWaitMS {
-				cfg = *now
+			if !slices.Equal(updated.Addresses, cfg.Addresses) || updated.MaxPollWaitMS != cfg.MaxPollWaitMS {
+				cfg = *updated
 				keepers.client.Configure(cfg)
 			}
 			return kept
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -18,7 +18,7 @@
 	// observeIntervalMS is how often the module's view of engines is read, and recordIntervalMS how often what
 	// was counted is written.
 	observeIntervalMS = 250.0
-	recordIntervalMS  = 1000.0
+	writeIntervalMS   = 1000.0
 	// recordDescriptors are a segment, and the folder while it is swept.
 	recordDescriptors = 2
 	// slowThreshold is from where on an engine counts as slow against its peers, as a factor.
@@ -27,20 +27,20 @@
 
 // recorder writes records of what the router sees and does: it implements router.Observer.
 type recorder struct {
-	loop     *router.Loop
-	services *services
-	log      *recordedLog
-	writer   *record.Writer
-	meter    *record.Meter
-	view     dispatch.View
-	states   map[dispatch.EngineID]record.State
-	seen     map[dispatch.EngineID]bool
-	takenAt  float64
-	samples  int // of answers, left in this second
+	loop          *router.Loop
+	services      *services
+	log           *recordedLog
+	writer        *record.Writer
+	meter         *record.Meter
+	view          dispatch.View
+	states        map[dispatch.EngineID]record.State
+	seen          map[dispatch.EngineID]bool
+	intervalStart float64
+	samplesLeft   int // of answers, left in this second
 	// maxSamples is how many answers are sampled in a second.
-	maxSamples int
-	rejected   int64 // sessions, as counted at takenAt
-	badAnswers int64 // of engines, as counted at takenAt
+	maxSamples       int
+	rejectedSessions int64 // sessions, as counted at takenAt
+	invalidResponses int64 // of engines, as counted at takenAt
 }
 
 // recordPart writes records of what the router sees and does.
@@ -76,7 +76,7 @@
 		counters: func() []counterGroup { return []counterGroup{{"records", &rec.writer.Counters}} },
 		stop: func() {
 			if rec.writer != nil {
-				rec.writeSecond()
+				rec.writeInterval()
 				rec.log.writer.Store(nil)
 				rec.writer.Close()
 			}
@@ -95,7 +95,7 @@
 	})
 	c.log.writer.Store(c.writer)
 	c.services.core.Observer = c
-	c.takenAt, c.samples = c.loop.Now(), c.maxSamples
+	c.intervalStart, c.samplesLeft = c.loop.Now(), c.maxSamples
 	c.sample()
 }
 
@@ -136,8 +136,8 @@
 // sample observes the engines again and again, and writes what was counted once a second.
 func (c *recorder) sample() {
 	c.observe()
-	if c.loop.Now()-c.takenAt >= recordIntervalMS {
-		c.writeSecond()
+	if c.loop.Now()-c.intervalStart >= writeIntervalMS {
+		c.writeInterval()
 	}
 	c.loop.After(observeIntervalMS, c.sample)
 }
@@ -169,19 +169,19 @@
 }
 
 func (c *recorder) writeState(now float64, engine *dispatch.EngineView, state record.State) {
-	written := &record.EngineChange{
+	change := &record.EngineChange{
 		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID],
 		Slowness: engine.Slowness, FailureRate: engine.FailureShare, ConnectionFailures: engine.ConnectionFailures,
 		Zone: engine.Zone, Kind: engine.Kind,
 	}
 	if state == record.WarmingUp {
-		written.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
+		change.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
 	}
 	if c.services.endpoints != nil {
-		written.LastEvent = c.services.endpoints.LastEvent()
+		change.LastEvent = c.services.endpoints.LastEvent()
 	}
 	c.states[engine.ID] = state
-	c.writer.Put(written)
+	c.writer.Put(change)
 }
 
 func engineState(engine *dispatch.EngineView) record.State {
@@ -203,23 +203,24 @@
 }
 
 // writeSecond writes what was counted since it did so last.
-func (c *recorder) writeSecond() {
+func (c *recorder) writeInterval() {
 	now := c.loop.Now()
 	front, engines := c.services.front, c.services.engines
-	second := &record.Interval{
-		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.services.core.OpenRequests(),
+	interval := &record.Interval{
+		AtMS: now, DurationMS: now - c.intervalStart, OpenRequests: c.services.core.OpenRequests(),
 		QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
 		EngineConnections: engines.ConnCount(), ClientSessions: front.Sessions(),
 	}
-	second.Classes, second.Engines = c.meter.Collect()
-	rejected, badAnswers := front.Counters.Rejected+front.Counters.Evicted, engines.Counters.BadResponses
-	second.RejectedSessions, second.InvalidResponses = rejected-c.rejected, badAnswers-c.badAnswers
-	c.rejected, c.badAnswers = rejected, badAnswers
+	interval.Classes, interval.Engines = c.meter.Collect()
+	rejectedSessions, invalidResponses := front.Counters.Rejected+front.Counters.Evicted, engines.Counters.BadResponses
+	interval.RejectedSessions = rejectedSessions - c.rejectedSessions
+	interval.InvalidResponses = invalidResponses - c.invalidResponses
+	c.rejectedSessions, c.invalidResponses = rejectedSessions, invalidResponses
 	if endpoints := c.services.endpoints; endpoints != nil {
-		second.LastEvent, second.DiscoveryAgeMS = endpoints.LastEvent(), now-endpoints.LastContactMS()
+		interval.LastEvent, interval.DiscoveryAgeMS = endpoints.LastEvent(), now-endpoints.LastContactMS()
 	}
-	c.takenAt, c.samples = now, c.maxSamples
-	c.writer.Put(second)
+	c.intervalStart, c.samplesLeft = now, c.maxSamples
+	c.writer.Put(interval)
 }
 
 // RequestArrived implements router.Observer.
@@ -229,24 +230,24 @@
 
 // RequestAnswered implements router.Observer.
 func (c *recorder) RequestAnswered(request *router.Request, answer router.Answer) {
-	end := requestEnd(answer)
-	c.meter.RequestEnded(request.Class, request.Tenant, end, answer.TookMS)
-	if end != record.RequestRejected && end != record.RequestFailed || c.samples == 0 {
+	outcome := requestOutcome(answer)
+	c.meter.RequestEnded(request.Class, request.Tenant, outcome, answer.TookMS)
+	if outcome != record.RequestRejected && outcome != record.RequestFailed || c.samplesLeft == 0 {
 		return
 	}
-	c.samples--
-	written := &record.RequestFailure{
+	c.samplesLeft--
+	failure := &record.RequestFailure{
 		AtMS: c.loop.Now(), RequestID: request.ID, Class: request.Class, Tenant: request.Tenant,
-		Rejected: end == record.RequestRejected, Reason: answer.Reason, AfterMS: answer.TookMS,
+		Rejected: outcome == record.RequestRejected, Reason: answer.Reason, AfterMS: answer.TookMS,
 	}
 	if answer.Engine != 0 {
-		written.EngineID = settings.FormatEngineID(answer.Engine)
+		failure.EngineID = settings.FormatEngineID(answer.Engine)
 	}
-	c.writer.Put(written)
+	c.writer.Put(failure)
 }
 
 // requestEnd is how an answered request is counted.
-func requestEnd(answer router.Answer) record.RequestOutcome {
+func requestOutcome(answer router.Answer) record.RequestOutcome {
 	switch answer.Kind {
 	case router.AnswerServed:
 		if answer.TookMS > answer.ObjectiveMS {
@@ -265,7 +266,7 @@
 // AttemptStarted implements router.Observer.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
-var attemptEnds = map[dispatch.Outcome]record.AttemptOutcome{
+var attemptOutcomes = map[dispatch.Outcome]record.AttemptOutcome{
 	dispatch.Served:          record.AttemptServed,
 	dispatch.EngineFull:      record.AttemptRejected,
 	dispatch.EngineFailed:    record.AttemptErrored,
@@ -276,9 +277,9 @@
 
 // AttemptEnded implements router.Observer.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
-	end, ok := attemptEnds[outcome]
+	recorded, ok := attemptOutcomes[outcome]
 	if !ok {
-		end = record.AttemptOther
+		recorded = record.AttemptOther
 	}
-	c.meter.AttemptEnded(uint64(e), end, tookMS)
+	c.meter.AttemptEnded(uint64(e), recorded, tookMS)
 }
--- a/internal/node/pending.go
+++ b/internal/node/pending.go
@@ -4,9 +4,9 @@
 
 // pendingReplies are the questions to the other process of this router that await its reply, by their number.
 type pendingReplies[T any] struct {
-	loop    *router.Loop
-	last    int
-	waiting map[int]func(T)
+	loop       *router.Loop
+	lastNumber int
+	waiting    map[int]func(T)
 }
 
 func newPendingReplies[T any](loop *router.Loop) pendingReplies[T] {
@@ -16,8 +16,8 @@
 // add registers a request and returns its number. done is called once: with the reply, or with timedOut after
 // timeoutMS.
 func (p *pendingReplies[T]) add(timeoutMS float64, timedOut T, done func(T)) (number int) {
-	p.last++
-	number = p.last
+	p.lastNumber++
+	number = p.lastNumber
 	var timeout *router.Timer
 	p.waiting[number] = func(reply T) {
 		delete(p.waiting, number)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -21,23 +21,23 @@
 
 // read reads both files. It may wait for a disk, and for the kernel to grow the table of descriptors, which the loop
 // must not do.
-func (r *reloader) read() (cfg *settings.Node, text []byte, own *installation.Settings, err error) {
+func (r *reloader) read() (cfg *settings.Node, text []byte, site *installation.Settings, err error) {
 	if cfg, text, err = readPlatform(r.path); err != nil {
 		return nil, nil, nil, err
 	}
-	own, err = readSite(r.settingsPath)
-	if err := growTable(cfg.Limits.Sockets); err != nil {
+	site, err = readSite(r.settingsPath)
+	if err := growDescriptorTable(cfg.Limits.Sockets); err != nil {
 		r.log.Warn("descriptor table growth failed", "error", err)
 	}
-	return cfg, text, own, err
+	return cfg, text, site, err
 }
 
 // reload reads the files and hands them to the loop. Where one can't be used nothing changes.
 func (r *reloader) reload() {
-	cfg, _, own, err := r.read()
+	cfg, _, site, err := r.read()
 	r.loop.Post(func() {
 		if err == nil {
-			err = r.configurator.apply(cfg, own)
+			err = r.configurator.apply(cfg, site)
 		}
 		if err != nil {
 			r.rejected(err)
@@ -58,16 +58,16 @@
 
 // apply puts other settings in force, all of them or, where they can't be used, none. Open requests, sessions and
 // connections are not touched. What can't change while running keeps its value, and the log names it.
-func (c *configurator) apply(cfg *settings.Node, own *installation.Settings) error {
+func (c *configurator) apply(cfg *settings.Node, site *installation.Settings) error {
 	if !c.services.built() { // nothing uses the settings yet
-		c.active.platform, c.active.site = cfg, own
+		c.active.platform, c.active.site = cfg, site
 		return nil
 	}
 	decisions, err := validate.DispatchConfig(cfg, c.active.platform.SeedValue)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	now, err := c.limiter.of(cfg)
+	newLimits, err := c.limiter.compute(cfg)
 	if err != nil {
 		return err
 	}
@@ -76,11 +76,11 @@
 		return fmt.Errorf("field settings: %w", err)
 	}
 	kept = append(kept, keepFields(c.active.platform, cfg)...)
-	kept = append(kept, keepSections(c.active.site, own)...)
-	c.limiter.apply(now)
-	kept = append(kept, c.parts.configure(own, now)...)
+	kept = append(kept, keepSections(c.active.site, site)...)
+	c.limiter.apply(newLimits)
+	kept = append(kept, c.parts.configure(site, newLimits)...)
 	c.services.endpoints.Configure(cfg.DiscoveryAddress, endpointNames(cfg))
-	c.active.platform, c.active.site = cfg, own
+	c.active.platform, c.active.site = cfg, site
 	c.limiter.applyToRuntime()
 	c.log.Info("reloaded", "board", cfg.DiscoveryAddress, "sockets", cfg.Limits.Sockets, "memory_mb", cfg.Limits.MemoryMB)
 	if len(kept) > 0 {
@@ -90,18 +90,18 @@
 }
 
 // keepFields returns the platform's fields that can't change while running. What was in force stays.
-func keepFields(old, now *settings.Node) (kept []string) {
+func keepFields(current, updated *settings.Node) (kept []string) {
 	for _, field := range []struct {
-		name string
-		old  string
-		now  *string
+		name    string
+		current string
+		updated *string
 	}{
-		{"name", old.Name, &now.Name},
-		{"listen", old.Listen, &now.Listen},
-		{"control", old.AdminAddress, &now.AdminAddress},
+		{"name", current.Name, &updated.Name},
+		{"listen", current.Listen, &updated.Listen},
+		{"control", current.AdminAddress, &updated.AdminAddress},
 	} {
-		if field.old != *field.now {
-			kept, *field.now = append(kept, field.name), field.old
+		if field.current != *field.updated {
+			kept, *field.updated = append(kept, field.name), field.current
 		}
 	}
 	return kept
@@ -109,18 +109,18 @@
 
 // keepSections returns the sections that were added or removed: a part is made at the start only. What was in force
 // stays.
-func keepSections(old, now *installation.Settings) (kept []string) {
-	if (old.FlightSQL == nil) != (now.FlightSQL == nil) {
-		kept, now.FlightSQL = append(kept, "/flightsql"), old.FlightSQL
+func keepSections(current, updated *installation.Settings) (kept []string) {
+	if (current.FlightSQL == nil) != (updated.FlightSQL == nil) {
+		kept, updated.FlightSQL = append(kept, "/flightsql"), current.FlightSQL
 	}
-	if (old.BGP == nil) != (now.BGP == nil) {
-		kept, now.BGP = append(kept, "/bgp"), old.BGP
+	if (current.BGP == nil) != (updated.BGP == nil) {
+		kept, updated.BGP = append(kept, "/bgp"), current.BGP
 	}
-	if (old.Records == nil) != (now.Records == nil) {
-		kept, now.Records = append(kept, "/records"), old.Records
+	if (current.Records == nil) != (updated.Records == nil) {
+		kept, updated.Records = append(kept, "/records"), current.Records
 	}
-	if (old.Keepers == nil) != (now.Keepers == nil) {
-		kept, now.Keepers = append(kept, "/keepers"), old.Keepers
+	if (current.Keepers == nil) != (updated.Keepers == nil) {
+		kept, updated.Keepers = append(kept, "/keepers"), current.Keepers
 	}
 	return kept
 }
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -43,7 +43,7 @@
 		n.listeners.openMissing() // with the predecessor's listeners
 		for _, p := range n.parts.all {
 			if p.handsOver && !slices.Contains(state.Parts, p.name) {
-				p.alone() // the predecessor has nothing to hand over
+				p.noHandover() // the predecessor has nothing to hand over
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 func (n *node) partnerChanged(partner *peer) {
 	n.parts.partnerChanged(partner)
 	if partner != nil {
-		n.usage.start(partner)
+		n.usage.reportPeriodically(partner)
 	}
 }
 
@@ -126,5 +126,5 @@
 	n.limiter.update()
 	n.limiter.applyToRuntime()
 	n.log.Info("other process ended", "phase", n.restart.phase().String())
-	n.parts.alone()
+	n.parts.noHandover()
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -41,18 +41,19 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	own, err := readSite(opts.Settings)
+	site, err := readSite(opts.Settings)
 	if err != nil {
 		return err
 	}
 	log, flush := opts.logger()
 	defer flush()
-	go growTableAtStart(cfg, log) // beside the start, which needs few: the wait may take longer than a hot restart may
-	n := newNode(cfg, own, log.With("name", cfg.Name))
-	files := n.newReloader(path, opts.Settings)
-	reload := files.reload
-	if own.Keepers != nil {
-		n.keepers = newKeeperSync(n, files, text)
+	// Beside the start, which needs few: the wait may take longer than a hot restart may.
+	go growDescriptorTableAtStart(cfg, log)
+	n := newNode(cfg, site, log.With("name", cfg.Name))
+	reloader := n.newReloader(path, opts.Settings)
+	reload := reloader.reload
+	if site.Keepers != nil {
+		n.keepers = newKeeperSync(n, reloader, text)
 		n.keepers.restore()
 		reload = n.keepers.reload
 	}
@@ -69,8 +70,8 @@
 	return nil
 }
 
-func growTableAtStart(cfg *settings.Node, log *slog.Logger) {
-	if err := growTable(cfg.Limits.Sockets); err != nil {
+func growDescriptorTableAtStart(cfg *settings.Node, log *slog.Logger) {
+	if err := growDescriptorTable(cfg.Limits.Sockets); err != nil {
 		log.Warn("descriptor table growth failed", "error", err)
 	}
 }
@@ -101,8 +102,8 @@
 }
 
 // start begins a router that has no predecessor and can't be found by a successor; the caller runs the loop.
-func start(cfg *settings.Node, own *installation.Settings, log *slog.Logger) (*node, error) {
-	n := newNode(cfg, own, log)
+func start(cfg *settings.Node, site *installation.Settings, log *slog.Logger) (*node, error) {
+	n := newNode(cfg, site, log)
 	n.begin(false)
 	return n, n.life.err
 }
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -31,8 +31,8 @@
 	for try := 1; ; try++ {
 		err := f()
 		addressInUse := errors.Is(err, syscall.EADDRINUSE)
-		passes := addressInUse || errors.Is(err, settings.ErrNotJSON) || errors.Is(err, fs.ErrNotExist)
-		if !passes || try >= maxAddressTries || !addressInUse && try >= maxFileTries {
+		transient := addressInUse || errors.Is(err, settings.ErrNotJSON) || errors.Is(err, fs.ErrNotExist)
+		if !transient || try >= maxAddressTries || !addressInUse && try >= maxFileTries {
 			return err
 		}
 		sleep(retryInterval)
@@ -65,12 +65,12 @@
 	if path == "" {
 		return &installation.Settings{}, nil
 	}
-	var read *installation.Settings
+	var site *installation.Settings
 	err := retry(func() (err error) {
-		read, err = installation.Read(path)
+		site, err = installation.Read(path)
 		return err
 	})
-	return read, err
+	return site, err
 }
 
 // endpointNames are the names that the endpoint list may use.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,15 +9,15 @@
 
 const (
 	// graceMS is how long after SIGTERM requests may still come; the platform's protocol says 600.
-	graceMS = 1000.0
+	arrivalGraceMS = 1000.0
 	// After SIGTERM a kill follows no sooner than the longest deadline, counted as patienceAloneMS at most, or in a hot
 	// restart as patienceRestartMS, and 700 ms. What is open is answered answerSlackMS after that deadline: before the
 	// kill follows.
-	patienceAloneMS   = 3000.0
-	patienceRestartMS = 5000.0
-	answerSlackMS     = 450.0
+	standaloneDeadlineCapMS = 3000.0
+	hotRestartDeadlineCapMS = 5000.0
+	answerSlackMS           = 450.0
 	// quietMS is how long nothing may have been open before a process that drains ends.
-	quietMS = 200.0
+	idleMS = 200.0
 	// closeTimeoutMS is how long clients have to close when the process ends, and endSlackMS how long past the time at
 	// which all is answered at the latest: the kill follows 250 ms after that.
 	closeTimeoutMS, endSlackMS = 300.0, 120.0
@@ -32,25 +32,25 @@
 // shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts
 // instead, when it leaves.
 type shutdownSequence struct {
-	log      *slog.Logger
-	loop     *router.Loop
-	active   *activeSettings
-	services *services
-	parts    *partSet
-	restart  *coordinator
-	accepted *listeners
-	since    func() float64 // when a signal that is noticed now may have come
-	reduce   func()         // shrinks the limits of a process that leaves, and reports its usage
+	log               *slog.Logger
+	loop              *router.Loop
+	active            *activeSettings
+	services          *services
+	parts             *partSet
+	restart           *coordinator
+	listeners         *listeners
+	earliestEventTime func() float64 // when a signal that is noticed now may have come
+	shrinkLimits      func()         // shrinks the limits of a process that leaves, and reports its usage
 
 	leaving     bool    // the other process accepts; this one finishes what it accepted
 	deadlineSet bool    // open requests know when the process ends
-	busyAt      float64 // when something was open last
+	lastBusyAt  float64 // when something was open last
 	answeredBy  float64 // when what is open has been answered at the latest, once deadlineSet
 	closeBy     float64 // when clients that do not close are disconnected; 0 until connections are closed
 }
 
 // setDeadline tells open requests, once, when the process ends at the latest.
-func (s *shutdownSequence) setDeadline(patienceMS float64) {
+func (s *shutdownSequence) setDeadline(deadlineCapMS float64) {
 	if s.deadlineSet {
 		return
 	}
@@ -59,7 +59,7 @@
 	for _, class := range s.active.platform.Settings.Classes {
 		longest = max(longest, float64(class.DeadlineNS)/1e6)
 	}
-	s.answeredBy = max(s.since()+min(longest, patienceMS)+answerSlackMS, s.loop.Now())
+	s.answeredBy = max(s.earliestEventTime()+min(longest, deadlineCapMS)+answerSlackMS, s.loop.Now())
 	s.services.core.SetShutdownDeadline(s.answeredBy)
 }
 
@@ -70,14 +70,14 @@
 func (s *shutdownSequence) drain() {
 	s.log.Info("draining", "open", s.services.core.OpenRequests())
 	s.leaving = false
-	patience := patienceAloneMS
-	if s.restart.hasOther() {
-		patience = patienceRestartMS
+	deadlineCap := standaloneDeadlineCapMS
+	if s.restart.hasOtherProcess() {
+		deadlineCap = hotRestartDeadlineCapMS
 	}
-	s.setDeadline(patience)
+	s.setDeadline(deadlineCap)
 	s.parts.drain()
-	s.busyAt = s.loop.Now()
-	s.loop.After(max(min(graceMS, s.answeredBy-s.busyAt), 0), s.checkDrained)
+	s.lastBusyAt = s.loop.Now()
+	s.loop.After(max(min(arrivalGraceMS, s.answeredBy-s.lastBusyAt), 0), s.checkDrained)
 }
 
 // checkDrained ends the process once nothing has been open for a while. Until then it continues accepting and
@@ -90,13 +90,13 @@
 	}
 	now := s.loop.Now()
 	if s.busy() || s.services.front.Busy() {
-		s.busyAt = now
+		s.lastBusyAt = now
 	}
-	if s.closeBy == 0 && (now-s.busyAt >= quietMS || now >= s.answeredBy) {
+	if s.closeBy == 0 && (now-s.lastBusyAt >= idleMS || now >= s.answeredBy) {
 		s.closeConnections(now)
 	}
 	if s.closeBy > 0 && s.finished(now) {
-		s.restart.quiet()
+		s.restart.reportIdle()
 		return
 	}
 	s.loop.After(drainPollMS, s.checkDrained)
@@ -105,7 +105,7 @@
 // closeConnections begins the end of all connections of clients.
 func (s *shutdownSequence) closeConnections(now float64) {
 	s.closeBy = now + closeTimeoutMS
-	s.accepted.closeClients()
+	s.listeners.closeClients()
 	s.services.net.BeginShutdown()
 	s.services.front.Shutdown()
 }
@@ -121,28 +121,28 @@
 // else.
 func (s *shutdownSequence) leave(to *peer) {
 	s.leaving = true
-	s.setDeadline(patienceRestartMS)
+	s.setDeadline(hotRestartDeadlineCapMS)
 	s.services.front.Drain()
 	s.parts.leave(to)
-	s.reduce() // the sessions that were closed just now come to the other process at once
-	s.busyAt = s.loop.Now()
+	s.shrinkLimits() // the sessions that were closed just now come to the other process at once
+	s.lastBusyAt = s.loop.Now()
 	s.log.Info("graceful shutdown started", "sessions", s.services.front.Sessions(),
 		"open", s.services.core.OpenRequests())
-	s.checkLeft()
+	s.checkLeaveFinished()
 }
 
 // checkLeft ends the process once nothing that it accepted has been open for a while.
-func (s *shutdownSequence) checkLeft() {
+func (s *shutdownSequence) checkLeaveFinished() {
 	now := s.loop.Now()
 	switch {
 	case s.restart.phase() == hotrestart.PhaseDraining:
 		return // the other process ended; this is a shutdown without a successor now
 	case s.busy() || s.services.front.Sessions()+s.services.net.ClosingConns() > 0:
-		s.busyAt = now
-	case now-s.busyAt >= settleMS:
-		s.parts.farewell(s.restart.partnerPeer())
-		s.restart.quiet()
+		s.lastBusyAt = now
+	case now-s.lastBusyAt >= settleMS:
+		s.parts.handOverRest(s.restart.partnerPeer())
+		s.restart.reportIdle()
 		return
 	}
-	s.loop.After(leavePollMS, s.checkLeft)
+	s.loop.After(leavePollMS, s.checkLeaveFinished)
 }
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -12,12 +12,12 @@
 const (
 	// loopBeatIntervalMS is how often the loop shows that it continues, and stallThresholdMS the delay after which what
 	// it knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
-	loopBeatIntervalMS = 100.0
-	stallThresholdMS   = 400.0
+	heartbeatIntervalMS = 100.0
+	stallThresholdMS    = 400.0
 	// catchUpMS is how long a loop that stalled takes in what arrived, and sends nothing.
 	catchUpMS = 100.0
 	// blockedAfterMS is how late the loop may be before its stacks are logged.
-	blockedAfterMS = 1000.0
+	blockedThresholdMS = 1000.0
 	// watchInterval is how often the loop is looked at from outside.
 	watchInterval = 250 * time.Millisecond
 	// maxLoggedStack bounds the stacks in the log, in bytes.
@@ -37,31 +37,31 @@
 	services *services
 	refresh  func(done func()) // reads the stored cordons
 
-	beatAt     float64      // last beat of the loop
-	began      float64      // when the last stall began, and
-	ended      float64      // when it ended; 0 before the first one
-	beatMicros atomic.Int64 // beatAt for the watch, in microseconds
-	catchingUp bool         // what arrived is taken in, and nothing sent
-	counters   stallCounters
+	lastHeartbeat       float64      // last beat of the loop
+	stallBegan          float64      // when the last stall began, and
+	stallEnded          float64      // when it ended; 0 before the first one
+	lastHeartbeatMicros atomic.Int64 // beatAt for the watch, in microseconds
+	catchingUp          bool         // what arrived is taken in, and nothing sent
+	counters            stallCounters
 }
 
 // beat notices a stall. After one, clients' queries wait that arrived meanwhile, and so do drains and cordons. It
 // guards against sending the first before the others are known: what arrived is handed to the module only after the
 // loop has taken in messages for a while, and the stored cordons have been read.
-func (d *stallDetector) beat() {
+func (d *stallDetector) heartbeat() {
 	now := d.loop.Now()
-	late := now - d.beatAt - loopBeatIntervalMS
-	if d.beatAt > 0 && late > stallThresholdMS && !d.catchingUp && d.services.built() {
+	late := now - d.lastHeartbeat - heartbeatIntervalMS
+	if d.lastHeartbeat > 0 && late > stallThresholdMS && !d.catchingUp && d.services.built() {
 		d.catchUp(now, late)
 	}
-	d.beatAt = now
-	d.beatMicros.Store(int64(now * 1e3))
-	d.loop.After(loopBeatIntervalMS, d.beat)
+	d.lastHeartbeat = now
+	d.lastHeartbeatMicros.Store(int64(now * 1e3))
+	d.loop.After(heartbeatIntervalMS, d.heartbeat)
 }
 
 func (d *stallDetector) catchUp(now, late float64) {
 	d.counters.Stalls++
-	d.began, d.ended = d.beatAt, now
+	d.stallBegan, d.stallEnded = d.lastHeartbeat, now
 	d.catchingUp = true
 	d.log.Warn("event loop stalled", "stall_ms", int(late), "open", d.services.core.OpenRequests(),
 		"continued", d.counters.Continued.Load())
@@ -76,10 +76,10 @@
 
 // since is when what is noticed now may have happened: a signal that is found after a stall may have come at its
 // beginning, and a kill is due by that time.
-func (d *stallDetector) since() float64 {
+func (d *stallDetector) earliestEventTime() float64 {
 	now := d.loop.Now()
-	if d.ended > 0 && now-d.ended < stallThresholdMS {
-		return d.began
+	if d.stallEnded > 0 && now-d.stallEnded < stallThresholdMS {
+		return d.stallBegan
 	}
 	return now
 }
@@ -98,8 +98,8 @@
 		}
 		pause := time.Since(last)
 		last = time.Now()
-		late := d.loop.Now() - float64(d.beatMicros.Load())/1e3
-		if pause > 2*watchInterval || late < blockedAfterMS {
+		late := d.loop.Now() - float64(d.lastHeartbeatMicros.Load())/1e3
+		if pause > 2*watchInterval || late < blockedThresholdMS {
 			logged = false
 			continue
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -76,10 +76,10 @@
 }
 
 // write logs the figures.
-func (s *statusReporter) write(line string) {
+func (s *statusReporter) write(message string) {
 	var attrs []any
 	for _, row := range s.rows() {
 		attrs = append(attrs, slog.String(row[0], row[1]))
 	}
-	s.log.Info(line, attrs...)
+	s.log.Info(message, attrs...)
 }
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -27,18 +27,18 @@
 	services *services
 	partner  *partnerLink
 	leaving  func() bool
-	theirs   usageMessage // zero while there is no other process
+	latest   usageMessage // zero while there is no other process
 }
 
 // start reports to a process again and again for as long as it is the partner.
-func (u *usageExchange) start(p *peer) {
+func (u *usageExchange) reportPeriodically(p *peer) {
 	if u.partner.peer != p {
 		return
 	}
 	if p.link.Pending() < maxUsageBacklog {
 		u.report()
 	}
-	u.loop.After(usageIntervalMS, func() { u.start(p) })
+	u.loop.After(usageIntervalMS, func() { u.reportPeriodically(p) })
 }
 
 // report tells the other process what this one has running now, if there is one.
@@ -50,13 +50,13 @@
 }
 
 // update takes the other process's report.
-func (u *usageExchange) update(theirs usageMessage) {
-	u.theirs = theirs
-	u.services.core.SetOtherProcessUsage(theirs.Dispatch)
+func (u *usageExchange) update(usage usageMessage) {
+	u.latest = usage
+	u.services.core.SetOtherProcessUsage(usage.Dispatch)
 }
 
 // reported is what the other process has reported last, zero while there is none.
-func (u *usageExchange) reported() usageMessage { return u.theirs }
+func (u *usageExchange) reported() usageMessage { return u.latest }
 
 // partnerEnded forgets what a process had that has ended.
-func (u *usageExchange) partnerEnded() { u.theirs = usageMessage{} }
+func (u *usageExchange) partnerEnded() { u.latest = usageMessage{} }
