--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -5,21 +5,21 @@
 )
 
 const (
-	msgClaimID      = "may"  // idClaimMessage: the question; since version 2
-	msgClaimIDReply = "word" // idClaimMessage: the reply; since version 2
-	// idClaimTimeoutMS bounds the wait for the other process's reply to a claim.
+	msgClaimID      = "may"  // idClaimMessage: request; since protocol version 2
+	msgClaimIDReply = "word" // idClaimMessage: reply; since protocol version 2
+	// idClaimTimeoutMS is how long a claim waits for the other process's reply.
 	idClaimTimeoutMS = 400.0
 )
 
-// idClaimMessage requests, or grants, the claim of an idempotency id.
+// idClaimMessage requests the claim of an idempotency id, or replies to such a request.
 type idClaimMessage struct {
 	Number  int    `json:"n"`
 	ID      string `json:"id"`
 	Granted bool   `json:"ok"`
 }
 
-// idClaims claims an idempotency id from the other process of this router before a request that must not run twice
-// begins.
+// idClaims claims the idempotency id of a request that must not run twice from the other process of this router, before
+// the request starts.
 type idClaims struct {
 	loop     *router.Loop
 	services *services
@@ -33,8 +33,9 @@
 	}
 }
 
-// claim requests an id and calls done with the reply. A process of version 1 knows no such request: with it, and
-// without any other process, the claim is granted at once.
+// claim claims an id and calls done once with the result. Without another process the claim is granted at once, and
+// also beside a process of protocol version 1, which does not know claims. Without a reply in time, or while no claim
+// can be granted, the result is ClaimTimedOut.
 func (c *idClaims) claim(id string, done func(router.ClaimReply)) {
 	grantor, possible := c.grantor()
 	switch {
@@ -48,13 +49,13 @@
 	}
 }
 
-// grant answers the other process's claim.
+// handleClaim replies to a claim of the other process.
 func (c *idClaims) handleClaim(from *peer, claim idClaimMessage) {
 	claim.Granted = c.services.core.GrantClaim(claim.ID)
 	from.send(msgClaimIDReply, claim)
 }
 
-// replied takes the other process's answer.
+// handleReply completes a claim with the other process's reply.
 func (c *idClaims) handleReply(_ *peer, claim idClaimMessage) {
 	reply := router.ClaimDenied
 	if claim.Granted {
@@ -63,5 +64,5 @@
 	c.pending.resolve(claim.Number, reply)
 }
 
-// partnerLost ends the claims that await a process whose link has ended.
+// partnerLost times out all pending claims after the link to the other process has ended.
 func (c *idClaims) partnerLost() { c.pending.resolveAll(router.ClaimTimedOut) }
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -14,40 +14,42 @@
 )
 
 const (
-	msgCordon      = "ban"    // cordonMessage: an operator's order
-	msgCordonReply = "banned" // cordonMessage: it is in force
-	// cordonTimeoutMS bounds the wait for the other process's reply to a cordon; the operator is answered then.
+	msgCordon      = "ban"    // cordonMessage: request
+	msgCordonReply = "banned" // cordonMessage: reply once the change is in force
+	// cordonTimeoutMS is how long a cordon waits for the other process's reply; after that the operator is answered
+	// without it.
 	cordonTimeoutMS = 300.0
-	// cordonPollInterval is how often the folder of cordons is read. The rule on cordons leaves a second.
+	// cordonPollInterval is how often the cordon folder is read. A cordon has to be in force within a second.
 	cordonPollInterval = 250 * time.Millisecond
-	// maxQueuedFolderWork is how much work with the folder waits at most.
+	// maxQueuedFolderTasks is how many accesses to the cordon folder can be queued.
 	maxQueuedFolderTasks = 64
 )
 
-// errFolderBlocked says that earlier work with the folder of cordons does not come to an end.
-var errFolderBlocked = errors.New("the disk does not answer")
+// errFolderBlocked means that maxQueuedFolderTasks accesses to the cordon folder are waiting for a slow disk.
+var errFolderBlocked = errors.New("cordon folder not written: its queue of disk accesses is full")
 
-// cordonMessage passes an operator's order to the other process, which sends it back with its answer.
+// cordonMessage passes the cordon of an engine, or its end, to the other process, which returns the message as its
+// reply.
 type cordonMessage struct {
 	Number     int               `json:"n"`
 	ID         dispatch.EngineID `json:"id"`
 	Cordon     bool              `json:"exclude"`
 	Known      bool              `json:"known"`
-	MemoryOnly bool              `json:"unnoted,omitempty"` // it is in no folder; since version 2
+	MemoryOnly bool              `json:"unnoted,omitempty"` // not stored in the cordon folder; since protocol version 2
 }
 
 // cordonStore keeps the engines that operators cordoned. A cordon is stored in a folder that all processes of the
-// router read, so that it is in force in each of them, and is passed on as a message too, so that an operator's
-// answer is true in both at once.
+// router read, so that it comes into force in each of them. It is also sent to the other process as a message, so that
+// it is in force in both processes when the operator is answered.
 type cordonStore struct {
 	log         *slog.Logger
 	loop        *router.Loop
-	slot        *hotrestartipc.ProcessSlot // has the folder; nil for none
+	slot        *hotrestartipc.ProcessSlot // provides the cordon folder; nil without a process slot
 	services    *services
 	partner     *partnerLink
-	cordoned    map[dispatch.EngineID]bool // as the folder has them
-	memoryOnly  bool                       // the folder can't be written: cordons go by messages alone
-	folderTasks chan func()                // work with the folder, in order
+	cordoned    map[dispatch.EngineID]bool // as stored in the folder
+	memoryOnly  bool                       // the folder can't be written; cordons are exchanged by messages only
+	folderTasks chan func()                // accesses to the folder, in order
 	pending     pendingReplies[bool]
 }
 
@@ -60,10 +62,11 @@
 	}
 }
 
-// list returns the engines that are cordoned, by their ids.
+// list returns the ids of the cordoned engines in ascending order.
 func (s *cordonStore) list() []dispatch.EngineID { return slices.Sorted(maps.Keys(s.cordoned)) }
 
-// run does what waits for files, so that the loop does not, until done is closed.
+// run polls the cordon folder and runs the queued accesses to it until done is closed. It runs in a goroutine of its
+// own, since the event loop must not wait for files.
 func (s *cordonStore) run(done <-chan struct{}) {
 	poll := time.NewTicker(cordonPollInterval)
 	defer poll.Stop()
@@ -81,8 +84,7 @@
 	}
 }
 
-// enqueue queues work with the folder after what was queued before; where that does not end, it calls
-// blocked instead.
+// enqueue queues an access to the cordon folder. If the queue is full, it calls blocked instead.
 func (s *cordonStore) enqueue(task, blocked func()) {
 	select {
 	case s.folderTasks <- task:
@@ -91,8 +93,8 @@
 	}
 }
 
-// order carries out an operator's order on an engine, and answers once it is in force in all processes of this router:
-// false for an engine that none of them knows.
+// setCordon cordons an engine or ends its cordon, and calls answer once that is in force in all processes of this
+// router. known is false if none of them knows the engine.
 func (s *cordonStore) setCordon(engine string, cordon bool, answer func(known bool)) {
 	id, err := settings.ParseEngineID(engine)
 	if err != nil {
@@ -103,7 +105,9 @@
 	s.store(id, cordon, known, func() { s.forward(id, cordon, known, answer) })
 }
 
-// store writes a cordon, or its end, where all processes of this router see it, then applies it here, then continues.
+// store writes a cordon, or its end, to the folder that all processes of this router read, applies it in this process,
+// and calls done. If the folder can't be written, the change is still applied, and cordons are kept in memory from then
+// on.
 func (s *cordonStore) store(id dispatch.EngineID, cordon, known bool, done func()) {
 	apply := func() {
 		if known {
@@ -118,7 +122,7 @@
 	engine := settings.FormatEngineID(id)
 	notStored := func(err error) {
 		s.log.Warn("cordon store failed", "engine", engine, "error", err)
-		s.memoryOnly = true // the folder would undo it
+		s.memoryOnly = true // the next read of the folder would undo the change
 		apply()
 	}
 	s.enqueue(func() {
@@ -143,7 +147,8 @@
 	delete(s.cordoned, id)
 }
 
-// passOn tells the other process of an operator's order, and answers the operator once it is in force there too.
+// forward sends a cordon, or its end, to the other process, and calls answer once it is in force there too. Without
+// another process it calls answer at once.
 func (s *cordonStore) forward(id dispatch.EngineID, cordon, known bool, answer func(known bool)) {
 	if !s.partner.connected() {
 		answer(known)
@@ -153,13 +158,14 @@
 	s.partner.send(msgCordon, cordonMessage{Number: number, ID: id, Cordon: cordon, MemoryOnly: s.memoryOnly})
 }
 
-// ordered carries out an operator's order to the other process, and replies once it is in force here.
+// handleRequest carries out a cordon, or its end, that an operator requested of the other process, and replies once it
+// is in force here.
 func (s *cordonStore) handleRequest(from *peer, request cordonMessage) {
 	request.Known = s.services.core.KnowsEngine(request.ID)
 	reply := func() { from.send(msgCordonReply, request) }
 	if from.version >= 2 && !request.MemoryOnly && !s.memoryOnly {
-		// The other process has stored it, and must not be overtaken by a second note of this one's; what is read of
-		// the folder from now on has it.
+		// The other process has stored the change already, so that reading the folder is enough. Storing it here as well
+		// could overwrite a later change by the other process.
 		s.refresh(reply)
 		return
 	}
@@ -167,15 +173,16 @@
 	s.store(request.ID, request.Cordon, request.Known, reply)
 }
 
-// replied takes the other process's answer to an order.
+// handleReply completes a request with the other process's reply.
 func (s *cordonStore) handleReply(_ *peer, reply cordonMessage) {
 	s.pending.resolve(reply.Number, reply.Known)
 }
 
-// partnerLost ends the wait for a process whose link has ended.
+// partnerLost completes all pending requests after the link to the other process has ended.
 func (s *cordonStore) partnerLost() { s.pending.resolveAll(false) }
 
-// refresh reads the folder, where there is one, and calls done in the loop once what it has is in force.
+// refresh reads the cordon folder, if there is one, and calls done in the event loop once the stored cordons are in
+// force. If the folder is blocked, it calls done at once.
 func (s *cordonStore) refresh(done func()) {
 	if s.slot == nil {
 		done()
@@ -187,7 +194,8 @@
 	}, done)
 }
 
-// read posts the stored cordons to the loop, which adopts them. It is called where files may be waited for.
+// read reads the cordon folder and has the event loop adopt its content. It waits for the disk, so it must not be
+// called in the running loop.
 func (s *cordonStore) read() {
 	names, err := s.slot.Cordoned()
 	if err != nil {
@@ -202,7 +210,7 @@
 	s.loop.Post(func() { s.adopt(stored) })
 }
 
-// adopt carries out the cordons that operators ordered at other processes of this router.
+// adopt puts the stored cordons in force. It has no effect while cordons are kept in memory only.
 func (s *cordonStore) adopt(stored map[dispatch.EngineID]bool) {
 	if s.memoryOnly || maps.Equal(stored, s.cordoned) {
 		return
@@ -210,7 +218,7 @@
 	previous := s.cordoned
 	s.cordoned = stored
 	if !s.services.built() {
-		return // they are in force once it is built
+		return // build puts them in force
 	}
 	for id := range previous {
 		if !stored[id] {
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -11,59 +11,65 @@
 	"windflow/internal/router"
 )
 
-// A hot restart is a second process of a router that is started while the first one serves. Package hotrestart
-// decides how it goes; the coordinator has the sockets, files and timers that its machine wants. In the plain case:
+// In a hot restart a second process of a router is started while the first one serves. The state machine of package
+// hotrestart decides on each step; the coordinator carries the steps out with sockets, files and timers. Without faults
+// the processes exchange these messages:
 //
 //	successor:   hello     repeated until it is answered
-//	predecessor: state     ids, what was learnt, and the descriptors of listeners that both need
-//	successor:   ready     it has all that it takes to accept
-//	predecessor: go-ahead  it accepts no more; the successor accepts, and is ready
+//	predecessor: state     idempotency ids, learnt estimates, and the descriptors of listeners that both need
+//	successor:   ready     it has everything that it needs to accept
+//	predecessor: go-ahead  it no longer accepts; the successor accepts, and is ready
 //
-// On SIGTERM the predecessor finishes what it accepted, hands over its tickets and its BGP session, and ends. Should
-// the successor end first, the predecessor continues as before.
+// On SIGTERM the predecessor finishes what it accepted, hands over its tickets and its BGP session, and exits. If the
+// successor exits first, the predecessor continues as before.
 
 const (
-	// generations is how many values a generation has; two processes that live at the same time have different ones.
+	// generationCount is how many different generations there are. Two processes that run at the same time have different
+	// generations.
 	generationCount = 16
-	// farewellMS is the time for the last messages of a process that ends.
+	// linkFlushMS is how long a process that exits waits for its last messages to be written to its links.
 	linkFlushMS = 100.0
 )
 
-// restartActions are the machine's effects on a process, beside talking to other processes, and what the coordinator
-// reports.
+// restartActions are the effects of the state machine on the router, and the events that the coordinator reports to it.
+// Messages to other processes are not among them: the coordinator sends those itself.
 type restartActions interface {
-	// serving reports whether the router has been built.
+	// serving reports whether the router's services have been built.
 	serving() bool
-	// exportState returns the state for a successor; the coordinator closes the files.
+	// exportState returns the state for a successor and the descriptors to pass with it. The coordinator closes the
+	// files.
 	exportState() (stateMessage, []*os.File)
-	// restoreState continues from the predecessor's state. Its files are closed when it returns.
+	// restoreState continues from the predecessor's state. The coordinator closes the received files afterwards.
 	restoreState(from *handover)
-	// takenListeners are the names of the listeners on which this process accepts in place of the other one.
+	// takenListeners returns the names of the listeners on which this process accepts in place of the other one.
 	takenListeners() []string
 	startAccepting()
-	// stopAccepting releases the listeners that the other process has taken.
+	// stopAccepting stops accepting on the listeners that the other process has taken.
 	stopAccepting(taken []string)
+	// leave finishes what this process accepted, while the other process accepts.
 	leave()
+	// drain shuts the process down without a successor.
 	drain()
+	// end ends the process.
 	end()
-	// shareChanged applies another share of the limits.
+	// shareChanged applies the limits again after this process's share of them has changed.
 	shareChanged()
 	// partnerChanged reports the process that this one shares the router with, nil for none.
 	partnerChanged(partner *peer)
-	// partnerLost reports that the link to that process has ended, whether it lives or not.
+	// partnerLost reports that the link to that process has ended, whether it still runs or not.
 	partnerLost()
-	// partnerEnded reports that it lives no more.
+	// partnerEnded reports that that process has ended.
 	partnerEnded()
 }
 
-// handover is what this process has received from the other one.
+// handover holds what this process has received from the other one.
 type handover struct {
 	state stateMessage
-	files map[string]*os.File // the listeners received with the state, by name; open while it is restored
+	files map[string]*os.File // the listeners received with the state, by name; open until it is restored
 	taken []string            // the listeners that the other process has taken
 }
 
-// coordinator takes this process through hot restarts: it drives the machine of package hotrestart.
+// coordinator takes this process through hot restarts: it drives the state machine of package hotrestart.
 type coordinator struct {
 	log        *slog.Logger
 	loop       *router.Loop
@@ -74,9 +80,9 @@
 	generation uint8
 	links      *peerLinks
 	partner    *partnerLink
-	searching  bool // a search for a predecessor is under way
+	searching  bool // a search for a predecessor is running
 	received   handover
-	handlers   map[string]messageHandler // of the messages that are not the machine's, by kind
+	handlers   map[string]messageHandler // for messages that the state machine does not handle, by kind
 }
 
 func newCoordinator(
@@ -90,10 +96,10 @@
 	return c
 }
 
-// handle adds handlers of messages, by kind.
+// handle adds message handlers, by kind of message.
 func (c *coordinator) handle(handlers map[string]messageHandler) { maps.Copy(c.handlers, handlers) }
 
-// start starts the machine; the caller runs the loop.
+// start starts the state machine. The caller runs the event loop.
 func (c *coordinator) start() {
 	self := hotrestart.FirstProcess
 	if c.links.slot != nil {
@@ -110,7 +116,7 @@
 	}
 }
 
-// step hands the machine an event and carries out what it wants.
+// step passes an event to the state machine and carries out the resulting effects.
 func (c *coordinator) step(event hotrestart.Event) {
 	oldPhase := c.machine.Phase()
 	for _, effect := range c.machine.Step(c.loop.Now(), event) {
@@ -154,33 +160,33 @@
 	}
 }
 
-// stopRequested tells the machine that the process was requested to end.
+// stopRequested tells the state machine that a signal requested the process to end.
 func (c *coordinator) stopRequested() { c.step(hotrestart.Event{Kind: hotrestart.EventStopRequested}) }
 
-// quiet tells the machine that nothing has been open for a while.
+// reportIdle tells the state machine that the process has had nothing open for the required time.
 func (c *coordinator) reportIdle() { c.step(hotrestart.Event{Kind: hotrestart.EventIdle}) }
 
 func (c *coordinator) phase() hotrestart.Phase { return c.machine.Phase() }
 func (c *coordinator) share() hotrestart.Share { return c.machine.Share() }
 
-// processNumber is this process's number in the order of starts.
+// processNumber returns the number of this process, which counts the starts of this router's processes.
 func (c *coordinator) processNumber() uint64 { return uint64(c.machine.Self) }
 
-// predecessorHandsOver reports whether the predecessor's state names a part that has something to hand over.
+// predecessorHandsOver reports whether the predecessor's state announces a handover for a part.
 func (c *coordinator) predecessorHandsOver(part string) bool {
 	return slices.Contains(c.received.state.Parts, part)
 }
 
-// hasPredecessor reports whether a process that was there before lives.
+// hasPredecessor reports whether a process that was started before this one is running.
 func (c *coordinator) hasPredecessor() bool { return c.machine.Predecessor() != hotrestart.NoProcess }
 
-// hasOther reports whether another process takes part in a hot restart with this one.
+// hasOtherProcess reports whether this process has a predecessor or a successor.
 func (c *coordinator) hasOtherProcess() bool {
 	return c.hasPredecessor() || c.machine.Successor() != hotrestart.NoProcess
 }
 
-// idGrantor returns the process whose grant a claim of an idempotency id needs, nil for none; false says that no claim
-// can be granted now.
+// idGrantor returns the process that has to grant this process's claims of idempotency ids, or nil if none has to.
+// possible is false if no claim can be granted at present.
 func (c *coordinator) idGrantor() (grantor *peer, possible bool) {
 	process, allowed := c.machine.IDGranter()
 	if !allowed {
@@ -193,10 +199,11 @@
 	return grantor, grantor != nil
 }
 
-// partnerPeer is the process that this one shares the router with, nil for none.
+// partnerPeer returns the link to the process that this one shares the router with, or nil if there is none.
 func (c *coordinator) partnerPeer() *peer { return c.partner.peer }
 
-// updatePartner begins the exchange with the process that this one shares the router with, or ends it.
+// updatePartner starts or ends the exchange with the process that this one shares the router with, as the state of the
+// machine requires.
 func (c *coordinator) updatePartner() {
 	var partner *peer
 	if c.actions.serving() {
@@ -209,7 +216,8 @@
 	c.actions.partnerChanged(partner)
 }
 
-// sharingPeer is the process that shares the router with this one by the machine's state.
+// sharingPeer returns the link to the process that shares the router with this one according to the state machine, or
+// nil if there is none.
 func (c *coordinator) sharingPeer() *peer {
 	phase := c.machine.Phase()
 	switch {
@@ -221,7 +229,7 @@
 	return nil
 }
 
-// processEnded continues without a process that has ended.
+// processEnded handles the end of another process of this router.
 func (c *coordinator) processEnded(process hotrestart.ProcessNumber) {
 	shared := process == c.machine.Predecessor() && c.machine.Phase() != hotrestart.PhaseAwaitingState ||
 		process == c.machine.Successor()
@@ -231,7 +239,8 @@
 	}
 }
 
-// end ends the links, then the process once what it sent to others is written, or its time is up.
+// end closes the links and ends the process, after linkFlushMS if there are links: their last messages have that time
+// to be written.
 func (c *coordinator) end() {
 	if !c.links.closeAll() {
 		c.life.stop()
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// aliveIntervalMS is how often a process whose link has ended is looked at.
+	// livenessPollMS is how often a process whose link has ended is checked for being alive.
 	livenessPollMS = 25.0
 	// acceptRetryInterval is the pause after a failed accept.
 	acceptRetryInterval = 50 * time.Millisecond
 )
 
-// peer is a link to another process of this router, and who that is.
+// peer is a link to another process of this router, with what is known of that process.
 type peer struct {
 	link    *hotrestartipc.Link
-	process hotrestart.ProcessNumber // None until it has said hello
-	version int
-	saidBye bool // it said goodbye and lives on
+	process hotrestart.ProcessNumber // NoProcess until its hello has arrived
+	version int                      // of the protocol
+	saidBye bool                     // it announced that it closes the link and continues to run
 }
 
-// send queues a message; its files stay the caller's, who may close them at once.
+// send queues a message. The caller keeps the files and may close them as soon as send returns.
 func (p *peer) send(kind string, body any, files ...*os.File) {
 	p.link.Send(hotrestartipc.NewMessage(kind, body, files...))
 }
 
-// partnerLink leads to the process that this one shares the router with, while there is one.
+// partnerLink holds the link to the process that this one shares the router with, while there is one.
 type partnerLink struct {
 	peer *peer // nil for none
 }
@@ -49,25 +49,25 @@
 	}
 }
 
-// peerLinks are the process slot and the links to other processes of this router.
+// peerLinks holds the process slot and the links to other processes of this router.
 type peerLinks struct {
 	log       *slog.Logger
 	loop      *router.Loop
-	slot      *hotrestartipc.ProcessSlot // nil where none could be had
+	slot      *hotrestartipc.ProcessSlot // nil if none could be acquired
 	byProcess map[hotrestart.ProcessNumber]*peer
 	onMessage func(*peer, hotrestartipc.Message) // called in the loop
-	onEnd     func(*peer, error)                 // called in the loop, once a link
+	onEnd     func(*peer, error)                 // called in the loop, once for each link
 }
 
 func newPeerLinks(log *slog.Logger, loop *router.Loop) *peerLinks {
 	return &peerLinks{log: log, loop: loop, byProcess: map[hotrestart.ProcessNumber]*peer{}}
 }
 
-// slotName is the name under which the processes of a router find each other.
+// slotName returns the name under which the processes of a router find each other: its name and its listen address.
 func slotName(cfg *settings.Node) string { return cfg.Name + " " + cfg.Listen }
 
-// acquireSlot takes a process slot among the processes of this router. Without one the process serves, but can't be
-// restarted hot.
+// acquireSlot acquires a slot for this process among the processes of this router. If that fails, the process serves
+// without hot restart.
 func (l *peerLinks) acquireSlot(cfg *settings.Node) {
 	slot, err := hotrestartipc.AcquireSlot(os.TempDir(), slotName(cfg))
 	if err != nil {
@@ -77,7 +77,7 @@
 	l.slot = slot
 }
 
-// connect runs a link.
+// connect starts a link on a connection. Its messages and its end are handled in the event loop.
 func (l *peerLinks) connect(p *peer, conn *net.UnixConn) {
 	started := make(chan struct{})
 	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
@@ -90,14 +90,15 @@
 	close(started)
 }
 
-// awaitSuccessors accepts the links of the next processes of this router, until the slot is closed.
+// awaitSuccessors accepts links from later processes of this router until the slot is closed. It runs in a goroutine of
+// its own.
 func (l *peerLinks) awaitSuccessors() {
 	for {
 		conn, err := l.slot.Listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // short of descriptors: a successor must find this process all the same
+		if err != nil { // e.g. out of descriptors; keep trying, since a successor must still find this process
 			l.log.Warn("hot restart link accept failed", "error", err)
 			time.Sleep(acceptRetryInterval)
 			continue
@@ -106,7 +107,7 @@
 	}
 }
 
-// publish has processes of version 1 find this one.
+// publish makes this process discoverable for processes of protocol version 1.
 func (l *peerLinks) publish() {
 	if l.slot == nil {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// closeAll ends the links and forgets them, so that their ends report nothing; false says that there are none.
+// closeAll closes and removes all links, and reports whether there were any. The end of a removed link is not reported.
 func (l *peerLinks) closeAll() bool {
 	for _, p := range l.byProcess {
 		p.link.Close()
@@ -134,24 +135,24 @@
 	l.closeAll()
 }
 
-// findPredecessor finds the newest living process before this one, and links up with it.
+// findPredecessor searches for the newest running process that was started before this one, and connects to it.
 func (c *coordinator) findPredecessor() {
 	if c.links.slot == nil || c.searching {
 		return
 	}
 	c.searching = true
 	linked := slices.Collect(maps.Keys(c.links.byProcess))
-	go func() { // ends with the search, which has timeouts of its own
+	go func() { // ends with the search, which has its own timeouts
 		found := c.links.slot.Predecessor()
 		var conn *net.UnixConn
 		if found != hotrestart.NoProcess && !slices.Contains(linked, found) {
-			conn, _ = c.links.slot.Connect(found) // a predecessor that can't be reached is one that is silent
+			conn, _ = c.links.slot.Connect(found) // an unreachable predecessor is treated as one that does not reply
 		}
 		c.loop.Post(func() { c.predecessorFound(found, conn) })
 	}()
 }
 
-// predecessorFound continues after a search; conn is nil where there is no new link.
+// predecessorFound handles the result of a search for a predecessor. conn is nil if there is no new connection to it.
 func (c *coordinator) predecessorFound(found hotrestart.ProcessNumber, conn *net.UnixConn) {
 	c.searching = false
 	if conn != nil {
@@ -161,12 +162,12 @@
 	}
 	known := c.machine.Predecessor()
 	if known != hotrestart.NoProcess && known != found && c.links.byProcess[known] == nil && !c.links.slot.Alive(known) {
-		c.processEnded(known) // there was no link to it whose end would show its own
+		c.processEnded(known) // without a link, nothing else reports its end
 	}
 	c.step(hotrestart.Event{Kind: hotrestart.EventPredecessorFound, Process: found})
 }
 
-// linkEnded continues after a link that ended; the process at its other end may live.
+// linkEnded handles the end of a link. The process at the other end may still be running.
 func (c *coordinator) linkEnded(link *peer, err error) {
 	if link.process == hotrestart.NoProcess || c.links.byProcess[link.process] != link {
 		return
@@ -186,7 +187,7 @@
 	c.processEnded(link.process)
 }
 
-// watchProcess waits for the end of a process to which the link has ended.
+// watchProcess polls a process whose link has ended until the process ends or a new link to it exists.
 func (c *coordinator) watchProcess(process hotrestart.ProcessNumber) {
 	c.loop.After(livenessPollMS, func() {
 		switch {
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"errors"
 	"fmt"
 	"os"
 
@@ -11,15 +10,15 @@
 	"windflow/internal/router"
 )
 
-// Kinds of message between two processes that share a router, with their bodies. Those of the machine and those of the
-// cordons, claims, usage and parts are declared beside their owners.
+// Kinds of messages between two processes that share a router, with their bodies. The kinds of the state machine are in
+// machineMessages; those of cordons, claims, usage and parts are declared in their files.
 const (
 	msgIDChange = "id"   // router.IDChange
 	msgKill     = "kill" // killMessage
-	msgBye      = "bye"  // of version 1: the process ends the link and goes on; a further one takes over from it
+	msgBye      = "bye"  // no body, of protocol version 1: the sender closes the link and runs on
 )
 
-// machineMessages are those that the machine knows.
+// machineMessages maps the kinds of messages that the state machine handles to its names for them.
 var machineMessages = map[string]hotrestart.MessageKind{
 	"hello": hotrestart.MessageHello, "wait": hotrestart.MessageWait, "state": hotrestart.MessageState,
 
@@ -29,7 +28,7 @@
 // helloMessage requests the state of a predecessor.
 type helloMessage struct {
 	PID     int                      `json:"pid"`
-	Process hotrestart.ProcessNumber `json:"place,omitempty"` // since version 2
+	Process hotrestart.ProcessNumber `json:"place,omitempty"` // since protocol version 2
 	Version int                      `json:"version,omitempty"`
 }
 
@@ -39,34 +38,37 @@
 	PID   int    `json:"pid"`
 }
 
-// stateMessage is what a successor needs to continue in place of its predecessor. The descriptors of the listeners
-// come with it.
+// stateMessage carries what a successor needs to continue in place of its predecessor. The descriptors of the listeners
+// are passed with it.
 type stateMessage struct {
 	Version    int               `json:"version,omitempty"`
 	Generation uint8             `json:"generation"`
 	Core       router.State      `json:"core"`
-	Listeners  []string          `json:"listeners"` // names of the descriptors, in their order
-	Addresses  map[string]string `json:"at"`        // of the listeners, by name
-	Parts      []string          `json:"parts"`     // parts that have something to hand over
-	// Configuration is the revision of the keepers' that is in force; the successor begins with no earlier one.
+	Listeners  []string          `json:"listeners"` // names of the passed listeners, in the order of the descriptors
+	Addresses  map[string]string `json:"at"`        // configured addresses of the listeners, by name
+	Parts      []string          `json:"parts"`     // parts that will hand something over
+	// Configuration is the keepers' revision in force, nil if there is none. The successor never starts with an earlier
+	// one.
 	Configuration *configclient.Revision `json:"configuration,omitempty"`
 }
 
-// readyMessage says that the sender has all that it takes to accept.
+// readyMessage reports that the sender has everything that it needs to accept.
 type readyMessage struct {
-	Taken []string `json:"took"` // the listeners that the sender accepts on in place of the other
+	Taken []string `json:"took"` // names of the listeners on which the sender accepts in place of the receiver
 }
 
-// killMessage passes a client's KILL on to the process that has the session.
+// killMessage forwards a client's KILL to the process that may hold the session.
 type killMessage struct {
 	SessionID uint32 `json:"id"`
 	QueryOnly bool   `json:"query"`
 }
 
-// messageHandler takes one message of another process. It may keep files of the message by taking them off it.
+// messageHandler handles one message from another process. To keep a file of the message, it removes the file from
+// m.Files; the remaining ones are closed after it returns.
 type messageHandler func(from *peer, m *hotrestartipc.Message) error
 
-// decoded is a handler of messages with a body of type T; one that can't be decoded is not handled.
+// decoded returns a handler of messages with a body of type T. For a message that can't be decoded it returns the error
+// without calling handle.
 func decoded[T any](handle func(from *peer, body T)) messageHandler {
 	return func(from *peer, m *hotrestartipc.Message) error {
 		var body T
@@ -78,7 +80,8 @@
 	}
 }
 
-// send sends a message of the machine's. A process of version 1 knows neither wait nor back.
+// send sends a message of the state machine. Wait and hand-back messages are not sent to a process of protocol version
+// 1, which does not know them.
 func (c *coordinator) send(receiver *peer, kind hotrestart.MessageKind) {
 	if receiver == nil || receiver.version == 1 && (kind == hotrestart.MessageWait || kind == hotrestart.MessageHandBack) {
 		return
@@ -94,13 +97,13 @@
 		body, files = c.actions.exportState()
 	case hotrestart.MessageReady:
 		body = readyMessage{Taken: c.actions.takenListeners()}
-	case hotrestart.MessageGoAhead, hotrestart.MessageHandBack: // say no more than their kind
+	case hotrestart.MessageGoAhead, hotrestart.MessageHandBack: // have no body
 	}
 	receiver.send(kind.String(), body, files...)
 	closeFiles(files)
 }
 
-// receive takes one message of another process.
+// receive handles one message from another process.
 func (c *coordinator) receive(from *peer, m hotrestartipc.Message) {
 	defer func() { closeFiles(m.Files) }()
 	var err error
@@ -116,13 +119,13 @@
 	}
 }
 
-// receiveBye records that the process at the other end lives on though its link ends.
+// receiveBye records that the process at the other end continues to run although its link ends.
 func receiveBye(from *peer, _ *hotrestartipc.Message) error {
 	from.saidBye = true
 	return nil
 }
 
-// receiveMachineMessage takes a message that is the machine's.
+// receiveMachineMessage handles a message of the state machine.
 func (c *coordinator) receiveMachineMessage(from *peer, kind hotrestart.MessageKind, m *hotrestartipc.Message) error {
 	var err error
 	switch kind {
@@ -137,7 +140,7 @@
 		if err == nil {
 			c.received.taken = ready.Taken
 		}
-	case hotrestart.MessageWait, hotrestart.MessageGoAhead, hotrestart.MessageHandBack: // say no more than their kind
+	case hotrestart.MessageWait, hotrestart.MessageGoAhead, hotrestart.MessageHandBack: // no body to decode
 	}
 	if err == nil && c.links.byProcess[from.process] == from {
 		c.step(hotrestart.Event{Kind: hotrestart.EventMessageReceived, Process: from.process, Message: kind})
@@ -145,8 +148,9 @@
 	return err
 }
 
-// receiveHello learns who is at the other end. A process whose version this one does not speak, or whose number is not
-// after this one's, is cut off: each calls only processes started before it, so that the folder was tampered with.
+// receiveHello learns which process is at the other end. It closes the link and returns an error if the process has an
+// unsupported protocol version, or a process number that is not above that of this process: since each process connects
+// only to processes that were started before it, such a number means that the slot folder was tampered with.
 func (c *coordinator) receiveHello(from *peer, m *hotrestartipc.Message) error {
 	var hello helloMessage
 	if err := m.Decode(&hello); err != nil {
@@ -155,7 +159,7 @@
 	version, ok := hotrestart.NegotiateVersion(hello.Version)
 	if !ok {
 		from.link.Close()
-		return fmt.Errorf("process %d speaks version %d, this one %d to %d",
+		return fmt.Errorf("process with PID %d speaks protocol version %d, expected %d to %d",
 			hello.PID, hello.Version, hotrestart.OldestProtocolVersion, hotrestart.ProtocolVersion)
 	}
 	process := hello.Process
@@ -164,7 +168,8 @@
 	}
 	if process <= c.machine.Self {
 		from.link.Close()
-		return fmt.Errorf("process %d has slot %d, and this one %d", hello.PID, process, c.machine.Self)
+		return fmt.Errorf("process with PID %d has slot %d, expected one above this process's slot %d",
+			hello.PID, process, c.machine.Self)
 	}
 	from.version = version
 	if from.process != hotrestart.NoProcess {
@@ -178,19 +183,18 @@
 	return nil
 }
 
-var errListenerCount = errors.New("the descriptors don't match the listeners")
-
-// receiveState keeps a predecessor's state until the machine has it restored.
+// receiveState keeps a predecessor's state until the state machine has it restored. It fails if the message can't be
+// decoded or its descriptors do not match its list of listeners.
 func (c *coordinator) receiveState(from *peer, message *hotrestartipc.Message) error {
 	state := stateMessage{Version: 1}
 	if err := message.Decode(&state); err != nil {
 		return err
 	}
 	if len(message.Files) != len(state.Listeners) {
-		return errListenerCount
+		return fmt.Errorf("state message has %d descriptors for %d listeners", len(message.Files), len(state.Listeners))
 	}
 	from.version, _ = hotrestart.NegotiateVersion(state.Version)
-	if c.generation == state.Generation { // of a process of version 1, which counts by itself
+	if c.generation == state.Generation { // a process of protocol version 1 chooses its generation by itself
 		c.generation = (state.Generation + generationCount/2) % generationCount
 	}
 	c.received.state, c.received.files = state, map[string]*os.File{}
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -7,15 +7,16 @@
 	"windflow/internal/decide/hotrestart"
 )
 
-// The coordinator's actions on the router: node implements restartActions.
+// This file implements restartActions, the coordinator's actions on the router.
 
-// serving implements restartActions.
+// serving implements restartActions. It reports whether the services have been built.
 func (n *node) serving() bool { return n.services.built() }
 
-// leaving reports whether another process accepts, and this one finishes what it accepted.
+// leaving reports whether another process accepts, while this one only finishes what it accepted.
 func (n *node) leaving() bool { return n.shutdown.leaving }
 
-// exportState implements restartActions.
+// exportState implements restartActions. It collects the state for a successor from the core, the listeners, the parts
+// and the keepers.
 func (n *node) exportState() (stateMessage, []*os.File) {
 	state := stateMessage{
 		Version: hotrestart.ProtocolVersion, Generation: n.restart.generation, Core: n.services.core.State(),
@@ -29,18 +30,19 @@
 	return state, files
 }
 
-// restoreState implements restartActions.
+// restoreState implements restartActions. It builds the router if that has not been done, and restores the
+// predecessor's state in it.
 func (n *node) restoreState(from *handover) {
 	state := &from.state
 	if state.Configuration != nil && n.keepers != nil {
-		n.keepers.adopt(*state.Configuration) // before it is built, and may accept
+		n.keepers.adopt(*state.Configuration) // before the router is built and may accept
 	}
 	if !n.services.built() {
 		if !n.tryBuild() {
 			return
 		}
 	} else {
-		n.listeners.openMissing() // with the predecessor's listeners
+		n.listeners.openMissing() // the predecessor's listeners may replace missing ones
 		for _, p := range n.parts.all {
 			if p.handsOver && !slices.Contains(state.Parts, p.name) {
 				p.noHandover() // the predecessor has nothing to hand over
@@ -53,7 +55,7 @@
 		"cordoned", len(core.Dispatch.Cordoned), "consumed_ids", len(core.ConsumedIDs))
 }
 
-// tryBuild builds the router; one that can't be built ends the process.
+// tryBuild builds the router. If that fails, it ends the process and returns false.
 func (n *node) tryBuild() bool {
 	err := n.build()
 	if err != nil {
@@ -62,10 +64,10 @@
 	return err == nil
 }
 
-// takenListeners implements restartActions.
+// takenListeners implements restartActions. It returns the names of the listeners taken over.
 func (n *node) takenListeners() []string { return n.listeners.taken }
 
-// startAccepting implements restartActions.
+// startAccepting implements restartActions. It builds the router if that has not been done, and accepts clients.
 func (n *node) startAccepting() {
 	if !n.services.built() && !n.tryBuild() {
 		return
@@ -75,20 +77,20 @@
 	n.listeners.reportReady()
 }
 
-// stopAccepting implements restartActions.
+// stopAccepting implements restartActions. It releases the listeners that the other process has taken.
 func (n *node) stopAccepting(taken []string) {
 	n.listeners.release(taken)
 	n.log.Info("listeners released to other process", "listeners", taken, "sessions", n.services.front.Sessions(),
 		"open", n.services.core.OpenRequests())
 }
 
-// leave implements restartActions.
+// leave implements restartActions. It starts the shutdown beside another process that accepts.
 func (n *node) leave() { n.shutdown.leave(n.restart.partnerPeer()) }
 
-// drain implements restartActions.
+// drain implements restartActions. It starts the shutdown without a successor.
 func (n *node) drain() { n.shutdown.drain() }
 
-// end implements restartActions.
+// end implements restartActions. It ends the parts, unless another process continues their work, and then the process.
 func (n *node) end() {
 	if !n.leaving() {
 		n.parts.end()
@@ -96,7 +98,7 @@
 	n.restart.end()
 }
 
-// shareChanged implements restartActions.
+// shareChanged implements restartActions. It applies the limits for this process's changed share.
 func (n *node) shareChanged() {
 	if n.services.built() {
 		n.limiter.update()
@@ -104,7 +106,8 @@
 	}
 }
 
-// partnerChanged implements restartActions.
+// partnerChanged implements restartActions. It passes the change to the parts and starts usage reports to a new
+// partner.
 func (n *node) partnerChanged(partner *peer) {
 	n.parts.partnerChanged(partner)
 	if partner != nil {
@@ -112,14 +115,14 @@
 	}
 }
 
-// partnerLost implements restartActions.
+// partnerLost implements restartActions. It ends all waits for replies of the other process.
 func (n *node) partnerLost() {
 	n.cordons.partnerLost()
 	n.claims.partnerLost()
 	n.parts.partnerChanged(nil)
 }
 
-// partnerEnded implements restartActions.
+// partnerEnded implements restartActions. It continues with the full limits and without a handover.
 func (n *node) partnerEnded() {
 	n.usage.partnerEnded()
 	n.services.core.OtherProcessEnded()
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -7,13 +7,13 @@
 
 const (
 	msgUsage = "use" // usageMessage
-	// usageIntervalMS is how often either process reports what it has running. While the other one has maxUsageBacklog
-	// messages or more to read, the report is left out.
+	// usageIntervalMS is how often each of two processes reports its usage to the other. A report is skipped while
+	// maxUsageBacklog or more messages to the other process are pending.
 	usageIntervalMS = 50.0
 	maxUsageBacklog = 8
 )
 
-// usageMessage is what a process has running, and what it holds of the router's limits.
+// usageMessage reports what a process has running, and how much of the router's limits it uses.
 type usageMessage struct {
 	Dispatch    dispatch.OtherProcessUsage `json:"module"`
 	Sessions    int                        `json:"sessions"`
@@ -21,16 +21,17 @@
 	Leaving     bool                       `json:"leaving"`
 }
 
-// usageExchange reports what this process has running to the other process of the router, and keeps what that reports.
+// usageExchange reports this process's usage to the other process of the router, and keeps the latest report of that
+// one.
 type usageExchange struct {
 	loop     *router.Loop
 	services *services
 	partner  *partnerLink
 	leaving  func() bool
-	latest   usageMessage // zero while there is no other process
+	latest   usageMessage // report of the other process; zero while there is none
 }
 
-// start reports to a process again and again for as long as it is the partner.
+// reportPeriodically reports to a process every usageIntervalMS for as long as it is the partner.
 func (u *usageExchange) reportPeriodically(p *peer) {
 	if u.partner.peer != p {
 		return
@@ -41,7 +42,7 @@
 	u.loop.After(usageIntervalMS, func() { u.reportPeriodically(p) })
 }
 
-// report tells the other process what this one has running now, if there is one.
+// report sends this process's current usage to the other process, if there is one.
 func (u *usageExchange) report() {
 	u.partner.send(msgUsage, usageMessage{
 		Dispatch: u.services.core.Usage(), Sessions: u.services.front.Sessions(),
@@ -49,14 +50,14 @@
 	})
 }
 
-// update takes the other process's report.
+// update handles a report of the other process.
 func (u *usageExchange) update(usage usageMessage) {
 	u.latest = usage
 	u.services.core.SetOtherProcessUsage(usage.Dispatch)
 }
 
-// reported is what the other process has reported last, zero while there is none.
+// reported returns the latest report of the other process, zero while there is none.
 func (u *usageExchange) reported() usageMessage { return u.latest }
 
-// partnerEnded forgets what a process had that has ended.
+// partnerEnded clears the report of a process that has ended.
 func (u *usageExchange) partnerEnded() { u.latest = usageMessage{} }
