--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,13 +15,13 @@
 	"windflow/internal/router"
 )
 
-// Why a router is not ready; one that has not been built yet reports its phase.
+// Reasons, beside its hot restart phase, for which a router reports that it is not ready.
 var (
 	errOtherAccepts = errors.New("another process of this router accepts")
 	errAddressInUse = errors.New("its address is held by a process that does not answer")
 )
 
-// adminBackend serves operators: it implements admin.Backend.
+// adminBackend implements admin.Backend: readiness, metrics and cordons for the admin API.
 type adminBackend struct {
 	log       *slog.Logger
 	loop      *router.Loop
@@ -30,11 +30,11 @@
 	listeners *listeners
 	leaving   func() bool
 	cordons   *cordonStore
-	keepers   func() *keeperSync // nil for none
-	server    *admin.Server      // nil until turned on
+	keepers   func() *keeperSync // returns nil if the router follows no keepers
+	server    *admin.Server      // nil until open is called
 }
 
-// open has operators served on a listener, for the first time or again.
+// open starts the admin server on a listener, or resumes it there after its acceptor was paused.
 func (a *adminBackend) open(lis net.Listener) {
 	if a.server != nil {
 		a.server.Reopen(lis)
@@ -44,7 +44,7 @@
 	a.log.Info("admin API listening", "listen", a.server.Addr())
 }
 
-// acceptor is where operators are served.
+// acceptor returns the acceptor of the admin API at an address.
 func (a *adminBackend) acceptor(address string) acceptor {
 	return acceptor{
 		name: adminListener, field: "control", address: address, accept: a.open,
@@ -53,7 +53,7 @@
 	}
 }
 
-// counters are those of the server, where it is on.
+// counters returns the counters of the admin server, or nil if it has not been opened.
 func (a *adminBackend) counters() []counterGroup {
 	if a.server == nil {
 		return nil
@@ -61,7 +61,8 @@
 	return []counterGroup{{"control", &a.server.Counters}}
 }
 
-// Ready implements admin.Backend.
+// Ready implements admin.Backend. It returns nil once the router accepts clients at all its addresses, or else the
+// reason why it does not.
 func (a *adminBackend) Ready() error {
 	phase := a.machine.Phase()
 	switch {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// Telemetry implements admin.Backend. The figures are the core's.
+// Telemetry implements admin.Backend. It returns the metrics of the core and of the keepers in the StatsD format.
 func (a *adminBackend) Telemetry() string {
 	core := a.services.core
 	var text strings.Builder
@@ -103,12 +104,12 @@
 	return text.String()
 }
 
-// Cordon implements admin.Backend.
+// Cordon implements admin.Backend. It keeps requests away from an engine.
 func (a *adminBackend) Cordon(id string, answer func(known bool)) {
 	a.cordons.setCordon(id, true, answer)
 }
 
-// Uncordon implements admin.Backend.
+// Uncordon implements admin.Backend. It ends the cordon of an engine.
 func (a *adminBackend) Uncordon(id string, answer func(known bool)) {
 	a.cordons.setCordon(id, false, answer)
 }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -5,26 +5,28 @@
 
 	"golang.org/x/sys/unix"
 
-	_ "windflow/internal/descriptors"
+	_ "windflow/internal/descriptors" // grows the descriptor table before the runtime starts threads
 )
 
-// maxTableSize bounds how far the table of descriptors is grown ahead: 64 Ki of them take 512 KB of the kernel's
-// memory, which counts against the process's limit, and no router has nearly so many.
+// maxDescriptorTableSize is the largest size to which the table is grown in advance. 64 Ki entries take 512 KB of
+// kernel memory, which counts against the process's memory limit, and no router needs nearly as many.
 const maxDescriptorTableSize = 1 << 16
 
-// growTable makes the kernel grow the process's table of descriptors once, up to the limit that is in force. Package
-// descriptors made room for the usual limits before there were threads, and this one is done at once then. A limit
-// beyond those, at the start or in a reload, costs the wait that is explained there, here and not in the loop; the
-// start does not wait for it.
+// growDescriptorTable makes the kernel grow the process's descriptor table to the limit in force. For the usual limits
+// it returns at once, since package descriptors has grown the table before the process had threads. Growing it further,
+// at the start or in a reload, blocks for the reason that package descriptors explains, so it must not be called in the
+// event loop, and the start does not wait for it.
 //
-// sockets is the configuration's limit, 0 for none. A failure costs nothing but the growth.
+// sockets is the configured limit, 0 for none. After an error the table has its former size and the router works as
+// before.
 func growDescriptorTable(sockets int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
 	size := requiredTableSize(sockets, limit.Cur)
-	// Any descriptor will do for a moment; which of the three is open is up to whoever started the process.
+	// Duplicating any open descriptor to the highest number grows the table. Not all three need be open: that depends on
+	// who started the process.
 	for _, fd := range []int{syscall.Stderr, syscall.Stdout, syscall.Stdin} {
 		if last, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, size-1); err == nil {
 			return unix.Close(last)
@@ -33,8 +35,8 @@
 	return syscall.EBADF
 }
 
-// tableSize is how many descriptors a process can come to have: its configuration's limit, or the system's where that
-// is less or there is no other.
+// requiredTableSize returns how many descriptors the process can have open: the smallest of the configured limit, the
+// system's limit and maxDescriptorTableSize, and at least 1. sockets is 0 if no limit is configured.
 func requiredTableSize(sockets int, limit uint64) int {
 	size := maxDescriptorTableSize
 	if sockets > 0 {
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,15 +1,16 @@
-// Package node runs a router: it wires the parts together, handles signals and the settings, and takes the process from
-// its start, by a hot restart beside a predecessor where there is one, to its graceful shutdown.
+// Package node runs a router process: it connects the router's components, handles signals and reloads, and takes the
+// process from its start, by a hot restart if a predecessor is running, to its graceful shutdown.
 //
-// Everything below belongs to the goroutine of the router's event loop, unless its comment says otherwise. node wires
-// the types that do the work, each of which holds only what it needs:
+// Everything in this package belongs to the goroutine of the router's event loop, unless a comment says otherwise. The
+// type node connects the types that do the work:
 //
-//   - coordinator drives the state machine of package hotrestart; peerLinks has the process slot and the links;
+//   - coordinator drives the state machine of package hotrestart; peerLinks holds the process slot and the links to the
+//     router's other processes;
 //   - listeners opens, inherits and hands over the sockets on which the router accepts;
 //   - cordonStore keeps the engines that operators cordoned, for all processes of the router;
-//   - idClaims and usageExchange are what two processes request and report while both live;
-//   - shutdownSequence drains or leaves, and stallDetector detects that the loop stalled;
-//   - limiter, configurator and keeperSync put settings in force; adminBackend and statusReporter answer operators.
+//   - idClaims and usageExchange carry what two processes request from and report to each other while both run;
+//   - shutdownSequence ends the process gracefully, and stallDetector detects that the event loop stalled;
+//   - limiter, configurator and keeperSync apply settings; adminBackend and statusReporter answer operators.
 //
 // A subsystem that can be turned off registers itself once, as a part (part.go).
 package node
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// lifecycle ends the process's event loop once, and keeps the error for which the process can't serve, if there is one.
+// lifecycle ends the process's event loop, and keeps the error for which the process can't serve, if there is one.
 type lifecycle struct {
-	done chan struct{} // closed at the end of the loop
+	done chan struct{} // closed to end the loop
 	once sync.Once
-	err  error // belongs to the loop while that runs
+	err  error // accessed by the loop only, while it runs
 }
 
 func newLifecycle() *lifecycle { return &lifecycle{done: make(chan struct{})} }
 
-// stop ends the loop; later calls do nothing.
+// stop ends the event loop. Further calls have no effect.
 func (l *lifecycle) stop() { l.once.Do(func() { close(l.done) }) }
 
-// fail ends a process that can't serve.
+// fail records why the process can't serve and ends the event loop.
 func (l *lifecycle) fail(err error) {
 	l.err = err
 	l.stop()
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// memoryShare is the share of the memory limit that the runtime's heap may have: stacks, the poller's buffers and
-	// the kernel's view of freed pages need the remainder.
+	// heapShare is the share of the memory limit that is set as the Go runtime's memory limit. The remainder is for
+	// stacks, the poller's buffers, and freed pages that the kernel still counts.
 	heapShare = 0.7
-	// spareConns of either process's connections to engines are left out while there are two: its listeners, log,
-	// poller and link come twice too.
+	// spareConns is how many connections to engines each process gives up while there are two, since the second process
+	// needs descriptors for its own listeners, log, poller and link.
 	spareConns = 16
-	// minEngineConns is what a process has of connections to engines at least while there are two.
+	// minEngineConns is the least limit on connections to engines that a process has while there are two.
 	minEngineConns = 16
-	// reserveSessions and reserveConns fit what every process leaves for a successor (validate.Starting), less what it
-	// takes to run.
+	// reserveSessions and reserveConns are the limits of a process beside one that hangs. They fit into the descriptors
+	// that every process leaves for a successor (validate.Starting), less those that a process needs to run.
 	reserveSessions = 12
 	reserveConns    = 12
 )
 
-// limits are what a configuration assigns to each service.
+// limits are the resources that a configuration assigns to each service.
 type limits struct {
-	inboundBytes int // bytes read and not yet handled
+	inboundBytes int // bytes read from connections and not yet handled
 	mysql        mysql.Config
 	engines      enginehttp.Config
 }
 
-// limitsOf returns what the configuration assigns to each service, less the descriptors that parts hold, which the
-// configuration does not name.
+// limitsFromConfig returns the limits that a configuration assigns to each service. partDescriptors is the number of
+// descriptors that parts may hold; the configuration does not list them, so they are subtracted. It fails if the
+// configured resources do not suffice.
 func limitsFromConfig(cfg *settings.Node, partDescriptors int) (limits, error) {
 	bounds, err := validate.DivideResources(cfg, partDescriptors)
 	return limits{
@@ -47,17 +48,19 @@
 	}, err
 }
 
-// processShare is what this process's part of the limits follows from while two processes run the same router.
+// processShare is what determines this process's share of the limits while two processes run the same router.
 type processShare struct {
 	share       hotrestart.Share
-	partner     usageMessage // of the other process
-	leaving     bool         // this process only finishes what it accepted
-	engineConns int          // that this process has open
+	partner     usageMessage // last usage report of the other process
+	leaving     bool         // this process accepts no more and finishes what it accepted
+	engineConns int          // connections to engines that this process has open
 }
 
-// restrict takes the other process's part off the limits. Sessions are divided as they are: the old process accepts
-// no more, and what it closes is opened at the new one. Connections to engines are halved, until the old one leaves. A
-// process beside one that hangs keeps to what every process leaves for a successor.
+// restrict subtracts the other process's share from the limits. Buffers are halved. The sessions of the other process
+// are subtracted as they are: the old process accepts no more, and the sessions that it closes are opened at the new
+// one. At least a third of the limit on sessions remains. Connections to engines are halved;
+// once the old process only finishes what it accepted, its half shrinks to the connections that it has open. A process
+// beside one that hangs is limited to what every process leaves for a successor.
 func (l *limits) restrict(share processShare) {
 	l.inboundBytes /= 2
 	l.mysql.MaxBuffered /= 2
@@ -78,18 +81,18 @@
 	}
 }
 
-// limiter keeps the services within the limits of the configuration, or within this process's part of them while
-// another process runs the same router.
+// limiter applies the limits of the configuration to the services, or this process's share of them while another
+// process runs the same router.
 type limiter struct {
 	active   *activeSettings
 	services *services
 	parts    *partSet
 	share    func() hotrestart.Share
-	partner  func() usageMessage // what the other process reported
+	partner  func() usageMessage // last usage report of the other process
 	leaving  func() bool
 }
 
-// of returns this process's limits by a configuration.
+// compute returns this process's limits for a configuration. It fails if the configured resources do not suffice.
 func (l *limiter) compute(cfg *settings.Node) (limits, error) {
 	bounds, err := limitsFromConfig(cfg, l.parts.descriptors())
 	if share := l.share(); err == nil && share != hotrestart.ShareFull {
@@ -102,22 +105,22 @@
 	return bounds, err
 }
 
-// update applies the configuration in force once the other process's part has changed.
+// update recomputes and applies the limits after the other process's share has changed.
 func (l *limiter) update() {
 	if bounds, err := l.compute(l.active.platform); err == nil {
 		l.apply(bounds)
 	}
 }
 
-// apply puts limits in force.
+// apply puts limits in force in the services.
 func (l *limiter) apply(bounds limits) {
 	l.services.net.SetMaxInbound(bounds.inboundBytes)
 	l.services.front.Configure(bounds.mysql)
 	l.services.engines.Configure(bounds.engines)
 }
 
-// applyToRuntime keeps the Go runtime within the deployment's limits; two processes of one router have half of the
-// memory each.
+// applyToRuntime sets the Go runtime's processor count and memory limit from the configuration. While two processes run
+// the same router, each has half of the memory.
 func (l *limiter) applyToRuntime() {
 	limits := l.active.platform.Limits
 	if limits.Cores > 0 {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -15,49 +15,50 @@
 	"windflow/internal/router"
 )
 
-// passedSocketEnv names the variable with the number of the clients' socket, where the platform holds that.
+// passedSocketEnv is the environment variable with the descriptor number of the listening socket for clients, set if
+// the platform opens that socket and passes it on.
 const passedSocketEnv = "PROXY_PASSED_SOCKET"
 
-// bindRetryMS is how often an address is tried that a process which hangs has not released.
+// bindRetryMS is the pause between attempts to bind an address that a hanging process has not released.
 const bindRetryMS = 250.0
 
-// The names of listeners between processes.
+// Names of listeners in messages between the processes of a router.
 const (
 	clientListener = "clients"
 	flightListener = "flight"
 	adminListener  = "door"
 )
 
-// acceptor is an address at which a router accepts.
+// acceptor is an address at which a router accepts connections, with the server behind it.
 type acceptor struct {
-	name    string // between processes
-	field   string // of the settings
+	name    string // in messages between processes
+	field   string // of the settings, for messages
 	address string
-	accept  func(net.Listener)       // for the first time or again; it takes the listener over
-	file    func() (*os.File, error) // a copy of its descriptor
-	pause   func()                   // accept no more; what is open stays
+	accept  func(net.Listener)       // starts or resumes accepting; it takes ownership of the listener
+	file    func() (*os.File, error) // returns a copy of the listener's descriptor
+	pause   func()                   // stops accepting; open connections stay
 }
 
-// listeners are the sockets on which the router accepts: opened, inherited from a predecessor, or passed on by the
-// platform.
+// listeners holds the sockets on which the router accepts: opened by this process, inherited from its predecessor, or
+// passed on by the platform.
 type listeners struct {
 	log       *slog.Logger
 	loop      *router.Loop
 	life      *lifecycle
 	machine   *hotrestart.Machine
-	received  *handover // what a predecessor has sent
+	received  *handover // from the predecessor
 	acceptors func() []acceptor
 
 	idle           map[string]net.Listener // listeners on which this process does not accept, by name
-	missing        []string                // listeners whose address can't be had yet
-	taken          []string                // listeners on which another process accepts too, or did
-	platformSocket *os.File                // the clients' socket, where the platform holds it
-	clients        *netio.Listener         // on which clients are accepted; nil until then
+	missing        []string                // names of listeners whose address is still in use by another process
+	taken          []string                // names of listeners that another process has open too, or had
+	platformSocket *os.File                // the clients' listening socket, if the platform passed it on
+	clients        *netio.Listener         // the listener for clients; nil until the process accepts
 	clientsAddress string
-	listedEngines  func() int // for the log
+	listedEngines  func() int // number of known engines, for the log
 }
 
-// open gets all listeners; none accepts clients yet.
+// open obtains all listeners. Only the admin API accepts already.
 func (l *listeners) open() error {
 	for _, acceptor := range l.acceptors() {
 		if err := l.prepare(acceptor); err != nil {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// accept has clients come in, for the first time or again.
+// accept starts or resumes accepting on all listeners.
 func (l *listeners) accept() {
 	for name := range l.idle {
 		if !slices.Contains(l.taken, name) {
@@ -77,7 +78,7 @@
 	l.acceptIdle()
 }
 
-// reportReady logs that clients are accepted, or tries for the addresses that are missing.
+// reportReady logs that the router accepts at all addresses, or else retries to bind the missing ones.
 func (l *listeners) reportReady() {
 	if len(l.missing) == 0 {
 		l.log.Info("ready", "listen", l.clientsAddress, "engines", l.listedEngines(), "phase", l.machine.Phase().String())
@@ -87,10 +88,10 @@
 	l.loop.After(bindRetryMS, l.retryMissing)
 }
 
-// incomplete reports whether the address of a listener can't be had yet.
+// incomplete reports whether the address of a listener is still in use by another process.
 func (l *listeners) incomplete() bool { return len(l.missing) > 0 }
 
-// retryMissing tries to bind the addresses that a process which hangs has not released.
+// retryMissing tries repeatedly to bind the addresses that a hanging process has not released.
 func (l *listeners) retryMissing() {
 	if len(l.missing) == 0 || l.life.failed() {
 		return
@@ -102,7 +103,7 @@
 	l.log.Info("ready", "listen", l.clientsAddress, "phase", l.machine.Phase().String())
 }
 
-// openMissing gets the listeners whose address could not be had before.
+// openMissing tries once more to obtain the listeners whose address was in use before.
 func (l *listeners) openMissing() {
 	missing := l.missing
 	l.missing = nil
@@ -120,7 +121,7 @@
 	}
 }
 
-// acceptIdle accepts on all listeners that it has.
+// acceptIdle accepts on all idle listeners, and reports readiness to a supervisor once no listener is missing.
 func (l *listeners) acceptIdle() {
 	for _, acceptor := range l.acceptors() {
 		if idle := l.idle[acceptor.name]; idle != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// fileOf returns a copy of a listener's descriptor.
+// fileOf returns a copy of a listener's descriptor, whether the process accepts on it or not.
 func (l *listeners) fileOf(acceptor acceptor) (*os.File, error) {
 	if idle := l.idle[acceptor.name]; idle != nil {
 		return netio.ListenerFile(idle)
@@ -144,8 +145,8 @@
 	return acceptor.file()
 }
 
-// export adds the listeners to the state for a successor, and returns copies of their descriptors. The clients'
-// socket is left out where the platform passes it on itself.
+// export adds the listeners to the state for a successor, and returns copies of their descriptors in the same order.
+// The listener for clients is left out if the platform passes its socket to each process.
 func (l *listeners) export(state *stateMessage) (files []*os.File) {
 	state.Addresses = map[string]string{}
 	for _, acceptor := range l.acceptors() {
@@ -164,7 +165,8 @@
 	return files
 }
 
-// release stops accepting where the other process does. What it takes to accept again is kept, in case that ends first.
+// release stops accepting on the listeners that the other process has taken. It keeps a descriptor of each, to accept
+// again if the other process ends first.
 func (l *listeners) release(taken []string) {
 	for _, acceptor := range l.acceptors() {
 		if l.idle[acceptor.name] != nil || !slices.Contains(taken, acceptor.name) {
@@ -183,8 +185,8 @@
 	}
 }
 
-// provide gets one listener. That of operators accepts at once: a check of readiness may come early. An address
-// that a process which hangs has bound is missing for now.
+// prepare obtains the listener of one acceptor. The admin API accepts at once, since a readiness check may arrive
+// early; the others stay idle. If a hanging process holds the address, the listener is recorded as missing.
 func (l *listeners) prepare(acceptor acceptor) error {
 	opened, shared, err := l.listen(acceptor)
 	if errors.Is(err, syscall.EADDRINUSE) && l.machine.Phase() == hotrestart.PhaseDegraded {
@@ -208,8 +210,9 @@
 	return nil
 }
 
-// listen returns the socket that the platform passed on, for clients; else that of the predecessor, where the address
-// is the same; else one of its own. shared reports whether another process accepts there too.
+// listen returns, for clients, the socket that the platform passed on, if there is one. Otherwise it returns the
+// listener inherited from the predecessor, if that has the same address, or else a new one. shared reports whether
+// another process may accept on the same socket.
 func (l *listeners) listen(acceptor acceptor) (opened net.Listener, shared bool, err error) {
 	if descriptor := os.Getenv(passedSocketEnv); descriptor != "" && acceptor.name == clientListener {
 		opened, err = l.passedSocket(descriptor)
@@ -226,7 +229,7 @@
 		opened, err = netio.Listen(acceptor.address)
 		return err
 	}
-	if l.machine.Phase() == hotrestart.PhaseDegraded { // its holder hangs, and the loop has requests to serve
+	if l.machine.Phase() == hotrestart.PhaseDegraded { // its holder hangs; waiting would block the loop
 		err = bind()
 	} else {
 		err = retry(bind)
@@ -237,11 +240,13 @@
 	return opened, false, nil
 }
 
-// passedSocket returns the clients' listener of the platform, by the text of its descriptor.
+// passedSocket returns the listener for clients that the platform passed on. descriptor is the value of
+// passedSocketEnv; it has to be the number of an open listening socket.
 func (l *listeners) passedSocket(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < firstPassedDescriptor {
-		return nil, fmt.Errorf("%s: %q is no descriptor", passedSocketEnv, descriptor)
+		return nil, fmt.Errorf("%s: invalid descriptor %q: expected a number of at least %d",
+			passedSocketEnv, descriptor, firstPassedDescriptor)
 	}
 	syscall.CloseOnExec(fd)
 	l.platformSocket = os.NewFile(uintptr(fd), "passed socket")
@@ -252,14 +257,14 @@
 	return opened, nil
 }
 
-// closeClients accepts no client any more. Those accepted before are served; a new one is rejected at once.
+// closeClients closes the listener for clients. Accepted connections are still served; new ones are refused at once.
 func (l *listeners) closeClients() {
 	if l.clients != nil {
 		l.clients.Close()
 	}
 }
 
-// close closes what this process does not accept on.
+// close closes the listeners on which this process does not accept.
 func (l *listeners) close() {
 	for _, idle := range l.idle {
 		_ = idle.Close()
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	// maxQueuedLines is how many lines of the log wait at most to be read; further ones are dropped and
-	// counted.
+	// maxQueuedLines is how many log lines can wait to be written. Further lines are dropped and counted.
 	maxQueuedLines = 1024
-	// flushTimeout bounds the wait for the last lines at the end.
+	// flushTimeout bounds the wait for the last lines when the process exits.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// logger makes the program's log, and what flushes its last lines.
+// logger returns the program's logger, which writes to standard error, and a function that flushes it before the exit.
 func (o Options) logger() (log *slog.Logger, flush func()) {
 	out := newLogWriter(os.Stderr)
 	level := slog.LevelInfo
@@ -32,15 +31,14 @@
 	return log, out.flush
 }
 
-// logWriter writes the log in a goroutine of its own. It guards against a loop that blocks for as long as the
-// pipe or disk that the log goes to does not take more. Its goroutine lives as long as the process, which logs to its
-// end.
+// logWriter writes the log in a goroutine of its own, so that the event loop does not block while the log's pipe or
+// disk accepts no data. The goroutine runs until the process exits, since the process logs until then.
 type logWriter struct {
 	out       io.Writer
 	queue     chan []byte
 	flushes   chan chan struct{}
 	dropped   atomic.Int64
-	onDropped func(lines int64) // called once there is room again
+	onDropped func(lines int64) // called once a line has been written after lines were dropped
 }
 
 func newLogWriter(out io.Writer) *logWriter {
@@ -51,7 +49,7 @@
 	return l
 }
 
-// Write implements io.Writer; it never blocks.
+// Write implements io.Writer. It never blocks and never fails: if the queue is full, it drops the line.
 func (l *logWriter) Write(b []byte) (int, error) {
 	select {
 	case l.queue <- bytes.Clone(b):
@@ -82,7 +80,7 @@
 	}
 }
 
-// flush waits until what was written so far has gone out, or its time is up.
+// flush waits until all queued lines are written, for flushTimeout at most.
 func (l *logWriter) flush() {
 	done := make(chan struct{})
 	timeout := time.After(flushTimeout)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,7 +17,7 @@
 	"windflow/internal/validate"
 )
 
-// node wires the types that make up a running router. It belongs to the loop's goroutine.
+// node holds and connects the types that make up a running router. It belongs to the event loop's goroutine.
 type node struct {
 	log          *slog.Logger
 	loop         *router.Loop
@@ -28,7 +28,7 @@
 	recordedLog  recordedLog
 	limiter      limiter
 	configurator configurator
-	keepers      *keeperSync // nil unless turned on
+	keepers      *keeperSync // nil if the router follows no keepers
 	links        *peerLinks
 	restart      *coordinator
 	listeners    listeners
@@ -41,7 +41,7 @@
 	status       statusReporter
 }
 
-// newNode wires a router that has no services yet.
+// newNode returns a router whose services are not built yet.
 func newNode(cfg *settings.Node, site *installation.Settings, log *slog.Logger) *node {
 	n := &node{
 		loop: router.NewLoop(clock.NewSystem()), life: newLifecycle(),
@@ -65,7 +65,7 @@
 	return n
 }
 
-// wireHotRestart wires what two processes of this router have to do with each other.
+// wireHotRestart sets up what two processes of this router use to work together, and the shutdown.
 func (n *node) wireHotRestart() {
 	n.links = newPeerLinks(n.log, n.loop)
 	n.restart = newCoordinator(n.log, n.loop, n.life, n.links, n)
@@ -86,7 +86,7 @@
 	}
 }
 
-// wireServing wires the limits, the settings, and what operators are answered.
+// wireServing sets up limits, reloads, stall detection, the admin API and the status report.
 func (n *node) wireServing() {
 	n.limiter = limiter{
 		active: &n.active, services: &n.services, parts: &n.parts, share: n.restart.share,
@@ -105,15 +105,15 @@
 	}
 }
 
-// newReloader reads the files again, those that the router was started with.
+// newReloader returns a reloader of the platform's configuration (path) and the installation's settings (settingsPath).
 func (n *node) newReloader(path, settingsPath string) *reloader {
 	return &reloader{
 		log: n.log, loop: n.loop, path: path, settingsPath: settingsPath, configurator: &n.configurator,
 	}
 }
 
-// begin starts the coordinator, in a process slot where hotRestart says so, and what runs beside the loop; the caller
-// runs the loop.
+// begin starts the coordinator and the goroutines beside the event loop. The process takes a process slot if hotRestart
+// is set. The caller runs the event loop.
 func (n *node) begin(hotRestart bool) {
 	n.stalls.heartbeat()
 	go n.stalls.watch(n.life.done)
@@ -128,7 +128,8 @@
 	n.restart.start()
 }
 
-// build makes the services and starts the parts. They accept no clients yet; operators are answered.
+// build creates the services and starts the parts. The router accepts no clients yet, but serves the admin API. It
+// fails if the settings are invalid or a listener can't be opened.
 func (n *node) build() error {
 	cfg := n.active.platform
 	known, lastEvent, err := settings.ParseEndpoints(cfg.KnownEndpoints)
@@ -151,7 +152,7 @@
 	if err := n.listeners.open(); err != nil {
 		return err
 	}
-	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
+	// The poller runs already and may have posted connections. The loop handles them after build has returned.
 	core := n.services.core
 	core.UpdateEndpoints(known.Events, known.Addresses)
 	core.AdoptCordons(n.cordons.list())
@@ -170,7 +171,8 @@
 	}
 }
 
-// buildServices makes the core, the MySQL front, the connections and the client of engines.
+// buildServices creates the core, the MySQL front, the poller and the HTTP client of engines, and returns the limits
+// that they were created with.
 func (n *node) buildServices(cfg *settings.Node) (limits, error) {
 	decisions, err := validate.DispatchConfig(cfg, cfg.SeedValue)
 	if err != nil {
@@ -200,14 +202,14 @@
 	return bounds, nil
 }
 
-// killRemote passes a KILL on to the other process; false says that there is none.
+// killRemote forwards a client's KILL to the other process. It returns false if there is none.
 func (n *node) killRemote(sessionID uint32, queryOnly bool) bool {
 	partner := n.restart.partner
 	partner.send(msgKill, killMessage{SessionID: sessionID, QueryOnly: queryOnly})
 	return partner.connected()
 }
 
-// acceptors are where this router accepts.
+// acceptors returns the acceptors of all addresses at which this router accepts.
 func (n *node) acceptors() []acceptor {
 	all := []acceptor{{
 		name: clientListener, field: "listen", address: n.active.platform.Listen,
@@ -222,7 +224,7 @@
 	return all
 }
 
-// close stops the parts and releases what the process has. The loop has ended.
+// close stops the parts and releases links, listeners and the poller. It is called after the event loop has ended.
 func (n *node) close() {
 	n.links.close()
 	n.listeners.close()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,7 +10,7 @@
 	"windflow/internal/validate"
 )
 
-// reloader reads the files again and has the loop put them in force.
+// reloader reads the platform's configuration and the installation's settings again and has the event loop apply them.
 type reloader struct {
 	log          *slog.Logger
 	loop         *router.Loop
@@ -19,8 +19,8 @@
 	configurator *configurator
 }
 
-// read reads both files. It may wait for a disk, and for the kernel to grow the table of descriptors, which the loop
-// must not do.
+// read reads both files and grows the descriptor table to the limit that they set. text is that of the platform's
+// configuration. It may wait for a disk and for the kernel, so it must not be called in the event loop.
 func (r *reloader) read() (cfg *settings.Node, text []byte, site *installation.Settings, err error) {
 	if cfg, text, err = readPlatform(r.path); err != nil {
 		return nil, nil, nil, err
@@ -32,7 +32,8 @@
 	return cfg, text, site, err
 }
 
-// reload reads the files and hands them to the loop. Where one can't be used nothing changes.
+// reload reads both files and applies them in the event loop. If one of them is invalid, nothing changes and the error
+// is logged.
 func (r *reloader) reload() {
 	cfg, _, site, err := r.read()
 	r.loop.Post(func() {
@@ -45,9 +46,10 @@
 	})
 }
 
+// rejected logs why a reload was rejected.
 func (r *reloader) rejected(err error) { r.log.Error("reload rejected", "file", r.path, "error", err) }
 
-// configurator puts settings in force.
+// configurator applies settings to the running router.
 type configurator struct {
 	log      *slog.Logger
 	active   *activeSettings
@@ -56,10 +58,11 @@
 	limiter  *limiter
 }
 
-// apply puts other settings in force, all of them or, where they can't be used, none. Open requests, sessions and
-// connections are not touched. What can't change while running keeps its value, and the log names it.
+// apply applies changed settings. If it returns an error because they are invalid, none of them is applied. Open
+// requests, sessions and connections are not affected. Fields that can't change while running keep their values, and
+// the log names them.
 func (c *configurator) apply(cfg *settings.Node, site *installation.Settings) error {
-	if !c.services.built() { // nothing uses the settings yet
+	if !c.services.built() { // the services will be built with the new settings
 		c.active.platform, c.active.site = cfg, site
 		return nil
 	}
@@ -89,7 +92,8 @@
 	return nil
 }
 
-// keepFields returns the platform's fields that can't change while running. What was in force stays.
+// keepFields restores the fields of the platform's configuration that can't change while running to their current
+// values, and returns the names of those that differed.
 func keepFields(current, updated *settings.Node) (kept []string) {
 	for _, field := range []struct {
 		name    string
@@ -107,8 +111,8 @@
 	return kept
 }
 
-// keepSections returns the sections that were added or removed: a part is made at the start only. What was in force
-// stays.
+// keepSections undoes the addition or removal of sections, since parts are created at the start only, and returns the
+// names of these sections.
 func keepSections(current, updated *installation.Settings) (kept []string) {
 	if (current.FlightSQL == nil) != (updated.FlightSQL == nil) {
 		kept, updated.FlightSQL = append(kept, "/flightsql"), current.FlightSQL
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -12,29 +12,30 @@
 	"windflow/internal/settings"
 )
 
-// configEnv names the variable with the path of the platform's configuration.
+// configEnv is the environment variable with the path of the platform's configuration.
 const configEnv = "PROXY_CONFIG"
 
-// maxQueuedSignals is how many signals wait at most until the router handles them.
+// maxQueuedSignals is how many signals can wait to be handled.
 const maxQueuedSignals = 16
 
-// Options are what the command line says.
+// Options are the options of the command line.
 type Options struct {
-	Settings string // file of the installation's settings; empty for none
-	Debug    bool   // log each attempt that does not end well
-	JSON     bool   // log as JSON
+	Settings string // path of the installation's settings file; empty for none
+	Debug    bool   // also log debug messages, such as each attempt that fails
+	JSON     bool   // write the log as JSON
 }
 
-var errNoConfiguration = errors.New(configEnv + ": the path of the configuration is not set")
+var errNoConfiguration = errors.New(configEnv + " is not set: expected the path of the configuration file")
 
-// Run runs a router from its start to its end. The platform's configuration is the file that PROXY_CONFIG names. An
-// error is one line for each fault, which names the file and the field.
+// Run runs a router until it has shut down. The platform's configuration is the file that the environment variable
+// PROXY_CONFIG names. The text of an error has one line for each fault, which names the file and the field.
 func Run(opts Options) error {
 	path := os.Getenv(configEnv)
 	if path == "" {
 		return errNoConfiguration
 	}
-	// Taken from the first on: a signal that arrives before the router is ready waits, where its default would end it.
+	// Signals are caught from the beginning: one that arrives before the router is ready waits to be handled. Otherwise
+	// the default action would kill the process.
 	signals := make(chan os.Signal, maxQueuedSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGCONT)
 	cfg, text, err := readPlatform(path)
@@ -47,7 +48,8 @@
 	}
 	log, flush := opts.logger()
 	defer flush()
-	// Beside the start, which needs few: the wait may take longer than a hot restart may.
+	// In a goroutine of its own: the start needs few descriptors, and growing the table may take longer than a hot
+	// restart is allowed to.
 	go growDescriptorTableAtStart(cfg, log)
 	n := newNode(cfg, site, log.With("name", cfg.Name))
 	reloader := n.newReloader(path, opts.Settings)
@@ -58,7 +60,7 @@
 		reload = n.keepers.reload
 	}
 	n.begin(true)
-	go n.handleSignals(signals, reload) // until the process ends
+	go n.handleSignals(signals, reload) // runs until the process exits
 	n.loop.Run(n.life.done)
 	if n.services.built() {
 		n.status.write("counters at exit")
@@ -70,13 +72,15 @@
 	return nil
 }
 
+// growDescriptorTableAtStart grows the descriptor table to the configured limit, and logs a failure.
 func growDescriptorTableAtStart(cfg *settings.Node, log *slog.Logger) {
 	if err := growDescriptorTable(cfg.Limits.Sockets); err != nil {
 		log.Warn("descriptor table growth failed", "error", err)
 	}
 }
 
-// handleSignals hands signals on to the loop. SIGHUP reads files here: the loop may not wait for a disk.
+// handleSignals passes signals to the event loop. SIGHUP calls reload here, since it reads files and the loop must not
+// wait for a disk.
 func (n *node) handleSignals(signals <-chan os.Signal, reload func()) {
 	for received := range signals {
 		switch received {
@@ -90,7 +94,7 @@
 	}
 }
 
-// signal handles a signal in the loop.
+// signal handles a signal in the event loop: SIGUSR1 logs the counters, any other one requests the process to end.
 func (n *node) signal(received os.Signal) {
 	if received != syscall.SIGUSR1 {
 		n.restart.stopRequested()
@@ -101,7 +105,8 @@
 	}
 }
 
-// start begins a router that has no predecessor and can't be found by a successor; the caller runs the loop.
+// start starts a router without hot restart: it searches for no predecessor, and no successor can find it. The caller
+// runs the event loop.
 func start(cfg *settings.Node, site *installation.Settings, log *slog.Logger) (*node, error) {
 	n := newNode(cfg, site, log)
 	n.begin(false)
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -12,21 +12,22 @@
 	"windflow/internal/settings"
 )
 
-// maxFileTries and retryInterval are how often and at what distance retry tries again: for two seconds in all for a
-// file. An address is tried maxAddressTries times, since its holder may drain: that ends by patienceAloneMS and
-// answerSlackMS after its signal, and the router is still ready within the 10 s that a restart has.
+// retry tries a file up to maxFileTries times, two seconds in all, and an address up to maxAddressTries times, 7.5 s in
+// all, with retryInterval in between. The process that holds the address may be draining: that ends at the latest
+// standaloneDeadlineCapMS and answerSlackMS after its signal, so that the router is still ready within the 10 s that a
+// restart may take.
 const (
 	maxFileTries    = 40
 	maxAddressTries = 150
 	retryInterval   = 50 * time.Millisecond
 )
 
-// sleep is replaced by tests.
+// sleep is a variable so that tests can replace it.
 var sleep = time.Sleep
 
-// retry calls f until it succeeds, fails for a reason that does not pass by itself, or has been tried often enough.
-// Two reasons pass: a file that is just being replaced, and an address that the program before this one has not yielded
-// up yet.
+// retry calls f until it succeeds, fails with an error that is not transient, or has been tried often enough; it
+// returns the last error. Two errors are transient: a file that is being replaced, and an address that the previous
+// process has not released yet.
 func retry(f func() error) error {
 	for try := 1; ; try++ {
 		err := f()
@@ -39,7 +40,7 @@
 	}
 }
 
-// readPlatform reads the platform's configuration, and returns its text too.
+// readPlatform reads the platform's configuration, and also returns the text of the file.
 func readPlatform(path string) (cfg *settings.Node, text []byte, err error) {
 	err = retry(func() error {
 		if text, err = os.ReadFile(path); err == nil {
@@ -53,14 +54,14 @@
 	return cfg, text, err
 }
 
-// completeFromEnvironment adds what the environment has for a configuration.
+// completeFromEnvironment sets fields that the configuration leaves empty from environment variables.
 func completeFromEnvironment(cfg *settings.Node) {
 	if cfg.AdminAddress == "" {
 		cfg.AdminAddress = os.Getenv("PROXY_CONTROL")
 	}
 }
 
-// readSite reads the settings of the installation; without a file every part is off.
+// readSite reads the installation's settings. Without a file it returns empty settings: all parts are off.
 func readSite(path string) (*installation.Settings, error) {
 	if path == "" {
 		return &installation.Settings{}, nil
@@ -73,7 +74,7 @@
 	return site, err
 }
 
-// endpointNames are the names that the endpoint list may use.
+// endpointNames returns the names of zones and kinds that discovery may use for endpoints.
 func endpointNames(cfg *settings.Node) discovery.RecordNames {
 	return discovery.RecordNames{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,20 +9,21 @@
 	"windflow/dispatch"
 )
 
+// outcomeNames are the names of outcomes of attempts in the names of counters.
 var outcomeNames = map[dispatch.Outcome]string{
 	dispatch.Served: "served", dispatch.EngineFailed: "errored", dispatch.EngineFull: "full",
 	dispatch.TimedOut: "timed_out", dispatch.ConnectFailed: "connect_failed", dispatch.ConnectionReset: "reset",
 	dispatch.Cancelled: "cancelled", dispatch.NotSent: "not_sent",
 }
 
-// counterGroup is a set of counters under one name: counters points to a struct whose fields are int64, atomic.Int64
-// or, by outcome, [8]int64, each with its name in a "status" tag.
+// counterGroup is a named set of counters. counters points to a struct whose fields are of type int64, atomic.Int64 or,
+// with one element for each outcome, [8]int64. The "status" tag of each field holds its name.
 type counterGroup struct {
 	name     string
 	counters any
 }
 
-// statusReporter lists the figures of all services and parts for SHOW STATUS and the log.
+// statusReporter lists the counters of all services and parts for SHOW STATUS and the log.
 type statusReporter struct {
 	log      *slog.Logger
 	services *services
@@ -31,7 +32,7 @@
 	admin    *adminBackend
 }
 
-// rows lists the figures, each with its name.
+// rows returns all figures as pairs of name and value.
 func (s *statusReporter) rows() [][2]string {
 	rows := [][2]string{
 		{"core.open", strconv.Itoa(s.services.core.OpenRequests())},
@@ -43,6 +44,7 @@
 	return rows
 }
 
+// groups returns the counters of all services and parts.
 func (s *statusReporter) groups() []counterGroup {
 	groups := []counterGroup{
 		{"core", &s.services.core.Counters},
@@ -55,6 +57,7 @@
 	return append(groups, s.admin.counters()...)
 }
 
+// rows returns the counters of the group as pairs of name and value.
 func (g counterGroup) rows() (rows [][2]string) {
 	all := reflect.ValueOf(g.counters).Elem()
 	for i := range all.NumField() {
@@ -75,7 +78,7 @@
 	return rows
 }
 
-// write logs the figures.
+// write logs all figures as attributes of one message.
 func (s *statusReporter) write(message string) {
 	var attrs []any
 	for _, row := range s.rows() {
