--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -4,47 +4,48 @@
 	"windflow/internal/installation"
 )
 
-// part is a subsystem that adds itself to a router. It is off without its section of the settings, and this is all that
-// the remaining router knows of it; what it does not need it leaves nil. All of it is called in the loop.
+// part is an optional subsystem of a router. It is off if the settings lack its section. The other code of the router
+// uses it through these fields only. Functions that a part does not need are nil; all are called in the event loop.
 type part struct {
-	name        string    // of its section
-	descriptors int       // that it may hold, taken off the connections to engines
-	acceptor    *acceptor // where it accepts; nil for nowhere
-	handsOver   bool      // a successor waits for what this part has to hand over
+	name        string    // of its section in the settings
+	descriptors int       // how many it may hold; subtracted from the connections to engines
+	acceptor    *acceptor // where it accepts connections; nil if it does not
+	handsOver   bool      // a successor has to wait for what this part hands over
 
-	// start begins once the core is there.
+	// start starts the part after the core has been created.
 	start func(l limits) error
-	// configure puts other settings in force; kept are the fields that can't change.
+	// configure applies changed settings. kept lists the changed fields that can't change while running.
 	configure func(s *installation.Settings, l limits) (kept []string)
-	// counters are those for the log and SHOW STATUS.
+	// counters returns the counters for the log and SHOW STATUS.
 	counters func() []counterGroup
-	// busy reports whether something is open.
+	// busy reports whether the part has requests open.
 	busy func() bool
-	// drain begins the end of a router that has no successor.
+	// drain begins the shutdown of a router that has no successor.
 	drain func()
-	// leave hands over to a successor, which accepts.
+	// leave hands over to a successor that accepts now.
 	leave func(to *peer)
-	// farewell hands over what is left when nothing is open any more.
+	// handOverRest hands over what is left once the process has nothing open.
 	handOverRest func(to *peer)
-	// end ends a router that has no successor.
+	// end is called when a process without a successor ends.
 	end func()
-	// stop releases what the part has at the end of the process.
+	// stop releases the part's resources when the process exits.
 	stop func()
-	// partnerChanged reports which process shares the router, nil for none.
+	// partnerChanged reports which process shares the router now, nil for none.
 	partnerChanged func(partner *peer)
-	// alone reports that the other process has ended, or has nothing to hand over.
+	// noHandover reports that the other process will not hand anything over: it has ended, or has nothing for
+	// this part.
 	noHandover func()
-	// handlers take messages of the other process, by kind.
+	// handlers handle messages of the other process, by kind of message.
 	handlers map[string]messageHandler
 }
 
-// partConstructors make the parts whose section is there, nil for the others; the order is that in which they start.
+// partConstructors lists the constructors of all parts in starting order. Each returns nil if its part is off.
 var partConstructors = []func(*node) *part{recordPart, flightPart, bgpPart, keeperPart}
 
-// partSet are the parts that are on.
+// partSet holds the parts that are on.
 type partSet struct{ all []*part }
 
-// named returns the part of that section, nil where it is off.
+// named returns the part of a section, or nil if it is off.
 func (s *partSet) named(name string) *part {
 	for _, p := range s.all {
 		if p.name == name {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// descriptors are those that parts may hold.
+// descriptors returns how many descriptors all parts together may hold.
 func (s *partSet) descriptors() (n int) {
 	for _, p := range s.all {
 		n += p.descriptors
@@ -62,7 +63,7 @@
 	return n
 }
 
-// acceptors are where parts accept.
+// acceptors returns the acceptors of all parts.
 func (s *partSet) acceptors() (all []acceptor) {
 	for _, p := range s.all {
 		if p.acceptor != nil {
@@ -72,7 +73,7 @@
 	return all
 }
 
-// configure passes other settings on, and returns the fields that can't change.
+// configure applies changed settings to all parts. It returns the changed fields that can't change while running.
 func (s *partSet) configure(updated *installation.Settings, l limits) (kept []string) {
 	for _, p := range s.all {
 		if p.configure != nil {
@@ -82,7 +83,7 @@
 	return kept
 }
 
-// counters are those of all parts.
+// counters returns the counters of all parts.
 func (s *partSet) counters() (all []counterGroup) {
 	for _, p := range s.all {
 		if p.counters != nil {
@@ -92,7 +93,7 @@
 	return all
 }
 
-// busy reports whether a part has something open.
+// busy reports whether any part has requests open.
 func (s *partSet) busy() bool {
 	for _, p := range s.all {
 		if p.busy != nil && p.busy() {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// handingOver names the parts that have something to hand over.
+// handingOver returns the names of the parts that hand something over.
 func (s *partSet) handingOver() (names []string) {
 	for _, p := range s.all {
 		if p.handsOver {
@@ -112,6 +113,7 @@
 	return names
 }
 
+// drain begins the shutdown of the parts of a router that has no successor.
 func (s *partSet) drain() {
 	for _, p := range s.all {
 		if p.drain != nil {
@@ -120,7 +122,7 @@
 	}
 }
 
-// leave has parts hand over what the successor needs at once; nil for one that can't be reached.
+// leave has the parts hand over what the successor needs at once. to is nil if the successor can't be reached.
 func (s *partSet) leave(to *peer) {
 	for _, p := range s.all {
 		if p.leave != nil && to != nil {
@@ -129,7 +131,8 @@
 	}
 }
 
-// farewell has parts hand over what is left when nothing is open any more.
+// handOverRest has the parts hand over what is left once the process has nothing open. to is nil if the successor can't
+// be reached.
 func (s *partSet) handOverRest(to *peer) {
 	for _, p := range s.all {
 		if p.handOverRest != nil && to != nil {
@@ -138,6 +141,7 @@
 	}
 }
 
+// end tells the parts that a process without a successor ends.
 func (s *partSet) end() {
 	for _, p := range s.all {
 		if p.end != nil {
@@ -146,6 +150,7 @@
 	}
 }
 
+// stop releases the parts' resources when the process exits.
 func (s *partSet) stop() {
 	for _, p := range s.all {
 		if p.stop != nil {
@@ -163,7 +168,7 @@
 	}
 }
 
-// alone tells the parts that the other process has ended.
+// noHandover tells the parts that the other process has ended.
 func (s *partSet) noHandover() {
 	for _, p := range s.all {
 		if p.noHandover != nil {
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -13,7 +13,8 @@
 
 const bgpPartName = "bgp"
 
-// bgpPart announces the service addresses. In a hot restart its session goes over open, so that nothing is withdrawn.
+// bgpPart returns the part that announces the service addresses by BGP. In a hot restart its open session is handed
+// over, so that no address is withdrawn.
 func bgpPart(n *node) *part {
 	if n.active.site.BGP == nil {
 		return nil
@@ -37,7 +38,7 @@
 			return nil
 		},
 		counters: func() []counterGroup { return []counterGroup{{bgpPartName, &speaker.Counters}} },
-		drain:    func() { speaker.Withdraw() }, // first of all, so that new clients go to other routers
+		drain:    func() { speaker.Withdraw() }, // at the beginning of a shutdown, so that new clients go to other routers
 		leave: func(to *peer) {
 			speaker.Migrate(func(session bgp.SessionState, conn *os.File) {
 				if conn == nil {
@@ -49,7 +50,7 @@
 			})
 		},
 		end: func() { speaker.Close() },
-		// Connects, if it waited for the other process's session.
+		// The speaker connects by itself if it was waiting for the other process's session.
 		noHandover: func() { speaker.Adopt(services.net, bgp.SessionState{}, nil) },
 		handlers: map[string]messageHandler{
 			msgBGP: func(_ *peer, m *hotrestartipc.Message) error {
@@ -66,8 +67,8 @@
 	}
 }
 
-// predecessorHasSession reports whether a predecessor has a session, or may have one since it hangs; the neighbour
-// would take a second session for a collision.
+// predecessorHasSession reports whether a predecessor has a BGP session, or may have one because it hangs. A second
+// session would then be a connection collision to the neighbour.
 func predecessorHasSession(restart *coordinator) bool {
 	return restart.hasPredecessor() &&
 		(restart.phase() == hotrestart.PhaseDegraded || restart.predecessorHandsOver(bgpPartName))
--- a/internal/node/part_flight.go
+++ b/internal/node/part_flight.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	msgTicketClaim      = "claim"   // ticketClaimMessage: the question
-	msgTicketClaimReply = "claimed" // ticketClaimMessage: the reply
+	msgTicketClaim      = "claim"   // ticketClaimMessage: request
+	msgTicketClaimReply = "claimed" // ticketClaimMessage: reply
 	msgTickets          = "tickets" // []flightsql.Ticket
-	// ticketClaimTimeout bounds the wait for a ticket of the other process.
+	// ticketClaimTimeout is how long a claim waits for the other process's reply.
 	ticketClaimTimeout = time.Second
-	// flightEngineDescriptors are reserved for connections to engines that speak Flight SQL: one shared one each, and
-	// up to maxFlightLoads for what must not run twice.
+	// flightEngineDescriptors is the number of descriptors reserved for connections to engines that speak Flight SQL: one
+	// shared connection for each engine, and up to maxFlightLoads for requests that must not run twice.
 	flightEngineDescriptors = 64
 	maxFlightLoads          = 32
 )
 
-// ticketClaimMessage requests a ticket of the other process, and carries it; nil for one that it does not have.
+// ticketClaimMessage requests a ticket from the other process. The reply carries the ticket, or nil if that process
+// does not have it.
 type ticketClaimMessage struct {
 	Number int64             `json:"n"`
 	Handle string            `json:"handle"`
 	Ticket *flightsql.Ticket `json:"ticket"`
 }
 
-// flightPart is the Arrow Flight SQL front, and the client of engines that speak it.
+// flightPart returns the part with the Arrow Flight SQL front and the client of engines that speak Flight SQL.
 func flightPart(n *node) *part {
 	cfg := n.active.site.FlightSQL
 	if cfg == nil {
@@ -81,14 +82,15 @@
 	}
 }
 
-// flightService is the front and the client of the part; they are there once it has started.
+// flightService holds the front and the client of the part. They are nil until the part has started.
 type flightService struct {
 	front  *flightsql.Front
 	client *flightsql.Client
 	claims ticketClaims
 }
 
-// clientsOf returns the clients of engines by kind. Attempts that are out continue as they are.
+// clientsOf returns a map from each of the kinds of engines to the Flight SQL client. Running attempts are not
+// affected.
 func (f *flightService) clientsOf(kinds []string) map[string]router.EngineClient {
 	clients := map[string]router.EngineClient{}
 	for _, kind := range kinds {
@@ -110,7 +112,7 @@
 	}
 }
 
-// releaseTickets hands all tickets to the other process.
+// releaseTickets hands over all tickets to the other process.
 func (f *flightService) releaseTickets(to *peer) {
 	if tickets := f.front.ReleaseAllTickets(); len(tickets) > 0 {
 		to.send(msgTickets, tickets)
@@ -130,7 +132,7 @@
 			from.send(msgTicketClaimReply, claim)
 		}),
 		msgTicketClaimReply: decoded(func(_ *peer, claim ticketClaimMessage) {
-			// A ticket for which nobody waits any more is kept.
+			// If the claim has timed out meanwhile, the ticket is kept here for a later request.
 			if !f.claims.resolve(claim) && claim.Ticket != nil {
 				f.front.ImportTickets([]flightsql.Ticket{*claim.Ticket})
 			}
@@ -144,16 +146,16 @@
 	}
 }
 
-// ticketClaims requests tickets that this process does not have from the other process of this router. gRPC's
-// goroutines use it.
+// ticketClaims requests tickets that this process does not have from the other process of this router. It is safe for
+// concurrent use, since gRPC's goroutines call it.
 type ticketClaims struct {
 	mu         sync.Mutex
-	lastNumber int64 // number
+	lastNumber int64 // of the latest claim
 	waiting    map[int64]chan *flightsql.Ticket
 	partner    *peer // nil for none
 }
 
-// setPartner sets the link for claims; without another process all claims end without a ticket.
+// setPartner sets the link to which claims are sent, nil for none. Without a link, pending claims end without a ticket.
 func (c *ticketClaims) setPartner(partner *peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +168,8 @@
 	}
 }
 
-// claim requests a ticket from the other process, nil where it has none or does not answer in time.
+// claim requests a ticket from the other process and waits for the reply. It returns nil if the other process does not
+// have the ticket, does not reply within ticketClaimTimeout, or does not exist.
 func (c *ticketClaims) claim(handle string) *flightsql.Ticket {
 	c.mu.Lock()
 	partner := c.partner
@@ -190,7 +193,7 @@
 	}
 }
 
-// resolve hands a ticket to its claim; false says that the claim has ended.
+// resolve passes a reply to its claim. It returns false if the claim has ended.
 func (c *ticketClaims) resolve(claim ticketClaimMessage) bool {
 	c.mu.Lock()
 	reply := c.waiting[claim.Number]
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -19,40 +19,41 @@
 const (
 	// msgConfiguration tells the other process of this router which revision is in force here: configclient.Revision.
 	msgConfiguration = "configuration"
-	// keeperStartTimeout bounds what the start waits for keepers.
+	// keeperStartTimeout is how long the start of the router waits for keepers.
 	keeperStartTimeout = 800 * time.Millisecond
-	// keeperDescriptors are a connection to a keeper, the copy that is read and the one that is written, and their
-	// folder.
+	// keeperDescriptors is the number of descriptors that the part may hold: a connection to a keeper, the stored copy of
+	// the configuration that is read, the one that is written, and their folder.
 	keeperDescriptors = 4
 )
 
-// keeperSync keeps the configuration by revision in force: the router's own file, overlaid with the entries of the
-// keepers. What is in force belongs to the loop, and changes there only. Whoever wants to change it, a keeper's
-// revision or a SIGHUP, reads and checks beside the loop, and begins anew if the other one was faster: neither is
-// lost, and no mix of them is in force.
+// keeperSync keeps the configuration in force up to date: the router's own file, overlaid with the entries of the
+// keepers' latest revision. The configuration in force is changed in the event loop only. A new revision or a SIGHUP is
+// read and checked outside the loop first; if the configuration in force has changed meanwhile, that is repeated on the
+// new one. So neither change is lost, and no mixture of the two comes into force.
 type keeperSync struct {
 	log          *slog.Logger
 	loop         *router.Loop
-	done         <-chan struct{} // closed at the end of the loop
+	done         <-chan struct{} // closed to end the loop
 	active       *activeSettings
 	configurator *configurator
 	reloader     *reloader
 	partner      *partnerLink
 	client       *configclient.Client
-	reloads      chan struct{} // a SIGHUP that was not taken yet
+	reloads      chan struct{} // holds a reload request that has not been handled yet
 
 	inForce configurationInForce
 }
 
-// configurationInForce is the configuration that is in force, as someone found it.
+// configurationInForce is a snapshot of the configuration in force.
 type configurationInForce struct {
 	fileText []byte                // text of the router's own file
-	overlay  configclient.Revision // of the keepers over it; 0 for none
-	changes  int                   // how often it has changed
+	overlay  configclient.Revision // the keepers' revision over it; revision 0 for none
+	changes  int                   // how often the configuration in force has changed
 }
 
-// newKeeperSync makes the synchronisation with the keepers. It names itself to them as the platform's configuration
-// does, with an instance that is another one in each incarnation. own is the text of the router's own file.
+// newKeeperSync returns the synchronisation with the keepers. The router identifies itself to them by its name from the
+// platform's configuration and by an instance that differs in each process. fileText is the text of the router's own
+// file.
 func newKeeperSync(n *node, reloader *reloader, fileText []byte) *keeperSync {
 	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
 	return &keeperSync{
@@ -64,13 +65,14 @@
 	}
 }
 
-// revision is that in force, 0 for the router's own file alone.
+// revision returns the keepers' revision in force, or 0 if the router's own file alone is in force.
 func (k *keeperSync) revision() uint64 { return k.inForce.overlay.Revision }
 
-// rejectedRevision is the latest that this router could not use and that no later one replaced, 0 for none.
+// rejectedRevision returns the latest revision that this router rejected, unless a later one has been accepted; 0 for
+// none.
 func (k *keeperSync) rejectedRevision() int64 { return k.client.Counters.RejectedRevision.Load() }
 
-// exported returns the revision in force for a successor, nil for none.
+// exported returns the revision in force, for a successor, or nil for none.
 func (k *keeperSync) exported() *configclient.Revision {
 	if k.inForce.overlay.Revision == 0 {
 		return nil
@@ -78,8 +80,8 @@
 	return &k.inForce.overlay
 }
 
-// restore is the start: what the copy on the disk has, and what a keeper has that answers soon, is in force before the
-// router is built. The loop does not run yet.
+// restore puts the stored copy of the configuration in force, or a later revision if a keeper answers within
+// keeperStartTimeout. It is called before the router is built and the event loop runs.
 func (k *keeperSync) restore() {
 	k.client.Restore(keeperStartTimeout, func(revision configclient.Revision) error {
 		cfg, err := overlayConfig(k.inForce.fileText, revision)
@@ -92,7 +94,8 @@
 	go k.runReloads()
 }
 
-// overlaid checks a revision over a text of the router's own file. Its error is a *configerror.Error.
+// overlayConfig returns the configuration that results from a revision over a text of the router's own file. If the
+// result is invalid, the error is a *configerror.Error.
 func overlayConfig(fileText []byte, revision configclient.Revision) (*settings.Node, error) {
 	cfg, err := validate.Overlay(fileText, revision.Entries)
 	if err != nil {
@@ -102,7 +105,7 @@
 	return cfg, nil
 }
 
-// inLoop runs a function in the loop and waits for it; false says that the router ends.
+// inLoop runs a function in the event loop and waits for it. It returns false if the loop ends instead.
 func (k *keeperSync) inLoop(f func()) bool {
 	done := make(chan struct{})
 	k.loop.Post(func() {
@@ -117,8 +120,9 @@
 	}
 }
 
-// change prepares a change of what is in force beside the loop, and makes it in the loop, unless another was made
-// between: then it is prepared anew.
+// change changes the configuration in force. It calls prepare outside the event loop and then the returned commit in
+// the loop. If the configuration in force has changed in between, it starts again with prepare. A nil commit means that
+// there is nothing to change. It returns configclient.ErrShuttingDown if the loop ends first.
 func (k *keeperSync) change(prepare func(configurationInForce) (commit func() error, err error)) error {
 	for {
 		var base configurationInForce
@@ -143,14 +147,15 @@
 	}
 }
 
-// apply brings a keeper's revision in force; it is called in the client's goroutine.
+// apply puts a revision from a keeper in force. It is called in the client's goroutine. It fails if the revision is
+// invalid, or with configclient.ErrSuperseded if a later one is in force.
 func (k *keeperSync) apply(revision configclient.Revision) error {
 	return k.change(func(base configurationInForce) (func() error, error) {
 		switch {
 		case revision.Revision < base.overlay.Revision:
 			return nil, configclient.ErrSuperseded
 		case revision.Revision == base.overlay.Revision && revision.Hash == base.overlay.Hash:
-			return nil, nil // from the other process
+			return nil, nil // in force already, received from the other process
 		}
 		cfg, err := overlayConfig(base.fileText, revision)
 		if err != nil {
@@ -165,7 +170,8 @@
 	})
 }
 
-// commit brings a configuration in force, in the loop, and tells the other process of this router.
+// commit puts a configuration in force and sends a later revision to the other process of this router. It is called in
+// the event loop.
 func (k *keeperSync) commit(
 	cfg *settings.Node, site *installation.Settings, fileText []byte, revision configclient.Revision,
 ) error {
@@ -181,8 +187,9 @@
 	return nil
 }
 
-// adopt takes a later revision that is in force in the other process. It is checked here and now, in the loop: this
-// process may be about to accept clients, which the other one has served by it.
+// adopt puts a later revision in force that is in force in the other process. Unlike apply, it checks the revision in
+// the event loop, without delay: this process may be about to accept clients, and the other process has served them by
+// that revision.
 func (k *keeperSync) adopt(revision configclient.Revision) {
 	if revision.Revision <= k.revision() {
 		return
@@ -202,15 +209,15 @@
 	k.client.SetInForce(revision)
 }
 
-// reload requests that the router's own file is read again. It does not wait.
+// reload requests that the files are read again. It does not block.
 func (k *keeperSync) reload() {
 	select {
 	case k.reloads <- struct{}{}:
-	default: // one that was not taken yet reads the file as it is now
+	default: // the pending request will read the files as they are now
 	}
 }
 
-// runReloads reads the files again at each reload request, until the loop ends.
+// runReloads handles reload requests until the event loop ends. It runs in a goroutine of its own.
 func (k *keeperSync) runReloads() {
 	for {
 		select {
@@ -226,11 +233,11 @@
 			k.reloader.rejected(err)
 			continue
 		}
-		k.client.Retry() // what was rejected may fit now
+		k.client.Retry() // a rejected revision may be valid over the new file
 	}
 }
 
-// reloadOnce reads the files and overlays the router's own with the entries in force.
+// reloadOnce reads the files and puts them in force, the router's own file overlaid with the keepers' entries in force.
 func (k *keeperSync) reloadOnce() error {
 	_, fileText, site, err := k.reloader.read()
 	if err != nil {
@@ -241,12 +248,12 @@
 		if err != nil {
 			return nil, err
 		}
-		siteCopy := *site // what can't change is put back in it
+		siteCopy := *site // commit restores in it the fields that can't change while running
 		return func() error { return k.commit(cfg, &siteCopy, fileText, base.overlay) }, nil
 	})
 }
 
-// keeperPart follows the keepers of the configuration.
+// keeperPart returns the part that follows the configuration of the keepers.
 func keeperPart(n *node) *part {
 	keepers := n.keepers
 	if keepers == nil {
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// observeIntervalMS is how often the module's view of engines is read, and recordIntervalMS how often what
-	// was counted is written.
+	// observeIntervalMS is how often the dispatch module's view of engines is read, and writeIntervalMS how often the
+	// counted figures are written.
 	observeIntervalMS = 250.0
 	writeIntervalMS   = 1000.0
-	// recordDescriptors are a segment, and the folder while it is swept.
+	// recordDescriptors is the number of descriptors that the part may hold: the open segment, and the folder while old
+	// segments are deleted.
 	recordDescriptors = 2
-	// slowThreshold is from where on an engine counts as slow against its peers, as a factor.
+	// slowThreshold is the factor by which an engine has to be slower than its peers to be recorded as slow.
 	slowThreshold = 1.5
 )
 
-// recorder writes records of what the router sees and does: it implements router.Observer.
+// recorder implements router.Observer: it writes records of the states of engines, of requests and of attempts.
 type recorder struct {
 	loop          *router.Loop
 	services      *services
@@ -36,14 +37,14 @@
 	states        map[dispatch.EngineID]record.State
 	seen          map[dispatch.EngineID]bool
 	intervalStart float64
-	samplesLeft   int // of answers, left in this second
-	// maxSamples is how many answers are sampled in a second.
+	samplesLeft   int // number of failed requests that may still be recorded in this interval
+	// maxSamples is how many failed requests are recorded in an interval of one second.
 	maxSamples       int
-	rejectedSessions int64 // sessions, as counted at takenAt
-	invalidResponses int64 // of engines, as counted at takenAt
+	rejectedSessions int64 // count of rejected and evicted sessions at intervalStart
+	invalidResponses int64 // count of engines' invalid responses at intervalStart
 }
 
-// recordPart writes records of what the router sees and does.
+// recordPart returns the part that writes records for later analysis.
 func recordPart(n *node) *part {
 	cfg := n.active.site.Records
 	if cfg == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// start begins to write.
+// start starts the writer, registers the recorder as the core's observer, and begins to observe engines.
 func (c *recorder) start(cfg record.Config, header record.Header, log *slog.Logger) {
 	c.writer = record.StartWriter(cfg, header, c.loop.Now, func(err error) {
 		if err != nil {
@@ -99,7 +100,7 @@
 	c.sample()
 }
 
-// programVersion names the program and the version that it was built from.
+// programVersion returns the name of the program and, if known, the version that it was built from.
 func programVersion() string {
 	program := "windflow"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -108,6 +109,7 @@
 	return program
 }
 
+// recordedClasses returns the classes of a configuration for the header of the records.
 func recordedClasses(cfg *settings.Node) (all []record.Class) {
 	decisions, _ := validate.DispatchConfig(cfg, 0)
 	for _, class := range decisions.Classes {
@@ -119,12 +121,12 @@
 	return all
 }
 
-// recordedLog joins the log to the records, once there is a writer.
+// recordedLog writes log lines to the records once the writer is set.
 type recordedLog struct {
 	writer atomic.Pointer[record.Writer]
 }
 
-// tee records the log's lines, where records are on.
+// tee returns a logger that writes to log and, once the writer is set, to the records.
 func (l *recordedLog) tee(log *slog.Logger, now func() float64) *slog.Logger {
 	return slog.New(record.NewLogHandler(log.Handler(), now, func(e *record.Event) {
 		if writer := l.writer.Load(); writer != nil {
@@ -133,7 +135,7 @@
 	}))
 }
 
-// sample observes the engines again and again, and writes what was counted once a second.
+// sample observes the engines each observeIntervalMS, and writes the counted figures each writeIntervalMS.
 func (c *recorder) sample() {
 	c.observe()
 	if c.loop.Now()-c.intervalStart >= writeIntervalMS {
@@ -142,11 +144,12 @@
 	c.loop.After(observeIntervalMS, c.sample)
 }
 
-// EndpointsChanged implements router.Observer. The change is written in the next step, when the module knows it: all
-// routers learn of it at much the same time, so that it ties their clocks together.
+// EndpointsChanged implements router.Observer. The change is written in the loop's next step, when the dispatch module
+// knows it, and not at the next sample: all routers learn of such a change at nearly the same time, so that these
+// records relate the clocks of the routers to each other.
 func (c *recorder) EndpointsChanged() { c.loop.After(0, c.observe) }
 
-// observe writes how engines' states changed.
+// observe writes a record for each engine whose state has changed or that is no longer listed.
 func (c *recorder) observe() {
 	now := c.loop.Now()
 	c.services.core.FillView(&c.view)
@@ -168,6 +171,7 @@
 	}
 }
 
+// writeState writes the change of an engine to a state.
 func (c *recorder) writeState(now float64, engine *dispatch.EngineView, state record.State) {
 	change := &record.EngineChange{
 		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID],
@@ -184,6 +188,7 @@
 	c.writer.Put(change)
 }
 
+// engineState returns the state with which an engine is recorded. If several apply, the first one below counts.
 func engineState(engine *dispatch.EngineView) record.State {
 	switch {
 	case engine.Cordoned:
@@ -202,7 +207,7 @@
 	return record.Normal
 }
 
-// writeSecond writes what was counted since it did so last.
+// writeInterval writes the figures counted since the last call, and starts a new interval.
 func (c *recorder) writeInterval() {
 	now := c.loop.Now()
 	front, engines := c.services.front, c.services.engines
@@ -223,12 +228,13 @@
 	c.writer.Put(interval)
 }
 
-// RequestArrived implements router.Observer.
+// RequestArrived implements router.Observer. It counts the request.
 func (c *recorder) RequestArrived(q *router.Request) {
 	c.meter.RequestArrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
 }
 
-// RequestAnswered implements router.Observer.
+// RequestAnswered implements router.Observer. It counts the outcome, and records a rejected or failed request while
+// fewer than maxSamples have been recorded in the interval.
 func (c *recorder) RequestAnswered(request *router.Request, answer router.Answer) {
 	outcome := requestOutcome(answer)
 	c.meter.RequestEnded(request.Class, request.Tenant, outcome, answer.TookMS)
@@ -246,7 +252,7 @@
 	c.writer.Put(failure)
 }
 
-// requestEnd is how an answered request is counted.
+// requestOutcome returns the outcome with which an answered request is counted.
 func requestOutcome(answer router.Answer) record.RequestOutcome {
 	switch answer.Kind {
 	case router.AnswerServed:
@@ -263,9 +269,10 @@
 	return record.RequestFailed
 }
 
-// AttemptStarted implements router.Observer.
+// AttemptStarted implements router.Observer. It counts the attempt.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
+// attemptOutcomes maps outcomes of attempts to those in records; others are recorded as AttemptOther.
 var attemptOutcomes = map[dispatch.Outcome]record.AttemptOutcome{
 	dispatch.Served:          record.AttemptServed,
 	dispatch.EngineFull:      record.AttemptRejected,
@@ -275,7 +282,7 @@
 	dispatch.TimedOut:        record.AttemptTimedOut,
 }
 
-// AttemptEnded implements router.Observer.
+// AttemptEnded implements router.Observer. It counts the outcome.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
 	recorded, ok := attemptOutcomes[outcome]
 	if !ok {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// graceMS is how long after SIGTERM requests may still come; the platform's protocol says 600.
+	// arrivalGraceMS is how long after SIGTERM new requests may still arrive. The platform's protocol says 600 ms.
 	arrivalGraceMS = 1000.0
-	// After SIGTERM a kill follows no sooner than the longest deadline, counted as patienceAloneMS at most, or in a hot
-	// restart as patienceRestartMS, and 700 ms. What is open is answered answerSlackMS after that deadline: before the
-	// kill follows.
+	// After SIGTERM the platform waits before it kills the process: for the longest deadline of a class, capped at
+	// standaloneDeadlineCapMS, or at hotRestartDeadlineCapMS in a hot restart, plus 700 ms. Open requests are answered
+	// answerSlackMS after that capped deadline at the latest, which is before the kill.
 	standaloneDeadlineCapMS = 3000.0
 	hotRestartDeadlineCapMS = 5000.0
 	answerSlackMS           = 450.0
-	// quietMS is how long nothing may have been open before a process that drains ends.
+	// idleMS is how long a draining process has to have nothing open before it ends.
 	idleMS = 200.0
-	// closeTimeoutMS is how long clients have to close when the process ends, and endSlackMS how long past the time at
-	// which all is answered at the latest: the kill follows 250 ms after that.
+	// closeTimeoutMS is how long clients have to close their connections when the process ends. The process ends
+	// endSlackMS after the time by which open requests are answered, at the latest: the kill follows 250 ms after that
+	// time.
 	closeTimeoutMS, endSlackMS = 300.0, 120.0
-	// settleMS is how long nothing may have been open before a process that leaves ends: connections that were accepted
-	// last are still on their way to the loop, and answers on theirs out of the poller's queues.
+	// settleMS is how long a process that leaves has to have nothing open before it ends. The poller may still have to
+	// pass the last accepted connections to the event loop, and to write answers from its queues.
 	settleMS = 50.0
-	// drainPollMS and leavePollMS are how often a process that ends looks whether anything is open.
+	// drainPollMS and leavePollMS are how often a draining or a leaving process checks whether anything is open.
 	drainPollMS = 20.0
 	leavePollMS = 10.0
 )
 
-// shutdownSequence ends the process gracefully: by itself, when it drains, or beside another process that accepts
-// instead, when it leaves.
+// shutdownSequence ends the process gracefully. The process drains if no other process replaces it: it continues to
+// accept until nothing is open. It leaves if another process accepts in its place: it only finishes what it accepted.
 type shutdownSequence struct {
 	log               *slog.Logger
 	loop              *router.Loop
@@ -39,17 +40,18 @@
 	parts             *partSet
 	restart           *coordinator
 	listeners         *listeners
-	earliestEventTime func() float64 // when a signal that is noticed now may have come
-	shrinkLimits      func()         // shrinks the limits of a process that leaves, and reports its usage
+	earliestEventTime func() float64 // earliest time at which a signal that is noticed now may have arrived
+	shrinkLimits      func()         // reduces the limits of a process that leaves, and reports its usage
 
-	leaving     bool    // the other process accepts; this one finishes what it accepted
-	deadlineSet bool    // open requests know when the process ends
-	lastBusyAt  float64 // when something was open last
-	answeredBy  float64 // when what is open has been answered at the latest, once deadlineSet
+	leaving     bool    // the other process accepts; this one only finishes what it accepted
+	deadlineSet bool    // the shutdown deadline has been set for open requests
+	lastBusyAt  float64 // when something was last open
+	answeredBy  float64 // latest time for the answers to open requests; valid if deadlineSet
 	closeBy     float64 // when clients that do not close are disconnected; 0 until connections are closed
 }
 
-// setDeadline tells open requests, once, when the process ends at the latest.
+// setDeadline sets the time by which open requests are answered. deadlineCapMS caps the longest deadline of a class.
+// Only the first call has an effect.
 func (s *shutdownSequence) setDeadline(deadlineCapMS float64) {
 	if s.deadlineSet {
 		return
@@ -63,10 +65,11 @@
 	s.services.core.SetShutdownDeadline(s.answeredBy)
 }
 
-// busy reports whether requests are open.
+// busy reports whether requests are open in the core or in a part.
 func (s *shutdownSequence) busy() bool { return s.services.core.OpenRequests() > 0 || s.parts.busy() }
 
-// drain answers what arrives until nothing is open: no other process replaces this one.
+// drain shuts the process down when no other process replaces it: requests that arrive are answered until nothing is
+// open.
 func (s *shutdownSequence) drain() {
 	s.log.Info("draining", "open", s.services.core.OpenRequests())
 	s.leaving = false
@@ -80,13 +83,13 @@
 	s.loop.After(max(min(arrivalGraceMS, s.answeredBy-s.lastBusyAt), 0), s.checkDrained)
 }
 
-// checkDrained ends the process once nothing has been open for a while. Until then it continues accepting and
-// answering: each request that has arrived complete on an accepted connection is taken, whenever it arrived. Once all
-// must have been answered, nothing delays the end any more: a client that never finishes a packet would have the
-// process killed.
+// checkDrained closes all connections once nothing has been open for idleMS, and then ends the process. Until then the
+// process accepts and answers: each request that has arrived completely on an accepted connection is handled, whenever
+// it arrived. After the time by which all are answered nothing delays the end, since otherwise a client that never
+// finishes a packet would keep the process running until it is killed.
 func (s *shutdownSequence) checkDrained() {
 	if s.restart.phase() != hotrestart.PhaseDraining {
-		return // another process accepts now
+		return // another process accepts now, and this one leaves
 	}
 	now := s.loop.Now()
 	if s.busy() || s.services.front.Busy() {
@@ -102,7 +105,7 @@
 	s.loop.After(drainPollMS, s.checkDrained)
 }
 
-// closeConnections begins the end of all connections of clients.
+// closeConnections stops accepting and starts to close all connections of clients.
 func (s *shutdownSequence) closeConnections(now float64) {
 	s.closeBy = now + closeTimeoutMS
 	s.listeners.closeClients()
@@ -110,33 +113,34 @@
 	s.services.front.Shutdown()
 }
 
-// finished reports whether all clients have read the end of their connections, or have had the time for it.
+// finished reports whether the process may end: all connections are closed and settleMS have passed, or clients have
+// had closeTimeoutMS to close and nothing is open, or the latest time to end has come.
 func (s *shutdownSequence) finished(now float64) bool {
 	open := s.services.front.Sessions() + s.services.net.ClosingConns()
 	return open == 0 && now >= s.closeBy-closeTimeoutMS+settleMS || now >= s.answeredBy+endSlackMS ||
 		now >= s.closeBy && !s.busy() && !s.services.front.Busy()
 }
 
-// leave finishes what this process accepted and ends as soon as nothing is left: the other process serves everything
-// else.
+// leave finishes what this process accepted and then ends it, while the other process serves everything new. to is the
+// link to the other process, nil if it can't be reached.
 func (s *shutdownSequence) leave(to *peer) {
 	s.leaving = true
 	s.setDeadline(hotRestartDeadlineCapMS)
 	s.services.front.Drain()
 	s.parts.leave(to)
-	s.shrinkLimits() // the sessions that were closed just now come to the other process at once
+	s.shrinkLimits() // at once, so that the other process may use the sessions that were just closed
 	s.lastBusyAt = s.loop.Now()
 	s.log.Info("graceful shutdown started", "sessions", s.services.front.Sessions(),
 		"open", s.services.core.OpenRequests())
 	s.checkLeaveFinished()
 }
 
-// checkLeft ends the process once nothing that it accepted has been open for a while.
+// checkLeaveFinished ends the process once nothing that it accepted has been open for settleMS.
 func (s *shutdownSequence) checkLeaveFinished() {
 	now := s.loop.Now()
 	switch {
 	case s.restart.phase() == hotrestart.PhaseDraining:
-		return // the other process ended; this is a shutdown without a successor now
+		return // the other process has ended, and this one drains instead
 	case s.busy() || s.services.front.Sessions()+s.services.net.ClosingConns() > 0:
 		s.lastBusyAt = now
 	case now-s.lastBusyAt >= settleMS:
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -10,44 +10,48 @@
 )
 
 const (
-	// loopBeatIntervalMS is how often the loop shows that it continues, and stallThresholdMS the delay after which what
-	// it knows is old: the rule on drains and cordons leaves a second, of which some is needed to learn of them.
+	// heartbeatIntervalMS is how often the event loop records a heartbeat. A heartbeat that is late by more than
+	// stallThresholdMS is a stall, after which the loop's knowledge of engines is out of date: a drain or cordon has to be
+	// in force within a second, and learning of it takes a part of that.
 	heartbeatIntervalMS = 100.0
 	stallThresholdMS    = 400.0
-	// catchUpMS is how long a loop that stalled takes in what arrived, and sends nothing.
+	// catchUpMS is how long the loop, after a stall, handles what has arrived without sending requests to engines.
 	catchUpMS = 100.0
-	// blockedAfterMS is how late the loop may be before its stacks are logged.
+	// blockedThresholdMS is how old the last heartbeat may be before the stacks of all goroutines are logged.
 	blockedThresholdMS = 1000.0
-	// watchInterval is how often the loop is looked at from outside.
+	// watchInterval is how often the watching goroutine checks the heartbeat.
 	watchInterval = 250 * time.Millisecond
-	// maxLoggedStack bounds the stacks in the log, in bytes.
+	// maxLoggedStack is how many bytes of stacks are logged at most.
 	maxLoggedStack = 32 << 10
 )
 
-// stallCounters count stalls of the loop, and the SIGCONTs that show that a signal had stopped the process.
+// stallCounters counts stalls of the event loop, and received SIGCONT signals, which show that a signal had stopped the
+// process.
 type stallCounters struct {
 	Stalls    int64        `status:"stalls"`
 	Continued atomic.Int64 `status:"continued"`
 }
 
-// stallDetector detects that the loop stalled: the process was stopped, or got no processor.
+// stallDetector detects that the event loop stalled, for instance because the process was stopped or got no processor
+// time.
 type stallDetector struct {
 	log      *slog.Logger
 	loop     *router.Loop
 	services *services
-	refresh  func(done func()) // reads the stored cordons
+	refresh  func(done func()) // reads the stored cordons, then calls done in the loop
 
-	lastHeartbeat       float64      // last beat of the loop
-	stallBegan          float64      // when the last stall began, and
-	stallEnded          float64      // when it ended; 0 before the first one
-	lastHeartbeatMicros atomic.Int64 // beatAt for the watch, in microseconds
-	catchingUp          bool         // what arrived is taken in, and nothing sent
+	lastHeartbeat       float64      // time of the last heartbeat, in ms
+	stallBegan          float64      // start of the last stall, in ms
+	stallEnded          float64      // end of the last stall, in ms; 0 if there was none
+	lastHeartbeatMicros atomic.Int64 // lastHeartbeat in microseconds, for the watching goroutine
+	catchingUp          bool         // handling what arrived during a stall, and sending nothing to engines
 	counters            stallCounters
 }
 
-// beat notices a stall. After one, clients' queries wait that arrived meanwhile, and so do drains and cordons. It
-// guards against sending the first before the others are known: what arrived is handed to the module only after the
-// loop has taken in messages for a while, and the stored cordons have been read.
+// heartbeat records that the loop runs, and detects a stall. After a stall both queries and drains or cordons that
+// arrived meanwhile are waiting to be handled. To prevent queries from being sent to an engine whose drain or cordon
+// has not been handled yet, decisions are held back until the stored cordons have been read and the loop has handled
+// messages for catchUpMS.
 func (d *stallDetector) heartbeat() {
 	now := d.loop.Now()
 	late := now - d.lastHeartbeat - heartbeatIntervalMS
@@ -59,6 +63,7 @@
 	d.loop.After(heartbeatIntervalMS, d.heartbeat)
 }
 
+// catchUp counts and logs a stall, and holds decisions back until what arrived during it has been handled.
 func (d *stallDetector) catchUp(now, late float64) {
 	d.counters.Stalls++
 	d.stallBegan, d.stallEnded = d.lastHeartbeat, now
@@ -74,8 +79,9 @@
 	})
 }
 
-// since is when what is noticed now may have happened: a signal that is found after a stall may have come at its
-// beginning, and a kill is due by that time.
+// earliestEventTime returns the earliest time, in ms, at which an event that is noticed now may have happened. A signal
+// that is noticed after a stall may have arrived at the beginning of the stall, and the time of the kill counts from
+// its arrival.
 func (d *stallDetector) earliestEventTime() float64 {
 	now := d.loop.Now()
 	if d.stallEnded > 0 && now-d.stallEnded < stallThresholdMS {
@@ -84,8 +90,8 @@
 	return now
 }
 
-// watch logs the stacks when the loop does not continue though the process does, until done is closed. It runs in a
-// goroutine of its own.
+// watch logs the stacks of all goroutines when the event loop is blocked while the process runs. A process that did not
+// run itself is recognised by a late tick. watch returns when done is closed. It runs in a goroutine of its own.
 func (d *stallDetector) watch(done <-chan struct{}) {
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
