--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// observeIntervalMS is how often the module's view of engines is read, and recordIntervalMS how often what
-	// was counted is written.
+	// observeIntervalMS is how often the dispatch module's view of engines is read, and writeIntervalMS how often the
+	// counted figures are written.
 	observeIntervalMS = 250.0
-	recordIntervalMS  = 1000.0
-	// recordDescriptors are a segment, and the folder while it is swept.
+	writeIntervalMS   = 1000.0
+	// recordDescriptors is the number of descriptors that the part may hold: the open segment, and the folder while old
+	// segments are deleted.
 	recordDescriptors = 2
-	// slowThreshold is from where on an engine counts as slow against its peers, as a factor.
+	// slowThreshold is the factor by which an engine has to be slower than its peers to be recorded as slow.
 	slowThreshold = 1.5
 )
 
-// recorder writes records of what the router sees and does: it implements router.Observer.
+// recorder implements router.Observer: it writes records of the states of engines, of requests and of attempts.
 type recorder struct {
-	loop     *router.Loop
-	services *services
-	log      *recordedLog
-	writer   *record.Writer
-	meter    *record.Meter
-	view     dispatch.View
-	states   map[dispatch.EngineID]record.State
-	seen     map[dispatch.EngineID]bool
-	takenAt  float64
-	samples  int // of answers, left in this second
-	// maxSamples is how many answers are sampled in a second.
-	maxSamples int
-	rejected   int64 // sessions, as counted at takenAt
-	badAnswers int64 // of engines, as counted at takenAt
+	loop          *router.Loop
+	services      *services
+	log           *recordedLog
+	writer        *record.Writer
+	meter         *record.Meter
+	view          dispatch.View
+	states        map[dispatch.EngineID]record.State
+	seen          map[dispatch.EngineID]bool
+	intervalStart float64
+	samplesLeft   int // number of failed requests that may still be recorded in this interval
+	// maxSamples is how many failed requests are recorded in an interval of one second.
+	maxSamples       int
+	rejectedSessions int64 // count of rejected and evicted sessions at intervalStart
+	invalidResponses int64 // count of engines' invalid responses at intervalStart
 }
 
-// recordPart writes records of what the router sees and does.
+// recordPart returns the part that writes records for later analysis.
 func recordPart(n *node) *part {
 	cfg := n.active.site.Records
 	if cfg == nil {
@@ -76,7 +77,7 @@
 		counters: func() []counterGroup { return []counterGroup{{"records", &rec.writer.Counters}} },
 		stop: func() {
 			if rec.writer != nil {
-				rec.writeSecond()
+				rec.writeInterval()
 				rec.log.writer.Store(nil)
 				rec.writer.Close()
 			}
@@ -84,7 +85,7 @@
 	}
 }
 
-// start begins to write.
+// start starts the writer, registers the recorder as the core's observer, and begins to observe engines.
 func (c *recorder) start(cfg record.Config, header record.Header, log *slog.Logger) {
 	c.writer = record.StartWriter(cfg, header, c.loop.Now, func(err error) {
 		if err != nil {
@@ -95,11 +96,11 @@
 	})
 	c.log.writer.Store(c.writer)
 	c.services.core.Observer = c
-	c.takenAt, c.samples = c.loop.Now(), c.maxSamples
+	c.intervalStart, c.samplesLeft = c.loop.Now(), c.maxSamples
 	c.sample()
 }
 
-// programVersion names the program and the version that it was built from.
+// programVersion returns the name of the program and, if known, the version that it was built from.
 func programVersion() string {
 	program := "windflow"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -108,6 +109,7 @@
 	return program
 }
 
+// recordedClasses returns the classes of a configuration for the header of the records.
 func recordedClasses(cfg *settings.Node) (all []record.Class) {
 	decisions, _ := validate.DispatchConfig(cfg, 0)
 	for _, class := range decisions.Classes {
@@ -119,12 +121,12 @@
 	return all
 }
 
-// recordedLog joins the log to the records, once there is a writer.
+// recordedLog writes log lines to the records once the writer is set.
 type recordedLog struct {
 	writer atomic.Pointer[record.Writer]
 }
 
-// tee records the log's lines, where records are on.
+// tee returns a logger that writes to log and, once the writer is set, to the records.
 func (l *recordedLog) tee(log *slog.Logger, now func() float64) *slog.Logger {
 	return slog.New(record.NewLogHandler(log.Handler(), now, func(e *record.Event) {
 		if writer := l.writer.Load(); writer != nil {
@@ -133,20 +135,21 @@
 	}))
 }
 
-// sample observes the engines again and again, and writes what was counted once a second.
+// sample observes the engines each observeIntervalMS, and writes the counted figures each writeIntervalMS.
 func (c *recorder) sample() {
 	c.observe()
-	if c.loop.Now()-c.takenAt >= recordIntervalMS {
-		c.writeSecond()
+	if c.loop.Now()-c.intervalStart >= writeIntervalMS {
+		c.writeInterval()
 	}
 	c.loop.After(observeIntervalMS, c.sample)
 }
 
-// EndpointsChanged implements router.Observer. The change is written in the next step, when the module knows it: all
-// routers learn of it at much the same time, so that it ties their clocks together.
+// EndpointsChanged implements router.Observer. The change is written in the loop's next step, when the dispatch module
+// knows it, and not at the next sample: all routers learn of such a change at nearly the same time, so that these
+// records relate the clocks of the routers to each other.
 func (c *recorder) EndpointsChanged() { c.loop.After(0, c.observe) }
 
-// observe writes how engines' states changed.
+// observe writes a record for each engine whose state has changed or that is no longer listed.
 func (c *recorder) observe() {
 	now := c.loop.Now()
 	c.services.core.FillView(&c.view)
@@ -168,22 +171,24 @@
 	}
 }
 
+// writeState writes the change of an engine to a state.
 func (c *recorder) writeState(now float64, engine *dispatch.EngineView, state record.State) {
-	written := &record.EngineChange{
+	change := &record.EngineChange{
 		AtMS: now, EngineID: settings.FormatEngineID(engine.ID), State: state, Previous: c.states[engine.ID],
 		Slowness: engine.Slowness, FailureRate: engine.FailureShare, ConnectionFailures: engine.ConnectionFailures,
 		Zone: engine.Zone, Kind: engine.Kind,
 	}
 	if state == record.WarmingUp {
-		written.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
+		change.WarmUpEndMS = clock.Millis(engine.WarmUpEnd)
 	}
 	if c.services.endpoints != nil {
-		written.LastEvent = c.services.endpoints.LastEvent()
+		change.LastEvent = c.services.endpoints.LastEvent()
 	}
 	c.states[engine.ID] = state
-	c.writer.Put(written)
+	c.writer.Put(change)
 }
 
+// engineState returns the state with which an engine is recorded. If several apply, the first one below counts.
 func engineState(engine *dispatch.EngineView) record.State {
 	switch {
 	case engine.Cordoned:
@@ -202,51 +207,53 @@
 	return record.Normal
 }
 
-// writeSecond writes what was counted since it did so last.
-func (c *recorder) writeSecond() {
+// writeInterval writes the figures counted since the last call, and starts a new interval.
+func (c *recorder) writeInterval() {
 	now := c.loop.Now()
 	front, engines := c.services.front, c.services.engines
-	second := &record.Interval{
-		AtMS: now, DurationMS: now - c.takenAt, OpenRequests: c.services.core.OpenRequests(),
+	interval := &record.Interval{
+		AtMS: now, DurationMS: now - c.intervalStart, OpenRequests: c.services.core.OpenRequests(),
 		QueuedRequests: c.view.Queued, Congestion: c.view.Congestion,
 		EngineConnections: engines.ConnCount(), ClientSessions: front.Sessions(),
 	}
-	second.Classes, second.Engines = c.meter.Collect()
-	rejected, badAnswers := front.Counters.Rejected+front.Counters.Evicted, engines.Counters.BadResponses
-	second.RejectedSessions, second.InvalidResponses = rejected-c.rejected, badAnswers-c.badAnswers
-	c.rejected, c.badAnswers = rejected, badAnswers
+	interval.Classes, interval.Engines = c.meter.Collect()
+	rejectedSessions, invalidResponses := front.Counters.Rejected+front.Counters.Evicted, engines.Counters.BadResponses
+	interval.RejectedSessions = rejectedSessions - c.rejectedSessions
+	interval.InvalidResponses = invalidResponses - c.invalidResponses
+	c.rejectedSessions, c.invalidResponses = rejectedSessions, invalidResponses
 	if endpoints := c.services.endpoints; endpoints != nil {
-		second.LastEvent, second.DiscoveryAgeMS = endpoints.LastEvent(), now-endpoints.LastContactMS()
+		interval.LastEvent, interval.DiscoveryAgeMS = endpoints.LastEvent(), now-endpoints.LastContactMS()
 	}
-	c.takenAt, c.samples = now, c.maxSamples
-	c.writer.Put(second)
+	c.intervalStart, c.samplesLeft = now, c.maxSamples
+	c.writer.Put(interval)
 }
 
-// RequestArrived implements router.Observer.
+// RequestArrived implements router.Observer. It counts the request.
 func (c *recorder) RequestArrived(q *router.Request) {
 	c.meter.RequestArrived(q.Class, q.Tenant, q.Retry, q.EstimateMS)
 }
 
-// RequestAnswered implements router.Observer.
+// RequestAnswered implements router.Observer. It counts the outcome, and records a rejected or failed request while
+// fewer than maxSamples have been recorded in the interval.
 func (c *recorder) RequestAnswered(request *router.Request, answer router.Answer) {
-	end := requestEnd(answer)
-	c.meter.RequestEnded(request.Class, request.Tenant, end, answer.TookMS)
-	if end != record.RequestRejected && end != record.RequestFailed || c.samples == 0 {
+	outcome := requestOutcome(answer)
+	c.meter.RequestEnded(request.Class, request.Tenant, outcome, answer.TookMS)
+	if outcome != record.RequestRejected && outcome != record.RequestFailed || c.samplesLeft == 0 {
 		return
 	}
-	c.samples--
-	written := &record.RequestFailure{
+	c.samplesLeft--
+	failure := &record.RequestFailure{
 		AtMS: c.loop.Now(), RequestID: request.ID, Class: request.Class, Tenant: request.Tenant,
-		Rejected: end == record.RequestRejected, Reason: answer.Reason, AfterMS: answer.TookMS,
+		Rejected: outcome == record.RequestRejected, Reason: answer.Reason, AfterMS: answer.TookMS,
 	}
 	if answer.Engine != 0 {
-		written.EngineID = settings.FormatEngineID(answer.Engine)
+		failure.EngineID = settings.FormatEngineID(answer.Engine)
 	}
-	c.writer.Put(written)
+	c.writer.Put(failure)
 }
 
-// requestEnd is how an answered request is counted.
-func requestEnd(answer router.Answer) record.RequestOutcome {
+// requestOutcome returns the outcome with which an answered request is counted.
+func requestOutcome(answer router.Answer) record.RequestOutcome {
 	switch answer.Kind {
 	case router.AnswerServed:
 		if answer.TookMS > answer.ObjectiveMS {
@@ -262,10 +269,11 @@
 	return record.RequestFailed
 }
 
-// AttemptStarted implements router.Observer.
+// AttemptStarted implements router.Observer. It counts the attempt.
 func (c *recorder) AttemptStarted(e dispatch.EngineID) { c.meter.AttemptStarted(uint64(e)) }
 
-var attemptEnds = map[dispatch.Outcome]record.AttemptOutcome{
+// attemptOutcomes maps outcomes of attempts to those in records; others are recorded as AttemptOther.
+var attemptOutcomes = map[dispatch.Outcome]record.AttemptOutcome{
 	dispatch.Served:          record.AttemptServed,
 	dispatch.EngineFull:      record.AttemptRejected,
 	dispatch.EngineFailed:    record.AttemptErrored,
@@ -274,11 +282,11 @@
 	dispatch.TimedOut:        record.AttemptTimedOut,
 }
 
-// AttemptEnded implements router.Observer.
+// AttemptEnded implements router.Observer. It counts the outcome.
 func (c *recorder) AttemptEnded(e dispatch.EngineID, outcome dispatch.Outcome, tookMS float64) {
-	end, ok := attemptEnds[outcome]
+	recorded, ok := attemptOutcomes[outcome]
 	if !ok {
-		end = record.AttemptOther
+		recorded = record.AttemptOther
 	}
-	c.meter.AttemptEnded(uint64(e), end, tookMS)
+	c.meter.AttemptEnded(uint64(e), recorded, tookMS)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,7 +10,7 @@
 	"windflow/internal/validate"
 )
 
-// reloader reads the files again and has the loop put them in force.
+// reloader reads the platform's configuration and the installation's settings again and has the event loop apply them.
 type reloader struct {
 	log          *slog.Logger
 	loop         *router.Loop
@@ -19,25 +19,26 @@
 	configurator *configurator
 }
 
-// read reads both files. It may wait for a disk, and for the kernel to grow the table of descriptors, which the loop
-// must not do.
-func (r *reloader) read() (cfg *settings.Node, text []byte, own *installation.Settings, err error) {
+// read reads both files and grows the descriptor table to the limit that they set. text is that of the platform's
+// configuration. It may wait for a disk and for the kernel, so it must not be called in the event loop.
+func (r *reloader) read() (cfg *settings.Node, text []byte, site *installation.Settings, err error) {
 	if cfg, text, err = readPlatform(r.path); err != nil {
 		return nil, nil, nil, err
 	}
-	own, err = readSite(r.settingsPath)
-	if err := growTable(cfg.Limits.Sockets); err != nil {
+	site, err = readSite(r.settingsPath)
+	if err := growDescriptorTable(cfg.Limits.Sockets); err != nil {
 		r.log.Warn("descriptor table growth failed", "error", err)
 	}
-	return cfg, text, own, err
+	return cfg, text, site, err
 }
 
-// reload reads the files and hands them to the loop. Where one can't be used nothing changes.
+// reload reads both files and applies them in the event loop. If one of them is invalid, nothing changes and the error
+// is logged.
 func (r *reloader) reload() {
-	cfg, _, own, err := r.read()
+	cfg, _, site, err := r.read()
 	r.loop.Post(func() {
 		if err == nil {
-			err = r.configurator.apply(cfg, own)
+			err = r.configurator.apply(cfg, site)
 		}
 		if err != nil {
 			r.rejected(err)
@@ -45,9 +46,10 @@
 	})
 }
 
+// rejected logs why a reload was rejected.
 func (r *reloader) rejected(err error) { r.log.Error("reload rejected", "file", r.path, "error", err) }
 
-// configurator puts settings in force.
+// configurator applies settings to the running router.
 type configurator struct {
 	log      *slog.Logger
 	active   *activeSettings
@@ -56,18 +58,19 @@
 	limiter  *limiter
 }
 
-// apply puts other settings in force, all of them or, where they can't be used, none. Open requests, sessions and
-// connections are not touched. What can't change while running keeps its value, and the log names it.
-func (c *configurator) apply(cfg *settings.Node, own *installation.Settings) error {
-	if !c.services.built() { // nothing uses the settings yet
-		c.active.platform, c.active.site = cfg, own
+// apply applies changed settings. If it returns an error because they are invalid, none of them is applied. Open
+// requests, sessions and connections are not affected. Fields that can't change while running keep their values, and
+// the log names them.
+func (c *configurator) apply(cfg *settings.Node, site *installation.Settings) error {
+	if !c.services.built() { // the services will be built with the new settings
+		c.active.platform, c.active.site = cfg, site
 		return nil
 	}
 	decisions, err := validate.DispatchConfig(cfg, c.active.platform.SeedValue)
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	now, err := c.limiter.of(cfg)
+	newLimits, err := c.limiter.compute(cfg)
 	if err != nil {
 		return err
 	}
@@ -76,11 +79,11 @@
 		return fmt.Errorf("field settings: %w", err)
 	}
 	kept = append(kept, keepFields(c.active.platform, cfg)...)
-	kept = append(kept, keepSections(c.active.site, own)...)
-	c.limiter.apply(now)
-	kept = append(kept, c.parts.configure(own, now)...)
+	kept = append(kept, keepSections(c.active.site, site)...)
+	c.limiter.apply(newLimits)
+	kept = append(kept, c.parts.configure(site, newLimits)...)
 	c.services.endpoints.Configure(cfg.DiscoveryAddress, endpointNames(cfg))
-	c.active.platform, c.active.site = cfg, own
+	c.active.platform, c.active.site = cfg, site
 	c.limiter.applyToRuntime()
 	c.log.Info("reloaded", "board", cfg.DiscoveryAddress, "sockets", cfg.Limits.Sockets, "memory_mb", cfg.Limits.MemoryMB)
 	if len(kept) > 0 {
@@ -89,38 +92,39 @@
 	return nil
 }
 
-// keepFields returns the platform's fields that can't change while running. What was in force stays.
-func keepFields(old, now *settings.Node) (kept []string) {
+// keepFields restores the fields of the platform's configuration that can't change while running to their current
+// values, and returns the names of those that differed.
+func keepFields(current, updated *settings.Node) (kept []string) {
 	for _, field := range []struct {
-		name string
-		old  string
-		now  *string
+		name    string
+		current string
+		updated *string
 	}{
-		{"name", old.Name, &now.Name},
-		{"listen", old.Listen, &now.Listen},
-		{"control", old.AdminAddress, &now.AdminAddress},
+		{"name", current.Name, &updated.Name},
+		{"listen", current.Listen, &updated.Listen},
+		{"control", current.AdminAddress, &updated.AdminAddress},
 	} {
-		if field.old != *field.now {
-			kept, *field.now = append(kept, field.name), field.old
+		if field.current != *field.updated {
+			kept, *field.updated = append(kept, field.name), field.current
 		}
 	}
 	return kept
 }
 
-// keepSections returns the sections that were added or removed: a part is made at the start only. What was in force
-// stays.
-func keepSections(old, now *installation.Settings) (kept []string) {
-	if (old.FlightSQL == nil) != (now.FlightSQL == nil) {
-		kept, now.FlightSQL = append(kept, "/flightsql"), old.FlightSQL
+// keepSections undoes the addition or removal of sections, since parts are created at the start only, and returns the
+// names of these sections.
+func keepSections(current, updated *installation.Settings) (kept []string) {
+	if (current.FlightSQL == nil) != (updated.FlightSQL == nil) {
+		kept, updated.FlightSQL = append(kept, "/flightsql"), current.FlightSQL
 	}
-	if (old.BGP == nil) != (now.BGP == nil) {
-		kept, now.BGP = append(kept, "/bgp"), old.BGP
+	if (current.BGP == nil) != (updated.BGP == nil) {
+		kept, updated.BGP = append(kept, "/bgp"), current.BGP
 	}
-	if (old.Records == nil) != (now.Records == nil) {
-		kept, now.Records = append(kept, "/records"), old.Records
+	if (current.Records == nil) != (updated.Records == nil) {
+		kept, updated.Records = append(kept, "/records"), current.Records
 	}
-	if (old.Keepers == nil) != (now.Keepers == nil) {
-		kept, now.Keepers = append(kept, "/keepers"), old.Keepers
+	if (current.Keepers == nil) != (updated.Keepers == nil) {
+		kept, updated.Keepers = append(kept, "/keepers"), current.Keepers
 	}
 	return kept
 }
