--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -62,8 +62,8 @@
 	c.control.set(func() { c.control.config = config })
 }
 
-// Retry offers rejected revisions again, because the router's own file has changed.
-func (c *Client) Retry() {
+// RetryRejected allows rejected revisions to be offered again, because the router's own file has changed.
+func (c *Client) RetryRejected() {
 	c.control.set(func() { c.control.retryRejected = true })
 }
 
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	delete(r.rejects, 1)
 	r.mu.Unlock()
-	c.Retry()
+	c.RetryRejected()
 	k.WaitForRevision(1)
 }
 
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -98,18 +98,18 @@
 		return parsed, fmt.Errorf("%w: %d bytes", errPartialRecord, len(records))
 	}
 	parsed.update = Update{
-		Events:    dispatch.EndpointList{Mode: dispatch.ListIncremental},
+		List:      dispatch.EndpointList{Mode: dispatch.ListIncremental},
 		Addresses: map[dispatch.EngineID]string{},
 	}
 	if parsed.kind == frameComplete {
-		parsed.update.Events.Mode = dispatch.ListComplete
+		parsed.update.List.Mode = dispatch.ListComplete
 	}
 	for ; len(records) > 0; records = records[recordSize:] {
 		endpoint, address, err := parseRecord(records[:recordSize], names)
 		if err != nil {
 			return parsed, err
 		}
-		parsed.update.Events.Endpoints = append(parsed.update.Events.Endpoints, endpoint)
+		parsed.update.List.Endpoints = append(parsed.update.List.Endpoints, endpoint)
 		parsed.update.Addresses[endpoint.ID] = address
 	}
 	return parsed, nil
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%s: event %d", c.name, parsed.event)
 		}
 		want := dispatch.EndpointList{Mode: c.mode, Endpoints: c.want}
-		if diff := cmp.Diff(want, parsed.update.Events); diff != "" {
+		if diff := cmp.Diff(want, parsed.update.List); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
 		if len(c.want) > 0 && parsed.update.Addresses[engine.ID] != "127.8.0.1:8080" {
@@ -83,7 +83,7 @@
 		if err != nil {
 			return
 		}
-		for _, e := range parsed.update.Events.Endpoints {
+		for _, e := range parsed.update.List.Endpoints {
 			if _, ok := parsed.update.Addresses[e.ID]; !ok || !slices.Contains(testNames.Zones, e.Zone) ||
 				!slices.Contains(testNames.Kinds, e.Kind) || e.StartedAt < 0 {
 				t.Fatalf("%+v", e)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,7 @@
 )
 
 // Update is one event: the endpoint list or what changed of it, and where the endpoints listen.
-type Update = settings.EndpointEvents
+type Update = settings.EndpointUpdate
 
 // RecordNames are the lists of the settings that the records of frames have indexes into.
 type RecordNames struct{ Zones, Kinds []string }
@@ -139,7 +139,7 @@
 	default:
 		w.lastEvent = received.event
 		w.Counters.Events++
-		w.log.Info("endpoint list updated", "event", received.event, "engines", len(received.update.Events.Endpoints),
+		w.log.Info("endpoint list updated", "event", received.event, "engines", len(received.update.List.Endpoints),
 			"complete", received.kind == frameComplete)
 		w.onUpdate(received.update)
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -48,7 +48,7 @@
 	}
 	d := &fakeDialer{}
 	var updates []int
-	w := Watch(loop, d, "discovery:1", testNames, 4, func(u Update) { updates = append(updates, len(u.Events.Endpoints)) },
+	w := Watch(loop, d, "discovery:1", testNames, 4, func(u Update) { updates = append(updates, len(u.List.Endpoints)) },
 		1, slog.New(slog.DiscardHandler))
 	steps := []struct {
 		name, frame string
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -139,7 +139,7 @@
 	if simulated.net, err = netio.New(simulated.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	simulated.core.UpdateEndpoints(known.Events, known.Addresses)
+	simulated.core.UpdateEndpoints(known.List, known.Addresses)
 	simulated.loop.Post(func() {
 		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress,
 			simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
@@ -162,7 +162,7 @@
 }
 
 func (h *simulatedRouter) onUpdate(l discovery.Update) {
-	h.core.UpdateEndpoints(l.Events, l.Addresses)
+	h.core.UpdateEndpoints(l.List, l.Addresses)
 	h.out.write(statusMessage{Router: h.spec.Number, List: h.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -153,10 +153,10 @@
 	}
 	// The poller is up and may have posted connections; they are handled when the loop runs, after this.
 	core := n.services.core
-	core.UpdateEndpoints(known.Events, known.Addresses)
+	core.UpdateEndpoints(known.List, known.Addresses)
 	core.AdoptCordons(n.cordons.list())
 	n.services.endpoints = discovery.Watch(n.loop, n.services.net, cfg.DiscoveryAddress, endpointNames(cfg), lastEvent,
-		func(update discovery.Update) { core.UpdateEndpoints(update.Events, update.Addresses) }, cfg.SeedValue, n.log)
+		func(update discovery.Update) { core.UpdateEndpoints(update.List, update.Addresses) }, cfg.SeedValue, n.log)
 	n.limiter.applyToRuntime()
 	return nil
 }
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -226,7 +226,7 @@
 			k.files.rejected(err)
 			continue
 		}
-		k.client.Retry() // what was rejected may fit now
+		k.client.RetryRejected() // what was rejected may fit now
 	}
 }
 
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -8,9 +8,9 @@
 	"windflow/internal/clock"
 )
 
-// EndpointEvents is a list of engines, complete or the changes of it, and the addresses where they listen.
-type EndpointEvents struct {
-	Events    dispatch.EndpointList
+// EndpointUpdate is a complete list of endpoints or the changes to one, and the addresses on which the engines listen.
+type EndpointUpdate struct {
+	List      dispatch.EndpointList
 	Addresses map[dispatch.EngineID]string
 }
 
@@ -48,7 +48,7 @@
 
 // ParseEndpoints applies the endpoint events of a configuration in their order, and returns the one complete list that
 // results, and the revision of the last event. The error names the field.
-func ParseEndpoints(text []byte) (EndpointEvents, uint64, error) {
+func ParseEndpoints(text []byte) (EndpointUpdate, uint64, error) {
 	endpoints := newEndpointSet()
 	if len(text) == 0 {
 		return endpoints.result, 0, nil
@@ -75,14 +75,14 @@
 
 // endpointSet is a complete list of endpoints that records are applied to.
 type endpointSet struct {
-	result EndpointEvents
+	result EndpointUpdate
 	index  map[dispatch.EngineID]int // in result.Events.Endpoints
 }
 
 func newEndpointSet() *endpointSet {
 	return &endpointSet{
-		result: EndpointEvents{
-			Events:    dispatch.EndpointList{Mode: dispatch.ListCached},
+		result: EndpointUpdate{
+			List:      dispatch.EndpointList{Mode: dispatch.ListCached},
 			Addresses: map[dispatch.EngineID]string{},
 		},
 		index: map[dispatch.EngineID]int{},
@@ -96,10 +96,10 @@
 		return err
 	}
 	if index, known := s.index[endpoint.ID]; known {
-		s.result.Events.Endpoints[index] = endpoint
+		s.result.List.Endpoints[index] = endpoint
 	} else {
-		s.index[endpoint.ID] = len(s.result.Events.Endpoints)
-		s.result.Events.Endpoints = append(s.result.Events.Endpoints, endpoint)
+		s.index[endpoint.ID] = len(s.result.List.Endpoints)
+		s.result.List.Endpoints = append(s.result.List.Endpoints, endpoint)
 	}
 	s.result.Addresses[endpoint.ID] = record.Address
 	return nil
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -21,7 +21,7 @@
 		ID: 0xc41f7a, Zone: "hall-a",
 		Kind: "std-8", Cell: 2, CapacityWeight: 4, State: dispatch.Draining, StartedAt: clock.Duration(1500),
 	}}}
-	if diff := cmp.Diff(want, l.Events); diff != "" || err != nil || last != 41 {
+	if diff := cmp.Diff(want, l.List); diff != "" || err != nil || last != 41 {
 		t.Errorf("last %d, %v, %s", last, err, diff)
 	}
 	for _, k := range []struct{ text, want string }{
