--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -11,51 +11,52 @@
 	"windflow/internal/decide/configlog"
 )
 
-// counting counts the bytes of connections that it accepts.
-type counting struct {
+// countingListener counts the bytes of connections that it accepts.
+type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
-	of *counting
+	listener *countingListener
 }
 
-func (l *counting) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	return counted{c, l}, err
+func (l *countingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	return countingConn{conn, l}, err
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.of.in.Add(int64(n))
+	c.listener.in.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.of.out.Add(int64(n))
+	c.listener.out.Add(int64(n))
 	return n, err
 }
 
 // One poll without an update, with the keeper's side of it in the same process; the bytes are those of HTTP.
 func BenchmarkPoll(b *testing.B) {
 	noContent := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
-	s := httptest.NewUnstartedServer(http.HandlerFunc(noContent))
-	l := &counting{Listener: s.Listener}
-	s.Listener = l
-	s.Start()
-	defer s.Close()
-	p := &keeperConn{}
-	f := configlog.NewFollower("router-0001", configlog.NewInstance(1, 1))
+	server := httptest.NewUnstartedServer(http.HandlerFunc(noContent))
+	listener := &countingListener{Listener: server.Listener}
+	server.Listener = listener
+	server.Start()
+	defer server.Close()
+	conn := &keeperConn{}
+	follower := configlog.NewFollower("router-0001", configlog.NewInstance(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, fresh, err := p.poll(context.Background(), l.Addr().String(), f.Status(), 2000); fresh || err != nil {
-			b.Fatal(fresh, err)
+		_, isNewer, err := conn.poll(context.Background(), listener.Addr().String(), follower.Status(), 2000)
+		if isNewer || err != nil {
+			b.Fatal(isNewer, err)
 		}
 	}
-	p.close()
-	b.ReportMetric(float64(l.in.Load())/float64(b.N), "bytes-out/op")
-	b.ReportMetric(float64(l.out.Load())/float64(b.N), "bytes-in/op")
+	conn.close()
+	b.ReportMetric(float64(listener.in.Load())/float64(b.N), "bytes-out/op")
+	b.ReportMetric(float64(listener.out.Load())/float64(b.N), "bytes-in/op")
 }
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -28,7 +28,7 @@
 	log       *slog.Logger
 	startedAt time.Time
 	copies    *copyStore
-	control   control
+	control   pollControl
 
 	// What follows belongs to Restore and, once the client is started, to the polling goroutine.
 	keeper         keeperConn
@@ -48,7 +48,7 @@
 	client := &Client{
 		log:       log,
 		startedAt: time.Now(),
-		control:   control{config: config},
+		control:   pollControl{config: config},
 		follower:  configlog.NewFollower(name, instance),
 		limiter:   newChangeLimiter(),
 	}
@@ -69,7 +69,7 @@
 
 // SetInForce takes over a revision that is in force here already, supplied by the other process of this router.
 func (c *Client) SetInForce(revision Revision) {
-	c.control.set(func() { c.control.otherProcess = &revision })
+	c.control.set(func() { c.control.otherProcessRevision = &revision })
 }
 
 // Latest returns the last revision that was in force, 0 where that is the router's own file alone.
@@ -107,7 +107,7 @@
 }
 
 func (c *Client) restoreCopy() {
-	saved, found := c.copies.read()
+	saved, found := c.copies.loadOrSetAside()
 	if !found {
 		return
 	}
@@ -157,8 +157,8 @@
 			c.follower.ClearRejections()
 			c.Counters.RejectedRevision.Store(0)
 		}
-		if input.otherProcess != nil {
-			c.adopt(*input.otherProcess)
+		if input.otherProcessRevision != nil {
+			c.adopt(*input.otherProcessRevision)
 		}
 		c.poll(ctx, input.config)
 		cancel()
@@ -239,7 +239,7 @@
 	err := c.apply(revision)
 	switch {
 	case err == nil:
-		c.activated(revision)
+		c.recordActivation(revision)
 	case errors.Is(err, ErrShuttingDown):
 		c.stop()
 	default:
@@ -247,7 +247,7 @@
 	}
 }
 
-func (c *Client) activated(revision Revision) {
+func (c *Client) recordActivation(revision Revision) {
 	c.follower.Accept()
 	c.control.setLatest(revision)
 	c.Counters.Changes.Add(1)
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -16,48 +16,48 @@
 	"windflow/internal/decide/configlog"
 )
 
-// router is a fake of the router, which applies revisions.
-type router struct {
-	mu        sync.Mutex
-	revisions []Revision
-	rejects   map[uint64]*configerror.Error
-	applied   chan uint64
+// fakeRouter is a fake of the router, which applies revisions.
+type fakeRouter struct {
+	mu         sync.Mutex
+	revisions  []Revision
+	rejections map[uint64]*configerror.Error
+	applied    chan uint64
 }
 
-func newRouter() *router {
-	return &router{rejects: map[uint64]*configerror.Error{}, applied: make(chan uint64, 4096)}
+func newFakeRouter() *fakeRouter {
+	return &fakeRouter{rejections: map[uint64]*configerror.Error{}, applied: make(chan uint64, 4096)}
 }
 
-func (r *router) apply(rev Revision) error {
+func (r *fakeRouter) apply(revision Revision) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bad := r.rejects[rev.Revision]; bad != nil {
-		return bad
+	if rejection := r.rejections[revision.Revision]; rejection != nil {
+		return rejection
 	}
-	if n := len(r.revisions); n > 0 && r.revisions[n-1].Revision > rev.Revision {
+	if n := len(r.revisions); n > 0 && r.revisions[n-1].Revision > revision.Revision {
 		return ErrSuperseded
 	}
-	r.revisions = append(r.revisions, rev)
-	r.applied <- rev.Revision
+	r.revisions = append(r.revisions, revision)
+	r.applied <- revision.Revision
 	return nil
 }
 
-func (r *router) waitFor(t *testing.T, revision uint64) {
+func (r *fakeRouter) waitFor(t *testing.T, revision uint64) {
 	t.Helper()
-	late := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
 		case n := <-r.applied:
 			if n == revision {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatalf("revision %d was never received", revision)
 		}
 	}
 }
 
-func (r *router) latest() Revision {
+func (r *fakeRouter) latest() Revision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.revisions) == 0 {
@@ -66,64 +66,67 @@
 	return r.revisions[len(r.revisions)-1]
 }
 
-var discard = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 func newTestClient(t *testing.T, dir string, keepers ...string) *Client {
 	t.Helper()
-	c := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstance(1, 1), discard)
-	t.Cleanup(c.Stop)
-	return c
+	client := New(Config{Addresses: keepers, Dir: dir, MaxPollWaitMS: 2000}, "n/0", configlog.NewInstance(1, 1),
+		discardLog)
+	t.Cleanup(client.Stop)
+	return client
 }
 
-func overQuotaWeight(v string) map[string]string {
-	return map[string]string{"/settings/over-share-worth": v}
+func overQuotaWeight(value string) map[string]string {
+	return map[string]string{"/settings/over-share-worth": value}
 }
 
+func hasRejection(status configlog.FollowerStatus) bool { return status.Rejected != nil }
+
 // The poll after a change reports the result: in force, or rejected with the pointer while the revision before stays.
-func TestNextPollReportsResult(t *testing.T) {
-	k, r := keepertest.New(t), newRouter()
-	first := k.Change(overQuotaWeight("0.1"))
-	c := newTestClient(t, t.TempDir(), k.Addr())
-	c.Restore(time.Second, r.apply)
-	if r.latest().Revision != first {
-		t.Fatalf("at the start revision %d is in force", r.latest().Revision)
+func TestNextPollReportsOutcome(t *testing.T) {
+	keeper, router := keepertest.New(t), newFakeRouter()
+	first := keeper.Change(overQuotaWeight("0.1"))
+	client := newTestClient(t, t.TempDir(), keeper.Addr())
+	client.Restore(time.Second, router.apply)
+	if router.latest().Revision != first {
+		t.Fatalf("at the start revision %d is in force", router.latest().Revision)
 	}
-	r.rejects[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
-	c.Start(r.apply)
-	k.Change(overQuotaWeight("9"))
-	said := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
-	if said.Revision != first || said.Rejected.Revision != first+1 ||
-		said.Rejected.Pointer != "/settings/over-share-worth" ||
-		said.Rejected.Reason != "too much" {
-		t.Errorf("%+v, %+v", said, said.Rejected)
+	router.rejections[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
+	client.Start(router.apply)
+	keeper.Change(overQuotaWeight("9"))
+	status := keeper.WaitForStatus("it rejects", hasRejection)
+	if status.Revision != first || status.Rejected.Revision != first+1 ||
+		status.Rejected.Pointer != "/settings/over-share-worth" ||
+		status.Rejected.Reason != "too much" {
+		t.Errorf("%+v, %+v", status, status.Rejected)
 	}
-	if c.Counters.Revision.Load() != int64(first) || c.Counters.RejectedRevision.Load() != int64(first+1) ||
-		c.Latest().Revision != first {
-		t.Errorf("in force %d, rejected %d", c.Counters.Revision.Load(), c.Counters.RejectedRevision.Load())
+	if client.Counters.Revision.Load() != int64(first) || client.Counters.RejectedRevision.Load() != int64(first+1) ||
+		client.Latest().Revision != first {
+		t.Errorf("in force %d, rejected %d", client.Counters.Revision.Load(), client.Counters.RejectedRevision.Load())
 	}
-	third := k.Change(overQuotaWeight("0.3"))
-	said = k.WaitForRevision(third)
-	if said.Rejected != nil || c.Counters.RejectedRevision.Load() != 0 {
-		t.Errorf("after a good one: %+v", said.Rejected)
+	third := keeper.Change(overQuotaWeight("0.3"))
+	status = keeper.WaitForRevision(third)
+	if status.Rejected != nil || client.Counters.RejectedRevision.Load() != 0 {
+		t.Errorf("after a good one: %+v", status.Rejected)
 	}
-	if got := string(r.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
+	if got := string(router.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
 		t.Error(got)
 	}
 }
 
 // A rejected revision is offered again when the router's own file is another one.
-func TestRetry(t *testing.T) {
-	k, r := keepertest.New(t), newRouter()
-	r.rejects[1] = &configerror.Error{Reason: "not yet"}
-	c := newTestClient(t, t.TempDir(), k.Addr())
-	c.Start(r.apply)
-	k.Change(overQuotaWeight("1"))
-	k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
-	r.mu.Lock()
-	delete(r.rejects, 1)
-	r.mu.Unlock()
-	c.RetryRejected()
-	k.WaitForRevision(1)
+func TestRetryRejected(t *testing.T) {
+	keeper, router := keepertest.New(t), newFakeRouter()
+	router.rejections[1] = &configerror.Error{Reason: "not yet"}
+	client := newTestClient(t, t.TempDir(), keeper.Addr())
+	client.Start(router.apply)
+	keeper.Change(overQuotaWeight("1"))
+	keeper.WaitForStatus("it rejects", hasRejection)
+	router.mu.Lock()
+	delete(router.rejections, 1)
+	router.mu.Unlock()
+	client.RetryRejected()
+	keeper.WaitForRevision(1)
 }
 
 // misbehavior is a keeper's handler that answers what a router must not apply.
@@ -179,29 +182,29 @@
 	const pointer = "/settings/over-share-worth"
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	for _, bad := range misbehaviors(stop) {
-		t.Run(bad.name, func(t *testing.T) {
+	for _, test := range misbehaviors(stop) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			wrong, good, r := keepertest.New(t), keepertest.New(t), newRouter()
-			met := make(chan struct{}, 1024)
-			wrong.SetHandler(func(w http.ResponseWriter, r *http.Request) {
-				met <- struct{}{}
-				bad.handler(w, r)
+			faulty, good, router := keepertest.New(t), keepertest.New(t), newFakeRouter()
+			polled := make(chan struct{}, 1024)
+			faulty.SetHandler(func(w http.ResponseWriter, r *http.Request) {
+				polled <- struct{}{}
+				test.handler(w, r)
 			})
-			c := New(Config{Addresses: []string{wrong.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0",
-				configlog.NewInstance(1, 1), discard)
-			t.Cleanup(c.Stop)
-			c.Start(r.apply)
-			<-met // it was polled, whatever it answers
-			<-met // and once more
-			if r.latest().Revision != 0 {
-				t.Errorf("revision %d is in force", r.latest().Revision)
+			client := New(Config{Addresses: []string{faulty.Addr()}, Dir: t.TempDir(), MaxPollWaitMS: 100}, "n0",
+				configlog.NewInstance(1, 1), discardLog)
+			t.Cleanup(client.Stop)
+			client.Start(router.apply)
+			<-polled // it was polled, whatever it answers
+			<-polled // and once more
+			if router.latest().Revision != 0 {
+				t.Errorf("revision %d is in force", router.latest().Revision)
 			}
-			rev := good.Change(overQuotaWeight("0.5"))
-			c.Configure(Config{Addresses: []string{wrong.Addr(), good.Addr()}, MaxPollWaitMS: 100})
-			good.WaitForRevision(rev)
-			if got := r.latest(); string(got.Entries[pointer]) != "0.5" || c.Counters.FailedCalls.Load() == 0 {
-				t.Errorf("%+v, %d failed calls", got, c.Counters.FailedCalls.Load())
+			revision := good.Change(overQuotaWeight("0.5"))
+			client.Configure(Config{Addresses: []string{faulty.Addr(), good.Addr()}, MaxPollWaitMS: 100})
+			good.WaitForRevision(revision)
+			if got := router.latest(); string(got.Entries[pointer]) != "0.5" || client.Counters.FailedCalls.Load() == 0 {
+				t.Errorf("%+v, %d failed calls", got, client.Counters.FailedCalls.Load())
 			}
 		})
 	}
@@ -209,52 +212,52 @@
 
 // A keeper that is behind never moves a router to an older revision.
 func TestOlderRevisionIsIgnored(t *testing.T) {
-	ahead, late, r := keepertest.New(t), keepertest.New(t), newRouter()
+	ahead, behind, router := keepertest.New(t), keepertest.New(t), newFakeRouter()
 	for i := range 3 {
 		ahead.Change(overQuotaWeight(fmt.Sprint(i)))
 	}
-	late.Change(overQuotaWeight("0.9"))
-	c := newTestClient(t, t.TempDir(), ahead.Addr())
-	c.Start(r.apply)
+	behind.Change(overQuotaWeight("0.9"))
+	client := newTestClient(t, t.TempDir(), ahead.Addr())
+	client.Start(router.apply)
 	ahead.WaitForRevision(3)
-	c.Configure(Config{Addresses: []string{late.Addr()}, MaxPollWaitMS: 100})
-	late.WaitForRevision(3)
-	late.WaitForRevision(3) // once more, after the updates it has received
-	if r.latest().Revision != 3 {
-		t.Errorf("revision %d", r.latest().Revision)
+	client.Configure(Config{Addresses: []string{behind.Addr()}, MaxPollWaitMS: 100})
+	behind.WaitForRevision(3)
+	behind.WaitForRevision(3) // once more, after the updates it has received
+	if router.latest().Revision != 3 {
+		t.Errorf("revision %d", router.latest().Revision)
 	}
 }
 
 // In a burst of changes a poll brings several of them, so that reloads stay bounded; the last one arrives.
 func TestBurstOfChanges(t *testing.T) {
-	k, r := keepertest.New(t), newRouter()
-	c := newTestClient(t, t.TempDir(), k.Addr())
-	c.Start(r.apply)
-	k.WaitForRevision(0)
-	began := time.Now()
+	keeper, router := keepertest.New(t), newFakeRouter()
+	client := newTestClient(t, t.TempDir(), keeper.Addr())
+	client.Start(router.apply)
+	keeper.WaitForRevision(0)
+	startedAt := time.Now()
 	var last uint64
 	for i := range 300 {
-		last = k.Change(overQuotaWeight(fmt.Sprint(i)))
+		last = keeper.Change(overQuotaWeight(fmt.Sprint(i)))
 	}
-	k.WaitForRevision(last)
-	most := 3 + int64(time.Since(began)/changeInterval)
-	if n := c.Counters.Changes.Load(); n > most {
-		t.Errorf("%d calls brought changes, %d at most may", n, most)
+	keeper.WaitForRevision(last)
+	maxChanges := 3 + int64(time.Since(startedAt)/changeInterval)
+	if changes := client.Counters.Changes.Load(); changes > maxChanges {
+		t.Errorf("%d calls brought changes, %d at most may", changes, maxChanges)
 	}
 }
 
 // A later revision of this router's other process is not fetched again, and is reported to the keepers.
 func TestRevisionOfOtherProcess(t *testing.T) {
-	k, r := keepertest.New(t), newRouter()
-	c := newTestClient(t, t.TempDir(), k.Addr())
-	c.Start(r.apply)
-	k.WaitForRevision(0)
+	keeper, router := keepertest.New(t), newFakeRouter()
+	client := newTestClient(t, t.TempDir(), keeper.Addr())
+	client.Start(router.apply)
+	keeper.WaitForRevision(0)
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
-	c.SetInForce(Revision{7, configlog.HashEntries(entries), entries})
-	k.WaitForRevision(7)
-	c.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: ignored
-	r.waitFor(t, 7)
-	if c.Latest().Revision != 7 {
-		t.Error(c.Latest().Revision)
+	client.SetInForce(Revision{7, configlog.HashEntries(entries), entries})
+	keeper.WaitForRevision(7)
+	client.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: ignored
+	router.waitFor(t, 7)
+	if client.Latest().Revision != 7 {
+		t.Error(client.Latest().Revision)
 	}
 }
--- a/internal/configclient/control.go
+++ b/internal/configclient/control.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// control has the inputs of other goroutines for the polling one. They take effect with the next call; the open
+// pollControl has the inputs of other goroutines for the polling one. They take effect with the next call; the open
 // one is cancelled for it.
-type control struct {
-	mu            sync.Mutex
-	config        Config
-	otherProcess  *Revision // in force at the other process of this router; nil once it was read
-	retryRejected bool
-	cancelPoll    context.CancelFunc
-	latestInForce Revision
+type pollControl struct {
+	mu                   sync.Mutex
+	config               Config
+	otherProcessRevision *Revision // in force at the other process of this router; nil once it was read
+	retryRejected        bool
+	cancelPoll           context.CancelFunc
+	latestInForce        Revision
 }
 
-// pollInput is what control has for one call.
+// pollInput is what pollControl has for one call.
 type pollInput struct {
-	config        Config
-	otherProcess  *Revision
-	retryRejected bool
+	config               Config
+	otherProcessRevision *Revision
+	retryRejected        bool
 }
 
 // set changes the control with fn, and cancels the open call.
-func (c *control) set(fn func()) {
+func (c *pollControl) set(fn func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fn()
@@ -34,27 +34,27 @@
 }
 
 // beginPoll reads the input for the next call, which set cancels with cancel from now on.
-func (c *control) beginPoll(cancel context.CancelFunc) pollInput {
+func (c *pollControl) beginPoll(cancel context.CancelFunc) pollInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	input := pollInput{config: c.config, otherProcess: c.otherProcess, retryRejected: c.retryRejected}
-	c.cancelPoll, c.otherProcess, c.retryRejected = cancel, nil, false
+	input := pollInput{config: c.config, otherProcessRevision: c.otherProcessRevision, retryRejected: c.retryRejected}
+	c.cancelPoll, c.otherProcessRevision, c.retryRejected = cancel, nil, false
 	return input
 }
 
-func (c *control) currentConfig() Config {
+func (c *pollControl) currentConfig() Config {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.config
 }
 
-func (c *control) latest() Revision {
+func (c *pollControl) latest() Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.latestInForce
 }
 
-func (c *control) setLatest(revision Revision) {
+func (c *pollControl) setLatest(revision Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latestInForce = revision
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -93,8 +93,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// read returns the copy, if there is a usable one; a damaged one is set aside.
-func (s *copyStore) read() (saved configlog.SavedRevision, found bool) {
+// loadOrSetAside returns the copy, if there is a usable one; a damaged one is set aside.
+func (s *copyStore) loadOrSetAside() (saved configlog.SavedRevision, found bool) {
 	saved, err := s.load()
 	switch {
 	case err == nil:
@@ -137,7 +137,7 @@
 	defer retries.Stop()
 	write := func(saved configlog.SavedRevision) {
 		failed = nil
-		if !s.writeLogged(saved) {
+		if !s.writeAndLog(saved) {
 			failed = &saved
 		}
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// writeLogged writes a copy. It logs the first failure and the first success after it.
-func (s *copyStore) writeLogged(saved configlog.SavedRevision) bool {
+// writeAndLog writes a copy. It logs the first failure and the first success after it.
+func (s *copyStore) writeAndLog(saved configlog.SavedRevision) bool {
 	err := s.write(saved)
 	if err != nil {
 		s.counters.CopyWriteErrors.Add(1)
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -21,161 +21,163 @@
 func copyPath(dir string) string { return filepath.Join(dir, "n%2F0.revision") }
 
 // saveCopy follows a keeper up to its revision and saves the copy in dir.
-func saveCopy(t *testing.T, k *keepertest.Keeper, dir string) {
+func saveCopy(t *testing.T, keeper *keepertest.Keeper, dir string) {
 	t.Helper()
-	c, r := newTestClient(t, dir, k.Addr()), newRouter()
-	c.Restore(5*time.Second, r.apply)
-	c.Start(r.apply)
-	c.Stop()            // what is not written yet is written then
-	c.goroutines.Wait() // Stop does not wait for a slow disk
-	if c.Counters.CopyWriteErrors.Load() > 0 {
+	client, router := newTestClient(t, dir, keeper.Addr()), newFakeRouter()
+	client.Restore(5*time.Second, router.apply)
+	client.Start(router.apply)
+	client.Stop()            // what is not written yet is written then
+	client.goroutines.Wait() // Stop does not wait for a slow disk
+	if client.Counters.CopyWriteErrors.Load() > 0 {
 		t.Fatal("the copy was not written")
 	}
 }
 
 // Without a keeper a router starts with its copy, within a bounded time; a copy that is damaged or of another router is
 // set aside.
-func TestStartFromTheCopy(t *testing.T) {
-	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(overQuotaWeight("0.7"))
-	saveCopy(t, k, dir)
+func TestRestoreFromCopy(t *testing.T) {
+	keeper, dir := keepertest.New(t), t.TempDir()
+	revision := keeper.Change(overQuotaWeight("0.7"))
+	saveCopy(t, keeper, dir)
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
-	good, err := os.ReadFile(copyPath(dir))
+	valid, err := os.ReadFile(copyPath(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, how := range []struct {
-		name string
-		text func() string
-		ok   bool
+	for _, test := range []struct {
+		name   string
+		text   func() string
+		usable bool
 	}{
-		{"good", func() string { return string(good) }, true},
-		{"one bit", func() string { return strings.Replace(string(good), "0.7", "0.6", 1) }, false},
-		{"cut", func() string { return string(good[:len(good)-9]) }, false},
+		{"good", func() string { return string(valid) }, true},
+		{"one bit", func() string { return strings.Replace(string(valid), "0.7", "0.6", 1) }, false},
+		{"cut", func() string { return string(valid[:len(valid)-9]) }, false},
 		{"empty", func() string { return "" }, false},
 		{"foreign", func() string { return "{}\n" }, false},
 	} {
-		if err := os.WriteFile(copyPath(dir), []byte(how.text()), 0o600); err != nil {
+		if err := os.WriteFile(copyPath(dir), []byte(test.text()), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, r := newTestClient(t, dir, silent.Addr(), silent.Addr(), silent.Addr()), newRouter()
-		began := time.Now()
-		c.Restore(400*time.Millisecond, r.apply)
-		if took := time.Since(began); took > 2*time.Second { // far above the bound: the machine may be busy
-			t.Errorf("%s: the start took %v", how.name, took)
+		client, router := newTestClient(t, dir, silent.Addr(), silent.Addr(), silent.Addr()), newFakeRouter()
+		startedAt := time.Now()
+		client.Restore(400*time.Millisecond, router.apply)
+		if took := time.Since(startedAt); took > 2*time.Second { // far above the bound: the machine may be busy
+			t.Errorf("%s: the start took %v", test.name, took)
 		}
-		if got := r.latest().Revision; (got == rev) != how.ok || (c.Counters.CopiesSetAside.Load() == 0) != how.ok {
-			t.Errorf("%s: revision %d, set aside %d", how.name, got, c.Counters.CopiesSetAside.Load())
+		got, aside := router.latest().Revision, client.Counters.CopiesSetAside.Load()
+		if (got == revision) != test.usable || (aside == 0) != test.usable {
+			t.Errorf("%s: revision %d, set aside %d", test.name, got, aside)
 		}
-		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == how.ok && !how.ok {
-			t.Errorf("%s: %v", how.name, err)
+		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == test.usable && !test.usable {
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
 	// Another router's file under this one's name.
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(copyPath(dir), good, 0o600),
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(copyPath(dir), valid, 0o600),
 		os.Rename(copyPath(dir), filepath.Join(dir, "n1.revision"))); err != nil {
 		t.Fatal(err)
 	}
-	other, r := New(Config{Addresses: []string{silent.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n1", "1", discard),
-		newRouter()
+	other, router := New(Config{Addresses: []string{silent.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n1", "1", discardLog),
+		newFakeRouter()
 	t.Cleanup(other.Stop)
-	other.Restore(100*time.Millisecond, r.apply)
-	if r.latest().Revision != 0 || other.Counters.CopiesSetAside.Load() != 1 {
-		t.Errorf("another router's copy: revision %d, set aside %d", r.latest().Revision,
+	other.Restore(100*time.Millisecond, router.apply)
+	if router.latest().Revision != 0 || other.Counters.CopiesSetAside.Load() != 1 {
+		t.Errorf("another router's copy: revision %d, set aside %d", router.latest().Revision,
 			other.Counters.CopiesSetAside.Load())
 	}
 }
 
 // A copy that doesn't fit the router's own file is rejected, and the router starts without it.
 func TestRejectedCopy(t *testing.T) {
-	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(overQuotaWeight("0.7"))
-	saveCopy(t, k, dir)
-	c, r := newTestClient(t, dir, "127.0.0.1:1"), newRouter()
-	r.rejects[rev] = &configerror.Error{Reason: "does not fit"}
-	c.Restore(time.Second, r.apply)
-	if r.latest().Revision != 0 || c.Counters.RejectedRevision.Load() != int64(rev) {
-		t.Errorf("revision %d, rejected %d", r.latest().Revision, c.Counters.RejectedRevision.Load())
+	keeper, dir := keepertest.New(t), t.TempDir()
+	revision := keeper.Change(overQuotaWeight("0.7"))
+	saveCopy(t, keeper, dir)
+	client, router := newTestClient(t, dir, "127.0.0.1:1"), newFakeRouter()
+	router.rejections[revision] = &configerror.Error{Reason: "does not fit"}
+	client.Restore(time.Second, router.apply)
+	if router.latest().Revision != 0 || client.Counters.RejectedRevision.Load() != int64(revision) {
+		t.Errorf("revision %d, rejected %d", router.latest().Revision, client.Counters.RejectedRevision.Load())
 	}
 }
 
 // An unwritable disk is logged once and counted; the configuration is in force all the same.
 func TestUnwritableDisk(t *testing.T) {
-	k, r := keepertest.New(t), newRouter()
+	keeper, router := keepertest.New(t), newFakeRouter()
 	dir := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
 		t.Fatal(err)
 	}
-	var said logBuffer
-	c := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n0", "1",
-		slog.New(slog.NewTextHandler(&said, nil)))
-	c.Start(r.apply)
+	var logged logBuffer
+	client := New(Config{Addresses: []string{keeper.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n0", "1",
+		slog.New(slog.NewTextHandler(&logged, nil)))
+	client.Start(router.apply)
 	for i := range 3 {
-		k.WaitForRevision(k.Change(overQuotaWeight(fmt.Sprint(i))))
+		keeper.WaitForRevision(keeper.Change(overQuotaWeight(fmt.Sprint(i))))
 	}
-	c.Stop()
-	if c.Counters.CopyWriteErrors.Load() == 0 || strings.Count(said.text(), "configuration copy write failed") != 1 {
-		t.Errorf("failed %d: %s", c.Counters.CopyWriteErrors.Load(), said.text())
+	client.Stop()
+	if client.Counters.CopyWriteErrors.Load() == 0 ||
+		strings.Count(logged.text(), "configuration copy write failed") != 1 {
+		t.Errorf("failed %d: %s", client.Counters.CopyWriteErrors.Load(), logged.text())
 	}
 }
 
 type logBuffer struct {
-	mu sync.Mutex
-	b  strings.Builder
+	mu      sync.Mutex
+	builder strings.Builder
 }
 
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(b)
+	return l.builder.Write(b)
 }
 
 func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.builder.String()
 }
 
 // The predecessor of a process doesn't overwrite its newer copy.
-func TestOlderCopyIsNotWritten(t *testing.T) {
+func TestNewerCopyIsNotOverwritten(t *testing.T) {
 	dir := t.TempDir()
-	d := newCopyStore(dir, "n/0", &Counters{}, discard)
-	for _, rev := range []uint64{3, 9, 4} {
-		f := configlog.NewFollower("a", "b")
+	store := newCopyStore(dir, "n/0", &Counters{}, discardLog)
+	for _, revision := range []uint64{3, 9, 4} {
+		follower := configlog.NewFollower("a", "b")
 		entries := map[string]json.RawMessage{"/board": json.RawMessage(`"a:1"`)}
-		if _, ok, err := f.Offer(configlog.Update{
-			To: rev, Snapshot: true, Put: entries,
+		if _, ok, err := follower.Offer(configlog.Update{
+			To: revision, Snapshot: true, Put: entries,
 			Hash: configlog.HashEntries(entries),
 		}); !ok {
 			t.Fatal(err)
 		}
-		f.Accept()
-		if !d.writeLogged(f.Saved()) {
+		follower.Accept()
+		if !store.writeAndLog(follower.Saved()) {
 			t.Fatal("not written")
 		}
 	}
-	if s, ok := d.read(); !ok || s.Revision != 9 {
-		t.Errorf("%d, %v", s.Revision, ok)
+	if saved, ok := store.loadOrSetAside(); !ok || saved.Revision != 9 {
+		t.Errorf("%d, %v", saved.Revision, ok)
 	}
-	left, err := os.ReadDir(dir)
-	if err != nil || len(left) != 1 {
-		t.Errorf("%v, %v", left, err)
+	files, err := os.ReadDir(dir)
+	if err != nil || len(files) != 1 {
+		t.Errorf("%v, %v", files, err)
 	}
 }
 
 // A keeper without a newer revision than the copy counts as an answer at the start, and takes no longer than the poll.
-func TestStartWithCurrentCopy(t *testing.T) {
-	k, dir := keepertest.New(t), t.TempDir()
-	rev := k.Change(overQuotaWeight("0.7"))
-	saveCopy(t, k, dir)
-	c, r := New(Config{Addresses: []string{k.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0", configlog.NewInstance(2, 2),
-		discard), newRouter()
-	t.Cleanup(c.Stop)
-	c.Restore(20*time.Second, r.apply)
-	if r.latest().Revision != rev || c.Counters.Changes.Load() != 1 {
-		t.Errorf("revision %d after %d changes", r.latest().Revision, c.Counters.Changes.Load())
+func TestRestoreWithCurrentCopy(t *testing.T) {
+	keeper, dir := keepertest.New(t), t.TempDir()
+	revision := keeper.Change(overQuotaWeight("0.7"))
+	saveCopy(t, keeper, dir)
+	client, router := New(Config{Addresses: []string{keeper.Addr()}, Dir: dir, MaxPollWaitMS: 100}, "n/0",
+		configlog.NewInstance(2, 2), discardLog), newFakeRouter()
+	t.Cleanup(client.Stop)
+	client.Restore(20*time.Second, router.apply)
+	if router.latest().Revision != revision || client.Counters.Changes.Load() != 1 {
+		t.Errorf("revision %d after %d changes", router.latest().Revision, client.Counters.Changes.Load())
 	}
 }
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -20,15 +20,15 @@
 	"windflow/internal/golden"
 )
 
-const goldenWithin = 20 * time.Second
+const goldenTimeout = 20 * time.Second
 
 // goldenCopy is the copy that a router "n/0" has on its disk of revision 12.
 const goldenCopy = "n%2F0.revision"
 
 // goldenHash is some hash, the same for each digit.
-func goldenHash(digit byte) (h configlog.Hash) {
-	copy(h[:], bytes.Repeat([]byte{digit}, len(h)))
-	return h
+func goldenHash(digit byte) (hash configlog.Hash) {
+	copy(hash[:], bytes.Repeat([]byte{digit}, len(hash)))
+	return hash
 }
 
 // goldenEntries are in the form in which keepers send them.
@@ -42,20 +42,20 @@
 // goldenSaved returns the copy of revision 12 as the follower's state has it.
 func goldenSaved(t *testing.T) configlog.SavedRevision {
 	t.Helper()
-	f := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
+	follower := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
 	update := configlog.Update{To: 12, Snapshot: true, Put: goldenEntries(), Hash: configlog.HashEntries(goldenEntries())}
-	if _, ok, err := f.Offer(update); !ok || err != nil {
+	if _, ok, err := follower.Offer(update); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	f.Accept()
-	return f.Saved()
+	follower.Accept()
+	return follower.Saved()
 }
 
 // A copy has the recorded bytes and the recorded name.
 func TestGoldenCopyIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	saved := goldenSaved(t)
-	if err := newCopyStore(dir, "n/0", &Counters{}, discard).write(saved); err != nil {
+	if err := newCopyStore(dir, "n/0", &Counters{}, discardLog).write(saved); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(dir)
@@ -76,14 +76,14 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), golden.Read(t, goldenCopy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Config{Dir: dir}, "n/0", configlog.NewInstance(10, 11), discard)
-	t.Cleanup(c.Stop)
-	c.Restore(time.Second, func(Revision) error { return nil })
+	client := New(Config{Dir: dir}, "n/0", configlog.NewInstance(10, 11), discardLog)
+	t.Cleanup(client.Stop)
+	client.Restore(time.Second, func(Revision) error { return nil })
 	want := Revision{Revision: 12, Hash: configlog.HashEntries(goldenEntries()), Entries: goldenEntries()}
-	if diff := cmp.Diff(want, c.Latest()); diff != "" {
+	if diff := cmp.Diff(want, client.Latest()); diff != "" {
 		t.Error(diff)
 	}
-	if n := c.Counters.CopiesSetAside.Load(); n != 0 {
+	if n := client.Counters.CopiesSetAside.Load(); n != 0 {
 		t.Errorf("%d copies were set aside", n)
 	}
 }
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := newCopyStore(dir, "n/0", &Counters{}, discard).read(); ok {
+	if _, ok := newCopyStore(dir, "n/0", &Counters{}, discardLog).loadOrSetAside(); ok {
 		t.Error("a damaged copy is read")
 	}
 	if _, err := os.Stat(filepath.Join(dir, goldenCopy+".aside")); err != nil {
@@ -134,8 +134,8 @@
 }
 
 // A poll has the recorded bytes, header and body, and the recorded answers are decoded.
-func TestGoldenCall(t *testing.T) {
-	report := configlog.FollowerStatus{
+func TestGoldenPoll(t *testing.T) {
+	status := configlog.FollowerStatus{
 		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
 		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
 	}
@@ -153,14 +153,14 @@
 		}
 		golden.Equal(t, "answer-"+name+".json", append(text, '\n'))
 		address, call := answerOnce(t, golden.Read(t, "answer-"+name+".json"))
-		ctx, cancel := context.WithTimeout(context.Background(), goldenWithin)
-		got, fresh, err := (&keeperConn{}).poll(ctx, address, report, 2000)
+		ctx, cancel := context.WithTimeout(context.Background(), goldenTimeout)
+		got, isNewer, err := (&keeperConn{}).poll(ctx, address, status, 2000)
 		cancel()
-		if diff := cmp.Diff(want, got); err != nil || !fresh || diff != "" {
-			t.Errorf("%s: %v %v %s", name, fresh, err, diff)
+		if diff := cmp.Diff(want, got); err != nil || !isNewer || diff != "" {
+			t.Errorf("%s: %v %v %s", name, isNewer, err, diff)
 		}
 		golden.Equal(t, "call.txt", bytes.Replace(<-call, []byte(address), []byte("KEEPER"), 1))
 		all = append(all, want)
 	}
-	golden.AllFieldsSet(t, append(all, report)...)
+	golden.AllFieldsSet(t, append(all, status)...)
 }
--- a/internal/configclient/keeper_conn.go
+++ b/internal/configclient/keeper_conn.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return update, false, err
 	}
-	statusCode, text, err := k.callReopening(ctx, address, body)
+	statusCode, text, err := k.callWithReconnect(ctx, address, body)
 	switch {
 	case err != nil:
 		return update, false, err
@@ -91,8 +91,8 @@
 	return update, !update.IsEmpty(), nil
 }
 
-// callReopening makes a call, once more on a new connection if the keeper had closed the former one.
-func (k *keeperConn) callReopening(ctx context.Context, address string, body []byte) (int, []byte, error) {
+// callWithReconnect makes a call, once more on a new connection if the keeper had closed the former one.
+func (k *keeperConn) callWithReconnect(ctx context.Context, address string, body []byte) (int, []byte, error) {
 	for {
 		if err := k.open(ctx, address); err != nil {
 			return 0, nil, err
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -28,23 +28,23 @@
 	stopping chan struct{}                 // closed when calls have to end
 	statuses chan configlog.FollowerStatus // of the received calls
 
-	mu       sync.Mutex
-	log      *configlog.Log
-	changed  chan struct{}    // closed at the next change
-	override http.HandlerFunc // answers calls if it is set
-	seen     map[string]bool  // instances that have called
+	mu            sync.Mutex
+	log           *configlog.Log
+	changed       chan struct{}    // closed at the next change
+	override      http.HandlerFunc // answers calls if it is set
+	seenInstances map[string]bool  // instances that have called
 }
 
 // New runs a keeper that ends with the test.
 func New(tb testing.TB) *Keeper {
 	tb.Helper()
 	keeper := &Keeper{
-		tb:       tb,
-		stopping: make(chan struct{}),
-		statuses: make(chan configlog.FollowerStatus, maxRecordedStatuses),
-		log:      configlog.NewLog(configlog.DefaultRetention),
-		changed:  make(chan struct{}),
-		seen:     map[string]bool{},
+		tb:            tb,
+		stopping:      make(chan struct{}),
+		statuses:      make(chan configlog.FollowerStatus, maxRecordedStatuses),
+		log:           configlog.NewLog(configlog.DefaultRetention),
+		changed:       make(chan struct{}),
+		seenInstances: map[string]bool{},
 	}
 	keeper.server = httptest.NewServer(keeper)
 	tb.Cleanup(func() {
@@ -72,7 +72,7 @@
 	if result.Err != nil {
 		k.tb.Fatal(result.Err)
 	}
-	k.notifyChanged()
+	k.wakeOpenCalls()
 	return result.Revision
 }
 
@@ -81,11 +81,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.override = handler
-	k.notifyChanged()
+	k.wakeOpenCalls()
 }
 
-// notifyChanged wakes open calls. The caller holds the lock.
-func (k *Keeper) notifyChanged() {
+// wakeOpenCalls wakes open calls. The caller holds the lock.
+func (k *Keeper) wakeOpenCalls() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
@@ -156,8 +156,8 @@
 func (k *Keeper) recordInstance(instance string) (isNew bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	isNew = !k.seen[instance]
-	k.seen[instance] = true
+	isNew = !k.seenInstances[instance]
+	k.seenInstances[instance] = true
 	return isNew
 }
 
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -31,12 +31,12 @@
 )
 
 //go:embed windflow.schema.json
-var schema []byte
+var schemaJSON []byte
 
 // Schema returns the JSON Schema (draft 2020-12) of the file. It is checked by google/jsonschema-go:
 // santhosh-tekuri's library, which supports more of the drafts, compiles all of their metaschemas at the start, and
 // an idle router was 4 MB larger.
-func Schema() []byte { return schema }
+func Schema() []byte { return schemaJSON }
 
 // Read reads a file. The error has a line for each fault, with the file, the JSON pointer (RFC 6901) of the field,
 // and what is allowed there.
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -12,40 +12,41 @@
 	"windflow/internal/flightsql"
 )
 
-func TestExample(t *testing.T) {
-	s, err := Read("../../deploy/windflow.json")
+func TestReadExample(t *testing.T) {
+	settings, err := Read("../../deploy/windflow.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.FlightSQL == nil || s.BGP == nil || s.BGP.HoldTimeS != 90 || s.BGP.Prefixes[0].String() != "127.0.0.1/32" ||
-		s.Keepers == nil || len(s.Keepers.Addresses) != 3 || s.Keepers.MaxPollWaitMS != 2000 {
-		t.Errorf("%+v", s)
+	if settings.FlightSQL == nil || settings.BGP == nil || settings.BGP.HoldTimeS != 90 ||
+		settings.BGP.Prefixes[0].String() != "127.0.0.1/32" ||
+		settings.Keepers == nil || len(settings.Keepers.Addresses) != 3 || settings.Keepers.MaxPollWaitMS != 2000 {
+		t.Errorf("%+v", settings)
 	}
 }
 
 func TestDefaultsAndAbsentSections(t *testing.T) {
-	s, err := Parse([]byte(`{"flightsql":{"listen":"127.0.0.1:1"}}`))
+	settings, err := Parse([]byte(`{"flightsql":{"listen":"127.0.0.1:1"}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Settings{FlightSQL: &flightsql.Config{Listen: "127.0.0.1:1", MaxConnections: 32}}
-	if diff := cmp.Diff(want, s, cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(want, settings, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// bgpSection is a file with a valid section.
-const bgpSection = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1",` +
+// validBGPSettings is a file with a valid section.
+const validBGPSettings = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1",` +
 	`"prefixes":["10.1.0.1/32"],"next_hop":"10.0.0.1"}}`
 
-// invalidSettings is the text of a file that is rejected, and parts of the error.
-type invalidSettings struct {
+// invalidSettingsCase is the text of a file that is rejected, and parts of the error.
+type invalidSettingsCase struct {
 	text string
 	want []string
 }
 
-func allInvalidSettings() map[string]invalidSettings {
-	return map[string]invalidSettings{
+func invalidSettingsCases() map[string]invalidSettingsCase {
+	return map[string]invalidSettingsCase{
 		"no JSON":        {"{\n\"bgp\": {\n}", []string{"not valid JSON"}},
 		"two texts":      {"{} {}", []string{"not valid JSON"}},
 		"a list":         {"[]", []string{"/: ", "object"}},
@@ -54,7 +55,7 @@
 			`{"flightsql":{"listen":"a:1","max_connections":1.5}}`,
 			[]string{"/flightsql/max_connections: "},
 		},
-		"no prefixes": {strings.Replace(bgpSection, `["10.1.0.1/32"]`, "[]", 1), []string{"/bgp/prefixes: "}},
+		"no prefixes": {strings.Replace(validBGPSettings, `["10.1.0.1/32"]`, "[]", 1), []string{"/bgp/prefixes: "}},
 		"a section": {
 			`{"flight":{}}`,
 			[]string{"/: unknown field flight; known are $schema, bgp, flightsql, keepers, records"},
@@ -78,7 +79,7 @@
 			[]string{"/flightsql/listen: ", "\n/flightsql/max_connections: "},
 		},
 		"a hold time": {
-			strings.Replace(bgpSection, `"peer_as"`, `"hold_time_s":2,"peer_as"`, 1),
+			strings.Replace(validBGPSettings, `"peer_as"`, `"hold_time_s":2,"peer_as"`, 1),
 			[]string{"/bgp/hold_time_s: ", "0 for never, or 3 and more"},
 		},
 		"no keepers": {`{"keepers":{"addresses":[],"dir":"/x"}}`, []string{"/keepers/addresses: "}},
@@ -88,11 +89,11 @@
 			[]string{"/keepers/hold_ms: ", "2500"},
 		},
 		"host bits": {
-			strings.Replace(bgpSection, "10.1.0.1/32", "10.1.0.1/24", 1),
+			strings.Replace(validBGPSettings, "10.1.0.1/32", "10.1.0.1/24", 1),
 			[]string{"/bgp: field prefixes: 10.1.0.1/24"},
 		},
 		"an IPv6 address": {
-			strings.Replace(bgpSection, `"router_id":"10.0.0.1"`, `"router_id":"::1"`, 1),
+			strings.Replace(validBGPSettings, `"router_id":"10.0.0.1"`, `"router_id":"::1"`, 1),
 			[]string{"/bgp/router_id: "},
 		},
 	}
@@ -100,16 +101,16 @@
 
 // Each fault is reported with its pointer and what is allowed there.
 func TestInvalidSettings(t *testing.T) {
-	if _, err := Parse([]byte(bgpSection)); err != nil {
+	if _, err := Parse([]byte(validBGPSettings)); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range allInvalidSettings() {
-		s, err := Parse([]byte(c.text))
+	for name, test := range invalidSettingsCases() {
+		settings, err := Parse([]byte(test.text))
 		if err == nil {
-			t.Errorf("%s: taken as %+v", name, s)
+			t.Errorf("%s: taken as %+v", name, settings)
 			continue
 		}
-		for _, want := range c.want {
+		for _, want := range test.want {
 			if !strings.Contains(err.Error(), want) {
 				t.Errorf("%s: %q is not in %q", name, want, err)
 			}
--- a/internal/installation/schema.go
+++ b/internal/installation/schema.go
@@ -15,7 +15,7 @@
 // validateDocument checks a document against the schema. The error has a line for each fault.
 func validateDocument(document any) error {
 	root := &jsonschema.Schema{}
-	if err := json.Unmarshal(schema, root); err != nil {
+	if err := json.Unmarshal(schemaJSON, root); err != nil {
 		return err
 	}
 	if lines := schemaErrors(root, "", document); len(lines) > 0 {
@@ -43,14 +43,14 @@
 func objectErrors(schema *jsonschema.Schema, pointer string, object map[string]any) (lines []string) {
 	for _, name := range schema.Required {
 		if _, ok := object[name]; !ok {
-			lines = append(lines, fmt.Sprintf("%s: missing: %s", orRoot(pointer), name))
+			lines = append(lines, fmt.Sprintf("%s: missing: %s", pointerOrRoot(pointer), name))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		field := schema.Properties[name]
 		if field == nil {
 			known := strings.Join(slices.Sorted(maps.Keys(schema.Properties)), ", ")
-			lines = append(lines, fmt.Sprintf("%s: unknown field %s; known are %s", orRoot(pointer), name, known))
+			lines = append(lines, fmt.Sprintf("%s: unknown field %s; known are %s", pointerOrRoot(pointer), name, known))
 			continue
 		}
 		lines = append(lines, schemaErrors(field, pointer+"/"+name, object[name])...)
@@ -70,7 +70,7 @@
 	// Definitions of the root schema can't be referred to from a part that is resolved by itself.
 	resolved, err := schema.Resolve(nil)
 	if err != nil {
-		return []string{fmt.Sprintf("%s: the schema: %v", orRoot(pointer), err)}
+		return []string{fmt.Sprintf("%s: the schema: %v", pointerOrRoot(pointer), err)}
 	}
 	err = resolved.Validate(value)
 	if err == nil {
@@ -81,14 +81,14 @@
 	if schema.Description != "" {
 		text += " (" + schema.Description + ")"
 	}
-	return []string{orRoot(pointer) + ": " + text}
+	return []string{pointerOrRoot(pointer) + ": " + text}
 }
 
 // integerFraction matches integers that the library writes as fractions: 9999/1, 4096.000000.
 var integerFraction = regexp.MustCompile(`\b([0-9]+)(?:/1|[.]0+)\b`)
 
-// orRoot returns "/" for the pointer of the root, which is empty.
-func orRoot(pointer string) string {
+// pointerOrRoot returns "/" for the pointer of the root, which is empty.
+func pointerOrRoot(pointer string) string {
 	if pointer == "" {
 		return "/"
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// number is a setting that must not be below zero, under its name in the file.
-type number struct {
+// numericSetting is a setting that must not be below zero, under its name in the file.
+type numericSetting struct {
 	field string
 	value float64
 }
@@ -11,26 +11,26 @@
 // check returns an error for the first setting that is not valid. dispatch.Config checks its own fields as well; here
 // each setting has the name that the author of the file knows.
 func (s *Settings) check() error {
-	numbers := s.scalars()
+	numeric := s.numericSettings()
 	for i := range s.Classes {
 		class, field := &s.Classes[i], fmt.Sprintf("classes[%d].", i)
 		if class.LatencyObjectiveNS == 0 || class.DeadlineNS == 0 {
 			return fmt.Errorf("%sgoal-time-ns and %sdeadline-ns: both must be above 0", field, field)
 		}
-		numbers = append(numbers, class.numbers(field)...)
+		numeric = append(numeric, class.numericSettings(field)...)
 	}
-	numbers = append(numbers, s.Specifics.numbers()...)
-	for _, n := range numbers {
-		if n.value < 0 {
-			return fmt.Errorf("%s: %v is below 0", n.field, n.value)
+	numeric = append(numeric, s.Specifics.numericSettings()...)
+	for _, setting := range numeric {
+		if setting.value < 0 {
+			return fmt.Errorf("%s: %v is below 0", setting.field, setting.value)
 		}
 	}
 	return s.checkLengths()
 }
 
-func (s *Settings) scalars() []number {
+func (s *Settings) numericSettings() []numericSetting {
 	limits, rules := &s.Limits, &s.Rules
-	return []number{
+	return []numericSetting{
 		{"balancers", float64(s.Routers)},
 		{"period-ns", float64(s.TickNS)},
 		{"limits.attempts-cap", float64(limits.MaxAttempts)},
@@ -47,8 +47,8 @@
 	}
 }
 
-func (c *Class) numbers(field string) []number {
-	return []number{
+func (c *Class) numericSettings(field string) []numericSetting {
+	return []numericSetting{
 		{field + "goal-time-ns", float64(c.LatencyObjectiveNS)},
 		{field + "deadline-ns", float64(c.DeadlineNS)},
 		{field + "aim-stretch", c.ObjectiveStretch},
@@ -58,17 +58,17 @@
 	}
 }
 
-func (s *Specifics) numbers() (numbers []number) {
+func (s *Specifics) numericSettings() (numeric []numericSetting) {
 	for i, threads := range s.ClassThreads {
-		numbers = append(numbers, number{fmt.Sprintf("specifics.width-by-class[%d]", i), float64(threads)})
+		numeric = append(numeric, numericSetting{fmt.Sprintf("specifics.width-by-class[%d]", i), float64(threads)})
 	}
 	for i, cores := range s.KindCores {
-		numbers = append(numbers, number{fmt.Sprintf("specifics.cores-by-kind[%d]", i), cores})
+		numeric = append(numeric, numericSetting{fmt.Sprintf("specifics.cores-by-kind[%d]", i), cores})
 	}
 	for i, memory := range s.KindMemoryMB {
-		numbers = append(numbers, number{fmt.Sprintf("specifics.kind-memory-mb[%d]", i), memory})
+		numeric = append(numeric, numericSetting{fmt.Sprintf("specifics.kind-memory-mb[%d]", i), memory})
 	}
-	return numbers
+	return numeric
 }
 
 // checkLengths checks that each list of the specifics is absent or has one value for each class or kind.
--- a/internal/settings/dispatchconfig.go
+++ b/internal/settings/dispatchconfig.go
@@ -9,22 +9,22 @@
 
 // The platform's names for values of settings; an empty name means the default.
 var (
-	semantics = map[string]dispatch.Semantics{
+	semanticsByName = map[string]dispatch.Semantics{
 		"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
 		"deduplicated": dispatch.IdempotentByKey, "at_most_once": dispatch.AtMostOnce,
 	}
-	scopes = map[string]dispatch.IdempotencyScope{
+	scopesByName = map[string]dispatch.IdempotencyScope{
 		"": dispatch.ScopeAll, "all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
 		"cell": dispatch.ScopeCell,
 	}
-	memoryShortages = map[string]dispatch.MemoryShortage{
+	memoryShortagesByName = map[string]dispatch.MemoryShortage{
 		"": dispatch.ShortageWait, "queue": dispatch.ShortageWait,
 		"trim": dispatch.ShortageShrink, "swap": dispatch.ShortagePage,
 	}
 )
 
-// polledDiscovery is the platform's name for a discovery that routers have to poll.
-const polledDiscovery = "subscribe"
+// polledDiscoveryName is the platform's name for a discovery that routers have to poll.
+const polledDiscoveryName = "subscribe"
 
 // ParseEnum looks a value's name in the platform's settings up in a table. Its error names the field.
 func ParseEnum[T any](field, name string, table map[string]T) (T, error) {
@@ -66,7 +66,7 @@
 // scalarConfig translates everything but the lists.
 func (s *Settings) scalarConfig(seed uint64) (dispatch.Config, error) {
 	limits, rules, specifics := &s.Limits, &s.Rules, &s.Specifics
-	shortage, err := ParseEnum("specifics.overbooked", specifics.MemoryShortage, memoryShortages)
+	shortage, err := ParseEnum("specifics.overbooked", specifics.MemoryShortage, memoryShortagesByName)
 	if err != nil {
 		return dispatch.Config{}, err
 	}
@@ -79,7 +79,7 @@
 			Allowed: limits.RetryAfterAllowed, Max: time.Duration(limits.MaxRetryAfterNS),
 		},
 
-		PolledDiscovery:  s.Discovery == polledDiscovery,
+		PolledDiscovery:  s.Discovery == polledDiscoveryName,
 		DiscoveryTimeout: time.Duration(rules.DiscoveryTimeoutNS), KeyCooldown: time.Duration(rules.KeyCooldownNS),
 		WarmUp: dispatch.WarmUp{
 			InitialShare: rules.WarmUpInitialShare, Duration: time.Duration(rules.WarmUpNS),
@@ -100,11 +100,11 @@
 // dispatchClass translates the class with an index.
 func (s *Settings) dispatchClass(index int) (dispatch.Class, error) {
 	class, specifics := &s.Classes[index], &s.Specifics
-	semantics, err := ParseEnum(fmt.Sprintf("classes[%d].semantics", index), class.Semantics, semantics)
+	semantics, err := ParseEnum(fmt.Sprintf("classes[%d].semantics", index), class.Semantics, semanticsByName)
 	if err != nil {
 		return dispatch.Class{}, err
 	}
-	scope, err := ParseEnum(fmt.Sprintf("classes[%d].dedup-scope", index), class.IdempotencyScope, scopes)
+	scope, err := ParseEnum(fmt.Sprintf("classes[%d].dedup-scope", index), class.IdempotencyScope, scopesByName)
 	if err != nil {
 		return dispatch.Class{}, err
 	}
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -14,8 +14,8 @@
 	Addresses map[dispatch.EngineID]string
 }
 
-// endpointStates are the platform's names for the state of an engine.
-var endpointStates = map[string]dispatch.EndpointState{
+// endpointStatesByName are the platform's names for the state of an engine.
+var endpointStatesByName = map[string]dispatch.EndpointState{
 	"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed,
 }
 
@@ -51,11 +51,11 @@
 func ParseEndpoints(text []byte) (EndpointUpdate, uint64, error) {
 	endpoints := newEndpointSet()
 	if len(text) == 0 {
-		return endpoints.result, 0, nil
+		return endpoints.update, 0, nil
 	}
 	var known knownEndpoints
 	if err := Decode(text, &known); err != nil {
-		return endpoints.result, 0, err
+		return endpoints.update, 0, err
 	}
 	for i, event := range known.Events {
 		if event.Pool == nil {
@@ -65,23 +65,23 @@
 			endpoints = newEndpointSet()
 		}
 		for j, record := range event.Pool.Endpoints {
-			if err := endpoints.put(record); err != nil {
-				return endpoints.result, 0, fmt.Errorf("notices[%d].pool.members[%d].%w", i, j, err)
+			if err := endpoints.upsert(record); err != nil {
+				return endpoints.update, 0, fmt.Errorf("notices[%d].pool.members[%d].%w", i, j, err)
 			}
 		}
 	}
-	return endpoints.result, known.Revision, nil
+	return endpoints.update, known.Revision, nil
 }
 
 // endpointSet is a complete list of endpoints that records are applied to.
 type endpointSet struct {
-	result EndpointUpdate
+	update EndpointUpdate
 	index  map[dispatch.EngineID]int // in result.Events.Endpoints
 }
 
 func newEndpointSet() *endpointSet {
 	return &endpointSet{
-		result: EndpointUpdate{
+		update: EndpointUpdate{
 			List:      dispatch.EndpointList{Mode: dispatch.ListCached},
 			Addresses: map[dispatch.EngineID]string{},
 		},
@@ -89,19 +89,19 @@
 	}
 }
 
-// put adds an endpoint or replaces the one with its ID. The error begins with the name of the field in the record.
-func (s *endpointSet) put(record endpointRecord) error {
+// upsert adds an endpoint or replaces the one with its ID. The error begins with the name of the field in the record.
+func (s *endpointSet) upsert(record endpointRecord) error {
 	endpoint, err := record.endpoint()
 	if err != nil {
 		return err
 	}
 	if index, known := s.index[endpoint.ID]; known {
-		s.result.List.Endpoints[index] = endpoint
+		s.update.List.Endpoints[index] = endpoint
 	} else {
-		s.index[endpoint.ID] = len(s.result.List.Endpoints)
-		s.result.List.Endpoints = append(s.result.List.Endpoints, endpoint)
+		s.index[endpoint.ID] = len(s.update.List.Endpoints)
+		s.update.List.Endpoints = append(s.update.List.Endpoints, endpoint)
 	}
-	s.result.Addresses[endpoint.ID] = record.Address
+	s.update.Addresses[endpoint.ID] = record.Address
 	return nil
 }
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		return dispatch.Endpoint{}, fmt.Errorf("id: %w", err)
 	}
-	state, ok := endpointStates[r.State]
+	state, ok := endpointStatesByName[r.State]
 	if !ok {
 		return dispatch.Endpoint{}, fmt.Errorf("phase: unknown value %q", r.State)
 	}
--- a/internal/settings/jsontree.go
+++ b/internal/settings/jsontree.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-var errNotAnObject = errors.New("is below a value that is no object")
+var errNotAContainer = errors.New("is below a value that is no object")
 
 // jsonTree is a JSON document of which only the parts are decoded that values are put into: an object, a list, or raw
 // text.
@@ -35,7 +35,7 @@
 	case text[0] == '[':
 		return t.decodeList(text)
 	default:
-		return errNotAnObject
+		return errNotAContainer
 	}
 	return nil
 }
@@ -84,11 +84,11 @@
 // child returns a field of an object, which is created if it is absent, or an item of a list.
 func (t *jsonTree) child(name string) (*jsonTree, error) {
 	if t.object != nil {
-		key := t.key(name)
-		if t.object[key] == nil {
-			t.object[key] = &jsonTree{}
+		fieldKey := t.existingKey(name)
+		if t.object[fieldKey] == nil {
+			t.object[fieldKey] = &jsonTree{}
 		}
-		return t.object[key], nil
+		return t.object[fieldKey], nil
 	}
 	index, err := parseIndex(name)
 	if err != nil {
@@ -100,8 +100,8 @@
 	return t.list[index], nil
 }
 
-// key returns the key of a field in the object: encoding/json ignores case where no key matches exactly.
-func (t *jsonTree) key(name string) string {
+// existingKey returns the key of a field in the object: encoding/json ignores case where no key matches exactly.
+func (t *jsonTree) existingKey(name string) string {
 	if t.object[name] != nil {
 		return name
 	}
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -6,13 +6,13 @@
 )
 
 func TestParseNodeNamesTheField(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
+	valid := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"a","deadline-ns":5}],"later":1}}`
-	n, err := ParseNode([]byte(good))
-	if err != nil || n.SeedValue != 0x8c1f30d27a5be964 || n.Settings.Classes[0].DeadlineNS != 5 {
-		t.Fatalf("%+v, %v", n, err)
+	node, err := ParseNode([]byte(valid))
+	if err != nil || node.SeedValue != 0x8c1f30d27a5be964 || node.Settings.Classes[0].DeadlineNS != 5 {
+		t.Fatalf("%+v, %v", node, err)
 	}
-	for _, k := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`"127.0.0.1:1"`, `"here"`, "listen"},
 		{`"127.0.0.1:2"`, `7`, "board"},
 		{`"8c1f30d27a5be964"`, `"xyz"`, "seed"},
@@ -22,20 +22,20 @@
 		{`"settings":{`, `"settings":[{`, "JSON"},
 		{`"settings"`, `"other"`, "settings"},
 	} {
-		_, err := ParseNode([]byte(strings.Replace(good, k.from, k.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), k.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want %q", k.to, err, k.want)
+		_, err := ParseNode([]byte(strings.Replace(valid, test.from, test.to, 1)))
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want %q", test.to, err, test.want)
 		}
 	}
 }
 
 // A number that makes no sense is named as the file names it, not as the module does.
 func TestDispatchConfigNamesTheField(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
+	valid := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"kinds":["k"],"balancers":2,"period-ns":5,` +
 		`"classes":[{"name":"a","goal-time-ns":3,"deadline-ns":5,"late-value":0.5}],"limits":{"conn-idle-ns":7},` +
 		`"rules":{"cold-from":0.3},"specifics":{"cores-by-kind":[8],"width-by-class":[2]}}}`
-	for _, k := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`"balancers":2`, `"balancers":2`, ""},
 		{`"balancers":2`, `"balancers":-2`, "balancers"},
 		{`"period-ns":5`, `"period-ns":-5`, "period-ns"},
@@ -47,13 +47,13 @@
 		{`[8]`, `[-8]`, "specifics.cores-by-kind[0]"},
 		{`[2]`, `[2,2]`, "specifics.width-by-class"},
 	} {
-		n, err := ParseNode([]byte(strings.Replace(good, k.from, k.to, 1)))
+		node, err := ParseNode([]byte(strings.Replace(valid, test.from, test.to, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = n.Settings.DispatchConfig(n.SeedValue)
-		if (err == nil) != (k.want == "") || err != nil && !strings.HasPrefix(err.Error(), k.want) {
-			t.Errorf("%s: error %v, want %q", k.to, err, k.want)
+		_, err = node.Settings.DispatchConfig(node.SeedValue)
+		if (err == nil) != (test.want == "") || err != nil && !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%s: error %v, want %q", test.to, err, test.want)
 		}
 	}
 }
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -13,7 +13,7 @@
 	"windflow/internal/decide/configerror"
 )
 
-func example(t *testing.T) []byte {
+func readExample(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -23,13 +23,13 @@
 }
 
 // Without entries the result is the router's own file; with some, only what they name differs from it.
-func TestOverlayChangesWhatEntriesName(t *testing.T) {
-	own := example(t)
-	same, err := Overlay(own, nil)
-	if err != nil || string(same) != string(own) {
+func TestOverlayChangesOnlyNamedFields(t *testing.T) {
+	platform := readExample(t)
+	unchanged, err := Overlay(platform, nil)
+	if err != nil || string(unchanged) != string(platform) {
 		t.Fatalf("without entries the file changed: %v", err)
 	}
-	text, err := Overlay(own, map[string]Value{
+	text, err := Overlay(platform, map[string]Value{
 		"/board":                              Value(`"127.0.0.1:9"`),
 		"/settings/over-share-worth":          Value(`0.25`),
 		"/settings/rules/look-back-ns":        Value(`7`),
@@ -43,30 +43,30 @@
 		t.Fatal(err)
 	}
 	var want, got map[string]any
-	if err := errors.Join(json.Unmarshal(own, &want), json.Unmarshal(text, &got)); err != nil {
+	if err := errors.Join(json.Unmarshal(platform, &want), json.Unmarshal(text, &got)); err != nil {
 		t.Fatal(err)
 	}
-	s := want["settings"].(map[string]any)
-	want["board"], s["over-share-worth"] = "127.0.0.1:9", 0.25
-	s["rules"].(map[string]any)["look-back-ns"] = 7.0
-	s["classes"].([]any)[1].(map[string]any)["credit"] = 4.0
-	s["specifics"].(map[string]any)["cores-by-kind"] = []any{16.0}
-	s["limits"].(map[string]any)["max-retry-after-ns"] = 1000.0
-	s["parties"] = []any{
+	wantSettings := want["settings"].(map[string]any)
+	want["board"], wantSettings["over-share-worth"] = "127.0.0.1:9", 0.25
+	wantSettings["rules"].(map[string]any)["look-back-ns"] = 7.0
+	wantSettings["classes"].([]any)[1].(map[string]any)["credit"] = 4.0
+	wantSettings["specifics"].(map[string]any)["cores-by-kind"] = []any{16.0}
+	wantSettings["limits"].(map[string]any)["max-retry-after-ns"] = 1000.0
+	wantSettings["parties"] = []any{
 		map[string]any{"name": "east", "quota-rps": 2.0},
 		map[string]any{"name": "west/two", "quota-rps": 3.0, "share": 0.5},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	n, err := ParseNode(text)
-	if err != nil || n.Settings.Tenants[1].Name != "west/two" || n.Settings.Tenants[1].Quota != 3 {
-		t.Errorf("%+v, %v", n, err)
+	node, err := ParseNode(text)
+	if err != nil || node.Settings.Tenants[1].Name != "west/two" || node.Settings.Tenants[1].Quota != 3 {
+		t.Errorf("%+v, %v", node, err)
 	}
 }
 
 // A field that the file writes in another case is the same field, as it is when the file is read.
-func TestOverlayFindsAFieldInAnotherCase(t *testing.T) {
+func TestOverlayIgnoresCaseOfFieldNames(t *testing.T) {
 	text, err := Overlay([]byte(`{"Board":"127.0.0.1:1","settings":{"Rules":{"cold-ns":4}}}`),
 		map[string]Value{"/board": Value(`"127.0.0.1:2"`), "/settings/rules/cold-from": Value(`0.5`)})
 	const want = `{"Board":"127.0.0.1:2","settings":{"Rules":{"cold-from":0.5,"cold-ns":4}}}`
@@ -76,8 +76,8 @@
 }
 
 func TestOverlayReportsTheInvalidEntry(t *testing.T) {
-	own := example(t)
-	for _, k := range []struct{ pointer, value, want string }{
+	platform := readExample(t)
+	for _, test := range []struct{ pointer, value, want string }{
 		{"/name", `"x"`, "own"},
 		{"/listen", `"127.0.0.1:1"`, "own"},
 		{"/seed", `"1"`, "own"},
@@ -111,14 +111,16 @@
 		{"/settings/parties/a", `{"quota-rps":1,"worth":2}`, "worth"},
 		{"/settings/parties/a", `{"quota-rps":"x"}`, "field quota-rps: a string does not fit"},
 	} {
-		_, err := Overlay(own, map[string]Value{"/settings/over-share-worth": Value(`0.5`), k.pointer: Value(k.value)})
-		var e *configerror.Error
-		if !errors.As(err, &e) || e.Pointer != k.pointer || !strings.Contains(e.Reason, k.want) ||
-			strings.Contains(e.Reason, "\n") {
-			t.Errorf("%s %s: %v, want %q", k.pointer, k.value, err, k.want)
+		_, err := Overlay(platform, map[string]Value{
+			"/settings/over-share-worth": Value(`0.5`), test.pointer: Value(test.value),
+		})
+		var rejected *configerror.Error
+		if !errors.As(err, &rejected) || rejected.Pointer != test.pointer || !strings.Contains(rejected.Reason, test.want) ||
+			strings.Contains(rejected.Reason, "\n") {
+			t.Errorf("%s %s: %v, want %q", test.pointer, test.value, err, test.want)
 		}
 	}
-	_, err := Overlay(own, map[string]Value{"/settings/rules": Value(`{}`), "/settings/rules/cold-ns": Value(`1`)})
+	_, err := Overlay(platform, map[string]Value{"/settings/rules": Value(`{}`), "/settings/rules/cold-ns": Value(`1`)})
 	if err == nil || !strings.Contains(err.Error(), "part of the entry /settings/rules") {
 		t.Errorf("one entry in another: %v", err)
 	}
@@ -129,38 +131,38 @@
 
 // Each field of the example can be put, but for what is a router's own: a field that the program reads and entries
 // don't know would be one that can't be changed.
-func TestEachFieldOfTheExampleCanBePut(t *testing.T) {
-	var doc any
-	if err := json.Unmarshal(example(t), &doc); err != nil {
+func TestEntriesCanSetEachFieldOfExample(t *testing.T) {
+	var document any
+	if err := json.Unmarshal(readExample(t), &document); err != nil {
 		t.Fatal(err)
 	}
 	fields := 0
-	var check func(pointer string, v any)
-	check = func(pointer string, v any) {
-		if object, ok := v.(map[string]any); ok {
-			for name, below := range object {
-				check(pointer+"/"+escapePointerName(name), below)
+	var check func(pointer string, value any)
+	check = func(pointer string, value any) {
+		if object, ok := value.(map[string]any); ok {
+			for name, child := range object {
+				check(pointer+"/"+escapePointerName(name), child)
 			}
 		}
-		if list, ok := v.([]any); ok && pointer != "/settings/parties" {
-			for i, below := range list {
-				check(pointer+"/"+strconv.Itoa(i), below)
+		if list, ok := value.([]any); ok && pointer != "/settings/parties" {
+			for i, child := range list {
+				check(pointer+"/"+strconv.Itoa(i), child)
 			}
 		}
-		omitted := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
-		for _, o := range routerFields {
-			omitted = omitted || pointer == o || strings.HasPrefix(pointer, o+"/")
+		skipped := pointer == "" || pointer == "/settings" || pointer == "/settings/parties"
+		for _, field := range routerFields {
+			skipped = skipped || pointer == field || strings.HasPrefix(pointer, field+"/")
 		}
-		if omitted {
+		if skipped {
 			return
 		}
 		fields++
-		text, _ := json.Marshal(v)
+		text, _ := json.Marshal(value)
 		if err := checkEntry(pointer, text); err != nil {
 			t.Error(err)
 		}
 	}
-	check("", doc)
+	check("", document)
 	if fields < 60 {
 		t.Errorf("%d fields", fields)
 	}
--- a/internal/validate/invalidentry.go
+++ b/internal/validate/invalidentry.go
@@ -11,15 +11,15 @@
 
 // invalidEntry returns the pointer of the entry that makes a configuration invalid; empty if it is none of them.
 func invalidEntry(err error, base []byte, entries map[string]settings.Value) string {
-	if pointer := namedEntry(err.Error(), entries); pointer != "" {
+	if pointer := entryOfNamedField(err.Error(), entries); pointer != "" {
 		return pointer
 	}
 	return firstInvalidEntry(base, entries)
 }
 
-// namedEntry returns the pointer of the entry that has, or is part of, the field that a reason begins with; empty for
+// entryOfNamedField returns the pointer of the entry that has, or is part of, the field that a reason begins with; empty for
 // none: "field settings: classes[2].name: ..." is /settings/classes/2/name.
-func namedEntry(reason string, entries map[string]settings.Value) string {
+func entryOfNamedField(reason string, entries map[string]settings.Value) string {
 	field, ok := strings.CutPrefix(reason, "field ")
 	if !ok {
 		return ""
@@ -57,7 +57,7 @@
 		if err != nil {
 			return true
 		}
-		_, err = parseUsable(text)
+		_, err = parseAndCheck(text)
 		return err != nil
 	}
 	if isInvalid(0) {
--- a/internal/validate/resources.go
+++ b/internal/validate/resources.go
@@ -10,8 +10,8 @@
 const (
 	// sessionShare is the share of the descriptors that client sessions may take; clients use up to a third.
 	sessionShare = 0.4
-	// queuedShare is the number of queued requests against the number of descriptors; see DispatchConfig.
-	queuedShare = 1.0 / 12
+	// maxQueuedShare is the number of queued requests against the number of descriptors; see DispatchConfig.
+	maxQueuedShare = 1.0 / 12
 
 	// ReservedDescriptors are for the listeners, discovery, the log, the poller, operators, and connections that
 	// count twice for a moment while the system's dialer hands them to the poller; a third of all descriptors where
@@ -68,7 +68,7 @@
 // DispatchConfig returns the configuration of dispatch. Its queues are bounded by the number of descriptors: clients
 // have at most a third of them open, and if most of those waited in queues, new requests could not even be admitted.
 func DispatchConfig(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
-	config, err := cfg.Settings.DispatchConfig(seed)
-	config.MaxQueued = int(queuedShare * float64(cfg.Limits.Sockets))
-	return config, err
+	dispatchConfig, err := cfg.Settings.DispatchConfig(seed)
+	dispatchConfig.MaxQueued = int(maxQueuedShare * float64(cfg.Limits.Sockets))
+	return dispatchConfig, err
 }
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -22,9 +22,9 @@
 
 // checkUsable checks what dispatch and the division of resources require of a parsed configuration.
 func checkUsable(cfg *settings.Node) error {
-	config, err := DispatchConfig(cfg, cfg.SeedValue)
+	dispatchConfig, err := DispatchConfig(cfg, cfg.SeedValue)
 	if err == nil {
-		err = config.Check()
+		err = dispatchConfig.Check()
 	}
 	if err != nil {
 		return fmt.Errorf("field settings: %w", err)
@@ -54,7 +54,7 @@
 		}
 		return nil, baseError(err)
 	}
-	cfg, err := parseUsable(text)
+	cfg, err := parseAndCheck(text)
 	if err == nil {
 		return cfg, nil
 	}
@@ -65,8 +65,8 @@
 	return nil, configerror.Invalidf(pointer, "%s", err)
 }
 
-// parseUsable reads a configuration that entries are laid over.
-func parseUsable(text []byte) (*settings.Node, error) {
+// parseAndCheck reads a configuration that entries are laid over.
+func parseAndCheck(text []byte) (*settings.Node, error) {
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		return nil, err
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -10,7 +10,7 @@
 	"windflow/internal/settings"
 )
 
-func example(t *testing.T) string {
+func readExample(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -21,8 +21,8 @@
 
 // The error of a configuration that a router could not start with is the one that the router would return.
 func TestNodeConfigNamesTheField(t *testing.T) {
-	good := example(t)
-	for _, k := range []struct{ from, to, want string }{
+	valid := readExample(t)
+	for _, test := range []struct{ from, to, want string }{
 		{`"phase": "active"`, `"phase": "active"`, ""},
 		{`"phase": "active"`, `"phase": "resting"`, "field known: notices[0].pool.members[0].phase"},
 		{`"listen": "127.0.0.1:13306"`, `"listen": "here"`, "field listen"},
@@ -32,24 +32,24 @@
 		{`"settings"`, `"other"`, "field settings is missing"},
 		{`{`, `[`, "not valid JSON"},
 	} {
-		err := NodeConfig([]byte(strings.Replace(good, k.from, k.to, 1)))
-		if (err == nil) != (k.want == "") ||
-			err != nil && (!strings.HasPrefix(err.Error(), k.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s: %v, want %q", k.to, err, k.want)
+		err := NodeConfig([]byte(strings.Replace(valid, test.from, test.to, 1)))
+		if (err == nil) != (test.want == "") ||
+			err != nil && (!strings.HasPrefix(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%s: %v, want %q", test.to, err, test.want)
 		}
 	}
 }
 
 // The error has the pointer of the invalid entry among valid ones.
 func TestEntriesReportTheInvalidEntry(t *testing.T) {
-	good := map[string]settings.Value{
+	valid := map[string]settings.Value{
 		"/board": settings.Value(`"127.0.0.1:9"`), "/settings/rules/cold-ns": settings.Value(`5`),
 		"/settings/parties/a": settings.Value(`{"quota-rps":1}`),
 	}
-	if err := Entries([]byte(example(t)), good); err != nil {
+	if err := Entries([]byte(readExample(t)), valid); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range []struct{ pointer, value, reason string }{
+	for _, test := range []struct{ pointer, value, reason string }{
 		{"/settings/rules/cold-from", `-0.5`, "rules.cold-from: -0.5 is below 0"},
 		{"/board", `"nowhere"`, "field board"},
 		{"/settings/over-share-worth", `"x"`, "a string does not fit"},
@@ -60,15 +60,15 @@
 		{"/settings/specifics/overbooked", `"maybe"`, "unknown value"},
 		{"/settings/classes", `[]`, ""},
 	} {
-		entries := map[string]settings.Value{k.pointer: settings.Value(k.value)}
-		for p, v := range good {
-			if p != k.pointer {
-				entries[p] = v
+		entries := map[string]settings.Value{test.pointer: settings.Value(test.value)}
+		for pointer, value := range valid {
+			if pointer != test.pointer {
+				entries[pointer] = value
 			}
 		}
-		rejected := configerror.From(Entries([]byte(example(t)), entries))
-		if rejected == nil || rejected.Pointer != k.pointer || !strings.Contains(rejected.Reason, k.reason) {
-			t.Errorf("%s: %+v, want %q", k.pointer, rejected, k.reason)
+		rejected := configerror.From(Entries([]byte(readExample(t)), entries))
+		if rejected == nil || rejected.Pointer != test.pointer || !strings.Contains(rejected.Reason, test.reason) {
+			t.Errorf("%s: %+v, want %q", test.pointer, rejected, test.reason)
 		}
 	}
 }
@@ -82,37 +82,39 @@
 		"/settings/specifics/kind-memory-mb": settings.Value(`[1,2,3]`),
 		"/settings/specifics/note-period-ns": settings.Value(`5`),
 	}
-	rejected := configerror.From(Entries([]byte(example(t)), entries))
+	rejected := configerror.From(Entries([]byte(readExample(t)), entries))
 	if rejected == nil || rejected.Pointer != "/settings/specifics/kind-memory-mb" {
 		t.Fatalf("%+v", rejected)
 	}
 	entries["/settings/specifics/kind-memory-mb"] = settings.Value(`[1,2]`)
-	if err := Entries([]byte(example(t)), entries); err != nil {
+	if err := Entries([]byte(readExample(t)), entries); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestEntriesOverAnInvalidBase(t *testing.T) {
-	bad := strings.Replace(example(t), `"cold-from": 0.36`, `"cold-from": -1`, 1)
-	err := Entries([]byte(bad), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
+func TestEntriesOverInvalidBase(t *testing.T) {
+	invalidBase := strings.Replace(readExample(t), `"cold-from": 0.36`, `"cold-from": -1`, 1)
+	err := Entries([]byte(invalidBase), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
 	if err == nil || configerror.From(err).Pointer != "" ||
 		!strings.Contains(err.Error(), "base configuration: field settings: rules.cold-from") {
 		t.Errorf("%+v", err)
 	}
 	// Entries may correct it.
 	corrected := map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}
-	if err := Entries([]byte(bad), corrected); err != nil {
+	if err := Entries([]byte(invalidBase), corrected); err != nil {
 		t.Error(err)
 	}
 }
 
 // docs/operating.md has these figures for limits.sockets.
 func TestClientSessionsBySockets(t *testing.T) {
-	for _, k := range []struct{ sockets, sessions int }{{0, 409}, {1024, 409}, {4999, 1999}, {5000, 2000}, {8192, 3276}} {
+	for _, test := range []struct{ sockets, sessions int }{
+		{0, 409}, {1024, 409}, {4999, 1999}, {5000, 2000}, {8192, 3276},
+	} {
 		cfg := &settings.Node{}
-		cfg.Limits.Sockets = k.sockets
-		if b, err := DivideResources(cfg, 0); err != nil || b.ClientSessions != k.sessions {
-			t.Errorf("%d descriptors: %d sessions, %v; want %d", k.sockets, b.ClientSessions, err, k.sessions)
+		cfg.Limits.Sockets = test.sockets
+		if limits, err := DivideResources(cfg, 0); err != nil || limits.ClientSessions != test.sessions {
+			t.Errorf("%d descriptors: %d sessions, %v; want %d", test.sockets, limits.ClientSessions, err, test.sessions)
 		}
 	}
 }
@@ -124,20 +126,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	deps := strings.Fields(string(out))
-	if len(deps) < 5 {
-		t.Fatal(deps)
+	dependencies := strings.Fields(string(out))
+	if len(dependencies) < 5 {
+		t.Fatal(dependencies)
 	}
-	for _, d := range deps {
-		for _, no := range []string{
+	for _, dependency := range dependencies {
+		for _, forbidden := range []string{
 			"mysql", "enginehttp", "netio", "router", "node", "flightsql", "discovery", "admin", "bgp", "hotrestartipc",
 		} {
-			if d == "windflow/internal/"+no {
-				t.Error("links", d)
+			if dependency == "windflow/internal/"+forbidden {
+				t.Error("links", dependency)
 			}
 		}
-		if d == "net" || d == "net/http" {
-			t.Error("links", d)
+		if dependency == "net" || dependency == "net/http" {
+			t.Error("links", dependency)
 		}
 	}
 }
