--- a/internal/installation/encoded_test.go
+++ b/internal/installation/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they hold is found by
-// itself.
+// encodedTypes returns the types of this package that are sent or stored as JSON. golden.AllFieldsTagged finds the
+// types of their fields by itself.
 func encodedTypes() []any {
 	return []any{Settings{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Each encoded field has a tag with its name in JSON, so that its Go name can change.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -15,7 +15,7 @@
 	"windflow/internal/record"
 )
 
-// Settings are the sections of the file; a section that is absent is nil.
+// Settings has the sections of the file. An absent section is nil.
 type Settings struct {
 	FlightSQL *flightsql.Config    `json:"flightsql"`
 	BGP       *bgp.Config          `json:"bgp"`
@@ -33,13 +33,13 @@
 //go:embed windflow.schema.json
 var schemaJSON []byte
 
-// Schema returns the JSON Schema (draft 2020-12) of the file. It is checked by google/jsonschema-go:
-// santhosh-tekuri's library, which supports more of the drafts, compiles all of their metaschemas at the start, and
-// an idle router was 4 MB larger.
+// Schema returns the JSON Schema (draft 2020-12) of the file. google/jsonschema-go validates against it:
+// santhosh-tekuri's library supports more drafts but compiles the metaschemas of all of them at startup, which made an
+// idle router 4 MB larger.
 func Schema() []byte { return schemaJSON }
 
-// Read reads a file. The error has a line for each fault, with the file, the JSON pointer (RFC 6901) of the field,
-// and what is allowed there.
+// Read reads and validates a settings file. The error for invalid content has a line for each fault, with the path of
+// the file, the JSON pointer (RFC 6901) of the field, and what is allowed there.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return settings, nil
 }
 
-// Parse reads the text of such a file.
+// Parse validates the text of a settings file and decodes it. Absent optional fields have their default values.
 func Parse(text []byte) (*Settings, error) {
 	document, err := parseJSON(text)
 	if err != nil {
@@ -70,7 +70,7 @@
 	if err := json.Unmarshal(text, settings); err != nil {
 		return nil, err
 	}
-	// A schema can't express these rules.
+	// The schema cannot express the rules of Check.
 	if settings.BGP != nil {
 		if err := settings.BGP.Check(); err != nil {
 			return nil, fmt.Errorf("/bgp: %w", err)
@@ -79,7 +79,7 @@
 	return settings, nil
 }
 
-// parseJSON returns the document as encoding/json decodes it into any. The error has the line, where it is known.
+// parseJSON decodes a document into any with encoding/json. The error for invalid syntax has the number of the line.
 func parseJSON(text []byte) (any, error) {
 	var document any
 	err := json.Unmarshal(text, &document)
@@ -94,7 +94,7 @@
 	return nil, fmt.Errorf("not valid JSON: %w", err)
 }
 
-// defaultSettings returns the defaults of the sections that a document has.
+// defaultSettings returns the default values of the sections that a document has. Its other sections are nil.
 func defaultSettings(sections map[string]any) *Settings {
 	settings := &Settings{}
 	if sections["flightsql"] != nil {
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -12,6 +12,7 @@
 	"windflow/internal/flightsql"
 )
 
+// The example of the settings file is valid, and absent optional fields have their defaults.
 func TestReadExample(t *testing.T) {
 	settings, err := Read("../../deploy/windflow.json")
 	if err != nil {
@@ -24,6 +25,7 @@
 	}
 }
 
+// A section has the defaults of its absent fields, and an absent section is nil.
 func TestDefaultsAndAbsentSections(t *testing.T) {
 	settings, err := Parse([]byte(`{"flightsql":{"listen":"127.0.0.1:1"}}`))
 	if err != nil {
@@ -35,11 +37,11 @@
 	}
 }
 
-// validBGPSettings is a file with a valid section.
+// validBGPSettings is the text of a settings file with a valid section bgp.
 const validBGPSettings = `{"bgp":{"peer":"127.0.0.1:179","peer_as":1,"local_as":2,"router_id":"10.0.0.1",` +
 	`"prefixes":["10.1.0.1/32"],"next_hop":"10.0.0.1"}}`
 
-// invalidSettingsCase is the text of a file that is rejected, and parts of the error.
+// invalidSettingsCase has the text of a file that must be rejected, and texts that the error must contain.
 type invalidSettingsCase struct {
 	text string
 	want []string
@@ -47,30 +49,33 @@
 
 func invalidSettingsCases() map[string]invalidSettingsCase {
 	return map[string]invalidSettingsCase{
-		"no JSON":        {"{\n\"bgp\": {\n}", []string{"not valid JSON"}},
-		"two texts":      {"{} {}", []string{"not valid JSON"}},
-		"a list":         {"[]", []string{"/: ", "object"}},
-		"a null section": {`{"bgp":null}`, []string{"/bgp: ", "object"}},
-		"a fraction": {
+		"invalid JSON":              {"{\n\"bgp\": {\n}", []string{"not valid JSON"}},
+		"two JSON values":           {"{} {}", []string{"not valid JSON"}},
+		"list instead of an object": {"[]", []string{"/: ", "object"}},
+		"null section":              {`{"bgp":null}`, []string{"/bgp: ", "object"}},
+		"fraction instead of an integer": {
 			`{"flightsql":{"listen":"a:1","max_connections":1.5}}`,
 			[]string{"/flightsql/max_connections: "},
 		},
-		"no prefixes": {strings.Replace(validBGPSettings, `["10.1.0.1/32"]`, "[]", 1), []string{"/bgp/prefixes: "}},
-		"a section": {
+		"empty list of prefixes": {
+			strings.Replace(validBGPSettings, `["10.1.0.1/32"]`, "[]", 1),
+			[]string{"/bgp/prefixes: "},
+		},
+		"unknown section": {
 			`{"flight":{}}`,
-			[]string{"/: unknown field flight; known are $schema, bgp, flightsql, keepers, records"},
+			[]string{"/: unknown field flight; expected one of $schema, bgp, flightsql, keepers, records"},
 		},
-		"a field": {
+		"unknown field": {
 			`{"flightsql":{"listen":"a:1","max":3}}`,
-			[]string{"/flightsql: unknown field max; known are engine_kinds, listen, max_connections"},
+			[]string{"/flightsql: unknown field max; expected one of engine_kinds, listen, max_connections"},
 		},
-		"a missing field": {`{"flightsql":{}}`, []string{"/flightsql: missing: listen"}},
-		"a range": {
+		"missing field": {`{"flightsql":{}}`, []string{"/flightsql: field listen is missing"}},
+		"number above the maximum": {
 			`{"flightsql":{"listen":"a:1","max_connections":9999}}`,
 			[]string{"/flightsql/max_connections: maximum: 9999 is greater than 4096 (", "Connections taken at once"},
 		},
-		"a type": {`{"flightsql":{"listen":5}}`, []string{"/flightsql/listen: ", "string", "address:port"}},
-		"an item": {
+		"wrong type": {`{"flightsql":{"listen":5}}`, []string{"/flightsql/listen: ", "string", "address:port"}},
+		"invalid list item": {
 			`{"flightsql":{"listen":"a:1","engine_kinds":["x",""]}}`,
 			[]string{"/flightsql/engine_kinds/1: "},
 		},
@@ -78,28 +83,31 @@
 			`{"flightsql":{"listen":5,"max_connections":0}}`,
 			[]string{"/flightsql/listen: ", "\n/flightsql/max_connections: "},
 		},
-		"a hold time": {
+		"hold time below the minimum": {
 			strings.Replace(validBGPSettings, `"peer_as"`, `"hold_time_s":2,"peer_as"`, 1),
 			[]string{"/bgp/hold_time_s: ", "0 for never, or 3 and more"},
 		},
-		"no keepers": {`{"keepers":{"addresses":[],"dir":"/x"}}`, []string{"/keepers/addresses: "}},
-		"a keeper":   {`{"keepers":{"addresses":["here"],"dir":"/x"}}`, []string{"/keepers/addresses/0: "}},
-		"a long hold": {
+		"empty list of keepers": {`{"keepers":{"addresses":[],"dir":"/x"}}`, []string{"/keepers/addresses: "}},
+		"keeper address without a port": {
+			`{"keepers":{"addresses":["here"],"dir":"/x"}}`,
+			[]string{"/keepers/addresses/0: "},
+		},
+		"poll wait above the maximum": {
 			`{"keepers":{"addresses":["a:1"],"dir":"/x","hold_ms":9000}}`,
 			[]string{"/keepers/hold_ms: ", "2500"},
 		},
-		"host bits": {
+		"prefix with host bits set": {
 			strings.Replace(validBGPSettings, "10.1.0.1/32", "10.1.0.1/24", 1),
 			[]string{"/bgp: field prefixes: 10.1.0.1/24"},
 		},
-		"an IPv6 address": {
+		"router ID that is an IPv6 address": {
 			strings.Replace(validBGPSettings, `"router_id":"10.0.0.1"`, `"router_id":"::1"`, 1),
 			[]string{"/bgp/router_id: "},
 		},
 	}
 }
 
-// Each fault is reported with its pointer and what is allowed there.
+// The error has a line for each fault, with the pointer of the field and what is allowed there.
 func TestInvalidSettings(t *testing.T) {
 	if _, err := Parse([]byte(validBGPSettings)); err != nil {
 		t.Fatal(err)
@@ -107,12 +115,12 @@
 	for name, test := range invalidSettingsCases() {
 		settings, err := Parse([]byte(test.text))
 		if err == nil {
-			t.Errorf("%s: taken as %+v", name, settings)
+			t.Errorf("%s: accepted as %+v", name, settings)
 			continue
 		}
 		for _, want := range test.want {
 			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%s: %q is not in %q", name, want, err)
+				t.Errorf("%s: expected %q in the error %q", name, want, err)
 			}
 		}
 	}
@@ -123,7 +131,7 @@
 	_, err := Read(path)
 	for line := range strings.Lines(err.Error()) {
 		if !strings.HasPrefix(line, path+": /") {
-			t.Errorf("a line without its file: %q", line)
+			t.Errorf("expected a line that begins with the file and a pointer, found %q", line)
 		}
 	}
 }
--- a/internal/installation/schema.go
+++ b/internal/installation/schema.go
@@ -12,7 +12,7 @@
 	"github.com/google/jsonschema-go/jsonschema"
 )
 
-// validateDocument checks a document against the schema. The error has a line for each fault.
+// validateDocument validates a document against the schema. The error has a line for each fault.
 func validateDocument(document any) error {
 	root := &jsonschema.Schema{}
 	if err := json.Unmarshal(schemaJSON, root); err != nil {
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// schemaErrors checks a value against its schema and returns a line for each fault in it. The library stops at the
-// first one and names it by the position in the schema; here each field is checked by itself, and named by its JSON
-// pointer.
+// schemaErrors validates a value against its schema and returns a line for each fault. The library stops at the first
+// fault and reports its position in the schema. Therefore each field is validated on its own here, and a fault is
+// reported with the JSON pointer of the field.
 func schemaErrors(schema *jsonschema.Schema, pointer string, value any) []string {
 	if object, ok := value.(map[string]any); ok && schema.Type == "object" {
 		return objectErrors(schema, pointer, object)
@@ -39,18 +39,18 @@
 	return valueErrors(schema, pointer, value)
 }
 
-// objectErrors checks the names of the fields and each field.
+// objectErrors returns a line for each missing or unknown field, and the faults of the other fields.
 func objectErrors(schema *jsonschema.Schema, pointer string, object map[string]any) (lines []string) {
 	for _, name := range schema.Required {
 		if _, ok := object[name]; !ok {
-			lines = append(lines, fmt.Sprintf("%s: missing: %s", pointerOrRoot(pointer), name))
+			lines = append(lines, fmt.Sprintf("%s: field %s is missing", pointerOrRoot(pointer), name))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		field := schema.Properties[name]
 		if field == nil {
 			known := strings.Join(slices.Sorted(maps.Keys(schema.Properties)), ", ")
-			lines = append(lines, fmt.Sprintf("%s: unknown field %s; known are %s", pointerOrRoot(pointer), name, known))
+			lines = append(lines, fmt.Sprintf("%s: unknown field %s; expected one of %s", pointerOrRoot(pointer), name, known))
 			continue
 		}
 		lines = append(lines, schemaErrors(field, pointer+"/"+name, object[name])...)
@@ -58,6 +58,7 @@
 	return lines
 }
 
+// itemErrors returns the faults of the items of a list.
 func itemErrors(schema *jsonschema.Schema, pointer string, list []any) (lines []string) {
 	for i, item := range list {
 		lines = append(lines, schemaErrors(schema, fmt.Sprintf("%s/%d", pointer, i), item)...)
@@ -65,12 +66,12 @@
 	return lines
 }
 
-// valueErrors checks a value that is no object, and the length of a list.
+// valueErrors validates a value other than an object; of a list it checks the length. It returns at most one line.
 func valueErrors(schema *jsonschema.Schema, pointer string, value any) []string {
-	// Definitions of the root schema can't be referred to from a part that is resolved by itself.
+	// A part of the schema that is resolved on its own cannot refer to definitions in the root schema.
 	resolved, err := schema.Resolve(nil)
 	if err != nil {
-		return []string{fmt.Sprintf("%s: the schema: %v", pointerOrRoot(pointer), err)}
+		return []string{fmt.Sprintf("%s: the schema is invalid: %v", pointerOrRoot(pointer), err)}
 	}
 	err = resolved.Validate(value)
 	if err == nil {
@@ -84,10 +85,10 @@
 	return []string{pointerOrRoot(pointer) + ": " + text}
 }
 
-// integerFraction matches integers that the library writes as fractions: 9999/1, 4096.000000.
+// integerFraction matches integers that the library writes as fractions, such as 9999/1 and 4096.000000.
 var integerFraction = regexp.MustCompile(`\b([0-9]+)(?:/1|[.]0+)\b`)
 
-// pointerOrRoot returns "/" for the pointer of the root, which is empty.
+// pointerOrRoot returns the pointer, or "/" for the empty pointer of the root.
 func pointerOrRoot(pointer string) string {
 	if pointer == "" {
 		return "/"
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// numericSetting is a setting that must not be below zero, under its name in the file.
+// numericSetting is a value that must not be negative, with the name of its field in JSON.
 type numericSetting struct {
 	field string
 	value float64
 }
 
-// check returns an error for the first setting that is not valid. dispatch.Config checks its own fields as well; here
-// each setting has the name that the author of the file knows.
+// check returns an error for the first invalid setting. dispatch.Config checks its own fields as well, but its errors
+// do not have the names of the fields in JSON, as the errors here do.
 func (s *Settings) check() error {
 	numeric := s.numericSettings()
 	for i := range s.Classes {
@@ -71,7 +71,7 @@
 	return numeric
 }
 
-// checkLengths checks that each list of the specifics is absent or has one value for each class or kind.
+// checkLengths checks that each list of the specifics is empty or has one value for each class or engine kind.
 func (s *Settings) checkLengths() error {
 	specifics, classes, kinds := &s.Specifics, len(s.Classes), len(s.Kinds)
 	for _, list := range []struct {
@@ -85,7 +85,7 @@
 		{"specifics.kind-memory-mb", len(specifics.KindMemoryMB), kinds},
 	} {
 		if list.length != 0 && list.length != list.want {
-			return fmt.Errorf("%s: has %d values for %d entries", list.field, list.length, list.want)
+			return fmt.Errorf("%s: has %d values, expected %d", list.field, list.length, list.want)
 		}
 	}
 	return nil
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -9,19 +9,20 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// ErrNotJSON is a text that is not exactly one JSON value.
+// ErrNotJSON reports that a text is not exactly one JSON value.
 var ErrNotJSON = errors.New("not valid JSON")
 
-// Decode reads JSON into a value. The error is one line that names the field by its name in JSON.
+// Decode decodes JSON into a value. The error is a single line; for a value of the wrong type, it has the name of the
+// field in JSON.
 func Decode(text []byte, into any) error {
 	err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(text, into)
 	if err == nil {
 		return nil
 	}
-	// json-iterator's errors have Go's names of fields and types; encoding/json knows the name in JSON.
+	// The errors of json-iterator have the Go names of fields and types; those of encoding/json have the names in JSON.
 	var typeError *json.UnmarshalTypeError
 	if errors.As(json.Unmarshal(text, into), &typeError) {
-		return fmt.Errorf("field %s: a %s does not fit", typeError.Field, typeError.Value)
+		return fmt.Errorf("field %s: unexpected JSON %s", typeError.Field, typeError.Value)
 	}
 	if !jsoniter.Valid(text) {
 		return ErrNotJSON
--- a/internal/settings/dispatchconfig.go
+++ b/internal/settings/dispatchconfig.go
@@ -7,7 +7,7 @@
 	"windflow/dispatch"
 )
 
-// The platform's names for values of settings; an empty name means the default.
+// The names that the platform's settings have for enumerated values. An empty name selects the default.
 var (
 	semanticsByName = map[string]dispatch.Semantics{
 		"": dispatch.Idempotent, "idempotent": dispatch.Idempotent,
@@ -23,10 +23,10 @@
 	}
 )
 
-// polledDiscoveryName is the platform's name for a discovery that routers have to poll.
+// polledDiscoveryName is the value of the discovery setting where routers have to poll for changes to the endpoints.
 const polledDiscoveryName = "subscribe"
 
-// ParseEnum looks a value's name in the platform's settings up in a table. Its error names the field.
+// ParseEnum returns the value of a name in a table. The error for an unknown name begins with the field.
 func ParseEnum[T any](field, name string, table map[string]T) (T, error) {
 	value, ok := table[name]
 	if !ok {
@@ -35,8 +35,8 @@
 	return value, nil
 }
 
-// DispatchConfig translates the settings; seed is that of the random numbers. Its error names the field by its name
-// in the file.
+// DispatchConfig checks the settings and converts them to a dispatch.Config, whose random numbers use the seed. The
+// error begins with the name of the invalid field in JSON.
 func (s *Settings) DispatchConfig(seed uint64) (dispatch.Config, error) {
 	if err := s.check(); err != nil {
 		return dispatch.Config{}, err
@@ -63,7 +63,7 @@
 	return cfg, nil
 }
 
-// scalarConfig translates everything but the lists.
+// scalarConfig converts all settings except the lists of classes, tenants and engine kinds.
 func (s *Settings) scalarConfig(seed uint64) (dispatch.Config, error) {
 	limits, rules, specifics := &s.Limits, &s.Rules, &s.Specifics
 	shortage, err := ParseEnum("specifics.overbooked", specifics.MemoryShortage, memoryShortagesByName)
@@ -97,7 +97,7 @@
 	}, nil
 }
 
-// dispatchClass translates the class with an index.
+// dispatchClass converts the class at an index of the list.
 func (s *Settings) dispatchClass(index int) (dispatch.Class, error) {
 	class, specifics := &s.Classes[index], &s.Specifics
 	semantics, err := ParseEnum(fmt.Sprintf("classes[%d].semantics", index), class.Semantics, semanticsByName)
@@ -120,7 +120,7 @@
 	}, nil
 }
 
-// valueAt returns a value of a list; the zero value if the list is absent.
+// valueAt returns the value at an index of a list, or the zero value if the list is too short or absent.
 func valueAt[T any](list []T, index int) T {
 	if index < len(list) {
 		return list[index]
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,5 @@
-// Package settings reads the platform's configuration of a router and translates it. Its JSON is the one form of the
-// settings, in the simulator's first message as in the file of a real router, and has the platform's own names; this
-// package is the only one that knows them. Overlay lays entries of the configuration log over such a file.
+// Package settings reads the platform's configuration of a router and converts it to the types of package dispatch. The
+// simulator's first message and the file of a real router contain the same JSON form of the settings. Its names of
+// fields and values are defined by the platform and used in this package only. Overlay applies entries of the
+// configuration log to such a file.
 package settings
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -8,18 +8,18 @@
 	"windflow/internal/clock"
 )
 
-// EndpointUpdate is a complete list of endpoints or the changes to one, and the addresses on which the engines listen.
+// EndpointUpdate is a complete list of endpoints or a list of changes, with the addresses on which the engines listen.
 type EndpointUpdate struct {
 	List      dispatch.EndpointList
 	Addresses map[dispatch.EngineID]string
 }
 
-// endpointStatesByName are the platform's names for the state of an engine.
+// endpointStatesByName maps the platform's names for the states of an engine.
 var endpointStatesByName = map[string]dispatch.EndpointState{
 	"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed,
 }
 
-// knownEndpoints is the platform's JSON of the endpoint events that a configuration has.
+// knownEndpoints is the JSON form of the endpoint events in a router's configuration.
 type knownEndpoints struct {
 	Revision uint64          `json:"rev"`
 	Events   []endpointEvent `json:"notices"`
@@ -27,11 +27,11 @@
 
 type endpointEvent struct {
 	Revision uint64        `json:"rev"`
-	Pool     *endpointPool `json:"pool"` // nil for events of another kind
+	Pool     *endpointPool `json:"pool"` // nil for other kinds of events
 }
 
 type endpointPool struct {
-	Complete  bool             `json:"complete"` // the list replaces all before it
+	Complete  bool             `json:"complete"` // the list replaces all earlier ones
 	Endpoints []endpointRecord `json:"members"`
 }
 
@@ -46,8 +46,8 @@
 	StartedAtMS    float64 `json:"up_since_ms"`
 }
 
-// ParseEndpoints applies the endpoint events of a configuration in their order, and returns the one complete list that
-// results, and the revision of the last event. The error names the field.
+// ParseEndpoints applies the endpoint events of a configuration in order. It returns the resulting complete list and
+// the revision of the last event, or an empty list and 0 for an empty text. The error names the invalid field.
 func ParseEndpoints(text []byte) (EndpointUpdate, uint64, error) {
 	endpoints := newEndpointSet()
 	if len(text) == 0 {
@@ -73,7 +73,7 @@
 	return endpoints.update, known.Revision, nil
 }
 
-// endpointSet is a complete list of endpoints that records are applied to.
+// endpointSet is a complete list of endpoints to which records are applied.
 type endpointSet struct {
 	update EndpointUpdate
 	index  map[dispatch.EngineID]int // in result.Events.Endpoints
@@ -89,7 +89,7 @@
 	}
 }
 
-// upsert adds an endpoint or replaces the one with its ID. The error begins with the name of the field in the record.
+// upsert adds an endpoint or replaces the one with the same ID. The error begins with the name of the invalid field.
 func (s *endpointSet) upsert(record endpointRecord) error {
 	endpoint, err := record.endpoint()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// endpoint translates the record.
+// endpoint converts the record. The error begins with the name of the invalid field.
 func (r endpointRecord) endpoint() (dispatch.Endpoint, error) {
 	id, err := ParseEngineID(r.ID)
 	if err != nil {
@@ -116,7 +116,7 @@
 		return dispatch.Endpoint{}, fmt.Errorf("phase: unknown value %q", r.State)
 	}
 	if _, err := netip.ParseAddrPort(r.Address); err != nil && state != dispatch.Removed {
-		return dispatch.Endpoint{}, fmt.Errorf("host_port: %q is no address and port", r.Address)
+		return dispatch.Endpoint{}, fmt.Errorf("host_port: %q is not an IP address and port", r.Address)
 	}
 	return dispatch.Endpoint{
 		ID: id, Cell: r.Cell, Zone: r.Zone, Kind: r.Kind, CapacityWeight: r.CapacityWeight, State: state,
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -10,6 +10,7 @@
 	"windflow/internal/clock"
 )
 
+// Later events replace earlier ones of the same engine, and the error for an invalid field has its position.
 func TestParseEndpoints(t *testing.T) {
 	memberJSON := func(phase string) string {
 		return `{"id":"s-00c41f7a","host_port":"10.1.0.9:8080","locality":"hall-a","flavor":"std-8","cell":2,"phase":"` +
@@ -22,7 +23,7 @@
 		Kind: "std-8", Cell: 2, CapacityWeight: 4, State: dispatch.Draining, StartedAt: clock.Duration(1500),
 	}}}
 	if diff := cmp.Diff(want, update.List); diff != "" || err != nil || revision != 41 {
-		t.Errorf("last %d, %v, %s", revision, err, diff)
+		t.Errorf("revision %d, error %v, difference %s", revision, err, diff)
 	}
 	for _, test := range []struct{ text, want string }{
 		{`{"rev":1,"notices":[{"pool":{"members":[{"id":"c41f7a"}]}}]}`, "notices[0].pool.members[0].id"},
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -17,17 +17,17 @@
 
 const (
 	discoveryPath = "/board"
-	// tenantsPath is followed by the name of a tenant.
+	// tenantsPath begins the pointer of a tenant's entry; the tenant's name follows.
 	tenantsPath = "/settings/parties/"
 )
 
-// routerFields are the fields that belong to a single router, so that no entry may name them.
+// routerFields are the pointers of the fields that differ between routers and that entries must not set.
 var routerFields = []string{
 	"/name", "/listen", "/seed", "/limits", "/control", "/known", "/settings/me", "/settings/zone",
 }
 
-// checkEntry returns why an entry is not valid, whatever it is laid over, or nil: its pointer has to name a field
-// that entries may set, and its value has to be JSON of the field's type. The error is a *configerror.Error.
+// checkEntry checks an entry independently of the file to which it is applied: its pointer must be that of a field that
+// entries may set, and its value must be JSON of the field's type. The error is a *configerror.Error.
 func checkEntry(pointer string, value Value) error {
 	names := splitPointer(pointer)
 	if err := checkPointer(pointer, names); err != nil {
@@ -37,33 +37,33 @@
 		return configerror.Invalidf(pointer, "the value is not valid JSON")
 	}
 	if string(bytes.TrimSpace(value)) == "null" {
-		return configerror.Invalidf(pointer, "null is no value; an entry that is not wanted is removed")
+		return configerror.Invalidf(pointer, "null is not a valid value; to unset the field, remove the entry")
 	}
 	switch {
 	case pointer == discoveryPath:
 		return checkType(pointer, value, reflect.TypeFor[string]())
 	case names[0] != "settings" || len(names) < 2:
-		return configerror.Invalidf(pointer, "is not for entries: these are /board and what is below /settings")
+		return configerror.Invalidf(pointer, "entries can only set /board and fields below /settings")
 	case names[1] != "parties":
 		return checkSetting(pointer, names, value)
 	case len(names) != 3:
-		return configerror.Invalidf(pointer, "parties are put one by one and whole, as %sNAME", tenantsPath)
+		return configerror.Invalidf(pointer, "parties must be set one by one and as a whole, as %sNAME", tenantsPath)
 	}
 	return checkTenant(pointer, names[2], value)
 }
 
-// checkPointer rejects pointers in another form than RFC 6901's and those of a single router's fields.
+// checkPointer rejects pointers that do not have the form of RFC 6901, and those of fields that differ between routers.
 func checkPointer(pointer string, names []string) error {
 	if len(names) == 0 {
-		return configerror.Invalidf(pointer, "is no JSON pointer (RFC 6901) below the whole")
+		return configerror.Invalidf(pointer, "is not a JSON pointer (RFC 6901) to a part of the document")
 	}
 	for _, name := range names {
 		if name == "" {
-			return configerror.Invalidf(pointer, "has an empty name in it")
+			return configerror.Invalidf(pointer, "contains an empty name")
 		}
 	}
 	if escaped := joinPointer(names); escaped != pointer {
-		return configerror.Invalidf(pointer, "is not how RFC 6901 escapes it: %s", escaped)
+		return configerror.Invalidf(pointer, "is not escaped as in RFC 6901; expected %s", escaped)
 	}
 	if isRouterField(pointer) {
 		return configerror.Invalidf(pointer, "is each router's own")
@@ -80,7 +80,7 @@
 	return false
 }
 
-// checkSetting checks an entry below /settings that is no tenant, by the type of the field in Settings.
+// checkSetting checks an entry below /settings, other than a tenant's, against the type of the field in Settings.
 func checkSetting(pointer string, names []string, value Value) error {
 	fieldType := reflect.TypeFor[Settings]()
 	for i, name := range names[1:] {
@@ -89,7 +89,7 @@
 		case fieldType.Kind() == reflect.Struct:
 			field, ok := fieldByJSONName(fieldType, name)
 			if !ok {
-				return configerror.Invalidf(pointer, "no field %s is known at %s", name, parent)
+				return configerror.Invalidf(pointer, "unknown field %s in %s", name, parent)
 			}
 			fieldType = field
 		case fieldType.Kind() == reflect.Slice:
@@ -98,13 +98,13 @@
 			}
 			fieldType = fieldType.Elem()
 		default:
-			return configerror.Invalidf(pointer, "%s is a value of its own", parent)
+			return configerror.Invalidf(pointer, "%s is neither an object nor a list", parent)
 		}
 	}
 	return checkType(pointer, value, fieldType)
 }
 
-// fieldByJSONName returns the type of the field that has a name in JSON.
+// fieldByJSONName returns the type of the struct field with a name in JSON.
 func fieldByJSONName(structType reflect.Type, name string) (reflect.Type, bool) {
 	for i := range structType.NumField() {
 		field := structType.Field(i)
@@ -115,8 +115,8 @@
 	return nil, false
 }
 
-// checkType returns why a value can't be read completely as a type. Unknown fields are errors: what would be ignored
-// is not put in force either. The error is a *configerror.Error.
+// checkType checks that a value can be decoded completely into a type. Unknown fields are errors, because a value that
+// the program ignores would not take effect. The error is a *configerror.Error.
 func checkType(pointer string, value Value, want reflect.Type) error {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
@@ -129,22 +129,23 @@
 	case !errors.As(err, &typeError):
 		return configerror.Invalidf(pointer, "%s", strings.TrimPrefix(err.Error(), "json: "))
 	case typeError.Field == "":
-		return configerror.Invalidf(pointer, "a %s does not fit", typeError.Value)
+		return configerror.Invalidf(pointer, "unexpected JSON %s", typeError.Value)
 	}
-	return configerror.Invalidf(pointer, "field %s: a %s does not fit", typeError.Field, typeError.Value)
+	return configerror.Invalidf(pointer, "field %s: unexpected JSON %s", typeError.Field, typeError.Value)
 }
 
-// tenantEntry is the value of a tenant's entry.
+// tenantEntry is the value of a tenant's entry. A field that is absent is nil.
 type tenantEntry struct {
 	Name  *string  `json:"name"`
 	Quota *float64 `json:"quota-rps"`
 	Share *float64 `json:"share"`
 }
 
-// strictJSON is the faster reader, for the many tenants; checkType writes the errors.
+// strictJSON decodes the entries of tenants, of which there may be many, faster than encoding/json. Where it fails,
+// checkType provides the error.
 var strictJSON = jsoniter.Config{DisallowUnknownFields: true}.Froze()
 
-// checkTenant checks a tenant's entry. The error is a *configerror.Error.
+// checkTenant checks the entry of the tenant with a name. The error is a *configerror.Error.
 func checkTenant(pointer, name string, value Value) error {
 	var tenant tenantEntry
 	if strictJSON.Unmarshal(value, &tenant) != nil {
@@ -157,13 +158,13 @@
 	}
 	switch {
 	case tenant.Name != nil && *tenant.Name != name:
-		return configerror.Invalidf(pointer, "field name: %q is not the name in the pointer", *tenant.Name)
+		return configerror.Invalidf(pointer, "field name: %q is not the name in the pointer, %q", *tenant.Name, name)
 	case tenant.Quota == nil:
 		return configerror.Invalidf(pointer, "field quota-rps is missing")
 	case *tenant.Quota < 0:
-		return configerror.Invalidf(pointer, "field quota-rps: is below 0")
+		return configerror.Invalidf(pointer, "field quota-rps: %v is below 0", *tenant.Quota)
 	case tenant.Share != nil && *tenant.Share < 0:
-		return configerror.Invalidf(pointer, "field share: is below 0")
+		return configerror.Invalidf(pointer, "field share: %v is below 0", *tenant.Share)
 	}
 	return nil
 }
--- a/internal/settings/jsontree.go
+++ b/internal/settings/jsontree.go
@@ -11,17 +11,18 @@
 	"strings"
 )
 
-var errNotAContainer = errors.New("is below a value that is no object")
+var errNotAContainer = errors.New("is below a value that is neither an object nor a list")
 
-// jsonTree is a JSON document of which only the parts are decoded that values are put into: an object, a list, or raw
-// text.
+// jsonTree is a node of a JSON document: an object, a list, or raw text. Only the nodes on the path to a value that is
+// set are decoded; all others remain raw text.
 type jsonTree struct {
 	raw    Value
 	object map[string]*jsonTree
 	list   []*jsonTree
 }
 
-// decode decodes one level; an absent or null value becomes an empty object.
+// decode decodes raw text into the fields of an object or the items of a list, which remain raw. An absent or null
+// value becomes an empty object. Any other value is an error.
 func (t *jsonTree) decode() error {
 	if t.object != nil || t.list != nil {
 		return nil
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// put sets the value below these names. Objects are created where there are none; an item of a list has to exist.
+// put sets the value at a path of field names and list indexes. Missing objects are created; a list item must exist.
 func (t *jsonTree) put(names []string, value Value) error {
 	node := t
 	for _, name := range names {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// child returns a field of an object, which is created if it is absent, or an item of a list.
+// child returns a field of an object, creating it if it is absent, or an item of a list.
 func (t *jsonTree) child(name string) (*jsonTree, error) {
 	if t.object != nil {
 		fieldKey := t.existingKey(name)
@@ -95,12 +96,13 @@
 		return nil, err
 	}
 	if index >= len(t.list) {
-		return nil, fmt.Errorf("there is no item %d in a list of %d", index, len(t.list))
+		return nil, fmt.Errorf("there is no item %d in a list of %d items", index, len(t.list))
 	}
 	return t.list[index], nil
 }
 
-// existingKey returns the key of a field in the object: encoding/json ignores case where no key matches exactly.
+// existingKey returns the key under which the object has a field, or the name itself if the field is absent. As in
+// encoding/json, case is ignored if no key matches exactly.
 func (t *jsonTree) existingKey(name string) string {
 	if t.object[name] != nil {
 		return name
@@ -113,7 +115,7 @@
 	return name
 }
 
-// append appends the document to a buffer; what was not decoded stays as it was written.
+// append appends the JSON text of the node to a buffer. Raw text is copied unchanged.
 func (t *jsonTree) append(buffer []byte) []byte {
 	switch {
 	case t.object != nil:
@@ -151,11 +153,11 @@
 	return append(buffer, ']')
 }
 
-// parseIndex reads the index of an item of a list.
+// parseIndex parses the index of a list item: a decimal number without a sign or leading zeros.
 func parseIndex(name string) (int, error) {
 	index, err := strconv.Atoi(name)
 	if err != nil || index < 0 || strconv.Itoa(index) != name {
-		return 0, fmt.Errorf("%q is not the number of an item", name)
+		return 0, fmt.Errorf("%q is not the index of a list item", name)
 	}
 	return index, nil
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -17,22 +17,22 @@
 	Seed             string              `json:"seed"` // hex
 	Limits           NodeLimits          `json:"limits"`
 	DiscoveryAddress string              `json:"board"`
-	AdminAddress     string              `json:"control"` // empty without an admin server
+	AdminAddress     string              `json:"control"` // empty: no admin server
 	KnownEndpoints   jsoniter.RawMessage `json:"known"`   // see ParseEndpoints
 	RawSettings      jsoniter.RawMessage `json:"settings"`
-	// Settings is parsed from RawSettings, and SeedValue from Seed.
+	// Settings is decoded from RawSettings, and SeedValue from Seed.
 	Settings  Settings `json:"-"`
 	SeedValue uint64   `json:"-"`
 }
 
-// NodeLimits are what the process may use; 0 means a default.
+// NodeLimits bound the resources that the process may use. 0 selects a default.
 type NodeLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// ReadNode reads a configuration file. The error is one line that names the field.
+// ReadNode reads a configuration file. The error for invalid content is a single line that names the field.
 func ReadNode(path string) (*Node, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return ParseNode(text)
 }
 
-// ParseNode reads a configuration; unknown fields are ignored.
+// ParseNode parses a configuration. Unknown fields are ignored. The error is a single line that names the field.
 func ParseNode(text []byte) (*Node, error) {
 	node := &Node{}
 	if err := Decode(text, node); err != nil {
@@ -53,12 +53,12 @@
 	if node.Seed != "" {
 		value, err := strconv.ParseUint(node.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("field seed: %q is not a hex number of 64 bits", node.Seed)
+			return nil, fmt.Errorf("field seed: %q is not a hex number of at most 64 bits", node.Seed)
 		}
 		node.SeedValue = value
 	}
 	if node.Limits.MemoryMB < 0 || node.Limits.Sockets < 0 {
-		return nil, errors.New("field limits: memory_mb or sockets is below zero")
+		return nil, errors.New("field limits: memory_mb or sockets is below 0")
 	}
 	if len(node.RawSettings) == 0 {
 		return nil, errors.New("field settings is missing")
@@ -78,7 +78,7 @@
 			continue
 		}
 		if host, port, ok := strings.Cut(field.address, ":"); !ok || host == "" || port == "" {
-			return fmt.Errorf("field %s: %q is no address:port", field.name, field.address)
+			return fmt.Errorf("field %s: %q is not in the form address:port", field.name, field.address)
 		}
 	}
 	return nil
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
+// The error is one line with the name of the invalid field.
 func TestParseNodeNamesTheField(t *testing.T) {
 	valid := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"a","deadline-ns":5}],"later":1}}`
 	node, err := ParseNode([]byte(valid))
 	if err != nil || node.SeedValue != 0x8c1f30d27a5be964 || node.Settings.Classes[0].DeadlineNS != 5 {
-		t.Fatalf("%+v, %v", node, err)
+		t.Fatalf("parsed %+v, error %v", node, err)
 	}
 	for _, test := range []struct{ from, to, want string }{
 		{`"127.0.0.1:1"`, `"here"`, "listen"},
@@ -29,7 +30,7 @@
 	}
 }
 
-// A number that makes no sense is named as the file names it, not as the module does.
+// The error for an invalid number has the name of the field in the file, not the one in package dispatch.
 func TestDispatchConfigNamesTheField(t *testing.T) {
 	valid := `{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"kinds":["k"],"balancers":2,"period-ns":5,` +
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -10,12 +10,12 @@
 	"windflow/internal/decide/configerror"
 )
 
-// Overlay returns a platform file with entries laid over it: values by JSON pointer (RFC 6901). Without entries that
-// is the file itself, byte for byte. The error of an entry is a *configerror.Error.
+// Overlay applies entries to a platform file: each entry sets the value at its JSON pointer (RFC 6901). Without entries
+// it returns the file unchanged, byte for byte. The error of an invalid entry is a *configerror.Error.
 //
-// An entry may name `/board` and what is below `/settings` and known to this program; settings of a single router may
-// not be named. The tenants are put one by one, `/settings/parties/NAME`; with any such entry the list consists of
-// these only, by the order of their names. An item of another list is named by its index, and has to exist.
+// Entries may set `/board` and the fields below `/settings` that this program knows, except fields that differ between
+// routers. Tenants are set one by one, as `/settings/parties/NAME`. With at least one such entry, the list of tenants
+// consists of these entries only, sorted by name. An item of any other list is addressed by its index and must exist.
 func Overlay(platform []byte, entries map[string]Value) ([]byte, error) {
 	if len(entries) == 0 {
 		return platform, nil
@@ -48,7 +48,7 @@
 	return document.append(nil), nil
 }
 
-// checkNotNested rejects a pointer that is below that of another entry.
+// checkNotNested returns an error if a pointer is below that of another entry.
 func checkNotNested(pointer string, entries map[string]Value) error {
 	for i := range pointer {
 		if pointer[i] != '/' {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// putTenants replaces the list of tenants, unless there are none.
+// putTenants replaces the list of tenants in the document. Without tenants the list stays as it is.
 func (t *jsonTree) putTenants(tenants map[string]Value) error {
 	if len(tenants) == 0 {
 		return nil
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// tenantList returns the list of tenants in the order of names. Each value is an object that was checked, and not
-// empty.
+// tenantList returns the JSON list of tenants in the order of names. Each value must be an object that checkTenant has
+// accepted, so that it is not empty.
 func tenantList(names []string, tenants map[string]Value) (Value, error) {
 	list := []byte{'['}
 	for i, name := range names {
@@ -89,7 +89,7 @@
 		if i > 0 {
 			list = append(list, ',')
 		}
-		// A name in the object is the same one, so that it may occur twice.
+		// The object may repeat the field name: checkTenant has checked that it has the same value.
 		list = append(list, `{"name":`...)
 		list = append(list, text...)
 		list = append(list, ',')
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -22,12 +22,12 @@
 	return text
 }
 
-// Without entries the result is the router's own file; with some, only what they name differs from it.
+// Without entries the result is the platform file; with entries only the fields that they name differ from it.
 func TestOverlayChangesOnlyNamedFields(t *testing.T) {
 	platform := readExample(t)
 	unchanged, err := Overlay(platform, nil)
 	if err != nil || string(unchanged) != string(platform) {
-		t.Fatalf("without entries the file changed: %v", err)
+		t.Fatalf("the file changed without entries, error %v", err)
 	}
 	text, err := Overlay(platform, map[string]Value{
 		"/board":                              Value(`"127.0.0.1:9"`),
@@ -61,17 +61,18 @@
 	}
 	node, err := ParseNode(text)
 	if err != nil || node.Settings.Tenants[1].Name != "west/two" || node.Settings.Tenants[1].Quota != 3 {
-		t.Errorf("%+v, %v", node, err)
+		t.Errorf("parsed %+v, error %v", node, err)
 	}
 }
 
-// A field that the file writes in another case is the same field, as it is when the file is read.
+// An entry replaces a field whose name differs in case, because the decoder ignores case too. Otherwise the result
+// would have the field twice.
 func TestOverlayIgnoresCaseOfFieldNames(t *testing.T) {
 	text, err := Overlay([]byte(`{"Board":"127.0.0.1:1","settings":{"Rules":{"cold-ns":4}}}`),
 		map[string]Value{"/board": Value(`"127.0.0.1:2"`), "/settings/rules/cold-from": Value(`0.5`)})
 	const want = `{"Board":"127.0.0.1:2","settings":{"Rules":{"cold-from":0.5,"cold-ns":4}}}`
 	if err != nil || string(text) != want {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("result %s, error %v", text, err)
 	}
 }
 
@@ -86,30 +87,30 @@
 		{"/known", `{}`, "own"},
 		{"/settings/me", `3`, "own"},
 		{"/settings/zone", `"hall-b"`, "own"},
-		{"/settings", `{}`, "not for entries"},
-		{"/flightsql/listen", `"x"`, "not for entries"},
-		{"", `{}`, "no JSON pointer"},
-		{"board", `"127.0.0.1:1"`, "no JSON pointer"},
+		{"/settings", `{}`, "entries can only set /board"},
+		{"/flightsql/listen", `"x"`, "entries can only set /board"},
+		{"", `{}`, "not a JSON pointer"},
+		{"board", `"127.0.0.1:1"`, "not a JSON pointer"},
 		{"/settings//rules", `{}`, "empty name"},
-		{"/settings/rules~", `{}`, "escapes"},
-		{"/board", `7`, "a number does not fit"},
+		{"/settings/rules~", `{}`, "escaped as in RFC 6901; expected /settings/rules~0"},
+		{"/board", `7`, "unexpected JSON number"},
 		{"/board", `null`, "null"},
 		{"/board", `"x`, "not valid JSON"},
-		{"/settings/over-shar-worth", `1`, "no field over-shar-worth is known at /settings"},
-		{"/settings/rules/cold-from/x", `1`, "/settings/rules/cold-from is a value of its own"},
+		{"/settings/over-shar-worth", `1`, "unknown field over-shar-worth in /settings"},
+		{"/settings/rules/cold-from/x", `1`, "/settings/rules/cold-from is neither an object nor a list"},
 		{"/settings/rules", `{"cold-form":1}`, "cold-form"},
-		{"/settings/rules", `{"cold-from":"x"}`, "field cold-from: a string does not fit"},
-		{"/settings/classes/-/credit", `1`, "not the number of an item"},
-		{"/settings/classes/01/credit", `1`, "not the number of an item"},
-		{"/settings/classes/9/credit", `1`, "no item 9 in a list of 3"},
+		{"/settings/rules", `{"cold-from":"x"}`, "field cold-from: unexpected JSON string"},
+		{"/settings/classes/-/credit", `1`, "not the index of a list item"},
+		{"/settings/classes/01/credit", `1`, "not the index of a list item"},
+		{"/settings/classes/9/credit", `1`, "no item 9 in a list of 3 items"},
 		{"/settings/parties", `[]`, "one by one"},
 		{"/settings/parties/a/quota-rps", `1`, "one by one"},
 		{"/settings/parties/a", `{}`, "quota-rps is missing"},
-		{"/settings/parties/a", `{"quota-rps":-1}`, "quota-rps: is below 0"},
-		{"/settings/parties/a", `{"quota-rps":1,"share":-1}`, "share: is below 0"},
+		{"/settings/parties/a", `{"quota-rps":-1}`, "quota-rps: -1 is below 0"},
+		{"/settings/parties/a", `{"quota-rps":1,"share":-1}`, "share: -1 is below 0"},
 		{"/settings/parties/a", `{"quota-rps":1,"name":"b"}`, `"b" is not the name`},
 		{"/settings/parties/a", `{"quota-rps":1,"worth":2}`, "worth"},
-		{"/settings/parties/a", `{"quota-rps":"x"}`, "field quota-rps: a string does not fit"},
+		{"/settings/parties/a", `{"quota-rps":"x"}`, "field quota-rps: unexpected JSON string"},
 	} {
 		_, err := Overlay(platform, map[string]Value{
 			"/settings/over-share-worth": Value(`0.5`), test.pointer: Value(test.value),
@@ -117,20 +118,21 @@
 		var rejected *configerror.Error
 		if !errors.As(err, &rejected) || rejected.Pointer != test.pointer || !strings.Contains(rejected.Reason, test.want) ||
 			strings.Contains(rejected.Reason, "\n") {
-			t.Errorf("%s %s: %v, want %q", test.pointer, test.value, err, test.want)
+			t.Errorf("%s %s: error %v, want %q", test.pointer, test.value, err, test.want)
 		}
 	}
 	_, err := Overlay(platform, map[string]Value{"/settings/rules": Value(`{}`), "/settings/rules/cold-ns": Value(`1`)})
 	if err == nil || !strings.Contains(err.Error(), "part of the entry /settings/rules") {
-		t.Errorf("one entry in another: %v", err)
+		t.Errorf("an entry within another one: error %v", err)
 	}
-	if _, err := Overlay([]byte(`{"settings":`), map[string]Value{"/board": Value(`"a:1"`)}); !errors.Is(err, ErrNotJSON) {
-		t.Errorf("a file that is no JSON: %v", err)
+	_, err = Overlay([]byte(`{"settings":`), map[string]Value{"/board": Value(`"a:1"`)})
+	if !errors.Is(err, ErrNotJSON) {
+		t.Errorf("a file that is not JSON: error %v", err)
 	}
 }
 
-// Each field of the example can be put, but for what is a router's own: a field that the program reads and entries
-// don't know would be one that can't be changed.
+// Entries can set each field of the example, except the fields that differ between routers. A field that the program
+// reads but entries do not accept could not be changed through the configuration log.
 func TestEntriesCanSetEachFieldOfExample(t *testing.T) {
 	var document any
 	if err := json.Unmarshal(readExample(t), &document); err != nil {
@@ -164,6 +166,6 @@
 	}
 	check("", document)
 	if fields < 60 {
-		t.Errorf("%d fields", fields)
+		t.Errorf("%d fields were checked, want at least 60", fields)
 	}
 }
--- a/internal/settings/pointer.go
+++ b/internal/settings/pointer.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// splitPointer returns the unescaped names of a JSON pointer (RFC 6901); nil for the empty pointer and for a text
-// that is no pointer.
+// splitPointer returns the unescaped names in a JSON pointer (RFC 6901). It returns nil for the empty pointer and for a
+// text that does not begin with a slash.
 func splitPointer(pointer string) []string {
 	path, ok := strings.CutPrefix(pointer, "/")
 	if !ok {
@@ -29,7 +29,7 @@
 	return pointer.String()
 }
 
-// escapePointerName returns a name as a JSON pointer has it.
+// escapePointerName escapes a name for a JSON pointer.
 func escapePointerName(name string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(name, "~", "~0"), "/", "~1")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 package settings
 
-// Settings is the JSON form of dispatch.Config, with the platform's names. Unknown fields are ignored. Durations are in
-// nanoseconds.
+// Settings is the JSON form of dispatch.Config with the platform's names of fields. Unknown fields are ignored.
+// Durations are in nanoseconds.
 type Settings struct {
 	RouterIndex int      `json:"me"`
 	Routers     int      `json:"balancers"`
@@ -12,14 +12,14 @@
 	Kinds       []string `json:"kinds"`
 	Zones       []string `json:"failure-domains"`
 	Tenants     []Tenant `json:"parties"`
-	// OverQuotaWeight is the priority weight of a request beyond its tenant's quota, relative to one within it.
+	// OverQuotaWeight is the priority weight of a request beyond its tenant's quota, relative to one within the quota.
 	OverQuotaWeight float64   `json:"over-share-worth"`
 	Limits          Limits    `json:"limits"`
 	Rules           Rules     `json:"rules"`
 	Specifics       Specifics `json:"specifics"`
 }
 
-// Class is a class of requests.
+// Class has the settings of a class of requests.
 type Class struct {
 	Name                string   `json:"name"`
 	ObjectiveStretch    float64  `json:"aim-stretch"`
@@ -35,7 +35,7 @@
 	Kinds               []string `json:"allowed-on"`
 }
 
-// Tenant is a tenant with its quota in requests a second over all routers.
+// Tenant has the quota of a tenant in requests per second, over all routers together.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota-rps"`
@@ -48,12 +48,12 @@
 	HedgingAllowed    bool  `json:"second-copies"`
 	RetryAfterAllowed bool  `json:"retry-after"`
 	MaxRetryAfterNS   int64 `json:"max-retry-after-ns"`
-	// ConnectTimeoutNS and ConnectionIdleNS are for real sockets only; dispatch.Config does not have them.
+	// ConnectTimeoutNS and ConnectionIdleNS apply to real sockets only and are not part of dispatch.Config.
 	ConnectTimeoutNS int64 `json:"connect-timeout-ns"`
 	ConnectionIdleNS int64 `json:"conn-idle-ns"`
 }
 
-// Rules are the parameters of discovery, slow start and the retry budget.
+// Rules has the parameters of discovery, slow start, the cooldown of keys and the retry budget.
 type Rules struct {
 	DiscoveryTimeoutNS     int64   `json:"ask-within-ns"`
 	WarmUpInitialShare     float64 `json:"cold-from"`
@@ -66,7 +66,8 @@
 	RetryBudgetWindowNS    int64   `json:"look-back-ns"`
 }
 
-// Specifics are what the platform's engines do. The lists have one value for each class or for each engine kind.
+// Specifics describes the features of the platform's engines. A list is empty or has one value for each class or each
+// engine kind.
 type Specifics struct {
 	ClassLocksTableGroup []bool    `json:"class-load"`
 	KindCores            []float64 `json:"cores-by-kind"`
--- a/internal/validate/bench_test.go
+++ b/internal/validate/bench_test.go
@@ -8,7 +8,8 @@
 	"windflow/internal/settings"
 )
 
-// The validation of a revision over a router's own file, by the number of tenants. It runs outside of the event loop.
+// BenchmarkEntries measures the validation of a revision on top of a router's own file, for several numbers of tenants.
+// Routers validate outside the event loop.
 func BenchmarkEntries(b *testing.B) {
 	base, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
--- a/internal/validate/doc.go
+++ b/internal/validate/doc.go
@@ -1,4 +1,4 @@
-// Package validate checks configurations completely without using them. The router at its start, `windflow config
-// check` and the keepers call it, so that they agree. It opens nothing and imports neither the network nor a
-// protocol.
+// Package validate checks configurations completely without putting them in force. The router at startup, `windflow
+// config check` and the keepers all call it, so that they accept the same configurations. It opens neither files nor
+// connections, and imports neither package net nor a protocol.
 package validate
--- a/internal/validate/invalidentry.go
+++ b/internal/validate/invalidentry.go
@@ -9,7 +9,7 @@
 	"windflow/internal/settings"
 )
 
-// invalidEntry returns the pointer of the entry that makes a configuration invalid; empty if it is none of them.
+// invalidEntry returns the pointer of the entry that makes a configuration invalid. It is empty if no entry does.
 func invalidEntry(err error, base []byte, entries map[string]settings.Value) string {
 	if pointer := entryOfNamedField(err.Error(), entries); pointer != "" {
 		return pointer
@@ -17,8 +17,9 @@
 	return firstInvalidEntry(base, entries)
 }
 
-// entryOfNamedField returns the pointer of the entry that has, or is part of, the field that a reason begins with; empty for
-// none: "field settings: classes[2].name: ..." is /settings/classes/2/name.
+// entryOfNamedField returns the pointer of the entry that contains, or is part of, the field with whose name an error
+// text begins, or an empty text if there is none. The text "field settings: classes[2].name: ..." names the field
+// /settings/classes/2/name.
 func entryOfNamedField(reason string, entries map[string]settings.Value) string {
 	field, ok := strings.CutPrefix(reason, "field ")
 	if !ok {
@@ -38,14 +39,14 @@
 	return ""
 }
 
-// isWithin returns whether a JSON pointer is another one, or below it.
+// isWithin reports whether a JSON pointer is equal to another one or below it.
 func isWithin(pointer, other string) bool {
 	return pointer == other || strings.HasPrefix(pointer, other+"/")
 }
 
-// firstInvalidEntry returns the pointer of the first entry, in their order, with which, and with those before it, the
-// configuration is not valid. It is empty if the base is not valid without any: entries may correct it, so that only
-// all of them together can be judged.
+// firstInvalidEntry returns the pointer of the first entry, in the order of pointers, with which the configuration
+// becomes invalid when the entries are applied one after the other. It is empty if the base is invalid without entries:
+// entries may correct the base, so that only all of them together can be checked.
 func firstInvalidEntry(base []byte, entries map[string]settings.Value) string {
 	order := slices.Sorted(maps.Keys(entries))
 	isInvalid := func(count int) bool {
--- a/internal/validate/resources.go
+++ b/internal/validate/resources.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// sessionShare is the share of the descriptors that client sessions may take; clients use up to a third.
+	// sessionShare is the share of the file descriptors that client sessions may use. Clients use up to a third.
 	sessionShare = 0.4
-	// maxQueuedShare is the number of queued requests against the number of descriptors; see DispatchConfig.
+	// maxQueuedShare is the maximum number of queued requests as a share of the file descriptors; see DispatchConfig.
 	maxQueuedShare = 1.0 / 12
 
-	// ReservedDescriptors are for the listeners, discovery, the log, the poller, operators, and connections that
-	// count twice for a moment while the system's dialer hands them to the poller; a third of all descriptors where
-	// there are few.
+	// ReservedDescriptors is the number of file descriptors for the listeners, discovery, the log, the poller,
+	// operators, and connections that use two descriptors for a moment while package net's dialer hands them to the
+	// poller. Where there are few descriptors, a third of them is reserved for these and the successor.
 	ReservedDescriptors = 64
-	// SuccessorDescriptors are left for a successor, which needs them before the two processes have met; the limit of
-	// descriptors is that of both.
+	// SuccessorDescriptors is the number of file descriptors left for the successor in a hot restart, which needs them
+	// before the two processes have connected. Both processes share the limit of descriptors.
 	SuccessorDescriptors = 40
 
-	// minEngineConnections is the number of connections to engines below which a router can't work.
+	// minEngineConnections is the number of connections to engines that a router needs at least.
 	minEngineConnections = 16
 
 	defaultDescriptors = 1024
@@ -31,16 +31,16 @@
 	maxInboundBytes = 4 << 20
 )
 
-// ResourceLimits are the limits that a configuration sets for the parts of a router.
+// ResourceLimits are the limits of the parts of a router that result from its configuration.
 type ResourceLimits struct {
-	InboundBytes      int // read and not handled yet
+	InboundBytes      int // received and not handled yet
 	ClientSessions    int
 	BufferedBytes     int // of responses that clients have not read yet
 	EngineConnections int
 }
 
-// DivideResources divides descriptors and memory; reserved are the descriptors of parts that the configuration does
-// not name. The error names the field.
+// DivideResources divides file descriptors and memory among the parts of a router. reserved is the number of
+// descriptors of parts that the configuration does not contain. The error names the field that is too low.
 func DivideResources(cfg *settings.Node, reserved int) (ResourceLimits, error) {
 	descriptors := orDefault(cfg.Limits.Sockets, defaultDescriptors)
 	memory := orDefault(cfg.Limits.MemoryMB<<20, defaultMemoryMB<<20)
@@ -52,7 +52,8 @@
 	reserved += min(ReservedDescriptors+SuccessorDescriptors, descriptors/3)
 	limits.EngineConnections = descriptors - limits.ClientSessions - reserved
 	if limits.EngineConnections < minEngineConnections {
-		return limits, fmt.Errorf("field limits.sockets: %d leaves no connections for engines", descriptors)
+		return limits, fmt.Errorf("field limits.sockets: %d leaves %d connections for engines, expected at least %d",
+			descriptors, limits.EngineConnections, minEngineConnections)
 	}
 	return limits, nil
 }
@@ -65,8 +66,9 @@
 	return value
 }
 
-// DispatchConfig returns the configuration of dispatch. Its queues are bounded by the number of descriptors: clients
-// have at most a third of them open, and if most of those waited in queues, new requests could not even be admitted.
+// DispatchConfig converts the settings to the configuration of dispatch and bounds its queues by the number of file
+// descriptors: clients have at most a third of the descriptors open, and if the requests on most of those waited in
+// queues, new requests could not even be admitted.
 func DispatchConfig(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
 	dispatchConfig, err := cfg.Settings.DispatchConfig(seed)
 	dispatchConfig.MaxQueued = int(maxQueuedShare * float64(cfg.Limits.Sockets))
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -8,7 +8,7 @@
 	"windflow/internal/settings"
 )
 
-// NodeConfig checks the platform's configuration of a router. The error is one line that names the field.
+// NodeConfig checks the platform's configuration of a router. The error is a single line that names the invalid field.
 func NodeConfig(text []byte) error {
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return checkUsable(cfg)
 }
 
-// checkUsable checks what dispatch and the division of resources require of a parsed configuration.
+// checkUsable checks that a parsed configuration meets the requirements of package dispatch and of DivideResources.
 func checkUsable(cfg *settings.Node) error {
 	dispatchConfig, err := DispatchConfig(cfg, cfg.SeedValue)
 	if err == nil {
@@ -33,18 +33,18 @@
 	return err
 }
 
-// Entries checks entries that are laid over a base configuration, the platform file of a router; nil if a router
-// could use them. The same entries have the same error everywhere.
+// Entries checks the configuration that results from applying entries to a base configuration, the platform file of a
+// router. It returns nil if a router could use the result. The same entries cause the same error in every process.
 //
-// The error is or wraps a *configerror.Error of kind Invalid. Its pointer is that of the entry which has the field
-// that the error names; where it names none of them, the first, in the order of their pointers, with which the
-// configuration stops being valid; empty if the base is not valid without them.
+// The error is or wraps a *configerror.Error of kind Invalid. Its pointer is that of the entry with the field that the
+// error names. If the error names no entry's field, the pointer is that of the first entry, in the order of pointers,
+// with which the configuration becomes invalid. It is empty if the base is invalid without entries.
 func Entries(base []byte, entries map[string]settings.Value) error {
 	_, err := Overlay(base, entries)
 	return err
 }
 
-// Overlay checks as Entries does, and returns the configuration that it checked.
+// Overlay checks entries as Entries does, and returns the resulting configuration.
 func Overlay(base []byte, entries map[string]settings.Value) (*settings.Node, error) {
 	text, err := settings.Overlay(base, entries)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil, configerror.Invalidf(pointer, "%s", err)
 }
 
-// parseAndCheck reads a configuration that entries are laid over.
+// parseAndCheck parses and checks a configuration to which entries were applied.
 func parseAndCheck(text []byte) (*settings.Node, error) {
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return cfg, checkUsable(cfg)
 }
 
-// baseError is the error of a base configuration that is not valid itself.
+// baseError returns the error for a base configuration that is invalid without entries.
 func baseError(err error) error {
-	return fmt.Errorf("the base configuration: %w", configerror.Invalidf("", "%s", err))
+	return fmt.Errorf("invalid base configuration: %w", configerror.Invalidf("", "%s", err))
 }
