--- a/internal/configclient/bench_test.go
+++ b/internal/configclient/bench_test.go
@@ -11,7 +11,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// countingListener counts the bytes of connections that it accepts.
+// countingListener counts the bytes that are received and sent on the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
@@ -39,7 +39,8 @@
 	return n, err
 }
 
-// One poll without an update, with the keeper's side of it in the same process; the bytes are those of HTTP.
+// BenchmarkPoll measures a poll without a newer revision. It includes the keeper's side, which runs in the same
+// process. The reported bytes are those of HTTP.
 func BenchmarkPoll(b *testing.B) {
 	noContent := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 	server := httptest.NewUnstartedServer(http.HandlerFunc(noContent))
--- a/internal/configclient/change_limiter.go
+++ b/internal/configclient/change_limiter.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// changeInterval bounds how often a call may return a change while many are made: it limits reloads and their
-	// bytes.
+	// changeInterval is the mean time between calls that return a change while changes are made in quick succession. It
+	// limits the number of reloads and the bytes that they transfer.
 	changeInterval = 500 * time.Millisecond
-	// changeBurst changes are not delayed, so that the status after a single change is reported at once.
+	// changeBurst is the number of changes that are not delayed, so that the status after a single change is reported
+	// at once.
 	changeBurst = 2
 )
 
-// changeLimiter is a token bucket of changes.
+// changeLimiter limits the rate of changes with a token bucket.
 type changeLimiter struct {
 	tokens    float64
 	updatedAt time.Time
@@ -23,7 +24,7 @@
 	return changeLimiter{tokens: changeBurst, updatedAt: time.Now()}
 }
 
-// wait takes a token for a received change, and waits until another change may be received or ctx ends.
+// wait takes a token for a received change and waits until the next change may be received or ctx ends.
 func (l *changeLimiter) wait(ctx context.Context) {
 	now := time.Now()
 	refill := float64(now.Sub(l.updatedAt)) / float64(changeInterval)
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// answerTimeout is the time a keeper has to answer beyond the requested wait.
+	// answerTimeout is the time that a keeper has for its answer in addition to the requested wait.
 	answerTimeout = 2 * time.Second
-	// earlyAnswerDelay is the mean wait after an answer without a newer revision that arrived at once.
+	// earlyAnswerDelay is the mean wait before the next poll after an answer without a newer revision that arrived in
+	// less than half of the requested wait.
 	earlyAnswerDelay = 200 * time.Millisecond
-	// stopTimeout bounds the wait for the goroutines at the end; a disk may hang.
+	// stopTimeout bounds the time that Stop waits for the goroutines: an access to the disk may hang.
 	stopTimeout = 200 * time.Millisecond
 )
 
-// Client follows the keepers.
+// Client polls the keepers for newer revisions of the configuration and has the router apply them.
 type Client struct {
 	Counters Counters
 
@@ -30,20 +31,20 @@
 	copies    *copyStore
 	control   pollControl
 
-	// What follows belongs to Restore and, once the client is started, to the polling goroutine.
+	// The fields below are used by Restore and, after Start, by the polling goroutine only.
 	keeper         keeperConn
 	follower       *configlog.Follower
 	apply          Apply
 	limiter        changeLimiter
 	lastCallFailed bool
 
-	stopped    context.Context // ends with Stop
+	stopped    context.Context // canceled by stop
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// New returns a client that does nothing yet. The name is the router's, the instance this process's; see
-// configlog.NewInstance.
+// New returns a client that makes no call until Restore or Start. The name is that of the router, and the instance
+// identifies this process; see configlog.NewInstance.
 func New(config Config, name, instance string, log *slog.Logger) *Client {
 	client := &Client{
 		log:       log,
@@ -57,27 +58,30 @@
 	return client
 }
 
-// Configure replaces the addresses and the wait from the next call on. The directory stays the same.
+// Configure replaces the addresses and the maximum wait of a poll, and makes the next call at once. The directory stays
+// the same.
 func (c *Client) Configure(config Config) {
 	c.control.set(func() { c.control.config = config })
 }
 
-// RetryRejected allows rejected revisions to be offered again, because the router's own file has changed.
+// RetryRejected has the keepers offer rejected revisions again. It is called when the router's own file has changed.
 func (c *Client) RetryRejected() {
 	c.control.set(func() { c.control.retryRejected = true })
 }
 
-// SetInForce takes over a revision that is in force here already, supplied by the other process of this router.
+// SetInForce takes over a revision that the other process of this router has supplied and that is already in force
+// here.
 func (c *Client) SetInForce(revision Revision) {
 	c.control.set(func() { c.control.otherProcessRevision = &revision })
 }
 
-// Latest returns the last revision that was in force, 0 where that is the router's own file alone.
+// Latest returns the last revision that came into force. Its number is 0 if that is the router's own file alone.
 func (c *Client) Latest() Revision { return c.control.latest() }
 
-// Restore puts a revision in force at the start: the copy on the disk, and on top of it the newest revision of a keeper
-// that answers within the timeout. Each keeper is polled once. It may keep the call open for a part of the timeout: it
-// sends nothing to a process before the keepers have noted that there is one. Restore is called before Start.
+// Restore puts a revision in force at startup: first the copy on disk, then the newest revision of a keeper that
+// answers within the timeout. It polls each keeper at most once. A keeper may keep the call open for a part of the
+// timeout, because it sends nothing to a process that the keepers have not recorded yet. Restore must be called before
+// Start.
 func (c *Client) Restore(timeout time.Duration, apply Apply) {
 	ctx, cancel := context.WithTimeout(c.stopped, timeout)
 	defer cancel()
@@ -97,7 +101,7 @@
 		if err == nil {
 			return
 		}
-		backoffMS := c.follower.CallFailed(c.nowMS(), 0) // 0 before each was polled
+		backoffMS := c.follower.CallFailed(c.nowMS(), 0) // 0 until each keeper was polled
 		if attempt == keepers-1 || ctx.Err() != nil {
 			break
 		}
@@ -106,6 +110,7 @@
 	c.log.Warn("no keeper reachable at startup", "revision", c.follower.Status().Revision)
 }
 
+// restoreCopy puts the copy on disk in force, and sets it aside if the follower cannot use it.
 func (c *Client) restoreCopy() {
 	saved, found := c.copies.loadOrSetAside()
 	if !found {
@@ -119,14 +124,15 @@
 	}
 }
 
-// Start follows the keepers from now on, until Stop.
+// Start polls the keepers in the background until Stop.
 func (c *Client) Start(apply Apply) {
 	c.apply = apply
 	c.goroutines.Go(func() { c.copies.run(c.stopped) })
 	c.goroutines.Go(c.run)
 }
 
-// Stop ends the client. It waits at most stopTimeout for its goroutines: if a disk hangs, they end after Stop returns.
+// Stop ends the client. It waits at most stopTimeout for its goroutines; if an access to the disk hangs, they end after
+// Stop has returned.
 func (c *Client) Stop() {
 	c.stop()
 	ended := make(chan struct{})
@@ -141,7 +147,7 @@
 	}
 }
 
-// nowMS is the clock of configlog.Follower.
+// nowMS returns the time since the creation of the client in milliseconds, as the clock of configlog.Follower.
 func (c *Client) nowMS() float64 { return float64(time.Since(c.startedAt)) / float64(time.Millisecond) }
 
 func milliseconds(count float64) time.Duration {
@@ -165,7 +171,7 @@
 	}
 }
 
-// adopt takes over a revision of the other process, unless a later one is in force.
+// adopt takes over a revision of the other process unless a later one is in force.
 func (c *Client) adopt(revision Revision) {
 	update := configlog.Update{To: revision.Revision, Snapshot: true, Put: revision.Entries, Hash: revision.Hash}
 	if err := c.applyUpdate(update); err != nil && !errors.Is(err, configlog.ErrStale) {
@@ -173,7 +179,7 @@
 	}
 }
 
-// poll makes one call and applies the answer, or backs off after a failure.
+// poll makes one call and applies the answer, or waits for the backoff time after a failure.
 func (c *Client) poll(ctx context.Context, config Config) {
 	wait := time.Duration(config.MaxPollWaitMS) * time.Millisecond
 	address := config.Addresses[c.follower.SelectKeeper(len(config.Addresses))]
@@ -183,7 +189,7 @@
 	update, isNewer, err := c.keeper.poll(callCtx, address, c.follower.Status(), config.MaxPollWaitMS)
 	cancel()
 	if ctx.Err() != nil {
-		return // cancelled from here, which is no failure of the keeper
+		return // cancelled by this process, which is not a failure of the keeper
 	}
 	if err != nil {
 		c.callFailed(ctx, address, err)
@@ -208,7 +214,8 @@
 	c.limiter.wait(ctx)
 }
 
-// callFailed backs off. The first failure in a row is logged as a warning, further ones for debugging only.
+// callFailed counts and logs a failed call and waits for the backoff time. The first failure in a row is logged as a
+// warning, the following ones at level Debug.
 func (c *Client) callFailed(ctx context.Context, address string, err error) {
 	c.Counters.FailedCalls.Add(1)
 	backoffMS := c.follower.CallFailed(c.nowMS(), rand.Float64())
@@ -225,7 +232,7 @@
 	sleep(ctx, milliseconds(backoffMS))
 }
 
-// applyUpdate applies an update. It returns an error for one that the follower doesn't accept.
+// applyUpdate applies an update. It returns an error if the follower does not accept the update.
 func (c *Client) applyUpdate(update configlog.Update) error {
 	entries, ok, err := c.follower.Offer(update)
 	if ok {
@@ -234,7 +241,7 @@
 	return err
 }
 
-// activate applies the revision that the follower has accepted, or rejects it.
+// activate has the router apply the revision that the follower has accepted, and records the outcome.
 func (c *Client) activate(revision Revision) {
 	err := c.apply(revision)
 	switch {
@@ -247,6 +254,7 @@
 	}
 }
 
+// recordActivation records that a revision is in force, and saves a copy of it.
 func (c *Client) recordActivation(revision Revision) {
 	c.follower.Accept()
 	c.control.setLatest(revision)
@@ -258,6 +266,8 @@
 	c.copies.save(c.follower.Saved())
 }
 
+// reject records that the router has rejected a revision, for the report with the next call. A revision that was
+// superseded is neither counted nor logged.
 func (c *Client) reject(revision uint64, err error) {
 	rejection := configerror.From(err)
 	c.follower.Reject(rejection.Pointer, rejection.Reason)
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -16,7 +16,7 @@
 	"windflow/internal/decide/configlog"
 )
 
-// fakeRouter is a fake of the router, which applies revisions.
+// fakeRouter records the revisions that it is told to apply, and rejects the ones in rejections.
 type fakeRouter struct {
 	mu         sync.Mutex
 	revisions  []Revision
@@ -52,7 +52,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("revision %d was never received", revision)
+			t.Fatalf("revision %d was not applied within 30 s", revision)
 		}
 	}
 }
@@ -82,23 +82,24 @@
 
 func hasRejection(status configlog.FollowerStatus) bool { return status.Rejected != nil }
 
-// The poll after a change reports the result: in force, or rejected with the pointer while the revision before stays.
+// The poll after a change reports its outcome: the revision is in force, or it is rejected with the pointer of the
+// entry and the previous revision stays in force.
 func TestNextPollReportsOutcome(t *testing.T) {
 	keeper, router := keepertest.New(t), newFakeRouter()
 	first := keeper.Change(overQuotaWeight("0.1"))
 	client := newTestClient(t, t.TempDir(), keeper.Addr())
 	client.Restore(time.Second, router.apply)
 	if router.latest().Revision != first {
-		t.Fatalf("at the start revision %d is in force", router.latest().Revision)
+		t.Fatalf("after Restore revision %d is in force, want %d", router.latest().Revision, first)
 	}
 	router.rejections[first+1] = &configerror.Error{Pointer: "/settings/over-share-worth", Reason: "too much"}
 	client.Start(router.apply)
 	keeper.Change(overQuotaWeight("9"))
-	status := keeper.WaitForStatus("it rejects", hasRejection)
+	status := keeper.WaitForStatus("a revision is rejected", hasRejection)
 	if status.Revision != first || status.Rejected.Revision != first+1 ||
 		status.Rejected.Pointer != "/settings/over-share-worth" ||
 		status.Rejected.Reason != "too much" {
-		t.Errorf("%+v, %+v", status, status.Rejected)
+		t.Errorf("status %+v, rejection %+v", status, status.Rejected)
 	}
 	if client.Counters.Revision.Load() != int64(first) || client.Counters.RejectedRevision.Load() != int64(first+1) ||
 		client.Latest().Revision != first {
@@ -107,21 +108,21 @@
 	third := keeper.Change(overQuotaWeight("0.3"))
 	status = keeper.WaitForRevision(third)
 	if status.Rejected != nil || client.Counters.RejectedRevision.Load() != 0 {
-		t.Errorf("after a good one: %+v", status.Rejected)
+		t.Errorf("rejection after a valid revision: %+v", status.Rejected)
 	}
 	if got := string(router.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
-		t.Error(got)
+		t.Errorf("weight %s is in force, want 0.3", got)
 	}
 }
 
-// A rejected revision is offered again when the router's own file is another one.
+// After RetryRejected a rejected revision is offered again and can come into force.
 func TestRetryRejected(t *testing.T) {
 	keeper, router := keepertest.New(t), newFakeRouter()
 	router.rejections[1] = &configerror.Error{Reason: "not yet"}
 	client := newTestClient(t, t.TempDir(), keeper.Addr())
 	client.Start(router.apply)
 	keeper.Change(overQuotaWeight("1"))
-	keeper.WaitForStatus("it rejects", hasRejection)
+	keeper.WaitForStatus("a revision is rejected", hasRejection)
 	router.mu.Lock()
 	delete(router.rejections, 1)
 	router.mu.Unlock()
@@ -129,18 +130,18 @@
 	keeper.WaitForRevision(1)
 }
 
-// misbehavior is a keeper's handler that answers what a router must not apply.
+// misbehavior is a handler with answers of a keeper that a router must not apply.
 type misbehavior struct {
 	name    string
 	handler http.HandlerFunc
 }
 
-// answerUpdate answers each call with an update.
+// answerUpdate returns a handler that answers each call with an update.
 func answerUpdate(update configlog.Update) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(update) }
 }
 
-// misbehaviors returns the ways in which keepers misbehave. A silent one keeps its calls open until stop is closed.
+// misbehaviors returns the misbehaviors under test. The silent keeper keeps its calls open until stop is closed.
 func misbehaviors(stop <-chan struct{}) []misbehavior {
 	put := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("7")}
 	return []misbehavior{
@@ -177,7 +178,7 @@
 	}
 }
 
-// Nothing that a misbehaving keeper answers is in force, and the router continues with the other one.
+// A router applies no answer of a misbehaving keeper, and gets its configuration from another keeper.
 func TestMisbehavingKeepers(t *testing.T) {
 	const pointer = "/settings/over-share-worth"
 	stop := make(chan struct{})
@@ -195,22 +196,22 @@
 				configlog.NewInstance(1, 1), discardLog)
 			t.Cleanup(client.Stop)
 			client.Start(router.apply)
-			<-polled // it was polled, whatever it answers
-			<-polled // and once more
+			<-polled
+			<-polled // the second call follows the end of the first one
 			if router.latest().Revision != 0 {
-				t.Errorf("revision %d is in force", router.latest().Revision)
+				t.Errorf("revision %d is in force, want none", router.latest().Revision)
 			}
 			revision := good.Change(overQuotaWeight("0.5"))
 			client.Configure(Config{Addresses: []string{faulty.Addr(), good.Addr()}, MaxPollWaitMS: 100})
 			good.WaitForRevision(revision)
 			if got := router.latest(); string(got.Entries[pointer]) != "0.5" || client.Counters.FailedCalls.Load() == 0 {
-				t.Errorf("%+v, %d failed calls", got, client.Counters.FailedCalls.Load())
+				t.Errorf("revision %+v is in force, %d calls failed", got, client.Counters.FailedCalls.Load())
 			}
 		})
 	}
 }
 
-// A keeper that is behind never moves a router to an older revision.
+// A keeper that is behind does not move a router back to an older revision.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	ahead, behind, router := keepertest.New(t), keepertest.New(t), newFakeRouter()
 	for i := range 3 {
@@ -222,13 +223,14 @@
 	ahead.WaitForRevision(3)
 	client.Configure(Config{Addresses: []string{behind.Addr()}, MaxPollWaitMS: 100})
 	behind.WaitForRevision(3)
-	behind.WaitForRevision(3) // once more, after the updates it has received
+	behind.WaitForRevision(3) // the second call follows the end of the first one
 	if router.latest().Revision != 3 {
-		t.Errorf("revision %d", router.latest().Revision)
+		t.Errorf("revision %d is in force, want 3", router.latest().Revision)
 	}
 }
 
-// In a burst of changes a poll brings several of them, so that reloads stay bounded; the last one arrives.
+// In a burst of changes a poll returns several of them, so that the number of reloads is bounded. The last change comes
+// into force.
 func TestBurstOfChanges(t *testing.T) {
 	keeper, router := keepertest.New(t), newFakeRouter()
 	client := newTestClient(t, t.TempDir(), keeper.Addr())
@@ -242,11 +244,11 @@
 	keeper.WaitForRevision(last)
 	maxChanges := 3 + int64(time.Since(startedAt)/changeInterval)
 	if changes := client.Counters.Changes.Load(); changes > maxChanges {
-		t.Errorf("%d calls brought changes, %d at most may", changes, maxChanges)
+		t.Errorf("%d calls returned changes, want at most %d", changes, maxChanges)
 	}
 }
 
-// A later revision of this router's other process is not fetched again, and is reported to the keepers.
+// A revision that the router's other process supplied is in force and reported to the keepers; an older one is ignored.
 func TestRevisionOfOtherProcess(t *testing.T) {
 	keeper, router := keepertest.New(t), newFakeRouter()
 	client := newTestClient(t, t.TempDir(), keeper.Addr())
@@ -255,9 +257,9 @@
 	entries := map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("4")}
 	client.SetInForce(Revision{7, configlog.HashEntries(entries), entries})
 	keeper.WaitForRevision(7)
-	client.SetInForce(Revision{5, configlog.Hash{}, nil}) // older: ignored
+	client.SetInForce(Revision{5, configlog.Hash{}, nil}) // older, to be ignored
 	router.waitFor(t, 7)
 	if client.Latest().Revision != 7 {
-		t.Error(client.Latest().Revision)
+		t.Errorf("revision %d is in force, want 7", client.Latest().Revision)
 	}
 }
--- a/internal/configclient/config.go
+++ b/internal/configclient/config.go
@@ -8,34 +8,34 @@
 	"windflow/internal/decide/configlog"
 )
 
-// DefaultMaxPollWaitMS is a third of the keepers' usual lease.
+// DefaultMaxPollWaitMS is the default of Config.MaxPollWaitMS, a third of the keepers' default lease.
 const DefaultMaxPollWaitMS = 2000
 
-// Config is the section of the settings.
+// Config is the section keepers of the settings.
 type Config struct {
-	Addresses     []string `json:"addresses"` // of the keepers, as address:port
-	Dir           string   `json:"dir"`       // of the copy
-	MaxPollWaitMS int      `json:"hold_ms"`   // how long a keeper may keep a call open while there is no newer revision
+	Addresses     []string `json:"addresses"` // of the keepers, in the form address:port
+	Dir           string   `json:"dir"`       // where the copy of the last revision is saved
+	MaxPollWaitMS int      `json:"hold_ms"`   // how long a keeper may keep a call open without a newer revision
 }
 
-// Revision is the content of a revision. The entries must not be written to.
+// Revision is a revision of the configuration with its content. The entries must not be modified.
 type Revision struct {
 	Revision uint64                     `json:"revision"`
 	Hash     configlog.Hash             `json:"hash"`
 	Entries  map[string]json.RawMessage `json:"entries"`
 }
 
-// Apply puts a revision in force, completely or not at all. It returns ErrSuperseded, ErrShuttingDown or an error
-// that is reported to the keepers, with the pointer of a *configerror.Error.
+// Apply puts a revision in force completely or not at all. It returns ErrSuperseded, ErrShuttingDown or an error that
+// is reported to the keepers; if that is a *configerror.Error, its pointer is reported too.
 type Apply func(Revision) error
 
-// ErrSuperseded reports that the router has a later revision in force, which its other process supplied.
+// ErrSuperseded reports that a later revision, supplied by the other process of the router, is in force.
 var ErrSuperseded = errors.New("a later revision is in force")
 
-// ErrShuttingDown reports that the router shuts down; nothing about the revision is reported to the keepers then.
-var ErrShuttingDown = errors.New("the router ends")
+// ErrShuttingDown reports that the router shuts down. The revision is then not reported to the keepers.
+var ErrShuttingDown = errors.New("the router is shutting down")
 
-// Counters count events since the start; the last two are current values.
+// Counters count events since startup, except the last two fields, which have current values.
 type Counters struct {
 	Polls           atomic.Int64 `status:"polls"`
 	Changes         atomic.Int64 `status:"changes"`
@@ -46,5 +46,5 @@
 	CopiesSetAside  atomic.Int64 `status:"set_aside"`
 
 	Revision         atomic.Int64 `status:"revision"` // in force
-	RejectedRevision atomic.Int64 `status:"barred"`   // the latest, until a later one is in force; 0 for none
+	RejectedRevision atomic.Int64 `status:"barred"`   // the latest one, until a later revision is in force; 0 for none
 }
--- a/internal/configclient/control.go
+++ b/internal/configclient/control.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// pollControl has the inputs of other goroutines for the polling one. They take effect with the next call; the open
-// one is cancelled for it.
+// pollControl has the inputs from other goroutines to the polling goroutine. An input cancels the open call and takes
+// effect with the next one. It also has the revision in force, for other goroutines to read.
 type pollControl struct {
 	mu                   sync.Mutex
 	config               Config
-	otherProcessRevision *Revision // in force at the other process of this router; nil once it was read
+	otherProcessRevision *Revision // in force in the other process of this router; nil once read
 	retryRejected        bool
 	cancelPoll           context.CancelFunc
 	latestInForce        Revision
 }
 
-// pollInput is what pollControl has for one call.
+// pollInput is the input to one call.
 type pollInput struct {
 	config               Config
 	otherProcessRevision *Revision
 	retryRejected        bool
 }
 
-// set changes the control with fn, and cancels the open call.
+// set calls fn under the lock to change the control, and cancels the open call.
 func (c *pollControl) set(fn func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// beginPoll reads the input for the next call, which set cancels with cancel from now on.
+// beginPoll returns the input to the next call. From now on set calls cancel, which must cancel that call.
 func (c *pollControl) beginPoll(cancel context.CancelFunc) pollInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/configclient/copy_store.go
+++ b/internal/configclient/copy_store.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// copyHeader begins a copy's first line, which ends with the SHA-256 of what follows the line.
+	// copyHeader begins the first line of a copy. That line ends with the SHA-256 of the rest of the file.
 	copyHeader = "windflow configuration 1 "
-	// maxCopyBytes bounds what is read of a copy.
+	// maxCopyBytes bounds the bytes that are read of a copy.
 	maxCopyBytes = maxAnswerBytes + 4<<10
-	// writeRetryInterval is the wait before a copy that could not be written is tried again.
+	// writeRetryInterval is the time after which a failed write of a copy is retried.
 	writeRetryInterval = 10 * time.Second
 )
 
-// copyStore saves the last revision in force to a file of this router's own. Both processes of a router write the same
-// file during a hot restart.
+// copyStore saves the last revision in force to a file that belongs to this router. During a hot restart both processes
+// of the router write the same file.
 type copyStore struct {
 	path, router string
 	counters     *Counters
 	log          *slog.Logger
-	pending      chan configlog.SavedRevision // the latest that is not written yet
+	pending      chan configlog.SavedRevision // the latest one, until it is written
 	failing      bool                         // the latest write failed
 }
 
@@ -48,14 +48,14 @@
 	}
 }
 
-// copyContent is what the file has after its first line.
+// copyContent is the JSON content of a copy after its first line.
 type copyContent struct {
 	Router string                  `json:"router"`
 	Saved  configlog.SavedRevision `json:"saved"`
 }
 
-// load reads the copy. It returns fs.ErrNotExist if there is none, and configlog.ErrDamaged if it is not what was
-// written.
+// load reads the copy. The error wraps fs.ErrNotExist if there is no copy, and configlog.ErrDamaged if its content is
+// not a valid copy of this router.
 func (s *copyStore) load() (configlog.SavedRevision, error) {
 	file, err := os.Open(s.path)
 	if err != nil {
@@ -69,21 +69,23 @@
 	return s.decode(text)
 }
 
+// decode checks and decodes the content of a copy. Its errors wrap configlog.ErrDamaged.
 func (s *copyStore) decode(text []byte) (none configlog.SavedRevision, err error) {
 	line, body, _ := bytes.Cut(text, []byte("\n"))
 	checksum, found := bytes.CutPrefix(line, []byte(copyHeader))
 	if !found {
-		return none, fmt.Errorf("%w: it is no copy of a configuration", configlog.ErrDamaged)
+		return none, fmt.Errorf("%w: the first line does not begin with %q", configlog.ErrDamaged, copyHeader)
 	}
 	if string(checksum) != hexChecksum(body) {
-		return none, fmt.Errorf("%w: the checksum is that of another content", configlog.ErrDamaged)
+		return none, fmt.Errorf("%w: the checksum in the first line is not that of the content", configlog.ErrDamaged)
 	}
 	var content copyContent
 	if err := json.Unmarshal(body, &content); err != nil {
 		return none, fmt.Errorf("%w: %w", configlog.ErrDamaged, err)
 	}
 	if content.Router != s.router {
-		return none, fmt.Errorf("%w: it is that of router %q", configlog.ErrDamaged, content.Router)
+		return none, fmt.Errorf("%w: the copy belongs to router %q, expected %q",
+			configlog.ErrDamaged, content.Router, s.router)
 	}
 	return content.Saved, nil
 }
@@ -93,7 +95,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// loadOrSetAside returns the copy, if there is a usable one; a damaged one is set aside.
+// loadOrSetAside returns the copy if there is a valid one, and sets a damaged one aside.
 func (s *copyStore) loadOrSetAside() (saved configlog.SavedRevision, found bool) {
 	saved, err := s.load()
 	switch {
@@ -107,7 +109,7 @@
 	return configlog.SavedRevision{}, false
 }
 
-// setAside renames a copy that can't be used, and keeps it for inspection.
+// setAside renames a copy that cannot be used, so that it can be inspected later.
 func (s *copyStore) setAside(reason error) {
 	s.counters.CopiesSetAside.Add(1)
 	aside := s.path + ".aside"
@@ -115,7 +117,7 @@
 	s.log.Error("configuration copy set aside", "file", s.path, "aside", aside, "reason", reason, "error", err)
 }
 
-// save writes a revision in the background. It replaces one that is not written yet.
+// save schedules a revision to be written in the background, in place of one that is not written yet.
 func (s *copyStore) save(saved configlog.SavedRevision) {
 	for {
 		select {
@@ -130,7 +132,7 @@
 	}
 }
 
-// run writes pending revisions until ctx ends, and the last one then.
+// run writes pending revisions until ctx ends; then it writes the last pending one and returns.
 func (s *copyStore) run(ctx context.Context) {
 	var failed *configlog.SavedRevision
 	retries := time.NewTicker(writeRetryInterval)
@@ -160,7 +162,8 @@
 	}
 }
 
-// writeAndLog writes a copy. It logs the first failure and the first success after it.
+// writeAndLog writes a copy and reports whether that succeeded. It logs the first of several failures in a row and the
+// first success after them.
 func (s *copyStore) writeAndLog(saved configlog.SavedRevision) bool {
 	err := s.write(saved)
 	if err != nil {
@@ -175,8 +178,8 @@
 	return err == nil
 }
 
-// write replaces the copy, completely or not at all. A copy of a later revision is kept: the other process of this
-// router wrote it.
+// write replaces the copy completely or not at all. It keeps a copy of a later revision, which the other process of
+// this router has written.
 func (s *copyStore) write(saved configlog.SavedRevision) error {
 	if existing, err := s.load(); err == nil && existing.Revision > saved.Revision {
 		return nil
@@ -188,7 +191,7 @@
 	return replaceFile(s.path, append([]byte(copyHeader+hexChecksum(body)+"\n"), body...))
 }
 
-// replaceFile writes a new file, syncs it and renames it to path.
+// replaceFile writes and syncs a temporary file and renames it to path, so that path never has partial content.
 func replaceFile(path string, text []byte) error {
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o750); err != nil {
@@ -209,7 +212,7 @@
 	return syncDir(dir)
 }
 
-// writeSyncClose returns the first error; the file is closed in any case.
+// writeSyncClose writes, syncs and closes a file and returns the first error. It closes the file in any case.
 func writeSyncClose(file *os.File, text []byte) error {
 	_, err := file.Write(text)
 	if err == nil {
@@ -221,7 +224,7 @@
 	return err
 }
 
-// syncDir makes a rename durable: without it the rename may be lost in a power failure.
+// syncDir syncs a directory. Without it, a rename in the directory may be lost in a power failure.
 func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -20,21 +20,21 @@
 
 func copyPath(dir string) string { return filepath.Join(dir, "n%2F0.revision") }
 
-// saveCopy follows a keeper up to its revision and saves the copy in dir.
+// saveCopy runs a client until it has saved a copy of the current revision of a keeper in dir.
 func saveCopy(t *testing.T, keeper *keepertest.Keeper, dir string) {
 	t.Helper()
 	client, router := newTestClient(t, dir, keeper.Addr()), newFakeRouter()
 	client.Restore(5*time.Second, router.apply)
 	client.Start(router.apply)
-	client.Stop()            // what is not written yet is written then
-	client.goroutines.Wait() // Stop does not wait for a slow disk
+	client.Stop()            // writes the pending copy
+	client.goroutines.Wait() // Stop may return before a slow disk has finished
 	if client.Counters.CopyWriteErrors.Load() > 0 {
 		t.Fatal("the copy was not written")
 	}
 }
 
-// Without a keeper a router starts with its copy, within a bounded time; a copy that is damaged or of another router is
-// set aside.
+// Without a reachable keeper, a router starts with its copy within a bounded time. A copy that is damaged or belongs to
+// another router is set aside.
 func TestRestoreFromCopy(t *testing.T) {
 	keeper, dir := keepertest.New(t), t.TempDir()
 	revision := keeper.Change(overQuotaWeight("0.7"))
@@ -52,11 +52,11 @@
 		text   func() string
 		usable bool
 	}{
-		{"good", func() string { return string(valid) }, true},
-		{"one bit", func() string { return strings.Replace(string(valid), "0.7", "0.6", 1) }, false},
-		{"cut", func() string { return string(valid[:len(valid)-9]) }, false},
+		{"valid", func() string { return string(valid) }, true},
+		{"one bit changed", func() string { return strings.Replace(string(valid), "0.7", "0.6", 1) }, false},
+		{"truncated", func() string { return string(valid[:len(valid)-9]) }, false},
 		{"empty", func() string { return "" }, false},
-		{"foreign", func() string { return "{}\n" }, false},
+		{"another format", func() string { return "{}\n" }, false},
 	} {
 		if err := os.WriteFile(copyPath(dir), []byte(test.text()), 0o600); err != nil {
 			t.Fatal(err)
@@ -64,18 +64,18 @@
 		client, router := newTestClient(t, dir, silent.Addr(), silent.Addr(), silent.Addr()), newFakeRouter()
 		startedAt := time.Now()
 		client.Restore(400*time.Millisecond, router.apply)
-		if took := time.Since(startedAt); took > 2*time.Second { // far above the bound: the machine may be busy
-			t.Errorf("%s: the start took %v", test.name, took)
+		if took := time.Since(startedAt); took > 2*time.Second { // far above the timeout, because the machine may be busy
+			t.Errorf("%s: Restore took %v", test.name, took)
 		}
 		got, aside := router.latest().Revision, client.Counters.CopiesSetAside.Load()
 		if (got == revision) != test.usable || (aside == 0) != test.usable {
-			t.Errorf("%s: revision %d, set aside %d", test.name, got, aside)
+			t.Errorf("%s: revision %d is in force, %d copies were set aside", test.name, got, aside)
 		}
 		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == test.usable && !test.usable {
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	// Another router's file under this one's name.
+	// The copy of one router under the name of another router's copy.
 	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(copyPath(dir), valid, 0o600),
 		os.Rename(copyPath(dir), filepath.Join(dir, "n1.revision"))); err != nil {
 		t.Fatal(err)
@@ -85,29 +85,30 @@
 	t.Cleanup(other.Stop)
 	other.Restore(100*time.Millisecond, router.apply)
 	if router.latest().Revision != 0 || other.Counters.CopiesSetAside.Load() != 1 {
-		t.Errorf("another router's copy: revision %d, set aside %d", router.latest().Revision,
+		t.Errorf("copy of another router: revision %d is in force, %d copies were set aside", router.latest().Revision,
 			other.Counters.CopiesSetAside.Load())
 	}
 }
 
-// A copy that doesn't fit the router's own file is rejected, and the router starts without it.
+// A copy that is invalid with the router's own file is rejected, and the router starts without it.
 func TestRejectedCopy(t *testing.T) {
 	keeper, dir := keepertest.New(t), t.TempDir()
 	revision := keeper.Change(overQuotaWeight("0.7"))
 	saveCopy(t, keeper, dir)
 	client, router := newTestClient(t, dir, "127.0.0.1:1"), newFakeRouter()
-	router.rejections[revision] = &configerror.Error{Reason: "does not fit"}
+	router.rejections[revision] = &configerror.Error{Reason: "invalid with the file"}
 	client.Restore(time.Second, router.apply)
 	if router.latest().Revision != 0 || client.Counters.RejectedRevision.Load() != int64(revision) {
-		t.Errorf("revision %d, rejected %d", router.latest().Revision, client.Counters.RejectedRevision.Load())
+		t.Errorf("revision %d is in force, revision %d is rejected",
+			router.latest().Revision, client.Counters.RejectedRevision.Load())
 	}
 }
 
-// An unwritable disk is logged once and counted; the configuration is in force all the same.
+// If the copy cannot be written, revisions still come into force. The failures are counted, and one is logged.
 func TestUnwritableDisk(t *testing.T) {
 	keeper, router := keepertest.New(t), newFakeRouter()
 	dir := filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
+	if err := os.WriteFile(dir, nil, 0o600); err != nil { // so that no directory can be created there
 		t.Fatal(err)
 	}
 	var logged logBuffer
@@ -120,10 +121,11 @@
 	client.Stop()
 	if client.Counters.CopyWriteErrors.Load() == 0 ||
 		strings.Count(logged.text(), "configuration copy write failed") != 1 {
-		t.Errorf("failed %d: %s", client.Counters.CopyWriteErrors.Load(), logged.text())
+		t.Errorf("%d writes failed, log: %s", client.Counters.CopyWriteErrors.Load(), logged.text())
 	}
 }
 
+// logBuffer collects the log of a client; it is safe for concurrent use.
 type logBuffer struct {
 	mu      sync.Mutex
 	builder strings.Builder
@@ -141,7 +143,8 @@
 	return l.builder.String()
 }
 
-// The predecessor of a process doesn't overwrite its newer copy.
+// A copy of an older revision does not replace a newer one: in a hot restart the predecessor may write after the
+// successor.
 func TestNewerCopyIsNotOverwritten(t *testing.T) {
 	dir := t.TempDir()
 	store := newCopyStore(dir, "n/0", &Counters{}, discardLog)
@@ -156,19 +159,20 @@
 		}
 		follower.Accept()
 		if !store.writeAndLog(follower.Saved()) {
-			t.Fatal("not written")
+			t.Fatalf("the copy of revision %d was not written", revision)
 		}
 	}
 	if saved, ok := store.loadOrSetAside(); !ok || saved.Revision != 9 {
-		t.Errorf("%d, %v", saved.Revision, ok)
+		t.Errorf("the copy has revision %d, read %v; want revision 9", saved.Revision, ok)
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 {
-		t.Errorf("%v, %v", files, err)
+		t.Errorf("expected one file, found %v, error %v", files, err)
 	}
 }
 
-// A keeper without a newer revision than the copy counts as an answer at the start, and takes no longer than the poll.
+// An answer without a newer revision than that of the copy ends Restore: no other keeper is polled, and the timeout
+// does not have to pass.
 func TestRestoreWithCurrentCopy(t *testing.T) {
 	keeper, dir := keepertest.New(t), t.TempDir()
 	revision := keeper.Change(overQuotaWeight("0.7"))
@@ -178,6 +182,7 @@
 	t.Cleanup(client.Stop)
 	client.Restore(20*time.Second, router.apply)
 	if router.latest().Revision != revision || client.Counters.Changes.Load() != 1 {
-		t.Errorf("revision %d after %d changes", router.latest().Revision, client.Counters.Changes.Load())
+		t.Errorf("revision %d is in force after %d changes, want revision %d after 1 change",
+			router.latest().Revision, client.Counters.Changes.Load(), revision)
 	}
 }
--- a/internal/configclient/doc.go
+++ b/internal/configclient/doc.go
@@ -1,5 +1,5 @@
-// Package configclient is the router's client of the keepers. It long-polls one of them for newer revisions
-// of the configuration, has the router apply them, reports the result with the next call, and saves the last revision
-// in force to disk, for a start at which no keeper answers. It runs in goroutines of its own, for which the router's
-// event loop never waits. Package configlog decides which updates to accept and which keeper to poll.
+// Package configclient is the router's client of the keepers. It long-polls one keeper for newer revisions of the
+// configuration, has the router apply them, and reports the outcome with the next call. It saves the last revision in
+// force to disk, so that a router can start while no keeper answers. It runs in its own goroutines, and the event loop
+// of the router never waits for them. Package configlog decides which updates to accept and which keeper to poll.
 package configclient
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -22,16 +22,16 @@
 
 const goldenTimeout = 20 * time.Second
 
-// goldenCopy is the copy that a router "n/0" has on its disk of revision 12.
+// goldenCopy is the name of the copy of revision 12 that a router "n/0" has on its disk.
 const goldenCopy = "n%2F0.revision"
 
-// goldenHash is some hash, the same for each digit.
+// goldenHash returns a hash whose bytes all have the value of the digit.
 func goldenHash(digit byte) (hash configlog.Hash) {
 	copy(hash[:], bytes.Repeat([]byte{digit}, len(hash)))
 	return hash
 }
 
-// goldenEntries are in the form in which keepers send them.
+// goldenEntries returns entries in the form in which keepers send them.
 func goldenEntries() map[string]json.RawMessage {
 	return map[string]json.RawMessage{
 		"/settings/over-share-worth": json.RawMessage("1.5"),
@@ -39,7 +39,7 @@
 	}
 }
 
-// goldenSaved returns the copy of revision 12 as the follower's state has it.
+// goldenSaved returns the state of a follower of revision 12 that a copy stores.
 func goldenSaved(t *testing.T) configlog.SavedRevision {
 	t.Helper()
 	follower := configlog.NewFollower("n/0", configlog.NewInstance(10, 11))
@@ -51,7 +51,7 @@
 	return follower.Saved()
 }
 
-// A copy has the recorded bytes and the recorded name.
+// A copy has the recorded bytes and file name, so that an earlier version of the program can read it.
 func TestGoldenCopyIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	saved := goldenSaved(t)
@@ -60,7 +60,7 @@
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 || files[0].Name() != goldenCopy {
-		t.Fatalf("the folder contains %v, %v", files, err)
+		t.Fatalf("the folder contains %v, error %v; want one file %s", files, err, goldenCopy)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, goldenCopy))
 	if err != nil {
@@ -70,7 +70,7 @@
 	golden.AllFieldsSet(t, copyContent{Router: "n/0", Saved: saved})
 }
 
-// A recorded copy is in force after a start without any keeper.
+// A recorded copy comes into force at a start without any keeper.
 func TestGoldenCopyIsRestored(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), golden.Read(t, goldenCopy), 0o600); err != nil {
@@ -88,24 +88,24 @@
 	}
 }
 
-// A copy that can't be used is set aside under the recorded name.
+// A damaged copy is set aside under the recorded name.
 func TestGoldenNameOfDamagedCopy(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenCopy), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := newCopyStore(dir, "n/0", &Counters{}, discardLog).loadOrSetAside(); ok {
-		t.Error("a damaged copy is read")
+		t.Error("a damaged copy was accepted")
 	}
 	if _, err := os.Stat(filepath.Join(dir, goldenCopy+".aside")); err != nil {
 		t.Error(err)
 	}
 }
 
-// keeperAnswer is a complete answer of a keeper.
+// keeperAnswer is the format of a complete answer of a keeper: the length of the body and the body.
 const keeperAnswer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 
-// answerOnce listens at a loopback address, reads one call, answers it with the text and returns the bytes of the call.
+// answerOnce listens on a loopback address, answers one call with a text, and sends the bytes of the call to a channel.
 func answerOnce(t *testing.T, text []byte) (address string, call <-chan []byte) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,13 +133,13 @@
 	return listener.Addr().String(), received
 }
 
-// A poll has the recorded bytes, header and body, and the recorded answers are decoded.
+// The header and body of a poll have the recorded bytes, and recorded answers are decoded.
 func TestGoldenPoll(t *testing.T) {
 	status := configlog.FollowerStatus{
 		Name: "n/0", Instance: configlog.NewInstance(10, 11), Revision: 12, Hash: goldenHash(1),
 		Rejected: &configlog.Rejection{Revision: 13, Hash: goldenHash(2), Pointer: "/board", Reason: "no such board"},
 	}
-	// The keeper's answer is a file next to the call, in the form that the keepers' golden calls have.
+	// Each answer is in a golden file of its own, in the same form as the answers in the golden calls of the keepers.
 	answers := map[string]configlog.Update{
 		"delta": {From: 12, To: 14, Put: goldenEntries(), Remove: []string{"/settings/parties/south"}, Hash: goldenHash(3)},
 		"whole": {From: 12, To: 14, Snapshot: true, Put: goldenEntries(), Hash: goldenHash(3)},
@@ -157,7 +157,7 @@
 		got, isNewer, err := (&keeperConn{}).poll(ctx, address, status, 2000)
 		cancel()
 		if diff := cmp.Diff(want, got); err != nil || !isNewer || diff != "" {
-			t.Errorf("%s: %v %v %s", name, isNewer, err, diff)
+			t.Errorf("%s: newer %v, error %v, difference %s", name, isNewer, err, diff)
 		}
 		golden.Equal(t, "call.txt", bytes.Replace(<-call, []byte(address), []byte("KEEPER"), 1))
 		all = append(all, want)
--- a/internal/configclient/keeper_conn.go
+++ b/internal/configclient/keeper_conn.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// maxAnswerBytes bounds the body of an answer: the largest document, each value escaped and with its pointer, fits.
+	// maxAnswerBytes bounds the body of an answer. It is large enough for the largest document with each value escaped
+	// and accompanied by its pointer.
 	maxAnswerBytes = 2 * configlog.MaxDocumentBytes
 	// maxHeaderBytes bounds the header of an answer.
 	maxHeaderBytes = 16 << 10
 	// dialTimeout bounds the wait for a connection to a keeper.
 	dialTimeout = time.Second
-	// maxErrorTextBytes bounds what is shown of a keeper's error.
+	// maxErrorTextBytes bounds the part of a keeper's error text that is repeated in an error.
 	maxErrorTextBytes = 200
 )
 
-// errConnClosed is a connection that ended before any byte of the answer.
-var errConnClosed = errors.New("the connection was closed")
+// errConnClosed reports that the connection ended before the first byte of the answer.
+var errConnClosed = errors.New("the connection to the keeper was closed")
 
-// keeperConn makes calls, one at a time, over one connection that is kept open. It encodes requests and answers with
-// net/http but doesn't use its Transport, which would bring a TLS client and HTTP/2 into every router, 1.5 MB of it
-// resident, for plain calls to one address.
+// keeperConn makes calls, one at a time, over one connection that it keeps open. It encodes requests and decodes
+// answers with net/http but does not use http.Transport, which would add a TLS client and HTTP/2 to every router, with
+// 1.5 MB of resident memory, for unencrypted calls to one address.
 type keeperConn struct {
 	address string
-	conn    net.Conn          // nil for none
-	limit   *io.LimitedReader // bounds what is read of an answer
+	conn    net.Conn          // nil without a connection
+	limit   *io.LimitedReader // bounds the bytes read of an answer
 	reader  *bufio.Reader
-	unused  bool // no call was made on conn yet
+	unused  bool // no call was made on conn so far
 }
 
 func (k *keeperConn) close() {
@@ -47,7 +48,7 @@
 	}
 }
 
-// open makes sure that there is a connection to this keeper.
+// open connects to the keeper at an address unless conn is a connection to it.
 func (k *keeperConn) open(ctx context.Context, address string) error {
 	if k.conn != nil && k.address == address {
 		return nil
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// poll reports the status of this router and returns an update; isNewer is false if the update brings nothing. The
-// deadline that ctx must have bounds all of it.
+// poll reports the status of this router to a keeper and returns the update in the answer. isNewer is false if there is
+// no update or an empty one. ctx must have a deadline, which bounds the whole call.
 func (k *keeperConn) poll(
 	ctx context.Context, address string, status configlog.FollowerStatus, waitMS int,
 ) (update configlog.Update, isNewer bool, err error) {
@@ -83,15 +84,16 @@
 		return update, false, nil
 	case statusCode != http.StatusOK:
 		shown := bytes.ToValidUTF8(text[:min(len(text), maxErrorTextBytes)], nil)
-		return update, false, fmt.Errorf("status %d: %s", statusCode, shown)
+		return update, false, fmt.Errorf("the keeper answered with status %d: %s", statusCode, shown)
 	}
 	if err := json.Unmarshal(text, &update); err != nil {
-		return update, false, fmt.Errorf("the answer can't be read: %w", err)
+		return update, false, fmt.Errorf("decode the keeper's answer: %w", err)
 	}
 	return update, !update.IsEmpty(), nil
 }
 
-// callWithReconnect makes a call, once more on a new connection if the keeper had closed the former one.
+// callWithReconnect makes a call. If the keeper has closed the connection since an earlier call, it repeats the call on
+// a new one.
 func (k *keeperConn) callWithReconnect(ctx context.Context, address string, body []byte) (int, []byte, error) {
 	for {
 		if err := k.open(ctx, address); err != nil {
@@ -106,7 +108,7 @@
 	}
 }
 
-// call makes a call on the open connection. After an error the connection is closed.
+// call makes a call on the open connection. It closes the connection after an error or if the keeper asks for it.
 func (k *keeperConn) call(ctx context.Context, body []byte) (statusCode int, text []byte, err error) {
 	reusable := false
 	defer func() {
@@ -130,14 +132,14 @@
 	k.limit.N += maxAnswerBytes
 	text, err = io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err == nil && len(text) > maxAnswerBytes {
-		err = fmt.Errorf("an answer of more than %d bytes", maxAnswerBytes)
+		err = fmt.Errorf("the keeper's answer has more than %d bytes", maxAnswerBytes)
 	}
 	reusable = err == nil && !answer.Close && stop()
 	return answer.StatusCode, text, err
 }
 
-// applyDeadline bounds the connection's reads and writes by ctx until stop is called; stop returns false if ctx has
-// ended.
+// applyDeadline makes reads and writes on the connection fail once ctx ends, until stop is called. stop returns false
+// if ctx has ended already.
 func (k *keeperConn) applyDeadline(ctx context.Context) (stop func() bool) {
 	conn := k.conn
 	if deadline, ok := ctx.Deadline(); ok {
@@ -146,7 +148,8 @@
 	return context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 }
 
-// roundTrip sends a request and reads the header of the answer.
+// roundTrip sends a request and reads the header of the answer. The error wraps errConnClosed if no byte of an answer
+// was received.
 func (k *keeperConn) roundTrip(request *http.Request) (*http.Response, error) {
 	k.unused = false
 	if err := request.Write(k.conn); err != nil {
--- a/internal/configclient/keepertest/keepertest.go
+++ b/internal/configclient/keepertest/keepertest.go
@@ -1,5 +1,5 @@
-// Package keepertest has a fake keeper for tests of its followers: the real log of revisions behind the real calls,
-// in one process and without replication, which can be made to misbehave.
+// Package keepertest has a fake keeper for tests of followers. It serves the calls of real keepers from a real log of
+// revisions, in the process of the test and without replication. Tests can replace its answers.
 package keepertest
 
 import (
@@ -15,27 +15,28 @@
 )
 
 const (
-	// waitTimeout bounds the wait for a follower: only a test that fails reaches it.
+	// waitTimeout bounds the wait for a follower. Only a failing test reaches it.
 	waitTimeout = 30 * time.Second
-	// maxRecordedStatuses bounds the statuses that no test has waited for yet.
+	// maxRecordedStatuses is the number of received statuses that are kept until a test reads them; further ones are
+	// dropped.
 	maxRecordedStatuses = 1 << 14
 )
 
-// Keeper is the fake.
+// Keeper is a fake keeper. It is an http.Handler.
 type Keeper struct {
 	tb       testing.TB
 	server   *httptest.Server
-	stopping chan struct{}                 // closed when calls have to end
+	stopping chan struct{}                 // closed when open calls must end
 	statuses chan configlog.FollowerStatus // of the received calls
 
 	mu            sync.Mutex
 	log           *configlog.Log
 	changed       chan struct{}    // closed at the next change
-	override      http.HandlerFunc // answers calls if it is set
-	seenInstances map[string]bool  // instances that have called
+	override      http.HandlerFunc // answers the calls unless nil
+	seenInstances map[string]bool  // instances that have made a call
 }
 
-// New runs a keeper that ends with the test.
+// New starts a keeper, which is stopped at the end of the test.
 func New(tb testing.TB) *Keeper {
 	tb.Helper()
 	keeper := &Keeper{
@@ -55,10 +56,10 @@
 	return keeper
 }
 
-// Addr returns the address it listens on.
+// Addr returns the address on which the keeper listens.
 func (k *Keeper) Addr() string { return k.server.Listener.Addr().String() }
 
-// Change makes a change and returns its revision.
+// Change applies a change to the log and returns its revision. A change that the log rejects fails the test.
 func (k *Keeper) Change(put map[string]string, remove ...string) uint64 {
 	k.tb.Helper()
 	k.mu.Lock()
@@ -76,7 +77,7 @@
 	return result.Revision
 }
 
-// SetHandler has calls answered by another handler; nil restores the usual answers. Open calls are aborted.
+// SetHandler replaces the handler of calls; nil restores the usual answers. It aborts open calls.
 func (k *Keeper) SetHandler(handler http.HandlerFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -84,13 +85,14 @@
 	k.wakeOpenCalls()
 }
 
-// wakeOpenCalls wakes open calls. The caller holds the lock.
+// wakeOpenCalls makes open calls check for a new answer. The caller must hold the lock.
 func (k *Keeper) wakeOpenCalls() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// WaitForStatus waits for a call whose status fulfils the condition, and returns that status.
+// WaitForStatus waits for a call with a status that satisfies the condition, and returns that status. what describes
+// the condition in the message of a failure.
 func (k *Keeper) WaitForStatus(what string, condition func(configlog.FollowerStatus) bool) configlog.FollowerStatus {
 	k.tb.Helper()
 	timeout := time.After(waitTimeout)
@@ -101,12 +103,12 @@
 				return status
 			}
 		case <-timeout:
-			k.tb.Fatal("no follower said that " + what)
+			k.tb.Fatal("no follower reported that " + what)
 		}
 	}
 }
 
-// WaitForRevision waits for a call that says that a revision is in force.
+// WaitForRevision waits for a call with the status that a revision is in force, and returns that status.
 func (k *Keeper) WaitForRevision(revision uint64) configlog.FollowerStatus {
 	k.tb.Helper()
 	return k.WaitForStatus("revision "+strconv.FormatUint(revision, 10)+" is in force",
@@ -119,12 +121,12 @@
 	WaitMS int                      `json:"wait_ms"`
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP answers a call of a follower.
 func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var request followRequest
 	err := json.NewDecoder(r.Body).Decode(&request)
 	if err != nil || r.URL.Path != "/v1/follow" || r.Method != http.MethodPost {
-		http.Error(w, "no such call", http.StatusNotFound)
+		http.Error(w, "expected a JSON body at POST /v1/follow", http.StatusNotFound)
 		return
 	}
 	if err := request.Report.Check(); err != nil {
@@ -140,7 +142,7 @@
 	default:
 	}
 	if k.recordInstance(request.Report.Instance) && request.WaitMS == 0 {
-		w.WriteHeader(http.StatusNoContent) // the keepers have not agreed on a new process when the call ends
+		w.WriteHeader(http.StatusNoContent) // the call ends before real keepers have agreed to record the new process
 		return
 	}
 	k.answerPoll(w, r, request)
@@ -152,7 +154,7 @@
 	return k.override
 }
 
-// recordInstance reports whether a process calls for the first time.
+// recordInstance records that an instance has made a call, and reports whether it is the first one.
 func (k *Keeper) recordInstance(instance string) (isNew bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -161,7 +163,7 @@
 	return isNew
 }
 
-// answerPoll answers once there is an update or the wait is over. It aborts the connection once there is an override.
+// answerPoll answers when there is an update or the wait has passed. It aborts the connection if an override is set.
 func (k *Keeper) answerPoll(w http.ResponseWriter, r *http.Request, request followRequest) {
 	timeout := time.After(time.Duration(request.WaitMS) * time.Millisecond)
 	for {
@@ -186,7 +188,7 @@
 	}
 }
 
-// nextAnswer returns the encoded update for a follower; nil if there is nothing newer. It encodes under the lock,
+// nextAnswer returns the encoded update for a follower, or nil if there is nothing newer. It encodes under the lock
 // because the update shares its entries with the log.
 func (k *Keeper) nextAnswer(
 	status configlog.FollowerStatus,
