--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -103,7 +103,7 @@
 	}
 	if client.Counters.Revision.Load() != int64(first) || client.Counters.RejectedRevision.Load() != int64(first+1) ||
 		client.Latest().Revision != first {
-		t.Errorf("in force %d, rejected %d", client.Counters.Revision.Load(), client.Counters.RejectedRevision.Load())
+		t.Errorf("revision %d is in force, revision %d is rejected", client.Counters.Revision.Load(), client.Counters.RejectedRevision.Load())
 	}
 	third := keeper.Change(overQuotaWeight("0.3"))
 	status = keeper.WaitForRevision(third)
@@ -156,11 +156,11 @@
 			_, _ = io.WriteString(w, `{"from":0,"to":5,"snapshot":true,"put":{"`)
 			panic(http.ErrAbortHandler)
 		}},
-		{"garbage", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\x00\xff<html>") }},
+		{"not JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "\x00\xff<html>") }},
 		{"wrong hash", answerUpdate(configlog.Update{To: 5, Snapshot: true, Put: put})},
-		{"behind", answerUpdate(configlog.Update{To: 0, KeeperBehind: true})},
-		{"an update from another revision", answerUpdate(configlog.Update{From: 4, To: 5, Put: put})},
-		{"huge", func(w http.ResponseWriter, _ *http.Request) {
+		{"behind the router", answerUpdate(configlog.Update{To: 0, KeeperBehind: true})},
+		{"update from another revision", answerUpdate(configlog.Update{From: 4, To: 5, Put: put})},
+		{"body too large", func(w http.ResponseWriter, _ *http.Request) {
 			part := strings.Repeat("x", 1<<16)
 			for range maxAnswerBytes>>16 + 4 {
 				if _, err := io.WriteString(w, part); err != nil {
@@ -168,7 +168,7 @@
 				}
 			}
 		}},
-		{"huge header", func(w http.ResponseWriter, _ *http.Request) {
+		{"header too large", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X", strings.Repeat("x", maxHeaderBytes<<3))
 		}},
 		{"busy", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }},
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -72,7 +72,7 @@
 			t.Errorf("%s: revision %d is in force, %d copies were set aside", test.name, got, aside)
 		}
 		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == test.usable && !test.usable {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: copy set aside: %v", test.name, err)
 		}
 	}
 	// The copy of one router under the name of another router's copy.
--- a/internal/configclient/golden_test.go
+++ b/internal/configclient/golden_test.go
@@ -81,7 +81,7 @@
 	client.Restore(time.Second, func(Revision) error { return nil })
 	want := Revision{Revision: 12, Hash: configlog.HashEntries(goldenEntries()), Entries: goldenEntries()}
 	if diff := cmp.Diff(want, client.Latest()); diff != "" {
-		t.Error(diff)
+		t.Errorf("unexpected revision in force: %s", diff)
 	}
 	if n := client.Counters.CopiesSetAside.Load(); n != 0 {
 		t.Errorf("%d copies were set aside", n)
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -21,7 +21,7 @@
 	if settings.FlightSQL == nil || settings.BGP == nil || settings.BGP.HoldTimeS != 90 ||
 		settings.BGP.Prefixes[0].String() != "127.0.0.1/32" ||
 		settings.Keepers == nil || len(settings.Keepers.Addresses) != 3 || settings.Keepers.MaxPollWaitMS != 2000 {
-		t.Errorf("%+v", settings)
+		t.Errorf("unexpected settings %+v", settings)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	want := &Settings{FlightSQL: &flightsql.Config{Listen: "127.0.0.1:1", MaxConnections: 32}}
 	if diff := cmp.Diff(want, settings, cmpopts.EquateEmpty()); diff != "" {
-		t.Error(diff)
+		t.Errorf("unexpected settings: %s", diff)
 	}
 }
 
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -76,7 +76,7 @@
 // endpointSet is a complete list of endpoints to which records are applied.
 type endpointSet struct {
 	update EndpointUpdate
-	index  map[dispatch.EngineID]int // in result.Events.Endpoints
+	index  map[dispatch.EngineID]int // position in update.List.Endpoints
 }
 
 func newEndpointSet() *endpointSet {
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -14,7 +14,7 @@
 type Node struct {
 	Name             string              `json:"name"`
 	Listen           string              `json:"listen"`
-	Seed             string              `json:"seed"` // hex
+	Seed             string              `json:"seed"` // 64 bits in hex
 	Limits           NodeLimits          `json:"limits"`
 	DiscoveryAddress string              `json:"board"`
 	AdminAddress     string              `json:"control"` // empty: no admin server
@@ -25,7 +25,7 @@
 	SeedValue uint64   `json:"-"`
 }
 
-// NodeLimits bound the resources that the process may use. 0 selects a default.
+// NodeLimits bounds the resources that the process may use. 0 selects a default.
 type NodeLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/settings/overlay_test.go
+++ b/internal/settings/overlay_test.go
@@ -57,7 +57,7 @@
 		map[string]any{"name": "west/two", "quota-rps": 3.0, "share": 0.5},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("the result differs from the expected file: %s", diff)
 	}
 	node, err := ParseNode(text)
 	if err != nil || node.Settings.Tenants[1].Name != "west/two" || node.Settings.Tenants[1].Quota != 3 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -41,7 +41,7 @@
 	Quota float64 `json:"quota-rps"`
 }
 
-// Limits bound the attempts of a request.
+// Limits bounds the attempts of a request.
 type Limits struct {
 	MaxAttempts       int   `json:"attempts-cap"`
 	CancelAllowed     bool  `json:"cancel"`
--- a/internal/validate/resources.go
+++ b/internal/validate/resources.go
@@ -31,11 +31,11 @@
 	maxInboundBytes = 4 << 20
 )
 
-// ResourceLimits are the limits of the parts of a router that result from its configuration.
+// ResourceLimits has the limits of the parts of a router that result from its configuration.
 type ResourceLimits struct {
-	InboundBytes      int // received and not handled yet
+	InboundBytes      int // received bytes that are not handled yet
 	ClientSessions    int
-	BufferedBytes     int // of responses that clients have not read yet
+	BufferedBytes     int // bytes of responses that clients have not read yet
 	EngineConnections int
 }
 
@@ -58,7 +58,7 @@
 	return limits, nil
 }
 
-// orDefault returns the value, or the default for 0.
+// orDefault returns the value, or the default if the value is 0.
 func orDefault(value, defaultValue int) int {
 	if value == 0 {
 		return defaultValue
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -87,7 +87,7 @@
 	}
 	rejected := configerror.From(Entries([]byte(readExample(t)), entries))
 	if rejected == nil || rejected.Pointer != "/settings/specifics/kind-memory-mb" {
-		t.Fatalf("%+v", rejected)
+		t.Fatalf("error %+v, want one for kind-memory-mb", rejected)
 	}
 	entries["/settings/specifics/kind-memory-mb"] = settings.Value(`[1,2]`)
 	if err := Entries([]byte(readExample(t)), entries); err != nil {
@@ -101,7 +101,7 @@
 	err := Entries([]byte(invalidBase), map[string]settings.Value{"/settings/over-share-worth": settings.Value(`0.5`)})
 	if err == nil || configerror.From(err).Pointer != "" ||
 		!strings.Contains(err.Error(), "base configuration: field settings: rules.cold-from") {
-		t.Errorf("%+v", err)
+		t.Errorf("error %+v, want one for the base without a pointer", err)
 	}
 	corrected := map[string]settings.Value{"/settings/rules/cold-from": settings.Value(`0.5`)}
 	if err := Entries([]byte(invalidBase), corrected); err != nil {
@@ -132,7 +132,7 @@
 	}
 	dependencies := strings.Fields(string(out))
 	if len(dependencies) < 5 {
-		t.Fatal(dependencies)
+		t.Fatalf("go list returned only the dependencies %q", dependencies)
 	}
 	for _, dependency := range dependencies {
 		for _, forbidden := range []string{
