--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -154,10 +154,10 @@
 	}
 	// The poller runs already and may have posted connections. The loop handles them after build has returned.
 	core := n.services.core
-	core.UpdateEndpoints(known.Events, known.Addresses)
+	core.UpdateEndpoints(known.List, known.Addresses)
 	core.AdoptCordons(n.cordons.list())
 	n.services.endpoints = discovery.Watch(n.loop, n.services.net, cfg.DiscoveryAddress, endpointNames(cfg), lastEvent,
-		func(update discovery.Update) { core.UpdateEndpoints(update.Events, update.Addresses) }, cfg.SeedValue, n.log)
+		func(update discovery.Update) { core.UpdateEndpoints(update.List, update.Addresses) }, cfg.SeedValue, n.log)
 	n.limiter.applyToRuntime()
 	return nil
 }
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -233,7 +233,7 @@
 			k.reloader.rejected(err)
 			continue
 		}
-		k.client.Retry() // a rejected revision may be valid over the new file
+		k.client.RetryRejected() // a rejected revision may be valid over the new file
 	}
 }
 
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -8,18 +8,18 @@
 	"windflow/internal/clock"
 )
 
-// EndpointEvents is a list of engines, complete or the changes of it, and the addresses where they listen.
-type EndpointEvents struct {
-	Events    dispatch.EndpointList
+// EndpointUpdate is a complete list of endpoints or a list of changes, with the addresses on which the engines listen.
+type EndpointUpdate struct {
+	List      dispatch.EndpointList
 	Addresses map[dispatch.EngineID]string
 }
 
-// endpointStates are the platform's names for the state of an engine.
-var endpointStates = map[string]dispatch.EndpointState{
+// endpointStatesByName maps the platform's names for the states of an engine.
+var endpointStatesByName = map[string]dispatch.EndpointState{
 	"active": dispatch.Live, "leaving": dispatch.Draining, "left": dispatch.Removed,
 }
 
-// knownEndpoints is the platform's JSON of the endpoint events that a configuration has.
+// knownEndpoints is the JSON form of the endpoint events in a router's configuration.
 type knownEndpoints struct {
 	Revision uint64          `json:"rev"`
 	Events   []endpointEvent `json:"notices"`
@@ -27,11 +27,11 @@
 
 type endpointEvent struct {
 	Revision uint64        `json:"rev"`
-	Pool     *endpointPool `json:"pool"` // nil for events of another kind
+	Pool     *endpointPool `json:"pool"` // nil for other kinds of events
 }
 
 type endpointPool struct {
-	Complete  bool             `json:"complete"` // the list replaces all before it
+	Complete  bool             `json:"complete"` // the list replaces all earlier ones
 	Endpoints []endpointRecord `json:"members"`
 }
 
@@ -46,16 +46,16 @@
 	StartedAtMS    float64 `json:"up_since_ms"`
 }
 
-// ParseEndpoints applies the endpoint events of a configuration in their order, and returns the one complete list that
-// results, and the revision of the last event. The error names the field.
-func ParseEndpoints(text []byte) (EndpointEvents, uint64, error) {
+// ParseEndpoints applies the endpoint events of a configuration in order. It returns the resulting complete list and
+// the revision of the last event, or an empty list and 0 for an empty text. The error names the invalid field.
+func ParseEndpoints(text []byte) (EndpointUpdate, uint64, error) {
 	endpoints := newEndpointSet()
 	if len(text) == 0 {
-		return endpoints.result, 0, nil
+		return endpoints.update, 0, nil
 	}
 	var known knownEndpoints
 	if err := Decode(text, &known); err != nil {
-		return endpoints.result, 0, err
+		return endpoints.update, 0, err
 	}
 	for i, event := range known.Events {
 		if event.Pool == nil {
@@ -65,58 +65,58 @@
 			endpoints = newEndpointSet()
 		}
 		for j, record := range event.Pool.Endpoints {
-			if err := endpoints.put(record); err != nil {
-				return endpoints.result, 0, fmt.Errorf("notices[%d].pool.members[%d].%w", i, j, err)
+			if err := endpoints.upsert(record); err != nil {
+				return endpoints.update, 0, fmt.Errorf("notices[%d].pool.members[%d].%w", i, j, err)
 			}
 		}
 	}
-	return endpoints.result, known.Revision, nil
+	return endpoints.update, known.Revision, nil
 }
 
-// endpointSet is a complete list of endpoints that records are applied to.
+// endpointSet is a complete list of endpoints to which records are applied.
 type endpointSet struct {
-	result EndpointEvents
-	index  map[dispatch.EngineID]int // in result.Events.Endpoints
+	update EndpointUpdate
+	index  map[dispatch.EngineID]int // position in update.List.Endpoints
 }
 
 func newEndpointSet() *endpointSet {
 	return &endpointSet{
-		result: EndpointEvents{
-			Events:    dispatch.EndpointList{Mode: dispatch.ListCached},
+		update: EndpointUpdate{
+			List:      dispatch.EndpointList{Mode: dispatch.ListCached},
 			Addresses: map[dispatch.EngineID]string{},
 		},
 		index: map[dispatch.EngineID]int{},
 	}
 }
 
-// put adds an endpoint or replaces the one with its ID. The error begins with the name of the field in the record.
-func (s *endpointSet) put(record endpointRecord) error {
+// upsert adds an endpoint or replaces the one with the same ID. The error begins with the name of the invalid field.
+func (s *endpointSet) upsert(record endpointRecord) error {
 	endpoint, err := record.endpoint()
 	if err != nil {
 		return err
 	}
 	if index, known := s.index[endpoint.ID]; known {
-		s.result.Events.Endpoints[index] = endpoint
+		s.update.List.Endpoints[index] = endpoint
 	} else {
-		s.index[endpoint.ID] = len(s.result.Events.Endpoints)
-		s.result.Events.Endpoints = append(s.result.Events.Endpoints, endpoint)
+		s.index[endpoint.ID] = len(s.update.List.Endpoints)
+		s.update.List.Endpoints = append(s.update.List.Endpoints, endpoint)
 	}
-	s.result.Addresses[endpoint.ID] = record.Address
+	s.update.Addresses[endpoint.ID] = record.Address
 	return nil
 }
 
-// endpoint translates the record.
+// endpoint converts the record. The error begins with the name of the invalid field.
 func (r endpointRecord) endpoint() (dispatch.Endpoint, error) {
 	id, err := ParseEngineID(r.ID)
 	if err != nil {
 		return dispatch.Endpoint{}, fmt.Errorf("id: %w", err)
 	}
-	state, ok := endpointStates[r.State]
+	state, ok := endpointStatesByName[r.State]
 	if !ok {
 		return dispatch.Endpoint{}, fmt.Errorf("phase: unknown value %q", r.State)
 	}
 	if _, err := netip.ParseAddrPort(r.Address); err != nil && state != dispatch.Removed {
-		return dispatch.Endpoint{}, fmt.Errorf("host_port: %q is no address and port", r.Address)
+		return dispatch.Endpoint{}, fmt.Errorf("host_port: %q is not an IP address and port", r.Address)
 	}
 	return dispatch.Endpoint{
 		ID: id, Cell: r.Cell, Zone: r.Zone, Kind: r.Kind, CapacityWeight: r.CapacityWeight, State: state,
