--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -9,13 +9,13 @@
 
 // connection is one client's connection: it takes one request and sends one response.
 type connection struct {
-	server    *Server
-	conn      netio.Conn
-	buffer    []byte
-	sequence  int64 // connections are numbered as they are opened
-	timer     *router.Timer
-	requested bool // the request was received completely
-	finished  bool
+	server          *Server
+	conn            netio.Conn
+	buffer          []byte
+	sequence        int64 // connections are numbered as they are opened
+	timer           *router.Timer
+	requestReceived bool // the request was received completely
+	finished        bool
 }
 
 // Opened implements netio.Handler.
@@ -33,7 +33,7 @@
 
 // Data implements netio.Handler.
 func (c *connection) Data(b []byte, _ float64) {
-	if c.finished || c.requested {
+	if c.finished || c.requestReceived {
 		return
 	}
 	c.buffer = append(c.buffer, b...)
@@ -47,7 +47,7 @@
 		c.respond(response{status: statusBadRequest, text: err.Error()})
 	case request != nil:
 		c.server.Counters.Requests++
-		c.requested = true
+		c.requestReceived = true
 		c.server.handle(request, c.respond)
 	}
 }
@@ -67,7 +67,7 @@
 	if c.finished {
 		return
 	}
-	if c.requested {
+	if c.requestReceived {
 		c.count(r)
 	}
 	c.finish()
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -53,7 +53,7 @@
 }
 
 // Each response is as it was when the golden file was recorded, complete and byte for byte.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	var got strings.Builder
 	for _, c := range goldenRequests {
 		fmt.Fprintf(&got, "> %q", c.request)
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -11,8 +11,8 @@
 // maxRequest bounds a request, its head and its body together; operators send neither long heads nor bodies.
 const maxRequest = 8 << 10
 
-// lengthBits bounds a body's length to what an int holds on every platform.
-const lengthBits = 31
+// contentLengthBits bounds a body's length to what an int holds on every platform.
+const contentLengthBits = 31
 
 // request is one HTTP/1.1 request.
 type request struct {
@@ -28,7 +28,7 @@
 
 // parseRequest parses a request; it returns nil while the request is incomplete.
 func parseRequest(b []byte) (*request, error) {
-	head, body, complete := cutHead(b)
+	head, body, complete := splitHead(b)
 	if !complete {
 		return nil, checkIncomplete(b)
 	}
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// cutHead cuts the head off at the empty line behind it; lines may end in a bare line feed.
-func cutHead(b []byte) (head, body []byte, complete bool) {
+// splitHead cuts the head off at the empty line behind it; lines may end in a bare line feed.
+func splitHead(b []byte) (head, body []byte, complete bool) {
 	for i := 0; i < len(b) && i <= maxRequest; i++ {
 		if b[i] != '\n' {
 			continue
@@ -93,7 +93,7 @@
 		}
 		switch strings.ToLower(name) {
 		case "content-length":
-			n, err := strconv.ParseUint(strings.TrimSpace(value), 10, lengthBits)
+			n, err := strconv.ParseUint(strings.TrimSpace(value), 10, contentLengthBits)
 			if err != nil || stated && int(n) != length {
 				return 0, errMalformedRequest
 			}
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -17,8 +17,8 @@
 	statusContentTooLarge    status = 413
 	statusServiceUnavailable status = 503
 
-	// endOfSuccess is where the codes of success end.
-	endOfSuccess status = 300
+	// statusMultipleChoices is where the codes of success end.
+	statusMultipleChoices status = 300
 )
 
 var reasonPhrases = map[status]string{
@@ -42,7 +42,7 @@
 	return response{status: statusMethodNotAllowed, text: "method not allowed", allow: allow}
 }
 
-func (r response) succeeded() bool { return r.status < endOfSuccess }
+func (r response) succeeded() bool { return r.status < statusMultipleChoices }
 
 // encode returns the response as it is sent; its text ends in a line feed.
 func (r response) encode() []byte {
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -19,23 +19,23 @@
 // handle answers a request.
 func (s *Server) handle(r *request, respond func(response)) {
 	if id, ok := strings.CutPrefix(r.path, pathPrefixCordon); ok {
-		s.handleOrder(r, id, s.backend.Cordon, respond)
+		s.handleCordonChange(r, id, s.backend.Cordon, respond)
 		return
 	}
 	if id, ok := strings.CutPrefix(r.path, pathPrefixUncordon); ok {
-		s.handleOrder(r, id, s.backend.Uncordon, respond)
+		s.handleCordonChange(r, id, s.backend.Uncordon, respond)
 		return
 	}
-	respond(s.query(r))
+	respond(s.handleRead(r))
 }
 
-// handleOrder starts an operator's order on an engine, and answers once it is carried out.
-func (s *Server) handleOrder(r *request, id string, order func(string, func(bool)), respond func(response)) {
+// handleCordonChange starts an operator's order on an engine, and answers once it is carried out.
+func (s *Server) handleCordonChange(r *request, id string, change func(string, func(bool)), respond func(response)) {
 	if r.method != methodPost {
 		respond(methodNotAllowed(methodPost))
 		return
 	}
-	order(id, func(known bool) {
+	change(id, func(known bool) {
 		s.log.Info("operator order", "path", r.path, "known", known)
 		if !known {
 			respond(response{status: statusNotFound, text: "no engine of that id was ever listed"})
@@ -45,8 +45,8 @@
 	})
 }
 
-// query answers a request that changes nothing.
-func (s *Server) query(r *request) response {
+// handleRead answers a request that changes nothing.
+func (s *Server) handleRead(r *request) response {
 	switch {
 	case r.path != pathReady && r.path != pathTelemetry:
 		return response{
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -92,7 +92,7 @@
 func (s *Server) evict() bool {
 	var victim *connection
 	for c := range s.connections {
-		if c.requested {
+		if c.requestReceived {
 			continue // its answer is on the way
 		}
 		if victim == nil || c.evictedBefore(victim) {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -23,14 +23,16 @@
 
 func (b *fakeBackend) Ready() error      { return b.notReady }
 func (b *fakeBackend) Telemetry() string { return "svc.outstanding:14|g\n" }
-func (b *fakeBackend) order(name, id string, answer func(bool)) {
+func (b *fakeBackend) changeCordon(name, id string, answer func(bool)) {
 	if id == "s-00c41f7a" {
 		fmt.Fprintf(b.out, "  %s %s\n", name, id)
 	}
 	answer(id == "s-00c41f7a")
 }
-func (b *fakeBackend) Cordon(id string, answer func(bool))   { b.order("exclude", id, answer) }
-func (b *fakeBackend) Uncordon(id string, answer func(bool)) { b.order("include", id, answer) }
+
+func (b *fakeBackend) Cordon(id string, answer func(bool)) { b.changeCordon("exclude", id, answer) }
+
+func (b *fakeBackend) Uncordon(id string, answer func(bool)) { b.changeCordon("include", id, answer) }
 
 // fakeConn is a connection that prints what is written to it.
 type fakeConn struct {
@@ -109,7 +111,7 @@
 }
 
 func TestParseRequest(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name, text, path string
 		err              error
 	}{
@@ -128,9 +130,9 @@
 		{"a head without end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxRequest), "", errRequestTooLong},
 		{"a long body", "POST / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", "", errRequestTooLong},
 	} {
-		r, err := parseRequest([]byte(k.text))
-		if !errors.Is(err, k.err) || (r != nil) != (k.path != "") || r != nil && r.path != k.path {
-			t.Errorf("%s: %+v, %v", k.name, r, err)
+		r, err := parseRequest([]byte(test.text))
+		if !errors.Is(err, test.err) || (r != nil) != (test.path != "") || r != nil && r.path != test.path {
+			t.Errorf("%s: %+v, %v", test.name, r, err)
 		}
 	}
 }
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -13,32 +13,32 @@
 	// it sends a frame each second. What a service that has stopped would have sent counts as sent 4 s after its
 	// stop, so that there must be time left to connect again.
 	silenceTimeoutMS = 1800.0
-	// frameProgress is how many bytes of an incomplete frame must arrive to count as a sign of life: one that trickles
+	// minFrameProgress is how many bytes of an incomplete frame must arrive to count as a sign of life: one that trickles
 	// would keep the connection for ever.
-	frameProgress = 4096
+	minFrameProgress = 4096
 )
 
 // Reasons why a connection ends.
 var (
-	errSilent     = errors.New("no frame in time")
-	errConnection = errors.New("connection closed")
+	errTimeout          = errors.New("no frame in time")
+	errConnectionClosed = errors.New("connection closed")
 )
 
 // connection is one connection to discovery; it implements netio.Handler.
 type connection struct {
-	watcher  *Watcher
-	conn     netio.Conn
-	buffer   []byte
-	timer    *router.Timer
-	received bool // anything was received on it
-	counted  int  // bytes of the incomplete frame that have counted as a sign of life
-	closed   bool // nothing that it receives counts any more
+	watcher       *Watcher
+	conn          netio.Conn
+	buffer        []byte
+	timer         *router.Timer
+	received      bool // anything was received on it
+	creditedBytes int  // bytes of the incomplete frame that have counted as a sign of life
+	closed        bool // nothing that it receives counts any more
 }
 
-// awaitFrame starts the wait for the next sign of life anew.
-func (c *connection) awaitFrame() {
+// restartTimeout starts the wait for the next sign of life anew.
+func (c *connection) restartTimeout() {
 	c.timer.Stop()
-	c.timer = c.watcher.loop.After(silenceTimeoutMS, func() { c.fail(errSilent) })
+	c.timer = c.watcher.loop.After(silenceTimeoutMS, func() { c.fail(errTimeout) })
 }
 
 // Opened implements netio.Handler.
@@ -54,10 +54,10 @@
 // Closed implements netio.Handler.
 func (c *connection) Closed(err error) {
 	if err == nil {
-		c.fail(errConnection)
+		c.fail(errConnectionClosed)
 		return
 	}
-	c.fail(fmt.Errorf("%w: %w", errConnection, err))
+	c.fail(fmt.Errorf("%w: %w", errConnectionClosed, err))
 }
 
 // Data implements netio.Handler.
@@ -72,10 +72,10 @@
 	c.buffer = append(c.buffer, b...)
 	frames := c.watcher.Counters.Frames
 	c.readFrames()
-	progressed := c.watcher.Counters.Frames > frames || len(c.buffer)-c.counted >= frameProgress
+	progressed := c.watcher.Counters.Frames > frames || len(c.buffer)-c.creditedBytes >= minFrameProgress
 	if !c.closed && progressed {
-		c.counted = len(c.buffer)
-		c.awaitFrame()
+		c.creditedBytes = len(c.buffer)
+		c.restartTimeout()
 	}
 }
 
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -24,12 +24,12 @@
 	recordSize      = 27
 	maxFrameSize    = 1 << 20
 
-	stateAt    = 10
-	zoneAt     = 11
-	kindAt     = 12
-	cellAt     = 13
-	capacityAt = 15
-	startedAt  = 19
+	stateOffset    = 10
+	zoneOffset     = 11
+	kindOffset     = 12
+	cellOffset     = 13
+	capacityOffset = 15
+	startedOffset  = 19
 
 	// capacityUnit is what a record's capacity is counted in, as parts of one.
 	capacityUnit = 1000
@@ -118,8 +118,8 @@
 // parseRecord parses one endpoint and where it listens.
 func parseRecord(record []byte, names RecordNames) (endpoint dispatch.Endpoint, address string, err error) {
 	id := dispatch.EngineID(binary.BigEndian.Uint32(record))
-	state, zone, kind := dispatch.EndpointState(record[stateAt]), int(record[zoneAt]), int(record[kindAt])
-	startedMS := binary.BigEndian.Uint64(record[startedAt:])
+	state, zone, kind := dispatch.EndpointState(record[stateOffset]), int(record[zoneOffset]), int(record[kindOffset])
+	startedMS := binary.BigEndian.Uint64(record[startedOffset:])
 	inRange := state <= dispatch.Removed && zone < len(names.Zones) && kind < len(names.Kinds) && startedMS <= maxStartedMS
 	if !inRange {
 		return endpoint, "", fmt.Errorf("%w: s-%08x with state %d, zone %d, kind %d, start %d",
@@ -130,8 +130,8 @@
 		State:          state,
 		Zone:           names.Zones[zone],
 		Kind:           names.Kinds[kind],
-		Cell:           int(binary.BigEndian.Uint16(record[cellAt:])),
-		CapacityWeight: float64(binary.BigEndian.Uint32(record[capacityAt:])) / capacityUnit,
+		Cell:           int(binary.BigEndian.Uint16(record[cellOffset:])),
+		CapacityWeight: float64(binary.BigEndian.Uint32(record[capacityOffset:])) / capacityUnit,
 		StartedAt:      clock.Duration(float64(startedMS)),
 	}
 	ip, port := netip.AddrFrom4([4]byte(record[4:8])), binary.BigEndian.Uint16(record[8:])
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -14,13 +14,13 @@
 var testNames = RecordNames{Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"std-8"}}
 
 const (
-	eventFive     = "0000000000000005"
-	record        = "00c41f7a" + "7f080001" + "1f90" + "00" + "01" + "00" + "0002" + "000005dc" + "0000000000000000"
-	unknownRecord = "00c41f7a" + "7f080001" + "1f90" + "00" + "02" + "00" + "0002" + "000005dc" + "0000000000000000"
+	eventFive         = "0000000000000005"
+	record            = "00c41f7a" + "7f080001" + "1f90" + "00" + "01" + "00" + "0002" + "000005dc" + "0000000000000000"
+	unknownZoneRecord = "00c41f7a" + "7f080001" + "1f90" + "00" + "02" + "00" + "0002" + "000005dc" + "0000000000000000"
 )
 
-// frameOf returns a frame with its length.
-func frameOf(t *testing.T, body string) []byte {
+// encodeFrame returns a frame with its length.
+func encodeFrame(t *testing.T, body string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(body)
 	if err != nil {
@@ -31,7 +31,7 @@
 
 func TestParseFrame(t *testing.T) {
 	engine := dispatch.Endpoint{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, CapacityWeight: 1.5}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, body string
 		err        error
 		want       []dispatch.Endpoint
@@ -42,26 +42,26 @@
 		{"changes", eventFive + "02" + record, nil, []dispatch.Endpoint{engine}, dispatch.ListIncremental},
 		{"unknown kind", eventFive + "03", errUnknownFrameKind, nil, 0},
 		{"cut record", eventFive + "02" + record[:50], errPartialRecord, nil, 0},
-		{"zone out of range", eventFive + "02" + unknownRecord, errRecordOutOfRange, nil, 0},
+		{"zone out of range", eventFive + "02" + unknownZoneRecord, errRecordOutOfRange, nil, 0},
 		{"payload on nothing", eventFive + "00" + record, errUnexpectedPayload, nil, 0},
 		{"too short", "00", errFrameTooShort, nil, 0},
 	} {
-		parsed, err := parseFrame(frameOf(t, c.body)[lengthSize:], testNames)
-		if !errors.Is(err, c.err) {
-			t.Errorf("%s: error %v, want %v", c.name, err, c.err)
+		parsed, err := parseFrame(encodeFrame(t, test.body)[lengthSize:], testNames)
+		if !errors.Is(err, test.err) {
+			t.Errorf("%s: error %v, want %v", test.name, err, test.err)
 		}
-		if err != nil || c.err != nil {
+		if err != nil || test.err != nil {
 			continue
 		}
 		if parsed.event != 5 {
-			t.Errorf("%s: event %d", c.name, parsed.event)
+			t.Errorf("%s: event %d", test.name, parsed.event)
 		}
-		want := dispatch.EndpointList{Mode: c.mode, Endpoints: c.want}
+		want := dispatch.EndpointList{Mode: test.mode, Endpoints: test.want}
 		if diff := cmp.Diff(want, parsed.update.Events); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
+			t.Errorf("%s: %s", test.name, diff)
 		}
-		if len(c.want) > 0 && parsed.update.Addresses[engine.ID] != "127.8.0.1:8080" {
-			t.Errorf("%s: address %q", c.name, parsed.update.Addresses[engine.ID])
+		if len(test.want) > 0 && parsed.update.Addresses[engine.ID] != "127.8.0.1:8080" {
+			t.Errorf("%s: address %q", test.name, parsed.update.Addresses[engine.ID])
 		}
 	}
 }
@@ -70,7 +70,7 @@
 // kind that the settings name.
 func FuzzParseFrame(f *testing.F) {
 	for _, body := range []string{
-		eventFive + "00", eventFive + "01" + record, eventFive + "02" + record + record, eventFive + "02" + unknownRecord,
+		eventFive + "00", eventFive + "01" + record, eventFive + "02" + record + record, eventFive + "02" + unknownZoneRecord,
 	} {
 		b, err := hex.DecodeString(body)
 		if err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -101,7 +101,7 @@
 	w.Counters.Connections++
 	w.connection = &connection{watcher: w}
 	w.connection.conn = w.dialer.Dial(w.address, connectTimeoutMS, w.connection)
-	w.connection.awaitFrame()
+	w.connection.restartTimeout()
 }
 
 // connected records that discovery has sent something on a new connection.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -39,7 +39,7 @@
 
 // A bad frame, a gap or silence ends the connection and keeps the list, and the next connection continues from the last
 // good event.
-func TestReconnectsFromTheLastGoodEvent(t *testing.T) {
+func TestReconnectsFromLastValidEvent(t *testing.T) {
 	now := &clock.Manual{MS: 1e6}
 	loop := router.NewLoop(now)
 	run := func() {
@@ -51,10 +51,10 @@
 	w := Watch(loop, d, "discovery:1", testNames, 4, func(u Update) { updates = append(updates, len(u.Events.Endpoints)) },
 		1, slog.New(slog.DiscardHandler))
 	steps := []struct {
-		name, frame string
-		wait        float64
-		connections int
-		since       string // what the newest connection subscribed from
+		name, frame    string
+		wait           float64
+		connections    int
+		subscribedFrom string // what the newest connection subscribed from
 	}{
 		{"event 5, in two parts", eventFive + "02" + record, 0, 1, "0000000000000004"},
 		{"event 5 again is ignored", eventFive + "02" + record, 0, 1, "0000000000000004"},
@@ -67,7 +67,7 @@
 	for _, s := range steps {
 		connection := d.handlers[len(d.handlers)-1]
 		if s.frame != "" {
-			b := frameOf(t, s.frame)
+			b := encodeFrame(t, s.frame)
 			connection.Data(b[:3], now.MS)
 			connection.Data(b[3:], now.MS)
 		}
@@ -79,9 +79,9 @@
 		if len(d.handlers) > before {
 			d.handlers[len(d.handlers)-1].Opened(&fakeConn{dialer: d})
 		}
-		if len(d.handlers) != s.connections || d.written[len(d.written)-1] != s.since {
+		if len(d.handlers) != s.connections || d.written[len(d.written)-1] != s.subscribedFrom {
 			t.Errorf("%s: %d connections, the last subscribed from %s; want %d and %s", s.name, len(d.handlers),
-				d.written[len(d.written)-1], s.connections, s.since)
+				d.written[len(d.written)-1], s.connections, s.subscribedFrom)
 		}
 	}
 	if diff := cmp.Diff([]int{1, 0}, updates); diff != "" || w.Counters.BadFrames != 2 {
@@ -91,7 +91,7 @@
 
 // Routers that lose discovery in the same instant connect again at times of their own, each time within half as much
 // again of the wait; the same seed waits the same.
-func TestReconnectionsAreSpread(t *testing.T) {
+func TestReconnectDelaysAreRandomized(t *testing.T) {
 	reconnections := func(seed uint64) (at []float64) {
 		now := &clock.Manual{MS: 1e6}
 		loop := router.NewLoop(now)
@@ -131,12 +131,12 @@
 
 // Discovery that sends a byte now and then of a frame that never ends, or nothing after a complete list, counts as
 // silent; one that sends a long frame slowly does not.
-func TestSilenceCountsCompleteFrames(t *testing.T) {
-	for _, k := range []struct {
-		name  string
-		first string // frame
-		bytes int    // of a frame that follows, each 100 ms
-		stays bool
+func TestSilentConnectionTimesOut(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		first     string // frame
+		bytes     int    // of a frame that follows, each 100 ms
+		staysOpen bool
 	}{
 		{"trickle", "0000000000000004" + "00", 1, false},
 		{"silent after a complete list", "0000000000000005" + "01" + record, 0, false},
@@ -148,21 +148,21 @@
 		d := &fakeDialer{}
 		Watch(loop, d, "discovery:1", testNames, 4, func(Update) {}, 1, slog.New(slog.DiscardHandler))
 		d.handlers[0].Opened(&fakeConn{dialer: d})
-		if k.first != "" {
-			d.handlers[0].Data(frameOf(t, k.first), now.MS)
+		if test.first != "" {
+			d.handlers[0].Data(encodeFrame(t, test.first), now.MS)
 		}
 		long := []byte{0, 0x0f, 0xff, 0xff}
 		for range 30 {
-			if k.bytes > 0 {
-				d.handlers[0].Data(append(long, make([]byte, k.bytes)...), now.MS)
+			if test.bytes > 0 {
+				d.handlers[0].Data(append(long, make([]byte, test.bytes)...), now.MS)
 				long = nil
 			}
 			now.MS += 100
 			for loop.Step() {
 			}
 		}
-		if stays := len(d.handlers) == 1; stays != k.stays {
-			t.Errorf("%s: %d connections after 3 s", k.name, len(d.handlers))
+		if stays := len(d.handlers) == 1; stays != test.staysOpen {
+			t.Errorf("%s: %d connections after 3 s", test.name, len(d.handlers))
 		}
 	}
 }
--- a/internal/enginehttp/harness_test.go
+++ b/internal/enginehttp/harness_test.go
@@ -147,8 +147,8 @@
 	return shown
 }
 
-// number reads the number of a line.
-func (h *harness) number(line, text string) int {
+// parseNumber reads the number of a line.
+func (h *harness) parseNumber(line, text string) int {
 	h.t.Helper()
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -165,7 +165,7 @@
 func (h *harness) playConn(line string) bool {
 	h.t.Helper()
 	verb, argument, _ := strings.Cut(line, " ")
-	conn := func() *fakeConn { return h.conns[h.number(line, argument)-1] }
+	conn := func() *fakeConn { return h.conns[h.parseNumber(line, argument)-1] }
 	switch verb {
 	case "up":
 		conn().handler.Opened(conn())
@@ -196,11 +196,11 @@
 			h.attempts[0].Abandon()
 		}
 	case "rank":
-		h.attempts[0].SetPriority(h.number(line, argument))
+		h.attempts[0].SetPriority(h.parseNumber(line, argument))
 	case "recall":
-		fmt.Fprintf(&h.out, "  taken back: %v\n", h.attempts[h.number(line, argument)].CancelUnsent())
+		fmt.Fprintf(&h.out, "  taken back: %v\n", h.attempts[h.parseNumber(line, argument)].CancelUnsent())
 	case "latest":
-		h.latestStartMS = float64(h.number(line, argument))
+		h.latestStartMS = float64(h.parseNumber(line, argument))
 	case "moved":
 		h.address = argument
 	case "forget":
@@ -208,7 +208,7 @@
 	case "withhold":
 		h.client.CancelUnstarted(h.engine())
 	case "wait":
-		for end := h.clock.MS + float64(h.number(line, argument)); h.clock.MS < end; h.clock.MS++ {
+		for end := h.clock.MS + float64(h.parseNumber(line, argument)); h.clock.MS < end; h.clock.MS++ {
 			h.run()
 		}
 	default:
@@ -237,7 +237,7 @@
 func (h *harness) playBytes(line string) {
 	h.t.Helper()
 	number, sent, _ := strings.Cut(line, " ")
-	c := h.conns[h.number(line, number)-1]
+	c := h.conns[h.parseNumber(line, number)-1]
 	switch sent {
 	case "unread":
 		c.unread = true
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -22,8 +22,8 @@
 	unresponsiveOnceMS = 2000.0
 	// maxBadResponses is how many responses in a row may be invalid before the attempt ends.
 	maxBadResponses = 4
-	// maxDetail bounds the part of a response's body that an end quotes, in bytes.
-	maxDetail = 80
+	// maxDetailBytes bounds the part of a response's body that an end quotes, in bytes.
+	maxDetailBytes = 80
 )
 
 // handleStart handles the response to the start request.
@@ -42,7 +42,7 @@
 		// An exclusive call that may not be cancelled gains nothing by ending early: it ends when the engine forgets
 		// it.
 		a.health.startTimedOut = errors.Is(err, errResponseTimeout) && (!a.call.Exclusive || a.call.CancelAllowed)
-		a.retryPoll(err)
+		a.handleFailure(err)
 	}
 }
 
@@ -57,7 +57,7 @@
 		switch {
 		case a.ended || a.cancelling:
 		case err != nil:
-			a.retryPoll(err)
+			a.handleFailure(err)
 		default:
 			a.handleProgress(resp)
 		}
@@ -71,11 +71,11 @@
 		switch {
 		case a.ended || a.cancelling:
 		case err != nil:
-			a.retryPoll(err)
+			a.handleFailure(err)
 		case resp.status == http.StatusOK && resp.header[headerPageNumber] == strconv.Itoa(page):
 			a.handlePage(resp)
 		case resp.status >= http.StatusBadRequest:
-			a.end(dispatch.EngineFailed, fmt.Sprintf("%d for a page: %s", resp.status, clip(resp.body)))
+			a.end(dispatch.EngineFailed, fmt.Sprintf("%d for a page: %s", resp.status, truncateBody(resp.body)))
 		default:
 			a.handleInvalid(fmt.Errorf("status %d, X-Part-No %.10q for page %d",
 				resp.status, resp.header[headerPageNumber], page))
@@ -116,7 +116,7 @@
 	case resp.status == http.StatusAccepted && a.health.startTimedOut && !a.call.AtMostOnce:
 		a.endUncertain(dispatch.ConnectionReset, "still running after a start request without a response")
 	case resp.status == http.StatusAccepted:
-		a.noteValid()
+		a.recordValidResponse()
 		a.poll()
 	case resp.status == http.StatusOK && resp.header[headerPageNumber] == "":
 		a.handleQueryEnd(resp)
@@ -125,9 +125,9 @@
 	case resp.status >= http.StatusBadRequest && a.health.startReset:
 		// The engine responds and does not know the query: the connection broke before it had read the statement, or it
 		// has restarted since. Neither is the query's fault, nor a proof.
-		a.end(dispatch.ConnectionReset, fmt.Sprintf("%d after a connection reset: %s", resp.status, clip(resp.body)))
+		a.end(dispatch.ConnectionReset, fmt.Sprintf("%d after a connection reset: %s", resp.status, truncateBody(resp.body)))
 	case resp.status >= http.StatusBadRequest:
-		a.end(dispatch.EngineFailed, fmt.Sprintf("%d: %s", resp.status, clip(resp.body)))
+		a.end(dispatch.EngineFailed, fmt.Sprintf("%d: %s", resp.status, truncateBody(resp.body)))
 	default:
 		a.handleInvalid(fmt.Errorf("status %d", resp.status))
 	}
@@ -158,7 +158,7 @@
 		a.handleInvalid(err)
 		return
 	}
-	a.noteValid()
+	a.recordValidResponse()
 	a.result.pages = append(a.result.pages, resp.body)
 	if !a.result.complete() {
 		a.requestPage(len(a.result.pages))
@@ -172,8 +172,8 @@
 	a.endServed(result)
 }
 
-// noteValid records the time of a valid response.
-func (a *attempt) noteValid() {
+// recordValidResponse records the time of a valid response.
+func (a *attempt) recordValidResponse() {
 	a.health = responseHealth{lastValidMS: a.loop.Now()}
 }
 
@@ -183,17 +183,17 @@
 	if c := a.current.conn; c.request == nil {
 		c.close()
 	}
-	a.retryPoll(&badResponseError{cause})
+	a.handleFailure(&badResponseError{cause})
 }
 
-// retryPoll handles a failed start request, poll or page request by polling for what is missing, or ends the attempt. A
+// handleFailure handles a failed start request, poll or page request by polling for what is missing, or ends the attempt. A
 // poll runs nothing, and an engine repeats its response, so it is retried on a new connection for as long as the engine
 // may still know the query. The statement itself is never written again.
-func (a *attempt) retryPoll(err error) {
+func (a *attempt) handleFailure(err error) {
 	a.health.failures++
 	a.log.Debug("engine request failed", "engine", a.call.Engine.Address, "request_id", a.call.ID, "error", err,
 		"failures", a.health.failures)
-	if a.endsAfter(err) {
+	if a.endIfNotRetryable(err) {
 		return
 	}
 	a.counters.Unanswered++
@@ -204,8 +204,8 @@
 	a.loop.After(retryDelayMS, a.resume)
 }
 
-// endsAfter ends the attempt if a failed request makes a retry pointless, and reports whether it did.
-func (a *attempt) endsAfter(err error) bool {
+// endIfNotRetryable ends the attempt if a failed request makes a retry pointless, and reports whether it did.
+func (a *attempt) endIfNotRetryable(err error) bool {
 	limitMS := unresponsiveMS
 	if a.call.AtMostOnce {
 		limitMS = unresponsiveOnceMS
@@ -251,5 +251,5 @@
 	}
 }
 
-// clip returns the start of a response's body.
-func clip(body []byte) string { return string(body[:min(len(body), maxDetail)]) }
+// truncateBody returns the start of a response's body.
+func truncateBody(body []byte) string { return string(body[:min(len(body), maxDetailBytes)]) }
--- a/internal/enginehttp/response_test.go
+++ b/internal/enginehttp/response_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestParseResponse(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name, text, err string
 		status, length  int
 		body            string
@@ -48,16 +48,16 @@
 		},
 		{"endless head", strings.Repeat("x", 9<<10), "without end", 0, 0, ""},
 	} {
-		resp, size, err := parseResponse([]byte(k.text))
-		if k.err != "" || err != nil {
-			if err == nil || k.err == "" || !strings.Contains(err.Error(), k.err) {
-				t.Errorf("%s: error %v, want %q", k.name, err, k.err)
+		resp, size, err := parseResponse([]byte(test.text))
+		if test.err != "" || err != nil {
+			if err == nil || test.err == "" || !strings.Contains(err.Error(), test.err) {
+				t.Errorf("%s: error %v, want %q", test.name, err, test.err)
 			}
 			continue
 		}
-		if size != k.length || (resp == nil) != (size == 0) ||
-			resp != nil && (resp.status != k.status || string(resp.body) != k.body) {
-			t.Errorf("%s: %+v, length %d", k.name, resp, size)
+		if size != test.length || (resp == nil) != (size == 0) ||
+			resp != nil && (resp.status != test.status || string(resp.body) != test.body) {
+			t.Errorf("%s: %+v, length %d", test.name, resp, size)
 		}
 	}
 }
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -129,11 +129,11 @@
 // them close gracefully.
 func TestGracefulClosesAreBounded(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
-		t.Run(fmt.Sprintf("shutdown %v", shutdown), func(t *testing.T) { closeMany(t, shutdown) })
+		t.Run(fmt.Sprintf("shutdown %v", shutdown), func(t *testing.T) { testGracefulCloseLimit(t, shutdown) })
 	}
 }
 
-func closeMany(t *testing.T, shutdown bool) {
+func testGracefulCloseLimit(t *testing.T, shutdown bool) {
 	t.Helper()
 	loop := router.NewLoop(&clock.Manual{MS: 1})
 	var handlers []*answeringHandler
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -102,12 +102,12 @@
 	s.conn = conn
 	conn.SetSession(s)
 	l.pending.Add(1)
-	l.poller.accepted(conn, func(err error) { l.open(s, err) })
+	l.poller.registerAccepted(conn, func(err error) { l.open(s, err) })
 	return nil
 }
 
-// accepted registers a connection and calls open in the loop after that.
-func (p *Poller) accepted(conn *nbio.Conn, open func(error)) {
+// registerAccepted registers a connection and calls open in the loop after that.
+func (p *Poller) registerAccepted(conn *nbio.Conn, open func(error)) {
 	p.registrar.register(conn, func(err error) {
 		p.loop.Post(func() { open(err) })
 	})
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -95,7 +95,7 @@
 // connections of these descriptors had been closed by then. Those enqueued later may have been enqueued after the
 // events were gathered, and wait for another turn.
 func (r *registrar) handleWake() {
-	for _, reg := range r.nextTurn() {
+	for _, reg := range r.takeDue() {
 		var err error
 		if reg.conn != nil {
 			_, err = r.engine.AddConn(reg.conn)
@@ -104,8 +104,8 @@
 	}
 }
 
-// nextTurn returns the registrations that are due and makes those that arrived since the last turn due in the next one.
-func (r *registrar) nextTurn() []registration {
+// takeDue returns the registrations that are due and makes those that arrived since the last turn due in the next one.
+func (r *registrar) takeDue() []registration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	due := r.due
--- a/internal/netio/shared_listener_test.go
+++ b/internal/netio/shared_listener_test.go
@@ -24,9 +24,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	block := func(on bool) { _ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), !on) }) }
-	var got sync.WaitGroup
-	got.Add(20)
+	setBlocking := func(on bool) { _ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), !on) }) }
+	var accepted sync.WaitGroup
+	accepted.Add(20)
 	ended := make(chan error)
 	go func() {
 		for {
@@ -36,35 +36,35 @@
 				return
 			}
 			_ = c.Close()
-			got.Done()
+			accepted.Done()
 		}
 	}()
 	for range 20 {
-		block(true)
+		setBlocking(true)
 		c, err := net.DialTimeout("tcp", lis.Addr().String(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Close()
-		block(false)
+		setBlocking(false)
 	}
-	got.Wait()
-	block(true)
+	accepted.Wait()
+	setBlocking(true)
 	_ = lis.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 	// The other process continues to accept.
-	next, err := Inherit(f)
+	inherited, err := Inherit(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
-	c, err := net.DialTimeout("tcp", next.Addr().String(), time.Minute)
+	defer inherited.Close()
+	c, err := net.DialTimeout("tcp", inherited.Addr().String(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if here, err := next.Accept(); err != nil || here.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Error(here, err)
+	if serverConn, err := inherited.Accept(); err != nil || serverConn.RemoteAddr().String() != c.LocalAddr().String() {
+		t.Error(serverConn, err)
 	}
 }
