--- a/internal/enginehttp/attempt.go
+++ b/internal/enginehttp/attempt.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// forgetAfterMS is how long after its last request about a query an engine has forgotten it, with time for the way
-	// there.
+	// forgetAfterMS is the time in milliseconds after which an engine that received no further request about a query
+	// has discarded it. It includes the network delay of that last request.
 	forgetAfterMS = 2150.0
-	// retryDelayMS is the wait before a retry when two requests in a row failed.
+	// retryDelayMS is the delay in milliseconds before a retry once two consecutive requests have failed.
 	retryDelayMS = 50.0
 )
 
-// attempt is one statement that an engine was requested to run. It implements router.Attempt.
+// attempt runs one statement on one engine: it starts the statement, polls for its end and fetches the result. It
+// implements router.Attempt.
 type attempt struct {
 	loop     *router.Loop
 	log      *slog.Logger
@@ -33,21 +34,21 @@
 
 	startRequest *request // the POST of the statement
 	current      *request // the start request, or the latest poll or page request
-	priority     int      // the latest priority that the engine was sent
+	priority     int      // the latest priority that was sent to the engine
 	ended        bool
-	cancelling   bool // see cancelThenEnd
+	cancelling   bool // cancelThenEnd is waiting until the engine no longer has the query
 
 	health responseHealth
 	result resultPages
 }
 
-// responseHealth is what is known of an engine's responses to an attempt since the last valid one.
+// responseHealth records the failures of an attempt's requests since the last valid response.
 type responseHealth struct {
 	lastValidMS   float64 // when the statement was written, or the last valid response arrived
-	failures      int     // requests since then that failed
-	badResponses  int     // those among them whose response was invalid
-	startReset    bool    // the connection of the start request broke before any response to it
-	startTimedOut bool    // the start request was left without a response, on an open connection
+	failures      int     // failed requests since lastValidMS
+	badResponses  int     // those of the failed requests that received an invalid response
+	startReset    bool    // the start request failed without a response; it may have been received
+	startTimedOut bool    // the start request timed out on a connection that stayed open
 }
 
 // Start implements router.EngineClient.
@@ -58,8 +59,9 @@
 		health: responseHealth{lastValidMS: c.loop.Now()},
 	}
 	started.counters.Posts++
-	// A statement that must not run twice gets a new connection: one that was kept may be reset as it is written to,
-	// which leaves open whether the engine has read the statement, where a new one that fails proves that it has not.
+	// A statement that must not run twice is sent on a new connection. An idle connection may be reset during the
+	// write, and then it is unknown whether the engine has read the statement. If a new connection cannot be
+	// established, the engine has certainly not read it.
 	started.startRequest = &request{
 		engine: call.Engine, attempt: started, isStart: true,
 		newConn: call.AtMostOnce, delayLastByte: call.AtMostOnce,
@@ -71,7 +73,7 @@
 	return started
 }
 
-// startPayload returns the bytes of the POST that starts a call's statement.
+// startPayload returns the bytes of the POST request that starts the call's statement.
 func startPayload(call router.Call) []byte {
 	payload := fmt.Appendf(nil, "POST /fetch HTTP/1.1\r\nHost: %s\r\nCall-Id: %s\r\nCall-Kind: %s\r\nCall-Ms: %d\r\n",
 		call.Engine.Address, call.ID, call.Class, max(int64(call.WaitMS), 1))
@@ -82,7 +84,7 @@
 		call.Priority, len(call.Statement), call.Statement)
 }
 
-// startWritten records that the statement was written to a connection.
+// startWritten records the time at which the statement was written to the connection, and arranges the call of OnSent.
 func (a *attempt) startWritten(netConn netio.Conn) {
 	a.health.lastValidMS = a.loop.Now()
 	if a.call.OnSent != nil {
@@ -90,14 +92,14 @@
 	}
 }
 
-// Abandon implements router.Attempt. No further request is sent, so that the engine forgets the query; one in flight
-// may complete, which keeps its connection.
+// Abandon implements router.Attempt. It sends no further requests, so the engine discards the query after a while. A
+// request in flight may complete, so that its connection can be reused.
 func (a *attempt) Abandon() {
 	a.ended = true
 	a.abortUnwritten()
 }
 
-// abortUnwritten aborts the current request unless it was written.
+// abortUnwritten aborts the current request unless it was completely written.
 func (a *attempt) abortUnwritten() {
 	if a.current != nil && !a.current.written {
 		a.current.abort(nil)
@@ -113,7 +115,7 @@
 	return true
 }
 
-// Cancel implements router.Attempt. A query whose POST was never written needs no cancellation at the engine.
+// Cancel implements router.Attempt. It sends nothing to the engine if the start request was never completely written.
 func (a *attempt) Cancel() {
 	switch {
 	case a.ended || !a.startRequest.written:
@@ -139,7 +141,7 @@
 	})
 }
 
-// sendDelete requests that the engine cancel the query.
+// sendDelete asks the engine to cancel the query. onDone receives the response or the error; it may be nil.
 func (a *attempt) sendDelete(onDone func(*response, error)) {
 	a.counters.Deletes++
 	a.pool.submit(&request{
@@ -148,8 +150,8 @@
 	})
 }
 
-// endUncertain ends an attempt whose query the engine may still be running: at once, or for an exclusive call once the
-// engine no longer has the query.
+// endUncertain ends an attempt whose query may still be running on the engine. It ends at once, except for an exclusive
+// call, which ends only once the engine no longer has the query.
 func (a *attempt) endUncertain(outcome dispatch.Outcome, detail string) {
 	if a.call.Exclusive {
 		a.cancelThenEnd(outcome, detail)
@@ -158,9 +160,10 @@
 	}
 }
 
-// cancelThenEnd ends the attempt once the engine no longer has the query: when it has confirmed a cancellation, where
-// that is allowed, or when it was not polled about the query for so long that it has forgotten it. A query is not
-// bound to a connection and runs on when that breaks, so an earlier end could let a second attempt run beside it.
+// cancelThenEnd ends the attempt once the engine no longer has the query: either the engine has confirmed a
+// cancellation, if the call allows one, or forgetAfterMS has passed without a poll, so the engine has discarded the
+// query. A query does not belong to a connection and continues to run when the connection breaks. If the attempt ended
+// earlier, a second attempt could run at the same time.
 func (a *attempt) cancelThenEnd(outcome dispatch.Outcome, detail string) {
 	if a.ended || a.cancelling {
 		return
@@ -173,8 +176,8 @@
 	}
 }
 
-// deleteUntilConfirmed sends cancellations until the engine confirms one or rejects connections, and ends the attempt
-// then.
+// deleteUntilConfirmed sends DELETE requests until the engine confirms the cancellation or refuses connections, and
+// then ends the attempt.
 func (a *attempt) deleteUntilConfirmed(outcome dispatch.Outcome, detail string) {
 	if a.ended {
 		return
@@ -188,8 +191,8 @@
 	})
 }
 
-// confirmsDelete reports whether the status of a DELETE says that the engine has cancelled the query or does not know
-// it.
+// confirmsDelete reports whether the response status of a DELETE request means that the engine has cancelled the query
+// or does not know it.
 func confirmsDelete(status int) bool {
 	switch status {
 	case http.StatusNoContent, http.StatusNotFound, http.StatusInternalServerError:
@@ -198,7 +201,7 @@
 	return false
 }
 
-// end reports the end of the attempt, once.
+// end ends the attempt and reports the outcome to onEnd; calls after the first have no effect.
 func (a *attempt) end(outcome dispatch.Outcome, detail string) {
 	if a.ended {
 		return
@@ -207,7 +210,7 @@
 	a.onEnd(router.End{Outcome: outcome, Detail: detail})
 }
 
-// endServed reports the result.
+// endServed ends the attempt and reports the result to onEnd.
 func (a *attempt) endServed(result *router.Result) {
 	a.ended = true
 	a.onEnd(router.End{Outcome: dispatch.Served, Result: result})
--- a/internal/enginehttp/client.go
+++ b/internal/enginehttp/client.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// sweepIntervalMS is the time between two searches for idle connections to close.
+	// sweepIntervalMS is the interval in milliseconds at which expired idle connections are closed.
 	sweepIntervalMS = 1000.0
-	// maxIdleMS bounds the time for which a connection is kept idle, whatever the settings say.
+	// maxIdleMS is the longest time in milliseconds for which a connection is kept idle, even if the settings allow
+	// more.
 	maxIdleMS = 10_000.0
 )
 
-// Config bounds the client.
+// Config contains the limits of a client.
 type Config struct {
-	MaxConns         int
-	ConnectTimeoutMS float64
-	IdleMS           float64 // engines close idle connections after this time
+	MaxConns         int     // connections to all engines together
+	ConnectTimeoutMS float64 // in milliseconds
+	IdleMS           float64 // idle time after which engines close a connection, in milliseconds
 }
 
-// Counters count the requests sent to engines and their results.
+// Counters counts the requests sent to engines and their failures.
 type Counters struct {
 	Posts        int64 `status:"posts"`
 	Polls        int64 `status:"polls"`
@@ -44,7 +45,7 @@
 	Counters Counters
 }
 
-// NewClient returns a client that dials with the dialer.
+// NewClient returns a client that opens its connections with the dialer and runs in the loop.
 func NewClient(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Client {
 	c := &Client{loop: loop, log: log}
 	c.pool = &pool{loop: loop, dialer: dialer, counters: &c.Counters, idle: map[dispatch.EngineID][]*conn{}}
@@ -53,11 +54,12 @@
 	return c
 }
 
-// Configure replaces the client's bounds; requests in flight are not affected.
+// Configure replaces the client's limits. Requests in flight are not affected.
 func (c *Client) Configure(cfg Config) {
 	c.pool.configure(cfg)
 }
 
+// sweep closes expired idle connections and schedules the next run.
 func (c *Client) sweep() {
 	c.pool.closeExpired()
 	c.loop.After(sweepIntervalMS, c.sweep)
--- a/internal/enginehttp/client_test.go
+++ b/internal/enginehttp/client_test.go
@@ -8,7 +8,7 @@
 	"windflow/internal/routertest"
 )
 
-// TestExchanges replays the recorded exchanges of testdata.
+// TestExchanges replays the recorded exchanges in testdata; harness.play describes the commands.
 func TestExchanges(t *testing.T) {
 	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		t.Helper()
@@ -26,7 +26,8 @@
 func (c *recordCounter) WithAttrs([]slog.Attr) slog.Handler        { return c }
 func (c *recordCounter) WithGroup(string) slog.Handler             { return c }
 
-// Engines that report invalid load or progress with each response do not fill the log.
+// TestInvalidReportsAreNotLogged checks that an engine that sends an invalid load report or invalid progress with each
+// response does not fill the log, and that its responses do not count as invalid.
 func TestInvalidReportsAreNotLogged(t *testing.T) {
 	for _, headers := range []string{
 		"Backend-Load: util:-4;inflight:nan;x0:", "Backend-Load: ;;;", "Backend-Load: util:1e300;util:0.2",
@@ -42,7 +43,7 @@
 			h.run()
 		}
 		if records.n > 0 || h.client.Counters.BadResponses > 0 {
-			t.Errorf("%s: %d records, %d bad responses", headers, records.n, h.client.Counters.BadResponses)
+			t.Errorf("%q: %d log records, %d bad responses; want none", headers, records.n, h.client.Counters.BadResponses)
 		}
 	}
 }
--- a/internal/enginehttp/conn.go
+++ b/internal/enginehttp/conn.go
@@ -2,18 +2,20 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"windflow/internal/netio"
 	"windflow/internal/router"
 )
 
-// reuseDelayMS is how long a connection rests between the requests of two attempts, in milliseconds. Responses carry no
-// request id: bytes that an engine sends after a response would pass for the response to the next request, were that
-// written at once. Bytes that arrive during the delay show that the connection must not be used again. Requests of one
-// attempt follow each other without a delay: their responses tell progress from a page, and one page from another.
+// reuseDelayMS is the time in milliseconds for which a connection stays unused between the requests of two attempts.
+// Responses contain no request id, so surplus bytes that an engine sends after a response could be taken for the
+// response to the next request if that were written immediately. If bytes arrive during the delay, the connection is
+// closed instead of reused. Requests of the same attempt need no delay, because their responses distinguish progress
+// from pages, and pages from each other.
 const reuseDelayMS = 50.0
 
-// conn is one connection to an engine; it carries one request at a time.
+// conn is a connection to an engine; it carries one request at a time. It implements netio.Handler.
 type conn struct {
 	pool    *pool
 	loop    *router.Loop
@@ -21,31 +23,33 @@
 	netConn netio.Conn
 
 	request     *request // nil while idle
-	lastAttempt *attempt // the attempt of its last request
-	buffer      []byte
-	lastReadMS  float64 // when it was last read from, or was opened
-	interim     int     // interim responses before the response
+	lastAttempt *attempt // the attempt of the latest request
+	buffer      []byte   // received bytes that are not parsed yet
+	lastReadMS  float64  // when bytes were last received, or the connection was opened
+	interim     int      // interim (1xx) responses received for the current request
 	closed      bool
 }
 
-// usableFor reports whether a request may be written to the idle connection; see reuseDelayMS. Neither one with unread
-// bytes is usable, nor one to a former address of the engine, where another engine may be.
+// usableFor reports whether the request may be written to the idle connection. A connection cannot be used for another
+// attempt before reuseDelayMS has passed, with unread bytes, or if it leads to a former address of the engine, where
+// another engine may be listening now.
 func (c *conn) usableFor(r *request) bool {
 	return !r.newConn && c.engine.Address == r.engine.Address &&
 		(c.lastAttempt == r.attempt || c.loop.Now()-c.lastReadMS >= reuseDelayMS) && !c.netConn.HasUnread()
 }
 
-// idleBefore orders idle connections by the time of their last read, then by engine.
+// idleBefore reports whether the connection comes before another in the order of the last read, then of the engine id.
 func (c *conn) idleBefore(other *conn) bool {
 	return c.lastReadMS < other.lastReadMS ||
 		c.lastReadMS == other.lastReadMS && c.engine.ID < other.engine.ID
 }
 
-// start writes a request.
+// start writes a request, or fails it with errTooLate if its latest start time has passed.
 func (c *conn) start(req *request) {
 	if req.latestStartMS > 0 && c.loop.Now() > req.latestStartMS {
 		c.request, req.conn = nil, nil
-		c.loop.Post(func() { req.finish(nil, errTooLate) }) // posted: the caller may not be called back before it returns
+		// Posted, because the caller expects no callback before this method returns.
+		c.loop.Post(func() { req.finish(nil, errTooLate) })
 		c.release()
 		return
 	}
@@ -64,7 +68,8 @@
 	req.timer = c.loop.After(writeDelayMS, func() { c.write(req, req.payload[last:]) })
 }
 
-// write writes the remaining bytes of a request, after which the engine may have read it, and awaits the response.
+// write writes the remaining bytes of a request and starts the response timeout. From then on the engine may have read
+// the complete request.
 func (c *conn) write(r *request, remaining []byte) {
 	if err := c.netConn.Write(remaining); err != nil {
 		c.failUnwritten(err)
@@ -80,8 +85,8 @@
 	})
 }
 
-// failUnwritten fails a request that was not written completely, which proves that it never ran. It is posted: the
-// caller may not be called back before it returns.
+// failUnwritten fails a request that was not completely written, which proves that it was never executed. The failure
+// is posted to the loop, because the caller expects no callback before it returns.
 func (c *conn) failUnwritten(err error) { c.loop.Post(func() { c.fail(err) }) }
 
 // Opened implements netio.Handler.
@@ -102,8 +107,8 @@
 	}
 	c.lastReadMS = atMS
 	if c.request == nil {
-		// Be it a complete response or half a line, the next response would be read behind it.
-		c.fail(&badResponseError{errors.New("bytes on a connection without a request")})
+		// These bytes belong to no request; the response to the next request would be parsed after them.
+		c.fail(&badResponseError{errors.New("bytes received on an idle connection")})
 		return
 	}
 	c.buffer = append(c.buffer, data...)
@@ -125,16 +130,16 @@
 	}
 }
 
-// countInterim fails the connection once too many interim responses precede the response.
+// countInterim counts an interim response and fails the connection when there are more than maxInterim.
 func (c *conn) countInterim() {
 	c.interim++
 	if c.interim > maxInterim {
-		c.fail(&badResponseError{errors.New("too many interim responses")})
+		c.fail(&badResponseError{fmt.Errorf("more than %d interim responses before the final one", maxInterim)})
 	}
 }
 
-// deliver finishes the request with its response. The connection is kept where it is known to be in step with the
-// engine.
+// deliver finishes the request with its response. The connection is reused only if the engine keeps it open, no bytes
+// follow the response and the request was completely written.
 func (c *conn) deliver(resp *response) {
 	r := c.request
 	resp.trailingBytes = len(c.buffer) > 0
@@ -150,12 +155,12 @@
 // Closed implements netio.Handler.
 func (c *conn) Closed(err error) {
 	if err == nil {
-		err = errors.New("closed by the engine")
+		err = errors.New("connection closed by the engine")
 	}
 	c.fail(err)
 }
 
-// release carries the next queued request that the connection may carry, or returns it to the pool.
+// release starts the next queued request that can use the connection, or returns the connection to the pool.
 func (c *conn) release() {
 	c.request = nil
 	if next := c.pool.dequeueFor(c); next != nil {
@@ -166,7 +171,7 @@
 	c.pool.serveQueue()
 }
 
-// fail closes the connection and fails its request.
+// fail closes the connection and fails its request with the error.
 func (c *conn) fail(err error) {
 	if c.closed {
 		return
@@ -178,6 +183,7 @@
 	}
 }
 
+// close closes the connection without finishing its request and removes it from the pool.
 func (c *conn) close() {
 	if c.closed {
 		return
--- a/internal/enginehttp/harness_test.go
+++ b/internal/enginehttp/harness_test.go
@@ -17,8 +17,8 @@
 	"windflow/internal/router"
 )
 
-// harness replays an exchange between a client and fake engines; connections are numbered from 1 in the order of their
-// dials.
+// harness replays an exchange between a client and a fake engine. Connections are numbered from 1 in the order in which
+// they are dialed.
 type harness struct {
 	t             *testing.T
 	clock         *clock.Manual
@@ -26,9 +26,9 @@
 	client        *Client
 	conns         []*fakeConn
 	attempts      []router.Attempt
-	latestStartMS float64 // of the next attempts, from their start; 0: none
-	exclusive     bool    // the latest attempt is
-	address       string  // the engine's, once it has moved
+	latestStartMS float64 // latest start time of the following attempts, relative to their start; 0 means no limit
+	exclusive     bool    // whether the latest attempt is exclusive
+	address       string  // address of the engine after it has moved; empty before
 	out           strings.Builder
 }
 
@@ -40,14 +40,14 @@
 	return h
 }
 
-// fakeConn is a connection that shows what the client does with it.
+// fakeConn is a netio.Conn that prints what the client writes and when it closes the connection.
 type fakeConn struct {
 	harness *harness
 	number  int
 	handler netio.Handler
 	closed  bool
 	broken  bool // writes fail
-	unread  bool // the engine has sent bytes that the client has not read
+	unread  bool // result of HasUnread
 }
 
 func (c *fakeConn) Write(b []byte) error {
@@ -89,12 +89,13 @@
 	return c
 }
 
+// run steps the loop until nothing is left to run at the current time.
 func (h *harness) run() {
 	for h.loop.Step() {
 	}
 }
 
-// showProgress prints what a response reports besides the end of the attempt.
+// showProgress prints the progress and the load report of a response.
 func (h *harness) showProgress(progress router.AttemptProgress) {
 	if progress.Kind != dispatch.ProgressAlive {
 		fmt.Fprintf(&h.out, "  ~ note %d of %v\n", progress.Kind, progress.Amount)
@@ -110,7 +111,7 @@
 	dispatch.ConnectFailed: "connect failed", dispatch.ConnectionReset: "reset", dispatch.Cancelled: "cancelled",
 }
 
-// showEnd shows the end of an attempt.
+// showEnd prints the outcome of an attempt and its result.
 func (h *harness) showEnd(end router.End) {
 	fmt.Fprintf(&h.out, "  = %s", outcomes[end.Outcome])
 	if end.Result != nil {
@@ -119,23 +120,23 @@
 	h.out.WriteString("\n")
 }
 
-// play executes one line of an exchange and returns what it shows:
+// play executes one line of an exchange and returns what the client and the engine did. The commands are:
 //
-//	start safe|once        start an attempt that is idempotent, or at most once
-//	start alone|deleted    start an idempotent attempt that is exclusive, without or with leave to cancel it
+//	start safe|once        start an attempt that is idempotent, or that must run at most once
+//	start alone|deleted    start an exclusive idempotent attempt whose cancellation is forbidden, or allowed
 //	up N                   connection N is established
-//	refused N, hangs N     it is refused, or times out
+//	refused N, hangs N     connection N is refused, or its dial times out
 //	broken N               writes to connection N fail from now on
-//	N TEXT                 the engine sends bytes on connection N; \r\n as usual
-//	N close                the engine closes it
-//	N unread               the engine has sent bytes on connection N that were not read
+//	N TEXT                 the engine sends TEXT, with the escapes of a Go string, on connection N
+//	N close                the engine closes connection N
+//	N unread               the engine has sent bytes on connection N that the client has not read
 //	drop, cancel           the oldest attempt is abandoned, or cancelled
-//	rank P                 the priority of the oldest attempt changes
+//	rank P                 the priority of the oldest attempt changes to P
 //	recall N               attempt N, counted from 0, is cancelled if unsent
-//	latest MS              the next attempts have to start within that time
-//	moved ADDR             the engine is at another address from now on
-//	forget, withhold       the engine is gone, or its unstarted attempts are cancelled
-//	wait MS                time passes
+//	latest MS              the following attempts must start within MS milliseconds
+//	moved ADDR             the engine has the address ADDR from now on
+//	forget, withhold       Forget, or CancelUnstarted, is called for the engine
+//	wait MS                the clock advances by MS milliseconds
 func (h *harness) play(line string) string {
 	h.t.Helper()
 	if !h.playConn(line) && !h.playAttempt(line) {
@@ -147,7 +148,7 @@
 	return shown
 }
 
-// parseNumber reads the number of a line.
+// parseNumber parses a number in a line and fails the test if it is invalid.
 func (h *harness) parseNumber(line, text string) int {
 	h.t.Helper()
 	n, err := strconv.Atoi(text)
@@ -161,7 +162,7 @@
 	return router.Engine{ID: 7, Address: cmp.Or(h.address, "10.0.0.1:80")}
 }
 
-// playConn executes a line on the state of a connection; false: the line is another one.
+// playConn executes a command that changes the state of a connection. It returns false if the line is another command.
 func (h *harness) playConn(line string) bool {
 	h.t.Helper()
 	verb, argument, _ := strings.Cut(line, " ")
@@ -181,7 +182,7 @@
 	return true
 }
 
-// playAttempt executes a line on attempts, the engine or the clock; false: the line is another one.
+// playAttempt executes a command on attempts, the engine or the clock. It returns false if the line is another command.
 func (h *harness) playAttempt(line string) bool {
 	h.t.Helper()
 	verb, argument, _ := strings.Cut(line, " ")
@@ -217,7 +218,7 @@
 	return true
 }
 
-// start starts an attempt of a kind; see play.
+// start starts an attempt of the kind that the start command of play names.
 func (h *harness) start(kind string) {
 	latestStartMS := 0.0
 	if h.latestStartMS > 0 {
@@ -233,7 +234,7 @@
 	}, h.showEnd))
 }
 
-// playBytes executes a line on what the engine does on a connection.
+// playBytes executes a command that starts with the number of a connection: the engine sends bytes or closes it.
 func (h *harness) playBytes(line string) {
 	h.t.Helper()
 	number, sent, _ := strings.Cut(line, " ")
--- a/internal/enginehttp/pages.go
+++ b/internal/enginehttp/pages.go
@@ -9,39 +9,41 @@
 	"windflow/internal/router"
 )
 
-// columns are the names of a result's columns, which the pages of an engine do not contain.
+// columns are the column names of every result; the pages of an engine do not contain them.
 var columns = []string{"c1", "c2", "c3"}
 
 var tab, newline = []byte{'\t'}, []byte{'\n'}
 
-// resultPages gathers the pages of a result.
+// resultPages collects the pages of a result.
 type resultPages struct {
-	pages  [][]byte // checked, in order
-	count  int      // of all pages; 0 until the query has ended
-	workMS float64  // processor time that the query took, as the engine reports it
-	needMB float64  // memory that it used
+	pages  [][]byte // the pages received so far, in order and checked
+	count  int      // number of pages of the result; 0 until the query has ended
+	workMS float64  // processor time of the query as reported by the engine, in milliseconds
+	needMB float64  // memory used by the query as reported by the engine, in MB
 }
 
-// complete reports whether no page is missing.
+// complete reports whether all pages were received.
 func (r *resultPages) complete() bool { return len(r.pages) >= r.count }
 
-// checkPage checks that a page contains complete rows of the columns and is not too long.
+// checkPage returns an error if a page is longer than maxPage, ends within a row or has a row with a wrong number of
+// columns.
 func checkPage(body []byte) error {
 	switch {
 	case len(body) > maxPage:
-		return fmt.Errorf("page of %d bytes", len(body))
+		return fmt.Errorf("page has %d bytes, at most %d are allowed", len(body), maxPage)
 	case len(body) > 0 && body[len(body)-1] != '\n':
-		return errors.New("page ends within a row")
+		return errors.New("page ends within a row: last byte is not a line feed")
 	}
 	for row := range bytes.Lines(body) {
 		if n := bytes.Count(row, tab) + 1; n != len(columns) {
-			return fmt.Errorf("row of %d columns", n)
+			return fmt.Errorf("row has %d columns, expected %d", n, len(columns))
 		}
 	}
 	return nil
 }
 
-// parse splits the pages into cells.
+// parse splits the pages into cells and returns the result. It fails if the pages together have more than
+// router.MaxResultBytes.
 func (r *resultPages) parse() (*router.Result, error) {
 	size, rows := 0, 0
 	for _, page := range r.pages {
@@ -49,7 +51,7 @@
 		rows += bytes.Count(page, newline)
 	}
 	if size > router.MaxResultBytes {
-		return nil, fmt.Errorf("result of %d bytes", size)
+		return nil, fmt.Errorf("result has %d bytes, at most %d are allowed", size, router.MaxResultBytes)
 	}
 	result := &router.Result{
 		Columns: columns, Cells: make([]router.Cell, 0, rows*len(columns)), WorkMS: r.workMS, NeedMB: r.needMB,
--- a/internal/enginehttp/pages_test.go
+++ b/internal/enginehttp/pages_test.go
@@ -8,17 +8,17 @@
 	"windflow/internal/router"
 )
 
-// A page is accepted up to its largest size, and only with complete rows.
+// TestCheckPage checks that a page is accepted up to its maximum size and only with complete rows.
 func TestCheckPage(t *testing.T) {
 	longest := strings.Repeat("a\tb\tc\n", maxPage/6)
 	for _, test := range []struct{ name, page, want string }{
-		{"no row", "", ""},
+		{"no rows", "", ""},
 		{"two rows", "a\tb\tc\n\t\t\n", ""},
 		{"longest page", longest, ""},
-		{"overlong page", longest + "\n", "page of 6001 bytes"},
-		{"row without end", "a\tb\tc\nd\te\tf", "page ends within a row"},
-		{"column too few", "a\tb\tc\nd\te\n", "row of 2 columns"},
-		{"column too many", "a\tb\tc\td\n", "row of 4 columns"},
+		{"page over the limit", longest + "\n", "page has 6001 bytes, at most 6000 are allowed"},
+		{"unterminated row", "a\tb\tc\nd\te\tf", "page ends within a row: last byte is not a line feed"},
+		{"too few columns", "a\tb\tc\nd\te\n", "row has 2 columns, expected 3"},
+		{"too many columns", "a\tb\tc\td\n", "row has 4 columns, expected 3"},
 	} {
 		text := ""
 		if err := checkPage([]byte(test.page)); err != nil {
@@ -30,7 +30,8 @@
 	}
 }
 
-// The pages together are one result, which is bounded also where each page is within its own bound.
+// TestParsePages checks that the pages are joined into one result, and that the size limit of a result also applies
+// when each page is within the limit of a page.
 func TestParsePages(t *testing.T) {
 	pages := resultPages{pages: [][]byte{[]byte("a\tb\tc\n"), nil, []byte("d\t\tf\n")}, workMS: 5, needMB: 6}
 	result, err := pages.parse()
@@ -42,15 +43,15 @@
 		cells = append(cells, cell.Text)
 	}
 	if !slices.Equal(cells, []string{"a", "b", "c", "d", "", "f"}) || result.WorkMS != 5 || result.NeedMB != 6 {
-		t.Errorf("%+v", result)
+		t.Errorf("got result %+v", result)
 	}
 	page := []byte(strings.Repeat("a\tb\tc\n", maxPage/6))
 	full := resultPages{pages: slices.Repeat([][]byte{page}, router.MaxResultBytes/len(page))}
 	if result, err := full.parse(); err != nil || len(result.Cells) != router.MaxResultBytes/2 {
-		t.Errorf("the largest result: error %v", err)
+		t.Errorf("result of maximum size: error %v", err)
 	}
 	full.pages = append(full.pages, []byte("a\tb\tc\n"))
-	if _, err := full.parse(); err == nil || err.Error() != "result of 48006 bytes" {
-		t.Errorf("a larger result: error %v", err)
+	if _, err := full.parse(); err == nil || err.Error() != "result has 48006 bytes, at most 48000 are allowed" {
+		t.Errorf("result over the maximum size: error %v", err)
 	}
 }
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// endedPollTimeoutMS is how long an engine may take to respond to the first poll after a start request that timed
-	// out: it reports at once that a query has ended.
+	// endedPollTimeoutMS is the response timeout in milliseconds of the first poll after a start request that timed
+	// out. It is short because an engine responds at once if the query has already ended.
 	endedPollTimeoutMS = 100.0
-	// unresponsiveMS is how long an engine may leave all polls of a query without a valid response before the attempt
-	// counts as lost. For a call that must not run twice it is unresponsiveOnceMS: no other engine may run it
-	// instead, so the engine is polled for as long as it may still know the query.
+	// unresponsiveMS is the time in milliseconds without a valid response after which the attempt is given up. For a
+	// call that must not run twice it is unresponsiveOnceMS: no other engine may run such a call instead, so the engine
+	// is polled for as long as it may still know the query.
 	unresponsiveMS     = 1000.0
 	unresponsiveOnceMS = 2000.0
-	// maxBadResponses is how many responses in a row may be invalid before the attempt ends.
+	// maxBadResponses is the number of invalid responses without a valid one in between that ends the attempt.
 	maxBadResponses = 4
-	// maxDetailBytes bounds the part of a response's body that an end quotes, in bytes.
+	// maxDetailBytes limits how much of a response body is quoted in the detail of the attempt's end.
 	maxDetailBytes = 80
 )
 
-// handleStart handles the response to the start request.
+// handleStart handles the response to the start request, or its failure.
 func (a *attempt) handleStart(resp *response, err error) {
 	switch {
 	case a.ended || a.cancelling:
 	case err == nil:
 		a.handleProgress(resp)
 	case !a.startRequest.written:
-		// It was never written, or never connected: the one proof that a transport can provide.
+		// The request was never completely written, or the connection was never established. This is the only proof
+		// on the transport level that the statement did not start.
 		a.end(dispatch.ConnectFailed, err.Error())
 	default:
-		// The query may have started. The engine is polled for it; the statement is not sent again.
+		// The query may have started, so the engine is polled for its state and the statement is not sent again.
 		var bad *badResponseError
 		a.health.startReset = !errors.As(err, &bad)
-		// An exclusive call that may not be cancelled gains nothing by ending early: it ends when the engine forgets
-		// it.
+		// An exclusive call that may not be cancelled cannot end before the engine has discarded the query, so it gains
+		// nothing from giving up early.
 		a.health.startTimedOut = errors.Is(err, errResponseTimeout) && (!a.call.Exclusive || a.call.CancelAllowed)
 		a.handleFailure(err)
 	}
 }
 
-// poll requests the state of the query.
+// poll sends a long poll for the state of the query.
 func (a *attempt) poll() {
 	a.counters.Polls++
 	timeoutMS := responseTimeoutMS
@@ -64,7 +65,8 @@
 	})
 }
 
-// requestPage requests a page of the result; pages are numbered from 0, and page 0 arrives with the end of the query.
+// requestPage requests a page of the result. Pages are numbered from 0; page 0 is part of the response that reports the
+// end of the query.
 func (a *attempt) requestPage(page int) {
 	a.counters.Pages++
 	a.sendGet(page, false, responseTimeoutMS, func(resp *response, err error) {
@@ -75,16 +77,17 @@
 		case resp.status == http.StatusOK && resp.header[headerPageNumber] == strconv.Itoa(page):
 			a.handlePage(resp)
 		case resp.status >= http.StatusBadRequest:
-			a.end(dispatch.EngineFailed, fmt.Sprintf("%d for a page: %s", resp.status, truncateBody(resp.body)))
+			a.end(dispatch.EngineFailed, fmt.Sprintf("engine returned status %d for page %d: %s",
+				resp.status, page, truncateBody(resp.body)))
 		default:
-			a.handleInvalid(fmt.Errorf("status %d, X-Part-No %.10q for page %d",
-				resp.status, resp.header[headerPageNumber], page))
+			a.handleInvalid(fmt.Errorf("unexpected response to the request for page %d: status %d, X-Part-No %.10q",
+				page, resp.status, resp.header[headerPageNumber]))
 		}
 	})
 }
 
-// sendGet sends a poll, which is the request of page 0, or the request of a further page. After a failure it goes
-// over a new connection: the other idle ones may have the same fault.
+// sendGet requests a page of the result; the request for page 0 is a poll. After a failure it uses a new connection,
+// because the other idle connections may have the same fault.
 func (a *attempt) sendGet(page int, lowPriority bool, timeoutMS float64, onDone func(*response, error)) {
 	a.current = &request{
 		engine: a.call.Engine, attempt: a, newConn: a.health.failures > 0, lowPriority: lowPriority, timeoutMS: timeoutMS,
@@ -94,7 +97,7 @@
 	a.pool.submit(a.current)
 }
 
-// reportProgress reports the progress and the load that a response contains beside the result.
+// reportProgress passes the progress and the load report of a response to the call's OnProgress.
 func (a *attempt) reportProgress(resp *response) {
 	if a.call.OnProgress == nil {
 		return
@@ -114,7 +117,7 @@
 	a.reportProgress(resp)
 	switch {
 	case resp.status == http.StatusAccepted && a.health.startTimedOut && !a.call.AtMostOnce:
-		a.endUncertain(dispatch.ConnectionReset, "still running after a start request without a response")
+		a.endUncertain(dispatch.ConnectionReset, "query still running after its start request timed out")
 	case resp.status == http.StatusAccepted:
 		a.recordValidResponse()
 		a.poll()
@@ -123,21 +126,23 @@
 	case resp.provesNotStarted() && len(a.result.pages) == 0:
 		a.end(dispatch.EngineFull, strconv.Itoa(resp.status))
 	case resp.status >= http.StatusBadRequest && a.health.startReset:
-		// The engine responds and does not know the query: the connection broke before it had read the statement, or it
-		// has restarted since. Neither is the query's fault, nor a proof.
-		a.end(dispatch.ConnectionReset, fmt.Sprintf("%d after a connection reset: %s", resp.status, truncateBody(resp.body)))
+		// The engine does not know the query: either the connection broke before the engine had read the statement, or
+		// the engine has restarted since. The query did not cause this, and it does not prove that nothing was executed.
+		a.end(dispatch.ConnectionReset, fmt.Sprintf("engine returned status %d after a connection reset: %s",
+			resp.status, truncateBody(resp.body)))
 	case resp.status >= http.StatusBadRequest:
-		a.end(dispatch.EngineFailed, fmt.Sprintf("%d: %s", resp.status, truncateBody(resp.body)))
+		a.end(dispatch.EngineFailed, fmt.Sprintf("engine returned status %d: %s", resp.status, truncateBody(resp.body)))
 	default:
-		a.handleInvalid(fmt.Errorf("status %d", resp.status))
+		a.handleInvalid(fmt.Errorf("unexpected status %d", resp.status))
 	}
 }
 
-// handleQueryEnd handles the response that the query has ended; it contains the first page of the result.
+// handleQueryEnd handles the response that reports the end of the query and contains the first page of the result.
 func (a *attempt) handleQueryEnd(resp *response) {
 	count, err := strconv.Atoi(resp.header[headerPageCount])
 	if err != nil || count < 1 || count > router.MaxResultBytes {
-		a.handleInvalid(fmt.Errorf("X-Parts %.20q is no number of pages", resp.header[headerPageCount]))
+		a.handleInvalid(fmt.Errorf("header X-Parts is %.20q, expected a number of pages from 1 to %d",
+			resp.header[headerPageCount], router.MaxResultBytes))
 		return
 	}
 	a.result.count = count
@@ -146,13 +151,13 @@
 	a.handlePage(resp)
 }
 
-// handlePage keeps a page and requests the next one, or ends the attempt with the result.
+// handlePage stores a page and requests the next one, or ends the attempt with the result if all pages are there.
 func (a *attempt) handlePage(resp *response) {
 	err := checkPage(resp.body)
 	if err == nil && resp.trailingBytes {
-		// A content length that is too short cuts a page off and leaves the remaining bytes behind it; whether it did
-		// cannot be known.
-		err = errors.New("bytes after the end of a page")
+		// If the content length is too small, the page is truncated and its remaining bytes follow the response. This
+		// cannot be told apart from other surplus bytes, so the page is rejected.
+		err = errors.New("unexpected bytes after the end of a page")
 	}
 	if err != nil {
 		a.handleInvalid(err)
@@ -172,13 +177,13 @@
 	a.endServed(result)
 }
 
-// recordValidResponse records the time of a valid response.
+// recordValidResponse records the time of a valid response and clears the recorded failures.
 func (a *attempt) recordValidResponse() {
 	a.health = responseHealth{lastValidMS: a.loop.Now()}
 }
 
-// handleInvalid handles a response that no engine should send. It may belong to another request, so its connection is
-// not used again.
+// handleInvalid handles a response that violates the protocol. The response may belong to another request, so its
+// connection is closed.
 func (a *attempt) handleInvalid(cause error) {
 	if c := a.current.conn; c.request == nil {
 		c.close()
@@ -186,9 +191,10 @@
 	a.handleFailure(&badResponseError{cause})
 }
 
-// handleFailure handles a failed start request, poll or page request by polling for what is missing, or ends the attempt. A
-// poll runs nothing, and an engine repeats its response, so it is retried on a new connection for as long as the engine
-// may still know the query. The statement itself is never written again.
+// handleFailure handles a failed start request, poll or page request. It polls again, or requests the missing page
+// again, or ends the attempt. Polls and page requests execute nothing and the engine repeats its responses to them, so
+// they are retried on a new connection for as long as the engine may still know the query. The statement itself is
+// never sent again.
 func (a *attempt) handleFailure(err error) {
 	a.health.failures++
 	a.log.Debug("engine request failed", "engine", a.call.Engine.Address, "request_id", a.call.ID, "error", err,
@@ -204,7 +210,7 @@
 	a.loop.After(retryDelayMS, a.resume)
 }
 
-// endIfNotRetryable ends the attempt if a failed request makes a retry pointless, and reports whether it did.
+// endIfNotRetryable ends the attempt if a retry after the error would be pointless, and reports whether it did.
 func (a *attempt) endIfNotRetryable(err error) bool {
 	limitMS := unresponsiveMS
 	if a.call.AtMostOnce {
@@ -213,11 +219,12 @@
 	var bad *badResponseError
 	switch {
 	case a.health.startTimedOut && a.health.failures > 1 && errors.Is(err, errResponseTimeout) && !a.call.AtMostOnce:
-		// An engine responds to a start request within 250 ms, if only to say that the query is running. One that did
-		// not, and then does not report the end of the query at once either, may never do so. An idempotent query is
-		// given up there, so that another engine can run it while its client still waits. A query that has ended is
-		// reported at once, so one whose response alone was lost is saved.
-		a.endUncertain(dispatch.ConnectionReset, "no response to a poll after a start request without a response")
+		// An engine responds to a start request within 250 ms, at least with the status that the query is running. An
+		// engine that sent no response and does not answer the following poll at once either may never respond. The
+		// attempt is ended, as the query is idempotent, so that another engine can run it while the client still waits.
+		// If only the response to the start request was lost and the query has ended, the engine answers the poll at
+		// once and the result is kept.
+		a.endUncertain(dispatch.ConnectionReset, "poll timed out after the start request had timed out")
 		return true
 	case errors.As(err, &bad):
 		a.counters.BadResponses++
@@ -229,7 +236,7 @@
 		a.endUncertain(dispatch.EngineFailed, err.Error())
 		return true
 	case errors.Is(err, syscall.ECONNREFUSED):
-		a.end(dispatch.ConnectionReset, "the engine refuses connections: "+err.Error())
+		a.end(dispatch.ConnectionReset, "engine refuses connections: "+err.Error())
 		return true
 	case a.loop.Now()-a.health.lastValidMS >= limitMS:
 		a.endUncertain(dispatch.ConnectionReset, "engine unresponsive: "+err.Error())
@@ -238,7 +245,7 @@
 	return false
 }
 
-// resume polls, or requests the next page if some were received.
+// resume polls again, or requests the next page if the first page was already received.
 func (a *attempt) resume() {
 	if a.ended || a.cancelling {
 		return
@@ -251,5 +258,5 @@
 	}
 }
 
-// truncateBody returns the start of a response's body.
+// truncateBody returns at most the first maxDetailBytes of a response body.
 func truncateBody(body []byte) string { return string(body[:min(len(body), maxDetailBytes)]) }
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -8,7 +8,7 @@
 	"windflow/internal/router"
 )
 
-// pool keeps the connections to all engines under one limit.
+// pool manages the connections to all engines under one common limit.
 type pool struct {
 	loop     *router.Loop
 	dialer   netio.Dialer
@@ -18,23 +18,28 @@
 	connectTimeoutMS float64
 	idleTimeoutMS    float64
 
-	total   int
+	total   int                           // connections that are open or being dialed
 	idle    map[dispatch.EngineID][]*conn // most recently used last
-	dialing []*conn                       // in the order of their dials, so that the order of effects is deterministic
+	dialing []*conn                       // in the order in which they were dialed, so that processing is deterministic
 	queue   []*request                    // low-priority requests last
 }
 
-// configure replaces the bounds, closes idle connections over the new limit and uses the capacity that this frees.
+// configure replaces the limits, closes idle connections above the new limit and serves the queue if the pool has
+// capacity.
 func (p *pool) configure(cfg Config) {
 	p.connectTimeoutMS = cfg.ConnectTimeoutMS
 	p.idleTimeoutMS = min(cfg.IdleMS/2, maxIdleMS)
 	p.maxConns = cfg.MaxConns
-	for p.total > p.maxConns && p.evict() {
+	for p.total > p.maxConns {
+		if !p.evict() {
+			break
+		}
 	}
 	p.serveQueue()
 }
 
-// submit sends a request on an idle connection or a new one, or queues it until a connection is free.
+// submit sends a request on an idle connection or on a new one. If the limit is reached and no idle connection can be
+// evicted, it queues the request.
 func (p *pool) submit(req *request) {
 	idle := p.idle[req.engine.ID]
 	for i := len(idle) - 1; i >= 0; i-- {
@@ -51,8 +56,8 @@
 	p.dial(req)
 }
 
-// enqueue queues a request. A low-priority one is queued behind all others: it is a long poll, which the engine answers
-// late anyway, and the engine keeps the query meanwhile.
+// enqueue queues a request. A low-priority request is queued after all others: it is a long poll, which the engine
+// answers late anyway, and the engine keeps the query in the meantime.
 func (p *pool) enqueue(r *request) {
 	i := len(p.queue)
 	for !r.lowPriority && i > 0 && p.queue[i-1].lowPriority {
@@ -64,7 +69,7 @@
 // serveQueue submits queued requests while the pool has capacity.
 func (p *pool) serveQueue() {
 	for {
-		// Aborted requests are dropped first: no connection is closed to make room for them.
+		// Aborted requests are removed first, so that no connection is evicted for them.
 		for len(p.queue) > 0 && p.queue[0].done {
 			p.queue = p.queue[1:]
 		}
@@ -77,7 +82,7 @@
 	}
 }
 
-// dequeueFor removes and returns the first queued request that the connection may carry; nil if there is none.
+// dequeueFor removes and returns the first queued request that can use the connection. It returns nil if there is none.
 func (p *pool) dequeueFor(c *conn) *request {
 	if len(p.queue) == 0 {
 		return nil
@@ -93,6 +98,7 @@
 	return r
 }
 
+// dial opens a new connection for the request.
 func (p *pool) dial(r *request) {
 	p.total++
 	p.counters.Dials++
@@ -102,18 +108,19 @@
 	c.netConn = p.dialer.Dial(r.engine.Address, p.connectTimeoutMS, c)
 }
 
-// removeDialing removes a connection from those that are being dialed.
+// removeDialing removes a connection from the list of connections that are being dialed.
 func (p *pool) removeDialing(c *conn) {
 	if i := slices.Index(p.dialing, c); i >= 0 {
 		p.dialing = slices.Delete(p.dialing, i, i+1)
 	}
 }
 
+// addIdle adds a connection to the idle connections of its engine.
 func (p *pool) addIdle(c *conn) {
 	p.idle[c.engine.ID] = append(p.idle[c.engine.ID], c)
 }
 
-// removeIdle removes a connection from the idle ones.
+// removeIdle removes a connection from the idle connections of its engine.
 func (p *pool) removeIdle(c *conn) {
 	list := p.idle[c.engine.ID]
 	if i := slices.Index(list, c); i >= 0 {
@@ -121,18 +128,18 @@
 	}
 	p.idle[c.engine.ID] = list
 	if len(list) == 0 {
-		delete(p.idle, c.engine.ID) // engines are replaced by others with new ids
+		delete(p.idle, c.engine.ID) // engine ids are not reused, so the map would grow without bound
 	}
 }
 
-// remove removes a connection that is closing from the pool.
+// remove removes a closed connection from the pool.
 func (p *pool) remove(c *conn) {
 	p.removeDialing(c)
 	p.total--
 	p.removeIdle(c)
 }
 
-// evict closes the idle connection that was not read from for the longest time; false: there is none.
+// evict closes the idle connection whose last read is the oldest. It returns false if no connection is idle.
 func (p *pool) evict() bool {
 	var oldest *conn
 	for _, list := range p.idle {
@@ -147,8 +154,8 @@
 	return true
 }
 
-// closeExpired closes connections that were idle for so long that an engine might close them: a request that crosses
-// the engine's close would be lost.
+// closeExpired closes connections that were idle for so long that the engine might close them. A request that is sent
+// while the engine closes the connection would be lost.
 func (p *pool) closeExpired() {
 	now := p.loop.Now()
 	for _, list := range p.idle {
@@ -160,16 +167,17 @@
 	}
 }
 
-// closeIdle closes the idle connections to an engine that is gone: its address may pass to a new one.
+// closeIdle closes the idle connections to an engine that was removed, because its address may be assigned to a new
+// engine.
 func (p *pool) closeIdle(id dispatch.EngineID) {
 	for _, c := range slices.Clone(p.idle[id]) {
 		c.close()
 	}
 }
 
-// cancelUnstarted aborts the requests that would start a statement on an engine and of which nothing was written. They
-// wait for a connection, queued or dialing, and would otherwise reach an engine after its cordon was confirmed, or long
-// after it was removed or moved.
+// cancelUnstarted aborts the start requests for an engine of which no byte was written. They are queued or wait for a
+// connection that is being dialed, and would otherwise reach the engine after its cordon was confirmed, or long after
+// it was removed or moved.
 func (p *pool) cancelUnstarted(id dispatch.EngineID) {
 	requests := slices.Clone(p.queue)
 	for _, c := range p.dialing {
--- a/internal/enginehttp/progress.go
+++ b/internal/enginehttp/progress.go
@@ -9,7 +9,7 @@
 	"windflow/dispatch"
 )
 
-// Headers of an engine's responses, in lower case as response keeps them.
+// Response headers of engines, in lower case like the keys of response.header.
 const (
 	headerLoad       = "backend-load"
 	headerNotStarted = "not-begun"
@@ -22,21 +22,21 @@
 )
 
 const (
-	// maxLoadValue bounds a value of a load report; a larger one is treated as a fault.
+	// maxLoadValue is the largest accepted value in a load report; larger values are ignored as faulty.
 	maxLoadValue = 1e6
-	// maxAmount bounds any other number of an engine.
+	// maxAmount is the exclusive upper limit of every other number that an engine sends.
 	maxAmount = 1e9
-	// unknownLoad is a value that a load report does not contain.
+	// unknownLoad marks a field that a load report does not contain.
 	unknownLoad = -1
 )
 
-// provesNotStarted reports whether the engine states that it rejected the statement without starting it.
+// provesNotStarted reports whether the engine declares that it rejected the statement without starting it.
 func (r *response) provesNotStarted() bool {
 	return (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout) &&
 		r.header[headerNotStarted] == "1"
 }
 
-// parseAmount reads a number of an engine; one that is missing or out of bounds is 0.
+// parseAmount parses a number sent by an engine. It returns 0 if the number is missing, invalid or out of range.
 func parseAmount(text string) float64 {
 	amount, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(amount >= 0 && amount < maxAmount) {
@@ -45,8 +45,8 @@
 	return amount
 }
 
-// parseLoad reads a load report, as in 'inflight:7;util:0.61'. A value that is missing or out of bounds is unknown; nil
-// means that the report has no valid value.
+// parseLoad parses a load report such as 'inflight:7;util:0.61'. Fields that are missing, invalid or out of range are
+// set to unknownLoad. It returns nil if the report contains no valid value.
 func parseLoad(text string) *dispatch.LoadReport {
 	report := dispatch.LoadReport{
 		InFlight: unknownLoad, Waiting: unknownLoad, Busy: unknownLoad, Disk: unknownLoad, Memory: unknownLoad,
@@ -68,7 +68,7 @@
 	return &report
 }
 
-// loadField returns the field of a load report that a name on the wire denotes; nil for an unknown name.
+// loadField returns the field of a load report for its name on the wire, or nil if the name is unknown.
 func loadField(report *dispatch.LoadReport, name string) *float64 {
 	switch name {
 	case "inflight", "rif":
@@ -87,19 +87,19 @@
 	return nil
 }
 
-// Amounts of dispatch.ProgressBlocked.
+// Values of the amount for dispatch.ProgressBlocked: what the query waits for.
 const (
 	blockedOnMemory = 1
 	blockedOnLoad   = 2
 )
 
-// progressKinds are the names of the kinds of progress on the wire.
+// progressKinds maps the names on the wire to the kinds of progress.
 var progressKinds = map[string]dispatch.ProgressKind{
 	"frac": dispatch.ProgressFraction, "missing": dispatch.ProgressSpilling, "parked": dispatch.ProgressBlocked,
 }
 
-// parseProgress reads the progress of a running query. Where it is missing or invalid, the response says only that the
-// query is alive.
+// parseProgress returns the progress of a running query from the response headers. If it is missing or invalid, it
+// returns dispatch.ProgressAlive, because the response still shows that the query is running.
 func parseProgress(header map[string]string) (dispatch.ProgressKind, float64) {
 	kind, amount := progressKinds[strings.ToLower(header[headerDetail])], parseAmount(header[headerAmount])
 	switch {
--- a/internal/enginehttp/progress_test.go
+++ b/internal/enginehttp/progress_test.go
@@ -6,7 +6,7 @@
 	"windflow/dispatch"
 )
 
-// Each name of a load report on the wire sets its own field, and the others stay unknown.
+// TestParseLoad checks that each name in a load report sets its own field and leaves the others unknown.
 func TestParseLoad(t *testing.T) {
 	unknown := dispatch.LoadReport{
 		InFlight: unknownLoad, Waiting: unknownLoad, Busy: unknownLoad, Disk: unknownLoad, Memory: unknownLoad,
@@ -31,12 +31,12 @@
 		want := unknown
 		test.set(&want)
 		if got := parseLoad(test.text); got == nil || *got != want {
-			t.Errorf("%q: %+v, want %+v", test.text, got, want)
+			t.Errorf("parseLoad(%q) = %+v, want %+v", test.text, got, want)
 		}
 	}
 	for _, text := range []string{"", "disk:1", "rif", "rif:x", "rif:-1;q:NaN"} {
 		if got := parseLoad(text); got != nil {
-			t.Errorf("%q: %+v, want no report", text, got)
+			t.Errorf("parseLoad(%q) = %+v, want nil", text, got)
 		}
 	}
 }
--- a/internal/enginehttp/response.go
+++ b/internal/enginehttp/response.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Bounds on responses, in bytes.
+// Size limits of responses, in bytes.
 const (
-	maxHead      = 8 << 10
-	maxPage      = 6000
-	maxBody      = 16 << 10 // an error may be longer than a page
-	maxChunkLine = 64
+	maxHead      = 8 << 10  // status line and headers
+	maxPage      = 6000     // a page of a result
+	maxBody      = 16 << 10 // any body; that of an error may be longer than a page
+	maxChunkLine = 64       // the line with the size of a chunk
 )
 
-// maxInterim is how many interim responses may precede a response.
+// maxInterim is the number of interim (1xx) responses that may precede the final response.
 const maxInterim = 8
 
-// response is one HTTP response of an engine.
+// response is an HTTP response from an engine.
 type response struct {
 	status        int
 	header        map[string]string // names in lower case
 	body          []byte
-	close         bool // the engine closes the connection after it
-	trailingBytes bool // further bytes arrived with it, which belong to no request
+	close         bool // the engine closes the connection after the response
+	trailingBytes bool // more bytes, which belong to no request, were received after the response
 }
 
-// interim reports whether the engine has yet to send the final response (1xx).
+// interim reports whether this is an interim (1xx) response, which the final response follows.
 func (r *response) interim() bool { return r.status < http.StatusOK }
 
-// hasBody reports whether the status allows for a body.
+// hasBody reports whether a response with this status has a body.
 func (r *response) hasBody() bool {
 	return !r.interim() && r.status != http.StatusNoContent && r.status != http.StatusNotModified
 }
@@ -42,13 +42,14 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// parseResponse reads one complete response from the start of data and returns its length; 0 means that more bytes are
-// needed. An error means that the end of the response cannot be found.
+// parseResponse parses one complete response at the start of data and returns it with its length in bytes. The response
+// is nil and the length 0 if data is incomplete. It returns an error if the response is malformed or exceeds a limit,
+// so that its end cannot be determined.
 func parseResponse(data []byte) (*response, int, error) {
 	end := bytes.Index(data, headEnd)
 	if end < 0 {
 		if len(data) > maxHead {
-			return nil, 0, errors.New("response head without end")
+			return nil, 0, fmt.Errorf("response head is unterminated after %d bytes", maxHead)
 		}
 		return nil, 0, nil
 	}
@@ -66,7 +67,7 @@
 	text, ok := resp.header["content-length"]
 	length, err := strconv.Atoi(text)
 	if !ok || err != nil || length < 0 || length > maxBody {
-		return nil, 0, fmt.Errorf("content-length %.20q is missing, no number or over %d", text, maxBody)
+		return nil, 0, fmt.Errorf("missing or invalid content-length %.20q: expected a number from 0 to %d", text, maxBody)
 	}
 	bodyEnd := bodyStart + length
 	if len(data) < bodyEnd {
@@ -76,24 +77,24 @@
 	return resp, bodyEnd, nil
 }
 
-// parseHead reads the status line and the headers.
+// parseHead parses the status line and the headers, without the empty line that ends them.
 func parseHead(head string) (*response, error) {
 	lines := strings.Split(head, "\r\n")
 	proto, statusAndReason, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(statusAndReason, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
-		return nil, fmt.Errorf("bad status line %.60q", lines[0])
+		return nil, fmt.Errorf("invalid status line %.60q", lines[0])
 	}
 	resp := &response{status: status, header: map[string]string{}, close: proto == "HTTP/1.0"}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.TrimSpace(name) != name {
-			return nil, fmt.Errorf("bad header line %.60q", line)
+			return nil, fmt.Errorf("invalid header line %.60q", line)
 		}
 		name, value = strings.ToLower(name), strings.TrimSpace(value)
 		if old, repeated := resp.header[name]; repeated && name == "content-length" && old != value {
-			return nil, fmt.Errorf("two lengths, %.20q and %.20q", old, value)
+			return nil, fmt.Errorf("conflicting content-length headers %.20q and %.20q", old, value)
 		}
 		resp.header[name] = value
 	}
@@ -103,20 +104,22 @@
 	return resp, nil
 }
 
-// parseChunks reads a chunked body that starts at the offset.
+// parseChunks parses a chunked body that starts at the offset and stores it in resp. Its results are those of
+// parseResponse.
 func parseChunks(resp *response, data []byte, offset int) (*response, int, error) {
 	for {
 		lineLength := bytes.Index(data[offset:], crlf)
 		if lineLength < 0 {
 			if len(data)-offset > maxChunkLine {
-				return nil, 0, errors.New("chunk size without end")
+				return nil, 0, fmt.Errorf("chunk size line is unterminated after %d bytes", maxChunkLine)
 			}
 			return nil, 0, nil
 		}
 		text, _, _ := strings.Cut(string(data[offset:offset+lineLength]), ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 		if err != nil || len(resp.body)+int(size) > maxBody {
-			return nil, 0, fmt.Errorf("bad chunk size %.20q", text)
+			return nil, 0, fmt.Errorf("invalid chunk size %.20q: expected a hexadecimal number and a body of at most %d bytes",
+				text, maxBody)
 		}
 		offset += lineLength + len(crlf)
 		chunkEnd := offset + int(size)
@@ -126,13 +129,13 @@
 		}
 		if size == 0 {
 			if !bytes.HasPrefix(data[offset:], crlf) {
-				return nil, 0, errors.New("trailers after the last chunk")
+				return nil, 0, errors.New("unsupported trailers after the last chunk")
 			}
 			return resp, next, nil
 		}
 		resp.body = append(resp.body, data[offset:chunkEnd]...)
 		if !bytes.HasPrefix(data[chunkEnd:], crlf) {
-			return nil, 0, errors.New("chunk longer than its size")
+			return nil, 0, fmt.Errorf("chunk longer than its size of %d bytes", size)
 		}
 		offset = next
 	}
