--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -7,15 +7,15 @@
 	"windflow/internal/router"
 )
 
-// connection is one client's connection: it takes one request and sends one response.
+// connection is a connection of a client; it receives one request and sends one response.
 type connection struct {
 	server          *Server
 	conn            netio.Conn
 	buffer          []byte
-	sequence        int64 // connections are numbered as they are opened
-	timer           *router.Timer
-	requestReceived bool // the request was received completely
-	finished        bool
+	sequence        int64         // number of the connection, in the order in which connections were opened
+	timer           *router.Timer // the request timeout
+	requestReceived bool          // the request was completely received
+	finished        bool          // the response was written or the connection was closed
 }
 
 // Opened implements netio.Handler.
@@ -55,14 +55,15 @@
 // Closed implements netio.Handler.
 func (c *connection) Closed(error) { c.finish() }
 
-// finish takes the connection out of the server's.
+// finish stops the request timeout and removes the connection from the server. Data that is received later is ignored.
 func (c *connection) finish() {
 	c.finished, c.buffer = true, nil
 	c.timer.Stop()
 	delete(c.server.connections, c)
 }
 
-// respond writes the response and closes the connection once the client has had time to read it.
+// respond writes the response and closes the connection. After an error it closes gracefully, so that the client can
+// read the response although it may still be sending. It has no effect on a finished connection.
 func (c *connection) respond(r response) {
 	if c.finished {
 		return
@@ -73,12 +74,13 @@
 	c.finish()
 	_ = c.conn.Write(r.encode())
 	if r.status < statusBadRequest {
-		c.conn.Close() // the request was read completely
+		c.conn.Close() // the request was completely read, so the close does not reset the connection
 		return
 	}
 	c.conn.CloseGracefully()
 }
 
+// count counts the response to a complete request as succeeded or rejected.
 func (c *connection) count(r response) {
 	if r.succeeded() {
 		c.server.Counters.Succeeded++
@@ -87,7 +89,8 @@
 	c.server.Counters.Rejected++
 }
 
-// evictedBefore reports whether the connection makes room before another: it has sent less, or as much but is older.
+// evictedBefore reports whether the connection is evicted before another one: the client has sent fewer bytes, or as
+// many on an older connection.
 func (c *connection) evictedBefore(other *connection) bool {
 	if len(c.buffer) != len(other.buffer) {
 		return len(c.buffer) < len(other.buffer)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -13,7 +13,7 @@
 	"windflow/internal/router"
 )
 
-// rawConn keeps what is written, as it is.
+// rawConn is a netio.Conn that stores the written bytes unchanged.
 type rawConn struct{ text strings.Builder }
 
 func (c *rawConn) Write(b []byte) error {
@@ -26,7 +26,7 @@
 func (c *rawConn) Detach(f func(*os.File)) { f(nil) }
 func (c *rawConn) HasUnread() bool         { return false }
 
-// goldenRequests are requests on each path, those that fail among them.
+// goldenRequests are valid and invalid requests for each path; notReady is the reason why the router is not ready.
 var goldenRequests = []struct{ request, notReady string }{
 	{request: "GET /api/ready HTTP/1.1\r\nHost: n0\r\n\r\n"},
 	{request: "GET /api/ready HTTP/1.1\r\n\r\n", notReady: "draining"},
@@ -49,10 +49,10 @@
 	{request: "GET /api/ready HTTP/2.0\r\n"},
 	{request: "POST /api/exclude/s-00c41f7a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"},
 	{request: "POST /api/exclude/s-00c41f7a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"},
-	{request: "GET /api/rea"}, // and no more
+	{request: "GET /api/rea"}, // incomplete
 }
 
-// Each response is as it was when the golden file was recorded, complete and byte for byte.
+// TestGoldenResponses checks that each response matches the golden file byte for byte.
 func TestGoldenResponses(t *testing.T) {
 	var got strings.Builder
 	for _, c := range goldenRequests {
@@ -68,7 +68,7 @@
 	golden.Equal(t, "answers.txt", []byte(got.String()))
 }
 
-// responseTo returns the response to a request, or what is sent once its time is up.
+// responseTo returns the response to a request, or the response after the request timeout if the request is incomplete.
 func responseTo(request, notReady string) string {
 	now := &clock.Manual{MS: 1e12}
 	loop := router.NewLoop(now)
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -8,25 +8,27 @@
 	"strings"
 )
 
-// maxRequest bounds a request, its head and its body together; operators send neither long heads nor bodies.
+// maxRequest is the maximum size of a request, head and body together, in bytes. Operators send neither long heads nor
+// long bodies.
 const maxRequest = 8 << 10
 
-// contentLengthBits bounds a body's length to what an int holds on every platform.
+// contentLengthBits limits the content length to values that fit into an int on every platform.
 const contentLengthBits = 31
 
-// request is one HTTP/1.1 request.
+// request is an HTTP/1.1 request.
 type request struct {
 	method string
-	path   string // decoded, without the query
+	path   string // unescaped, without the query string
 }
 
-// The texts are part of the API: they are the bodies of responses.
+// Errors in requests. Their texts are part of the API, because they are sent as response bodies.
 var (
 	errMalformedRequest = errors.New("malformed call")
 	errRequestTooLong   = errors.New("call too long")
 )
 
-// parseRequest parses a request; it returns nil while the request is incomplete.
+// parseRequest parses a request. It returns nil without an error while the request is incomplete, and an error if the
+// request is malformed or longer than maxRequest.
 func parseRequest(b []byte) (*request, error) {
 	head, body, complete := splitHead(b)
 	if !complete {
@@ -50,7 +52,8 @@
 	return parsed, nil
 }
 
-// checkIncomplete rejects what can't become a request at once, instead of when its time is up.
+// checkIncomplete returns an error if the bytes cannot be the start of a valid request, so that the request is rejected
+// at once and not only by the request timeout.
 func checkIncomplete(b []byte) error {
 	if len(b) > maxRequest {
 		return errRequestTooLong
@@ -66,7 +69,8 @@
 	return nil
 }
 
-// splitHead cuts the head off at the empty line behind it; lines may end in a bare line feed.
+// splitHead splits the bytes into head and body at the empty line between them. Lines may end in CRLF or in a bare line
+// feed. complete is false if there is no empty line within the first maxRequest bytes.
 func splitHead(b []byte) (head, body []byte, complete bool) {
 	for i := 0; i < len(b) && i <= maxRequest; i++ {
 		if b[i] != '\n' {
@@ -83,7 +87,8 @@
 	return nil, nil, false
 }
 
-// bodyLength returns the length that the header lines of a head state, or 0.
+// bodyLength returns the value of the Content-Length header, or 0 if there is none. It fails if a header line is
+// malformed, if the lengths are invalid or contradict each other, or if there is a Transfer-Encoding header.
 func bodyLength(lines []string) (int, error) {
 	length, stated := 0, false
 	for _, line := range lines {
@@ -99,13 +104,13 @@
 			}
 			length, stated = int(n), true
 		case "transfer-encoding":
-			return 0, errMalformedRequest // no request has a body that would need it
+			return 0, errMalformedRequest // not supported: no request of this API needs a body
 		}
 	}
 	return length, nil
 }
 
-// parseRequestLine parses the first line of a request.
+// parseRequestLine parses the request line of HTTP/1.0 and HTTP/1.1.
 func parseRequestLine(line string) (*request, error) {
 	parts := strings.Split(strings.TrimSuffix(line, "\r"), " ")
 	if len(parts) != 3 {
@@ -122,7 +127,7 @@
 	return &request{method: method, path: u.Path}, nil
 }
 
-// isToken reports whether b consists of the characters that HTTP allows in methods and names of headers.
+// isToken reports whether b contains only characters that HTTP allows in methods and header names.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		letter := c|0x20 >= 'a' && c|0x20 <= 'z'
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -17,7 +17,7 @@
 	statusContentTooLarge    status = 413
 	statusServiceUnavailable status = 503
 
-	// statusMultipleChoices is where the codes of success end.
+	// statusMultipleChoices is the first status code that does not mean success.
 	statusMultipleChoices status = 300
 )
 
@@ -31,20 +31,21 @@
 	statusServiceUnavailable: "Service Unavailable",
 }
 
-// response is one HTTP/1.1 response.
+// response is an HTTP/1.1 response.
 type response struct {
 	status status
-	text   string
-	allow  string // the method that is allowed, with statusMethodNotAllowed
+	text   string // the body
+	allow  string // value of the Allow header, with statusMethodNotAllowed
 }
 
+// methodNotAllowed returns the response to a request with a method other than the allowed one.
 func methodNotAllowed(allow string) response {
 	return response{status: statusMethodNotAllowed, text: "method not allowed", allow: allow}
 }
 
 func (r response) succeeded() bool { return r.status < statusMultipleChoices }
 
-// encode returns the response as it is sent; its text ends in a line feed.
+// encode returns the bytes of the response on the wire. The body always ends in a line feed.
 func (r response) encode() []byte {
 	text := r.text
 	if !strings.HasSuffix(text, "\n") {
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// The paths of the API.
+// Paths of the API.
 const (
 	pathReady          = "/api/ready"
 	pathTelemetry      = "/api/telemetry"
@@ -10,13 +10,13 @@
 	pathPrefixUncordon = "/api/include/"
 )
 
-// The methods of the API.
+// HTTP methods of the API.
 const (
 	methodGet  = "GET"
 	methodPost = "POST"
 )
 
-// handle answers a request.
+// handle dispatches a request to its handler; respond is called once with the response, possibly later.
 func (s *Server) handle(r *request, respond func(response)) {
 	if id, ok := strings.CutPrefix(r.path, pathPrefixCordon); ok {
 		s.handleCordonChange(r, id, s.backend.Cordon, respond)
@@ -29,7 +29,7 @@
 	respond(s.handleRead(r))
 }
 
-// handleCordonChange starts an operator's order on an engine, and answers once it is carried out.
+// handleCordonChange cordons or uncordons an engine by calling change, and responds once the change is in effect.
 func (s *Server) handleCordonChange(r *request, id string, change func(string, func(bool)), respond func(response)) {
 	if r.method != methodPost {
 		respond(methodNotAllowed(methodPost))
@@ -45,7 +45,7 @@
 	})
 }
 
-// handleRead answers a request that changes nothing.
+// handleRead returns the response to a request that changes nothing: readiness or telemetry.
 func (s *Server) handleRead(r *request) response {
 	switch {
 	case r.path != pathReady && r.path != pathTelemetry:
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -15,7 +15,7 @@
 	"windflow/internal/routertest"
 )
 
-// fakeBackend is a router that knows one engine.
+// fakeBackend is a backend that knows one engine, s-00c41f7a, and prints the changes of its cordon.
 type fakeBackend struct {
 	notReady error
 	out      *strings.Builder
@@ -23,18 +23,18 @@
 
 func (b *fakeBackend) Ready() error      { return b.notReady }
 func (b *fakeBackend) Telemetry() string { return "svc.outstanding:14|g\n" }
-func (b *fakeBackend) changeCordon(name, id string, answer func(bool)) {
+func (b *fakeBackend) changeCordon(name, id string, done func(bool)) {
 	if id == "s-00c41f7a" {
 		fmt.Fprintf(b.out, "  %s %s\n", name, id)
 	}
-	answer(id == "s-00c41f7a")
+	done(id == "s-00c41f7a")
 }
 
-func (b *fakeBackend) Cordon(id string, answer func(bool)) { b.changeCordon("exclude", id, answer) }
+func (b *fakeBackend) Cordon(id string, done func(bool)) { b.changeCordon("exclude", id, done) }
 
-func (b *fakeBackend) Uncordon(id string, answer func(bool)) { b.changeCordon("include", id, answer) }
+func (b *fakeBackend) Uncordon(id string, done func(bool)) { b.changeCordon("include", id, done) }
 
-// fakeConn is a connection that prints what is written to it.
+// fakeConn is a netio.Conn that prints the lines written to it, without the Content headers, and its close.
 type fakeConn struct {
 	name   string
 	out    *strings.Builder
@@ -61,9 +61,10 @@
 func (c *fakeConn) Detach(f func(*os.File)) { f(nil) }
 func (c *fakeConn) HasUnread() bool         { return false }
 
-// Requests, good and bad, at once and in pieces, each get one response; clients that stay silent shut nobody out. A
-// line is played: NAME opens a connection and NAME TEXT sends on it; 'wait MS' lets time pass; 'down WHY' and 'up'
-// say whether the router serves; 'crowd N' opens N silent connections.
+// TestExchanges replays the recorded exchanges in testdata. It checks that each request, valid or invalid, whole or in
+// parts, gets one response, and that clients that send nothing do not block the others. The commands are: NAME opens a
+// connection, NAME TEXT sends TEXT on it, 'wait MS' advances the clock, 'down REASON' and 'up' make the router not
+// ready and ready, 'crowd N' opens N connections that send nothing.
 func TestExchanges(t *testing.T) {
 	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		t.Helper()
@@ -110,29 +111,30 @@
 	})
 }
 
+// TestParseRequest checks complete, incomplete, malformed and too long requests.
 func TestParseRequest(t *testing.T) {
 	for _, test := range []struct {
 		name, text, path string
 		err              error
 	}{
 		{"complete", "GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n", "/api/ready", nil},
-		{"bare line feeds, an escape, a query", "GET /api/%72eady?x=1 HTTP/1.0\n\n", "/api/ready", nil},
-		{"a body", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", "/a", nil},
-		{"half a body", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\na", "", nil},
-		{"half a head", "GET /a HTTP/1.1\r\nHo", "", nil},
-		{"no HTTP", "\x16\x03\x01", "", errMalformedRequest},
-		{"no path", "GET HTTP/1.1\r\n", "", errMalformedRequest},
-		{"another version", "GET / HTTP/2.0\r\n", "", errMalformedRequest},
-		{"a header without a colon", "GET / HTTP/1.1\r\nnothing\r\n\r\n", "", errMalformedRequest},
-		{"a length that is none", "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "", errMalformedRequest},
-		{"two lengths", "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "", errMalformedRequest},
-		{"chunks", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "", errMalformedRequest},
-		{"a head without end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxRequest), "", errRequestTooLong},
-		{"a long body", "POST / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", "", errRequestTooLong},
+		{"bare line feeds, escaped path, query string", "GET /api/%72eady?x=1 HTTP/1.0\n\n", "/api/ready", nil},
+		{"complete body", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", "/a", nil},
+		{"incomplete body", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\na", "", nil},
+		{"incomplete head", "GET /a HTTP/1.1\r\nHo", "", nil},
+		{"not HTTP", "\x16\x03\x01", "", errMalformedRequest},
+		{"missing path", "GET HTTP/1.1\r\n", "", errMalformedRequest},
+		{"unsupported HTTP version", "GET / HTTP/2.0\r\n", "", errMalformedRequest},
+		{"header without a colon", "GET / HTTP/1.1\r\nnothing\r\n\r\n", "", errMalformedRequest},
+		{"invalid content length", "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "", errMalformedRequest},
+		{"two content lengths", "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "", errMalformedRequest},
+		{"chunked body", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "", errMalformedRequest},
+		{"unterminated head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxRequest), "", errRequestTooLong},
+		{"body over the limit", "POST / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", "", errRequestTooLong},
 	} {
 		r, err := parseRequest([]byte(test.text))
 		if !errors.Is(err, test.err) || (r != nil) != (test.path != "") || r != nil && r.path != test.path {
-			t.Errorf("%s: %+v, %v", test.name, r, err)
+			t.Errorf("%s: got request %+v and error %v, want path %q and error %v", test.name, r, err, test.path, test.err)
 		}
 	}
 }
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// silenceTimeoutMS is how long discovery may send nothing, in milliseconds, before the connection counts as dead:
-	// it sends a frame each second. What a service that has stopped would have sent counts as sent 4 s after its
-	// stop, so that there must be time left to connect again.
+	// silenceTimeoutMS is the time in milliseconds without a frame after which the connection is considered dead.
+	// Discovery sends a frame every second. The timeout leaves time to connect again: events that a stopped service
+	// did not send count as sent 4 s after it stopped.
 	silenceTimeoutMS = 1800.0
-	// minFrameProgress is how many bytes of an incomplete frame must arrive to count as a sign of life: one that trickles
-	// would keep the connection for ever.
+	// minFrameProgress is the number of further bytes of an incomplete frame that restart the timeout. If single bytes
+	// restarted it, a peer that sends a frame very slowly could keep the connection open indefinitely.
 	minFrameProgress = 4096
 )
 
-// Reasons why a connection ends.
+// Reasons for the end of a connection.
 var (
-	errTimeout          = errors.New("no frame in time")
+	errTimeout          = errors.New("no frame received in time")
 	errConnectionClosed = errors.New("connection closed")
 )
 
-// connection is one connection to discovery; it implements netio.Handler.
+// connection is a connection to discovery; it implements netio.Handler.
 type connection struct {
 	watcher       *Watcher
 	conn          netio.Conn
 	buffer        []byte
-	timer         *router.Timer
-	received      bool // anything was received on it
-	creditedBytes int  // bytes of the incomplete frame that have counted as a sign of life
-	closed        bool // nothing that it receives counts any more
+	timer         *router.Timer // fails the connection after silenceTimeoutMS
+	received      bool          // whether any bytes were received
+	creditedBytes int           // bytes in the buffer when the timeout was last restarted
+	closed        bool          // further events of the connection are ignored
 }
 
-// restartTimeout starts the wait for the next sign of life anew.
+// restartTimeout restarts the timeout after which the connection fails for lack of received data.
 func (c *connection) restartTimeout() {
 	c.timer.Stop()
 	c.timer = c.watcher.loop.After(silenceTimeoutMS, func() { c.fail(errTimeout) })
@@ -79,7 +79,7 @@
 	}
 }
 
-// readFrames handles the frames that are complete.
+// readFrames handles all complete frames in the buffer.
 func (c *connection) readFrames() {
 	for !c.closed {
 		body, remaining, ok, err := cutFrame(c.buffer)
@@ -97,14 +97,14 @@
 	}
 }
 
-// failBadFrame ends a connection whose frames can't be trusted. The endpoint list stays, and the next connection goes
-// on from the last good event.
+// failBadFrame ends the connection after an invalid frame, because later frames on it cannot be trusted either. The
+// endpoint list is kept, and the next connection continues after the last valid event.
 func (c *connection) failBadFrame(err error) {
 	c.watcher.Counters.BadFrames++
 	c.fail(fmt.Errorf("bad frame: %w", err))
 }
 
-// fail ends the connection and has the watcher connect again.
+// fail closes the connection and makes the watcher connect again after a delay.
 func (c *connection) fail(err error) {
 	if c.closed {
 		return
@@ -113,7 +113,7 @@
 	c.watcher.connectionLost(c.received, err)
 }
 
-// close closes the connection; nothing that it receives counts any more.
+// close closes the connection. Data that is received afterwards is ignored, and the watcher does not connect again.
 func (c *connection) close() {
 	c.closed = true
 	c.timer.Stop()
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,4 +1,5 @@
-// Package discovery watches the service that tells routers which endpoints there are. The settings hold the endpoint
-// list up to a numbered event; a Watcher receives the events after it over TCP, each once and in order. The layout of
-// the frames is the platform's, whose discovery service is its notice board; frame.go alone knows it.
+// Package discovery watches the platform's discovery service, which lists the endpoints of the engines. The settings
+// contain the endpoint list up to a numbered event. A Watcher receives the events after it over TCP and reports each
+// of them once and in order. The binary format of the frames is defined by the platform, which calls its discovery
+// service the notice board; only frame.go depends on the format.
 package discovery
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -19,7 +19,7 @@
 	unknownZoneRecord = "00c41f7a" + "7f080001" + "1f90" + "00" + "02" + "00" + "0002" + "000005dc" + "0000000000000000"
 )
 
-// encodeFrame returns a frame with its length.
+// encodeFrame decodes the hexadecimal body of a frame and returns it with its length field.
 func encodeFrame(t *testing.T, body string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(body)
@@ -29,6 +29,7 @@
 	return append([]byte{0, 0, byte(len(b) >> 8), byte(len(b))}, b...)
 }
 
+// TestParseFrame checks frames of each kind and each error of a malformed frame.
 func TestParseFrame(t *testing.T) {
 	engine := dispatch.Endpoint{ID: 0xc41f7a, Zone: "hall-b", Kind: "std-8", Cell: 2, CapacityWeight: 1.5}
 	for _, test := range []struct {
@@ -37,13 +38,13 @@
 		want       []dispatch.Endpoint
 		mode       dispatch.ListMode
 	}{
-		{"nothing new", eventFive + "00", nil, nil, dispatch.ListIncremental},
+		{"heartbeat", eventFive + "00", nil, nil, dispatch.ListIncremental},
 		{"complete list", eventFive + "01" + record, nil, []dispatch.Endpoint{engine}, dispatch.ListComplete},
 		{"changes", eventFive + "02" + record, nil, []dispatch.Endpoint{engine}, dispatch.ListIncremental},
 		{"unknown kind", eventFive + "03", errUnknownFrameKind, nil, 0},
-		{"cut record", eventFive + "02" + record[:50], errPartialRecord, nil, 0},
+		{"truncated record", eventFive + "02" + record[:50], errPartialRecord, nil, 0},
 		{"zone out of range", eventFive + "02" + unknownZoneRecord, errRecordOutOfRange, nil, 0},
-		{"payload on nothing", eventFive + "00" + record, errUnexpectedPayload, nil, 0},
+		{"heartbeat with a payload", eventFive + "00" + record, errUnexpectedPayload, nil, 0},
 		{"too short", "00", errFrameTooShort, nil, 0},
 	} {
 		parsed, err := parseFrame(encodeFrame(t, test.body)[lengthSize:], testNames)
@@ -54,20 +55,20 @@
 			continue
 		}
 		if parsed.event != 5 {
-			t.Errorf("%s: event %d", test.name, parsed.event)
+			t.Errorf("%s: event %d, want 5", test.name, parsed.event)
 		}
 		want := dispatch.EndpointList{Mode: test.mode, Endpoints: test.want}
 		if diff := cmp.Diff(want, parsed.update.Events); diff != "" {
-			t.Errorf("%s: %s", test.name, diff)
+			t.Errorf("%s: endpoint list (-want +got):\n%s", test.name, diff)
 		}
 		if len(test.want) > 0 && parsed.update.Addresses[engine.ID] != "127.8.0.1:8080" {
-			t.Errorf("%s: address %q", test.name, parsed.update.Addresses[engine.ID])
+			t.Errorf("%s: address %q, want \"127.8.0.1:8080\"", test.name, parsed.update.Addresses[engine.ID])
 		}
 	}
 }
 
-// FuzzParseFrame parses arbitrary frames: no crash, and each endpoint that is reported has an address, and a zone and a
-// kind that the settings name.
+// FuzzParseFrame parses arbitrary frames. It checks that the parser does not panic and that each parsed endpoint has an
+// address, a start time that is not negative, and a zone and a kind from the settings.
 func FuzzParseFrame(f *testing.F) {
 	for _, body := range []string{
 		eventFive + "00", eventFive + "01" + record, eventFive + "02" + record + record, eventFive + "02" + unknownZoneRecord,
@@ -86,7 +87,7 @@
 		for _, e := range parsed.update.Events.Endpoints {
 			if _, ok := parsed.update.Addresses[e.ID]; !ok || !slices.Contains(testNames.Zones, e.Zone) ||
 				!slices.Contains(testNames.Kinds, e.Kind) || e.StartedAt < 0 {
-				t.Fatalf("%+v", e)
+				t.Fatalf("invalid endpoint accepted: %+v", e)
 			}
 		}
 	})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,22 +13,22 @@
 
 const (
 	connectTimeoutMS = 250.0
-	// The wait before the next connection, in milliseconds, doubles while connections fail. A random factor between a
-	// half and one and a half spreads it, so that hundreds of routers that lose discovery together don't come back
-	// together.
+	// The delay before the next connection attempt, in milliseconds, doubles while connections fail. It is multiplied
+	// by a random factor between 0.5 and 1.5, so that hundreds of routers that lose discovery at the same time do not
+	// reconnect at the same time.
 	minReconnectDelayMS, maxReconnectDelayMS = 100.0, 500.0
 	minDelayFactor                           = 0.5
-	// randomStream sets the draws of waits apart from others that are made from the same seed.
+	// randomStream selects the random stream of the delays, which differs from other streams with the same seed.
 	randomStream = 0x626f617264
 )
 
-// Update is one event: the endpoint list or what changed of it, and where the endpoints listen.
+// Update is the content of one event: the complete endpoint list or its changes, and the addresses of the endpoints.
 type Update = settings.EndpointEvents
 
-// RecordNames are the lists of the settings that the records of frames have indexes into.
+// RecordNames contains the names of zones and engine kinds from the settings, which records refer to by index.
 type RecordNames struct{ Zones, Kinds []string }
 
-// Counters count connections and what was received on them.
+// Counters counts connections to discovery, and the frames and events received on them.
 type Counters struct {
 	Connections int64 `status:"links"`
 	Frames      int64 `status:"frames"`
@@ -36,7 +36,8 @@
 	BadFrames   int64 `status:"bad"`
 }
 
-// Watcher keeps a connection to discovery and reports every event once, in order. It belongs to the loop's goroutine.
+// Watcher maintains a connection to discovery and reports each event once and in order. It must be used only in the
+// loop's goroutine.
 type Watcher struct {
 	loop     *router.Loop
 	dialer   netio.Dialer
@@ -47,16 +48,16 @@
 	random   *rand.Rand
 
 	connection       *connection
-	reconnectDelayMS float64       // the next wait but for its random factor
-	reconnect        *router.Timer // opens the next connection; nil or stopped while there is one
+	reconnectDelayMS float64       // the next delay without its random factor
+	reconnect        *router.Timer // opens the next connection; nil or stopped while a connection exists
 
 	lastEvent     uint64
 	lastContactMS float64
 	Counters      Counters
 }
 
-// Watch connects to discovery. lastEvent is the number of the last event that is known; onUpdate is called in the
-// loop with each later one. Waits are drawn from the seed.
+// Watch connects to discovery at the address. lastEvent is the number of the last known event; onUpdate is called in
+// the loop for each later event. seed determines the random reconnection delays.
 func Watch(
 	loop *router.Loop, dialer netio.Dialer, address string, names RecordNames, lastEvent uint64, onUpdate func(Update),
 	seed uint64, log *slog.Logger,
@@ -76,15 +77,16 @@
 	return w
 }
 
-// LastEvent returns the number of the last event.
+// LastEvent returns the number of the last known event.
 func (w *Watcher) LastEvent() uint64 { return w.lastEvent }
 
-// LastContactMS returns when the last frame was received, in milliseconds of the loop's clock; 0 for never.
+// LastContactMS returns the time at which the last frame was received, in milliseconds of the loop's clock. It returns
+// 0 if no frame was received.
 func (w *Watcher) LastContactMS() float64 { return w.lastContactMS }
 
-// Configure applies other names to the records that are received from now on and, where the address is another one,
-// connects there at once, from the last event on. What the former address still sends is dropped: the numbers of
-// events continue at the new one, so that an event from either is reported once.
+// Configure sets the names that are used for the records received from now on. If the address has changed, it connects
+// to the new one at once and continues after the last event. Data that still arrives from the former address is
+// ignored. Event numbers continue at the new address, so each event is reported once.
 func (w *Watcher) Configure(address string, names RecordNames) {
 	w.names = names
 	if address == w.address {
@@ -92,11 +94,12 @@
 	}
 	w.log.Info("discovery address changed", "from", w.address, "to", address, "last_event", w.lastEvent)
 	w.address, w.reconnectDelayMS = address, minReconnectDelayMS
-	w.reconnect.Stop() // else a pending reconnection would open a second connection
+	w.reconnect.Stop() // otherwise a pending reconnect would open a second connection
 	w.connection.close()
 	w.connect()
 }
 
+// connect opens a connection and starts its timeout.
 func (w *Watcher) connect() {
 	w.Counters.Connections++
 	w.connection = &connection{watcher: w}
@@ -104,17 +107,17 @@
 	w.connection.restartTimeout()
 }
 
-// connected records that discovery has sent something on a new connection.
+// connected is called when the first bytes are received on a connection. It resets the reconnection delay.
 func (w *Watcher) connected() {
 	w.log.Info("discovery connected", "address", w.address, "last_event", w.lastEvent)
 	w.reconnectDelayMS = minReconnectDelayMS
 }
 
-// connectionLost arms the next connection; received says whether anything was received on the one that was lost.
+// connectionLost schedules the next connection. received reports whether any bytes were received on the lost one.
 func (w *Watcher) connectionLost(received bool, err error) {
 	level := slog.LevelWarn
 	if !received && w.reconnectDelayMS > minReconnectDelayMS {
-		level = slog.LevelDebug // the first failure was logged; the next good connection will be
+		level = slog.LevelDebug // the first failure was already logged, and the next successful connection will be
 	}
 	w.log.Log(context.Background(), level, "discovery connection lost", "error", err, "last_event", w.lastEvent)
 	w.reconnect = w.loop.After(w.reconnectDelayMS*(minDelayFactor+w.random.Float64()), w.connect)
@@ -123,7 +126,8 @@
 	}
 }
 
-// handleFrame reports the event of a frame, unless it is known. An error says that the frame can't be trusted.
+// handleFrame parses a frame and reports its event, unless it is already known. It returns an error if the frame is
+// malformed or events are missing before it.
 func (w *Watcher) handleFrame(body []byte) error {
 	received, err := parseFrame(body, w.names)
 	w.Counters.Frames++
@@ -135,7 +139,7 @@
 	case received.event <= w.lastEvent:
 		w.log.Debug("known event ignored", "event", received.event, "last_event", w.lastEvent)
 	case received.kind == frameChanges && received.event != w.lastEvent+1:
-		return fmt.Errorf("%w: event %d follows event %d", errEventGap, received.event, w.lastEvent)
+		return fmt.Errorf("%w: received event %d after event %d", errEventGap, received.event, w.lastEvent)
 	default:
 		w.lastEvent = received.event
 		w.Counters.Events++
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,7 +14,7 @@
 	"windflow/internal/router"
 )
 
-// fakeDialer keeps the handlers of the connections that are opened, and what they write.
+// fakeDialer records the handlers of the dialed connections and, in hexadecimal, the bytes written to them.
 type fakeDialer struct {
 	handlers []netio.Handler
 	written  []string
@@ -37,8 +37,8 @@
 func (c *fakeConn) Detach(f func(*os.File)) { f(nil) }
 func (c *fakeConn) HasUnread() bool         { return false }
 
-// A bad frame, a gap or silence ends the connection and keeps the list, and the next connection continues from the last
-// good event.
+// TestReconnectsFromLastValidEvent checks that an invalid frame, a gap between events or a timeout ends the connection,
+// and that the next connection continues after the last valid event. Otherwise events would be lost or reported twice.
 func TestReconnectsFromLastValidEvent(t *testing.T) {
 	now := &clock.Manual{MS: 1e6}
 	loop := router.NewLoop(now)
@@ -54,12 +54,12 @@
 		name, frame    string
 		wait           float64
 		connections    int
-		subscribedFrom string // what the newest connection subscribed from
+		subscribedFrom string // event number that the newest connection sent
 	}{
-		{"event 5, in two parts", eventFive + "02" + record, 0, 1, "0000000000000004"},
+		{"event 5 in two parts", eventFive + "02" + record, 0, 1, "0000000000000004"},
 		{"event 5 again is ignored", eventFive + "02" + record, 0, 1, "0000000000000004"},
-		{"bad kind", eventFive + "09", 150, 2, "0000000000000005"},
-		{"a gap", "0000000000000007" + "02" + record, 150, 3, "0000000000000005"},
+		{"unknown frame kind", eventFive + "09", 150, 2, "0000000000000005"},
+		{"gap between events", "0000000000000007" + "02" + record, 150, 3, "0000000000000005"},
 		{"event 6", "0000000000000006" + "01", 0, 3, "0000000000000005"},
 		{"silence", "", 2700, 4, "0000000000000006"},
 	}
@@ -80,17 +80,17 @@
 			d.handlers[len(d.handlers)-1].Opened(&fakeConn{dialer: d})
 		}
 		if len(d.handlers) != s.connections || d.written[len(d.written)-1] != s.subscribedFrom {
-			t.Errorf("%s: %d connections, the last subscribed from %s; want %d and %s", s.name, len(d.handlers),
+			t.Errorf("%s: %d connections, the last one sent event number %s; want %d and %s", s.name, len(d.handlers),
 				d.written[len(d.written)-1], s.connections, s.subscribedFrom)
 		}
 	}
 	if diff := cmp.Diff([]int{1, 0}, updates); diff != "" || w.Counters.BadFrames != 2 {
-		t.Errorf("updates %s, %d bad frames", diff, w.Counters.BadFrames)
+		t.Errorf("%d bad frames, want 2; endpoints of the updates (-want +got):\n%s", w.Counters.BadFrames, diff)
 	}
 }
 
-// Routers that lose discovery in the same instant connect again at times of their own, each time within half as much
-// again of the wait; the same seed waits the same.
+// TestReconnectDelaysAreRandomized checks that routers that lose discovery at the same time do not reconnect at the
+// same time. Each delay is between 0.5 and 1.5 times the usual delay, and the same seed gives the same delays.
 func TestReconnectDelaysAreRandomized(t *testing.T) {
 	reconnections := func(seed uint64) (at []float64) {
 		now := &clock.Manual{MS: 1e6}
@@ -121,27 +121,27 @@
 	}
 	for at, n := range first {
 		if n > 8 {
-			t.Errorf("%d of 100 come back after %v ms", n, at)
+			t.Errorf("%d of 100 routers reconnect after %v ms, want at most 8", n, at)
 		}
 	}
 	if diff := cmp.Diff(reconnections(7), reconnections(7)); diff != "" {
-		t.Error("the same seed waits otherwise:", diff)
+		t.Error("different delays for the same seed:", diff)
 	}
 }
 
-// Discovery that sends a byte now and then of a frame that never ends, or nothing after a complete list, counts as
-// silent; one that sends a long frame slowly does not.
+// TestSilentConnectionTimesOut checks that a connection times out if discovery sends single bytes of a frame that never
+// ends, or nothing after a complete list. A connection on which a long frame arrives slowly must stay open.
 func TestSilentConnectionTimesOut(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		first     string // frame
-		bytes     int    // of a frame that follows, each 100 ms
+		first     string // body of the first frame; empty for none
+		bytes     int    // bytes of the following frame that are sent every 100 ms
 		staysOpen bool
 	}{
-		{"trickle", "0000000000000004" + "00", 1, false},
+		{"single bytes of a frame", "0000000000000004" + "00", 1, false},
 		{"silent after a complete list", "0000000000000005" + "01" + record, 0, false},
-		{"a long frame", "0000000000000004" + "00", 1024, true},
-		{"silent from the first on", "", 0, false},
+		{"slow long frame", "0000000000000004" + "00", 1024, true},
+		{"silent from the start", "", 0, false},
 	} {
 		now := &clock.Manual{MS: 1e6}
 		loop := router.NewLoop(now)
@@ -162,7 +162,7 @@
 			}
 		}
 		if stays := len(d.handlers) == 1; stays != test.staysOpen {
-			t.Errorf("%s: %d connections after 3 s", test.name, len(d.handlers))
+			t.Errorf("%s: %d connections after 3 s, want the first to stay open: %v", test.name, len(d.handlers), test.staysOpen)
 		}
 	}
 }
