--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -12,11 +12,11 @@
 	"windflow/internal/routertest"
 )
 
-// rejectingHandler answers the first data with a rejection and closes gracefully, twice.
+// rejectingHandler answers the first data with a rejection and calls CloseGracefully twice.
 type rejectingHandler struct {
 	conn   Conn
-	calls  int      // of Data
-	closed chan int // receives calls
+	calls  int      // number of calls of Data
+	closed chan int // receives the number of calls when the connection is closed
 }
 
 func (h *rejectingHandler) Opened(conn Conn) { h.conn = conn }
@@ -28,9 +28,9 @@
 	h.conn.CloseGracefully()
 }
 
-// A client that is rejected while it sends continues to send, reads the rejection, and is not reset: a close with
-// unread input would make its writes fail and might lose the rejection. The clock is stopped, so that nothing but the
-// client ends the connection here.
+// TestGracefulClose checks that a client that is rejected while it sends can continue to send and reads the rejection.
+// A plain close with unread input resets the connection, so that the client's writes fail and the rejection may be
+// lost. The clock is stopped, so that only the client can end the connection.
 func TestGracefulClose(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1})
 	h := &rejectingHandler{closed: make(chan int, 1)}
@@ -42,31 +42,32 @@
 	}
 	answer := make([]byte, 2)
 	if _, err := io.ReadFull(c, answer); err != nil || string(answer) != "no" {
-		t.Fatalf("%q, %v", answer, err)
+		t.Fatalf("read %q and error %v, want \"no\"", answer, err)
 	}
 	if _, err := c.Write(make([]byte, maxLingerBytes/2)); err != nil {
-		t.Error("what the client sends after the rejection:", err)
+		t.Error("write after the rejection:", err)
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 	if calls := <-h.closed; calls != 1 {
-		t.Errorf("the handler received data %d times", calls)
+		t.Errorf("the handler received data %d times, want once", calls)
 	}
 	closing := make(chan int)
 	loop.Post(func() { closing <- p.ClosingConns() })
 	if n := <-closing; n != 0 {
-		t.Errorf("%d connections are counted as closing", n)
+		t.Errorf("%d connections are counted as closing, want 0", n)
 	}
 }
 
-// Time ends a graceful close where the client does not, and so do too many bytes.
+// TestGracefulCloseIsLimited checks that a graceful close ends after a time limit if the client does not close, and
+// also if the client sends too many bytes.
 func TestGracefulCloseIsLimited(t *testing.T) {
 	h := &rejectingHandler{closed: make(chan int, 1)}
 	p, _ := startPoller(t, "127.0.0.1:0", func() Handler { return h })
 	for _, more := range []int{0, 4 * maxLingerBytes} {
 		c := dial(t, p.Addr())
-		_, _ = c.Write(make([]byte, 5+more)) // it may be reset; that is not under test here
+		_, _ = c.Write(make([]byte, 5+more)) // the connection may be reset, which this test ignores
 		<-h.closed
 		_ = c.Close()
 	}
@@ -76,7 +77,7 @@
 type answeringHandler struct {
 	answer []byte
 	closed chan struct{}
-	calls  int // of Data
+	calls  int // number of calls of Data
 }
 
 func newAnsweringHandler(answer []byte) *answeringHandler {
@@ -90,16 +91,17 @@
 func (h *answeringHandler) Data([]byte, float64) { h.calls++ }
 func (h *answeringHandler) Closed(error)         { close(h.closed) }
 
-// What was written before a graceful close arrives completely, however late its client reads, and then the end; what
-// the client sends meanwhile is dropped and resets nothing. The clock is stopped until the client has read all: no time
-// ends the connection. Otherwise an answer would be cut off in the write queue, or by a close that crosses a request.
+// TestGracefulCloseSendsQueuedBytes checks that bytes written before a graceful close arrive completely, followed by
+// the end of the stream, even if the client reads late. Bytes that the client sends in the meantime are discarded and
+// do not reset the connection. Otherwise an answer could be truncated in the write queue, or by a close while a request
+// arrives. The clock is stopped, so that no time limit ends the connection.
 func TestGracefulCloseSendsQueuedBytes(t *testing.T) {
 	loop := router.NewLoop(&clock.Manual{MS: 1})
 	h := newAnsweringHandler(make([]byte, maxUnwritten-1))
 	p := newPoller(t, loop, "127.0.0.1:0", func() Handler { return h })
 	t.Cleanup(routertest.RunLoop(loop))
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // a small window, so that most of the answer waits in the router
+		return raw.Control(func(fd uintptr) { // a small window, so that most of the answer stays in the write queue
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 	}}
@@ -108,15 +110,15 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := c.Write([]byte("a request that crosses the end")); err != nil {
+	if _, err := c.Write([]byte("a request sent before the end of the stream")); err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(c)
 	if err != nil || len(got) != len(h.answer) {
-		t.Fatalf("%d of %d bytes, %v", len(got), len(h.answer), err)
+		t.Fatalf("read %d of %d bytes, error %v", len(got), len(h.answer), err)
 	}
-	if _, err := c.Write([]byte("one that was sent before the end was read")); err != nil {
-		t.Error("after the end of the stream:", err)
+	if _, err := c.Write([]byte("a request sent after the end of the stream")); err != nil {
+		t.Error("write after the end of the stream:", err)
 	}
 	_ = c.Close()
 	<-h.closed
@@ -125,8 +127,8 @@
 	}
 }
 
-// Beyond maxGracefulCloses at once, connections are closed at once, because of their descriptors; in a shutdown all of
-// them close gracefully.
+// TestGracefulClosesAreBounded checks that at most maxGracefulCloses connections close gracefully at the same time and
+// that further ones are closed immediately, because of their descriptors. During a shutdown all close gracefully.
 func TestGracefulClosesAreBounded(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		t.Run(fmt.Sprintf("shutdown %v", shutdown), func(t *testing.T) { testGracefulCloseLimit(t, shutdown) })
@@ -151,7 +153,7 @@
 	for i := range clients {
 		clients[i] = dial(t, p.Addr())
 		if b, err := io.ReadAll(clients[i]); err != nil || string(b) != "x" {
-			t.Error(string(b), err)
+			t.Errorf("connection %d: read %q and error %v, want \"x\"", i, b, err)
 		}
 	}
 	closing := make(chan int)
--- a/internal/netio/doc.go
+++ b/internal/netio/doc.go
@@ -1,7 +1,7 @@
-// Package netio provides TCP connections and listeners on top of nbio's poller. A [Handler] is called in the
-// goroutine of the router's loop only, and no call of a [Conn] blocks.
+// Package netio provides TCP connections and listeners on top of nbio's poller. The methods of a [Handler] are called
+// only in the goroutine of the router's loop, and the methods of a [Conn] never block.
 //
-// The poller reads in a goroutine of its own and posts what it read to the loop. Bytes that were read and not handled
-// yet are bounded: beyond the bound the poller waits for the loop. New connections are registered with the poller by
-// a registrar, which keeps the events of a closed connection from reaching a new one with the same descriptor.
+// The poller reads in its own goroutine and posts the bytes to the loop. The number of bytes that were read and not yet
+// handled is limited; at the limit the poller waits for the loop. A registrar registers new connections with the
+// poller. It prevents events of a closed connection from reaching a new connection with the same descriptor.
 package netio
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -6,29 +6,29 @@
 	"github.com/lesismal/nbio"
 )
 
-// Limits that keep a flood within the router's memory and descriptors.
+// Limits that bound the memory and the descriptors that a flood of connections or data can use.
 const (
-	// defaultMaxInbound bounds the bytes that were read and not handled yet, unless SetMaxInbound sets less.
+	// defaultMaxInbound limits the bytes that were read and not yet handled; SetMaxInbound can change the limit.
 	defaultMaxInbound = 4 << 20
-	// maxUnwritten bounds the bytes queued on a connection whose peer does not read.
+	// maxUnwritten limits the bytes that are queued on a connection whose peer does not read.
 	maxUnwritten = 256 << 10
-	// readBufferSize is the most that the poller reads at once.
+	// readBufferSize is the maximum number of bytes that the poller reads at once.
 	readBufferSize = 32 << 10
-	// maxPendingAccepts is how many connections a listener may accept ahead of the loop, which closes those over its
-	// own bounds: until it has, each has a descriptor that nothing has counted.
+	// maxPendingAccepts is the number of connections that a listener may accept before the loop handles them. The loop
+	// closes connections above its own limits, but until it does so, each of them uses a descriptor that is not counted.
 	maxPendingAccepts = 16
-	// maxGracefulCloses is how many connections may close gracefully at once; more are closed at once, because their
-	// descriptors may not be used for anything else meanwhile.
+	// maxGracefulCloses is the number of connections that may close gracefully at the same time. Further connections
+	// are closed immediately, because a gracefully closing connection keeps its descriptor in use.
 	maxGracefulCloses = 32
-	// maxLingerBytes is how much the peer of a connection that closes gracefully may still send.
+	// maxLingerBytes is the number of bytes that the peer may still send during a graceful close.
 	maxLingerBytes = 4 << 20
-	// flushTimeoutMS is how long a connection that closes gracefully may take to send its queued bytes.
+	// flushTimeoutMS is the time in milliseconds that a graceful close may take to send the queued bytes.
 	flushTimeoutMS = 2000.0
-	// lingerTimeoutMS is how long its peer has to close after that.
+	// lingerTimeoutMS is the time in milliseconds that the peer then has to close the connection.
 	lingerTimeoutMS = 300.0
 )
 
-// readBudget bounds the bytes that were read and not handled yet.
+// readBudget limits the bytes that were read and not yet handled.
 type readBudget struct {
 	mu     sync.Mutex
 	freed  *sync.Cond
@@ -43,7 +43,8 @@
 	return b
 }
 
-// acquire waits until the bytes fit into the budget, into an empty one in any case, or the budget is closed.
+// acquire waits until the bytes fit into the budget or the budget is closed. An unused budget accepts any number of
+// bytes.
 func (b *readBudget) acquire(size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,6 +54,7 @@
 	b.inUse += size
 }
 
+// release returns bytes to the budget.
 func (b *readBudget) release(size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +69,7 @@
 	b.freed.Broadcast()
 }
 
-// close ends all waits, now and later.
+// close ends all waits in acquire; later calls of acquire do not wait.
 func (b *readBudget) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,16 +77,17 @@
 	b.freed.Broadcast()
 }
 
-// gracefulCloses tracks the connections that close gracefully. Its counts belong to the loop's goroutine.
+// gracefulCloses tracks the connections that close gracefully. The fields above mu are used only in the loop's
+// goroutine.
 type gracefulCloses struct {
 	count     int
-	unlimited bool // see Poller.BeginShutdown
+	unlimited bool // set by Poller.BeginShutdown
 
 	mu        sync.Mutex
 	allowance map[*nbio.Conn]int // the bytes that each peer may still send
 }
 
-// begin adds a connection; false: too many close already.
+// begin adds a connection. It returns false if maxGracefulCloses connections are already closing.
 func (g *gracefulCloses) begin(conn *nbio.Conn) bool {
 	if g.count >= maxGracefulCloses && !g.unlimited {
 		return false
@@ -104,8 +107,8 @@
 	delete(g.allowance, conn)
 }
 
-// discard reports whether bytes read from a connection are to be dropped, and closes the connection once the peer has
-// sent too many of them. It is called in the poller's goroutine.
+// discard reports whether the bytes read from a connection must be discarded because it closes gracefully. It closes
+// the connection once the peer has sent more than maxLingerBytes. It is called in the poller's goroutine.
 func (g *gracefulCloses) discard(conn *nbio.Conn, size int) bool {
 	g.mu.Lock()
 	left, closing := g.allowance[conn]
--- a/internal/netio/log.go
+++ b/internal/netio/log.go
@@ -10,13 +10,13 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// pollerLog is the destination of nbio's warnings. nbio has one logger for the entire process and reads it from its own
-// goroutines, so that logger is set once, here, and only its destination changes.
+// pollerLog is the destination of nbio's warnings. nbio has one logger for the entire process and reads it in its own
+// goroutines without synchronization. The logger is therefore set only once, in init, and only its destination changes.
 var pollerLog atomic.Pointer[slog.Logger]
 
 func init() { logging.SetLogger(nbioLogger{}) }
 
-// nbioLogger passes nbio's warnings and errors on and drops the other messages.
+// nbioLogger forwards nbio's warnings and errors to pollerLog and discards its other messages.
 type nbioLogger struct{}
 
 func (nbioLogger) Debug(string, ...any) {}
@@ -27,6 +27,7 @@
 
 func (nbioLogger) Error(format string, v ...any) { logPoller(slog.LevelError, format, v) }
 
+// logPoller logs a message of nbio to pollerLog.
 func logPoller(level slog.Level, format string, v []any) {
 	if log := pollerLog.Load(); log != nil {
 		log.Log(context.Background(), level, "poller", "text", strings.TrimSpace(fmt.Sprintf(format, v...)))
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -11,11 +11,12 @@
 	"windflow/internal/router"
 )
 
-// stopTimeout bounds Stop. A poller that nbio started a moment ago may miss its stop, because it clears its own mark
-// as it starts, and nbio's Stop would then wait for ever: a router that fails at its start would hang.
+// stopTimeout limits the time that Stop waits for nbio. A poller that nbio has just started may miss the stop, because
+// it clears its stop flag when it starts. nbio's Stop then never returns, and a router that fails during startup would
+// hang.
 const stopTimeout = time.Second
 
-// Poller opens connections and listens. Stop ends it, with its goroutines.
+// Poller opens connections and accepts them on listeners. Stop ends the poller and its goroutines.
 type Poller struct {
 	loop      *router.Loop
 	engine    *nbio.Engine
@@ -23,14 +24,14 @@
 	registrar *registrar
 	budget    *readBudget
 	closes    *gracefulCloses
-	listener  *Listener // the one that New opened; nil if there is none
+	listener  *Listener // the listener that New opened; nil if there is none
 
 	mu        sync.Mutex
 	listeners []*Listener
 }
 
-// New starts a poller. If listen is not empty, it accepts connections at that address and accept returns the handler of
-// each.
+// New starts a poller for the loop. If listen is not empty, the poller accepts connections at that address, and accept
+// returns the handler of each connection.
 func New(loop *router.Loop, listen string, accept func() Handler, log *slog.Logger) (*Poller, error) {
 	pollerLog.Store(log)
 	poller := &Poller{
@@ -63,7 +64,8 @@
 	return poller, nil
 }
 
-// start starts nbio's poller and the registrar, and makes the loop wait for them after a stall.
+// start starts nbio's poller and the registrar. After a stall of the loop, the loop waits until the poller has
+// delivered its pending events.
 func (p *Poller) start() error {
 	if err := p.engine.Start(); err != nil {
 		return err
@@ -76,11 +78,12 @@
 	return nil
 }
 
-// handleData posts what was read to the loop. It is called in the poller's goroutine, as are the other handle methods.
+// handleData posts the bytes that were read on a connection to the loop. It is called in the poller's goroutine, as are
+// handleClose and handleWritten.
 func (p *Poller) handleData(conn *nbio.Conn, b []byte) {
 	sock, ok := conn.Session().(*socket)
 	if !ok {
-		p.registrar.handleWake() // only the registrar's own connection has no socket
+		p.registrar.handleWake() // only the connection of the registrar has no socket
 		return
 	}
 	if p.closes.discard(conn, len(b)) {
@@ -96,12 +99,14 @@
 	})
 }
 
+// handleClose posts the end of a connection to the loop.
 func (p *Poller) handleClose(conn *nbio.Conn, err error) {
 	if s, ok := conn.Session().(*socket); ok {
 		p.loop.Post(func() { s.handleClosed(err) })
 	}
 }
 
+// handleWritten posts a flush to the loop if NotifyFlushed was called for the connection.
 func (p *Poller) handleWritten(conn *nbio.Conn, _ []byte, _ int) {
 	if s, ok := conn.Session().(*socket); ok && s.flushWanted.Load() {
 		p.loop.Post(s.flush)
@@ -116,17 +121,17 @@
 	return p.listener.Addr()
 }
 
-// SetMaxInbound bounds the bytes that were read and not handled yet.
+// SetMaxInbound sets the limit of the bytes that were read and not yet handled.
 func (p *Poller) SetMaxInbound(bytes int) { p.budget.setLimit(bytes) }
 
-// BeginShutdown lifts the bound on connections that close gracefully at once: the process ends and needs no descriptors
-// for others. It is called in the loop.
+// BeginShutdown removes the limit of connections that close gracefully at the same time, because the process is about
+// to end and needs no descriptors for new connections. It must be called in the loop.
 func (p *Poller) BeginShutdown() { p.closes.unlimited = true }
 
-// ClosingConns returns the number of connections that close gracefully. It is called in the loop.
+// ClosingConns returns the number of connections that are closing gracefully. It must be called in the loop.
 func (p *Poller) ClosingConns() int { return p.closes.count }
 
-// Stop closes the listeners and all connections, and waits for the poller's goroutines.
+// Stop closes the listeners and all connections. It waits for the poller's goroutines, for nbio's at most stopTimeout.
 func (p *Poller) Stop() {
 	p.budget.close()
 	p.mu.Lock()
--- a/internal/netio/poller_test.go
+++ b/internal/netio/poller_test.go
@@ -17,7 +17,7 @@
 	"windflow/internal/routertest"
 )
 
-// eventChannels is a handler that passes the events of a connection on.
+// eventChannels is a handler that sends the events of a connection to channels.
 type eventChannels struct {
 	opened chan struct{}
 	data   chan []byte
@@ -31,7 +31,7 @@
 func (h *eventChannels) Data(b []byte, _ float64) { h.data <- b }
 func (h *eventChannels) Closed(err error)         { h.closed <- err }
 
-// newPoller starts a poller on a loop, which the caller runs; it is stopped with the test.
+// newPoller starts a poller for a loop that the caller runs. The poller is stopped at the end of the test.
 func newPoller(t *testing.T, loop *router.Loop, listen string, accept func() Handler) *Poller {
 	t.Helper()
 	p, err := New(loop, listen, accept, slog.New(slog.DiscardHandler))
@@ -42,7 +42,7 @@
 	return p
 }
 
-// startPoller starts a poller and its loop on the system's clock.
+// startPoller starts a poller and its loop with the system clock.
 func startPoller(t *testing.T, listen string, accept func() Handler) (*Poller, *router.Loop) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
@@ -51,7 +51,7 @@
 	return p, loop
 }
 
-// dial opens a connection of a client, which is closed with the test.
+// dial opens a client connection, which is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -62,15 +62,15 @@
 	return c
 }
 
-// A refused dial ends as one that was never connected. nbio's own dialer would report it as open and, for IPv4,
-// connect to 0.0.0.0.
+// TestDial checks that a refused dial ends with ErrNotConnected and that an accepted connection carries data. nbio's
+// own dialer would report a refused connection as open and, for IPv4, connect to 0.0.0.0.
 func TestDial(t *testing.T) {
 	p, loop := startPoller(t, "", nil)
 	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 2})
 	h := newEventChannels()
 	loop.Post(func() { p.Dial(addr, 5000, h) })
 	if err := <-h.closed; !errors.Is(err, ErrNotConnected) || !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("refused dial: error %v, want ErrNotConnected and ECONNREFUSED", err)
 	}
 
 	lis, err := net.Listen("tcp", "127.0.0.2:0")
@@ -89,15 +89,15 @@
 		t.Fatal(err)
 	}
 	if got := <-h.data; string(got) != "hello" {
-		t.Errorf("got %q", got)
+		t.Errorf("received %q, want \"hello\"", got)
 	}
 	_ = peer.Close()
 	if err := <-h.closed; errors.Is(err, ErrNotConnected) {
-		t.Errorf("closed by the peer: %v", err)
+		t.Errorf("connection closed by the peer: error %v, want another than ErrNotConnected", err)
 	}
 }
 
-// recordCounter is a log handler that counts records.
+// recordCounter is a log handler that counts records of all levels.
 type recordCounter struct {
 	slog.Handler
 	n *atomic.Int64
@@ -108,9 +108,9 @@
 func (c recordCounter) WithAttrs([]slog.Attr) slog.Handler        { return c }
 func (c recordCounter) WithGroup(string) slog.Handler             { return c }
 
-// A poller that is stopped right after its start closes its listener and logs nothing, and the next one may replace
-// the logger. nbio's acceptor would lose such a stop, run on the closed listener for ever, and read the logger while
-// the next poller sets it.
+// TestStopRightAfterStart checks that a poller that is stopped immediately after its start closes its listener and logs
+// nothing, and that the next poller can set its logger. nbio's acceptor would lose such a stop, retry accept on the
+// closed listener indefinitely, and read the logger while the next poller sets it.
 func TestStopRightAfterStart(t *testing.T) {
 	var logged atomic.Int64
 	for i := range 4 {
@@ -121,15 +121,15 @@
 		}
 		p.Stop()
 		if _, err := p.listener.lis.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("the listener after the stop: %v", err)
+			t.Errorf("accept after the stop: error %v, want net.ErrClosed", err)
 		}
 	}
 	if got := logged.Load(); got != 0 {
-		t.Errorf("%d records were logged", got)
+		t.Errorf("%d records were logged, want none", got)
 	}
 }
 
-// collector is a handler that passes on all data once that is long enough.
+// collector is a handler that sends all received data to done once it has at least size bytes.
 type collector struct {
 	data []byte
 	size int
@@ -144,8 +144,8 @@
 	}
 }
 
-// Input beyond the read budget arrives completely and in order, while the poller waits for the loop. Nothing is sent
-// back: what a slow reader leaves unwritten has a bound of its own.
+// TestInputBeyondReadBudget checks that input larger than the read budget, for which the poller has to wait for the
+// loop, arrives completely and in order. Nothing is sent back, because maxUnwritten limits the output.
 func TestInputBeyondReadBudget(t *testing.T) {
 	sent := make([]byte, 2*defaultMaxInbound)
 	for i := range sent {
@@ -157,12 +157,13 @@
 		t.Fatal(err)
 	}
 	if got := <-received.done; !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes received of %d, or in another order", len(got), len(sent))
+		t.Errorf("received %d of %d bytes, or in the wrong order", len(got), len(sent))
 	}
 }
 
-// No more than maxPendingAccepts connections are accepted ahead of the loop, and all are opened in the end: a flood
-// between two steps of the loop does not use up the descriptors.
+// TestAcceptsAheadOfLoopAreBounded checks that at most maxPendingAccepts connections are accepted before the loop
+// handles them, and that all are opened in the end. Otherwise a flood of connections between two steps of the loop
+// could use up the descriptors.
 func TestAcceptsAheadOfLoopAreBounded(t *testing.T) {
 	const clients = 3 * maxPendingAccepts
 	opened := 0
@@ -174,14 +175,14 @@
 	for before := 0; opened < clients; before = opened {
 		loop.Step()
 		if opened-before > maxPendingAccepts {
-			t.Fatalf("%d connections in one step", opened-before)
+			t.Fatalf("%d connections opened in one step, want at most %d", opened-before, maxPendingAccepts)
 		}
 		runtime.Gosched()
 	}
 }
 
-// NotifyFlushed waits for the last byte to leave: bytes that merely wait in nbio's queue do not count as sent. It also
-// guards the name of the field by which that queue is read.
+// TestNotifyFlushedWaitsForLastByte checks that NotifyFlushed does not count bytes in nbio's write queue as sent. It
+// also fails if nbio renames the field from which the length of the queue is read.
 func TestNotifyFlushedWaitsForLastByte(t *testing.T) {
 	p, loop := startPoller(t, "", nil)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -204,18 +205,18 @@
 		_ = s.conn.SetWriteBuffer(8 << 10)
 		_ = s.Write([]byte("x"))
 		s.NotifyFlushed(func() { flushed <- "one byte" })
-		for queuedBytes(s.conn) == 0 { // the peer does not read, so that the system's buffers fill
+		for queuedBytes(s.conn) == 0 { // the peer does not read, so the system's buffers fill up
 			_ = s.Write(make([]byte, maxUnwritten/2))
 		}
 		s.NotifyFlushed(func() { flushed <- "all" })
 		flushed <- "queued"
 	})
 	if one, two := <-flushed, <-flushed; one != "one byte" || two != "queued" {
-		t.Errorf("got %q, then %q", one, two)
+		t.Errorf("got %q, then %q; want \"one byte\", then \"queued\"", one, two)
 	}
-	go func() { _, _ = io.Copy(io.Discard, peer) }() // it ends with the connection
+	go func() { _, _ = io.Copy(io.Discard, peer) }() // ends with the connection
 	if got := <-flushed; got != "all" {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want \"all\"", got)
 	}
 }
 
@@ -227,10 +228,10 @@
 
 func (h *connHandler) Opened(conn Conn) { h.conn = conn }
 
-// HasUnread reports what the peer has sent and the handler has not received, so that no session is closed although a
-// request has just arrived.
+// TestHasUnread checks that HasUnread reports bytes that the peer has sent and the handler has not received. Otherwise
+// a session could be closed although a request has just arrived.
 func TestHasUnread(t *testing.T) {
-	loop := router.NewLoop(&clock.Manual{MS: 1}) // stepped by hand, so that what is read waits
+	loop := router.NewLoop(&clock.Manual{MS: 1}) // stepped manually, so that read bytes wait for the next step
 	h := &connHandler{eventChannels: newEventChannels()}
 	p := newPoller(t, loop, "127.0.0.1:0", func() Handler { return h })
 	peer := dial(t, p.Addr())
@@ -239,7 +240,7 @@
 		runtime.Gosched()
 	}
 	if h.conn.HasUnread() {
-		t.Error("unread bytes are reported, and nothing was sent")
+		t.Error("unread bytes are reported although nothing was sent")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -251,6 +252,6 @@
 		loop.Step()
 	}
 	if h.conn.HasUnread() {
-		t.Error("unread bytes are reported, and all were received")
+		t.Error("unread bytes are reported although all were received")
 	}
 }
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -7,36 +7,36 @@
 	"github.com/lesismal/nbio"
 )
 
-// registrar registers new connections with the poller, in the poller's own goroutine and only after it has handled all
-// events that it had gathered when the connection was accepted.
+// registrar registers new connections with the poller. It does so in the poller's goroutine, and only after the poller
+// has handled all events that it had fetched from the kernel when the connection was accepted.
 //
-// nbio identifies a connection by its descriptor, and the poller gathers events for many descriptors at once. The
-// loop may close a connection whose event was gathered and not handled yet; the system assigns its descriptor to the
-// next connection, and nbio would take the event, the end of the former connection, for one of the new connection.
-// Without the deferral, connections of clients and engines end right after they were opened, though nobody has closed
-// them.
+// nbio identifies a connection by its descriptor, and the poller fetches events for many descriptors at once. The loop
+// may close a connection whose event was fetched and not yet handled. The system then assigns the descriptor to the
+// next connection, and nbio would attribute the event, such as the end of the former connection, to the new one.
+// Without the delay, connections of clients and engines would be closed right after they were opened, although neither
+// side has closed them.
 //
-// The poller's goroutine is entered by a byte on a connection of the registrar's own. Each such wake-up is a turn: a
-// registration is due in the second turn after it was enqueued, because the events of the turn that follows it may
-// have been gathered before.
+// To run code in the poller's goroutine, the registrar writes a byte to a connection of its own, which wakes the
+// poller. A registration is carried out at the second wake-up after it was enqueued, because the poller may have
+// fetched the events that it handles with the first wake-up before the registration was enqueued.
 type registrar struct {
 	engine   *nbio.Engine
-	wakeConn net.Conn // what is written here is read by the poller
+	wakeConn net.Conn // the poller reads the other end
 
 	mu          sync.Mutex
-	arrived     []registration // since the last turn
-	due         []registration // in the next turn
-	wakePending bool           // a byte is on its way to the poller
+	arrived     []registration // enqueued since the last wake-up
+	due         []registration // to be carried out at the next wake-up
+	wakePending bool           // a byte was written that the poller has not read
 	closed      bool
 }
 
-// registration is a connection to register; conn is nil for one that only waits for its turn.
+// registration is a connection to register, or a pending call: if conn is nil, only done is called.
 type registration struct {
 	conn *nbio.Conn
 	done func(error)
 }
 
-// newRegistrar returns the registrar of a poller; it uses two descriptors.
+// newRegistrar returns the registrar of a poller. It uses two descriptors.
 func newRegistrar(engine *nbio.Engine) (*registrar, error) {
 	ends, err := newSocketPair()
 	if err != nil {
@@ -47,14 +47,15 @@
 		return nil, err
 	}
 	r := &registrar{engine: engine, wakeConn: ends[0]}
-	if _, err := engine.AddConn(conn); err != nil { // nothing was closed yet, so that no descriptor is a former one
+	if _, err := engine.AddConn(conn); err != nil { // safe without a delay: no descriptor was closed and reused yet
 		return nil, err
 	}
 	return r, nil
 }
 
-// register registers a connection and calls done in the poller's goroutine, before anything that was read on it is
-// handed on. With an error the connection was closed.
+// register registers a connection and calls done in the poller's goroutine before any data of the connection is
+// delivered. If done receives an error, the connection was closed. After close it closes the connection and does not
+// call done.
 func (r *registrar) register(conn *nbio.Conn, done func(error)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +66,8 @@
 	r.enqueue(registration{conn, done})
 }
 
-// afterPending calls fn once the poller has delivered the events of its connections up to now, or has been stopped.
+// afterPending calls fn once the poller has delivered all events that occurred before the call, or at once if the
+// registrar is closed.
 func (r *registrar) afterPending(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,24 +78,24 @@
 	r.enqueue(registration{done: func(error) { fn() }})
 }
 
-// enqueue adds a registration and makes sure of a later turn; r.mu is held.
+// enqueue adds a registration and wakes the poller. The caller must hold r.mu.
 func (r *registrar) enqueue(reg registration) {
 	r.arrived = append(r.arrived, reg)
 	r.wake()
 }
 
-// wake makes sure of a later turn; r.mu is held.
+// wake writes a byte that wakes the poller, unless one is already pending. The caller must hold r.mu.
 func (r *registrar) wake() {
 	if !r.wakePending {
 		r.wakePending = true
-		_, _ = r.wakeConn.Write([]byte{0}) // at most one byte is unread, so that it never blocks
+		_, _ = r.wakeConn.Write([]byte{0}) // never blocks, because at most one byte is unread
 	}
 }
 
-// handleWake runs a turn. It is called in the poller's goroutine, once for each byte. Registrations enqueued before
-// the previous turn are due: the events that the poller handles now were gathered after that turn, and the former
-// connections of these descriptors had been closed by then. Those enqueued later may have been enqueued after the
-// events were gathered, and wait for another turn.
+// handleWake carries out the registrations that are due. It is called in the poller's goroutine at each wake-up.
+// Registrations that were enqueued before the previous wake-up are due: the poller fetched the events that it handles
+// now after that wake-up, when the former connections with the same descriptors were already closed. Later
+// registrations may have been enqueued after the events were fetched and wait for the next wake-up.
 func (r *registrar) handleWake() {
 	for _, reg := range r.takeDue() {
 		var err error
@@ -104,7 +106,8 @@
 	}
 }
 
-// takeDue returns the registrations that are due and makes those that arrived since the last turn due in the next one.
+// takeDue returns the registrations that are due. Those that have arrived since the last wake-up become due at the next
+// one.
 func (r *registrar) takeDue() []registration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +120,7 @@
 	return due
 }
 
-// close ends the turns and closes connections that are not registered yet.
+// close stops the registrar and closes the connections that are not registered yet.
 func (r *registrar) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/netio/shared_listener.go
+++ b/internal/netio/shared_listener.go
@@ -14,11 +14,11 @@
 	errNotListening = errors.New("not a listening socket")
 )
 
-// sharedListener is a listener whose socket other processes accept on, too. The standard library's listener is not used
-// for it. Whether a socket blocks is a property that all its descriptors share, and net.FileListener, as os.File.Fd and
-// what builds on it, makes the socket block for a moment: an accept of any process that falls into it waits in the
-// kernel, and the listener's Close then waits for that accept. The loop would stall, and a hot restart fail, until the
-// next client happens to connect.
+// sharedListener is a listener on a socket on which other processes may accept connections, too. The standard library's
+// listener cannot be used for this. The blocking mode of a socket is shared by all its descriptors, and
+// net.FileListener, like os.File.Fd and its callers, sets the socket to blocking mode for a moment. An accept of any
+// process that starts in this moment waits in the kernel, and the Close of that listener waits for the accept. The loop
+// would stall and a hot restart fail until the next client connects.
 type sharedListener struct {
 	file   *os.File
 	raw    syscall.RawConn
@@ -26,8 +26,8 @@
 	closed atomic.Bool
 }
 
-// Inherit returns a listener on a socket that may be shared with other processes. It copies the descriptor; the caller
-// closes file.
+// Inherit returns a listener on a socket that may be shared with other processes. It duplicates the descriptor; the
+// caller must close file. It fails if file is not a listening TCP socket.
 func Inherit(file *os.File) (net.Listener, error) {
 	raw, err := file.SyscallConn()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return lis, err
 }
 
-// listeningAddr returns the address of a listening TCP socket.
+// listeningAddr returns the address of a listening TCP socket, or errNotTCP or errNotListening for another descriptor.
 func listeningAddr(fd int) (net.Addr, error) {
 	name, err := syscall.Getsockname(fd)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return addr, nil
 }
 
-// dupDescriptor copies a descriptor, for use with the runtime's poller.
+// dupDescriptor duplicates a descriptor and sets it to non-blocking mode, so that the Go runtime's poller can use it.
 func dupDescriptor(fd int, name string) (*os.File, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -80,7 +80,7 @@
 	return os.NewFile(uintptr(duplicate), name), nil
 }
 
-// tcpAddr returns nil for a socket of another kind.
+// tcpAddr converts the address of a TCP socket. It returns nil for other address families.
 func tcpAddr(name syscall.Sockaddr) net.Addr {
 	switch name := name.(type) {
 	case *syscall.SockaddrInet4:
@@ -97,7 +97,7 @@
 	var acceptErr error
 	err := l.raw.Read(func(listening uintptr) bool {
 		for {
-			// Another process may have made the socket block since the last accept.
+			// Another process may have set the socket to blocking mode since the last accept.
 			_ = syscall.SetNonblock(int(listening), true)
 			accepted, _, acceptErr = syscall.Accept4(int(listening), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if acceptErr != syscall.EINTR && acceptErr != syscall.ECONNABORTED {
@@ -113,13 +113,13 @@
 	}
 	file := os.NewFile(uintptr(accepted), "client")
 	defer file.Close()
-	return net.FileConn(file) // no other process has this descriptor
+	return net.FileConn(file) // safe here, because no other process shares this socket
 }
 
-// Close implements net.Listener. It never waits for an accept.
+// Close implements net.Listener. It does not wait for a pending accept.
 func (l *sharedListener) Close() error {
 	if !l.closed.Swap(true) {
-		go l.file.Close() // it waits for an accept that another process's call made block, and ends with that
+		go l.file.Close() // may wait for an accept that blocks because of another process
 	}
 	return nil
 }
@@ -127,13 +127,13 @@
 // Addr implements net.Listener.
 func (l *sharedListener) Addr() net.Addr { return l.addr }
 
-// File returns a copy of the descriptor.
+// File returns a duplicate of the descriptor.
 func (l *sharedListener) File() (file *os.File, err error) {
 	controlErr := l.raw.Control(func(fd uintptr) { file, err = dupDescriptor(int(fd), l.file.Name()) })
 	return file, errors.Join(controlErr, err)
 }
 
-// Listen listens at an address; the listener may be shared with another process.
+// Listen returns a TCP listener at an address. The listener can be shared with other processes.
 func Listen(addr string) (net.Listener, error) {
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return Inherit(file)
 }
 
-// ListenerFile returns a copy of a listener's descriptor.
+// ListenerFile returns a duplicate of a listener's descriptor. It fails if the listener has none.
 func ListenerFile(lis net.Listener) (*os.File, error) {
 	if l, ok := lis.(interface{ File() (*os.File, error) }); ok {
 		return l.File()
--- a/internal/netio/shared_listener_test.go
+++ b/internal/netio/shared_listener_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Another process makes the socket of a listener block, again and again, as net.FileListener does, and takes
-// connections from its queue: an accept must not wait in the kernel, nor a Close for that accept.
+// TestSharedListenerNeverBlocks checks that an accept does not wait in the kernel, nor a Close for that accept, while
+// another process repeatedly sets the shared socket to blocking mode, as net.FileListener does, and accepts connections
+// from the same queue.
 func TestSharedListenerNeverBlocks(t *testing.T) {
 	lis, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
-	// The other process continues to accept.
+	// The other process can still accept connections.
 	inherited, err := Inherit(f)
 	if err != nil {
 		t.Fatal(err)
@@ -65,6 +66,6 @@
 		t.Fatal(err)
 	}
 	if serverConn, err := inherited.Accept(); err != nil || serverConn.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Error(serverConn, err)
+		t.Errorf("accepted connection %v with error %v, want the one from %v", serverConn, err, c.LocalAddr())
 	}
 }
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -14,7 +14,8 @@
 	"windflow/internal/router"
 )
 
-// socket implements Conn. Its fields belong to the loop's goroutine, but for the atomic ones and calls of conn.
+// socket implements Conn. Its fields are used only in the loop's goroutine, except for the atomic ones; the methods of
+// conn may be called in any goroutine.
 type socket struct {
 	loop    *router.Loop
 	closes  *gracefulCloses
@@ -22,14 +23,14 @@
 	handler Handler    // nil until the loop has accepted the connection
 
 	dialTimer   *router.Timer
-	adopting    bool   // it is up and not registered yet
-	earlyWrites []byte // written until it is registered
+	adopting    bool   // an adopted connection that is not registered yet
+	earlyWrites []byte // bytes written while adopting
 	closed      bool
-	closing     bool          // it closes gracefully
-	closeTimer  *router.Timer // of the graceful close
+	closing     bool          // a graceful close is in progress
+	closeTimer  *router.Timer // the current time limit of the graceful close
 
-	pendingReads atomic.Int32 // reads that the loop has not handled
-	flushWanted  atomic.Bool  // onFlushed is not empty
+	pendingReads atomic.Int32 // reads posted to the loop and not handled yet
+	flushWanted  atomic.Bool  // whether onFlushed has entries
 	onFlushed    []func()
 	onDetached   func() // called in place of the handler's Closed
 }
@@ -38,7 +39,7 @@
 	return &socket{loop: p.loop, closes: p.closes, handler: handler}
 }
 
-// connected handles the registered connection of a dial.
+// connected is called when a dialed connection was established and registered.
 func (s *socket) connected(conn *nbio.Conn) {
 	s.dialTimer.Stop()
 	if s.closed {
@@ -49,7 +50,7 @@
 	s.handler.Opened(s)
 }
 
-// adopted handles a connection of another process that was registered, or could not be.
+// adopted is called when an adopted connection was registered, or could not be registered. It sends the early writes.
 func (s *socket) adopted(conn *nbio.Conn, err error) {
 	s.adopting = false
 	switch {
@@ -67,21 +68,21 @@
 	}
 }
 
-// failDial ends a dial. A connection that is established later is closed by connected.
+// failDial ends a dial with an error. If the connection is established later, connected closes it.
 func (s *socket) failDial(err error) {
 	if s.conn == nil {
 		s.handleClosed(fmt.Errorf("%w: %w", ErrNotConnected, err))
 	}
 }
 
-// deliver hands data to the handler.
+// deliver passes data to the handler, unless the connection is closed or closes gracefully.
 func (s *socket) deliver(data []byte, atMS float64) {
 	if s.handler != nil && !s.closed && !s.closing {
 		s.handler.Data(data, atMS)
 	}
 }
 
-// handleClosed handles the end of the connection, once.
+// handleClosed handles the end of the connection; calls after the first have no effect.
 func (s *socket) handleClosed(err error) {
 	s.dialTimer.Stop()
 	if s.closed {
@@ -101,7 +102,8 @@
 	}
 }
 
-// Detach implements Conn. The poller closes its descriptor, which leaves the connection to the copy.
+// Detach implements Conn. It duplicates the descriptor and lets the poller close its own, so that only the duplicate
+// still refers to the connection.
 func (s *socket) Detach(fn func(*os.File)) {
 	if s.closed || s.closing || s.conn == nil || queuedBytes(s.conn) > 0 {
 		fn(nil)
@@ -115,11 +117,11 @@
 	}
 	syscall.CloseOnExec(fd)
 	s.onDetached = func() { fn(os.NewFile(uintptr(fd), "connection")) }
-	_ = s.conn.Close() // the loop learns of it after all that was read
+	_ = s.conn.Close() // the loop handles the close after all bytes that were read
 }
 
-// withDescriptor calls fn with the connection's descriptor unless the poller has closed it, and keeps the poller from
-// closing it meanwhile.
+// withDescriptor calls fn with the connection's descriptor, unless the poller has closed it. The poller cannot close it
+// during the call.
 func (s *socket) withDescriptor(fn func(fd int)) {
 	s.conn.Lock()
 	defer s.conn.Unlock()
@@ -137,7 +139,7 @@
 	if s.conn == nil || s.closed {
 		return net.ErrClosed
 	}
-	_, err := s.conn.Write(b) // nbio takes all of it or, with an error, nothing; the error closes the connection
+	_, err := s.conn.Write(b) // nbio accepts all bytes, or returns an error, accepts none and closes the connection
 	return err
 }
 
@@ -149,8 +151,8 @@
 	unread := false
 	s.withDescriptor(func(fd int) {
 		inKernel, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
-		// In this order: the poller counts what it has read after the read. Between the two it is in neither figure,
-		// for less than a microsecond.
+		// The kernel's count is read before pendingReads, because the poller increments pendingReads after its read.
+		// Between its read and the increment the bytes are in neither count, for less than a microsecond.
 		unread = err == nil && inKernel > 0 || s.pendingReads.Load() > 0
 	})
 	return unread
@@ -163,7 +165,7 @@
 	s.flush()
 }
 
-// flush calls the functions that wait for the write queue to be empty, if it is.
+// flush calls the functions passed to NotifyFlushed if the write queue is empty.
 func (s *socket) flush() {
 	if s.closed || s.conn == nil || queuedBytes(s.conn) > 0 {
 		return
@@ -176,16 +178,16 @@
 	}
 }
 
-// queuedBytes returns how many bytes wait in nbio's write queue of a connection. nbio reports what it takes off the
-// queue, but neither what it writes at once nor how much is left, so the figure is read from nbio's own field; a test
-// guards the field's name.
+// queuedBytes returns the number of bytes in nbio's write queue of a connection. nbio reports the bytes that it removes
+// from the queue, but neither those that it writes immediately nor those that are left. The number is therefore read
+// from a private field of nbio; TestNotifyFlushedWaitsForLastByte fails if the field is renamed.
 func queuedBytes(conn *nbio.Conn) int {
 	conn.Lock()
 	defer conn.Unlock()
 	return int(reflect.ValueOf(conn).Elem().FieldByName("left").Int())
 }
 
-// Close implements Conn. What the system has taken before is still sent.
+// Close implements Conn. Bytes that were already passed to the operating system are still sent.
 func (s *socket) Close() {
 	if s.closed {
 		return
@@ -210,7 +212,7 @@
 	s.NotifyFlushed(s.closeWrite)
 }
 
-// closeWrite ends the outgoing stream once all that was written has been sent.
+// closeWrite sends the end of the stream once all written bytes were sent, and starts the time limit for the peer.
 func (s *socket) closeWrite() {
 	s.closeTimer.Stop()
 	s.closeTimer = s.loop.After(lingerTimeoutMS, s.Close)
--- a/internal/netio/socketpair.go
+++ b/internal/netio/socketpair.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// newSocketPair returns the two ends of one connection. Where the system has no Unix sockets, they are TCP over
-// loopback.
+// newSocketPair returns the two ends of a connection within the process. It uses Unix sockets, or TCP over loopback if
+// the system has no Unix sockets.
 func newSocketPair() (ends [2]net.Conn, err error) {
 	if ends, err = unixSocketPair(); err == nil {
 		return ends, nil
@@ -16,6 +16,7 @@
 	return tcpSocketPair()
 }
 
+// tcpSocketPair returns the two ends of a TCP connection over loopback.
 func tcpSocketPair() (ends [2]net.Conn, err error) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +26,7 @@
 	if ends[0], err = net.Dial("tcp4", lis.Addr().String()); err != nil {
 		return ends, err
 	}
-	for { // another process may connect first
+	for { // another process may connect first; its connection is closed
 		if ends[1], err = lis.Accept(); err != nil {
 			return ends, errors.Join(err, ends[0].Close())
 		}
@@ -36,6 +37,7 @@
 	}
 }
 
+// unixSocketPair returns two connected Unix sockets.
 func unixSocketPair() (ends [2]net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
