--- a/internal/enginehttp/attempt.go
+++ b/internal/enginehttp/attempt.go
@@ -32,7 +32,7 @@
 	call     router.Call
 	onEnd    func(router.End)
 
-	startRequest *request // the POST of the statement
+	startRequest *request // the POST that starts the statement
 	current      *request // the start request, or the latest poll or page request
 	priority     int      // the latest priority that was sent to the engine
 	ended        bool
@@ -44,7 +44,7 @@
 
 // responseHealth records the failures of an attempt's requests since the last valid response.
 type responseHealth struct {
-	lastValidMS   float64 // when the statement was written, or the last valid response arrived
+	lastValidMS   float64 // when the last valid response was received; before the first, when the statement was written
 	failures      int     // failed requests since lastValidMS
 	badResponses  int     // those of the failed requests that received an invalid response
 	startReset    bool    // the start request failed without a response; it may have been received
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -124,7 +124,7 @@
 	case resp.status == http.StatusOK && resp.header[headerPageNumber] == "":
 		a.handleQueryEnd(resp)
 	case resp.provesNotStarted() && len(a.result.pages) == 0:
-		a.end(dispatch.EngineFull, strconv.Itoa(resp.status))
+		a.end(dispatch.EngineFull, fmt.Sprintf("engine rejected the statement with status %d", resp.status))
 	case resp.status >= http.StatusBadRequest && a.health.startReset:
 		// The engine does not know the query: either the connection broke before the engine had read the statement, or
 		// the engine has restarted since. The query did not cause this, and it does not prove that nothing was executed.
