--- a/internal/netio/shared_listener_test.go
+++ b/internal/netio/shared_listener_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Another process makes the socket of a listener block, again and again, as net.FileListener does, and takes
-// connections from its queue: an accept must not wait in the kernel, nor a Close for that accept.
+// TestSharedListenerNeverBlocks checks that an accept does not wait in the kernel, nor a Close for that accept, while
+// another process repeatedly sets the shared socket to blocking mode, as net.FileListener does, and accepts connections
+// from the same queue.
 func TestSharedListenerNeverBlocks(t *testing.T) {
 	lis, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -24,9 +25,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	block := func(on bool) { _ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), !on) }) }
-	var got sync.WaitGroup
-	got.Add(20)
+	setBlocking := func(on bool) { _ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), !on) }) }
+	var accepted sync.WaitGroup
+	accepted.Add(20)
 	ended := make(chan error)
 	go func() {
 		for {
@@ -36,35 +37,35 @@
 				return
 			}
 			_ = c.Close()
-			got.Done()
+			accepted.Done()
 		}
 	}()
 	for range 20 {
-		block(true)
+		setBlocking(true)
 		c, err := net.DialTimeout("tcp", lis.Addr().String(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Close()
-		block(false)
+		setBlocking(false)
 	}
-	got.Wait()
-	block(true)
+	accepted.Wait()
+	setBlocking(true)
 	_ = lis.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
-	// The other process continues to accept.
-	next, err := Inherit(f)
+	// The other process can still accept connections.
+	inherited, err := Inherit(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
-	c, err := net.DialTimeout("tcp", next.Addr().String(), time.Minute)
+	defer inherited.Close()
+	c, err := net.DialTimeout("tcp", inherited.Addr().String(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if here, err := next.Accept(); err != nil || here.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Error(here, err)
+	if serverConn, err := inherited.Accept(); err != nil || serverConn.RemoteAddr().String() != c.LocalAddr().String() {
+		t.Errorf("accepted connection %v with error %v, want the one from %v", serverConn, err, c.LocalAddr())
 	}
 }
