--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -17,21 +17,21 @@
 		tb.Fatal(err)
 	}
 	now := 2000 * time.Hour
-	var list []Endpoint
+	var endpoints []Endpoint
 	for i := range engines {
 		e := Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: fmt.Sprint("z", i%6), Cell: i % 6, CapacityWeight: 1}
 		if float64(i) < warmingShare*float64(engines) {
 			e.StartedAt = now - time.Second - time.Duration(i)*ms
 		}
-		list = append(list, e)
+		endpoints = append(endpoints, e)
 	}
-	c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: list}, nil)
-	return c, now, list
+	c.Handle(now, EndpointList{Mode: ListComplete, Endpoints: endpoints}, nil)
+	return c, now, endpoints
 }
 
 const (
 	benchStatementsPerSecond = 450 // at one router
-	benchOpen                = 16  // statements open at a time
+	benchOpenStatements      = 16  // statements open at a time
 )
 
 // benchTraffic is what the classes of the fleet simulation send to one router, each statement answered after a while.
@@ -46,7 +46,7 @@
 // newBenchTraffic returns traffic with some statements open.
 func newBenchTraffic(c *Controller, now time.Duration) *benchTraffic {
 	traffic := &benchTraffic{controller: c, now: now}
-	for range benchOpen {
+	for range benchOpenStatements {
 		traffic.arrive()
 	}
 	return traffic
@@ -76,7 +76,7 @@
 }
 
 // end ends the oldest statement, whatever became of it.
-func (t *benchTraffic) end() {
+func (t *benchTraffic) endOldest() {
 	id := t.open[0]
 	t.open = t.open[1:]
 	t.handle(AttemptEnd{Request: id, Outcome: Served, Last: true})
@@ -95,7 +95,7 @@
 				b.ResetTimer()
 				for range b.N {
 					traffic.arrive()
-					traffic.end()
+					traffic.endOldest()
 					if traffic.statements%4 == 0 {
 						traffic.handle(TimerFired{Tag: housekeepingTag})
 					}
@@ -123,7 +123,7 @@
 }
 
 // A timer with statements open.
-func BenchmarkTick(b *testing.B) {
+func BenchmarkTimer(b *testing.B) {
 	for _, engines := range benchSizes {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			c, now, _ := benchFleet(b, engines, 0.17)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -22,12 +22,12 @@
 	}, 0.74, 0.95},
 	{"most routers restart", func(s *fleetScenario) { s.restartedShare = 0.7 }, 0.96, 0.97},
 	{"network partition", func(s *fleetScenario) {
-		s.partitioned, s.slowShare, s.faultFor = true, 0, 6*time.Second
+		s.partitioned, s.slowShare, s.faultDuration = true, 0, 6*time.Second
 	}, 0.98, 0.98},
-	{"zone lost", func(s *fleetScenario) { s.zoneLost, s.faultFor = true, 5*time.Second }, 0.94, 0.93},
+	{"zone lost", func(s *fleetScenario) { s.zoneLost, s.faultDuration = true, 5*time.Second }, 0.94, 0.93},
 	{"half of a small fleet lost", func(s *fleetScenario) {
 		s.routers, s.engines, s.zones = 80, 30, 2
-		s.zoneLost, s.listDelay, s.faultFor, s.burstFactor = true, 3*time.Second, 7*time.Second, 1.3
+		s.zoneLost, s.listDelay, s.faultDuration, s.burstFactor = true, 3*time.Second, 7*time.Second, 1.3
 	}, 0.78, 0.95},
 }
 
@@ -36,9 +36,9 @@
 // are unused or collapse.
 func TestFleetServesMinimumShare(t *testing.T) {
 	scenario := fleetScenario{
-		seed: 1, routers: 270, engines: 80, cores: 24, zones: 5, load: 0.6, slowShare: 0.125,
+		seed: 1, routers: 270, engines: 80, cores: 24, zones: 5, offeredLoad: 0.6, slowShare: 0.125,
 		duration: 26 * time.Second,
-		faultAt:  6 * time.Second, faultFor: 7 * time.Second,
+		faultAt:  6 * time.Second, faultDuration: 7 * time.Second,
 	}
 	for _, test := range fleetServesTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 			test.change(&changed)
 			f := newFleetSimulation(t, changed)
 			f.run()
-			served, servedAtEnd := f.served(6, 26), f.served(22, 26)
+			served, servedAtEnd := f.servedShare(6, 26), f.servedShare(22, 26)
 			if served < test.minServed {
 				t.Errorf("served %.3f of the weight, want at least %.2f", served, test.minServed)
 			}
@@ -55,7 +55,7 @@
 				t.Errorf("served %.3f of the weight at the end, want at least %.2f", servedAtEnd, test.minServedAtEnd)
 			}
 			f.checkWarmingLoad()
-			starts, answeredFull := f.totals()
+			starts, answeredFull := f.attemptTotals()
 			if answeredFull*10 > starts {
 				t.Errorf("%d of %d attempts were rejected by full engines, want at most a tenth", answeredFull, starts)
 			}
@@ -83,9 +83,9 @@
 // and large fleets on both sides of the limit between them are tested.
 func TestWarmingEnginesAreNotOverloaded(t *testing.T) {
 	scenario := fleetScenario{
-		seed: 11, zones: 3, load: 1.1, duration: 16 * time.Second, slowShare: 0.1, replacedShare: 0.6,
+		seed: 11, zones: 3, offeredLoad: 1.1, duration: 16 * time.Second, slowShare: 0.1, replacedShare: 0.6,
 		restartedShare: 0.5,
-		burstFactor:    1.5, heavyRouterFactor: 5, faultAt: 5 * time.Second, faultFor: 3 * time.Second,
+		burstFactor:    1.5, heavyRouterFactor: 5, faultAt: 5 * time.Second, faultDuration: 3 * time.Second,
 		connectInterval: 700 * ms,
 	}
 	for _, test := range []struct {
@@ -120,7 +120,7 @@
 				t.Errorf("large fleet: %v, want %v; highest load of a warming engine %.2f, want above 0",
 					largeFleet, test.largeFleet, load.maxShare)
 			}
-			t.Logf("served %.3f, highest load %.2f, excess %.2f", f.served(5, 16), load.maxShare, load.maxExcess)
+			t.Logf("served %.3f, highest load %.2f, excess %.2f", f.servedShare(5, 16), load.maxShare, load.maxExcess)
 		})
 	}
 }
--- a/dispatch/fleetclients_test.go
+++ b/dispatch/fleetclients_test.go
@@ -7,26 +7,26 @@
 )
 
 // fleetMaxTries is how often a client sends a request at most.
-const fleetMaxTries = 3
+const fleetMaxSends = 3
 
 // fleetRequest is a request of a client, which may send it again after a rejection.
 type fleetRequest struct {
-	id        RequestID
-	class     int
-	work      float64
-	arrivedAt time.Duration // for the first time
-	objective time.Duration
-	deadline  time.Duration
-	tries     int // before this one
-	attempts  int
-	preferred bool
+	id           RequestID
+	class        int
+	work         float64
+	arrivedAt    time.Duration // for the first time
+	objective    time.Duration
+	deadline     time.Duration
+	earlierTries int // before this one
+	attempts     int
+	preferred    bool
 }
 
 // again is the request as the client sends it once more.
-func (r *fleetRequest) again() *fleetRequest {
+func (r *fleetRequest) retry() *fleetRequest {
 	return &fleetRequest{
 		class: r.class, work: r.work, arrivedAt: r.arrivedAt, objective: r.objective, deadline: r.deadline,
-		tries: r.tries + 1,
+		earlierTries: r.earlierTries + 1,
 	}
 }
 
@@ -40,38 +40,38 @@
 		weights += router.weight
 	}
 	cores := float64(scenario.engines * scenario.cores)
-	perSecond := scenario.load * cores * fleetDiskFactor * fleetUtilization / meanFleetWork()
+	perSecond := scenario.offeredLoad * cores * fleetDiskWorkFactor * fleetUtilization / meanFleetWork()
 	for _, router := range f.routers {
-		own := perSecond * router.weight / weights
+		meanRate := perSecond * router.weight / weights
 		var next func()
 		next = func() {
 			if f.elapsed() >= scenario.duration {
 				return
 			}
 			f.newRequest(f.availableRouter(router))
-			rate := own
+			rate := meanRate
 			if scenario.burstFactor > 0 && f.duringFault() {
 				rate *= scenario.burstFactor
 			}
 			f.schedule(seconds(f.rng.ExpFloat64()/rate), next)
 		}
-		f.schedule(seconds(f.rng.ExpFloat64()/own), next)
+		f.schedule(seconds(f.rng.ExpFloat64()/meanRate), next)
 	}
 }
 
 // duringFault reports whether the time is between the fault and its end.
 func (f fleetClients) duringFault() bool {
-	return f.elapsed() > f.scenario.faultAt && f.elapsed() < f.scenario.faultAt+f.scenario.faultFor
+	return f.elapsed() > f.scenario.faultAt && f.elapsed() < f.scenario.faultAt+f.scenario.faultDuration
 }
 
 // newRequest sends a client's request of a random class.
 func (f fleetClients) newRequest(router *fleetRouter) {
-	u, index := f.rng.Float64(), 0
+	draw, index := f.rng.Float64(), 0
 	for i, class := range fleetClasses {
-		if index = i; u < class.share {
+		if index = i; draw < class.share {
 			break
 		}
-		u -= class.share
+		draw -= class.share
 	}
 	class := fleetClasses[index]
 	work := class.work * math.Exp(class.sigma*f.rng.NormFloat64()-class.sigma*class.sigma/2)
@@ -83,8 +83,8 @@
 	class := router.config.Classes[req.class]
 	f.lastRequest++
 	req.id = RequestID(fmt.Sprint(f.lastRequest))
-	if req.tries == 0 {
-		f.firstTry(class, req)
+	if req.earlierTries == 0 {
+		f.prepareFirstTry(class, req)
 	}
 	if req.deadline-f.now < 20*ms {
 		return // the client has no time left for another try
@@ -93,7 +93,7 @@
 	estimate := req.work * math.Exp(0.3*f.rng.NormFloat64())
 	f.handle(router, Arrival{
 		Request: req.id, Class: class.Name, Estimate: seconds(estimate), TimeLeft: req.deadline - f.now,
-		Resent: req.tries > 0,
+		Resent: req.earlierTries > 0,
 	})
 	incarnation := router.incarnation
 	f.schedule(req.deadline-f.now+50*ms, func() {
@@ -104,16 +104,16 @@
 }
 
 // firstTry sets the deadline and the objective of a request, and counts it as offered.
-func (f fleetClients) firstTry(class Class, req *fleetRequest) {
+func (f fleetClients) prepareFirstTry(class Class, req *fleetRequest) {
 	req.arrivedAt, req.deadline = f.now, f.now+time.Duration(0.8*float64(class.Deadline))
 	if f.rng.Float64() < f.scenario.impatientShare && f.elapsed() > f.scenario.faultAt {
 		req.deadline = f.now + time.Duration(0.3*f.rng.Float64()*float64(class.Deadline))
 	}
 	stretch := seconds(class.ObjectiveStretch * req.work / float64(max(class.Threads, 1)))
 	req.objective = f.now + class.LatencyObjective + stretch
-	second := f.currentSecond()
-	second.offered += class.PriorityWeight
-	second.offeredBy[req.class] += class.PriorityWeight
+	stats := f.currentSecond()
+	stats.offeredWeight += class.PriorityWeight
+	stats.offeredByClass[req.class] += class.PriorityWeight
 }
 
 // endAttempt reports the end of an attempt to its router, unless that has restarted.
@@ -126,7 +126,7 @@
 		last := false
 		if req := router.open[a.id]; req != nil && outcome == Served {
 			last = true
-			f.earn(router.config.Classes[req.class], req)
+			f.recordAnswer(router.config.Classes[req.class], req)
 			delete(router.open, a.id)
 		}
 		f.handle(router, AttemptEnd{
@@ -136,16 +136,16 @@
 }
 
 // earn counts an answer: with its full weight until the objective, and a part of it until the deadline.
-func (f *fleetSimulation) earn(class Class, req *fleetRequest) {
-	earned := 0.0
+func (f *fleetSimulation) recordAnswer(class Class, req *fleetRequest) {
+	weight := 0.0
 	if f.now <= req.objective {
-		earned = class.PriorityWeight
+		weight = class.PriorityWeight
 	} else if f.now <= req.deadline {
-		earned = class.PriorityWeight * class.LateWeightShare
+		weight = class.PriorityWeight * class.LateWeightShare
 	}
-	second := f.secondAt(req.arrivedAt)
-	second.earned += earned
-	second.earnedBy[req.class] += earned
+	stats := f.secondAt(req.arrivedAt)
+	stats.servedWeight += weight
+	stats.servedByClass[req.class] += weight
 }
 
 // endWithoutResult ends a request that was rejected or failed; most clients send it again after a while.
@@ -155,14 +155,14 @@
 		f.t.Fatal("an answer for a request that is not open")
 	}
 	delete(router.open, id)
-	if req.tries >= fleetMaxTries-1 || f.rng.Float64() < 0.2 {
+	if req.earlierTries >= fleetMaxSends-1 || f.rng.Float64() < 0.2 {
 		return
 	}
-	wait := time.Duration((0.5 + f.rng.Float64()) * float64(300*ms) * float64(req.tries+1))
+	delay := time.Duration((0.5 + f.rng.Float64()) * float64(300*ms) * float64(req.earlierTries+1))
 	if retryAfter > 0 && f.rng.Float64() < 0.7 {
-		wait = retryAfter
+		delay = retryAfter
 	}
-	f.schedule(wait, func() { f.sendRequest(f.availableRouter(router), req.again()) })
+	f.schedule(delay, func() { f.sendRequest(f.availableRouter(router), req.retry()) })
 }
 
 // availableRouter is where the clients of a router go: to itself, or to any that is up.
@@ -174,13 +174,13 @@
 }
 
 // statements is the number of requests of clients, without retries.
-func (f *fleetSimulation) statements() (n float64) {
+func (f *fleetSimulation) offeredStatements() (n float64) {
 	meanWeight := 0.0
 	for i, class := range f.routers[0].config.Classes {
 		meanWeight += class.PriorityWeight * fleetClasses[i].share
 	}
-	for _, second := range f.seconds {
-		n += second.offered / meanWeight
+	for _, stats := range f.statsBySecond {
+		n += stats.offeredWeight / meanWeight
 	}
 	return n
 }
--- a/dispatch/fleetengine_test.go
+++ b/dispatch/fleetengine_test.go
@@ -19,16 +19,16 @@
 
 // fleetAttempt is an attempt at an engine.
 type fleetAttempt struct {
-	router        *fleetRouter
-	incarnation   int // of the router
-	id            RequestID
-	index         int
-	class         int
-	work          float64
-	workLeft      float64
-	threads       float64
-	preferred     bool
-	startsTooLate bool // its connection does not come up by the time at which it has to start
+	router           *fleetRouter
+	incarnation      int // of the router
+	id               RequestID
+	index            int
+	class            int
+	work             float64
+	workLeft         float64
+	threads          float64
+	preferred        bool
+	missesStartLimit bool // its connection does not come up by the time at which it has to start
 }
 
 // warmingLoad is how close warming engines were to collapsing.
@@ -51,21 +51,21 @@
 		e.speed /= 3
 	}
 	f.engines = append(f.engines, e)
-	f.byID[id] = e
+	f.enginesByID[id] = e
 	return e
 }
 
 // connectTime is how long an attempt waits for its connection; one that has to start sooner is marked.
-func (f *fleetSimulation) connectTime(e *fleetEngine, a *fleetAttempt, startWithin time.Duration) time.Duration {
+func (f *fleetSimulation) connectDelay(e *fleetEngine, a *fleetAttempt, startWithin time.Duration) time.Duration {
 	if f.scenario.connectInterval == 0 || f.warmUpFactor(e) == 1 {
 		return 0
 	}
-	wait := f.scenario.connectInterval - f.now%f.scenario.connectInterval
-	if startWithin > 0 && wait > startWithin {
-		a.startsTooLate = true
+	delay := f.scenario.connectInterval - f.now%f.scenario.connectInterval
+	if startWithin > 0 && delay > startWithin {
+		a.missesStartLimit = true
 		return startWithin
 	}
-	return wait
+	return delay
 }
 
 // warmUpFactor is the share of its capacity that an engine has by now.
@@ -84,9 +84,9 @@
 }
 
 // reachEngine delivers an attempt to its engine.
-func (f *fleetSimulation) reachEngine(e *fleetEngine, a *fleetAttempt) {
+func (f *fleetSimulation) deliverAttempt(e *fleetEngine, a *fleetAttempt) {
 	switch {
-	case a.startsTooLate:
+	case a.missesStartLimit:
 		f.endAttempt(a, ConnectFailed)
 	case f.unreachable(a.router, e):
 		f.endUnanswered(a)
@@ -96,7 +96,7 @@
 		f.collapse(e)
 		f.endAttempt(a, ConnectionReset)
 	case len(e.running) >= fleetQueriesPerCore*f.scenario.cores:
-		f.currentSecond().answeredFull++
+		f.currentSecond().engineFullAnswers++
 		f.endAttempt(a, EngineFull)
 	default:
 		e.running = append(e.running, a)
@@ -126,26 +126,26 @@
 	for len(e.received) > 0 && e.received[0].at < f.now-fleetOverloadWindow {
 		e.received = e.received[1:]
 	}
-	sum, most := 0.0, f.scenario.maxWarmingWork(factor)
+	sum, limit := 0.0, f.scenario.maxWarmingWork(factor)
 	for _, sent := range e.received {
 		sum += sent.work
 	}
-	n := most / meanFleetWork()
+	n := limit / meanFleetWork()
 	load := &f.warmingLoad
-	load.maxShare = max(load.maxShare, sum/most)
+	load.maxShare = max(load.maxShare, sum/limit)
 	load.maxExcess = max(load.maxExcess, (sum/meanFleetWork()-n)/(2*math.Sqrt(n)+2))
-	return sum > most && !e.collapsed
+	return sum > limit && !e.collapsed
 }
 
 // collapse ends an overloaded engine.
 func (f *fleetSimulation) collapse(e *fleetEngine) {
 	e.collapsed, e.dead = true, true
 	f.warmingLoad.collapsed++
-	f.breakAttempts(e)
+	f.resetAttempts(e)
 }
 
 // breakAttempts breaks all attempts at an engine.
-func (f *fleetSimulation) breakAttempts(e *fleetEngine) {
+func (f *fleetSimulation) resetAttempts(e *fleetEngine) {
 	for _, a := range e.running {
 		f.endAttempt(a, ConnectionReset)
 	}
@@ -172,26 +172,26 @@
 		}
 	}
 	cores := float64(f.scenario.cores) * e.speed * f.warmUpFactor(e)
-	capacity := cores * fleetDiskFactor
+	capacity := cores * fleetDiskWorkFactor
 	if load := (preferred + others) / (fleetThreadsPerCore * cores); load > 1 {
 		capacity /= 1 + 2*(load-1) // threads contend, and memory is short
 	}
-	forPreferred := min(preferred, capacity*8*preferred/(8*preferred+others))
-	forOthers := min(others, capacity-forPreferred)
-	forPreferred = min(preferred, capacity-forOthers)
-	left := e.running[:0]
+	preferredRate := min(preferred, capacity*8*preferred/(8*preferred+others))
+	othersRate := min(others, capacity-preferredRate)
+	preferredRate = min(preferred, capacity-othersRate)
+	unfinished := e.running[:0]
 	for _, a := range e.running {
-		rate := forOthers / others * a.threads
+		rate := othersRate / others * a.threads
 		if a.preferred {
-			rate = forPreferred / preferred * a.threads
+			rate = preferredRate / preferred * a.threads
 		}
 		a.workLeft -= rate * duration
 		if a.workLeft > 0 {
-			left = append(left, a)
+			unfinished = append(unfinished, a)
 			continue
 		}
 		f.endAttempt(a, Served)
 	}
-	clear(e.running[len(left):])
-	e.running = left
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 }
--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -16,7 +16,7 @@
 		if f.rng.Float64() >= scenario.replacedShare {
 			continue
 		}
-		at := scenario.faultAt + time.Duration(f.rng.Float64()*float64(scenario.faultFor))
+		at := scenario.faultAt + time.Duration(f.rng.Float64()*float64(scenario.faultDuration))
 		f.schedule(at, func() { f.replaceEngine(i) })
 	}
 	if scenario.zoneLost && scenario.lostZones == 0 {
@@ -26,10 +26,10 @@
 			}
 		}
 	}
-	f.scheduleWideFaults()
+	f.scheduleInfrastructureFaults()
 	if scenario.partitioned {
 		f.schedule(scenario.faultAt, func() { f.partitioned = true })
-		f.schedule(scenario.faultAt+scenario.faultFor, func() { f.partitioned = false })
+		f.schedule(scenario.faultAt+scenario.faultDuration, func() { f.partitioned = false })
 	}
 	for _, router := range f.routers {
 		if f.rng.Float64() < scenario.restartedShare {
@@ -48,21 +48,21 @@
 			f.announce(0, e.Endpoint)
 		})
 	}
-	f.schedule(scenario.faultAt+scenario.faultFor, func() {
+	f.schedule(scenario.faultAt+scenario.faultDuration, func() {
 		e.silent, e.State, e.StartedAt = false, Live, f.now
 		f.announce(300*ms, e.Endpoint)
 	})
 }
 
 // scheduleWideFaults has zones lost with their routers, a rack lost, and machines restarted and replaced one by one.
-func (f fleetFaults) scheduleWideFaults() {
+func (f fleetFaults) scheduleInfrastructureFaults() {
 	scenario := &f.scenario
 	if scenario.zoneLost && scenario.lostZones > 0 {
 		f.schedule(scenario.faultAt, f.loseZones)
 		if scenario.listDelay > 0 {
-			f.schedule(scenario.faultAt+scenario.listDelay, func() { f.announceLost(Removed, 0) })
+			f.schedule(scenario.faultAt+scenario.listDelay, func() { f.announceLostEngines(Removed, 0) })
 		}
-		f.schedule(scenario.faultAt+scenario.faultFor, f.restoreZones)
+		f.schedule(scenario.faultAt+scenario.faultDuration, f.restoreZones)
 	}
 	if scenario.rackSize > 0 {
 		f.schedule(scenario.faultAt, f.loseRack)
@@ -74,7 +74,7 @@
 // scheduleRolling has something happen n times, evenly over the time of the fault.
 func (f fleetFaults) scheduleRolling(n int, run func(i int)) {
 	for i := range n {
-		at := f.scenario.faultAt + f.scenario.faultFor*time.Duration(i)/time.Duration(n)
+		at := f.scenario.faultAt + f.scenario.faultDuration*time.Duration(i)/time.Duration(n)
 		f.schedule(at, func() { run(i) })
 	}
 }
@@ -86,7 +86,7 @@
 	f.announce(200*ms, e.Endpoint)
 	f.schedule(3*time.Second, func() {
 		e.dead = true
-		f.breakAttempts(e)
+		f.resetAttempts(e)
 		e.State = Removed
 		f.announce(200*ms, e.Endpoint)
 	})
@@ -131,7 +131,7 @@
 		f.schedule(3*time.Second, func() {
 			for _, e := range engines {
 				e.dead = true
-				f.breakAttempts(e)
+				f.resetAttempts(e)
 			}
 			f.announceAll(engines, Removed, 200*ms)
 		})
@@ -166,7 +166,7 @@
 	}
 }
 
-func (f fleetFaults) announceLost(state EndpointState, delay time.Duration) {
+func (f fleetFaults) announceLostEngines(state EndpointState, delay time.Duration) {
 	f.announceAll(f.lostEngines(), state, delay)
 }
 
@@ -175,7 +175,7 @@
 	for _, e := range f.lostEngines() {
 		e.silent, e.StartedAt = false, f.now
 	}
-	f.announceLost(Live, 300*ms)
+	f.announceLostEngines(Live, 300*ms)
 	for _, router := range f.routers {
 		if router.down {
 			router.down = false
@@ -201,13 +201,13 @@
 	router.incarnation++
 	router.open = map[RequestID]*fleetRequest{}
 	for _, req := range open {
-		once := router.config.Classes[req.class].LocksTableGroup
-		if once || req.tries >= fleetMaxTries-1 || f.rng.Float64() < 0.2 {
+		atMostOnce := router.config.Classes[req.class].LocksTableGroup
+		if atMostOnce || req.earlierTries >= fleetMaxSends-1 || f.rng.Float64() < 0.2 {
 			continue
 		}
 		f.schedule(time.Duration((0.5+f.rng.Float64())*float64(300*ms)), func() {
 			clients := fleetClients(f)
-			clients.sendRequest(clients.availableRouter(router), req.again())
+			clients.sendRequest(clients.availableRouter(router), req.retry())
 		})
 	}
 }
--- a/dispatch/fleetscenario_test.go
+++ b/dispatch/fleetscenario_test.go
@@ -10,14 +10,14 @@
 	cores            int // of an engine
 	duration         time.Duration
 
-	load              float64 // offered, as a share of the capacity of all engines
+	offeredLoad       float64 // offered, as a share of the capacity of all engines
 	slowShare         float64 // share of the engines that take three times as long
 	impatientShare    float64 // share of clients that cancel early, from faultAt on
 	burstFactor       float64 // traffic during the fault over the usual; 0 for no burst
 	heavyRouterFactor float64 // traffic of the first router over the mean; 0 for a random one
 
-	faultAt, faultFor time.Duration
-	wideFaults
+	faultAt, faultDuration time.Duration
+	infrastructureFaults
 
 	replacedShare  float64 // share of the engines that are replaced during the fault
 	restartedShare float64 // share of the routers that restart at faultAt
@@ -27,7 +27,7 @@
 }
 
 // wideFaults are faults of zones and racks, and of machines one by one.
-type wideFaults struct {
+type infrastructureFaults struct {
 	// zoneLost has zone z0 lost at faultAt, silent, and back after faultFor with warming engines.
 	zoneLost bool
 	// partitioned has zone z0 cut off from the others during the fault: its routers reach its engines only.
@@ -51,7 +51,7 @@
 
 // maxWarmingWork is what an engine at a share of its capacity can take in a window, in core seconds.
 func (s *fleetScenario) maxWarmingWork(share float64) float64 {
-	return fleetOverloadFactor * share * float64(s.cores) * fleetUtilization * fleetDiskFactor *
+	return fleetOverloadFactor * share * float64(s.cores) * fleetUtilization * fleetDiskWorkFactor *
 		fleetOverloadWindow.Seconds()
 }
 
@@ -60,7 +60,7 @@
 	fleetQueriesPerCore = 4    // queries a core at most
 	fleetThreadsPerCore = 2.0  // threads a core beyond which an engine does less
 	fleetUtilization    = 0.85 // of the cores at an engine's capacity
-	fleetDiskFactor     = 1.5  // a query's work over the part that needs a core: the remainder waits for disks
+	fleetDiskWorkFactor = 1.5  // a query's work over the part that needs a core: the remainder waits for disks
 
 	fleetWarmUpInitialShare = 0.36
 	fleetWarmUpDuration     = 12 * time.Second
--- a/dispatch/fleetsimulation_test.go
+++ b/dispatch/fleetsimulation_test.go
@@ -14,21 +14,21 @@
 // fleetSimulation simulates a fleet: up to hundreds of controllers that do not communicate, engines that share their
 // cores among what they run, clients that retry. What it checks shows in the sum over all routers only.
 type fleetSimulation struct {
-	t           *testing.T
-	scenario    fleetScenario
-	rng         *rand.Rand
-	now         time.Duration
-	routers     []*fleetRouter
-	engines     []*fleetEngine
-	byID        map[EngineID]*fleetEngine
-	events      fleetHeap
-	lastEvent   int
-	lastRequest int
-	seconds     []fleetSecond
-	partitioned bool // the lost zones are cut off from the others
-	warmingLoad warmingLoad
-	onStart     func(router *fleetRouter, target *fleetEngine, class int)
-	onAction    func(router *fleetRouter, action Action)
+	t             *testing.T
+	scenario      fleetScenario
+	rng           *rand.Rand
+	now           time.Duration
+	routers       []*fleetRouter
+	engines       []*fleetEngine
+	enginesByID   map[EngineID]*fleetEngine
+	events        fleetHeap
+	lastEvent     int
+	lastRequest   int
+	statsBySecond []secondStats
+	partitioned   bool // the lost zones are cut off from the others
+	warmingLoad   warmingLoad
+	onStart       func(router *fleetRouter, target *fleetEngine, class int)
+	onAction      func(router *fleetRouter, action Action)
 }
 
 // fleetRouter is one router with its controller.
@@ -43,11 +43,11 @@
 }
 
 // fleetSecond is what happened in one second.
-type fleetSecond struct {
-	offered, earned     float64 // priority weight
-	starts              int     // of attempts
-	answeredFull        int     // attempts
-	offeredBy, earnedBy [3]float64
+type secondStats struct {
+	offeredWeight, servedWeight   float64 // priority weight
+	starts                        int     // of attempts
+	engineFullAnswers             int     // attempts
+	offeredByClass, servedByClass [3]float64
 }
 
 // fleetEvent is something that happens at a time; events at the same time happen in the order of their numbers.
@@ -80,12 +80,12 @@
 func newFleetSimulation(t *testing.T, scenario fleetScenario) *fleetSimulation {
 	t.Helper()
 	f := &fleetSimulation{
-		t:        t,
-		scenario: scenario,
-		rng:      rand.New(rand.NewPCG(scenario.seed, 77)),
-		now:      fleetStart,
-		byID:     map[EngineID]*fleetEngine{},
-		seconds:  make([]fleetSecond, int(scenario.duration/time.Second)+1),
+		t:             t,
+		scenario:      scenario,
+		rng:           rand.New(rand.NewPCG(scenario.seed, 77)),
+		now:           fleetStart,
+		enginesByID:   map[EngineID]*fleetEngine{},
+		statsBySecond: make([]secondStats, int(scenario.duration/time.Second)+1),
 	}
 	for i := range scenario.engines {
 		f.addEngine(EngineID(i+1), i)
@@ -110,11 +110,11 @@
 // elapsed is the time since the start.
 func (f *fleetSimulation) elapsed() time.Duration { return f.now - fleetStart }
 
-func (f *fleetSimulation) currentSecond() *fleetSecond { return f.secondAt(f.now) }
+func (f *fleetSimulation) currentSecond() *secondStats { return f.secondAt(f.now) }
 
-func (f *fleetSimulation) secondAt(at time.Duration) *fleetSecond {
-	i := min(int((at-fleetStart)/time.Second), len(f.seconds)-1)
-	return &f.seconds[i]
+func (f *fleetSimulation) secondAt(at time.Duration) *secondStats {
+	i := min(int((at-fleetStart)/time.Second), len(f.statsBySecond)-1)
+	return &f.statsBySecond[i]
 }
 
 // startRouter starts a router, or a new incarnation of it that knows nothing.
@@ -141,7 +141,7 @@
 		return
 	}
 	for _, action := range router.controller.Handle(f.now, event, nil) {
-		f.carryOut(router, action)
+		f.applyAction(router, action)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 }
 
-func (f *fleetSimulation) carryOut(router *fleetRouter, action Action) {
+func (f *fleetSimulation) applyAction(router *fleetRouter, action Action) {
 	if f.onAction != nil {
 		f.onAction(router, action)
 	}
@@ -201,11 +201,11 @@
 		preferred:   req.preferred,
 	}
 	req.attempts++
-	target := f.byID[action.Engine]
+	target := f.enginesByID[action.Engine]
 	if f.onStart != nil {
 		f.onStart(router, target, req.class)
 	}
-	f.schedule(ms+f.connectTime(target, a, action.StartWithin), func() { f.reachEngine(target, a) })
+	f.schedule(ms+f.connectDelay(target, a, action.StartWithin), func() { f.deliverAttempt(target, a) })
 }
 
 // run simulates the scenario and a few seconds more.
@@ -225,20 +225,20 @@
 }
 
 // served is the share of the offered priority weight that was earned, from one second on to another.
-func (f *fleetSimulation) served(from, to int) float64 {
-	offered, earned := 0.0, 0.0
-	for _, second := range f.seconds[from:min(to, len(f.seconds))] {
-		offered += second.offered
-		earned += second.earned
+func (f *fleetSimulation) servedShare(from, to int) float64 {
+	offeredWeight, servedWeight := 0.0, 0.0
+	for _, stats := range f.statsBySecond[from:min(to, len(f.statsBySecond))] {
+		offeredWeight += stats.offeredWeight
+		servedWeight += stats.servedWeight
 	}
-	return earned / max(offered, 1)
+	return servedWeight / max(offeredWeight, 1)
 }
 
 // totals counts the attempts that were started, and those that engines answered with being full.
-func (f *fleetSimulation) totals() (starts, answeredFull int) {
-	for _, second := range f.seconds {
-		starts += second.starts
-		answeredFull += second.answeredFull
+func (f *fleetSimulation) attemptTotals() (starts, answeredFull int) {
+	for _, stats := range f.statsBySecond {
+		starts += stats.starts
+		answeredFull += stats.engineFullAnswers
 	}
 	return starts, answeredFull
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -50,11 +50,11 @@
 }
 
 // latest is the outcome of the latest attempt.
-func (r *clientRequest) latest() Outcome { return r.outcomes[len(r.outcomes)-1] }
+func (r *clientRequest) latestOutcome() Outcome { return r.outcomes[len(r.outcomes)-1] }
 
 // isOpen reports whether the request has no answer and its latest attempt is outstanding.
 func (r *clientRequest) isOpen() bool {
-	return r.answers == 0 && len(r.outcomes) > 0 && r.latest() == outstanding
+	return r.answers == 0 && len(r.outcomes) > 0 && r.latestOutcome() == outstanding
 }
 
 // lastEngine is the engine of the latest attempt.
--- a/dispatch/harnesschecks_test.go
+++ b/dispatch/harnesschecks_test.go
@@ -183,7 +183,7 @@
 	if len(bounds) == 0 {
 		return // it may start at any time
 	}
-	if most := slices.Min(bounds); within <= 0 || within > most {
-		h.t.Fatalf("%s on engine %d may start within %v, want %v at most", client.id, e.ID, within, most)
+	if limit := slices.Min(bounds); within <= 0 || within > limit {
+		h.t.Fatalf("%s on engine %d may start within %v, want %v at most", client.id, e.ID, within, limit)
 	}
 }
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -47,9 +47,9 @@
 	return list
 }
 
-var extremeFigures = []float64{0, 0.5, 1, 3.9, -1, -1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}
+var extremeValues = []float64{0, 0.5, 1, 3.9, -1, -1e9, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)}
 
-func extremeFigure(rng *rand.Rand) float64 { return extremeFigures[rng.IntN(len(extremeFigures))] }
+func extremeValue(rng *rand.Rand) float64 { return extremeValues[rng.IntN(len(extremeValues))] }
 
 // extremeReport returns a load report of extreme figures, or none.
 func extremeReport(rng *rand.Rand) *LoadReport {
@@ -57,18 +57,18 @@
 		return nil
 	}
 	return &LoadReport{
-		InFlight: extremeFigure(rng),
-		Waiting:  extremeFigure(rng),
-		Busy:     extremeFigure(rng),
-		Disk:     extremeFigure(rng),
-		Memory:   extremeFigure(rng),
-		Failing:  extremeFigure(rng),
+		InFlight: extremeValue(rng),
+		Waiting:  extremeValue(rng),
+		Busy:     extremeValue(rng),
+		Disk:     extremeValue(rng),
+		Memory:   extremeValue(rng),
+		Failing:  extremeValue(rng),
 	}
 }
 
 // Whatever engines report of themselves and of attempts, and whatever is missing in settings and requests: no rule is
 // broken, each request gets one answer, and once all have ended the next request is started.
-func TestInvalidInputStopsNothing(t *testing.T) {
+func TestInvalidInputKeepsRequestsAnswered(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 11))
@@ -141,16 +141,16 @@
 		h.invalidArrival()
 	case 3:
 		h.handle(EngineLoad{Engine: EngineID(h.rng.IntN(9)), Report: LoadReport{
-			InFlight: extremeFigure(h.rng),
-			Waiting:  extremeFigure(h.rng),
-			Busy:     extremeFigure(h.rng),
-			Disk:     extremeFigure(h.rng),
-			Memory:   extremeFigure(h.rng),
+			InFlight: extremeValue(h.rng),
+			Waiting:  extremeValue(h.rng),
+			Busy:     extremeValue(h.rng),
+			Disk:     extremeValue(h.rng),
+			Memory:   extremeValue(h.rng),
 		}})
 	case 4: // progress of an attempt that may have ended, or never was
 		id := RequestID(fmt.Sprint("r", h.rng.IntN(h.lastID+2)))
 		attempt, kind := h.rng.IntN(3)-1, ProgressKind(h.rng.IntN(6)-1)
-		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeFigure(h.rng)})
+		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeValue(h.rng)})
 	default:
 		h.endWithExtremeReport()
 	}
@@ -163,7 +163,7 @@
 		Class:      class.Name,
 		Tenant:     "nobody",
 		TableGroup: []int64{0, 1, 2, -7, math.MaxInt64}[h.rng.IntN(5)],
-		NeedMB:     extremeFigure(h.rng),
+		NeedMB:     extremeValue(h.rng),
 		Estimate:   time.Duration([]int64{0, 1, 200e6, -5, math.MaxInt64}[h.rng.IntN(5)]),
 		TimeLeft:   time.Duration(h.rng.Float64() * float64(class.Deadline)),
 	})
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -50,7 +50,7 @@
 			for range 600 {
 				events.randomStep()
 			}
-			events.endAllInTime()
+			events.timeOutAll()
 			h.checkEachAnswered()
 			if len(h.starts) == 0 {
 				t.Fatal("no attempt was ever started")
@@ -60,7 +60,7 @@
 }
 
 // endAllInTime times outstanding attempts out one by one, lets all deadlines pass, and fails the remaining attempts.
-func (h *randomEvents) endAllInTime() {
+func (h *randomEvents) timeOutAll() {
 	h.t.Helper()
 	for _, client := range h.clients {
 		for attempt, outcome := range client.outcomes {
--- a/dispatch/outliers_test.go
+++ b/dispatch/outliers_test.go
@@ -18,7 +18,7 @@
 	for range 2000 {
 		h.now += 10 * ms
 		client := h.arriveWith(Arrival{Class: "quick", TableGroup: int64(h.lastID), TimeLeft: 3 * time.Second})
-		for client.answers == 0 && client.latest() == outstanding {
+		for client.answers == 0 && client.latestOutcome() == outstanding {
 			outcome := Served
 			if rng.IntN(8) == 0 {
 				outcome = []Outcome{ConnectionReset, ConnectFailed}[rng.IntN(2)]
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -57,7 +57,7 @@
 
 // mirroredControllers are two controllers that handle the same events. One updates its sums, the other one recomputes
 // all of them before each event.
-type mirroredControllers struct {
+type comparedControllers struct {
 	*rapid.T
 	config                  Config
 	incremental, recounting *Controller
@@ -70,11 +70,11 @@
 	deadZones               map[string]bool // whose engines hardly ever take a connection
 }
 
-func newMirroredControllers(t *rapid.T) *mirroredControllers {
+func newComparedControllers(t *rapid.T) *comparedControllers {
 	routers := rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "routers")
 	config := fleetConfig(fleetScenario{seed: 1, routers: routers, cores: 8}, 7)
 	config.Features.Grants = true
-	m := &mirroredControllers{
+	m := &comparedControllers{
 		T: t, config: config, now: time.Hour,
 		attempts: map[RequestID]int{}, endpoints: map[EngineID]Endpoint{}, deadZones: map[string]bool{},
 	}
@@ -89,7 +89,7 @@
 }
 
 // handle has both controllers handle an event, and compares their actions and sums.
-func (m *mirroredControllers) handle(event Event) {
+func (m *comparedControllers) handle(event Event) {
 	m.recounting.capacity.recountAt, m.recounting.outliers.countValidUntil = 0, 0
 	m.recounting.endpoints.unsorted, m.recounting.endpoints.anyRemoved = true, true
 	got, want := m.incremental.Handle(m.now, event, nil), m.recounting.Handle(m.now, event, nil)
@@ -97,7 +97,7 @@
 		m.Fatalf("%#v at %v: %v, and %v where all is recounted", event, m.now, got, want)
 	}
 	for _, action := range got {
-		m.carryOut(action)
+		m.applyAction(action)
 	}
 	m.checkSums(event)
 	m.recounting.capacity.warmResources()
@@ -107,7 +107,7 @@
 }
 
 // carryOut records what attempts are outstanding and when the timer fires.
-func (m *mirroredControllers) carryOut(action Action) {
+func (m *comparedControllers) applyAction(action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
 		m.outstanding = append(m.outstanding, action)
@@ -119,7 +119,7 @@
 }
 
 // checkSums compares the sums of the first controller with a recount.
-func (m *mirroredControllers) checkSums(event Event) {
+func (m *comparedControllers) checkSums(event Event) {
 	c := m.incremental
 	if got, want := c.capacity.warmResources(), c.recountWarm(); got != want {
 		m.Fatalf("%#v at %v: warm engines have %+v, want %+v", event, m.now, got, want)
@@ -137,7 +137,7 @@
 }
 
 // changedEndpoint draws a change of an endpoint, or a new one.
-func (m *mirroredControllers) changedEndpoint() Endpoint {
+func (m *comparedControllers) changedEndpoint() Endpoint {
 	id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "engine"))
 	e, known := m.endpoints[id]
 	if !known {
@@ -155,16 +155,16 @@
 }
 
 // completeList draws a complete endpoint list with a number of entries between two bounds.
-func (m *mirroredControllers) completeList(least, most int) EndpointList {
+func (m *comparedControllers) completeList(minEntries, maxEntries int) EndpointList {
 	var list []Endpoint
-	for range rapid.IntRange(least, most).Draw(m.T, "entries") {
+	for range rapid.IntRange(minEntries, maxEntries).Draw(m.T, "entries") {
 		list = append(list, m.changedEndpoint())
 	}
 	return EndpointList{Mode: ListComplete, Endpoints: list}
 }
 
 // endAttempt ends an outstanding attempt, nearly always without a connection where its zone is dead.
-func (m *mirroredControllers) endAttempt() {
+func (m *comparedControllers) endAttempt() {
 	if len(m.outstanding) == 0 {
 		return
 	}
@@ -184,19 +184,19 @@
 }
 
 // configure changes settings that the sums depend on.
-func (m *mirroredControllers) configure() {
-	changed := m.config
-	changed.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "now")
-	changed.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
+func (m *comparedControllers) configure() {
+	config := m.config
+	config.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "now")
+	config.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
 	for _, c := range []*Controller{m.incremental, m.recounting} {
-		if _, _, err := c.Configure(changed); err != nil {
+		if _, _, err := c.Configure(config); err != nil {
 			m.Fatal(err)
 		}
 	}
 }
 
 // usage draws what the other process has running.
-func (m *mirroredControllers) usage() (usage OtherProcessUsage) {
+func (m *comparedControllers) usage() (usage OtherProcessUsage) {
 	for range rapid.IntRange(0, 3).Draw(m.T, "usages") {
 		id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "used"))
 		usage.Engines = append(usage.Engines, EngineUsage{
@@ -206,7 +206,7 @@
 	return usage
 }
 
-func (m *mirroredControllers) arrive() {
+func (m *comparedControllers) arrive() {
 	m.lastID++
 	m.handle(Arrival{
 		Request:    RequestID(fmt.Sprint(m.lastID)),
@@ -219,18 +219,18 @@
 }
 
 // mirroredPauses are the times that pass between two events.
-var mirroredPauses = []time.Duration{
+var timesBetweenEvents = []time.Duration{
 	0, 0, ms, 3 * ms, 20 * ms, 150 * ms, 1500 * ms, 15 * time.Second,
 }
 
 // step lets time pass and has an event happen. The more requests, the higher busy.
-func (m *mirroredControllers) step(busy int) {
-	m.now += rapid.SampledFrom(mirroredPauses).Draw(m.T, "passes")
+func (m *comparedControllers) step(trafficBias int) {
+	m.now += rapid.SampledFrom(timesBetweenEvents).Draw(m.T, "passes")
 	if m.timerAt > 0 && m.now >= m.timerAt {
 		m.timerAt = 0
 		m.handle(TimerFired{Tag: housekeepingTag})
 	}
-	switch kind := rapid.IntRange(0, 14+busy).Draw(m.T, "kind"); kind {
+	switch kind := rapid.IntRange(0, 14+trafficBias).Draw(m.T, "kind"); kind {
 	case 0, 14:
 		changes := []Endpoint{m.changedEndpoint(), m.changedEndpoint()}
 		m.handle(EndpointList{Mode: ListIncremental, Endpoints: changes})
@@ -256,16 +256,16 @@
 // Sums that are updated lead to the same decisions, draw for draw, as recounting all engines at each event, whatever
 // the order of events: requests, outcomes of all kinds, endpoint lists, cordons, hot restarts, changed settings, long
 // pauses.
-func TestIncrementalSumsDecideAsRecounted(t *testing.T) {
+func TestIncrementalSumsMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMirroredControllers(t)
+		m := newComparedControllers(t)
 		for range rapid.IntRange(0, 2).Draw(t, "dead") {
 			m.deadZones[fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))] = true
 		}
-		busy := rapid.IntRange(0, 40).Draw(t, "busy")
+		trafficBias := rapid.IntRange(0, 40).Draw(t, "busy")
 		m.handle(m.completeList(1, 40))
 		for range rapid.IntRange(20, 250).Draw(t, "events") {
-			m.step(busy)
+			m.step(trafficBias)
 		}
 	})
 }
--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -29,35 +29,35 @@
 
 // scaleScenario is a scenario on a large fleet, and what has to come of it.
 type scaleScenario struct {
-	name           string
-	fleet          fleetScenario
-	windows        []scaleWindow
-	minServed      float64       // share of the priority weight, from the fault on
-	minServedAtEnd float64       // share of the priority weight in the last four seconds
-	inCI           bool          // it is played in CI too
-	maxLoadMove    time.Duration // within which all loads have to have left what is lost; 0 if nothing is
-	maxSpread      float64       // most starts on one engine over the mean, over all windows of warm engines
+	name              string
+	fleet             fleetScenario
+	windows           []scaleWindow
+	minServed         float64       // share of the priority weight, from the fault on
+	minServedAtEnd    float64       // share of the priority weight in the last four seconds
+	inCI              bool          // it is played in CI too
+	maxLoadMove       time.Duration // within which all loads have to have left what is lost; 0 if nothing is
+	maxStartsOverMean float64       // most starts on one engine over the mean, over all windows of warm engines
 }
 
 // scaleScenarios are the scenarios at a size. At a third less load a region has capacity for what the other served.
 func scaleScenarios(routers, engines int) []scaleScenario {
 	base := fleetScenario{
-		seed: 1, routers: routers, engines: engines, cores: 24, zones: 6, load: 0.6, slowShare: 0.125,
+		seed: 1, routers: routers, engines: engines, cores: 24, zones: 6, offeredLoad: 0.6, slowShare: 0.125,
 		faultAt: 3 * time.Second,
 	}
 	return slices.Concat(lossScenarios(base), rollingScenarios(base))
 }
 
 // changed returns a scenario with changes.
-func changed(scenario fleetScenario, change func(*fleetScenario)) fleetScenario {
+func modified(scenario fleetScenario, change func(*fleetScenario)) fleetScenario {
 	change(&scenario)
 	return scenario
 }
 
 // lossScenarios lose or cut off zones.
 func lossScenarios(base fleetScenario) []scaleScenario {
-	lost := changed(base, func(s *fleetScenario) {
-		s.zoneLost, s.listDelay, s.faultFor, s.duration = true, 2800*ms, 8*time.Second, 25*time.Second
+	lost := modified(base, func(s *fleetScenario) {
+		s.zoneLost, s.listDelay, s.faultDuration, s.duration = true, 2800*ms, 8*time.Second, 25*time.Second
 	})
 	lostWindows := func() []scaleWindow {
 		return []scaleWindow{
@@ -68,33 +68,33 @@
 	}
 	return []scaleScenario{
 		{
-			name: "calm", minServed: 0.98, minServedAtEnd: 0.98, maxSpread: 2.1,
+			name: "calm", minServed: 0.98, minServedAtEnd: 0.98, maxStartsOverMean: 2.1,
 			windows: []scaleWindow{{name: "calm", from: 3 * time.Second, to: 12 * time.Second}},
-			fleet:   changed(base, func(s *fleetScenario) { s.slowShare, s.duration = 0, 12*time.Second }),
+			fleet:   modified(base, func(s *fleetScenario) { s.slowShare, s.duration = 0, 12*time.Second }),
 		},
 		{
-			name: "zone lost, back cold", inCI: true, minServed: 0.97, minServedAtEnd: 0.97, maxSpread: 2.4,
+			name: "zone lost, back cold", inCI: true, minServed: 0.97, minServedAtEnd: 0.97, maxStartsOverMean: 2.4,
 			windows: lostWindows(),
-			fleet:   changed(lost, func(s *fleetScenario) { s.lostZones = 1 }),
+			fleet:   modified(lost, func(s *fleetScenario) { s.lostZones = 1 }),
 		},
 		{
-			name: "region lost, back cold", minServed: 0.85, minServedAtEnd: 0.95, maxSpread: 3,
+			name: "region lost, back cold", minServed: 0.85, minServedAtEnd: 0.95, maxStartsOverMean: 3,
 			windows: lostWindows(),
-			fleet:   changed(lost, func(s *fleetScenario) { s.lostZones = 3 }),
+			fleet:   modified(lost, func(s *fleetScenario) { s.lostZones = 3 }),
 		},
 		{
 			name: "region lost, back cold, a third less load", inCI: true, minServed: 0.96, minServedAtEnd: 0.96,
-			maxSpread: 2.7, windows: lostWindows(),
-			fleet: changed(lost, func(s *fleetScenario) { s.lostZones, s.load = 3, 0.4 }),
+			maxStartsOverMean: 2.7, windows: lostWindows(),
+			fleet: modified(lost, func(s *fleetScenario) { s.lostZones, s.offeredLoad = 3, 0.4 }),
 		},
 		{
-			name: "regions apart, joined", minServed: 0.96, minServedAtEnd: 0.97, maxSpread: 2.9,
+			name: "regions apart, joined", minServed: 0.96, minServedAtEnd: 0.97, maxStartsOverMean: 2.9,
 			windows: []scaleWindow{
 				{name: "apart", from: 4 * time.Second, to: 11 * time.Second},
 				{name: "joined", from: 13 * time.Second, to: 18 * time.Second},
 			},
-			fleet: changed(base, func(s *fleetScenario) {
-				s.partitioned, s.lostZones, s.faultFor, s.duration = true, 3, 8*time.Second, 18*time.Second
+			fleet: modified(base, func(s *fleetScenario) {
+				s.partitioned, s.lostZones, s.faultDuration, s.duration = true, 3, 8*time.Second, 18*time.Second
 			}),
 		},
 	}
@@ -110,31 +110,31 @@
 	restartWindows := func() []scaleWindow {
 		return []scaleWindow{{name: "restarts", from: 3 * time.Second, to: 18 * time.Second}}
 	}
-	rack := changed(base, func(s *fleetScenario) { s.rackSize, s.slowShare, s.duration = rackSize, 0, 12*time.Second })
+	rack := modified(base, func(s *fleetScenario) { s.rackSize, s.slowShare, s.duration = rackSize, 0, 12*time.Second })
 	return []scaleScenario{
 		{
-			name: "rack drained", inCI: true, minServed: 0.99, minServedAtEnd: 0.99, maxSpread: 2,
+			name: "rack drained", inCI: true, minServed: 0.99, minServedAtEnd: 0.99, maxStartsOverMean: 2,
 			maxLoadMove: 9 * time.Second, windows: rackWindows(),
-			fleet: changed(rack, func(s *fleetScenario) { s.rackDrained = true }),
+			fleet: modified(rack, func(s *fleetScenario) { s.rackDrained = true }),
 		},
 		{
-			name: "rack lost", inCI: true, minServed: 0.99, minServedAtEnd: 0.99, maxSpread: 2.1,
+			name: "rack lost", inCI: true, minServed: 0.99, minServedAtEnd: 0.99, maxStartsOverMean: 2.1,
 			maxLoadMove: 9 * time.Second, windows: rackWindows(),
-			fleet: changed(rack, func(s *fleetScenario) { s.listDelay = 2800 * ms }),
+			fleet: modified(rack, func(s *fleetScenario) { s.listDelay = 2800 * ms }),
 		},
 		{
-			name: "gateways restarted in a row", inCI: true, minServed: 0.97, minServedAtEnd: 0.98, maxSpread: 2.2,
-			windows: restartWindows(),
-			fleet: changed(base, func(s *fleetScenario) {
-				s.rollingRestarts, s.faultFor, s.duration = rolled, 15*time.Second, 22*time.Second
+			name: "gateways restarted in a row", inCI: true, minServed: 0.97, minServedAtEnd: 0.98,
+			maxStartsOverMean: 2.2, windows: restartWindows(),
+			fleet: modified(base, func(s *fleetScenario) {
+				s.rollingRestarts, s.faultDuration, s.duration = rolled, 15*time.Second, 22*time.Second
 			}),
 		},
 		{
 			name: "machines restarted and replaced in a row", inCI: true, minServed: 0.91, minServedAtEnd: 0.95,
-			maxSpread: 1.6, windows: restartWindows(),
-			fleet: changed(base, func(s *fleetScenario) {
+			maxStartsOverMean: 1.6, windows: restartWindows(),
+			fleet: modified(base, func(s *fleetScenario) {
 				s.rollingRestarts, s.rollingReplacements = rolled/3, rolled-rolled/3
-				s.faultFor, s.duration = 15*time.Second, 33*time.Second
+				s.faultDuration, s.duration = 15*time.Second, 33*time.Second
 			}),
 		},
 	}
@@ -166,7 +166,7 @@
 			if full && !t.Failed() {
 				file.Lock()
 				defer file.Unlock()
-				writeScale(t, result)
+				writeScaleResults(t, result)
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 // runScaleScenario plays a scenario, checks its outcome and returns its figures.
 func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.Scale {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	f := newFleetSimulation(t, scenario.fleet)
 	if !f.routers[0].controller.capacity.largeFleet() {
 		t.Error("not a large fleet: another rule is played")
@@ -190,7 +190,7 @@
 		}
 	}
 	for i := range scenario.windows {
-		scenario.windows[i].watch(f, starts)
+		scenario.windows[i].scheduleCounting(f, starts)
 	}
 	if scenario.maxLoadMove > 0 {
 		f.schedule(scenario.fleet.faultAt, migration.begin)
@@ -198,7 +198,7 @@
 	f.run()
 	figures := scaleFigures(f, toWarming)
 	for _, window := range scenario.windows {
-		window.check(t, scenario.maxSpread, figures)
+		window.check(t, scenario.maxStartsOverMean, figures)
 	}
 	if scenario.maxLoadMove > 0 {
 		migration.check(t, scenario.maxLoadMove.Seconds(), figures)
@@ -208,7 +208,7 @@
 			figures["served"], figures["served_at_end"], scenario.minServed, scenario.minServedAtEnd)
 	}
 	f.checkWarmingLoad()
-	t.Logf("played in %.0f s: %v", time.Since(began).Seconds(), figures)
+	t.Logf("played in %.0f s: %v", time.Since(startedAt).Seconds(), figures)
 	for name, figure := range figures {
 		figures[name] = math.Round(figure*1000) / 1000
 	}
@@ -221,7 +221,7 @@
 		Test:    "windflow/dispatch TestScaleFleet",
 		Conditions: fmt.Sprintf(
 			"the module alone, seed %d, load %.1f of the fleet, %.3g of the engines three times as slow",
-			scenario.fleet.seed, scenario.fleet.load, scenario.fleet.slowShare,
+			scenario.fleet.seed, scenario.fleet.offeredLoad, scenario.fleet.slowShare,
 		),
 	}
 }
@@ -229,51 +229,51 @@
 // scaleFigures are the figures of a simulation; toWarming is the number of attempts on warming engines.
 func scaleFigures(f *fleetSimulation, toWarming int) map[string]float64 {
 	from, to := int(f.scenario.faultAt/time.Second), int(f.scenario.duration/time.Second)
-	starts, answeredFull := f.totals()
+	starts, answeredFull := f.attemptTotals()
 	return map[string]float64{
-		"served":                      f.served(from, to),
-		"served_at_end":               f.served(to-4, to),
+		"served":                      f.servedShare(from, to),
+		"served_at_end":               f.servedShare(to-4, to),
 		"sends":                       float64(starts),
 		"answered_full":               float64(answeredFull),
 		"sends_to_cold":               float64(toWarming),
 		"sends_to_cold_share":         float64(toWarming) / float64(starts),
 		"most_to_cold_of_what_it_may": f.warmingLoad.maxShare,
 		"cold_fell":                   float64(f.warmingLoad.collapsed),
-		"statements_per_second":       f.statements() / f.scenario.duration.Seconds(),
+		"statements_per_second":       f.offeredStatements() / f.scenario.duration.Seconds(),
 		"played_seconds":              f.scenario.duration.Seconds(),
 	}
 }
 
 // check checks that no engine was idle in a window, and that none of the warm ones got far more than the mean.
-func (w *scaleWindow) check(t *testing.T, maxSpread float64, figures map[string]float64) {
+func (w *scaleWindow) check(t *testing.T, maxStartsOverMean float64, figures map[string]float64) {
 	t.Helper()
-	idle, spread, deviation := spreadOfCounts(w.starts)
+	idle, mostOverMean, deviation := spreadOfCounts(w.starts)
 	figures[w.name+": engines"], figures[w.name+": idle"] = float64(len(w.starts)), float64(idle)
-	figures[w.name+": most over mean"], figures[w.name+": deviation over mean"] = spread, deviation
-	if len(w.starts) == 0 || idle > 0 || !w.warming && spread > maxSpread {
+	figures[w.name+": most over mean"], figures[w.name+": deviation over mean"] = mostOverMean, deviation
+	if len(w.starts) == 0 || idle > 0 || !w.warming && mostOverMean > maxStartsOverMean {
 		t.Errorf("%s: %d engines, %d of them idle; the most on one %.2f of the mean, want at most %.2f",
-			w.name, len(w.starts), idle, spread, maxSpread)
+			w.name, len(w.starts), idle, mostOverMean, maxStartsOverMean)
 	}
 	t.Logf("%s: %d engines, %d idle, most %.2f of the mean, deviation %.2f of it",
-		w.name, len(w.starts), idle, spread, deviation)
+		w.name, len(w.starts), idle, mostOverMean, deviation)
 }
 
 // watch counts the starts of the window.
-func (w *scaleWindow) watch(f *fleetSimulation, starts map[*fleetEngine]int) {
-	counts := func(e *fleetEngine) bool {
+func (w *scaleWindow) scheduleCounting(f *fleetSimulation, starts map[*fleetEngine]int) {
+	isCounted := func(e *fleetEngine) bool {
 		return !e.dead && !e.silent && e.State == Live && (f.warmUpFactor(e) < 1) == w.warming
 	}
 	f.schedule(w.from, func() {
 		w.startsBefore = map[*fleetEngine]int{}
 		for _, e := range f.engines {
-			if counts(e) {
+			if isCounted(e) {
 				w.startsBefore[e] = starts[e]
 			}
 		}
 	})
 	f.schedule(w.to, func() {
 		for _, e := range f.engines {
-			if n, ok := w.startsBefore[e]; ok && counts(e) {
+			if n, ok := w.startsBefore[e]; ok && isCounted(e) {
 				w.starts = append(w.starts, float64(starts[e]-n))
 			}
 		}
@@ -281,7 +281,7 @@
 }
 
 // spreadOfCounts returns how many counts are 0, and the highest one and the standard deviation over the mean.
-func spreadOfCounts(counts []float64) (idle int, most, deviation float64) {
+func spreadOfCounts(counts []float64) (idle int, mostOverMean, deviationOverMean float64) {
 	sum, squares := 0.0, 0.0
 	for _, n := range counts {
 		if n == 0 {
@@ -298,18 +298,18 @@
 }
 
 // writeScale writes results into the file, in place of the former ones of the same names.
-func writeScale(t *testing.T, results ...capacity.Scale) {
+func writeScaleResults(t *testing.T, results ...capacity.Scale) {
 	t.Helper()
 	path := filepath.Join("..", "docs", "capacity", "scale.json")
-	var old []capacity.Scale
+	var previous []capacity.Scale
 	text, err := os.ReadFile(path)
 	if err == nil {
-		old, err = capacity.ParseScales(text)
+		previous, err = capacity.ParseScales(text)
 	} else if os.IsNotExist(err) {
 		err = nil
 	}
 	if err == nil {
-		text, err = capacity.FormatScales(capacity.MergeScales(old, results))
+		text, err = capacity.FormatScales(capacity.MergeScales(previous, results))
 	}
 	if err == nil {
 		err = os.WriteFile(path, text, 0o644)
--- a/dispatch/scalemigration_test.go
+++ b/dispatch/scalemigration_test.go
@@ -8,17 +8,17 @@
 // loadMigration records how loads leave the engines of a rack: the last one that starts there, and when each router
 // that had started loads there, and is still up, starts its first one on another engine.
 type loadMigration struct {
-	simulation     *fleetSimulation
-	beganAt        time.Duration // 0 before the rack is lost
-	rackEngines    map[*fleetEngine]bool
-	users          map[*fleetRouter]bool // routers that started loads on the rack before
-	firstElsewhere map[*fleetRouter]time.Duration
-	lastOnRack     time.Duration
+	simulation       *fleetSimulation
+	beganAt          time.Duration // 0 before the rack is lost
+	rackEngines      map[*fleetEngine]bool
+	routersWithLoads map[*fleetRouter]bool // routers that started loads on the rack before
+	firstElsewhere   map[*fleetRouter]time.Duration
+	lastOnRack       time.Duration
 }
 
 // recordStart records an attempt, if it is of a load.
-func (m *loadMigration) recordStart(router *fleetRouter, target *fleetEngine, load bool) {
-	if !load {
+func (m *loadMigration) recordStart(router *fleetRouter, target *fleetEngine, isLoad bool) {
+	if !isLoad {
 		return
 	}
 	if m.rackEngines == nil {
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case m.beganAt == 0 && m.rackEngines[target]:
-		m.users[router] = true
+		m.routersWithLoads[router] = true
 	case m.beganAt == 0:
 	case m.rackEngines[target]:
 		m.lastOnRack = m.simulation.now
@@ -40,7 +40,7 @@
 // findRack finds the engines of the rack, which follow from the scenario.
 func (m *loadMigration) findRack() {
 	m.rackEngines = map[*fleetEngine]bool{}
-	m.users = map[*fleetRouter]bool{}
+	m.routersWithLoads = map[*fleetRouter]bool{}
 	m.firstElsewhere = map[*fleetRouter]time.Duration{}
 	engines, _ := fleetFaults{m.simulation}.rack()
 	for _, e := range engines {
@@ -54,32 +54,32 @@
 // seconds, and adds the figures under the names of docs/capacity/scale.json.
 func (m *loadMigration) check(t *testing.T, within float64, figures map[string]float64) {
 	t.Helper()
-	first, last, users := 0.0, 0.0, 0
-	for router := range m.users {
+	firstOffRack, lastOffRack, routers := 0.0, 0.0, 0
+	for router := range m.routersWithLoads {
 		if router.down {
 			continue
 		}
-		users++
+		routers++
 		at, ok := m.firstElsewhere[router]
 		if !ok {
 			t.Errorf("router %d started no load off the rack", router.config.RouterIndex)
 			continue
 		}
 		after := (at - m.beganAt).Seconds()
-		last = max(last, after)
-		if first == 0 || after < first {
-			first = after
+		lastOffRack = max(lastOffRack, after)
+		if firstOffRack == 0 || after < firstOffRack {
+			firstOffRack = after
 		}
 	}
-	onRack := max(0, (m.lastOnRack - m.beganAt).Seconds())
-	if users == 0 || onRack > within || last > within {
+	lastOnRack := max(0, (m.lastOnRack - m.beganAt).Seconds())
+	if routers == 0 || lastOnRack > within || lastOffRack > within {
 		t.Errorf("last load on the rack after %.2f s, first off it of the last of %d after %.2f s, want %.2f",
-			onRack, users, last, within)
+			lastOnRack, routers, lastOffRack, within)
 	}
 	t.Logf("loads: last on the rack after %.2f s; first off it after %.2f s, of the last of %d after %.2f s",
-		onRack, first, users, last)
-	figures["last load at the old, s"] = onRack
-	figures["first load at the new, s"] = first
-	figures["first load at the new at the last gateway, s"] = last
-	figures["gateways that had sent them loads"] = float64(users)
+		lastOnRack, firstOffRack, routers, lastOffRack)
+	figures["last load at the old, s"] = lastOnRack
+	figures["first load at the new, s"] = firstOffRack
+	figures["first load at the new at the last gateway, s"] = lastOffRack
+	figures["gateways that had sent them loads"] = float64(routers)
 }
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -13,7 +13,7 @@
 const (
 	scaleRouters, scaleEngines = 600, 1200
 	// maxUsersOverMean is the most routers that use one engine, over the mean.
-	maxUsersOverMean = 1.15
+	maxRoutersOverMean = 1.15
 	// maxMovedShare is the share of all subset members that change when one engine is removed.
 	maxMovedShare = 0.28
 	// scaleStride visits each index of the list once: it has no factor in common with scaleEngines.
@@ -21,7 +21,7 @@
 )
 
 // scaleList is the endpoint list of the size that is designed for.
-func scaleList() []Endpoint {
+func scaleEndpoints() []Endpoint {
 	list := make([]Endpoint, scaleEngines)
 	for i := range list {
 		list[i] = Endpoint{ID: EngineID(i + 1), Kind: "k", Zone: "z", CapacityWeight: 1}
@@ -48,42 +48,43 @@
 
 // checkUsers checks how many routers use each engine that is left when some have been removed, evenly over the list,
 // and adds the figures.
-func checkUsers(t *testing.T, name string, removed int, figures map[string]float64) {
+func checkRoutersPerEngine(t *testing.T, name string, removed int, figures map[string]float64) {
 	t.Helper()
-	var left []Endpoint
-	for i, e := range scaleList() {
+	var remaining []Endpoint
+	for i, e := range scaleEndpoints() {
 		if i*scaleStride%scaleEngines >= removed {
-			left = append(left, e)
+			remaining = append(remaining, e)
 		}
 	}
-	users := map[EngineID]float64{}
+	routersUsing := map[EngineID]float64{}
 	for i := range scaleRouters {
-		for id := range subsetOf(t, i, left) {
-			users[id]++
+		for id := range subsetOf(t, i, remaining) {
+			routersUsing[id]++
 		}
 	}
-	counts := make([]float64, len(left))
+	counts := make([]float64, len(remaining))
 	members := 0.0
-	for i, e := range left {
-		counts[i] = users[e.ID]
+	for i, e := range remaining {
+		counts[i] = routersUsing[e.ID]
 		members += counts[i]
 	}
-	idle, most, deviation := spreadOfCounts(counts)
-	if idle > 0 || most > maxUsersOverMean || len(left) != scaleEngines-removed {
+	idle, mostOverMean, deviation := spreadOfCounts(counts)
+	if idle > 0 || mostOverMean > maxRoutersOverMean || len(remaining) != scaleEngines-removed {
 		t.Errorf("%s: %d engines, %d that no router uses, want none; most %.2f of the mean, want at most %.2f",
-			name, len(left), idle, most, maxUsersOverMean)
+			name, len(remaining), idle, mostOverMean, maxRoutersOverMean)
 	}
-	t.Logf("%s: %d engines, %d idle, most %.2f of the mean, deviation %.2f", name, len(left), idle, most, deviation)
-	figures[name+": routers near an engine"] = math.Round(1000*members/float64(len(left))) / 1000
-	figures[name+": engines"] = float64(len(left))
+	t.Logf("%s: %d engines, %d idle, most %.2f of the mean, deviation %.2f",
+		name, len(remaining), idle, mostOverMean, deviation)
+	figures[name+": routers near an engine"] = math.Round(1000*members/float64(len(remaining))) / 1000
+	figures[name+": engines"] = float64(len(remaining))
 	figures[name+": idle"] = float64(idle)
-	figures[name+": most over mean"] = math.Round(1000*most) / 1000
+	figures[name+": most over mean"] = math.Round(1000*mostOverMean) / 1000
 }
 
 // movedShare returns the share of all subset members that change when one engine is removed, and their number.
 func movedShare(t *testing.T) (share float64, members int) {
 	t.Helper()
-	list := scaleList()
+	list := scaleEndpoints()
 	remaining := slices.Delete(slices.Clone(list), scaleEngines/2, scaleEngines/2+1)
 	moved := 0
 	for i := range scaleRouters {
@@ -108,7 +109,7 @@
 		name    string
 		removed int // of 1200
 	}{{"0% dead", 0}, {"17% dead", 204}, {"50% dead", 600}, {"70% dead", 840}} {
-		checkUsers(t, test.name, test.removed, figures)
+		checkRoutersPerEngine(t, test.name, test.removed, figures)
 	}
 	share, members := movedShare(t)
 	t.Logf("one engine less moves %.1f%% of %d subset members", 100*share, members)
@@ -117,7 +118,7 @@
 	}
 	figures["one engine less: share of places moved"] = math.Round(1000*share) / 1000
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
-		writeScale(t, capacity.Scale{
+		writeScaleResults(t, capacity.Scale{
 			Name: "near sets", Routers: scaleRouters, Engines: scaleEngines, Zones: 6, Figures: figures,
 			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom",
 			Test:       "windflow/dispatch TestSubsetsOfLargeFleet",
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -185,30 +185,30 @@
 // traceFleets are a small fleet, one of medium size and a large one.
 func traceFleets() []traceFleet {
 	small := fleetScenario{
-		seed: 5, routers: 2, engines: 6, cores: 8, zones: 2, load: 0.7, duration: 12 * time.Second, slowShare: 0.2,
-		faultAt: 3 * time.Second, faultFor: 4 * time.Second, burstFactor: 1.4, connectInterval: 700 * ms,
+		seed: 5, routers: 2, engines: 6, cores: 8, zones: 2, offeredLoad: 0.7, duration: 12 * time.Second,
+		slowShare: 0.2, faultAt: 3 * time.Second, faultDuration: 4 * time.Second, burstFactor: 1.4, connectInterval: 700 * ms,
 	}
 	medium := fleetScenario{
-		seed: 6, routers: 30, engines: 24, cores: 8, zones: 3, load: 0.7, duration: 9 * time.Second, slowShare: 0.1,
-		faultAt: 2 * time.Second, faultFor: 3 * time.Second,
+		seed: 6, routers: 30, engines: 24, cores: 8, zones: 3, offeredLoad: 0.7, duration: 9 * time.Second,
+		slowShare: 0.1, faultAt: 2 * time.Second, faultDuration: 3 * time.Second,
 	}
 	large := fleetScenario{
-		seed: 7, routers: 600, engines: 48, cores: 16, zones: 6, load: 0.6, duration: 4 * time.Second, slowShare: 0.1,
-		faultAt: time.Second, faultFor: time.Second,
+		seed: 7, routers: 600, engines: 48, cores: 16, zones: 6, offeredLoad: 0.6, duration: 4 * time.Second,
+		slowShare: 0.1, faultAt: time.Second, faultDuration: time.Second,
 	}
 	return []traceFleet{
-		{"fleet/2-join", changed(small, func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 })},
-		{"fleet/2-zone-lost", changed(small, func(s *fleetScenario) { s.zoneLost, s.listDelay = true, 2*time.Second })},
-		{"fleet/30-join-restart", changed(medium, func(s *fleetScenario) {
+		{"fleet/2-join", modified(small, func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 })},
+		{"fleet/2-zone-lost", modified(small, func(s *fleetScenario) { s.zoneLost, s.listDelay = true, 2*time.Second })},
+		{"fleet/30-join-restart", modified(medium, func(s *fleetScenario) {
 			s.replacedShare, s.restartedShare, s.burstFactor = 0.5, 0.3, 1.5
 		})},
-		{"fleet/30-split", changed(medium, func(s *fleetScenario) { s.partitioned = true })},
-		{"fleet/30-region-lost", changed(medium, func(s *fleetScenario) {
+		{"fleet/30-split", modified(medium, func(s *fleetScenario) { s.partitioned = true })},
+		{"fleet/30-region-lost", modified(medium, func(s *fleetScenario) {
 			s.zoneLost, s.lostZones, s.listDelay = true, 1, time.Second
 		})},
-		{"fleet/600-restart", changed(large, func(s *fleetScenario) { s.replacedShare, s.restartedShare = 0.2, 0.2 })},
-		{"fleet/600-rack-drained", changed(large, func(s *fleetScenario) { s.rackSize, s.rackDrained = 4, true })},
-		{"fleet/600-replaced", changed(large, func(s *fleetScenario) {
+		{"fleet/600-restart", modified(large, func(s *fleetScenario) { s.replacedShare, s.restartedShare = 0.2, 0.2 })},
+		{"fleet/600-rack-drained", modified(large, func(s *fleetScenario) { s.rackSize, s.rackDrained = 4, true })},
+		{"fleet/600-replaced", modified(large, func(s *fleetScenario) {
 			s.rollingRestarts, s.rollingReplacements = 60, 10
 		})},
 	}
--- a/dispatch/tracedriver_test.go
+++ b/dispatch/tracedriver_test.go
@@ -89,11 +89,11 @@
 func (d *traceDriver) handle(c *traceController, event Event) {
 	for _, action := range c.controller.Handle(d.now, event, nil) {
 		traceAction(d.hash, c.index, action)
-		d.carryOut(c, action)
+		d.applyAction(c, action)
 	}
 }
 
-func (d *traceDriver) carryOut(c *traceController, action Action) {
+func (d *traceDriver) applyAction(c *traceController, action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
 		if req := c.request(action.Request); req != nil {
@@ -191,7 +191,7 @@
 	case n < 174:
 		d.startResponse(c)
 	case n < 179:
-		d.leave(c)
+		d.cancelForClient(c)
 	case n < 190:
 		d.changeEngine(c)
 	case n < 193:
@@ -235,7 +235,7 @@
 
 // outstanding returns a random request with an outstanding attempt, and the attempt's position among the outstanding
 // ones; nil if a few draws found none.
-func (d *traceDriver) outstanding(c *traceController) (req *traceRequest, at int) {
+func (d *traceDriver) outstanding(c *traceController) (req *traceRequest, index int) {
 	for range 20 {
 		if len(c.requests) == 0 {
 			return nil, 0
@@ -250,12 +250,12 @@
 
 // endAttempt ends an attempt: most are served, those on engine 3 seldom.
 func (d *traceDriver) endAttempt(c *traceController) {
-	req, at := d.outstanding(c)
+	req, index := d.outstanding(c)
 	if req == nil {
 		return
 	}
-	attempt := req.outstanding[at]
-	req.outstanding = append(req.outstanding[:at], req.outstanding[at+1:]...)
+	attempt := req.outstanding[index]
+	req.outstanding = append(req.outstanding[:index], req.outstanding[index+1:]...)
 	outcome := Served
 	if d.rng.IntN(4) == 0 || req.attempts[attempt] == 3 && d.rng.IntN(8) > 0 {
 		outcome = Outcome(d.rng.IntN(int(NotSent) + 1))
@@ -289,11 +289,11 @@
 		Memory:   1.2 * d.rng.Float64(),
 		Failing:  d.rng.Float64(),
 	}
-	for _, figure := range []*float64{
+	for _, value := range []*float64{
 		&report.InFlight, &report.Waiting, &report.Busy, &report.Disk, &report.Memory, &report.Failing,
 	} {
 		if d.rng.IntN(6) == 0 {
-			*figure = -1
+			*value = -1
 		}
 	}
 	return report
@@ -303,11 +303,11 @@
 func (d *traceDriver) anyEngine() EngineID { return EngineID(1 + d.rng.IntN(len(d.engines)+1)) }
 
 func (d *traceDriver) reportProgress(c *traceController) {
-	req, at := d.outstanding(c)
+	req, index := d.outstanding(c)
 	if req == nil {
 		return
 	}
-	event := AttemptProgress{Request: req.id, Attempt: req.outstanding[at], Kind: ProgressKind(d.rng.IntN(4))}
+	event := AttemptProgress{Request: req.id, Attempt: req.outstanding[index], Kind: ProgressKind(d.rng.IntN(4))}
 	switch event.Kind {
 	case ProgressAlive:
 	case ProgressFraction:
@@ -321,13 +321,13 @@
 }
 
 func (d *traceDriver) startResponse(c *traceController) {
-	if req, at := d.outstanding(c); req != nil {
-		d.handle(c, ResponseStarted{Request: req.id, Attempt: req.outstanding[at]})
+	if req, index := d.outstanding(c); req != nil {
+		d.handle(c, ResponseStarted{Request: req.id, Attempt: req.outstanding[index]})
 	}
 }
 
 // leave cancels a request for its client.
-func (d *traceDriver) leave(c *traceController) {
+func (d *traceDriver) cancelForClient(c *traceController) {
 	if len(c.requests) > 0 {
 		req := c.requests[d.rng.IntN(len(c.requests))]
 		req.answered = true
--- a/dispatch/traceencoding_test.go
+++ b/dispatch/traceencoding_test.go
@@ -79,11 +79,11 @@
 	h.Int(int64(len(s.Classes)))
 	for _, k := range s.Classes {
 		h.String(k.Name)
-		for _, figure := range []float64{
+		for _, value := range []float64{
 			k.MeanServiceTime, k.BoundedServiceTime, k.BestServiceTime,
 			k.MeanEstimate, k.GrantCorrection, k.Observations,
 		} {
-			h.Float(figure)
+			h.Float(value)
 		}
 		h.Duration(k.ObservedAt)
 	}
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -7,8 +7,8 @@
 
 // changeEngine drains, removes or starts an engine, and names it to all controllers, to one of them sometimes twice.
 func (d *traceDriver) changeEngine(to *traceController) {
-	at := d.rng.IntN(len(d.engines))
-	e := &d.engines[at]
+	index := d.rng.IntN(len(d.engines))
+	e := &d.engines[index]
 	switch {
 	case e.State == Live && d.rng.IntN(2) == 0:
 		return
@@ -173,8 +173,8 @@
 	case 6:
 		d.handle(c, Arrival{Request: "odd", Class: "no such class", TimeLeft: time.Second})
 	case 7:
-		if req, at := d.outstanding(c); req != nil {
-			d.handle(c, AttemptEnd{Request: req.id, Attempt: req.outstanding[at] + 7, Outcome: ConnectionReset})
+		if req, index := d.outstanding(c); req != nil {
+			d.handle(c, AttemptEnd{Request: req.id, Attempt: req.outstanding[index] + 7, Outcome: ConnectionReset})
 		}
 	}
 }
--- a/dispatch/warmup_test.go
+++ b/dispatch/warmup_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// An engine that restarts during its warm-up gets a new budget that begins at the new start. The mirrored controllers
-// of TestIncrementalSumsDecideAsRecounted do not check this, as both run the same code for it.
+// An engine that restarts during its warm-up gets a new budget that begins at the new start. The compared controllers
+// of TestIncrementalSumsMatchRecount do not check this, as both run the same code for it.
 func TestRestartedEngineGetsNewBudget(t *testing.T) {
 	config := fleetConfig(fleetScenario{seed: 1, routers: 60, cores: 8}, 7)
 	h := newHarness(t, config)
