--- a/dispatch/fleetclients_test.go
+++ b/dispatch/fleetclients_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// fleetMaxTries is how often a client sends a request at most.
+// fleetMaxSends is the maximum number of times that a client sends a request.
 const fleetMaxSends = 3
 
-// fleetRequest is a request of a client, which may send it again after a rejection.
+// fleetRequest is a client's request to one router. The client may send it again, as a new fleetRequest, if it gets no
+// result.
 type fleetRequest struct {
 	id           RequestID
 	class        int
-	work         float64
-	arrivedAt    time.Duration // for the first time
+	work         float64       // in core seconds
+	arrivedAt    time.Duration // arrival of the first try
 	objective    time.Duration
 	deadline     time.Duration
-	earlierTries int // before this one
+	earlierTries int // number of earlier times that the client sent it
 	attempts     int
 	preferred    bool
 }
 
-// again is the request as the client sends it once more.
+// retry returns the request for the next time that the client sends it.
 func (r *fleetRequest) retry() *fleetRequest {
 	return &fleetRequest{
 		class: r.class, work: r.work, arrivedAt: r.arrivedAt, objective: r.objective, deadline: r.deadline,
@@ -30,10 +31,11 @@
 	}
 }
 
-// fleetClients are the clients of a simulation.
+// fleetClients simulates the clients of the fleet.
 type fleetClients struct{ *fleetSimulation }
 
-// scheduleTraffic schedules requests of the clients of all routers at random times.
+// scheduleTraffic schedules the requests of the clients of all routers. The times between requests are distributed
+// exponentially.
 func (f fleetClients) scheduleTraffic() {
 	scenario, weights := &f.scenario, 0.0
 	for _, router := range f.routers {
@@ -59,12 +61,12 @@
 	}
 }
 
-// duringFault reports whether the time is between the fault and its end.
+// duringFault reports whether the fault is present at the current time.
 func (f fleetClients) duringFault() bool {
 	return f.elapsed() > f.scenario.faultAt && f.elapsed() < f.scenario.faultAt+f.scenario.faultDuration
 }
 
-// newRequest sends a client's request of a random class.
+// newRequest sends a router a request of a random class with random work.
 func (f fleetClients) newRequest(router *fleetRouter) {
 	draw, index := f.rng.Float64(), 0
 	for i, class := range fleetClasses {
@@ -78,7 +80,8 @@
 	f.sendRequest(router, &fleetRequest{class: index, work: work})
 }
 
-// sendRequest sends a client's request to a router.
+// sendRequest sends a request to a router unless its deadline is less than 20 ms away. The test fails if the request
+// has no answer 50 ms after its deadline.
 func (f fleetClients) sendRequest(router *fleetRouter, req *fleetRequest) {
 	class := router.config.Classes[req.class]
 	f.lastRequest++
@@ -87,7 +90,7 @@
 		f.prepareFirstTry(class, req)
 	}
 	if req.deadline-f.now < 20*ms {
-		return // the client has no time left for another try
+		return // too little time is left
 	}
 	router.open[req.id] = req
 	estimate := req.work * math.Exp(0.3*f.rng.NormFloat64())
@@ -98,12 +101,13 @@
 	incarnation := router.incarnation
 	f.schedule(req.deadline-f.now+50*ms, func() {
 		if router.incarnation == incarnation && router.open[req.id] == req {
-			f.t.Fatalf("no answer to a request at its client's deadline")
+			f.t.Fatalf("request %s has no answer 50 ms after its deadline", req.id)
 		}
 	})
 }
 
-// firstTry sets the deadline and the objective of a request, and counts it as offered.
+// prepareFirstTry sets the deadline and the latency objective of a new request and adds its priority weight to the
+// offered weight.
 func (f fleetClients) prepareFirstTry(class Class, req *fleetRequest) {
 	req.arrivedAt, req.deadline = f.now, f.now+time.Duration(0.8*float64(class.Deadline))
 	if f.rng.Float64() < f.scenario.impatientShare && f.elapsed() > f.scenario.faultAt {
@@ -116,7 +120,7 @@
 	stats.offeredByClass[req.class] += class.PriorityWeight
 }
 
-// endAttempt reports the end of an attempt to its router, unless that has restarted.
+// endAttempt reports the end of an attempt to its router 1 ms later, unless the router has restarted by then.
 func (f *fleetSimulation) endAttempt(a *fleetAttempt, outcome Outcome) {
 	f.schedule(ms, func() {
 		router := a.router
@@ -135,7 +139,8 @@
 	})
 }
 
-// earn counts an answer: with its full weight until the objective, and a part of it until the deadline.
+// recordAnswer adds the priority weight of an answered request to the served weight: all of it until the latency
+// objective, the LateWeightShare of the class until the deadline, and nothing later.
 func (f *fleetSimulation) recordAnswer(class Class, req *fleetRequest) {
 	weight := 0.0
 	if f.now <= req.objective {
@@ -148,11 +153,12 @@
 	stats.servedByClass[req.class] += weight
 }
 
-// endWithoutResult ends a request that was rejected or failed; most clients send it again after a while.
+// endWithoutResult ends a request that was rejected or failed. Four of five clients send it again after a delay, up to
+// fleetMaxSends times in total; 70% of these observe retryAfter if it is set.
 func (f fleetClients) endWithoutResult(router *fleetRouter, id RequestID, retryAfter time.Duration) {
 	req := router.open[id]
 	if req == nil {
-		f.t.Fatal("an answer for a request that is not open")
+		f.t.Fatalf("router %d answered request %s, which is not open", router.config.RouterIndex, id)
 	}
 	delete(router.open, id)
 	if req.earlierTries >= fleetMaxSends-1 || f.rng.Float64() < 0.2 {
@@ -165,7 +171,7 @@
 	f.schedule(delay, func() { f.sendRequest(f.availableRouter(router), req.retry()) })
 }
 
-// availableRouter is where the clients of a router go: to itself, or to any that is up.
+// availableRouter returns the given router if it is up, else a random router that is up.
 func (f fleetClients) availableRouter(router *fleetRouter) *fleetRouter {
 	for router.down {
 		router = f.routers[f.rng.IntN(len(f.routers))]
@@ -173,7 +179,7 @@
 	return router
 }
 
-// statements is the number of requests of clients, without retries.
+// offeredStatements estimates the number of client requests, not counting retries, from the offered priority weight.
 func (f *fleetSimulation) offeredStatements() (n float64) {
 	meanWeight := 0.0
 	for i, class := range f.routers[0].config.Classes {
--- a/dispatch/fleetengine_test.go
+++ b/dispatch/fleetengine_test.go
@@ -6,38 +6,40 @@
 	"time"
 )
 
-// fleetEngine is an engine that shares its cores among what it runs.
+// fleetEngine simulates an engine that shares its cores among its running attempts.
 type fleetEngine struct {
 	Endpoint
-	speed     float64
-	dead      bool // it takes no connections
-	silent    bool // it does not answer
-	collapsed bool // it was overloaded while it warmed up
+	speed     float64 // relative to the nominal speed
+	dead      bool    // it refuses connections and runs nothing
+	silent    bool    // it is unreachable: attempts fail to connect or time out
+	collapsed bool    // it failed because it was overloaded during its warm-up
 	running   []*fleetAttempt
-	received  []sentWork // while it warms up, within the overload window
+	received  []sentWork // work received within the last overload window, during the warm-up
 }
 
-// fleetAttempt is an attempt at an engine.
+// fleetAttempt is an attempt on an engine.
 type fleetAttempt struct {
 	router           *fleetRouter
-	incarnation      int // of the router
+	incarnation      int // incarnation of the router that started it
 	id               RequestID
 	index            int
 	class            int
-	work             float64
-	workLeft         float64
+	work             float64 // in core seconds
+	workLeft         float64 // in core seconds
 	threads          float64
 	preferred        bool
-	missesStartLimit bool // its connection does not come up by the time at which it has to start
+	missesStartLimit bool // its connection is not established within StartAttempt.StartWithin
 }
 
-// warmingLoad is how close warming engines were to collapsing.
+// warmingLoad records how close warming engines came to collapsing.
 type warmingLoad struct {
-	collapsed int
-	// maxShare is the most work that one was sent in a window, over what it can take.
+	collapsed int // number of engines that collapsed
+	// maxShare is the largest amount of work that a warming engine received in an overload window, as a share of what
+	// it can handle.
 	maxShare float64
-	// maxExcess is the most that one was sent beyond what it can take, in queries of mean work, over 2 root of N + 2, N
-	// being what it can take: up to 1 is chance.
+	// maxExcess is the largest amount of work that a warming engine received in an overload window beyond what it can
+	// handle. It is counted in queries of mean work and divided by 2 sqrt(N) + 2, where N is the number of such queries
+	// that the engine can handle. Values up to 1 are attributed to chance.
 	maxExcess float64
 }
 
@@ -55,7 +57,8 @@
 	return e
 }
 
-// connectTime is how long an attempt waits for its connection; one that has to start sooner is marked.
+// connectDelay returns how long an attempt waits for its connection. If that is longer than startWithin, it marks the
+// attempt and returns startWithin.
 func (f *fleetSimulation) connectDelay(e *fleetEngine, a *fleetAttempt, startWithin time.Duration) time.Duration {
 	if f.scenario.connectInterval == 0 || f.warmUpFactor(e) == 1 {
 		return 0
@@ -68,7 +71,7 @@
 	return delay
 }
 
-// warmUpFactor is the share of its capacity that an engine has by now.
+// warmUpFactor returns the share of its full capacity that an engine has at present.
 func (f *fleetSimulation) warmUpFactor(e *fleetEngine) float64 {
 	if e.StartedAt == 0 || f.now > e.StartedAt+fleetWarmUpDuration {
 		return 1
@@ -77,13 +80,13 @@
 	return fleetWarmUpInitialShare + (1-fleetWarmUpInitialShare)*elapsed/fleetWarmUpDuration.Seconds()
 }
 
-// unreachable reports whether a router gets no answer from an engine.
+// unreachable reports whether an engine is silent or on the other side of a network partition from a router.
 func (f *fleetSimulation) unreachable(router *fleetRouter, e *fleetEngine) bool {
 	routerLost := f.scenario.isLost(router.config.RouterIndex % f.scenario.zones)
 	return e.silent || f.partitioned && f.scenario.isLost(e.Cell) != routerLost
 }
 
-// reachEngine delivers an attempt to its engine.
+// deliverAttempt starts an attempt on its engine, or ends it if the engine cannot run it.
 func (f *fleetSimulation) deliverAttempt(e *fleetEngine, a *fleetAttempt) {
 	switch {
 	case a.missesStartLimit:
@@ -103,8 +106,9 @@
 	}
 }
 
-// endUnanswered ends an attempt at an engine that does not answer. Most find no connection, some wait in vain on one
-// that was open before; a load is not canceled that soon.
+// endUnanswered ends an attempt on an unreachable engine. Most attempts fail to connect after 400 ms. The others use a
+// connection that was open already: they time out after 420 ms or, for some loads, after 2 s, because a load is not
+// cancelled that soon.
 func (f *fleetSimulation) endUnanswered(a *fleetAttempt) {
 	switch {
 	case f.rng.Float64() < 0.3 && a.router.config.Classes[a.class].LocksTableGroup:
@@ -116,7 +120,8 @@
 	}
 }
 
-// overloads counts an attempt at an engine that warms up, and reports whether it is more than that can take.
+// overloads records the work of an attempt on a warming engine and reports whether the engine thereby collapses,
+// because it received more work in the overload window than it can handle.
 func (f *fleetSimulation) overloads(e *fleetEngine, a *fleetAttempt) bool {
 	factor := f.warmUpFactor(e)
 	if factor == 1 {
@@ -137,14 +142,14 @@
 	return sum > limit && !e.collapsed
 }
 
-// collapse ends an overloaded engine.
+// collapse makes an overloaded engine fail together with its attempts.
 func (f *fleetSimulation) collapse(e *fleetEngine) {
 	e.collapsed, e.dead = true, true
 	f.warmingLoad.collapsed++
 	f.resetAttempts(e)
 }
 
-// breakAttempts breaks all attempts at an engine.
+// resetAttempts ends all attempts on an engine with ConnectionReset.
 func (f *fleetSimulation) resetAttempts(e *fleetEngine) {
 	for _, a := range e.running {
 		f.endAttempt(a, ConnectionReset)
@@ -152,7 +157,7 @@
 	e.running = nil
 }
 
-// runEngines has every engine work for a tick.
+// runEngines advances the work of all engines that are up by one tick.
 func (f *fleetSimulation) runEngines() {
 	for _, e := range f.engines {
 		if !e.dead && !e.silent && len(e.running) > 0 {
@@ -161,7 +166,8 @@
 	}
 }
 
-// runEngine advances an engine's work by a time in seconds. Preferred queries get eight times the weight of others.
+// runEngine advances the work of an engine by a duration in seconds and ends the attempts that are complete. A thread
+// of the preferred class has eight times the weight of another thread.
 func (f *fleetSimulation) runEngine(e *fleetEngine, duration float64) {
 	preferred, others := 0.0, 0.0
 	for _, a := range e.running {
@@ -174,7 +180,7 @@
 	cores := float64(f.scenario.cores) * e.speed * f.warmUpFactor(e)
 	capacity := cores * fleetDiskWorkFactor
 	if load := (preferred + others) / (fleetThreadsPerCore * cores); load > 1 {
-		capacity /= 1 + 2*(load-1) // threads contend, and memory is short
+		capacity /= 1 + 2*(load-1) // models contention of threads and shortage of memory
 	}
 	preferredRate := min(preferred, capacity*8*preferred/(8*preferred+others))
 	othersRate := min(others, capacity-preferredRate)
--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -9,7 +9,7 @@
 // fleetFaults injects the faults of a simulation.
 type fleetFaults struct{ *fleetSimulation }
 
-// scheduleFaults schedules all faults of the scenario.
+// scheduleFaults schedules all faults that the scenario defines.
 func (f fleetFaults) scheduleFaults() {
 	scenario := &f.scenario
 	for i := range f.engines {
@@ -38,7 +38,7 @@
 	}
 }
 
-// scheduleEngineLoss has one engine lost, and back with a restart.
+// scheduleEngineLoss makes an engine unreachable during the fault and restarts it at the end of the fault.
 func (f fleetFaults) scheduleEngineLoss(e *fleetEngine) {
 	scenario := &f.scenario
 	f.schedule(scenario.faultAt, func() { e.silent, e.running = true, nil })
@@ -54,7 +54,8 @@
 	})
 }
 
-// scheduleWideFaults has zones lost with their routers, a rack lost, and machines restarted and replaced one by one.
+// scheduleInfrastructureFaults schedules the loss of zones with their routers, the loss of a rack, and rolling restarts
+// and replacements of machines.
 func (f fleetFaults) scheduleInfrastructureFaults() {
 	scenario := &f.scenario
 	if scenario.zoneLost && scenario.lostZones > 0 {
@@ -71,7 +72,7 @@
 	f.scheduleRolling(scenario.rollingReplacements, func(i int) { f.replaceEngine(i % scenario.engines) })
 }
 
-// scheduleRolling has something happen n times, evenly over the time of the fault.
+// scheduleRolling schedules n calls of run at equal intervals over the duration of the fault.
 func (f fleetFaults) scheduleRolling(n int, run func(i int)) {
 	for i := range n {
 		at := f.scenario.faultAt + f.scenario.faultDuration*time.Duration(i)/time.Duration(n)
@@ -79,7 +80,7 @@
 	}
 }
 
-// replaceEngine drains and ends an engine, and adds a new one instead.
+// replaceEngine drains an engine, stops it 3 s later, and adds a new engine in its place 700 ms after the drain began.
 func (f fleetFaults) replaceEngine(index int) {
 	e := f.engines[index]
 	e.State = Draining
@@ -97,7 +98,7 @@
 	})
 }
 
-// rack returns the engines and routers of a rack, all in zone z0.
+// rack returns the engines and routers of the rack that is lost or drained. All of them are in zone z0.
 func (f fleetFaults) rack() (engines []*fleetEngine, routers []*fleetRouter) {
 	zones, size := f.scenario.zones, f.scenario.rackSize
 	for i, e := range f.engines {
@@ -113,7 +114,7 @@
 	return engines, routers
 }
 
-// announceAll announces all these engines in one state.
+// announceAll sets the state of the given engines and announces them in one endpoint list.
 func (f fleetFaults) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
 	var list []Endpoint
 	for _, e := range engines {
@@ -123,7 +124,8 @@
 	f.announce(delay, list...)
 }
 
-// loseRack ends a rack with its routers, or drains its engines.
+// loseRack makes the engines of a rack unreachable and stops its routers, or drains and stops only its engines if the
+// scenario sets rackDrained.
 func (f fleetFaults) loseRack() {
 	engines, routers := f.rack()
 	if f.scenario.rackDrained {
@@ -149,11 +151,12 @@
 	}
 }
 
-// lostEngines are the engines of the lost zones.
+// lostEngines returns the engines of the lost zones.
 func (f fleetFaults) lostEngines() []*fleetEngine {
 	return slices.DeleteFunc(slices.Clone(f.engines), func(e *fleetEngine) bool { return !f.scenario.isLost(e.Cell) })
 }
 
+// loseZones makes the engines of the lost zones unreachable and stops the routers there.
 func (f fleetFaults) loseZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.running = true, nil
@@ -166,11 +169,12 @@
 	}
 }
 
+// announceLostEngines announces the engines of the lost zones in the given state.
 func (f fleetFaults) announceLostEngines(state EndpointState, delay time.Duration) {
 	f.announceAll(f.lostEngines(), state, delay)
 }
 
-// restoreZones restarts all that was lost: engines warm up, and routers know nothing.
+// restoreZones restarts the lost engines, which then warm up, and the routers, which have lost their state.
 func (f fleetFaults) restoreZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.StartedAt = false, f.now
@@ -184,14 +188,14 @@
 	}
 }
 
-// restartRouter restarts a router without a hot restart.
+// restartRouter restarts a router without a hot restart: its connections break and its state is lost.
 func (f fleetFaults) restartRouter(router *fleetRouter) {
 	f.breakConnections(router)
 	f.startRouter(router)
 }
 
-// breakConnections breaks the connections of a router's clients. Most send their requests again, to other routers; what
-// must not run twice is not sent again.
+// breakConnections breaks the client connections of a router. Four of five clients send their open requests again, to
+// any router that is up. Loads are not sent again, because a load may run at most once.
 func (f fleetFaults) breakConnections(router *fleetRouter) {
 	var open []*fleetRequest
 	for _, req := range router.open {
--- a/dispatch/fleetscenario_test.go
+++ b/dispatch/fleetscenario_test.go
@@ -2,54 +2,59 @@
 
 import "time"
 
-// fleetScenario is a time on a fleet, with faults from faultAt on for faultFor. Zone z0 is the first one.
+// fleetScenario describes a simulated fleet and its faults, which begin at faultAt and last for faultDuration. Zones
+// are numbered from z0.
 type fleetScenario struct {
 	seed             uint64
 	routers, engines int
 	zones            int
-	cores            int // of an engine
+	cores            int // per engine
 	duration         time.Duration
 
-	offeredLoad       float64 // offered, as a share of the capacity of all engines
-	slowShare         float64 // share of the engines that take three times as long
-	impatientShare    float64 // share of clients that cancel early, from faultAt on
-	burstFactor       float64 // traffic during the fault over the usual; 0 for no burst
-	heavyRouterFactor float64 // traffic of the first router over the mean; 0 for a random one
+	offeredLoad       float64 // offered work as a share of the capacity of all engines
+	slowShare         float64 // share of the engines that run at a third of their speed
+	impatientShare    float64 // share of the requests from faultAt on that have less than 30% of the class deadline
+	burstFactor       float64 // traffic during the fault relative to the usual traffic; 0 for no burst
+	heavyRouterFactor float64 // traffic of the first router relative to the mean; 0 for a random factor
 
 	faultAt, faultDuration time.Duration
 	infrastructureFaults
 
 	replacedShare  float64 // share of the engines that are replaced during the fault
 	restartedShare float64 // share of the routers that restart at faultAt
-	// connectInterval has connections to warming engines come up once in that time, with all attempts that wait for
-	// them. Attempts that have to start sooner end without having run.
+	// connectInterval is the interval at which connections to warming engines are established. All attempts that wait
+	// for a connection start together then. Attempts that would have to start earlier end without having run. With 0,
+	// attempts do not wait for connections.
 	connectInterval time.Duration
 }
 
-// wideFaults are faults of zones and racks, and of machines one by one.
+// infrastructureFaults describes faults of zones and racks, and rolling changes of machines.
 type infrastructureFaults struct {
-	// zoneLost has zone z0 lost at faultAt, silent, and back after faultFor with warming engines.
+	// zoneLost makes the lost zones unreachable at faultAt. After faultDuration they return with warming engines.
 	zoneLost bool
-	// partitioned has zone z0 cut off from the others during the fault: its routers reach its engines only.
+	// partitioned separates the lost zones from the others during the fault: routers reach only the engines on their
+	// own side.
 	partitioned bool
-	// lostZones is how many zones are lost or cut off, with their routers, and named in one list. With 0, z0 loses its
-	// engines only, each named in a list of its own.
+	// lostZones is the number of zones, from z0 on, that are lost or separated. Lost zones lose their routers too, and
+	// one endpoint list names all their engines. With 0, a lost zone z0 loses only its engines, and each engine is
+	// named in an endpoint list of its own.
 	lostZones int
-	// listDelay is how long after the fault endpoint lists name what is lost; 0 for never.
+	// listDelay is the time from the fault until endpoint lists name the lost engines as removed; 0 for never.
 	listDelay time.Duration
-	// rackSize is how many engines of z0, with half as many of its routers, are lost at faultAt. With rackDrained only
-	// the engines are, after lists have named them as draining for three seconds.
+	// rackSize is the number of engines of z0 that are lost at faultAt, together with half as many routers of z0. With
+	// rackDrained only the engines are lost, after endpoint lists have named them as draining for three seconds.
 	rackSize    int
 	rackDrained bool
-	// rollingRestarts and rollingReplacements are how many routers restart and engines are replaced one by one during
-	// the fault.
+	// rollingRestarts is the number of routers that restart one by one during the fault, rollingReplacements the number
+	// of engines that are replaced one by one.
 	rollingRestarts, rollingReplacements int
 }
 
-// isLost reports whether a zone is among those that a scenario loses or cuts off.
+// isLost reports whether a zone is one of those that the scenario loses or separates.
 func (s *fleetScenario) isLost(zone int) bool { return zone < max(1, s.lostZones) }
 
-// maxWarmingWork is what an engine at a share of its capacity can take in a window, in core seconds.
+// maxWarmingWork returns the work in core seconds that an engine with the given share of its capacity can handle in one
+// overload window.
 func (s *fleetScenario) maxWarmingWork(share float64) float64 {
 	return fleetOverloadFactor * share * float64(s.cores) * fleetUtilization * fleetDiskWorkFactor *
 		fleetOverloadWindow.Seconds()
@@ -57,10 +62,10 @@
 
 const (
 	fleetTick           = 5 * ms
-	fleetQueriesPerCore = 4    // queries a core at most
-	fleetThreadsPerCore = 2.0  // threads a core beyond which an engine does less
-	fleetUtilization    = 0.85 // of the cores at an engine's capacity
-	fleetDiskWorkFactor = 1.5  // a query's work over the part that needs a core: the remainder waits for disks
+	fleetQueriesPerCore = 4    // maximum number of queries per core; beyond it an engine is full
+	fleetThreadsPerCore = 2.0  // threads per core above which the throughput of an engine falls
+	fleetUtilization    = 0.85 // utilization of the cores at the capacity of an engine
+	fleetDiskWorkFactor = 1.5  // total work of a query relative to its work on a core; the remainder waits for disks
 
 	fleetWarmUpInitialShare = 0.36
 	fleetWarmUpDuration     = 12 * time.Second
@@ -68,16 +73,16 @@
 	fleetOverloadFactor     = 2
 )
 
-// fleetClass is the traffic of one class.
+// fleetClass describes the traffic of one class. Its work is log-normally distributed.
 type fleetClass struct {
-	share float64 // of all requests
-	work  float64 // mean, in core seconds
-	sigma float64 // of the logarithm of the work
+	share float64 // share of all requests
+	work  float64 // mean work in core seconds
+	sigma float64 // standard deviation of the logarithm of the work
 }
 
 var fleetClasses = []fleetClass{{0.78, 0.085, 0.8}, {0.16, 0.9, 1.0}, {0.06, 0.9, 0.6}}
 
-// meanFleetWork is the mean work of a query.
+// meanFleetWork returns the mean work of a query in core seconds.
 func meanFleetWork() (sum float64) {
 	for _, class := range fleetClasses {
 		sum += class.share * class.work
@@ -85,7 +90,7 @@
 	return sum
 }
 
-// fleetConfig returns the settings of one router.
+// fleetConfig returns the configuration of the router with the given index.
 func fleetConfig(scenario fleetScenario, index int) Config {
 	return Config{
 		Seed:            scenario.seed*1000 + uint64(index),
--- a/dispatch/fleetsimulation_test.go
+++ b/dispatch/fleetsimulation_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// fleetStart is the time at which simulations start.
+// fleetStart is the simulated time at which a simulation starts.
 const fleetStart = time.Hour
 
 // fleetSimulation simulates a fleet: up to hundreds of controllers that do not communicate, engines that share their
-// cores among what they run, clients that retry. What it checks shows in the sum over all routers only.
+// cores among their attempts, and clients that retry. Its results, such as the served share or the load of a warming
+// engine, are sums over all routers, which no single controller can observe.
 type fleetSimulation struct {
 	t             *testing.T
 	scenario      fleetScenario
@@ -25,39 +26,39 @@
 	lastEvent     int
 	lastRequest   int
 	statsBySecond []secondStats
-	partitioned   bool // the lost zones are cut off from the others
+	partitioned   bool // the lost zones are separated from the others
 	warmingLoad   warmingLoad
 	onStart       func(router *fleetRouter, target *fleetEngine, class int)
 	onAction      func(router *fleetRouter, action Action)
 }
 
-// fleetRouter is one router with its controller.
+// fleetRouter simulates one router.
 type fleetRouter struct {
 	controller  *Controller
 	config      Config
-	incarnation int
-	weight      float64 // of its traffic
+	incarnation int     // number of starts and connection losses; events of an earlier incarnation are ignored
+	weight      float64 // share of the traffic relative to other routers
 	down        bool
 	timerAt     time.Duration
 	open        map[RequestID]*fleetRequest
 }
 
-// fleetSecond is what happened in one second.
+// secondStats holds the totals of one second of simulated time.
 type secondStats struct {
-	offeredWeight, servedWeight   float64 // priority weight
-	starts                        int     // of attempts
-	engineFullAnswers             int     // attempts
+	offeredWeight, servedWeight   float64 // sum of the priority weights
+	starts                        int     // number of attempts started
+	engineFullAnswers             int     // number of attempts rejected because their engine was full
 	offeredByClass, servedByClass [3]float64
 }
 
-// fleetEvent is something that happens at a time; events at the same time happen in the order of their numbers.
+// fleetEvent is a scheduled call. Events at the same time run in the order of their numbers.
 type fleetEvent struct {
 	at     time.Duration
 	number int
 	run    func()
 }
 
-// fleetHeap implements heap.Interface.
+// fleetHeap orders scheduled events by time. It implements heap.Interface.
 type fleetHeap []fleetEvent
 
 func (h fleetHeap) Len() int { return len(h) }
@@ -101,13 +102,13 @@
 	return f
 }
 
-// schedule has something happen after a while.
+// schedule runs a function after the given simulated time.
 func (f *fleetSimulation) schedule(after time.Duration, run func()) {
 	f.lastEvent++
 	heap.Push(&f.events, fleetEvent{f.now + after, f.lastEvent, run})
 }
 
-// elapsed is the time since the start.
+// elapsed returns the simulated time since the start of the simulation.
 func (f *fleetSimulation) elapsed() time.Duration { return f.now - fleetStart }
 
 func (f *fleetSimulation) currentSecond() *secondStats { return f.secondAt(f.now) }
@@ -117,7 +118,7 @@
 	return &f.statsBySecond[i]
 }
 
-// startRouter starts a router, or a new incarnation of it that knows nothing.
+// startRouter starts or restarts a router with a new controller, which knows only the current endpoint list.
 func (f *fleetSimulation) startRouter(router *fleetRouter) {
 	c, err := New(router.config)
 	if err != nil {
@@ -135,7 +136,8 @@
 	f.handle(router, EndpointList{Mode: ListComplete, Endpoints: list})
 }
 
-// handle passes an event to a router, and carries out its actions.
+// handle passes an event to the controller of a router and applies the resulting actions. A router that is down ignores
+// the event.
 func (f *fleetSimulation) handle(router *fleetRouter, event Event) {
 	if router.down {
 		return
@@ -145,7 +147,7 @@
 	}
 }
 
-// announce sends an endpoint list to all routers, each after a random delay.
+// announce sends an incremental endpoint list to all routers, each after the given delay plus up to 300 ms.
 func (f *fleetSimulation) announce(delay time.Duration, list ...Endpoint) {
 	for _, router := range f.routers {
 		f.schedule(delay+time.Duration(f.rng.Float64()*float64(300*ms)), func() {
@@ -171,11 +173,11 @@
 		fleetClients{f}.endWithoutResult(router, action.Request, action.RetryAfter)
 	case FailRequest:
 		fleetClients{f}.endWithoutResult(router, action.Request, 0)
-	case CancelAttempt, Subscribe: // not allowed by the settings
+	case CancelAttempt, Subscribe: // fleetConfig does not enable these
 	}
 }
 
-// setTimer schedules a timer, unless the router sets another one or restarts before.
+// setTimer schedules a timer event. It is dropped if the router restarts or sets another timer before.
 func (f *fleetSimulation) setTimer(router *fleetRouter, action SetTimer) {
 	at, incarnation := f.now+action.After, router.incarnation
 	router.timerAt = at
@@ -208,7 +210,7 @@
 	f.schedule(ms+f.connectDelay(target, a, action.StartWithin), func() { f.deliverAttempt(target, a) })
 }
 
-// run simulates the scenario and a few seconds more.
+// run simulates the scenario and three more seconds, so that open requests end.
 func (f *fleetSimulation) run() {
 	fleetClients{f}.scheduleTraffic()
 	fleetFaults{f}.scheduleFaults()
@@ -224,7 +226,8 @@
 	}
 }
 
-// served is the share of the offered priority weight that was earned, from one second on to another.
+// servedShare returns the share of the offered priority weight that was served, for requests that arrived in the
+// seconds from <= second < to.
 func (f *fleetSimulation) servedShare(from, to int) float64 {
 	offeredWeight, servedWeight := 0.0, 0.0
 	for _, stats := range f.statsBySecond[from:min(to, len(f.statsBySecond))] {
@@ -234,7 +237,7 @@
 	return servedWeight / max(offeredWeight, 1)
 }
 
-// totals counts the attempts that were started, and those that engines answered with being full.
+// attemptTotals returns the number of attempts that were started, and of those that full engines rejected.
 func (f *fleetSimulation) attemptTotals() (starts, answeredFull int) {
 	for _, stats := range f.statsBySecond {
 		starts += stats.starts
