--- a/dispatch/encoded_test.go
+++ b/dispatch/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; the types in them are found
-// by reflection.
+// encodedTypes returns a value of each type of this package that is sent to other processes or stored as JSON. The
+// types of their fields are found by reflection.
 func encodedTypes() []any {
 	return []any{Snapshot{}, OtherProcessUsage{}}
 }
 
-// Each encoded field has a tag with its name, so that the name in the code can change.
+// Each encoded field has a tag with its outer name. Without a tag, renaming the field in Go would change the encoding.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -7,7 +7,7 @@
 	"windflow/dispatch"
 )
 
-// A controller with one class and one engine starts the first request at once.
+// A controller with one class and one idle engine starts the first request immediately.
 func Example() {
 	c, err := dispatch.New(dispatch.Config{
 		Seed:        7,
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -9,17 +9,17 @@
 
 const (
 	ms = time.Millisecond
-	// harnessStep is the time between two timers of a harness.
+	// harnessStep is the interval between two timer events of a harness.
 	harnessStep = 10 * ms
-	// answerTolerance is how late an answer may be after the client's deadline: two steps of the harness.
+	// answerTolerance is the maximum time between a client's deadline and its answer: two harness steps.
 	answerTolerance = 2 * harnessStep
 )
 
-// outstanding is the outcome of an attempt that has not ended; no event carries it.
+// outstanding marks an attempt that has not ended. No event carries this outcome.
 var outstanding = Outcome(-1)
 
-// harness simulates the clients, the engines and the endpoint list of one controller, and checks each action
-// against the rules of the classes and settings.
+// harness simulates the clients, the engines and the endpoint list of one controller, and checks each action against
+// the rules that the classes and other settings define.
 type harness struct {
 	t             *testing.T
 	controller    *Controller
@@ -28,11 +28,11 @@
 	starts        []StartAttempt
 	actions       []Action
 	requests      map[RequestID]*clientRequest
-	clients       []*clientRequest // in the order of their arrival
+	clients       []*clientRequest // in order of arrival
 	endpoints     map[EngineID]Endpoint
 	arrivals      []time.Duration
 	retries       []time.Duration
-	warmingStarts map[EngineID][]time.Duration // on engines that warm up
+	warmingStarts map[EngineID][]time.Duration // times of the starts on each warming engine
 	lastID        int
 }
 
@@ -42,14 +42,14 @@
 	class     Class
 	key       string
 	deadline  time.Duration
-	engines   []EngineID // of the attempts
+	engines   []EngineID // engine of each attempt
 	startedAt []time.Duration
 	outcomes  []Outcome
 	answers   int
-	gone      bool // the client has left
+	gone      bool // the client has disconnected or cancelled
 }
 
-// latest is the outcome of the latest attempt.
+// latestOutcome returns the outcome of the latest attempt.
 func (r *clientRequest) latestOutcome() Outcome { return r.outcomes[len(r.outcomes)-1] }
 
 // isOpen reports whether the request has no answer and its latest attempt is outstanding.
@@ -57,7 +57,7 @@
 	return r.answers == 0 && len(r.outcomes) > 0 && r.latestOutcome() == outstanding
 }
 
-// lastEngine is the engine of the latest attempt.
+// lastEngine returns the engine of the latest attempt.
 func (r *clientRequest) lastEngine() EngineID { return r.engines[len(r.engines)-1] }
 
 func newHarness(t *testing.T, config Config) *harness {
@@ -77,7 +77,8 @@
 	}
 }
 
-// twoClassConfig returns settings with a preferred class of short queries and one of wide ones.
+// twoClassConfig returns a configuration with a preferred class of short queries with one thread and a class of longer
+// queries with four threads.
 func twoClassConfig() Config {
 	return Config{
 		Seed:        1,
@@ -96,28 +97,28 @@
 	}
 }
 
-// withWarmUp returns settings with the slow start of most tests.
+// withWarmUp adds a slow start of 12 seconds, which most tests use, to a configuration.
 func withWarmUp(config Config) Config {
 	config.WarmUp.Duration, config.WarmUp.InitialShare = 12*time.Second, 0.36
 	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2, 1500*ms
 	return config
 }
 
-// withShortWarmUp returns settings with a slow start of ten seconds.
+// withShortWarmUp adds a slow start of ten seconds to a configuration.
 func withShortWarmUp(config Config) Config {
 	config.WarmUp.Duration, config.WarmUp.InitialShare = 10*time.Second, 0.4
 	config.WarmUp.OverloadFactor, config.WarmUp.OverloadWindow = 2, time.Second
 	return config
 }
 
-// largeFleetConfig has settings of one of many routers, and the endpoint list.
+// largeFleetConfig returns the configuration of one of several routers, and an endpoint list of n engines.
 func largeFleetConfig(routers, n, index int) (Config, []Endpoint) {
 	config := twoClassConfig()
 	config.Routers, config.RouterIndex, config.Seed = routers, index, uint64(index)
 	return config, testEngines(n)
 }
 
-// testEngines are engines in two zones, which are cells too.
+// testEngines returns n engines that alternate between two zones. Each zone is one cell.
 func testEngines(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -128,7 +129,7 @@
 	return list
 }
 
-// handle passes an event to the controller, and checks its actions.
+// handle passes an event to the controller and checks the resulting actions.
 func (h *harness) handle(event Event) []Action {
 	h.t.Helper()
 	actions := h.controller.Handle(h.now, event, nil)
@@ -139,7 +140,7 @@
 	return actions
 }
 
-// updateEndpoints delivers an endpoint list.
+// updateEndpoints sends the controller an endpoint list and updates the endpoints of the harness.
 func (h *harness) updateEndpoints(mode ListMode, list ...Endpoint) {
 	h.t.Helper()
 	if mode == ListComplete || mode == ListCached {
@@ -154,7 +155,7 @@
 	h.handle(EndpointList{Mode: mode, Endpoints: list})
 }
 
-// arrive delivers a request of a class, with all the time that the class allows.
+// arrive sends the controller a request whose time left is the deadline of its class.
 func (h *harness) arrive(class, key string) *clientRequest {
 	h.t.Helper()
 	for _, k := range h.config.Classes {
@@ -162,11 +163,11 @@
 			return h.arriveWith(Arrival{Class: class, Key: key, TimeLeft: k.Deadline})
 		}
 	}
-	h.t.Fatal("no class", class)
+	h.t.Fatalf("class %q is not configured", class)
 	return nil
 }
 
-// arriveWith delivers a request's arrival and sets its identifier.
+// arriveWith sends the controller an arrival with a new request identifier.
 func (h *harness) arriveWith(arrival Arrival) *clientRequest {
 	h.t.Helper()
 	h.lastID++
@@ -190,7 +191,7 @@
 	h.endAttempt(client, len(client.outcomes)-1, outcome, nil)
 }
 
-// endAttempt ends an attempt of a request.
+// endAttempt ends an attempt of a request with an outcome and, unless report is nil, a load report.
 func (h *harness) endAttempt(client *clientRequest, attempt int, outcome Outcome, report *LoadReport) {
 	h.t.Helper()
 	client.outcomes[attempt] = outcome
@@ -202,7 +203,7 @@
 	})
 }
 
-// endOutstanding ends all outstanding attempts of a request.
+// endOutstanding ends all outstanding attempts of a request with the same outcome.
 func (h *harness) endOutstanding(client *clientRequest, outcome Outcome, report *LoadReport) {
 	h.t.Helper()
 	for attempt, o := range client.outcomes {
@@ -212,7 +213,7 @@
 	}
 }
 
-// advance lets time pass, with timers that fire all the time.
+// advance lets time pass in harness steps and fires the housekeeping timer at each of them.
 func (h *harness) advance(duration time.Duration) {
 	h.t.Helper()
 	for end := h.now + duration; h.now < end; {
@@ -221,12 +222,12 @@
 	}
 }
 
-// isWarming reports whether the endpoint list says that an engine warms up.
+// isWarming reports whether an engine warms up according to its start time in the endpoint list.
 func (h *harness) isWarming(e Endpoint) bool {
 	return e.StartedAt > 0 && h.now < e.StartedAt+h.config.WarmUp.Duration
 }
 
-// countAfter counts the times after one of them.
+// countAfter returns how many of the times are later than at.
 func countAfter(times []time.Duration, at time.Duration) (n int) {
 	for _, t := range times {
 		if t > at {
@@ -236,17 +237,17 @@
 	return n
 }
 
-// checkEachAnswered checks that each request whose client stayed has one answer.
+// checkEachAnswered checks that each request has exactly one answer, unless its client is gone.
 func (h *harness) checkEachAnswered() {
 	h.t.Helper()
 	for _, client := range h.clients {
 		if client.answers != 1 && !client.gone {
-			h.t.Fatalf("%s has %d answers", client.id, client.answers)
+			h.t.Fatalf("%s has %d answers, want 1", client.id, client.answers)
 		}
 	}
 }
 
-// startedOn returns the engines of the attempts that were started, in order.
+// startedOn returns the engines of all started attempts in the order of their starts.
 func (h *harness) startedOn() (ids []EngineID) {
 	for _, start := range h.starts {
 		ids = append(ids, start.Engine)
@@ -254,7 +255,7 @@
 	return ids
 }
 
-// countActions counts the actions of a type that a harness has seen.
+// countActions returns how many actions of type A the controller has returned.
 func countActions[A Action](h *harness) int {
 	return len(slices.DeleteFunc(slices.Clone(h.actions), func(a Action) bool {
 		_, ok := a.(A)
--- a/dispatch/invalidinput_test.go
+++ b/dispatch/invalidinput_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// incompleteConfig has settings as an installation might have them by mistake or omission: no kinds, kinds without
-// memory or cores, no zones or five, classes without threads, no limits, no progress reports.
+// incompleteConfig returns a random configuration with mistakes and omissions that an installation might have: no
+// kinds, kinds without memory or cores, an empty or unknown zone, a router index out of range, classes without threads,
+// no limit on attempts, no progress reports, or a grant share above 1.
 func incompleteConfig(rng *rand.Rand) Config {
 	config := randomConfig(rng)
 	config.Features.MemoryShortage, config.Features.Grants = MemoryShortage(rng.IntN(3)), rng.IntN(2) == 0
@@ -33,7 +34,8 @@
 	return config
 }
 
-// incompleteEngines has engines of no zone, one or five, with capacity weights of all kinds.
+// incompleteEngines returns n engines without zones or in five zones, with capacity weights that may be zero, negative
+// or very large.
 func incompleteEngines(rng *rand.Rand, n int) []Endpoint {
 	list := testEngines(n)
 	zones := []int{1, 1, 5}[rng.IntN(3)]
@@ -51,7 +53,7 @@
 
 func extremeValue(rng *rand.Rand) float64 { return extremeValues[rng.IntN(len(extremeValues))] }
 
-// extremeReport returns a load report of extreme figures, or none.
+// extremeReport returns a load report with extreme values; nil in one of four cases.
 func extremeReport(rng *rand.Rand) *LoadReport {
 	if rng.IntN(4) == 0 {
 		return nil
@@ -66,8 +68,9 @@
 	}
 }
 
-// Whatever engines report of themselves and of attempts, and whatever is missing in settings and requests: no rule is
-// broken, each request gets one answer, and once all have ended the next request is started.
+// Extreme reports from engines, unexpected progress and missing settings do not make the controller break a rule of the
+// harness or leave a request unanswered. Afterwards all costs are finite and an idle fleet starts new requests. This
+// guards against invalid values, such as NaN or infinity, that stay in the state and keep requests from starting.
 func TestInvalidInputKeepsRequestsAnswered(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -79,7 +82,7 @@
 			for range 300 {
 				events.invalidStep()
 			}
-			for range 20 { // until all are answered
+			for range 20 { // 20 s, after which all requests are answered
 				h.advance(time.Second)
 				for _, client := range h.clients {
 					h.endOutstanding(client, Served, nil)
@@ -95,21 +98,22 @@
 	}
 }
 
-// checkCosts checks that each engine has a finite cost for each class.
+// checkCosts checks that the cost of each engine is finite and not negative for each class.
 func (h *invalidEvents) checkCosts() {
 	h.t.Helper()
 	for _, e := range h.controller.endpoints.all {
 		for _, k := range h.controller.classes.all {
 			req := &request{class: k, estimate: 1, deadline: h.now + time.Second}
 			if cost := h.controller.selector.cost(e, req); math.IsNaN(cost) || cost < 0 || cost > 1e15 {
-				h.t.Errorf("engine %d costs %v for a %s", e.ID, cost, k.Name)
+				h.t.Errorf("engine %d has cost %v for class %s, want 0 to 1e15", e.ID, cost, k.Name)
 			}
 		}
 	}
 }
 
-// checkIdleFleetStarts checks that a request is started at once while all engines are idle. An engine that was down has
-// answered the previous request, and may warm up: then the next request after that is started at once.
+// checkIdleFleetStarts checks that a request starts within 100 ms while all engines are idle. An engine that was down
+// may warm up after it has served the previous request; in that case a request after the warm-up has to start
+// immediately.
 func (h *invalidEvents) checkIdleFleetStarts(class Class) {
 	h.t.Helper()
 	arrival := Arrival{Class: class.Name, TableGroup: TableGroupOf(3), TimeLeft: class.Deadline}
@@ -120,19 +124,19 @@
 		client = h.arriveWith(arrival)
 	}
 	if len(client.engines) == 0 {
-		h.t.Errorf("all engines are idle, and a %s is not started", class.Name)
+		h.t.Errorf("a request of class %s is not started although all engines are idle", class.Name)
 		return
 	}
 	h.endLatest(client, Served)
 }
 
-// invalidEvents has events happen to a harness that are often invalid.
+// invalidEvents sends a harness random events, many of them invalid.
 type invalidEvents struct {
 	*harness
 	rng *rand.Rand
 }
 
-// invalidStep lets some time pass and has an event happen that is often invalid.
+// invalidStep lets up to two harness steps pass and sends an event that is often invalid.
 func (h *invalidEvents) invalidStep() {
 	h.t.Helper()
 	h.advance(harnessStep * time.Duration(h.rng.IntN(3)))
@@ -147,7 +151,7 @@
 			Disk:     extremeValue(h.rng),
 			Memory:   extremeValue(h.rng),
 		}})
-	case 4: // progress of an attempt that may have ended, or never was
+	case 4: // progress of an attempt that may have ended or never existed
 		id := RequestID(fmt.Sprint("r", h.rng.IntN(h.lastID+2)))
 		attempt, kind := h.rng.IntN(3)-1, ProgressKind(h.rng.IntN(6)-1)
 		h.handle(AttemptProgress{Request: id, Attempt: attempt, Kind: kind, Amount: extremeValue(h.rng)})
@@ -169,7 +173,7 @@
 	})
 }
 
-// endWithExtremeReport ends one of the latest outstanding attempts.
+// endWithExtremeReport ends one of the latest outstanding attempts with a random outcome and an extreme report.
 func (h *invalidEvents) endWithExtremeReport() {
 	h.t.Helper()
 	for _, client := range slices.Backward(h.clients) {
--- a/dispatch/invariants_test.go
+++ b/dispatch/invariants_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// halfBusyReport is the report that random outcomes carry.
+// halfBusyReport is the load report that random outcomes carry.
 var halfBusyReport = &LoadReport{InFlight: -1, Waiting: -1, Busy: 0.5, Disk: 0.5, Memory: -1}
 
-// randomConfig varies every setting that a rule depends on.
+// randomConfig returns a configuration in which every setting that the checks of the harness depend on is random.
 func randomConfig(rng *rand.Rand) Config {
 	config := twoClassConfig()
 	config.Seed, config.Routers = rng.Uint64(), 1+rng.IntN(4)
@@ -38,8 +38,8 @@
 	return config
 }
 
-// The rules that the harness checks are kept after every action, whatever legal events arrive, and each request gets
-// one answer.
+// For any sequence of valid events, every action satisfies the checks of the harness and each request gets exactly one
+// answer.
 func TestInvariantsHold(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -53,13 +53,14 @@
 			events.timeOutAll()
 			h.checkEachAnswered()
 			if len(h.starts) == 0 {
-				t.Fatal("no attempt was ever started")
+				t.Fatal("no attempt was started, want at least 1")
 			}
 		})
 	}
 }
 
-// endAllInTime times outstanding attempts out one by one, lets all deadlines pass, and fails the remaining attempts.
+// timeOutAll times out the outstanding attempts one by one, lets all deadlines pass, and resets the connections of
+// attempts that were started in between.
 func (h *randomEvents) timeOutAll() {
 	h.t.Helper()
 	for _, client := range h.clients {
@@ -77,13 +78,13 @@
 	h.advance(16 * time.Second)
 }
 
-// randomEvents has random legal events happen to a harness.
+// randomEvents sends a harness random valid events.
 type randomEvents struct {
 	*harness
 	rng *rand.Rand
 }
 
-// randomStep lets some time pass and has a random event happen.
+// randomStep lets up to two harness steps pass and sends a random event.
 func (h *randomEvents) randomStep() {
 	h.t.Helper()
 	h.advance(harnessStep * time.Duration(h.rng.IntN(3)))
@@ -122,7 +123,7 @@
 	})
 }
 
-// clientLeaves cancels a recent request for its client, if it has no answer.
+// clientLeaves reports that the client of a recent request is gone, unless the request has an answer.
 func (h *randomEvents) clientLeaves() {
 	h.t.Helper()
 	recent := h.clients[max(len(h.clients)-1-h.rng.IntN(5), 0):]
@@ -132,7 +133,7 @@
 	}
 }
 
-// randomEndpoint changes the state of one engine.
+// randomEndpoint sets a random engine to a random state, in half of the cases with a new start.
 func (h *randomEvents) randomEndpoint() {
 	h.t.Helper()
 	e := testEngines(6)[h.rng.IntN(6)]
@@ -143,7 +144,7 @@
 	h.updateEndpoints(ListIncremental, e)
 }
 
-// randomOutcome ends an outstanding attempt, often after a progress report.
+// randomOutcome ends an outstanding attempt, in a third of the cases after a progress report.
 func (h *randomEvents) randomOutcome() {
 	h.t.Helper()
 	for i := len(h.clients) - 1; i >= 0; i-- {
--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// maxFileLines and maxLineWidth bound the files that decide, which auditors read.
+	// maxFileLines and maxLineWidth limit the size of the decision files, which auditors read.
 	maxFileLines = 400
 	maxLineWidth = 120
-	// tabWidth is the width of a tab, as reviewers' tools show it.
+	// tabWidth is the width of a tab in the tools of reviewers.
 	tabWidth = 4
 )
 
-// The deploy file names under policy each file that decides, and no other; none is long or wide.
+// The policy list in deploy/balancer.toml names exactly the decision files, so that auditors miss none and read no
+// others. None of these files exceeds the size limits.
 func TestPolicyNamesEachDecisionFile(t *testing.T) {
 	named := policyFiles(t)
 	files := decisionFiles(t)
 	if !slices.Equal(named, files) {
-		t.Errorf("policy names\n%s\nwant\n%s", strings.Join(named, "\n"), strings.Join(files, "\n"))
+		t.Errorf("the policy list in deploy/balancer.toml names\n%s\nwant\n%s",
+			strings.Join(named, "\n"), strings.Join(files, "\n"))
 	}
 	for _, file := range files {
 		checkSize(t, filepath.Join("..", file))
 	}
 }
 
-// policyFiles returns the files that the deploy file names under policy, sorted.
+// policyFiles returns the sorted policy list of deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -38,7 +40,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("the deploy file names no policy")
+		t.Fatal("deploy/balancer.toml has no policy list")
 	}
 	var files []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(policy[1], -1) {
@@ -48,8 +50,8 @@
 	return files
 }
 
-// decisionFiles returns the files of this package and of those below internal/decide, without tests and files that hold
-// only a package comment.
+// decisionFiles returns the sorted source files of this package and of the packages below internal/decide, without
+// tests and without doc.go, which contains only a package comment.
 func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
@@ -68,7 +70,7 @@
 	return files
 }
 
-// checkSize checks the length and the width of a file.
+// checkSize checks the number of lines and the line width of a file.
 func checkSize(t *testing.T, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -77,11 +79,11 @@
 	}
 	lines := strings.Split(string(text), "\n")
 	if len(lines) > maxFileLines+1 {
-		t.Errorf("%s has %d lines", file, len(lines)-1)
+		t.Errorf("%s has %d lines, want at most %d", file, len(lines)-1, maxFileLines)
 	}
 	for i, line := range lines {
 		if width := len([]rune(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tabWidth)))); width > maxLineWidth {
-			t.Errorf("%s:%d is %d wide", file, i+1, width)
+			t.Errorf("%s:%d is %d columns wide, want at most %d", file, i+1, width, maxLineWidth)
 		}
 	}
 }
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// recountWarm sums up the warm engines one by one.
+// recountWarm computes the resources of the warm engines from scratch, as warmResources has to return them.
 func (c *Controller) recountWarm() (sum resources) {
 	zonesLost := c.capacity.largeFleet() && c.endpoints.zonesLost()
 	grants := int64(0)
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// recountBudgeted looks at each warming engine for those that this router has budget for.
+// recountBudgeted checks each warming engine and returns those for which this router has budget, as enginesWithBudget
+// has to return them.
 func (c *Controller) recountBudgeted() (ids []EngineID) {
 	if !c.capacity.largeFleet() || c.env.config.WarmUp.OverloadFactor <= 0 {
 		return nil
@@ -45,7 +46,7 @@
 	return ids
 }
 
-// recountEjected counts the ejected engines one by one.
+// recountEjected counts the ejected engines from scratch, as ejectedCount has to return them.
 func (c *Controller) recountEjected() (n float64) {
 	for _, e := range c.endpoints.listed {
 		if e.health.currentFailureShare(c.env) >= ejectionThreshold {
@@ -55,8 +56,8 @@
 	return n
 }
 
-// mirroredControllers are two controllers that handle the same events. One updates its sums, the other one recomputes
-// all of them before each event.
+// comparedControllers are two controllers that handle the same events. The incremental one updates its sums, the
+// recounting one recomputes all of them for each event.
 type comparedControllers struct {
 	*rapid.T
 	config                  Config
@@ -64,10 +65,10 @@
 	now                     time.Duration
 	outstanding             []StartAttempt
 	attempts                map[RequestID]int
-	timerAt                 time.Duration // 0 for no timer
+	timerAt                 time.Duration // time at which the timer fires; 0 for no timer
 	endpoints               map[EngineID]Endpoint
 	lastID                  int
-	deadZones               map[string]bool // whose engines hardly ever take a connection
+	deadZones               map[string]bool // zones in which most attempts fail to connect
 }
 
 func newComparedControllers(t *rapid.T) *comparedControllers {
@@ -88,13 +89,14 @@
 	return m
 }
 
-// handle has both controllers handle an event, and compares their actions and sums.
+// handle passes an event to both controllers, compares their actions and checks the sums of the incremental one. The
+// sums of the recounting one are invalidated before and recomputed after each event.
 func (m *comparedControllers) handle(event Event) {
 	m.recounting.capacity.recountAt, m.recounting.outliers.countValidUntil = 0, 0
 	m.recounting.endpoints.unsorted, m.recounting.endpoints.anyRemoved = true, true
 	got, want := m.incremental.Handle(m.now, event, nil), m.recounting.Handle(m.now, event, nil)
 	if !reflect.DeepEqual(got, want) {
-		m.Fatalf("%#v at %v: %v, and %v where all is recounted", event, m.now, got, want)
+		m.Fatalf("%#v at %v: actions %v, want %v as of the recounting controller", event, m.now, got, want)
 	}
 	for _, action := range got {
 		m.applyAction(action)
@@ -106,7 +108,7 @@
 	m.recounting.outliers.ejectedCount()
 }
 
-// carryOut records what attempts are outstanding and when the timer fires.
+// applyAction records started attempts and the time at which the timer fires.
 func (m *comparedControllers) applyAction(action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
@@ -114,11 +116,11 @@
 		m.attempts[action.Request]++
 	case SetTimer:
 		m.timerAt = m.now + action.After
-	case SetResources, CancelAttempt, Reject, FailRequest, Subscribe: // no event follows from these
+	case SetResources, CancelAttempt, Reject, FailRequest, Subscribe: // cause no event
 	}
 }
 
-// checkSums compares the sums of the first controller with a recount.
+// checkSums compares the sums of the incremental controller with a recount.
 func (m *comparedControllers) checkSums(event Event) {
 	c := m.incremental
 	if got, want := c.capacity.warmResources(), c.recountWarm(); got != want {
@@ -132,11 +134,11 @@
 		ids = append(ids, e.ID)
 	}
 	if want := c.recountBudgeted(); !slices.Equal(ids, want) {
-		m.Fatalf("%#v at %v: budget for %v, want %v", event, m.now, ids, want)
+		m.Fatalf("%#v at %v: this router has budget for the engines %v, want %v", event, m.now, ids, want)
 	}
 }
 
-// changedEndpoint draws a change of an endpoint, or a new one.
+// changedEndpoint draws an engine that is new or has changed in state, start time or zone.
 func (m *comparedControllers) changedEndpoint() Endpoint {
 	id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "engine"))
 	e, known := m.endpoints[id]
@@ -154,7 +156,7 @@
 	return e
 }
 
-// completeList draws a complete endpoint list with a number of entries between two bounds.
+// completeList draws a complete endpoint list with minEntries to maxEntries entries.
 func (m *comparedControllers) completeList(minEntries, maxEntries int) EndpointList {
 	var list []Endpoint
 	for range rapid.IntRange(minEntries, maxEntries).Draw(m.T, "entries") {
@@ -163,19 +165,19 @@
 	return EndpointList{Mode: ListComplete, Endpoints: list}
 }
 
-// endAttempt ends an outstanding attempt, nearly always without a connection where its zone is dead.
+// endAttempt ends a random outstanding attempt. In a dead zone most attempts fail to connect.
 func (m *comparedControllers) endAttempt() {
 	if len(m.outstanding) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.outstanding)-1).Draw(m.T, "which")
+	i := rapid.IntRange(0, len(m.outstanding)-1).Draw(m.T, "outstanding attempt")
 	start := m.outstanding[i]
 	m.outstanding = slices.Delete(m.outstanding, i, i+1)
 	outcome := rapid.SampledFrom([]Outcome{
 		Served, Served, Served, EngineFailed, ConnectFailed, ConnectFailed, ConnectionReset, EngineFull, TimedOut,
 	}).Draw(m.T, "outcome")
 	e := m.incremental.endpoints.byID[start.Engine]
-	if e != nil && m.deadZones[e.Zone] && rapid.IntRange(0, 9).Draw(m.T, "through") > 0 {
+	if e != nil && m.deadZones[e.Zone] && rapid.IntRange(0, 9).Draw(m.T, "connects") > 0 {
 		outcome = ConnectFailed
 	}
 	m.handle(AttemptEnd{
@@ -183,11 +185,11 @@
 	})
 }
 
-// configure changes settings that the sums depend on.
+// configure changes settings on which the sums depend.
 func (m *comparedControllers) configure() {
 	config := m.config
-	config.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "now")
-	config.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
+	config.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "changed routers")
+	config.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "overload factor")
 	for _, c := range []*Controller{m.incremental, m.recounting} {
 		if _, _, err := c.Configure(config); err != nil {
 			m.Fatal(err)
@@ -195,10 +197,10 @@
 	}
 }
 
-// usage draws what the other process has running.
+// usage draws the usage that the other process of a hot restart reports.
 func (m *comparedControllers) usage() (usage OtherProcessUsage) {
-	for range rapid.IntRange(0, 3).Draw(m.T, "usages") {
-		id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "used"))
+	for range rapid.IntRange(0, 3).Draw(m.T, "used engines") {
+		id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "used engine"))
 		usage.Engines = append(usage.Engines, EngineUsage{
 			ID: id, Threads: 4, Work: 1, GrantedMB: 100.1, WarmUpWork: 0.1,
 		})
@@ -218,14 +220,14 @@
 	})
 }
 
-// mirroredPauses are the times that pass between two events.
+// timesBetweenEvents are the possible times between two events. The longest exceeds the duration of a warm-up.
 var timesBetweenEvents = []time.Duration{
 	0, 0, ms, 3 * ms, 20 * ms, 150 * ms, 1500 * ms, 15 * time.Second,
 }
 
-// step lets time pass and has an event happen. The more requests, the higher busy.
+// step lets time pass and sends a random event. A higher trafficBias makes arrivals and ends of attempts more likely.
 func (m *comparedControllers) step(trafficBias int) {
-	m.now += rapid.SampledFrom(timesBetweenEvents).Draw(m.T, "passes")
+	m.now += rapid.SampledFrom(timesBetweenEvents).Draw(m.T, "time to event")
 	if m.timerAt > 0 && m.now >= m.timerAt {
 		m.timerAt = 0
 		m.handle(TimerFired{Tag: housekeepingTag})
@@ -253,16 +255,17 @@
 	}
 }
 
-// Sums that are updated lead to the same decisions, draw for draw, as recounting all engines at each event, whatever
-// the order of events: requests, outcomes of all kinds, endpoint lists, cordons, hot restarts, changed settings, long
-// pauses.
+// Incrementally updated sums lead to the same actions, and so to the same random draws, as sums that are recomputed
+// over all engines for each event. This guards against an event that changes a sum without updating it. The random
+// events include requests, outcomes of all kinds, endpoint lists, cordons, usage from hot restarts, changed settings
+// and long pauses.
 func TestIncrementalSumsMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newComparedControllers(t)
-		for range rapid.IntRange(0, 2).Draw(t, "dead") {
+		for range rapid.IntRange(0, 2).Draw(t, "dead zones") {
 			m.deadZones[fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))] = true
 		}
-		trafficBias := rapid.IntRange(0, 40).Draw(t, "busy")
+		trafficBias := rapid.IntRange(0, 40).Draw(t, "traffic bias")
 		m.handle(m.completeList(1, 40))
 		for range rapid.IntRange(20, 250).Draw(t, "events") {
 			m.step(trafficBias)
