--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -14,32 +14,33 @@
 	"windflow/internal/capacity"
 )
 
-// scaleEnv names the variable that runs the scenarios below at the size that is designed for, and
-// docs/capacity/scale.json written. The names of scenarios, windows and figures are those of that file.
+// scaleEnv is the environment variable that makes the tests use the fleet size of the design and write their results to
+// docs/capacity/scale.json if it is 1. The names of scenarios, windows and figures appear in that file.
 const scaleEnv = "WINDFLOW_SCALE"
 
-// scaleWindow is a time in which starts are counted by engine.
+// scaleWindow is a period in which the starts on each engine are counted.
 type scaleWindow struct {
 	name         string
 	from, to     time.Duration
-	warming      bool // the engines that warm up at its beginning are counted, not those that are warm
+	warming      bool // counts engines that warm up from its beginning to its end, instead of warm ones
 	startsBefore map[*fleetEngine]int
-	starts       []float64 // on each engine that was up from its beginning to its end
+	starts       []float64 // number of starts on each engine that was counted at its beginning and at its end
 }
 
-// scaleScenario is a scenario on a large fleet, and what has to come of it.
+// scaleScenario is a scenario on a large fleet with the limits that its results have to meet.
 type scaleScenario struct {
 	name              string
 	fleet             fleetScenario
 	windows           []scaleWindow
-	minServed         float64       // share of the priority weight, from the fault on
-	minServedAtEnd    float64       // share of the priority weight in the last four seconds
-	inCI              bool          // it is played in CI too
-	maxLoadMove       time.Duration // within which all loads have to have left what is lost; 0 if nothing is
-	maxStartsOverMean float64       // most starts on one engine over the mean, over all windows of warm engines
+	minServed         float64       // minimum served share of the priority weight, from the fault on
+	minServedAtEnd    float64       // minimum served share of the priority weight in the last four seconds
+	inCI              bool          // it also runs in CI, on a smaller fleet
+	maxLoadMove       time.Duration // maximum time until all loads have moved off the rack; 0 for no check
+	maxStartsOverMean float64       // maximum starts on one engine relative to the mean, in windows of warm engines
 }
 
-// scaleScenarios are the scenarios at a size. At a third less load a region has capacity for what the other served.
+// scaleScenarios returns the scenarios for a fleet of the given size. In the scenario with a third less load, one
+// region has the capacity to serve the traffic of both.
 func scaleScenarios(routers, engines int) []scaleScenario {
 	base := fleetScenario{
 		seed: 1, routers: routers, engines: engines, cores: 24, zones: 6, offeredLoad: 0.6, slowShare: 0.125,
@@ -48,13 +49,13 @@
 	return slices.Concat(lossScenarios(base), rollingScenarios(base))
 }
 
-// changed returns a scenario with changes.
+// modified returns a copy of a scenario after a change.
 func modified(scenario fleetScenario, change func(*fleetScenario)) fleetScenario {
 	change(&scenario)
 	return scenario
 }
 
-// lossScenarios lose or cut off zones.
+// lossScenarios returns the scenario without a fault, and those in which zones are lost or separated.
 func lossScenarios(base fleetScenario) []scaleScenario {
 	lost := modified(base, func(s *fleetScenario) {
 		s.zoneLost, s.listDelay, s.faultDuration, s.duration = true, 2800*ms, 8*time.Second, 25*time.Second
@@ -100,10 +101,11 @@
 	}
 }
 
-// rollingScenarios lose a rack, or restart and replace machines one by one.
+// rollingScenarios returns the scenarios in which a rack is drained or lost, and those in which machines are restarted
+// and replaced one by one.
 func rollingScenarios(base fleetScenario) []scaleScenario {
 	rolled := base.routers * 430 / 600
-	rackSize := max(base.engines/50*2/3, 4) // of 50 racks in the fleet; a third of the machines are routers
+	rackSize := max(base.engines/50*2/3, 4) // the fleet has 50 racks; a third of the machines are routers
 	rackWindows := func() []scaleWindow {
 		return []scaleWindow{{name: "without it", from: 6500 * ms, to: 12 * time.Second}}
 	}
@@ -140,22 +142,24 @@
 	}
 }
 
-// The decisions of a complete fleet at the size that is designed for: each router knows only what it observes, so that
-// what the fleet serves, which engines are idle and what warming ones get shows in the sum only. By hand at 600
-// routers and 1,200 engines; in CI smaller.
+// TestScaleFleet simulates a complete fleet because each router knows only what it observes itself: the share that the
+// fleet serves, idle engines and the load of warming engines are visible only in the sum over all routers. With
+// scaleEnv set to 1 it runs all scenarios at the size of the design, 600 routers and 1,200 engines; in CI it runs some
+// of them on a smaller fleet.
 func TestScaleFleet(t *testing.T) {
 	routers, engines := scaleRouters, scaleEngines
 	full := os.Getenv(scaleEnv) == "1"
 	if !full {
 		routers, engines = 54, 72
-		t.Logf("%d routers, %d engines; %s=1 plays %d and %d and writes docs/capacity/scale.json",
+		t.Logf("%d routers, %d engines; %s=1 simulates %d and %d and writes docs/capacity/scale.json",
 			routers, engines, scaleEnv, scaleRouters, scaleEngines)
 	}
 	scenarios := scaleScenarios(routers, engines)
 	if !full {
 		scenarios = slices.DeleteFunc(scenarios, func(s scaleScenario) bool { return !s.inCI })
 	}
-	slots := make(chan struct{}, min(3, runtime.GOMAXPROCS(0))) // the machine is shared
+	// The number of concurrent simulations is limited because the machine is shared.
+	slots := make(chan struct{}, min(3, runtime.GOMAXPROCS(0)))
 	var file sync.Mutex
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -172,13 +176,13 @@
 	}
 }
 
-// runScaleScenario plays a scenario, checks its outcome and returns its figures.
+// runScaleScenario simulates a scenario, checks its results and returns its figures.
 func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.Scale {
 	t.Helper()
 	startedAt := time.Now()
 	f := newFleetSimulation(t, scenario.fleet)
 	if !f.routers[0].controller.capacity.largeFleet() {
-		t.Error("not a large fleet: another rule is played")
+		t.Error("the controller does not treat the fleet as large, want a large fleet")
 	}
 	starts, toWarming := map[*fleetEngine]int{}, 0
 	migration := loadMigration{simulation: f}
@@ -204,11 +208,11 @@
 		migration.check(t, scenario.maxLoadMove.Seconds(), figures)
 	}
 	if figures["served"] < scenario.minServed || figures["served_at_end"] < scenario.minServedAtEnd {
-		t.Errorf("%.3f of the weight was served and %.3f at the end, want %.2f and %.2f",
+		t.Errorf("served %.3f of the weight and %.3f at the end, want at least %.2f and %.2f",
 			figures["served"], figures["served_at_end"], scenario.minServed, scenario.minServedAtEnd)
 	}
 	f.checkWarmingLoad()
-	t.Logf("played in %.0f s: %v", time.Since(startedAt).Seconds(), figures)
+	t.Logf("simulated in %.0f s: %v", time.Since(startedAt).Seconds(), figures)
 	for name, figure := range figures {
 		figures[name] = math.Round(figure*1000) / 1000
 	}
@@ -226,7 +230,8 @@
 	}
 }
 
-// scaleFigures are the figures of a simulation; toWarming is the number of attempts on warming engines.
+// scaleFigures returns the figures of a simulation under their names in docs/capacity/scale.json. toWarming is the
+// number of attempts on warming engines.
 func scaleFigures(f *fleetSimulation, toWarming int) map[string]float64 {
 	from, to := int(f.scenario.faultAt/time.Second), int(f.scenario.duration/time.Second)
 	starts, answeredFull := f.attemptTotals()
@@ -244,21 +249,23 @@
 	}
 }
 
-// check checks that no engine was idle in a window, and that none of the warm ones got far more than the mean.
+// check adds the figures of the window and checks that no counted engine was idle. In a window of warm engines, it also
+// checks that the starts on one engine did not exceed maxStartsOverMean times the mean.
 func (w *scaleWindow) check(t *testing.T, maxStartsOverMean float64, figures map[string]float64) {
 	t.Helper()
 	idle, mostOverMean, deviation := spreadOfCounts(w.starts)
 	figures[w.name+": engines"], figures[w.name+": idle"] = float64(len(w.starts)), float64(idle)
 	figures[w.name+": most over mean"], figures[w.name+": deviation over mean"] = mostOverMean, deviation
 	if len(w.starts) == 0 || idle > 0 || !w.warming && mostOverMean > maxStartsOverMean {
-		t.Errorf("%s: %d engines, %d of them idle; the most on one %.2f of the mean, want at most %.2f",
-			w.name, len(w.starts), idle, mostOverMean, maxStartsOverMean)
+		t.Errorf("%s: %d of %d engines idle, want 0 of at least 1; most starts %.2f of the mean, want at most %.2f",
+			w.name, idle, len(w.starts), mostOverMean, maxStartsOverMean)
 	}
-	t.Logf("%s: %d engines, %d idle, most %.2f of the mean, deviation %.2f of it",
+	t.Logf("%s: %d engines, %d idle; starts relative to the mean: most %.2f, standard deviation %.2f",
 		w.name, len(w.starts), idle, mostOverMean, deviation)
 }
 
-// watch counts the starts of the window.
+// scheduleCounting schedules the counting of starts at the beginning and at the end of the window. The starts map holds
+// the current totals by engine.
 func (w *scaleWindow) scheduleCounting(f *fleetSimulation, starts map[*fleetEngine]int) {
 	isCounted := func(e *fleetEngine) bool {
 		return !e.dead && !e.silent && e.State == Live && (f.warmUpFactor(e) < 1) == w.warming
@@ -280,7 +287,8 @@
 	})
 }
 
-// spreadOfCounts returns how many counts are 0, and the highest one and the standard deviation over the mean.
+// spreadOfCounts returns how many counts are 0, and the highest count and the standard deviation, both divided by the
+// mean.
 func spreadOfCounts(counts []float64) (idle int, mostOverMean, deviationOverMean float64) {
 	sum, squares := 0.0, 0.0
 	for _, n := range counts {
@@ -297,7 +305,7 @@
 	return idle, slices.Max(counts) / mean, math.Sqrt(max(0, squares/n-mean*mean)) / mean
 }
 
-// writeScale writes results into the file, in place of the former ones of the same names.
+// writeScaleResults writes results to docs/capacity/scale.json and replaces earlier results with the same names.
 func writeScaleResults(t *testing.T, results ...capacity.Scale) {
 	t.Helper()
 	path := filepath.Join("..", "docs", "capacity", "scale.json")
--- a/dispatch/scalemigration_test.go
+++ b/dispatch/scalemigration_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// loadMigration records how loads leave the engines of a rack: the last one that starts there, and when each router
-// that had started loads there, and is still up, starts its first one on another engine.
+// loadMigration records how loads move off the engines of a rack that is lost or drained: when the last load starts on
+// the rack, and when each router that used the rack for loads first starts a load on another engine.
 type loadMigration struct {
 	simulation       *fleetSimulation
-	beganAt          time.Duration // 0 before the rack is lost
+	beganAt          time.Duration // time at which the rack is lost or begins to drain; 0 before that
 	rackEngines      map[*fleetEngine]bool
-	routersWithLoads map[*fleetRouter]bool // routers that started loads on the rack before
+	routersWithLoads map[*fleetRouter]bool // routers that started loads on the rack before beganAt
 	firstElsewhere   map[*fleetRouter]time.Duration
 	lastOnRack       time.Duration
 }
 
-// recordStart records an attempt, if it is of a load.
+// recordStart records the start of an attempt on an engine. Attempts of other classes than loads are ignored.
 func (m *loadMigration) recordStart(router *fleetRouter, target *fleetEngine, isLoad bool) {
 	if !isLoad {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// findRack finds the engines of the rack, which follow from the scenario.
+// findRack initializes the maps and determines the engines of the rack.
 func (m *loadMigration) findRack() {
 	m.rackEngines = map[*fleetEngine]bool{}
 	m.routersWithLoads = map[*fleetRouter]bool{}
@@ -50,8 +50,8 @@
 
 func (m *loadMigration) begin() { m.beganAt = m.simulation.now }
 
-// check checks that the last load on the rack, and the first one off it of the last router, started within a time in
-// seconds, and adds the figures under the names of docs/capacity/scale.json.
+// check checks that within the given time in seconds the last load started on the rack, and each router that used the
+// rack and is still up started a load elsewhere. It adds the figures under their names in docs/capacity/scale.json.
 func (m *loadMigration) check(t *testing.T, within float64, figures map[string]float64) {
 	t.Helper()
 	firstOffRack, lastOffRack, routers := 0.0, 0.0, 0
@@ -62,7 +62,7 @@
 		routers++
 		at, ok := m.firstElsewhere[router]
 		if !ok {
-			t.Errorf("router %d started no load off the rack", router.config.RouterIndex)
+			t.Errorf("router %d started no load on an engine outside the rack", router.config.RouterIndex)
 			continue
 		}
 		after := (at - m.beganAt).Seconds()
@@ -73,10 +73,10 @@
 	}
 	lastOnRack := max(0, (m.lastOnRack - m.beganAt).Seconds())
 	if routers == 0 || lastOnRack > within || lastOffRack > within {
-		t.Errorf("last load on the rack after %.2f s, first off it of the last of %d after %.2f s, want %.2f",
+		t.Errorf("last load on the rack after %.2f s, all %d routers load elsewhere after %.2f s, want at most %.2f s",
 			lastOnRack, routers, lastOffRack, within)
 	}
-	t.Logf("loads: last on the rack after %.2f s; first off it after %.2f s, of the last of %d after %.2f s",
+	t.Logf("last load on the rack after %.2f s; first load elsewhere after %.2f s, last of %d routers after %.2f s",
 		lastOnRack, firstOffRack, routers, lastOffRack)
 	figures["last load at the old, s"] = lastOnRack
 	figures["first load at the new, s"] = firstOffRack
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -9,18 +9,19 @@
 	"windflow/internal/capacity"
 )
 
-// The size that is designed for, and what a subset may cost there.
+// The fleet size of the design, and the limits on the subsets of a fleet of that size.
 const (
 	scaleRouters, scaleEngines = 600, 1200
-	// maxUsersOverMean is the most routers that use one engine, over the mean.
+	// maxRoutersOverMean is the maximum number of routers that use one engine, relative to the mean.
 	maxRoutersOverMean = 1.15
-	// maxMovedShare is the share of all subset members that change when one engine is removed.
+	// maxMovedShare is the maximum share of all subset members that may change when one engine is removed.
 	maxMovedShare = 0.28
-	// scaleStride visits each index of the list once: it has no factor in common with scaleEngines.
+	// scaleStride spreads the removed engines over the list: its multiples modulo scaleEngines visit each index once,
+	// because the two numbers have no common factor.
 	scaleStride = 7919
 )
 
-// scaleList is the endpoint list of the size that is designed for.
+// scaleEndpoints returns an endpoint list of scaleEngines engines.
 func scaleEndpoints() []Endpoint {
 	list := make([]Endpoint, scaleEngines)
 	for i := range list {
@@ -29,7 +30,7 @@
 	return list
 }
 
-// subsetOf returns the engines that one router uses of a list.
+// subsetOf returns the engines of an endpoint list that the router with the given index uses.
 func subsetOf(t *testing.T, router int, list []Endpoint) map[EngineID]bool {
 	t.Helper()
 	config := fleetConfig(fleetScenario{routers: scaleRouters, engines: scaleEngines, cores: 24, zones: 6}, router)
@@ -46,8 +47,8 @@
 	return set
 }
 
-// checkUsers checks how many routers use each engine that is left when some have been removed, evenly over the list,
-// and adds the figures.
+// checkRoutersPerEngine removes engines evenly over the endpoint list, checks how many routers use each of the
+// remaining engines, and adds the figures.
 func checkRoutersPerEngine(t *testing.T, name string, removed int, figures map[string]float64) {
 	t.Helper()
 	var remaining []Endpoint
@@ -70,10 +71,10 @@
 	}
 	idle, mostOverMean, deviation := spreadOfCounts(counts)
 	if idle > 0 || mostOverMean > maxRoutersOverMean || len(remaining) != scaleEngines-removed {
-		t.Errorf("%s: %d engines, %d that no router uses, want none; most %.2f of the mean, want at most %.2f",
-			name, len(remaining), idle, mostOverMean, maxRoutersOverMean)
+		t.Errorf("%s: %d engines, %d unused, want %d and 0; most routers on one %.2f of the mean, want at most %.2f",
+			name, len(remaining), idle, scaleEngines-removed, mostOverMean, maxRoutersOverMean)
 	}
-	t.Logf("%s: %d engines, %d idle, most %.2f of the mean, deviation %.2f",
+	t.Logf("%s: %d engines, %d idle; routers per engine relative to the mean: most %.2f, standard deviation %.2f",
 		name, len(remaining), idle, mostOverMean, deviation)
 	figures[name+": routers near an engine"] = math.Round(1000*members/float64(len(remaining))) / 1000
 	figures[name+": engines"] = float64(len(remaining))
@@ -81,7 +82,8 @@
 	figures[name+": most over mean"] = math.Round(1000*mostOverMean) / 1000
 }
 
-// movedShare returns the share of all subset members that change when one engine is removed, and their number.
+// movedShare returns the share of all subset members that change when one engine is removed, and the number of members
+// before the removal, summed over all routers.
 func movedShare(t *testing.T) (share float64, members int) {
 	t.Helper()
 	list := scaleEndpoints()
@@ -99,22 +101,23 @@
 	return float64(moved) / float64(members), members
 }
 
-// Subsets at the size that is designed for: which engines no router uses when lists say that many are gone, how many
-// routers the most used engine has over the mean, and how many subset members change when one engine is removed. The
-// last figure is a known weakness; the test keeps it from growing, and its figures are those of the capacity page,
-// under the names that the page uses.
+// TestSubsetsOfLargeFleet checks the subsets of a fleet of the size of the design. When many engines are removed, no
+// remaining engine is unused and none is used by far more routers than the mean. The share of subset members that
+// change when one engine is removed is a known weakness; the test keeps it from growing. The names of the figures
+// appear in docs/capacity/scale.json and on the capacity page.
 func TestSubsetsOfLargeFleet(t *testing.T) {
 	figures := map[string]float64{}
 	for _, test := range []struct {
 		name    string
-		removed int // of 1200
+		removed int // number of engines removed, of 1200
 	}{{"0% dead", 0}, {"17% dead", 204}, {"50% dead", 600}, {"70% dead", 840}} {
 		checkRoutersPerEngine(t, test.name, test.removed, figures)
 	}
 	share, members := movedShare(t)
-	t.Logf("one engine less moves %.1f%% of %d subset members", 100*share, members)
+	t.Logf("removing one engine changes %.1f%% of %d subset members", 100*share, members)
 	if share > maxMovedShare || share == 0 {
-		t.Errorf("one engine less moves %.3f of %d subset members", share, members)
+		t.Errorf("removing one engine changes %.3f of %d subset members, want more than 0 and at most %.2f",
+			share, members, maxMovedShare)
 	}
 	figures["one engine less: share of places moved"] = math.Round(1000*share) / 1000
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
