--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// benchFleet returns one controller of 600 with an endpoint list, a share of whose engines warm up. They keep doing
-// so: what is measured is a moment after a zone or a region is back.
+// benchFleet returns one of 600 controllers, the current time and the endpoint list. The given share of the engines
+// warms up during the complete benchmark, as it does for some time after a zone or a region has come back.
 func benchFleet(tb testing.TB, engines int, warmingShare float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
 	config := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
@@ -30,11 +30,12 @@
 }
 
 const (
-	benchStatementsPerSecond = 450 // at one router
-	benchOpenStatements      = 16  // statements open at a time
+	benchStatementsPerSecond = 450 // arriving at one router
+	benchOpenStatements      = 16  // statements open at the same time
 )
 
-// benchTraffic is what the classes of the fleet simulation send to one router, each statement answered after a while.
+// benchTraffic sends a controller the statements that one router receives in the fleet simulation, and ends them in the
+// order of their arrival.
 type benchTraffic struct {
 	controller *Controller
 	now        time.Duration
@@ -43,7 +44,7 @@
 	actions    []Action
 }
 
-// newBenchTraffic returns traffic with some statements open.
+// newBenchTraffic returns traffic with benchOpenStatements open statements.
 func newBenchTraffic(c *Controller, now time.Duration) *benchTraffic {
 	traffic := &benchTraffic{controller: c, now: now}
 	for range benchOpenStatements {
@@ -56,7 +57,8 @@
 	t.actions = t.controller.Handle(t.now, event, t.actions[:0])
 }
 
-// arrive has one statement arrive.
+// arrive sends the controller the next statement: a load for each multiple of 16, otherwise a report for each multiple
+// of 6, otherwise a lookup.
 func (t *benchTraffic) arrive() {
 	t.now += time.Second / benchStatementsPerSecond
 	t.statements++
@@ -75,7 +77,7 @@
 	})
 }
 
-// end ends the oldest statement, whatever became of it.
+// endOldest ends the oldest open statement, whether it was started, queued or rejected.
 func (t *benchTraffic) endOldest() {
 	id := t.open[0]
 	t.open = t.open[1:]
@@ -85,7 +87,7 @@
 
 var benchSizes = []int{30, 300, 1200, 4800}
 
-// A statement: its arrival, its end and its part of the timers.
+// BenchmarkStatement measures the arrival and the end of one statement, plus a quarter of a timer event.
 func BenchmarkStatement(b *testing.B) {
 	for _, engines := range benchSizes {
 		for _, warmingShare := range []float64{0, 0.1, 0.17, 0.5} {
@@ -105,7 +107,7 @@
 	}
 }
 
-// A change of the endpoint list: one engine begins to drain, or is back.
+// BenchmarkListChange measures a change of the endpoint list in which one engine begins to drain or becomes live again.
 func BenchmarkListChange(b *testing.B) {
 	for _, engines := range benchSizes {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -122,7 +124,7 @@
 	}
 }
 
-// A timer with statements open.
+// BenchmarkTimer measures a timer event while statements are open.
 func BenchmarkTimer(b *testing.B) {
 	for _, engines := range benchSizes {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/dispatch/trace_test.go
+++ b/dispatch/trace_test.go
@@ -8,9 +8,9 @@
 	"windflow/internal/tracetest"
 )
 
-// Every decision of the controller stays as it was recorded in testdata/traces.txt: for random events under several
-// settings, and in simulated fleets. It guards against changes that alter decisions by mistake. Scenarios have the
-// names of the recorded traces.
+// TestTraces guards against changes that alter decisions by mistake. It compares every action of the controller with
+// the traces recorded in testdata/traces.txt, for random events under several settings and for simulated fleets. The
+// scenario names are the names of the recorded traces.
 func TestTraces(t *testing.T) {
 	var all []tracetest.Scenario
 	for i, setting := range traceSettings {
@@ -27,15 +27,15 @@
 // traceSteps is the number of events of a random trace.
 const traceSteps = 6000
 
-// traceSetting is a change of traceConfig.
+// traceSetting is one random trace: the settings that differ from traceConfig, and the engines.
 type traceSetting struct {
 	name     string
 	change   func(*Config)
-	engines  int    // 0 for traceEngines
-	lostZone string // whose engines do not answer
+	engines  int    // number of engines at the start; 0 for traceEngines
+	lostZone string // zone whose engines do not accept connections; empty for none
 }
 
-// onRouter returns a change to one of many routers.
+// onRouter returns a change that makes the controller the router with the given index among several.
 func onRouter(routers, index int) func(*Config) {
 	return func(c *Config) { c.Routers, c.RouterIndex = routers, index }
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// traceConfig uses nearly all settings of a controller.
+// traceConfig returns a configuration that uses nearly all settings of a controller.
 func traceConfig() Config {
 	return Config{
 		Seed:        7,
@@ -153,7 +153,7 @@
 	}}
 }
 
-// hotRestartTrace has controllers replace each other again and again.
+// hotRestartTrace returns a scenario of repeated hot restarts, in which each controller is replaced by a successor.
 func hotRestartTrace(name string, change func(*Config)) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
 		t.Helper()
@@ -163,7 +163,8 @@
 	}}
 }
 
-// fleetTrace traces the actions of all controllers of a simulated fleet, in order.
+// fleetTrace returns a scenario that traces the actions of all controllers of a simulated fleet in order, followed by
+// the snapshots of up to three of them.
 func fleetTrace(name string, scenario fleetScenario) tracetest.Scenario {
 	return tracetest.Scenario{Name: name, Run: func(t *testing.T, h *tracetest.Hash) {
 		t.Helper()
@@ -176,17 +177,18 @@
 	}}
 }
 
-// traceFleet is a fleet with a trace.
+// traceFleet is a simulated fleet with the name of its recorded trace.
 type traceFleet struct {
 	name     string
 	scenario fleetScenario
 }
 
-// traceFleets are a small fleet, one of medium size and a large one.
+// traceFleets returns variants of a small, a medium and a large fleet.
 func traceFleets() []traceFleet {
 	small := fleetScenario{
 		seed: 5, routers: 2, engines: 6, cores: 8, zones: 2, offeredLoad: 0.7, duration: 12 * time.Second,
-		slowShare: 0.2, faultAt: 3 * time.Second, faultDuration: 4 * time.Second, burstFactor: 1.4, connectInterval: 700 * ms,
+		slowShare: 0.2, faultAt: 3 * time.Second, faultDuration: 4 * time.Second, burstFactor: 1.4,
+		connectInterval: 700 * ms,
 	}
 	medium := fleetScenario{
 		seed: 6, routers: 30, engines: 24, cores: 8, zones: 3, offeredLoad: 0.7, duration: 9 * time.Second,
@@ -198,7 +200,9 @@
 	}
 	return []traceFleet{
 		{"fleet/2-join", modified(small, func(s *fleetScenario) { s.replacedShare, s.impatientShare = 0.6, 0.3 })},
-		{"fleet/2-zone-lost", modified(small, func(s *fleetScenario) { s.zoneLost, s.listDelay = true, 2*time.Second })},
+		{"fleet/2-zone-lost", modified(small, func(s *fleetScenario) {
+			s.zoneLost, s.listDelay = true, 2*time.Second
+		})},
 		{"fleet/30-join-restart", modified(medium, func(s *fleetScenario) {
 			s.replacedShare, s.restartedShare, s.burstFactor = 0.5, 0.3, 1.5
 		})},
--- a/dispatch/tracedriver_test.go
+++ b/dispatch/tracedriver_test.go
@@ -9,8 +9,8 @@
 	"windflow/internal/tracetest"
 )
 
-// traceDriver drives a controller with random events of all kinds, from a fixed seed, and writes all actions into a
-// trace. During a hot restart it drives two, which exchange what they have running.
+// traceDriver sends a controller random events of all kinds, generated from a fixed seed, and adds all actions to a
+// trace. During a hot restart it drives two controllers, which exchange their usage of the engines.
 type traceDriver struct {
 	t           *testing.T
 	hash        *tracetest.Hash
@@ -19,29 +19,29 @@
 	now         time.Duration
 	controllers []*traceController
 	engines     []Endpoint
-	maxEngines  int    // over all time
-	lostZone    string // whose engines do not answer
+	maxEngines  int    // maximum number of engines ever added
+	lostZone    string // zone whose engines do not accept connections; empty for none
 	lastID      int
 }
 
-// traceController is one controller with its open requests.
+// traceController is a controller with its open requests and its timer.
 type traceController struct {
 	index      int
 	controller *Controller
 	requests   []*traceRequest
-	timerAt    time.Duration // 0 for no timer
+	timerAt    time.Duration // time at which the timer fires; 0 for no timer
 	timerTag   int64
 }
 
-// traceRequest is an open request.
+// traceRequest is a request without an answer, or one whose attempts have not all ended.
 type traceRequest struct {
 	id          RequestID
-	attempts    []EngineID
-	outstanding []int // indices of attempts without an outcome
+	attempts    []EngineID // engine of each attempt
+	outstanding []int      // indices of the attempts without an outcome
 	answered    bool
 }
 
-// traceEngines is how many engines there are at first, unless a setting says otherwise.
+// traceEngines is the number of engines at the start of a trace, unless a traceSetting changes it.
 const traceEngines = 9
 
 func newTraceDriver(t *testing.T, h *tracetest.Hash, config Config, seed uint64, engines int) *traceDriver {
@@ -56,7 +56,7 @@
 	return d
 }
 
-// newEngine returns an engine, some of them large, some of an unknown kind.
+// newEngine returns an engine of a random kind: small, large or not configured.
 func (d *traceDriver) newEngine(id EngineID) Endpoint {
 	kind := []string{"small", "large", "unknown"}[d.rng.IntN(3)]
 	cell := int(id) % 4
@@ -65,7 +65,7 @@
 	}
 }
 
-// start adds a controller that knows the endpoint list.
+// start adds a controller and sends it the endpoint list.
 func (d *traceDriver) start() *traceController {
 	controller, err := New(d.config)
 	if err != nil {
@@ -106,7 +106,7 @@
 		c.recordAnswer(action.Request)
 	case SetTimer:
 		c.timerAt, c.timerTag = d.now+action.After, action.Tag
-	case SetResources, CancelAttempt, Subscribe: // no event follows from these
+	case SetResources, CancelAttempt, Subscribe: // cause no event
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// dropFinished drops requests that are answered and have no attempt outstanding.
+// dropFinished removes the requests that are answered and have no outstanding attempt.
 func (c *traceController) dropFinished() {
 	open := c.requests[:0]
 	for _, req := range c.requests {
@@ -136,7 +136,8 @@
 	c.requests = open
 }
 
-// run plays so many events on random controllers.
+// run sends the given number of random events, each to a random controller. It traces the state of all controllers
+// every 500 events and at the end.
 func (d *traceDriver) run(steps int) {
 	for i := range steps {
 		d.advance()
@@ -148,7 +149,7 @@
 	d.traceState()
 }
 
-// advance lets time pass, up to the next timer at most.
+// advance lets a random time pass and fires the timers that become due.
 func (d *traceDriver) advance() {
 	until := d.now + time.Duration(d.rng.IntN(int(12*ms)))
 	if d.rng.IntN(400) == 0 {
@@ -164,7 +165,7 @@
 	d.now = max(d.now, until)
 }
 
-// traceState adds what the controllers know of the fleet.
+// traceState adds the state of all controllers to the trace.
 func (d *traceDriver) traceState() {
 	for _, c := range d.controllers {
 		var view View
@@ -207,7 +208,7 @@
 	}
 }
 
-// arrive sends a new request. Identifiers are unique over all controllers.
+// arrive sends a controller a new request. Request identifiers are unique across all controllers.
 func (d *traceDriver) arrive(c *traceController) {
 	class := d.config.Classes[d.rng.IntN(len(d.config.Classes))]
 	d.lastID++
@@ -233,8 +234,8 @@
 	d.handle(c, arrival)
 }
 
-// outstanding returns a random request with an outstanding attempt, and the attempt's position among the outstanding
-// ones; nil if a few draws found none.
+// outstanding returns a random request with an outstanding attempt, and the index of one such attempt in
+// req.outstanding. It returns nil if 20 random requests had none.
 func (d *traceDriver) outstanding(c *traceController) (req *traceRequest, index int) {
 	for range 20 {
 		if len(c.requests) == 0 {
@@ -248,7 +249,8 @@
 	return nil, 0
 }
 
-// endAttempt ends an attempt: most are served, those on engine 3 seldom.
+// endAttempt ends a random outstanding attempt. Most attempts are served, but few on engine 3 and none in the lost
+// zone.
 func (d *traceDriver) endAttempt(c *traceController) {
 	req, index := d.outstanding(c)
 	if req == nil {
@@ -279,7 +281,7 @@
 	d.handle(c, event)
 }
 
-// randomReport returns a load report with some figures unknown.
+// randomReport returns a load report in which some values are unknown (-1).
 func (d *traceDriver) randomReport() *LoadReport {
 	report := &LoadReport{
 		InFlight: float64(d.rng.IntN(20)),
@@ -299,7 +301,7 @@
 	return report
 }
 
-// anyEngine returns the identifier of a random engine, or one that is unknown.
+// anyEngine returns the identifier of a random engine, or sometimes of an engine that does not exist.
 func (d *traceDriver) anyEngine() EngineID { return EngineID(1 + d.rng.IntN(len(d.engines)+1)) }
 
 func (d *traceDriver) reportProgress(c *traceController) {
@@ -326,7 +328,7 @@
 	}
 }
 
-// leave cancels a request for its client.
+// cancelForClient reports that the client of a random request is gone.
 func (d *traceDriver) cancelForClient(c *traceController) {
 	if len(c.requests) > 0 {
 		req := c.requests[d.rng.IntN(len(c.requests))]
--- a/dispatch/traceencoding_test.go
+++ b/dispatch/traceencoding_test.go
@@ -1,13 +1,15 @@
 package dispatch
 
 import (
+	"fmt"
+
 	"windflow/internal/tracetest"
 )
 
-// This file adds actions and snapshots to a trace, field by field. Their order and the numbers of the steps are those
-// of the recorded traces and must not change.
+// This file adds actions, snapshots, usage and views to a trace, field by field. The recorded traces depend on the
+// order of the fields and on the step numbers, so neither may change.
 
-// Kinds of steps in a trace.
+// Step numbers in a trace.
 const (
 	traceStart     = 1
 	traceResources = 2
@@ -22,7 +24,7 @@
 	traceConfigure = 23
 )
 
-// traceAction adds an action of one of several controllers.
+// traceAction adds an action and the index of the controller that returned it.
 func traceAction(h *tracetest.Hash, controller int, action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
@@ -54,7 +56,7 @@
 		h.Int(action.Tag)
 		h.Duration(action.After)
 	default:
-		panic("an action without a trace")
+		panic(fmt.Sprintf("no trace encoding for an action of type %T", action))
 	}
 	h.Int(int64(controller))
 }
--- a/dispatch/traceevents_test.go
+++ b/dispatch/traceevents_test.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// This file has the events of a traceDriver that are not of one request: endpoint lists, cordons, settings, a second
-// controller.
+// This file contains the events of a traceDriver that do not belong to a single request: endpoint lists, cordons,
+// changed settings, hot restarts and invalid events.
 
-// changeEngine drains, removes or starts an engine, and names it to all controllers, to one of them sometimes twice.
+// changeEngine drains, removes, restarts or adds an engine and sends the change to all controllers. Sometimes it sends
+// the change to one controller twice.
 func (d *traceDriver) changeEngine(to *traceController) {
 	index := d.rng.IntN(len(d.engines))
 	e := &d.engines[index]
@@ -36,7 +37,7 @@
 	}
 }
 
-// sendList sends a list of any mode.
+// sendList sends a controller an endpoint list of a random mode.
 func (d *traceDriver) sendList(to *traceController) {
 	switch mode := ListMode(d.rng.IntN(int(ListFailed) + 1)); mode {
 	case ListFailed:
@@ -50,7 +51,8 @@
 	}
 }
 
-// toggleCordon cordons or uncordons an engine on all controllers, by what one of them knows.
+// toggleCordon cordons or uncordons a random engine on all controllers. An engine that the given controller has
+// cordoned is uncordoned.
 func (d *traceDriver) toggleCordon(c *traceController) {
 	id := d.anyEngine()
 	if c.controller.Cordoned(id) || d.rng.IntN(3) == 0 {
@@ -60,7 +62,8 @@
 	d.handleAll(Cordon{Engine: id})
 }
 
-// hotRestart starts a second controller, exchanges what the two have running, and in the end stops the first.
+// hotRestart performs a random step of a hot restart: it starts a successor, exchanges the usage of the two
+// controllers, announces the shutdown of the predecessor or removes the predecessor.
 func (d *traceDriver) hotRestart(predecessor *traceController) {
 	switch {
 	case len(d.controllers) == 1 && d.rng.IntN(3) == 0:
@@ -81,7 +84,8 @@
 	}
 }
 
-// hotRestarts has controllers replace each other again and again, with many events in between.
+// hotRestarts replaces the controller by a successor the given number of times, with the given number of events before
+// and after each replacement.
 func (d *traceDriver) hotRestarts(rounds, steps int) {
 	for range rounds {
 		d.run(steps)
@@ -99,7 +103,7 @@
 	}
 }
 
-// exchangeUsage sends each controller what the other one has running.
+// exchangeUsage sends each of the two controllers the usage of the other one.
 func (d *traceDriver) exchangeUsage() {
 	usages := []OtherProcessUsage{
 		d.controllers[0].controller.Usage(d.now),
@@ -111,7 +115,8 @@
 	}
 }
 
-// configure changes settings of a running controller, some to what is rejected or kept as it was.
+// configure changes settings of a running controller and traces the result. The controller rejects some of these
+// changes and ignores others.
 func (d *traceDriver) configure(c *traceController) {
 	inForce, kept, err := c.controller.Configure(d.changedConfig())
 	d.hash.Step(traceConfigure)
@@ -128,7 +133,7 @@
 	}
 }
 
-// changedConfig returns the settings with a few changes.
+// changedConfig returns a configuration with random changes, some of them invalid.
 func (d *traceDriver) changedConfig() Config {
 	config := d.config
 	config.Classes = append([]Class(nil), d.config.Classes...)
@@ -155,7 +160,8 @@
 	return config
 }
 
-// sendInvalid sends an event that makes no sense: the controller must ignore it.
+// sendInvalid sends an event that refers to an unknown request, attempt, engine or class, or a timer event that was not
+// requested.
 func (d *traceDriver) sendInvalid(c *traceController) {
 	switch d.rng.IntN(8) {
 	case 0:
