--- a/dispatch/fleetfaults_test.go
+++ b/dispatch/fleetfaults_test.go
@@ -9,14 +9,14 @@
 // fleetFaults injects the faults of a simulation.
 type fleetFaults struct{ *fleetSimulation }
 
-// scheduleFaults schedules all faults of the scenario.
+// scheduleFaults schedules all faults that the scenario defines.
 func (f fleetFaults) scheduleFaults() {
 	scenario := &f.scenario
 	for i := range f.engines {
 		if f.rng.Float64() >= scenario.replacedShare {
 			continue
 		}
-		at := scenario.faultAt + time.Duration(f.rng.Float64()*float64(scenario.faultFor))
+		at := scenario.faultAt + time.Duration(f.rng.Float64()*float64(scenario.faultDuration))
 		f.schedule(at, func() { f.replaceEngine(i) })
 	}
 	if scenario.zoneLost && scenario.lostZones == 0 {
@@ -26,10 +26,10 @@
 			}
 		}
 	}
-	f.scheduleWideFaults()
+	f.scheduleInfrastructureFaults()
 	if scenario.partitioned {
 		f.schedule(scenario.faultAt, func() { f.partitioned = true })
-		f.schedule(scenario.faultAt+scenario.faultFor, func() { f.partitioned = false })
+		f.schedule(scenario.faultAt+scenario.faultDuration, func() { f.partitioned = false })
 	}
 	for _, router := range f.routers {
 		if f.rng.Float64() < scenario.restartedShare {
@@ -38,7 +38,7 @@
 	}
 }
 
-// scheduleEngineLoss has one engine lost, and back with a restart.
+// scheduleEngineLoss makes an engine unreachable during the fault and restarts it at the end of the fault.
 func (f fleetFaults) scheduleEngineLoss(e *fleetEngine) {
 	scenario := &f.scenario
 	f.schedule(scenario.faultAt, func() { e.silent, e.running = true, nil })
@@ -48,21 +48,22 @@
 			f.announce(0, e.Endpoint)
 		})
 	}
-	f.schedule(scenario.faultAt+scenario.faultFor, func() {
+	f.schedule(scenario.faultAt+scenario.faultDuration, func() {
 		e.silent, e.State, e.StartedAt = false, Live, f.now
 		f.announce(300*ms, e.Endpoint)
 	})
 }
 
-// scheduleWideFaults has zones lost with their routers, a rack lost, and machines restarted and replaced one by one.
-func (f fleetFaults) scheduleWideFaults() {
+// scheduleInfrastructureFaults schedules the loss of zones with their routers, the loss of a rack, and rolling restarts
+// and replacements of machines.
+func (f fleetFaults) scheduleInfrastructureFaults() {
 	scenario := &f.scenario
 	if scenario.zoneLost && scenario.lostZones > 0 {
 		f.schedule(scenario.faultAt, f.loseZones)
 		if scenario.listDelay > 0 {
-			f.schedule(scenario.faultAt+scenario.listDelay, func() { f.announceLost(Removed, 0) })
+			f.schedule(scenario.faultAt+scenario.listDelay, func() { f.announceLostEngines(Removed, 0) })
 		}
-		f.schedule(scenario.faultAt+scenario.faultFor, f.restoreZones)
+		f.schedule(scenario.faultAt+scenario.faultDuration, f.restoreZones)
 	}
 	if scenario.rackSize > 0 {
 		f.schedule(scenario.faultAt, f.loseRack)
@@ -71,22 +72,22 @@
 	f.scheduleRolling(scenario.rollingReplacements, func(i int) { f.replaceEngine(i % scenario.engines) })
 }
 
-// scheduleRolling has something happen n times, evenly over the time of the fault.
+// scheduleRolling schedules n calls of run at equal intervals over the duration of the fault.
 func (f fleetFaults) scheduleRolling(n int, run func(i int)) {
 	for i := range n {
-		at := f.scenario.faultAt + f.scenario.faultFor*time.Duration(i)/time.Duration(n)
+		at := f.scenario.faultAt + f.scenario.faultDuration*time.Duration(i)/time.Duration(n)
 		f.schedule(at, func() { run(i) })
 	}
 }
 
-// replaceEngine drains and ends an engine, and adds a new one instead.
+// replaceEngine drains an engine, stops it 3 s later, and adds a new engine in its place 700 ms after the drain began.
 func (f fleetFaults) replaceEngine(index int) {
 	e := f.engines[index]
 	e.State = Draining
 	f.announce(200*ms, e.Endpoint)
 	f.schedule(3*time.Second, func() {
 		e.dead = true
-		f.breakAttempts(e)
+		f.resetAttempts(e)
 		e.State = Removed
 		f.announce(200*ms, e.Endpoint)
 	})
@@ -97,7 +98,7 @@
 	})
 }
 
-// rack returns the engines and routers of a rack, all in zone z0.
+// rack returns the engines and routers of the rack that is lost or drained. All of them are in zone z0.
 func (f fleetFaults) rack() (engines []*fleetEngine, routers []*fleetRouter) {
 	zones, size := f.scenario.zones, f.scenario.rackSize
 	for i, e := range f.engines {
@@ -113,7 +114,7 @@
 	return engines, routers
 }
 
-// announceAll announces all these engines in one state.
+// announceAll sets the state of the given engines and announces them in one endpoint list.
 func (f fleetFaults) announceAll(engines []*fleetEngine, state EndpointState, delay time.Duration) {
 	var list []Endpoint
 	for _, e := range engines {
@@ -123,7 +124,8 @@
 	f.announce(delay, list...)
 }
 
-// loseRack ends a rack with its routers, or drains its engines.
+// loseRack makes the engines of a rack unreachable and stops its routers, or drains and stops only its engines if the
+// scenario sets rackDrained.
 func (f fleetFaults) loseRack() {
 	engines, routers := f.rack()
 	if f.scenario.rackDrained {
@@ -131,7 +133,7 @@
 		f.schedule(3*time.Second, func() {
 			for _, e := range engines {
 				e.dead = true
-				f.breakAttempts(e)
+				f.resetAttempts(e)
 			}
 			f.announceAll(engines, Removed, 200*ms)
 		})
@@ -149,11 +151,12 @@
 	}
 }
 
-// lostEngines are the engines of the lost zones.
+// lostEngines returns the engines of the lost zones.
 func (f fleetFaults) lostEngines() []*fleetEngine {
 	return slices.DeleteFunc(slices.Clone(f.engines), func(e *fleetEngine) bool { return !f.scenario.isLost(e.Cell) })
 }
 
+// loseZones makes the engines of the lost zones unreachable and stops the routers there.
 func (f fleetFaults) loseZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.running = true, nil
@@ -166,16 +169,17 @@
 	}
 }
 
-func (f fleetFaults) announceLost(state EndpointState, delay time.Duration) {
+// announceLostEngines announces the engines of the lost zones in the given state.
+func (f fleetFaults) announceLostEngines(state EndpointState, delay time.Duration) {
 	f.announceAll(f.lostEngines(), state, delay)
 }
 
-// restoreZones restarts all that was lost: engines warm up, and routers know nothing.
+// restoreZones restarts the lost engines, which then warm up, and the routers, which have lost their state.
 func (f fleetFaults) restoreZones() {
 	for _, e := range f.lostEngines() {
 		e.silent, e.StartedAt = false, f.now
 	}
-	f.announceLost(Live, 300*ms)
+	f.announceLostEngines(Live, 300*ms)
 	for _, router := range f.routers {
 		if router.down {
 			router.down = false
@@ -184,14 +188,14 @@
 	}
 }
 
-// restartRouter restarts a router without a hot restart.
+// restartRouter restarts a router without a hot restart: its connections break and its state is lost.
 func (f fleetFaults) restartRouter(router *fleetRouter) {
 	f.breakConnections(router)
 	f.startRouter(router)
 }
 
-// breakConnections breaks the connections of a router's clients. Most send their requests again, to other routers; what
-// must not run twice is not sent again.
+// breakConnections breaks the client connections of a router. Four of five clients send their open requests again, to
+// any router that is up. Loads are not sent again, because a load may run at most once.
 func (f fleetFaults) breakConnections(router *fleetRouter) {
 	var open []*fleetRequest
 	for _, req := range router.open {
@@ -201,13 +205,13 @@
 	router.incarnation++
 	router.open = map[RequestID]*fleetRequest{}
 	for _, req := range open {
-		once := router.config.Classes[req.class].LocksTableGroup
-		if once || req.tries >= fleetMaxTries-1 || f.rng.Float64() < 0.2 {
+		atMostOnce := router.config.Classes[req.class].LocksTableGroup
+		if atMostOnce || req.earlierTries >= fleetMaxSends-1 || f.rng.Float64() < 0.2 {
 			continue
 		}
 		f.schedule(time.Duration((0.5+f.rng.Float64())*float64(300*ms)), func() {
 			clients := fleetClients(f)
-			clients.sendRequest(clients.availableRouter(router), req.again())
+			clients.sendRequest(clients.availableRouter(router), req.retry())
 		})
 	}
 }
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// recountWarm sums up the warm engines one by one.
+// recountWarm computes the resources of the warm engines from scratch, as warmResources has to return them.
 func (c *Controller) recountWarm() (sum resources) {
 	zonesLost := c.capacity.largeFleet() && c.endpoints.zonesLost()
 	grants := int64(0)
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// recountBudgeted looks at each warming engine for those that this router has budget for.
+// recountBudgeted checks each warming engine and returns those for which this router has budget, as enginesWithBudget
+// has to return them.
 func (c *Controller) recountBudgeted() (ids []EngineID) {
 	if !c.capacity.largeFleet() || c.env.config.WarmUp.OverloadFactor <= 0 {
 		return nil
@@ -45,7 +46,7 @@
 	return ids
 }
 
-// recountEjected counts the ejected engines one by one.
+// recountEjected counts the ejected engines from scratch, as ejectedCount has to return them.
 func (c *Controller) recountEjected() (n float64) {
 	for _, e := range c.endpoints.listed {
 		if e.health.currentFailureShare(c.env) >= ejectionThreshold {
@@ -55,26 +56,26 @@
 	return n
 }
 
-// mirroredControllers are two controllers that handle the same events. One updates its sums, the other one recomputes
-// all of them before each event.
-type mirroredControllers struct {
+// comparedControllers are two controllers that handle the same events. The incremental one updates its sums, the
+// recounting one recomputes all of them for each event.
+type comparedControllers struct {
 	*rapid.T
 	config                  Config
 	incremental, recounting *Controller
 	now                     time.Duration
 	outstanding             []StartAttempt
 	attempts                map[RequestID]int
-	timerAt                 time.Duration // 0 for no timer
+	timerAt                 time.Duration // time at which the timer fires; 0 for no timer
 	endpoints               map[EngineID]Endpoint
 	lastID                  int
-	deadZones               map[string]bool // whose engines hardly ever take a connection
+	deadZones               map[string]bool // zones in which most attempts fail to connect
 }
 
-func newMirroredControllers(t *rapid.T) *mirroredControllers {
+func newComparedControllers(t *rapid.T) *comparedControllers {
 	routers := rapid.SampledFrom([]int{3, 60, 600}).Draw(t, "routers")
 	config := fleetConfig(fleetScenario{seed: 1, routers: routers, cores: 8}, 7)
 	config.Features.Grants = true
-	m := &mirroredControllers{
+	m := &comparedControllers{
 		T: t, config: config, now: time.Hour,
 		attempts: map[RequestID]int{}, endpoints: map[EngineID]Endpoint{}, deadZones: map[string]bool{},
 	}
@@ -88,16 +89,17 @@
 	return m
 }
 
-// handle has both controllers handle an event, and compares their actions and sums.
-func (m *mirroredControllers) handle(event Event) {
+// handle passes an event to both controllers, compares their actions and checks the sums of the incremental one. The
+// sums of the recounting one are invalidated before and recomputed after each event.
+func (m *comparedControllers) handle(event Event) {
 	m.recounting.capacity.recountAt, m.recounting.outliers.countValidUntil = 0, 0
 	m.recounting.endpoints.unsorted, m.recounting.endpoints.anyRemoved = true, true
 	got, want := m.incremental.Handle(m.now, event, nil), m.recounting.Handle(m.now, event, nil)
 	if !reflect.DeepEqual(got, want) {
-		m.Fatalf("%#v at %v: %v, and %v where all is recounted", event, m.now, got, want)
+		m.Fatalf("%#v at %v: actions %v, want %v as of the recounting controller", event, m.now, got, want)
 	}
 	for _, action := range got {
-		m.carryOut(action)
+		m.applyAction(action)
 	}
 	m.checkSums(event)
 	m.recounting.capacity.warmResources()
@@ -106,20 +108,20 @@
 	m.recounting.outliers.ejectedCount()
 }
 
-// carryOut records what attempts are outstanding and when the timer fires.
-func (m *mirroredControllers) carryOut(action Action) {
+// applyAction records started attempts and the time at which the timer fires.
+func (m *comparedControllers) applyAction(action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
 		m.outstanding = append(m.outstanding, action)
 		m.attempts[action.Request]++
 	case SetTimer:
 		m.timerAt = m.now + action.After
-	case SetResources, CancelAttempt, Reject, FailRequest, Subscribe: // no event follows from these
+	case SetResources, CancelAttempt, Reject, FailRequest, Subscribe: // cause no event
 	}
 }
 
-// checkSums compares the sums of the first controller with a recount.
-func (m *mirroredControllers) checkSums(event Event) {
+// checkSums compares the sums of the incremental controller with a recount.
+func (m *comparedControllers) checkSums(event Event) {
 	c := m.incremental
 	if got, want := c.capacity.warmResources(), c.recountWarm(); got != want {
 		m.Fatalf("%#v at %v: warm engines have %+v, want %+v", event, m.now, got, want)
@@ -132,12 +134,12 @@
 		ids = append(ids, e.ID)
 	}
 	if want := c.recountBudgeted(); !slices.Equal(ids, want) {
-		m.Fatalf("%#v at %v: budget for %v, want %v", event, m.now, ids, want)
+		m.Fatalf("%#v at %v: this router has budget for the engines %v, want %v", event, m.now, ids, want)
 	}
 }
 
-// changedEndpoint draws a change of an endpoint, or a new one.
-func (m *mirroredControllers) changedEndpoint() Endpoint {
+// changedEndpoint draws an engine that is new or has changed in state, start time or zone.
+func (m *comparedControllers) changedEndpoint() Endpoint {
 	id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "engine"))
 	e, known := m.endpoints[id]
 	if !known {
@@ -154,28 +156,28 @@
 	return e
 }
 
-// completeList draws a complete endpoint list with a number of entries between two bounds.
-func (m *mirroredControllers) completeList(least, most int) EndpointList {
+// completeList draws a complete endpoint list with minEntries to maxEntries entries.
+func (m *comparedControllers) completeList(minEntries, maxEntries int) EndpointList {
 	var list []Endpoint
-	for range rapid.IntRange(least, most).Draw(m.T, "entries") {
+	for range rapid.IntRange(minEntries, maxEntries).Draw(m.T, "entries") {
 		list = append(list, m.changedEndpoint())
 	}
 	return EndpointList{Mode: ListComplete, Endpoints: list}
 }
 
-// endAttempt ends an outstanding attempt, nearly always without a connection where its zone is dead.
-func (m *mirroredControllers) endAttempt() {
+// endAttempt ends a random outstanding attempt. In a dead zone most attempts fail to connect.
+func (m *comparedControllers) endAttempt() {
 	if len(m.outstanding) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.outstanding)-1).Draw(m.T, "which")
+	i := rapid.IntRange(0, len(m.outstanding)-1).Draw(m.T, "outstanding attempt")
 	start := m.outstanding[i]
 	m.outstanding = slices.Delete(m.outstanding, i, i+1)
 	outcome := rapid.SampledFrom([]Outcome{
 		Served, Served, Served, EngineFailed, ConnectFailed, ConnectFailed, ConnectionReset, EngineFull, TimedOut,
 	}).Draw(m.T, "outcome")
 	e := m.incremental.endpoints.byID[start.Engine]
-	if e != nil && m.deadZones[e.Zone] && rapid.IntRange(0, 9).Draw(m.T, "through") > 0 {
+	if e != nil && m.deadZones[e.Zone] && rapid.IntRange(0, 9).Draw(m.T, "connects") > 0 {
 		outcome = ConnectFailed
 	}
 	m.handle(AttemptEnd{
@@ -183,22 +185,22 @@
 	})
 }
 
-// configure changes settings that the sums depend on.
-func (m *mirroredControllers) configure() {
-	changed := m.config
-	changed.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "now")
-	changed.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "factor")
+// configure changes settings on which the sums depend.
+func (m *comparedControllers) configure() {
+	config := m.config
+	config.Routers = rapid.SampledFrom([]int{3, 60, 600}).Draw(m.T, "changed routers")
+	config.WarmUp.OverloadFactor = rapid.SampledFrom([]float64{0, 1.5, 2, 3}).Draw(m.T, "overload factor")
 	for _, c := range []*Controller{m.incremental, m.recounting} {
-		if _, _, err := c.Configure(changed); err != nil {
+		if _, _, err := c.Configure(config); err != nil {
 			m.Fatal(err)
 		}
 	}
 }
 
-// usage draws what the other process has running.
-func (m *mirroredControllers) usage() (usage OtherProcessUsage) {
-	for range rapid.IntRange(0, 3).Draw(m.T, "usages") {
-		id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "used"))
+// usage draws the usage that the other process of a hot restart reports.
+func (m *comparedControllers) usage() (usage OtherProcessUsage) {
+	for range rapid.IntRange(0, 3).Draw(m.T, "used engines") {
+		id := EngineID(rapid.IntRange(1, 60).Draw(m.T, "used engine"))
 		usage.Engines = append(usage.Engines, EngineUsage{
 			ID: id, Threads: 4, Work: 1, GrantedMB: 100.1, WarmUpWork: 0.1,
 		})
@@ -206,7 +208,7 @@
 	return usage
 }
 
-func (m *mirroredControllers) arrive() {
+func (m *comparedControllers) arrive() {
 	m.lastID++
 	m.handle(Arrival{
 		Request:    RequestID(fmt.Sprint(m.lastID)),
@@ -218,19 +220,19 @@
 	})
 }
 
-// mirroredPauses are the times that pass between two events.
-var mirroredPauses = []time.Duration{
+// timesBetweenEvents are the possible times between two events. The longest exceeds the duration of a warm-up.
+var timesBetweenEvents = []time.Duration{
 	0, 0, ms, 3 * ms, 20 * ms, 150 * ms, 1500 * ms, 15 * time.Second,
 }
 
-// step lets time pass and has an event happen. The more requests, the higher busy.
-func (m *mirroredControllers) step(busy int) {
-	m.now += rapid.SampledFrom(mirroredPauses).Draw(m.T, "passes")
+// step lets time pass and sends a random event. A higher trafficBias makes arrivals and ends of attempts more likely.
+func (m *comparedControllers) step(trafficBias int) {
+	m.now += rapid.SampledFrom(timesBetweenEvents).Draw(m.T, "time to event")
 	if m.timerAt > 0 && m.now >= m.timerAt {
 		m.timerAt = 0
 		m.handle(TimerFired{Tag: housekeepingTag})
 	}
-	switch kind := rapid.IntRange(0, 14+busy).Draw(m.T, "kind"); kind {
+	switch kind := rapid.IntRange(0, 14+trafficBias).Draw(m.T, "kind"); kind {
 	case 0, 14:
 		changes := []Endpoint{m.changedEndpoint(), m.changedEndpoint()}
 		m.handle(EndpointList{Mode: ListIncremental, Endpoints: changes})
@@ -253,19 +255,20 @@
 	}
 }
 
-// Sums that are updated lead to the same decisions, draw for draw, as recounting all engines at each event, whatever
-// the order of events: requests, outcomes of all kinds, endpoint lists, cordons, hot restarts, changed settings, long
-// pauses.
-func TestIncrementalSumsDecideAsRecounted(t *testing.T) {
+// Incrementally updated sums lead to the same actions, and so to the same random draws, as sums that are recomputed
+// over all engines for each event. This guards against an event that changes a sum without updating it. The random
+// events include requests, outcomes of all kinds, endpoint lists, cordons, usage from hot restarts, changed settings
+// and long pauses.
+func TestIncrementalSumsMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMirroredControllers(t)
-		for range rapid.IntRange(0, 2).Draw(t, "dead") {
+		m := newComparedControllers(t)
+		for range rapid.IntRange(0, 2).Draw(t, "dead zones") {
 			m.deadZones[fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))] = true
 		}
-		busy := rapid.IntRange(0, 40).Draw(t, "busy")
+		trafficBias := rapid.IntRange(0, 40).Draw(t, "traffic bias")
 		m.handle(m.completeList(1, 40))
 		for range rapid.IntRange(20, 250).Draw(t, "events") {
-			m.step(busy)
+			m.step(trafficBias)
 		}
 	})
 }
