--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -81,7 +81,7 @@
 
 func (s *session) handleMessage(received message) {
 	if received.kind == typeNotification {
-		s.speaker.Counters.Notified++
+		s.speaker.Counters.NotificationsReceived++
 		s.close(nil, "the neighbour sent "+decodeNotification(received.body).Error())
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 func (s *session) handleUpdate(body []byte) {
-	s.speaker.Counters.Updates++
+	s.speaker.Counters.UpdatesReceived++
 	if invalid := checkUpdate(body); invalid != nil {
 		s.close(invalid, "bad UPDATE")
 		return
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -17,14 +17,14 @@
 
 // Counters count what the speaker sent and received.
 type Counters struct {
-	Connects    int64 `status:"connects"`
-	Established int64 `status:"established"`
-	Announced   int64 `status:"announced"`
-	Withdrawn   int64 `status:"withdrawn"`
-	Keepalives  int64 `status:"keepalives"`
-	Updates     int64 `status:"updates"`
-	Notified    int64 `status:"notified"`
-	Errors      int64 `status:"errors"`
+	Connects              int64 `status:"connects"`
+	Established           int64 `status:"established"`
+	Announced             int64 `status:"announced"`
+	Withdrawn             int64 `status:"withdrawn"`
+	Keepalives            int64 `status:"keepalives"`
+	UpdatesReceived       int64 `status:"updates"`
+	NotificationsReceived int64 `status:"notified"`
+	Errors                int64 `status:"errors"`
 }
 
 // Speaker maintains a session with the neighbour until it is closed, and reconnects where the session ends.
@@ -48,9 +48,9 @@
 	return s
 }
 
-// StartDeferred returns a speaker that does not connect: the predecessor of this process has the session, and Adopt
+// NewDeferredSpeaker returns a speaker that does not connect: the predecessor of this process has the session, and Adopt
 // takes it over from it.
-func StartDeferred(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
+func NewDeferredSpeaker(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
 	return &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log, awaitingAdoption: true}
 }
 
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -240,8 +240,8 @@
 	p.establish()
 	p.takeMessages()
 	p.handler.Data(encodeNotification(&NotificationError{Code: 6, Subcode: 4}), 0)
-	if got := p.takeMessages(); got != "" || !p.closed || p.speaker.Counters.Notified != 1 {
-		t.Errorf("wrote %q, closed %v, counted %d", got, p.closed, p.speaker.Counters.Notified)
+	if got := p.takeMessages(); got != "" || !p.closed || p.speaker.Counters.NotificationsReceived != 1 {
+		t.Errorf("wrote %q, closed %v, counted %d", got, p.closed, p.speaker.Counters.NotificationsReceived)
 	}
 }
 
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -26,7 +26,7 @@
 		start: func(limits) error {
 			start := bgp.StartSpeaker
 			if predecessorHasSession(restart) {
-				start = bgp.StartDeferred
+				start = bgp.NewDeferredSpeaker
 			}
 			speaker = start(n.loop, services.net, *active.site.BGP, n.log)
 			speaker.Announce()
