--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -10,14 +10,14 @@
 )
 
 // takeHex returns what the speaker has written since the last call as hexadecimal digits, after the step's name.
-func (p *peer) takeHex(step string) string {
+func (p *fakePeer) takeHex(step string) string {
 	written := p.written
 	p.written = nil
 	return fmt.Sprintf("%s: %x\n", step, written)
 }
 
 // converse runs a session of a speaker and returns the bytes that it wrote at each step.
-func converse(t *testing.T, cfg Config, neighbourOpen []byte) string {
+func runSession(t *testing.T, cfg Config, neighbourOpen []byte) string {
 	t.Helper()
 	p := newPeer(t, cfg)
 	p.handler.Opened(p)
@@ -54,7 +54,7 @@
 		config Config
 		open   []byte // the neighbour's
 	}{{"external", external, current}, {"internal", internal, current}, {"large, old neighbour", large, old}} {
-		fmt.Fprintf(&text, "%s\n%s\n", session.name, converse(t, session.config, session.open))
+		fmt.Fprintf(&text, "%s\n%s\n", session.name, runSession(t, session.config, session.open))
 	}
 	golden.Equal(t, "sessions.txt", text.Bytes())
 }
@@ -63,7 +63,7 @@
 func TestGoldenMessages(t *testing.T) {
 	cfg := testConfig()
 	var text bytes.Buffer
-	for _, m := range []struct {
+	for _, tc := range []struct {
 		name  string
 		bytes []byte
 	}{
@@ -83,7 +83,7 @@
 		{"withdrawal", encodeWithdrawal(cfg.Prefixes)},
 		{"notification", encodeNotification(&NotificationError{Code: 6, Subcode: 2, Data: []byte{1, 2}})},
 	} {
-		fmt.Fprintf(&text, "%s: %x\n", m.name, m.bytes)
+		fmt.Fprintf(&text, "%s: %x\n", tc.name, tc.bytes)
 	}
 	golden.Equal(t, "messages.txt", text.Bytes())
 }
--- a/internal/bgp/open.go
+++ b/internal/bgp/open.go
@@ -29,12 +29,12 @@
 }
 
 func encodeOpen(open openMessage) []byte {
-	shortAS := uint16(asTrans)
+	twoByteAS := uint16(asTrans)
 	if open.asNumber <= 0xffff {
-		shortAS = uint16(open.asNumber)
+		twoByteAS = uint16(open.asNumber)
 	}
 	body := []byte{protocolVersion}
-	body = binary.BigEndian.AppendUint16(body, shortAS)
+	body = binary.BigEndian.AppendUint16(body, twoByteAS)
 	body = binary.BigEndian.AppendUint16(body, open.holdTimeSeconds)
 	body = append(body, open.routerID.AsSlice()...)
 	capabilities := append([]byte(nil), ipv4Unicast...)
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -26,7 +26,7 @@
 }
 
 // peer is a fake neighbour that stores what the speaker writes.
-type peer struct {
+type fakePeer struct {
 	t       *testing.T
 	now     *clock.Manual
 	loop    *router.Loop
@@ -37,31 +37,31 @@
 	closed  bool
 }
 
-func newPeer(t *testing.T, cfg Config) *peer {
+func newPeer(t *testing.T, cfg Config) *fakePeer {
 	t.Helper()
-	p := &peer{t: t, now: &clock.Manual{MS: 1e12}}
+	p := &fakePeer{t: t, now: &clock.Manual{MS: 1e12}}
 	p.loop = router.NewLoop(p.now)
 	p.speaker = StartSpeaker(p.loop, p, cfg, slog.New(slog.DiscardHandler))
 	return p
 }
 
-func (p *peer) Dial(_ string, _ float64, h netio.Handler) netio.Conn {
+func (p *fakePeer) Dial(_ string, _ float64, h netio.Handler) netio.Conn {
 	p.dials++
 	p.handler, p.closed = h, false
 	return p
 }
 
-func (p *peer) Write(b []byte) error {
+func (p *fakePeer) Write(b []byte) error {
 	p.written = append(p.written, b...)
 	return nil
 }
-func (p *peer) Close()                  { p.closed = true }
-func (p *peer) CloseGracefully()        { p.closed = true }
-func (p *peer) NotifyFlushed(f func())  { f() }
-func (p *peer) Detach(f func(*os.File)) { f(nil) }
-func (p *peer) HasUnread() bool         { return false }
+func (p *fakePeer) Close()                  { p.closed = true }
+func (p *fakePeer) CloseGracefully()        { p.closed = true }
+func (p *fakePeer) NotifyFlushed(f func())  { f() }
+func (p *fakePeer) Detach(f func(*os.File)) { f(nil) }
+func (p *fakePeer) HasUnread() bool         { return false }
 
-func (p *peer) wait(ms float64) {
+func (p *fakePeer) wait(ms float64) {
 	for end := p.now.MS + ms; p.now.MS < end; p.now.MS += 100 {
 		for p.loop.Step() {
 		}
@@ -69,7 +69,7 @@
 }
 
 // takeMessages describes what the speaker has written since the last call.
-func (p *peer) takeMessages() string {
+func (p *fakePeer) takeMessages() string {
 	p.t.Helper()
 	var messages []string
 	for len(p.written) > 0 {
@@ -90,15 +90,15 @@
 var peerOpen = openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.MustParseAddr("10.0.0.2")}
 
 // establish opens a session.
-func (p *peer) establish() {
+func (p *fakePeer) establish() {
 	p.handler.Opened(p)
 	p.handler.Data(encodeOpen(peerOpen), 0)
 	p.handler.Data(encodeMessage(typeKeepalive, nil), 0)
 }
 
 const (
-	announced = "update 0000" + "0014" + "40010100" + "4002" + "06" + "02010000fc01" + "4003040a000001" + "20c000020a"
-	withdrawn = "update 0005" + "20c000020a" + "0000"
+	wantAnnouncement = "update 0000" + "0014" + "40010100" + "4002" + "06" + "02010000fc01" + "4003040a000001" + "20c000020a"
+	wantWithdrawal   = "update 0005" + "20c000020a" + "0000"
 )
 
 func TestSession(t *testing.T) {
@@ -111,7 +111,7 @@
 	b := encodeOpen(peerOpen)
 	p.handler.Data(b[:5], 0)
 	p.handler.Data(append(b[5:], encodeMessage(typeKeepalive, nil)...), 0)
-	if got, want := p.takeMessages(), "keepalive, "+announced; got != want || p.speaker.State() != Established {
+	if got, want := p.takeMessages(), "keepalive, "+wantAnnouncement; got != want || p.speaker.State() != Established {
 		t.Errorf("state %v, wrote %s, want %s", p.speaker.State(), got, want)
 	}
 	p.wait(3100) // a third of the lower hold time
@@ -121,8 +121,8 @@
 	p.handler.Data(encodeMessage(typeUpdate, []byte{0, 0, 0, 0}), 0)
 	p.speaker.Withdraw()
 	p.speaker.Withdraw()
-	if got := p.takeMessages(); got != withdrawn {
-		t.Errorf("wrote %s, want %s", got, withdrawn)
+	if got := p.takeMessages(); got != wantWithdrawal {
+		t.Errorf("wrote %s, want %s", got, wantWithdrawal)
 	}
 	p.speaker.Close()
 	if got := p.takeMessages(); got != "notification 0602" || !p.closed {
@@ -149,7 +149,7 @@
 		t.Fatalf("dialled %d times", p.dials)
 	}
 	p.establish()
-	if got := p.takeMessages(); !strings.HasSuffix(got, announced) {
+	if got := p.takeMessages(); !strings.HasSuffix(got, wantAnnouncement) {
 		t.Errorf("after reconnection: wrote %q", got)
 	}
 	p.handler.Closed(os.ErrClosed)
@@ -218,18 +218,18 @@
 }
 
 func TestMalformedMessages(t *testing.T) {
-	for _, k := range malformedMessages(t) {
+	for _, tc := range malformedMessages(t) {
 		p := newPeer(t, testConfig())
-		if k.established {
+		if tc.established {
 			p.establish()
 		} else {
 			p.handler.Opened(p)
 		}
 		p.takeMessages()
-		p.handler.Data(k.send, 0)
-		if got := p.takeMessages(); got != "notification "+k.want || !p.closed || p.speaker.State() != Idle {
-			t.Errorf("%s: wrote %q, closed %v, state %v; want notification %s", k.name, got, p.closed,
-				p.speaker.State(), k.want)
+		p.handler.Data(tc.send, 0)
+		if got := p.takeMessages(); got != "notification "+tc.want || !p.closed || p.speaker.State() != Idle {
+			t.Errorf("%s: wrote %q, closed %v, state %v; want notification %s", tc.name, got, p.closed,
+				p.speaker.State(), tc.want)
 		}
 	}
 }
@@ -246,34 +246,34 @@
 }
 
 func TestUpdateEncodings(t *testing.T) {
-	inside, wide := testConfig(), testConfig()
-	inside.PeerAS = inside.LocalAS
-	wide.LocalAS = 70000
-	wide.Prefixes = []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}
-	for _, k := range []struct {
+	sameAS, largeAS := testConfig(), testConfig()
+	sameAS.PeerAS = sameAS.LocalAS
+	largeAS.LocalAS = 70000
+	largeAS.Prefixes = []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}
+	for _, tc := range []struct {
 		name       string
 		cfg        Config
 		fourByteAS bool
 		want       string
 	}{
 		{
-			"within one AS", inside, true,
+			"within one AS", sameAS, true,
 			"0000" + "0015" + "40010100" + "400200" + "4003040a000001" + "40050400000064" + "20c000020a",
 		},
 		{
 			"to an old speaker", testConfig(), false,
 			"0000" + "0012" + "40010100" + "4002040201fc01" + "4003040a000001" + "20c000020a",
 		},
-		{"a wide number to an old speaker", wide, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
+		{"a wide number to an old speaker", largeAS, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
 			"4003040a000001" + "c01106020100011170" + "100a01"},
 	} {
-		got := hex.EncodeToString(encodeAnnouncement(k.cfg, k.fourByteAS)[headerLength:])
-		if diff := cmp.Diff(k.want, got); diff != "" {
-			t.Errorf("%s: %s", k.name, diff)
+		got := hex.EncodeToString(encodeAnnouncement(tc.cfg, tc.fourByteAS)[headerLength:])
+		if diff := cmp.Diff(tc.want, got); diff != "" {
+			t.Errorf("%s: %s", tc.name, diff)
 		}
 		b, _ := hex.DecodeString(got)
 		if bad := checkUpdate(b); bad != nil {
-			t.Errorf("%s: own UPDATE is bad: %v", k.name, bad)
+			t.Errorf("%s: own UPDATE is bad: %v", tc.name, bad)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	cfg := testConfig()
 	cfg.Prefixes = []netip.Prefix{netip.MustParsePrefix("192.0.2.11/32")}
 	p.speaker.Configure(cfg)
-	want := withdrawn + ", " + strings.Replace(announced, "20c000020a", "20c000020b", 1)
+	want := wantWithdrawal + ", " + strings.Replace(wantAnnouncement, "20c000020a", "20c000020b", 1)
 	if got := p.takeMessages(); got != want {
 		t.Errorf("for another prefix: %s, want %s", got, want)
 	}
--- a/internal/bgp/update.go
+++ b/internal/bgp/update.go
@@ -24,7 +24,7 @@
 	// defaultLocalPref is the preference of the routes within one AS.
 	defaultLocalPref = 100
 	ipv4Bits         = 32
-	maxShortAS       = 0xffff
+	maxTwoByteAS     = 0xffff
 )
 
 // encodeAnnouncement encodes an UPDATE that announces the prefixes. A neighbour without fourByteAS gets AS numbers of
@@ -45,12 +45,12 @@
 func encodePrefixes(prefixes []netip.Prefix) (encoded []byte) {
 	for _, prefix := range prefixes {
 		address := prefix.Addr().As4()
-		encoded = append(append(encoded, byte(prefix.Bits())), address[:bytesOfBits(prefix.Bits())]...)
+		encoded = append(append(encoded, byte(prefix.Bits())), address[:bytesForBits(prefix.Bits())]...)
 	}
 	return encoded
 }
 
-func bytesOfBits(bits int) int { return (bits + 7) / 8 }
+func bytesForBits(bits int) int { return (bits + 7) / 8 }
 
 func encodeAttributes(cfg Config, fourByteAS bool) []byte {
 	internal := cfg.LocalAS == cfg.PeerAS
@@ -61,7 +61,7 @@
 	case internal:
 		preference := binary.BigEndian.AppendUint32(nil, defaultLocalPref)
 		attributes = append(attributes, encodeAttribute(flagsWellKnown, attributeLocalPref, preference)...)
-	case !fourByteAS && cfg.LocalAS > maxShortAS:
+	case !fourByteAS && cfg.LocalAS > maxTwoByteAS:
 		path := encodeASPath(cfg, true)
 		attributes = append(attributes, encodeAttribute(flagsOptionalTransitive, attributeAS4Path, path)...)
 	}
@@ -80,7 +80,7 @@
 		return nil
 	case fourByteAS:
 		return binary.BigEndian.AppendUint32(path, cfg.LocalAS)
-	case cfg.LocalAS > maxShortAS:
+	case cfg.LocalAS > maxTwoByteAS:
 		return binary.BigEndian.AppendUint16(path, asTrans)
 	}
 	return binary.BigEndian.AppendUint16(path, uint16(cfg.LocalAS))
@@ -111,16 +111,16 @@
 // validAttributes reports whether a list of path attributes has valid lengths.
 func validAttributes(attributes []byte) bool {
 	for len(attributes) > 0 {
-		headLength := 3
+		attributeHeaderLength := 3
 		if attributes[0]&flagExtendedLength != 0 {
-			headLength = 4
+			attributeHeaderLength = 4
 		}
-		if len(attributes) < headLength {
+		if len(attributes) < attributeHeaderLength {
 			return false
 		}
-		end := headLength + int(attributes[2])
-		if headLength == 4 {
-			end = headLength + int(binary.BigEndian.Uint16(attributes[2:]))
+		end := attributeHeaderLength + int(attributes[2])
+		if attributeHeaderLength == 4 {
+			end = attributeHeaderLength + int(binary.BigEndian.Uint16(attributes[2:]))
 		}
 		if len(attributes) < end {
 			return false
@@ -133,7 +133,7 @@
 // validPrefixes reports whether a list of prefixes has valid lengths.
 func validPrefixes(prefixes []byte) bool {
 	for len(prefixes) > 0 {
-		end := 1 + bytesOfBits(int(prefixes[0]))
+		end := 1 + bytesForBits(int(prefixes[0]))
 		if prefixes[0] > ipv4Bits || len(prefixes) < end {
 			return false
 		}
--- a/internal/flightsql/answer.go
+++ b/internal/flightsql/answer.go
@@ -44,20 +44,20 @@
 func (c answerChan) Failed(reason router.Reason) { c <- answer{reason: reason} }
 
 // toResult returns the result of an answer, or its status for the client.
-func (s *service) toResult(ctx context.Context, request *router.Request, final answer) (*router.Result, error) {
+func (s *service) toResult(ctx context.Context, request *router.Request, a answer) (*router.Result, error) {
 	switch {
-	case final.result != nil:
+	case a.result != nil:
 		s.counters.Served.Add(1)
-		return final.result, nil
-	case errors.Is(final.submitErr, router.ErrIDInUse):
+		return a.result, nil
+	case errors.Is(a.submitErr, router.ErrIDInUse):
 		s.counters.Malformed.Add(1)
-		return nil, status.Error(codes.AlreadyExists, final.submitErr.Error())
-	case final.submitErr != nil:
-		return nil, malformedError(s.counters, final.submitErr.Error())
-	case final.rejected:
-		return nil, s.rejection(ctx, final.backoffMS)
+		return nil, status.Error(codes.AlreadyExists, a.submitErr.Error())
+	case a.submitErr != nil:
+		return nil, malformedError(s.counters, a.submitErr.Error())
+	case a.rejected:
+		return nil, s.rejection(ctx, a.backoffMS)
 	}
-	return nil, s.failure(ctx, request, final.reason)
+	return nil, s.failure(ctx, request, a.reason)
 }
 
 // failure returns the status of a failed request; its trailer says whether a retry is safe.
--- a/internal/flightsql/attempt.go
+++ b/internal/flightsql/attempt.go
@@ -88,7 +88,7 @@
 		c.Counters.Queries.Add(1)
 		result, trailer, err = executeQuery(ctx, client, call.Statement)
 	}
-	if state.repeated.Load() {
+	if state.retried.Load() {
 		c.Counters.TransparentRetries.Add(1)
 	}
 	if err == nil {
--- a/internal/flightsql/callstate.go
+++ b/internal/flightsql/callstate.go
@@ -16,11 +16,11 @@
 
 // callState tracks the calls of one attempt. It is safe for concurrent use.
 type callState struct {
-	cancel   context.CancelFunc
-	onSent   func() // called once, when the first message has been written
-	phase    atomic.Int32
-	notified atomic.Bool // onSent was called
-	repeated atomic.Bool // gRPC was about to repeat a call
+	cancel       context.CancelFunc
+	onSent       func() // called once, when the first message has been written
+	phase        atomic.Int32
+	onSentCalled atomic.Bool // onSent was called
+	retried      atomic.Bool // gRPC was about to repeat a call
 }
 
 // cancelUnsent cancels the attempt unless it has been sent; it reports whether it did.
@@ -30,9 +30,9 @@
 func (s *callState) sent() bool { return s.phase.Load() == phaseSent }
 
 // callBegins aborts a call that gRPC would repeat.
-func (s *callState) callBegins(transparentRetry bool) {
+func (s *callState) callStarted(transparentRetry bool) {
 	if transparentRetry && s.sent() {
-		s.repeated.Store(true)
+		s.retried.Store(true)
 		s.cancel()
 	}
 }
@@ -46,7 +46,7 @@
 
 // payloadWritten records that a message was written.
 func (s *callState) payloadWritten() {
-	if !s.notified.Swap(true) {
+	if !s.onSentCalled.Swap(true) {
 		s.onSent()
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	switch event := event.(type) {
 	case *stats.Begin:
-		state.callBegins(event.IsTransparentRetryAttempt)
+		state.callStarted(event.IsTransparentRetryAttempt)
 	case *stats.OutHeader:
 		state.headerWritten()
 	case *stats.OutPayload:
--- a/internal/flightsql/cancel_test.go
+++ b/internal/flightsql/cancel_test.go
@@ -18,11 +18,11 @@
 }
 
 // startBoth starts an idempotent attempt and one that must not run twice, in that order. It is called in the loop.
-func startBoth(c *Client, engine router.Engine, onSent func(), onEnd func(router.End)) []router.Attempt {
+func startTwoAttempts(c *Client, engine router.Engine, onSent func(), onEnd func(router.End)) []router.Attempt {
 	var started []router.Attempt
-	for _, once := range []bool{false, true} {
+	for _, atMostOnce := range []bool{false, true} {
 		started = append(started, c.Start(router.Call{
-			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: once,
+			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 60_000, AtMostOnce: atMostOnce,
 			OnSent: onSent,
 		}, onEnd))
 	}
@@ -37,7 +37,7 @@
 	events := make(chan string, 8)
 	started := make(chan []router.Attempt, 1)
 	loop.Post(func() {
-		started <- startBoth(c, engineAt(lis.Addr().String()),
+		started <- startTwoAttempts(c, engineAt(lis.Addr().String()),
 			func() { events <- "written" }, func(router.End) { events <- "ended" })
 	})
 	for range 2 { // both are connected, and the engine never speaks HTTP/2
@@ -103,14 +103,14 @@
 // state of their connections, end at once with proof that nothing ran. Those that have begun continue.
 func TestCancelUnstarted(t *testing.T) {
 	lis := listen(t)
-	silent := make(chan net.Conn, 4) // connections that never speak HTTP/2, so that no call begins
-	go func() {                      // the listener's close ends it
+	accepted := make(chan net.Conn, 4) // connections that never speak HTTP/2, so that no call begins
+	go func() {                        // the listener's close ends it
 		for {
 			conn, err := lis.Accept()
 			if err != nil {
 				return
 			}
-			silent <- conn
+			accepted <- conn
 		}
 	}()
 	c, loop := newEngineClient(t, 1000, 4)
@@ -118,10 +118,10 @@
 	engine := engineAt(lis.Addr().String())
 	written := make(chan struct{}, 4)
 	loop.Post(func() {
-		startBoth(c, engine, func() { written <- struct{}{} }, func(end router.End) { ends <- end })
+		startTwoAttempts(c, engine, func() { written <- struct{}{} }, func(end router.End) { ends <- end })
 	})
 	for range 2 {
-		defer (<-silent).Close()
+		defer (<-accepted).Close()
 	}
 	loop.Post(func() { c.CancelUnstarted(router.Engine{ID: 8}) })
 	loop.Post(func() { c.CancelUnstarted(engine) })
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -63,7 +63,7 @@
 	return c.sent
 }
 
-func rows(messages []*flight.FlightData) func(flight.FlightService_DoGetServer) error {
+func sendMessages(messages []*flight.FlightData) func(flight.FlightService_DoGetServer) error {
 	return func(s flight.FlightService_DoGetServer) error {
 		for _, m := range messages {
 			if err := s.Send(m); err != nil {
@@ -75,20 +75,20 @@
 }
 
 // runAttempt runs one attempt at a fake engine and returns its end.
-func runAttempt(t *testing.T, engine *rawEngine, once bool) router.End {
+func runAttempt(t *testing.T, engine *rawEngine, atMostOnce bool) router.End {
 	t.Helper()
-	return runAttemptAt(t, serveEngine(t, engine), once)
+	return runAttemptAt(t, serveEngine(t, engine), atMostOnce)
 }
 
 // runAttemptAt runs one attempt at an address and returns its end.
-func runAttemptAt(t *testing.T, address string, once bool) router.End {
+func runAttemptAt(t *testing.T, address string, atMostOnce bool) router.End {
 	t.Helper()
 	c, loop := newEngineClient(t, 5000, 4)
 	engine := engineAt(address)
 	ended := make(chan router.End, 1)
 	loop.Post(func() {
 		c.Start(router.Call{
-			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, AtMostOnce: once,
+			Engine: engine, ID: "9b1f03aa5c7e2d41", Class: "x", Statement: "S", WaitMS: 20_000, AtMostOnce: atMostOnce,
 		}, func(end router.End) { ended <- end })
 	})
 	end := <-ended
@@ -101,48 +101,48 @@
 // when the value is read.
 func TestBadResponsesToQueries(t *testing.T) {
 	complete := textStream(t, "ab", "cd", "ef")
-	broken := textStream(t, "ab", "cd", "ef")
-	copy(broken[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end of the first value
-	if bytes.Equal(broken[1].DataBody, complete[1].DataBody) {
+	corrupted := textStream(t, "ab", "cd", "ef")
+	copy(corrupted[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end of the first value
+	if bytes.Equal(corrupted[1].DataBody, complete[1].DataBody) {
 		t.Fatal("nothing is broken")
 	}
-	noSchema := []*flight.FlightData{{DataHeader: []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, DataBody: []byte("x")}}
-	one := []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: []byte("t")}}}
-	fails := func(code codes.Code, trailer ...string) func(flight.FlightService_DoGetServer) error {
+	notArrow := []*flight.FlightData{{DataHeader: []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, DataBody: []byte("x")}}
+	oneEndpoint := []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: []byte("t")}}}
+	failWith := func(code codes.Code, trailer ...string) func(flight.FlightService_DoGetServer) error {
 		return func(s flight.FlightService_DoGetServer) error {
 			s.SetTrailer(metadata.Pairs(trailer...))
 			return status.Error(code, "no")
 		}
 	}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name      string
 		endpoints []*flight.FlightEndpoint
 		get       func(flight.FlightService_DoGetServer) error
 		want      dispatch.Outcome
 	}{
-		{"complete", one, rows(complete), dispatch.Served},
-		{"broken offsets", one, rows(broken), dispatch.EngineFailed},
-		{"no endpoint", nil, rows(complete), dispatch.EngineFailed},
-		{"no ticket", []*flight.FlightEndpoint{{}}, rows(complete), dispatch.Served},
-		{"no Arrow at all", one, rows(noSchema), dispatch.EngineFailed},
-		{"rows without a schema", one, rows(complete[1:]), dispatch.EngineFailed},
-		{"a result too big", one, rows(textStream(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
-		{"nothing", one, rows(nil), dispatch.EngineFailed},
-		{"its own failure", one, fails(codes.Internal), dispatch.EngineFailed},
-		{"full, with proof", one, fails(codes.Unavailable, metaNotStarted, "1"), dispatch.EngineFull},
-		{"full, without proof", one, fails(codes.Unavailable), dispatch.ConnectionReset},
-		{"proof beside another code", one, fails(codes.Internal, metaNotStarted, "1"), dispatch.EngineFailed},
+		{"complete", oneEndpoint, sendMessages(complete), dispatch.Served},
+		{"broken offsets", oneEndpoint, sendMessages(corrupted), dispatch.EngineFailed},
+		{"no endpoint", nil, sendMessages(complete), dispatch.EngineFailed},
+		{"no ticket", []*flight.FlightEndpoint{{}}, sendMessages(complete), dispatch.Served},
+		{"no Arrow at all", oneEndpoint, sendMessages(notArrow), dispatch.EngineFailed},
+		{"rows without a schema", oneEndpoint, sendMessages(complete[1:]), dispatch.EngineFailed},
+		{"a result too big", oneEndpoint, sendMessages(textStream(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
+		{"nothing", oneEndpoint, sendMessages(nil), dispatch.EngineFailed},
+		{"its own failure", oneEndpoint, failWith(codes.Internal), dispatch.EngineFailed},
+		{"full, with proof", oneEndpoint, failWith(codes.Unavailable, metaNotStarted, "1"), dispatch.EngineFull},
+		{"full, without proof", oneEndpoint, failWith(codes.Unavailable), dispatch.ConnectionReset},
+		{"proof beside another code", oneEndpoint, failWith(codes.Internal, metaNotStarted, "1"), dispatch.EngineFailed},
 	} {
-		end := runAttempt(t, &rawEngine{endpoints: k.endpoints, get: k.get}, false)
-		if end.Outcome != k.want {
-			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
+		end := runAttempt(t, &rawEngine{endpoints: tc.endpoints, get: tc.get}, false)
+		if end.Outcome != tc.want {
+			t.Errorf("%s: outcome %v (%s), want %v", tc.name, end.Outcome, end.Detail, tc.want)
 		}
 	}
 }
 
 func TestBadResponsesToUpdates(t *testing.T) {
 	changed := &flight.PutResult{AppMetadata: []byte{8, 5}} // 5 rows, in protobuf
-	answers := func(err error, results ...*flight.PutResult) func(flight.FlightService_DoPutServer) error {
+	respond := func(err error, results ...*flight.PutResult) func(flight.FlightService_DoPutServer) error {
 		return func(s flight.FlightService_DoPutServer) error {
 			if _, err := s.Recv(); err != nil {
 				return err
@@ -155,24 +155,24 @@
 			return err
 		}
 	}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name string
 		put  func(flight.FlightService_DoPutServer) error
 		want dispatch.Outcome
 	}{
-		{"complete", answers(nil, changed), dispatch.Served},
-		{"none", answers(nil), dispatch.EngineFailed},
-		{"two", answers(nil, changed, changed), dispatch.EngineFailed},
-		{"no protobuf", answers(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
-		{"a failure after it", answers(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
-		{"the end of the stream as an error", answers(io.ErrUnexpectedEOF), dispatch.EngineFailed},
+		{"complete", respond(nil, changed), dispatch.Served},
+		{"none", respond(nil), dispatch.EngineFailed},
+		{"two", respond(nil, changed, changed), dispatch.EngineFailed},
+		{"no protobuf", respond(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
+		{"a failure after it", respond(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
+		{"the end of the stream as an error", respond(io.ErrUnexpectedEOF), dispatch.EngineFailed},
 	} {
-		end := runAttempt(t, &rawEngine{put: k.put}, true)
-		if end.Outcome != k.want {
-			t.Errorf("%s: outcome %v (%s), want %v", k.name, end.Outcome, end.Detail, k.want)
+		end := runAttempt(t, &rawEngine{put: tc.put}, true)
+		if end.Outcome != tc.want {
+			t.Errorf("%s: outcome %v (%s), want %v", tc.name, end.Outcome, end.Detail, tc.want)
 		}
 		if end.Outcome == dispatch.Served && end.Result.ChangedRows != 5 {
-			t.Errorf("%s: %d rows changed", k.name, end.Result.ChangedRows)
+			t.Errorf("%s: %d rows changed", tc.name, end.Result.ChangedRows)
 		}
 	}
 }
@@ -180,9 +180,9 @@
 // A refused connection proves that nothing ran, for a statement that must not run twice, too.
 func TestRefusedConnection(t *testing.T) {
 	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
-	for _, once := range []bool{true, false} {
-		if end := runAttemptAt(t, addr, once); end.Outcome != dispatch.ConnectFailed {
-			t.Errorf("once %v: outcome %v (%s)", once, end.Outcome, end.Detail)
+	for _, atMostOnce := range []bool{true, false} {
+		if end := runAttemptAt(t, addr, atMostOnce); end.Outcome != dispatch.ConnectFailed {
+			t.Errorf("once %v: outcome %v (%s)", atMostOnce, end.Outcome, end.Detail)
 		}
 	}
 }
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -66,7 +66,7 @@
 	maxConns int
 
 	listenerMu sync.Mutex
-	everServed bool
+	addrKnown  bool
 	listener   net.Listener // nil while it does not accept
 
 	Counters Counters
@@ -84,7 +84,7 @@
 	if front.service, err = newService(core, loop, front.tickets, &front.Counters, front.Addr); err != nil {
 		return nil, err
 	}
-	guard := &panicGuard{log: log, counters: &front.Counters}
+	guard := &panicRecovery{log: log, counters: &front.Counters}
 	front.server = grpc.NewServer(grpc.MaxRecvMsgSize(maxCall), grpc.MaxConcurrentStreams(maxStreams),
 		grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.ConnectionTimeout(handshakeTimeout), grpc.MaxHeaderListSize(maxHeaderList),
@@ -96,8 +96,8 @@
 // Serve accepts connections on a listener, which it owns from then on, until StopAccepting or Stop.
 func (f *Front) Serve(lis net.Listener) {
 	f.listenerMu.Lock()
-	if !f.everServed { // the address stays: calls read it from now on
-		f.addr, f.everServed = lis.Addr().String(), true
+	if !f.addrKnown { // the address stays: calls read it from now on
+		f.addr, f.addrKnown = lis.Addr().String(), true
 	}
 	f.listener = lis
 	f.listenerMu.Unlock()
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -20,9 +20,9 @@
 // recordingEngine is a fake engine that records the calls that it is sent.
 type recordingEngine struct {
 	flight.BaseFlightServer
-	calls   bytes.Buffer
-	rows    []*flight.FlightData
-	rejects bool
+	calls          bytes.Buffer
+	rows           []*flight.FlightData
+	rejectsUpdates bool
 }
 
 func (e *recordingEngine) record(ctx context.Context, method string, sent []byte) {
@@ -41,7 +41,7 @@
 func (e *recordingEngine) DoGet(ticket *flight.Ticket, s flight.FlightService_DoGetServer) error {
 	e.record(s.Context(), "DoGet", ticket.GetTicket())
 	s.SetTrailer(metadata.Pairs("cpu-ms", "12.5", "mem-used", "34.5"))
-	return rows(e.rows)(s)
+	return sendMessages(e.rows)(s)
 }
 
 func (e *recordingEngine) DoPut(s flight.FlightService_DoPutServer) error {
@@ -50,7 +50,7 @@
 		return err
 	}
 	e.record(s.Context(), "DoPut", data.GetFlightDescriptor().GetCmd())
-	if e.rejects {
+	if e.rejectsUpdates {
 		s.SetTrailer(metadata.Pairs("not-begun", "1"))
 		return status.Error(codes.ResourceExhausted, "full")
 	}
@@ -83,7 +83,7 @@
 	update.Update = true
 	load.AtMostOnce = true
 	served := runAttempts(t, e, query, update, load)
-	e.rejects = true
+	e.rejectsUpdates = true
 	rejected := runAttempts(t, e, load)
 	golden.Equal(t, "engine-calls.txt", e.calls.Bytes())
 	changed := router.Result{
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -47,31 +47,31 @@
 }
 
 // fields returns all fields that a request may have.
-func fields(id, class string) []string {
+func allFields(id, class string) []string {
 	return []string{
 		"rid", id, "method", class, "budget", "9000", "acct", "rckik-south", "again", "1", "est", "12.5", "mem", "34.5",
 	}
 }
 
 // execute requests a ticket and describes it; the ticket is nil where there was none.
-func execute(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
+func requestTicket(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
 	t.Helper()
 	var trailer metadata.MD
-	info, err := c.Execute(call(t, goldenTimeout, md...), statement, grpc.Trailer(&trailer))
+	info, err := c.Execute(requestContext(t, goldenTimeout, md...), statement, grpc.Trailer(&trailer))
 	if err != nil {
 		return describeEnd(err, trailer), nil
 	}
 	text = fmt.Sprintf("descriptor %x records %d bytes %d schema %x\n", info.GetFlightDescriptor().GetCmd(),
 		info.GetTotalRecords(), info.GetTotalBytes(), info.GetSchema())
-	for _, at := range info.GetEndpoint() {
-		text += fmt.Sprintf("ticket %x at %v\n", at.GetTicket().GetTicket(), at.GetLocation()[0].GetUri())
-		ticket = at.GetTicket()
+	for _, endpoint := range info.GetEndpoint() {
+		text += fmt.Sprintf("ticket %x at %v\n", endpoint.GetTicket().GetTicket(), endpoint.GetLocation()[0].GetUri())
+		ticket = endpoint.GetTicket()
 	}
 	return text, ticket
 }
 
 // get redeems a ticket and describes each message of the stream.
-func get(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) string {
+func describeRedeem(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) string {
 	stream, err := c.Client.DoGet(ctx, ticket)
 	var text strings.Builder
 	for err == nil {
@@ -97,7 +97,7 @@
 func describeAnswers(t *testing.T, c *fsql.Client) string {
 	t.Helper()
 	var text strings.Builder
-	for i, k := range []struct{ class, statement string }{
+	for i, tc := range []struct{ class, statement string }{
 		{"lookup", "serve"},
 		{"load", "serve"},
 		{"lookup", "full"},
@@ -107,14 +107,14 @@
 		{"unknown", "serve"},
 		{"lookup", ""},
 	} {
-		md := fields(fmt.Sprintf("%016x", i+1), k.class)
-		described, ticket := execute(t, c, k.statement, md...)
-		fmt.Fprintf(&text, "query %q of %s\n%s", k.statement, k.class, described)
+		md := allFields(fmt.Sprintf("%016x", i+1), tc.class)
+		described, ticket := requestTicket(t, c, tc.statement, md...)
+		fmt.Fprintf(&text, "query %q of %s\n%s", tc.statement, tc.class, described)
 		if ticket != nil {
-			text.WriteString(get(call(t, goldenTimeout), c, ticket))
+			text.WriteString(describeRedeem(requestContext(t, goldenTimeout), c, ticket))
 		}
-		ctx := call(t, goldenTimeout, fields(fmt.Sprintf("%016x", 100+i), k.class)...)
-		n, trailer, err := runUpdate(ctx, c, k.statement)
+		ctx := requestContext(t, goldenTimeout, allFields(fmt.Sprintf("%016x", 100+i), tc.class)...)
+		n, trailer, err := runUpdate(ctx, c, tc.statement)
 		fmt.Fprintf(&text, "update: %d rows changed, %s\n", n, describeEnd(err, trailer))
 	}
 	return text.String()
@@ -130,7 +130,7 @@
 
 // onTime returns the answer that a client gets when the loop did not stall: which one it is depends on the
 // machine.
-func onTime(answer string) string {
+func ignoreLoopStall(answer string) string {
 	if answer == failedAtDeadline {
 		return rejectedAtDeadline
 	}
@@ -142,26 +142,26 @@
 	t.Helper()
 	var text strings.Builder
 	for i, class := range []string{"lookup", "load"} {
-		md := fields(fmt.Sprintf("%016x", 200+i), class)
+		md := allFields(fmt.Sprintf("%016x", 200+i), class)
 		md[slices.Index(md, "budget")+1] = "200"
-		_, ticket := execute(t, c, "hang", md...)
-		answer := onTime(get(call(t, goldenTimeout), c, ticket))
+		_, ticket := requestTicket(t, c, "hang", md...)
+		answer := ignoreLoopStall(describeRedeem(requestContext(t, goldenTimeout), c, ticket))
 		fmt.Fprintf(&text, "too late, %s\n%s\n", class, answer)
 	}
-	_, trailer, err := runUpdate(call(t, goldenTimeout, fields("0000000000000069", "load")...), c, "serve")
+	_, trailer, err := runUpdate(requestContext(t, goldenTimeout, allFields("0000000000000069", "load")...), c, "serve")
 	fmt.Fprintf(&text, "id of a load that may have run\n%s\n", describeEnd(err, trailer))
 	ticket, err := fsql.CreateStatementQueryTicket([]byte("unknown"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "unknown ticket\n%s\n", get(call(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
-	described, _ := execute(t, c, "serve", "rid", "0000000000000001")
+	fmt.Fprintf(&text, "unknown ticket\n%s\n", describeRedeem(requestContext(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
+	described, _ := requestTicket(t, c, "serve", "rid", "0000000000000001")
 	fmt.Fprintf(&text, "no class\n%s\n", described)
-	described, _ = execute(t, c, "serve", "rid", "1", "method", "load")
+	described, _ = requestTicket(t, c, "serve", "rid", "1", "method", "load")
 	fmt.Fprintf(&text, "bad id\n%s\n", described)
-	described, _ = execute(t, c, "serve", append(fields("0000000000000001", "load"), "rid", "0000000000000002")...)
+	described, _ = requestTicket(t, c, "serve", append(allFields("0000000000000001", "load"), "rid", "0000000000000002")...)
 	fmt.Fprintf(&text, "id twice\n%s\n", described)
-	stream, err := c.Client.DoPut(call(t, goldenTimeout))
+	stream, err := c.Client.DoPut(requestContext(t, goldenTimeout))
 	if err == nil {
 		err = errors.Join(stream.Send(&flight.FlightData{}), stream.CloseSend())
 	}
@@ -182,11 +182,11 @@
 // A statement that is prepared has the same handle and schemas as before.
 func TestGoldenPrepared(t *testing.T) {
 	_, _, c := newFront(t)
-	statement, err := c.Prepare(call(t, goldenTimeout), "serve")
+	statement, err := c.Prepare(requestContext(t, goldenTimeout), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = c.Prepare(call(t, goldenTimeout), "")
+	_, err = c.Prepare(requestContext(t, goldenTimeout), "")
 	text := fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
 		statement.DatasetSchema(), statement.ParameterSchema(), describeEnd(err, nil))
 	golden.Equal(t, "prepared.txt", text)
@@ -195,11 +195,11 @@
 // What clients learn of the server is the same as before, but for the version of Arrow.
 func TestGoldenSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.GetSqlInfo(call(t, goldenTimeout), nil)
+	info, err := c.GetSqlInfo(requestContext(t, goldenTimeout), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader, err := c.DoGet(call(t, goldenTimeout), info.Endpoint[0].Ticket)
+	reader, err := c.DoGet(requestContext(t, goldenTimeout), info.Endpoint[0].Ticket)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flightsql/guard.go
+++ b/internal/flightsql/guard.go
@@ -17,27 +17,27 @@
 
 // panicGuard ends calls that panic as malformed. Arrow's server does not check all parts of a call before it uses
 // them: a DoPut without a descriptor, for one, would end the process.
-type panicGuard struct {
+type panicRecovery struct {
 	log      *slog.Logger
 	counters *Counters
 }
 
 // recoverCall is deferred by a call; it sets the call's error after a panic.
-func (g *panicGuard) recoverCall(method string, err *error) {
+func (g *panicRecovery) recoverCall(method string, err *error) {
 	if p := recover(); p != nil {
 		g.log.Warn("flight sql call malformed", "method", method, "panic", p)
 		*err = malformedError(g.counters, "the call lacks what it must hold, or can't be read")
 	}
 }
 
-func (g *panicGuard) unary(
+func (g *panicRecovery) unary(
 	ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler,
 ) (reply any, err error) {
 	defer g.recoverCall(info.FullMethod, &err)
 	return next(ctx, req)
 }
 
-func (g *panicGuard) stream(
+func (g *panicRecovery) stream(
 	srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler,
 ) (err error) {
 	defer g.recoverCall(info.FullMethod, &err)
--- a/internal/flightsql/request.go
+++ b/internal/flightsql/request.go
@@ -23,7 +23,7 @@
 	fields.deadlineMS, fields.hasDeadline = untilDeadline(ctx)
 	request, err := router.NewRequest(fields.get, statement, now)
 	if err == nil {
-		err = fields.repeated
+		err = fields.duplicateErr
 	}
 	if err == nil && len(statement) > maxStatement {
 		err = fmt.Errorf("the statement has %d bytes; at most %d are taken", len(statement), maxStatement)
@@ -39,17 +39,17 @@
 
 // callFields reads the fields of a request from the metadata of a call.
 type callFields struct {
-	md          metadata.MD
-	deadlineMS  float64 // the time to the call's deadline
-	hasDeadline bool
-	repeated    error // names a field that the call has more than once
+	md           metadata.MD
+	deadlineMS   float64 // the time to the call's deadline
+	hasDeadline  bool
+	duplicateErr error // names a field that the call has more than once
 }
 
 // get returns a field; the budget defaults to the time to the call's deadline.
 func (f *callFields) get(name string) string {
 	values := f.md.Get(name)
 	if len(values) > 1 {
-		f.repeated = fmt.Errorf("field %s stands twice", name)
+		f.duplicateErr = fmt.Errorf("field %s stands twice", name)
 	}
 	switch {
 	case len(values) > 0 && values[0] != "":
--- a/internal/mysql/answer.go
+++ b/internal/mysql/answer.go
@@ -10,7 +10,7 @@
 func (s *session) Served(result *router.Result) {
 	w := packetWriter{seq: s.seq}
 	w.result(result)
-	s.answer(w.buffer)
+	s.writeAnswer(w.buffer)
 }
 
 // Rejected implements router.ResponseHandler.
@@ -20,8 +20,8 @@
 	if backoffMS > 0 { // else the settings allow no advice
 		text += fmt.Sprintf(": backoff=%.0f", backoffMS)
 	}
-	w.err(errTooManyConns, text)
-	s.answer(w.buffer)
+	w.err(errTooManyConnections, text)
+	s.writeAnswer(w.buffer)
 }
 
 // Failed implements router.ResponseHandler.
@@ -33,19 +33,19 @@
 	case router.ReasonEngine:
 		w.err(errUnknown, "the query failed; it may have run")
 	}
-	s.answer(w.buffer)
+	s.writeAnswer(w.buffer)
 }
 
 // answer writes the one answer to the open command and continues with what the client sent meanwhile.
-func (s *session) answer(packets []byte) {
+func (s *session) writeAnswer(packets []byte) {
 	wasBusy := s.busy
 	s.busy, s.waitingSinceMS = false, s.loop.Now()
 	_ = s.conn.Write(packets)
 	switch {
 	case wasBusy && len(s.buffer) > 0:
-		s.loop.Post(s.advance)
+		s.loop.Post(s.processBuffer)
 	case wasBusy && s.front.draining && !s.conn.HasUnread():
-		s.end()
+		s.close()
 	}
 }
 
--- a/internal/mysql/builtin.go
+++ b/internal/mysql/builtin.go
@@ -12,14 +12,14 @@
 const maxVariables = 16
 
 // builtin is a statement without fields. The front answers it itself; it reaches no engine.
-type builtin struct {
+type builtinStatement struct {
 	session *session
 	front   *Front
 	fields  []string
 }
 
 // run answers the statement.
-func (b *builtin) run() {
+func (b *builtinStatement) run() {
 	switch {
 	case b.isVerb("KILL"):
 		b.kill()
@@ -34,12 +34,12 @@
 }
 
 // isVerb reports whether the statement starts with the verb and has further fields.
-func (b *builtin) isVerb(name string) bool {
-	return len(b.fields) > 1 && strings.EqualFold(b.fields[0], name)
+func (b *builtinStatement) isVerb(verb string) bool {
+	return len(b.fields) > 1 && strings.EqualFold(b.fields[0], verb)
 }
 
 // showStatus answers SHOW STATUS.
-func (b *builtin) showStatus() {
+func (b *builtinStatement) showStatus() {
 	result := &router.Result{Columns: []string{"Variable_name", "Value"}}
 	for _, row := range b.front.status() {
 		result.Cells = append(result.Cells, router.Cell{Text: row[0]}, router.Cell{Text: row[1]})
@@ -49,7 +49,7 @@
 
 // selectVariables answers a SELECT of what stock clients request of a server when they connect, and of the id that KILL
 // takes. It reports false, without an answer, for any other SELECT.
-func (b *builtin) selectVariables() bool {
+func (b *builtinStatement) selectVariables() bool {
 	list := strings.ToLower(strings.Join(b.fields[1:], " "))
 	names := strings.Split(strings.TrimSuffix(list, " limit 1"), ",")
 	if len(names) > maxVariables {
@@ -90,7 +90,7 @@
 
 // kill ends the open query of another session, or that session: KILL [QUERY|CONNECTION] id. After KILL QUERY the
 // session stays usable.
-func (b *builtin) kill() {
+func (b *builtinStatement) kill() {
 	id, err := strconv.ParseUint(b.fields[len(b.fields)-1], 10, 32)
 	if err != nil || len(b.fields) > 3 {
 		b.session.writeError(errParse, "KILL takes QUERY or CONNECTION and a connection id")
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -11,15 +11,15 @@
 func (s *session) handleCommand(command byte, body []byte) {
 	switch command {
 	case comQuit:
-		s.end()
+		s.close()
 	case comPing:
 		s.counters.Pings++
 		s.writeOK()
-	case comResetConn:
+	case comResetConnection:
 		s.writeOK()
 	case comInitDB:
 		if string(body) != database {
-			s.writeError(errUnknownDB, fmt.Sprintf("unknown database %q", body))
+			s.writeError(errUnknownDatabase, fmt.Sprintf("unknown database %q", body))
 			return
 		}
 		s.writeOK()
@@ -28,7 +28,7 @@
 	case comQuery:
 		s.handleQuery(string(body))
 	default:
-		s.writeError(errUnknownCom, fmt.Sprintf("unknown command %d", command))
+		s.writeError(errUnknownCommand, fmt.Sprintf("unknown command %d", command))
 	}
 }
 
@@ -48,7 +48,7 @@
 	fields, statement, found, err := parseFields(text)
 	if err == nil && !found {
 		statement := strings.TrimRight(strings.TrimSpace(text), "; \t\r\n")
-		(&builtin{session: s, front: s.front, fields: strings.Fields(statement)}).run()
+		(&builtinStatement{session: s, front: s.front, fields: strings.Fields(statement)}).run()
 		return
 	}
 	if err == nil {
--- a/internal/mysql/evict.go
+++ b/internal/mysql/evict.go
@@ -26,7 +26,7 @@
 )
 
 // candidate is a session that may be evicted.
-type candidate struct {
+type evictionCandidate struct {
 	session *session
 	rank    int
 }
@@ -36,16 +36,16 @@
 // that are merely slow to write, which may take 2 s for a request.
 func (f *Front) evict() bool {
 	now := f.loop.Now()
-	var candidates []candidate
+	var candidates []evictionCandidate
 	for _, s := range f.sessions {
 		if rank, ok := s.evictionRank(now); ok {
-			candidates = append(candidates, candidate{s, rank})
+			candidates = append(candidates, evictionCandidate{s, rank})
 		}
 	}
 	if len(candidates) == 0 {
 		return false
 	}
-	slices.SortFunc(candidates, func(a, b candidate) int {
+	slices.SortFunc(candidates, func(a, b evictionCandidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank),
 			cmp.Compare(a.session.lastActiveMS(), b.session.lastActiveMS()), cmp.Compare(a.session.id, b.session.id))
 	})
@@ -59,7 +59,7 @@
 	f.Counters.Evicted++
 	f.log.Debug("session evicted", "session", chosen.session.id, "rank", chosen.rank,
 		"idle_ms", now-chosen.session.lastActiveMS())
-	chosen.session.endEvicted()
+	chosen.session.closeEvicted()
 	return true
 }
 
@@ -88,9 +88,9 @@
 func (s *session) lastActiveMS() float64 { return max(s.lastDataMS, s.openedMS) }
 
 // endEvicted ends the session to make room for another.
-func (s *session) endEvicted() {
+func (s *session) closeEvicted() {
 	if !s.loggedIn {
-		s.writeError(errTooManyConns, "too many connections")
+		s.writeError(errTooManyConnections, "too many connections")
 	}
-	s.end()
+	s.close()
 }
--- a/internal/mysql/front.go
+++ b/internal/mysql/front.go
@@ -40,20 +40,20 @@
 
 // Front keeps the sessions and submits their requests to the core.
 type Front struct {
-	core     *router.Core
-	loop     *router.Loop
-	log      *slog.Logger
-	status   func() [][2]string
-	cfg      Config
-	sessions map[uint32]*session
-	idBase   uint32 // the upper bits of new ids; see SetGeneration
-	idCount  uint32
-	draining bool
-	shutdown bool
-	buffered int // bytes in the buffers of all sessions
+	core         *router.Core
+	loop         *router.Loop
+	log          *slog.Logger
+	status       func() [][2]string
+	cfg          Config
+	sessions     map[uint32]*session
+	idBase       uint32 // the upper bits of new ids; see SetGeneration
+	idCount      uint32
+	draining     bool
+	shuttingDown bool
+	buffered     int // bytes in the buffers of all sessions
 	// RemoteKill, where it is set, passes a KILL on to the other process of this router, and reports whether there is
 	// one that may have the session.
-	RemoteKill func(id uint32, query bool) bool
+	RemoteKill func(id uint32, queryOnly bool) bool
 	Counters   Counters
 }
 
@@ -98,7 +98,7 @@
 }
 
 // overBuffered reports whether the sessions buffer more than they may together.
-func (f *Front) overBuffered() bool { return f.buffered > f.cfg.MaxBuffered }
+func (f *Front) exceedsBufferLimit() bool { return f.buffered > f.cfg.MaxBuffered }
 
 // Drain ends the sessions: at once those that have sent a command before and are idle, others with the answer that they
 // wait for. Those that have sent no command yet may send one. Another process accepts these clients' next connections.
@@ -107,47 +107,47 @@
 		return
 	}
 	f.draining = true
-	f.endIdle()
+	f.closeIdle()
 }
 
 // Shutdown ends the sessions as Drain does, and at once those, too, that have sent no command yet: no other process
 // replaces this router. A session whose client has sent something handles that first.
 func (f *Front) Shutdown() {
-	f.shutdown = true
+	f.shuttingDown = true
 	f.Drain()
 }
 
 // endIdle ends the sessions that may end, and repeats that.
-func (f *Front) endIdle() {
+func (f *Front) closeIdle() {
 	for _, s := range f.sessions {
-		mayEnd := s.idle() && s.sentCommand || f.shutdown && !s.busy && len(s.buffer) == 0
+		mayEnd := s.idle() && s.sentCommand || f.shuttingDown && !s.busy && len(s.buffer) == 0
 		if mayEnd && !s.conn.HasUnread() {
-			s.end()
+			s.close()
 		}
 	}
-	f.loop.After(drainIntervalMS, f.endIdle)
+	f.loop.After(drainIntervalMS, f.closeIdle)
 }
 
 // Kill ends the open query of a session, and the session, too, unless query is set. It reports whether there is a
 // session of that id.
-func (f *Front) Kill(id uint32, query bool) bool {
+func (f *Front) Kill(id uint32, queryOnly bool) bool {
 	s := f.sessions[id]
 	if s == nil {
 		return false
 	}
 	s.interrupt()
-	if !query {
-		s.end()
+	if !queryOnly {
+		s.close()
 	}
 	return true
 }
 
 // killAnywhere ends a query or session of this process or of the router's other one, and reports whether it may exist.
-func (f *Front) killAnywhere(id uint32, query bool) bool {
-	if f.Kill(id, query) {
+func (f *Front) killAnywhere(id uint32, queryOnly bool) bool {
+	if f.Kill(id, queryOnly) {
 		return true
 	}
-	return !f.ownsID(id) && f.RemoteKill != nil && f.RemoteKill(id, query)
+	return !f.ownsID(id) && f.RemoteKill != nil && f.RemoteKill(id, queryOnly)
 }
 
 // Busy reports whether any session has an open request or buffered bytes.
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -57,14 +57,14 @@
 
 // harness replays an exchange: sessions by name on one front, on a clock that the exchange sets.
 type harness struct {
-	t        *testing.T
-	clock    *clock.Manual
-	loop     *router.Loop
-	engine   *fakeEngine
-	front    *Front
-	handlers map[string]netio.Handler
-	conns    map[string]*fakeConn
-	remote   strings.Builder // what was passed on to the other process
+	t           *testing.T
+	clock       *clock.Manual
+	loop        *router.Loop
+	engine      *fakeEngine
+	front       *Front
+	handlers    map[string]netio.Handler
+	conns       map[string]*fakeConn
+	remoteKills strings.Builder // what was passed on to the other process
 }
 
 func newHarness(t *testing.T) *harness {
@@ -118,18 +118,18 @@
 //	wait MS                time passes
 //	leave, end             the front drains, or shuts down
 //	generation N           the process is of generation N; kills are passed on to another one
-func (h *harness) play(line string) string {
+func (h *harness) runLine(line string) string {
 	h.t.Helper()
 	fields := strings.SplitN(line, " ", 4)
-	if !h.playProcess(line, fields) {
-		h.playClient(line, fields)
+	if !h.runProcessLine(line, fields) {
+		h.runClientLine(line, fields)
 	}
 	h.run()
-	return h.shown()
+	return h.takeOutput()
 }
 
 // text unquotes a line from the given field on.
-func (h *harness) text(line string, fields []string, from int) string {
+func (h *harness) unquoteFields(line string, fields []string, from int) string {
 	h.t.Helper()
 	if from >= len(fields) {
 		return ""
@@ -143,7 +143,7 @@
 }
 
 // playProcess executes a line on the front, the engine or the clock; false: the line is another one.
-func (h *harness) playProcess(line string, fields []string) bool {
+func (h *harness) runProcessLine(line string, fields []string) bool {
 	h.t.Helper()
 	switch fields[0] {
 	case "wait":
@@ -155,11 +155,11 @@
 	case "generation":
 		h.front.SetGeneration(fields[1][0] - '0')
 		h.front.RemoteKill = func(id uint32, query bool) bool {
-			fmt.Fprintf(&h.remote, "  elsewhere: kill %#x, query %v\n", id, query)
+			fmt.Fprintf(&h.remoteKills, "  elsewhere: kill %#x, query %v\n", id, query)
 			return true
 		}
 	case "engine":
-		h.endAttempt(line, fields[1], h.text(line, fields, 2))
+		h.endAttempt(line, fields[1], h.unquoteFields(line, fields, 2))
 	default:
 		return false
 	}
@@ -184,7 +184,7 @@
 }
 
 // endAttempt ends the oldest attempt.
-func (h *harness) endAttempt(line, outcome, rows string) {
+func (h *harness) endAttempt(line, outcome, text string) {
 	h.t.Helper()
 	if len(h.engine.onEnd) == 0 {
 		h.t.Fatalf("%s: no attempt is running", line)
@@ -192,7 +192,7 @@
 	end := router.End{Outcome: outcomes[outcome]}
 	if end.Outcome == dispatch.Served {
 		end.Result = &router.Result{Columns: []string{"a", "b"}}
-		for row := range strings.SplitSeq(strings.TrimSuffix(rows, "\n"), "\n") {
+		for row := range strings.SplitSeq(strings.TrimSuffix(text, "\n"), "\n") {
 			for cell := range strings.SplitSeq(row, "\t") {
 				end.Result.Cells = append(end.Result.Cells, router.Cell{Text: cell})
 			}
@@ -204,7 +204,7 @@
 }
 
 // playClient executes a line on a client.
-func (h *harness) playClient(line string, fields []string) {
+func (h *harness) runClientLine(line string, fields []string) {
 	h.t.Helper()
 	name := fields[0]
 	switch fields[1] {
@@ -240,7 +240,7 @@
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		return packet(byte(seq), h.text(line, fields, 3))
+		return packet(byte(seq), h.unquoteFields(line, fields, 3))
 	}
 	h.t.Fatalf("unknown line %q", line)
 	return nil
@@ -251,7 +251,7 @@
 }
 
 // shown returns what was written and sent since the last line, in the order of the sessions' names.
-func (h *harness) shown() string {
+func (h *harness) takeOutput() string {
 	var b strings.Builder
 	for _, name := range []string{"a", "b", "c", "d"} {
 		c := h.conns[name]
@@ -269,8 +269,8 @@
 			delete(h.conns, name)
 		}
 	}
-	b.WriteString(h.remote.String())
-	h.remote.Reset()
+	b.WriteString(h.remoteKills.String())
+	h.remoteKills.Reset()
 	for _, c := range h.engine.calls {
 		fmt.Fprintf(&b, "  > %s %s within %.0f priority %d: %s\n", c.Class, c.ID, c.WaitMS, c.Priority, c.Statement)
 	}
--- a/internal/mysql/login.go
+++ b/internal/mysql/login.go
@@ -40,14 +40,14 @@
 	}
 	remaining := packet[loginHeaderLength:]
 	var ok bool
-	if parsed.user, remaining, ok = cutNul(remaining); !ok {
+	if parsed.user, remaining, ok = cutNullTerminated(remaining); !ok {
 		return login{}, errShortLogin
 	}
 	if parsed.hasPassword, remaining, ok = cutPassword(remaining, parsed.caps); !ok {
 		return login{}, errShortLogin
 	}
 	if parsed.caps&capConnectWithDB != 0 && len(remaining) > 0 {
-		if parsed.database, _, ok = cutNul(remaining); !ok {
+		if parsed.database, _, ok = cutNullTerminated(remaining); !ok {
 			return login{}, errShortLogin
 		}
 	}
@@ -57,9 +57,9 @@
 // cutPassword reads the answer to the salt and reports whether the client has a password; ok is false where it is cut
 // short.
 func cutPassword(packet []byte, caps uint32) (hasPassword bool, remaining []byte, ok bool) {
-	if caps&(capLenencAuth|capSecure) == 0 {
+	if caps&(capLenencAuth|capSecureConnection) == 0 {
 		var password string
-		password, remaining, ok = cutNul(packet)
+		password, remaining, ok = cutNullTerminated(packet)
 		return password != "", remaining, ok
 	}
 	// A length of 251 and more takes further bytes; no password scheme is that long.
@@ -72,7 +72,7 @@
 }
 
 // cutNul cuts a string that ends with a zero byte off a packet.
-func cutNul(packet []byte) (text string, remaining []byte, ok bool) {
+func cutNullTerminated(packet []byte) (text string, remaining []byte, ok bool) {
 	before, remaining, ok := bytes.Cut(packet, []byte{0})
 	if !ok {
 		return "", nil, false
@@ -93,7 +93,7 @@
 	case request.user != user || request.hasPassword:
 		code, text = errAccessDenied, fmt.Sprintf("access denied for user %q; %s has an empty password", request.user, user)
 	case request.database != "" && request.database != database:
-		code, text = errUnknownDB, fmt.Sprintf("unknown database %q", request.database)
+		code, text = errUnknownDatabase, fmt.Sprintf("unknown database %q", request.database)
 	default:
 		s.counters.Logins++
 		s.loggedIn = true
@@ -101,5 +101,5 @@
 		return
 	}
 	s.counters.BadLogins++
-	s.fail(code, text)
+	s.closeWithError(code, text)
 }
--- a/internal/mysql/login_test.go
+++ b/internal/mysql/login_test.go
@@ -29,8 +29,8 @@
 			login{user: "app", hasPassword: true},
 		},
 		{"empty length-encoded password", loginPacket(base|capLenencAuth, "app\x00\x00"), login{user: "app"}},
-		{"password of one zero byte", loginPacket(base|capSecure, "app\x00\x01\x00"), login{user: "app"}},
-		{"password of one byte", loginPacket(base|capSecure, "app\x00\x01p"), login{user: "app", hasPassword: true}},
+		{"password of one zero byte", loginPacket(base|capSecureConnection, "app\x00\x01\x00"), login{user: "app"}},
+		{"password of one byte", loginPacket(base|capSecureConnection, "app\x00\x01p"), login{user: "app", hasPassword: true}},
 		{
 			"database after a null-terminated password",
 			loginPacket(base|capConnectWithDB, "app\x00pw\x00warehouse\x00"),
@@ -38,7 +38,7 @@
 		},
 		{
 			"database after a length-encoded password",
-			loginPacket(base|capSecure|capConnectWithDB, "app\x00\x02pwwarehouse\x00plugin\x00"),
+			loginPacket(base|capSecureConnection|capConnectWithDB, "app\x00\x02pwwarehouse\x00plugin\x00"),
 			login{user: "app", hasPassword: true, database: "warehouse"},
 		},
 		{"database left out", loginPacket(base|capConnectWithDB, "app\x00\x00"), login{user: "app"}},
@@ -54,7 +54,7 @@
 
 // A login that is cut short, of an old protocol or a request for encryption is an error, and nothing of it is used.
 func TestParseLoginErrors(t *testing.T) {
-	const secure = capProtocol41 | capSecure
+	const secure = capProtocol41 | capSecureConnection
 	for _, test := range []struct {
 		name   string
 		packet []byte
@@ -62,7 +62,7 @@
 	}{
 		{"empty packet", nil, errShortLogin},
 		{"flags cut short", []byte{0, 2, 0}, errShortLogin},
-		{"old protocol", loginPacket(capSecure, "app\x00\x00"), errOldProtocol},
+		{"old protocol", loginPacket(capSecureConnection, "app\x00\x00"), errOldProtocol},
 		{"request for encryption", loginPacket(secure|capSSL, ""), errNoEncryption},
 		{"fixed fields cut short", loginPacket(secure, "")[:loginHeaderLength-1], errShortLogin},
 		{"user without end", loginPacket(secure, "app"), errShortLogin},
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -27,7 +27,7 @@
 func (w *packetWriter) bytes(b ...byte) { w.buffer = append(w.buffer, b...) }
 
 // nulString writes a string that ends with a zero byte.
-func (w *packetWriter) nulString(s string) {
+func (w *packetWriter) nullTerminatedString(s string) {
 	w.buffer = append(w.buffer, s...)
 	w.bytes(0)
 }
@@ -58,16 +58,16 @@
 	caps := uint32(serverCaps)
 	w.begin()
 	w.bytes(protocolVersion)
-	w.nulString(serverVersion)
+	w.nullTerminatedString(serverVersion)
 	w.buffer = binary.LittleEndian.AppendUint32(w.buffer, id)
-	w.nulString(salt[:saltHead])
+	w.nullTerminatedString(salt[:saltFirstPartLength])
 	w.buffer = binary.LittleEndian.AppendUint16(w.buffer, uint16(caps))
 	w.bytes(charsetUTF8MB4, statusAutocommit, 0)
 	w.buffer = binary.LittleEndian.AppendUint16(w.buffer, uint16(caps>>16))
 	w.bytes(byte(len(salt) + 1))
 	w.bytes(make([]byte, 10)...)
-	w.nulString(salt[saltHead:])
-	w.nulString(nativePassword)
+	w.nullTerminatedString(salt[saltFirstPartLength:])
+	w.nullTerminatedString(nativePassword)
 	w.end()
 }
 
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -11,34 +11,34 @@
 	// salt is 20 bytes; the password is empty, so that the salt protects nothing.
 	salt = "windflow-needs-no-pw"
 	// saltHead is how many bytes of the salt are in the first part of the greeting.
-	saltHead = 8
+	saltFirstPartLength = 8
 )
 
 // Capability flags.
 const (
-	capLongPassword  = 1 << 0
-	capFoundRows     = 1 << 1
-	capLongFlag      = 1 << 2
-	capConnectWithDB = 1 << 3
-	capProtocol41    = 1 << 9
-	capSSL           = 1 << 11
-	capTransactions  = 1 << 13
-	capSecure        = 1 << 15
-	capPluginAuth    = 1 << 19
-	capLenencAuth    = 1 << 21
+	capLongPassword     = 1 << 0
+	capFoundRows        = 1 << 1
+	capLongFlag         = 1 << 2
+	capConnectWithDB    = 1 << 3
+	capProtocol41       = 1 << 9
+	capSSL              = 1 << 11
+	capTransactions     = 1 << 13
+	capSecureConnection = 1 << 15
+	capPluginAuth       = 1 << 19
+	capLenencAuth       = 1 << 21
 
 	serverCaps = capLongPassword | capFoundRows | capLongFlag | capConnectWithDB | capProtocol41 |
-		capTransactions | capSecure | capPluginAuth
+		capTransactions | capSecureConnection | capPluginAuth
 )
 
 // Commands.
 const (
-	comQuit       = 0x01
-	comInitDB     = 0x02
-	comQuery      = 0x03
-	comStatistics = 0x09
-	comPing       = 0x0e
-	comResetConn  = 0x1f
+	comQuit            = 0x01
+	comInitDB          = 0x02
+	comQuery           = 0x03
+	comStatistics      = 0x09
+	comPing            = 0x0e
+	comResetConnection = 0x1f
 )
 
 // Values of packets' fields.
@@ -64,19 +64,19 @@
 
 // Error codes.
 const (
-	errTooManyConns = 1040 // rejected: a retry is harmless
-	errHandshake    = 1043
-	errAccessDenied = 1045
-	errUnknownCom   = 1047
-	errUnknownDB    = 1049
-	errParse        = 1064
-	errNoSuchThread = 1094
-	errUnknown      = 1105
-	errPacketTooBig = 1153
-	errPacketOrder  = 1156
-	errReadTimeout  = 1159
-	errInterrupted  = 1317
-	errTimeout      = 3024
+	errTooManyConnections = 1040 // rejected: a retry is harmless
+	errHandshake          = 1043
+	errAccessDenied       = 1045
+	errUnknownCommand     = 1047
+	errUnknownDatabase    = 1049
+	errParse              = 1064
+	errNoSuchThread       = 1094
+	errUnknown            = 1105
+	errPacketTooBig       = 1153
+	errPacketOrder        = 1156
+	errReadTimeout        = 1159
+	errInterrupted        = 1317
+	errTimeout            = 3024
 )
 
 // sqlStateGeneral is the SQLSTATE of codes that are not in sqlStates.
@@ -84,7 +84,7 @@
 
 // sqlStates are the SQLSTATEs of error codes.
 var sqlStates = map[int]string{
-	errTooManyConns: "08004", errHandshake: "08S01", errAccessDenied: "28000",
-	errUnknownCom: "08S01", errUnknownDB: "42000", errParse: "42000", errPacketTooBig: "08S01",
+	errTooManyConnections: "08004", errHandshake: "08S01", errAccessDenied: "28000",
+	errUnknownCommand: "08S01", errUnknownDatabase: "42000", errParse: "42000", errPacketTooBig: "08S01",
 	errPacketOrder: "08S01", errReadTimeout: "08S01", errInterrupted: "70100",
 }
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -52,7 +52,7 @@
 	s.waitingSinceMS = s.openedMS
 	if !s.front.add(s) {
 		s.counters.Rejected++
-		s.fail(errTooManyConns, "too many connections")
+		s.closeWithError(errTooManyConnections, "too many connections")
 		return
 	}
 	w := packetWriter{}
@@ -74,13 +74,13 @@
 	}
 	s.setBuffer(append(s.buffer, b...))
 	s.lastDataMS = atMS
-	s.advance()
+	s.processBuffer()
 	switch {
 	case s.closed:
 	case len(s.buffer) > maxSessionBuffer:
-		s.fail(errPacketTooBig, "too much sent ahead of the answer")
-	case s.front.overBuffered():
-		s.fail(errTooManyConns, "too many packets are under way")
+		s.closeWithError(errPacketTooBig, "too much sent ahead of the answer")
+	case s.front.exceedsBufferLimit():
+		s.closeWithError(errTooManyConnections, "too many packets are under way")
 	}
 }
 
@@ -116,16 +116,16 @@
 	if !s.loggedIn || len(s.buffer) > 0 { // else the error could pass for the answer to a command that is on its way
 		s.writeError(errReadTimeout, text)
 	}
-	s.end()
+	s.close()
 }
 
 // advance handles complete packets until a request is open.
-func (s *session) advance() {
+func (s *session) processBuffer() {
 	for !s.closed && !s.busy && len(s.buffer) >= headerLength {
 		n := int(s.buffer[0]) | int(s.buffer[1])<<8 | int(s.buffer[2])<<16
 		if n > maxPacket {
 			s.counters.BadPackets++
-			s.fail(errPacketTooBig, fmt.Sprintf("packet of %d bytes; at most %d are taken", n, maxPacket))
+			s.closeWithError(errPacketTooBig, fmt.Sprintf("packet of %d bytes; at most %d are taken", n, maxPacket))
 			return
 		}
 		if len(s.buffer) < headerLength+n {
@@ -147,10 +147,10 @@
 	switch {
 	case seq != 0:
 		s.counters.BadPackets++
-		s.fail(errPacketOrder, fmt.Sprintf("packet number %d opens a command", seq))
+		s.closeWithError(errPacketOrder, fmt.Sprintf("packet number %d opens a command", seq))
 	case len(body) == 0:
 		s.counters.BadPackets++
-		s.writeError(errUnknownCom, "an empty command")
+		s.writeError(errUnknownCommand, "an empty command")
 	default:
 		s.handleCommand(body[0], body[1:])
 	}
@@ -165,23 +165,23 @@
 	s.core.Abandon(s.handle)
 	s.busy = false
 	s.writeError(errInterrupted, "query execution was interrupted")
-	s.advance()
+	s.processBuffer()
 }
 
 // fail answers with an error and closes: the framing is lost, or the client may not continue.
-func (s *session) fail(code int, text string) {
+func (s *session) closeWithError(code int, text string) {
 	level := slog.LevelWarn
-	if code == errTooManyConns {
+	if code == errTooManyConnections {
 		level = slog.LevelDebug // a flood would fill the log; the counters show it
 	}
 	s.log.Log(context.Background(), level, "session closed", "session", s.id, "code", code, "text", text)
 	s.writeError(code, text)
-	s.end()
+	s.close()
 }
 
 // end is the one way in which a session closes: queued answers are sent, then the end of the stream. What the client
 // sends from here on is dropped; it learns from the end that it was not handled.
-func (s *session) end() {
+func (s *session) close() {
 	s.deregister()
 	s.conn.CloseGracefully()
 }
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -11,16 +11,16 @@
 func TestExchanges(t *testing.T) {
 	routertest.RunExchanges(t, func(t *testing.T) func(string) string {
 		t.Helper()
-		return newHarness(t).play
+		return newHarness(t).runLine
 	})
 }
 
 // A header that announces more than the longest packet ends the session before anything is buffered.
 func TestOverlongPacket(t *testing.T) {
 	h := newHarness(t)
-	h.play("a open")
-	h.play("a login")
-	if got := h.play("a raw ffffff00"); !strings.Contains(got, "error 1153") || !strings.Contains(got, "a closed") {
+	h.runLine("a open")
+	h.runLine("a login")
+	if got := h.runLine("a raw ffffff00"); !strings.Contains(got, "error 1153") || !strings.Contains(got, "a closed") {
 		t.Errorf("got %q", got)
 	}
 }
@@ -31,16 +31,16 @@
 	h := newHarness(t)
 	half := strings.Repeat("00", 51_000)
 	for _, name := range []string{"a", "b"} {
-		h.play(name + " open")
-		h.play(name + " login")
+		h.runLine(name + " open")
+		h.runLine(name + " login")
 	}
-	if got := h.play("a raw 00ff0000" + half); got != "" {
+	if got := h.runLine("a raw 00ff0000" + half); got != "" {
 		t.Errorf("the first half packet: %q", got)
 	}
-	if got := h.play("b raw 00ff0000" + half); !strings.Contains(got, "error 1040") || !strings.Contains(got, "b closed") {
+	if got := h.runLine("b raw 00ff0000" + half); !strings.Contains(got, "error 1040") || !strings.Contains(got, "b closed") {
 		t.Errorf("the second half packet: %q", got)
 	}
-	h.play("a leave")
+	h.runLine("a leave")
 	if h.front.buffered != 0 || len(h.front.sessions) != 0 {
 		t.Errorf("%d bytes and %d sessions are kept", h.front.buffered, len(h.front.sessions))
 	}
@@ -53,8 +53,8 @@
 	f.Add(packet(0, "\x03/* method=lookup"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		h := newHarness(t)
-		h.play("a open")
-		h.play("a login")
+		h.runLine("a open")
+		h.runLine("a login")
 		h.loop.Post(func() { h.handlers["a"].Data(b, h.clock.MS) })
 		h.run()
 		for _, c := range h.engine.calls {
