--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -48,8 +48,8 @@
 	return s
 }
 
-// NewDeferredSpeaker returns a speaker that does not connect: the predecessor of this process has the session, and Adopt
-// takes it over from it.
+// NewDeferredSpeaker returns a speaker that does not connect: the predecessor of this process has the session, and
+// Adopt takes it over from it.
 func NewDeferredSpeaker(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
 	return &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log, awaitingAdoption: true}
 }
--- a/internal/flightsql/answer.go
+++ b/internal/flightsql/answer.go
@@ -44,20 +44,20 @@
 func (c answerChan) Failed(reason router.Reason) { c <- answer{reason: reason} }
 
 // toResult returns the result of an answer, or its status for the client.
-func (s *service) toResult(ctx context.Context, request *router.Request, a answer) (*router.Result, error) {
+func (s *service) toResult(ctx context.Context, request *router.Request, ans answer) (*router.Result, error) {
 	switch {
-	case a.result != nil:
+	case ans.result != nil:
 		s.counters.Served.Add(1)
-		return a.result, nil
-	case errors.Is(a.submitErr, router.ErrIDInUse):
+		return ans.result, nil
+	case errors.Is(ans.submitErr, router.ErrIDInUse):
 		s.counters.Malformed.Add(1)
-		return nil, status.Error(codes.AlreadyExists, a.submitErr.Error())
-	case a.submitErr != nil:
-		return nil, malformedError(s.counters, a.submitErr.Error())
-	case a.rejected:
-		return nil, s.rejection(ctx, a.backoffMS)
+		return nil, status.Error(codes.AlreadyExists, ans.submitErr.Error())
+	case ans.submitErr != nil:
+		return nil, malformedError(s.counters, ans.submitErr.Error())
+	case ans.rejected:
+		return nil, s.rejection(ctx, ans.backoffMS)
 	}
-	return nil, s.failure(ctx, request, a.reason)
+	return nil, s.failure(ctx, request, ans.reason)
 }
 
 // failure returns the status of a failed request; its trailer says whether a retry is safe.
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -31,37 +31,37 @@
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
 	for _, tc := range []answerCase{
-		{"served", "serve", requestContext(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
+		{"served", "serve", callCtx(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
 		{
-			"served within a budget", "serve", requestContext(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
+			"served within a budget", "serve", callCtx(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
 			codes.OK, "", 1,
 		},
 		{
-			"refused", "full", requestContext(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
+			"refused", "full", callCtx(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
 			"backoff=2000", 1,
 		},
-		{"failed", "reset", requestContext(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
+		{"failed", "reset", callCtx(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
 		{
-			"past the call's deadline", "hang", requestContext(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
+			"past the call's deadline", "hang", callCtx(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
 			codes.DeadlineExceeded, "", 1,
 		},
 		{
-			"past the budget", "hang", requestContext(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
+			"past the budget", "hang", callCtx(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
 			codes.DeadlineExceeded, "", 1,
 		},
-		{"no class", "serve", requestContext(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
+		{"no class", "serve", callCtx(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
 		{
-			"unknown class", "serve", requestContext(t, long, "rid", "0000000000000007", "method", "x"),
+			"unknown class", "serve", callCtx(t, long, "rid", "0000000000000007", "method", "x"),
 			codes.InvalidArgument, "method", 0,
 		},
-		{"bad id", "serve", requestContext(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
+		{"bad id", "serve", callCtx(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
 		{
-			"id twice", "serve", requestContext(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
+			"id twice", "serve", callCtx(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
 			codes.InvalidArgument, "rid", 0,
 		},
-		{"no deadline", "serve", requestContext(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
+		{"no deadline", "serve", callCtx(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
 		{
-			"no statement", "", requestContext(t, long, "rid", "0000000000000007", "method", "load"),
+			"no statement", "", callCtx(t, long, "rid", "0000000000000007", "method", "load"),
 			codes.InvalidArgument, "statement", 0,
 		},
 	} {
@@ -128,11 +128,11 @@
 // A rejection reports when to retry, in a machine-readable detail too, and a failure whether a retry is safe.
 func TestRetryAdvice(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.Execute(requestContext(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stream, err := c.Client.DoGet(requestContext(t, 20*time.Second), info.Endpoint[0].Ticket)
+	stream, err := c.Client.DoGet(callCtx(t, 20*time.Second), info.Endpoint[0].Ticket)
 	if err == nil {
 		_, err = stream.Recv()
 	}
@@ -146,10 +146,10 @@
 	if delay != time.Second || trailer.Get(metaBackoff)[0] != "1000" || trailer.Get(metaRetry)[0] != "safe" {
 		t.Errorf("%v: delay %v, trailer %v", err, delay, trailer)
 	}
-	if info, err = c.Execute(requestContext(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset"); err != nil {
+	if info, err = c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset"); err != nil {
 		t.Fatal(err)
 	}
-	if stream, err = c.Client.DoGet(requestContext(t, 20*time.Second), info.Endpoint[0].Ticket); err == nil {
+	if stream, err = c.Client.DoGet(callCtx(t, 20*time.Second), info.Endpoint[0].Ticket); err == nil {
 		_, err = stream.Recv()
 	}
 	if got := stream.Trailer().Get(metaRetry); len(got) != 1 || !strings.HasPrefix(got[0], "unsafe") {
@@ -162,14 +162,14 @@
 	_, engines, c := newFront(t)
 	const fetches = 8
 	const id = "0000000000000001"
-	info, err := c.Execute(requestContext(t, 20*time.Second, "rid", id, "method", "load"), "serve")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", id, "method", "load"), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	results := make(chan error, fetches)
 	for range fetches {
 		go func() {
-			_, err := redeem(requestContext(t, 20*time.Second), c, info.Endpoint[0].Ticket)
+			_, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket)
 			results <- err
 		}()
 	}
@@ -186,12 +186,12 @@
 func TestTicketOfLookupIsRedeemedAgain(t *testing.T) {
 	_, engines, c := newFront(t)
 	const id = "0000000000000002"
-	info, err := c.Execute(requestContext(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := redeem(requestContext(t, 20*time.Second), c, info.Endpoint[0].Ticket); err != nil {
+		if _, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket); err != nil {
 			t.Error(err)
 		}
 	}
@@ -205,48 +205,48 @@
 func TestPreparedStatements(t *testing.T) {
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
-	p, err := c.Prepare(requestContext(t, long), "serve")
+	p, err := c.Prepare(callCtx(t, long), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"0000000000000001", "0000000000000002"} {
-		info, err := p.Execute(requestContext(t, long, "rid", id, "method", "load"))
+		info, err := p.Execute(callCtx(t, long, "rid", id, "method", "load"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows, err := redeem(requestContext(t, long), c, info.Endpoint[0].Ticket)
+		rows, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket)
 		if err != nil || rows != 2 {
 			t.Errorf("%d rows, %v", rows, err)
 		}
-		if _, err := redeem(requestContext(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
+		if _, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
 			t.Errorf("a load's ticket, redeemed again: %v", err)
 		}
 		if engines.runsOf(id) != 1 {
 			t.Errorf("%s ran %d times", id, engines.runsOf(id))
 		}
 	}
-	if n, err := p.ExecuteUpdate(requestContext(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
+	if n, err := p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
 		t.Errorf("update: %d rows changed, %v", n, err)
 	}
-	if _, err := p.Execute(requestContext(t, long, "method", "load")); status.Code(err) != codes.InvalidArgument {
+	if _, err := p.Execute(callCtx(t, long, "method", "load")); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("without an id: %v", err)
 	}
 	schema := arrow.NewSchema([]arrow.Field{{Name: "p", Type: arrow.PrimitiveTypes.Int64}}, nil)
 	values := array.NewInt64Builder(memory.DefaultAllocator)
 	values.Append(1)
 	p.SetParameters(array.NewRecordBatch(schema, []arrow.Array{values.NewArray()}, 1))
-	_, err = p.ExecuteUpdate(requestContext(t, long, "rid", "0000000000000004", "method", "load"))
+	_, err = p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000004", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument || engines.runsOf("0000000000000004") != 0 {
 		t.Errorf("update with parameters: %v, ran %d times", err, engines.runsOf("0000000000000004"))
 	}
-	_, err = p.Execute(requestContext(t, long, "rid", "0000000000000005", "method", "load"))
+	_, err = p.Execute(callCtx(t, long, "rid", "0000000000000005", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument {
 		t.Errorf("query with parameters: %v", err)
 	}
-	if err := p.Close(requestContext(t, long)); err != nil {
+	if err := p.Close(callCtx(t, long)); err != nil {
 		t.Error("close:", err)
 	}
-	if _, err := c.Prepare(requestContext(t, long), ""); status.Code(err) != codes.InvalidArgument {
+	if _, err := c.Prepare(callCtx(t, long), ""); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("an empty statement: %v", err)
 	}
 }
@@ -255,7 +255,7 @@
 func TestMalformedCalls(t *testing.T) {
 	_, engines, c := newFront(t)
 	ctx := func() context.Context {
-		return requestContext(t, 20*time.Second, "rid", "0000000000000001", "method", "load")
+		return callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", "load")
 	}
 	garbage := []byte{0xff, 0x01, 0x02}
 	for _, tc := range []struct {
@@ -329,11 +329,11 @@
 // Clients request what the server supports before they use it.
 func TestSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.GetSqlInfo(requestContext(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
+	info, err := c.GetSqlInfo(callCtx(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rows, err := redeem(requestContext(t, 20*time.Second), c, info.Endpoint[0].Ticket); rows != 1 || err != nil {
+	if rows, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket); rows != 1 || err != nil {
 		t.Errorf("%d rows, %v", rows, err)
 	}
 }
@@ -350,7 +350,7 @@
 func checkIDInUse(t *testing.T, class string, after codes.Code) {
 	t.Helper()
 	f, engines, c := newFront(t)
-	ctx, cancel := context.WithCancel(requestContext(t, 20*time.Second, "rid", "0000000000000001", "method", class))
+	ctx, cancel := context.WithCancel(callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", class))
 	first := make(chan error, 1)
 	go func() {
 		_, err := c.ExecuteUpdate(ctx, "hang")
@@ -359,7 +359,7 @@
 	for engines.runsOf("0000000000000001") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	again := requestContext(t, 20*time.Second, "rid", "0000000000000001", "method", class)
+	again := callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", class)
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("while it is open: %v", err)
 	}
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -57,7 +57,7 @@
 func requestTicket(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
 	t.Helper()
 	var trailer metadata.MD
-	info, err := c.Execute(requestContext(t, goldenTimeout, md...), statement, grpc.Trailer(&trailer))
+	info, err := c.Execute(callCtx(t, goldenTimeout, md...), statement, grpc.Trailer(&trailer))
 	if err != nil {
 		return describeEnd(err, trailer), nil
 	}
@@ -111,9 +111,9 @@
 		described, ticket := requestTicket(t, c, tc.statement, md...)
 		fmt.Fprintf(&text, "query %q of %s\n%s", tc.statement, tc.class, described)
 		if ticket != nil {
-			text.WriteString(describeRedeem(requestContext(t, goldenTimeout), c, ticket))
+			text.WriteString(describeRedeem(callCtx(t, goldenTimeout), c, ticket))
 		}
-		ctx := requestContext(t, goldenTimeout, allFields(fmt.Sprintf("%016x", 100+i), tc.class)...)
+		ctx := callCtx(t, goldenTimeout, allFields(fmt.Sprintf("%016x", 100+i), tc.class)...)
 		n, trailer, err := runUpdate(ctx, c, tc.statement)
 		fmt.Fprintf(&text, "update: %d rows changed, %s\n", n, describeEnd(err, trailer))
 	}
@@ -128,7 +128,7 @@
 	failedAtDeadline = "DeadlineExceeded \"the time for the query ran out\" trailer retry=[\"safe\"]\n"
 )
 
-// onTime returns the answer that a client gets when the loop did not stall: which one it is depends on the
+// ignoreLoopStall returns the answer that a client gets when the loop did not stall: which one it is depends on the
 // machine.
 func ignoreLoopStall(answer string) string {
 	if answer == failedAtDeadline {
@@ -145,23 +145,23 @@
 		md := allFields(fmt.Sprintf("%016x", 200+i), class)
 		md[slices.Index(md, "budget")+1] = "200"
 		_, ticket := requestTicket(t, c, "hang", md...)
-		answer := ignoreLoopStall(describeRedeem(requestContext(t, goldenTimeout), c, ticket))
+		answer := ignoreLoopStall(describeRedeem(callCtx(t, goldenTimeout), c, ticket))
 		fmt.Fprintf(&text, "too late, %s\n%s\n", class, answer)
 	}
-	_, trailer, err := runUpdate(requestContext(t, goldenTimeout, allFields("0000000000000069", "load")...), c, "serve")
+	_, trailer, err := runUpdate(callCtx(t, goldenTimeout, allFields("0000000000000069", "load")...), c, "serve")
 	fmt.Fprintf(&text, "id of a load that may have run\n%s\n", describeEnd(err, trailer))
 	ticket, err := fsql.CreateStatementQueryTicket([]byte("unknown"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "unknown ticket\n%s\n", describeRedeem(requestContext(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
+	fmt.Fprintf(&text, "unknown ticket\n%s\n", describeRedeem(callCtx(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
 	described, _ := requestTicket(t, c, "serve", "rid", "0000000000000001")
 	fmt.Fprintf(&text, "no class\n%s\n", described)
 	described, _ = requestTicket(t, c, "serve", "rid", "1", "method", "load")
 	fmt.Fprintf(&text, "bad id\n%s\n", described)
 	described, _ = requestTicket(t, c, "serve", append(allFields("0000000000000001", "load"), "rid", "0000000000000002")...)
 	fmt.Fprintf(&text, "id twice\n%s\n", described)
-	stream, err := c.Client.DoPut(requestContext(t, goldenTimeout))
+	stream, err := c.Client.DoPut(callCtx(t, goldenTimeout))
 	if err == nil {
 		err = errors.Join(stream.Send(&flight.FlightData{}), stream.CloseSend())
 	}
@@ -182,11 +182,11 @@
 // A statement that is prepared has the same handle and schemas as before.
 func TestGoldenPrepared(t *testing.T) {
 	_, _, c := newFront(t)
-	statement, err := c.Prepare(requestContext(t, goldenTimeout), "serve")
+	statement, err := c.Prepare(callCtx(t, goldenTimeout), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = c.Prepare(requestContext(t, goldenTimeout), "")
+	_, err = c.Prepare(callCtx(t, goldenTimeout), "")
 	text := fmt.Appendf(nil, "handle %q, dataset %v, parameters %v\nempty: %s", statement.Handle(),
 		statement.DatasetSchema(), statement.ParameterSchema(), describeEnd(err, nil))
 	golden.Equal(t, "prepared.txt", text)
@@ -195,11 +195,11 @@
 // What clients learn of the server is the same as before, but for the version of Arrow.
 func TestGoldenSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.GetSqlInfo(requestContext(t, goldenTimeout), nil)
+	info, err := c.GetSqlInfo(callCtx(t, goldenTimeout), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader, err := c.DoGet(requestContext(t, goldenTimeout), info.Endpoint[0].Ticket)
+	reader, err := c.DoGet(callCtx(t, goldenTimeout), info.Endpoint[0].Ticket)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -110,7 +110,7 @@
 }
 
 // call returns a context with fields, as name and value in turn, and a deadline unless it is 0.
-func requestContext(t *testing.T, deadline time.Duration, fields ...string) context.Context {
+func callCtx(t *testing.T, deadline time.Duration, fields ...string) context.Context {
 	t.Helper()
 	ctx := context.Background()
 	if deadline > 0 {
