--- a/internal/bgp/doc.go
+++ b/internal/bgp/doc.go
@@ -1,4 +1,4 @@
-// Package bgp is a small BGP speaker (RFC 4271) for one neighbour: it announces the service's addresses while the
-// router is ready and withdraws them while it drains. It accepts no routes. It runs in the router's loop and is not
-// safe for concurrent use; its times are in the loop's milliseconds.
+// Package bgp implements a minimal BGP speaker (RFC 4271) with one neighbour. It announces the prefixes of the service
+// while the router is ready and withdraws them while the router drains. It ignores the routes that it receives. It runs
+// in the router's loop and is not safe for concurrent use. Times are in milliseconds of the loop's clock.
 package bgp
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -9,14 +9,14 @@
 	"windflow/internal/golden"
 )
 
-// takeHex returns what the speaker has written since the last call as hexadecimal digits, after the step's name.
+// takeHex returns the name of a step and, in hexadecimal, what the speaker has written since the last call.
 func (p *fakePeer) takeHex(step string) string {
 	written := p.written
 	p.written = nil
 	return fmt.Sprintf("%s: %x\n", step, written)
 }
 
-// converse runs a session of a speaker and returns the bytes that it wrote at each step.
+// runSession runs a session of a speaker and returns the bytes that it wrote at each step.
 func runSession(t *testing.T, cfg Config, neighbourOpen []byte) string {
 	t.Helper()
 	p := newPeer(t, cfg)
@@ -36,7 +36,8 @@
 	return text + p.takeHex("heard an unknown message")
 }
 
-// The speaker writes the recorded bytes to a neighbour of another AS, of its own, and to an old one.
+// Compares the bytes that a speaker writes with the recorded ones: to a neighbour in another AS, to one in the same AS,
+// and to one without four-byte AS numbers.
 func TestGoldenSession(t *testing.T) {
 	external := testConfig()
 	external.Prefixes = append(external.Prefixes, netip.MustParsePrefix("198.51.100.0/25"))
@@ -44,7 +45,7 @@
 	internal.LocalAS = internal.PeerAS
 	large := testConfig()
 	large.LocalAS = 4_200_000_001
-	// The OPEN of an old neighbour has no parameters, so no capability of AS numbers of 32 bits.
+	// Without optional parameters, an OPEN has no capability of four-byte AS numbers.
 	current := encodeOpen(peerOpen)
 	const parameters = headerLength + 9
 	old := encodeMessage(typeOpen, append(bytes.Clone(current[headerLength:parameters]), 0))
@@ -52,14 +53,14 @@
 	for _, session := range []struct {
 		name   string
 		config Config
-		open   []byte // the neighbour's
+		open   []byte // OPEN of the neighbour
 	}{{"external", external, current}, {"internal", internal, current}, {"large, old neighbour", large, old}} {
 		fmt.Fprintf(&text, "%s\n%s\n", session.name, runSession(t, session.config, session.open))
 	}
 	golden.Equal(t, "sessions.txt", text.Bytes())
 }
 
-// Each message has the recorded bytes.
+// Compares the encoding of each type of message with the recorded bytes.
 func TestGoldenMessages(t *testing.T) {
 	cfg := testConfig()
 	var text bytes.Buffer
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -15,7 +15,7 @@
 	typeKeepalive    messageType = 4
 )
 
-// Sizes in bytes, by RFC 4271.
+// Lengths and offsets in bytes (RFC 4271, section 4).
 const (
 	markerLength          = 16
 	headerLength          = 19
@@ -27,13 +27,14 @@
 	minNotificationLength = 21
 )
 
-// asTrans represents an AS number of more than 16 bits in a field of 16 (RFC 6793).
+// asTrans (AS_TRANS) stands in a two-byte field for an AS number that needs four bytes (RFC 6793).
 const asTrans = 23456
 
-// marker begins each message.
+// marker is the field at the start of each message.
 var marker = bytes.Repeat([]byte{0xff}, markerLength)
 
-// minLength returns the length from which on a message of the type is valid, and false for an unknown type.
+// minLength returns the minimum length in bytes of a message of the type, header included, and false for an unknown
+// type.
 func (t messageType) minLength() (length int, known bool) {
 	switch t {
 	case typeOpen:
@@ -48,7 +49,7 @@
 	return 0, false
 }
 
-// message is a message without its header.
+// message is the type and the body of a message, without its header.
 type message struct {
 	kind messageType
 	body []byte
@@ -60,7 +61,8 @@
 	return append(append(encoded, byte(kind)), body...)
 }
 
-// decodeMessage decodes the message that begins data, and returns its length. The length is 0 where data is incomplete.
+// decodeMessage decodes the message at the start of data and returns its length, header included. The length is 0 if
+// the message is incomplete. A message with an invalid header is an error.
 func decodeMessage(data []byte) (decoded message, length int, invalid *NotificationError) {
 	if len(data) < headerLength {
 		return message{}, 0, nil
--- a/internal/bgp/migrate.go
+++ b/internal/bgp/migrate.go
@@ -7,24 +7,24 @@
 	"windflow/internal/netio"
 )
 
-// SessionState is a session that moves to another process with its connection.
+// SessionState is the state of an established session that moves to another process together with its connection.
 type SessionState struct {
 	Peer       string         `json:"peer"`
 	HoldMS     float64        `json:"hold_ms"`
 	FourByteAS bool           `json:"four_b"`
-	Buffered   []byte         `json:"unread"` // the received part of a message
-	Announced  []netip.Prefix `json:"told"`
+	Buffered   []byte         `json:"unread"` // the received bytes of an incomplete message
+	Announced  []netip.Prefix `json:"told"`   // the configured prefixes, announced or not
 	NextHop    netip.Addr     `json:"next_hop"`
 }
 
-// Adopter takes over an open connection.
+// Adopter registers an open connection from another process with a handler.
 type Adopter interface {
 	Adopt(*os.File, netio.Handler) error
 }
 
-// Migrate ends the speaker and passes its session to done, for another process. Nothing is withdrawn, since the
-// neighbour sees no end of the session. Where there is no established session, done gets no file, and the other
-// process connects.
+// Migrate stops the speaker and calls done with its session and the descriptor of the connection, for another process.
+// The neighbour does not notice, so that nothing is withdrawn. If there is no established session, or its connection
+// cannot be detached, the session is closed, the file is nil, and the other process has to connect.
 func (s *Speaker) Migrate(done func(SessionState, *os.File)) {
 	current := s.session
 	s.closed = true
@@ -52,7 +52,7 @@
 	s.close(&NotificationError{Code: codeCease, Subcode: ceaseAdministrativeShutdown}, "handed over")
 }
 
-// detach ends the session in this process without a sign to the neighbour.
+// detach ends the session in this process without a message to the neighbour, and returns its state.
 func (s *session) detach() SessionState {
 	s.state = Idle
 	s.holdTimer.Stop()
@@ -66,8 +66,9 @@
 	}
 }
 
-// Adopt continues a session that another process migrated, and connects where there is none or it can't be used. It
-// closes the file of a session that it does not use.
+// Adopt continues a session that another process migrated. If there is none (file is nil), if it is with another peer
+// or if its connection cannot be registered, the speaker connects. Only the first call has an effect, and only on a
+// speaker from NewDeferredSpeaker. Adopt closes a file that it does not use.
 func (s *Speaker) Adopt(adopter Adopter, state SessionState, file *os.File) {
 	if !s.awaitingAdoption {
 		closeFile(file)
--- a/internal/bgp/notification.go
+++ b/internal/bgp/notification.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Error codes of RFC 4271, section 4.5.
+// Error codes of NOTIFICATION messages (RFC 4271, section 4.5).
 const (
 	codeHeader       = 1
 	codeOpen         = 2
@@ -12,7 +12,7 @@
 	codeCease        = 6
 )
 
-// Error subcodes, by code; 0 is unspecific. Those of codeCease are of RFC 4486.
+// Error subcodes, grouped by code. 0 means unspecific. Those of codeCease are defined in RFC 4486.
 const (
 	headerNotSynchronized = 1
 	headerBadLength       = 2
@@ -36,7 +36,7 @@
 	codeHoldTimer: "hold timer expired", codeStateMachine: "finite state machine error", codeCease: "cease",
 }
 
-// NotificationError is an error as a NOTIFICATION message reports it.
+// NotificationError is the content of a NOTIFICATION message, which reports an error and closes the session.
 type NotificationError struct {
 	Code, Subcode byte
 	Data          []byte
@@ -52,7 +52,7 @@
 	return encodeMessage(typeNotification, body)
 }
 
-// decodeNotification decodes the body of a NOTIFICATION, which decodeMessage found long enough.
+// decodeNotification decodes the body of a NOTIFICATION. decodeMessage has checked its minimum length.
 func decodeNotification(body []byte) *NotificationError {
 	return &NotificationError{Code: body[0], Subcode: body[1], Data: body[2:]}
 }
--- a/internal/bgp/open.go
+++ b/internal/bgp/open.go
@@ -7,25 +7,25 @@
 
 const (
 	protocolVersion = 4
-	// openFixedLength is the length of an OPEN's fields before its parameters; the last of them is the parameters'
-	// length.
+	// openFixedLength is the length in bytes of the fixed fields of an OPEN's body. The last byte is the length of the
+	// optional parameters that follow.
 	openFixedLength = 10
-	// parameterCapabilities is the type of the parameter that lists capabilities (RFC 5492).
+	// parameterCapabilities is the type of the optional parameter that lists capabilities (RFC 5492).
 	parameterCapabilities = 2
-	// capabilityFourByteAS announces AS numbers of 32 bits (RFC 6793).
+	// capabilityFourByteAS is the code of the capability of four-byte AS numbers (RFC 6793).
 	capabilityFourByteAS       = 65
 	capabilityFourByteASLength = 4
 )
 
-// ipv4Unicast is the capability of IPv4 unicast routes (RFC 4760).
+// ipv4Unicast is the encoded multiprotocol capability for IPv4 unicast routes (RFC 4760).
 var ipv4Unicast = []byte{1, 4, 0, 1, 0, 1}
 
-// openMessage is an OPEN message.
+// openMessage holds the fields of an OPEN message.
 type openMessage struct {
 	asNumber        uint32
 	holdTimeSeconds uint16
 	routerID        netip.Addr
-	fourByteAS      bool // the sender understands AS numbers of 32 bits; encodeOpen always says so
+	fourByteAS      bool // the sender supports four-byte AS numbers; encodeOpen always announces that
 }
 
 func encodeOpen(open openMessage) []byte {
@@ -44,7 +44,7 @@
 	return encodeMessage(typeOpen, append(body, capabilities...))
 }
 
-// decodeOpen decodes the body of an OPEN, which decodeMessage found long enough.
+// decodeOpen decodes and checks the body of an OPEN. decodeMessage has checked its minimum length.
 func decodeOpen(body []byte) (open openMessage, invalid *NotificationError) {
 	open = openMessage{
 		asNumber:        uint32(binary.BigEndian.Uint16(body[1:])),
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// decodeCapabilities reads a list of capabilities, and returns false for a malformed one.
+// decodeCapabilities decodes a list of capabilities and ignores unknown ones. It returns false if the list is
+// malformed.
 func (o *openMessage) decodeCapabilities(capabilities []byte) bool {
 	for len(capabilities) > 0 {
 		code, value, following, ok := cutField(capabilities)
@@ -102,7 +103,8 @@
 	return true
 }
 
-// cutField cuts a field with a type and a length of one byte each off data, and returns false where it is incomplete.
+// cutField cuts a field off data that starts with a byte for its type and one for its length. It returns false if data
+// is incomplete.
 func cutField(data []byte) (kind byte, value, following []byte, ok bool) {
 	if len(data) < 2 || len(data) < 2+int(data[1]) {
 		return 0, nil, nil, false
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -8,10 +8,10 @@
 	"windflow/internal/router"
 )
 
-// State is the state of a session.
+// State is the state of a BGP session.
 type State int
 
-// States of a session by RFC 4271, without Active, since the speaker does not listen.
+// States of a session (RFC 4271). The state Active is missing, because the speaker does not accept connections.
 const (
 	Idle State = iota
 	Connect
@@ -20,35 +20,35 @@
 	Established
 )
 
-// String returns the name of the state in RFC 4271.
+// String returns the name of the state as in RFC 4271.
 func (s State) String() string {
 	return [...]string{"Idle", "Connect", "OpenSent", "OpenConfirm", "Established"}[s]
 }
 
 const (
-	// openHoldTimeMS is the hold time until the neighbour's OPEN arrives: RFC 4271 suggests four minutes.
+	// openHoldTimeMS is the hold time until the neighbour's OPEN arrives; RFC 4271 suggests 4 minutes.
 	openHoldTimeMS = 240_000.0
-	// keepalivesPerHoldTime is how many KEEPALIVE messages are sent in a hold time.
+	// keepalivesPerHoldTime is the number of KEEPALIVE messages sent in one hold time.
 	keepalivesPerHoldTime = 3
 )
 
-// session is one connection to the neighbour.
+// session is one connection to the neighbour and the state of the BGP session on it. It implements netio.Handler.
 type session struct {
 	speaker        *Speaker
 	conn           netio.Conn
 	state          State
-	received       []byte  // the beginning of a message
-	holdMS         float64 // 0: no hold timer
+	received       []byte  // the received bytes of an incomplete message
+	holdMS         float64 // hold time; 0 if neither a hold timer nor keepalives are used
 	holdTimer      *router.Timer
 	keepaliveTimer *router.Timer
-	fourByteAS     bool // the neighbour understands AS numbers of 32 bits
+	fourByteAS     bool // the neighbour supports four-byte AS numbers
 }
 
-// Opened implements netio.Handler.
+// Opened implements netio.Handler. It sends an OPEN unless the session was adopted from another process.
 func (s *session) Opened(conn netio.Conn) {
 	s.conn = conn
 	if s.state == Established {
-		return // adopted
+		return // adopted: the OPEN messages were exchanged before
 	}
 	cfg := s.speaker.cfg
 	s.state = OpenSent
@@ -59,16 +59,17 @@
 	s.resetHoldTimer()
 }
 
-// Closed implements netio.Handler.
+// Closed implements netio.Handler. It closes the session, and the speaker reconnects later.
 func (s *session) Closed(err error) { s.close(nil, fmt.Sprint("connection closed: ", err)) }
 
-// Data implements netio.Handler.
+// Data implements netio.Handler. It handles the complete messages and keeps the rest. An invalid header closes the
+// session.
 func (s *session) Data(data []byte, _ float64) {
 	s.received = append(s.received, data...)
 	for s.state != Idle {
 		next, length, invalid := decodeMessage(s.received)
 		if invalid != nil {
-			s.close(invalid, "bad message")
+			s.close(invalid, "invalid message header")
 			return
 		}
 		if length == 0 {
@@ -95,7 +96,7 @@
 	case s.state == Established && received.kind == typeUpdate:
 		s.handleUpdate(received.body)
 	default:
-		reason := fmt.Sprintf("message of type %d in state %v", received.kind, s.state)
+		reason := fmt.Sprintf("unexpected message of type %d in state %v", received.kind, s.state)
 		s.close(&NotificationError{Code: codeStateMachine}, reason)
 	}
 }
@@ -106,7 +107,7 @@
 		invalid = s.checkNeighbour(open)
 	}
 	if invalid != nil {
-		s.close(invalid, "bad OPEN")
+		s.close(invalid, "invalid OPEN message")
 		return
 	}
 	s.fourByteAS = open.fourByteAS
@@ -116,7 +117,8 @@
 	s.sendKeepalive()
 }
 
-// checkNeighbour checks that an OPEN is from the configured neighbour. One within the same AS needs another router id.
+// checkNeighbour checks that an OPEN has the AS number of the configured neighbour and, within one AS, a router id that
+// differs from that of this speaker.
 func (s *session) checkNeighbour(open openMessage) *NotificationError {
 	cfg := s.speaker.cfg
 	switch {
@@ -141,13 +143,14 @@
 func (s *session) handleUpdate(body []byte) {
 	s.speaker.Counters.UpdatesReceived++
 	if invalid := checkUpdate(body); invalid != nil {
-		s.close(invalid, "bad UPDATE")
+		s.close(invalid, "invalid UPDATE message")
 		return
 	}
 	s.resetHoldTimer()
 }
 
-// resetHoldTimer restarts the hold timer, after a message of the neighbour.
+// resetHoldTimer restarts the hold timer with the current hold time. It is called for each KEEPALIVE and UPDATE of the
+// neighbour, and whenever the hold time is set.
 func (s *session) resetHoldTimer() {
 	s.holdTimer.Stop()
 	if s.holdMS > 0 {
@@ -157,7 +160,7 @@
 	}
 }
 
-// sendKeepalive sends a KEEPALIVE and, where there is a hold time, schedules the next.
+// sendKeepalive sends a KEEPALIVE and, unless the hold time is 0, schedules the next.
 func (s *session) sendKeepalive() {
 	s.speaker.Counters.Keepalives++
 	_ = s.conn.Write(encodeMessage(typeKeepalive, nil))
@@ -166,14 +169,14 @@
 	}
 }
 
-// announce announces the configured prefixes, in place of what was announced of them before.
+// announce sends an UPDATE with the configured prefixes. It replaces the routes that were announced for them before.
 func (s *session) announce(cfg Config) {
 	s.speaker.Counters.Announced++
 	s.logUpdate(true, cfg.Prefixes)
 	_ = s.conn.Write(encodeAnnouncement(cfg, s.fourByteAS))
 }
 
-// withdraw withdraws prefixes; it sends nothing where there are none.
+// withdraw sends an UPDATE that withdraws the prefixes, or nothing if there are none.
 func (s *session) withdraw(prefixes []netip.Prefix) {
 	if len(prefixes) == 0 {
 		return
@@ -187,13 +190,14 @@
 	s.speaker.log.Info("bgp update", "peer", s.speaker.cfg.Peer, "announce", announce, "prefixes", prefixes)
 }
 
-// replaceAnnounced announces the configured prefixes, and withdraws those of old that are not among them.
+// replaceAnnounced withdraws the prefixes of old that are no longer configured and announces the configured ones.
 func (s *session) replaceAnnounced(old []netip.Prefix) {
 	s.withdraw(s.speaker.removedPrefixes(old))
 	s.announce(s.speaker.cfg)
 }
 
-// close closes the session, with a NOTIFICATION where there is one to send, and schedules a reconnection.
+// close closes the session and schedules a reconnection unless the speaker is closed. A notification that is not nil is
+// sent first. The reason is logged.
 func (s *session) close(notification *NotificationError, reason string) {
 	if s.state == Idle {
 		return
@@ -213,7 +217,7 @@
 	}
 	speaker := s.speaker
 	speaker.log.Warn("bgp session ended", "peer", speaker.cfg.Peer, "state", previous.String(), "why", reason)
-	s.conn.CloseGracefully() // not Close: the neighbour is to read the NOTIFICATION
+	s.conn.CloseGracefully() // Close could drop the NOTIFICATION before the neighbour reads it
 	speaker.session = nil
 	if !speaker.closed {
 		retryMS := float64(speaker.cfg.ConnectRetryS) * msPerSecond
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -15,7 +15,7 @@
 	msPerSecond      = 1000
 )
 
-// Counters count what the speaker sent and received.
+// Counters count connections, sessions and messages of the speaker.
 type Counters struct {
 	Connects              int64 `status:"connects"`
 	Established           int64 `status:"established"`
@@ -27,21 +27,21 @@
 	Errors                int64 `status:"errors"`
 }
 
-// Speaker maintains a session with the neighbour until it is closed, and reconnects where the session ends.
+// Speaker maintains a session with the neighbour until it is closed, and reconnects when the session ends.
 type Speaker struct {
 	cfg              Config
 	loop             *router.Loop
 	dialer           netio.Dialer
 	log              *slog.Logger
-	announced        bool // the service is ready
+	announced        bool // the prefixes are to be announced in each established session
 	closed           bool
-	awaitingAdoption bool // another process has the session
+	awaitingAdoption bool // another process has the session until Adopt
 	session          *session
 	retryTimer       *router.Timer
 	Counters         Counters
 }
 
-// StartSpeaker returns a speaker that connects at once and announces nothing yet.
+// StartSpeaker returns a speaker that connects at once. It announces nothing until Announce.
 func StartSpeaker(loop *router.Loop, dialer netio.Dialer, cfg Config, log *slog.Logger) *Speaker {
 	s := &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log}
 	s.connect()
@@ -54,7 +54,7 @@
 	return &Speaker{cfg: cfg, loop: loop, dialer: dialer, log: log, awaitingAdoption: true}
 }
 
-// State returns the session's state.
+// State returns the state of the session, Idle if there is none.
 func (s *Speaker) State() State {
 	if s.session == nil {
 		return Idle
@@ -62,10 +62,10 @@
 	return s.session.state
 }
 
-// Announce announces the service's addresses, now and after each reconnection.
+// Announce announces the configured prefixes in the established session and in each later one, until Withdraw.
 func (s *Speaker) Announce() { s.setAnnounced(true) }
 
-// Withdraw withdraws the service's addresses. The session stays open.
+// Withdraw withdraws the configured prefixes. The session stays open.
 func (s *Speaker) Withdraw() { s.setAnnounced(false) }
 
 func (s *Speaker) setAnnounced(announced bool) {
@@ -82,24 +82,24 @@
 	}
 }
 
-// Close ends the session with a NOTIFICATION and does not reconnect.
+// Close closes the session with a NOTIFICATION. The speaker does not reconnect.
 func (s *Speaker) Close() {
 	s.closed = true
 	s.retryTimer.Stop()
 	if s.session != nil {
-		s.session.close(&NotificationError{Code: codeCease, Subcode: ceaseAdministrativeShutdown}, "stopped")
+		s.session.close(&NotificationError{Code: codeCease, Subcode: ceaseAdministrativeShutdown}, "speaker closed")
 	}
 }
 
-// Configure changes the configuration. Other prefixes and another next hop are sent in the open session; other
-// changes need a new session.
+// Configure replaces the configuration. Changed prefixes and a changed next hop are sent in the established session;
+// any other change closes the session and opens a new one.
 func (s *Speaker) Configure(cfg Config) {
 	old := s.cfg
 	s.cfg = cfg
 	if !sameSession(old, cfg) {
 		if s.session != nil {
 			cease := &NotificationError{Code: codeCease, Subcode: ceaseConfigurationChange}
-			s.session.close(cease, "other configuration")
+			s.session.close(cease, "configuration changed")
 		}
 		s.retryTimer.Stop()
 		s.connect()
@@ -111,7 +111,7 @@
 	s.session.replaceAnnounced(old.Prefixes)
 }
 
-// sameSession reports whether a session may continue under another configuration.
+// sameSession reports whether a session may continue after a change of the configuration from old to cfg.
 func sameSession(old, cfg Config) bool {
 	cfg.Prefixes, cfg.NextHop = old.Prefixes, old.NextHop
 	return reflect.DeepEqual(cfg, old)
@@ -126,7 +126,7 @@
 	s.session.conn = s.dialer.Dial(s.cfg.Peer, connectTimeoutMS, s.session)
 }
 
-// removedPrefixes returns the prefixes of old that the configuration does not have.
+// removedPrefixes returns the prefixes of old that are not in the current configuration.
 func (s *Speaker) removedPrefixes(old []netip.Prefix) (removed []netip.Prefix) {
 	for _, prefix := range old {
 		if !slices.Contains(s.cfg.Prefixes, prefix) {
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// peer is a fake neighbour that stores what the speaker writes.
+// fakePeer is a fake neighbour that records what the speaker writes. It also serves as the dialer and the connection.
 type fakePeer struct {
 	t       *testing.T
 	now     *clock.Manual
@@ -68,14 +68,14 @@
 	}
 }
 
-// takeMessages describes what the speaker has written since the last call.
+// takeMessages describes the messages that the speaker has written since the last call.
 func (p *fakePeer) takeMessages() string {
 	p.t.Helper()
 	var messages []string
 	for len(p.written) > 0 {
 		decoded, n, err := decodeMessage(p.written)
 		if err != nil || n == 0 {
-			p.t.Fatalf("the speaker wrote % x", p.written)
+			p.t.Fatalf("the speaker wrote an invalid or incomplete message: % x", p.written)
 		}
 		name := map[messageType]string{
 			typeOpen: "open", typeUpdate: "update", typeNotification: "notification",
@@ -89,7 +89,7 @@
 
 var peerOpen = openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.MustParseAddr("10.0.0.2")}
 
-// establish opens a session.
+// establish opens the connection and brings the session to Established.
 func (p *fakePeer) establish() {
 	p.handler.Opened(p)
 	p.handler.Data(encodeOpen(peerOpen), 0)
@@ -97,24 +97,27 @@
 }
 
 const (
-	wantAnnouncement = "update 0000" + "0014" + "40010100" + "4002" + "06" + "02010000fc01" + "4003040a000001" + "20c000020a"
-	wantWithdrawal   = "update 0005" + "20c000020a" + "0000"
+	wantAnnouncement = "update 0000" + "0014" + "40010100" + "4002" + "06" + "02010000fc01" + "4003040a000001" +
+		"20c000020a"
+	wantWithdrawal = "update 0005" + "20c000020a" + "0000"
 )
 
+// A session opens, announces, keeps alive, withdraws and closes with the expected messages, and does not reconnect
+// after Close.
 func TestSession(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.handler.Opened(p)
 	if got, want := p.takeMessages(), "open 04fc0100090a0000010e020c01040001000141040000fc01"; got != want {
 		t.Errorf("wrote %s, want %s", got, want)
 	}
-	p.speaker.Announce() // before the session is established: announced once it is
+	p.speaker.Announce() // before the session is established; sent once it is
 	b := encodeOpen(peerOpen)
 	p.handler.Data(b[:5], 0)
 	p.handler.Data(append(b[5:], encodeMessage(typeKeepalive, nil)...), 0)
 	if got, want := p.takeMessages(), "keepalive, "+wantAnnouncement; got != want || p.speaker.State() != Established {
 		t.Errorf("state %v, wrote %s, want %s", p.speaker.State(), got, want)
 	}
-	p.wait(3100) // a third of the lower hold time
+	p.wait(3100) // over a third of the hold time of 9 s, the lower of the two
 	if got := p.takeMessages(); got != "keepalive" {
 		t.Errorf("after a third of the hold time: wrote %q", got)
 	}
@@ -126,15 +129,16 @@
 	}
 	p.speaker.Close()
 	if got := p.takeMessages(); got != "notification 0602" || !p.closed {
-		t.Errorf("at the end: wrote %q, closed %v", got, p.closed)
+		t.Errorf("after Close: wrote %q, closed %v", got, p.closed)
 	}
 	p.wait(60_000)
 	if p.dials != 1 {
-		t.Errorf("dialled %d times after Close", p.dials)
+		t.Errorf("dialed %d times in all after Close, want 1", p.dials)
 	}
 }
 
-// A session in which nothing arrives for the hold time ends and is opened again, and the addresses are announced again.
+// A session in which nothing arrives for the hold time is closed. The speaker reconnects and announces the prefixes
+// again. It also reconnects after the neighbour has closed the connection.
 func TestHoldTimerAndReconnect(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.speaker.Announce()
@@ -146,27 +150,27 @@
 	}
 	p.wait(5100)
 	if p.dials != 2 {
-		t.Fatalf("dialled %d times", p.dials)
+		t.Fatalf("dialed %d times, want 2", p.dials)
 	}
 	p.establish()
 	if got := p.takeMessages(); !strings.HasSuffix(got, wantAnnouncement) {
-		t.Errorf("after reconnection: wrote %q", got)
+		t.Errorf("after the reconnection: wrote %q", got)
 	}
 	p.handler.Closed(os.ErrClosed)
 	p.wait(5100)
 	if p.dials != 3 {
-		t.Errorf("dialled %d times after the neighbour closed", p.dials)
+		t.Errorf("dialed %d times in all after the neighbour closed, want 3", p.dials)
 	}
 }
 
 type malformedMessage struct {
 	name        string
-	established bool // the session that it arrives in
+	established bool // arrives in an established session instead of OpenSent
 	send        []byte
-	want        string // code, subcode and data
+	want        string // code, subcode and data of the NOTIFICATION
 }
 
-// malformedMessages are messages that end a session, with the NOTIFICATION that answers each.
+// malformedMessages returns messages that close a session, with the NOTIFICATION that answers each.
 func malformedMessages(t *testing.T) []malformedMessage {
 	t.Helper()
 	edit := func(b []byte, at int, v ...byte) []byte {
@@ -184,39 +188,40 @@
 		return encodeMessage(typeUpdate, b)
 	}
 	return []malformedMessage{
-		{"marker", false, edit(good, 3, 0), "0101"},
-		{"length below a header", false, edit(good, 16, 0, 18), "01020012"},
-		{"length over the most", false, edit(good, 16, 0x10, 1), "01021001"},
-		{"keepalive with a body", true, encodeMessage(typeKeepalive, []byte{1}), "01020014"},
+		{"invalid marker", false, edit(good, 3, 0), "0101"},
+		{"length shorter than the header", false, edit(good, 16, 0, 18), "01020012"},
+		{"length over the maximum", false, edit(good, 16, 0x10, 1), "01021001"},
+		{"KEEPALIVE with a body", true, encodeMessage(typeKeepalive, []byte{1}), "01020014"},
 		{"short OPEN", false, encodeMessage(typeOpen, make([]byte, 9)), "0102001c"},
 		{"unknown type", false, edit(good, 18, 9), "010309"},
-		{"version", false, edit(good, 19, 3), "02010004"},
+		{"unsupported version", false, edit(good, 19, 3), "02010004"},
 		{
 			"wrong AS", false,
 			encodeOpen(openMessage{asNumber: 1, holdTimeSeconds: 30, routerID: peerOpen.routerID}), "0202",
 		},
 		{
-			"id of zeros", false,
+			"router id 0.0.0.0", false,
 			encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 30, routerID: netip.IPv4Unspecified()}), "0203",
 		},
 		{
 			"hold time of 2", false,
 			encodeOpen(openMessage{asNumber: 64512, holdTimeSeconds: 2, routerID: peerOpen.routerID}), "0206",
 		},
-		{"parameters cut short", false, edit(good, 28, 99), "0200"},
-		{"capability cut short", false, edit(good, 32, 99), "0200"},
+		{"truncated parameters", false, edit(good, 28, 99), "0200"},
+		{"truncated capability", false, edit(good, 32, 99), "0200"},
 		{"unknown parameter", false, edit(good, 29, 1), "0204"},
-		{"keepalive before OPEN", false, keepalive, "0500"},
-		{"update before OPEN", false, update("00000000"), "0500"},
-		{"OPEN twice", true, good, "0500"},
+		{"KEEPALIVE before OPEN", false, keepalive, "0500"},
+		{"UPDATE before OPEN", false, update("00000000"), "0500"},
+		{"second OPEN", true, good, "0500"},
 		{"withdrawn routes too long", true, update("00ff0000"), "0301"},
 		{"attributes too long", true, update("000000ff"), "0301"},
-		{"attribute cut short", true, update("00000004" + "400109ff"), "0301"},
+		{"truncated attribute", true, update("00000004" + "400109ff"), "0301"},
 		{"prefix of 33 bits", true, update("00000000" + "210a000000ff"), "030a"},
-		{"prefix cut short", true, update("00000000" + "200a"), "030a"},
+		{"truncated prefix", true, update("00000000" + "200a"), "030a"},
 	}
 }
 
+// A malformed or unexpected message closes the session with the matching NOTIFICATION.
 func TestMalformedMessages(t *testing.T) {
 	for _, tc := range malformedMessages(t) {
 		p := newPeer(t, testConfig())
@@ -234,7 +239,7 @@
 	}
 }
 
-// A neighbour's NOTIFICATION ends the session without an answer.
+// A NOTIFICATION of the neighbour closes the session and is not answered.
 func TestNotificationIsNotAnswered(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.establish()
@@ -245,6 +250,8 @@
 	}
 }
 
+// An announcement is encoded for a neighbour in the same AS and for neighbours without four-byte AS numbers, and passes
+// the check of received UPDATE messages.
 func TestUpdateEncodings(t *testing.T) {
 	sameAS, largeAS := testConfig(), testConfig()
 	sameAS.PeerAS = sameAS.LocalAS
@@ -257,14 +264,14 @@
 		want       string
 	}{
 		{
-			"within one AS", sameAS, true,
+			"neighbour in the same AS", sameAS, true,
 			"0000" + "0015" + "40010100" + "400200" + "4003040a000001" + "40050400000064" + "20c000020a",
 		},
 		{
-			"to an old speaker", testConfig(), false,
+			"two-byte AS numbers", testConfig(), false,
 			"0000" + "0012" + "40010100" + "4002040201fc01" + "4003040a000001" + "20c000020a",
 		},
-		{"a wide number to an old speaker", largeAS, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
+		{"four-byte AS number in two bytes", largeAS, false, "0000" + "001b" + "40010100" + "40020402015ba0" +
 			"4003040a000001" + "c01106020100011170" + "100a01"},
 	} {
 		got := hex.EncodeToString(encodeAnnouncement(tc.cfg, tc.fourByteAS)[headerLength:])
@@ -273,12 +280,12 @@
 		}
 		b, _ := hex.DecodeString(got)
 		if bad := checkUpdate(b); bad != nil {
-			t.Errorf("%s: own UPDATE is bad: %v", tc.name, bad)
+			t.Errorf("%s: checkUpdate rejects the encoded UPDATE: %v", tc.name, bad)
 		}
 	}
 }
 
-// Other prefixes are sent in the established session; a change of the session's own parameters opens a new one.
+// Changed prefixes are sent in the established session; a change of a session parameter opens a new session.
 func TestConfigure(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.speaker.Announce()
@@ -286,26 +293,26 @@
 	p.takeMessages()
 	p.speaker.Configure(testConfig())
 	if got := p.takeMessages(); got != "" {
-		t.Errorf("for the same configuration: %s", got)
+		t.Errorf("for the same configuration: wrote %s, want nothing", got)
 	}
 	cfg := testConfig()
 	cfg.Prefixes = []netip.Prefix{netip.MustParsePrefix("192.0.2.11/32")}
 	p.speaker.Configure(cfg)
 	want := wantWithdrawal + ", " + strings.Replace(wantAnnouncement, "20c000020a", "20c000020b", 1)
 	if got := p.takeMessages(); got != want {
-		t.Errorf("for another prefix: %s, want %s", got, want)
+		t.Errorf("for another prefix: wrote %s, want %s", got, want)
 	}
 	cfg.HoldTimeS = 30
 	p.speaker.Configure(cfg)
 	if got, want := p.takeMessages(), "notification 0606"; got != want || p.dials != 2 {
-		t.Errorf("for another hold time: %s, %d dials", got, p.dials)
+		t.Errorf("for another hold time: wrote %s, want %s; %d dials, want 2", got, want, p.dials)
 	}
 	p.establish()
 	if got := p.takeMessages(); !strings.Contains(got, "20c000020b") || p.speaker.State() != Established {
-		t.Errorf("in the new session: %s", got)
+		t.Errorf("in the new session: wrote %s", got)
 	}
 	p.wait(6000)
 	if p.dials != 2 {
-		t.Errorf("%d dials", p.dials)
+		t.Errorf("dialed %d times in all, want 2", p.dials)
 	}
 }
--- a/internal/bgp/update.go
+++ b/internal/bgp/update.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Flags and types of path attributes (RFC 4271, section 4.3, and RFC 6793).
+// Flags and types of path attributes (RFC 4271, section 4.3; RFC 6793 for AS4_PATH).
 const (
 	flagsWellKnown          = 0x40
 	flagsOptionalTransitive = 0xc0
@@ -21,21 +21,21 @@
 const (
 	originIGP         = 0
 	segmentASSequence = 2
-	// defaultLocalPref is the preference of the routes within one AS.
+	// defaultLocalPref is the LOCAL_PREF of the announced routes, which is sent to a neighbour in the same AS.
 	defaultLocalPref = 100
 	ipv4Bits         = 32
 	maxTwoByteAS     = 0xffff
 )
 
-// encodeAnnouncement encodes an UPDATE that announces the prefixes. A neighbour without fourByteAS gets AS numbers of
-// 16 bits.
+// encodeAnnouncement encodes an UPDATE that announces the configured prefixes. Without fourByteAS, the AS_PATH has
+// two-byte AS numbers.
 func encodeAnnouncement(cfg Config, fourByteAS bool) []byte {
 	attributes := encodeAttributes(cfg, fourByteAS)
 	body := binary.BigEndian.AppendUint16([]byte{0, 0}, uint16(len(attributes))) // no withdrawn routes
 	return encodeMessage(typeUpdate, append(append(body, attributes...), encodePrefixes(cfg.Prefixes)...))
 }
 
-// encodeWithdrawal encodes an UPDATE that withdraws prefixes.
+// encodeWithdrawal encodes an UPDATE that withdraws the prefixes.
 func encodeWithdrawal(prefixes []netip.Prefix) []byte {
 	withdrawn := encodePrefixes(prefixes)
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(withdrawn)))
@@ -72,7 +72,7 @@
 	return append([]byte{flags, kind, byte(len(value))}, value...)
 }
 
-// encodeASPath encodes a sequence of the one AS. Within one AS the path is empty.
+// encodeASPath encodes an AS path of the local AS only. To a neighbour in the same AS, the path is empty.
 func encodeASPath(cfg Config, fourByteAS bool) []byte {
 	path := []byte{segmentASSequence, 1}
 	switch {
@@ -86,7 +86,8 @@
 	return binary.BigEndian.AppendUint16(path, uint16(cfg.LocalAS))
 }
 
-// checkUpdate checks the framing of an UPDATE's body, which decodeMessage found long enough. Its routes are not used.
+// checkUpdate checks the lengths in the body of an UPDATE, whose routes are not used. decodeMessage has checked its
+// minimum length. It returns nil for a valid body.
 func checkUpdate(body []byte) *NotificationError {
 	malformed := &NotificationError{Code: codeUpdate, Subcode: updateMalformedAttributes}
 	withdrawnLength := int(binary.BigEndian.Uint16(body))
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// validAttributes reports whether a list of path attributes has valid lengths.
+// validAttributes reports whether the lengths in a list of path attributes fit the list.
 func validAttributes(attributes []byte) bool {
 	for len(attributes) > 0 {
 		attributeHeaderLength := 3
@@ -130,7 +131,7 @@
 	return true
 }
 
-// validPrefixes reports whether a list of prefixes has valid lengths.
+// validPrefixes reports whether each prefix in an encoded list is complete and has at most 32 bits.
 func validPrefixes(prefixes []byte) bool {
 	for len(prefixes) > 0 {
 		end := 1 + bytesForBits(int(prefixes[0]))
