--- a/internal/flightsql/answer.go
+++ b/internal/flightsql/answer.go
@@ -21,17 +21,17 @@
 	"windflow/internal/router"
 )
 
-// answer is the core's answer to a request. It is a failure where neither a result, nor a rejection, nor an error of
-// the submission is set.
+// answer is the core's answer to a request: a result, a rejection, an error of the submission or, if none of these is
+// set, a failure.
 type answer struct {
 	result    *router.Result
 	rejected  bool
-	backoffMS float64 // of a rejection
-	submitErr error
+	backoffMS float64       // of a rejection: how long the client should wait before a retry
+	submitErr error         // the core did not accept the request
 	reason    router.Reason // of a failure
 }
 
-// answerChan implements router.ResponseHandler. It has room for the one answer, so that the loop never waits.
+// answerChan implements router.ResponseHandler. It has capacity for the one answer, so that the loop never blocks.
 type answerChan chan answer
 
 // Served implements router.ResponseHandler.
@@ -43,7 +43,7 @@
 // Failed implements router.ResponseHandler.
 func (c answerChan) Failed(reason router.Reason) { c <- answer{reason: reason} }
 
-// toResult returns the result of an answer, or its status for the client.
+// toResult returns the result of an answer. For any other answer it returns the gRPC status for the client.
 func (s *service) toResult(ctx context.Context, request *router.Request, ans answer) (*router.Result, error) {
 	switch {
 	case ans.result != nil:
@@ -60,7 +60,7 @@
 	return nil, s.failure(ctx, request, ans.reason)
 }
 
-// failure returns the status of a failed request; its trailer says whether a retry is safe.
+// failure returns the status of a failed request, and sets a trailer that tells the client whether a retry is safe.
 func (s *service) failure(ctx context.Context, request *router.Request, reason router.Reason) error {
 	advice := retryUnsafe
 	if class, _ := s.core.Class(request.Class); class.Semantics == dispatch.Idempotent {
@@ -75,8 +75,8 @@
 	return status.Error(codes.Internal, "the query failed; it may have run")
 }
 
-// rejection returns the status of a rejected request, with the time to wait before a retry in its details, its text and
-// the trailer.
+// rejection returns the status of a rejected request. Its details, its message and the trailer have the time to wait
+// before a retry.
 func (s *service) rejection(ctx context.Context, backoffMS float64) error {
 	s.counters.Rejected.Add(1)
 	_ = grpc.SetTrailer(ctx, metadata.Pairs(metaBackoff, strconv.FormatFloat(backoffMS, 'f', 0, 64),
@@ -92,7 +92,7 @@
 	return detailed.Err()
 }
 
-// newRecordBatch converts a result into one batch of text columns.
+// newRecordBatch converts a result into one record batch whose columns are strings.
 func newRecordBatch(result *router.Result) arrow.RecordBatch {
 	fields := make([]arrow.Field, len(result.Columns))
 	for i, name := range result.Columns {
--- a/internal/flightsql/attempt.go
+++ b/internal/flightsql/attempt.go
@@ -15,32 +15,32 @@
 	"windflow/internal/router"
 )
 
-// attempt implements router.Attempt. It belongs to the loop's goroutine, but for its state.
+// attempt implements router.Attempt. Only state may be used outside the loop's goroutine.
 type attempt struct {
 	engine    dispatch.EngineID
 	state     *callState
 	cancel    context.CancelFunc
 	onEnd     func(router.End)
-	ended     bool // its end was reported, or is not wanted any more
-	cancelled bool
+	ended     bool // its end was reported, or must not be reported any more
+	cancelled bool // Cancel was called
 }
 
 // SetPriority implements router.Attempt. Flight SQL cannot change the priority of a call in flight.
 func (a *attempt) SetPriority(int) {}
 
-// Cancel implements router.Attempt: the end of the call's stream cancels the query at the engine.
+// Cancel implements router.Attempt. It ends the call's stream, on which the engine cancels the query.
 func (a *attempt) Cancel() {
 	a.cancelled = true
 	a.cancel()
 }
 
-// Abandon implements router.Attempt.
+// Abandon implements router.Attempt. It cancels the call; its end is not reported.
 func (a *attempt) Abandon() {
 	a.ended = true
 	a.cancel()
 }
 
-// CancelUnsent implements router.Attempt.
+// CancelUnsent implements router.Attempt. It returns false if a part of the call may have been written.
 func (a *attempt) CancelUnsent() bool {
 	if a.ended || !a.state.cancelUnsent() {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// finish reports the end of the attempt unless it was abandoned.
+// finish releases the call and reports the end of the attempt, unless the end was reported before or is not wanted.
 func (a *attempt) finish(end router.End) {
 	a.cancel()
 	if a.ended {
@@ -57,17 +57,18 @@
 	}
 	a.ended = true
 	if a.cancelled && end.Outcome == dispatch.ConnectionReset {
-		end.Outcome = dispatch.Cancelled // the router's doing, not the engine's
+		end.Outcome = dispatch.Cancelled // the router, not the engine, ended the stream
 	}
 	a.onEnd(end)
 }
 
-// connectFailed returns the end of an attempt that was not sent.
+// connectFailed returns the end of an attempt of which nothing was sent, which proves that it did not run.
 func connectFailed(err error) router.End {
 	return router.End{Outcome: dispatch.ConnectFailed, Detail: err.Error()}
 }
 
-// run executes one attempt, over the shared connection unless it must not run twice. It blocks.
+// run executes one attempt and blocks until it ends. An at-most-once call gets a dedicated connection; conn is the
+// shared one for all others.
 func (c *Client) run(ctx context.Context, call router.Call, conn *grpc.ClientConn, state *callState) router.End {
 	if call.AtMostOnce {
 		dedicated, release, err := c.dedicatedConn(ctx, call.Engine.Address)
@@ -102,8 +103,8 @@
 	return end
 }
 
-// outcomeOf returns the outcome of an attempt that brought no result. Only the engine's own statement, or a call of
-// which nothing was written, proves that it never ran.
+// outcomeOf returns the outcome of an attempt without a result. An attempt is known not to have run only if the engine
+// says so, or if nothing of the call was written.
 func outcomeOf(err error, trailer metadata.MD, state *callState) dispatch.Outcome {
 	code := status.Code(err)
 	switch {
@@ -121,7 +122,7 @@
 	return dispatch.EngineFailed
 }
 
-// provesNotStarted reports whether the engine states that it rejected the statement without starting it.
+// provesNotStarted reports whether the trailer of the engine says that it rejected the statement without starting it.
 func provesNotStarted(code codes.Code, trailer metadata.MD) bool {
 	if code != codes.Unavailable && code != codes.ResourceExhausted && code != codes.DeadlineExceeded {
 		return false
--- a/internal/flightsql/callstate.go
+++ b/internal/flightsql/callstate.go
@@ -7,29 +7,29 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Phases of an attempt's calls.
+// Phases of the calls of an attempt.
 const (
-	phaseUnsent    int32 = iota // nothing was written
+	phaseUnsent    int32 = iota // nothing of the attempt was written
 	phaseSent                   // the first call may have been written
-	phaseCancelled              // it was cancelled unsent, and is aborted as it begins
+	phaseCancelled              // the attempt was cancelled before anything was written; a call that starts is aborted
 )
 
 // callState tracks the calls of one attempt. It is safe for concurrent use.
 type callState struct {
 	cancel       context.CancelFunc
-	onSent       func() // called once, when the first message has been written
+	onSent       func() // called once, after the first message was written
 	phase        atomic.Int32
 	onSentCalled atomic.Bool // onSent was called
-	retried      atomic.Bool // gRPC was about to repeat a call
+	retried      atomic.Bool // gRPC was about to retry a call, which was aborted
 }
 
-// cancelUnsent cancels the attempt unless it has been sent; it reports whether it did.
+// cancelUnsent cancels the attempt if nothing of it was written, and reports whether it did.
 func (s *callState) cancelUnsent() bool { return s.phase.CompareAndSwap(phaseUnsent, phaseCancelled) }
 
-// sent reports whether something of the attempt may have been written.
+// sent reports whether a part of the attempt may have been written.
 func (s *callState) sent() bool { return s.phase.Load() == phaseSent }
 
-// callBegins aborts a call that gRPC would repeat.
+// callStarted aborts the attempt if gRPC transparently retries a call after a part of the attempt was sent.
 func (s *callState) callStarted(transparentRetry bool) {
 	if transparentRetry && s.sent() {
 		s.retried.Store(true)
@@ -37,26 +37,26 @@
 	}
 }
 
-// headerWritten records that the attempt is being sent, or aborts it if it was cancelled.
+// headerWritten records that the attempt is being sent, or aborts it if it was cancelled before.
 func (s *callState) headerWritten() {
 	if !s.phase.CompareAndSwap(phaseUnsent, phaseSent) && s.phase.Load() == phaseCancelled {
 		s.cancel()
 	}
 }
 
-// payloadWritten records that a message was written.
+// payloadWritten calls onSent when the first message was written.
 func (s *callState) payloadWritten() {
 	if !s.onSentCalled.Swap(true) {
 		s.onSent()
 	}
 }
 
-// callStateKey is the context key of a callState.
+// callStateKey is the context key of the callState of a call.
 type callStateKey struct{}
 
-// callStats is the gRPC stats handler that updates callStates. With retries off, gRPC still repeats a call
-// transparently that the engine's HTTP/2 layer claims not to have handled. That is no proof in the router's rules, so
-// such a repeat is aborted before anything of it is written.
+// callStats is the gRPC stats handler that updates the callState of each call. Even with retries disabled, gRPC
+// transparently retries a call if the engine's HTTP/2 layer reports that it did not process the call. The router does
+// not accept that report as proof, so callStats aborts such a retry before anything of it is written.
 type callStats struct{}
 
 // TagRPC implements stats.Handler.
--- a/internal/flightsql/cancel_test.go
+++ b/internal/flightsql/cancel_test.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"testing"
+	"time"
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
 
@@ -10,14 +11,14 @@
 	"windflow/internal/router"
 )
 
-// attemptCount returns how many attempts the client has; it waits for the loop.
+// attemptCount returns the number of attempts of the client. It blocks until the loop has counted them.
 func attemptCount(c *Client, loop *router.Loop) int {
 	count := make(chan int)
 	loop.Post(func() { count <- len(c.attempts) })
 	return <-count
 }
 
-// startBoth starts an idempotent attempt and one that must not run twice, in that order. It is called in the loop.
+// startTwoAttempts starts an idempotent and an at-most-once attempt, in that order. It must be called in the loop.
 func startTwoAttempts(c *Client, engine router.Engine, onSent func(), onEnd func(router.End)) []router.Attempt {
 	var started []router.Attempt
 	for _, atMostOnce := range []bool{false, true} {
@@ -29,8 +30,8 @@
 	return started
 }
 
-// An attempt that has not begun can be cancelled unsent once, whatever the state of its connection: nothing of it is
-// written, and its end is not reported. No engine works for a client that has gone.
+// An attempt of which nothing was sent can be cancelled once, whatever the state of its connection: nothing of it is
+// written, and its end is not reported. Guards against engines that work for clients which have gone.
 func TestCancelUnsent(t *testing.T) {
 	lis := listen(t)
 	c, loop := newEngineClient(t, 1000, 4)
@@ -40,7 +41,7 @@
 		started <- startTwoAttempts(c, engineAt(lis.Addr().String()),
 			func() { events <- "written" }, func(router.End) { events <- "ended" })
 	})
-	for range 2 { // both are connected, and the engine never speaks HTTP/2
+	for range 2 { // both attempts have a connection, on which the engine never speaks HTTP/2
 		conn, err := lis.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -53,17 +54,19 @@
 		loop.Post(func() { cancelled <- a.CancelUnsent() })
 		first, second := <-cancelled, <-cancelled
 		if !first || second {
-			t.Errorf("cancelled unsent: %v, and again: %v", first, second)
+			t.Errorf("CancelUnsent returned %v, then %v; want true, then false", first, second)
 		}
 	}
 	for attemptCount(c, loop) > 0 {
+		time.Sleep(time.Millisecond)
 	}
 	if len(events) > 0 {
-		t.Error("after it was cancelled:", <-events)
+		t.Error("event of a cancelled attempt:", <-events)
 	}
 }
 
-// An attempt that has begun cannot be cancelled unsent; cancelled, it ends as such, and the engine learns of it.
+// CancelUnsent returns false for an attempt that runs. Cancel ends it with the outcome Cancelled, and the engine sees
+// the end of the call.
 func TestCancelOfRunningAttempt(t *testing.T) {
 	began, cancelled := make(chan struct{}, 1), make(chan struct{}, 1)
 	engine := engineAt(serveEngine(t, &rawEngine{put: func(s flight.FlightService_DoPutServer) error {
@@ -91,20 +94,20 @@
 		a.Cancel()
 	})
 	if <-unsent {
-		t.Error("a running attempt was cancelled as unsent")
+		t.Error("CancelUnsent returned true for a running attempt")
 	}
 	if end := <-ends; end.Outcome != dispatch.Cancelled {
-		t.Errorf("outcome %v: %s", end.Outcome, end.Detail)
+		t.Errorf("outcome %v (%s), want Cancelled", end.Outcome, end.Detail)
 	}
 	<-cancelled
 }
 
-// An engine that is cordoned receives no further work: attempts that have not begun, of both kinds and whatever the
-// state of their connections, end at once with proof that nothing ran. Those that have begun continue.
+// A cordoned engine gets no further work: attempts of which nothing was sent, idempotent and at-most-once, end at once
+// as ConnectFailed, whatever the state of their connections. Attempts at other engines are unaffected.
 func TestCancelUnstarted(t *testing.T) {
 	lis := listen(t)
-	accepted := make(chan net.Conn, 4) // connections that never speak HTTP/2, so that no call begins
-	go func() {                        // the listener's close ends it
+	accepted := make(chan net.Conn, 4) // connections on which no call starts, because the server never speaks HTTP/2
+	go func() {                        // ends when the listener closes
 		for {
 			conn, err := lis.Accept()
 			if err != nil {
@@ -127,13 +130,13 @@
 	loop.Post(func() { c.CancelUnstarted(engine) })
 	for range 2 {
 		if end := <-ends; end.Outcome != dispatch.ConnectFailed {
-			t.Errorf("outcome %v: %s", end.Outcome, end.Detail)
+			t.Errorf("outcome %v (%s), want ConnectFailed", end.Outcome, end.Detail)
 		}
 	}
 	if len(written) != 0 {
-		t.Error("a cancelled attempt counts as written")
+		t.Error("a cancelled attempt was reported as written")
 	}
 	if n := attemptCount(c, loop); n != 0 {
-		t.Errorf("%d attempts are kept", n)
+		t.Errorf("the client has %d attempts, want none", n)
 	}
 }
--- a/internal/flightsql/client.go
+++ b/internal/flightsql/client.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// sharedIdleTimeout is how long a shared connection may be without a call before it is closed.
+	// sharedIdleTimeout is how long a shared connection may have no calls before it is closed.
 	sharedIdleTimeout = 10 * time.Second
-	// maxMessage bounds one gRPC message of an engine, in bytes.
+	// maxMessage bounds a gRPC message from an engine, in bytes.
 	maxMessage = 256 << 10
 )
 
-// Client is the client of engines that speak Flight SQL. It implements router.EngineClient: an attempt runs in a
-// goroutine of its own, and its end is posted to the loop. gRPC's own retries are off, and an attempt that gRPC would
-// repeat all the same is aborted by callStats. Its methods are called in the loop's goroutine.
+// Client is the client of engines that speak Flight SQL. It implements router.EngineClient. Each attempt runs in a
+// goroutine of its own and posts its end to the loop. gRPC's retries are disabled, and callStats aborts attempts that
+// gRPC would retry transparently. The methods of a Client must be called in the loop's goroutine.
 type Client struct {
 	loop           *router.Loop
-	connectTimeout atomic.Int64 // a time.Duration; dials read it in goroutines of their own
+	connectTimeout atomic.Int64 // a time.Duration; atomic, because dials read it in other goroutines
 	shared         map[dispatch.EngineID]*grpc.ClientConn
-	attempts       map[*attempt]bool
-	dedicatedSlots chan struct{} // contains one for each dedicated connection
+	attempts       map[*attempt]bool // those whose goroutine has not ended
+	dedicatedSlots chan struct{}     // has one element for each dedicated connection
 	Counters       ClientCounters
 }
 
-// ClientCounters count the calls sent to engines.
+// ClientCounters count the attempts at engines, and the transparent retries and invalid responses that ended some.
 type ClientCounters struct {
 	Queries            atomic.Int64 `status:"queries"`
 	Updates            atomic.Int64 `status:"updates"`
@@ -44,8 +44,8 @@
 	BadResponses       atomic.Int64 `status:"bad_answers"`
 }
 
-// NewClient returns a client. Idempotent queries of an engine share a connection; statements that must not run twice
-// each have a dedicated one, at most maxDedicated at once, and further ones wait unsent for a free slot.
+// NewClient returns a client. Idempotent calls to an engine share one connection. An at-most-once call gets a dedicated
+// connection; there are at most maxDedicated of these at a time, and further calls wait unsent for one.
 func NewClient(loop *router.Loop, connectTimeoutMS float64, maxDedicated int) *Client {
 	c := &Client{
 		loop: loop, shared: map[dispatch.EngineID]*grpc.ClientConn{},
@@ -55,20 +55,20 @@
 	return c
 }
 
-// Configure sets the timeout of later dials.
+// Configure sets the connect timeout of later dials.
 func (c *Client) Configure(connectTimeoutMS float64) {
 	c.connectTimeout.Store(int64(clock.Duration(connectTimeoutMS)))
 }
 
-// Forget implements router.EngineClient.
+// Forget implements router.EngineClient. It closes the shared connection to the engine.
 func (c *Client) Forget(engine router.Engine) {
 	if conn := c.shared[engine.ID]; conn != nil {
 		delete(c.shared, engine.ID)
-		go func() { _ = conn.Close() }() // the close waits for gRPC's own goroutines, and the loop must not
+		go func() { _ = conn.Close() }() // Close waits for goroutines of gRPC, which would block the loop
 	}
 }
 
-// CancelUnstarted implements router.EngineClient.
+// CancelUnstarted implements router.EngineClient. Attempts of which nothing was written end as ConnectFailed.
 func (c *Client) CancelUnstarted(engine router.Engine) {
 	for a := range c.attempts {
 		if a.engine == engine.ID && a.state.cancelUnsent() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Start implements router.EngineClient.
+// Start implements router.EngineClient. The attempt ends at the latest after the call's WaitMS.
 func (c *Client) Start(call router.Call, onEnd func(router.End)) router.Attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(call.WaitMS))
 	state := &callState{cancel: cancel, onSent: func() {
@@ -99,20 +99,20 @@
 			return started
 		}
 	}
-	go func() { // the context's timeout ends it
+	go func() { // ends at the latest with the context's timeout
 		end := c.run(ctx, call, shared, state)
 		c.loop.Post(func() { c.finish(started, end) })
 	}()
 	return started
 }
 
-// finish ends an attempt and reports the end unless the attempt was abandoned.
+// finish removes an attempt and reports its end, unless the attempt was abandoned.
 func (c *Client) finish(a *attempt, end router.End) {
 	delete(c.attempts, a)
 	a.finish(end)
 }
 
-// sharedConn returns the connection that an engine's idempotent queries share.
+// sharedConn returns the connection for the idempotent calls to an engine, and creates it if necessary.
 func (c *Client) sharedConn(engine router.Engine) (*grpc.ClientConn, error) {
 	if conn := c.shared[engine.ID]; conn != nil {
 		return conn, nil
@@ -126,9 +126,9 @@
 	return conn, err
 }
 
-// dedicatedConn waits for a slot and dials a connection for one statement that must not run twice. It is dialed here:
-// only so is a refused connection seen as such, and nothing can move the call to another connection. The caller calls
-// release.
+// dedicatedConn waits for a slot and dials a connection for one at-most-once call. It dials itself, rather than gRPC,
+// so that a refused connection is recognized and the call cannot move to another connection. The caller must call
+// release unless there is an error.
 func (c *Client) dedicatedConn(ctx context.Context, address string) (conn *grpc.ClientConn, release func(), err error) {
 	select {
 	case c.dedicatedSlots <- struct{}{}:
@@ -154,10 +154,12 @@
 	return conn, release, nil
 }
 
-// noSlotError means that no dedicated connection was free within the attempt's time.
+// noSlotError reports that no slot for a dedicated connection became free before the attempt's timeout.
 type noSlotError struct{ cause error }
 
-func (e *noSlotError) Error() string { return "no connection was free: " + e.cause.Error() }
+func (e *noSlotError) Error() string {
+	return "no dedicated connection became free: " + e.cause.Error()
+}
 
 func (e *noSlotError) Unwrap() error { return e.cause }
 
@@ -166,7 +168,7 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// newClientConn returns a gRPC connection over what the dialer opens.
+// newClientConn returns a gRPC connection that connects with the dialer.
 func newClientConn(dialer func(context.Context, string) (net.Conn, error)) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///engine", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(dialer), grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
@@ -174,9 +176,10 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)))
 }
 
-var errConnUsed = errors.New("the connection of this call was used already")
+var errConnUsed = errors.New("the dedicated connection was already used for a call")
 
-// dialOnce returns a dialer that returns the connection once, so that gRPC cannot move a call to another one.
+// dialOnce returns a dialer that returns conn once and then fails, so that gRPC cannot move a call to another
+// connection.
 func dialOnce(conn net.Conn) func(context.Context, string) (net.Conn, error) {
 	var used atomic.Bool
 	return func(context.Context, string) (net.Conn, error) {
--- a/internal/flightsql/client_test.go
+++ b/internal/flightsql/client_test.go
@@ -21,7 +21,7 @@
 	"windflow/internal/routertest"
 )
 
-// rawEngine is a fake engine that answers below Flight SQL, so that it can answer badly.
+// rawEngine is a fake engine that implements plain Arrow Flight, so that it can send invalid Flight SQL responses.
 type rawEngine struct {
 	flight.BaseFlightServer
 	endpoints []*flight.FlightEndpoint
@@ -38,7 +38,7 @@
 }
 func (e *rawEngine) DoPut(s flight.FlightService_DoPutServer) error { return e.put(s) }
 
-// messageRecorder records what a writer of records sends.
+// messageRecorder records the messages that a flight.Writer sends.
 type messageRecorder struct{ sent []*flight.FlightData }
 
 func (r *messageRecorder) Send(d *flight.FlightData) error {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// textStream returns the messages of a stream with one column of text.
+// textStream returns the messages of a stream with one column of strings.
 func textStream(t *testing.T, values ...string) []*flight.FlightData {
 	t.Helper()
 	schema := arrow.NewSchema([]arrow.Field{{Name: "a", Type: arrow.BinaryTypes.String}}, nil)
@@ -63,6 +63,7 @@
 	return c.sent
 }
 
+// sendMessages returns a DoGet handler that sends the messages.
 func sendMessages(messages []*flight.FlightData) func(flight.FlightService_DoGetServer) error {
 	return func(s flight.FlightService_DoGetServer) error {
 		for _, m := range messages {
@@ -96,17 +97,18 @@
 	return end
 }
 
-// Whatever an engine answers, an attempt ends with an outcome, and only an answer that proves that nothing ran is
-// reported as such. Of the offsets of a column of text, Arrow checks the last one only, and panics over the others
-// when the value is read.
+// Each response of an engine ends the attempt with an outcome, and only a response that proves that nothing ran gives
+// EngineFull. Guards against a panic: of the offsets of a string column, Arrow checks only the last, and reading a
+// value with another invalid offset panics.
 func TestBadResponsesToQueries(t *testing.T) {
 	complete := textStream(t, "ab", "cd", "ef")
 	corrupted := textStream(t, "ab", "cd", "ef")
-	copy(corrupted[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end of the first value
+	copy(corrupted[1].DataBody[4:], []byte{0xff, 0xff, 0xff, 0x7f}) // the end offset of the first value
 	if bytes.Equal(corrupted[1].DataBody, complete[1].DataBody) {
-		t.Fatal("nothing is broken")
+		t.Fatal("the corrupted stream equals the complete one")
 	}
 	notArrow := []*flight.FlightData{{DataHeader: []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, DataBody: []byte("x")}}
+	tooLarge := textStream(t, strings.Repeat("x", router.MaxResultBytes))
 	oneEndpoint := []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: []byte("t")}}}
 	failWith := func(code codes.Code, trailer ...string) func(flight.FlightService_DoGetServer) error {
 		return func(s flight.FlightService_DoGetServer) error {
@@ -121,17 +123,17 @@
 		want      dispatch.Outcome
 	}{
 		{"complete", oneEndpoint, sendMessages(complete), dispatch.Served},
-		{"broken offsets", oneEndpoint, sendMessages(corrupted), dispatch.EngineFailed},
+		{"corrupted offsets", oneEndpoint, sendMessages(corrupted), dispatch.EngineFailed},
 		{"no endpoint", nil, sendMessages(complete), dispatch.EngineFailed},
 		{"no ticket", []*flight.FlightEndpoint{{}}, sendMessages(complete), dispatch.Served},
-		{"no Arrow at all", oneEndpoint, sendMessages(notArrow), dispatch.EngineFailed},
+		{"not Arrow", oneEndpoint, sendMessages(notArrow), dispatch.EngineFailed},
 		{"rows without a schema", oneEndpoint, sendMessages(complete[1:]), dispatch.EngineFailed},
-		{"a result too big", oneEndpoint, sendMessages(textStream(t, strings.Repeat("x", router.MaxResultBytes))), dispatch.EngineFailed},
-		{"nothing", oneEndpoint, sendMessages(nil), dispatch.EngineFailed},
-		{"its own failure", oneEndpoint, failWith(codes.Internal), dispatch.EngineFailed},
+		{"result too large", oneEndpoint, sendMessages(tooLarge), dispatch.EngineFailed},
+		{"empty stream", oneEndpoint, sendMessages(nil), dispatch.EngineFailed},
+		{"engine failure", oneEndpoint, failWith(codes.Internal), dispatch.EngineFailed},
 		{"full, with proof", oneEndpoint, failWith(codes.Unavailable, metaNotStarted, "1"), dispatch.EngineFull},
 		{"full, without proof", oneEndpoint, failWith(codes.Unavailable), dispatch.ConnectionReset},
-		{"proof beside another code", oneEndpoint, failWith(codes.Internal, metaNotStarted, "1"), dispatch.EngineFailed},
+		{"proof with another code", oneEndpoint, failWith(codes.Internal, metaNotStarted, "1"), dispatch.EngineFailed},
 	} {
 		end := runAttempt(t, &rawEngine{endpoints: tc.endpoints, get: tc.get}, false)
 		if end.Outcome != tc.want {
@@ -140,6 +142,7 @@
 	}
 }
 
+// Only a single valid response, followed by the end of the stream, counts as a result of an update.
 func TestBadResponsesToUpdates(t *testing.T) {
 	changed := &flight.PutResult{AppMetadata: []byte{8, 5}} // 5 rows, in protobuf
 	respond := func(err error, results ...*flight.PutResult) func(flight.FlightService_DoPutServer) error {
@@ -161,34 +164,34 @@
 		want dispatch.Outcome
 	}{
 		{"complete", respond(nil, changed), dispatch.Served},
-		{"none", respond(nil), dispatch.EngineFailed},
-		{"two", respond(nil, changed, changed), dispatch.EngineFailed},
-		{"no protobuf", respond(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
-		{"a failure after it", respond(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
-		{"the end of the stream as an error", respond(io.ErrUnexpectedEOF), dispatch.EngineFailed},
+		{"no response", respond(nil), dispatch.EngineFailed},
+		{"two responses", respond(nil, changed, changed), dispatch.EngineFailed},
+		{"not protobuf", respond(nil, &flight.PutResult{AppMetadata: []byte{0xff}}), dispatch.EngineFailed},
+		{"error after the response", respond(status.Error(codes.Internal, "no"), changed), dispatch.EngineFailed},
+		{"unexpected EOF as the status", respond(io.ErrUnexpectedEOF), dispatch.EngineFailed},
 	} {
 		end := runAttempt(t, &rawEngine{put: tc.put}, true)
 		if end.Outcome != tc.want {
 			t.Errorf("%s: outcome %v (%s), want %v", tc.name, end.Outcome, end.Detail, tc.want)
 		}
 		if end.Outcome == dispatch.Served && end.Result.ChangedRows != 5 {
-			t.Errorf("%s: %d rows changed", tc.name, end.Result.ChangedRows)
+			t.Errorf("%s: %d rows changed, want 5", tc.name, end.Result.ChangedRows)
 		}
 	}
 }
 
-// A refused connection proves that nothing ran, for a statement that must not run twice, too.
+// A refused connection proves that nothing ran, for at-most-once statements as well.
 func TestRefusedConnection(t *testing.T) {
 	addr := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	for _, atMostOnce := range []bool{true, false} {
 		if end := runAttemptAt(t, addr, atMostOnce); end.Outcome != dispatch.ConnectFailed {
-			t.Errorf("once %v: outcome %v (%s)", atMostOnce, end.Outcome, end.Detail)
+			t.Errorf("at most once %v: outcome %v (%s), want ConnectFailed", atMostOnce, end.Outcome, end.Detail)
 		}
 	}
 }
 
-// Dedicated connections are bounded. A statement that finds none free within its time was never written, which proves
-// that it did not run; the next one runs once a connection is free.
+// The number of dedicated connections is limited. A statement that gets none before its timeout ends as ConnectFailed,
+// because nothing of it was written. A later statement runs once a connection is free.
 func TestDedicatedConnsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	runs := make(chan struct{}, 9)
@@ -215,13 +218,13 @@
 	first := start(20_000)
 	<-runs
 	if end := <-start(50); end.Outcome != dispatch.ConnectFailed {
-		t.Errorf("without a free connection: %v (%s)", end.Outcome, end.Detail)
+		t.Errorf("without a free connection: outcome %v (%s), want ConnectFailed", end.Outcome, end.Detail)
 	}
 	third := start(20_000)
 	close(release)
 	for _, ended := range []chan router.End{first, third} {
 		if end := <-ended; end.Outcome != dispatch.Served {
-			t.Errorf("outcome %v (%s)", end.Outcome, end.Detail)
+			t.Errorf("outcome %v (%s), want Served", end.Outcome, end.Detail)
 		}
 	}
 	if len(runs) != 1 {
--- a/internal/flightsql/encoded_test.go
+++ b/internal/flightsql/encoded_test.go
@@ -6,13 +6,13 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes returns the types of this package that leave the process or are stored as JSON; the types that they
-// contain are found through them.
+// encodedTypes returns the types of this package that are stored or sent as JSON. The types of their fields are found
+// by reflection.
 func encodedTypes() []any {
 	return []any{Ticket{}, Config{}}
 }
 
-// Each encoded field has a tag with its name, so that the name in the code can change.
+// Guards against a renamed Go field that changes a JSON name: each field needs a tag with its encoded name.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/internal/flightsql/execute.go
+++ b/internal/flightsql/execute.go
@@ -20,10 +20,11 @@
 	"windflow/internal/router"
 )
 
-// errBadResponse marks a response that no engine should send.
+// errBadResponse marks an engine's response that violates the protocol or exceeds a limit.
 var errBadResponse = errors.New("bad response")
 
-// executeQuery requests rows: GetFlightInfo, then DoGet of each of its tickets. The trailer is that of the last call.
+// executeQuery runs a query: GetFlightInfo, then DoGet for each ticket. It returns the rows of all tickets and the
+// trailer of the last call.
 func executeQuery(
 	ctx context.Context, client flightsql.Client, statement string,
 ) (*router.Result, metadata.MD, error) {
@@ -33,7 +34,7 @@
 		return nil, trailer, err
 	}
 	if len(info.Endpoint) == 0 {
-		return nil, nil, fmt.Errorf("%w: no endpoint", errBadResponse)
+		return nil, nil, fmt.Errorf("%w: flight info without an endpoint", errBadResponse)
 	}
 	rows := &rowReader{result: &router.Result{}}
 	for _, endpoint := range info.Endpoint {
@@ -55,14 +56,15 @@
 	return rows.result, trailer, nil
 }
 
-// rowReader reads the rows of streams into one result, as text.
+// rowReader collects the rows of several streams in one result, as text.
 type rowReader struct {
 	result *router.Result
-	size   int // of the text, in bytes
+	size   int // bytes of text in the result, plus one for each cell
 }
 
-// read reads a stream to its end. Arrow checks the outline of a message as it arrives, but not, say, each offset of a
-// column of text: reading such a value panics, which must end the attempt and not the router.
+// read reads a stream to its end. Arrow validates the structure of a received message, but not, for example, each
+// offset of a string column, and panics when such a value is read. read recovers from that, so that only the attempt
+// fails.
 func (r *rowReader) read(reader *flight.Reader) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -83,14 +85,15 @@
 	return nil
 }
 
-// readSchema reads the names of the columns; all streams have to have the same number of them.
+// readSchema reads the column names. A stream without columns, or with another number of them than the one before, is
+// an error.
 func (r *rowReader) readSchema(schema *arrow.Schema) error {
 	var names []string
 	for _, field := range schema.Fields() {
 		names = append(names, field.Name)
 	}
 	if len(names) == 0 || r.result.Columns != nil && len(r.result.Columns) != len(names) {
-		return fmt.Errorf("%w: %d columns", errBadResponse, len(names))
+		return fmt.Errorf("%w: schema has %d columns", errBadResponse, len(names))
 	}
 	r.result.Columns = names
 	return nil
@@ -107,13 +110,13 @@
 			r.result.Cells = append(r.result.Cells, cell)
 		}
 		if r.size > router.MaxResultBytes {
-			return fmt.Errorf("%w: a result of over %d bytes", errBadResponse, router.MaxResultBytes)
+			return fmt.Errorf("%w: the result exceeds %d bytes", errBadResponse, router.MaxResultBytes)
 		}
 	}
 	return nil
 }
 
-// streamError returns a gRPC status unchanged, and any other error as an invalid stream of the engine.
+// streamError returns a gRPC status unchanged and marks any other error as errBadResponse.
 func streamError(err error) error {
 	if _, ok := status.FromError(err); ok {
 		return err
@@ -121,7 +124,7 @@
 	return fmt.Errorf("%w: %w", errBadResponse, err)
 }
 
-// executeUpdate runs a statement by DoPut. It is written once: one message on one stream.
+// executeUpdate runs a statement with DoPut. The statement is written once, in one message on one stream.
 func executeUpdate(
 	ctx context.Context, client flightsql.Client, statement string,
 ) (*router.Result, metadata.MD, error) {
@@ -133,7 +136,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// A send that fails says only that the stream has ended; Recv returns why.
+	// A failed Send returns io.EOF, which says only that the stream has ended. Recv returns the cause.
 	if err := stream.Send(&flight.FlightData{FlightDescriptor: &flight.FlightDescriptor{
 		Type: flight.DescriptorCMD, Cmd: command,
 	}}); err != nil && !errors.Is(err, io.EOF) {
@@ -152,7 +155,7 @@
 	}, stream.Trailer(), nil
 }
 
-// updateCommand returns the command of a DoPut.
+// updateCommand encodes the command of a DoPut that runs a statement.
 func updateCommand(statement string) ([]byte, error) {
 	var command anypb.Any
 	if err := command.MarshalFrom(&pb.CommandStatementUpdate{Query: statement}); err != nil {
@@ -161,12 +164,12 @@
 	return proto.Marshal(&command)
 }
 
-// receiveUpdateResult receives the one response to an update and returns the number of rows that it changed. The
-// result is valid once the engine has ended the stream without an error.
+// receiveUpdateResult receives the response to an update and returns the number of changed rows. The result counts only
+// if the engine then ends the stream without an error; a second response is an error.
 func receiveUpdateResult(stream flight.FlightService_DoPutClient) (int64, error) {
 	response, err := stream.Recv()
 	if errors.Is(err, io.EOF) {
-		return 0, fmt.Errorf("%w: an update without a response", errBadResponse)
+		return 0, fmt.Errorf("%w: no response to an update", errBadResponse)
 	}
 	if err != nil {
 		return 0, err
@@ -178,7 +181,7 @@
 	_, err = stream.Recv()
 	switch {
 	case err == nil:
-		return 0, fmt.Errorf("%w: a second response to an update", errBadResponse)
+		return 0, fmt.Errorf("%w: more than one response to an update", errBadResponse)
 	case !errors.Is(err, io.EOF):
 		return 0, err
 	}
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -17,32 +17,33 @@
 	"windflow/internal/router"
 )
 
-// Bounds on clients' connections and calls.
+// Limits on clients' connections and calls.
 const (
-	// maxStatement bounds a statement, in bytes, as on the MySQL front.
+	// maxStatement bounds a statement, in bytes. It equals the maximum packet of the MySQL front.
 	maxStatement = 64 << 10
-	// maxCall bounds a message of a call, in bytes. A call has little beside the statement, so that there is room
-	// for an error response to one that is too long.
+	// maxCall bounds a message of a call, in bytes. A message has little besides the statement, so a statement that is
+	// too long by some margin still arrives and is answered with an error that says so.
 	maxCall = 2 * maxStatement
 	// maxHeaderList bounds the headers of a call, in bytes.
 	maxHeaderList = 16 << 10
-	// maxStreams bounds the calls of one connection. If all calls of all connections stopped short of their end, they
-	// would occupy max_connections * maxStreams * maxCall: 128 MB of the 192 with the default of 32 connections.
+	// maxStreams bounds the concurrent calls of one connection. If every call of every connection stopped before its
+	// end, the calls would occupy max_connections * maxStreams * maxCall. With the default of 32 connections, that is
+	// 128 MB of a router's memory limit of 192 MB.
 	maxStreams = 32
-	// flowControlWindow is how many bytes a client may send ahead; where it is set, gRPC does not raise it by itself.
+	// flowControlWindow is the HTTP/2 flow-control window in bytes. gRPC does not enlarge a window that is set.
 	flowControlWindow = 64 << 10
-	// handshakeTimeout bounds the setup of a connection.
+	// handshakeTimeout bounds the time to set up a connection.
 	handshakeTimeout = 5 * time.Second
 )
 
-// Config is the section flightsql of the settings; its schema is in package installation.
+// Config is the section flightsql of the settings. The schema of its values is in package installation.
 type Config struct {
 	Listen         string   `json:"listen"`
 	EngineKinds    []string `json:"engine_kinds"`
 	MaxConnections int      `json:"max_connections"`
 }
 
-// Counters count clients' calls and their answers.
+// Counters count the calls of clients (FlightInfo requests, DoGets and DoPuts) and their answers.
 type Counters struct {
 	Infos      atomic.Int64 `status:"infos"`
 	Gets       atomic.Int64 `status:"gets"`
@@ -67,13 +68,13 @@
 
 	listenerMu sync.Mutex
 	addrKnown  bool
-	listener   net.Listener // nil while it does not accept
+	listener   net.Listener // nil while the front does not accept connections
 
 	Counters Counters
 }
 
-// NewFront returns a front that accepts nothing yet. The seed makes its tickets hard to guess; two processes of one
-// router that share one differ in generation.
+// NewFront returns a front that accepts no connections until Serve. The seed makes its tickets hard to guess. Processes
+// of one router with the same seed need different generations, so that their tickets differ.
 func NewFront(
 	cfg Config, core *router.Core, loop *router.Loop, seed uint64, generation uint8, log *slog.Logger,
 ) (*Front, error) {
@@ -93,10 +94,10 @@
 	return front, nil
 }
 
-// Serve accepts connections on a listener, which it owns from then on, until StopAccepting or Stop.
+// Serve takes ownership of a listener and accepts connections on it until StopAccepting or Stop. It does not block.
 func (f *Front) Serve(lis net.Listener) {
 	f.listenerMu.Lock()
-	if !f.addrKnown { // the address stays: calls read it from now on
+	if !f.addrKnown { // calls read addr without a lock from now on, so it must not change
 		f.addr, f.addrKnown = lis.Addr().String(), true
 	}
 	f.listener = lis
@@ -111,7 +112,7 @@
 	}()
 }
 
-// StopAccepting stops accepting and returns a copy of the listener's descriptor; open connections stay.
+// StopAccepting closes the listener and returns a copy of its descriptor. Open connections stay open.
 func (f *Front) StopAccepting() (*os.File, error) {
 	f.listenerMu.Lock()
 	defer f.listenerMu.Unlock()
@@ -123,35 +124,37 @@
 	return file, err
 }
 
-// ListenerFile returns a copy of the listener's descriptor.
+// ListenerFile returns a copy of the listener's descriptor. The front continues to accept.
 func (f *Front) ListenerFile() (*os.File, error) {
 	f.listenerMu.Lock()
 	defer f.listenerMu.Unlock()
 	return netio.ListenerFile(f.listener)
 }
 
-// Drain makes clients reconnect to the other process, and lets calls in flight end.
+// Drain tells clients to reconnect, which leads them to the other process, and lets calls in flight end. It does not
+// block.
 func (f *Front) Drain() {
-	go f.server.GracefulStop() // it ends with the last call, or with Stop
+	go f.server.GracefulStop() // returns after the last call has ended or Stop was called
 }
 
-// Stop closes the listener and all connections.
+// Stop closes the listener and all connections, and cancels the calls in flight.
 func (f *Front) Stop() { f.server.Stop() }
 
-// Addr returns the address that it listens on.
+// Addr returns the address that the front listens on, or the configured one before the first Serve.
 func (f *Front) Addr() string { return f.addr }
 
 // ActiveCalls returns the number of requests in flight.
 func (f *Front) ActiveCalls() int { return int(f.service.activeCalls.Load()) }
 
-// SetTicketClaimer sets how to request a ticket that is not here from the other process of this router; claim waits
-// for the answer. Each ticket is in one process at a time, so that none is redeemed twice.
+// SetTicketClaimer sets the function that requests a ticket from the other process of this router, for tickets that
+// this process does not have. claim blocks until the answer and returns nil if there is no such ticket. Each ticket is
+// in one process at a time, so that a single-use ticket is not redeemed twice.
 func (f *Front) SetTicketClaimer(claim func(handle string) *Ticket) { f.tickets.setClaimer(claim) }
 
-// ReleaseTicket removes a ticket for the other process; nil means that it is not here.
+// ReleaseTicket removes a ticket and returns it for the other process. It returns nil if this process does not have it.
 func (f *Front) ReleaseTicket(handle string) *Ticket { return f.tickets.release(handle) }
 
-// ReleaseAllTickets removes all tickets for the other process.
+// ReleaseAllTickets removes all tickets and returns them for the other process.
 func (f *Front) ReleaseAllTickets() []Ticket { return f.tickets.releaseAll() }
 
 // ImportTickets adds tickets that the other process released.
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -18,15 +18,16 @@
 	"google.golang.org/grpc/status"
 )
 
-// answerCase is a statement with the code that it ends with.
+// answerCase is a statement with the status and the number of attempts that are expected for it.
 type answerCase struct {
 	name, statement string
 	ctx             context.Context
 	code            codes.Code
-	text            string // that the status contains
-	runs            int
+	text            string // part of the status message
+	runs            int    // attempts
 }
 
+// Each outcome of a query or an update, and each invalid field, gives the documented status code.
 func TestAnswersAndCodes(t *testing.T) {
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
@@ -37,7 +38,7 @@
 			codes.OK, "", 1,
 		},
 		{
-			"refused", "full", callCtx(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
+			"rejected", "full", callCtx(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
 			"backoff=2000", 1,
 		},
 		{"failed", "reset", callCtx(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
@@ -56,10 +57,13 @@
 		},
 		{"bad id", "serve", callCtx(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
 		{
-			"id twice", "serve", callCtx(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
+			"repeated id", "serve", callCtx(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
 			codes.InvalidArgument, "rid", 0,
 		},
-		{"no deadline", "serve", callCtx(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
+		{
+			"no deadline", "serve", callCtx(t, 0, "rid", "0000000000000007", "method", "load"),
+			codes.InvalidArgument, "budget", 0,
+		},
 		{
 			"no statement", "", callCtx(t, long, "rid", "0000000000000007", "method", "load"),
 			codes.InvalidArgument, "statement", 0,
@@ -70,12 +74,12 @@
 	}
 }
 
-// check runs the statement as an update or a query.
+// check runs the statement as an update or a query and compares its status, rows and attempts.
 func (tc answerCase) check(t *testing.T, engines *scriptedEngines, c *fsql.Client, update bool) {
 	t.Helper()
 	fields, _ := metadata.FromOutgoingContext(tc.ctx)
 	ids := fields.Get("rid")
-	if !update { // the id of a load that may have run cannot be used again
+	if !update { // the update may have run, so its id cannot be used again
 		ids[0] = "a" + ids[0][1:]
 	}
 	fields.Set("rid", ids...)
@@ -96,13 +100,13 @@
 		t.Errorf("%s, update %v: %v, want %v with %q", tc.name, update, err, tc.code, tc.text)
 	}
 	runs := engines.runsOf(id)
-	// A call whose deadline has passed already may be rejected by gRPC itself.
+	// gRPC itself may reject a call whose deadline has passed, so that it has no attempt.
 	if runs != tc.runs && tc.code != codes.DeadlineExceeded || runs > tc.runs {
-		t.Errorf("%s, update %v: ran %d times, want %d", tc.name, update, runs, tc.runs)
+		t.Errorf("%s, update %v: %d attempts, want %d", tc.name, update, runs, tc.runs)
 	}
 }
 
-// fetch runs a query and returns the number of its rows.
+// fetch runs a query (GetFlightInfo and DoGet) and returns the number of its rows.
 func fetch(ctx context.Context, c *fsql.Client, statement string) (int64, error) {
 	info, err := c.Execute(ctx, statement)
 	if err != nil {
@@ -111,7 +115,7 @@
 	return redeem(ctx, c, info.Endpoint[0].Ticket)
 }
 
-// redeem redeems a ticket and returns the number of rows.
+// redeem redeems a ticket with DoGet and returns the number of rows.
 func redeem(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) (int64, error) {
 	r, err := c.DoGet(ctx, ticket)
 	if err != nil {
@@ -125,7 +129,8 @@
 	return rows, r.Err()
 }
 
-// A rejection reports when to retry, in a machine-readable detail too, and a failure whether a retry is safe.
+// A rejection has the time to wait before a retry in its status details and its trailer. The trailer of a failure says
+// whether a retry is safe.
 func TestRetryAdvice(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
@@ -146,7 +151,8 @@
 	if delay != time.Second || trailer.Get(metaBackoff)[0] != "1000" || trailer.Get(metaRetry)[0] != "safe" {
 		t.Errorf("%v: delay %v, trailer %v", err, delay, trailer)
 	}
-	if info, err = c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset"); err != nil {
+	info, err = c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset")
+	if err != nil {
 		t.Fatal(err)
 	}
 	if stream, err = c.Client.DoGet(callCtx(t, 20*time.Second), info.Endpoint[0].Ticket); err == nil {
@@ -157,7 +163,7 @@
 	}
 }
 
-// The ticket of a load is redeemed once, also by several fetches at once.
+// Guards against a load that runs twice: of several concurrent DoGets with one ticket, exactly one succeeds.
 func TestTicketOfLoadIsRedeemedOnce(t *testing.T) {
 	_, engines, c := newFront(t)
 	const fetches = 8
@@ -178,11 +184,11 @@
 		byCode[status.Code(<-results)]++
 	}
 	if byCode[codes.OK] != 1 || byCode[codes.NotFound] != fetches-1 || engines.runsOf(id) != 1 {
-		t.Errorf("fetches by code %v, ran %d times", byCode, engines.runsOf(id))
+		t.Errorf("DoGets by code: %v, want one OK and the others NotFound; %d attempts, want 1", byCode, engines.runsOf(id))
 	}
 }
 
-// The ticket of a look-up is redeemed as often as it is fetched.
+// The ticket of an idempotent query can be redeemed repeatedly, and each DoGet runs the query.
 func TestTicketOfLookupIsRedeemedAgain(t *testing.T) {
 	_, engines, c := newFront(t)
 	const id = "0000000000000002"
@@ -196,12 +202,12 @@
 		}
 	}
 	if ran := engines.runsOf(id); ran != 2 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("%d attempts, want 2", ran)
 	}
 }
 
-// A prepared statement, as many drivers send each statement, is handled like a plain one: each execution is a request
-// of its own, and the ticket of a load is redeemed once. What it does not support is malformed.
+// Many drivers send each statement as a prepared statement. It is handled like a plain one: each execution is a request
+// of its own, and the ticket of a load can be redeemed once. Parameters and an empty statement are malformed.
 func TestPreparedStatements(t *testing.T) {
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
@@ -216,20 +222,20 @@
 		}
 		rows, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket)
 		if err != nil || rows != 2 {
-			t.Errorf("%d rows, %v", rows, err)
+			t.Errorf("query: %d rows, error %v, want 2 rows", rows, err)
 		}
 		if _, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
-			t.Errorf("a load's ticket, redeemed again: %v", err)
+			t.Errorf("second redemption of a load's ticket: %v, want NotFound", err)
 		}
 		if engines.runsOf(id) != 1 {
-			t.Errorf("%s ran %d times", id, engines.runsOf(id))
+			t.Errorf("%s: %d attempts, want 1", id, engines.runsOf(id))
 		}
 	}
 	if n, err := p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
-		t.Errorf("update: %d rows changed, %v", n, err)
+		t.Errorf("update: %d rows changed, error %v, want 3 rows", n, err)
 	}
 	if _, err := p.Execute(callCtx(t, long, "method", "load")); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("without an id: %v", err)
+		t.Errorf("without an id: %v, want InvalidArgument", err)
 	}
 	schema := arrow.NewSchema([]arrow.Field{{Name: "p", Type: arrow.PrimitiveTypes.Int64}}, nil)
 	values := array.NewInt64Builder(memory.DefaultAllocator)
@@ -237,21 +243,23 @@
 	p.SetParameters(array.NewRecordBatch(schema, []arrow.Array{values.NewArray()}, 1))
 	_, err = p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000004", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument || engines.runsOf("0000000000000004") != 0 {
-		t.Errorf("update with parameters: %v, ran %d times", err, engines.runsOf("0000000000000004"))
+		t.Errorf("update with parameters: %v, want InvalidArgument; %d attempts, want none",
+			err, engines.runsOf("0000000000000004"))
 	}
 	_, err = p.Execute(callCtx(t, long, "rid", "0000000000000005", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("query with parameters: %v", err)
+		t.Errorf("query with parameters: %v, want InvalidArgument", err)
 	}
 	if err := p.Close(callCtx(t, long)); err != nil {
 		t.Error("close:", err)
 	}
 	if _, err := c.Prepare(callCtx(t, long), ""); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("an empty statement: %v", err)
+		t.Errorf("empty statement: %v, want InvalidArgument", err)
 	}
 }
 
-// Calls without a required field are malformed, and the front continues to serve.
+// Guards against a malformed call that ends the process: calls without a required part or with invalid bytes are
+// answered with InvalidArgument, and the front continues to serve.
 func TestMalformedCalls(t *testing.T) {
 	_, engines, c := newFront(t)
 	ctx := func() context.Context {
@@ -262,18 +270,18 @@
 		name string
 		call func() error
 	}{
-		{"info without a descriptor", func() error { _, err := c.Client.GetFlightInfo(ctx(), nil); return err }},
-		{"info about garbage", func() error {
+		{"GetFlightInfo without a descriptor", func() error { _, err := c.Client.GetFlightInfo(ctx(), nil); return err }},
+		{"GetFlightInfo with garbage", func() error {
 			_, err := c.Client.GetFlightInfo(ctx(), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: garbage})
 			return err
 		}},
-		{"a statement too long", func() error {
+		{"statement too long", func() error {
 			_, err := c.ExecuteUpdate(ctx(), strings.Repeat("x", maxStatement+1))
 			return err
 		}},
-		{"schema without a descriptor", func() error { _, err := c.Client.GetSchema(ctx(), nil); return err }},
-		{"fetch without a ticket", func() error { _, err := redeem(ctx(), c, &flight.Ticket{}); return err }},
-		{"fetch with garbage", func() error { _, err := redeem(ctx(), c, &flight.Ticket{Ticket: garbage}); return err }},
+		{"GetSchema without a descriptor", func() error { _, err := c.Client.GetSchema(ctx(), nil); return err }},
+		{"DoGet without a ticket", func() error { _, err := redeem(ctx(), c, &flight.Ticket{}); return err }},
+		{"DoGet with garbage", func() error { _, err := redeem(ctx(), c, &flight.Ticket{Ticket: garbage}); return err }},
 		{"update without a descriptor", func() error { return doPut(ctx(), c, &flight.FlightData{}) }},
 		{"update with garbage", func() error {
 			return doPut(ctx(), c, &flight.FlightData{
@@ -304,13 +312,14 @@
 		}
 	}
 	if engines.runsOf("0000000000000001") != 0 {
-		t.Error("something reached an engine")
+		t.Error("a malformed call reached an engine")
 	}
 	if n, err := c.ExecuteUpdate(ctx(), "serve"); n != 3 || err != nil {
-		t.Errorf("a good update afterwards: %d, %v", n, err)
+		t.Errorf("valid update afterwards: %d rows changed, error %v, want 3 rows", n, err)
 	}
 }
 
+// doPut sends one DoPut message and returns the error that ends the call.
 func doPut(ctx context.Context, c *fsql.Client, d *flight.FlightData) error {
 	s, err := c.Client.DoPut(ctx)
 	if err != nil {
@@ -326,7 +335,7 @@
 	return err
 }
 
-// Clients request what the server supports before they use it.
+// GetSqlInfo works, with which clients find out what the server supports.
 func TestSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.GetSqlInfo(callCtx(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
@@ -338,15 +347,15 @@
 	}
 }
 
-// An id in use has a code of its own. A client that cancels frees the id, unless it is that of a load, which may run
-// on.
+// A request with the id of an open request is answered with AlreadyExists. After the client has cancelled the first
+// request, the id can be used again, except that of a load, which may still run.
 func TestIDInUse(t *testing.T) {
 	for class, after := range map[string]codes.Code{"lookup": codes.OK, "load": codes.AlreadyExists} {
 		t.Run(class, func(t *testing.T) { checkIDInUse(t, class, after) })
 	}
 }
 
-// checkIDInUse reuses the id of an open request, and after its client has cancelled it.
+// checkIDInUse reuses the id of a request while it is open and after its client has cancelled it.
 func checkIDInUse(t *testing.T, class string, after codes.Code) {
 	t.Helper()
 	f, engines, c := newFront(t)
@@ -361,16 +370,16 @@
 	}
 	again := callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", class)
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != codes.AlreadyExists {
-		t.Errorf("while it is open: %v", err)
+		t.Errorf("while the request is open: %v, want AlreadyExists", err)
 	}
 	cancel()
 	if err := <-first; status.Code(err) != codes.Canceled {
-		t.Errorf("the cancelled call: %v", err)
+		t.Errorf("the cancelled call: %v, want Canceled", err)
 	}
 	for f.ActiveCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != after {
-		t.Errorf("after it was cancelled: %v, want %v", err, after)
+		t.Errorf("after the request was cancelled: %v, want %v", err, after)
 	}
 }
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -17,12 +17,12 @@
 	"windflow/internal/router"
 )
 
-// recordingEngine is a fake engine that records the calls that it is sent.
+// recordingEngine is a fake engine that records the calls that it receives.
 type recordingEngine struct {
 	flight.BaseFlightServer
 	calls          bytes.Buffer
 	rows           []*flight.FlightData
-	rejectsUpdates bool
+	rejectsUpdates bool // with proof that nothing ran
 }
 
 func (e *recordingEngine) record(ctx context.Context, method string, sent []byte) {
@@ -58,7 +58,7 @@
 	return s.Send(&flight.PutResult{AppMetadata: []byte{8, 3}})
 }
 
-// runAttempts runs calls one after the other at an engine and returns their ends.
+// runAttempts runs calls at an engine one after another and returns their ends.
 func runAttempts(t *testing.T, engine *recordingEngine, calls ...router.Call) (ends []router.End) {
 	t.Helper()
 	address := serveEngine(t, engine)
@@ -73,7 +73,7 @@
 	return ends
 }
 
-// Engines are sent the same calls and metadata as before, and their trailers are read as they were.
+// Compares the calls and metadata that engines receive with the recorded ones, and checks that their trailers are read.
 func TestGoldenEngineCalls(t *testing.T) {
 	e := &recordingEngine{rows: textStream(t, "ab", "cd")}
 	query := router.Call{
--- a/internal/flightsql/golden_test.go
+++ b/internal/flightsql/golden_test.go
@@ -24,7 +24,7 @@
 
 const goldenTimeout = 20 * time.Second
 
-// describeMetadata returns the names and values of metadata in order, without those that gRPC adds itself.
+// describeMetadata returns the sorted names and values of metadata, without those that gRPC adds.
 func describeMetadata(md metadata.MD) string {
 	var list []string
 	for name, values := range md {
@@ -36,7 +36,7 @@
 	return strings.Join(list, " ")
 }
 
-// describeEnd returns the end of a call: its status with all details, and its trailer.
+// describeEnd describes the end of a call: its status with all details, and its trailer.
 func describeEnd(err error, trailer metadata.MD) string {
 	s := status.Convert(err)
 	text := fmt.Sprintf("%v %q trailer %s\n", s.Code(), s.Message(), describeMetadata(trailer))
@@ -46,14 +46,14 @@
 	return text
 }
 
-// fields returns all fields that a request may have.
+// allFields returns all fields that a request may have, as names and values in turn.
 func allFields(id, class string) []string {
 	return []string{
 		"rid", id, "method", class, "budget", "9000", "acct", "rckik-south", "again", "1", "est", "12.5", "mem", "34.5",
 	}
 }
 
-// execute requests a ticket and describes it; the ticket is nil where there was none.
+// requestTicket requests a ticket and describes the response. The ticket is nil if the call failed.
 func requestTicket(t *testing.T, c *fsql.Client, statement string, md ...string) (text string, ticket *flight.Ticket) {
 	t.Helper()
 	var trailer metadata.MD
@@ -70,7 +70,7 @@
 	return text, ticket
 }
 
-// get redeems a ticket and describes each message of the stream.
+// describeRedeem redeems a ticket and describes each message of the stream and its end.
 func describeRedeem(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) string {
 	stream, err := c.Client.DoGet(ctx, ticket)
 	var text strings.Builder
@@ -86,14 +86,14 @@
 	return text.String() + describeEnd(err, stream.Trailer())
 }
 
-// Clients see the same tickets, schemas, rows, codes, details and trailers as before.
+// Compares the tickets, schemas, rows, codes, details and trailers that clients receive with the recorded ones.
 func TestGoldenExchanges(t *testing.T) {
 	f, _, c := newFront(t)
 	text := describeAnswers(t, c) + describeFailures(t, c)
 	golden.Equal(t, "exchanges.txt", []byte(strings.ReplaceAll(text, f.Addr(), "ROUTER")))
 }
 
-// describeAnswers describes a query and an update of each class with each outcome of an engine.
+// describeAnswers describes a query and an update for several classes and outcomes of an engine.
 func describeAnswers(t *testing.T, c *fsql.Client) string {
 	t.Helper()
 	var text strings.Builder
@@ -120,16 +120,17 @@
 	return text.String()
 }
 
-// The two answers to an idempotent query whose engine does not answer before its deadline. It is rejected, but failed
-// where the loop stalled across the deadline, so that the deadline was noticed before the attempt's time limit.
+// The two answers to an idempotent query whose engine does not answer before the deadline. Normally the query is
+// rejected. If the loop stalled across the deadline, it notices the deadline before the attempt's time limit, and the
+// query fails.
 const (
 	rejectedAtDeadline = "ResourceExhausted \"refused, nothing was done; try again later: backoff=1000\" " +
 		"trailer backoff-ms=[\"1000\"] retry=[\"safe\"]\ndetail type.googleapis.com/google.rpc.RetryInfo 0a020801\n"
 	failedAtDeadline = "DeadlineExceeded \"the time for the query ran out\" trailer retry=[\"safe\"]\n"
 )
 
-// ignoreLoopStall returns the answer that a client gets when the loop did not stall: which one it is depends on the
-// machine.
+// ignoreLoopStall returns the answer that a client gets if the loop does not stall, because whether it stalls depends
+// on the load of the machine.
 func ignoreLoopStall(answer string) string {
 	if answer == failedAtDeadline {
 		return rejectedAtDeadline
@@ -137,7 +138,7 @@
 	return answer
 }
 
-// describeFailures describes calls that are malformed, arrive too late or name what does not exist.
+// describeFailures describes calls that are malformed, pass their deadline or name an unknown ticket.
 func describeFailures(t *testing.T, c *fsql.Client) string {
 	t.Helper()
 	var text strings.Builder
@@ -154,12 +155,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "unknown ticket\n%s\n", describeRedeem(callCtx(t, goldenTimeout), c, &flight.Ticket{Ticket: ticket}))
+	unknown := &flight.Ticket{Ticket: ticket}
+	fmt.Fprintf(&text, "unknown ticket\n%s\n", describeRedeem(callCtx(t, goldenTimeout), c, unknown))
 	described, _ := requestTicket(t, c, "serve", "rid", "0000000000000001")
 	fmt.Fprintf(&text, "no class\n%s\n", described)
 	described, _ = requestTicket(t, c, "serve", "rid", "1", "method", "load")
 	fmt.Fprintf(&text, "bad id\n%s\n", described)
-	described, _ = requestTicket(t, c, "serve", append(allFields("0000000000000001", "load"), "rid", "0000000000000002")...)
+	repeatedID := append(allFields("0000000000000001", "load"), "rid", "0000000000000002")
+	described, _ = requestTicket(t, c, "serve", repeatedID...)
 	fmt.Fprintf(&text, "id twice\n%s\n", described)
 	stream, err := c.Client.DoPut(callCtx(t, goldenTimeout))
 	if err == nil {
@@ -173,13 +176,13 @@
 	return text.String()
 }
 
-// runUpdate runs an update.
+// runUpdate runs an update and returns the number of changed rows and the trailer.
 func runUpdate(ctx context.Context, c *fsql.Client, statement string) (n int64, trailer metadata.MD, err error) {
 	n, err = c.ExecuteUpdate(ctx, statement, grpc.Trailer(&trailer))
 	return n, trailer, err
 }
 
-// A statement that is prepared has the same handle and schemas as before.
+// Compares the handle and schemas of a prepared statement, and the error for an empty one, with the recorded ones.
 func TestGoldenPrepared(t *testing.T) {
 	_, _, c := newFront(t)
 	statement, err := c.Prepare(callCtx(t, goldenTimeout), "serve")
@@ -192,7 +195,7 @@
 	golden.Equal(t, "prepared.txt", text)
 }
 
-// What clients learn of the server is the same as before, but for the version of Arrow.
+// Compares the result of GetSqlInfo with the recorded one, except for the version of Arrow.
 func TestGoldenSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.GetSqlInfo(callCtx(t, goldenTimeout), nil)
@@ -219,7 +222,8 @@
 	golden.Equal(t, "sql-info.txt", []byte(strings.ReplaceAll(text, arrow.PkgVersion, "ARROW")))
 }
 
-// Tickets that one process releases to another have the same names and values as before, and can be redeemed there.
+// Compares the JSON of tickets that one process releases to another with the recorded one, and checks that a process
+// can import it.
 func TestGoldenTickets(t *testing.T) {
 	want := []Ticket{{
 		Handle: "00112233445566778899aabbccddeeff", DeadlineMS: 1_796_000_009_000.5, ExpiresAtMS: 1e15, SingleUse: true,
@@ -241,6 +245,6 @@
 	f, _, _ := newFront(t)
 	f.ImportTickets(got)
 	if back := f.ReleaseAllTickets(); len(back) != 1 || back[0] != want[0] {
-		t.Errorf("%+v, want %+v", back, want)
+		t.Errorf("tickets after an import: %+v, want %+v", back, want)
 	}
 }
--- a/internal/flightsql/guard.go
+++ b/internal/flightsql/guard.go
@@ -9,20 +9,20 @@
 	"google.golang.org/grpc/status"
 )
 
-// malformedError counts a malformed call and returns its status.
+// malformedError counts a malformed call and returns its status, with the text as the message.
 func malformedError(counters *Counters, text string) error {
 	counters.Malformed.Add(1)
 	return status.Error(codes.InvalidArgument, text)
 }
 
-// panicGuard ends calls that panic as malformed. Arrow's server does not check all parts of a call before it uses
-// them: a DoPut without a descriptor, for one, would end the process.
+// panicRecovery has gRPC interceptors that answer a call that panics as malformed. Arrow's server does not check all
+// parts of a call before it uses them; a DoPut without a descriptor, for example, would otherwise end the process.
 type panicRecovery struct {
 	log      *slog.Logger
 	counters *Counters
 }
 
-// recoverCall is deferred by a call; it sets the call's error after a panic.
+// recoverCall must be deferred by a call. After a panic it sets the call's error.
 func (g *panicRecovery) recoverCall(method string, err *error) {
 	if p := recover(); p != nil {
 		g.log.Warn("flight sql call malformed", "method", method, "panic", p)
--- a/internal/flightsql/harness_test.go
+++ b/internal/flightsql/harness_test.go
@@ -20,11 +20,12 @@
 	"windflow/internal/routertest"
 )
 
-// scriptedEngines is an engine client whose attempts end as their statement specifies; "hang" does not end.
+// scriptedEngines is an engine client whose attempts end with the outcome that their statement names. Attempts with any
+// other statement, such as "hang", do not end.
 type scriptedEngines struct {
 	loop *router.Loop
 	mu   sync.Mutex
-	runs map[string]int // attempts by request
+	runs map[string]int // number of attempts by request id
 }
 
 func (e *scriptedEngines) Forget(router.Engine) {}
@@ -49,7 +50,7 @@
 	return fakeAttempt{}
 }
 
-// runsOf returns how many attempts a request had.
+// runsOf returns the number of attempts of a request.
 func (e *scriptedEngines) runsOf(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,7 +67,7 @@
 
 func (fakeAttempt) Abandon() {}
 
-// newFront starts a front over scripted engines, and connects a client to it.
+// newFront starts a front with scripted engines, and connects a client to it.
 func newFront(t *testing.T) (*Front, *scriptedEngines, *fsql.Client) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
@@ -109,19 +110,19 @@
 	return f, engines, c
 }
 
-// call returns a context with fields, as name and value in turn, and a deadline unless it is 0.
-func callCtx(t *testing.T, deadline time.Duration, fields ...string) context.Context {
+// callCtx returns a context with fields, given as names and values in turn, and a timeout unless it is 0.
+func callCtx(t *testing.T, timeout time.Duration, fields ...string) context.Context {
 	t.Helper()
 	ctx := context.Background()
-	if deadline > 0 {
+	if timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, deadline)
+		ctx, cancel = context.WithTimeout(ctx, timeout)
 		t.Cleanup(cancel)
 	}
 	return metadata.AppendToOutgoingContext(ctx, fields...)
 }
 
-// listen returns a listener, which is closed with the test.
+// listen returns a listener that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,12 +139,12 @@
 	lis := listen(t)
 	server := grpc.NewServer()
 	flight.RegisterFlightServiceServer(server, engine)
-	go func() { _ = server.Serve(lis) }() // Stop ends it
+	go func() { _ = server.Serve(lis) }() // returns when Stop is called
 	t.Cleanup(server.Stop)
 	return lis.Addr().String()
 }
 
-// newEngineClient returns a client of engines on a loop that runs until the test ends.
+// newEngineClient returns a client for engines, and its loop, which runs until the test ends.
 func newEngineClient(t *testing.T, connectTimeoutMS float64, maxDedicated int) (*Client, *router.Loop) {
 	t.Helper()
 	loop := router.NewLoop(clock.NewSystem())
@@ -152,5 +153,5 @@
 	return c, loop
 }
 
-// engineAt returns the engine at an address.
+// engineAt returns an engine with an address.
 func engineAt(address string) router.Engine { return router.Engine{ID: 7, Address: address} }
--- a/internal/flightsql/metadata.go
+++ b/internal/flightsql/metadata.go
@@ -6,17 +6,18 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// Metadata of calls in addition to the request's own fields, whose names are the router's Field constants.
+// Names of metadata and trailers of calls. The names of a request's own fields are the Field constants of package
+// router.
 const (
-	// metaGrant and metaPriority are for engines only.
+	// metaGrant (memory grant in MB) and metaPriority are sent to engines only.
 	metaGrant    = "grant-mb"
 	metaPriority = "priority"
-	// metaNotStarted is the trailer by which an engine proves that a call never ran.
+	// metaNotStarted is the trailer with which an engine proves that it never started a call.
 	metaNotStarted = "not-begun"
-	// metaWork and metaMemory are trailers of an engine: what the query used, in milliseconds and MB.
+	// metaWork and metaMemory are trailers of an engine with the CPU milliseconds and the MB of memory that a query used.
 	metaWork   = "cpu-ms"
 	metaMemory = "mem-used"
-	// metaBackoff and metaRetry are the front's advice to its clients.
+	// metaBackoff and metaRetry are trailers with the front's retry advice to its clients.
 	metaBackoff = "backoff-ms"
 	metaRetry   = "retry"
 )
@@ -27,10 +28,10 @@
 	retryUnsafe = "unsafe: it may have run"
 )
 
-// maxAmount bounds a number in an engine's trailer.
+// maxAmount is the exclusive upper bound of a number in an engine's trailer.
 const maxAmount = 1e9
 
-// parseAmount reads a number of an engine's trailer; one that is missing, repeated or out of bounds is 0.
+// parseAmount parses a number in an engine's trailer. It returns 0 if the number is missing, repeated or out of range.
 func parseAmount(md metadata.MD, name string) float64 {
 	values := md.Get(name)
 	if len(values) != 1 {
--- a/internal/flightsql/request.go
+++ b/internal/flightsql/request.go
@@ -11,11 +11,13 @@
 	"windflow/internal/router"
 )
 
-// minDeadlineMS is the least time to a deadline: a call that arrives at its deadline is late, not malformed.
+// minDeadlineMS is the minimum time to a deadline, so that a call that arrives at its deadline counts as late and not
+// as malformed.
 const minDeadlineMS = 0.001
 
-// newRequest reads a request from the fields in the call's metadata and checks it. Both the call's deadline and the
-// budget bind.
+// newRequest builds a request from the statement and the fields in the call's metadata, and checks it. Without a budget
+// field, the call's deadline sets the budget. A call with both is bound by the earlier; callers apply the deadline.
+// Errors are gRPC statuses and count as malformed calls.
 func (s *service) newRequest(ctx context.Context, statement string) (*router.Request, error) {
 	now := s.loop.Now()
 	md, _ := metadata.FromIncomingContext(ctx)
@@ -26,7 +28,7 @@
 		err = fields.duplicateErr
 	}
 	if err == nil && len(statement) > maxStatement {
-		err = fmt.Errorf("the statement has %d bytes; at most %d are taken", len(statement), maxStatement)
+		err = fmt.Errorf("the statement has %d bytes, at most %d are allowed", len(statement), maxStatement)
 	}
 	if err == nil {
 		err = s.core.CheckNames(request)
@@ -37,15 +39,15 @@
 	return request, nil
 }
 
-// callFields reads the fields of a request from the metadata of a call.
+// callFields provides the fields of a request from the metadata of a call.
 type callFields struct {
 	md           metadata.MD
-	deadlineMS   float64 // the time to the call's deadline
+	deadlineMS   float64 // time to the call's deadline
 	hasDeadline  bool
-	duplicateErr error // names a field that the call has more than once
+	duplicateErr error // set if the call has a field more than once
 }
 
-// get returns a field; the budget defaults to the time to the call's deadline.
+// get returns the value of a field, or "" if it is missing. The budget defaults to the time to the call's deadline.
 func (f *callFields) get(name string) string {
 	values := f.md.Get(name)
 	if len(values) > 1 {
@@ -60,7 +62,8 @@
 	return ""
 }
 
-// untilDeadline returns the time to the call's deadline in milliseconds, at least minDeadlineMS; false: it has none.
+// untilDeadline returns the time to the call's deadline in milliseconds, at least minDeadlineMS, and false if the call
+// has no deadline.
 func untilDeadline(ctx context.Context) (float64, bool) {
 	deadline, ok := ctx.Deadline()
 	return max(float64(time.Until(deadline))/float64(time.Millisecond), minDeadlineMS), ok
--- a/internal/flightsql/service.go
+++ b/internal/flightsql/service.go
@@ -16,10 +16,10 @@
 	"windflow/internal/router"
 )
 
-// fullStoreBackoffMS is the advice to a client for whose ticket there is no room.
+// fullStoreBackoffMS is the time after which a client should retry if the ticket store is full, in milliseconds.
 const fullStoreBackoffMS = 1000
 
-// sqlInfo is what GetSqlInfo reports of this server.
+// sqlInfo is the information on this server that GetSqlInfo returns.
 var sqlInfo = map[flightsql.SqlInfo]any{
 	flightsql.SqlInfoFlightSqlServerName:         "windflow",
 	flightsql.SqlInfoFlightSqlServerArrowVersion: arrow.PkgVersion,
@@ -30,14 +30,14 @@
 	flightsql.SqlInfoFlightSqlServerCancel:       false,
 }
 
-// service implements flightsql.Server. Its methods run in gRPC's goroutines.
+// service implements flightsql.Server. Its methods run in goroutines of gRPC, concurrently.
 type service struct {
 	flightsql.BaseServer
 	core        *router.Core
 	loop        *router.Loop
 	tickets     *ticketStore
 	counters    *Counters
-	addr        func() string // the front's
+	addr        func() string // address of the front
 	activeCalls atomic.Int64
 }
 
@@ -54,14 +54,14 @@
 	return s, nil
 }
 
-// GetFlightInfoStatement checks a query and returns a ticket for it. Nothing runs yet.
+// GetFlightInfoStatement checks a query and returns a ticket for it. The query runs in DoGet.
 func (s *service) GetFlightInfoStatement(
 	ctx context.Context, cmd flightsql.StatementQuery, desc *flight.FlightDescriptor,
 ) (*flight.FlightInfo, error) {
 	return s.issueTicket(ctx, cmd.GetQuery(), desc)
 }
 
-// issueTicket returns the flight info with a new ticket for a statement.
+// issueTicket checks a statement and returns flight info with a new ticket for it. A full ticket store is a rejection.
 func (s *service) issueTicket(
 	ctx context.Context, statement string, desc *flight.FlightDescriptor,
 ) (*flight.FlightInfo, error) {
@@ -75,7 +75,7 @@
 		Request: *request, ExpiresAtMS: s.loop.Now() + ticketLifetimeMS, SingleUse: class.Semantics != dispatch.Idempotent,
 	}
 	if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(router.FieldBudget)) > 0 {
-		ticket.DeadlineMS = request.SentAtMS + request.BudgetMS // a deadline of the call itself binds that call only
+		ticket.DeadlineMS = request.SentAtMS + request.BudgetMS // a deadline of this call does not apply to DoGet
 	}
 	if !s.tickets.issue(ticket) {
 		return nil, s.rejection(ctx, fullStoreBackoffMS)
@@ -88,13 +88,14 @@
 		FlightDescriptor: desc, TotalRecords: -1, TotalBytes: -1,
 		Endpoint: []*flight.FlightEndpoint{{
 			Ticket: &flight.Ticket{Ticket: handle},
-			// Tickets are stored in this router, so that the client has to redeem them here.
+			// The ticket is stored in this router, so the client has to redeem it here.
 			Location: []*flight.Location{{Uri: "grpc+tcp://" + s.addr()}},
 		}},
 	}, nil
 }
 
-// DoGetStatement redeems a ticket, runs its query and streams the rows.
+// DoGetStatement redeems a ticket, runs its query and streams the rows. An unknown, expired or spent ticket is
+// NotFound.
 func (s *service) DoGetStatement(
 	ctx context.Context, cmd flightsql.StatementQueryTicket,
 ) (*arrow.Schema, <-chan flight.StreamChunk, error) {
@@ -119,8 +120,8 @@
 	return record.Schema(), chunks, nil
 }
 
-// remainingBudget returns the time left for the query of a ticket: to the earlier of the ticket's deadline and the
-// call's, else what is left of the budget that the request was issued with.
+// remainingBudget returns the time left for the query of a ticket in milliseconds: the time to the earlier of the
+// ticket's deadline and the call's. Without either, it is the rest of the budget that the request was issued with.
 func remainingBudget(ctx context.Context, ticket *Ticket, now float64) float64 {
 	callBudgetMS, hasDeadline := untilDeadline(ctx)
 	switch {
@@ -133,7 +134,7 @@
 	}
 }
 
-// DoPutCommandStatementUpdate runs an update and returns how many rows it changed, -1 if that is unknown.
+// DoPutCommandStatementUpdate runs an update and returns the number of changed rows, or -1 if it is unknown.
 func (s *service) DoPutCommandStatementUpdate(ctx context.Context, cmd flightsql.StatementUpdate) (int64, error) {
 	return s.update(ctx, cmd.GetQuery())
 }
@@ -158,12 +159,13 @@
 	return -1, nil
 }
 
-// run submits a request to the core and waits for its one answer, or for the client to cancel the call.
+// run submits a request to the core and blocks until its answer. If the call is cancelled or its deadline passes
+// before, the request is abandoned.
 func (s *service) run(ctx context.Context, request *router.Request) (*router.Result, error) {
 	s.activeCalls.Add(1)
 	defer s.activeCalls.Add(-1)
 	answers := make(answerChan, 1)
-	var handle router.Handle // touched in the loop only
+	var handle router.Handle // used in the loop only
 	s.loop.Post(func() {
 		var err error
 		if handle, err = s.core.Submit(request, answers); err != nil {
--- a/internal/flightsql/tickets.go
+++ b/internal/flightsql/tickets.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// ticketLifetimeMS is how long a ticket may be redeemed.
+	// ticketLifetimeMS is the time after which a ticket expires.
 	ticketLifetimeMS = 60_000.0
-	// maxTickets and maxTicketBytes bound what clients that never redeem may pile up.
+	// maxTickets and maxTicketBytes (of statements) bound the memory for tickets that clients never redeem.
 	maxTickets     = 4096
 	maxTicketBytes = 8 << 20
-	// handleBytes is the length of the random part of a ticket.
+	// handleBytes is the number of random bytes in a handle.
 	handleBytes = 16
 )
 
-// Ticket is a query that a client described and may fetch, as processes of one router pass it to each other.
+// Ticket is a checked query that a client may run by redeeming the handle. The processes of one router pass tickets to
+// each other as JSON.
 type Ticket struct {
 	Handle      string         `json:"Handle"`
 	Request     router.Request `json:"Request"`
-	DeadlineMS  float64        `json:"End"` // the deadline that the client's fields name; 0 for none
+	DeadlineMS  float64        `json:"End"` // the deadline by the budget field of the client; 0 if it sent none
 	ExpiresAtMS float64        `json:"Expires"`
 	SingleUse   bool           `json:"Once"`
 }
 
-// ticketStore contains the tickets of a process. It is safe for concurrent use.
+// ticketStore stores the tickets of a process. It is safe for concurrent use.
 type ticketStore struct {
 	loop *router.Loop // for its clock
-	// claimer, where it is set, requests a ticket from the other process of this router and waits for the answer.
+	// claimer, if set, requests a ticket from the other process of this router and blocks until the answer.
 	claimer atomic.Pointer[func(handle string) *Ticket]
 
 	mu       sync.Mutex
 	rng      *rand.ChaCha8
 	byHandle map[string]*list.Element
 	byAge    *list.List // of *Ticket, oldest first
-	bytes    int        // of all statements
+	bytes    int        // total length of the statements
 }
 
-// newTicketStore returns an empty store. The seed makes tickets hard to guess; two processes of one router that share
-// one differ in generation.
+// newTicketStore returns an empty store. The seed makes handles hard to guess. Processes of one router with the same
+// seed need different generations, so that their handles differ.
 func newTicketStore(loop *router.Loop, seed uint64, generation uint8) *ticketStore {
 	var key [32]byte
 	for i := range key {
@@ -55,7 +56,7 @@
 	}
 }
 
-// issue stores a ticket under a new handle; false: the store is full.
+// issue stores a ticket under a new random handle. It returns false if the store is full.
 func (s *ticketStore) issue(ticket *Ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 	return s.add(ticket)
 }
 
-// add stores a ticket; false: the store is full or has it already. s.mu is held.
+// add stores a ticket. It returns false if the store is full or already has the handle. The caller holds s.mu.
 func (s *ticketStore) add(ticket *Ticket) bool {
 	s.removeExpired()
 	size := len(ticket.Request.Statement)
@@ -77,7 +78,7 @@
 	return true
 }
 
-// removeExpired removes expired tickets from the oldest on; s.mu is held.
+// removeExpired removes expired tickets, starting with the oldest. The caller holds s.mu.
 func (s *ticketStore) removeExpired() {
 	now := s.loop.Now()
 	for oldest := s.byAge.Front(); oldest != nil && ticketOf(oldest).ExpiresAtMS <= now; oldest = s.byAge.Front() {
@@ -85,7 +86,7 @@
 	}
 }
 
-// remove removes a ticket and returns it; s.mu is held.
+// remove removes a ticket and returns it. The caller holds s.mu.
 func (s *ticketStore) remove(element *list.Element) *Ticket {
 	ticket := ticketOf(element)
 	delete(s.byHandle, ticket.Handle)
@@ -97,7 +98,7 @@
 // ticketOf returns the ticket of an element of byAge.
 func ticketOf(element *list.Element) *Ticket { return element.Value.(*Ticket) }
 
-// find returns the element of a ticket that has not expired; nil if there is none. s.mu is held.
+// find returns the element of a ticket, or nil if there is none or it has expired. The caller holds s.mu.
 func (s *ticketStore) find(handle string) *list.Element {
 	element := s.byHandle[handle]
 	if element == nil || ticketOf(element).ExpiresAtMS <= s.loop.Now() {
@@ -106,12 +107,12 @@
 	return element
 }
 
-// setClaimer sets how to request a ticket from the other process.
+// setClaimer sets the function that requests a ticket from the other process.
 func (s *ticketStore) setClaimer(claim func(handle string) *Ticket) { s.claimer.Store(&claim) }
 
-// redeem returns a ticket, which is removed if it is for a single use, so that a client that fetches again, or two
-// that share a ticket, cannot run the query again. A ticket that is not here is claimed from the other process; nil
-// means that neither has it.
+// redeem returns a ticket and removes it if it is for a single use, so that neither a repeated nor a concurrent DoGet
+// can run the query again. A ticket that this process does not have is claimed from the other one. redeem returns nil
+// if neither process has it.
 func (s *ticketStore) redeem(handle string) *Ticket {
 	ticket := s.redeemLocal(handle)
 	claim := s.claimer.Load()
@@ -121,7 +122,7 @@
 	if claimed := (*claim)(handle); claimed != nil {
 		s.importAll([]Ticket{*claimed})
 	}
-	return s.redeemLocal(handle) // the other process may have just ended and sent all of its tickets
+	return s.redeemLocal(handle) // also finds a ticket that the other process sent when it ended in the meantime
 }
 
 func (s *ticketStore) redeemLocal(handle string) *Ticket {
@@ -137,7 +138,7 @@
 	return ticketOf(element)
 }
 
-// release removes a ticket for the other process; nil: it is not here.
+// release removes a ticket and returns it for the other process, or nil if this process does not have it.
 func (s *ticketStore) release(handle string) *Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +149,7 @@
 	return s.remove(element)
 }
 
-// releaseAll removes all tickets for the other process.
+// releaseAll removes all tickets and returns them for the other process.
 func (s *ticketStore) releaseAll() (tickets []Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
