--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -104,7 +104,7 @@
 
 // A session opens, announces, keeps alive, withdraws and closes with the expected messages, and does not reconnect
 // after Close.
-func TestSession(t *testing.T) {
+func TestSessionLifecycle(t *testing.T) {
 	p := newPeer(t, testConfig())
 	p.handler.Opened(p)
 	if got, want := p.takeMessages(), "open 04fc0100090a0000010e020c01040001000141040000fc01"; got != want {
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -189,7 +189,7 @@
 }
 
 // The ticket of an idempotent query can be redeemed repeatedly, and each DoGet runs the query.
-func TestTicketOfLookupIsRedeemedAgain(t *testing.T) {
+func TestTicketOfLookupCanBeRedeemedAgain(t *testing.T) {
 	_, engines, c := newFront(t)
 	const id = "0000000000000002"
 	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
