--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -18,91 +18,95 @@
 	"google.golang.org/grpc/status"
 )
 
-// answerCase is a statement with the code that it ends with.
+// answerCase is a statement with the status and the number of attempts that are expected for it.
 type answerCase struct {
 	name, statement string
 	ctx             context.Context
 	code            codes.Code
-	text            string // that the status contains
-	runs            int
+	text            string // part of the status message
+	runs            int    // attempts
 }
 
+// Each outcome of a query or an update, and each invalid field, gives the documented status code.
 func TestAnswersAndCodes(t *testing.T) {
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
-	for _, k := range []answerCase{
-		{"served", "serve", call(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
+	for _, tc := range []answerCase{
+		{"served", "serve", callCtx(t, long, "rid", "0000000000000001", "method", "lookup"), codes.OK, "", 1},
 		{
-			"served within a budget", "serve", call(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
+			"served within a budget", "serve", callCtx(t, 0, "rid", "0000000000000002", "method", "load", "budget", "9000"),
 			codes.OK, "", 1,
 		},
 		{
-			"refused", "full", call(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
+			"rejected", "full", callCtx(t, long, "rid", "0000000000000003", "method", "load"), codes.ResourceExhausted,
 			"backoff=2000", 1,
 		},
-		{"failed", "reset", call(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
+		{"failed", "reset", callCtx(t, long, "rid", "0000000000000004", "method", "load"), codes.Internal, "may have run", 1},
 		{
-			"past the call's deadline", "hang", call(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
+			"past the call's deadline", "hang", callCtx(t, 200*time.Millisecond, "rid", "0000000000000005", "method", "load"),
 			codes.DeadlineExceeded, "", 1,
 		},
 		{
-			"past the budget", "hang", call(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
+			"past the budget", "hang", callCtx(t, long, "rid", "0000000000000006", "method", "load", "budget", "200"),
 			codes.DeadlineExceeded, "", 1,
 		},
-		{"no class", "serve", call(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
+		{"no class", "serve", callCtx(t, long, "rid", "0000000000000007"), codes.InvalidArgument, "method", 0},
 		{
-			"unknown class", "serve", call(t, long, "rid", "0000000000000007", "method", "x"),
+			"unknown class", "serve", callCtx(t, long, "rid", "0000000000000007", "method", "x"),
 			codes.InvalidArgument, "method", 0,
 		},
-		{"bad id", "serve", call(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
+		{"bad id", "serve", callCtx(t, long, "rid", "7", "method", "load"), codes.InvalidArgument, "rid", 0},
 		{
-			"id twice", "serve", call(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
+			"repeated id", "serve", callCtx(t, long, "rid", "0000000000000007", "rid", "0000000000000008", "method", "load"),
 			codes.InvalidArgument, "rid", 0,
 		},
-		{"no deadline", "serve", call(t, 0, "rid", "0000000000000007", "method", "load"), codes.InvalidArgument, "budget", 0},
 		{
-			"no statement", "", call(t, long, "rid", "0000000000000007", "method", "load"),
+			"no deadline", "serve", callCtx(t, 0, "rid", "0000000000000007", "method", "load"),
+			codes.InvalidArgument, "budget", 0,
+		},
+		{
+			"no statement", "", callCtx(t, long, "rid", "0000000000000007", "method", "load"),
 			codes.InvalidArgument, "statement", 0,
 		},
 	} {
-		k.check(t, engines, c, true)
-		k.check(t, engines, c, false)
+		tc.check(t, engines, c, true)
+		tc.check(t, engines, c, false)
 	}
 }
 
-// check runs the statement as an update or a query.
-func (k answerCase) check(t *testing.T, engines *scriptedEngines, c *fsql.Client, update bool) {
+// check runs the statement as an update or a query and compares its status, rows and attempts.
+func (tc answerCase) check(t *testing.T, engines *scriptedEngines, c *fsql.Client, update bool) {
 	t.Helper()
-	fields, _ := metadata.FromOutgoingContext(k.ctx)
+	fields, _ := metadata.FromOutgoingContext(tc.ctx)
 	ids := fields.Get("rid")
-	if !update { // the id of a load that may have run cannot be used again
+	if !update { // the update may have run, so its id cannot be used again
 		ids[0] = "a" + ids[0][1:]
 	}
 	fields.Set("rid", ids...)
-	ctx, id := metadata.NewOutgoingContext(k.ctx, fields), ids[0]
+	ctx, id := metadata.NewOutgoingContext(tc.ctx, fields), ids[0]
 	var rows, want int64
 	var err error
 	if update {
 		want = 3
-		rows, err = c.ExecuteUpdate(ctx, k.statement)
+		rows, err = c.ExecuteUpdate(ctx, tc.statement)
 	} else {
 		want = 2
-		rows, err = fetch(ctx, c, k.statement)
+		rows, err = fetch(ctx, c, tc.statement)
 	}
 	if err == nil && rows != want {
-		t.Errorf("%s, update %v: %d rows, want %d", k.name, update, rows, want)
+		t.Errorf("%s, update %v: %d rows, want %d", tc.name, update, rows, want)
 	}
-	if status.Code(err) != k.code || err != nil && !strings.Contains(err.Error(), k.text) {
-		t.Errorf("%s, update %v: %v, want %v with %q", k.name, update, err, k.code, k.text)
+	if status.Code(err) != tc.code || err != nil && !strings.Contains(err.Error(), tc.text) {
+		t.Errorf("%s, update %v: %v, want %v with %q", tc.name, update, err, tc.code, tc.text)
 	}
 	runs := engines.runsOf(id)
-	// A call whose deadline has passed already may be rejected by gRPC itself.
-	if runs != k.runs && k.code != codes.DeadlineExceeded || runs > k.runs {
-		t.Errorf("%s, update %v: ran %d times, want %d", k.name, update, runs, k.runs)
+	// gRPC itself may reject a call whose deadline has passed, so that it has no attempt.
+	if runs != tc.runs && tc.code != codes.DeadlineExceeded || runs > tc.runs {
+		t.Errorf("%s, update %v: %d attempts, want %d", tc.name, update, runs, tc.runs)
 	}
 }
 
-// fetch runs a query and returns the number of its rows.
+// fetch runs a query (GetFlightInfo and DoGet) and returns the number of its rows.
 func fetch(ctx context.Context, c *fsql.Client, statement string) (int64, error) {
 	info, err := c.Execute(ctx, statement)
 	if err != nil {
@@ -111,7 +115,7 @@
 	return redeem(ctx, c, info.Endpoint[0].Ticket)
 }
 
-// redeem redeems a ticket and returns the number of rows.
+// redeem redeems a ticket with DoGet and returns the number of rows.
 func redeem(ctx context.Context, c *fsql.Client, ticket *flight.Ticket) (int64, error) {
 	r, err := c.DoGet(ctx, ticket)
 	if err != nil {
@@ -125,14 +129,15 @@
 	return rows, r.Err()
 }
 
-// A rejection reports when to retry, in a machine-readable detail too, and a failure whether a retry is safe.
+// A rejection has the time to wait before a retry in its status details and its trailer. The trailer of a failure says
+// whether a retry is safe.
 func TestRetryAdvice(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.Execute(call(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", "lookup"), "full")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stream, err := c.Client.DoGet(call(t, 20*time.Second), info.Endpoint[0].Ticket)
+	stream, err := c.Client.DoGet(callCtx(t, 20*time.Second), info.Endpoint[0].Ticket)
 	if err == nil {
 		_, err = stream.Recv()
 	}
@@ -146,10 +151,11 @@
 	if delay != time.Second || trailer.Get(metaBackoff)[0] != "1000" || trailer.Get(metaRetry)[0] != "safe" {
 		t.Errorf("%v: delay %v, trailer %v", err, delay, trailer)
 	}
-	if info, err = c.Execute(call(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset"); err != nil {
+	info, err = c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset")
+	if err != nil {
 		t.Fatal(err)
 	}
-	if stream, err = c.Client.DoGet(call(t, 20*time.Second), info.Endpoint[0].Ticket); err == nil {
+	if stream, err = c.Client.DoGet(callCtx(t, 20*time.Second), info.Endpoint[0].Ticket); err == nil {
 		_, err = stream.Recv()
 	}
 	if got := stream.Trailer().Get(metaRetry); len(got) != 1 || !strings.HasPrefix(got[0], "unsafe") {
@@ -157,19 +163,19 @@
 	}
 }
 
-// The ticket of a load is redeemed once, also by several fetches at once.
+// Guards against a load that runs twice: of several concurrent DoGets with one ticket, exactly one succeeds.
 func TestTicketOfLoadIsRedeemedOnce(t *testing.T) {
 	_, engines, c := newFront(t)
 	const fetches = 8
 	const id = "0000000000000001"
-	info, err := c.Execute(call(t, 20*time.Second, "rid", id, "method", "load"), "serve")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", id, "method", "load"), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	results := make(chan error, fetches)
 	for range fetches {
 		go func() {
-			_, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket)
+			_, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket)
 			results <- err
 		}()
 	}
@@ -178,109 +184,113 @@
 		byCode[status.Code(<-results)]++
 	}
 	if byCode[codes.OK] != 1 || byCode[codes.NotFound] != fetches-1 || engines.runsOf(id) != 1 {
-		t.Errorf("fetches by code %v, ran %d times", byCode, engines.runsOf(id))
+		t.Errorf("DoGets by code: %v, want one OK and the others NotFound; %d attempts, want 1", byCode, engines.runsOf(id))
 	}
 }
 
-// The ticket of a look-up is redeemed as often as it is fetched.
-func TestTicketOfLookupIsRedeemedAgain(t *testing.T) {
+// The ticket of an idempotent query can be redeemed repeatedly, and each DoGet runs the query.
+func TestTicketOfLookupCanBeRedeemedAgain(t *testing.T) {
 	_, engines, c := newFront(t)
 	const id = "0000000000000002"
-	info, err := c.Execute(call(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
+	info, err := c.Execute(callCtx(t, 20*time.Second, "rid", id, "method", "lookup"), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket); err != nil {
+		if _, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket); err != nil {
 			t.Error(err)
 		}
 	}
 	if ran := engines.runsOf(id); ran != 2 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("%d attempts, want 2", ran)
 	}
 }
 
-// A prepared statement, as many drivers send each statement, is handled like a plain one: each execution is a request
-// of its own, and the ticket of a load is redeemed once. What it does not support is malformed.
+// Many drivers send each statement as a prepared statement. It is handled like a plain one: each execution is a request
+// of its own, and the ticket of a load can be redeemed once. Parameters and an empty statement are malformed.
 func TestPreparedStatements(t *testing.T) {
 	_, engines, c := newFront(t)
 	const long = 20 * time.Second
-	p, err := c.Prepare(call(t, long), "serve")
+	p, err := c.Prepare(callCtx(t, long), "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"0000000000000001", "0000000000000002"} {
-		info, err := p.Execute(call(t, long, "rid", id, "method", "load"))
+		info, err := p.Execute(callCtx(t, long, "rid", id, "method", "load"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows, err := redeem(call(t, long), c, info.Endpoint[0].Ticket)
+		rows, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket)
 		if err != nil || rows != 2 {
-			t.Errorf("%d rows, %v", rows, err)
+			t.Errorf("query: %d rows, error %v, want 2 rows", rows, err)
 		}
-		if _, err := redeem(call(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
-			t.Errorf("a load's ticket, redeemed again: %v", err)
+		if _, err := redeem(callCtx(t, long), c, info.Endpoint[0].Ticket); status.Code(err) != codes.NotFound {
+			t.Errorf("second redemption of a load's ticket: %v, want NotFound", err)
 		}
 		if engines.runsOf(id) != 1 {
-			t.Errorf("%s ran %d times", id, engines.runsOf(id))
+			t.Errorf("%s: %d attempts, want 1", id, engines.runsOf(id))
 		}
 	}
-	if n, err := p.ExecuteUpdate(call(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
-		t.Errorf("update: %d rows changed, %v", n, err)
+	if n, err := p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000003", "method", "load")); n != 3 || err != nil {
+		t.Errorf("update: %d rows changed, error %v, want 3 rows", n, err)
 	}
-	if _, err := p.Execute(call(t, long, "method", "load")); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("without an id: %v", err)
+	if _, err := p.Execute(callCtx(t, long, "method", "load")); status.Code(err) != codes.InvalidArgument {
+		t.Errorf("without an id: %v, want InvalidArgument", err)
 	}
 	schema := arrow.NewSchema([]arrow.Field{{Name: "p", Type: arrow.PrimitiveTypes.Int64}}, nil)
 	values := array.NewInt64Builder(memory.DefaultAllocator)
 	values.Append(1)
 	p.SetParameters(array.NewRecordBatch(schema, []arrow.Array{values.NewArray()}, 1))
-	_, err = p.ExecuteUpdate(call(t, long, "rid", "0000000000000004", "method", "load"))
+	_, err = p.ExecuteUpdate(callCtx(t, long, "rid", "0000000000000004", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument || engines.runsOf("0000000000000004") != 0 {
-		t.Errorf("update with parameters: %v, ran %d times", err, engines.runsOf("0000000000000004"))
+		t.Errorf("update with parameters: %v, want InvalidArgument; %d attempts, want none",
+			err, engines.runsOf("0000000000000004"))
 	}
-	_, err = p.Execute(call(t, long, "rid", "0000000000000005", "method", "load"))
+	_, err = p.Execute(callCtx(t, long, "rid", "0000000000000005", "method", "load"))
 	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("query with parameters: %v", err)
+		t.Errorf("query with parameters: %v, want InvalidArgument", err)
 	}
-	if err := p.Close(call(t, long)); err != nil {
+	if err := p.Close(callCtx(t, long)); err != nil {
 		t.Error("close:", err)
 	}
-	if _, err := c.Prepare(call(t, long), ""); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("an empty statement: %v", err)
+	if _, err := c.Prepare(callCtx(t, long), ""); status.Code(err) != codes.InvalidArgument {
+		t.Errorf("empty statement: %v, want InvalidArgument", err)
 	}
 }
 
-// Calls without a required field are malformed, and the front continues to serve.
+// Guards against a malformed call that ends the process: calls without a required part or with invalid bytes are
+// answered with InvalidArgument, and the front continues to serve.
 func TestMalformedCalls(t *testing.T) {
 	_, engines, c := newFront(t)
-	ctx := func() context.Context { return call(t, 20*time.Second, "rid", "0000000000000001", "method", "load") }
+	ctx := func() context.Context {
+		return callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", "load")
+	}
 	garbage := []byte{0xff, 0x01, 0x02}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name string
 		call func() error
 	}{
-		{"info without a descriptor", func() error { _, err := c.Client.GetFlightInfo(ctx(), nil); return err }},
-		{"info about garbage", func() error {
+		{"GetFlightInfo without a descriptor", func() error { _, err := c.Client.GetFlightInfo(ctx(), nil); return err }},
+		{"GetFlightInfo with garbage", func() error {
 			_, err := c.Client.GetFlightInfo(ctx(), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: garbage})
 			return err
 		}},
-		{"a statement too long", func() error {
+		{"statement too long", func() error {
 			_, err := c.ExecuteUpdate(ctx(), strings.Repeat("x", maxStatement+1))
 			return err
 		}},
-		{"schema without a descriptor", func() error { _, err := c.Client.GetSchema(ctx(), nil); return err }},
-		{"fetch without a ticket", func() error { _, err := redeem(ctx(), c, &flight.Ticket{}); return err }},
-		{"fetch with garbage", func() error { _, err := redeem(ctx(), c, &flight.Ticket{Ticket: garbage}); return err }},
-		{"update without a descriptor", func() error { return put(ctx(), c, &flight.FlightData{}) }},
+		{"GetSchema without a descriptor", func() error { _, err := c.Client.GetSchema(ctx(), nil); return err }},
+		{"DoGet without a ticket", func() error { _, err := redeem(ctx(), c, &flight.Ticket{}); return err }},
+		{"DoGet with garbage", func() error { _, err := redeem(ctx(), c, &flight.Ticket{Ticket: garbage}); return err }},
+		{"update without a descriptor", func() error { return doPut(ctx(), c, &flight.FlightData{}) }},
 		{"update with garbage", func() error {
-			return put(ctx(), c, &flight.FlightData{
+			return doPut(ctx(), c, &flight.FlightData{
 				DataHeader: garbage, DataBody: garbage,
 				FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: garbage},
 			})
 		}},
 		{"update with a long garbage header", func() error {
-			return put(ctx(), c, &flight.FlightData{DataHeader: bytes.Repeat(garbage, 50)})
+			return doPut(ctx(), c, &flight.FlightData{DataHeader: bytes.Repeat(garbage, 50)})
 		}},
 		{"action with garbage", func() error {
 			s, err := c.Client.DoAction(ctx(), &flight.Action{Type: fsql.CreatePreparedStatementActionType, Body: garbage})
@@ -297,19 +307,20 @@
 			return err
 		}},
 	} {
-		if err := k.call(); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", k.name, err)
+		if err := tc.call(); status.Code(err) != codes.InvalidArgument {
+			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
 	if engines.runsOf("0000000000000001") != 0 {
-		t.Error("something reached an engine")
+		t.Error("a malformed call reached an engine")
 	}
 	if n, err := c.ExecuteUpdate(ctx(), "serve"); n != 3 || err != nil {
-		t.Errorf("a good update afterwards: %d, %v", n, err)
+		t.Errorf("valid update afterwards: %d rows changed, error %v, want 3 rows", n, err)
 	}
 }
 
-func put(ctx context.Context, c *fsql.Client, d *flight.FlightData) error {
+// doPut sends one DoPut message and returns the error that ends the call.
+func doPut(ctx context.Context, c *fsql.Client, d *flight.FlightData) error {
 	s, err := c.Client.DoPut(ctx)
 	if err != nil {
 		return err
@@ -324,31 +335,31 @@
 	return err
 }
 
-// Clients request what the server supports before they use it.
+// GetSqlInfo works, with which clients find out what the server supports.
 func TestSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
-	info, err := c.GetSqlInfo(call(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
+	info, err := c.GetSqlInfo(callCtx(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rows, err := redeem(call(t, 20*time.Second), c, info.Endpoint[0].Ticket); rows != 1 || err != nil {
+	if rows, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket); rows != 1 || err != nil {
 		t.Errorf("%d rows, %v", rows, err)
 	}
 }
 
-// An id in use has a code of its own. A client that cancels frees the id, unless it is that of a load, which may run
-// on.
+// A request with the id of an open request is answered with AlreadyExists. After the client has cancelled the first
+// request, the id can be used again, except that of a load, which may still run.
 func TestIDInUse(t *testing.T) {
 	for class, after := range map[string]codes.Code{"lookup": codes.OK, "load": codes.AlreadyExists} {
 		t.Run(class, func(t *testing.T) { checkIDInUse(t, class, after) })
 	}
 }
 
-// checkIDInUse reuses the id of an open request, and after its client has cancelled it.
+// checkIDInUse reuses the id of a request while it is open and after its client has cancelled it.
 func checkIDInUse(t *testing.T, class string, after codes.Code) {
 	t.Helper()
 	f, engines, c := newFront(t)
-	ctx, cancel := context.WithCancel(call(t, 20*time.Second, "rid", "0000000000000001", "method", class))
+	ctx, cancel := context.WithCancel(callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", class))
 	first := make(chan error, 1)
 	go func() {
 		_, err := c.ExecuteUpdate(ctx, "hang")
@@ -357,18 +368,18 @@
 	for engines.runsOf("0000000000000001") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	again := call(t, 20*time.Second, "rid", "0000000000000001", "method", class)
+	again := callCtx(t, 20*time.Second, "rid", "0000000000000001", "method", class)
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != codes.AlreadyExists {
-		t.Errorf("while it is open: %v", err)
+		t.Errorf("while the request is open: %v, want AlreadyExists", err)
 	}
 	cancel()
 	if err := <-first; status.Code(err) != codes.Canceled {
-		t.Errorf("the cancelled call: %v", err)
+		t.Errorf("the cancelled call: %v, want Canceled", err)
 	}
 	for f.ActiveCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := c.ExecuteUpdate(again, "serve"); status.Code(err) != after {
-		t.Errorf("after it was cancelled: %v, want %v", err, after)
+		t.Errorf("after the request was cancelled: %v, want %v", err, after)
 	}
 }
--- a/internal/flightsql/golden_client_test.go
+++ b/internal/flightsql/golden_client_test.go
@@ -17,12 +17,12 @@
 	"windflow/internal/router"
 )
 
-// recordingEngine is a fake engine that records the calls that it is sent.
+// recordingEngine is a fake engine that records the calls that it receives.
 type recordingEngine struct {
 	flight.BaseFlightServer
-	calls   bytes.Buffer
-	rows    []*flight.FlightData
-	rejects bool
+	calls          bytes.Buffer
+	rows           []*flight.FlightData
+	rejectsUpdates bool // with proof that nothing ran
 }
 
 func (e *recordingEngine) record(ctx context.Context, method string, sent []byte) {
@@ -41,7 +41,7 @@
 func (e *recordingEngine) DoGet(ticket *flight.Ticket, s flight.FlightService_DoGetServer) error {
 	e.record(s.Context(), "DoGet", ticket.GetTicket())
 	s.SetTrailer(metadata.Pairs("cpu-ms", "12.5", "mem-used", "34.5"))
-	return rows(e.rows)(s)
+	return sendMessages(e.rows)(s)
 }
 
 func (e *recordingEngine) DoPut(s flight.FlightService_DoPutServer) error {
@@ -50,7 +50,7 @@
 		return err
 	}
 	e.record(s.Context(), "DoPut", data.GetFlightDescriptor().GetCmd())
-	if e.rejects {
+	if e.rejectsUpdates {
 		s.SetTrailer(metadata.Pairs("not-begun", "1"))
 		return status.Error(codes.ResourceExhausted, "full")
 	}
@@ -58,7 +58,7 @@
 	return s.Send(&flight.PutResult{AppMetadata: []byte{8, 3}})
 }
 
-// runAttempts runs calls one after the other at an engine and returns their ends.
+// runAttempts runs calls at an engine one after another and returns their ends.
 func runAttempts(t *testing.T, engine *recordingEngine, calls ...router.Call) (ends []router.End) {
 	t.Helper()
 	address := serveEngine(t, engine)
@@ -73,7 +73,7 @@
 	return ends
 }
 
-// Engines are sent the same calls and metadata as before, and their trailers are read as they were.
+// Compares the calls and metadata that engines receive with the recorded ones, and checks that their trailers are read.
 func TestGoldenEngineCalls(t *testing.T) {
 	e := &recordingEngine{rows: textStream(t, "ab", "cd")}
 	query := router.Call{
@@ -83,7 +83,7 @@
 	update.Update = true
 	load.AtMostOnce = true
 	served := runAttempts(t, e, query, update, load)
-	e.rejects = true
+	e.rejectsUpdates = true
 	rejected := runAttempts(t, e, load)
 	golden.Equal(t, "engine-calls.txt", e.calls.Bytes())
 	changed := router.Result{
--- a/internal/mysql/answer.go
+++ b/internal/mysql/answer.go
@@ -6,25 +6,25 @@
 	"windflow/internal/router"
 )
 
-// Served implements router.ResponseHandler.
+// Served implements router.ResponseHandler. It sends the rows as a text result set.
 func (s *session) Served(result *router.Result) {
 	w := packetWriter{seq: s.seq}
 	w.result(result)
-	s.answer(w.buffer)
+	s.writeAnswer(w.buffer)
 }
 
-// Rejected implements router.ResponseHandler.
+// Rejected implements router.ResponseHandler. It sends error 1040, which tells the client that a retry is safe.
 func (s *session) Rejected(backoffMS float64) {
 	w := packetWriter{seq: s.seq}
 	text := "refused, nothing was done; try again later"
-	if backoffMS > 0 { // else the settings allow no advice
+	if backoffMS > 0 { // it is 0 where the settings forbid retry advice
 		text += fmt.Sprintf(": backoff=%.0f", backoffMS)
 	}
-	w.err(errTooManyConns, text)
-	s.answer(w.buffer)
+	w.err(errTooManyConnections, text)
+	s.writeAnswer(w.buffer)
 }
 
-// Failed implements router.ResponseHandler.
+// Failed implements router.ResponseHandler. It sends error 3024 after a deadline and error 1105 otherwise.
 func (s *session) Failed(reason router.Reason) {
 	w := packetWriter{seq: s.seq}
 	switch reason {
@@ -33,19 +33,20 @@
 	case router.ReasonEngine:
 		w.err(errUnknown, "the query failed; it may have run")
 	}
-	s.answer(w.buffer)
+	s.writeAnswer(w.buffer)
 }
 
-// answer writes the one answer to the open command and continues with what the client sent meanwhile.
-func (s *session) answer(packets []byte) {
+// writeAnswer writes the answer to the current command. It then handles the packets that the client sent ahead of the
+// answer or, while the front drains, closes a session that has none.
+func (s *session) writeAnswer(packets []byte) {
 	wasBusy := s.busy
 	s.busy, s.waitingSinceMS = false, s.loop.Now()
 	_ = s.conn.Write(packets)
 	switch {
 	case wasBusy && len(s.buffer) > 0:
-		s.loop.Post(s.advance)
+		s.loop.Post(s.processBuffer)
 	case wasBusy && s.front.draining && !s.conn.HasUnread():
-		s.end()
+		s.close()
 	}
 }
 
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -7,19 +7,19 @@
 	"windflow/internal/router"
 )
 
-// handleCommand handles a command of a client that is logged in.
+// handleCommand handles a command of a client that has logged in.
 func (s *session) handleCommand(command byte, body []byte) {
 	switch command {
 	case comQuit:
-		s.end()
+		s.close()
 	case comPing:
 		s.counters.Pings++
 		s.writeOK()
-	case comResetConn:
+	case comResetConnection:
 		s.writeOK()
 	case comInitDB:
 		if string(body) != database {
-			s.writeError(errUnknownDB, fmt.Sprintf("unknown database %q", body))
+			s.writeError(errUnknownDatabase, fmt.Sprintf("unknown database %q", body))
 			return
 		}
 		s.writeOK()
@@ -28,11 +28,11 @@
 	case comQuery:
 		s.handleQuery(string(body))
 	default:
-		s.writeError(errUnknownCom, fmt.Sprintf("unknown command %d", command))
+		s.writeError(errUnknownCommand, fmt.Sprintf("unknown command %d", command))
 	}
 }
 
-// writeStatistics answers with the rows of SHOW STATUS as one text.
+// writeStatistics answers COM_STATISTICS with the rows of SHOW STATUS in one string.
 func (s *session) writeStatistics() {
 	w := packetWriter{seq: s.seq}
 	w.begin()
@@ -43,12 +43,13 @@
 	_ = s.conn.Write(w.buffer)
 }
 
-// handleQuery submits a request, or answers one of the few statements that clients send without fields.
+// handleQuery submits a query that starts with a comment with fields to the core, and answers any other itself. A
+// malformed request is answered with error 1064.
 func (s *session) handleQuery(text string) {
 	fields, statement, found, err := parseFields(text)
 	if err == nil && !found {
 		statement := strings.TrimRight(strings.TrimSpace(text), "; \t\r\n")
-		(&builtin{session: s, front: s.front, fields: strings.Fields(statement)}).run()
+		(&builtinStatement{session: s, front: s.front, fields: strings.Fields(statement)}).run()
 		return
 	}
 	if err == nil {
@@ -61,7 +62,8 @@
 	}
 }
 
-// submit submits a request to the core. The session is busy from before the call, because the core may answer in it.
+// submit submits a request to the core. The session is marked busy before the call, because the core may answer within
+// it.
 func (s *session) submit(fields map[string]string, statement string) error {
 	field := func(name string) string { return fields[name] }
 	request, err := router.NewRequest(field, statement, s.lastDataMS)
