--- a/cmd/simadapter/actions_test.go
+++ b/cmd/simadapter/actions_test.go
@@ -10,7 +10,7 @@
 
 // Each action has the bytes of the simulator's protocol.
 func TestActionsAreEncoded(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		action dispatch.Action
 		want   string
 	}{
@@ -37,9 +37,9 @@
 		{dispatch.Subscribe{}, `{"FOLLOW":{"on":true,"who":3}}`},
 		{dispatch.SetTimer{Tag: 4, After: 9}, `{"SCHEDULE":{"delay-ns":9,"tag":4,"who":3}}`},
 	} {
-		got, err := json.Marshal(encodeAction(3, k.action))
-		if err != nil || string(got) != k.want {
-			t.Errorf("%#v: %s, %v, want %s", k.action, got, err, k.want)
+		got, err := json.Marshal(encodeAction(3, test.action))
+		if err != nil || string(got) != test.want {
+			t.Errorf("%#v: %s, %v, want %s", test.action, got, err, test.want)
 		}
 	}
 }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -39,10 +39,10 @@
 	}
 )
 
-// A bill is milliseconds of work times billUnit, plus the memory needed in units of billMB.
+// A bill is milliseconds of work times billWorkFactor, plus the memory needed in units of billMemoryUnitMB.
 const (
-	billUnit = 4096
-	billMB   = 4
+	billWorkFactor   = 4096
+	billMemoryUnitMB = 4
 )
 
 // unknownLoad represents a value that a load report does not have.
@@ -188,7 +188,7 @@
 	return dispatch.AttemptEnd{
 		Request: id, Attempt: m.Hop, Outcome: outcome,
 		Took: time.Duration(m.DelaySeenNS), Last: m.Last, Report: m.loadReport(),
-		Work: time.Duration(m.Bill/billUnit) * time.Millisecond, NeedMB: float64(m.Bill%billUnit) * billMB,
+		Work: time.Duration(m.Bill/billWorkFactor) * time.Millisecond, NeedMB: float64(m.Bill%billWorkFactor) * billMemoryUnitMB,
 	}, nil
 }
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,17 +13,17 @@
 const startLine = `{"ts-ns":1000000000,"n":1,"in":[{"START":{"who":0,"nonce64":5,"settings":{"balancers":1,"me":0,` +
 	`"later-setting":[1],"classes":[{"name":"lookup","goal-time-ns":500000000,"deadline-ns":3000000000,` +
 	`"semantics":"idempotent"}],"kinds":["k"],"limits":{"attempts-cap":3},` +
-	`"specifics":{"cores-by-kind":[8],"width-by-class":[1],"priorities":true}}}}` + listA + `]}`
+	`"specifics":{"cores-by-kind":[8],"width-by-class":[1],"priorities":true}}}}` + registerListMessages + `]}`
 
-const listA = `,{"REGISTER":{"sheet":0,"elements":[{"executor":7,"flavor":"k","condition":"live"}]}},` +
+const registerListMessages = `,{"REGISTER":{"sheet":0,"elements":[{"executor":7,"flavor":"k","condition":"live"}]}},` +
 	`{"ENDPOINTS":{"who":0,"seq-no":1,"mode":"SAVED","sheet":0}}`
 
-func request(n, ref string) string {
+func requestLine(n, ref string) string {
 	return `{"ts-ns":1100000000,"n":` + n + `,"in":[{"REQ":{"who":0,"ref":"` + ref +
 		`","kind":"lookup","time-left-ns":3000000000}}]}`
 }
 
-func play(t *testing.T, lines ...string) (string, error) {
+func runLines(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
@@ -31,7 +31,7 @@
 }
 
 func TestStartsAttemptsAndReplies(t *testing.T) {
-	out, err := play(t, startLine, request("2", "a"),
+	out, err := runLines(t, startLine, requestLine("2", "a"),
 		`{"ts-ns":1200000000,"n":3,"in":[{"ATTEMPT_END":{"who":0,"ref":"a","hop":0,"executor":7,`+
 			`"disposition":"served","delay-seen-ns":1,"last":true,"load":{"busy":0.5,"new":3}}},`+
 			`{"BELL":{"who":0,"tag":99}},{"ABORTED":{"who":0,"ref":"a"}}]}`)
@@ -43,9 +43,9 @@
 		!strings.Contains(lines[1], `"weight-class":2`) || strings.Contains(lines[2], "DISPATCH") {
 		t.Errorf("replies:\n%s", out)
 	}
-	for _, l := range lines {
-		if !json.Valid([]byte(l)) {
-			t.Errorf("not JSON: %s", l)
+	for _, line := range lines {
+		if !json.Valid([]byte(line)) {
+			t.Errorf("not JSON: %s", line)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 func TestRegisterIsResolvedInOrder(t *testing.T) {
 	batch := strings.Replace(startLine, `,"mode":"SAVED","sheet":0}}]}`, `,"mode":"SAVED","sheet":0}},`+
 		`{"REGISTER":{"sheet":0,"elements":[{"executor":8,"flavor":"k","condition":"live"}]}}]}`, 1)
-	out, err := play(t, batch, request("2", "a"))
+	out, err := runLines(t, batch, requestLine("2", "a"))
 	if err != nil || !strings.Contains(out, `"executor":7`) || strings.Contains(out, `"executor":8`) {
 		t.Errorf("%v\n%s", err, out)
 	}
@@ -62,30 +62,30 @@
 
 // Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then the
 // loads that lock what it reads are ignored.
-func TestTableGroups(t *testing.T) {
+func TestTableGroupZeroIsAGroup(t *testing.T) {
 	for field, want := range map[string]int64{
 		``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
 		`,"table-group":4294967295`: dispatch.TableGroupOf(math.MaxUint32), `,"table-group":-1`: 0,
 		`,"table-group":1e300`: 0,
 	} {
-		ev, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
-		if a, ok := ev.(dispatch.Arrival); err != nil || !ok || a.TableGroup != want {
-			t.Errorf("%s: %+v, %v, want group %d", field, ev, err, want)
+		event, err := (&host{}).event("REQ", json.RawMessage(`{"ref":"a","kind":"lookup"`+field+`}`))
+		if arrival, ok := event.(dispatch.Arrival); err != nil || !ok || arrival.TableGroup != want {
+			t.Errorf("%s: %+v, %v, want group %d", field, event, err, want)
 		}
 	}
 }
 
 func TestRetiredInstanceStartsEmpty(t *testing.T) {
-	again := strings.TrimSuffix(strings.TrimPrefix(startLine, `{"ts-ns":1000000000,"n":1,"in":[`), "]}")
-	out, err := play(t, startLine, request("2", "a"),
-		`{"ts-ns":1300000000,"n":3,"in":[{"RETIRE":{"who":0}},`+again+`]}`, request("4", "b"))
+	restart := strings.TrimSuffix(strings.TrimPrefix(startLine, `{"ts-ns":1000000000,"n":1,"in":[`), "]}")
+	out, err := runLines(t, startLine, requestLine("2", "a"),
+		`{"ts-ns":1300000000,"n":3,"in":[{"RETIRE":{"who":0}},`+restart+`]}`, requestLine("4", "b"))
 	if err != nil || strings.Count(out, "DISPATCH") != 2 {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
 func TestMalformedInput(t *testing.T) {
-	for _, k := range []struct{ name, line, want string }{
+	for _, test := range []struct{ name, line, want string }{
 		{"not JSON", `{"ts-ns":`, "batch"},
 		{"no time", `{"n":1,"in":[]}`, "ts-ns"},
 		{"wrong type", `{"ts-ns":1,"n":1,"in":[{"BELL":{"who":0,"tag":"x"}}]}`, "message BELL: field tag"},
@@ -98,9 +98,9 @@
 			`{"width-by-class":[1]},"classes":[]}}}]}`, "specifics.width-by-class"},
 		{"unknown list", `{"ts-ns":1,"n":1,"in":[{"ENDPOINTS":{"who":0,"mode":"FULL","sheet":3}}]}`, "field sheet"},
 	} {
-		_, err := play(t, k.line)
-		if err == nil || !strings.Contains(err.Error(), k.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q", k.name, err, k.want)
+		_, err := runLines(t, test.line)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, want %q", test.name, err, test.want)
 		}
 	}
 }
--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -74,7 +74,7 @@
 			Long: "Check files of settings. One with a field \"listen\" is taken for the platform's configuration, any other " +
 				"one for the\ninstallation's settings. Each fault has a line that names the file and the place in it.",
 			Args: cobra.MinimumNArgs(1),
-			RunE: func(c *cobra.Command, files []string) error { return checkAll(c.OutOrStdout(), files) },
+			RunE: func(c *cobra.Command, files []string) error { return checkFiles(c.OutOrStdout(), files) },
 		},
 		&cobra.Command{
 			Use: "schema", Short: "Print the JSON Schema of the installation's settings", Args: cobra.NoArgs,
@@ -84,21 +84,21 @@
 	return config
 }
 
-// checkAll checks files and reports the good ones to out. The error has a line for each fault.
-func checkAll(out io.Writer, files []string) error {
-	var faults []error
+// checkFiles checks files and reports the good ones to out. The error has a line for each fault.
+func checkFiles(out io.Writer, files []string) error {
+	var errs []error
 	for _, file := range files {
-		if err := check(file); err != nil {
-			faults = append(faults, err)
+		if err := checkFile(file); err != nil {
+			errs = append(errs, err)
 			continue
 		}
 		fmt.Fprintf(out, "%s: ok\n", file)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// check reads a file as the router would.
-func check(file string) error {
+// checkFile reads a file as the router would.
+func checkFile(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -124,11 +124,11 @@
 		return text + " of an unknown version"
 	}
 	text += " " + info.Main.Version
-	for _, s := range info.Settings {
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			text += " " + s.Value[:min(len(s.Value), 12)]
-		case s.Key == "vcs.modified" && s.Value == "true":
+		case setting.Key == "vcs.revision":
+			text += " " + setting.Value[:min(len(setting.Value), 12)]
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			text += " with changes"
 		}
 	}
--- a/cmd/windflow/main_test.go
+++ b/cmd/windflow/main_test.go
@@ -20,10 +20,10 @@
 		}
 		return path
 	}
-	bad := write("own.json", `{"flightsql":{"listen":5}}`)
+	invalid := write("own.json", `{"flightsql":{"listen":5}}`)
 	platform := write("platform.json", `{"listen":"127.0.0.1:1","board":"127.0.0.1:1"}`)
 	t.Setenv("PROXY_CONFIG", "")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args string
 		out  string // in what is printed
 		err  string // in the error; empty for none
@@ -34,7 +34,7 @@
 		{"version", "windflow", ""},
 		{"config schema", `"flightsql"`, ""},
 		{"config check ../../deploy/windflow.json ../../deploy/example.json", "example.json: ok", ""},
-		{"config check " + bad, "", bad + ": /flightsql/listen: "},
+		{"config check " + invalid, "", invalid + ": /flightsql/listen: "},
 		{"config check " + platform, "", platform + ": field settings is missing"},
 		{"config check " + filepath.Join(dir, "none.json"), "", "none.json"},
 		{"config check", "", "requires at least 1 arg"},
@@ -45,13 +45,13 @@
 		var out bytes.Buffer
 		root.SetOut(&out)
 		root.SetErr(&out)
-		root.SetArgs(strings.Fields(c.args))
+		root.SetArgs(strings.Fields(test.args))
 		err := root.Execute()
-		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%q: error %v, want %q", c.args, err, c.err)
+		if (err == nil) != (test.err == "") || err != nil && !strings.Contains(err.Error(), test.err) {
+			t.Errorf("%q: error %v, want %q", test.args, err, test.err)
 		}
-		if !strings.Contains(out.String(), c.out) {
-			t.Errorf("%q: printed %q, want %q", c.args, out.String(), c.out)
+		if !strings.Contains(out.String(), test.out) {
+			t.Errorf("%q: printed %q, want %q", test.args, out.String(), test.out)
 		}
 	}
 }
--- a/cmd/windflowctl/admin.go
+++ b/cmd/windflowctl/admin.go
@@ -32,10 +32,10 @@
 	cmd.PersistentFlags().StringSliceVar(&routers, "door", nil,
 		"`address:port` of a router's admin API; several, with commas or the flag again")
 	cmd.AddCommand(
-		adminQuery("ready", "Ask whether they are ready to serve", "/api/ready", &routers),
-		adminQuery("figures", "Print their metrics", "/api/telemetry", &routers),
-		adminOrder("exclude ENGINE", "Cordon an engine: none of them sends it more", "/api/exclude/", &routers),
-		adminOrder("include ENGINE", "Uncordon an engine", "/api/include/", &routers),
+		adminReadCommand("ready", "Ask whether they are ready to serve", "/api/ready", &routers),
+		adminReadCommand("figures", "Print their metrics", "/api/telemetry", &routers),
+		adminEngineCommand("exclude ENGINE", "Cordon an engine: none of them sends it more", "/api/exclude/", &routers),
+		adminEngineCommand("include ENGINE", "Uncordon an engine", "/api/include/", &routers),
 	)
 	return cmd
 }
@@ -52,8 +52,8 @@
 	return cmd
 }
 
-// adminQuery is a command that changes nothing.
-func adminQuery(use, short, path string, routers *[]string) *cobra.Command {
+// adminReadCommand is a command that changes nothing.
+func adminReadCommand(use, short, path string, routers *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -62,8 +62,8 @@
 	}
 }
 
-// adminOrder is a command on an engine, which the path ends in.
-func adminOrder(use, short, pathPrefix string, routers *[]string) *cobra.Command {
+// adminEngineCommand is a command on an engine, which the path ends in.
+func adminEngineCommand(use, short, pathPrefix string, routers *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -46,8 +46,8 @@
 	router := startAdminRouter(t)
 	var printed bytes.Buffer
 	for _, args := range adminCalls {
-		out, bad, err := run(t, append([]string{adminName, "--door", router.address}, args...)...)
-		fmt.Fprintf(&printed, "%v\n%s%s%v\n\n", args, out, bad, err)
+		out, stderr, err := run(t, append([]string{adminName, "--door", router.address}, args...)...)
+		fmt.Fprintf(&printed, "%v\n%s%s%v\n\n", args, out, stderr, err)
 	}
 	_, _, err := run(t, adminName, "ready")
 	fmt.Fprintf(&printed, "no door: %v\n", err)
@@ -61,15 +61,15 @@
 	const notice = "windflowctl: the command \"door\" is called \"admin\" now\n"
 	var printed bytes.Buffer
 	for _, args := range adminCalls {
-		out, bad, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
-		if bad != notice {
-			t.Errorf("%v: standard error has %q", args, bad)
+		out, stderr, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
+		if stderr != notice {
+			t.Errorf("%v: standard error has %q", args, stderr)
 		}
 		fmt.Fprintf(&printed, "%v\n%s%v\n\n", args, out, err)
 	}
-	_, bad, err := run(t, formerAdminName, "ready")
-	if bad != notice {
-		t.Errorf("without a router: standard error has %q", bad)
+	_, stderrWithoutRouter, err := run(t, formerAdminName, "ready")
+	if stderrWithoutRouter != notice {
+		t.Errorf("without a router: standard error has %q", stderrWithoutRouter)
 	}
 	fmt.Fprintf(&printed, "no door: %v\n", err)
 	golden.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -11,30 +11,30 @@
 	"windflow/internal/record"
 )
 
-// goldenSegments has the segments of three routers: the two of writeIncident, and one with each kind of record.
+// goldenSegments has the segments of three routers: the two of writeIncidentRecords, and one with each kind of record.
 const goldenSegments = "segments.tar.gz"
 
-// recordSegments writes the golden segments with this program.
-func recordSegments(t *testing.T) {
+// writeGoldenSegments writes the golden segments with this program.
+func writeGoldenSegments(t *testing.T) {
 	t.Helper()
-	dir := writeIncident(t)
+	dir := writeIncidentRecords(t)
 	cfg := record.DefaultConfig
 	cfg.Dir = dir
-	at := zero
+	at := startMS
 	w := record.StartWriter(cfg, record.Header{
 		Router: "n2", Incarnation: 1, ProcessID: "p2", Program: "windflow 1.2",
 		Classes: []record.Class{{Name: "lookup", PriorityWeight: 1, LateWeightShare: 0.25, ObjectiveMS: 300}},
 	}, func() float64 { return at }, func(err error) { t.Error(err) })
-	for _, r := range fullRecords() {
+	for _, r := range goldenRecords() {
 		w.Put(r)
 	}
 	w.Close()
 	golden.Write(t, goldenSegments, golden.Pack(t, dir))
 }
 
-// fullRecords are one of each kind, all fields set.
-func fullRecords() []record.Record {
-	row := record.ClassStats{
+// goldenRecords are one of each kind, all fields set.
+func goldenRecords() []record.Record {
+	class := record.ClassStats{
 		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2,
 		Cancelled:  5,
 		EstimateMS: 812.5, P50MS: 11.5, P99MS: 93.25,
@@ -46,32 +46,32 @@
 	}
 	return []record.Record{
 		&record.EngineChange{
-			AtMS: zero + 1, EngineID: "s-00000001", State: record.Down, Previous: record.Slow, Slowness: 3.5,
+			AtMS: startMS + 1, EngineID: "s-00000001", State: record.Down, Previous: record.Slow, Slowness: 3.5,
 			FailureRate: 0.125, ConnectionFailures: 6,
-			WarmUpEndMS: zero + 9000, Zone: "z1", Kind: "large", LastEvent: 77,
+			WarmUpEndMS: startMS + 9000, Zone: "z1", Kind: "large", LastEvent: 77,
 		},
 		&record.Interval{
-			AtMS: zero + 1000, DurationMS: 1000, Classes: []record.ClassStats{row},
+			AtMS: startMS + 1000, DurationMS: 1000, Classes: []record.ClassStats{class},
 			Engines: []record.EngineStats{engine}, OpenRequests: 9, QueuedRequests: 2,
 			Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3, InvalidResponses: 4,
 			LastEvent: 78, DiscoveryAgeMS: 250.5,
 		},
 		&record.RequestFailure{
-			AtMS: zero + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
+			AtMS: startMS + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
 			Reason: "no room", EngineID: "s-00000001", AfterMS: 41.5,
 		},
 		&record.Event{
-			AtMS: zero + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"},
+			AtMS: startMS + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json", "result": "taken"},
 		},
-		&record.Gap{AtMS: zero + 1003, FromMS: zero + 900, Dropped: 21},
+		&record.Gap{AtMS: startMS + 1003, FromMS: startMS + 900, Dropped: 21},
 	}
 }
 
 // The output for segments that an earlier program wrote is what that program printed.
 func TestGoldenRecords(t *testing.T) {
-	golden.AllFieldsSet(t, fullRecords())
+	golden.AllFieldsSet(t, goldenRecords())
 	if golden.Recording(t, goldenSegments) {
-		recordSegments(t)
+		writeGoldenSegments(t)
 	}
 	dir := golden.Unpack(t, golden.Read(t, goldenSegments))
 	cut := filepath.Join(t.TempDir(), "cut")
@@ -79,7 +79,7 @@
 	if err != nil || len(full) != 1 {
 		t.Fatal(full, err)
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		file string
 		args []string
 	}{
@@ -89,16 +89,16 @@
 		{
 			"records-cut.txt",
 			[]string{
-				"records", "cut", "--from", formatTime(zero + 58_000), "--to", formatTime(zero + 61_000), "-o", cut,
+				"records", "cut", "--from", formatTime(startMS + 58_000), "--to", formatTime(startMS + 61_000), "-o", cut,
 				dir,
 			},
 		},
 		{"records-cut-cat.txt", []string{"records", "cat", cut}},
 		{"incident.txt", []string{"incident", dir}},
 	} {
-		out, bad, err := run(t, k.args...)
-		printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
-		golden.Equal(t, k.file, []byte(strings.ReplaceAll(printed, dir, "DIR")))
+		out, stderr, err := run(t, test.args...)
+		printed := fmt.Sprintf("%s%s%v\n", out, stderr, err)
+		golden.Equal(t, test.file, []byte(strings.ReplaceAll(printed, dir, "DIR")))
 	}
 }
 
@@ -126,7 +126,7 @@
 			t.Fatal(err)
 		}
 	}
-	out, bad, err := run(t, "records", "check", dir)
-	printed := fmt.Sprintf("%s%s%v\n", out, bad, err)
+	out, stderr, err := run(t, "records", "check", dir)
+	printed := fmt.Sprintf("%s%s%v\n", out, stderr, err)
 	golden.Equal(t, "records-damaged.txt", []byte(strings.ReplaceAll(printed, dir, "DIR")))
 }
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -24,8 +24,8 @@
 			WarmUpEndMS: 14.5, Zone: "a", Kind: "arrow", LastEvent: 15,
 		},
 		&record.Interval{
-			AtMS: 21.5, DurationMS: 1000.5, Classes: []record.ClassStats{sampleRow()},
-			Engines:      []record.EngineStats{sampleEngineRow()},
+			AtMS: 21.5, DurationMS: 1000.5, Classes: []record.ClassStats{sampleClassStats()},
+			Engines:      []record.EngineStats{sampleEngineStats()},
 			OpenRequests: 22, QueuedRequests: 23, Congestion: 0.75, EngineConnections: 24, ClientSessions: 25,
 			RejectedSessions: 26, InvalidResponses: 27, LastEvent: 28, DiscoveryAgeMS: 29.5,
 		},
@@ -38,14 +38,14 @@
 	}
 }
 
-func sampleRow() record.ClassStats {
+func sampleClassStats() record.ClassStats {
 	return record.ClassStats{
 		Class: "lookup", Tenant: "a-17", Arrived: 61, Retries: 62, OnTime: 63, Late: 64, Rejected: 65, Failed: 66,
 		Cancelled: 67, EstimateMS: 68.5, P50MS: 69.5, P99MS: 70.5,
 	}
 }
 
-func sampleEngineRow() record.EngineStats {
+func sampleEngineStats() record.EngineStats {
 	return record.EngineStats{
 		EngineID: "s-00000001", Sent: 71, Served: 72, Rejected: 73, Errored: 74, ConnectionFailed: 75, TimedOut: 76,
 		InFlight:    77,
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -12,60 +12,60 @@
 	"windflow/internal/record"
 )
 
-const zero = 1_796_000_000_000.0
+const startMS = 1_796_000_000_000.0
 
-// writeIncident writes two minutes of records of two routers whose clocks are 250 ms apart. An engine is down for ten
+// writeIncidentRecords writes two minutes of records of two routers whose clocks are 250 ms apart. An engine is down for ten
 // seconds in the middle.
-func writeIncident(t *testing.T) string {
+func writeIncidentRecords(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i, offset := range []float64{0, 250} {
 		cfg := record.DefaultConfig
 		cfg.Dir = dir
-		at := zero
+		at := startMS
 		w := record.StartWriter(cfg, record.Header{
 			Router: "n" + string(rune('0'+i)) + "\x1b[31m", Incarnation: 2, ProcessID: "p" + string(rune('0'+i)),
 			Classes: []record.Class{{Name: "lookup", PriorityWeight: 1}},
 		}, func() float64 { return at }, func(err error) { t.Error(err) })
-		on := func(ms float64) float64 { return zero + ms + offset }
+		on := func(ms float64) float64 { return startMS + ms + offset }
 		w.Put(&record.EngineChange{AtMS: on(0), EngineID: "s-00000001", State: record.Normal})
-		for s := range 120 {
-			row := record.ClassStats{Class: "lookup", Tenant: "rckik-south", Arrived: 50, OnTime: 50}
-			if s >= 60 && s < 70 {
-				row.OnTime, row.Failed = 20, 30
+		for second := range 120 {
+			stats := record.ClassStats{Class: "lookup", Tenant: "rckik-south", Arrived: 50, OnTime: 50}
+			if second >= 60 && second < 70 {
+				stats.OnTime, stats.Failed = 20, 30
 			}
-			if s == 60 {
+			if second == 60 {
 				w.Put(&record.EngineChange{
 					AtMS: on(60_000), EngineID: "s-00000001", State: record.Down, Previous: record.Normal,
 					ConnectionFailures: 6,
 				})
 			}
-			if s == 70 {
+			if second == 70 {
 				w.Put(&record.EngineChange{
 					AtMS: on(70_000), EngineID: "s-00000001", State: record.Normal, Previous: record.Down,
 				})
 			}
-			if s%20 == 5 {
+			if second%20 == 5 {
 				w.Put(&record.EngineChange{
-					AtMS: on(float64(1000 * s)), EngineID: "s-0000010" + string(rune('0'+s/20)), State: record.Gone,
+					AtMS: on(float64(1000 * second)), EngineID: "s-0000010" + string(rune('0'+second/20)), State: record.Gone,
 				})
 			}
-			w.Put(&record.Interval{AtMS: on(float64(1000 * s)), DurationMS: 1000, Classes: []record.ClassStats{row}})
+			w.Put(&record.Interval{AtMS: on(float64(1000 * second)), DurationMS: 1000, Classes: []record.ClassStats{stats}})
 		}
 		w.Close()
 	}
 	return dir
 }
 
-func run(t *testing.T, args ...string) (out, bad string, err error) {
+func run(t *testing.T, args ...string) (out, stderr string, err error) {
 	t.Helper()
 	root := command()
-	var a, b bytes.Buffer
-	root.SetOut(&a)
-	root.SetErr(&b)
+	var outBuffer, errBuffer bytes.Buffer
+	root.SetOut(&outBuffer)
+	root.SetErr(&errBuffer)
 	root.SetArgs(args)
 	err = root.Execute()
-	return a.String(), b.String(), err
+	return outBuffer.String(), errBuffer.String(), err
 }
 
 // printedLine is a line of "records cat" as a reader decodes it.
@@ -96,7 +96,7 @@
 }
 
 func TestRecordsCommands(t *testing.T) {
-	dir := writeIncident(t)
+	dir := writeIncidentRecords(t)
 	out, _, err := run(t, "records", "check", dir)
 	if err != nil || strings.Count(out, ": ok\n") != 2 {
 		t.Error(out, err)
@@ -106,10 +106,10 @@
 	if err != nil || len(lines) != 2*(1+3+6) {
 		t.Error(len(lines), err)
 	}
-	for _, l := range lines {
-		printed, err := decodeLine(l)
+	for _, line := range lines {
+		printed, err := decodeLine(line)
 		if err != nil || printed.Kind != "engine" && printed.Kind != "header" || printed.Time == "" {
-			t.Errorf("%s: %v", l, err)
+			t.Errorf("%s: %v", line, err)
 		}
 	}
 	_, _, err = run(t, "records", "cat", "--kind", "x", dir)
@@ -122,7 +122,7 @@
 	if err == nil || !strings.Contains(err.Error(), "--to") {
 		t.Error(out, err)
 	}
-	from, to := formatTime(zero+50_000), formatTime(zero+80_000)
+	from, to := formatTime(startMS+50_000), formatTime(startMS+80_000)
 	if out, _, err = run(t, "records", "cut", "--from", from, "--to", to, "-o", cut, dir); err != nil {
 		t.Error(out, err)
 	}
@@ -154,7 +154,7 @@
 // The report names the incident, the clock's offset, who was affected and the engine. It has no escape code of a
 // router's name.
 func TestIncidentCommand(t *testing.T) {
-	out, _, err := run(t, "incident", writeIncident(t))
+	out, _, err := run(t, "incident", writeIncidentRecords(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/windflowctl/thread_sample.go
+++ b/cmd/windflowctl/thread_sample.go
@@ -13,8 +13,8 @@
 	waitChannel string // the kernel's function that the thread waits in; 0 while it runs
 }
 
-// uninterruptible is the state of a thread in a wait that no signal ends.
-const uninterruptible = "D"
+// uninterruptibleSleep is the state of a thread in a wait that no signal ends.
+const uninterruptibleSleep = "D"
 
 type threadID struct{ pid, tid int }
 
--- a/cmd/windflowctl/thread_watch.go
+++ b/cmd/windflowctl/thread_watch.go
@@ -62,7 +62,7 @@
 	state, since := w.current[id], w.since[id]
 	lasted := w.lastAt - since
 	w.longest[state] = max(w.longest[state], lasted)
-	if state.state == uninterruptible && lasted >= w.minWait {
+	if state.state == uninterruptibleSleep && lasted >= w.minWait {
 		fmt.Fprintf(w.out, "%7.1f s: process %d, thread %d waited %.1f s in %s\n", since.Seconds(), id.pid, id.tid,
 			lasted.Seconds(), state.waitChannel)
 	}
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -10,9 +10,9 @@
 
 // A thread's wait is printed with its length, also where the thread's name has parentheses and where the process ends
 // in the wait.
-func TestThreads(t *testing.T) {
+func TestThreadWatchPrintsUninterruptibleWaits(t *testing.T) {
 	proc := t.TempDir()
-	put := func(tid, state, channel string) {
+	writeThread := func(tid, state, channel string) {
 		dir := filepath.Join(proc, "71", "task", tid)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
@@ -28,10 +28,10 @@
 	var out strings.Builder
 	w := newThreadWatch(300*time.Millisecond, &out)
 	for i := range 10 {
-		put("71", "S", "ep_poll")
-		put("72", "S", "futex_wait_queue")
+		writeThread("71", "S", "ep_poll")
+		writeThread("72", "S", "futex_wait_queue")
 		if i >= 3 && i < 8 {
-			put("72", "D", "expand_files")
+			writeThread("72", "D", "expand_files")
 		}
 		if err := os.WriteFile(filepath.Join(proc, "71", "comm"), []byte("windflow\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestThreadsWithoutProcess(t *testing.T) {
+func TestThreadsCommandErrors(t *testing.T) {
 	_, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms")
 	if err == nil || !strings.Contains(err.Error(), "no such process") {
 		t.Error(err)
--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -90,7 +90,7 @@
 			return err
 		}
 	}
-	if options.Check, err = newCheck(a.baseFile); err != nil {
+	if options.Check, err = newChangeCheck(a.baseFile); err != nil {
 		return err
 	}
 	if options.OnReady, err = newReadinessNotifier(log); err != nil {
@@ -114,8 +114,8 @@
 	return nil, fmt.Errorf("--log-format: %q is neither text nor json", format)
 }
 
-// newCheck returns the check of `windflow config check` for changes to a router's file. Errors name the flag --base.
-func newCheck(file string) (keeper.Check, error) {
+// newChangeCheck returns the check of `windflow config check` for changes to a router's file. Errors name the flag --base.
+func newChangeCheck(file string) (keeper.Check, error) {
 	if file == "" {
 		return nil, errors.New("--base: is missing")
 	}
--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -19,16 +19,16 @@
 // Errors of the command line name the flag. Nothing listens without an address.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
-	bad := filepath.Join(dir, "bad.json")
-	if err := os.WriteFile(bad, []byte(`{"listen":"127.0.0.1:1"}`), 0o600); err != nil {
+	invalid := filepath.Join(dir, "bad.json")
+	if err := os.WriteFile(invalid, []byte(`{"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	const peers = " --peers k1=127.0.0.1:7402/127.0.0.1:7401"
 	const base = " --base " + example
-	for _, c := range []struct{ args, err string }{
+	for _, test := range []struct{ args, err string }{
 		{"serve", "--base: is missing"},
 		{"serve --base none.json", "--base: none.json"},
-		{"serve --base " + bad, "--base: " + bad + ": "},
+		{"serve --base " + invalid, "--base: " + invalid + ": "},
 		{"serve" + base, "--id: is missing"},
 		{"serve --id k1" + base, "--dir: is missing"},
 		{"serve --id k1 --dir " + dir + base + peers, "--http: is missing"},
@@ -45,9 +45,9 @@
 		var out bytes.Buffer
 		root.SetOut(&out)
 		root.SetErr(&out)
-		root.SetArgs(strings.Fields(c.args))
-		if err := root.Execute(); err == nil || !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%q: error %v, want %q", c.args, err, c.err)
+		root.SetArgs(strings.Fields(test.args))
+		if err := root.Execute(); err == nil || !strings.Contains(err.Error(), test.err) {
+			t.Errorf("%q: error %v, want %q", test.args, err, test.err)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 			"go.etcd.io/bbolt", "windflow/internal/keeper",
 		} {
 			linked := false
-			for _, d := range deps {
-				linked = linked || d == library || strings.HasPrefix(d, library+"/")
+			for _, dep := range deps {
+				linked = linked || dep == library || strings.HasPrefix(dep, library+"/")
 			}
 			if linked != wanted {
 				t.Errorf("%s links %s: %v", command, library, linked)
@@ -83,8 +83,8 @@
 	stderr  *bytes.Buffer
 }
 
-// startBuiltKeeper builds the program, and starts it until the test ends.
-func startBuiltKeeper(t *testing.T) *runningKeeper {
+// startKeeperProcess builds the program, and starts it until the test ends.
+func startKeeperProcess(t *testing.T) *runningKeeper {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "windflowkeeper")
@@ -125,40 +125,40 @@
 // checkChange posts a change, and checks the status and a part of the answer.
 func (k *runningKeeper) checkChange(body string, status int, part string) {
 	k.t.Helper()
-	answer, err := http.Post(k.baseURL+"/v1/changes", "application/json", strings.NewReader(body))
+	response, err := http.Post(k.baseURL+"/v1/changes", "application/json", strings.NewReader(body))
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	text, err := io.ReadAll(answer.Body)
-	_ = answer.Body.Close()
-	if err != nil || answer.StatusCode != status || !strings.Contains(string(text), part) {
-		k.t.Errorf("%s: %d %s, want %d %s", body, answer.StatusCode, text, status, part)
+	text, err := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	if err != nil || response.StatusCode != status || !strings.Contains(string(text), part) {
+		k.t.Errorf("%s: %d %s, want %d %s", body, response.StatusCode, text, status, part)
 	}
 }
 
 // The built program: its line of readiness, a change, changes that a router couldn't use, and its end.
-func TestBuiltProgram(t *testing.T) {
-	running := startBuiltKeeper(t)
-	running.checkChange(`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`)
-	running.checkChange(`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422,
+func TestKeeperProcess(t *testing.T) {
+	keeper := startKeeperProcess(t)
+	keeper.checkChange(`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`)
+	keeper.checkChange(`{"id":"b","put":{"/settings/over-share-worth":"much"}}`, 422,
 		`"pointer":"/settings/over-share-worth"`)
-	running.checkChange(`{"id":"c","put":{"/listen":"127.0.0.1:1"}}`, 422, `"pointer":"/listen"`)
-	running.checkChange(`{"id":"d","expect":0,"put":{"/settings/over-share-worth":0.5}}`, 409, `"revision":1`)
+	keeper.checkChange(`{"id":"c","put":{"/listen":"127.0.0.1:1"}}`, 422, `"pointer":"/listen"`)
+	keeper.checkChange(`{"id":"d","expect":0,"put":{"/settings/over-share-worth":0.5}}`, 409, `"revision":1`)
 	var status struct {
 		Revision uint64 `json:"revision"`
 	}
-	answer, err := http.Get(running.baseURL + "/v1/status")
+	response, err := http.Get(keeper.baseURL + "/v1/status")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if err := json.NewDecoder(answer.Body).Decode(&status); err != nil || status.Revision != 1 {
+	defer func() { _ = response.Body.Close() }()
+	if err := json.NewDecoder(response.Body).Decode(&status); err != nil || status.Revision != 1 {
 		t.Error(status, err)
 	}
-	if err := running.command.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := keeper.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := running.command.Wait(); err != nil {
-		t.Errorf("%v: %s", err, running.stderr.String())
+	if err := keeper.command.Wait(); err != nil {
+		t.Errorf("%v: %s", err, keeper.stderr.String())
 	}
 }
--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -92,8 +92,8 @@
 	var slopes []float64
 	for i, first := range samples {
 		for _, second := range samples[i+1:] {
-			if apart := second.atMS - first.atMS; apart >= minDriftSpanMS/4 {
-				slopes = append(slopes, (second.offsetMS-first.offsetMS)/apart)
+			if intervalMS := second.atMS - first.atMS; intervalMS >= minDriftSpanMS/4 {
+				slopes = append(slopes, (second.offsetMS-first.offsetMS)/intervalMS)
 			}
 		}
 	}
--- a/internal/incident/clock_test.go
+++ b/internal/incident/clock_test.go
@@ -27,8 +27,8 @@
 }
 
 // A drift is estimated from enough events over enough time, and bounded.
-func TestEstimateDrift(t *testing.T) {
-	sampled := func(count int, apartMS, drift float64) []offsetSample {
+func TestDriftNeedsEnoughEventsAndIsBounded(t *testing.T) {
+	samplesWithDrift := func(count int, apartMS, drift float64) []offsetSample {
 		samples := make([]offsetSample, count)
 		for i := range samples {
 			atMS := apartMS * float64(i)
@@ -41,11 +41,11 @@
 		samples []offsetSample
 		want    float64
 	}{
-		{"enough events", sampled(minDriftEvents, minDriftSpanMS, 100e-6), 100e-6},
-		{"too few events", sampled(minDriftEvents-1, minDriftSpanMS, 100e-6), 0},
-		{"too short a time", sampled(minDriftEvents, minDriftSpanMS/minDriftEvents, 100e-6), 0},
-		{"clock too fast for a quartz", sampled(minDriftEvents, minDriftSpanMS, 2*maxDrift), maxDrift},
-		{"clock too slow for a quartz", sampled(minDriftEvents, minDriftSpanMS, -2*maxDrift), -maxDrift},
+		{"enough events", samplesWithDrift(minDriftEvents, minDriftSpanMS, 100e-6), 100e-6},
+		{"too few events", samplesWithDrift(minDriftEvents-1, minDriftSpanMS, 100e-6), 0},
+		{"too short a time", samplesWithDrift(minDriftEvents, minDriftSpanMS/minDriftEvents, 100e-6), 0},
+		{"clock too fast for a quartz", samplesWithDrift(minDriftEvents, minDriftSpanMS, 2*maxDrift), maxDrift},
+		{"clock too slow for a quartz", samplesWithDrift(minDriftEvents, minDriftSpanMS, -2*maxDrift), -maxDrift},
 	} {
 		if got := estimateDrift(test.samples); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
@@ -54,7 +54,7 @@
 }
 
 // The fewer events two clocks share, the wider the uncertainty; without any the system clocks are assumed to agree.
-func TestClockOfFewSharedEvents(t *testing.T) {
+func TestFewSharedEventsWidenUncertainty(t *testing.T) {
 	for _, test := range []struct {
 		shared int
 		want   Clock
--- a/internal/incident/incident.go
+++ b/internal/incident/incident.go
@@ -39,10 +39,10 @@
 type secondRange struct{ first, last int }
 
 // addIncidents finds the incidents, with the losses and the baseline that they are judged by.
-func (t *Timeline) addIncidents(served *service) {
-	t.Loss = make([]float64, len(served.seconds))
+func (t *Timeline) addIncidents(series *outcomeSeries) {
+	t.Loss = make([]float64, len(series.seconds))
 	for second := range t.Loss {
-		t.Loss[second] = served.windowLoss(second)
+		t.Loss[second] = series.windowLoss(second)
 	}
 	baseline, ok := baselineOf(t.Loss)
 	if !ok {
@@ -50,7 +50,7 @@
 	}
 	t.BaselineLoss = baseline
 	ranges := incidentRanges(t.Loss, baseline)
-	usual := served.sum(func(second int) bool {
+	outside := series.sum(func(second int) bool {
 		return !slices.ContainsFunc(ranges, func(found secondRange) bool {
 			return found.first-windowSeconds <= second && second <= found.last
 		})
@@ -59,7 +59,7 @@
 		if found.last-found.first+1 < minSeconds {
 			continue
 		}
-		if added, ok := served.incident(found, usual); ok {
+		if added, ok := series.describeIncident(found, outside); ok {
 			t.Incidents = append(t.Incidents, added)
 		}
 	}
@@ -108,34 +108,34 @@
 	return last
 }
 
-// incident describes the incident in a range of seconds; usual has the outcomes outside all incidents. It returns false
+// describeIncident describes the incident in a range of seconds; outside has the outcomes outside all incidents. It returns false
 // where nothing was lost.
-func (s *service) incident(found secondRange, usual map[classKey]outcomes) (Incident, bool) {
+func (s *outcomeSeries) describeIncident(found secondRange, outside map[classKey]outcomes) (Incident, bool) {
 	first := max(found.first-windowSeconds+1, 0) // the window of the first second begins there
-	described := Incident{
+	result := Incident{
 		FromMS: s.fromMS + msPerSecond*float64(first), ToMS: s.fromMS + msPerSecond*float64(found.last+1),
 	}
 	var lost, possible float64
 	for key, ended := range s.sum(func(second int) bool { return first <= second && second <= found.last }) {
 		classEarned, classPossible := s.value(key, ended)
 		lost, possible = lost+classPossible-classEarned, possible+classPossible
-		described.Impacts = append(described.Impacts, Impact{
+		result.Impacts = append(result.Impacts, Impact{
 			Class: key.class, Tenant: key.tenant, Late: ended.late, Rejected: ended.rejected, Failed: ended.failed,
-			Ended: ended.total(), Loss: s.loss(key, ended), BaselineLoss: s.loss(key, usual[key]),
+			Ended: ended.total(), Loss: s.lossShare(key, ended), BaselineLoss: s.lossShare(key, outside[key]),
 			LossShare: classPossible - classEarned, // divided by the total below
 		})
 	}
 	if possible == 0 || lost == 0 {
 		return Incident{}, false
 	}
-	described.Loss = lost / possible
-	for i := range described.Impacts {
-		described.Impacts[i].LossShare /= lost
+	result.Loss = lost / possible
+	for i := range result.Impacts {
+		result.Impacts[i].LossShare /= lost
 	}
-	slices.SortFunc(described.Impacts, func(a, b Impact) int {
+	slices.SortFunc(result.Impacts, func(a, b Impact) int {
 		return cmp.Or(
 			cmp.Compare(b.LossShare, a.LossShare), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant),
 		)
 	})
-	return described, true
+	return result, true
 }
--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -7,7 +7,7 @@
 )
 
 // The baseline is the lower quartile of the seconds in which requests ended.
-func TestBaseline(t *testing.T) {
+func TestBaselineIsLowerQuartile(t *testing.T) {
 	none := math.NaN()
 	for _, test := range []struct {
 		name   string
--- a/internal/incident/synchronize.go
+++ b/internal/incident/synchronize.go
@@ -18,13 +18,13 @@
 		synchronized: make([]bool, len(processes)),
 		events:       map[sharedEvent]float64{},
 	}
-	reference := mostSharedEvents(processes)
-	sync.set(reference, Clock{
+	reference := processWithMostSharedEvents(processes)
+	sync.setClock(reference, Clock{
 		Measured: true, UncertaintyMS: minUncertaintyMS,
 		SharedEvents: len(processes[reference].sharedEvents), ReferenceMS: processes[reference].fromMS,
 	})
-	for next := sync.next(); next >= 0; next = sync.next() {
-		sync.set(next, estimateClock(processes[next].sharedEvents, sync.events))
+	for next := sync.nextProcess(); next >= 0; next = sync.nextProcess() {
+		sync.setClock(next, estimateClock(processes[next].sharedEvents, sync.events))
 	}
 	for i := range processes {
 		if !sync.synchronized[i] {
@@ -34,7 +34,7 @@
 	return sync.clocks
 }
 
-func mostSharedEvents(processes []*process) (index int) {
+func processWithMostSharedEvents(processes []*process) (index int) {
 	for i, process := range processes {
 		if len(process.sharedEvents) > len(processes[index].sharedEvents) {
 			index = i
@@ -43,8 +43,8 @@
 	return index
 }
 
-// set notes a process's clock, and with it its events on the reference clock.
-func (s *clockSync) set(index int, clock Clock) {
+// setClock notes a process's clock, and with it its events on the reference clock.
+func (s *clockSync) setClock(index int, clock Clock) {
 	s.clocks[index], s.synchronized[index] = clock, true
 	for event, atMS := range s.processes[index].sharedEvents {
 		if _, known := s.events[event]; !known {
@@ -53,8 +53,8 @@
 	}
 }
 
-// next returns the process that shares the most events with the synchronized ones, and -1 where none shares any.
-func (s *clockSync) next() int {
+// nextProcess returns the process that shares the most events with the synchronized ones, and -1 where none shares any.
+func (s *clockSync) nextProcess() int {
 	best, most := -1, 0
 	for i, process := range s.processes {
 		if s.synchronized[i] {
--- a/internal/incident/timeline.go
+++ b/internal/incident/timeline.go
@@ -69,7 +69,7 @@
 	}
 	slices.SortFunc(timeline.Gaps, func(a, b Gap) int { return cmp.Compare(a.FromMS, b.FromMS) })
 	timeline.Engines = engineHistories(processes, clocks, timeline.ToMS)
-	timeline.addIncidents(newService(j.classes, processes, clocks, timeline.FromMS, timeline.ToMS))
+	timeline.addIncidents(newOutcomeSeries(j.classes, processes, clocks, timeline.FromMS, timeline.ToMS))
 	return timeline
 }
 
--- a/internal/incident/timeline_test.go
+++ b/internal/incident/timeline_test.go
@@ -9,24 +9,24 @@
 	"windflow/internal/record"
 )
 
-// fleet simulates routers that write records. Each has its own clock, and all see the same engines.
-type fleet struct {
+// simulatedFleet simulates routers that write records. Each has its own clock, and all see the same engines.
+type simulatedFleet struct {
 	rng     *rand.Rand
 	joiner  *Joiner
 	routers []*testRouter
 }
 
 type testRouter struct {
-	header record.Header
-	offset float64
-	drift  float64
+	header   record.Header
+	offsetMS float64
+	drift    float64
 }
 
-const zero = 1_796_000_000_000.0
+const epochMS = 1_796_000_000_000.0
 
-func newFleet(seed uint64, offsets, drifts []float64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), joiner: NewJoiner()}
-	for i, off := range offsets {
+func newFleet(seed uint64, offsets, drifts []float64) *simulatedFleet {
+	f := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 1)), joiner: NewJoiner()}
+	for i, offsetMS := range offsets {
 		f.routers = append(f.routers, &testRouter{
 			header: record.Header{
 				Version: 1, Router: fmt.Sprint("n", i), Incarnation: 2,
@@ -35,32 +35,32 @@
 					{Name: "lookup", PriorityWeight: 1}, {Name: "report", PriorityWeight: 10, LateWeightShare: 0.4},
 				},
 			},
-			offset: off, drift: drifts[i],
+			offsetMS: offsetMS, drift: drifts[i],
 		})
 	}
 	return f
 }
 
-// on converts a true time to a router's clock, with a random delay of delivery.
-func (f *fleet) on(r *testRouter, at float64) float64 {
-	return zero + at + r.offset + r.drift*at + 2*f.rng.Float64()
+// routerTimeMS converts a true time to a router's clock, with a random delay of delivery.
+func (f *simulatedFleet) routerTimeMS(r *testRouter, at float64) float64 {
+	return epochMS + at + r.offsetMS + r.drift*at + 2*f.rng.Float64()
 }
 
-func (f *fleet) change(at float64, id string, state record.State) {
+func (f *simulatedFleet) addEngineChange(at float64, id string, state record.State) {
 	for _, r := range f.routers {
-		f.joiner.Add(&r.header, &record.EngineChange{AtMS: f.on(r, at), EngineID: id, State: state})
+		f.joiner.Add(&r.header, &record.EngineChange{AtMS: f.routerTimeMS(r, at), EngineID: id, State: state})
 	}
 }
 
-// second has each router but skip serve for a second; rejected is the share of lookups that it rejects.
-func (f *fleet) second(at float64, rejectedShare float64, skip int) {
+// addSecond has each router but skip serve for a second; rejected is the share of lookups that it rejects.
+func (f *simulatedFleet) addSecond(at float64, rejectedShare float64, skip int) {
 	for i, r := range f.routers {
 		if i == skip {
 			continue
 		}
 		n := 80 + f.rng.IntN(10)
 		rejected := int(rejectedShare * float64(n))
-		f.joiner.Add(&r.header, &record.Interval{AtMS: f.on(r, at), DurationMS: 1000, Classes: []record.ClassStats{
+		f.joiner.Add(&r.header, &record.Interval{AtMS: f.routerTimeMS(r, at), DurationMS: 1000, Classes: []record.ClassStats{
 			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
 			{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
 		}})
@@ -73,8 +73,8 @@
 	offsets, drifts := []float64{0, 400, -250}, []float64{0, 100e-6, -200e-6}
 	f := newFleet(7, offsets, drifts)
 	for i := range 20 {
-		f.change(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
-		f.second(float64(6000*i), 0, -1)
+		f.addEngineChange(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
+		f.addSecond(float64(6000*i), 0, -1)
 	}
 	timeline := f.joiner.Timeline()
 	first := timeline.Processes[0].Clock
@@ -84,51 +84,51 @@
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
 			// The reference may be any of the three; they have to agree.
-			mine := p.Clock.Correct(zero + at + offsets[i] + drifts[i]*at)
-			ref := first.Correct(zero + at + offsets[0] + drifts[0]*at)
-			if off := math.Abs(mine - ref); off > p.Clock.UncertaintyMS+first.UncertaintyMS {
-				t.Errorf("%s at %v: off by %.1f ms, reported within %.1f", p.Router, at, off, p.Clock.UncertaintyMS)
+			corrected := p.Clock.Correct(epochMS + at + offsets[i] + drifts[i]*at)
+			reference := first.Correct(epochMS + at + offsets[0] + drifts[0]*at)
+			if difference := math.Abs(corrected - reference); difference > p.Clock.UncertaintyMS+first.UncertaintyMS {
+				t.Errorf("%s at %v: off by %.1f ms, reported within %.1f", p.Router, at, difference, p.Clock.UncertaintyMS)
 			}
 		}
 	}
 }
 
 // A run without losses has no incident.
-func TestCalmRunHasNoIncident(t *testing.T) {
+func TestRunWithoutLossesHasNoIncident(t *testing.T) {
 	for seed := range uint64(20) {
-		calm := newFleet(seed, []float64{0, 5}, []float64{0, 0})
+		fleet := newFleet(seed, []float64{0, 5}, []float64{0, 0})
 		for i := range 120 {
-			calm.second(float64(1000*i), 0.01, -1)
+			fleet.addSecond(float64(1000*i), 0.01, -1)
 		}
-		if timeline := calm.joiner.Timeline(); len(timeline.Incidents) != 0 {
+		if timeline := fleet.joiner.Timeline(); len(timeline.Incidents) != 0 {
 			t.Fatalf("seed %d: a calm run has %+v", seed, timeline.Incidents)
 		}
 	}
 }
 
-// playTwoIncidents has requests rejected from second 60 to 75, while an engine is down, and from 150 to 156. The
+// addTwoIncidents has requests rejected from second 60 to 75, while an engine is down, and from 150 to 156. The
 // records of router n2 are missing for half of the first.
-func playTwoIncidents(f *fleet) {
-	f.change(500, "s-00000001", record.Normal)
+func addTwoIncidents(f *simulatedFleet) {
+	f.addEngineChange(500, "s-00000001", record.Normal)
 	for i := range 200 {
 		rejected := 0.0
 		if i >= 60 && i < 75 || i >= 150 && i < 156 {
 			rejected = 0.5
 		}
 		if i == 60 {
-			f.change(60_000, "s-00000001", record.Down)
+			f.addEngineChange(60_000, "s-00000001", record.Down)
 		}
 		if i == 75 {
-			f.change(75_000, "s-00000001", record.Normal)
+			f.addEngineChange(75_000, "s-00000001", record.Normal)
 		}
 		skip := -1
 		if i >= 65 && i < 72 {
 			skip = 2
 		}
 		if i%10 == 5 {
-			f.change(float64(1000*i), fmt.Sprintf("s-1%07x", i), record.Gone)
+			f.addEngineChange(float64(1000*i), fmt.Sprintf("s-1%07x", i), record.Gone)
 		}
-		f.second(float64(1000*i), rejected, skip)
+		f.addSecond(float64(1000*i), rejected, skip)
 	}
 }
 
@@ -136,7 +136,7 @@
 // records.
 func TestIncidentsAreFound(t *testing.T) {
 	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
-	playTwoIncidents(f)
+	addTwoIncidents(f)
 	timeline := f.joiner.Timeline()
 	if len(timeline.Incidents) != 2 {
 		t.Fatalf("%+v", timeline.Incidents)
@@ -156,7 +156,7 @@
 	if gaps := countGaps(timeline, "n2", 6000); gaps != 1 {
 		t.Errorf("gaps: %+v", timeline.Gaps)
 	}
-	if down := countDown(timeline, "s-00000001", first); down != 3 {
+	if down := countDownSpans(timeline, "s-00000001", first); down != 3 {
 		t.Errorf("the engine was down for %d routers", down)
 	}
 }
@@ -171,8 +171,8 @@
 	return gaps
 }
 
-// countDown counts the spans of an incident in which an engine was down.
-func countDown(timeline *Timeline, engineID string, in Incident) (spans int) {
+// countDownSpans counts the spans of an incident in which an engine was down.
+func countDownSpans(timeline *Timeline, engineID string, in Incident) (spans int) {
 	for _, engine := range timeline.Engines {
 		for _, span := range engine.Spans {
 			overlaps := span.FromMS < in.ToMS && span.ToMS > in.FromMS
@@ -185,18 +185,18 @@
 }
 
 // Two processes of a hot restart have one router's name, and the successor may share no event with any other.
-func TestTwoProcessesOfARouter(t *testing.T) {
+func TestSuccessorWithoutSharedEventsUsesPredecessorClock(t *testing.T) {
 	f := newFleet(5, []float64{0, 300}, []float64{0, 0})
-	next := &testRouter{header: f.routers[1].header, offset: 300}
-	next.header.ProcessID, next.header.Incarnation = "p1b", 3
+	successor := &testRouter{header: f.routers[1].header, offsetMS: 300}
+	successor.header.ProcessID, successor.header.Incarnation = "p1b", 3
 	for i := range 60 {
 		if i == 30 {
-			f.routers[1] = next
+			f.routers[1] = successor
 		}
 		if i < 25 && i%4 == 0 {
-			f.change(float64(1000*i), fmt.Sprintf("s-%08x", i), record.Gone)
+			f.addEngineChange(float64(1000*i), fmt.Sprintf("s-%08x", i), record.Gone)
 		}
-		f.second(float64(1000*i), 0, -1)
+		f.addSecond(float64(1000*i), 0, -1)
 	}
 	timeline := f.joiner.Timeline()
 	if len(timeline.Processes) != 3 || timeline.Processes[2].Router != "n1" || timeline.Processes[2].Incarnation != 3 {
--- a/internal/record/extract.go
+++ b/internal/record/extract.go
@@ -14,13 +14,13 @@
 // and returns their number. Each segment begins with the states that the engines had at startMS, so that it can be
 // read alone.
 func Extract(files []string, dir string, startMS, endMS float64) (records int, err error) {
-	e := &extraction{dir: dir, startMS: startMS, endMS: endMS, processes: map[string]*extractedProcess{}}
+	e := &extractor{dir: dir, startMS: startMS, endMS: endMS, processes: map[string]*extractedProcess{}}
 	_, err = ReadSegments(files, e.add)
 	return e.records, cmp.Or(err, e.close())
 }
 
-// extraction copies a span of time.
-type extraction struct {
+// extractor copies a span of time.
+type extractor struct {
 	dir            string
 	startMS, endMS float64
 	processes      map[string]*extractedProcess // by process id
@@ -29,30 +29,30 @@
 
 // extractedProcess is what is extracted of a process. It has no file until one of its records lies in the span.
 type extractedProcess struct {
-	file   *os.File
-	writer *bufio.Writer
-	buf    []byte
-	states map[string]*EngineChange // the last of each engine before the span
+	file       *os.File
+	writer     *bufio.Writer
+	buf        []byte
+	lastStates map[string]*EngineChange // the last of each engine before the span
 }
 
 // add processes the next record of a process.
-func (e *extraction) add(header *Header, next Record) error {
+func (e *extractor) add(header *Header, next Record) error {
 	process := e.processes[header.ProcessID]
 	if process == nil {
-		process = &extractedProcess{states: map[string]*EngineChange{}}
+		process = &extractedProcess{lastStates: map[string]*EngineChange{}}
 		e.processes[header.ProcessID] = process
 	}
 	switch at := next.TimeMS(); {
 	case at < e.startMS:
 		if change, ok := next.(*EngineChange); ok {
-			process.states[change.EngineID] = change
+			process.lastStates[change.EngineID] = change
 		}
 		return nil
 	case at > e.endMS:
 		return nil
 	}
 	if process.file == nil {
-		if err := e.begin(process, header); err != nil {
+		if err := e.startSegment(process, header); err != nil {
 			return err
 		}
 	}
@@ -60,9 +60,9 @@
 	return process.write(next)
 }
 
-// begin creates a process's segment, with the engines' states at the start of the span.
-func (e *extraction) begin(process *extractedProcess, header *Header) error {
-	name := fmt.Sprintf("%s-%013.0f-%d-cut%s", fileSafe(header.Router), e.startMS, header.Incarnation, Suffix)
+// startSegment creates a process's segment, with the engines' states at the start of the span.
+func (e *extractor) startSegment(process *extractedProcess, header *Header) error {
+	name := fmt.Sprintf("%s-%013.0f-%d-cut%s", sanitizeFileName(header.Router), e.startMS, header.Incarnation, Suffix)
 	file, err := os.OpenFile(filepath.Join(e.dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
@@ -73,8 +73,8 @@
 	if err := process.write(&first); err != nil {
 		return err
 	}
-	for _, id := range slices.Sorted(maps.Keys(process.states)) {
-		state := *process.states[id]
+	for _, id := range slices.Sorted(maps.Keys(process.lastStates)) {
+		state := *process.lastStates[id]
 		if state.State == Gone {
 			continue
 		}
@@ -88,7 +88,7 @@
 }
 
 // close completes all segments and returns the first error.
-func (e *extraction) close() error {
+func (e *extractor) close() error {
 	var first error
 	for _, process := range e.processes {
 		if process.file != nil {
--- a/internal/record/files.go
+++ b/internal/record/files.go
@@ -34,7 +34,7 @@
 			files = append(files, path)
 			continue
 		}
-		inside, err := segmentsInside(path)
+		inside, err := segmentsInDir(path)
 		if err != nil {
 			return nil, err
 		}
@@ -47,7 +47,7 @@
 	return slices.Compact(files), nil
 }
 
-func segmentsInside(dir string) (files []string, err error) {
+func segmentsInDir(dir string) (files []string, err error) {
 	err = filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && entry.Type().IsRegular() && strings.HasSuffix(path, Suffix) {
 			files = append(files, path)
@@ -117,13 +117,13 @@
 
 // segmentPath is where a process writes its segment of the header's number.
 func segmentPath(dir string, header *Header) string {
-	name := fmt.Sprintf("%s-%013.0f-%d-%04d%s", fileSafe(header.Router), header.ClockMS, header.Incarnation,
+	name := fmt.Sprintf("%s-%013.0f-%d-%04d%s", sanitizeFileName(header.Router), header.ClockMS, header.Incarnation,
 		header.SegmentNumber, Suffix)
 	return filepath.Join(dir, name)
 }
 
-// fileSafe replaces the characters of a router's name that a file's name should not have.
-func fileSafe(name string) string {
+// sanitizeFileName replaces the characters of a router's name that a file's name should not have.
+func sanitizeFileName(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '.' {
 			return c
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -16,8 +16,8 @@
 	checksumOffset = 4
 	// minFrameBytes is the size of a frame with its kind and without a payload.
 	minFrameBytes = frameHeaderBytes + 1
-	// maxBodyBytes bounds a frame's kind and payload: an interval of 4,096 engines and as many classes fits.
-	maxBodyBytes = 1 << 20
+	// maxFrameBodyBytes bounds a frame's kind and payload: an interval of 4,096 engines and as many classes fits.
+	maxFrameBodyBytes = 1 << 20
 )
 
 // ErrTooLarge is the error for a record that does not fit a frame.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return buf, err
 	}
-	if len(payload) >= maxBodyBytes {
+	if len(payload) >= maxFrameBodyBytes {
 		return buf, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(payload))
 	}
 	start := len(buf)
@@ -51,7 +51,7 @@
 // has at least frameHeaderBytes.
 func frameLength(buf []byte) (length int, ok bool) {
 	body := binary.BigEndian.Uint32(buf)
-	if body < 1 || body > maxBodyBytes {
+	if body < 1 || body > maxFrameBodyBytes {
 		return 0, false
 	}
 	return frameHeaderBytes + int(body), true
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -17,8 +17,8 @@
 // goldenRecords returns a segment with each kind of record, all fields set. The event has one field, because several
 // have no order among them.
 func goldenRecords() []Record {
-	const start = 1_796_000_000_000.5
-	row := ClassStats{
+	const startMS = 1_796_000_000_000.5
+	class := ClassStats{
 		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2,
 		Cancelled:  5,
 		EstimateMS: 812.5, P50MS: 11.5, P99MS: 93.25,
@@ -31,31 +31,31 @@
 	return []Record{
 		&Header{
 			Version: 1, Router: "n0", Incarnation: 2, ProcessID: "4711.kfz", Program: "windflow 1.2", SegmentNumber: 3,
-			ClockMS: start,
-			WallMS:  start + 17.25,
+			ClockMS: startMS,
+			WallMS:  startMS + 17.25,
 			Classes: []Class{
 				{Name: "lookup", PriorityWeight: 1.5, LateWeightShare: 0.25, ObjectiveMS: 300},
 				{Name: "load", PriorityWeight: 8},
 			},
 		},
 		&EngineChange{
-			AtMS: start + 1, EngineID: "s-00000001", State: Down, Previous: Slow, Slowness: 3.5, FailureRate: 0.125,
-			ConnectionFailures: 6, WarmUpEndMS: start + 9000,
+			AtMS: startMS + 1, EngineID: "s-00000001", State: Down, Previous: Slow, Slowness: 3.5, FailureRate: 0.125,
+			ConnectionFailures: 6, WarmUpEndMS: startMS + 9000,
 			Zone: "z1", Kind: "large", LastEvent: 77,
 		},
 		&Interval{
-			AtMS: start + 1000, DurationMS: 1000, Classes: []ClassStats{row, {Class: "load"}},
+			AtMS: startMS + 1000, DurationMS: 1000, Classes: []ClassStats{class, {Class: "load"}},
 			Engines: []EngineStats{engine, {EngineID: "s-00000002"}}, OpenRequests: 9,
 			QueuedRequests: 2, Congestion: 0.5, EngineConnections: 31, ClientSessions: 12, RejectedSessions: 3,
 			InvalidResponses: 4, LastEvent: 78, DiscoveryAgeMS: 250.5,
 		},
 		&RequestFailure{
-			AtMS: start + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
+			AtMS: startMS + 1001, RequestID: "0000000000000001", Class: "lookup", Tenant: "rckik-south", Rejected: true,
 			Reason:   "no room",
 			EngineID: "s-00000001", AfterMS: 41.5,
 		},
-		&Event{AtMS: start + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json"}},
-		&Gap{AtMS: start + 1003, FromMS: start + 900, Dropped: 21},
+		&Event{AtMS: startMS + 1002, Name: "reload", Fields: map[string]string{"file": "settings.json"}},
+		&Gap{AtMS: startMS + 1003, FromMS: startMS + 900, Dropped: 21},
 	}
 }
 
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -81,7 +81,7 @@
 	return histogram
 }
 
-func (m *Meter) class(class, tenant string) *classMeter {
+func (m *Meter) classEntry(class, tenant string) *classMeter {
 	key := classKey{class, tenant}
 	entry := m.classes[key]
 	if entry == nil {
@@ -98,7 +98,7 @@
 	return entry
 }
 
-func (m *Meter) engine(id uint64) *engineMeter {
+func (m *Meter) engineEntry(id uint64) *engineMeter {
 	entry := m.engines[id]
 	if entry == nil {
 		if len(m.engines) >= maxEngines {
@@ -116,7 +116,7 @@
 
 // RequestArrived counts a request; estimateMS is its estimated service time.
 func (m *Meter) RequestArrived(class, tenant string, retry bool, estimateMS float64) {
-	entry := m.class(class, tenant)
+	entry := m.classEntry(class, tenant)
 	entry.Arrived++
 	if retry {
 		entry.Retries++
@@ -126,7 +126,7 @@
 
 // RequestEnded counts the end of a request, tookMS after its arrival.
 func (m *Meter) RequestEnded(class, tenant string, outcome RequestOutcome, tookMS float64) {
-	entry := m.class(class, tenant)
+	entry := m.classEntry(class, tenant)
 	switch outcome {
 	case RequestOnTime:
 		entry.OnTime++
@@ -144,11 +144,11 @@
 }
 
 // AttemptStarted counts an attempt that was sent to an engine.
-func (m *Meter) AttemptStarted(engine uint64) { m.engine(engine).Sent++ }
+func (m *Meter) AttemptStarted(engine uint64) { m.engineEntry(engine).Sent++ }
 
 // AttemptEnded counts the end of an attempt, tookMS after its start.
 func (m *Meter) AttemptEnded(engine uint64, outcome AttemptOutcome, tookMS float64) {
-	entry := m.engine(engine)
+	entry := m.engineEntry(engine)
 	switch outcome {
 	case AttemptServed:
 		entry.Served++
@@ -177,7 +177,7 @@
 	if attempts <= 0 && m.engines[engine] == nil {
 		return
 	}
-	entry := m.engine(engine)
+	entry := m.engineEntry(engine)
 	entry.InFlight, entry.BusyThreads = attempts, busyThreads
 	entry.used = entry.used && (attempts > 0 || entry.hasAttempts())
 }
--- a/internal/record/meter_test.go
+++ b/internal/record/meter_test.go
@@ -10,7 +10,7 @@
 )
 
 // The meter counts exactly, resets its counts when they are collected, and stays within its bounds with any names.
-func TestMeter(t *testing.T) {
+func TestMeterCountsAndStaysBounded(t *testing.T) {
 	m := NewMeter(func(id uint64) string { return fmt.Sprint("e", id) })
 	for i := range 100 {
 		m.RequestArrived("lookup", "a", i%10 == 0, 100)
@@ -20,13 +20,13 @@
 	}
 	m.RequestEnded("lookup", "a", RequestRejected, 1)
 	m.AttemptEnded(1, AttemptConnectionFailed, 1)
-	rows, engines := m.Collect()
+	classes, engines := m.Collect()
 	if diff := cmp.Diff([]ClassStats{
 		{
 			Class: "lookup", Tenant: "a", Arrived: 100, Retries: 10, OnTime: 100, Rejected: 1, EstimateMS: 10000,
 			P50MS: 50, P99MS: 99,
 		},
-	}, rows); diff != "" {
+	}, classes); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]EngineStats{
@@ -34,40 +34,40 @@
 	}, engines); diff != "" {
 		t.Error(diff)
 	}
-	if rows, engines = m.Collect(); len(rows)+len(engines) != 0 {
-		t.Error("rows are returned twice", rows, engines)
+	if classes, engines = m.Collect(); len(classes)+len(engines) != 0 {
+		t.Error("rows are returned twice", classes, engines)
 	}
 	for i := range 10000 {
 		m.RequestArrived("lookup", fmt.Sprint(i), false, 1)
 		m.AttemptStarted(uint64(i + 1))
 	}
-	rows, engines = m.Collect()
+	classes, engines = m.Collect()
 	arrived := 0
-	for _, r := range rows {
+	for _, r := range classes {
 		arrived += r.Arrived
 	}
-	tooMany := len(rows) > maxClasses+1 || len(engines) > maxEngines+1
+	tooMany := len(classes) > maxClasses+1 || len(engines) > maxEngines+1
 	if arrived != 10000 || tooMany || m.histogramBytes > maxHistogramBytes+1<<20 {
-		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(rows), arrived, len(engines), m.histogramBytes)
+		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(classes), arrived, len(engines), m.histogramBytes)
 	}
 }
 
 // Counting a request allocates nothing once its class and engine have an entry.
 func TestMeterAllocatesNothing(t *testing.T) {
 	m := NewMeter(func(uint64) string { return "e" })
-	one := func() {
+	countRequest := func() {
 		m.RequestArrived("lookup", "a", false, 100)
 		m.AttemptStarted(1)
 		m.AttemptEnded(1, AttemptServed, 50)
 		m.RequestEnded("lookup", "a", RequestOnTime, 60)
 	}
-	one()
-	if n := testing.AllocsPerRun(100, one); n != 0 {
+	countRequest()
+	if n := testing.AllocsPerRun(100, countRequest); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-func TestLogHandler(t *testing.T) {
+func TestLogHandlerRecordsInfoLines(t *testing.T) {
 	var got []*Event
 	var out strings.Builder
 	clock := func() float64 { return 7 }
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -96,7 +96,7 @@
 		return 0, err
 	}
 	if len(r.buf) < minFrameBytes {
-		return 0, r.truncate()
+		return 0, r.skipIncompleteFrame()
 	}
 	length, ok := frameLength(r.buf)
 	if !ok {
@@ -106,7 +106,7 @@
 		return 0, err
 	}
 	if len(r.buf) < length && r.skipped == 0 && !r.hasLaterFrame() {
-		return 0, r.truncate()
+		return 0, r.skipIncompleteFrame()
 	}
 	if !isIntactFrame(r.buf) {
 		return 0, nil
@@ -147,8 +147,8 @@
 	r.skipped += int64(n)
 }
 
-// truncate skips the incomplete frame that ends the segment, and returns io.EOF.
-func (r *Reader) truncate() error {
+// skipIncompleteFrame skips the incomplete frame that ends the segment, and returns io.EOF.
+func (r *Reader) skipIncompleteFrame() error {
 	r.skip(len(r.buf))
 	r.noteDamage(true)
 	return io.EOF
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func sample() []Record {
+func sampleRecords() []Record {
 	return []Record{
 		&Header{
 			Version: Version, Router: "n0", Incarnation: 2, ProcessID: "1.a", Program: "windflow", ClockMS: 1000,
@@ -38,7 +38,7 @@
 	}
 }
 
-func segment(t *testing.T, records ...Record) []byte {
+func encodeFrames(t *testing.T, records ...Record) []byte {
 	t.Helper()
 	var b []byte
 	for _, r := range records {
@@ -50,26 +50,26 @@
 	return b
 }
 
-func readAll(b []byte) (got []Record, damage []Damage, err error) {
-	r, err := NewReader(bytes.NewReader(b))
+func readAll(data []byte) (got []Record, damage []Damage, err error) {
+	r, err := NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, r.Damage, err
 	}
 	for {
-		rec, err := r.Next()
+		next, err := r.Next()
 		if errors.Is(err, io.EOF) {
 			return got, r.Damage, nil
 		}
 		if err != nil {
 			return got, r.Damage, err
 		}
-		got = append(got, rec)
+		got = append(got, next)
 	}
 }
 
-func TestRoundTrip(t *testing.T) {
-	all := sample()
-	got, damage, err := readAll(segment(t, all...))
+func TestRecordsAreReadAsWritten(t *testing.T) {
+	all := sampleRecords()
+	got, damage, err := readAll(encodeFrames(t, all...))
 	if err != nil || len(damage) > 0 {
 		t.Fatal(damage, err)
 	}
@@ -81,11 +81,11 @@
 // A crash may truncate a segment anywhere: each prefix reads up to its last complete record, and damage is reported
 // only where a part of a record is left.
 func TestTruncatedSegmentReadsToItsLastCompleteRecord(t *testing.T) {
-	all := sample()
-	complete := segment(t, all...)
+	all := sampleRecords()
+	complete := encodeFrames(t, all...)
 	var ends []int
 	for i := range all {
-		ends = append(ends, len(segment(t, all[:i+1]...)))
+		ends = append(ends, len(encodeFrames(t, all[:i+1]...)))
 	}
 	for n := range len(complete) + 1 {
 		got, damage, err := readAll(complete[:n])
@@ -110,14 +110,14 @@
 }
 
 // Damage to any byte of a record, also of its length, loses that record alone.
-func TestDamageInTheMiddle(t *testing.T) {
-	all := sample()
-	complete := segment(t, all...)
-	from, to := len(segment(t, all[:2]...)), len(segment(t, all[:3]...))
+func TestDamagedRecordIsSkipped(t *testing.T) {
+	all := sampleRecords()
+	complete := encodeFrames(t, all...)
+	from, to := len(encodeFrames(t, all[:2]...)), len(encodeFrames(t, all[:3]...))
 	for i := from; i < to; i++ {
-		bad := bytes.Clone(complete)
-		bad[i] ^= 0x5a
-		got, damage, err := readAll(bad)
+		damaged := bytes.Clone(complete)
+		damaged[i] ^= 0x5a
+		got, damage, err := readAll(damaged)
 		want := append(append([]Record{}, all[1:2]...), all[3:]...)
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
 			t.Fatalf("byte %d: %v %s", i, err, diff)
@@ -128,22 +128,22 @@
 	}
 }
 
-func TestNewerVersionsAndForeignFiles(t *testing.T) {
-	newer := segment(t, &Header{Version: Version + 1, Router: "n0"}, &Gap{AtMS: 1})
+func TestForeignVersionsFilesAndKinds(t *testing.T) {
+	newer := encodeFrames(t, &Header{Version: Version + 1, Router: "n0"}, &Gap{AtMS: 1})
 	if _, _, err := readAll(newer); !errors.Is(err, ErrNewerVersion) {
 		t.Error("a newer version:", err)
 	}
 	for name, b := range map[string][]byte{
 		"text": []byte(strings.Repeat("no records at all\n", 99)), "zeros": make([]byte, 4096),
-		"no header": segment(t, &Gap{AtMS: 1}),
+		"no header": encodeFrames(t, &Gap{AtMS: 1}),
 	} {
 		if _, _, err := readAll(b); err == nil {
 			t.Errorf("%s was accepted as a segment", name)
 		}
 	}
 	// A record of a later kind is ignored.
-	b := segment(t, sample()[0])
-	later := segment(t, &Gap{AtMS: 5})
+	b := encodeFrames(t, sampleRecords()[0])
+	later := encodeFrames(t, &Gap{AtMS: 5})
 	later[frameHeaderBytes] = 200
 	fixed, _ := appendFrame(nil, &Gap{AtMS: 6})
 	setChecksum(later)
@@ -156,17 +156,17 @@
 
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x05abcd\x01x"))
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _, _ = readAll(b)
 	})
 }
 
 // A reader has one record in memory, however long the segment.
 func TestReaderMemoryIsBounded(t *testing.T) {
-	head := segment(t, sample()[0])
-	body := bytes.Repeat(segment(t, sample()[2]), 200)
-	repeats := (64 << 20) / len(body)
-	r, err := NewReader(io.MultiReader(bytes.NewReader(head), &repeatReader{data: body, n: repeats}))
+	head := encodeFrames(t, sampleRecords()[0])
+	intervals := bytes.Repeat(encodeFrames(t, sampleRecords()[2]), 200)
+	repeats := (64 << 20) / len(intervals)
+	r, err := NewReader(io.MultiReader(bytes.NewReader(head), &repeatReader{data: intervals, n: repeats}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 		n++
 		largest = max(largest, cap(r.buf))
 	}
-	if n != 200*repeats || largest > 4*maxBodyBytes {
+	if n != 200*repeats || largest > 4*maxFrameBodyBytes {
 		t.Errorf("%d records of %d, %d bytes in memory", n, 200*repeats, largest)
 	}
 }
@@ -203,9 +203,9 @@
 	return n, nil
 }
 
-func TestExtractBeginsWithEngineStates(t *testing.T) {
+func TestExtractStartsWithEngineStates(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "a"+Suffix), segment(t, sample()...), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "a"+Suffix), encodeFrames(t, sampleRecords()...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	files, _ := SegmentFiles(dir)
@@ -218,7 +218,7 @@
 	if _, err := ReadSegments(files, func(_ *Header, r Record) error { got = append(got, r); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	want := sample()
+	want := sampleRecords()
 	state := *want[1].(*EngineChange)
 	state.AtMS, state.Previous = 2050, WarmingUp
 	if diff := cmp.Diff([]Record{&state, want[3], want[4]}, got); diff != "" {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -158,7 +158,7 @@
 		return
 	}
 	if err := w.write(dropped); err != nil {
-		w.fail(err)
+		w.reportDiskFailure(err)
 		return
 	}
 	if w.diskFailed {
@@ -167,8 +167,8 @@
 	}
 }
 
-// fail records that the disk failed.
-func (w *Writer) fail(err error) {
+// reportDiskFailure records that the disk failed.
+func (w *Writer) reportDiskFailure(err error) {
 	w.segment.close()
 	w.Counters.Failures.Add(1)
 	w.retryAt = time.Now().Add(retryInterval)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func startTestWriter(t *testing.T, cfg Config, failed func(error)) *Writer {
+func startWriterForTest(t *testing.T, cfg Config, onDiskChange func(error)) *Writer {
 	t.Helper()
 	if cfg.SegmentMB == 0 {
 		cfg.SegmentMB = DefaultConfig.SegmentMB
@@ -18,20 +18,20 @@
 	if cfg.TotalMB == 0 {
 		cfg.TotalMB = DefaultConfig.TotalMB
 	}
-	if failed == nil {
-		failed = func(err error) { t.Log(err) }
+	if onDiskChange == nil {
+		onDiskChange = func(err error) { t.Log(err) }
 	}
 	header := Header{Router: "n/0", Incarnation: 2, ProcessID: "1.a"}
-	return StartWriter(cfg, header, func() float64 { return 5000 }, failed)
+	return StartWriter(cfg, header, func() float64 { return 5000 }, onDiskChange)
 }
 
-func readDir(t *testing.T, dir string) (records int, gaps int, read []SegmentResult) {
+func readDir(t *testing.T, dir string) (records int, gaps int, results []SegmentResult) {
 	t.Helper()
 	files, err := SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err = ReadSegments(files, func(_ *Header, r Record) error {
+	results, err = ReadSegments(files, func(_ *Header, r Record) error {
 		if g, ok := r.(*Gap); ok {
 			gaps += g.Dropped
 		} else {
@@ -42,13 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return records, gaps, read
+	return records, gaps, results
 }
 
 // Segments are closed at their size and the oldest are deleted; each record is written or counted as dropped.
 func TestWriterRotatesSegmentsWithinTheTotalSize(t *testing.T) {
 	dir := t.TempDir()
-	w := startTestWriter(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
+	w := startWriterForTest(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
 	const n = 20000
 	for i := range n {
 		w.Put(&RequestFailure{
@@ -106,28 +106,28 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
 		t.Fatal(err)
 	}
-	var reports atomic.Int64
-	back := make(chan struct{})
-	w := startTestWriter(t, Config{Dir: dir}, func(err error) {
-		if reports.Add(1); err == nil {
-			close(back)
+	var reportCount atomic.Int64
+	recovered := make(chan struct{})
+	w := startWriterForTest(t, Config{Dir: dir}, func(err error) {
+		if reportCount.Add(1); err == nil {
+			close(recovered)
 		}
 	})
 	for w.Counters.Failures.Load() < 2 {
 		w.Put(&Event{Name: "lost"})
 		time.Sleep(5 * time.Millisecond)
 	}
-	if reports.Load() != 1 {
-		t.Errorf("%d reports of a disk that failed twice", reports.Load())
+	if reportCount.Load() != 1 {
+		t.Errorf("%d reports of a disk that failed twice", reportCount.Load())
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	for waiting := true; waiting; {
+	for failing := true; failing; {
 		w.Put(&Event{Name: "kept"})
 		select {
-		case <-back:
-			waiting = false
+		case <-recovered:
+			failing = false
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
