--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -9,45 +9,49 @@
 )
 
 const (
-	// minUncertaintyMS is the uncertainty that the delivery of an endpoint event and the interval of observation add.
+	// minUncertaintyMS is the uncertainty that comes from the delay of an endpoint event and from the time between two
+	// observations of a router. It is part of every measured offset.
 	minUncertaintyMS = 3.0
-	// fewEventsUncertaintyMS is the least uncertainty of a clock with fewer than fewEvents shared events.
+	// fewEventsUncertaintyMS is the minimum uncertainty of a clock with fewer than fewEvents shared events.
 	fewEventsUncertaintyMS = 50.0
 	fewEvents              = 3
-	// unsynchronizedUncertaintyMS is the uncertainty of clocks without shared events: that of maintained system clocks.
+	// unsynchronizedUncertaintyMS is the uncertainty of a clock without shared events. It is the difference to expect
+	// between system clocks that are kept synchronized.
 	unsynchronizedUncertaintyMS = 500.0
-	// sameRouterUncertaintyMS is added for a clock that is taken from another process of the router.
+	// sameRouterUncertaintyMS is added to the uncertainty of a clock that is assumed to be that of another process of
+	// the same router.
 	sameRouterUncertaintyMS = 10.0
-	// A drift is estimated from minDriftEvents on that span minDriftSpanMS. That of a quartz is below maxDrift.
+	// The drift is estimated only from at least minDriftEvents that span at least minDriftSpanMS. The drift of a quartz
+	// clock is below maxDrift.
 	minDriftEvents, minDriftSpanMS = 6, 20_000.0
 	maxDrift                       = 500e-6
-	// uncertaintyQuantile of the shared events lie within the uncertainty.
+	// uncertaintyQuantile is the share of shared events whose offsets lie within the uncertainty.
 	uncertaintyQuantile = 0.9
 )
 
-// Clock is the offset of a process's clock from that of the reference process.
+// Clock relates the clock of a process to that of the reference process.
 type Clock struct {
-	OffsetMS    float64 // at ReferenceMS, ahead of the reference
-	Drift       float64 // further offset per unit of the process's time after ReferenceMS
-	ReferenceMS float64
-	// UncertaintyMS bounds the error of a corrected time. The order of two moments that are closer than the sum of
-	// their uncertainties is unknown.
+	OffsetMS    float64 // offset at ReferenceMS; positive if ahead of the reference
+	Drift       float64 // change of the offset per unit of the process's time after ReferenceMS
+	ReferenceMS float64 // a time on the process's clock
+	// UncertaintyMS bounds the error of a corrected time. If two times of different processes differ by less than the
+	// sum of their uncertainties, their order is unknown.
 	UncertaintyMS float64
-	SharedEvents  int  // with the reference
-	Measured      bool // by shared events; otherwise the system clocks are assumed to agree
+	SharedEvents  int  // number of events shared with the reference
+	Measured      bool // estimated from shared events; otherwise the system clocks are assumed to agree
 }
 
-// Correct converts a time of the process to the reference clock.
+// Correct converts a time on the process's clock to the reference clock.
 func (c Clock) Correct(atMS float64) float64 { return atMS - c.OffsetMS - c.Drift*(atMS-c.ReferenceMS) }
 
-// sharedEvent is an event that all routers see at about the same time: the change of an engine in the endpoint list. An
-// engine's id is never reused.
+// sharedEvent is a change of an engine in the endpoint list, which all routers see at about the same time. It is
+// unique, because an engine's id is never reused.
 type sharedEvent struct {
 	engineID string
 	state    record.State
 }
 
-// sharedEventOf reports whether a change is from the endpoint list.
+// sharedEventOf returns the shared event of a change, and false if the change does not come from the endpoint list.
 func sharedEventOf(change *record.EngineChange) (sharedEvent, bool) {
 	if change.State != record.Draining && change.State != record.Gone {
 		return sharedEvent{}, false
@@ -55,10 +59,12 @@
 	return sharedEvent{change.EngineID, change.State}, true
 }
 
-// offsetSample is the offset of a clock at a shared event.
+// offsetSample is the offset of a clock from the reference at a shared event; atMS is on the process's own clock.
 type offsetSample struct{ atMS, offsetMS float64 }
 
-// estimateClock estimates the clock that saw the events of own against the one that saw those of reference.
+// estimateClock estimates the clock of a process from the times of shared events: own has them on its clock, reference
+// on the reference clock. Without an event in both, the clocks are assumed to agree within
+// unsynchronizedUncertaintyMS.
 func estimateClock(own, reference map[sharedEvent]float64) Clock {
 	var samples []offsetSample
 	for event, atMS := range own {
@@ -82,8 +88,9 @@
 	return clock
 }
 
-// estimateDrift returns the Theil-Sen estimate, the median of all slopes, which a few events that arrived late don't
-// move. The samples are sorted by time. It returns 0 for samples that are too few or too close.
+// estimateDrift returns the Theil-Sen estimate of the drift, limited to maxDrift. This estimate is the median of the
+// slopes between pairs of samples, so that a few events that arrived late do not change it. The samples must be sorted
+// by time. It returns 0 for fewer than minDriftEvents samples and for a span below minDriftSpanMS.
 func estimateDrift(samples []offsetSample) float64 {
 	span := samples[len(samples)-1].atMS - samples[0].atMS
 	if len(samples) < minDriftEvents || span < minDriftSpanMS {
@@ -100,7 +107,8 @@
 	return min(max(median(slopes), -maxDrift), maxDrift)
 }
 
-// uncertainty returns the bound for a clock whose offset was sampled with those values. It is wider for few samples.
+// uncertainty returns the uncertainty of the estimate offsetMS, computed from the deviations of the sampled offsets
+// from it. It is larger for few samples.
 func uncertainty(offsets []float64, offsetMS float64) float64 {
 	deviations := make([]float64, len(offsets))
 	for i, sample := range offsets {
--- a/internal/incident/clock_test.go
+++ b/internal/incident/clock_test.go
@@ -8,7 +8,7 @@
 	"windflow/internal/record"
 )
 
-// The median of an even number of values is the mean of the two in the middle.
+// Covers no values, an odd number of values, and an even number, whose median is the mean of the two in the middle.
 func TestMedian(t *testing.T) {
 	for _, test := range []struct {
 		values []float64
@@ -26,7 +26,7 @@
 	}
 }
 
-// A drift is estimated from enough events over enough time, and bounded.
+// A drift is estimated only from enough events over a long enough time, and limited to maxDrift.
 func TestDriftNeedsEnoughEventsAndIsBounded(t *testing.T) {
 	samplesWithDrift := func(count int, apartMS, drift float64) []offsetSample {
 		samples := make([]offsetSample, count)
@@ -43,9 +43,9 @@
 	}{
 		{"enough events", samplesWithDrift(minDriftEvents, minDriftSpanMS, 100e-6), 100e-6},
 		{"too few events", samplesWithDrift(minDriftEvents-1, minDriftSpanMS, 100e-6), 0},
-		{"too short a time", samplesWithDrift(minDriftEvents, minDriftSpanMS/minDriftEvents, 100e-6), 0},
-		{"clock too fast for a quartz", samplesWithDrift(minDriftEvents, minDriftSpanMS, 2*maxDrift), maxDrift},
-		{"clock too slow for a quartz", samplesWithDrift(minDriftEvents, minDriftSpanMS, -2*maxDrift), -maxDrift},
+		{"span too short", samplesWithDrift(minDriftEvents, minDriftSpanMS/minDriftEvents, 100e-6), 0},
+		{"drift above the limit", samplesWithDrift(minDriftEvents, minDriftSpanMS, 2*maxDrift), maxDrift},
+		{"drift below the limit", samplesWithDrift(minDriftEvents, minDriftSpanMS, -2*maxDrift), -maxDrift},
 	} {
 		if got := estimateDrift(test.samples); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
@@ -53,7 +53,8 @@
 	}
 }
 
-// The fewer events two clocks share, the wider the uncertainty; without any the system clocks are assumed to agree.
+// Below fewEvents shared events, the uncertainty is at least fewEventsUncertaintyMS. Without any, the system clocks are
+// assumed to agree within unsynchronizedUncertaintyMS.
 func TestFewSharedEventsWidenUncertainty(t *testing.T) {
 	for _, test := range []struct {
 		shared int
--- a/internal/incident/doc.go
+++ b/internal/incident/doc.go
@@ -1,4 +1,5 @@
-// Package incident joins the records of several routers into one timeline: the offset of each process's clock, the
-// states of each engine, and the incidents, in which requests lost more value than usual, with the classes and
-// tenants that they affected. It opens no file and reads no clock: records are handed to a Joiner.
+// Package incident joins the records of several routers into one timeline. The timeline has the clock offset of each
+// process, the states of each engine, and the incidents: time ranges in which requests lost more value than usual, with
+// the classes and tenants that they affected. The package opens no files and does not read the system clock; its caller
+// passes the records to a Joiner.
 package incident
--- a/internal/incident/history.go
+++ b/internal/incident/history.go
@@ -8,7 +8,7 @@
 	"windflow/internal/record"
 )
 
-// engineHistories returns the states of each engine up to endMS, sorted by engine.
+// engineHistories returns the states of each engine up to endMS, sorted by engine id. clocks has one clock per process.
 func engineHistories(processes []*process, clocks []Clock, endMS float64) (histories []EngineHistory) {
 	spans := map[string][]Span{}
 	for i, process := range processes {
@@ -23,10 +23,10 @@
 	return histories
 }
 
-// addSpans adds what a process recorded of the engines to spans, which has them by engine. A span lasts to the
-// engine's next change, or to the process's end.
+// addSpans adds the engine states that the process recorded to spans, by engine id. A span ends at the next change of
+// the engine, or at the end of the process's records if there is none.
 func (p *process) addSpans(spans map[string][]Span, clock Clock, endMS float64) {
-	open := map[string]int{} // the index of each engine's last span
+	open := map[string]int{} // by engine id, the index of its last span
 	processEndMS := min(clock.Correct(p.toMS), endMS)
 	for _, change := range p.changes {
 		id, atMS := change.EngineID, clock.Correct(change.AtMS)
--- a/internal/incident/incident.go
+++ b/internal/incident/incident.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// An incident begins where the loss over windowSeconds exceeds the baseline by RiseThreshold, and ends where it
-	// has been within fallThreshold for recoverySeconds. It lasts at least minSeconds. Two that are at most
-	// mergeSeconds apart are one.
+	// An incident begins when the loss over windowSeconds exceeds the baseline by more than RiseThreshold. It ends when
+	// the loss has exceeded the baseline by at most fallThreshold for recoverySeconds. Incidents shorter than
+	// minSeconds are ignored, and two that are at most mergeSeconds apart are merged.
 	windowSeconds, minSeconds, recoverySeconds, mergeSeconds = 3, 2, 3, 5
 	fallThreshold                                            = 0.04
-	// RiseThreshold is the loss over the baseline at which an incident begins.
+	// RiseThreshold is the excess of the loss over the baseline, as a share of value, above which an incident begins.
 	RiseThreshold = 0.08
-	// baselineQuantile of the losses of all seconds is the baseline.
+	// baselineQuantile is the quantile of the losses of all seconds that serves as the baseline.
 	baselineQuantile = 0.25
 )
 
-// Incident is a time in which requests lost more value than usual.
+// Incident is a time range in which requests lost more value than usual. The value of a request is the priority weight
+// of its class.
 type Incident struct {
 	FromMS, ToMS float64
-	Loss         float64  // share of value lost
-	Impacts      []Impact // by LossShare, the largest first
+	Loss         float64  // share of the value of all requests that was lost
+	Impacts      []Impact // sorted by LossShare, largest first
 }
 
-// Impact is the part of a class and tenant in an incident.
+// Impact describes how an incident affected the requests of one class and tenant.
 type Impact struct {
 	Class, Tenant          string
 	Late, Rejected, Failed int
-	Ended                  int     // requests
-	Loss                   float64 // share of its own value that was lost
-	BaselineLoss           float64 // the same outside incidents
-	LossShare              float64 // share of the value that all classes and tenants lost
+	Ended                  int     // number of requests that ended
+	Loss                   float64 // share of the value of its requests that was lost
+	BaselineLoss           float64 // the same share outside incidents
+	LossShare              float64 // its share of the value lost by all classes and tenants
 }
 
-// secondRange is a range of seconds, both ends included.
+// secondRange is a range of seconds of the timeline, including both ends.
 type secondRange struct{ first, last int }
 
-// addIncidents finds the incidents, with the losses and the baseline that they are judged by.
+// addIncidents sets the losses, the baseline and the incidents of the timeline.
 func (t *Timeline) addIncidents(series *outcomeSeries) {
 	t.Loss = make([]float64, len(series.seconds))
 	for second := range t.Loss {
@@ -65,7 +66,7 @@
 	}
 }
 
-// baselineOf returns the usual loss, and false where no request ended.
+// baselineOf returns the usual loss, or false if no request ended in any second. NaN marks a second without requests.
 func baselineOf(losses []float64) (baseline float64, ok bool) {
 	known := slices.DeleteFunc(slices.Clone(losses), math.IsNaN)
 	if len(known) == 0 {
@@ -75,10 +76,11 @@
 	return known[int(baselineQuantile*float64(len(known)-1))], true
 }
 
-// incidentRanges returns the ranges of seconds in which the loss exceeds the baseline, of any length.
+// incidentRanges returns the ranges of seconds in which the loss exceeds the baseline, without regard to minSeconds.
+// Ranges at most mergeSeconds apart are merged.
 func incidentRanges(losses []float64, baseline float64) (ranges []secondRange) {
 	for second := 0; second < len(losses); second++ {
-		if !(losses[second] > baseline+RiseThreshold) { // also for NaN
+		if !(losses[second] > baseline+RiseThreshold) { // a negated comparison, so that NaN is skipped, too
 			continue
 		}
 		last := lastBadSecond(losses, second, baseline+fallThreshold)
@@ -92,7 +94,8 @@
 	return ranges
 }
 
-// lastBadSecond returns the last second, from first on, with a loss above limit before recoverySeconds within it.
+// lastBadSecond returns the last second with a loss above limit, searching from first until the loss has stayed within
+// the limit for recoverySeconds in a row.
 func lastBadSecond(losses []float64, first int, limit float64) int {
 	last, good := first, 0
 	for second := first; second < len(losses) && good < recoverySeconds; second++ {
@@ -108,10 +111,10 @@
 	return last
 }
 
-// describeIncident describes the incident in a range of seconds; outside has the outcomes outside all incidents. It returns false
-// where nothing was lost.
+// describeIncident describes the incident in a range of seconds. outside has the outcomes of requests outside all
+// incidents. It returns false if nothing was lost.
 func (s *outcomeSeries) describeIncident(found secondRange, outside map[classKey]outcomes) (Incident, bool) {
-	first := max(found.first-windowSeconds+1, 0) // the window of the first second begins there
+	first := max(found.first-windowSeconds+1, 0) // start of the loss window of the first second
 	result := Incident{
 		FromMS: s.fromMS + msPerSecond*float64(first), ToMS: s.fromMS + msPerSecond*float64(found.last+1),
 	}
@@ -122,7 +125,7 @@
 		result.Impacts = append(result.Impacts, Impact{
 			Class: key.class, Tenant: key.tenant, Late: ended.late, Rejected: ended.rejected, Failed: ended.failed,
 			Ended: ended.total(), Loss: s.lossShare(key, ended), BaselineLoss: s.lossShare(key, outside[key]),
-			LossShare: classPossible - classEarned, // divided by the total below
+			LossShare: classPossible - classEarned, // normalized below
 		})
 	}
 	if possible == 0 || lost == 0 {
--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The baseline is the lower quartile of the seconds in which requests ended.
+// The baseline must be the lower quartile of the losses, without the seconds in which no request ended.
 func TestBaselineIsLowerQuartile(t *testing.T) {
 	none := math.NaN()
 	for _, test := range []struct {
@@ -15,7 +15,7 @@
 		want   float64
 		ok     bool
 	}{
-		{"no second", nil, 0, false},
+		{"no seconds", nil, 0, false},
 		{"no request ended", []float64{none, none}, 0, false},
 		{"one second", []float64{none, 0.3, none}, 0.3, true},
 		{"seconds in any order", []float64{0.9, 0.2, none, 0.1, 0.3, 0.4}, 0.2, true},
@@ -26,7 +26,8 @@
 	}
 }
 
-// Incidents that are close to each other are one. A second without a request neither begins nor ends an incident.
+// Incidents at most mergeSeconds apart must be merged, and a second without requests must neither begin nor end an
+// incident.
 func TestIncidentRanges(t *testing.T) {
 	const bad = 0.5
 	none := math.NaN()
@@ -35,14 +36,14 @@
 		losses []float64
 		want   []secondRange
 	}{
-		{"calm", []float64{0, 0.05, 0, 0}, nil},
+		{"no loss", []float64{0, 0.05, 0, 0}, nil},
 		{"one second", []float64{0, bad, 0, 0, 0}, []secondRange{{1, 1}}},
-		{"until the end", []float64{0, bad, bad}, []secondRange{{1, 2}}},
-		{"a short recovery", []float64{bad, 0, 0, 0.05, 0, 0, 0, 0}, []secondRange{{0, 3}}},
+		{"bad until the end", []float64{0, bad, bad}, []secondRange{{1, 2}}},
+		{"recovery shorter than recoverySeconds", []float64{bad, 0, 0, 0.05, 0, 0, 0, 0}, []secondRange{{0, 3}}},
 		{"mergeSeconds apart", []float64{bad, 0, 0, 0, 0, bad, 0, 0, 0}, []secondRange{{0, 5}}},
-		{"further apart", []float64{bad, 0, 0, 0, 0, 0, bad, 0, 0, 0}, []secondRange{{0, 0}, {6, 6}}},
+		{"more than mergeSeconds apart", []float64{bad, 0, 0, 0, 0, 0, bad, 0, 0, 0}, []secondRange{{0, 0}, {6, 6}}},
 		{"no requests", []float64{none, none, none}, nil},
-		{"no requests within", []float64{bad, 0, none, 0, 0, 0.05, 0, 0, 0}, []secondRange{{0, 5}}},
+		{"no requests during the incident", []float64{bad, 0, none, 0, 0, 0.05, 0, 0, 0}, []secondRange{{0, 5}}},
 	} {
 		if got := incidentRanges(test.losses, 0); !slices.Equal(got, test.want) {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
--- a/internal/incident/joiner.go
+++ b/internal/incident/joiner.go
@@ -8,18 +8,18 @@
 	"windflow/internal/record"
 )
 
-// Joiner collects the records of any number of processes. Those of each process have to be added in the order of
-// their times; the processes may be added in any order, also interleaved. It keeps the counts of each second and the
-// changes of engines, and none of the records.
+// Joiner collects the records of any number of processes. The records of a process must be added in the order of their
+// times; those of different processes may be interleaved. To bound memory, it keeps only the counts of each interval,
+// the changes of engines and the gaps.
 type Joiner struct {
 	processes map[string]*process // by process id
 	classes   map[string]record.Class
 }
 
-// process is the content of the records of one process. Its times are on its own clock.
+// process holds what the records of one process contain. All times are on its own clock.
 type process struct {
 	header       record.Header
-	sharedEvents map[sharedEvent]float64 // the time of the first of each
+	sharedEvents map[sharedEvent]float64 // the time at which each was first seen
 	changes      []record.EngineChange
 	intervals    []interval
 	gaps         []record.Gap
@@ -28,7 +28,7 @@
 
 type classKey struct{ class, tenant string }
 
-// interval has the outcomes of the second, or so, before its time.
+// interval has the outcomes of requests in the interval, of about one second, that ends at atMS.
 type interval struct {
 	atMS    float64
 	classes map[classKey]outcomes
@@ -46,12 +46,12 @@
 	}
 }
 
-// NewJoiner returns a joiner without records.
+// NewJoiner returns an empty Joiner.
 func NewJoiner() *Joiner {
 	return &Joiner{processes: map[string]*process{}, classes: map[string]record.Class{}}
 }
 
-// Add adds a record of a segment with that header.
+// Add adds a record. header is that of the segment that contains it.
 func (j *Joiner) Add(header *record.Header, next record.Record) {
 	owner := j.processes[header.ProcessID]
 	if owner == nil {
@@ -79,7 +79,7 @@
 	case *record.Gap:
 		p.gaps = append(p.gaps, *next)
 	case *record.Header, *record.RequestFailure, *record.Event:
-		// They extend the time that the process covers, and no more.
+		// Only their times matter, which are used above.
 	}
 }
 
@@ -102,7 +102,7 @@
 	p.intervals = append(p.intervals, added)
 }
 
-// sortedProcesses returns the processes by router and, within one, by start.
+// sortedProcesses returns the processes sorted by router, and those of a router by start.
 func (j *Joiner) sortedProcesses() []*process {
 	return slices.SortedFunc(maps.Values(j.processes), func(a, b *process) int {
 		return cmp.Or(
--- a/internal/incident/outcome_series.go
+++ b/internal/incident/outcome_series.go
@@ -6,7 +6,8 @@
 	"windflow/internal/record"
 )
 
-// outcomeSeries has the outcomes of all requests by the second in which they ended, so that long queries count too.
+// outcomeSeries has the outcomes of all requests, by the second in which they ended, not arrived, so that long
+// queries are counted, too.
 type outcomeSeries struct {
 	classes map[string]record.Class
 	fromMS  float64
@@ -15,8 +16,11 @@
 
 const msPerSecond = 1000
 
-// newOutcomeSeries sums up the intervals of all processes from fromMS to toMS on the reference clock.
-func newOutcomeSeries(classes map[string]record.Class, processes []*process, clocks []Clock, fromMS, toMS float64) *outcomeSeries {
+// newOutcomeSeries adds up the intervals of all processes. It covers the time from fromMS to toMS on the reference
+// clock.
+func newOutcomeSeries(
+	classes map[string]record.Class, processes []*process, clocks []Clock, fromMS, toMS float64,
+) *outcomeSeries {
 	s := &outcomeSeries{
 		classes: classes, fromMS: fromMS,
 		seconds: make([]map[classKey]outcomes, int((toMS-fromMS)/msPerSecond)+1),
@@ -39,8 +43,9 @@
 	}
 }
 
-// value returns the value that requests of a class earned, and what they would have earned had all been served in
-// time: by the priority weight of the class, of which a late answer earns a share.
+// value returns the value that requests of a class earned, and the value possible if all had been served within the
+// latency objective. A request served on time earns the priority weight of its class, and a late one the class's share
+// of it. The weight is 1 for an unknown class.
 func (s *outcomeSeries) value(key classKey, ended outcomes) (earned, possible float64) {
 	weight, lateShare := 1.0, 0.0
 	if class, ok := s.classes[key.class]; ok && class.PriorityWeight > 0 {
@@ -49,7 +54,7 @@
 	return weight * (float64(ended.onTime) + lateShare*float64(ended.late)), weight * float64(ended.total())
 }
 
-// lossShare returns the share of value that requests of a class lost, and 0 where none could have earned any.
+// lossShare returns the share of the possible value that requests of a class lost, or 0 if there are none.
 func (s *outcomeSeries) lossShare(key classKey, ended outcomes) float64 {
 	earned, possible := s.value(key, ended)
 	if possible > 0 {
@@ -58,8 +63,8 @@
 	return 0
 }
 
-// windowLoss returns the share of value lost in the windowSeconds that end with that second, NaN where no request
-// ended.
+// windowLoss returns the share of value lost in the windowSeconds that end with the given second, or NaN if no request
+// ended in them.
 func (s *outcomeSeries) windowLoss(second int) float64 {
 	var earned, possible float64
 	for i := max(second-windowSeconds+1, 0); i <= second; i++ {
@@ -74,7 +79,7 @@
 	return math.NaN()
 }
 
-// sum adds up the outcomes of the seconds that selected accepts.
+// sum returns the totals of the seconds for which selected returns true.
 func (s *outcomeSeries) sum(selected func(second int) bool) map[classKey]outcomes {
 	sums := map[classKey]outcomes{}
 	for second, classes := range s.seconds {
--- a/internal/incident/synchronize.go
+++ b/internal/incident/synchronize.go
@@ -1,16 +1,17 @@
 package incident
 
-// clockSync relates the clocks of processes to that of a reference process, by the events that they share with it or
-// with a process that is synchronized already: one that ended early and one that started late are related through a
-// third.
+// clockSync relates the clocks of all processes to that of a reference process. It uses the events that a process
+// shares with the reference or with a process that is synchronized already. Thus a process that ended early and one
+// that started late, which share no event, are related through a third.
 type clockSync struct {
 	processes    []*process
 	clocks       []Clock
 	synchronized []bool
-	events       map[sharedEvent]float64 // on the reference clock
+	events       map[sharedEvent]float64 // times on the reference clock
 }
 
-// synchronizeClocks returns the clock of each process. The reference is the process with the most shared events.
+// synchronizeClocks returns the clock of each process. The reference is the process with the most shared events. There
+// must be at least one process.
 func synchronizeClocks(processes []*process) []Clock {
 	sync := &clockSync{
 		processes:    processes,
@@ -43,7 +44,7 @@
 	return index
 }
 
-// setClock notes a process's clock, and with it its events on the reference clock.
+// setClock sets the clock of a process and adds its events, converted to the reference clock, to those that are known.
 func (s *clockSync) setClock(index int, clock Clock) {
 	s.clocks[index], s.synchronized[index] = clock, true
 	for event, atMS := range s.processes[index].sharedEvents {
@@ -53,7 +54,8 @@
 	}
 }
 
-// nextProcess returns the process that shares the most events with the synchronized ones, and -1 where none shares any.
+// nextProcess returns the index of the unsynchronized process that shares the most events with the synchronized ones,
+// or -1 if none shares any.
 func (s *clockSync) nextProcess() int {
 	best, most := -1, 0
 	for i, process := range s.processes {
@@ -73,8 +75,9 @@
 	return best
 }
 
-// assumedClock returns the clock of a process without shared events: that of another process of its router, which
-// runs on the same machine but read the system clock at its own start, and otherwise one without offset.
+// assumedClock returns the clock of a process without shared events. It is that of another process of the same router,
+// if there is one: both run on the same machine, but each read the system clock at its own start, so that the
+// uncertainty is larger. Otherwise the offset is assumed to be 0.
 func (s *clockSync) assumedClock(of *process) Clock {
 	for i, other := range s.processes {
 		if s.synchronized[i] && other.header.Router == of.header.Router {
--- a/internal/incident/timeline.go
+++ b/internal/incident/timeline.go
@@ -8,55 +8,56 @@
 	"windflow/internal/record"
 )
 
-// maxSilenceMS is how long a process may write no interval before the time counts as a gap.
+// maxSilenceMS is the longest time between two intervals of a process that does not count as a gap.
 const maxSilenceMS = 2500.0
 
-// Timeline is what the records of all processes show. All times are on the reference process's clock, in milliseconds.
+// Timeline has what the records of all processes show. All times are in milliseconds on the clock of the reference
+// process.
 type Timeline struct {
 	FromMS, ToMS float64
 	Processes    []Process
 	Engines      []EngineHistory
 	Incidents    []Incident
 	Gaps         []Gap
-	Loss         []float64 // the share of value lost, from 0 to 1, in each second; NaN where no request ended
-	BaselineLoss float64   // the usual loss
+	Loss         []float64 // per second, share of value lost, from 0 to 1; NaN if no request ended
+	BaselineLoss float64   // usual value of Loss
 }
 
-// Process is one process of a router.
+// Process is a process of a router. A hot restart gives a router a second one.
 type Process struct {
 	Router       string
 	Incarnation  uint64
 	ProcessID    string
 	FromMS, ToMS float64
 	Clock        Clock
-	Intervals    int // that it wrote
+	Intervals    int // number of Interval records that it wrote
 }
 
-// Gap is a span of time that the records of a router do not cover.
+// Gap is a time range for which records of a router are missing.
 type Gap struct {
 	Router       string
 	FromMS, ToMS float64
-	Dropped      int // records; 0 where the router wrote none
+	Dropped      int // number of records dropped; 0 if the router wrote nothing
 }
 
-// EngineHistory has the states of an engine.
+// EngineHistory has the states of an engine as all routers saw them.
 type EngineHistory struct {
 	EngineID string
-	Spans    []Span // by router, and in the order of time
+	Spans    []Span // sorted by router and time
 }
 
-// Span is a time in which an engine had a state for a router.
+// Span is a time range in which an engine had one state in the view of one router.
 type Span struct {
 	Router             string
 	FromMS, ToMS       float64
-	UncertaintyMS      float64 // of both times
+	UncertaintyMS      float64 // of FromMS and ToMS
 	State              record.State
 	Slowness           float64
 	FailureRate        float64
 	ConnectionFailures int
 }
 
-// Timeline joins the records that were added.
+// Timeline joins the records added so far into a timeline. It is empty if there are none.
 func (j *Joiner) Timeline() *Timeline {
 	processes := j.sortedProcesses()
 	if len(processes) == 0 {
--- a/internal/incident/timeline_test.go
+++ b/internal/incident/timeline_test.go
@@ -9,7 +9,7 @@
 	"windflow/internal/record"
 )
 
-// simulatedFleet simulates routers that write records. Each has its own clock, and all see the same engines.
+// simulatedFleet simulates routers that write records. Each has its own clock; all see the same engines.
 type simulatedFleet struct {
 	rng     *rand.Rand
 	joiner  *Joiner
@@ -41,7 +41,8 @@
 	return f
 }
 
-// routerTimeMS converts a true time to a router's clock, with a random delay of delivery.
+// routerTimeMS returns the time on a router's clock at which it sees an event of the true time at, in milliseconds
+// after epochMS. It adds a random delay of up to 2 ms.
 func (f *simulatedFleet) routerTimeMS(r *testRouter, at float64) float64 {
 	return epochMS + at + r.offsetMS + r.drift*at + 2*f.rng.Float64()
 }
@@ -52,7 +53,8 @@
 	}
 }
 
-// addSecond has each router but skip serve for a second; rejected is the share of lookups that it rejects.
+// addSecond adds an interval of one second for each router, except the one with the index skip (-1 for none).
+// rejectedShare is the share of lookups that are rejected.
 func (f *simulatedFleet) addSecond(at float64, rejectedShare float64, skip int) {
 	for i, r := range f.routers {
 		if i == skip {
@@ -60,15 +62,17 @@
 		}
 		n := 80 + f.rng.IntN(10)
 		rejected := int(rejectedShare * float64(n))
-		f.joiner.Add(&r.header, &record.Interval{AtMS: f.routerTimeMS(r, at), DurationMS: 1000, Classes: []record.ClassStats{
-			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
-			{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
-		}})
+		f.joiner.Add(&r.header, &record.Interval{
+			AtMS: f.routerTimeMS(r, at), DurationMS: 1000, Classes: []record.ClassStats{
+				{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
+				{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
+			},
+		})
 	}
 }
 
-// Clocks up to 400 ms apart and drifting are synchronized by the events that their routers share, within the
-// uncertainty that is reported.
+// Clocks that drift and have offsets up to 400 ms are synchronized by the events that the routers share. The remaining
+// error must be within the reported uncertainty.
 func TestClocksAreSynchronized(t *testing.T) {
 	offsets, drifts := []float64{0, 400, -250}, []float64{0, 100e-6, -200e-6}
 	f := newFleet(7, offsets, drifts)
@@ -83,17 +87,18 @@
 			t.Errorf("%s: %+v", p.Router, p.Clock)
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
-			// The reference may be any of the three; they have to agree.
+			// The reference may be any of the three, so the corrected times are compared with each other.
 			corrected := p.Clock.Correct(epochMS + at + offsets[i] + drifts[i]*at)
 			reference := first.Correct(epochMS + at + offsets[0] + drifts[0]*at)
 			if difference := math.Abs(corrected - reference); difference > p.Clock.UncertaintyMS+first.UncertaintyMS {
-				t.Errorf("%s at %v: off by %.1f ms, reported within %.1f", p.Router, at, difference, p.Clock.UncertaintyMS)
+				t.Errorf("%s at %v: error of %.1f ms, reported uncertainty %.1f ms",
+					p.Router, at, difference, p.Clock.UncertaintyMS)
 			}
 		}
 	}
 }
 
-// A run without losses has no incident.
+// Guards against false incidents: a steady run in which about 1% of the lookups are late must not yield one.
 func TestRunWithoutLossesHasNoIncident(t *testing.T) {
 	for seed := range uint64(20) {
 		fleet := newFleet(seed, []float64{0, 5}, []float64{0, 0})
@@ -101,13 +106,13 @@
 			fleet.addSecond(float64(1000*i), 0.01, -1)
 		}
 		if timeline := fleet.joiner.Timeline(); len(timeline.Incidents) != 0 {
-			t.Fatalf("seed %d: a calm run has %+v", seed, timeline.Incidents)
+			t.Fatalf("seed %d: run without unusual losses has incidents: %+v", seed, timeline.Incidents)
 		}
 	}
 }
 
-// addTwoIncidents has requests rejected from second 60 to 75, while an engine is down, and from 150 to 156. The
-// records of router n2 are missing for half of the first.
+// addTwoIncidents adds 200 seconds of records. Half of the lookups are rejected from second 60 to 75, while an engine
+// is down, and from second 150 to 156. Router n2 writes no records from second 65 to 72.
 func addTwoIncidents(f *simulatedFleet) {
 	f.addEngineChange(500, "s-00000001", record.Normal)
 	for i := range 200 {
@@ -132,8 +137,8 @@
 	}
 }
 
-// Each of two incidents is found, with its time, whom it affected, the engine that was down, and the gap in the
-// records.
+// Both incidents must be found. The first must have the right time, the affected class and tenant, the engine that was
+// down, and the gap in the records of one router.
 func TestIncidentsAreFound(t *testing.T) {
 	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
 	addTwoIncidents(f)
@@ -144,7 +149,7 @@
 	first := timeline.Incidents[0]
 	from, to := (first.FromMS-timeline.FromMS)/1000, (first.ToMS-timeline.FromMS)/1000
 	if math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
-		t.Errorf("from %.0f s to %.0f s", from, to)
+		t.Errorf("first incident from %.0f s to %.0f s, want 59 s to 75 s", from, to)
 	}
 	worst := first.Impacts[0]
 	if worst.Class != "lookup" || worst.Tenant != "a" {
@@ -157,11 +162,11 @@
 		t.Errorf("gaps: %+v", timeline.Gaps)
 	}
 	if down := countDownSpans(timeline, "s-00000001", first); down != 3 {
-		t.Errorf("the engine was down for %d routers", down)
+		t.Errorf("the engine was down for %d routers, want 3", down)
 	}
 }
 
-// countGaps counts the gaps of a router that are longer than leastMS.
+// countGaps returns the number of gaps of a router that are longer than leastMS.
 func countGaps(timeline *Timeline, router string, leastMS float64) (gaps int) {
 	for _, gap := range timeline.Gaps {
 		if gap.Router == router && gap.ToMS-gap.FromMS > leastMS {
@@ -171,7 +176,7 @@
 	return gaps
 }
 
-// countDownSpans counts the spans of an incident in which an engine was down.
+// countDownSpans returns the number of spans in an incident in which an engine was down.
 func countDownSpans(timeline *Timeline, engineID string, in Incident) (spans int) {
 	for _, engine := range timeline.Engines {
 		for _, span := range engine.Spans {
@@ -184,7 +189,8 @@
 	return spans
 }
 
-// Two processes of a hot restart have one router's name, and the successor may share no event with any other.
+// After a hot restart, the successor may share no event with any other process. It must then get the clock of its
+// predecessor, which has the same router name, with a larger uncertainty.
 func TestSuccessorWithoutSharedEventsUsesPredecessorClock(t *testing.T) {
 	f := newFleet(5, []float64{0, 300}, []float64{0, 0})
 	successor := &testRouter{header: f.routers[1].header, offsetMS: 300}
--- a/internal/record/extract.go
+++ b/internal/record/extract.go
@@ -10,16 +10,17 @@
 	"slices"
 )
 
-// Extract copies the records from startMS to endMS, on their routers' clocks, into one segment per process in dir,
-// and returns their number. Each segment begins with the states that the engines had at startMS, so that it can be
-// read alone.
+// Extract copies the records between startMS and endMS, on the clocks of their routers, into one new segment per
+// process in dir. Each segment begins with the states of the engines at startMS, so that it can be read without the
+// earlier ones. It returns the number of records written, those states included. It fails when a segment in dir exists
+// already or can't be written; files that can't be read are skipped.
 func Extract(files []string, dir string, startMS, endMS float64) (records int, err error) {
 	e := &extractor{dir: dir, startMS: startMS, endMS: endMS, processes: map[string]*extractedProcess{}}
 	_, err = ReadSegments(files, e.add)
 	return e.records, cmp.Or(err, e.close())
 }
 
-// extractor copies a span of time.
+// extractor copies the records of a time range.
 type extractor struct {
 	dir            string
 	startMS, endMS float64
@@ -27,15 +28,15 @@
 	records        int
 }
 
-// extractedProcess is what is extracted of a process. It has no file until one of its records lies in the span.
+// extractedProcess is the new segment of one process. The file is created with the first record in the time range.
 type extractedProcess struct {
 	file       *os.File
 	writer     *bufio.Writer
 	buf        []byte
-	lastStates map[string]*EngineChange // the last of each engine before the span
+	lastStates map[string]*EngineChange // by engine id, the last change before the time range
 }
 
-// add processes the next record of a process.
+// add copies a record in the time range and remembers engine states before it.
 func (e *extractor) add(header *Header, next Record) error {
 	process := e.processes[header.ProcessID]
 	if process == nil {
@@ -60,7 +61,7 @@
 	return process.write(next)
 }
 
-// startSegment creates a process's segment, with the engines' states at the start of the span.
+// startSegment creates the segment of a process and writes the states of the engines at startMS.
 func (e *extractor) startSegment(process *extractedProcess, header *Header) error {
 	name := fmt.Sprintf("%s-%013.0f-%d-cut%s", sanitizeFileName(header.Router), e.startMS, header.Incarnation, Suffix)
 	file, err := os.OpenFile(filepath.Join(e.dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// close completes all segments and returns the first error.
+// close flushes and closes all segments. It returns the first error.
 func (e *extractor) close() error {
 	var first error
 	for _, process := range e.processes {
--- a/internal/record/files.go
+++ b/internal/record/files.go
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// Suffix is the suffix of segment files.
+// Suffix is the file name suffix of segments.
 const Suffix = ".wfr"
 
 var (
-	// ErrNoSegments is the error of SegmentFiles for paths without a segment.
-	ErrNoSegments = errors.New("no segments of records (*" + Suffix + ") there")
-	// ErrIncompleteHeader is the error for a segment that ends within its header.
+	// ErrNoSegments is returned by SegmentFiles if the paths contain no segment.
+	ErrNoSegments = errors.New("no segments of records (*" + Suffix + ") in the given paths")
+	// ErrIncompleteHeader is the error of a segment that ends before its header is complete.
 	ErrIncompleteHeader = errors.New("it ends before its header does")
 )
 
-// SegmentFiles returns the segment files among paths and in the folders among them, sorted by name. That is the order
-// of time within each process.
+// SegmentFiles returns the segment files in paths, sorted by name. A path is a file, whatever its suffix, or a folder
+// that is searched recursively. Sorted by name, the segments of a process are in the order in which they were written.
 func SegmentFiles(paths ...string) (files []string, err error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -57,18 +57,18 @@
 	return files, err
 }
 
-// SegmentResult is the outcome of reading a segment file.
+// SegmentResult describes what was read from a segment file.
 type SegmentResult struct {
 	Path    string
 	Header  Header
-	Records int
+	Records int // without the header
 	Damage  []Damage
-	Err     error // why the file could not be read, or not to its end
+	Err     error // why the file was not read, or not to its end; nil if it was
 }
 
-// ReadSegments reads segment files one by one and passes their records to each, without the headers; it keeps one
-// record in memory. A file that can't be read has an error in its result and does not end the reading. An error of
-// each does, and is returned with the results of the files before.
+// ReadSegments reads segment files one by one and calls each for every record except the headers. It has only one
+// record in memory at a time. A file that can't be read has an error in its result, and reading goes on with the next
+// file. If each returns an error, ReadSegments stops and returns it with the results of the files read before.
 func ReadSegments(files []string, each func(header *Header, next Record) error) (results []SegmentResult, err error) {
 	for _, path := range files {
 		result, err := readSegment(path, each)
@@ -80,7 +80,7 @@
 	return results, nil
 }
 
-// readSegment returns an error only where each does.
+// readSegment reads one segment file. It returns an error only if each does; read errors are in the result.
 func readSegment(path string, each func(*Header, Record) error) (SegmentResult, error) {
 	result := SegmentResult{Path: path}
 	file, err := os.Open(path)
@@ -110,19 +110,21 @@
 	return result, nil
 }
 
-// NewProcessID returns an id that no other process has; startMS is when this one started.
+// NewProcessID returns an id that distinguishes this process from all other processes of all routers. It is made of the
+// process number and startMS, the time at which the process started.
 func NewProcessID(startMS float64) string {
 	return strconv.Itoa(os.Getpid()) + "." + strconv.FormatInt(int64(startMS*1e3), 36)
 }
 
-// segmentPath is where a process writes its segment of the header's number.
+// segmentPath returns the path of the segment with the given header.
 func segmentPath(dir string, header *Header) string {
 	name := fmt.Sprintf("%s-%013.0f-%d-%04d%s", sanitizeFileName(header.Router), header.ClockMS, header.Incarnation,
 		header.SegmentNumber, Suffix)
 	return filepath.Join(dir, name)
 }
 
-// sanitizeFileName replaces the characters of a router's name that a file's name should not have.
+// sanitizeFileName replaces all characters of a router's name but letters, digits, '_' and '.' with '_', so that the
+// result is a valid file name.
 func sanitizeFileName(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '.' {
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -11,11 +11,11 @@
 	"windflow/internal/golden"
 )
 
-// goldenSegment contains goldenRecords as an earlier program wrote them.
+// goldenSegment is the file that contains goldenRecords as an earlier version of the program wrote them.
 const goldenSegment = "full.wfr"
 
-// goldenRecords returns a segment with each kind of record, all fields set. The event has one field, because several
-// have no order among them.
+// goldenRecords returns one record of each kind with all fields set. The event has only one field, because the order in
+// which several are encoded is undefined.
 func goldenRecords() []Record {
 	const startMS = 1_796_000_000_000.5
 	class := ClassStats{
@@ -59,7 +59,7 @@
 	}
 }
 
-// encodeSegment returns the records' frames.
+// encodeSegment returns the frames of records.
 func encodeSegment(t *testing.T, records []Record) (segment []byte) {
 	t.Helper()
 	for _, r := range records {
@@ -71,7 +71,7 @@
 	return segment
 }
 
-// decodeSegment returns a segment's records with the header.
+// decodeSegment returns the records of a segment, including the header.
 func decodeSegment(t *testing.T, segment []byte) (records []Record) {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(segment))
@@ -90,12 +90,13 @@
 		records = append(records, next)
 	}
 	if len(r.Damage) > 0 {
-		t.Errorf("damage: %v", r.Damage)
+		t.Errorf("segment has damage: %v, want none", r.Damage)
 	}
 	return records
 }
 
-// A segment has the bytes that an earlier program wrote, and is read back equal.
+// Guards against a change of the stored format: records must have the bytes that an earlier version of the program
+// wrote, and must be the same after they are read.
 func TestGoldenSegment(t *testing.T) {
 	want := goldenRecords()
 	golden.AllFieldsSet(t, want)
@@ -106,11 +107,11 @@
 		t.Error(diff)
 	}
 	if !bytes.Equal(encodeSegment(t, got), segment) {
-		t.Error("the records that were read have other bytes when they are written")
+		t.Error("records read from the segment are encoded to different bytes")
 	}
 }
 
-// The numbers of states, which segments store, have the recorded names.
+// Guards against renumbering or renaming states: segments store the numbers, and windflowctl prints the names.
 func TestGoldenStates(t *testing.T) {
 	var text bytes.Buffer
 	for s := range State(len(stateNames) + 1) {
--- a/internal/record/log_handler.go
+++ b/internal/record/log_handler.go
@@ -5,8 +5,9 @@
 	"log/slog"
 )
 
-// NewLogHandler returns a handler that passes each line of level Info or above to put as an Event, under the same
-// names, and every line to next. nowMS is the router's clock. put must not block.
+// NewLogHandler returns a handler that passes every log line to next, and calls put with an Event for each line of
+// level Info or above. The event has the message as its name and the attributes as its fields. nowMS returns the time
+// on the router's clock in milliseconds. put must not block.
 func NewLogHandler(next slog.Handler, nowMS func() float64, put func(*Event)) slog.Handler {
 	return &logHandler{Handler: next, nowMS: nowMS, put: put}
 }
@@ -18,7 +19,7 @@
 	attrs []slog.Attr
 }
 
-// maxFieldBytes bounds the text of an event's field; longer text, such as a stack trace, is truncated.
+// maxFieldBytes bounds the text of an event field. Longer text, such as a stack trace, is truncated.
 const maxFieldBytes = 512
 
 // Handle implements slog.Handler.
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -9,34 +9,36 @@
 )
 
 const (
-	// Latencies are recorded between these bounds, in milliseconds, to two significant digits.
+	// Histograms record latencies between these bounds, in milliseconds, with two significant digits.
 	minLatencyMS, maxLatencyMS, latencyDigits = 1, 120_000, 2
-	// maxClasses and maxEngines bound the meter: further classes, tenants and engines share one entry without a name.
+	// maxClasses bounds the entries for combinations of class and tenant, maxEngines those for engines. Beyond the
+	// limit, all further combinations share one entry with an empty class and tenant, and all further engines one with
+	// the id 0.
 	maxClasses, maxEngines = 256, 1024
-	// maxHistogramBytes bounds the memory of all histograms; entries beyond it have no percentiles.
+	// maxHistogramBytes bounds the memory of all histograms. Entries made after that have no percentiles.
 	maxHistogramBytes = 3 << 20
 )
 
-// RequestOutcome is how a request ended.
+// RequestOutcome says how a request ended.
 type RequestOutcome uint8
 
 // Outcomes of requests.
 const (
 	RequestOnTime RequestOutcome = iota // served within the latency objective of its class
-	RequestLate                         // served after it
+	RequestLate                         // served after the latency objective
 	RequestRejected
 	RequestFailed
 	RequestCancelled // by the client
 )
 
-// AttemptOutcome is how an attempt ended.
+// AttemptOutcome says how an attempt ended.
 type AttemptOutcome uint8
 
 // Outcomes of attempts.
 const (
 	AttemptServed AttemptOutcome = iota
 	AttemptRejected
-	AttemptErrored
+	AttemptErrored          // the engine answered with an error
 	AttemptConnectionFailed // could not connect, or lost the connection
 	AttemptTimedOut
 	AttemptOther // not sent, or cancelled
@@ -56,8 +58,8 @@
 	used      bool                    // since the last Collect
 }
 
-// Meter counts the requests and attempts of an interval. It allocates only for a class, tenant or engine that it has
-// not counted before. It is not safe for concurrent use.
+// Meter counts the requests and attempts of an interval. It allocates memory only for the first request of a class and
+// tenant and the first attempt at an engine. It is not safe for concurrent use.
 type Meter struct {
 	classes        map[classKey]*classMeter
 	engines        map[uint64]*engineMeter
@@ -65,7 +67,7 @@
 	formatEngineID func(uint64) string
 }
 
-// NewMeter returns an empty meter.
+// NewMeter returns an empty meter. formatEngineID converts an engine's id to the form that records contain.
 func NewMeter(formatEngineID func(uint64) string) *Meter {
 	return &Meter{
 		classes: map[classKey]*classMeter{}, engines: map[uint64]*engineMeter{}, formatEngineID: formatEngineID,
@@ -114,7 +116,8 @@
 	return entry
 }
 
-// RequestArrived counts a request; estimateMS is its estimated service time.
+// RequestArrived counts the arrival of a request. retry says that the client sent it before; estimateMS is its
+// estimated service time.
 func (m *Meter) RequestArrived(class, tenant string, retry bool, estimateMS float64) {
 	entry := m.classEntry(class, tenant)
 	entry.Arrived++
@@ -124,7 +127,8 @@
 	entry.EstimateMS += estimateMS
 }
 
-// RequestEnded counts the end of a request, tookMS after its arrival.
+// RequestEnded counts the end of a request. tookMS is the time since its arrival; it is recorded as a latency only for
+// served requests.
 func (m *Meter) RequestEnded(class, tenant string, outcome RequestOutcome, tookMS float64) {
 	entry := m.classEntry(class, tenant)
 	switch outcome {
@@ -146,7 +150,8 @@
 // AttemptStarted counts an attempt that was sent to an engine.
 func (m *Meter) AttemptStarted(engine uint64) { m.engineEntry(engine).Sent++ }
 
-// AttemptEnded counts the end of an attempt, tookMS after its start.
+// AttemptEnded counts the end of an attempt. tookMS is the time since its start; it is recorded as a latency only for
+// served attempts.
 func (m *Meter) AttemptEnded(engine uint64, outcome AttemptOutcome, tookMS float64) {
 	entry := m.engineEntry(engine)
 	switch outcome {
@@ -162,7 +167,7 @@
 	case AttemptTimedOut:
 		entry.TimedOut++
 	case AttemptOther:
-		// The engine had no part in it.
+		// Not counted, because the engine did not cause it.
 	}
 }
 
@@ -172,7 +177,8 @@
 	}
 }
 
-// SetInFlight records the attempts that an engine has in flight, and its threads that they use.
+// SetInFlight sets the number of attempts that an engine has in flight and the number of its threads that they use. An
+// engine without any in flight, and without an attempt in the interval, is left out of the next Collect.
 func (m *Meter) SetInFlight(engine uint64, attempts int, busyThreads float64) {
 	if attempts <= 0 && m.engines[engine] == nil {
 		return
@@ -187,7 +193,8 @@
 	return s.Sent+s.Served+s.Rejected+s.Errored+s.ConnectionFailed+s.TimedOut > 0
 }
 
-// RemoveEngine forgets an engine that left the fleet, unless it has counts that Collect has not returned yet.
+// RemoveEngine deletes the entry of an engine that is no longer listed. It does nothing while the entry has counts that
+// Collect has not returned yet.
 func (m *Meter) RemoveEngine(engine uint64) {
 	entry := m.engines[engine]
 	if entry == nil || entry.used {
@@ -199,7 +206,7 @@
 	delete(m.engines, engine)
 }
 
-// Collect returns what was counted since the last call, sorted by name, and resets the counts.
+// Collect returns the counts since the last call and resets them. Classes are sorted by name and tenant, engines by id.
 func (m *Meter) Collect() ([]ClassStats, []EngineStats) {
 	return m.collectClasses(), m.collectEngines()
 }
@@ -234,8 +241,8 @@
 	return engines
 }
 
-// takePercentiles returns the median and the 99th percentile in milliseconds, zeros where nothing was recorded, and
-// resets the histogram.
+// takePercentiles returns the median and the 99th percentile in milliseconds and resets the histogram. Both are 0 if
+// nothing was recorded.
 func takePercentiles(latencies *hdrhistogram.Histogram) (p50MS, p99MS float64) {
 	if latencies == nil || latencies.TotalCount() == 0 {
 		return 0, 0
--- a/internal/record/meter_test.go
+++ b/internal/record/meter_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The meter counts exactly, resets its counts when they are collected, and stays within its bounds with any names.
+// The meter counts each request and attempt, and Collect resets the counts. With 10,000 tenants and engines the number
+// of entries and the memory of histograms stay bounded, and no request is left uncounted.
 func TestMeterCountsAndStaysBounded(t *testing.T) {
 	m := NewMeter(func(id uint64) string { return fmt.Sprint("e", id) })
 	for i := range 100 {
@@ -35,7 +36,7 @@
 		t.Error(diff)
 	}
 	if classes, engines = m.Collect(); len(classes)+len(engines) != 0 {
-		t.Error("rows are returned twice", classes, engines)
+		t.Error("the second Collect returned counts:", classes, engines)
 	}
 	for i := range 10000 {
 		m.RequestArrived("lookup", fmt.Sprint(i), false, 1)
@@ -48,11 +49,12 @@
 	}
 	tooMany := len(classes) > maxClasses+1 || len(engines) > maxEngines+1
 	if arrived != 10000 || tooMany || m.histogramBytes > maxHistogramBytes+1<<20 {
-		t.Errorf("%d rows with %d arrivals, %d engines, %d bytes", len(classes), arrived, len(engines), m.histogramBytes)
+		t.Errorf("got %d classes with %d arrivals, %d engines, %d histogram bytes",
+			len(classes), arrived, len(engines), m.histogramBytes)
 	}
 }
 
-// Counting a request allocates nothing once its class and engine have an entry.
+// Counting a request must not allocate memory once its class and engine have an entry.
 func TestMeterAllocatesNothing(t *testing.T) {
 	m := NewMeter(func(uint64) string { return "e" })
 	countRequest := func() {
@@ -63,10 +65,12 @@
 	}
 	countRequest()
 	if n := testing.AllocsPerRun(100, countRequest); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("got %v allocations per request, want 0", n)
 	}
 }
 
+// A line of level Info or above becomes an event with the attributes of the line and of its logger. A debug line does
+// not. The wrapped handler receives the line, too.
 func TestLogHandlerRecordsInfoLines(t *testing.T) {
 	var got []*Event
 	var out strings.Builder
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -8,21 +8,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// readChunkBytes is how much a Reader reads from its source at once.
+// readChunkBytes is the size of a single read from the source of a Reader.
 const readChunkBytes = 64 << 10
 
 var (
-	// ErrNewerVersion is the error for a segment of a later version of the format.
+	// ErrNewerVersion is the error for a segment in a later version of the format than this program reads.
 	ErrNewerVersion = errors.New("of a newer version of the format")
 	// ErrNoHeader is the error for data that does not begin with a Header.
 	ErrNoHeader = errors.New("no header: not a segment of records")
 )
 
-// Damage is an unreadable range of a segment; the reader continues after it.
+// Damage is an unreadable range of a segment. The reader continues after it.
 type Damage struct {
-	Offset    int64 // in the segment, in bytes
+	Offset    int64 // of the first unreadable byte in the segment
 	Bytes     int64
-	Truncated bool // the range ends the segment: after a crash, or in a copy that was taken during a write
+	Truncated bool // the segment ends in the range, because of a crash or a copy made during a write
 }
 
 // String describes the damage as windflowctl prints it.
@@ -33,19 +33,20 @@
 	return fmt.Sprintf("damaged from byte %d on, %d bytes passed over", d.Offset, d.Bytes)
 }
 
-// Reader reads one segment in bounded memory, whatever the segment's size.
+// Reader reads the records of one segment. Its memory is bounded for a segment of any size.
 type Reader struct {
 	source  io.Reader
-	buf     []byte
-	offset  int64 // of buf[0] in the segment
+	buf     []byte // read from source and not processed yet
+	offset  int64  // of buf[0] in the segment
 	eof     bool
-	skipped int64 // bytes since the last readable record
+	skipped int64 // number of bytes since the last readable record
 	Header  Header
 	Damage  []Damage
 }
 
-// NewReader reads a segment's header. It fails with ErrNewerVersion, with ErrNoHeader, or with io.EOF for a segment
-// that ends before its header does. The reader that it returns with an error has the damage up to there.
+// NewReader returns a reader that has read the header of a segment. It fails with ErrNewerVersion, with ErrNoHeader,
+// with io.EOF if the segment ends before its header is complete, or with an error of source. The reader that it returns
+// with an error lists the damage found so far.
 func NewReader(source io.Reader) (*Reader, error) {
 	reader := &Reader{source: source}
 	first, err := reader.Next()
@@ -63,8 +64,8 @@
 	return reader, nil
 }
 
-// Next returns the next readable record, and io.EOF at the end of the segment. Damage lists the ranges that it skipped.
-// Records of unknown kinds are ignored.
+// Next returns the next readable record. It fails with io.EOF at the end of the segment, or with an error of the
+// source. It adds the unreadable ranges that it skips to Damage, and ignores records of unknown kinds.
 func (r *Reader) Next() (Record, error) {
 	for {
 		length, err := r.nextFrame()
@@ -89,8 +90,8 @@
 	}
 }
 
-// nextFrame returns the length of the intact frame at the start of the buffer, 0 where there is none, and io.EOF
-// where the segment ends.
+// nextFrame returns the length of the intact frame at the start of the buffer, or 0 if there is none. It fails with
+// io.EOF at the end of the segment.
 func (r *Reader) nextFrame() (length int, err error) {
 	if err := r.fill(minFrameBytes); err != nil {
 		return 0, err
@@ -114,7 +115,7 @@
 	return length, nil
 }
 
-// fill reads until the buffer has n bytes or the segment ends.
+// fill reads until the buffer has at least n bytes or the segment ends.
 func (r *Reader) fill(n int) error {
 	for len(r.buf) < n && !r.eof {
 		chunk := make([]byte, readChunkBytes)
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// hasLaterFrame reports whether an intact frame follows an incomplete one: then the length of the latter is damaged,
-// and the segment is not merely truncated.
+// hasLaterFrame reports whether an intact frame begins after the start of the buffer. If so, an incomplete frame at the
+// start has a damaged length, and the segment was not truncated there.
 func (r *Reader) hasLaterFrame() bool {
 	for i := 1; i < len(r.buf); i++ {
 		if isIntactFrame(r.buf[i:]) {
@@ -141,7 +142,7 @@
 	return false
 }
 
-// skip drops unreadable bytes.
+// skip drops n unreadable bytes from the buffer and counts them.
 func (r *Reader) skip(n int) {
 	r.advance(n)
 	r.skipped += int64(n)
@@ -159,7 +160,7 @@
 	r.offset += int64(n)
 }
 
-// noteDamage adds the bytes that were skipped up to here to Damage.
+// noteDamage adds the bytes skipped since the last readable record to Damage.
 func (r *Reader) noteDamage(truncated bool) {
 	if r.skipped > 0 {
 		r.Damage = append(r.Damage, Damage{Offset: r.offset - r.skipped, Bytes: r.skipped, Truncated: truncated})
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -12,6 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// sampleRecords returns one record of each kind.
 func sampleRecords() []Record {
 	return []Record{
 		&Header{
@@ -38,6 +39,7 @@
 	}
 }
 
+// encodeFrames returns the frames of records.
 func encodeFrames(t *testing.T, records ...Record) []byte {
 	t.Helper()
 	var b []byte
@@ -50,6 +52,7 @@
 	return b
 }
 
+// readAll returns the records of a segment, without the header, and the damage.
 func readAll(data []byte) (got []Record, damage []Damage, err error) {
 	r, err := NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -78,8 +81,8 @@
 	}
 }
 
-// A crash may truncate a segment anywhere: each prefix reads up to its last complete record, and damage is reported
-// only where a part of a record is left.
+// A crash may truncate a segment at any byte. Each prefix of a segment must be readable up to its last complete record,
+// with damage reported only if part of a record follows.
 func TestTruncatedSegmentReadsToItsLastCompleteRecord(t *testing.T) {
 	all := sampleRecords()
 	complete := encodeFrames(t, all...)
@@ -98,18 +101,19 @@
 		}
 		if records == 0 {
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("%d bytes: %v", n, err)
+				t.Errorf("prefix of %d bytes: error %v, want io.EOF", n, err)
 			}
 			continue
 		}
 		wrongDamage := (len(damage) == 0) != exact || len(damage) > 0 && !damage[0].Truncated
 		if err != nil || len(got) != records-1 || wrongDamage {
-			t.Errorf("%d bytes: %d records of %d, %v, %v", n, len(got), records-1, damage, err)
+			t.Errorf("prefix of %d bytes: read %d records, want %d; damage %v, error %v",
+				n, len(got), records-1, damage, err)
 		}
 	}
 }
 
-// Damage to any byte of a record, also of its length, loses that record alone.
+// A damaged byte in a record, including in its length field, must cost that record only.
 func TestDamagedRecordIsSkipped(t *testing.T) {
 	all := sampleRecords()
 	complete := encodeFrames(t, all...)
@@ -120,18 +124,20 @@
 		got, damage, err := readAll(damaged)
 		want := append(append([]Record{}, all[1:2]...), all[3:]...)
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
-			t.Fatalf("byte %d: %v %s", i, err, diff)
+			t.Fatalf("damaged byte %d: error %v, records differ:\n%s", i, err, diff)
 		}
 		if len(damage) != 1 || damage[0] != (Damage{Offset: int64(from), Bytes: int64(to - from)}) {
-			t.Errorf("byte %d: %v", i, damage)
+			t.Errorf("damaged byte %d: reported damage %v", i, damage)
 		}
 	}
 }
 
+// A segment of a newer version and a file that is not a segment are rejected. A record of an unknown kind is ignored,
+// because a later program may have written it.
 func TestForeignVersionsFilesAndKinds(t *testing.T) {
 	newer := encodeFrames(t, &Header{Version: Version + 1, Router: "n0"}, &Gap{AtMS: 1})
 	if _, _, err := readAll(newer); !errors.Is(err, ErrNewerVersion) {
-		t.Error("a newer version:", err)
+		t.Error("newer version: error", err, "want ErrNewerVersion")
 	}
 	for name, b := range map[string][]byte{
 		"text": []byte(strings.Repeat("no records at all\n", 99)), "zeros": make([]byte, 4096),
@@ -141,7 +147,7 @@
 			t.Errorf("%s was accepted as a segment", name)
 		}
 	}
-	// A record of a later kind is ignored.
+	// A record of an unknown kind is ignored.
 	b := encodeFrames(t, sampleRecords()[0])
 	later := encodeFrames(t, &Gap{AtMS: 5})
 	later[frameHeaderBytes] = 200
@@ -161,7 +167,7 @@
 	})
 }
 
-// A reader has one record in memory, however long the segment.
+// A reader must not keep more than a few records in memory, whatever the length of the segment.
 func TestReaderMemoryIsBounded(t *testing.T) {
 	head := encodeFrames(t, sampleRecords()[0])
 	intervals := bytes.Repeat(encodeFrames(t, sampleRecords()[2]), 200)
@@ -181,15 +187,15 @@
 		largest = max(largest, cap(r.buf))
 	}
 	if n != 200*repeats || largest > 4*maxFrameBodyBytes {
-		t.Errorf("%d records of %d, %d bytes in memory", n, 200*repeats, largest)
+		t.Errorf("read %d records of %d with a buffer of up to %d bytes", n, 200*repeats, largest)
 	}
 }
 
-// repeatReader reads data n times.
+// repeatReader is a reader of n copies of data.
 type repeatReader struct {
 	data   []byte
-	n      int // times left
-	offset int // in data
+	n      int // copies left
+	offset int // in the current copy
 }
 
 func (r *repeatReader) Read(p []byte) (int, error) {
@@ -203,6 +209,8 @@
 	return n, nil
 }
 
+// An extracted segment begins with the state that each engine had at the start of the time range. Otherwise the states
+// would be unknown until the next change.
 func TestExtractStartsWithEngineStates(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a"+Suffix), encodeFrames(t, sampleRecords()...), 0o600); err != nil {
--- a/internal/record/retention.go
+++ b/internal/record/retention.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// storedSegment is a segment file in the folder of the records.
+// storedSegment describes a segment file in the folder of the records.
 type storedSegment struct {
 	path       string
 	modifiedAt time.Time
 	bytes      int64
 }
 
-// deleteOldSegments deletes the segments that are over the maximal age and, the oldest first, those that leave no
-// room for one more within the total size. Segments of other processes in the folder count too; one that is being
-// written is recent.
+// deleteOldSegments deletes the segments that exceed the maximum age. It then deletes further segments, oldest first,
+// until one more full segment fits within the total size. Segments of other processes in the folder are counted and
+// deleted too. A segment that is being written is among the newest, so that it is deleted last.
 func deleteOldSegments(cfg *Config, now time.Time) {
 	segments := storedSegments(cfg.Dir)
 	var total int64
@@ -36,7 +36,7 @@
 	}
 }
 
-// storedSegments lists the segments of a folder, and none of one that can't be read.
+// storedSegments returns the segments in a folder, or none if the folder can't be read.
 func storedSegments(dir string) (segments []storedSegment) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/record/segment_file.go
+++ b/internal/record/segment_file.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// segmentFile is the segment that a Writer writes to; it has none before the first write and after a failed one.
+// segmentFile is the open segment of a Writer. It has no open file before the first write, after a failed write, and
+// after the segment was closed.
 type segmentFile struct {
 	file *os.File
 	size int64
 }
 
-// closeIfFull closes a segment of at least that many bytes.
+// closeIfFull closes the segment if it has at least limit bytes.
 func (s *segmentFile) closeIfFull(limit float64) error {
 	if s.file == nil || float64(s.size) < limit {
 		return nil
@@ -23,8 +24,8 @@
 	return nil
 }
 
-// closeIfReplaced closes a segment whose path no longer leads to it: records in a file that was deleted, or in a
-// folder that was mounted over, could be read by nobody.
+// closeIfReplaced closes the segment if its path no longer refers to the open file. This happens when the file was
+// deleted, or another file system was mounted over its folder: nobody could read the records written to it.
 func (s *segmentFile) closeIfReplaced() error {
 	if s.file == nil {
 		return nil
@@ -39,7 +40,8 @@
 	return nil
 }
 
-// create begins a new segment with its header, after the deletion of old ones.
+// create deletes old segments, creates a new one and writes its header. If the header can't be written, the new file is
+// removed.
 func (s *segmentFile) create(cfg *Config, header *Header) error {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return err
@@ -63,14 +65,14 @@
 	return nil
 }
 
-// write appends frames and returns how many bytes of them were written.
+// write appends frames to the segment and returns the number of bytes written.
 func (s *segmentFile) write(frames []byte) (n int, err error) {
 	n, err = s.file.Write(frames)
 	s.size += int64(n)
 	return n, err
 }
 
-// close closes the segment, if there is one.
+// close closes the segment if it is open. Errors are ignored.
 func (s *segmentFile) close() {
 	if s.file != nil {
 		_ = s.file.Close()
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// maxQueued bounds the records that wait for the writer's goroutine; further ones are dropped and counted.
+	// maxQueued is the capacity of the queue of records. Records that do not fit are dropped and counted.
 	maxQueued = 2048
-	// retryInterval is the time between attempts to write to a disk that failed.
+	// retryInterval is the minimum time between two writes to a disk that failed.
 	retryInterval = 2 * time.Second
-	// flushInterval is how long a record may stay in the buffer.
+	// flushInterval is the longest time that a record stays in the buffer.
 	flushInterval = 200 * time.Millisecond
-	// maxBufferBytes is the size of the buffer from which on it is flushed at once.
+	// maxBufferBytes is the size of the buffer at which it is flushed without waiting for flushInterval.
 	maxBufferBytes = 64 << 10
-	// closeTimeout bounds how long Close waits.
+	// closeTimeout is the longest time that Close waits.
 	closeTimeout = time.Second
 
 	microsPerMilli = 1e3
 )
 
-// Counters count what a Writer did.
+// Counters has the metrics of a Writer: numbers of records, bytes, segments and failed writes.
 type Counters struct {
 	Written  atomic.Int64 `status:"written"`
 	Dropped  atomic.Int64 `status:"dropped"`
@@ -29,31 +29,32 @@
 	Failures atomic.Int64 `status:"failures"`
 }
 
-// Writer writes records to segments in its own goroutine, so that its callers never wait for it or for a disk. A disk
-// that fails costs records, which a Gap counts, and is retried.
+// Writer writes records to segments in its own goroutine, so that callers never wait for a disk. When a write fails,
+// records are dropped and counted in a Gap, and the writer retries every retryInterval.
 type Writer struct {
 	cfg          atomic.Pointer[Config]
-	nowMS        func() float64 // the router's clock; safe for use in any goroutine
+	nowMS        func() float64 // the router's clock; must be safe for concurrent use
 	onDiskChange func(error)
 	queue        chan Record
 	done         chan struct{} // closed by Close
 	finished     chan struct{} // closed by the goroutine
-	dropped      atomic.Int64  // records that no Gap has counted yet
-	droppedSince atomic.Int64  // when the first of them was dropped, in microseconds on the router's clock
+	dropped      atomic.Int64  // number of dropped records that no Gap has counted yet
+	droppedSince atomic.Int64  // when the first of these was dropped, in microseconds on the router's clock
 	Counters     Counters
 
-	// Of the goroutine alone.
+	// The following fields are used by the writer's goroutine only.
 	header      Header
 	segment     segmentFile
 	nextSegment uint64
 	diskFailed  bool
 	retryAt     time.Time
 	buf         []byte
-	buffered    int // records in buf
+	buffered    int // number of records in buf
 }
 
-// StartWriter starts a writer, which Close ends. It calls onDiskChange in its goroutine: with an error when the disk
-// begins to fail, and with nil when it works again.
+// StartWriter starts a writer, which runs until Close. header is the template for the headers of all segments. nowMS
+// returns the time on the router's clock in milliseconds and must be safe for concurrent use. The writer's goroutine
+// calls onDiskChange with an error when writes begin to fail, and with nil when they succeed again.
 func StartWriter(cfg Config, header Header, nowMS func() float64, onDiskChange func(error)) *Writer {
 	header.Version = Version
 	w := &Writer{
@@ -65,14 +66,14 @@
 	return w
 }
 
-// Configure changes the settings from the next segment on. The folder stays as it is.
+// Configure changes the settings. The folder does not change: cfg.Dir is ignored.
 func (w *Writer) Configure(cfg Config) {
 	cfg.Dir = w.cfg.Load().Dir
 	w.cfg.Store(&cfg)
 }
 
-// Put queues a record, which belongs to the writer from then on. It never blocks: a record that does not fit the
-// queue is dropped and counted in a Gap.
+// Put queues a record; the caller must not change it afterwards. It never blocks: if the queue is full, the record is
+// dropped and counted in a Gap.
 func (w *Writer) Put(next Record) {
 	select {
 	case w.queue <- next:
@@ -93,7 +94,8 @@
 
 func (w *Writer) nowMicros() int64 { return int64(w.nowMS() * microsPerMilli) }
 
-// Close writes the queued records and ends the writer. It waits for that for at most closeTimeout.
+// Close makes the writer write the queued records and stop. It waits for this at most closeTimeout. It must be called
+// only once.
 func (w *Writer) Close() {
 	close(w.done)
 	select {
@@ -124,7 +126,7 @@
 	}
 }
 
-// append adds a record to the buffer.
+// append adds a record to the buffer. A record that can't be encoded is dropped and counted.
 func (w *Writer) append(next Record) {
 	buf, err := appendFrame(w.buf, next)
 	if err != nil {
@@ -135,7 +137,7 @@
 	w.buffered++
 }
 
-// appendQueued adds all records in the queue to the buffer.
+// appendQueued moves all records in the queue to the buffer.
 func (w *Writer) appendQueued() {
 	for {
 		select {
@@ -147,7 +149,8 @@
 	}
 }
 
-// flush writes the buffer. While a failed disk is not due for a retry, the buffer is dropped and counted.
+// flush writes the buffer to the segment. If the disk failed and the next retry is not due yet, it drops the records in
+// the buffer and counts them.
 func (w *Writer) flush() {
 	dropped := int(w.dropped.Load())
 	if w.buffered == 0 && dropped == 0 {
@@ -167,7 +170,8 @@
 	}
 }
 
-// reportDiskFailure records that the disk failed.
+// reportDiskFailure closes the segment, drops the buffer and schedules the next retry. It calls onDiskChange for the
+// first of consecutive failures only.
 func (w *Writer) reportDiskFailure(err error) {
 	w.segment.close()
 	w.Counters.Failures.Add(1)
@@ -186,7 +190,8 @@
 
 func (w *Writer) clearBuffer() { w.buf, w.buffered = w.buf[:0], 0 }
 
-// write writes the buffer, and a Gap for the records that were dropped before, to the segment.
+// write writes the buffer to the segment, followed by a Gap if dropped is greater than 0. dropped is the number of
+// records that the Gap counts.
 func (w *Writer) write(dropped int) error {
 	if err := w.prepareSegment(); err != nil {
 		return err
@@ -212,7 +217,7 @@
 	return nil
 }
 
-// prepareSegment ensures that an open segment has space for the buffer.
+// prepareSegment closes the segment if it is full or its file was replaced, and creates a new one if none is open.
 func (w *Writer) prepareSegment() error {
 	cfg := w.cfg.Load()
 	if err := w.segment.closeIfFull(cfg.segmentBytes()); err != nil {
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// startWriterForTest starts a writer with default sizes where cfg has none. onDiskChange may be nil.
 func startWriterForTest(t *testing.T, cfg Config, onDiskChange func(error)) *Writer {
 	t.Helper()
 	if cfg.SegmentMB == 0 {
@@ -25,6 +26,8 @@
 	return StartWriter(cfg, header, func() float64 { return 5000 }, onDiskChange)
 }
 
+// readDir reads all segments in dir. It returns the number of records other than gaps, and the total that the gaps
+// count.
 func readDir(t *testing.T, dir string) (records int, gaps int, results []SegmentResult) {
 	t.Helper()
 	files, err := SegmentFiles(dir)
@@ -45,7 +48,8 @@
 	return records, gaps, results
 }
 
-// Segments are closed at their size and the oldest are deleted; each record is written or counted as dropped.
+// A segment is closed when it is full, and the oldest segments are deleted to stay within the total size. Each record
+// is either written or counted as dropped.
 func TestWriterRotatesSegmentsWithinTheTotalSize(t *testing.T) {
 	dir := t.TempDir()
 	w := startWriterForTest(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
@@ -60,7 +64,7 @@
 	}
 	w.Close()
 	if got := w.Counters.Written.Load() + w.Counters.Dropped.Load(); got != n {
-		t.Errorf("%d records were put, %d written or counted as dropped", n, got)
+		t.Errorf("%d records were put, but %d were written or counted as dropped", n, got)
 	}
 	files, _ := SegmentFiles(dir)
 	var total int64
@@ -69,14 +73,14 @@
 		total += info.Size()
 	}
 	if total > 512<<10 || len(files) < 2 || w.Counters.Segments.Load() <= int64(len(files)) {
-		t.Errorf("%d bytes in %d files of %d segments", total, len(files), w.Counters.Segments.Load())
+		t.Errorf("%d bytes in %d files are left of %d segments", total, len(files), w.Counters.Segments.Load())
 	}
 	if _, _, read := readDir(t, dir); read[len(read)-1].Err != nil || read[len(read)-1].Header.Router != "n/0" {
 		t.Error(read[len(read)-1])
 	}
 }
 
-// A record that does not fit the queue is dropped and counted in a gap.
+// A record that does not fit into the queue must be dropped and counted in a Gap.
 func TestWriterCountsDroppedRecords(t *testing.T) {
 	dir := t.TempDir()
 	w := &Writer{
@@ -94,16 +98,17 @@
 	go w.run()
 	w.Close()
 	if records, gaps, _ := readDir(t, dir); records != 4 || gaps != 6 {
-		t.Errorf("%d records, and gaps of %d", records, gaps)
+		t.Errorf("got %d records and %d dropped ones, want 4 and 6", records, gaps)
 	}
 }
 
-// A disk that fails costs records and is reported once; recording continues when the disk works again. It guards
-// against a router that ends, or blocks, because of its records.
+// Guards against a router that stops or blocks because its records can't be written. While the disk fails, records are
+// dropped and the failure is reported once; recording continues when the disk works again, and when the folder is
+// removed while a segment is open.
 func TestWriterRecoversFromDiskFailure(t *testing.T) {
 	base := t.TempDir()
 	dir := filepath.Join(base, "records")
-	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
+	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the folder
 		t.Fatal(err)
 	}
 	var reportCount atomic.Int64
@@ -118,7 +123,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if reportCount.Load() != 1 {
-		t.Errorf("%d reports of a disk that failed twice", reportCount.Load())
+		t.Errorf("got %d reports for two consecutive failures, want 1", reportCount.Load())
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
@@ -131,7 +136,7 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	// The folder is removed once more, under an open segment.
+	// Removes the folder while a segment is open.
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -141,6 +146,6 @@
 	}
 	w.Close()
 	if _, gaps, read := readDir(t, dir); gaps == 0 && len(read) == 0 {
-		t.Error("nothing was recorded after the disk was back")
+		t.Error("nothing was recorded after the disk recovered")
 	}
 }
