--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -2,7 +2,7 @@
 
 import "windflow/dispatch"
 
-// wireAction is an action of an instance: a message with one name.
+// wireAction is the encoded form of an action. Exactly one field is set; its JSON name is the name of the message.
 type wireAction struct {
 	Dispatch    *wireDispatch    `json:"DISPATCH,omitempty"`
 	AssignTerms *wireAssignTerms `json:"ASSIGN_TERMS,omitempty"`
@@ -13,11 +13,11 @@
 	Schedule    *wireSchedule    `json:"SCHEDULE,omitempty"`
 }
 
-// The fields of each message are in the order of their JSON names, in which the simulator's recorded exchanges have
-// them.
+// The fields of each message are in alphabetical order of their JSON names, because the recorded exchanges of the
+// simulator have them in that order.
 
 type wireDispatch struct {
-	AllowForNS int64              `json:"allow-for-ns,omitempty"` // 0: until the request's deadline
+	AllowForNS int64              `json:"allow-for-ns,omitempty"` // 0 means until the request's deadline
 	Executor   dispatch.EngineID  `json:"executor"`
 	Ref        dispatch.RequestID `json:"ref"`
 	Who        int64              `json:"who"`
@@ -37,7 +37,7 @@
 }
 
 type wirePushBack struct {
-	NotBeforeForNS int64              `json:"not-before-for-ns,omitempty"` // 0: no advice
+	NotBeforeForNS int64              `json:"not-before-for-ns,omitempty"` // 0 means no advice on when to retry
 	Ref            dispatch.RequestID `json:"ref"`
 	Who            int64              `json:"who"`
 }
@@ -58,7 +58,7 @@
 	Who     int64 `json:"who"`
 }
 
-// encodeAction translates an action of an instance.
+// encodeAction converts an action of the instance with the number who to its encoded form.
 func encodeAction(who int64, action dispatch.Action) wireAction {
 	switch action := action.(type) {
 	case dispatch.StartAttempt:
--- a/cmd/simadapter/actions_test.go
+++ b/cmd/simadapter/actions_test.go
@@ -8,7 +8,7 @@
 	"windflow/dispatch"
 )
 
-// Each action has the bytes of the simulator's protocol.
+// Each action must be encoded to exactly the bytes that the simulator's protocol specifies.
 func TestActionsAreEncoded(t *testing.T) {
 	for _, test := range []struct {
 		action dispatch.Action
--- a/cmd/simadapter/encoded_test.go
+++ b/cmd/simadapter/encoded_test.go
@@ -6,13 +6,14 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes are the types of this package that leave the process or outlive it as JSON; what they contain is found
-// by itself.
+// encodedTypes returns a value of each type that is a message or part of one, encoded as JSON. AllFieldsTagged finds
+// the types of their fields by reflection.
 func encodedTypes() []any {
 	return []any{wireBatch{}, wireReply{}, wireStart{}, wireRegister{}, wireTarget{}, wireEvent{}}
 }
 
-// Each field that is encoded names itself in a tag, so that the name in the code can change.
+// Every encoded field must have a tag with its encoded name. Without one, renaming the Go field would change the
+// protocol.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -11,7 +11,7 @@
 	"windflow/internal/settings"
 )
 
-// Names of the messages that are events of a controller.
+// Names of the messages that contain an event for a controller.
 const (
 	messageEndpoints   = "ENDPOINTS"
 	messageRequest     = "REQ"
@@ -39,16 +39,17 @@
 	}
 )
 
-// A bill is milliseconds of work times billWorkFactor, plus the memory needed in units of billMemoryUnitMB.
+// A bill is a number that encodes the work and the memory of an attempt: the work in milliseconds times billWorkFactor,
+// plus the memory needed in units of billMemoryUnitMB.
 const (
 	billWorkFactor   = 4096
 	billMemoryUnitMB = 4
 )
 
-// unknownLoad represents a value that a load report does not have.
+// unknownLoad stands for a value that is missing in a load report.
 const unknownLoad = -1
 
-// wireEndpoint is an element of a REGISTER.
+// wireEndpoint is an element of a REGISTER message.
 type wireEndpoint struct {
 	Executor  *uint64 `json:"executor"`
 	Block     int     `json:"block"`
@@ -59,6 +60,7 @@
 	BornNS    int64   `json:"born-ns"`
 }
 
+// endpoint converts the element. It fails if the executor is missing or the condition is unknown.
 func (e wireEndpoint) endpoint() (dispatch.Endpoint, error) {
 	if e.Executor == nil {
 		return dispatch.Endpoint{}, errors.New("executor is missing")
@@ -70,7 +72,7 @@
 	}, err
 }
 
-// wireEvent has the fields of all messages that are events.
+// wireEvent has the fields of all messages that contain events. Each message uses some of them.
 type wireEvent struct {
 	Ref         *string            `json:"ref"`
 	Sheet       int64              `json:"sheet"`
@@ -80,7 +82,7 @@
 	TimeLeftNS  int64              `json:"time-left-ns"`
 	Resent      bool               `json:"resent"`
 	Kind        string             `json:"kind"`
-	Billing     json.RawMessage    `json:"billing"` // the tenant's name; anything but a string is none
+	Billing     json.RawMessage    `json:"billing"` // the tenant's name if it is a string, else no tenant
 	Key         string             `json:"key"`
 	WantMB      float64            `json:"want-mb"`
 	Hop         int                `json:"hop"`
@@ -95,7 +97,7 @@
 	Tag         int64              `json:"tag"`
 }
 
-// event translates a message; nil is a message that the controller does not need.
+// event converts a message to an event. It returns nil for a message that a controller does not need.
 func (h *host) event(name string, body json.RawMessage) (dispatch.Event, error) {
 	var message wireEvent
 	if err := decode(body, &message); err != nil {
@@ -116,6 +118,7 @@
 	return nil, errors.New("unknown message")
 }
 
+// endpointList converts an ENDPOINTS message. It fails if the mode is unknown or the list was not registered.
 func (h *host) endpointList(message *wireEvent) (dispatch.Event, error) {
 	mode, err := settings.ParseEnum("field mode", message.Mode, modes)
 	if err != nil {
@@ -131,7 +134,7 @@
 	return dispatch.EndpointList{Mode: mode, Endpoints: list}, nil
 }
 
-// engineLoad translates the result of a probe, and returns nil for one without a load report.
+// engineLoad converts the result of a probe. It returns nil if the result has no load report.
 func (m *wireEvent) engineLoad() dispatch.Event {
 	report := m.loadReport()
 	if report == nil {
@@ -140,7 +143,7 @@
 	return dispatch.EngineLoad{Engine: dispatch.EngineID(m.Executor), Report: *report}
 }
 
-// requestEvent translates a message about one request.
+// requestEvent converts a message about one request. It fails if the id of the request is missing.
 func (m *wireEvent) requestEvent(name string) (dispatch.Event, error) {
 	if m.Ref == nil || *m.Ref == "" {
 		return nil, errors.New("field ref is missing")
@@ -160,6 +163,7 @@
 	return dispatch.ClientGone{Request: id}, nil
 }
 
+// arrival converts a REQ message. A table group outside the range of uint32 counts as none.
 func (m *wireEvent) arrival(id dispatch.RequestID) dispatch.Event {
 	group := int64(0)
 	if m.TableGroup != nil && *m.TableGroup >= 0 && *m.TableGroup <= math.MaxUint32 {
@@ -172,6 +176,7 @@
 	}
 }
 
+// tenant returns the tenant's name, or "" if there is none.
 func (m *wireEvent) tenant() string {
 	var name string
 	if err := json.Unmarshal(m.Billing, &name); err != nil {
@@ -180,6 +185,7 @@
 	return name
 }
 
+// attemptEnd converts an ATTEMPT_END message. It fails if the disposition is unknown.
 func (m *wireEvent) attemptEnd(id dispatch.RequestID) (dispatch.Event, error) {
 	outcome, err := settings.ParseEnum("field disposition", m.Disposition, outcomes)
 	if err != nil {
@@ -188,11 +194,12 @@
 	return dispatch.AttemptEnd{
 		Request: id, Attempt: m.Hop, Outcome: outcome,
 		Took: time.Duration(m.DelaySeenNS), Last: m.Last, Report: m.loadReport(),
-		Work: time.Duration(m.Bill/billWorkFactor) * time.Millisecond, NeedMB: float64(m.Bill%billWorkFactor) * billMemoryUnitMB,
+		Work:   time.Duration(m.Bill/billWorkFactor) * time.Millisecond,
+		NeedMB: float64(m.Bill%billWorkFactor) * billMemoryUnitMB,
 	}, nil
 }
 
-// loadReport translates a load report, and returns nil where there is none.
+// loadReport converts the load report of a message. It returns nil if the message has none.
 func (m *wireEvent) loadReport() *dispatch.LoadReport {
 	if m.Load == nil {
 		return nil
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -10,49 +10,49 @@
 	"windflow/internal/settings"
 )
 
-// Names of the messages that concern the host itself.
+// Names of the messages that the host handles itself.
 const (
 	messageRegister = "REGISTER"
 	messageStart    = "START"
 	messageRetire   = "RETIRE"
 )
 
-// wireBatch is a line of input.
+// wireBatch is a line of input: messages with the time at which they happen.
 type wireBatch struct {
 	TimeNS *int64                       `json:"ts-ns"`
 	Number int64                        `json:"n"`
-	In     []map[string]json.RawMessage `json:"in"` // each with one message by its name
+	In     []map[string]json.RawMessage `json:"in"` // each element has one message, under its name
 }
 
-// wireReply is a line of output.
+// wireReply is a line of output: the number of the batch that it answers, and the resulting actions.
 type wireReply struct {
 	Number int64        `json:"n"`
 	Out    []wireAction `json:"out"`
 }
 
-// wireStart creates an instance.
+// wireStart is a START message, which creates an instance.
 type wireStart struct {
 	Nonce    uint64             `json:"nonce64"`
 	Settings *settings.Settings `json:"settings"`
 }
 
-// wireRegister defines a numbered endpoint list.
+// wireRegister is a REGISTER message, which defines an endpoint list under a number.
 type wireRegister struct {
 	Sheet    *int64         `json:"sheet"`
 	Elements []wireEndpoint `json:"elements"`
 }
 
-// wireTarget is the part of a message that names its instance.
+// wireTarget is the part of a message that identifies the instance it is for.
 type wireTarget struct {
 	Who *int64 `json:"who"`
 }
 
-// host has the instances of this process and the numbered endpoint lists.
+// host holds the instances of this process, each with a controller, and the registered endpoint lists.
 type host struct {
-	instances map[int64]*dispatch.Controller
-	lists     map[int64][]dispatch.Endpoint
-	actions   []dispatch.Action // of the last event
-	replies   []wireAction      // to the current batch
+	instances map[int64]*dispatch.Controller // by instance number
+	lists     map[int64][]dispatch.Endpoint  // by list number
+	actions   []dispatch.Action              // of the last event; reused for the next
+	replies   []wireAction                   // actions in reply to the current batch
 }
 
 func newHost() *host {
@@ -61,7 +61,8 @@
 	}
 }
 
-// handleBatch handles a line of input and returns the reply.
+// handleBatch handles the messages of a line of input, in order, and returns the reply without a line break. It fails
+// on the first message that is malformed or names an unknown instance or list.
 func (h *host) handleBatch(line []byte) ([]byte, error) {
 	var batch wireBatch
 	if err := json.Unmarshal(line, &batch); err != nil {
@@ -89,6 +90,7 @@
 	return reply, nil
 }
 
+// handleMessage handles a message that happens at the time now.
 func (h *host) handleMessage(now time.Duration, name string, body json.RawMessage) error {
 	if name == messageRegister {
 		return h.register(body)
@@ -109,6 +111,7 @@
 	return h.handleEvent(now, *target.Who, name, body)
 }
 
+// handleEvent passes an event to the controller of the instance who and adds the resulting actions to the reply.
 func (h *host) handleEvent(now time.Duration, who int64, name string, body json.RawMessage) error {
 	event, err := h.event(name, body)
 	if err != nil {
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// start creates an instance, in place of one of that number.
+// start creates the instance who. An existing instance of that number is replaced.
 func (h *host) start(who int64, body json.RawMessage) error {
 	var message wireStart
 	if err := decode(body, &message); err != nil {
@@ -149,6 +152,7 @@
 	return nil
 }
 
+// retire removes the instance who.
 func (h *host) retire(who int64) error {
 	if _, ok := h.instances[who]; !ok {
 		return unknownInstanceError(who)
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// register defines an endpoint list, in place of one of that number.
+// register defines an endpoint list. An existing list of that number is replaced.
 func (h *host) register(body json.RawMessage) error {
 	var message wireRegister
 	if err := decode(body, &message); err != nil {
@@ -178,13 +182,14 @@
 	return nil
 }
 
-// unknownInstanceError is the error for an instance that was not started, or was retired.
+// unknownInstanceError is the error for the number of an instance that was not started, or was retired.
 type unknownInstanceError int64
 
 func (e unknownInstanceError) Error() string {
 	return fmt.Sprintf("field who: unknown instance %d", int64(e))
 }
 
+// decode decodes the JSON body of a message. Errors are described without the names of Go types.
 func decode(body json.RawMessage, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return decodeError{err}
@@ -192,7 +197,8 @@
 	return nil
 }
 
-// decodeError is an error of package json, described without the names of Go types.
+// decodeError wraps an error of package json. Its text names the JSON field, not the Go type, because readers know the
+// protocol only.
 type decodeError struct{ err error }
 
 func (e decodeError) Error() string {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter speaks the simulator's protocol on standard input and output: a line with a batch of events is
-// answered by a line with the resulting actions. It hosts one controller per instance. It only translates; the
-// decisions are in package dispatch.
+// Command simadapter connects package dispatch to the simulator. It reads batches of events from standard input, one
+// per line, and answers each with a line of actions on standard output. It hosts one controller per simulated router
+// instance. It only converts messages; package dispatch makes the decisions.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"os"
 )
 
-// bufferBytes is the size of the buffers for input and output.
+// bufferBytes is the size of the input buffer and of the output buffer.
 const bufferBytes = 1 << 20
 
 func main() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers each batch of in with one reply on out, until in ends.
+// run answers each line of in with a line on out, until in ends. It stops at the first malformed batch.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferBytes)
 	writer := bufio.NewWriterSize(out, bufferBytes)
@@ -46,6 +46,7 @@
 	}
 }
 
+// writeLine writes a line and flushes it, because the simulator waits for it.
 func writeLine(writer *bufio.Writer, line []byte) error {
 	if _, err := writer.Write(append(line, '\n')); err != nil {
 		return err
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,14 +15,17 @@
 	`"semantics":"idempotent"}],"kinds":["k"],"limits":{"attempts-cap":3},` +
 	`"specifics":{"cores-by-kind":[8],"width-by-class":[1],"priorities":true}}}}` + registerListMessages + `]}`
 
+// registerListMessages register an endpoint list with one engine and pass it to instance 0.
 const registerListMessages = `,{"REGISTER":{"sheet":0,"elements":[{"executor":7,"flavor":"k","condition":"live"}]}},` +
 	`{"ENDPOINTS":{"who":0,"seq-no":1,"mode":"SAVED","sheet":0}}`
 
+// requestLine returns the batch number n with the arrival of the request ref at instance 0.
 func requestLine(n, ref string) string {
 	return `{"ts-ns":1100000000,"n":` + n + `,"in":[{"REQ":{"who":0,"ref":"` + ref +
 		`","kind":"lookup","time-left-ns":3000000000}}]}`
 }
 
+// runLines returns what the program prints for the given lines of input.
 func runLines(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -30,6 +33,8 @@
 	return out.String(), err
 }
 
+// Covers a whole exchange: an instance is created, starts an attempt for a request, and starts no more after the
+// attempt ended.
 func TestStartsAttemptsAndReplies(t *testing.T) {
 	out, err := runLines(t, startLine, requestLine("2", "a"),
 		`{"ts-ns":1200000000,"n":3,"in":[{"ATTEMPT_END":{"who":0,"ref":"a","hop":0,"executor":7,`+
@@ -41,16 +46,16 @@
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[1], `"DISPATCH":{"executor":7,"ref":"a","who":0}`) ||
 		!strings.Contains(lines[1], `"weight-class":2`) || strings.Contains(lines[2], "DISPATCH") {
-		t.Errorf("replies:\n%s", out)
+		t.Errorf("unexpected replies:\n%s", out)
 	}
 	for _, line := range lines {
 		if !json.Valid([]byte(line)) {
-			t.Errorf("not JSON: %s", line)
+			t.Errorf("reply is not JSON: %s", line)
 		}
 	}
 }
 
-// A list that is registered twice in one batch is the former for the events before the second.
+// A list is registered a second time at the end of a batch. Events before that in the batch must use the first version.
 func TestRegisterIsResolvedInOrder(t *testing.T) {
 	batch := strings.Replace(startLine, `,"mode":"SAVED","sheet":0}}]}`, `,"mode":"SAVED","sheet":0}},`+
 		`{"REGISTER":{"sheet":0,"elements":[{"executor":8,"flavor":"k","condition":"live"}]}}]}`, 1)
@@ -60,8 +65,8 @@
 	}
 }
 
-// Groups are counted from 0. It guards against a query of group 0 that passes for one without a group: then the
-// loads that lock what it reads are ignored.
+// Groups are numbered from 0. Guards against treating a query of group 0 as one without a group: then the loads that
+// lock the tables it reads would be ignored.
 func TestTableGroupZeroIsAGroup(t *testing.T) {
 	for field, want := range map[string]int64{
 		``: 0, `,"table-group":0`: dispatch.TableGroupOf(0), `,"table-group":17`: dispatch.TableGroupOf(17),
@@ -75,6 +80,7 @@
 	}
 }
 
+// An instance that is retired and created again must not keep the state of the former one.
 func TestRetiredInstanceStartsEmpty(t *testing.T) {
 	restart := strings.TrimSuffix(strings.TrimPrefix(startLine, `{"ts-ns":1000000000,"n":1,"in":[`), "]}")
 	out, err := runLines(t, startLine, requestLine("2", "a"),
@@ -84,6 +90,7 @@
 	}
 }
 
+// Malformed input must yield an error of one line that names the message and the field.
 func TestMalformedInput(t *testing.T) {
 	for _, test := range []struct{ name, line, want string }{
 		{"not JSON", `{"ts-ns":`, "batch"},
--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -1,5 +1,5 @@
-// Command windflow is one query router: MySQL and Flight SQL clients in front, engines behind, and the decisions of
-// package dispatch between them. The tools that people run beside a router are in windflowctl.
+// Command windflow is a query router. It accepts queries of MySQL and Flight SQL clients and forwards them to engines
+// as package dispatch decides. The tools for operators are in the command windflowctl.
 package main
 
 import (
@@ -41,9 +41,10 @@
 	}
 	root := &cobra.Command{
 		Use:   "windflow",
-		Short: "A query router; without a command it serves",
-		Long: "windflow is a query router. Without a command it serves, by the configuration that PROXY_CONFIG names.\n" +
-			"Parts beyond the platform's are set in the file that --settings names; without it they are off.",
+		Short: "Query router; serves if no command is given",
+		Long: "windflow is a query router. Without a command it serves, with the configuration file that\n" +
+			"PROXY_CONFIG names. Features beyond those of the platform are configured in the file given by\n" +
+			"--settings; without it they are off.",
 		Args:          cobra.NoArgs,
 		RunE:          serve,
 		SilenceErrors: true,
@@ -51,11 +52,11 @@
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.PersistentFlags().StringVar(&opts.Settings, "settings", "",
-		"`file` of the installation's settings, such as deploy/windflow.json")
-	root.PersistentFlags().StringVar(&format, "log-format", "text", "`text` or json")
-	root.PersistentFlags().BoolVar(&opts.Debug, "debug", false, "log each attempt that does not end well")
+		"`file` with the installation's settings, such as deploy/windflow.json")
+	root.PersistentFlags().StringVar(&format, "log-format", "text", "log format: `text` or json")
+	root.PersistentFlags().BoolVar(&opts.Debug, "debug", false, "log each attempt that does not succeed")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Serve, as without a command", Args: cobra.NoArgs, RunE: serve},
+		&cobra.Command{Use: "serve", Short: "Serve; the same as no command", Args: cobra.NoArgs, RunE: serve},
 		&cobra.Command{
 			Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) },
@@ -66,13 +67,13 @@
 }
 
 func configCommand() *cobra.Command {
-	config := &cobra.Command{Use: "config", Short: "Check settings, and print what is allowed"}
+	config := &cobra.Command{Use: "config", Short: "Check settings and print their schema"}
 	config.AddCommand(
 		&cobra.Command{
 			Use:   "check FILE...",
-			Short: "Check files of settings: the installation's, or the platform's configuration",
-			Long: "Check files of settings. One with a field \"listen\" is taken for the platform's configuration, any other " +
-				"one for the\ninstallation's settings. Each fault has a line that names the file and the place in it.",
+			Short: "Check files with the installation's settings or the platform's configuration",
+			Long: "Check files of settings. A file with a field \"listen\" is checked as the platform's " +
+				"configuration, any other\nas the installation's settings. Each error is a line with the file and the position in it.",
 			Args: cobra.MinimumNArgs(1),
 			RunE: func(c *cobra.Command, files []string) error { return checkFiles(c.OutOrStdout(), files) },
 		},
@@ -84,7 +85,7 @@
 	return config
 }
 
-// checkFiles checks files and reports the good ones to out. The error has a line for each fault.
+// checkFiles checks files and writes a line to out for each valid one. The error has the errors of all others.
 func checkFiles(out io.Writer, files []string) error {
 	var errs []error
 	for _, file := range files {
@@ -97,7 +98,8 @@
 	return errors.Join(errs...)
 }
 
-// checkFile reads a file as the router would.
+// checkFile checks a file in the way that the router does when it reads it. A file with the field "listen" is the
+// platform's configuration, any other the installation's settings.
 func checkFile(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -116,7 +118,8 @@
 	return err
 }
 
-// version names the module's version and the commit that it was built from.
+// version returns the version of the module, the commit from which the program was built, whether the working tree had
+// changes, and the version of Go.
 func version() string {
 	text := "windflow"
 	info, ok := debug.ReadBuildInfo()
--- a/cmd/windflow/main_test.go
+++ b/cmd/windflow/main_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// What a new user types, and what is printed.
+// Covers the commands and flags as a user types them. Errors must name the flag, the variable, or the file with the
+// position in it.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -25,8 +26,8 @@
 	t.Setenv("PROXY_CONFIG", "")
 	for _, test := range []struct {
 		args string
-		out  string // in what is printed
-		err  string // in the error; empty for none
+		out  string // part of the output
+		err  string // part of the error; empty if none is expected
 	}{
 		{"", "", "PROXY_CONFIG"},
 		{"serve", "", "PROXY_CONFIG"},
@@ -51,12 +52,12 @@
 			t.Errorf("%q: error %v, want %q", test.args, err, test.err)
 		}
 		if !strings.Contains(out.String(), test.out) {
-			t.Errorf("%q: printed %q, want %q", test.args, out.String(), test.out)
+			t.Errorf("%q: output %q, want %q in it", test.args, out.String(), test.out)
 		}
 	}
 }
 
-// mainEnv makes the test binary run main in place of the tests.
+// mainEnv names the variable that makes the test binary run main instead of the tests.
 const mainEnv = "WINDFLOW_TEST_MAIN"
 
 func TestMain(m *testing.M) {
@@ -67,13 +68,14 @@
 	os.Exit(m.Run())
 }
 
-// The process exits with 1 for an error, of which each line names the program on standard error.
+// On an error, the process must exit with status 1 and print the error to standard error, with the program's name
+// before each line.
 func TestExitStatus(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	for _, test := range []struct {
 		args   []string
 		status int
-		lines  []string // the beginning of each line on standard error
+		lines  []string // prefix of each line on standard error
 	}{
 		{[]string{"version"}, 0, nil},
 		{[]string{"serv"}, 1, []string{"windflow: unknown command"}},
@@ -98,7 +100,7 @@
 	}
 }
 
-// The program takes its arguments from the command line and prints to standard output.
+// main must take its arguments from the command line and print to standard output.
 func TestMainPrintsVersion(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
@@ -113,6 +115,6 @@
 	}
 	text, err := os.ReadFile(file.Name())
 	if err != nil || string(text) != version()+"\n" {
-		t.Errorf("printed %q, error %v, want %q", text, err, version())
+		t.Errorf("output %q, error %v, want %q", text, err, version())
 	}
 }
--- a/cmd/windflowctl/admin.go
+++ b/cmd/windflowctl/admin.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// adminTimeout bounds one request to a router, which answers within a second.
+	// adminTimeout bounds a request to one router. Routers answer within one second.
 	adminTimeout = 3 * time.Second
-	// maxAdminResponse bounds what is printed of a response.
+	// maxAdminResponse bounds the part of a response that is read and printed.
 	maxAdminResponse = 64 << 10
 
 	adminName       = "admin"
 	formerAdminName = "door"
 )
 
-// errNoRouter rejects a call without the flag that names routers.
+// errNoRouter is the error for a call without the flag --door.
 var errNoRouter = errors.New("--door: no router is named")
 
-// adminCommand queries routers over their admin API and cordons engines at them; an order goes to all routers that are
-// named.
+// adminCommand returns the command that calls the admin API of routers. Each subcommand calls all routers that --door
+// names.
 func adminCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: adminName, Short: "Ask routers and cordon engines, over the routers' admin API"}
+	cmd := &cobra.Command{Use: adminName, Short: "Query routers and cordon engines over the admin API of routers"}
 	var routers []string
 	cmd.PersistentFlags().StringSliceVar(&routers, "door", nil,
-		"`address:port` of a router's admin API; several, with commas or the flag again")
+		"`address:port` of a router's admin API; separate several by commas or repeat the flag")
 	cmd.AddCommand(
-		adminReadCommand("ready", "Ask whether they are ready to serve", "/api/ready", &routers),
-		adminReadCommand("figures", "Print their metrics", "/api/telemetry", &routers),
-		adminEngineCommand("exclude ENGINE", "Cordon an engine: none of them sends it more", "/api/exclude/", &routers),
+		adminReadCommand("ready", "Ask routers whether they are ready to serve", "/api/ready", &routers),
+		adminReadCommand("figures", "Print the metrics of routers", "/api/telemetry", &routers),
+		adminEngineCommand(
+			"exclude ENGINE", "Cordon an engine: routers send it no more requests", "/api/exclude/", &routers,
+		),
 		adminEngineCommand("include ENGINE", "Uncordon an engine", "/api/include/", &routers),
 	)
 	return cmd
 }
 
-// formerAdminCommand is the admin command under its former name, which it reports on standard error.
+// formerAdminCommand returns the admin command under its former name. It prints a notice of the new name to standard
+// error.
 func formerAdminCommand() *cobra.Command {
 	cmd := adminCommand()
 	cmd.Use = formerAdminName
@@ -52,7 +55,7 @@
 	return cmd
 }
 
-// adminReadCommand is a command that changes nothing.
+// adminReadCommand returns a command that sends a GET request to path and changes nothing.
 func adminReadCommand(use, short, path string, routers *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
@@ -62,7 +65,8 @@
 	}
 }
 
-// adminEngineCommand is a command on an engine, which the path ends in.
+// adminEngineCommand returns a command that changes the state of the engine given as its argument. The path of the
+// request is pathPrefix followed by the argument.
 func adminEngineCommand(use, short, pathPrefix string, routers *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
@@ -72,7 +76,8 @@
 	}
 }
 
-// callRouters sends a request to each router and prints the responses; the error says how many did not succeed.
+// callRouters sends a request to each router in turn and prints the responses. If some did not succeed, it returns an
+// error with their number.
 func callRouters(out io.Writer, routers []string, method, path string) error {
 	if len(routers) == 0 {
 		return errNoRouter
@@ -100,13 +105,14 @@
 	return nil
 }
 
-// callResult is what is printed of a request to one router.
+// callResult is the result of a request to one router.
 type callResult struct {
 	succeeded bool
-	status    string // of the response, or why there is none
-	text      string
+	status    string // status of the response, or the error if it could not be read
+	text      string // body of the response
 }
 
+// callRouter sends a request to one router. It succeeds if the status of the response is 2xx.
 func callRouter(client *http.Client, request *http.Request) callResult {
 	response, err := client.Do(request)
 	if err != nil {
--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -12,7 +12,7 @@
 	"windflow/internal/golden"
 )
 
-// adminCalls are calls of the admin command, one of which fails.
+// adminCalls has the arguments of calls of the admin command. The last call fails.
 var adminCalls = [][]string{
 	{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
 }
@@ -41,7 +41,7 @@
 	_, _ = io.WriteString(w, `{"said":"yes"}`+"\n")
 }
 
-// The requests to a router, and what is printed of its responses, are what they were.
+// Guards against a change of the requests to a router or of the output, which operators' tools depend on.
 func TestGoldenAdmin(t *testing.T) {
 	router := startAdminRouter(t)
 	var printed bytes.Buffer
@@ -55,7 +55,8 @@
 	golden.Equal(t, "door-calls.txt", router.requests.Bytes())
 }
 
-// Under its former name the command does and prints the same, and prints its present name on standard error.
+// Under its former name, the command must send the same requests and print the same output. It must also print a notice
+// of its present name to standard error.
 func TestFormerNameOfAdmin(t *testing.T) {
 	router := startAdminRouter(t)
 	const notice = "windflowctl: the command \"door\" is called \"admin\" now\n"
@@ -63,13 +64,13 @@
 	for _, args := range adminCalls {
 		out, stderr, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
 		if stderr != notice {
-			t.Errorf("%v: standard error has %q", args, stderr)
+			t.Errorf("%v: standard error %q, want %q", args, stderr, notice)
 		}
 		fmt.Fprintf(&printed, "%v\n%s%v\n\n", args, out, err)
 	}
 	_, stderrWithoutRouter, err := run(t, formerAdminName, "ready")
 	if stderrWithoutRouter != notice {
-		t.Errorf("without a router: standard error has %q", stderrWithoutRouter)
+		t.Errorf("without a router: standard error %q, want %q", stderrWithoutRouter, notice)
 	}
 	fmt.Fprintf(&printed, "no door: %v\n", err)
 	golden.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
--- a/cmd/windflowctl/encoded_test.go
+++ b/cmd/windflowctl/encoded_test.go
@@ -6,13 +6,14 @@
 	"windflow/internal/golden"
 )
 
-// encodedTypes returns the types of this package that are encoded as JSON outside the process. The types of their
-// fields are found by reflection.
+// encodedTypes returns a value of each type that this package prints as JSON. AllFieldsTagged finds the types of their
+// fields by reflection.
 func encodedTypes() []any {
 	return []any{printedRecord{}}
 }
 
-// Each encoded field has a tag with its encoded name, so that the name in the code can change.
+// Every encoded field must have a tag with its encoded name. Without one, renaming the Go field would change the
+// output.
 func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.AllFieldsTagged(t, "json", encodedTypes()...)
 }
--- a/cmd/windflowctl/golden_output_test.go
+++ b/cmd/windflowctl/golden_output_test.go
@@ -11,10 +11,11 @@
 	"windflow/internal/record"
 )
 
-// goldenSegments has the segments of three routers: the two of writeIncidentRecords, and one with each kind of record.
+// goldenSegments is the archive with the segments of three routers: two from writeIncidentRecords, and a third with one
+// record of each kind.
 const goldenSegments = "segments.tar.gz"
 
-// writeGoldenSegments writes the golden segments with this program.
+// writeGoldenSegments creates the golden file goldenSegments with the present program.
 func writeGoldenSegments(t *testing.T) {
 	t.Helper()
 	dir := writeIncidentRecords(t)
@@ -32,7 +33,7 @@
 	golden.Write(t, goldenSegments, golden.Pack(t, dir))
 }
 
-// goldenRecords are one of each kind, all fields set.
+// goldenRecords returns one record of each kind except the header, with all fields set.
 func goldenRecords() []record.Record {
 	class := record.ClassStats{
 		Class: "lookup", Tenant: "rckik-south", Arrived: 50, Retries: 1, OnTime: 40, Late: 3, Rejected: 4, Failed: 2,
@@ -67,7 +68,7 @@
 	}
 }
 
-// The output for segments that an earlier program wrote is what that program printed.
+// The output for segments that an earlier version of the program wrote must be what that version printed.
 func TestGoldenRecords(t *testing.T) {
 	golden.AllFieldsSet(t, goldenRecords())
 	if golden.Recording(t, goldenSegments) {
@@ -89,8 +90,8 @@
 		{
 			"records-cut.txt",
 			[]string{
-				"records", "cut", "--from", formatTime(startMS + 58_000), "--to", formatTime(startMS + 61_000), "-o", cut,
-				dir,
+				"records", "cut", "--from", formatTime(startMS + 58_000), "--to", formatTime(startMS + 61_000),
+				"-o", cut, dir,
 			},
 		},
 		{"records-cut-cat.txt", []string{"records", "cat", cut}},
@@ -102,7 +103,8 @@
 	}
 }
 
-// The output for a truncated segment, a damaged one and a file that is none is what an earlier program printed.
+// The output for a truncated segment, a damaged one, and a file that is not a segment must be what an earlier version
+// of the program printed.
 func TestGoldenRecordsDamaged(t *testing.T) {
 	dir := golden.Unpack(t, golden.Read(t, goldenSegments))
 	files, err := record.SegmentFiles(dir)
--- a/cmd/windflowctl/golden_test.go
+++ b/cmd/windflowctl/golden_test.go
@@ -9,7 +9,7 @@
 	"windflow/internal/record"
 )
 
-// recordSamples has a record of each kind with no field left out.
+// recordSamples returns one record of each kind with all fields set.
 func recordSamples() []record.Record {
 	return []record.Record{
 		&record.Header{
@@ -53,7 +53,7 @@
 	}
 }
 
-// Each kind of record is printed as JSON as it was when the golden file was recorded: operators' programs read it.
+// Guards against a change of the JSON form of records, which operators' programs read.
 func TestGoldenRecordsAsJSON(t *testing.T) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
--- a/cmd/windflowctl/incident.go
+++ b/cmd/windflowctl/incident.go
@@ -10,10 +10,11 @@
 func incidentCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "incident RECORDS...",
-		Short: "Tell from records of one or more routers what happened, and who was hurt",
-		Long: "Join the records of one or more routers and print whose clock is off, when service was worse than in " +
-			"the calm and for\n" +
-			"whom, what states engines were in then, and what is missing. Times are on the first router's clock.",
+		Short: "Report the incidents in the records of one or more routers, and whom they affected",
+		Long: "Join the records of one or more routers and print the offsets of their clocks, the incidents in which " +
+			"requests lost\n" +
+			"more value than usual, with the affected classes and tenants and the states of engines, and the time\n" +
+			"ranges without records. Times are on the clock of a reference process, the one with the most shared events.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: reportIncidents,
 	}
--- a/cmd/windflowctl/incident_report.go
+++ b/cmd/windflowctl/incident_report.go
@@ -13,14 +13,14 @@
 
 const (
 	msPerSecond = 1000
-	// maxImpacts and minLossShare bound the impacts that are printed of an incident.
+	// maxImpacts is the number of impacts printed per incident; those with a loss share below minLossShare are omitted.
 	maxImpacts   = 8
 	minLossShare = 0.01
-	// minSlowness is the slowness from which on it is printed.
+	// minSlowness is the slowness of an engine above which it is printed.
 	minSlowness = 1.2
 )
 
-// incidentReport prints a timeline.
+// incidentReport prints a timeline to out.
 type incidentReport struct {
 	out      io.Writer
 	timeline *incident.Timeline
@@ -92,7 +92,7 @@
 		100*impact.BaselineLoss, 100*impact.LossShare, impact.Ended, impact.Late, impact.Rejected, impact.Failed)
 }
 
-// abnormalStates describes the states but record.Normal that an engine had in an incident.
+// abnormalStates describes the states of an engine during an incident, without record.Normal.
 func abnormalStates(engine incident.EngineHistory, during incident.Incident) (states []string) {
 	for _, span := range engine.Spans {
 		if span.State != record.Normal && span.ToMS >= during.FromMS && span.FromMS <= during.ToMS {
@@ -102,7 +102,7 @@
 	return states
 }
 
-// describeSpan describes a state with its times in seconds from the incident's beginning.
+// describeSpan describes a state of an engine. Its times are in seconds after the beginning of the incident.
 func describeSpan(span incident.Span, during incident.Incident) string {
 	text := fmt.Sprintf("%s at %s from %+.1f s to %+.1f s", span.State, printable(span.Router),
 		(span.FromMS-during.FromMS)/msPerSecond,
@@ -116,7 +116,8 @@
 	return text
 }
 
-// printable replaces the control characters of a name, which a terminal might interpret.
+// printable replaces the control characters in a name with '?', because a terminal might interpret them. Names of
+// routers, classes, tenants and engines in records may contain any character.
 func printable(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c == 0x7f || c >= 0x80 && c < 0xa0 {
--- a/cmd/windflowctl/main.go
+++ b/cmd/windflowctl/main.go
@@ -1,4 +1,4 @@
-// Command windflowctl contains the operators' tools of a router; the router links none of it.
+// Command windflowctl has the tools for operators of routers. The router's program contains none of its code.
 package main
 
 import (
@@ -18,7 +18,7 @@
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "windflowctl",
-		Short:         "Tools beside a windflow router",
+		Short:         "Tools for operators of windflow routers",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -14,8 +14,8 @@
 
 const startMS = 1_796_000_000_000.0
 
-// writeIncidentRecords writes two minutes of records of two routers whose clocks are 250 ms apart. An engine is down for ten
-// seconds in the middle.
+// writeIncidentRecords writes two minutes of records of two routers whose clocks are 250 ms apart, and returns their
+// folder. An engine is down for ten seconds in the middle. The routers' names contain a terminal escape code.
 func writeIncidentRecords(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -47,16 +47,20 @@
 			}
 			if second%20 == 5 {
 				w.Put(&record.EngineChange{
-					AtMS: on(float64(1000 * second)), EngineID: "s-0000010" + string(rune('0'+second/20)), State: record.Gone,
+					AtMS: on(float64(1000 * second)), EngineID: "s-0000010" + string(rune('0'+second/20)),
+					State: record.Gone,
 				})
 			}
-			w.Put(&record.Interval{AtMS: on(float64(1000 * second)), DurationMS: 1000, Classes: []record.ClassStats{stats}})
+			w.Put(&record.Interval{
+				AtMS: on(float64(1000 * second)), DurationMS: 1000, Classes: []record.ClassStats{stats},
+			})
 		}
 		w.Close()
 	}
 	return dir
 }
 
+// run runs the program with args and returns its standard output, its standard error and its error.
 func run(t *testing.T, args ...string) (out, stderr string, err error) {
 	t.Helper()
 	root := command()
@@ -68,14 +72,15 @@
 	return outBuffer.String(), errBuffer.String(), err
 }
 
-// printedLine is a line of "records cat" as a reader decodes it.
+// printedLine is a line of the output of "records cat", decoded by its JSON names.
 type printedLine struct {
 	Kind   string          `json:"kind"`
 	Time   string          `json:"time"`
 	Record json.RawMessage `json:"record"`
 }
 
-// decodeLine decodes a line and the record in it, which must have the fields of its kind and no others.
+// decodeLine decodes a line and the record in it. It fails if the kind is not header or engine, or if the record has an
+// unknown field.
 func decodeLine(text string) (printedLine, error) {
 	var printed printedLine
 	if err := json.Unmarshal([]byte(text), &printed); err != nil {
@@ -95,6 +100,8 @@
 	return printed, decoder.Decode(target)
 }
 
+// Covers the subcommands of "records": their output for intact segments, and their errors for wrong flags, damaged
+// segments and a folder without segments.
 func TestRecordsCommands(t *testing.T) {
 	dir := writeIncidentRecords(t)
 	out, _, err := run(t, "records", "check", dir)
@@ -129,7 +136,7 @@
 	if out, _, err = run(t, "incident", cut); err != nil || !strings.Contains(out, "Incident 1") {
 		t.Error(out, err)
 	}
-	// A damaged file is reported and fails the check; a truncated one is only reported.
+	// A truncated file is reported but does not fail the check, because a crash may leave one. A damaged file fails it.
 	files, _ := record.SegmentFiles(dir)
 	text, _ := os.ReadFile(files[0])
 	if err := os.WriteFile(files[0], text[:len(text)-3], 0o600); err != nil {
@@ -151,8 +158,8 @@
 	}
 }
 
-// The report names the incident, the clock's offset, who was affected and the engine. It has no escape code of a
-// router's name.
+// The report must have the incident, the clock offset, the affected class and tenant, and the engine. It must not
+// contain the escape code in a router's name, which a terminal would interpret.
 func TestIncidentCommand(t *testing.T) {
 	out, _, err := run(t, "incident", writeIncidentRecords(t))
 	if err != nil {
@@ -162,10 +169,10 @@
 		"clock off by +250.0 ms", "Incident 1", "lookup of rckik-south", "failed", "engine s-00000001: down at n0",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not in\n%s", want, out)
+			t.Errorf("report does not contain %q:\n%s", want, out)
 		}
 	}
 	if strings.Contains(out, "\x1b") || strings.Contains(out, "Incident 2") {
-		t.Errorf("%q", out)
+		t.Errorf("report has an escape code or a second incident: %q", out)
 	}
 }
--- a/cmd/windflowctl/records.go
+++ b/cmd/windflowctl/records.go
@@ -11,22 +11,22 @@
 
 func recordsCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "records", Short: "Read, verify and cut records",
-		Long: "Read, verify and cut the records that routers write where their settings have a section \"records\".\n" +
-			"RECORDS are segment files, or folders of them.",
+		Use: "records", Short: "Print, verify and extract records",
+		Long: "Print, verify and extract the records that routers write if their settings have a section \"records\".\n" +
+			"RECORDS are segment files or folders that contain them.",
 	}
 	cmd.AddCommand(recordsCatCommand(), recordsCheckCommand(), recordsCutCommand())
 	return cmd
 }
 
-// formatTime formats a time of a router's clock.
+// formatTime formats a time in milliseconds since the Unix epoch as UTC, with milliseconds.
 func formatTime(ms float64) string {
 	return time.UnixMicro(int64(ms * microsPerMilli)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
 const microsPerMilli = 1e3
 
-// warnUnreadable prints the errors and the damage of segment files to the standard error.
+// warnUnreadable prints the errors and the damage of segment files to standard error.
 func warnUnreadable(cmd *cobra.Command, results []record.SegmentResult) {
 	for _, result := range results {
 		if result.Err != nil {
--- a/cmd/windflowctl/records_cat.go
+++ b/cmd/windflowctl/records_cat.go
@@ -11,7 +11,7 @@
 	"windflow/internal/record"
 )
 
-// printedRecord is a record as "records cat" prints it.
+// printedRecord is the JSON form in which "records cat" prints a record.
 type printedRecord struct {
 	Kind        string        `json:"kind"`
 	Router      string        `json:"router"`
@@ -21,7 +21,7 @@
 	Record      record.Record `json:"record"`
 }
 
-// Names of the kinds of records, as the command prints and takes them.
+// Names of the kinds of records, in the output and as values of --kind.
 const (
 	kindHeader         = "header"
 	kindEngineChange   = "engine"
@@ -33,6 +33,7 @@
 
 var kindNames = []string{kindHeader, kindEngineChange, kindInterval, kindRequestFailure, kindEvent, kindGap}
 
+// kindName returns the name of a record's kind.
 func kindName(of record.Record) string {
 	switch of.(type) {
 	case *record.Header:
@@ -55,19 +56,20 @@
 	var kinds []string
 	cmd := &cobra.Command{
 		Use:   "cat RECORDS...",
-		Short: "Print records as JSON, one on a line",
+		Short: "Print records as JSON, one per line",
 		Args:  cobra.MinimumNArgs(1),
 		RunE:  func(cmd *cobra.Command, paths []string) error { return catRecords(cmd, paths, kinds) },
 	}
-	cmd.Flags().StringSliceVar(&kinds, "kind", nil, "only these `kinds`: header, engine, second, answer, event, gap")
+	cmd.Flags().StringSliceVar(&kinds, "kind", nil,
+		"print only these `kinds`: header, engine, second, answer, event, gap")
 	return cmd
 }
 
-// catRecords prints the records of some kinds, of all where none is named.
+// catRecords prints the records of the given kinds, or all records if kinds is empty.
 func catRecords(cmd *cobra.Command, paths, kinds []string) error {
 	for _, kind := range kinds {
 		if !slices.Contains(kindNames, kind) {
-			return fmt.Errorf("--kind: %q is none of header, engine, second, answer, event, gap", kind)
+			return fmt.Errorf("--kind: %q is not one of header, engine, second, answer, event, gap", kind)
 		}
 	}
 	files, err := record.SegmentFiles(paths...)
@@ -82,13 +84,14 @@
 	return err
 }
 
-// recordPrinter prints records, and the header of each segment before the first of its records.
+// recordPrinter prints records, and the header of each segment before its first record.
 type recordPrinter struct {
 	encoder     *json.Encoder
-	kinds       []string // to print; all where it is empty
-	lastSegment *segmentKey
+	kinds       []string    // kinds to print; empty for all
+	lastSegment *segmentKey // of the last record; nil before the first
 }
 
+// segmentKey identifies a segment.
 type segmentKey struct {
 	processID string
 	number    uint64
--- a/cmd/windflowctl/records_check.go
+++ b/cmd/windflowctl/records_check.go
@@ -11,10 +11,11 @@
 func recordsCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check RECORDS...",
-		Short: "Verify records: sums, order, and what is missing",
-		Long: "Verify records: the sum of each, the order of segments, and what is missing. A segment that a kill " +
-			"cut off is told\n" +
-			"of and does not count as damaged. The exit status is 1 where something can't be read.",
+		Short: "Verify records: checksums, order, and missing segments",
+		Long: "Verify the checksums of records and the order of segments, and report missing segments and dropped " +
+			"records.\n" +
+			"A segment that was truncated when its process was killed is reported, but does not count as damaged. The\n" +
+			"exit status is 1 if a file can't be read completely.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: checkRecords,
 	}
@@ -25,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	dropped := map[string]int{} // by process
+	dropped := map[string]int{} // by process id
 	results, err := record.ReadSegments(files, func(header *record.Header, next record.Record) error {
 		if gap, ok := next.(*record.Gap); ok {
 			dropped[header.ProcessID] += gap.Dropped
@@ -36,7 +37,7 @@
 		return err
 	}
 	unreadable := 0
-	nextSegments := map[string]uint64{} // the number that follows, by process
+	nextSegments := map[string]uint64{} // by process id, the number of the segment expected next
 	for _, result := range results {
 		finding, ok := describeSegment(result)
 		if !ok {
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// describeSegment describes the state of a segment, and returns false for one that is unreadable or damaged. A
-// truncated one counts as readable.
+// describeSegment describes the state of a segment. It returns false if the segment is unreadable or damaged. A
+// truncated segment counts as readable.
 func describeSegment(result record.SegmentResult) (finding string, ok bool) {
 	switch {
 	case result.Err != nil:
@@ -70,12 +71,13 @@
 	return result.Damage[0].String(), truncated
 }
 
-// describeMissing describes the segments that are missing before one; nextSegments has the number expected by process.
+// describeMissing describes the segments that are missing before the given one, or returns "" if there are none.
+// nextSegments has the number of the segment expected next, by process id.
 func describeMissing(result record.SegmentResult, nextSegments map[string]uint64) string {
 	number := result.Header.SegmentNumber
 	expected, known := nextSegments[result.Header.ProcessID]
 	if result.Err != nil || number == expected || !known && number == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; segments %d to %d of this process are not here", expected, number-1)
+	return fmt.Sprintf("; segments %d to %d of this process are missing", expected, number-1)
 }
--- a/cmd/windflowctl/records_cut.go
+++ b/cmd/windflowctl/records_cut.go
@@ -11,23 +11,23 @@
 	"windflow/internal/record"
 )
 
-// cutOptions are the flags of "records cut", as they were given.
+// cutOptions has the unparsed values of the flags of "records cut".
 type cutOptions struct{ from, to, dir string }
 
 func recordsCutCommand() *cobra.Command {
 	var options cutOptions
 	cmd := &cobra.Command{
 		Use:   "cut --from TIME --to TIME -o FOLDER RECORDS...",
-		Short: "Take a span of time out of records",
-		Long: "Take the records of a span of time, with the engines' states at its beginning, to segments in " +
+		Short: "Extract the records of a time range",
+		Long: "Copy the records of a time range, with the states of the engines at its beginning, to segments in " +
 			"another folder.\n" +
-			"TIME is as 2026-11-30T14:05:00Z, on the routers' clocks.",
+			"TIME has a form such as 2026-11-30T14:05:00Z and is on the routers' clocks.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error { return cutRecords(cmd, paths, options) },
 	}
-	cmd.Flags().StringVar(&options.from, "from", "", "first `time`")
-	cmd.Flags().StringVar(&options.to, "to", "", "last `time`")
-	cmd.Flags().StringVarP(&options.dir, "out", "o", "", "`folder` for the segments")
+	cmd.Flags().StringVar(&options.from, "from", "", "start `time` of the range")
+	cmd.Flags().StringVar(&options.to, "to", "", "end `time` of the range")
+	cmd.Flags().StringVarP(&options.dir, "out", "o", "", "`folder` for the new segments")
 	return cmd
 }
 
@@ -41,10 +41,10 @@
 		return err
 	}
 	if endMS <= startMS {
-		return errors.New("--to: it is not after --from")
+		return fmt.Errorf("--to: %s is not after --from (%s)", options.to, options.from)
 	}
 	if options.dir == "" {
-		return errors.New("-o: no folder is named")
+		return errors.New("-o: a folder for the new segments is required")
 	}
 	files, err := record.SegmentFiles(paths...)
 	if err != nil {
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// parseTime parses the time of a flag into milliseconds since the Unix epoch.
+// parseTime converts the value of a flag to milliseconds since the Unix epoch. Its error names the flag.
 func parseTime(flag, text string) (ms float64, err error) {
 	parsed, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return 0, fmt.Errorf("--%s: %q is no time such as 2026-11-30T14:05:00Z", flag, text)
+		return 0, fmt.Errorf("--%s: %q is not a time such as 2026-11-30T14:05:00Z", flag, text)
 	}
 	return float64(parsed.UnixMicro()) / microsPerMilli, nil
 }
--- a/cmd/windflowctl/thread_sample.go
+++ b/cmd/windflowctl/thread_sample.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// threadState is where a thread is, as /proc shows it.
+// threadState is the state of a thread as /proc shows it.
 type threadState struct {
-	state       string // R running, S sleeping, D in an uninterruptible wait, T stopped
-	waitChannel string // the kernel's function that the thread waits in; 0 while it runs
+	state       string // R running, S sleeping, D uninterruptible sleep, T stopped
+	waitChannel string // kernel function in which the thread waits; 0 while it runs
 }
 
-// uninterruptibleSleep is the state of a thread in a wait that no signal ends.
+// uninterruptibleSleep is the state of a thread in a wait that no signal interrupts.
 const uninterruptibleSleep = "D"
 
 type threadID struct{ pid, tid int }
 
-// sampleThreads reads the states of the threads of the processes pids, and of those with that name where pids is empty.
-// Threads that end meanwhile are left out.
+// sampleThreads reads the states of all threads of the processes pids, or of the processes named processName if pids is
+// empty. procDir is the mount point of /proc. Threads that end during the call are left out.
 func sampleThreads(procDir, processName string, pids []int) map[threadID]threadState {
 	if len(pids) == 0 {
 		pids = processesNamed(procDir, processName)
@@ -27,7 +27,7 @@
 	found := map[threadID]threadState{}
 	for _, pid := range pids {
 		tasksDir := filepath.Join(procDir, strconv.Itoa(pid), "task")
-		tasks, _ := os.ReadDir(tasksDir) // none of a process that ended
+		tasks, _ := os.ReadDir(tasksDir) // empty for a process that ended
 		for _, task := range tasks {
 			tid, err := strconv.Atoi(task.Name())
 			if err != nil {
@@ -41,8 +41,9 @@
 	return found
 }
 
+// processesNamed returns the ids of the processes with the given name.
 func processesNamed(procDir, name string) (pids []int) {
-	paths, _ := filepath.Glob(filepath.Join(procDir, "[0-9]*", "comm")) // fails for a malformed pattern only
+	paths, _ := filepath.Glob(filepath.Join(procDir, "[0-9]*", "comm")) // fails only for a malformed pattern
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil || strings.TrimSpace(string(text)) != name {
@@ -55,7 +56,7 @@
 	return pids
 }
 
-// readThreadState reads a thread's folder in /proc.
+// readThreadState reads the state of a thread from its folder in /proc. It returns false if the thread ended.
 func readThreadState(dir string) (state threadState, ok bool) {
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
@@ -65,7 +66,8 @@
 	if err != nil {
 		return threadState{}, false
 	}
-	// The name is in parentheses and may contain any character, also a parenthesis; the state follows the last one.
+	// The thread's name is in parentheses and may contain any character, including parentheses. The state follows the
+	// last closing one.
 	text := string(stat)
 	_, fields, ok := strings.Cut(text[max(strings.LastIndexByte(text, ')'), 0):], ") ")
 	if !ok {
--- a/cmd/windflowctl/thread_watch.go
+++ b/cmd/windflowctl/thread_watch.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// threadWatch sums up samples of threads. A wait lasts from its first to its last sample.
+// threadWatch summarizes samples of threads. The length of a wait is the time from the first to the last sample in
+// which the thread was found in it.
 type threadWatch struct {
-	minWait time.Duration // from which on an uninterruptible wait is printed
+	minWait time.Duration // shortest uninterruptible wait that is printed
 	out     io.Writer
-	samples map[threadState]int
-	longest map[threadState]time.Duration
+	samples map[threadState]int           // number of samples in each state
+	longest map[threadState]time.Duration // longest time in each state
 	current map[threadID]threadState
-	since   map[threadID]time.Duration // when a thread was first found in its current state
-	lastAt  time.Duration              // of the last sample
-	taken   int
+	since   map[threadID]time.Duration // first sample in the current state
+	lastAt  time.Duration              // time of the last sample
+	taken   int                        // number of samples added
 }
 
 func newThreadWatch(minWait time.Duration, out io.Writer) *threadWatch {
@@ -30,7 +31,8 @@
 	}
 }
 
-// add adds a sample, and prints the long waits that ended before it.
+// add adds the sample taken at the time at, counted from the start of the watch. It prints the long uninterruptible
+// waits that ended before it.
 func (w *threadWatch) add(at time.Duration, sample map[threadID]threadState) {
 	for _, id := range w.changedThreads(sample) {
 		w.endState(id)
@@ -45,7 +47,8 @@
 	w.taken++
 }
 
-// changedThreads returns the threads that are no longer in their current state, sorted.
+// changedThreads returns the threads that the sample shows in another state than the current one, or no longer, sorted
+// by process and thread.
 func (w *threadWatch) changedThreads(sample map[threadID]threadState) (changed []threadID) {
 	for id, state := range w.current {
 		if sample[id] != state {
@@ -58,6 +61,7 @@
 	return changed
 }
 
+// endState ends the current state of a thread, and prints it if it is a long uninterruptible wait.
 func (w *threadWatch) endState(id threadID) {
 	state, since := w.current[id], w.since[id]
 	lasted := w.lastAt - since
@@ -70,7 +74,8 @@
 	delete(w.since, id)
 }
 
-// summarize prints the samples by state, the most frequent first. It fails where no thread was found.
+// summarize prints the number of samples and the longest time of each state, the most frequent first. It fails if no
+// sample found a thread.
 func (w *threadWatch) summarize() error {
 	table := tabwriter.NewWriter(w.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "state\twait channel\tsamples\tlongest s")
@@ -93,7 +98,7 @@
 		return err
 	}
 	if len(states) == 0 {
-		return fmt.Errorf("%d samples found no such process", w.taken)
+		return fmt.Errorf("%d samples found no thread: no such process, or no permission to read /proc", w.taken)
 	}
 	return nil
 }
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A thread's wait is printed with its length, also where the thread's name has parentheses and where the process ends
-// in the wait.
+// A long uninterruptible wait must be printed with its length, and each state must be in the summary, also the last one
+// before the process ended. The name of the thread has parentheses, which a parser of /proc could mistake for the end
+// of the name.
 func TestThreadWatchPrintsUninterruptibleWaits(t *testing.T) {
 	proc := t.TempDir()
 	writeThread := func(tid, state, channel string) {
@@ -50,11 +51,12 @@
 		"S      ep_poll           10       0.9\n", "D      expand_files      5        0.4\n",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in:\n%s", want, out.String())
+			t.Errorf("output does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
 
+// The command must fail if it finds no process, and if the time between samples is not positive.
 func TestThreadsCommandErrors(t *testing.T) {
 	_, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms")
 	if err == nil || !strings.Contains(err.Error(), "no such process") {
--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -1,5 +1,5 @@
-// Command windflowkeeper stores the routers' configuration by revision; see docs/configuration.md. The router links
-// none of it.
+// Command windflowkeeper is a keeper, which stores the revisions of the routers' configuration; see
+// docs/configuration.md. The router's program contains none of its code.
 package main
 
 import (
@@ -33,7 +33,7 @@
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "windflowkeeper",
-		Short:         "Keeps the routers' configuration by revision",
+		Short:         "Stores the revisions of the routers' configuration",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
@@ -46,38 +46,38 @@
 	var arguments serveArguments
 	serve := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve as one keeper of a group of up to five",
-		Long: "Serve as one keeper of a group of up to five, until SIGTERM. " +
+		Short: "Run one keeper of a group of up to five",
+		Long: "Run one keeper of a group of up to five, until SIGTERM. " +
 			"All are started with the same --peers; the first start\n" +
-			"needs all of them. Neither address has any authentication: loopback or a trusted network only.",
+			"needs all of them. Neither address requires authentication: use loopback or a trusted network only.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return arguments.run(command.Context()) },
 	}
 	options, flags := &arguments.options, serve.Flags()
 	flags.StringVar(&options.ID, "id", "", "`name` of this keeper in --peers")
-	flags.StringVar(&options.Dir, "dir", "", "`folder` of this keeper alone; it is made if it is missing")
-	flags.StringVar(&options.HTTPAddr, "http", "", "`address:port` to listen at for calls")
-	flags.StringVar(&options.RaftAddr, "raft", "", "`address:port` to listen at for the other keepers")
+	flags.StringVar(&options.Dir, "dir", "", "data `folder` of this keeper only; created if it does not exist")
+	flags.StringVar(&options.HTTPAddr, "http", "", "`address:port` to listen on for HTTP calls")
+	flags.StringVar(&options.RaftAddr, "raft", "", "`address:port` to listen on for the other keepers")
 	flags.StringVar(&arguments.peers, "peers", "",
-		"all keepers: `ID=RAFT/HTTP,...`, with the addresses that the others reach them at")
+		"all keepers: `ID=RAFT/HTTP,...`, with the addresses at which the others reach them")
 	flags.StringVar(&arguments.baseFile, "base", "",
-		"platform configuration (`file`) of a router, against which changes are checked")
+		"`file` with the platform configuration of a router, against which changes are checked")
 	flags.StringVar(&options.Cluster, "cluster", "windflow",
-		"`name` of the group, the same at all keepers and in their folders")
+		"`name` of the group, the same for all keepers and in their folders")
 	flags.BoolVar(&options.AcceptLoss, "accept-loss", false,
-		"vote at once though the folder is empty; only where a majority is lost for good")
-	flags.StringVar(&arguments.logFormat, "log-format", "text", "`text` or json")
+		"vote at once although the folder is empty; only if a majority is lost for good")
+	flags.StringVar(&arguments.logFormat, "log-format", "text", "log format: `text` or json")
 	serve.SetContext(context.Background())
 	return serve
 }
 
-// serveArguments are the flags of serve.
+// serveArguments has the values of the flags of the serve command.
 type serveArguments struct {
 	options                    keeper.Options
 	peers, baseFile, logFormat string
 }
 
-// run serves until a signal ends it.
+// run runs a keeper until SIGTERM or SIGINT, or until it fails.
 func (a *serveArguments) run(ctx context.Context) error {
 	log, err := newLogger(a.logFormat)
 	if err != nil {
@@ -96,14 +96,15 @@
 	if options.OnReady, err = newReadinessNotifier(log); err != nil {
 		return err
 	}
-	// A write beyond the limit on the size of files is an error like that of a full disk, not the end of the process.
+	// Without this, a write beyond the limit on file sizes would end the process. It is to fail like a write to a full
+	// disk.
 	signal.Ignore(syscall.SIGXFSZ)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return keeper.Run(ctx, options)
 }
 
-// newLogger returns a logger to standard error. Errors name the flag --log-format.
+// newLogger returns a logger that writes to standard error. Its errors name the flag --log-format.
 func newLogger(format string) (*slog.Logger, error) {
 	switch format {
 	case "text":
@@ -114,7 +115,8 @@
 	return nil, fmt.Errorf("--log-format: %q is neither text nor json", format)
 }
 
-// newChangeCheck returns the check of `windflow config check` for changes to a router's file. Errors name the flag --base.
+// newChangeCheck returns the check that a change must pass. It applies the entries to the platform configuration in
+// file and checks the result as "windflow config check" does. Its errors name the flag --base.
 func newChangeCheck(file string) (keeper.Check, error) {
 	if file == "" {
 		return nil, errors.New("--base: is missing")
@@ -131,14 +133,16 @@
 	}, nil
 }
 
-// readyEnv names the variable with the number of a descriptor on which the process that started this one waits for a
-// line with the address of the HTTP calls. Without the variable nothing is written.
+// readyEnv names the environment variable with the number of a descriptor. When the keeper is ready, it writes a line
+// with the address for HTTP calls there, for which the process that started it waits. Without the variable, nothing is
+// written.
 const readyEnv = "WINDFLOW_READY_FD"
 
-// minReadyDescriptor is the first descriptor after the standard streams.
+// minReadyDescriptor is the first descriptor after those of the standard streams.
 const minReadyDescriptor = 3
 
-// newReadinessNotifier returns nil without the variable.
+// newReadinessNotifier returns the function that reports readiness on the descriptor given by readyEnv, or nil if the
+// variable is not set. It fails if the variable has no valid number.
 func newReadinessNotifier(log *slog.Logger) (func(httpAddr string), error) {
 	text, found := os.LookupEnv(readyEnv)
 	if !found {
--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -16,7 +16,7 @@
 
 const example = "../../deploy/example.json"
 
-// Errors of the command line name the flag. Nothing listens without an address.
+// Errors of the command line must name the flag. Without an address, the keeper must not start.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	invalid := filepath.Join(dir, "bad.json")
@@ -52,7 +52,8 @@
 	}
 }
 
-// The router links nothing of the keepers' replication.
+// Guards against an import that makes the router's program contain the code of the keepers and of their replication
+// libraries. It also checks that the keeper's program contains them, so that the list is not outdated.
 func TestRouterLinksNoReplication(t *testing.T) {
 	for command, wanted := range map[string]bool{"windflow/cmd/windflow": false, "windflow/cmd/windflowkeeper": true} {
 		out, err := exec.Command("go", "list", "-deps", command).Output()
@@ -69,13 +70,13 @@
 				linked = linked || dep == library || strings.HasPrefix(dep, library+"/")
 			}
 			if linked != wanted {
-				t.Errorf("%s links %s: %v", command, library, linked)
+				t.Errorf("%s links %s: %v, want %v", command, library, linked, wanted)
 			}
 		}
 	}
 }
 
-// runningKeeper is the built program, as a group of one.
+// runningKeeper is a process of the built program that forms a group of one keeper.
 type runningKeeper struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -83,7 +84,7 @@
 	stderr  *bytes.Buffer
 }
 
-// startKeeperProcess builds the program, and starts it until the test ends.
+// startKeeperProcess builds the program and starts it. The process is killed at the end of the test if it still runs.
 func startKeeperProcess(t *testing.T) *runningKeeper {
 	t.Helper()
 	dir := t.TempDir()
@@ -96,7 +97,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = ready.Close() }()
-	// The peers' addresses are of no use to a group of one.
+	// A group of one does not use the peer addresses.
 	command := exec.Command(program, "serve", "--id", "k1", "--dir", filepath.Join(dir, "k1"),
 		"--http", "127.0.0.1:0", "--raft", "127.0.0.1:0",
 		"--peers", "k1=127.0.0.1:7402/127.0.0.1:7401", "--base", example)
@@ -122,7 +123,7 @@
 	return &runningKeeper{t: t, command: command, baseURL: "http://" + address, stderr: &stderr}
 }
 
-// checkChange posts a change, and checks the status and a part of the answer.
+// checkChange posts a change and checks the status of the response and a part of its body.
 func (k *runningKeeper) checkChange(body string, status int, part string) {
 	k.t.Helper()
 	response, err := http.Post(k.baseURL+"/v1/changes", "application/json", strings.NewReader(body))
@@ -136,7 +137,8 @@
 	}
 }
 
-// The built program: its line of readiness, a change, changes that a router couldn't use, and its end.
+// Covers the built program: it reports readiness, accepts a valid change, rejects changes that are invalid or that
+// expect another revision, and ends without an error on SIGTERM.
 func TestKeeperProcess(t *testing.T) {
 	keeper := startKeeperProcess(t)
 	keeper.checkChange(`{"id":"a","put":{"/settings/over-share-worth":0.25}}`, 200, `"revision":1`)
