--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -72,8 +72,8 @@
 		&cobra.Command{
 			Use:   "check FILE...",
 			Short: "Check files with the installation's settings or the platform's configuration",
-			Long: "Check files of settings. A file with a field \"listen\" is checked as the platform's " +
-				"configuration, any other\nas the installation's settings. Each error is a line with the file and the position in it.",
+			Long: "Check files of settings. A file with a field \"listen\" is checked as the platform's configuration,\n" +
+				"any other as the installation's settings. Each error is a line with the file and the position in it.",
 			Args: cobra.MinimumNArgs(1),
 			RunE: func(c *cobra.Command, files []string) error { return checkFiles(c.OutOrStdout(), files) },
 		},
--- a/internal/record/meter.go
+++ b/internal/record/meter.go
@@ -15,7 +15,7 @@
 	// limit, all further combinations share one entry with an empty class and tenant, and all further engines one with
 	// the id 0.
 	maxClasses, maxEngines = 256, 1024
-	// maxHistogramBytes bounds the memory of all histograms. Entries made after that have no percentiles.
+	// maxHistogramBytes bounds the memory of all histograms. Entries made after it is reached have no percentiles.
 	maxHistogramBytes = 3 << 20
 )
 
@@ -28,7 +28,7 @@
 	RequestLate                         // served after the latency objective
 	RequestRejected
 	RequestFailed
-	RequestCancelled // by the client
+	RequestCancelled // cancelled by the client
 )
 
 // AttemptOutcome says how an attempt ended.
@@ -49,13 +49,13 @@
 type classMeter struct {
 	ClassStats
 	latencies *hdrhistogram.Histogram // nil beyond maxHistogramBytes
-	used      bool                    // since the last Collect
+	used      bool                    // counted since the last Collect
 }
 
 type engineMeter struct {
 	EngineStats
 	latencies *hdrhistogram.Histogram // nil beyond maxHistogramBytes
-	used      bool                    // since the last Collect
+	used      bool                    // counted since the last Collect
 }
 
 // Meter counts the requests and attempts of an interval. It allocates memory only for the first request of a class and
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -39,7 +39,7 @@
 	buf     []byte // read from source and not processed yet
 	offset  int64  // of buf[0] in the segment
 	eof     bool
-	skipped int64 // number of bytes since the last readable record
+	skipped int64 // unreadable bytes since the last readable record
 	Header  Header
 	Damage  []Damage
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -152,7 +152,7 @@
 	RejectedSessions  int64         `cbor:"10,keyasint,omitempty" json:"Turned"`  // rejected, or closed to make room
 	InvalidResponses  int64         `cbor:"11,keyasint,omitempty" json:"Spoilt"`  // unusable responses of engines
 	LastEvent         uint64        `cbor:"12,keyasint,omitempty" json:"Event"`   // number of the last endpoint event
-	DiscoveryAgeMS    float64       `cbor:"13,keyasint,omitempty" json:"BoardMS"` // since the last contact
+	DiscoveryAgeMS    float64       `cbor:"13,keyasint,omitempty" json:"BoardMS"` // time since last contact
 }
 
 // ClassStats counts the requests of a class and tenant in an interval. Latencies are measured from the arrival to the
