--- a/cmd/windflowctl/records_check.go
+++ b/cmd/windflowctl/records_check.go
@@ -15,7 +15,7 @@
 		Long: "Verify the checksums of records and the order of segments, and report missing segments and dropped " +
 			"records.\n" +
 			"A segment that was truncated when its process was killed is reported, but does not count as damaged. The\n" +
-			"exit status is 1 if a file can't be read completely.",
+			"exit status is 1 if a file is damaged or can't be read.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: checkRecords,
 	}
--- a/internal/incident/incident.go
+++ b/internal/incident/incident.go
@@ -124,7 +124,7 @@
 		lost, possible = lost+classPossible-classEarned, possible+classPossible
 		result.Impacts = append(result.Impacts, Impact{
 			Class: key.class, Tenant: key.tenant, Late: ended.late, Rejected: ended.rejected, Failed: ended.failed,
-			Ended: ended.total(), Loss: s.lossShare(key, ended), BaselineLoss: s.lossShare(key, outside[key]),
+			Ended: ended.total(), Loss: s.loss(key, ended), BaselineLoss: s.loss(key, outside[key]),
 			LossShare: classPossible - classEarned, // normalized below
 		})
 	}
--- a/internal/incident/outcome_series.go
+++ b/internal/incident/outcome_series.go
@@ -54,8 +54,8 @@
 	return weight * (float64(ended.onTime) + lateShare*float64(ended.late)), weight * float64(ended.total())
 }
 
-// lossShare returns the share of the possible value that requests of a class lost, or 0 if there are none.
-func (s *outcomeSeries) lossShare(key classKey, ended outcomes) float64 {
+// loss returns the share of the possible value that requests of a class lost, or 0 if there are none.
+func (s *outcomeSeries) loss(key classKey, ended outcomes) float64 {
 	earned, possible := s.value(key, ended)
 	if possible > 0 {
 		return 1 - earned/possible
