--- a/cmd/windflow/main_test.go
+++ b/cmd/windflow/main_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// What a new user types, and what is printed.
+// Covers the commands and flags as a user types them. Errors must name the flag, the variable, or the file with the
+// position in it.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -20,13 +21,13 @@
 		}
 		return path
 	}
-	bad := write("own.json", `{"flightsql":{"listen":5}}`)
+	invalid := write("own.json", `{"flightsql":{"listen":5}}`)
 	platform := write("platform.json", `{"listen":"127.0.0.1:1","board":"127.0.0.1:1"}`)
 	t.Setenv("PROXY_CONFIG", "")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args string
-		out  string // in what is printed
-		err  string // in the error; empty for none
+		out  string // part of the output
+		err  string // part of the error; empty if none is expected
 	}{
 		{"", "", "PROXY_CONFIG"},
 		{"serve", "", "PROXY_CONFIG"},
@@ -34,7 +35,7 @@
 		{"version", "windflow", ""},
 		{"config schema", `"flightsql"`, ""},
 		{"config check ../../deploy/windflow.json ../../deploy/example.json", "example.json: ok", ""},
-		{"config check " + bad, "", bad + ": /flightsql/listen: "},
+		{"config check " + invalid, "", invalid + ": /flightsql/listen: "},
 		{"config check " + platform, "", platform + ": field settings is missing"},
 		{"config check " + filepath.Join(dir, "none.json"), "", "none.json"},
 		{"config check", "", "requires at least 1 arg"},
@@ -45,18 +46,18 @@
 		var out bytes.Buffer
 		root.SetOut(&out)
 		root.SetErr(&out)
-		root.SetArgs(strings.Fields(c.args))
+		root.SetArgs(strings.Fields(test.args))
 		err := root.Execute()
-		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%q: error %v, want %q", c.args, err, c.err)
+		if (err == nil) != (test.err == "") || err != nil && !strings.Contains(err.Error(), test.err) {
+			t.Errorf("%q: error %v, want %q", test.args, err, test.err)
 		}
-		if !strings.Contains(out.String(), c.out) {
-			t.Errorf("%q: printed %q, want %q", c.args, out.String(), c.out)
+		if !strings.Contains(out.String(), test.out) {
+			t.Errorf("%q: output %q, want %q in it", test.args, out.String(), test.out)
 		}
 	}
 }
 
-// mainEnv makes the test binary run main in place of the tests.
+// mainEnv names the variable that makes the test binary run main instead of the tests.
 const mainEnv = "WINDFLOW_TEST_MAIN"
 
 func TestMain(m *testing.M) {
@@ -67,13 +68,14 @@
 	os.Exit(m.Run())
 }
 
-// The process exits with 1 for an error, of which each line names the program on standard error.
+// On an error, the process must exit with status 1 and print the error to standard error, with the program's name
+// before each line.
 func TestExitStatus(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	for _, test := range []struct {
 		args   []string
 		status int
-		lines  []string // the beginning of each line on standard error
+		lines  []string // prefix of each line on standard error
 	}{
 		{[]string{"version"}, 0, nil},
 		{[]string{"serv"}, 1, []string{"windflow: unknown command"}},
@@ -98,7 +100,7 @@
 	}
 }
 
-// The program takes its arguments from the command line and prints to standard output.
+// main must take its arguments from the command line and print to standard output.
 func TestMainPrintsVersion(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
@@ -113,6 +115,6 @@
 	}
 	text, err := os.ReadFile(file.Name())
 	if err != nil || string(text) != version()+"\n" {
-		t.Errorf("printed %q, error %v, want %q", text, err, version())
+		t.Errorf("output %q, error %v, want %q", text, err, version())
 	}
 }
--- a/internal/incident/service.go
+++ b/internal/incident/outcome_series.go
@@ -6,8 +6,9 @@
 	"windflow/internal/record"
 )
 
-// service has the outcomes of all requests by the second in which they ended, so that long queries count too.
-type service struct {
+// outcomeSeries has the outcomes of all requests, by the second in which they ended, not arrived, so that long
+// queries are counted, too.
+type outcomeSeries struct {
 	classes map[string]record.Class
 	fromMS  float64
 	seconds []map[classKey]outcomes
@@ -15,9 +16,12 @@
 
 const msPerSecond = 1000
 
-// newService sums up the intervals of all processes from fromMS to toMS on the reference clock.
-func newService(classes map[string]record.Class, processes []*process, clocks []Clock, fromMS, toMS float64) *service {
-	s := &service{
+// newOutcomeSeries adds up the intervals of all processes. It covers the time from fromMS to toMS on the reference
+// clock.
+func newOutcomeSeries(
+	classes map[string]record.Class, processes []*process, clocks []Clock, fromMS, toMS float64,
+) *outcomeSeries {
+	s := &outcomeSeries{
 		classes: classes, fromMS: fromMS,
 		seconds: make([]map[classKey]outcomes, int((toMS-fromMS)/msPerSecond)+1),
 	}
@@ -29,7 +33,7 @@
 	return s
 }
 
-func (s *service) add(atMS float64, classes map[classKey]outcomes) {
+func (s *outcomeSeries) add(atMS float64, classes map[classKey]outcomes) {
 	second := min(max(int((atMS-s.fromMS)/msPerSecond), 0), len(s.seconds)-1)
 	if s.seconds[second] == nil {
 		s.seconds[second] = map[classKey]outcomes{}
@@ -39,9 +43,10 @@
 	}
 }
 
-// value returns the value that requests of a class earned, and what they would have earned had all been served in
-// time: by the priority weight of the class, of which a late answer earns a share.
-func (s *service) value(key classKey, ended outcomes) (earned, possible float64) {
+// value returns the value that requests of a class earned, and the value possible if all had been served within the
+// latency objective. A request served on time earns the priority weight of its class, and a late one the class's share
+// of it. The weight is 1 for an unknown class.
+func (s *outcomeSeries) value(key classKey, ended outcomes) (earned, possible float64) {
 	weight, lateShare := 1.0, 0.0
 	if class, ok := s.classes[key.class]; ok && class.PriorityWeight > 0 {
 		weight, lateShare = class.PriorityWeight, class.LateWeightShare
@@ -49,8 +54,8 @@
 	return weight * (float64(ended.onTime) + lateShare*float64(ended.late)), weight * float64(ended.total())
 }
 
-// loss returns the share of value that requests of a class lost, and 0 where none could have earned any.
-func (s *service) loss(key classKey, ended outcomes) float64 {
+// loss returns the share of the possible value that requests of a class lost, or 0 if there are none.
+func (s *outcomeSeries) loss(key classKey, ended outcomes) float64 {
 	earned, possible := s.value(key, ended)
 	if possible > 0 {
 		return 1 - earned/possible
@@ -58,9 +63,9 @@
 	return 0
 }
 
-// windowLoss returns the share of value lost in the windowSeconds that end with that second, NaN where no request
-// ended.
-func (s *service) windowLoss(second int) float64 {
+// windowLoss returns the share of value lost in the windowSeconds that end with the given second, or NaN if no request
+// ended in them.
+func (s *outcomeSeries) windowLoss(second int) float64 {
 	var earned, possible float64
 	for i := max(second-windowSeconds+1, 0); i <= second; i++ {
 		for key, ended := range s.seconds[i] {
@@ -74,8 +79,8 @@
 	return math.NaN()
 }
 
-// sum adds up the outcomes of the seconds that selected accepts.
-func (s *service) sum(selected func(second int) bool) map[classKey]outcomes {
+// sum returns the totals of the seconds for which selected returns true.
+func (s *outcomeSeries) sum(selected func(second int) bool) map[classKey]outcomes {
 	sums := map[classKey]outcomes{}
 	for second, classes := range s.seconds {
 		if !selected(second) {
--- a/internal/incident/synchronize.go
+++ b/internal/incident/synchronize.go
@@ -1,16 +1,17 @@
 package incident
 
-// clockSync relates the clocks of processes to that of a reference process, by the events that they share with it or
-// with a process that is synchronized already: one that ended early and one that started late are related through a
-// third.
+// clockSync relates the clocks of all processes to that of a reference process. It uses the events that a process
+// shares with the reference or with a process that is synchronized already. Thus a process that ended early and one
+// that started late, which share no event, are related through a third.
 type clockSync struct {
 	processes    []*process
 	clocks       []Clock
 	synchronized []bool
-	events       map[sharedEvent]float64 // on the reference clock
+	events       map[sharedEvent]float64 // times on the reference clock
 }
 
-// synchronizeClocks returns the clock of each process. The reference is the process with the most shared events.
+// synchronizeClocks returns the clock of each process. The reference is the process with the most shared events. There
+// must be at least one process.
 func synchronizeClocks(processes []*process) []Clock {
 	sync := &clockSync{
 		processes:    processes,
@@ -18,13 +19,13 @@
 		synchronized: make([]bool, len(processes)),
 		events:       map[sharedEvent]float64{},
 	}
-	reference := mostSharedEvents(processes)
-	sync.set(reference, Clock{
+	reference := processWithMostSharedEvents(processes)
+	sync.setClock(reference, Clock{
 		Measured: true, UncertaintyMS: minUncertaintyMS,
 		SharedEvents: len(processes[reference].sharedEvents), ReferenceMS: processes[reference].fromMS,
 	})
-	for next := sync.next(); next >= 0; next = sync.next() {
-		sync.set(next, estimateClock(processes[next].sharedEvents, sync.events))
+	for next := sync.nextProcess(); next >= 0; next = sync.nextProcess() {
+		sync.setClock(next, estimateClock(processes[next].sharedEvents, sync.events))
 	}
 	for i := range processes {
 		if !sync.synchronized[i] {
@@ -34,7 +35,7 @@
 	return sync.clocks
 }
 
-func mostSharedEvents(processes []*process) (index int) {
+func processWithMostSharedEvents(processes []*process) (index int) {
 	for i, process := range processes {
 		if len(process.sharedEvents) > len(processes[index].sharedEvents) {
 			index = i
@@ -43,8 +44,8 @@
 	return index
 }
 
-// set notes a process's clock, and with it its events on the reference clock.
-func (s *clockSync) set(index int, clock Clock) {
+// setClock sets the clock of a process and adds its events, converted to the reference clock, to those that are known.
+func (s *clockSync) setClock(index int, clock Clock) {
 	s.clocks[index], s.synchronized[index] = clock, true
 	for event, atMS := range s.processes[index].sharedEvents {
 		if _, known := s.events[event]; !known {
@@ -53,8 +54,9 @@
 	}
 }
 
-// next returns the process that shares the most events with the synchronized ones, and -1 where none shares any.
-func (s *clockSync) next() int {
+// nextProcess returns the index of the unsynchronized process that shares the most events with the synchronized ones,
+// or -1 if none shares any.
+func (s *clockSync) nextProcess() int {
 	best, most := -1, 0
 	for i, process := range s.processes {
 		if s.synchronized[i] {
@@ -73,8 +75,9 @@
 	return best
 }
 
-// assumedClock returns the clock of a process without shared events: that of another process of its router, which
-// runs on the same machine but read the system clock at its own start, and otherwise one without offset.
+// assumedClock returns the clock of a process without shared events. It is that of another process of the same router,
+// if there is one: both run on the same machine, but each read the system clock at its own start, so that the
+// uncertainty is larger. Otherwise the offset is assumed to be 0.
 func (s *clockSync) assumedClock(of *process) Clock {
 	for i, other := range s.processes {
 		if s.synchronized[i] && other.header.Router == of.header.Router {
