--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -16,8 +16,8 @@
 	// minFraction is the lower bound of a reported fraction done, because the projected total time is divided by it.
 	minFraction = 0.01
 	// maxEngineErrors is the number of engines that may answer a request with an error before the request itself is
-	// considered the cause. Usual requests get an error in a few of a thousand answers, and each further error would
-	// wrongly count against one more engine.
+	// considered the cause. Ordinary requests get an error in a few of a thousand answers. Without the limit, each
+	// further error would wrongly count against one more engine.
 	maxEngineErrors = 2
 )
 
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // benchFleet returns one of 600 controllers, the current time and the endpoint list. The given share of the engines
-// warms up during the complete benchmark, as it does for some time after a zone or a region has come back.
+// warms up during the complete benchmark, as happens for some time after a zone or a region has come back.
 func benchFleet(tb testing.TB, engines int, warmingShare float64) (*Controller, time.Duration, []Endpoint) {
 	tb.Helper()
 	config := fleetConfig(fleetScenario{seed: 1, routers: 600, cores: 8}, 7)
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -71,8 +71,8 @@
 }
 
 // roundsShareUp reports whether an even share of an engine is at least half of a query. If so, each engine may run
-// one such query, else the share is counted over all engines together. The check uses even shares because all routers
-// would round up at the same time.
+// one such query, else the share is counted over all engines together. The check uses the even share, which is the same
+// for all routers, because all of them would round up at the same time.
 func (c *capacityLimiter) roundsShareUp(req *request) bool {
 	cores, _ := c.endpoints.total()
 	even := threadsPerCore * cores / float64(max(c.env.config.Routers, 1))
@@ -179,7 +179,7 @@
 	}
 	grant := req.neededMB * req.class.estimate.grantCorrection * grantHeadroom
 	if limit := c.maxGrant(); limit > 0 {
-		return min(grant, limit) // a request with an extreme estimate would wait for memory that no engine grants
+		return min(grant, limit) // otherwise an extreme estimate would wait for memory that no engine grants
 	}
 	return grant
 }
--- a/dispatch/classes.go
+++ b/dispatch/classes.go
@@ -93,7 +93,8 @@
 }
 
 // configure applies changed settings and returns the settings in force and the names of those that were not applied.
-// Open requests belong to their classes, so the names, semantics and shape of the classes cannot change.
+// Open requests depend on their class, so these settings of a class cannot change: its name, semantics, idempotency
+// scope, ordering by key, thread count, and whether it locks table groups or is blocked by loads.
 func (set *classSet) configure(changed, inForce []Class) (settings []Class, notApplied []string) {
 	sameName := func(k Class, known *class) bool { return k.Name == known.Name }
 	if !slices.EqualFunc(changed, set.all, sameName) {
--- a/dispatch/controller.go
+++ b/dispatch/controller.go
@@ -78,8 +78,9 @@
 }
 
 // Configure applies changed settings to a running controller and returns the settings in force. Queued and running
-// requests and everything learned are kept. The names, semantics and shape of the classes cannot change because open
-// requests belong to them; notApplied names the settings that were ignored for that reason. If an error is returned,
+// requests and everything learned are kept. Open requests depend on their class, so these settings of a class cannot
+// change: its name, semantics, idempotency scope, ordering by key, thread count, and whether it locks table groups or
+// is blocked by loads. notApplied names the settings that were ignored for that reason. If an error is returned,
 // nothing has changed.
 func (c *Controller) Configure(config Config) (inForce Config, notApplied []string, err error) {
 	if err := validate(config); err != nil {
--- a/dispatch/deadlines.go
+++ b/dispatch/deadlines.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// housekeepingInterval is twice the time between two checks of queued requests.
+	// Half of housekeepingInterval is the time between two checks of queued requests.
 	housekeepingInterval = 20 * time.Millisecond
 	// pauseThreshold is the delay of a timer above which this process is assumed to have been paused.
 	pauseThreshold = 5 * housekeepingInterval
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -36,8 +36,8 @@
 // nowMS returns the current time in milliseconds, the unit of the packages below internal/decide.
 func (env *environment) nowMS() float64 { return milliseconds(env.now) }
 
-// decay returns the remaining weight of an observation made at since. The weight falls to 1/e within each time
-// constant.
+// decay returns the remaining weight of an observation made at since. In each time constant the weight falls to 1/e of
+// its value.
 func (env *environment) decay(since, timeConstant time.Duration) float64 {
 	return math.Exp(-(env.now - since).Seconds() / timeConstant.Seconds())
 }
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -63,7 +63,8 @@
 func (s *serviceEstimate) serviceTimeRatio() float64 { return s.bounded / s.best }
 
 // learnClientEstimate records a client's estimate of the work of its request, in seconds, and returns the estimate
-// within its limits. longest is the work that takes as long as the latency objective.
+// within its limits. longest is the work that takes as long as the latency objective. The first estimate sets the
+// service times to 1, because they are divided by the client's estimate from then on.
 func (s *serviceEstimate) learnClientEstimate(estimate, longest float64) float64 {
 	if s.observations == 0 {
 		s.clientEstimate = min(max(estimate, longest/maxEstimateFactor), longest)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -113,7 +113,7 @@
 			f.run()
 			load := f.warmingLoad
 			if load.collapsed > 0 || load.maxExcess > 1 {
-				t.Errorf("%d warming engines collapsed; highest load of one %.2f of its limit, excess %.2f of chance",
+				t.Errorf("%d engines collapsed, want 0; highest load %.2f of its limit; excess %.2f, want up to 1",
 					load.collapsed, load.maxShare, load.maxExcess)
 			}
 			if largeFleet != test.largeFleet || load.maxShare == 0 {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// slownessGain is the weight of one observation in an engine's slowness, which about ten observations determine.
+	// slownessGain is the weight of one observation in an engine's slowness. About ten observations determine it.
 	slownessGain = 0.1
 	// minSlowness and maxSlowness are the limits of one observation.
 	minSlowness, maxSlowness = 0.05, 20.0
@@ -15,8 +15,8 @@
 	// an engine counts as down. A down engine is tried once in each backoff and warms up once it answers again.
 	maxConnectionFailures = 5
 	// fullBackoff is the time for which an engine gets no requests after it was full, as sessions end about that often.
-	// An ejected engine gets none for twice as long: in overload it would be the only engine with capacity and would
-	// attract all queued requests.
+	// An ejected engine gets none for twice as long: otherwise, in overload, it would be the only engine with capacity
+	// and would attract all queued requests.
 	fullBackoff = 250 * time.Millisecond
 )
 
@@ -102,7 +102,8 @@
 	return h.currentFailureShare(env) >= ejectionThreshold
 }
 
-// recentlyFailed reports whether there was evidence of a failure within the last two full backoffs.
+// recentlyFailed reports whether the failure share was updated within the last two full backoffs: by a failure, by an
+// answer or by an attempt on a down engine.
 func (h *health) recentlyFailed(env *environment) bool {
 	return env.now-h.failureShareAt < 2*fullBackoff
 }
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -48,8 +48,8 @@
 		{"none", nil, failureGain, 0, false},
 		{"one silent attempt", []float64{1}, failureGain, 0, false},
 		{"two silent attempts", []float64{1, 1}, failureGain, 0, true},
-		{"five breaks", []float64{1, 1, 1, 1, 1}, errorGain, 0, false},
-		{"six breaks", []float64{1, 1, 1, 1, 1, 1}, errorGain, 0, true},
+		{"five errors", []float64{1, 1, 1, 1, 1}, errorGain, 0, false},
+		{"six errors", []float64{1, 1, 1, 1, 1, 1}, errorGain, 0, true},
 		{"an answer after two", []float64{1, 1, 0}, failureGain, 0, false},
 		{"two, decayed", []float64{1, 1}, failureGain, evidenceDecayTime, false},
 	} {
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -50,8 +50,8 @@
 	l.learnMemory(a, event.NeedMB)
 }
 
-// learnMemory updates the ratio of needed to estimated memory of the class. The absence of a spill report shows that
-// less memory suffices only if engines send progress reports.
+// learnMemory updates the ratio of needed to estimated memory of the class. Only if engines send progress reports does
+// the absence of a spill report show that less memory suffices.
 func (l *outcomeLearner) learnMemory(a *attempt, neededMB float64) {
 	req := a.request
 	switch {
--- a/dispatch/outliers.go
+++ b/dispatch/outliers.go
@@ -20,8 +20,8 @@
 	// maxEjectedShare is the maximum share of engines that may be ejected. If more were ejected, the others would be
 	// overloaded.
 	maxEjectedShare = 0.5
-	// zoneFailures is the number of consecutive engines of a zone that have to fail to answer before the zone is backed
-	// off from.
+	// zoneFailures is the number of consecutive attempts without an answer after which the router backs off from a
+	// zone. Consecutive attempts on the same engine count once.
 	zoneFailures = 3
 	// minBackoffJitter and backoffJitterRange spread the ends of backoffs that started at the same time.
 	minBackoffJitter, backoffJitterRange = 0.75, 0.5
@@ -67,8 +67,8 @@
 	d.track(e)
 }
 
-// recordAttempt restarts the decay of the failure share of a down engine, so that it is tried only once in each
-// backoff, whenever that ends.
+// recordAttempt records a started attempt for the backoff from the zone. It also restarts the decay of the failure
+// share of a down engine, so that the engine is tried only once in each backoff, whenever that ends.
 func (d *outlierDetector) recordAttempt(e *engine) {
 	e.zone.RecordAttempt(d.env.nowMS(), zoneBackoff)
 	if e.health.down() {
@@ -128,8 +128,8 @@
 	if !target.health.ejected(d.env) {
 		return true
 	}
-	idle := len(target.running) == 0 && !recentlyFailed
-	return idle || !d.ejectionAllowed()
+	mayBeTried := len(target.running) == 0 && !recentlyFailed
+	return mayBeTried || !d.ejectionAllowed()
 }
 
 // ejectionAllowed reports whether few enough engines are ejected for the others to carry the traffic.
--- a/dispatch/queues.go
+++ b/dispatch/queues.go
@@ -83,8 +83,8 @@
 	return q.queues[i]
 }
 
-// isEmpty reports whether a class has no ready request in its queue.
-func (q *classQueues) isEmpty(k *class) bool { return len(q.queueOf(k).ready) == 0 }
+// noneReady reports whether a class has no ready request in its queue.
+func (q *classQueues) noneReady(k *class) bool { return len(q.queueOf(k).ready) == 0 }
 
 // push adds a request to its queue, at the front or at the end.
 func (q *classQueues) push(req *request, front bool) {
@@ -155,10 +155,11 @@
 	return false
 }
 
-// next returns the queue to release from, or nil if nothing more can be released. Let q1 be the number of queued
-// preferred requests and q2 the number of others. If q1 R >= q2, ceil(q1 R/q2) preferred requests are released for
-// each other request, else ceil(q2/(q1 R)) other requests for each preferred one, in both cases at most Rmax. If one
-// side is empty, all releases go to the other side.
+// next returns the queue to release from. If no ready request is left, it releases the deferred requests and returns
+// nil. Let q1 be the number of ready preferred requests, q2 the number of others and R the mean objective ratio of the
+// others. If q1 R >= q2, ceil(q1 R/q2) preferred requests are released for each other request, else ceil(q2/(q1 R))
+// other requests for each preferred one, in both cases at most Rmax. If one side is empty, all releases go to the other
+// side.
 func (p *releasePass) next() *classQueue {
 	preferred, others, weighted := p.lengths()
 	switch {
--- a/dispatch/queues_test.go
+++ b/dispatch/queues_test.go
@@ -131,7 +131,7 @@
 			req := &request{id: RequestID(id), class: classes.all[1], deferred: id < 'a', objective: time.Second}
 			queues.push(req, id == 'd')
 		}
-		if queues.len() != len(test.queued) || queues.isEmpty(classes.all[1]) != (test.queued == "") {
+		if queues.len() != len(test.queued) || queues.noneReady(classes.all[1]) != (test.queued == "") {
 			t.Errorf("%s: %d requests queued", test.name, queues.len())
 		}
 		if got := releaseAll(queues, test.blocked, test.mayStart); got != test.want {
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// A tenant without a quota and an unknown tenant never exceed it. A tenant with a quota does once its burst is used
-// up, and a changed quota does not grant a new burst.
+// Requests of a tenant without a quota, or of an unknown tenant, are never over quota. Those of a tenant with a quota
+// are once its burst is used up, and a changed quota does not grant a new burst.
 func TestTenantQuotas(t *testing.T) {
 	q := newTestQuotas(Tenant{Name: "a", Quota: 1}, Tenant{Name: "none"})
 	exceeded := func(name string) (n int) {
--- a/dispatch/recount_test.go
+++ b/dispatch/recount_test.go
@@ -96,7 +96,7 @@
 	m.recounting.endpoints.unsorted, m.recounting.endpoints.anyRemoved = true, true
 	got, want := m.incremental.Handle(m.now, event, nil), m.recounting.Handle(m.now, event, nil)
 	if !reflect.DeepEqual(got, want) {
-		m.Fatalf("%#v at %v: actions %v, want %v as of the recounting controller", event, m.now, got, want)
+		m.Fatalf("%#v at %v: actions %v, want those of the recounting controller, %v", event, m.now, got, want)
 	}
 	for _, action := range got {
 		m.applyAction(action)
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -79,7 +79,7 @@
 		t.reject(req)
 		return
 	}
-	if t.queues.isEmpty(req.class) { // otherwise the new request would overtake queued ones
+	if t.queues.noneReady(req.class) { // otherwise the new request would overtake queued ones
 		if e := t.selector.pick(req); e != nil {
 			t.start(req, e)
 			return
@@ -155,8 +155,8 @@
 	return end >= req.deadline || req.class.LateWeightShare == 0 && end > req.objective
 }
 
-// recentlyObserved reports whether a request of the class ended recently. A class without recent observations has to
-// be tried again.
+// recentlyObserved reports whether a service time of the class was observed recently. A class without recent
+// observations has to be tried again.
 func (t *requestTracker) recentlyObserved(k *class) bool {
 	return t.env.now-k.estimate.observedAt < 2*evidenceDecayTime
 }
@@ -243,8 +243,8 @@
 	t.open = open
 }
 
-// sweep reroutes silent attempts of an open request. It ends the request if its time is over, and defers it if it can
-// no longer meet its objective.
+// sweep counts silent attempts of an open request as failures of their engines and reroutes them. It ends the request
+// if its time is over, and defers it if it can no longer meet its objective.
 func (t *requestTracker) sweep(req *request) {
 	if req.finished {
 		return
@@ -295,8 +295,8 @@
 	}
 }
 
-// setShutdownDeadline limits the deadlines of open requests to the end of the process. Attempts that would end later
-// are not started any more.
+// setShutdownDeadline limits the deadlines and the latency objectives of open requests to the end of the process. No
+// attempt is started after a deadline.
 func (t *requestTracker) setShutdownDeadline(at time.Duration) {
 	for _, req := range t.open {
 		req.deadline = min(req.deadline, at)
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -18,8 +18,8 @@
 
 func (rules *retryRules) recordRetry() { rules.retries = append(rules.retries, rules.env.now) }
 
-// allows reports whether the request's next attempt may start on an engine now. It checks draining, placement, the
-// number of attempts, idempotency, the retry budget and the engine's slow start.
+// allows reports whether the request's next attempt may start on an engine now. It checks the deadline, draining,
+// placement, hedging, the number of attempts, idempotency, the retry budget and the engine's slow start.
 func (rules *retryRules) allows(req *request, target *engine) bool {
 	switch {
 	case req.finished || !target.listed || rules.env.now >= req.deadline:
@@ -58,7 +58,7 @@
 	return true
 }
 
-// mayRepeat reports whether a further attempt is possible on any engine.
+// mayRepeat reports whether a further attempt is possible on at least one engine.
 func (rules *retryRules) mayRepeat(req *request) bool {
 	for _, a := range req.attempts {
 		if a.mayHaveRun {
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -30,7 +30,8 @@
 	ownZone  []*engine // buffer of lightlyLoadedInOwnZone
 }
 
-// pick samples two engines with headroom and returns the one with the lower cost, or nil if there is none.
+// pick returns a warming engine for which this router has budget, else the cheaper of two sampled engines with
+// headroom, or nil if there is none.
 func (s *selector) pick(req *request) *engine {
 	candidates := s.enginesFor(req)
 	if s.ordering.blocks(req) || len(candidates) == 0 {
@@ -91,8 +92,9 @@
 	return e.usage.threads+e.usage.preferredThreads < maxOwnZoneThreads*s.env.fleetShare()*e.cores
 }
 
-// cheapest returns the engine of the subset with headroom and the lowest cost. If none has headroom, it returns the
-// best of a few other engines, or nil if there is none.
+// cheapest returns a warming engine for which this router has budget, else the engine of the subset with headroom and
+// the lowest cost. If none has headroom, it returns the best of a few other engines unless the request is bound to its
+// table group, or nil if there is none.
 func (s *selector) cheapest(req *request) *engine {
 	listed := s.endpoints.listedEngines()
 	if len(listed) == 0 {
--- a/dispatch/subset.go
+++ b/dispatch/subset.go
@@ -70,8 +70,8 @@
 	s.demand.Add(req.tableGroup, lockTime, readWork, s.env.nowMS())
 }
 
-// engines returns the subset: all engines of a small fleet, otherwise as many as the threads that this router may
-// run, and in a large fleet as many as the widest queries that it may run. Subsets are distributed evenly by the
+// engines returns the subset: all engines of a small fleet, otherwise one engine for each thread that this router may
+// run or, in a large fleet, for each query of the widest class that it may run. Subsets are distributed evenly by the
 // router index. The fewer routers share an engine, the more of the engine's queries each of them knows.
 func (s *subsetChooser) engines() []*engine {
 	listed := s.endpoints.listedEngines()
--- a/dispatch/subset_test.go
+++ b/dispatch/subset_test.go
@@ -118,9 +118,9 @@
 }
 
 // Loads and the queries that they block use different engines, the same ones on every router, however many requests
-// are in flight. This guards against a convoy: two routers that each knew only their own loads sent readers to
-// engines locked by the other router's loads, and in a shortage behind their own loads. No engine runs two loads of
-// one group.
+// are in flight. No engine runs two loads of one group. This guards against a convoy: two routers that each knew only
+// their own loads sent readers to engines locked by the other router's loads and, when engines were short, to engines
+// locked by their own loads.
 func TestLoadsAndReadersUseDifferentEngines(t *testing.T) {
 	for _, engines := range []int{2, 3, 5, 6, 7, 10} {
 		use := newGroupUse()
@@ -132,7 +132,7 @@
 }
 
 // If most engines of a table group are down, its readers use other engines. If they kept to the group's engines, all
-// of them would be rejected.
+// readers would be rejected.
 func TestReadersLeaveAffinityEnginesThatAreDown(t *testing.T) {
 	h := newHarness(t, loadConfig())
 	h.updateEndpoints(ListComplete, testEngines(6)...)
--- a/dispatch/warmup.go
+++ b/dispatch/warmup.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// warmRateMargin is the part of the work rate of warm engines from which this router's share of a warming engine is
-	// computed. warmUpBudgetShare is the part of a warming engine's current capacity that the budgets of all routers
-	// divide among them.
+	// warmRateMargin is multiplied by the observed work rate of warm engines when this router's share of a warming
+	// engine is computed. warmUpBudgetShare is the part of a warming engine's current capacity that the budgets of all
+	// routers divide among them.
 	warmRateMargin, warmUpBudgetShare = 0.8, 0.95
 	// capacityUtilization is the utilization of an engine's cores at its capacity, as defined by the platform.
 	capacityUtilization = 0.85
@@ -249,8 +249,8 @@
 func (l *warmUpLimiter) enginesWithBudget() []*engine {
 	l.capacity.refresh()
 	largest := l.classes.largestWork()
-	moved := largest > l.quantum*quantumSlack || largest < l.quantum/quantumSlack
-	if l.quantum > 0 && moved {
+	quantumOutdated := largest > l.quantum*quantumSlack || largest < l.quantum/quantumSlack
+	if l.quantum > 0 && quantumOutdated {
 		l.quantum = largest
 		l.computeBudgets()
 	}
--- a/internal/decide/backoff/zone.go
+++ b/internal/decide/backoff/zone.go
@@ -1,8 +1,8 @@
 package backoff
 
-// ZoneBackoff is the backoff state of a zone, whose engines may all fail at once. The backoff starts when enough
-// different engines have failed in a row, without a success in between. Consecutive failures of the same engine say
-// nothing about the other engines and count once. The zero ZoneBackoff has recorded no failure and is not active.
+// ZoneBackoff is the backoff state of a zone, whose engines may all fail at once. The backoff starts after enough
+// failures without a success in between. Consecutive failures of the same engine say nothing about the other engines
+// and count once. The zero ZoneBackoff has recorded no failure and is not active.
 type ZoneBackoff struct {
 	backoff          Backoff
 	failures         int     // consecutive failures, not counting repeated failures of the same engine
@@ -10,9 +10,9 @@
 	extendableAt     float64 // time from which a failure may start or extend the backoff
 }
 
-// RecordFailure counts a failed attempt on an engine and starts or extends the backoff when threshold engines have
-// failed in a row. Times are in milliseconds. Failures of attempts that were already running when a backoff started do
-// not extend it: for the policy's initial length from its start, failures are only counted.
+// RecordFailure counts a failed attempt on an engine and starts or extends the backoff when the number of
+// consecutive failures has reached threshold. Times are in milliseconds. Failures of attempts that were already running
+// when a backoff started do not extend it: for the policy's initial length from its start, failures are only counted.
 func (z *ZoneBackoff) RecordFailure(engine int64, threshold int, now, jitter float64, policy Policy) {
 	if z.failures == 0 || engine != z.lastFailedEngine {
 		z.failures++
--- a/internal/decide/backoff/zone_test.go
+++ b/internal/decide/backoff/zone_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// success stands for a success in a sequence of engine numbers that otherwise are failures.
+// success represents a success in a list of outcomes; any other number is the engine of a failure.
 const success = -1
 
 // zoneAfter returns a ZoneBackoff with a threshold of three failures, after failures of the given engines at time 0.
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -68,8 +68,8 @@
 	return n
 }
 
-// count reads a number of items. Each item takes at least one byte, so a number above that of the bytes left is an
-// error: a damaged state can't cause an endless loop.
+// count reads a number of items. Each item takes at least one byte, so a number greater than that of the remaining
+// bytes is an error. This keeps a damaged state from causing an endless loop.
 func (d *decoder) count() uint64 {
 	n := d.number()
 	if n > uint64(len(d.buffer)) {
--- a/internal/decide/configlog/convergence_test.go
+++ b/internal/decide/configlog/convergence_test.go
@@ -125,14 +125,14 @@
 		"a later revision rejected":                              {[]Lease{rejectsLater}, nil, true},
 	} {
 		if status := l.Convergence(5, test.leases, test.unreached); status.Converged != test.want {
-			t.Errorf("%s: %+v", name, status)
+			t.Errorf("%s: converged: %v, want %v; status %+v", name, status.Converged, test.want, status)
 		}
 	}
 	text, err := json.Marshal(NewLog(Retention{}).Convergence(1, nil, nil))
 	const want = `{"revision":1,"in_force":[],"behind":[],"refused":[],"foreign":[],"gone":[],` +
 		`"unreached":[],"everywhere":false}`
 	if err != nil || string(text) != want {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("the status of an empty log is encoded as %s, error %v, want %s", text, err, want)
 	}
 }
 
--- a/internal/decide/configlog/encoding_test.go
+++ b/internal/decide/configlog/encoding_test.go
@@ -64,7 +64,7 @@
 		err := l.UnmarshalBinary(state)
 		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), reason) || l.Revision() != 1 ||
 			len(l.Entries()) != 1 {
-			t.Errorf("%s: %v", why, err)
+			t.Errorf("%s: error %v, want %q with %q; revision %d, want 1", why, err, ErrDamaged, reason, l.Revision())
 		}
 	}
 	for i := range state {
--- a/internal/decide/configlog/follower_test.go
+++ b/internal/decide/configlog/follower_test.go
@@ -67,7 +67,7 @@
 	checkIgnored := func(why string, u Update, want error) {
 		t.Helper()
 		if _, ok, err := f.Offer(u); ok || !errors.Is(err, want) {
-			t.Errorf("%s: %v, %v", why, ok, err)
+			t.Errorf("%s: Offer returns %v, %v; want the error %q", why, ok, err, want)
 		}
 		f.checkContent(t, 2, content)
 	}
@@ -197,7 +197,7 @@
 		f.Reject("/settings/a", "no")
 	}
 	if r := f.Status().Rejected; len(f.rejections) != maxRejections || r.Revision != l.Revision() {
-		t.Errorf("%d, %+v", len(f.rejections), r)
+		t.Errorf("%d of %d rejections; latest %+v, want revision %d", len(f.rejections), maxRejections, r, l.Revision())
 	}
 	l.mustApply(t, put("d", "/settings/a", "9"))
 	f.mustFollow(t, l)
@@ -232,7 +232,7 @@
 		s.Entries = maps.Clone(saved.Entries)
 		damage(&s)
 		if _, ok, err := next.Restore(s); ok || !errors.Is(err, ErrDamaged) {
-			t.Errorf("%s: %v, %v", name, ok, err)
+			t.Errorf("damaged %s: Restore returns %v, %v; want the error %q", name, ok, err, ErrDamaged)
 		}
 		next.checkContent(t, 0, nil)
 	}
--- a/internal/decide/configlog/history.go
+++ b/internal/decide/configlog/history.go
@@ -83,7 +83,7 @@
 // history holds the retained changes of a log.
 type history struct {
 	retention  Retention
-	oldest     uint64   // the revision before records[0], which is the oldest one whose content can be restored
+	oldest     uint64   // the oldest revision whose content can be restored; records[0] follows it
 	oldestHash Hash     // the hash of the document at oldest
 	records    []record // oldest first
 	bytes      int      // estimated size of records
--- a/internal/decide/configlog/keeperselection.go
+++ b/internal/decide/configlog/keeperselection.go
@@ -7,9 +7,10 @@
 
 // The waits between calls after a failure, in milliseconds.
 const (
-	// maxFailoverWaitMS limits the wait before a keeper that was not called since the last successful call.
+	// maxFailoverWaitMS limits the wait before calling a keeper that was not called since the last successful call.
 	maxFailoverWaitMS = 100
-	// minBackoffMS is the longest wait after each keeper has failed once. It doubles with each further round.
+	// minBackoffMS limits the wait after each keeper has failed once. The limit doubles with each further round, up to
+	// MaxBackoffMS.
 	minBackoffMS = 500
 	// MaxBackoffMS limits the wait. It is below the usual lease of 6,000 ms, so that a follower calls a keeper that can
 	// be reached again before the leases of that keeper count as complete.
@@ -64,7 +65,7 @@
 	return waitMS
 }
 
-// backoffMS returns the longest wait after the current number of failures.
+// backoffMS returns the limit of the wait after the current number of failures.
 func (s *keeperSelection) backoffMS() float64 {
 	backoffMS := float64(minBackoffMS)
 	for round := s.failures / s.keepers; round > 1 && backoffMS < MaxBackoffMS; round-- {
--- a/internal/decide/configlog/update.go
+++ b/internal/decide/configlog/update.go
@@ -80,8 +80,8 @@
 }
 
 // changedSince returns the values that the entries changed after a revision had at that revision; nil means that there
-// was no entry. ok is false if the current pointers and values of the entries that differ now have at least as many
-// bytes as the document.
+// was no entry. ok is false if the entries that now have another value have at least as many bytes, counting their
+// pointers and current values, as the document.
 func (l *Log) changedSince(revision uint64) (before map[string]json.RawMessage, ok bool) {
 	before = map[string]json.RawMessage{}
 	size := 0
--- a/internal/decide/hotrestart/transition_predecessor.go
+++ b/internal/decide/hotrestart/transition_predecessor.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// linkLost schedules the next hello to a living predecessor after the link to it broke. It does not call at once: a
-// predecessor that hangs while it ends would be called in a busy loop.
+// linkLost schedules the next hello to a living predecessor after the link to it broke. It does not call at once:
+// otherwise a predecessor that hangs while it ends would be called in a busy loop.
 func (t *transition) linkLost(process ProcessNumber) {
 	if process == t.predecessor && process != NoProcess && t.needsPredecessorState() {
 		t.helloPending = false
--- a/internal/decide/imports_test.go
+++ b/internal/decide/imports_test.go
@@ -51,7 +51,7 @@
 				return err
 			}
 			if !mayImport(name) {
-				t.Errorf("%s imports %s", set.Position(spec.Pos()), name)
+				t.Errorf("%s imports %s, which decision packages must not import", set.Position(spec.Pos()), name)
 			}
 		}
 		return nil
--- a/internal/decide/pressure/engine.go
+++ b/internal/decide/pressure/engine.go
@@ -22,8 +22,8 @@
 	// maxObservedLocks limits the number of groups for which loads of other routers are remembered.
 	maxObservedLocks = 256
 	// pagingMemoryShare is the share of granted memory up to which an engine that pages is sent queries. Grants follow
-	// estimates, of which queries use only a part: with grants for one fifth more than the memory, the memory in use
-	// still does not exceed it.
+	// estimates, of which queries use only a part: even if the grants add up to one fifth more than the memory, the
+	// memory in use does not exceed it.
 	pagingMemoryShare = 1.2
 )
 
@@ -51,9 +51,9 @@
 	if mb := limits.memoryGrant(query); mb > 0 {
 		e.unreported = append(e.unreported, sentGrant{now, mb})
 	}
-	// A report that is still in use includes older grants.
-	counts := func(s sentGrant) bool { return now-s.at <= reportMaxAge+reportLag }
-	if i := slices.IndexFunc(e.unreported, counts); i > 0 {
+	// Grants for which this is false are included in every report that is still in use.
+	mayBeUnreported := func(s sentGrant) bool { return now-s.at <= reportMaxAge+reportLag }
+	if i := slices.IndexFunc(e.unreported, mayBeUnreported); i > 0 {
 		e.unreported = slices.Delete(e.unreported, 0, i)
 	}
 }
--- a/internal/decide/pressure/engine_test.go
+++ b/internal/decide/pressure/engine_test.go
@@ -108,8 +108,8 @@
 // lockTests cover loads that lock a table group.
 func lockTests() []headroomTest {
 	return []headroomTest{
-		{"reader while an own load runs", events{attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
-		{"load while an own load runs", events{attemptStarted(load, 0)}, load, Headroom{BlockedByLock: true}},
+		{"reader during a load of this router", events{attemptStarted(load, 0)}, reader, Headroom{BlockedByLock: true}},
+		{"load during a load of this router", events{attemptStarted(load, 0)}, load, Headroom{BlockedByLock: true}},
 		{
 			"reader of another group than the load",
 			events{attemptStarted(load, 0)},
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -3,10 +3,10 @@
 package quota
 
 const (
-	// burstSeconds is the part of the burst that grows with the rate: the tokens of this many seconds.
+	// burstSeconds is how many seconds of the rate a burst contains in addition to extraBurst.
 	burstSeconds = 2.0
-	// extraBurst is added to every burst, in tokens. Without it, the first request of a tenant with a very low rate
-	// would exceed the quota.
+	// extraBurst is the part of every burst, in tokens, that does not depend on the rate. Without it, the first request
+	// of a tenant with a very low rate would exceed the quota.
 	extraBurst = 5.0
 	// msPerSecond relates times, which are in milliseconds, to rates, which are per second.
 	msPerSecond = 1000
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Checks that the requests admitted in any span of time are at most what the rate allows in it, plus one burst, also
-// with a clock that goes back.
+// Checks that the requests admitted in any span of time are at most what the rate allows in it, plus one burst, even
+// if the clock goes back.
 func TestAdmittedWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
--- a/internal/decide/slowstart/budget_test.go
+++ b/internal/decide/slowstart/budget_test.go
@@ -55,9 +55,9 @@
 	return n
 }
 
-// Checks that all routers together receive in any window what the rate yields there, within one quantum, for any
-// number of routers and any call frequency. If seven in ten routers restart, random variation is added to that. Guards
-// against an engine that is overloaded while it warms up, or not used.
+// Checks that all routers together receive in any window what the rate yields in it, with a deviation of at most one
+// quantum, for any number of routers and any call frequency. If seven in ten routers restart, random variation is added
+// to that. Guards against an engine that is overloaded while it warms up, or not used.
 func TestRoutersTogetherReceiveTheRate(t *testing.T) {
 	for _, routers := range []int{40, 270, 300, 1000} {
 		for _, perSecond := range []float64{0.8, 5, 30} {
--- a/internal/decide/slowstart/doc.go
+++ b/internal/decide/slowstart/doc.go
@@ -4,9 +4,9 @@
 // one complete query. The router may use the quantum for a limited time; an unused quantum expires.
 //
 // The budgets of the routers start at fractions of the first quantum that are spread evenly between 0 and 1. In any
-// span of time, all routers together therefore receive what the rate yields in that span, within one quantum, and
-// receive it evenly. A router that restarts or joins late starts again at its fraction, so it never receives more than
-// the rate allows, and no burst.
+// span of time, all routers together therefore receive the quanta that the rate yields in that span, with a deviation
+// of at most one quantum, and these quanta are spread evenly over the span. A router that restarts or joins late starts
+// again at its fraction, so it never receives a burst or more than the rate allows.
 //
 // The rate may change over time, since an engine can take more work as it warms up. A quantum is due when the integral
 // of the rate since the previous quantum reaches 1, however often the budget is called. Since this time is known in
--- a/internal/decide/slowstart/rate.go
+++ b/internal/decide/slowstart/rate.go
@@ -40,7 +40,7 @@
 	return r
 }
 
-// segmentFrom returns the part of the segment at the time from that starts at this time.
+// segmentFrom returns the rest of the segment that contains the time from, beginning at this time.
 func (r *Rate) segmentFrom(from float64) segment {
 	if r.n == 0 {
 		return segment{0, 0, math.Inf(1)}
