--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -15,7 +15,7 @@
 const (
 	// answerTimeout is the time that a keeper has for its answer in addition to the requested wait.
 	answerTimeout = 2 * time.Second
-	// earlyAnswerDelay is the mean wait before the next poll after an answer without a newer revision that arrived in
+	// earlyAnswerDelay is the mean wait before the next poll if the keeper has answered without a newer revision after
 	// less than half of the requested wait.
 	earlyAnswerDelay = 200 * time.Millisecond
 	// stopTimeout bounds the time that Stop waits for the goroutines: an access to the disk may hang.
@@ -44,7 +44,7 @@
 }
 
 // New returns a client that makes no call until Restore or Start. The name is that of the router, and the instance
-// identifies this process; see configlog.NewInstance.
+// identifies this process; see configlog.NewInstanceID.
 func New(config Config, name, instance string, log *slog.Logger) *Client {
 	client := &Client{
 		log:       log,
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -99,16 +99,18 @@
 	if status.Revision != first || status.Rejected.Revision != first+1 ||
 		status.Rejected.Pointer != "/settings/over-share-worth" ||
 		status.Rejected.Reason != "too much" {
-		t.Errorf("status %+v, rejection %+v", status, status.Rejected)
+		t.Errorf("status %+v, rejection %+v; want revision %d in force, revision %d rejected with its pointer and reason",
+			status, status.Rejected, first, first+1)
 	}
 	if client.Counters.Revision.Load() != int64(first) || client.Counters.RejectedRevision.Load() != int64(first+1) ||
 		client.Latest().Revision != first {
-		t.Errorf("revision %d is in force, revision %d is rejected", client.Counters.Revision.Load(), client.Counters.RejectedRevision.Load())
+		t.Errorf("revision %d is in force, revision %d is rejected; want %d and %d", client.Counters.Revision.Load(),
+			client.Counters.RejectedRevision.Load(), first, first+1)
 	}
 	third := keeper.Change(overQuotaWeight("0.3"))
 	status = keeper.WaitForRevision(third)
 	if status.Rejected != nil || client.Counters.RejectedRevision.Load() != 0 {
-		t.Errorf("rejection after a valid revision: %+v", status.Rejected)
+		t.Errorf("rejection after a valid revision: %+v, want none", status.Rejected)
 	}
 	if got := string(router.latest().Entries["/settings/over-share-worth"]); got != "0.3" {
 		t.Errorf("weight %s is in force, want 0.3", got)
@@ -197,7 +199,7 @@
 			t.Cleanup(client.Stop)
 			client.Start(router.apply)
 			<-polled
-			<-polled // the second call follows the end of the first one
+			<-polled // by the second call, the answer to the first one has been handled
 			if router.latest().Revision != 0 {
 				t.Errorf("revision %d is in force, want none", router.latest().Revision)
 			}
@@ -205,7 +207,8 @@
 			client.Configure(Config{Addresses: []string{faulty.Addr(), good.Addr()}, MaxPollWaitMS: 100})
 			good.WaitForRevision(revision)
 			if got := router.latest(); string(got.Entries[pointer]) != "0.5" || client.Counters.FailedCalls.Load() == 0 {
-				t.Errorf("revision %+v is in force, %d calls failed", got, client.Counters.FailedCalls.Load())
+				t.Errorf("revision %+v is in force, %d calls failed; want weight 0.5, at least one failed call", got,
+					client.Counters.FailedCalls.Load())
 			}
 		})
 	}
@@ -223,7 +226,7 @@
 	ahead.WaitForRevision(3)
 	client.Configure(Config{Addresses: []string{behind.Addr()}, MaxPollWaitMS: 100})
 	behind.WaitForRevision(3)
-	behind.WaitForRevision(3) // the second call follows the end of the first one
+	behind.WaitForRevision(3) // by the second call, the answer to the first one has been handled
 	if router.latest().Revision != 3 {
 		t.Errorf("revision %d is in force, want 3", router.latest().Revision)
 	}
--- a/internal/configclient/copy_store_test.go
+++ b/internal/configclient/copy_store_test.go
@@ -65,14 +65,15 @@
 		startedAt := time.Now()
 		client.Restore(400*time.Millisecond, router.apply)
 		if took := time.Since(startedAt); took > 2*time.Second { // far above the timeout, because the machine may be busy
-			t.Errorf("%s: Restore took %v", test.name, took)
+			t.Errorf("%s: Restore took %v, want at most 2s", test.name, took)
 		}
 		got, aside := router.latest().Revision, client.Counters.CopiesSetAside.Load()
 		if (got == revision) != test.usable || (aside == 0) != test.usable {
-			t.Errorf("%s: revision %d is in force, %d copies were set aside", test.name, got, aside)
+			t.Errorf("%s: revision %d is in force, %d copies were set aside; copy is usable: %v", test.name, got, aside,
+				test.usable)
 		}
 		if _, err := os.Stat(copyPath(dir) + ".aside"); (err == nil) == test.usable && !test.usable {
-			t.Errorf("%s: copy set aside: %v", test.name, err)
+			t.Errorf("%s: the file of the copy that was set aside: %v", test.name, err)
 		}
 	}
 	// The copy of one router under the name of another router's copy.
@@ -85,8 +86,8 @@
 	t.Cleanup(other.Stop)
 	other.Restore(100*time.Millisecond, router.apply)
 	if router.latest().Revision != 0 || other.Counters.CopiesSetAside.Load() != 1 {
-		t.Errorf("copy of another router: revision %d is in force, %d copies were set aside", router.latest().Revision,
-			other.Counters.CopiesSetAside.Load())
+		t.Errorf("copy of another router: revision %d is in force, %d copies were set aside; want none in force, 1 set aside",
+			router.latest().Revision, other.Counters.CopiesSetAside.Load())
 	}
 }
 
@@ -99,8 +100,8 @@
 	router.rejections[revision] = &configerror.Error{Reason: "invalid with the file"}
 	client.Restore(time.Second, router.apply)
 	if router.latest().Revision != 0 || client.Counters.RejectedRevision.Load() != int64(revision) {
-		t.Errorf("revision %d is in force, revision %d is rejected",
-			router.latest().Revision, client.Counters.RejectedRevision.Load())
+		t.Errorf("revision %d is in force, revision %d is rejected; want none in force, %d rejected",
+			router.latest().Revision, client.Counters.RejectedRevision.Load(), revision)
 	}
 }
 
--- a/internal/hotrestartipc/cordons.go
+++ b/internal/hotrestartipc/cordons.go
@@ -8,8 +8,8 @@
 )
 
 // cordonFolder stores the cordons of a router as empty files, each with the name of an engine, in a folder that all
-// processes of the router read. A cordon therefore also applies to a process that starts while the process to which
-// the operator sent it hangs.
+// processes of the router read. So a cordon also applies to a process that starts while the process that received the
+// cordon from the operator hangs.
 type cordonFolder string
 
 // set stores whether an engine is cordoned. Storing the same value twice is not an error.
--- a/internal/hotrestartipc/link_test.go
+++ b/internal/hotrestartipc/link_test.go
@@ -85,7 +85,7 @@
 	}
 	_ = m.Files[0].Close()
 	if got, err := io.ReadAll(r); string(got) != "through" || err != nil {
-		t.Errorf("%q received through the descriptor: %v", got, err)
+		t.Errorf("received %q through the descriptor (error: %v), want %q", got, err, "through")
 	}
 	if err := <-two.ended; err == nil {
 		t.Error("the link ended without an error")
--- a/internal/hotrestartipc/slot.go
+++ b/internal/hotrestartipc/slot.go
@@ -12,7 +12,7 @@
 	"windflow/internal/decide/hotrestart"
 )
 
-// dialTimeout limits a dial. The kernel establishes connections even to a process that is stopped.
+// dialTimeout limits a dial. A dial to a stopped process usually succeeds, since the kernel establishes the connection.
 const dialTimeout = time.Second
 
 // ProcessSlot is the position of a process in the order of one router's processes, and its access to the folder that
@@ -94,7 +94,7 @@
 	return os.Chmod(path, 0o600)
 }
 
-// Alive reports whether a process is alive; a stopped process is.
+// Alive reports whether a process is alive. A stopped process counts as alive.
 func (s *ProcessSlot) Alive(process hotrestart.ProcessNumber) bool {
 	if process == hotrestart.LegacyPredecessor {
 		return s.legacyAlive()
@@ -109,8 +109,8 @@
 	return flock(file, syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-// legacyAlive reports whether a process of version 1 listens on the socket of that version. A process with a slot that
-// is published there does not count.
+// legacyAlive reports whether a process of version 1 listens on the socket of that version. A process that has a slot
+// and published its socket under that path does not count.
 func (s *ProcessSlot) legacyAlive() bool {
 	legacyPath := s.paths.socket(hotrestart.LegacyPredecessor)
 	legacy, err := os.Stat(legacyPath)
--- a/internal/keeper/changes.go
+++ b/internal/keeper/changes.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// changeResult is the response to a committed change. Repeated reports that the change's id was committed before, and
-// that Revision is the one it was given then.
+// changeResult is the response to a committed change. If Repeated is true, a change with the same id was committed
+// before, and Revision is the revision of that commit.
 type changeResult struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -17,7 +17,7 @@
 	name, path string
 	body       any
 	status     int
-	// parts are expected, separated by spaces, in the text of kind, pointer, reason, revision and repeated.
+	// parts are the expected parts of the response's kind, pointer, reason, revision and repeated, separated by spaces.
 	parts string
 }
 
@@ -71,7 +71,7 @@
 	other := (leader + 1) % 3
 	for i := range 3 {
 		if rev := g.change(i, put(fmt.Sprint("c", i), "/settings/over-share-worth", fmt.Sprint(i))); rev != uint64(i+1) {
-			t.Errorf("change %d got revision %d", i, rev)
+			t.Errorf("change %d got revision %d, want %d", i, rev, i+1)
 		}
 	}
 	for _, c := range operatorCalls() {
@@ -84,10 +84,10 @@
 	var r reply
 	g.checkEqualState(4)
 	if c := g.waitForRevision(other, 4); string(c.Entries["/settings/over-share-worth"]) != "0" {
-		t.Errorf("entries after the revert: %s", c.Entries)
+		t.Errorf("entries after the revert: %s, want over-share-worth 0", c.Entries)
 	}
 	if c := g.waitForRevision(other, 3); string(c.Entries["/settings/over-share-worth"]) != "2" {
-		t.Errorf("entries of revision 3: %s", c.Entries)
+		t.Errorf("entries of revision 3: %s, want over-share-worth 2", c.Entries)
 	}
 	var history struct {
 		Oldest    uint64               `json:"oldest"`
@@ -95,7 +95,7 @@
 	}
 	if code := g.get(other, "/v1/revisions?from=2&most=2", &history); code != 200 ||
 		len(history.Revisions) != 2 || history.Revisions[0].ID != "c1" || history.Revisions[0].AtMS == 0 {
-		t.Errorf("revisions: status %d, %+v", code, history)
+		t.Errorf("revisions: status %d, %+v; want status 200, two revisions from c1 on with a time", code, history)
 	}
 	if code := g.get(other, "/v1/config?revision=9", &r); code != 404 {
 		t.Errorf("a revision that does not exist: status %d, want 404", code)
--- a/internal/keeper/config_reader.go
+++ b/internal/keeper/config_reader.go
@@ -15,7 +15,7 @@
 )
 
 // configReader answers reads of the configuration from this keeper's local state. The state may lag behind the
-// leader's, by more than a moment if this keeper is partitioned from the group.
+// leader's, for a long time if this keeper is partitioned from the group.
 type configReader struct {
 	stateMachine *stateMachine
 	stopping     <-chan struct{} // closed when open calls have to end
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -91,7 +91,7 @@
 	}
 	for n, c := range clients {
 		if r := c.Latest(); r.Revision != rev || string(r.Entries["/settings/over-share-worth"]) != "6" {
-			t.Errorf("r%d has %+v", n, r)
+			t.Errorf("r%d has %+v, want revision %d with over-share-worth 6", n, r, rev)
 		}
 	}
 	if code := g.get(other, "/v1/config?revision=6", &struct{}{}); code != http.StatusOK {
--- a/internal/keeper/convergence.go
+++ b/internal/keeper/convergence.go
@@ -92,8 +92,8 @@
 	return false
 }
 
-// reportAsLeader returns the leader's report as soon as the revision is in effect at all followers, at the latest after
-// the deadline.
+// reportAsLeader returns the leader's report as soon as the revision is in effect at all followers, or else after the
+// deadline.
 func (s *convergenceService) reportAsLeader(ctx context.Context, revision *uint64, deadline time.Time) response {
 	gathered := s.gatherLeases(ctx)
 	for !s.stateMachine.convergence(revision, gathered).Converged {
--- a/internal/keeper/enrollment.go
+++ b/internal/keeper/enrollment.go
@@ -14,8 +14,8 @@
 	maxPendingFollowers = configlog.MaxMembers
 	// maxJoinBatch bounds the processes in one log entry.
 	maxJoinBatch = 500
-	// minJoinBackoff and maxJoinBackoff bound the backoff after a failed attempt. It limits the number of elections:
-	// with a full disk, each attempt causes one.
+	// minJoinBackoff and maxJoinBackoff bound the backoff after a failed attempt. The backoff limits the number of
+	// elections, because each attempt causes one while the disk is full.
 	minJoinBackoff = 100 * time.Millisecond
 	maxJoinBackoff = 2 * time.Second
 )
@@ -83,7 +83,8 @@
 	return batch
 }
 
-// run enrolls pending processes in batches until ctx ends. It is independent of the calls that reported the processes.
+// run enrolls pending processes in batches until ctx ends. It does not depend on whether the followers' calls that
+// reported the processes are still open.
 func (e *enrollment) run(ctx context.Context) {
 	backoff := minJoinBackoff
 	for {
--- a/internal/keeper/folder.go
+++ b/internal/keeper/folder.go
@@ -20,7 +20,7 @@
 	voteFile     = "vote.db"     // current term and latest vote
 	snapshotDir  = "snapshots"
 	lockFile     = "lock"
-	asidePrefix  = "aside-"  // followed by a time; a folder with files that were set aside
+	asidePrefix  = "aside-"  // begins the name of a folder with files that were set aside; a time follows
 	reasonFile   = "why.txt" // in a folder of files set aside: the reason
 )
 
@@ -152,7 +152,7 @@
 		return folderIdentity{}, err
 	}
 	// The stage is written shortly after the first entries, so a crash in between leaves the earlier stage. New keepers
-	// rely on the stage: if no keeper reported to be a member, they would bootstrap a second group.
+	// rely on the stage: if no keeper reported the stage of a member, they would bootstrap a second group.
 	if found.Stage == stageFounding && lastIndex > 1 {
 		found.Stage = stageMember
 	}
--- a/internal/keeper/follow.go
+++ b/internal/keeper/follow.go
@@ -37,8 +37,8 @@
 }
 
 // handleFollow handles `POST /v1/follow`: a follower reports its status and receives a newer revision as soon as there
-// is one. A process receives nothing until it is on the replicated roster, because from then on every convergence
-// status includes it.
+// is one. A process receives nothing until it is on the replicated roster, so that every convergence status includes
+// each process that may have received a revision.
 func (s *followService) handleFollow(w http.ResponseWriter, r *http.Request) response {
 	var request struct {
 		Report configlog.FollowerStatus `json:"report"`
@@ -82,8 +82,8 @@
 	return time.Duration(min(max(*requestedMS, 0), limitMS)) * time.Millisecond
 }
 
-// waitForUpdate returns the next update for a follower as soon as there is one, or false after the wait. That this
-// keeper is behind the follower is reported only at the end of the wait: the keeper may catch up until then, and an
+// waitForUpdate returns the next update for a follower as soon as there is one, or false after the wait. If this keeper
+// is behind the follower, it reports that only at the end of the wait: the keeper may catch up until then, and an
 // immediate report would make the follower repeat its call at once.
 func (s *followService) waitForUpdate(
 	ctx context.Context, status configlog.FollowerStatus, wait time.Duration,
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -210,14 +210,15 @@
 		g.waitForRevision(2, 1050)
 		f.pollUntil(2, 1050)
 		if len(f.updates) != 1 || f.updates[0].Snapshot || len(f.updates[0].Put) > 6 || len(f.content) != 56 {
-			t.Errorf("%s: %d updates, snapshot %v, %d entries of %d", f.name, len(f.updates), f.updates[0].Snapshot,
-				len(f.updates[0].Put), len(f.content))
+			t.Errorf("%s: %d updates, snapshot %v, %d entries of %d; want 1 update without a snapshot, at most 6 of 56",
+				f.name, len(f.updates), f.updates[0].Snapshot, len(f.updates[0].Put), len(f.content))
 		}
 	}
 	newFollower := follower{g: g, name: "new", instance: "1"}
 	newFollower.pollUntil(1, 1050)
 	if len(newFollower.updates) != 1 || !reflect.DeepEqual(newFollower.content, follower50.content) {
-		t.Errorf("new follower: %d updates, %d entries", len(newFollower.updates), len(newFollower.content))
+		t.Errorf("new follower: %d updates, %d entries; want 1 update with the content of %s", len(newFollower.updates),
+			len(newFollower.content), follower50.name)
 	}
 	follower1 := follower{
 		g: g, name: "at-1", instance: "1", revision: 1,
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -41,8 +41,8 @@
 	stopping    chan struct{} // closed when open calls have to end
 }
 
-// Run runs one keeper until ctx ends; a leader then transfers leadership before Run returns. It returns an error if the
-// keeper cannot start or can no longer serve.
+// Run runs one keeper until ctx ends. If the keeper leads at that time, it transfers leadership before Run returns. Run
+// returns an error if the keeper cannot start or can no longer serve.
 func Run(ctx context.Context, options Options) error {
 	options, err := options.withDefaults()
 	if err != nil {
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -175,13 +175,13 @@
 	g.members[leader].terminate(syscall.SIGTERM)
 	mustContain(t, g.members[leader].logText(), "keeper stopped")
 	if text := g.members[leader].logText(); strings.Contains(text, "leadership transfer failed") {
-		t.Error(text)
+		t.Errorf("the leader failed to transfer leadership: %s", text)
 	}
 	if rev := g.change(other, put("second", "/settings/over-share-worth", "2")); rev != 2 {
 		t.Errorf("revision %d, want 2", rev)
 	}
 	if n := timeouts() - before; n > 0 {
-		t.Errorf("%d keepers waited for the heartbeat timeout", n)
+		t.Errorf("keepers waited %d times for the heartbeat timeout, want none", n)
 	}
 }
 
--- a/internal/keeper/lease_table.go
+++ b/internal/keeper/lease_table.go
@@ -7,8 +7,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// leaseTable holds the leases of the followers that call this keeper. A follower's lease lasts until some time after
-// its latest call.
+// leaseTable holds the leases of the followers that call this keeper. A follower's lease expires if the follower does
+// not call for the lease duration.
 type leaseTable struct {
 	keeperID  string
 	startedAt time.Time
--- a/internal/keeper/replication.go
+++ b/internal/keeper/replication.go
@@ -21,8 +21,8 @@
 	replicationIOTimeout = 2 * time.Second
 	maxAppendEntries     = 16
 	raftConnsPerPeer     = 3
-	// appliedPollInterval bounds how long waitApplied waits for the next entry to be applied.
-	appliedPollInterval = 500 * time.Millisecond
+	// nextEntryTimeout bounds how long waitApplied waits for the next entry to be applied.
+	nextEntryTimeout = 500 * time.Millisecond
 )
 
 // replication owns the raft node of a keeper. Unless stated otherwise, methods may be called before start; until then
@@ -254,7 +254,7 @@
 }
 
 // waitApplied waits until the entry at index is applied here. It returns an error if no entry is applied for
-// appliedPollInterval.
+// nextEntryTimeout.
 func (r *replication) waitApplied(ctx context.Context, index uint64) error {
 	for r.node.AppliedIndex() < index {
 		changed := r.stateMachine.nextChange()
@@ -262,7 +262,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case <-time.After(appliedPollInterval):
+		case <-time.After(nextEntryTimeout):
 			return context.DeadlineExceeded
 		}
 	}
--- a/internal/keeper/response.go
+++ b/internal/keeper/response.go
@@ -37,7 +37,7 @@
 
 const (
 	effectNone changeEffect = "nothing"
-	// effectUnknown means that the change may be committed; repeating the call with the same id tells.
+	// effectUnknown means that the change may be committed. Repeating the call with the same id shows whether it was.
 	effectUnknown changeEffect = "unknown"
 )
 
--- a/internal/keeper/state_machine.go
+++ b/internal/keeper/state_machine.go
@@ -40,9 +40,9 @@
 	BaseMoved bool
 }
 
-// Apply implements raft.FSM: it applies a committed entry. It returns a changeOutcome for a Change, whether the
-// follower was on the roster for a Forget, and nil for a Join. It panics on an entry that cannot be decoded: if the
-// entry were skipped, this keeper would have different content than the others under the same revision.
+// Apply implements raft.FSM: it applies a committed entry. For a Change it returns a changeOutcome, for a Forget a bool
+// that is true if the follower was on the roster, and for a Join nil. It panics on an entry that cannot be decoded: if
+// the entry were skipped, this keeper would have different content than the others under the same revision.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	decoded, err := decodeCommand(entry.Data)
 	if err != nil {
--- a/internal/keeper/state_machine_test.go
+++ b/internal/keeper/state_machine_test.go
@@ -37,14 +37,15 @@
 func TestChangeRequiresItsBase(t *testing.T) {
 	m := newStateMachine(configlog.Retention{})
 	if out := m.Apply(logEntry(t, 1, changeEntry("a", 0, "1"))).(changeOutcome); out.BaseMoved || out.Revision != 1 {
-		t.Errorf("%+v", out)
+		t.Errorf("first change on revision 0: %+v, want revision 1", out)
 	}
 	if out := m.Apply(logEntry(t, 2, changeEntry("b", 0, "2"))).(changeOutcome); !out.BaseMoved ||
 		m.summary().Revision != 1 {
-		t.Errorf("%+v", out)
+		t.Errorf("change on the old revision 0: %+v, current revision %d; want BaseMoved, revision 1", out,
+			m.summary().Revision)
 	}
 	if out := m.Apply(logEntry(t, 3, changeEntry("b", 1, "2"))).(changeOutcome); out.BaseMoved || out.Revision != 2 {
-		t.Errorf("%+v", out)
+		t.Errorf("second change on revision 1: %+v, want revision 2", out)
 	}
 }
 
@@ -76,10 +77,11 @@
 	}
 	if other.summary() != m.summary() || m.summary().Oldest != 1 || !slices.Equal(other.followerNames(), []string{"r1"}) ||
 		len(other.unregistered([]followerProcess{{"r1", "i"}, {"r2", "i"}, {"r1", "j"}})) != 2 {
-		t.Errorf("original %+v, restored %+v, followers %v", m.summary(), other.summary(), other.followerNames())
+		t.Errorf("original %+v, restored %+v, followers %v; want equal states with oldest revision 1 and follower r1",
+			m.summary(), other.summary(), other.followerNames())
 	}
 	if out := other.Apply(logEntry(t, 9, changeEntry("b", 3, "2"))).(changeOutcome); !out.Repeated || out.Revision != 2 {
-		t.Errorf("repeated change from before the snapshot: %+v", out)
+		t.Errorf("repeated change from before the snapshot: %+v, want repeated revision 2", out)
 	}
 	truncated := s.(snapshotState)[:len(s.(snapshotState))-1]
 	if err := newStateMachine(configlog.Retention{}).Restore(io.NopCloser(bytes.NewReader(truncated))); err == nil {
--- a/internal/keeper/stores.go
+++ b/internal/keeper/stores.go
@@ -27,7 +27,8 @@
 )
 
 var (
-	// createdKey is written to the log database when it is created.
+	// createdKey is written to the log database when it is created. A database without it has lost its content; see
+	// verifyEntries.
 	createdKey = []byte("made")
 	// reservingKey is the key that the reserving writes set; see reserveVotePages.
 	reservingKey = []byte("turn")
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,7 +15,7 @@
 	"windflow/internal/router"
 )
 
-// Reasons, beside its hot restart phase, for which a router reports that it is not ready.
+// Reasons for which a router reports that it is not ready, in addition to its hot restart phase.
 var (
 	errOtherAccepts = errors.New("another process of this router accepts")
 	errAddressInUse = errors.New("its address is held by a process that does not answer")
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// claim claims an id and calls done once with the result. Without another process the claim is granted at once, and
-// also beside a process of protocol version 1, which does not know claims. Without a reply in time, or while no claim
-// can be granted, the result is ClaimTimedOut.
+// claim claims an id and calls done once with the result. The claim is granted at once if there is no other process, or
+// if the other process has protocol version 1, which does not have claims. If there is no reply in time, or if no claim
+// can be granted at present, the result is ClaimTimedOut.
 func (c *idClaims) claim(id string, done func(router.ClaimReply)) {
 	grantor, possible := c.grantor()
 	switch {
--- a/internal/node/cordons.go
+++ b/internal/node/cordons.go
@@ -158,7 +158,7 @@
 	s.partner.send(msgCordon, cordonMessage{Number: number, ID: id, Cordon: cordon, MemoryOnly: s.memoryOnly})
 }
 
-// handleRequest carries out a cordon, or its end, that an operator requested of the other process, and replies once it
+// handleRequest carries out a cordon, or its end, that the other process received from an operator, and replies once it
 // is in force here.
 func (s *cordonStore) handleRequest(from *peer, request cordonMessage) {
 	request.Known = s.services.core.KnowsEngine(request.ID)
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -202,8 +202,8 @@
 // partnerPeer returns the link to the process that this one shares the router with, or nil if there is none.
 func (c *coordinator) partnerPeer() *peer { return c.partner.peer }
 
-// updatePartner starts or ends the exchange with the process that this one shares the router with, as the state of the
-// machine requires.
+// updatePartner starts or ends the exchange with the process that this one shares the router with, according to the
+// state machine.
 func (c *coordinator) updatePartner() {
 	var partner *peer
 	if c.actions.serving() {
--- a/internal/node/hot_restart_link.go
+++ b/internal/node/hot_restart_link.go
@@ -79,7 +79,7 @@
 
 // connect starts a link on a connection. Its messages and its end are handled in the event loop.
 func (l *peerLinks) connect(p *peer, conn *net.UnixConn) {
-	started := make(chan struct{})
+	started := make(chan struct{}) // closed when p.link is set; no callback may use p before that
 	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		<-started
 		l.loop.Post(func() { l.onMessage(p, m) })
--- a/internal/node/hot_restart_message.go
+++ b/internal/node/hot_restart_message.go
@@ -15,7 +15,7 @@
 const (
 	msgIDChange = "id"   // router.IDChange
 	msgKill     = "kill" // killMessage
-	msgBye      = "bye"  // no body, of protocol version 1: the sender closes the link and runs on
+	msgBye      = "bye"  // no body, of protocol version 1: the sender closes the link and continues to run
 )
 
 // machineMessages maps the kinds of messages that the state machine handles to its names for them.
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// receiveState keeps a predecessor's state until the state machine has it restored. It fails if the message can't be
-// decoded or its descriptors do not match its list of listeners.
+// receiveState keeps a predecessor's state, which is restored when the state machine requests that. It fails if the
+// message can't be decoded or its descriptors do not match its list of listeners.
 func (c *coordinator) receiveState(from *peer, message *hotrestartipc.Message) error {
 	state := stateMessage{Version: 1}
 	if err := message.Decode(&state); err != nil {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// lifecycle ends the process's event loop, and keeps the error for which the process can't serve, if there is one.
+// lifecycle ends the process's event loop. If the process can't serve, it keeps the error that states why.
 type lifecycle struct {
 	done chan struct{} // closed to end the loop
 	once sync.Once
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -20,8 +20,9 @@
 	spareConns = 16
 	// minEngineConns is the least limit on connections to engines that a process has while there are two.
 	minEngineConns = 16
-	// reserveSessions and reserveConns are the limits of a process beside one that hangs. They fit into the descriptors
-	// that every process leaves for a successor (validate.Starting), less those that a process needs to run.
+	// reserveSessions and reserveConns are the limits of a process while the other process of the router hangs. They fit
+	// into the descriptors that every process leaves for a successor (validate.Starting), less those that a process
+	// needs to run.
 	reserveSessions = 12
 	reserveConns    = 12
 )
@@ -56,11 +57,11 @@
 	engineConns int          // connections to engines that this process has open
 }
 
-// restrict subtracts the other process's share from the limits. Buffers are halved. The sessions of the other process
-// are subtracted as they are: the old process accepts no more, and the sessions that it closes are opened at the new
-// one. At least a third of the limit on sessions remains. Connections to engines are halved;
-// once the old process only finishes what it accepted, its half shrinks to the connections that it has open. A process
-// beside one that hangs is limited to what every process leaves for a successor.
+// restrict subtracts the other process's share from the limits. Buffers are halved. The limit on sessions is not halved
+// but reduced by the number of sessions that the other process has open: the old process accepts no more, and the
+// sessions that it closes are opened at the new one. At least a third of the limit on sessions remains. Connections to
+// engines are halved; once the old process only finishes what it accepted, its half shrinks to the connections that it
+// has open. While the other process hangs, this one is limited to what every process leaves for a successor.
 func (l *limits) restrict(share processShare) {
 	l.inboundBytes /= 2
 	l.mysql.MaxBuffered /= 2
--- a/internal/node/part_bgp.go
+++ b/internal/node/part_bgp.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// predecessorHasSession reports whether a predecessor has a BGP session, or may have one because it hangs. A second
-// session would then be a connection collision to the neighbour.
+// predecessorHasSession reports whether a predecessor has a BGP session, or may have one because it hangs. The
+// neighbour would then treat a second session as a connection collision.
 func predecessorHasSession(restart *coordinator) bool {
 	return restart.hasPredecessor() &&
 		(restart.phase() == hotrestart.PhaseDegraded || restart.predecessorHandsOver(bgpPartName))
--- a/internal/node/part_keepers.go
+++ b/internal/node/part_keepers.go
@@ -188,8 +188,8 @@
 }
 
 // adopt puts a later revision in force that is in force in the other process. Unlike apply, it checks the revision in
-// the event loop, without delay: this process may be about to accept clients, and the other process has served them by
-// that revision.
+// the event loop, without delay: this process may be about to accept clients, and the other process has served them
+// with that revision.
 func (k *keeperSync) adopt(revision configclient.Revision) {
 	if revision.Revision <= k.revision() {
 		return
@@ -248,7 +248,7 @@
 		if err != nil {
 			return nil, err
 		}
-		siteCopy := *site // commit restores in it the fields that can't change while running
+		siteCopy := *site // a copy, because commit resets the fields that can't change while running
 		return func() error { return k.commit(cfg, &siteCopy, fileText, base.overlay) }, nil
 	})
 }
--- a/internal/node/part_record.go
+++ b/internal/node/part_record.go
@@ -135,7 +135,7 @@
 	}))
 }
 
-// sample observes the engines each observeIntervalMS, and writes the counted figures each writeIntervalMS.
+// sample observes the engines every observeIntervalMS, and writes the counted figures every writeIntervalMS.
 func (c *recorder) sample() {
 	c.observe()
 	if c.loop.Now()-c.intervalStart >= writeIntervalMS {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -18,9 +18,8 @@
 	answerSlackMS           = 450.0
 	// idleMS is how long a draining process has to have nothing open before it ends.
 	idleMS = 200.0
-	// closeTimeoutMS is how long clients have to close their connections when the process ends. The process ends
-	// endSlackMS after the time by which open requests are answered, at the latest: the kill follows 250 ms after that
-	// time.
+	// closeTimeoutMS is how long clients have to close their connections when the process ends. The process ends at the
+	// latest endSlackMS after the time by which open requests are answered. The kill follows 250 ms after the same time.
 	closeTimeoutMS, endSlackMS = 300.0, 120.0
 	// settleMS is how long a process that leaves has to have nothing open before it ends. The poller may still have to
 	// pass the last accepted connections to the event loop, and to write answers from its queues.
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -90,8 +90,9 @@
 	return now
 }
 
-// watch logs the stacks of all goroutines when the event loop is blocked while the process runs. A process that did not
-// run itself is recognised by a late tick. watch returns when done is closed. It runs in a goroutine of its own.
+// watch logs the stacks of all goroutines when the event loop is blocked while the process runs. It logs nothing after
+// a late tick, which shows that the process itself did not run. watch returns when done is closed. It runs in a
+// goroutine of its own.
 func (d *stallDetector) watch(done <-chan struct{}) {
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
--- a/internal/router/consumed_ids.go
+++ b/internal/router/consumed_ids.go
@@ -8,7 +8,7 @@
 	next  int // position in ids of the next id to store
 }
 
-// maxConsumedIDs is the number of ids that are stored: those of some minutes of at-most-once requests.
+// maxConsumedIDs is the maximum number of stored ids. It is enough for some minutes of at-most-once requests.
 const maxConsumedIDs = 4096
 
 func (c *consumedIDs) has(id string) bool {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -213,7 +213,8 @@
 
 // HoldDecisions with true makes the core collect events without passing them to the dispatch module, until it is called
 // with false. It is used after the process stalled: events about engines that arrive while decisions are held are
-// handled before the requests that waited, so that these are not sent by an outdated state of the engines.
+// handled before the requests that arrived earlier. Otherwise the dispatch module would decide on these requests with
+// an outdated state of the engines.
 func (c *Core) HoldDecisions(hold bool) {
 	c.holding = hold
 	if hold {
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -16,7 +16,7 @@
 	Outcomes        [8]int64 `status:"ends"`       // ended attempts, indexed by dispatch.Outcome
 	Events          int64    `status:"handled"`    // events passed to the dispatch module
 	Actions         int64    `status:"actions"`    // actions that the dispatch module returned
-	Steps           int64    `status:"steps"`      // calls of Core.decide: one for each step of the loop, and some between
+	Steps           int64    `status:"steps"`      // calls of Core.decide: one per step of the loop, and some in between
 	MaxOpen         int64    `status:"max_open"`   // maximum of requests open at the same time
 	DuplicateEnds   int64    `status:"after_done"` // ends reported for attempts that had already ended
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -11,7 +11,7 @@
 	client  EngineClient
 	engines map[dispatch.EngineID]Engine
 	// removed lists removed engines that are still in the table. They stay until the dispatch module has handled the
-	// removal, because it may start an attempt there in reply to an event that it handles before.
+	// removal, because it may still start an attempt there in reply to an earlier event.
 	removed []dispatch.EngineID
 	// unavailable has the engines that are draining or removed by the latest event, which the dispatch module may not
 	// have handled yet.
@@ -41,7 +41,8 @@
 // count returns the number of engines in the table.
 func (t *endpointTable) count() int { return len(t.engines) }
 
-// removeUnlisted removes the engines that are not in a complete list. Other engines may get their addresses.
+// removeUnlisted removes the engines that are not in a complete list, and cancels the attempts that have not started
+// there, because other engines may get the addresses.
 func (t *endpointTable) removeUnlisted(endpoints []dispatch.Endpoint) {
 	for id, engine := range t.engines {
 		if slices.ContainsFunc(endpoints, func(e dispatch.Endpoint) bool { return e.ID == id }) {
--- a/internal/router/event_queue.go
+++ b/internal/router/event_queue.go
@@ -10,7 +10,7 @@
 type eventQueue struct {
 	events []dispatch.Event
 	// engineEvents are endpoint lists, cordons and restored snapshots. The dispatch module handles them before all other
-	// events, because it would otherwise decide on a queued request by an outdated state of the engines.
+	// events, because it would otherwise decide on a queued request with an outdated state of the engines.
 	engineEvents []dispatch.Event
 }
 
--- a/internal/router/hot_restart_test.go
+++ b/internal/router/hot_restart_test.go
@@ -8,8 +8,8 @@
 	"windflow/dispatch"
 )
 
-// Requests that are open when the shutdown deadline is set, or submitted after that, are answered when the deadline is
-// reached at the latest, and by the dispatch module, not by the answer guard.
+// Requests that are open when the shutdown deadline is set, or submitted after that, are answered by that deadline. The
+// dispatch module answers them, not the answer guard.
 func TestShutdownDeadlineAnswersBeforeTheEnd(t *testing.T) {
 	h := newHarness(t)
 	load, _ := h.submit("load", 20_000, 0)
--- a/internal/router/loop_test.go
+++ b/internal/router/loop_test.go
@@ -9,7 +9,7 @@
 	"windflow/internal/clock"
 )
 
-// After a stall, the loop runs the functions that are posted for data that arrived during the stall before its timers.
+// Data that arrived during a stall is posted after it, and the loop runs those posted functions before its timers.
 // Otherwise a timeout could fail a load whose answer has arrived. The timers must not wait forever if caughtUp is never
 // called, and must not wait without a stall.
 func TestTimersWaitForInboxAfterStall(t *testing.T) {
--- a/internal/router/races_test.go
+++ b/internal/router/races_test.go
@@ -57,7 +57,7 @@
 
 // When an engine drains, is removed or moves, attempts that have not started there are canceled, so that they don't
 // start there later and can be retried at another engine. The dispatch module handles an event about an engine before a
-// request that is posted in the same step, so that the request is not sent by an outdated state of the engine.
+// request that is posted in the same step, so that it does not decide on the request with an outdated state.
 func TestEndpointEventCancelsUnstartedAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/router/request_ids.go
+++ b/internal/router/request_ids.go
@@ -57,8 +57,8 @@
 	r.consumed.remove(id)
 }
 
-// grant consumes an id that the other process claims, and reports whether it could: it is false if the id was consumed
-// already. It does not publish the change, because the other process gets the reply to its claim.
+// grant consumes an id that the other process claims. It returns false if the id was consumed already. It does not
+// publish the change, because the other process gets the reply to its claim.
 func (r *requestIDs) grant(id string) bool {
 	if r.consumed.has(id) {
 		return false
--- a/internal/router/responder.go
+++ b/internal/router/responder.go
@@ -26,13 +26,13 @@
 }
 
 const (
-	// answerMarginMS is the time before the client's deadline at which the router's own deadline for the request ends,
-	// so that the final answer reaches the client while it still waits.
+	// answerMarginMS is how much earlier the router's own deadline for a request is than the client's deadline, so that
+	// the final answer reaches the client while it still waits.
 	answerMarginMS = 30.0
 	// answerGuardMS is the time after a request's deadline at which the core fails the request if the dispatch module
 	// has not answered it, whatever the cause. The guard never fires while the dispatch module works correctly.
 	answerGuardMS = 15.0
-	// deadlineToleranceMS is the time before a request's deadline from which on a failure counts as a passed deadline.
+	// deadlineToleranceMS is how long before a request's deadline a failure already counts as ReasonDeadline.
 	deadlineToleranceMS = 1.0
 )
 
--- a/internal/router/statement_scanner.go
+++ b/internal/router/statement_scanner.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// skipPast moves past the next terminator, or to the end of the text if there is none. The search starts at the
-// offset from the current position.
+// skipPast moves past the next terminator, or to the end of the text if there is none. The search starts offset bytes
+// after the current position.
 func (s *statementScanner) skipPast(terminator string, offset int) {
 	from := s.position + offset
 	if i := strings.Index(s.text[from:], terminator); i >= 0 {
--- a/internal/router/table_group.go
+++ b/internal/router/table_group.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// stagingSchema is the name of the staging schemas. The number in the name of one, if any, is not a table group.
+// stagingSchema is the name of the staging schemas. It may be followed by an underscore and a number, as in staging_4.
+// That number is not a table group.
 const stagingSchema = "staging"
 
 // tableGroup returns the table group that a statement reads or writes: the number after the last underscore in the name
 // of a schema. ok is false if there is none. Names in string literals and comments are ignored, and so are staging
-// schemas. A schema of a name where a table is expected (after FROM, JOIN, INTO, UPDATE or TABLE, or after a comma in
-// such a list) takes precedence over the qualifier of any other name, which may be an alias.
+// schemas. The qualifier of a name where a table is expected (after FROM, JOIN, INTO, UPDATE or TABLE, or after a comma
+// in such a list) takes precedence over the qualifier of any other name, which may be an alias.
 func tableGroup(statement string) (group uint32, ok bool) {
 	scanner := statementScanner{text: statement}
 	atTable := false
@@ -40,16 +41,16 @@
 	}
 }
 
-// tableFollows reports whether a name after the token is that of a table. For tokens that do not determine that, it
-// returns before, its result for the token before this one.
-func tableFollows(token string, before bool) bool {
+// tableFollows reports whether a name after the token is that of a table. For a token that does not determine that, it
+// returns previous, its result for the previous token.
+func tableFollows(token string, previous bool) bool {
 	switch strings.ToUpper(token) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
 		return true
 	case "WHERE", "SET", "SELECT", "GROUP", "ORDER", "HAVING", "LIMIT", "VALUES", "ON", "USING", "(", ")":
 		return false
 	}
-	return before
+	return previous
 }
 
 // hasMultipleStatements reports whether a semicolon is followed by anything but white space, comments and semicolons.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,8 +8,8 @@
 	value float64
 }
 
-// check returns an error for the first invalid setting. dispatch.Config checks its own fields as well, but its errors
-// do not have the names of the fields in JSON, as the errors here do.
+// check returns an error for the first invalid setting, with the name of its field in JSON. dispatch.Config checks its
+// own fields as well, but its errors do not have these names.
 func (s *Settings) check() error {
 	numeric := s.numericSettings()
 	for i := range s.Classes {
--- a/internal/settings/dispatchconfig.go
+++ b/internal/settings/dispatchconfig.go
@@ -23,7 +23,7 @@
 	}
 )
 
-// polledDiscoveryName is the value of the discovery setting where routers have to poll for changes to the endpoints.
+// polledDiscoveryName is the value of the discovery setting with which routers have to poll for changes of endpoints.
 const polledDiscoveryName = "subscribe"
 
 // ParseEnum returns the value of a name in a table. The error for an unknown name begins with the field.
@@ -35,7 +35,7 @@
 	return value, nil
 }
 
-// DispatchConfig checks the settings and converts them to a dispatch.Config, whose random numbers use the seed. The
+// DispatchConfig checks the settings and converts them to a dispatch.Config with the given seed for random numbers. The
 // error begins with the name of the invalid field in JSON.
 func (s *Settings) DispatchConfig(seed uint64) (dispatch.Config, error) {
 	if err := s.check(); err != nil {
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -11,7 +11,7 @@
 		`"limits":{"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"a","deadline-ns":5}],"later":1}}`
 	node, err := ParseNode([]byte(valid))
 	if err != nil || node.SeedValue != 0x8c1f30d27a5be964 || node.Settings.Classes[0].DeadlineNS != 5 {
-		t.Fatalf("parsed %+v, error %v", node, err)
+		t.Fatalf("a valid configuration is parsed as %+v, error %v", node, err)
 	}
 	for _, test := range []struct{ from, to, want string }{
 		{`"127.0.0.1:1"`, `"here"`, "listen"},
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -78,7 +78,7 @@
 }
 
 // tenantList returns the JSON list of tenants in the order of names. Each value must be an object that checkTenant has
-// accepted, so that it is not empty.
+// accepted, and therefore has at least one field.
 func tenantList(names []string, tenants map[string]Value) (Value, error) {
 	list := []byte{'['}
 	for i, name := range names {
@@ -89,7 +89,7 @@
 		if i > 0 {
 			list = append(list, ',')
 		}
-		// The object may repeat the field name: checkTenant has checked that it has the same value.
+		// The object may have a field "name" too: checkTenant has checked that it has the same value.
 		list = append(list, `{"name":`...)
 		list = append(list, text...)
 		list = append(list, ',')
