--- a/internal/keeper/changes_test.go
+++ b/internal/keeper/changes_test.go
@@ -155,7 +155,8 @@
 		}
 		if codes[accepted] != 200 || replies[accepted].Revision != round+1 ||
 			codes[rejected] != 409 || replies[rejected].Kind != "conflict" || replies[rejected].Revision != round+1 {
-			t.Fatalf("round %d: statuses %v, replies %+v", round, codes, replies)
+			t.Fatalf("round %d: statuses %v, replies %+v; want one status 200, one conflict, both with revision %d", round,
+				codes, replies, round+1)
 		}
 	}
 	g.checkEqualState(20)
--- a/internal/keeper/configclient_test.go
+++ b/internal/keeper/configclient_test.go
@@ -64,7 +64,7 @@
 		return len(v.Rejected) == 1 && len(v.InForce) == 2
 	})
 	if v.Converged || v.Rejected[0].Name != "r1" || v.Rejected[0].Rejected.Reason != "no" {
-		t.Errorf("after a rejection by r1: %+v", v)
+		t.Errorf("after a rejection by r1: %+v; want no convergence and the rejection by r1 with its reason", v)
 	}
 	g.waitForConvergence(g.change(0, put("fourth", "/settings/over-share-worth", "4")))
 	paused := g.leader()
@@ -73,7 +73,7 @@
 	waitUntil(t, "a new leader", func() bool { return g.leader() != paused })
 	v = g.waitForConvergenceAt(other, g.change(other, put("fifth", "/settings/over-share-worth", "5")))
 	if len(v.InForce) != 3 || v.Revision != 5 {
-		t.Errorf("with a paused keeper: %+v", v)
+		t.Errorf("with a paused keeper: %+v; want revision 5 in effect at 3 routers", v)
 	}
 	g.members[paused].signal(syscall.SIGCONT)
 	for _, c := range clients[:2] {
@@ -87,7 +87,7 @@
 		names[s.Name] = true
 	}
 	if len(names) != 3 {
-		t.Errorf("after restarts, not all routers have the revision: %+v", v)
+		t.Errorf("after restarts: %+v; want revision %d in effect at 3 routers", v, rev)
 	}
 	for n, c := range clients {
 		if r := c.Latest(); r.Revision != rev || string(r.Entries["/settings/over-share-worth"]) != "6" {
--- a/internal/keeper/disk_test.go
+++ b/internal/keeper/disk_test.go
@@ -86,7 +86,7 @@
 	}
 	g.leader()
 	if rev := g.change(1, largeChange(n)); rev != last+1 {
-		t.Errorf("with free space again: revision %d after %d", rev, last)
+		t.Errorf("with free space again: revision %d, want %d", rev, last+1)
 	}
 	g.checkEqualState(last + 1)
 }
--- a/internal/keeper/folder_test.go
+++ b/internal/keeper/folder_test.go
@@ -237,7 +237,7 @@
 		t.Errorf("without a keeper that has revision 2: status %d, want 503 and no-majority: %+v", code, failure)
 	}
 	if s := g.status(lost); s.Folder.Votes || s.Revision != 0 {
-		t.Errorf("the keeper without its folder votes or has a revision: %+v", s)
+		t.Errorf("status of the keeper without its folder: %+v; want no vote and revision 0", s)
 	}
 	for _, o := range []int{lagging, lost} {
 		g.links[[2]int{leader, o}][0].setBlocked(forward, false)
@@ -248,7 +248,7 @@
 		t.Errorf("revision %d, want at least 3", rev)
 	}
 	if c := g.waitForRevision(lost, 2); string(c.Entries["/settings/over-share-worth"]) != "2" {
-		t.Errorf("revision 2: %s", c.Entries)
+		t.Errorf("entries of revision 2: %s, want over-share-worth 2", c.Entries)
 	}
 	waitUntil(t, "voting being resumed", func() bool { return g.status(lost).Folder.Votes })
 }
@@ -279,11 +279,11 @@
 	g.members[0].options.AcceptLoss = true
 	g.members[0].start()
 	if leader := g.leader(); leader != 2 {
-		t.Errorf("%s leads, although it lost its folder", g.members[leader].options.ID)
+		t.Errorf("%s leads, want %s, which has kept its folder", g.members[leader].options.ID, g.members[2].options.ID)
 	}
 	g.checkEqualState(g.change(0, put("third", "/settings/over-share-worth", "3")))
 	if c := g.waitForRevision(0, 1); string(c.Entries["/settings/over-share-worth"]) != "1" {
-		t.Errorf("revision 1: %s", c.Entries)
+		t.Errorf("entries of revision 1: %s, want over-share-worth 1", c.Entries)
 	}
 	for _, i := range []int{0, 1} {
 		waitUntil(t, "membership", func() bool { return g.status(i).Folder.Stage == "member" })
--- a/internal/keeper/follow_test.go
+++ b/internal/keeper/follow_test.go
@@ -87,7 +87,7 @@
 	b.report(2)
 	v := g.rollout(1, "revision=1&wait_ms=10000")
 	if !v.Converged || len(v.InForce) != 2 || !v.Majority {
-		t.Errorf("both followers have the revision: %+v", v)
+		t.Errorf("after both followers reported the revision: %+v; want convergence at 2 followers", v)
 	}
 	// A waiting poll returns when a change is committed.
 	type pollResult struct{ code int }
@@ -111,12 +111,12 @@
 	}
 	b.hash = configlog.HashEntries(map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("1")})
 	if code := b.poll(2, 0); code != http.StatusNoContent {
-		t.Errorf("a follower that rejected the revision is offered it again: status %d", code)
+		t.Errorf("poll after a rejection: status %d, want 204", code)
 	}
 	v = g.rollout(0, "revision=2")
 	if v.Converged || len(v.InForce) != 1 || len(v.Rejected) != 1 ||
 		v.Rejected[0].Rejected.Pointer != "/settings/over-share-worth" || v.Rejected[0].Rejected.Reason != "too much" {
-		t.Errorf("with one rejection: %+v", v)
+		t.Errorf("with one rejection: %+v; want revision 2 in effect at 1 follower and the rejection with its reason", v)
 	}
 	waitUntil(t, "the follower that no longer calls to be missing", func() bool {
 		a.poll(1, 0)
@@ -124,20 +124,20 @@
 		return reflect.DeepEqual(v.Missing, []string{"rb"})
 	})
 	if len(v.Rejected) != 0 || v.Revision != 2 {
-		t.Errorf("with a missing follower: %+v", v)
+		t.Errorf("with a missing follower: %+v; want revision 2 and no rejection", v)
 	}
 	var forgotten struct {
 		Forgotten bool `json:"forgotten"`
 	}
 	if code := g.do(1, http.MethodDelete, "/v1/followers/rb", nil, &forgotten); code != 200 || !forgotten.Forgotten {
-		t.Errorf("forget: status %d, %+v", code, forgotten)
+		t.Errorf("forget: status %d, %+v; want status 200, forgotten", code, forgotten)
 	}
 	if code := g.do(2, http.MethodDelete, "/v1/followers/rb", nil, &forgotten); code != 200 || forgotten.Forgotten {
-		t.Errorf("repeated forget: status %d, %+v", code, forgotten)
+		t.Errorf("repeated forget: status %d, %+v; want status 200, not forgotten", code, forgotten)
 	}
 	a.poll(1, 0)
 	if v = g.rollout(2, ""); len(v.Missing) != 0 {
-		t.Errorf("after the missing follower was forgotten: %+v", v)
+		t.Errorf("after the missing follower was forgotten: %+v; want none missing", v)
 	}
 }
 
@@ -157,10 +157,10 @@
 	a.pollUntil(0, 1)
 	a.report(0)
 	if v := g.rollout(1, ""); len(v.UnreachedKeepers) != 3 {
-		t.Errorf("all keepers have just started: %+v", v)
+		t.Errorf("when all keepers have just started: %+v; want 3 unreached keepers", v)
 	}
 	if v := g.rollout(1, "wait_ms=10000"); !v.Converged {
-		t.Errorf("the only follower has the revision: %+v", v)
+		t.Errorf("after the only follower reported the revision: %+v; want convergence", v)
 	}
 }
 
@@ -227,6 +227,7 @@
 	follower1.content = map[string]json.RawMessage{"/settings/parties/q0": json.RawMessage(`{"quota-rps":1}`)}
 	follower1.pollUntil(2, 1050)
 	if len(follower1.updates) != 1 || !reflect.DeepEqual(follower1.content, follower50.content) {
-		t.Errorf("follower at revision 1: %d updates, %d entries", len(follower1.updates), len(follower1.content))
+		t.Errorf("follower at revision 1: %d updates, %d entries; want 1 update with the content of %s",
+			len(follower1.updates), len(follower1.content), follower50.name)
 	}
 }
--- a/internal/keeper/leader_test.go
+++ b/internal/keeper/leader_test.go
@@ -80,7 +80,7 @@
 		var r reply
 		if code := g.post(o, "/v1/changes", put("second", "/settings/over-share-worth", "2"), &r); code != 200 ||
 			r.Revision != 2 || r.Repeated != (o == others[1]) {
-			t.Errorf("repeated change at keeper %d: status %d, %+v", o, code, r)
+			t.Errorf("repeated change at keeper %d: status %d, %+v; want status 200, revision 2", o, code, r)
 		}
 	}
 	for _, o := range others {
@@ -129,10 +129,10 @@
 	}
 	if p := <-repeated; p.err != nil || p.code == 200 && (p.Revision != 2 || !p.Repeated) ||
 		p.code != 200 && p.code != 503 {
-		t.Errorf("repeated change: %+v", p)
+		t.Errorf("repeated change: %+v; want repeated revision 2, or status 503", p)
 	}
 	if p := <-conflict; p.err != nil || p.code != 409 && p.code != 503 {
-		t.Errorf("another change with the same id: %+v", p)
+		t.Errorf("another change with the same id: %+v; want status 409 or 503", p)
 	}
 	g.checkEqualState(2)
 }
@@ -206,15 +206,15 @@
 	after := g.waitForRevision(2, 30)
 	if before.Hash != after.Hash || len(after.Entries) != 7 ||
 		string(after.Entries["/settings/parties/p1"]) != `{"quota-rps":30}` {
-		t.Errorf("before %v, after %v", before, after)
+		t.Errorf("before the restart %v, after it %v; want the same content with 7 entries", before, after)
 	}
 	if s := g.status(0); s.Roster != 1 || len(s.Folder.Aside) != 0 || s.Folder.Stage != "member" {
-		t.Errorf("status after the restart: %+v", s)
+		t.Errorf("status after the restart: %+v; want a member with 1 follower on the roster and no files set aside", s)
 	}
 	var r reply
 	if code := g.post(0, "/v1/changes", put("c3", "/settings/parties/p3", `{"quota-rps":4}`), &r); code != 200 ||
 		r.Revision != 4 || !r.Repeated {
-		t.Errorf("repeated change from before the restart: status %d, %+v", code, r)
+		t.Errorf("repeated change from before the restart: status %d, %+v; want repeated revision 4", code, r)
 	}
 }
 
@@ -261,7 +261,7 @@
 	}
 	v = rolloutReply{}
 	if code := g.get(minority[1], "/v1/rollout?revision=1", &v); code != 200 || v.Converged || v.Majority || v.Why == "" {
-		t.Errorf("convergence status from the minority: status %d, %+v", code, v)
+		t.Errorf("convergence status from the minority: status %d, %+v; want status 200, no convergence, a reason", code, v)
 	}
 	// A new follower at the minority cannot be added to the roster and receives nothing, because the convergence status
 	// of the majority would not include it.
@@ -284,6 +284,6 @@
 	v = rolloutReply{}
 	if code := g.get(minority[0], "/v1/rollout?wait_ms=10000", &v); code != 200 || !v.Converged || v.Revision != last ||
 		len(v.InForce) != 3 {
-		t.Errorf("after the partition: status %d, %+v", code, v)
+		t.Errorf("after the partition: status %d, %+v; want revision %d in effect at 3 followers", code, v, last)
 	}
 }
