--- a/cmd/windflowctl/admin_test.go
+++ b/cmd/windflowctl/admin_test.go
@@ -12,7 +12,7 @@
 	"windflow/internal/golden"
 )
 
-// adminCalls are calls of the admin command, one of which fails.
+// adminCalls has the arguments of calls of the admin command. The last call fails.
 var adminCalls = [][]string{
 	{"ready"}, {"figures"}, {"exclude", "s-00000001"}, {"include", "s-00000001"}, {"exclude", "unknown"},
 }
@@ -41,13 +41,13 @@
 	_, _ = io.WriteString(w, `{"said":"yes"}`+"\n")
 }
 
-// The requests to a router, and what is printed of its responses, are what they were.
+// Guards against a change of the requests to a router or of the output, which operators' tools depend on.
 func TestGoldenAdmin(t *testing.T) {
 	router := startAdminRouter(t)
 	var printed bytes.Buffer
 	for _, args := range adminCalls {
-		out, bad, err := run(t, append([]string{adminName, "--door", router.address}, args...)...)
-		fmt.Fprintf(&printed, "%v\n%s%s%v\n\n", args, out, bad, err)
+		out, stderr, err := run(t, append([]string{adminName, "--door", router.address}, args...)...)
+		fmt.Fprintf(&printed, "%v\n%s%s%v\n\n", args, out, stderr, err)
 	}
 	_, _, err := run(t, adminName, "ready")
 	fmt.Fprintf(&printed, "no door: %v\n", err)
@@ -55,21 +55,22 @@
 	golden.Equal(t, "door-calls.txt", router.requests.Bytes())
 }
 
-// Under its former name the command does and prints the same, and prints its present name on standard error.
+// Under its former name, the command must send the same requests and print the same output. It must also print a notice
+// of its present name to standard error.
 func TestFormerNameOfAdmin(t *testing.T) {
 	router := startAdminRouter(t)
 	const notice = "windflowctl: the command \"door\" is called \"admin\" now\n"
 	var printed bytes.Buffer
 	for _, args := range adminCalls {
-		out, bad, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
-		if bad != notice {
-			t.Errorf("%v: standard error has %q", args, bad)
+		out, stderr, err := run(t, append([]string{formerAdminName, "--door", router.address}, args...)...)
+		if stderr != notice {
+			t.Errorf("%v: standard error %q, want %q", args, stderr, notice)
 		}
 		fmt.Fprintf(&printed, "%v\n%s%v\n\n", args, out, err)
 	}
-	_, bad, err := run(t, formerAdminName, "ready")
-	if bad != notice {
-		t.Errorf("without a router: standard error has %q", bad)
+	_, stderrWithoutRouter, err := run(t, formerAdminName, "ready")
+	if stderrWithoutRouter != notice {
+		t.Errorf("without a router: standard error %q, want %q", stderrWithoutRouter, notice)
 	}
 	fmt.Fprintf(&printed, "no door: %v\n", err)
 	golden.Equal(t, "door.txt", bytes.ReplaceAll(printed.Bytes(), []byte(router.address), []byte("DOOR")))
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// A thread's wait is printed with its length, also where the thread's name has parentheses and where the process ends
-// in the wait.
-func TestThreads(t *testing.T) {
+// A long uninterruptible wait must be printed with its length, and each state must be in the summary, also the last one
+// before the process ended. The name of the thread has parentheses, which a parser of /proc could mistake for the end
+// of the name.
+func TestThreadWatchPrintsUninterruptibleWaits(t *testing.T) {
 	proc := t.TempDir()
-	put := func(tid, state, channel string) {
+	writeThread := func(tid, state, channel string) {
 		dir := filepath.Join(proc, "71", "task", tid)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
@@ -28,10 +29,10 @@
 	var out strings.Builder
 	w := newThreadWatch(300*time.Millisecond, &out)
 	for i := range 10 {
-		put("71", "S", "ep_poll")
-		put("72", "S", "futex_wait_queue")
+		writeThread("71", "S", "ep_poll")
+		writeThread("72", "S", "futex_wait_queue")
 		if i >= 3 && i < 8 {
-			put("72", "D", "expand_files")
+			writeThread("72", "D", "expand_files")
 		}
 		if err := os.WriteFile(filepath.Join(proc, "71", "comm"), []byte("windflow\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -50,12 +51,13 @@
 		"S      ep_poll           10       0.9\n", "D      expand_files      5        0.4\n",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in:\n%s", want, out.String())
+			t.Errorf("output does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
 
-func TestThreadsWithoutProcess(t *testing.T) {
+// The command must fail if it finds no process, and if the time between samples is not positive.
+func TestThreadsCommandErrors(t *testing.T) {
 	_, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms")
 	if err == nil || !strings.Contains(err.Error(), "no such process") {
 		t.Error(err)
--- a/internal/incident/timeline_test.go
+++ b/internal/incident/timeline_test.go
@@ -9,24 +9,24 @@
 	"windflow/internal/record"
 )
 
-// fleet simulates routers that write records. Each has its own clock, and all see the same engines.
-type fleet struct {
+// simulatedFleet simulates routers that write records. Each has its own clock; all see the same engines.
+type simulatedFleet struct {
 	rng     *rand.Rand
 	joiner  *Joiner
 	routers []*testRouter
 }
 
 type testRouter struct {
-	header record.Header
-	offset float64
-	drift  float64
+	header   record.Header
+	offsetMS float64
+	drift    float64
 }
 
-const zero = 1_796_000_000_000.0
+const epochMS = 1_796_000_000_000.0
 
-func newFleet(seed uint64, offsets, drifts []float64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), joiner: NewJoiner()}
-	for i, off := range offsets {
+func newFleet(seed uint64, offsets, drifts []float64) *simulatedFleet {
+	f := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 1)), joiner: NewJoiner()}
+	for i, offsetMS := range offsets {
 		f.routers = append(f.routers, &testRouter{
 			header: record.Header{
 				Version: 1, Router: fmt.Sprint("n", i), Incarnation: 2,
@@ -35,46 +35,50 @@
 					{Name: "lookup", PriorityWeight: 1}, {Name: "report", PriorityWeight: 10, LateWeightShare: 0.4},
 				},
 			},
-			offset: off, drift: drifts[i],
+			offsetMS: offsetMS, drift: drifts[i],
 		})
 	}
 	return f
 }
 
-// on converts a true time to a router's clock, with a random delay of delivery.
-func (f *fleet) on(r *testRouter, at float64) float64 {
-	return zero + at + r.offset + r.drift*at + 2*f.rng.Float64()
+// routerTimeMS returns the time on a router's clock at which it sees an event of the true time at, in milliseconds
+// after epochMS. It adds a random delay of up to 2 ms.
+func (f *simulatedFleet) routerTimeMS(r *testRouter, at float64) float64 {
+	return epochMS + at + r.offsetMS + r.drift*at + 2*f.rng.Float64()
 }
 
-func (f *fleet) change(at float64, id string, state record.State) {
+func (f *simulatedFleet) addEngineChange(at float64, id string, state record.State) {
 	for _, r := range f.routers {
-		f.joiner.Add(&r.header, &record.EngineChange{AtMS: f.on(r, at), EngineID: id, State: state})
+		f.joiner.Add(&r.header, &record.EngineChange{AtMS: f.routerTimeMS(r, at), EngineID: id, State: state})
 	}
 }
 
-// second has each router but skip serve for a second; rejected is the share of lookups that it rejects.
-func (f *fleet) second(at float64, rejectedShare float64, skip int) {
+// addSecond adds an interval of one second for each router, except the one with the index skip (-1 for none).
+// rejectedShare is the share of lookups that are rejected.
+func (f *simulatedFleet) addSecond(at float64, rejectedShare float64, skip int) {
 	for i, r := range f.routers {
 		if i == skip {
 			continue
 		}
 		n := 80 + f.rng.IntN(10)
 		rejected := int(rejectedShare * float64(n))
-		f.joiner.Add(&r.header, &record.Interval{AtMS: f.on(r, at), DurationMS: 1000, Classes: []record.ClassStats{
-			{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
-			{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
-		}})
+		f.joiner.Add(&r.header, &record.Interval{
+			AtMS: f.routerTimeMS(r, at), DurationMS: 1000, Classes: []record.ClassStats{
+				{Class: "lookup", Tenant: "a", Arrived: n, OnTime: n - rejected - n/50, Late: n / 50, Rejected: rejected},
+				{Class: "report", Tenant: "b", Arrived: 5, OnTime: 5},
+			},
+		})
 	}
 }
 
-// Clocks up to 400 ms apart and drifting are synchronized by the events that their routers share, within the
-// uncertainty that is reported.
+// Clocks that drift and have offsets up to 400 ms are synchronized by the events that the routers share. The remaining
+// error must be within the reported uncertainty.
 func TestClocksAreSynchronized(t *testing.T) {
 	offsets, drifts := []float64{0, 400, -250}, []float64{0, 100e-6, -200e-6}
 	f := newFleet(7, offsets, drifts)
 	for i := range 20 {
-		f.change(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
-		f.second(float64(6000*i), 0, -1)
+		f.addEngineChange(float64(3000+6000*i), fmt.Sprintf("s-%08x", i), record.Draining)
+		f.addSecond(float64(6000*i), 0, -1)
 	}
 	timeline := f.joiner.Timeline()
 	first := timeline.Processes[0].Clock
@@ -83,60 +87,61 @@
 			t.Errorf("%s: %+v", p.Router, p.Clock)
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
-			// The reference may be any of the three; they have to agree.
-			mine := p.Clock.Correct(zero + at + offsets[i] + drifts[i]*at)
-			ref := first.Correct(zero + at + offsets[0] + drifts[0]*at)
-			if off := math.Abs(mine - ref); off > p.Clock.UncertaintyMS+first.UncertaintyMS {
-				t.Errorf("%s at %v: off by %.1f ms, reported within %.1f", p.Router, at, off, p.Clock.UncertaintyMS)
+			// The reference may be any of the three, so the corrected times are compared with each other.
+			corrected := p.Clock.Correct(epochMS + at + offsets[i] + drifts[i]*at)
+			reference := first.Correct(epochMS + at + offsets[0] + drifts[0]*at)
+			if difference := math.Abs(corrected - reference); difference > p.Clock.UncertaintyMS+first.UncertaintyMS {
+				t.Errorf("%s at %v: error of %.1f ms, reported uncertainty %.1f ms",
+					p.Router, at, difference, p.Clock.UncertaintyMS)
 			}
 		}
 	}
 }
 
-// A run without losses has no incident.
-func TestCalmRunHasNoIncident(t *testing.T) {
+// Guards against false incidents: a steady run in which about 1% of the lookups are late must not yield one.
+func TestRunWithoutLossesHasNoIncident(t *testing.T) {
 	for seed := range uint64(20) {
-		calm := newFleet(seed, []float64{0, 5}, []float64{0, 0})
+		fleet := newFleet(seed, []float64{0, 5}, []float64{0, 0})
 		for i := range 120 {
-			calm.second(float64(1000*i), 0.01, -1)
+			fleet.addSecond(float64(1000*i), 0.01, -1)
 		}
-		if timeline := calm.joiner.Timeline(); len(timeline.Incidents) != 0 {
-			t.Fatalf("seed %d: a calm run has %+v", seed, timeline.Incidents)
+		if timeline := fleet.joiner.Timeline(); len(timeline.Incidents) != 0 {
+			t.Fatalf("seed %d: run without unusual losses has incidents: %+v", seed, timeline.Incidents)
 		}
 	}
 }
 
-// playTwoIncidents has requests rejected from second 60 to 75, while an engine is down, and from 150 to 156. The
-// records of router n2 are missing for half of the first.
-func playTwoIncidents(f *fleet) {
-	f.change(500, "s-00000001", record.Normal)
+// addTwoIncidents adds 200 seconds of records. Half of the lookups are rejected from second 60 to 75, while an engine
+// is down, and from second 150 to 156. Router n2 writes no records from second 65 to 72.
+func addTwoIncidents(f *simulatedFleet) {
+	f.addEngineChange(500, "s-00000001", record.Normal)
 	for i := range 200 {
 		rejected := 0.0
 		if i >= 60 && i < 75 || i >= 150 && i < 156 {
 			rejected = 0.5
 		}
 		if i == 60 {
-			f.change(60_000, "s-00000001", record.Down)
+			f.addEngineChange(60_000, "s-00000001", record.Down)
 		}
 		if i == 75 {
-			f.change(75_000, "s-00000001", record.Normal)
+			f.addEngineChange(75_000, "s-00000001", record.Normal)
 		}
 		skip := -1
 		if i >= 65 && i < 72 {
 			skip = 2
 		}
 		if i%10 == 5 {
-			f.change(float64(1000*i), fmt.Sprintf("s-1%07x", i), record.Gone)
+			f.addEngineChange(float64(1000*i), fmt.Sprintf("s-1%07x", i), record.Gone)
 		}
-		f.second(float64(1000*i), rejected, skip)
+		f.addSecond(float64(1000*i), rejected, skip)
 	}
 }
 
-// Each of two incidents is found, with its time, whom it affected, the engine that was down, and the gap in the
-// records.
+// Both incidents must be found. The first must have the right time, the affected class and tenant, the engine that was
+// down, and the gap in the records of one router.
 func TestIncidentsAreFound(t *testing.T) {
 	f := newFleet(3, []float64{0, 120, -80}, []float64{0, 0, 0})
-	playTwoIncidents(f)
+	addTwoIncidents(f)
 	timeline := f.joiner.Timeline()
 	if len(timeline.Incidents) != 2 {
 		t.Fatalf("%+v", timeline.Incidents)
@@ -144,7 +149,7 @@
 	first := timeline.Incidents[0]
 	from, to := (first.FromMS-timeline.FromMS)/1000, (first.ToMS-timeline.FromMS)/1000
 	if math.Abs(from-59) > 3 || math.Abs(to-75) > 4 {
-		t.Errorf("from %.0f s to %.0f s", from, to)
+		t.Errorf("first incident from %.0f s to %.0f s, want 59 s to 75 s", from, to)
 	}
 	worst := first.Impacts[0]
 	if worst.Class != "lookup" || worst.Tenant != "a" {
@@ -156,12 +161,12 @@
 	if gaps := countGaps(timeline, "n2", 6000); gaps != 1 {
 		t.Errorf("gaps: %+v", timeline.Gaps)
 	}
-	if down := countDown(timeline, "s-00000001", first); down != 3 {
-		t.Errorf("the engine was down for %d routers", down)
+	if down := countDownSpans(timeline, "s-00000001", first); down != 3 {
+		t.Errorf("the engine was down for %d routers, want 3", down)
 	}
 }
 
-// countGaps counts the gaps of a router that are longer than leastMS.
+// countGaps returns the number of gaps of a router that are longer than leastMS.
 func countGaps(timeline *Timeline, router string, leastMS float64) (gaps int) {
 	for _, gap := range timeline.Gaps {
 		if gap.Router == router && gap.ToMS-gap.FromMS > leastMS {
@@ -171,8 +176,8 @@
 	return gaps
 }
 
-// countDown counts the spans of an incident in which an engine was down.
-func countDown(timeline *Timeline, engineID string, in Incident) (spans int) {
+// countDownSpans returns the number of spans in an incident in which an engine was down.
+func countDownSpans(timeline *Timeline, engineID string, in Incident) (spans int) {
 	for _, engine := range timeline.Engines {
 		for _, span := range engine.Spans {
 			overlaps := span.FromMS < in.ToMS && span.ToMS > in.FromMS
@@ -184,19 +189,20 @@
 	return spans
 }
 
-// Two processes of a hot restart have one router's name, and the successor may share no event with any other.
-func TestTwoProcessesOfARouter(t *testing.T) {
+// After a hot restart, the successor may share no event with any other process. It must then get the clock of its
+// predecessor, which has the same router name, with a larger uncertainty.
+func TestSuccessorWithoutSharedEventsUsesPredecessorClock(t *testing.T) {
 	f := newFleet(5, []float64{0, 300}, []float64{0, 0})
-	next := &testRouter{header: f.routers[1].header, offset: 300}
-	next.header.ProcessID, next.header.Incarnation = "p1b", 3
+	successor := &testRouter{header: f.routers[1].header, offsetMS: 300}
+	successor.header.ProcessID, successor.header.Incarnation = "p1b", 3
 	for i := range 60 {
 		if i == 30 {
-			f.routers[1] = next
+			f.routers[1] = successor
 		}
 		if i < 25 && i%4 == 0 {
-			f.change(float64(1000*i), fmt.Sprintf("s-%08x", i), record.Gone)
+			f.addEngineChange(float64(1000*i), fmt.Sprintf("s-%08x", i), record.Gone)
 		}
-		f.second(float64(1000*i), 0, -1)
+		f.addSecond(float64(1000*i), 0, -1)
 	}
 	timeline := f.joiner.Timeline()
 	if len(timeline.Processes) != 3 || timeline.Processes[2].Router != "n1" || timeline.Processes[2].Incarnation != 3 {
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-func startTestWriter(t *testing.T, cfg Config, failed func(error)) *Writer {
+// startWriterForTest starts a writer with default sizes where cfg has none. onDiskChange may be nil.
+func startWriterForTest(t *testing.T, cfg Config, onDiskChange func(error)) *Writer {
 	t.Helper()
 	if cfg.SegmentMB == 0 {
 		cfg.SegmentMB = DefaultConfig.SegmentMB
@@ -18,20 +19,22 @@
 	if cfg.TotalMB == 0 {
 		cfg.TotalMB = DefaultConfig.TotalMB
 	}
-	if failed == nil {
-		failed = func(err error) { t.Log(err) }
+	if onDiskChange == nil {
+		onDiskChange = func(err error) { t.Log(err) }
 	}
 	header := Header{Router: "n/0", Incarnation: 2, ProcessID: "1.a"}
-	return StartWriter(cfg, header, func() float64 { return 5000 }, failed)
+	return StartWriter(cfg, header, func() float64 { return 5000 }, onDiskChange)
 }
 
-func readDir(t *testing.T, dir string) (records int, gaps int, read []SegmentResult) {
+// readDir reads all segments in dir. It returns the number of records other than gaps, and the total that the gaps
+// count.
+func readDir(t *testing.T, dir string) (records int, gaps int, results []SegmentResult) {
 	t.Helper()
 	files, err := SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err = ReadSegments(files, func(_ *Header, r Record) error {
+	results, err = ReadSegments(files, func(_ *Header, r Record) error {
 		if g, ok := r.(*Gap); ok {
 			gaps += g.Dropped
 		} else {
@@ -42,13 +45,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return records, gaps, read
+	return records, gaps, results
 }
 
-// Segments are closed at their size and the oldest are deleted; each record is written or counted as dropped.
+// A segment is closed when it is full, and the oldest segments are deleted to stay within the total size. Each record
+// is either written or counted as dropped.
 func TestWriterRotatesSegmentsWithinTheTotalSize(t *testing.T) {
 	dir := t.TempDir()
-	w := startTestWriter(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
+	w := startWriterForTest(t, Config{Dir: dir, SegmentMB: 0.0625, TotalMB: 0.25}, nil)
 	const n = 20000
 	for i := range n {
 		w.Put(&RequestFailure{
@@ -60,7 +64,7 @@
 	}
 	w.Close()
 	if got := w.Counters.Written.Load() + w.Counters.Dropped.Load(); got != n {
-		t.Errorf("%d records were put, %d written or counted as dropped", n, got)
+		t.Errorf("%d records were put, but %d were written or counted as dropped", n, got)
 	}
 	files, _ := SegmentFiles(dir)
 	var total int64
@@ -69,14 +73,14 @@
 		total += info.Size()
 	}
 	if total > 512<<10 || len(files) < 2 || w.Counters.Segments.Load() <= int64(len(files)) {
-		t.Errorf("%d bytes in %d files of %d segments", total, len(files), w.Counters.Segments.Load())
+		t.Errorf("%d bytes in %d files are left of %d segments", total, len(files), w.Counters.Segments.Load())
 	}
 	if _, _, read := readDir(t, dir); read[len(read)-1].Err != nil || read[len(read)-1].Header.Router != "n/0" {
 		t.Error(read[len(read)-1])
 	}
 }
 
-// A record that does not fit the queue is dropped and counted in a gap.
+// A record that does not fit into the queue must be dropped and counted in a Gap.
 func TestWriterCountsDroppedRecords(t *testing.T) {
 	dir := t.TempDir()
 	w := &Writer{
@@ -94,44 +98,45 @@
 	go w.run()
 	w.Close()
 	if records, gaps, _ := readDir(t, dir); records != 4 || gaps != 6 {
-		t.Errorf("%d records, and gaps of %d", records, gaps)
+		t.Errorf("got %d records and %d dropped ones, want 4 and 6", records, gaps)
 	}
 }
 
-// A disk that fails costs records and is reported once; recording continues when the disk works again. It guards
-// against a router that ends, or blocks, because of its records.
+// Guards against a router that stops or blocks because its records can't be written. While the disk fails, records are
+// dropped and the failure is reported once; recording continues when the disk works again, and when the folder is
+// removed while a segment is open.
 func TestWriterRecoversFromDiskFailure(t *testing.T) {
 	base := t.TempDir()
 	dir := filepath.Join(base, "records")
-	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no folder can be made there
+	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the folder
 		t.Fatal(err)
 	}
-	var reports atomic.Int64
-	back := make(chan struct{})
-	w := startTestWriter(t, Config{Dir: dir}, func(err error) {
-		if reports.Add(1); err == nil {
-			close(back)
+	var reportCount atomic.Int64
+	recovered := make(chan struct{})
+	w := startWriterForTest(t, Config{Dir: dir}, func(err error) {
+		if reportCount.Add(1); err == nil {
+			close(recovered)
 		}
 	})
 	for w.Counters.Failures.Load() < 2 {
 		w.Put(&Event{Name: "lost"})
 		time.Sleep(5 * time.Millisecond)
 	}
-	if reports.Load() != 1 {
-		t.Errorf("%d reports of a disk that failed twice", reports.Load())
+	if reportCount.Load() != 1 {
+		t.Errorf("got %d reports for two consecutive failures, want 1", reportCount.Load())
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	for waiting := true; waiting; {
+	for failing := true; failing; {
 		w.Put(&Event{Name: "kept"})
 		select {
-		case <-back:
-			waiting = false
+		case <-recovered:
+			failing = false
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	// The folder is removed once more, under an open segment.
+	// Removes the folder while a segment is open.
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -141,6 +146,6 @@
 	}
 	w.Close()
 	if _, gaps, read := readDir(t, dir); gaps == 0 && len(read) == 0 {
-		t.Error("nothing was recorded after the disk was back")
+		t.Error("nothing was recorded after the disk recovered")
 	}
 }
