--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -173,7 +173,7 @@
 }
 
 // runScaleScenario plays a scenario, checks its outcome and returns its figures.
-func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.Scale {
+func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.SimulatedDay {
 	t.Helper()
 	began := time.Now()
 	f := newFleetSimulation(t, scenario.fleet)
@@ -212,7 +212,7 @@
 	for name, figure := range figures {
 		figures[name] = math.Round(figure*1000) / 1000
 	}
-	return capacity.Scale{
+	return capacity.SimulatedDay{
 		Name:    scenario.name,
 		Routers: scenario.fleet.routers,
 		Engines: scenario.fleet.engines,
@@ -298,18 +298,18 @@
 }
 
 // writeScale writes results into the file, in place of the former ones of the same names.
-func writeScale(t *testing.T, results ...capacity.Scale) {
+func writeScale(t *testing.T, results ...capacity.SimulatedDay) {
 	t.Helper()
 	path := filepath.Join("..", "docs", "capacity", "scale.json")
-	var old []capacity.Scale
+	var old []capacity.SimulatedDay
 	text, err := os.ReadFile(path)
 	if err == nil {
-		old, err = capacity.ParseScales(text)
+		old, err = capacity.ParseSimulatedDays(text)
 	} else if os.IsNotExist(err) {
 		err = nil
 	}
 	if err == nil {
-		text, err = capacity.FormatScales(capacity.MergeScales(old, results))
+		text, err = capacity.FormatSimulatedDays(capacity.MergeSimulatedDays(old, results))
 	}
 	if err == nil {
 		err = os.WriteFile(path, text, 0o644)
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -117,7 +117,7 @@
 	}
 	figures["one engine less: share of places moved"] = math.Round(1000*share) / 1000
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
-		writeScale(t, capacity.Scale{
+		writeScale(t, capacity.SimulatedDay{
 			Name: "near sets", Routers: scaleRouters, Engines: scaleEngines, Zones: 6, Figures: figures,
 			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom",
 			Test:       "windflow/dispatch TestSubsetsOfLargeFleet",
--- a/internal/capacity/encoded_test.go
+++ b/internal/capacity/encoded_test.go
@@ -9,7 +9,7 @@
 // encodedTypes returns the types of this package that are encoded as JSON outside the process. The types of their
 // fields are found by reflection.
 func encodedTypes() []any {
-	return []any{Slope{}, Scale{}}
+	return []any{Slope{}, SimulatedDay{}}
 }
 
 // Each encoded field has a tag with its encoded name, so that the name in the code can change.
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -40,16 +40,16 @@
 	return table.String()
 }
 
-// ErrMarks is the error for a page whose marks do not match the scenarios.
-var ErrMarks = errors.New("marks of tables")
+// ErrMarkers is the error for a page whose marks do not match the scenarios.
+var ErrMarkers = errors.New("marks of tables")
 
-// Update returns the page with all tables written anew. It fails with ErrMarks for a scenario without its marks and
+// Update returns the page with all tables written anew. It fails with ErrMarkers for a scenario without its marks and
 // for marks without their scenario.
 func (m Measurements) Update(page string, scenarios []Scenario) (string, error) {
 	lines := strings.Split(page, "\n")
 	positions, faults := findTables(lines, scenarios)
 	if len(faults) > 0 {
-		return "", fmt.Errorf("%w: %s", ErrMarks, strings.Join(faults, "; "))
+		return "", fmt.Errorf("%w: %s", ErrMarkers, strings.Join(faults, "; "))
 	}
 	var updated []string
 	last := 0
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	scales, err := ParseScales(read(t, "docs", "capacity", "scale.json"))
+	scales, err := ParseSimulatedDays(read(t, "docs", "capacity", "scale.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	}
 	m := Measurements{
 		[]Slope{s},
-		[]Scale{
+		[]SimulatedDay{
 			{
 				Name: "day", Routers: Routers, Engines: Engines, Zones: Zones,
 				Figures: map[string]float64{"served": 0.987}, Conditions: "c", Test: "T",
@@ -280,7 +280,7 @@
 		},
 	} {
 		got, err := m.Update(test.page, rows)
-		if got != "" || !errors.Is(err, ErrMarks) || !strings.Contains(err.Error(), test.want) {
+		if got != "" || !errors.Is(err, ErrMarkers) || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%s: %q, error %v, want %s", test.name, got, err, test.want)
 		}
 	}
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -88,7 +88,7 @@
 // Measurements are what rows are computed from.
 type Measurements struct {
 	Slopes      []Slope
-	Simulations []Scale
+	Simulations []SimulatedDay
 }
 
 // Figure is the computed figure of a row.
@@ -136,7 +136,7 @@
 		cost -= slope.Intercept
 	}
 	figure.Value += cost * term.factor
-	if largest := slope.Largest(); largest > 0 {
+	if largest := slope.LargestSize(); largest > 0 {
 		figure.Extrapolation = max(figure.Extrapolation, term.size/largest)
 	} else if term.size > 0 {
 		figure.Extrapolation = math.Inf(1)
@@ -163,12 +163,12 @@
 	return Slope{}, false
 }
 
-func (m Measurements) simulated(name, figure string) (value float64, day Scale, ok bool) {
+func (m Measurements) simulated(name, figure string) (value float64, day SimulatedDay, ok bool) {
 	for _, day := range m.Simulations {
 		if day.Name == name {
 			value, ok := day.Figures[figure]
 			return value, day, ok
 		}
 	}
-	return 0, Scale{}, false
+	return 0, SimulatedDay{}, false
 }
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Scale has the figures of a day that a test simulated at one size.
-type Scale struct {
+// SimulatedDay has the figures of a day that a test simulated at one size.
+type SimulatedDay struct {
 	Name       string             `json:"name"` // of the day, unique in the file; what rows refer to
 	Routers    int                `json:"routers"`
 	Engines    int                `json:"engines"`
@@ -19,16 +19,16 @@
 	Test       string             `json:"test"`
 }
 
-// ParseScales reads the text of scale.json: a list of days with all fields and no others, names unique. An error
+// ParseSimulatedDays reads the text of scale.json: a list of days with all fields and no others, names unique. An error
 // names the index in the list, the day and the field.
-func ParseScales(text []byte) ([]Scale, error) {
+func ParseSimulatedDays(text []byte) ([]SimulatedDay, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
 		return nil, fmt.Errorf("scales: %w", err)
 	}
-	var out []Scale
+	var out []SimulatedDay
 	for i, item := range items {
-		var parsed Scale
+		var parsed SimulatedDay
 		var named struct{ Name any }
 		_ = json.Unmarshal(item, &named) // for the error message; the errors of the item are found below
 		err := decodeObject(item, map[string]any{
@@ -43,7 +43,7 @@
 			err = fmt.Errorf("routers, engines or zones: is below 1")
 		case len(parsed.Figures) == 0:
 			err = fmt.Errorf("figures: are none")
-		case slices.ContainsFunc(out, func(o Scale) bool { return o.Name == parsed.Name }):
+		case slices.ContainsFunc(out, func(o SimulatedDay) bool { return o.Name == parsed.Name }):
 			err = fmt.Errorf("name: is there twice")
 		}
 		if err != nil {
@@ -54,9 +54,9 @@
 	return out, nil
 }
 
-// FormatScales returns the text of scale.json, sorted by name. It fails for days that ParseScales rejects.
-func FormatScales(scales []Scale) ([]byte, error) {
-	scales = slices.SortedFunc(slices.Values(scales), func(a, b Scale) int { return cmp.Compare(a.Name, b.Name) })
+// FormatSimulatedDays returns the text of scale.json, sorted by name. It fails for days that ParseSimulatedDays rejects.
+func FormatSimulatedDays(scales []SimulatedDay) ([]byte, error) {
+	scales = slices.SortedFunc(slices.Values(scales), func(a, b SimulatedDay) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
@@ -64,16 +64,16 @@
 	if err := enc.Encode(scales); err != nil {
 		return nil, fmt.Errorf("scales: %w", err)
 	}
-	if _, err := ParseScales(out.Bytes()); err != nil {
+	if _, err := ParseSimulatedDays(out.Bytes()); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
 }
 
-// MergeScales returns the old days with fresh ones added; those with the same names are replaced.
-func MergeScales(old, fresh []Scale) []Scale {
-	out := slices.DeleteFunc(slices.Clone(old), func(s Scale) bool {
-		return slices.ContainsFunc(fresh, func(f Scale) bool { return f.Name == s.Name })
+// MergeSimulatedDays returns the old days with fresh ones added; those with the same names are replaced.
+func MergeSimulatedDays(old, fresh []SimulatedDay) []SimulatedDay {
+	out := slices.DeleteFunc(slices.Clone(old), func(s SimulatedDay) bool {
+		return slices.ContainsFunc(fresh, func(f SimulatedDay) bool { return f.Name == s.Name })
 	})
 	return append(out, fresh...)
 }
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -10,14 +10,14 @@
 
 // The error for a field that is missing, unknown or wrong names its position in the file.
 func TestScalesAreReadStrictly(t *testing.T) {
-	days, err := ParseScales([]byte("[" + oneDay + "]"))
+	days, err := ParseSimulatedDays([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
 		t.Fatal(days, err)
 	}
-	text, err := FormatScales(MergeScales(days, []Scale{
+	text, err := FormatSimulatedDays(MergeSimulatedDays(days, []SimulatedDay{
 		{Name: "n", Routers: 1, Engines: 1, Zones: 1, Figures: map[string]float64{"a": 1}, Conditions: "c", Test: "T"},
 	}))
-	if back, e := ParseScales(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
+	if back, e := ParseSimulatedDays(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
 		t.Error(string(text), err, e)
 	}
 	for _, k := range []struct{ old, new, want string }{
@@ -29,12 +29,12 @@
 		{`"test":"T"`, `"test":""`, `scales[0] "n": name, conditions or test: is empty`},
 	} {
 		changed := strings.Replace(oneDay, k.old, k.new, 1)
-		_, err := ParseScales([]byte("[" + changed + "]"))
+		_, err := ParseSimulatedDays([]byte("[" + changed + "]"))
 		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), k.want) {
 			t.Errorf("%s: %v, want %s", k.new, err, k.want)
 		}
 	}
-	_, err = ParseScales([]byte("[" + oneDay + "," + oneDay + "]"))
+	_, err = ParseSimulatedDays([]byte("[" + oneDay + "," + oneDay + "]"))
 	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is there twice`) {
 		t.Error(err)
 	}
@@ -42,17 +42,17 @@
 
 // Days that could not be read again are not written, and half a file is not read.
 func TestInvalidScalesAreRejected(t *testing.T) {
-	if _, err := ParseScales([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
+	if _, err := ParseSimulatedDays([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
 		t.Errorf("half a file: error %v", err)
 	}
-	day := Scale{
+	day := SimulatedDay{
 		Name: "n", Routers: 6, Engines: 12, Zones: 3, Conditions: "c", Test: "T",
 		Figures: map[string]float64{"served": 0.9},
 	}
-	if text, err := FormatScales([]Scale{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
+	if text, err := FormatSimulatedDays([]SimulatedDay{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
 		t.Errorf("a valid day: %s, error %v", text, err)
 	}
-	withFigure := func(value float64) Scale {
+	withFigure := func(value float64) SimulatedDay {
 		changed := day
 		changed.Figures = map[string]float64{"served": value}
 		return changed
@@ -61,14 +61,14 @@
 	withoutTest.Test = ""
 	for _, test := range []struct {
 		name string
-		days []Scale
+		days []SimulatedDay
 		want string
 	}{
-		{"the same name twice", []Scale{day, day}, `scales[1] "n": name: is there twice`},
-		{"no test", []Scale{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
-		{"a figure that JSON can't hold", []Scale{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
+		{"the same name twice", []SimulatedDay{day, day}, `scales[1] "n": name: is there twice`},
+		{"no test", []SimulatedDay{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
+		{"a figure that JSON can't hold", []SimulatedDay{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
 	} {
-		text, err := FormatScales(test.days)
+		text, err := FormatSimulatedDays(test.days)
 		if text != nil || err == nil || !strings.HasPrefix(err.Error(), test.want) {
 			t.Errorf("%s: %q, error %v, want %s", test.name, text, err, test.want)
 		}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -15,7 +15,7 @@
 // Slope is a cost against a size, as a test measured it.
 type Slope struct {
 	Name       string  `json:"name"` // unique in the file; what rows refer to
-	Of         string  `json:"of"`   // whose cost: router, keeper or board
+	Role       string  `json:"of"`   // whose cost: router, keeper or board
 	X          string  `json:"x"`    // the size, with its unit
 	Y          string  `json:"y"`    // the cost, with its unit
 	Points     Points  `json:"points"`
@@ -32,8 +32,8 @@
 // At is the cost at a size, on the line; in the unit of Y.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// Largest is the largest size that was measured, in the unit of X.
-func (s Slope) Largest() float64 {
+// LargestSize is the largest size that was measured, in the unit of X.
+func (s Slope) LargestSize() float64 {
 	most := math.Inf(-1)
 	for _, p := range s.Points {
 		most = max(most, p[0])
@@ -68,7 +68,7 @@
 
 // NewSlope fits points and checks the result as ParseSlopes does.
 func NewSlope(name, of, x, y string, points [][2]float64, conditions, test string) (Slope, error) {
-	s := Slope{Name: name, Of: of, X: x, Y: y, Points: points, Conditions: conditions, Test: test}
+	s := Slope{Name: name, Role: of, X: x, Y: y, Points: points, Conditions: conditions, Test: test}
 	s.Intercept, s.Slope, s.Residual = Fit(points)
 	return s, s.check()
 }
@@ -77,7 +77,7 @@
 func (s Slope) check() error {
 	for _, k := range []struct{ field, value string }{
 		{"name", s.Name},
-		{"of", s.Of},
+		{"of", s.Role},
 		{"x", s.X},
 		{"y", s.Y},
 		{"conditions", s.Conditions},
@@ -130,7 +130,7 @@
 		var named struct{ Name any }
 		_ = json.Unmarshal(item, &named) // for the error message; the errors of the item are found below
 		err := decodeObject(item, map[string]any{
-			"name": &parsed.Name, "of": &parsed.Of, "x": &parsed.X, "y": &parsed.Y, "points": &parsed.Points,
+			"name": &parsed.Name, "of": &parsed.Role, "x": &parsed.X, "y": &parsed.Y, "points": &parsed.Points,
 			"intercept": &parsed.Intercept, "slope": &parsed.Slope, "largest_residual": &parsed.Residual,
 			"conditions": &parsed.Conditions, "test": &parsed.Test,
 		})
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -66,7 +66,7 @@
 // The error for a field that is missing, unknown or wrong names its position in the file.
 func TestSlopesAreReadStrictly(t *testing.T) {
 	slopes, err := ParseSlopes([]byte("[" + oneSlope + "]"))
-	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].Largest() != 4 {
+	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].LargestSize() != 4 {
 		t.Fatal(slopes, err)
 	}
 	again, err := FormatSlopes(slopes)
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -302,7 +302,7 @@
 		dir = filepath.Join("..", "..", dir)
 	}
 	path := filepath.Join(dir, "scale.json")
-	day := capacity.Scale{
+	day := capacity.SimulatedDay{
 		Name: "configuration by revision", Routers: f.size.real + f.size.simulated, Engines: f.size.engines,
 		Zones: len(Zones), Figures: map[string]float64{}, Test: "windflow/internal/fleettest " + f.t.Name(),
 		Conditions: fmt.Sprintf("%d keepers, %d real and %d simulated routers, %d changes of one entry, "+
@@ -314,15 +314,15 @@
 	for name, v := range f.figures {
 		day.Figures[name] = math.Round(v*1000) / 1000
 	}
-	var old []capacity.Scale
+	var old []capacity.SimulatedDay
 	text, err := os.ReadFile(path)
 	if err == nil {
-		old, err = capacity.ParseScales(text)
+		old, err = capacity.ParseSimulatedDays(text)
 	} else if os.IsNotExist(err) {
 		err = nil
 	}
 	if err == nil {
-		text, err = capacity.FormatScales(capacity.MergeScales(old, []capacity.Scale{day}))
+		text, err = capacity.FormatSimulatedDays(capacity.MergeSimulatedDays(old, []capacity.SimulatedDay{day}))
 	}
 	if err == nil {
 		err = os.WriteFile(path, text, 0o644)
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -148,7 +148,7 @@
 func TestReadinessWithoutDescriptor(t *testing.T) {
 	r := New(t)
 	b := NewDiscoveryServer(t, nil)
-	c := Config{Name: "n0", Listen: FreePort(t), Discovery: b.Addr}
+	c := Config{Name: "n0", Listen: FreeAddress(t), Discovery: b.Addr}
 	path := filepath.Join(r.Dir, "n0.json")
 	if err := os.WriteFile(path, c.Text(), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -30,7 +30,7 @@
 // Keeper is one of them.
 type Keeper struct {
 	*Process
-	ID, HTTP, Raft string
+	ID, HTTPAddr, RaftAddr string
 
 	args []string
 }
@@ -45,12 +45,12 @@
 		r.T.Fatal(err)
 	}
 	for i := range n {
-		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTP: FreePort(r.T), Raft: FreePort(r.T)})
+		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTPAddr: FreeAddress(r.T), RaftAddr: FreeAddress(r.T)})
 	}
 	for i, m := range keepers.Members {
 		var peers []string
 		for j, p := range keepers.Members {
-			raft, http := p.Raft, p.HTTP
+			raft, http := p.RaftAddr, p.HTTPAddr
 			if i != j {
 				links := []*Relay{NewRelay(r.T, raft), NewRelay(r.T, http)}
 				keepers.links[[2]int{i, j}] = links
@@ -59,7 +59,7 @@
 			peers = append(peers, p.ID+"="+raft+"/"+http)
 		}
 		m.args = []string{
-			"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTP, "--raft", m.Raft,
+			"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTPAddr, "--raft", m.RaftAddr,
 			"--peers", strings.Join(peers, ","), "--base", file,
 		}
 		keepers.launch(i)
@@ -126,7 +126,7 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+m.HTTP+path, body)
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+m.HTTPAddr+path, body)
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 	tb.Helper()
 	d := &ZoneLinks{}
 	for _, m := range k.Members {
-		d.Relays = append(d.Relays, NewRelay(tb, m.HTTP))
+		d.Relays = append(d.Relays, NewRelay(tb, m.HTTPAddr))
 	}
 	return d
 }
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -100,7 +100,7 @@
 func (r *Harness) Router(config Config) *Router {
 	r.T.Helper()
 	if config.Listen == "" {
-		config.Listen = FreePort(r.T)
+		config.Listen = FreeAddress(r.T)
 	}
 	process := &Router{Config: config, path: filepath.Join(r.Dir, config.Name+".json")}
 	process.write(r.T)
@@ -170,9 +170,9 @@
 // servers that have ended, and the system assigns a port again.
 func listen() (net.Listener, error) { return net.Listen("tcp", nextLoopbackIP()+":0") }
 
-// FreePort returns a loopback address for a process to listen at. Each has an IP address of its own, which the system
+// FreeAddress returns a loopback address for a process to listen at. Each has an IP address of its own, which the system
 // uses for no outgoing connection, so that it stays free until the process listens, and while it is restarted.
-func FreePort(tb testing.TB) string {
+func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	for range 1000 {
 		addr := nextLoopbackIP() + ":7500"
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -239,7 +239,7 @@
 		}
 		size := 0
 		for size == 0 { // 204 while the name is new
-			a, err := httpClient.Post("http://"+g.keepers.Members[0].HTTP+"/v1/follow", "application/json", bytes.NewReader(q))
+			a, err := httpClient.Post("http://"+g.keepers.Members[0].HTTPAddr+"/v1/follow", "application/json", bytes.NewReader(q))
 			if err != nil {
 				t.Fatal(err)
 			}
