--- a/internal/capacity/check.go
+++ b/internal/capacity/check.go
@@ -23,7 +23,7 @@
 
 func (m Measurements) checkTable(lines []string, scenario Scenario, packageExists func(string) bool) (faults []string) {
 	onPage, faults := parseRows(lines, scenario.Key)
-	if len(lines) < headLines || !slices.Equal(splitCells(lines[0]), columns) {
+	if len(lines) < headerLines || !slices.Equal(splitCells(lines[0]), columns) {
 		faults = append(faults, scenario.Key+": the table's head is not "+strings.Join(columns, ", "))
 	}
 	for _, row := range scenario.Rows {
@@ -50,7 +50,7 @@
 func parseRows(lines []string, key string) (rows map[string][]string, faults []string) {
 	rows = map[string][]string{}
 	for i, line := range lines {
-		if i < headLines {
+		if i < headerLines {
 			continue
 		}
 		cells := splitCells(line)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,9 +9,9 @@
 
 // A table of a page is between two lines: beginMark with its scenario's key and markTail, and endMark.
 const (
-	beginMark = "<!-- capacity: "
-	endMark   = "<!-- /capacity -->"
-	markTail  = " -->"
+	beginMarker  = "<!-- capacity: "
+	endMarker    = "<!-- /capacity -->"
+	markerSuffix = " -->"
 )
 
 // Columns of the tables, by index.
@@ -28,7 +28,7 @@
 var columns = []string{"role", "what", "figure", "budget", "status", "from", "carried by"}
 
 // headLines is the number of lines before a table's rows.
-const headLines = 2
+const headerLines = 2
 
 // Table returns the text of a scenario's table.
 func (m Measurements) Table(scenario Scenario) string {
@@ -79,14 +79,14 @@
 func findTables(lines []string, scenarios []Scenario) (positions []tablePosition, faults []string) {
 	finder := &tableFinder{scenarios: scenarios, seen: map[string]bool{}}
 	for i := 0; i < len(lines); i++ {
-		key, ok := strings.CutPrefix(lines[i], beginMark)
+		key, ok := strings.CutPrefix(lines[i], beginMarker)
 		if !ok {
-			if lines[i] == endMark {
+			if lines[i] == endMarker {
 				finder.faults = append(finder.faults, fmt.Sprintf("line %d: an end without its begin", i+1))
 			}
 			continue
 		}
-		key = strings.TrimSuffix(key, markTail)
+		key = strings.TrimSuffix(key, markerSuffix)
 		end, ok := findEnd(lines, i+1)
 		if !ok {
 			return finder.positions, append(finder.faults, fmt.Sprintf("table %q: has no end", key))
@@ -105,10 +105,10 @@
 // findEnd returns the next line with an end mark, and false where another table begins before it.
 func findEnd(lines []string, first int) (line int, ok bool) {
 	for i, text := range lines[first:] {
-		if text == endMark {
+		if text == endMarker {
 			return first + i, true
 		}
-		if strings.HasPrefix(text, beginMark) {
+		if strings.HasPrefix(text, beginMarker) {
 			return 0, false
 		}
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -14,7 +14,7 @@
 
 const root = "../.."
 
-func read(t *testing.T, path ...string) []byte {
+func readFile(t *testing.T, path ...string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(append([]string{root}, path...)...))
 	if err != nil {
@@ -23,13 +23,13 @@
 	return text
 }
 
-func measured(t *testing.T) Measurements {
+func readMeasurements(t *testing.T) Measurements {
 	t.Helper()
-	slopes, err := ParseSlopes(read(t, "docs", "capacity", "slopes.json"))
+	slopes, err := ParseSlopes(readFile(t, "docs", "capacity", "slopes.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	scales, err := ParseSimulatedDays(read(t, "docs", "capacity", "scale.json"))
+	scales, err := ParseSimulatedDays(readFile(t, "docs", "capacity", "scale.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,19 +49,19 @@
 
 // Each row of the pages has the figure, the status and the mechanism that the measurements result in.
 func TestCapacityPages(t *testing.T) {
-	m := measured(t)
+	m := readMeasurements(t)
 	for _, p := range pages {
 		t.Run(p.path, func(t *testing.T) {
-			page := string(read(t, p.path))
+			page := string(readFile(t, p.path))
 			if *update {
-				fresh, err := m.Update(page, p.scenarios())
+				updated, err := m.Update(page, p.scenarios())
 				if err == nil {
-					err = os.WriteFile(filepath.Join(root, p.path), []byte(fresh), 0o644)
+					err = os.WriteFile(filepath.Join(root, p.path), []byte(updated), 0o644)
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
-				page = fresh
+				page = updated
 			}
 			for _, fault := range m.Check(page, p.scenarios(), packageExists) {
 				t.Error(fault)
@@ -98,7 +98,7 @@
 
 // example returns a small page of known measurements: a slope of 2 ms a router from 100 to 400, and a day of 600
 // routers.
-func example(t *testing.T) (Measurements, []Scenario, string) {
+func exampleMeasurements(t *testing.T) (Measurements, []Scenario, string) {
 	t.Helper()
 	s, err := NewSlope("a", "router", "routers", "ms", [][2]float64{
 		{100, 210}, {200, 410}, {300, 610}, {400, 810},
@@ -130,15 +130,15 @@
 			Mechanism: "a hop", Packages: []string{NotBuilt},
 		},
 	}}}
-	page, err := m.Update("head\n"+beginMark+"one"+markTail+"\nold\n"+endMark+"\ntail\n", rows)
+	page, err := m.Update("head\n"+beginMarker+"one"+markerSuffix+"\nold\n"+endMarker+"\ntail\n", rows)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m, rows, page
 }
 
-func TestTableOfKnownMeasurements(t *testing.T) {
-	m, rows, page := example(t)
+func TestTableFromKnownMeasurements(t *testing.T) {
+	m, rows, page := exampleMeasurements(t)
 	want := `head
 <!-- capacity: one -->
 | role | what | figure | budget | status | from | carried by |
@@ -163,7 +163,7 @@
 }
 
 // pageFaults are changes of the example's page, with the fault that the check reports of each.
-var pageFaults = []struct{ name, old, new, want string }{
+var pageFaultTests = []struct{ name, old, new, want string }{
 	{
 		"a wrong figure", "810 ms", "801 ms",
 		`one, router: within: the figure is "801 ms", the measurements give "810 ms"`,
@@ -215,31 +215,31 @@
 }
 
 // The check finds each kind of fault and reports its row.
-func TestCheckFindsFaults(t *testing.T) {
-	for _, k := range pageFaults {
-		t.Run(k.name, func(t *testing.T) {
-			m, rows, page := example(t)
-			changed := strings.Replace(page, k.old, k.new, 1)
+func TestCheckReportsFaults(t *testing.T) {
+	for _, test := range pageFaultTests {
+		t.Run(test.name, func(t *testing.T) {
+			m, rows, page := exampleMeasurements(t)
+			changed := strings.Replace(page, test.old, test.new, 1)
 			if changed == page {
-				t.Fatal(k.old, "is not on the page")
+				t.Fatal(test.old, "is not on the page")
 			}
 			faults := strings.Join(m.Check(changed, rows, packageExists), "\n")
-			if !strings.Contains(faults, k.want) {
-				t.Errorf("%q, want %q", faults, k.want)
+			if !strings.Contains(faults, test.want) {
+				t.Errorf("%q, want %q", faults, test.want)
 			}
 		})
 	}
 }
 
 // The check finds a page that differs from changed measurements or rows.
-func TestCheckFindsOutdatedPage(t *testing.T) {
-	m, rows, page := example(t)
+func TestCheckReportsOutdatedPage(t *testing.T) {
+	m, rows, page := exampleMeasurements(t)
 	m.Slopes[0].Slope = 2.5
 	checkFinds(t, m, page, rows, `within: is over its budget and does not say so`)
-	m, rows, page = example(t)
+	m, rows, page = exampleMeasurements(t)
 	m.Simulations[0].Routers = Routers / 5
 	checkFinds(t, m, page, rows, `day: is extrapolated to 5 times the largest size measured and does not say so`)
-	m, rows, page = example(t)
+	m, rows, page = exampleMeasurements(t)
 	rows[0].Rows[0].Mechanism = ""
 	rows[0].Rows[1].Packages = []string{"internal/nowhere"}
 	rows[0].Rows[2].Packages = []string{"dispatch", NotBuilt}
@@ -261,10 +261,10 @@
 }
 
 // A page whose marks do not match the scenarios is not written, and the error says where.
-func TestUpdateFindsFaultyMarks(t *testing.T) {
-	const begin = beginMark + "one" + markTail + "\n"
-	const end = endMark + "\n"
-	m, rows, page := example(t)
+func TestUpdateRejectsInvalidMarkers(t *testing.T) {
+	const begin = beginMarker + "one" + markerSuffix + "\n"
+	const end = endMarker + "\n"
+	m, rows, page := exampleMeasurements(t)
 	if again, err := m.Update(page, rows); err != nil || again != page {
 		t.Errorf("a second update gives another page, error %v", err)
 	}
@@ -275,7 +275,7 @@
 		{"a table within another", begin + begin + end, `table "one": has no end`},
 		{"the same table twice", begin + end + begin + end, `table "one": is there twice`},
 		{
-			"an unknown table", begin + end + beginMark + "two" + markTail + "\n" + end,
+			"an unknown table", begin + end + beginMarker + "two" + markerSuffix + "\n" + end,
 			`table "two": no rows are defined for it`,
 		},
 	} {
@@ -286,8 +286,8 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
-	for _, k := range []struct {
+func TestFormatNumber(t *testing.T) {
+	for _, test := range []struct {
 		x    float64
 		want string
 	}{
@@ -303,8 +303,8 @@
 		{600, "600"},
 		{128, "128"},
 	} {
-		if got := formatNumber(k.x); got != k.want {
-			t.Errorf("%v: %s, want %s", k.x, got, k.want)
+		if got := formatNumber(test.x); got != test.want {
+			t.Errorf("%v: %s, want %s", test.x, got, test.want)
 		}
 	}
 }
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -107,8 +107,8 @@
 		m.addTerm(&figure, term)
 	}
 	if len(row.Terms) == 1 {
-		only := row.Terms[0]
-		figure.Direct = only.factor == 1 && only.reason == ""
+		term := row.Terms[0]
+		figure.Direct = term.factor == 1 && term.reason == ""
 	}
 	figure.OverBudget = len(figure.Missing) == 0 && row.Budget > 0 && figure.Value > row.Budget
 	return figure
--- a/internal/capacity/rows_configuration.go
+++ b/internal/capacity/rows_configuration.go
@@ -1,7 +1,7 @@
 package capacity
 
 // inForce is the time until the last router had a revision in force, in a phase of dayConfiguration.
-func inForce(phase string) []Term {
+func timeInForce(phase string) []Term {
 	return []Term{Simulated(dayConfiguration, phase+", last ms").Times(secondsPerMillisecond)}
 }
 
@@ -86,12 +86,12 @@
 	},
 	{
 		Role: "operator", Subject: "from the call to in force at the last router, burst", Unit: unitSeconds,
-		Budget: InForceSeconds, Terms: inForce("a burst"),
+		Budget: InForceSeconds, Terms: timeInForce("a burst"),
 		Mechanism: "at least 500 ms between calls that bring changes", Packages: keeperPackages,
 	},
 	{
 		Role: "operator", Subject: "from the call to in force at the last router, burst, the leader killed",
-		Unit: unitSeconds, Budget: InForceSeconds, Terms: inForce("a burst, the leader killed halfway"),
+		Unit: unitSeconds, Budget: InForceSeconds, Terms: timeInForce("a burst, the leader killed halfway"),
 		Mechanism: "another leader within a second; retries with an idempotency key", Packages: keeperPackages,
 	},
 }
--- a/internal/capacity/rows_failures.go
+++ b/internal/capacity/rows_failures.go
@@ -1,12 +1,12 @@
 package capacity
 
 // removals is the cost of the removal of that many engines in a second, each in a change of its own.
-func removals(engines float64) []Term {
+func removalCost(engines float64) []Term {
 	return []Term{Line("router-cpu-by-list-changes", engines)}
 }
 
 // removalsInFrame is the cost of their removal in one frame.
-func removalsInFrame(engines float64) []Term {
+func removalCostInFrame(engines float64) []Term {
 	return []Term{
 		Line("router-cpu-by-engines", Engines),
 		Line("router-frame-cost-by-engines-told", engines).Times(percentPerMillisecond),
@@ -61,7 +61,7 @@
 var rackRows = []Row{
 	{
 		Role: "router", Subject: "processor time for control in the second in which a rack's 24 engines are removed",
-		Unit: unitPercent, Budget: RouterPercent, Terms: removals(rackEngines),
+		Unit: unitPercent, Budget: RouterPercent, Terms: removalCost(rackEngines),
 		Mechanism: "changes in place of lists", Packages: discoveryPackages,
 	},
 	{
--- a/internal/capacity/rows_region.go
+++ b/internal/capacity/rows_region.go
@@ -21,13 +21,13 @@
 	{
 		Role:    "router",
 		Subject: "processor time for control in the second in which 600 engines are removed or added, a change each",
-		Unit:    unitPercent, Budget: RouterPercent, Terms: removals(regionEngines),
+		Unit:    unitPercent, Budget: RouterPercent, Terms: removalCost(regionEngines),
 		Mechanism: "changes in place of lists", Packages: discoveryPackages,
 	},
 	{
 		Role:    "router",
 		Subject: "processor time for control in the second in which 600 engines are removed or added, in one frame",
-		Unit:    unitPercent, Budget: RouterPercent, Terms: removalsInFrame(regionEngines),
+		Unit:    unitPercent, Budget: RouterPercent, Terms: removalCostInFrame(regionEngines),
 		Mechanism: "one pass over the list per frame", Packages: discoveryPackages,
 	},
 	{
@@ -81,12 +81,12 @@
 	},
 	{
 		Role: "operator", Subject: "in force at the last router of the region with the majority", Unit: unitSeconds,
-		Budget: InForceSeconds, Terms: inForce("changes in the region with the majority, the other one cut off"),
+		Budget: InForceSeconds, Terms: timeInForce("changes in the region with the majority, the other one cut off"),
 		Mechanism: "a majority for each revision", Packages: keeperPackages,
 	},
 	{
 		Role: "operator", Subject: "regions reconnected: the last revision in force at the last router of the other",
-		Unit: unitSeconds, Budget: InForceSeconds, Terms: inForce("the region that was cut off, from the joining on"),
+		Unit: unitSeconds, Budget: InForceSeconds, Terms: timeInForce("the region that was cut off, from the joining on"),
 		Mechanism: "backoff with jitter, a delta or a snapshot", Packages: configurationPackages,
 	},
 	{
--- a/internal/capacity/rows_zone.go
+++ b/internal/capacity/rows_zone.go
@@ -5,18 +5,18 @@
 	{
 		Role: "router",
 		Subject: "processor time for control in the second in which a zone's 200 engines are removed or added, a " +
-			"change each", Unit: unitPercent, Budget: RouterPercent, Terms: removals(zoneEngines),
+			"change each", Unit: unitPercent, Budget: RouterPercent, Terms: removalCost(zoneEngines),
 		Mechanism: "changes in place of lists", Packages: discoveryPackages,
 	},
 	{
 		Role: "router",
 		Subject: "processor time for control in the second in which a zone's 200 engines are removed or added, in " +
-			"one frame", Unit: unitPercent, Budget: RouterPercent, Terms: removalsInFrame(zoneEngines),
+			"one frame", Unit: unitPercent, Budget: RouterPercent, Terms: removalCostInFrame(zoneEngines),
 		Mechanism: "one pass over the list per frame", Packages: discoveryPackages,
 	},
 	{
 		Role: "router", Subject: "processor time for control, a change each, mean of the ten seconds around",
-		Unit: unitPercent, Budget: RouterPercent, Terms: removals(zoneEngines / 10.0),
+		Unit: unitPercent, Budget: RouterPercent, Terms: removalCost(zoneEngines / 10.0),
 		Mechanism: "changes in place of lists", Packages: discoveryPackages,
 	},
 	{
@@ -64,7 +64,7 @@
 	},
 	{
 		Role: "operator", Subject: "a zone's routers return: the last revision in force at the last of them",
-		Unit: unitSeconds, Budget: InForceSeconds, Terms: inForce("a zone is back"),
+		Unit: unitSeconds, Budget: InForceSeconds, Terms: timeInForce("a zone is back"),
 		Mechanism: "backoff with jitter; each keeper serves followers", Packages: configurationPackages,
 	},
 	{
--- a/internal/capacity/scale.go
+++ b/internal/capacity/scale.go
@@ -26,7 +26,7 @@
 	if err := json.Unmarshal(text, &items); err != nil {
 		return nil, fmt.Errorf("scales: %w", err)
 	}
-	var out []SimulatedDay
+	var days []SimulatedDay
 	for i, item := range items {
 		var parsed SimulatedDay
 		var named struct{ Name any }
@@ -43,25 +43,25 @@
 			err = fmt.Errorf("routers, engines or zones: is below 1")
 		case len(parsed.Figures) == 0:
 			err = fmt.Errorf("figures: are none")
-		case slices.ContainsFunc(out, func(o SimulatedDay) bool { return o.Name == parsed.Name }):
+		case slices.ContainsFunc(days, func(o SimulatedDay) bool { return o.Name == parsed.Name }):
 			err = fmt.Errorf("name: is there twice")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("scales[%d] %q: %w", i, fmt.Sprint(named.Name), err)
 		}
-		out = append(out, parsed)
+		days = append(days, parsed)
 	}
-	return out, nil
+	return days, nil
 }
 
 // FormatSimulatedDays returns the text of scale.json, sorted by name. It fails for days that ParseSimulatedDays rejects.
-func FormatSimulatedDays(scales []SimulatedDay) ([]byte, error) {
-	scales = slices.SortedFunc(slices.Values(scales), func(a, b SimulatedDay) int { return cmp.Compare(a.Name, b.Name) })
+func FormatSimulatedDays(days []SimulatedDay) ([]byte, error) {
+	days = slices.SortedFunc(slices.Values(days), func(a, b SimulatedDay) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	enc.SetEscapeHTML(false)
-	enc.SetIndent("", "  ")
-	if err := enc.Encode(scales); err != nil {
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(days); err != nil {
 		return nil, fmt.Errorf("scales: %w", err)
 	}
 	if _, err := ParseSimulatedDays(out.Bytes()); err != nil {
@@ -71,9 +71,9 @@
 }
 
 // MergeSimulatedDays returns the old days with fresh ones added; those with the same names are replaced.
-func MergeSimulatedDays(old, fresh []SimulatedDay) []SimulatedDay {
-	out := slices.DeleteFunc(slices.Clone(old), func(s SimulatedDay) bool {
-		return slices.ContainsFunc(fresh, func(f SimulatedDay) bool { return f.Name == s.Name })
+func MergeSimulatedDays(old, updates []SimulatedDay) []SimulatedDay {
+	merged := slices.DeleteFunc(slices.Clone(old), func(s SimulatedDay) bool {
+		return slices.ContainsFunc(updates, func(f SimulatedDay) bool { return f.Name == s.Name })
 	})
-	return append(out, fresh...)
+	return append(merged, updates...)
 }
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -9,7 +9,7 @@
 const oneDay = `{"name":"n","routers":6,"engines":12,"zones":3,"figures":{"served":0.9},"conditions":"c","test":"T"}`
 
 // The error for a field that is missing, unknown or wrong names its position in the file.
-func TestScalesAreReadStrictly(t *testing.T) {
+func TestParseSimulatedDaysRejectsInvalidFields(t *testing.T) {
 	days, err := ParseSimulatedDays([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
 		t.Fatal(days, err)
@@ -20,7 +20,7 @@
 	if back, e := ParseSimulatedDays(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
 		t.Error(string(text), err, e)
 	}
-	for _, k := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"zones":3,`, ``, `scales[0] "n": zones: is missing`},
 		{`"zones":3`, `"zones":3,"regions":2`, `scales[0] "n": regions: is not known`},
 		{`"zones":3`, `"zones":"x"`, `scales[0] "n": zones: json`},
@@ -28,10 +28,10 @@
 		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: are none`},
 		{`"test":"T"`, `"test":""`, `scales[0] "n": name, conditions or test: is empty`},
 	} {
-		changed := strings.Replace(oneDay, k.old, k.new, 1)
+		changed := strings.Replace(oneDay, test.old, test.new, 1)
 		_, err := ParseSimulatedDays([]byte("[" + changed + "]"))
-		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), k.want) {
-			t.Errorf("%s: %v, want %s", k.new, err, k.want)
+		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.new, err, test.want)
 		}
 	}
 	_, err = ParseSimulatedDays([]byte("[" + oneDay + "," + oneDay + "]"))
@@ -41,7 +41,7 @@
 }
 
 // Days that could not be read again are not written, and half a file is not read.
-func TestInvalidScalesAreRejected(t *testing.T) {
+func TestInvalidSimulatedDaysAreRejected(t *testing.T) {
 	if _, err := ParseSimulatedDays([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
 		t.Errorf("half a file: error %v", err)
 	}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -34,11 +34,11 @@
 
 // LargestSize is the largest size that was measured, in the unit of X.
 func (s Slope) LargestSize() float64 {
-	most := math.Inf(-1)
+	largest := math.Inf(-1)
 	for _, p := range s.Points {
-		most = max(most, p[0])
+		largest = max(largest, p[0])
 	}
-	return most
+	return largest
 }
 
 // Fit fits a line to points by least squares. The largest residual is the largest distance in y of a point from it, in
@@ -75,7 +75,7 @@
 
 // check returns an error for a slope that can't be computed with.
 func (s Slope) check() error {
-	for _, k := range []struct{ field, value string }{
+	for _, check := range []struct{ field, value string }{
 		{"name", s.Name},
 		{"of", s.Role},
 		{"x", s.X},
@@ -83,8 +83,8 @@
 		{"conditions", s.Conditions},
 		{"test", s.Test},
 	} {
-		if k.value == "" {
-			return fmt.Errorf("%s: is empty", k.field)
+		if check.value == "" {
+			return fmt.Errorf("%s: is empty", check.field)
 		}
 	}
 	var sizes []float64
@@ -100,7 +100,7 @@
 	for _, p := range s.Points {
 		scale = max(scale, math.Abs(p[1]))
 	}
-	for _, k := range []struct {
+	for _, check := range []struct {
 		field     string
 		got, want float64
 		unit      float64
@@ -109,8 +109,8 @@
 		{"slope", s.Slope, slope, math.Abs(slope)},
 		{"largest_residual", s.Residual, residual, scale},
 	} {
-		if !(math.Abs(k.got-k.want) <= 1e-6*k.unit) {
-			return fmt.Errorf("%s: is %v, the points give %v", k.field, k.got, k.want)
+		if !(math.Abs(check.got-check.want) <= 1e-6*check.unit) {
+			return fmt.Errorf("%s: is %v, the points give %v", check.field, check.got, check.want)
 		}
 	}
 	return nil
@@ -153,10 +153,10 @@
 func FormatSlopes(slopes []Slope) ([]byte, error) {
 	slopes = slices.SortedFunc(slices.Values(slopes), func(a, b Slope) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	enc.SetEscapeHTML(false)
-	enc.SetIndent("", "  ")
-	if err := enc.Encode(slopes); err != nil {
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(slopes); err != nil {
 		return nil, fmt.Errorf("slopes: %w", err)
 	}
 	if _, err := ParseSlopes(out.Bytes()); err != nil {
@@ -166,11 +166,11 @@
 }
 
 // MergeSlopes returns the old slopes with fresh ones added; those with the same names are replaced.
-func MergeSlopes(old, fresh []Slope) []Slope {
-	out := slices.DeleteFunc(slices.Clone(old), func(s Slope) bool {
-		return slices.ContainsFunc(fresh, func(f Slope) bool { return f.Name == s.Name })
+func MergeSlopes(old, updates []Slope) []Slope {
+	merged := slices.DeleteFunc(slices.Clone(old), func(s Slope) bool {
+		return slices.ContainsFunc(updates, func(f Slope) bool { return f.Name == s.Name })
 	})
-	return append(out, fresh...)
+	return append(merged, updates...)
 }
 
 // MarshalJSON implements json.Marshaler. It writes an empty list for nil.
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -9,18 +9,18 @@
 )
 
 // A line is found again from its points, with the noise that was added as the largest residual at most.
-func TestFitFindsTheLine(t *testing.T) {
+func TestFitRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := rapid.Float64Range(-1e3, 1e3).Draw(t, "intercept"), rapid.Float64Range(-10, 10).Draw(t, "slope")
+		intercept, slope := rapid.Float64Range(-1e3, 1e3).Draw(t, "intercept"), rapid.Float64Range(-10, 10).Draw(t, "slope")
 		n := rapid.IntRange(4, 12).Draw(t, "points")
 		var points [][2]float64
 		for i := range n {
 			x := float64(i*100) + rapid.Float64Range(0, 90).Draw(t, "x")
-			points = append(points, [2]float64{x, a + b*x})
+			points = append(points, [2]float64{x, intercept + slope*x})
 		}
-		gotA, gotB, residual := Fit(points)
-		if math.Abs(gotA-a) > 1e-6 || math.Abs(gotB-b) > 1e-8 || residual > 1e-6 {
-			t.Fatalf("%v + %v x, residual %v; want %v + %v x", gotA, gotB, residual, a, b)
+		gotIntercept, gotSlope, residual := Fit(points)
+		if math.Abs(gotIntercept-intercept) > 1e-6 || math.Abs(gotSlope-slope) > 1e-8 || residual > 1e-6 {
+			t.Fatalf("%v + %v x, residual %v; want %v + %v x", gotIntercept, gotSlope, residual, intercept, slope)
 		}
 		// No other line has a smaller sum of squares.
 		points[0][1] += 5
@@ -30,10 +30,10 @@
 			}
 			return s
 		}
-		gotA, gotB, residual = Fit(points)
-		least := sum(gotA, gotB)
+		gotIntercept, gotSlope, residual = Fit(points)
+		least := sum(gotIntercept, gotSlope)
 		for _, d := range [][2]float64{{1, 0}, {-1, 0}, {0, 0.01}, {0, -0.01}} {
-			if s := sum(gotA+d[0], gotB+d[1]); s < least {
+			if s := sum(gotIntercept+d[0], gotSlope+d[1]); s < least {
 				t.Fatalf("%v beside %v", s, least)
 			}
 		}
@@ -44,7 +44,7 @@
 }
 
 func TestFitOfFewPoints(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		points [][2]float64
 		want   [3]float64
 	}{
@@ -53,9 +53,9 @@
 		{[][2]float64{{3, 4}, {3, 6}}, [3]float64{5, 0, 1}},
 		{[][2]float64{{0, 1}, {1, 2}, {2, 6}}, [3]float64{0.5, 2.5, 1}},
 	} {
-		a, b, r := Fit(k.points)
-		if [3]float64{a, b, r} != k.want {
-			t.Errorf("%v: %v %v %v, want %v", k.points, a, b, r, k.want)
+		a, b, r := Fit(test.points)
+		if [3]float64{a, b, r} != test.want {
+			t.Errorf("%v: %v %v %v, want %v", test.points, a, b, r, test.want)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	`"intercept":0,"slope":2,"largest_residual":0,"conditions":"c","test":"T"}`
 
 // The error for a field that is missing, unknown or wrong names its position in the file.
-func TestSlopesAreReadStrictly(t *testing.T) {
+func TestParseSlopesRejectsInvalidFields(t *testing.T) {
 	slopes, err := ParseSlopes([]byte("[" + oneSlope + "]"))
 	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].LargestSize() != 4 {
 		t.Fatal(slopes, err)
@@ -73,7 +73,7 @@
 	if back, e := ParseSlopes(again); err != nil || e != nil || back[0].Test != "T" {
 		t.Error(string(again), err, e)
 	}
-	for _, k := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"of":"router",`, ``, `slopes[1] "m": of: is missing`},
 		{`"of":"router"`, `"of":null`, `slopes[1] "m": of: is missing`},
 		{`"of":"router"`, `"of":""`, `slopes[1] "m": of: is empty`},
@@ -88,13 +88,13 @@
 		{`"largest_residual":0`, `"largest_residual":1`, `slopes[1] "m": largest_residual: is 1, the points give 0`},
 	} {
 		other := strings.Replace(oneSlope, `"name":"n"`, `"name":"m"`, 1)
-		text := strings.Replace(other, k.old, k.new, 1)
+		text := strings.Replace(other, test.old, test.new, 1)
 		if text == other {
-			t.Fatal(k.old, "is not there")
+			t.Fatal(test.old, "is not there")
 		}
 		_, err := ParseSlopes([]byte("[" + oneSlope + "," + text + "]"))
-		if err == nil || !strings.HasPrefix(err.Error(), k.want) {
-			t.Errorf("%s: %v, want %s", k.new, err, k.want)
+		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.new, err, test.want)
 		}
 	}
 	if _, err := ParseSlopes([]byte("{")); err == nil {
@@ -103,7 +103,7 @@
 }
 
 // A new measurement replaces the one with its name, and invalid slopes are not written.
-func TestSlopesMerge(t *testing.T) {
+func TestMergeSlopes(t *testing.T) {
 	at := func(name string, y float64) Slope {
 		s, err := NewSlope(name, "router", "engines", "ms", [][2]float64{{1, y}, {2, y}, {3, y}, {4, y}}, "c", "T")
 		if err != nil {
--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -63,12 +63,12 @@
 }
 
 // Dial connects and logs in; meters count the bytes of the connection.
-func Dial(addr string, meter ...*Meter) (*Client, error) {
+func Dial(addr string, meters ...*Meter) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	if err != nil {
 		return nil, err
 	}
-	for _, m := range meter {
+	for _, m := range meters {
 		m.opened.Add(1)
 		conn = meteredConn{conn, m}
 	}
@@ -100,11 +100,11 @@
 }
 
 func (c *Client) packet() ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
 		return nil, err
 	}
-	body := make([]byte, int(head[0])|int(head[1])<<8|int(head[2])<<16)
+	body := make([]byte, int(header[0])|int(header[1])<<8|int(header[2])<<16)
 	_, err := io.ReadFull(c.reader, body)
 	return body, err
 }
@@ -130,7 +130,7 @@
 	if err := c.write(0, append([]byte{3}, text...)); err != nil {
 		return err
 	}
-	for ends := 0; ends < 2; {
+	for endMarkers := 0; endMarkers < 2; {
 		p, err := c.packet()
 		switch {
 		case err != nil:
@@ -138,7 +138,7 @@
 		case len(p) > 2 && p[0] == 0xff:
 			return fmt.Errorf("error %d: %s", binary.LittleEndian.Uint16(p[1:]), p[3:])
 		case len(p) > 0 && p[0] == 0xfe && len(p) < 9:
-			ends++
+			endMarkers++
 		}
 	}
 	return nil
@@ -154,25 +154,25 @@
 // NewStubEngines starts n engines until the test's end.
 func NewStubEngines(tb testing.TB, n int) *StubEngines {
 	tb.Helper()
-	f := &StubEngines{Engines: Engines(n)}
-	for i := range f.Engines {
-		lis, err := listen()
+	s := &StubEngines{Engines: Engines(n)}
+	for i := range s.Engines {
+		listener, err := listen()
 		if err != nil {
 			tb.Fatal(err)
 		}
-		s := &http.Server{Handler: f}
-		go func() { _ = s.Serve(meteredListener{lis, &f.Meter}) }()
-		tb.Cleanup(func() { _ = s.Close() })
-		f.Engines[i].Address = lis.Addr().(*net.TCPAddr).AddrPort()
+		server := &http.Server{Handler: s}
+		go func() { _ = server.Serve(meteredListener{listener, &s.Meter}) }()
+		tb.Cleanup(func() { _ = server.Close() })
+		s.Engines[i].Address = listener.Addr().(*net.TCPAddr).AddrPort()
 	}
-	return f
+	return s
 }
 
 // ServeHTTP implements http.Handler: a POST brings a statement and is answered with its complete result.
-func (f *StubEngines) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *StubEngines) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		_, _ = io.Copy(io.Discard, r.Body)
-		f.Statements.Add(1)
+		s.Statements.Add(1)
 	}
 	w.Header().Set("X-Parts", "1")
 	_, _ = io.WriteString(w, "a\tb\tc\n")
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -13,8 +13,8 @@
 // keepers report so.
 func TestConfigurationReachesTheFleet(t *testing.T) {
 	f := newConfiguredFleet(t, scenarioSizes(t))
-	all := f.size.real + f.size.simulated
-	everywhere := func(i int, revision uint64, want int) {
+	routers := f.size.real + f.size.simulated
+	checkInForce := func(i int, revision uint64, want int) {
 		t.Helper()
 		if v := f.keepers.AwaitConvergence(i, revision); len(v.InForce) != want || len(v.Rejected)+len(v.Behind) > 0 {
 			t.Errorf("revision %d: %d in force, want %d; %d behind, %d rejected", revision, len(v.InForce), want, len(v.Behind),
@@ -23,51 +23,51 @@
 	}
 	first, proposedAt := f.change(0)
 	f.await(first, proposedAt, everyZone, nil)
-	everywhere(0, first, all)
+	checkInForce(0, first, routers)
 
-	took := newTimes()
+	durations := newDurations()
 	f.measureDuring("one change after the other", func() {
 		for i := range f.size.changes {
 			revision, proposedAt := f.change(i % f.size.keepers)
-			f.await(revision, proposedAt, everyZone, took)
+			f.await(revision, proposedAt, everyZone, durations)
 		}
 	})
-	f.recordTimes("one change after the other", took)
+	f.recordDurations("one change after the other", durations)
 
-	took = newTimes()
+	durations = newDurations()
 	var burst map[uint64]time.Time
 	var last uint64
 	f.measureDuring("a burst", func() { burst, last = f.burst(0, f.size.changes, nil) })
-	f.awaitAll(burst, last, took)
-	f.recordTimes("a burst", took)
+	f.awaitAll(burst, last, durations)
+	f.recordDurations("a burst", durations)
 	f.recordRate("a burst", burst)
 
-	took = newTimes()
+	durations = newDurations()
 	leader := f.keepers.Leader(0)
 	burst, last = f.burst((leader+1)%f.size.keepers, f.size.changes, func() { f.keepers.Members[leader].Kill() })
-	f.awaitAll(burst, last, took)
-	f.recordTimes("a burst, the leader killed halfway", took)
+	f.awaitAll(burst, last, durations)
+	f.recordDurations("a burst, the leader killed halfway", durations)
 	f.recordRate("a burst, the leader killed halfway", burst)
 	f.keepers.Restart(leader)
-	everywhere(leader, last, all)
+	checkInForce(leader, last, routers)
 
-	const lost = 5 // the zone
-	f.links[lost].Each(members(f.size.keepers), (*Relay).Cut)
+	const lostZone = 5 // the zone
+	f.links[lostZone].Each(members(f.size.keepers), (*Relay).Cut)
 	burst, last = f.burst(0, f.size.changes, nil)
-	f.await(last, burst[last], func(zone int) bool { return zone != lost }, nil)
-	took = newTimes()
-	back := time.Now()
-	wire := f.links[lost].WireBytes()
-	f.links[lost].Each(members(f.size.keepers), (*Relay).Heal)
-	f.await(last, back, func(zone int) bool { return zone == lost }, took)
-	f.recordTimes("a zone is back", took)
-	f.figures["a zone is back, bytes"] = float64(f.links[lost].WireBytes() - wire)
-	t.Logf("a zone is back: %d routers, %.0f bytes with headers", took.TotalCount(), f.figures["a zone is back, bytes"])
+	f.await(last, burst[last], func(zone int) bool { return zone != lostZone }, nil)
+	durations = newDurations()
+	reconnectedAt := time.Now()
+	wire := f.links[lostZone].WireBytes()
+	f.links[lostZone].Each(members(f.size.keepers), (*Relay).Heal)
+	f.await(last, reconnectedAt, func(zone int) bool { return zone == lostZone }, durations)
+	f.recordDurations("a zone is back", durations)
+	f.figures["a zone is back, bytes"] = float64(f.links[lostZone].WireBytes() - wire)
+	t.Logf("a zone is back: %d routers, %.0f bytes with headers", durations.TotalCount(), f.figures["a zone is back, bytes"])
 
 	f.partitionRegions()
 	revision, proposedAt := f.change(0)
 	f.await(revision, proposedAt, everyZone, nil)
-	everywhere(0, revision, all)
+	checkInForce(0, revision, routers)
 	f.checkSameContent(revision)
 	if sum := f.simulated.Totals(); sum.Failed > 0 || sum.Served == 0 {
 		t.Errorf("%+v: statements failed, or none was served", sum)
@@ -79,27 +79,27 @@
 // other keeps what it has and changes nothing; joined, all have what the majority made.
 func (f *configuredFleet) partitionRegions() {
 	t := f.t
-	major := members(f.size.keepers)[:f.size.keepers/2+1]
-	minor := members(f.size.keepers)[f.size.keepers/2+1:]
-	mine := [2][]int{major, minor}
-	f.keepers.SetPartitioned(true, major, minor)
+	majority := members(f.size.keepers)[:f.size.keepers/2+1]
+	minority := members(f.size.keepers)[f.size.keepers/2+1:]
+	keepersOfRegion := [2][]int{majority, minority}
+	f.keepers.SetPartitioned(true, majority, minority)
 	for zone, d := range f.links {
-		for side, keepers := range mine {
-			if side != regionOf(zone) {
+		for region, keepers := range keepersOfRegion {
+			if region != regionOf(zone) {
 				d.Each(keepers, (*Relay).Cut)
 			}
 		}
 	}
-	took := newTimes()
+	durations := newDurations()
 	var last uint64
 	var proposedAt time.Time
 	for range (f.size.changes + 3) / 4 {
 		last, proposedAt = f.change(0)
-		f.await(last, proposedAt, func(zone int) bool { return regionOf(zone) == 0 }, took)
+		f.await(last, proposedAt, func(zone int) bool { return regionOf(zone) == 0 }, durations)
 	}
-	f.recordTimes("changes in the region with the majority, the other one cut off", took)
+	f.recordDurations("changes in the region with the majority, the other one cut off", durations)
 	var done configlog.Result
-	err := f.keepers.Members[minor[0]].call(20*time.Second, "POST", "/v1/changes",
+	err := f.keepers.Members[minority[0]].call(20*time.Second, "POST", "/v1/changes",
 		configlog.Change{
 			ID:  "without a majority",
 			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")},
@@ -115,14 +115,14 @@
 		}
 		return ""
 	})
-	took = newTimes()
-	joined := time.Now()
-	f.keepers.SetPartitioned(false, major, minor)
+	durations = newDurations()
+	reconnectedAt := time.Now()
+	f.keepers.SetPartitioned(false, majority, minority)
 	for _, d := range f.links {
 		d.Each(members(f.size.keepers), (*Relay).Heal)
 	}
-	f.await(last, joined, func(zone int) bool { return regionOf(zone) == 1 }, took)
-	f.recordTimes("the region that was cut off, from the joining on", took)
+	f.await(last, reconnectedAt, func(zone int) bool { return regionOf(zone) == 1 }, durations)
+	f.recordDurations("the region that was cut off, from the joining on", durations)
 }
 
 // checkSameContent looks whether all simulated routers have one content.
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -26,21 +26,21 @@
 
 func scenarioSizes(t *testing.T) scenarioSize {
 	t.Helper()
-	s := scenarioSize{keepers: 3, real: realFollowers, simulated: 60, changes: 4, tenants: 4, engines: listedEngines}
-	for name, of := range map[string]*int{
-		"WINDFLOW_FLEET_KEEPERS": &s.keepers, "WINDFLOW_FLEET_REAL": &s.real,
-		"WINDFLOW_FLEET_HOLLOW": &s.simulated, "WINDFLOW_FLEET_CHANGES": &s.changes, "WINDFLOW_FLEET_TENANTS": &s.tenants,
-		"WINDFLOW_FLEET_ENGINES": &s.engines,
+	size := scenarioSize{keepers: 3, real: realFollowers, simulated: 60, changes: 4, tenants: 4, engines: listedEngines}
+	for name, value := range map[string]*int{
+		"WINDFLOW_FLEET_KEEPERS": &size.keepers, "WINDFLOW_FLEET_REAL": &size.real,
+		"WINDFLOW_FLEET_HOLLOW": &size.simulated, "WINDFLOW_FLEET_CHANGES": &size.changes, "WINDFLOW_FLEET_TENANTS": &size.tenants,
+		"WINDFLOW_FLEET_ENGINES": &size.engines,
 	} {
 		if text := os.Getenv(name); text != "" {
 			n, err := strconv.Atoi(text)
 			if err != nil || n < 0 {
 				t.Fatalf("%s: %q is no number", name, text)
 			}
-			*of = n
+			*value = n
 		}
 	}
-	return s
+	return size
 }
 
 // burstRate is how many changes a second are made in a burst.
@@ -66,33 +66,33 @@
 
 func newConfiguredFleet(t *testing.T, size scenarioSize) *configuredFleet {
 	t.Helper()
-	r := New(t)
+	h := New(t)
 	engines := Engines(size.engines)
-	b := NewDiscoveryServer(t, engines)
-	f := &configuredFleet{t: t, harness: r, size: size, figures: map[string]float64{}}
+	server := NewDiscoveryServer(t, engines)
+	f := &configuredFleet{t: t, harness: h, size: size, figures: map[string]float64{}}
 	config := Config{
-		Name: "base", Routers: size.real + size.simulated, Discovery: b.Addr, Engines: engines,
+		Name: "base", Routers: size.real + size.simulated, Discovery: server.Addr, Engines: engines,
 		Tenants: size.tenants, OverQuotaWeight: 0.1,
 	}
-	f.keepers = r.Keepers(size.keepers, config)
+	f.keepers = h.Keepers(size.keepers, config)
 	for range Zones {
 		f.links = append(f.links, f.keepers.ZoneLinks(t))
 	}
-	list := simulatedSpecs(size.simulated, config.Routers, engines, 1, func(int) string { return b.Addr })
-	for i := range list {
+	specs := simulatedSpecs(size.simulated, config.Routers, engines, 1, func(int) string { return server.Addr })
+	for i := range specs {
 		section, err := json.Marshal(f.section(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		list[i].Keepers = section
+		specs[i].Keepers = section
 	}
 	for i := range size.real {
 		c := config
 		c.Name, c.Index = fmt.Sprint("n", i), size.simulated+i
 		c.Installation = map[string]any{"keepers": f.section(size.simulated + i)}
-		f.real = append(f.real, r.Router(c))
+		f.real = append(f.real, h.Router(c))
 	}
-	f.simulated = r.SimulatedRouters(list)
+	f.simulated = h.SimulatedRouters(specs)
 	for _, p := range f.real {
 		p.Ready()
 	}
@@ -132,12 +132,12 @@
 
 // await waits until routers of zones have a revision, and records how long after the proposal each of them had it.
 func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool,
-	took *hdrhistogram.Histogram,
+	durations *hdrhistogram.Histogram,
 ) {
 	f.t.Helper()
 	record := func(at time.Time) {
-		if took != nil {
-			if err := took.RecordValue(max(at.Sub(proposedAt).Microseconds(), 1)); err != nil {
+		if durations != nil {
+			if err := durations.RecordValue(max(at.Sub(proposedAt).Microseconds(), 1)); err != nil {
 				f.t.Error(err)
 			}
 		}
@@ -168,24 +168,24 @@
 
 func everyZone(int) bool { return true }
 
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
+func newDurations() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
 // recordTimes records and logs a distribution, in milliseconds.
-func (f *configuredFleet) recordTimes(name string, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) recordDurations(name string, durations *hdrhistogram.Histogram) {
 	f.t.Helper()
 	for what, us := range map[string]int64{
-		"median": took.ValueAtQuantile(50), "99th": took.ValueAtQuantile(99),
-		"last": took.Max(),
+		"median": durations.ValueAtQuantile(50), "99th": durations.ValueAtQuantile(99),
+		"last": durations.Max(),
 	} {
 		f.figures[name+", "+what+" ms"] = float64(us) / 1000
 	}
 	f.t.Logf("%s: median %.0f ms, 99th %.0f ms, last %.0f ms of %d", name, f.figures[name+", median ms"],
-		f.figures[name+", 99th ms"], f.figures[name+", last ms"], took.TotalCount())
+		f.figures[name+", 99th ms"], f.figures[name+", last ms"], durations.TotalCount())
 }
 
 // measureDuring records and logs what keepers and real routers used while something was done, and what their links
 // carried.
-func (f *configuredFleet) measureDuring(name string, do func()) {
+func (f *configuredFleet) measureDuring(name string, run func()) {
 	f.t.Helper()
 	var all []*Process
 	for _, m := range f.keepers.Members {
@@ -200,25 +200,25 @@
 		}
 		return followerBytes
 	}
-	from, followerBytes, between := make([]Usage, len(all)), wire(), float64(f.keepers.WireBytes())
+	from, followerBytes, peerBytes := make([]Usage, len(all)), wire(), float64(f.keepers.WireBytes())
 	for i, p := range all {
 		from[i] = p.Usage()
 	}
-	do()
+	run()
 	most := map[string]float64{}
 	for i, p := range all {
-		to, who := p.Usage(), "keeper"
+		to, role := p.Usage(), "keeper"
 		if i >= len(f.keepers.Members) {
-			who = "router"
+			role = "router"
 		}
 		for figure, v := range map[string]float64{"% of a core": Percent(from[i], to), "MB": to.MB()} {
-			most["busiest "+who+", "+figure] = max(most["busiest "+who+", "+figure], v)
+			most["busiest "+role+", "+figure] = max(most["busiest "+role+", "+figure], v)
 		}
 	}
-	followerBytes, between = wire()-followerBytes, float64(f.keepers.WireBytes())-between
+	followerBytes, peerBytes = wire()-followerBytes, float64(f.keepers.WireBytes())-peerBytes
 	seconds := time.Since(from[0].At).Seconds()
 	most["mean router, bytes/s"] = followerBytes / seconds / float64(f.size.real+f.size.simulated)
-	most["mean keeper, bytes/s"] = (followerBytes + 2*between) / seconds / float64(f.size.keepers)
+	most["mean keeper, bytes/s"] = (followerBytes + 2*peerBytes) / seconds / float64(f.size.keepers)
 	for figure, v := range most {
 		f.figures[name+", "+figure] = v
 	}
@@ -227,34 +227,34 @@
 
 // burst makes changes at an even pace at keeper i, whether or not those before have been answered; between is called
 // after the first half. It returns when each revision was proposed.
-func (f *configuredFleet) burst(i, n int, between func()) (proposedAt map[uint64]time.Time, last uint64) {
+func (f *configuredFleet) burst(i, n int, atHalf func()) (proposedAt map[uint64]time.Time, last uint64) {
 	f.t.Helper()
-	type made struct {
+	type proposal struct {
 		revision   uint64
 		proposedAt time.Time
 		err        error
 	}
-	all := make(chan made, n)
-	pace := time.NewTicker(time.Second / burstRate)
-	defer pace.Stop()
+	proposals := make(chan proposal, n)
+	ticker := time.NewTicker(time.Second / burstRate)
+	defer ticker.Stop()
 	for k := range n {
-		if k == n/2 && between != nil {
-			between()
+		if k == n/2 && atHalf != nil {
+			atHalf()
 		}
-		<-pace.C
+		<-ticker.C
 		c := f.nextChange()
 		go func() {
 			revision, proposedAt, err := f.keepers.TryChange(i, c)
-			all <- made{revision, proposedAt, err}
+			proposals <- proposal{revision, proposedAt, err}
 		}()
 	}
 	proposedAt = map[uint64]time.Time{}
 	for range n {
-		m := <-all
-		if m.err != nil {
-			f.t.Fatal(m.err)
+		p := <-proposals
+		if p.err != nil {
+			f.t.Fatal(p.err)
 		}
-		proposedAt[m.revision], last = m.proposedAt, max(last, m.revision)
+		proposedAt[p.revision], last = p.proposedAt, max(last, p.revision)
 	}
 	if len(proposedAt) != n {
 		f.t.Errorf("%d changes with different ids made %d revisions", n, len(proposedAt))
@@ -277,11 +277,11 @@
 	f.t.Logf("%s: %.1f changes a second were proposed", name, f.figures[name+", changes a second"])
 }
 
-func (f *configuredFleet) awaitAll(proposedAt map[uint64]time.Time, last uint64, took *hdrhistogram.Histogram) {
+func (f *configuredFleet) awaitAll(proposedAt map[uint64]time.Time, last uint64, durations *hdrhistogram.Histogram) {
 	f.t.Helper()
 	f.await(last, proposedAt[last], everyZone, nil)
 	for revision, at := range proposedAt {
-		f.await(revision, at, everyZone, took)
+		f.await(revision, at, everyZone, durations)
 	}
 }
 
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -88,12 +88,12 @@
 }
 
 func startDiscoveryServer(engines []Engine) (*DiscoveryServer, error) {
-	lis, err := listen()
+	listener, err := listen()
 	if err != nil {
 		return nil, err
 	}
 	server := &DiscoveryServer{
-		listener: lis, Addr: lis.Addr().String(), changed: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
+		listener: listener, Addr: listener.Addr().String(), changed: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
 		connections: map[net.Conn]bool{},
 	}
 	server.publish(completeFrame, engines)
@@ -258,8 +258,8 @@
 // AwaitConnections waits until as many watchers are connected.
 func (s *DiscoveryServer) AwaitConnections(tb testing.TB, n int) {
 	tb.Helper()
-	late := time.NewTimer(WaitTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(WaitTimeout)
+	defer timeout.Stop()
 	for {
 		s.mu.Lock()
 		have, changed := len(s.connections), s.changed
@@ -269,7 +269,7 @@
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timeout.C:
 			tb.Fatalf("%d watchers are connected, want %d within %v", have, n, WaitTimeout)
 		}
 	}
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -49,12 +49,12 @@
 // Start starts a command. WINDFLOW_READY_FD tells the process the number of its readiness descriptor; lines of its
 // log that contain a watched text are counted. It fails the test if MaxProcesses run already or MaxMemory was
 // exceeded.
-func (h *Harness) Start(name string, cmd *exec.Cmd, watched ...string) *Process {
+func (h *Harness) Start(name string, cmd *exec.Cmd, watchedTexts ...string) *Process {
 	h.T.Helper()
 	if err := liveProcesses.admit(); err != nil {
 		h.T.Fatalf("%s is not started: %v", name, err)
 	}
-	p := newProcess(h, name, cmd, watched)
+	p := newProcess(h, name, cmd, watchedTexts)
 	readiness, log, err := p.launch()
 	if err != nil {
 		h.T.Fatalf("%s: %v", name, err)
@@ -127,17 +127,17 @@
 
 // registry contains the live processes of all tests of a run, and ends them if they take too much memory.
 type registry struct {
-	mu        sync.Mutex
-	processes map[*Process]bool
-	exceeded  error // MaxMemory was exceeded
-	watch     sync.Once
+	mu         sync.Mutex
+	processes  map[*Process]bool
+	exceeded   error // MaxMemory was exceeded
+	startWatch sync.Once
 }
 
 var liveProcesses = &registry{processes: map[*Process]bool{}}
 
 // admit returns an error if no further process may be started.
 func (r *registry) admit() error {
-	r.watch.Do(func() { go r.watchMemory() }) // until the end of the test run
+	r.startWatch.Do(func() { go r.watchMemory() }) // until the end of the test run
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exceeded != nil {
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -20,11 +20,11 @@
 )
 
 // simulatedSpecs are simulated routers of a fleet, each with the discovery server that is given for it.
-func simulatedSpecs(n, of int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
+func simulatedSpecs(n, fleetSize int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
 	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
 		c := Config{
-			Name: fmt.Sprint("h", i), Index: i, Routers: of, Discovery: discovery(i), Engines: engines,
+			Name: fmt.Sprint("h", i), Index: i, Routers: fleetSize, Discovery: discovery(i), Engines: engines,
 			Listen: "127.0.0.1:1",
 		}
 		list[i] = SimulatedRouterSpec{Number: i, Config: c.Text(), StatementsPerSecond: rate, WorkMS: 20}
@@ -35,40 +35,40 @@
 // A small fleet: real and simulated routers receive a change of the endpoint list, lose their connection to
 // discovery, receive nothing meanwhile, and catch up once it is connected. It checks the harness, and each router's
 // discovery watcher.
-func TestFleetFollowsDiscoveryThroughADisconnect(t *testing.T) {
-	r := New(t)
+func TestFleetCatchesUpAfterDiscoveryDisconnect(t *testing.T) {
+	h := New(t)
 	engines := Engines(listedEngines)
-	b := NewDiscoveryServer(t, engines)
-	relays := []*Relay{NewRelay(t, b.Addr), NewRelay(t, b.Addr)} // half of the fleet on either
+	server := NewDiscoveryServer(t, engines)
+	relays := []*Relay{NewRelay(t, server.Addr), NewRelay(t, server.Addr)} // half of the fleet on either
 	const fleet = realRouters + simulatedRouters
 	var routers []*Router
 	for i := range realRouters {
-		routers = append(routers, r.Router(Config{
+		routers = append(routers, h.Router(Config{
 			Name: fmt.Sprint("n", i), Index: simulatedRouters + i, Routers: fleet,
 			Discovery: relays[i%2].Addr, Engines: engines,
 		}))
 	}
-	h := r.SimulatedRouters(simulatedSpecs(simulatedRouters, fleet, engines, 5,
+	simulated := h.SimulatedRouters(simulatedSpecs(simulatedRouters, fleet, engines, 5,
 		func(i int) string { return relays[i%2].Addr }))
 	for _, p := range routers {
 		p.Ready()
 	}
-	b.AwaitConnections(t, fleet)
+	server.AwaitConnections(t, fleet)
 
-	drains := engines[0]
-	drains.State = dispatch.Draining
-	number := b.Change(drains)
-	h.AwaitList(number)
+	draining := engines[0]
+	draining.State = dispatch.Draining
+	number := server.Change(draining)
+	simulated.AwaitList(number)
 	for _, p := range routers {
 		p.Await(LineEndpointEvent, 1)
 	}
 
 	relays[0].Cut()
-	b.AwaitConnections(t, fleet/2)
-	gone := engines[1]
-	gone.State = dispatch.Removed
-	number = b.Change(gone)
-	h.Await(func(state map[int]*RouterStatus) string {
+	server.AwaitConnections(t, fleet/2)
+	removed := engines[1]
+	removed.State = dispatch.Removed
+	number = server.Change(removed)
+	simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if n%2 == 1 && s.LastEvent < number {
 				return fmt.Sprintf("simulated router %d is at event %d, want %d", n, s.LastEvent, number)
@@ -80,37 +80,37 @@
 		return ""
 	})
 	relays[0].Heal()
-	h.AwaitList(number)
-	b.AwaitConnections(t, fleet)
+	simulated.AwaitList(number)
+	server.AwaitConnections(t, fleet)
 	for _, p := range routers {
 		p.Await(LineEndpointEvent, 2)
 	}
-	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-1) || sum.Served == 0 || sum.Failed > 0 {
+	if sum := simulated.Totals(); sum.Engines != simulatedRouters*(listedEngines-1) || sum.Served == 0 || sum.Failed > 0 {
 		t.Errorf("%+v, want %d engines in all lists and nothing failed", sum, simulatedRouters*(listedEngines-1))
 	}
 	// A complete list replaces what they have.
-	number = b.Replace(engines[10:])
-	h.AwaitList(number)
-	if sum := h.Totals(); sum.Engines != simulatedRouters*(listedEngines-10) {
+	number = server.Replace(engines[10:])
+	simulated.AwaitList(number)
+	if sum := simulated.Totals(); sum.Engines != simulatedRouters*(listedEngines-10) {
 		t.Errorf("%+v, want %d engines in all lists", sum, simulatedRouters*(listedEngines-10))
 	}
 }
 
 // Watchers disconnect from a server that stops sending without closing, and reconnect once it answers.
 func TestWatchersDisconnectFromSilentServer(t *testing.T) {
-	r := New(t)
+	h := New(t)
 	engines := Engines(30)
-	b := NewDiscoveryServer(t, engines)
-	relay := NewRelay(t, b.Addr)
-	h := r.SimulatedRouters(simulatedSpecs(8, 8, engines, 0, func(int) string { return relay.Addr }))
-	b.AwaitConnections(t, 8)
+	server := NewDiscoveryServer(t, engines)
+	relay := NewRelay(t, server.Addr)
+	simulated := h.SimulatedRouters(simulatedSpecs(8, 8, engines, 0, func(int) string { return relay.Addr }))
+	server.AwaitConnections(t, 8)
 	relay.Blackhole(Downstream)
-	before := b.Accepted.Load()
-	number := b.Change(ToggledEngine(engines, 3))
-	for b.Accepted.Load() < before+8 { // each connection that opens or closes is a change
-		b.mu.Lock()
-		changed := b.changed
-		b.mu.Unlock()
+	before := server.Accepted.Load()
+	number := server.Change(ToggledEngine(engines, 3))
+	for server.Accepted.Load() < before+8 { // each connection that opens or closes is a change
+		server.mu.Lock()
+		changed := server.changed
+		server.mu.Unlock()
 		select {
 		case <-changed:
 		case <-time.After(WaitTimeout):
@@ -118,17 +118,17 @@
 		}
 	}
 	relay.Heal()
-	h.AwaitList(number)
+	simulated.AwaitList(number)
 }
 
 // The readiness line is written when clients are accepted, and not before: a client that dials then is greeted.
-func TestReadyMeansClientsAreAccepted(t *testing.T) {
-	r := New(t)
-	b := NewDiscoveryServer(t, nil)
+func TestReadyRouterAcceptsClients(t *testing.T) {
+	h := New(t)
+	server := NewDiscoveryServer(t, nil)
 	for i := range 3 {
-		p := r.Router(Config{Name: fmt.Sprint("n", i), Discovery: b.Addr, Engines: Engines(30)})
-		if said := p.Ready(); said != "" {
-			t.Errorf("ready with %q", said)
+		p := h.Router(Config{Name: fmt.Sprint("n", i), Discovery: server.Addr, Engines: Engines(30)})
+		if details := p.Ready(); details != "" {
+			t.Errorf("ready with %q", details)
 		}
 		c, err := Dial(p.Listen)
 		if err != nil {
@@ -145,16 +145,16 @@
 }
 
 // An invalid readiness descriptor is an error that names the variable.
-func TestReadinessWithoutDescriptor(t *testing.T) {
-	r := New(t)
-	b := NewDiscoveryServer(t, nil)
-	c := Config{Name: "n0", Listen: FreeAddress(t), Discovery: b.Addr}
-	path := filepath.Join(r.Dir, "n0.json")
+func TestInvalidReadinessDescriptorIsRejected(t *testing.T) {
+	h := New(t)
+	server := NewDiscoveryServer(t, nil)
+	c := Config{Name: "n0", Listen: FreeAddress(t), Discovery: server.Addr}
+	path := filepath.Join(h.Dir, "n0.json")
 	if err := os.WriteFile(path, c.Text(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(filepath.Join(Programs(t), "windflow"))
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "TMPDIR="+r.Dir, "WINDFLOW_READY_FD=two")
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "TMPDIR="+h.Dir, "WINDFLOW_READY_FD=two")
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), `WINDFLOW_READY_FD: "two" is no descriptor`) {
 		t.Errorf("%v\n%s", err, out)
@@ -162,26 +162,26 @@
 }
 
 // The clock that measures costs agrees with the system's own accounting.
-func TestUsageMatchesTheSystemsSum(t *testing.T) {
-	r := New(t)
-	p := r.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
+func TestUsageMatchesProcStat(t *testing.T) {
+	h := New(t)
+	p := h.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
 	p.Ready()
 	for i := range 40 {
 		p.Reload()
 		p.Await(LineReloaded, i+1)
 	}
-	least := p.Usage()
+	before := p.Usage()
 	n, err := ticks(p.PID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := p.Usage()
-	sum := time.Duration(n) * 10 * time.Millisecond
-	if sum < least.CPU-20*time.Millisecond || sum > most.CPU+10*time.Millisecond || least.CPU < 20*time.Millisecond {
-		t.Errorf("/proc has %v, the clock %v and then %v", sum, least.CPU, most.CPU)
+	after := p.Usage()
+	accounted := time.Duration(n) * 10 * time.Millisecond
+	if accounted < before.CPU-20*time.Millisecond || accounted > after.CPU+10*time.Millisecond || before.CPU < 20*time.Millisecond {
+		t.Errorf("/proc has %v, the clock %v and then %v", accounted, before.CPU, after.CPU)
 	}
-	if least.Resident < 5<<20 || least.Resident > 500<<20 {
-		t.Errorf("%d bytes resident", least.Resident)
+	if before.Resident < 5<<20 || before.Resident > 500<<20 {
+		t.Errorf("%d bytes resident", before.Resident)
 	}
 }
 
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -36,30 +36,30 @@
 }
 
 // Keepers starts n keepers, which check changes against a router's configuration, and waits until all are ready.
-func (r *Harness) Keepers(n int, base Config) *Keepers {
-	r.T.Helper()
-	keepers := &Keepers{harness: r, links: map[[2]int][]*Relay{}}
-	file := filepath.Join(r.Dir, "base.json")
+func (h *Harness) Keepers(n int, base Config) *Keepers {
+	h.T.Helper()
+	keepers := &Keepers{harness: h, links: map[[2]int][]*Relay{}}
+	file := filepath.Join(h.Dir, "base.json")
 	base.Name, base.Listen = "base", "127.0.0.1:1"
 	if err := os.WriteFile(file, base.Text(), 0o600); err != nil {
-		r.T.Fatal(err)
+		h.T.Fatal(err)
 	}
 	for i := range n {
-		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTPAddr: FreeAddress(r.T), RaftAddr: FreeAddress(r.T)})
+		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTPAddr: FreeAddress(h.T), RaftAddr: FreeAddress(h.T)})
 	}
 	for i, m := range keepers.Members {
 		var peers []string
 		for j, p := range keepers.Members {
 			raft, http := p.RaftAddr, p.HTTPAddr
 			if i != j {
-				links := []*Relay{NewRelay(r.T, raft), NewRelay(r.T, http)}
+				links := []*Relay{NewRelay(h.T, raft), NewRelay(h.T, http)}
 				keepers.links[[2]int{i, j}] = links
 				raft, http = links[0].Addr, links[1].Addr
 			}
 			peers = append(peers, p.ID+"="+raft+"/"+http)
 		}
 		m.args = []string{
-			"serve", "--id", m.ID, "--dir", filepath.Join(r.Dir, m.ID), "--http", m.HTTPAddr, "--raft", m.RaftAddr,
+			"serve", "--id", m.ID, "--dir", filepath.Join(h.Dir, m.ID), "--http", m.HTTPAddr, "--raft", m.RaftAddr,
 			"--peers", strings.Join(peers, ","), "--base", file,
 		}
 		keepers.launch(i)
@@ -126,23 +126,23 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+m.HTTPAddr+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+m.HTTPAddr+path, body)
 	if err != nil {
 		return err
 	}
-	a, err := httpClient.Do(q)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errRetryable, err)
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: %w", errRetryable, err)
-	case a.StatusCode == http.StatusServiceUnavailable:
+	case response.StatusCode == http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: %s", errRetryable, text)
-	case a.StatusCode >= 300:
-		return fmt.Errorf("%s %s at %s: %d %s", method, path, m.ID, a.StatusCode, text)
+	case response.StatusCode >= 300:
+		return fmt.Errorf("%s %s at %s: %d %s", method, path, m.ID, response.StatusCode, text)
 	}
 	return json.Unmarshal(text, out)
 }
@@ -227,33 +227,33 @@
 // ZoneLinks creates the links of a zone.
 func (k *Keepers) ZoneLinks(tb testing.TB) *ZoneLinks {
 	tb.Helper()
-	d := &ZoneLinks{}
+	z := &ZoneLinks{}
 	for _, m := range k.Members {
-		d.Relays = append(d.Relays, NewRelay(tb, m.HTTPAddr))
+		z.Relays = append(z.Relays, NewRelay(tb, m.HTTPAddr))
 	}
-	return d
+	return z
 }
 
 // Section is the settings section of router i behind these links. Each router prefers another keeper.
-func (d *ZoneLinks) Section(dir string, i int) map[string]any {
+func (z *ZoneLinks) Section(dir string, i int) map[string]any {
 	var addresses []string
-	for j := range d.Relays {
-		addresses = append(addresses, d.Relays[(i+j)%len(d.Relays)].Addr)
+	for j := range z.Relays {
+		addresses = append(addresses, z.Relays[(i+j)%len(z.Relays)].Addr)
 	}
 	return map[string]any{"addresses": addresses, "dir": dir, "hold_ms": 2000}
 }
 
 // WireBytes is the bytes on them so far, with headers.
-func (d *ZoneLinks) WireBytes() (sum int64) {
-	for _, r := range d.Relays {
+func (z *ZoneLinks) WireBytes() (sum int64) {
+	for _, r := range z.Relays {
 		sum += r.WireBytes()
 	}
 	return sum
 }
 
 // Each calls a function for the links to some keepers.
-func (d *ZoneLinks) Each(keepers []int, do func(*Relay)) {
+func (z *ZoneLinks) Each(keepers []int, do func(*Relay)) {
 	for _, i := range keepers {
-		do(d.Relays[i])
+		do(z.Relays[i])
 	}
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -39,7 +39,7 @@
 	endRequested bool          // the test requested its end
 }
 
-func newProcess(h *Harness, name string, cmd *exec.Cmd, watched []string) *Process {
+func newProcess(h *Harness, name string, cmd *exec.Cmd, watchedTexts []string) *Process {
 	p := &Process{
 		Name: name, harness: h, cmd: cmd,
 		ready:      make(chan string, maxReadinessLines),
@@ -47,7 +47,7 @@
 		lineCounts: map[string]int{},
 		changed:    make(chan struct{}),
 	}
-	for _, text := range watched {
+	for _, text := range watchedTexts {
 		p.lineCounts[text] = 0
 	}
 	return p
@@ -75,7 +75,7 @@
 		}
 	}
 	if revision, ok := parseRevisionInForce(line); ok {
-		p.revisions.adopt(revision, "", time.Now())
+		p.revisions.record(revision, "", time.Now())
 		changed = true
 	}
 	p.lastLines = append(p.lastLines, strings.TrimSpace(string(line)))
@@ -108,15 +108,15 @@
 // Ready waits until the process says that it is ready, and returns the details of its readiness line.
 func (p *Process) Ready() string {
 	p.harness.T.Helper()
-	late := time.NewTimer(WaitTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(WaitTimeout)
+	defer timeout.Stop()
 	select {
 	case line, open := <-p.ready:
 		if details, ok := strings.CutPrefix(line, "ready"); open && ok {
 			return strings.TrimSpace(details)
 		}
 		p.harness.T.Fatalf("%s: wrote %q in place of ready:\n%s", p.Name, line, p.Log())
-	case <-late.C:
+	case <-timeout.C:
 		p.harness.T.Fatalf("%s: not ready within %v:\n%s", p.Name, WaitTimeout, p.Log())
 	}
 	return ""
@@ -136,10 +136,10 @@
 }
 
 // await waits until a condition of the log is met; it is evaluated under the lock.
-func (p *Process) await(what string, ok func() bool) {
+func (p *Process) await(condition string, ok func() bool) {
 	p.harness.T.Helper()
-	late := time.NewTimer(WaitTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(WaitTimeout)
+	defer timeout.Stop()
 	for {
 		p.mu.Lock()
 		met, changed := ok(), p.changed
@@ -150,9 +150,9 @@
 		select {
 		case <-changed:
 		case <-p.ended:
-			p.harness.T.Fatalf("%s: ended before %s:\n%s", p.Name, what, p.Log())
-		case <-late.C:
-			p.harness.T.Fatalf("%s: not %s within %v:\n%s", p.Name, what, WaitTimeout, p.Log())
+			p.harness.T.Fatalf("%s: ended before %s:\n%s", p.Name, condition, p.Log())
+		case <-timeout.C:
+			p.harness.T.Fatalf("%s: not %s within %v:\n%s", p.Name, condition, WaitTimeout, p.Log())
 		}
 	}
 }
--- a/internal/fleettest/programs.go
+++ b/internal/fleettest/programs.go
@@ -68,7 +68,7 @@
 // again for another role, it plays that role instead.
 func Main(m *testing.M) {
 	if role := os.Getenv(roleEnv); role != "" {
-		if err := playRole(role); err != nil {
+		if err := runRole(role); err != nil {
 			fmt.Fprintln(os.Stderr, "fleettest:", err)
 			os.Exit(1)
 		}
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -48,17 +48,17 @@
 // NewRelay relays to a target until the test's end.
 func NewRelay(tb testing.TB, target string) *Relay {
 	tb.Helper()
-	lis, err := listen()
+	listener, err := listen()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	r := &Relay{
-		Addr: lis.Addr().String(), target: target, listener: lis, changed: make(chan struct{}),
+		Addr: listener.Addr().String(), target: target, listener: listener, changed: make(chan struct{}),
 		conns: map[net.Conn]bool{},
 	}
 	go r.accept()
 	tb.Cleanup(func() {
-		_ = lis.Close()
+		_ = listener.Close()
 		r.Cut()
 	})
 	return r
@@ -137,11 +137,11 @@
 		if err != nil {
 			return
 		}
-		go r.carry(client) // ends with the connection
+		go r.forward(client) // ends with the connection
 	}
 }
 
-func (r *Relay) carry(client net.Conn) {
+func (r *Relay) forward(client net.Conn) {
 	r.mu.Lock()
 	cut := r.cut
 	r.mu.Unlock()
@@ -163,13 +163,13 @@
 	r.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	for _, way := range []struct {
+	for _, stream := range []struct {
 		from, to net.Conn
 		d        Direction
 	}{{client, target, Upstream}, {target, client, Downstream}} {
 		go func() {
 			defer both.Done()
-			r.copyDirection(way.from, way.to, way.d)
+			r.copyDirection(stream.from, stream.to, stream.d)
 		}()
 	}
 	both.Wait()
@@ -187,14 +187,14 @@
 	for {
 		n, err := source.Read(buf)
 		if n > 0 {
-			if !r.awaitPassage(d) {
+			if !r.awaitForwarding(d) {
 				return
 			}
 			r.mu.Lock() // ahead of the write, so that what a peer has received is counted
 			r.count[d].Payload += int64(n)
 			r.count[d].Segments += int64((n + maxSegmentPayload - 1) / maxSegmentPayload)
 			r.mu.Unlock()
-			if _, bad := target.Write(buf[:n]); bad != nil {
+			if _, writeErr := target.Write(buf[:n]); writeErr != nil {
 				reset(source)
 				return
 			}
@@ -209,16 +209,16 @@
 }
 
 // awaitPassage waits while a direction is blackholed or delayed; false says that the link was cut meanwhile.
-func (r *Relay) awaitPassage(d Direction) bool {
+func (r *Relay) awaitForwarding(d Direction) bool {
 	var due <-chan time.Time
 	for delayed := false; ; {
 		r.mu.Lock()
-		cut, silent, wait, changed := r.cut, r.blackholed[d], r.delay[d], r.changed
+		cut, blackholed, wait, changed := r.cut, r.blackholed[d], r.delay[d], r.changed
 		r.mu.Unlock()
 		switch {
 		case cut:
 			return false
-		case silent:
+		case blackholed:
 			<-changed
 		case wait > 0 && !delayed:
 			if due == nil {
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -12,14 +12,14 @@
 // startEchoServer starts a server that echoes its input.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = lis.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := lis.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -29,7 +29,7 @@
 			}()
 		}
 	}()
-	return lis.Addr().String()
+	return listener.Addr().String()
 }
 
 func echoText(c net.Conn, text string, within time.Duration) error {
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -37,24 +37,24 @@
 			"aim-stretch": stretch, "credit": credit, "late-value": late,
 		}
 	}
-	parties := make([]object, c.Tenants)
-	for i := range parties {
-		parties[i] = object{"name": fmt.Sprintf("tenant-%05d", i), "quota-rps": 11.5, "share": 0.25}
+	tenants := make([]object, c.Tenants)
+	for i := range tenants {
+		tenants[i] = object{"name": fmt.Sprintf("tenant-%05d", i), "quota-rps": 11.5, "share": 0.25}
 	}
-	or := func(n, usual int) int {
+	orDefault := func(n, value int) int {
 		if n == 0 {
-			return usual
+			return value
 		}
 		return n
 	}
 	text, err := json.Marshal(object{
 		"name": c.Name, "listen": c.Listen, "seed": fmt.Sprintf("%x", 0x1f+c.Index), "board": c.Discovery,
 		"known":  KnownEvents(c.Engines),
-		"limits": object{"cores": 1, "memory_mb": or(c.MemoryMB, 192), "sockets": or(c.Sockets, 1024)},
+		"limits": object{"cores": 1, "memory_mb": orDefault(c.MemoryMB, 192), "sockets": orDefault(c.Sockets, 1024)},
 		"settings": object{
-			"balancers": or(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones,
+			"balancers": orDefault(c.Routers, 1), "me": c.Index, "zone": Zones[c.Index%len(Zones)], "failure-domains": Zones,
 			"kinds":     Kinds,
-			"period-ns": 5_000_000, "parties": parties, "over-share-worth": c.OverQuotaWeight,
+			"period-ns": 5_000_000, "parties": tenants, "over-share-worth": c.OverQuotaWeight,
 			"classes": []object{
 				class("lookup", "idempotent", 1000, 5000, 2, 1, 0),
 				class("report", "idempotent", 1500, 20000, 2.5, 10, 0.4), class("load", "at_most_once", 3000, 25000, 3, 7.5, 0.5),
@@ -97,29 +97,29 @@
 )
 
 // Router starts a router, and does not wait until it is ready.
-func (r *Harness) Router(config Config) *Router {
-	r.T.Helper()
+func (h *Harness) Router(config Config) *Router {
+	h.T.Helper()
 	if config.Listen == "" {
-		config.Listen = FreeAddress(r.T)
+		config.Listen = FreeAddress(h.T)
 	}
-	process := &Router{Config: config, path: filepath.Join(r.Dir, config.Name+".json")}
-	process.write(r.T)
-	cmd := exec.Command(filepath.Join(Programs(r.T), "windflow"))
+	router := &Router{Config: config, path: filepath.Join(h.Dir, config.Name+".json")}
+	router.write(h.T)
+	cmd := exec.Command(filepath.Join(Programs(h.T), "windflow"))
 	if config.Installation != nil {
 		text, err := json.Marshal(config.Installation)
-		own := filepath.Join(r.Dir, config.Name+".own.json")
+		settingsPath := filepath.Join(h.Dir, config.Name+".own.json")
 		if err == nil {
-			err = os.WriteFile(own, text, 0o600)
+			err = os.WriteFile(settingsPath, text, 0o600)
 		}
 		if err != nil {
-			r.T.Fatal(err)
+			h.T.Fatal(err)
 		}
-		cmd.Args = append(cmd.Args, "--settings", own)
+		cmd.Args = append(cmd.Args, "--settings", settingsPath)
 	}
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+process.path)
-	process.Process = r.Start(config.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent,
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+router.path)
+	router.Process = h.Start(config.Name, cmd, LineReloaded, LineReloadRejected, LineEndpointEvent,
 		LineDiscoveryConnected)
-	return process
+	return router
 }
 
 // write replaces the file that the router reads atomically.
@@ -176,8 +176,8 @@
 	tb.Helper()
 	for range 1000 {
 		addr := nextLoopbackIP() + ":7500"
-		if lis, err := net.Listen("tcp", addr); err == nil {
-			_ = lis.Close()
+		if listener, err := net.Listen("tcp", addr); err == nil {
+			_ = listener.Close()
 			return addr
 		}
 	}
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -29,7 +29,7 @@
 )
 
 // playRole plays a role until the standard input ends, which it does with the test.
-func playRole(role string) error {
+func runRole(role string) error {
 	fd, err := strconv.Atoi(os.Getenv("WINDFLOW_READY_FD"))
 	if err != nil {
 		return fmt.Errorf("WINDFLOW_READY_FD: %w", err)
@@ -61,8 +61,8 @@
 	_, _ = w.file.WriteString(line + "\n")
 }
 
-func (w *statusWriter) write(v statusMessage) {
-	text, err := json.Marshal(v)
+func (w *statusWriter) write(message statusMessage) {
+	text, err := json.Marshal(message)
 	if err != nil {
 		panic(err)
 	}
@@ -116,95 +116,95 @@
 }
 
 func newSimulatedRouter(spec SimulatedRouterSpec, out *statusWriter) (*simulatedRouter, error) {
-	simulated := &simulatedRouter{
+	r := &simulatedRouter{
 		spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}),
 		ended: make(chan struct{}),
 	}
 	var err error
-	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
+	if r.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
 	}
-	decisions, err := simulated.config.Settings.DispatchConfig(simulated.config.SeedValue)
+	decisions, err := r.config.Settings.DispatchConfig(r.config.SeedValue)
 	if err != nil {
 		return nil, err
 	}
-	known, last, err := settings.ParseEndpoints(simulated.config.KnownEndpoints)
+	known, last, err := settings.ParseEndpoints(r.config.KnownEndpoints)
 	if err != nil {
 		return nil, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	if simulated.core, err = router.New(simulated.loop, decisions, timedEngines{simulated}, log); err != nil {
+	if r.core, err = router.New(r.loop, decisions, timedEngines{r}, log); err != nil {
 		return nil, err
 	}
-	if simulated.net, err = netio.New(simulated.loop, "", nil, log); err != nil {
+	if r.net, err = netio.New(r.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	simulated.core.UpdateEndpoints(known.Events, known.Addresses)
-	simulated.loop.Post(func() {
-		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress,
-			simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
+	r.core.UpdateEndpoints(known.Events, known.Addresses)
+	r.loop.Post(func() {
+		r.watcher = discovery.Watch(r.loop, r.net, r.config.DiscoveryAddress,
+			r.names(), last, r.onUpdate, r.config.SeedValue, log)
 		if spec.StatementsPerSecond > 0 {
-			simulated.submitNext()
+			r.submitNext()
 		}
 	})
 	go func() {
-		defer close(simulated.ended)
-		simulated.loop.Run(simulated.stop)
+		defer close(r.ended)
+		r.loop.Run(r.stop)
 	}()
 	if spec.Keepers != nil {
-		simulated.stopClient, err = simulated.startConfigClient()
+		r.stopClient, err = r.startConfigClient()
 	}
-	return simulated, err
+	return r, err
 }
 
-func (h *simulatedRouter) names() discovery.RecordNames {
-	return discovery.RecordNames{Zones: h.config.Settings.Zones, Kinds: h.config.Settings.Kinds}
+func (r *simulatedRouter) names() discovery.RecordNames {
+	return discovery.RecordNames{Zones: r.config.Settings.Zones, Kinds: r.config.Settings.Kinds}
 }
 
-func (h *simulatedRouter) onUpdate(l discovery.Update) {
-	h.core.UpdateEndpoints(l.Events, l.Addresses)
-	h.out.write(statusMessage{Router: h.spec.Number, List: h.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
+func (r *simulatedRouter) onUpdate(update discovery.Update) {
+	r.core.UpdateEndpoints(update.Events, update.Addresses)
+	r.out.write(statusMessage{Router: r.spec.Number, List: r.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
 // configure applies another configuration, as a router's reload does. After an error nothing has changed.
-func (h *simulatedRouter) configure(cfg *settings.Node) error {
-	decisions, err := cfg.Settings.DispatchConfig(h.config.SeedValue)
+func (r *simulatedRouter) configure(cfg *settings.Node) error {
+	decisions, err := cfg.Settings.DispatchConfig(r.config.SeedValue)
 	if err != nil {
 		return err
 	}
-	if _, err := h.core.Configure(decisions); err != nil {
+	if _, err := r.core.Configure(decisions); err != nil {
 		return err
 	}
-	h.config = cfg
-	h.watcher.Configure(cfg.DiscoveryAddress, h.names())
+	r.config = cfg
+	r.watcher.Configure(cfg.DiscoveryAddress, r.names())
 	return nil
 }
 
 // submitNext submits the next statement, and schedules the one after it.
-func (h *simulatedRouter) submitNext() {
-	h.submitted++
-	_, _ = h.core.Submit(&router.Request{
-		ID: fmt.Sprintf("%016x", h.submitted), Class: "lookup", Statement: "SELECT 1",
-		TableGroup: dispatch.TableGroupOf(uint32(h.submitted % 64)), SentAtMS: h.loop.Now(), BudgetMS: 2000,
+func (r *simulatedRouter) submitNext() {
+	r.submitted++
+	_, _ = r.core.Submit(&router.Request{
+		ID: fmt.Sprintf("%016x", r.submitted), Class: "lookup", Statement: "SELECT 1",
+		TableGroup: dispatch.TableGroupOf(uint32(r.submitted % 64)), SentAtMS: r.loop.Now(), BudgetMS: 2000,
 	}, discardResponses{})
-	h.loop.After(1000/h.spec.StatementsPerSecond, h.submitNext)
+	r.loop.After(1000/r.spec.StatementsPerSecond, r.submitNext)
 }
 
-func (h *simulatedRouter) totals() Totals {
-	c := h.core.Counters
+func (r *simulatedRouter) totals() Totals {
+	c := r.core.Counters
 	return Totals{
 		Taken: c.Received, Served: c.Served, Rejected: c.Rejected, Failed: c.Failed,
-		Engines: h.core.ListedEngines(),
+		Engines: r.core.ListedEngines(),
 	}
 }
 
-func (h *simulatedRouter) close() {
-	if h.stopClient != nil {
-		h.stopClient()
+func (r *simulatedRouter) close() {
+	if r.stopClient != nil {
+		r.stopClient()
 	}
-	close(h.stop)
-	<-h.ended
-	h.net.Stop()
+	close(r.stop)
+	<-r.ended
+	r.net.Stop()
 }
 
 // discardResponses ignores answers: the core's counters say how a statement ended.
@@ -219,18 +219,18 @@
 
 type timedAttempt struct{ timer *router.Timer }
 
-func (i timedEngines) Start(_ router.Call, done func(router.End)) router.Attempt {
-	return timedAttempt{i.router.loop.After(i.router.spec.WorkMS, func() {
-		done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: i.router.spec.WorkMS}})
+func (e timedEngines) Start(_ router.Call, done func(router.End)) router.Attempt {
+	return timedAttempt{e.router.loop.After(e.router.spec.WorkMS, func() {
+		done(router.End{Outcome: dispatch.Served, Result: &router.Result{WorkMS: e.router.spec.WorkMS}})
 	})}
 }
-func (i timedEngines) Forget(router.Engine)          {}
-func (i timedEngines) CancelUnstarted(router.Engine) {}
+func (e timedEngines) Forget(router.Engine)          {}
+func (e timedEngines) CancelUnstarted(router.Engine) {}
 
-func (s timedAttempt) SetPriority(int)    {}
-func (s timedAttempt) Cancel()            {}
-func (s timedAttempt) Abandon()           { s.timer.Stop() }
-func (s timedAttempt) CancelUnsent() bool { return false }
+func (a timedAttempt) SetPriority(int)    {}
+func (a timedAttempt) Cancel()            {}
+func (a timedAttempt) Abandon()           { a.timer.Stop() }
+func (a timedAttempt) CancelUnsent() bool { return false }
 
 // runSimulatedRouters runs the routers that the first line describes, writes "ready", and answers "totals" until its
 // input ends.
@@ -241,11 +241,11 @@
 	}
 	var routers []*simulatedRouter
 	for _, s := range specs {
-		h, err := newSimulatedRouter(s, out)
+		r, err := newSimulatedRouter(s, out)
 		if err != nil {
 			return fmt.Errorf("simulated router %d: %w", s.Number, err)
 		}
-		routers = append(routers, h)
+		routers = append(routers, r)
 	}
 	out.writeLine("ready")
 	for input.Scan() {
@@ -285,12 +285,12 @@
 	go changeAtRate(server, engines, rate) // ends when rate is closed
 	defer close(rate)
 	for input.Scan() {
-		command, figure, _ := strings.Cut(input.Text(), " ")
-		r, err := strconv.ParseFloat(figure, 64)
+		command, argument, _ := strings.Cut(input.Text(), " ")
+		perSecond, err := strconv.ParseFloat(argument, 64)
 		if command != "rate" || err != nil {
 			return fmt.Errorf("%q is not a command", input.Text())
 		}
-		rate <- r
+		rate <- perSecond
 	}
 	return input.Err()
 }
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -15,23 +15,23 @@
 
 // startConfigClient has a simulated router follow keepers as a router does: with the same client and the same check,
 // and a change of the core and of the discovery watcher in the loop. The returned function ends it.
-func (h *simulatedRouter) startConfigClient() (end func(), err error) {
+func (r *simulatedRouter) startConfigClient() (end func(), err error) {
 	var section configclient.Config
-	if err := json.Unmarshal(h.spec.Keepers, &section); err != nil {
+	if err := json.Unmarshal(r.spec.Keepers, &section); err != nil {
 		return nil, err
 	}
 	instance := configlog.NewInstance(time.Now().UnixMilli(), rand.Uint64())
-	client := configclient.New(section, h.config.Name, instance, slog.New(slog.DiscardHandler))
+	client := configclient.New(section, r.config.Name, instance, slog.New(slog.DiscardHandler))
 	client.Start(func(rev configclient.Revision) error {
-		cfg, err := validate.Overlay(h.spec.Config, rev.Entries)
+		cfg, err := validate.Overlay(r.spec.Config, rev.Entries)
 		if err != nil {
 			return err
 		}
-		if err := h.applyInLoop(cfg); err != nil {
+		if err := r.applyInLoop(cfg); err != nil {
 			return configerror.Invalidf("", "%s", err)
 		}
-		h.out.write(statusMessage{
-			Router: h.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(),
+		r.out.write(statusMessage{
+			Router: r.spec.Number, Revision: rev.Revision, Hash: rev.Hash.String(),
 			AtNS: time.Now().UnixNano(),
 		})
 		return nil
@@ -40,8 +40,8 @@
 }
 
 // applyInLoop applies a configuration, in the loop.
-func (h *simulatedRouter) applyInLoop(cfg *settings.Node) error {
+func (r *simulatedRouter) applyInLoop(cfg *settings.Node) error {
 	done := make(chan error, 1)
-	h.loop.Post(func() { done <- h.configure(cfg) })
+	r.loop.Post(func() { done <- r.configure(cfg) })
 	return <-done
 }
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -22,22 +22,22 @@
 func (c *sessions) each(t *testing.T, n int, f func(i int) error) {
 	t.Helper()
 	var all sync.WaitGroup
-	var bad atomic.Pointer[string]
-	turn := make(chan struct{}, 64)
+	var lastError atomic.Pointer[string]
+	slots := make(chan struct{}, 64)
 	for i := range n {
 		all.Add(1)
-		turn <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer all.Done()
 			if err := f(i); err != nil {
 				text := err.Error()
-				bad.Store(&text)
+				lastError.Store(&text)
 			}
-			<-turn
+			<-slots
 		}()
 	}
 	all.Wait()
-	if text := bad.Load(); text != nil {
+	if text := lastError.Load(); text != nil {
 		t.Fatal(*text)
 	}
 }
@@ -66,14 +66,14 @@
 
 // The cost of silent sessions.
 func TestSlopesOfSessionsAtRest(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	b := NewDiscoveryServer(t, Engines(300))
+	rows, h := requireSlopes(t), New(t)
+	server := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{0, 500, 1000, 2000}
 	var all []*Process
 	var groups []*sessions
 	for _, n := range sizes {
-		p := r.Router(Config{
-			Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+		p := h.Router(Config{
+			Name: fmt.Sprint("q", n), Routers: 600, Discovery: server.Addr, Engines: Engines(300), Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
@@ -133,29 +133,29 @@
 
 // What statements cost, from few sessions; and what sessions cost of which each sends a query now and then.
 func TestSlopesOfStatements(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	run := func(name string, sessions int, aSecond float64) (rate, cpu, mb, bytes float64) {
+	rows, h := requireSlopes(t), New(t)
+	run := func(name string, sessions int, perSecond float64) (rate, cpu, mb, bytes float64) {
 		t.Helper()
-		farm := NewStubEngines(t, 60)
-		b := NewDiscoveryServer(t, farm.Engines)
-		p := r.Router(Config{
-			Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4,
+		engines := NewStubEngines(t, 60)
+		server := NewDiscoveryServer(t, engines.Engines)
+		p := h.Router(Config{
+			Name: name, Routers: 20, Discovery: server.Addr, Engines: engines.Engines, Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
 		defer c.close()
-		c.querySteadily(t, aSecond, 4*time.Second) // connections to engines are established
-		from, wire := p.Usage(), farm.Meter.WireBytes()+c.meter.WireBytes()
-		n := c.querySteadily(t, aSecond, 12*time.Second)
+		c.querySteadily(t, perSecond, 4*time.Second) // connections to engines are established
+		from, wire := p.Usage(), engines.Meter.WireBytes()+c.meter.WireBytes()
+		n := c.querySteadily(t, perSecond, 12*time.Second)
 		to := p.Usage()
 		took := to.At.Sub(from.At).Seconds()
-		return float64(n) / took, Percent(from, to), to.MB(), float64(farm.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
+		return float64(n) / took, Percent(from, to), to.MB(), float64(engines.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
 	}
 	var cpu, mb, bytes [][2]float64
-	for _, aSecond := range []float64{25, 50, 100, 200, 450, 900} {
-		rate, percent, resident, wire := run(fmt.Sprint("v", aSecond), 64, aSecond)
+	for _, perSecond := range []float64{25, 50, 100, 200, 450, 900} {
+		rate, percent, resident, wire := run(fmt.Sprint("v", perSecond), 64, perSecond)
 		cpu = append(cpu, [2]float64{rate, percent})
 		mb = append(mb, [2]float64{rate, resident})
 		bytes = append(bytes, [2]float64{rate, wire})
@@ -180,13 +180,13 @@
 
 // The cost of clients that reconnect to a restarted router.
 func TestSlopesOfClientsThatComeBack(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	b := NewDiscoveryServer(t, Engines(300))
+	rows, h := requireSlopes(t), New(t)
+	server := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{250, 500, 1000, 2000}
 	var cpu, bytes, took []float64
 	for _, n := range sizes {
-		p := r.Router(Config{
-			Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+		p := h.Router(Config{
+			Name: fmt.Sprint("b", n), Routers: 600, Discovery: server.Addr, Engines: Engines(300), Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -16,19 +16,19 @@
 	rows := requireSlopes(t)
 	rates := []float64{0, 0.25, 0.5, 1, 2}
 	engines := Engines(1200)
-	b := NewDiscoveryServer(t, engines)
+	server := NewDiscoveryServer(t, engines)
 	var routers []*Process
 	done := make(chan struct{})
-	var ended []chan error
-	for i, aSecond := range rates {
+	var results []chan error
+	for i, perSecond := range rates {
 		c := Config{
-			Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: b.Addr, Engines: engines, Tenants: 1000,
+			Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: server.Addr, Engines: engines, Tenants: 1000,
 			OverQuotaWeight: 0.1,
 		}
-		own := New(t) // keepers have their folders by name, so that each group needs a folder of its own
-		k := own.Keepers(3, c)
-		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(own.Dir, "follower"), 0)}
-		p := own.Router(c)
+		h := New(t) // keepers have their folders by name, so that each group needs a folder of its own
+		k := h.Keepers(3, c)
+		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(h.Dir, "follower"), 0)}
+		p := h.Router(c)
 		p.Ready()
 		change := func(n int) configlog.Change {
 			return configlog.Change{ID: fmt.Sprint("pace-", n), Put: map[string]json.RawMessage{
@@ -38,23 +38,23 @@
 		revision, _ := k.Change(0, change(0))
 		p.AwaitRevision(revision)
 		routers = append(routers, p.Process)
-		if aSecond == 0 {
+		if perSecond == 0 {
 			continue
 		}
-		over := make(chan error, 1)
-		ended = append(ended, over)
+		result := make(chan error, 1)
+		results = append(results, result)
 		go func() {
-			pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
-			defer pace.Stop()
+			ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
+			defer ticker.Stop()
 			for n := 1; ; n++ {
 				select {
 				case <-done:
-					over <- nil
+					result <- nil
 					return
-				case <-pace.C:
+				case <-ticker.C:
 				}
 				if _, _, err := k.TryChange(0, change(n)); err != nil {
-					over <- fmt.Errorf("%v changes a second: %w", aSecond, err)
+					result <- fmt.Errorf("%v changes a second: %w", perSecond, err)
 					return
 				}
 			}
@@ -62,8 +62,8 @@
 	}
 	cpu, mb := measureCosts(measuredSpan, routers...)
 	close(done)
-	for _, over := range ended {
-		if err := <-over; err != nil {
+	for _, result := range results {
+		if err := <-result; err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleettest/slopes_discovery_test.go
+++ b/internal/fleettest/slopes_discovery_test.go
@@ -29,14 +29,14 @@
 // What the discovery server of the harness costs by routers and by changes; another implementation may cost something
 // else.
 func TestSlopesOfTheBoard(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	const ours = "our stand-in board, in a process of its own, followed by bare links that read; 1,200 engines; 20 s"
+	rows, h := requireSlopes(t), New(t)
+	const commonConditions = "our stand-in board, in a process of its own, followed by bare links that read; 1,200 engines; 20 s"
 	sizes := []int{60, 150, 300, 600}
 	rates := []float64{0, 1, 10, 30}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		suffix, x string
 		n         int
-		of        func(i int) (routers int, aSecond float64)
+		load      func(i int) (routers int, perSecond float64)
 	}{
 		{"by-routers", "routers", len(sizes), func(i int) (int, float64) { return sizes[i], 0 }},
 		{"by-routers-at-1-change", "routers", len(sizes), func(i int) (int, float64) { return sizes[i], 1 }},
@@ -45,17 +45,17 @@
 		var all []*Process
 		var meters []*Meter
 		var x []float64
-		for i := range k.n {
-			b := r.DiscoveryProcess(1200)
-			routers, aSecond := k.of(i)
-			meters, all = append(meters, openWatchers(t, b.Addr, routers)), append(all, b.Process)
-			if b.SetChangeRate(aSecond); k.x == "routers" {
+		for i := range test.n {
+			server := h.DiscoveryProcess(1200)
+			routers, perSecond := test.load(i)
+			meters, all = append(meters, openWatchers(t, server.Addr, routers)), append(all, server.Process)
+			if server.SetChangeRate(perSecond); test.x == "routers" {
 				x = append(x, float64(routers))
 			} else {
-				x = append(x, aSecond)
+				x = append(x, perSecond)
 			}
 		}
-		from := make([]int64, k.n)
+		from := make([]int64, test.n)
 		for i, m := range meters {
 			from[i] = m.WireBytes()
 		}
@@ -68,13 +68,13 @@
 		for i := range bytes {
 			bytes[i] = (bytes[i] - float64(from[i])) / time.Since(began).Seconds()
 		}
-		conditions := ours + map[string]string{
+		conditions := commonConditions + map[string]string{
 			"by-routers": "; no changes", "by-routers-at-1-change": "; one change of one engine a second",
 			"by-changes": "; 300 routers, one engine in each change",
-		}[k.suffix]
-		rows.add("board-cpu-"+k.suffix, "board", k.x, cpuPercent, pairs(x, cpu), conditions)
-		rows.add("board-memory-"+k.suffix, "board", k.x, megabytes, pairs(x, mb), conditions)
-		rows.add("board-bytes-"+k.suffix, "board", k.x, bytesPerSecond, pairs(x, bytes), conditions)
+		}[test.suffix]
+		rows.add("board-cpu-"+test.suffix, "board", test.x, cpuPercent, pairs(x, cpu), conditions)
+		rows.add("board-memory-"+test.suffix, "board", test.x, megabytes, pairs(x, mb), conditions)
+		rows.add("board-bytes-"+test.suffix, "board", test.x, bytesPerSecond, pairs(x, bytes), conditions)
 		for _, p := range all {
 			p.Kill()
 		}
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -120,10 +120,10 @@
 		g := newKeeperGroup(t, n)
 		var sum, most time.Duration
 		for i := range changes {
-			took := newTimes()
+			durations := newDurations()
 			revision, proposedAt := g.change(i % g.size.keepers)
-			g.await(revision, proposedAt, everyZone, took)
-			last := time.Duration(took.Max()) * time.Microsecond
+			g.await(revision, proposedAt, everyZone, durations)
+			last := time.Duration(durations.Max()) * time.Microsecond
 			sum, most = sum+last, max(most, last)
 		}
 		mean, worst = append(mean, (sum/changes).Seconds()*1000), append(worst, most.Seconds()*1000)
@@ -149,12 +149,12 @@
 	for range rates {
 		groups = append(groups, newKeeperGroup(t, 150))
 	}
-	var ended []func()
+	var ends []func()
 	for i, g := range groups {
-		ended = append(ended, g.startChanges(rates[i]))
+		ends = append(ends, g.startChanges(rates[i]))
 	}
 	cpu, mb, perRouter, perKeeper := measureGroups(groups)
-	for _, end := range ended {
+	for _, end := range ends {
 		end()
 	}
 	conditions := keeperConditions + "; 150 routers"
@@ -165,40 +165,40 @@
 	rows.add("keeper-bytes-by-changes", "keeper", "configuration changes a second", bytesPerSecond,
 		pairs(rates, perKeeper),
 		conditions+"; mean of the keepers, links to followers and among keepers")
-	grows := len(rates) - 1
+	growing := len(rates) - 1
 	rows.add("follower-bytes-by-changes", "router", "configuration changes a second", bytesPerSecond,
-		pairs(rates[:grows], perRouter[:grows]),
+		pairs(rates[:growing], perRouter[:growing]),
 		fmt.Sprintf("%s; mean of the routers; level past %d changes a second: %.0f at %v", conditions, maxClientChangeRate,
-			perRouter[grows], rates[grows]))
+			perRouter[growing], rates[growing]))
 }
 
 // startChanges makes changes at an even rate, whether or not those before have been answered, until the function that
 // it returns is called. It fails the test where an answer does not arrive or the rate was not reached.
-func (f *configuredFleet) startChanges(aSecond float64) (end func()) {
-	if aSecond == 0 {
+func (f *configuredFleet) startChanges(perSecond float64) (end func()) {
+	if perSecond == 0 {
 		return func() {}
 	}
 	done, ended := make(chan struct{}), make(chan struct{})
 	began, n := time.Now(), 0
 	go func() {
 		defer close(ended)
-		var open sync.WaitGroup
-		defer open.Wait()
-		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
-		defer pace.Stop()
+		var calls sync.WaitGroup
+		defer calls.Wait()
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
+		defer ticker.Stop()
 		for {
 			select {
 			case <-done:
 				return
-			case <-pace.C:
+			case <-ticker.C:
 			}
 			n++
 			c := f.nextChange()
-			open.Add(1)
+			calls.Add(1)
 			go func() {
-				defer open.Done()
+				defer calls.Done()
 				if _, _, err := f.keepers.TryChange(0, c); err != nil {
-					f.t.Errorf("%v changes a second: %v", aSecond, err)
+					f.t.Errorf("%v changes a second: %v", perSecond, err)
 				}
 			}()
 		}
@@ -207,8 +207,8 @@
 		close(done)
 		took := time.Since(began).Seconds()
 		<-ended
-		if made := float64(n) / took; made < 0.9*aSecond {
-			f.t.Errorf("%.2f changes a second were made, want %v", made, aSecond)
+		if made := float64(n) / took; made < 0.9*perSecond {
+			f.t.Errorf("%.2f changes a second were made, want %v", made, perSecond)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 			revision, proposedAt := g.keepers.Change(0, c)
 			g.await(revision, proposedAt, everyZone, nil)
 		}
-		q, err := json.Marshal(map[string]any{
+		body, err := json.Marshal(map[string]any{
 			"report":  configlog.NewFollower("fresh", fmt.Sprint("fresh-", n)).Status(),
 			"wait_ms": 2000,
 		})
@@ -239,14 +239,14 @@
 		}
 		size := 0
 		for size == 0 { // 204 while the name is new
-			a, err := httpClient.Post("http://"+g.keepers.Members[0].HTTPAddr+"/v1/follow", "application/json", bytes.NewReader(q))
+			response, err := httpClient.Post("http://"+g.keepers.Members[0].HTTPAddr+"/v1/follow", "application/json", bytes.NewReader(body))
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, err := io.ReadAll(a.Body)
-			_ = a.Body.Close()
-			if err != nil || a.StatusCode >= 300 {
-				t.Fatal(a.StatusCode, string(text), err)
+			text, err := io.ReadAll(response.Body)
+			_ = response.Body.Close()
+			if err != nil || response.StatusCode >= 300 {
+				t.Fatal(response.StatusCode, string(text), err)
 			}
 			size = len(text)
 		}
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -12,28 +12,28 @@
 // How long it takes until the last of hundreds of routers has an engine's change: from the discovery event to the
 // report of the last simulated router that its module has it.
 func TestSlopesOfTelling(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
+	rows, h := requireSlopes(t), New(t)
 	const changes = 20
 	sizes := []int{60, 150, 300, 600}
 	engines := Engines(1200)
 	var median, worst []float64
 	for _, n := range sizes {
-		b := NewDiscoveryServer(t, engines)
-		h := r.SimulatedRouters(simulatedSpecs(n, n, engines, 0, func(int) string { return b.Addr }))
-		b.AwaitConnections(t, n)
-		h.AwaitList(b.Change(ToggledEngine(engines, 0)))
+		server := NewDiscoveryServer(t, engines)
+		simulated := h.SimulatedRouters(simulatedSpecs(n, n, engines, 0, func(int) string { return server.Addr }))
+		server.AwaitConnections(t, n)
+		simulated.AwaitList(server.Change(ToggledEngine(engines, 0)))
 		var took []float64
 		for i := range changes {
 			from := time.Now()
-			h.AwaitList(b.Change(ToggledEngine(engines, 1+i)))
+			simulated.AwaitList(server.Change(ToggledEngine(engines, 1+i)))
 			took = append(took, time.Since(from).Seconds()*1000)
 		}
 		slices.Sort(took)
 		median, worst = append(median, took[changes/2]), append(worst, took[changes-1])
-		for _, p := range h.Processes {
+		for _, p := range simulated.Processes {
 			p.Kill()
 		}
-		b.Close()
+		server.Close()
 	}
 	const conditions = "from the board's event to the word of the last simulated router, 60 of them to a process, " +
 		"1,200 engines, one in each change; wall time on one machine"
@@ -44,19 +44,19 @@
 
 // The cost of a change that names many engines in one frame, as when a zone fails.
 func TestSlopesOfAFrameOfMany(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
+	rows, h := requireSlopes(t), New(t)
 	const frames = 30
 	frameSizes := []int{1, 30, 100, 200, 600}
 	var cost, bytes []float64
 	for _, k := range frameSizes {
 		engines := Engines(1200)
-		b := NewDiscoveryServer(t, engines)
-		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("f", k), Routers: 600, Discovery: relay.Addr, Tenants: 4}).Process
+		server := NewDiscoveryServer(t, engines)
+		relay := NewRelay(t, server.Addr)
+		p := h.Router(Config{Name: fmt.Sprint("f", k), Routers: 600, Discovery: relay.Addr, Tenants: 4}).Process
 		p.Ready()
 		p.Await(LineEndpointEvent, 1)
 		idle, before := p.Usage(), relay.WireBytes()
-		pace := time.NewTicker(20 * time.Millisecond)
+		ticker := time.NewTicker(20 * time.Millisecond)
 		for n := range frames {
 			list := slices.Clone(engines[:k])
 			for i := range list {
@@ -64,10 +64,10 @@
 					list[i].State = dispatch.Draining
 				}
 			}
-			<-pace.C
-			b.Change(list...)
+			<-ticker.C
+			server.Change(list...)
 		}
-		pace.Stop()
+		ticker.Stop()
 		p.Await(LineEndpointEvent, 1+frames)
 		cost = append(cost, (p.Usage().CPU-idle.CPU).Seconds()*1000/frames)
 		bytes = append(bytes, float64(relay.WireBytes()-before)/frames)
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -19,21 +19,21 @@
 // What an idle router uses, by the engines in its list; what a complete list is on the wire; and what one change of
 // the list costs by the engines in it.
 func TestSlopesOfARouterByEngines(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
+	rows, h := requireSlopes(t), New(t)
 	var all []*Process
 	var relays []*Relay
 	var servers []*DiscoveryServer
 	var lists, onWire []float64
 	for _, n := range engineSizes {
-		b := NewDiscoveryServer(t, Engines(n))
-		relay := NewRelay(t, b.Addr)
+		server := NewDiscoveryServer(t, Engines(n))
+		relay := NewRelay(t, server.Addr)
 		// without a list
-		p := r.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4})
+		p := h.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1) // the complete list
 		lists = append(lists, float64(relay.Count(Downstream).Payload))
 		onWire = append(onWire, float64(relay.WireBytes()))
-		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, b)
+		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, server)
 	}
 	rows.add("list-bytes-by-engines", "board", "engines", "bytes of a whole list", pairs(engineSizes, lists),
 		"payload of the stand-in board's frame, counted by the relay")
@@ -60,12 +60,12 @@
 	for i, b := range servers {
 		engines := Engines(engineSizes[i])
 		idle, began := all[i].Usage(), time.Now()
-		pace := time.NewTicker(20 * time.Millisecond)
+		ticker := time.NewTicker(20 * time.Millisecond)
 		for n := range changes {
-			<-pace.C
+			<-ticker.C
 			b.Change(ToggledEngine(engines, n))
 		}
-		pace.Stop()
+		ticker.Stop()
 		all[i].Await(LineEndpointEvent, 1+changes)
 		used := all[i].Usage()
 		idleCPU := time.Duration(cpu[i] / 100 * float64(time.Since(began)))
@@ -78,22 +78,22 @@
 
 // What changes of the list cost a router of 1,200 engines.
 func TestSlopesOfARouterByListChanges(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
+	rows, h := requireSlopes(t), New(t)
 	rates := []float64{0, 1, 3, 10, 30, 100}
 	var all []*Process
 	var relays []*Relay
 	var servers []*DiscoveryProcess
 	for i := range rates {
-		b := r.DiscoveryProcess(1200)
-		relay := NewRelay(t, b.Addr)
-		p := r.Router(Config{Name: fmt.Sprint("c", i), Routers: 600, Discovery: relay.Addr, Tenants: 4})
+		server := h.DiscoveryProcess(1200)
+		relay := NewRelay(t, server.Addr)
+		p := h.Router(Config{Name: fmt.Sprint("c", i), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1)
-		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, b)
+		all, relays, servers = append(all, p.Process), append(relays, relay), append(servers, server)
 	}
 	from := make([]int64, len(rates))
-	for i, aSecond := range rates {
-		servers[i].SetChangeRate(aSecond)
+	for i, perSecond := range rates {
+		servers[i].SetChangeRate(perSecond)
 		from[i] = relays[i].WireBytes()
 	}
 	began := time.Now()
@@ -118,11 +118,11 @@
 
 // What a reload costs by tenants and by engines, and what reloads a second take.
 func TestSlopesOfReloads(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
+	rows, h := requireSlopes(t), New(t)
 	const reloads = 40
 	cost := func(c Config) (ms, mb, fileBytes float64) {
 		t.Helper()
-		p := r.Router(c)
+		p := h.Router(c)
 		p.Ready()
 		from := p.Usage()
 		for i := range reloads {
@@ -132,12 +132,12 @@
 		p.Kill()
 		return (to.CPU - from.CPU).Seconds() * 1000 / reloads, to.MB(), float64(len(p.Text()))
 	}
-	b := NewDiscoveryServer(t, Engines(1))
+	server := NewDiscoveryServer(t, Engines(1))
 	tenants := []int{4, 100, 300, 1000, 4000}
 	var ms, mb, size []float64
 	for _, n := range tenants {
 		took, resident, text := cost(Config{
-			Name: fmt.Sprint("t", n), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+			Name: fmt.Sprint("t", n), Routers: 600, Discovery: server.Addr, Engines: Engines(1200),
 			Tenants: n,
 		})
 		ms, mb, size = append(ms, took), append(mb, resident), append(size, text)
@@ -151,7 +151,7 @@
 		"the file as the rig writes it, with 1,200 engines")
 	ms = nil
 	for _, n := range engineSizes {
-		took, _, _ := cost(Config{Name: fmt.Sprint("g", n), Routers: 600, Discovery: b.Addr, Engines: Engines(n), Tenants: 4})
+		took, _, _ := cost(Config{Name: fmt.Sprint("g", n), Routers: 600, Discovery: server.Addr, Engines: Engines(n), Tenants: 4})
 		ms = append(ms, took)
 	}
 	rows.add("reload-cost-by-engines", "router", "engines", milliseconds+" for one reload", pairs(engineSizes, ms),
@@ -159,19 +159,19 @@
 
 	rates := []float64{0.25, 1, 2, 5}
 	var at []float64
-	for i, aSecond := range rates {
-		p := r.Router(Config{
-			Name: fmt.Sprint("r", i), Routers: 600, Discovery: b.Addr, Engines: Engines(1200),
+	for i, perSecond := range rates {
+		p := h.Router(Config{
+			Name: fmt.Sprint("r", i), Routers: 600, Discovery: server.Addr, Engines: Engines(1200),
 			Tenants: 1000,
 		})
 		p.Ready()
-		from, n := p.Usage(), int(max(8*aSecond, 2))
-		pace := time.NewTicker(time.Duration(float64(time.Second) / aSecond))
+		from, n := p.Usage(), int(max(8*perSecond, 2))
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 		for k := range n {
-			<-pace.C
+			<-ticker.C
 			reloadChanged(p, k)
 		}
-		pace.Stop()
+		ticker.Stop()
 		at = append(at, Percent(from, p.Usage()))
 		p.Kill()
 	}
@@ -181,16 +181,16 @@
 
 // The cost of a restart, by engines.
 func TestSlopesOfARestart(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	const times = 5
+	rows, h := requireSlopes(t), New(t)
+	const starts = 5
 	var ready, cpu, bytes []float64
 	for _, n := range engineSizes {
-		b := NewDiscoveryServer(t, Engines(n))
+		server := NewDiscoveryServer(t, Engines(n))
 		var sumMS, sumCPU, sumBytes float64
-		for k := range times {
-			relay := NewRelay(t, b.Addr)
+		for k := range starts {
+			relay := NewRelay(t, server.Addr)
 			from := time.Now()
-			p := r.Router(Config{Name: fmt.Sprint("s", n, "-", k), Routers: 600, Discovery: relay.Addr, Tenants: 4})
+			p := h.Router(Config{Name: fmt.Sprint("s", n, "-", k), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 			p.Ready()
 			sumMS += time.Since(from).Seconds() * 1000
 			p.Await(LineEndpointEvent, 1)
@@ -198,7 +198,7 @@
 			sumBytes += float64(relay.WireBytes())
 			p.Kill()
 		}
-		ready, cpu, bytes = append(ready, sumMS/times), append(cpu, sumCPU/times), append(bytes, sumBytes/times)
+		ready, cpu, bytes = append(ready, sumMS/starts), append(cpu, sumCPU/starts), append(bytes, sumBytes/starts)
 	}
 	conditions := "mean of 5 starts of a router whose file names no engines, up to the whole list of the board"
 	rows.add("restart-ready-by-engines", "router", "engines", "ms from the start of the process to its readiness",
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -84,12 +84,12 @@
 }
 
 // measureCosts measures what processes take over a span in percent of a core, and the memory they use at its end in MB.
-func measureCosts(over time.Duration, processes ...*Process) (percent, mb []float64) {
+func measureCosts(span time.Duration, processes ...*Process) (percent, mb []float64) {
 	from := make([]Usage, len(processes))
 	for i, p := range processes {
 		from[i] = p.Usage()
 	}
-	<-time.After(over)
+	<-time.After(span)
 	for i, p := range processes {
 		to := p.Usage()
 		percent, mb = append(percent, Percent(from[i], to)), append(mb, to.MB())
--- a/internal/golden/archive.go
+++ b/internal/golden/archive.go
@@ -15,9 +15,9 @@
 func Pack(tb testing.TB, dir string) []byte {
 	tb.Helper()
 	var packed bytes.Buffer
-	compressed, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
-	archive := tar.NewWriter(compressed)
-	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressed.Close()); err != nil {
+	compressor, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	archive := tar.NewWriter(compressor)
+	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressor.Close()); err != nil {
 		tb.Fatal(err)
 	}
 	return packed.Bytes()
@@ -26,12 +26,12 @@
 // Unpack extracts an archive of Pack into a new temporary folder and returns its path.
 func Unpack(tb testing.TB, packed []byte) string {
 	tb.Helper()
-	compressed, err := gzip.NewReader(bytes.NewReader(packed))
+	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	dir := tb.TempDir()
-	for archive := tar.NewReader(compressed); ; {
+	for archive := tar.NewReader(decompressor); ; {
 		header, err := archive.Next()
 		if errors.Is(err, io.EOF) {
 			return dir
@@ -53,9 +53,9 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
-	text, err := io.ReadAll(content)
+	data, err := io.ReadAll(content)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, text, 0o600)
+	return os.WriteFile(path, data, 0o600)
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,15 +7,15 @@
 
 // failure is a testing.TB that notes whether a check failed. A fatal one panics with it, as the check must not
 // continue.
-type failure struct {
+type failureRecorder struct {
 	testing.TB
 	failed bool
 }
 
-func (f *failure) Helper()               {}
-func (f *failure) Error(...any)          { f.failed = true }
-func (f *failure) Errorf(string, ...any) { f.failed = true }
-func (f *failure) Fatal(...any) {
+func (f *failureRecorder) Helper()               {}
+func (f *failureRecorder) Error(...any)          { f.failed = true }
+func (f *failureRecorder) Errorf(string, ...any) { f.failed = true }
+func (f *failureRecorder) Fatal(...any) {
 	f.failed = true
 	panic(f)
 }
@@ -23,15 +23,15 @@
 // fails reports whether a check fails.
 func fails(t *testing.T, check func(testing.TB)) (failed bool) {
 	t.Helper()
-	noted := &failure{TB: t}
+	recorder := &failureRecorder{TB: t}
 	defer func() {
-		if recovered := recover(); recovered != nil && recovered != any(noted) {
+		if recovered := recover(); recovered != nil && recovered != any(recorder) {
 			panic(recovered)
 		}
-		failed = noted.failed
+		failed = recorder.failed
 	}()
-	check(noted)
-	return noted.failed
+	check(recorder)
+	return recorder.failed
 }
 
 // setRecording sets the flag for the duration of a test.
@@ -44,7 +44,7 @@
 
 // A golden file that differs or does not exist fails the test; recording writes one that does not exist and leaves an
 // existing one as it is.
-func TestFileIsNeverWrittenAgain(t *testing.T) {
+func TestGoldenFileIsNeverOverwritten(t *testing.T) {
 	t.Chdir(t.TempDir())
 	const name = "folder/form.json"
 	equalFails := func(text string) bool {
@@ -75,7 +75,7 @@
 }
 
 // A golden file is recorded on request only, and Write never overwrites one.
-func TestRecordsOnce(t *testing.T) {
+func TestRecordingNeedsFlagAndMissingFile(t *testing.T) {
 	t.Chdir(t.TempDir())
 	setRecording(t, false)
 	if Recording(t, "a") {
@@ -102,7 +102,7 @@
 }
 
 // An archive has the content of its folder.
-func TestArchive(t *testing.T) {
+func TestArchiveRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.MkdirAll(dir+"/sub", 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/golden/samples.go
+++ b/internal/golden/samples.go
@@ -101,7 +101,7 @@
 func unsetFields(samples ...any) (unset []string) {
 	set := map[string]bool{}
 	for _, sample := range samples {
-		noteSetFields(reflect.ValueOf(sample), set)
+		recordSetFields(reflect.ValueOf(sample), set)
 	}
 	for field, ok := range set {
 		if !ok {
@@ -113,32 +113,32 @@
 }
 
 // noteSetFields records whether each exported field below a value is set.
-func noteSetFields(value reflect.Value, set map[string]bool) {
+func recordSetFields(value reflect.Value, set map[string]bool) {
 	switch value.Kind() { //nolint:exhaustive // the other kinds have no fields
 	case reflect.Pointer, reflect.Interface:
 		if !value.IsNil() {
-			noteSetFields(value.Elem(), set)
+			recordSetFields(value.Elem(), set)
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range value.Len() {
-			noteSetFields(value.Index(i), set)
+			recordSetFields(value.Index(i), set)
 		}
 	case reflect.Map:
 		for _, key := range value.MapKeys() {
-			noteSetFields(value.MapIndex(key), set)
+			recordSetFields(value.MapIndex(key), set)
 		}
 	case reflect.Struct:
-		noteSetStruct(value, set)
+		recordSetStruct(value, set)
 	}
 }
 
-func noteSetStruct(value reflect.Value, set map[string]bool) {
+func recordSetStruct(value reflect.Value, set map[string]bool) {
 	for field, fieldValue := range value.Fields() {
 		if !field.IsExported() {
 			continue
 		}
 		name := fmt.Sprintf("%s.%s", value.Type(), field.Name)
 		set[name] = set[name] || !fieldValue.IsZero()
-		noteSetFields(fieldValue, set)
+		recordSetFields(fieldValue, set)
 	}
 }
--- a/internal/golden/struct_tags_test.go
+++ b/internal/golden/struct_tags_test.go
@@ -12,14 +12,14 @@
 
 // A struct with a tag on one of its exported fields has a tag on each. It guards types without a name, such as the
 // bodies of calls, which no list of encoded types can contain.
-func TestNoStructIsTaggedInPart(t *testing.T) {
+func TestNoStructIsPartlyTagged(t *testing.T) {
 	structs := 0
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		set := token.NewFileSet()
-		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		files := token.NewFileSet()
+		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
@@ -30,7 +30,7 @@
 			}
 			structs++
 			for _, name := range namesWithoutTag(s) {
-				t.Errorf("%s: field %s has no tag, and others of its struct do", set.Position(name.Pos()), name.Name)
+				t.Errorf("%s: field %s has no tag, and others of its struct do", files.Position(name.Pos()), name.Name)
 			}
 			return true
 		})
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -18,7 +18,7 @@
 
 // untaggedFields returns the exported fields without a tag, as TYPE.FIELD.
 func untaggedFields(key string, samples ...any) []string {
-	walk := tagWalk{key: key, seen: map[reflect.Type]bool{}}
+	walk := tagWalker{key: key, seen: map[reflect.Type]bool{}}
 	for _, sample := range samples {
 		walk.visitType(reflect.TypeOf(sample))
 	}
@@ -26,13 +26,13 @@
 }
 
 // tagWalk visits types, each of them once.
-type tagWalk struct {
+type tagWalker struct {
 	key      string
 	seen     map[reflect.Type]bool
 	untagged []string
 }
 
-func (w *tagWalk) visitType(typ reflect.Type) {
+func (w *tagWalker) visitType(typ reflect.Type) {
 	if w.seen[typ] {
 		return
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (w *tagWalk) visitField(typ reflect.Type, field reflect.StructField) {
+func (w *tagWalker) visitField(typ reflect.Type, field reflect.StructField) {
 	if !field.IsExported() && !field.Anonymous {
 		return
 	}
--- a/internal/tracetest/tracetest.go
+++ b/internal/tracetest/tracetest.go
@@ -24,7 +24,7 @@
 )
 
 // recordedOn is the architecture of the recorded traces: others may round sums of products differently.
-const recordedOn = "amd64"
+const recordedArch = "amd64"
 
 // dataFile is the data file, relative to the directory of the tested package.
 var dataFile = filepath.Join("testdata", "traces.txt")
@@ -95,14 +95,14 @@
 // the file has no line or a different one for a scenario, and where a line has no scenario.
 func Check(t *testing.T, scenarios []Scenario) {
 	t.Helper()
-	traces, err := read(dataFile)
+	traces, err := readTraces(dataFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, scenario := range scenarios {
-		want, known := traces[scenario.Name]
+		want, recorded := traces[scenario.Name]
 		delete(traces, scenario.Name)
-		t.Run(scenario.Name, func(t *testing.T) { scenario.check(t, want, known) })
+		t.Run(scenario.Name, func(t *testing.T) { scenario.check(t, want, recorded) })
 	}
 	for name := range traces {
 		t.Errorf("%s: %s has a line for it, and there is no such scenario", name, dataFile)
@@ -110,7 +110,7 @@
 }
 
 // check runs the scenario and compares it with its line, or records that where there is none and the flag is set.
-func (s Scenario) check(t *testing.T, want trace, known bool) {
+func (s Scenario) check(t *testing.T, want trace, recorded bool) {
 	t.Helper()
 	got, again := s.run(t), s.run(t)
 	if t.Failed() {
@@ -119,12 +119,12 @@
 	if got != again {
 		t.Fatalf("two runs differ: %d steps %s, then %d steps %s", got.steps, got.sum, again.steps, again.sum)
 	}
-	if runtime.GOARCH != recordedOn {
-		t.Logf("not compared with the trace recorded on %s: %d steps %s", recordedOn, got.steps, got.sum)
+	if runtime.GOARCH != recordedArch {
+		t.Logf("not compared with the trace recorded on %s: %d steps %s", recordedArch, got.steps, got.sum)
 		return
 	}
-	if known || !*record {
-		if err := compare(got, want, known); err != nil {
+	if recorded || !*record {
+		if err := compare(got, want, recorded); err != nil {
 			t.Error(err)
 		}
 		return
@@ -136,9 +136,9 @@
 }
 
 // compare returns an error that describes how a trace differs from the recorded one; known tells whether there is one.
-func compare(got, want trace, known bool) error {
+func compare(got, want trace, recorded bool) error {
 	switch {
-	case !known:
+	case !recorded:
 		return fmt.Errorf("%s has no line for it: %d steps %s", dataFile, got.steps, got.sum)
 	case got != want:
 		return fmt.Errorf("%d steps %s, recorded are %d steps %s: a decision has changed",
@@ -155,7 +155,7 @@
 }
 
 // read returns the traces of a data file by scenario; a missing file has none.
-func read(path string) (map[string]trace, error) {
+func readTraces(path string) (map[string]trace, error) {
 	traces := map[string]trace{}
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
--- a/internal/tracetest/tracetest_test.go
+++ b/internal/tracetest/tracetest_test.go
@@ -28,9 +28,9 @@
 }
 
 // Lines are read as they were appended; a duplicate or malformed line is an error.
-func TestLines(t *testing.T) {
+func TestReadTraces(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "traces.txt")
-	if traces, err := read(path); err != nil || len(traces) != 0 {
+	if traces, err := readTraces(path); err != nil || len(traces) != 0 {
 		t.Error("a file that is missing:", traces, err)
 	}
 	for name, recorded := range map[string]trace{"a/b": {1, "x"}, "c": {2, "y"}} {
@@ -38,20 +38,20 @@
 			t.Fatal(err)
 		}
 	}
-	traces, err := read(path)
+	traces, err := readTraces(path)
 	if err != nil || len(traces) != 2 || traces["a/b"] != (trace{1, "x"}) || traces["c"] != (trace{2, "y"}) {
 		t.Error(traces, err)
 	}
 	if err := appendLine(path, "c", trace{2, "y"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := read(path); err == nil {
+	if _, err := readTraces(path); err == nil {
 		t.Error("two lines of one scenario were accepted")
 	}
 	if err := os.WriteFile(path, []byte("c two y\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := read(path); err == nil {
+	if _, err := readTraces(path); err == nil {
 		t.Error("a line without a number was accepted")
 	}
 }
