--- a/internal/golden/archive.go
+++ b/internal/golden/archive.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Pack returns a compressed tar archive of a folder.
+// Pack returns a gzip-compressed tar archive of a folder. It fails the test if the folder cannot be read.
 func Pack(tb testing.TB, dir string) []byte {
 	tb.Helper()
 	var packed bytes.Buffer
@@ -23,7 +23,7 @@
 	return packed.Bytes()
 }
 
-// Unpack extracts an archive of Pack into a new temporary folder and returns its path.
+// Unpack extracts an archive that Pack returned into a new temporary folder and returns the path of the folder.
 func Unpack(tb testing.TB, packed []byte) string {
 	tb.Helper()
 	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
@@ -45,6 +45,7 @@
 	}
 }
 
+// unpackEntry writes one folder or file of an archive below dir.
 func unpackEntry(dir string, header *tar.Header, content io.Reader) error {
 	path := filepath.Join(dir, filepath.FromSlash(header.Name))
 	if header.Typeflag == tar.TypeDir {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,9 @@
-// Package golden has the checks of tests of an encoded form: files that an earlier program wrote, and checks
-// that samples set all fields and that encoded types name each field by a tag.
+// Package golden provides checks for tests of encoded data: it compares encodings with golden files, and checks that
+// samples set all fields and that each field of an encoded type has a struct tag.
 //
-// Golden files are in the folder testdata/golden of the package under test. They represent data on disks and wires:
-// they are recorded once, with the flag -golden.record, and never overwritten.
+// Golden files are in the folder testdata/golden of the package under test. They stand for data that earlier versions
+// have written to disk or sent over the network, so they are recorded once, with the flag -golden.record, and never
+// overwritten.
 package golden
 
 import (
@@ -21,13 +22,14 @@
 var record = flag.Bool("golden.record", false,
 	"write golden files that are missing; existing ones are never overwritten")
 
-// maxBinaryBytes bounds how much of a binary file a failure shows.
+// maxBinaryBytes is how many bytes of a binary file a failure message shows at most.
 const maxBinaryBytes = 8 << 10
 
-// Path returns the path of a golden file from the package under test.
+// Path returns the path of a golden file, relative to the folder of the package under test.
 func Path(name string) string { return filepath.Join("testdata", "golden", filepath.FromSlash(name)) }
 
-// Recording reports whether a golden file is to be written: -golden.record is set and the file does not exist.
+// Recording reports whether a golden file has to be written: the flag -golden.record is set and the file does not
+// exist.
 func Recording(tb testing.TB, name string) bool {
 	tb.Helper()
 	_, err := os.Lstat(Path(name))
@@ -47,7 +49,8 @@
 	return content
 }
 
-// Equal compares got with a golden file, byte by byte. While recording, it writes a file that does not exist first.
+// Equal fails the test if got differs from a golden file in any byte. If Recording reports true, it writes got to the
+// file first.
 func Equal(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	if Recording(tb, name) {
@@ -57,13 +60,13 @@
 	switch {
 	case bytes.Equal(want, got):
 	case isText(want) && isText(got):
-		tb.Errorf("%s differs: golden -, now +\n%s", name, cmp.Diff(string(want), string(got)))
+		tb.Errorf("%s differs (- golden file, + got)\n%s", name, cmp.Diff(string(want), string(got)))
 	default:
 		tb.Errorf("%s differs\n got: %s\nwant: %s", name, hexPrefix(got), hexPrefix(want))
 	}
 }
 
-// Write creates a golden file. It fails the test where the file exists.
+// Write creates a golden file. It fails the test if the file exists.
 func Write(tb testing.TB, name string, content []byte) {
 	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(Path(name)), 0o755); err != nil {
@@ -79,12 +82,14 @@
 	}
 }
 
+// isText reports whether content is valid UTF-8 without control characters other than newline and tab.
 func isText(content []byte) bool {
 	return !bytes.ContainsFunc(content, func(r rune) bool {
 		return r == '\ufffd' || r < ' ' && r != '\n' && r != '\t'
 	})
 }
 
+// hexPrefix returns the first maxBinaryBytes of content in hexadecimal.
 func hexPrefix(content []byte) string {
 	return hex.EncodeToString(content[:min(len(content), maxBinaryBytes)])
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// failure is a testing.TB that notes whether a check failed. A fatal one panics with it, as the check must not
-// continue.
+// failureRecorder is a testing.TB that records whether a check failed. Fatal panics with the recorder, because the
+// check must not continue after it.
 type failureRecorder struct {
 	testing.TB
 	failed bool
@@ -20,7 +20,7 @@
 	panic(f)
 }
 
-// fails reports whether a check fails.
+// fails reports whether check fails the test that it is called with.
 func fails(t *testing.T, check func(testing.TB)) (failed bool) {
 	t.Helper()
 	recorder := &failureRecorder{TB: t}
@@ -34,7 +34,7 @@
 	return recorder.failed
 }
 
-// setRecording sets the flag for the duration of a test.
+// setRecording sets the flag -golden.record until the end of the test.
 func setRecording(t *testing.T, recording bool) {
 	t.Helper()
 	before := *record
@@ -42,8 +42,8 @@
 	*record = recording
 }
 
-// A golden file that differs or does not exist fails the test; recording writes one that does not exist and leaves an
-// existing one as it is.
+// A golden file that differs or does not exist fails the test. Recording writes a file that does not exist and does
+// not change an existing one.
 func TestGoldenFileIsNeverOverwritten(t *testing.T) {
 	t.Chdir(t.TempDir())
 	const name = "folder/form.json"
@@ -55,53 +55,53 @@
 	}
 	setRecording(t, false)
 	if !equalFails("one") {
-		t.Error("a golden file that does not exist passes")
+		t.Error("a golden file that does not exist does not fail the test")
 	}
 	*record = true
 	for range 2 {
 		if equalFails("one") {
-			t.Error("a file can't be recorded")
+			t.Error("a golden file that does not exist is not recorded, or fails after recording")
 		}
 	}
 	for _, recording := range []bool{true, false} {
 		*record = recording
 		if !equalFails("two") || !equalFails("two\x00") {
-			t.Errorf("another content passes, recording %v", recording)
+			t.Errorf("different content does not fail the test; recording: %v", recording)
 		}
 	}
 	if text, err := os.ReadFile(Path(name)); err != nil || string(text) != "one" {
-		t.Errorf("the file contains %q, %v", text, err)
+		t.Errorf("the golden file contains %q, error %v; want its first content", text, err)
 	}
 }
 
-// A golden file is recorded on request only, and Write never overwrites one.
+// A golden file is recorded only if the flag is set and the file does not exist, and Write never overwrites a file.
 func TestRecordingNeedsFlagAndMissingFile(t *testing.T) {
 	t.Chdir(t.TempDir())
 	setRecording(t, false)
 	if Recording(t, "a") {
-		t.Error("records without the flag")
+		t.Error("Recording reports true without the flag")
 	}
 	*record = true
 	if !Recording(t, "a") {
-		t.Error("does not record a file that does not exist")
+		t.Error("Recording reports false for a file that does not exist")
 	}
 	Equal(t, "a", []byte("first"))
 	if Recording(t, "a") {
-		t.Error("records a file that exists")
+		t.Error("Recording reports true for a file that exists")
 	}
 	overwriteFails := fails(t, func(tb testing.TB) {
 		tb.Helper()
 		Write(tb, "a", []byte("second"))
 	})
 	if !overwriteFails {
-		t.Error("overwrites a file that exists")
+		t.Error("Write does not fail for a file that exists")
 	}
 	if content, err := os.ReadFile(Path("a")); err != nil || string(content) != "first" {
-		t.Error(string(content), err)
+		t.Errorf("the golden file contains %q, error %v; want %q", content, err, "first")
 	}
 }
 
-// An archive has the content of its folder.
+// Unpacking a packed folder restores the content of its files.
 func TestArchiveRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.MkdirAll(dir+"/sub", 0o700); err != nil {
@@ -112,6 +112,6 @@
 	}
 	content, err := os.ReadFile(Unpack(t, Pack(t, dir)) + "/sub/file")
 	if err != nil || string(content) != "content" {
-		t.Errorf("%q, %v", content, err)
+		t.Errorf("the unpacked file contains %q, error %v; want %q", content, err, "content")
 	}
 }
--- a/internal/golden/samples.go
+++ b/internal/golden/samples.go
@@ -15,14 +15,14 @@
 	jsonMarshaler = reflect.TypeFor[json.Marshaler]()
 )
 
-// encodesItself reports whether a type has its own encoding, to which its fields do not matter.
+// encodesItself reports whether a type implements its own encoding, which need not depend on its fields.
 func encodesItself(typ reflect.Type) bool {
 	return typ.Implements(textMarshaler) || typ.Implements(jsonMarshaler)
 }
 
-// NoZeroFields fails for each field of a sample that is zero or empty, at any depth: the loss of such a field in an
-// encoding would go unnoticed. except has the paths of fields that are zero on purpose, as in "Rows[0].Name"; each of
-// them has to be.
+// NoZeroFields fails the test for each field of a sample that is zero or empty, at any depth: a comparison would not
+// detect that the encoding omits such a field. except lists the paths of fields that are zero on purpose, such as
+// "Rows[0].Name"; the test also fails if one of these is not zero.
 func NoZeroFields(tb testing.TB, sample any, except ...string) {
 	tb.Helper()
 	zero := zeroFields(reflect.ValueOf(sample), "")
@@ -38,7 +38,8 @@
 	}
 }
 
-// zeroFields returns the paths of exported fields that are zero or empty, at any depth.
+// zeroFields returns the paths of the exported fields of a value that are zero or empty, at any depth. Path is the
+// path of the value itself.
 func zeroFields(value reflect.Value, path string) (found []string) {
 	if !value.IsValid() || value.IsZero() {
 		return []string{path}
@@ -61,6 +62,7 @@
 	return found
 }
 
+// zeroElements does the same as zeroFields for the elements of a slice or map.
 func zeroElements(value reflect.Value, path string) (found []string) {
 	if value.Len() == 0 {
 		return []string{path}
@@ -72,7 +74,7 @@
 		return found
 	}
 	if value.Type().Elem().Kind() == reflect.Uint8 {
-		return nil // bytes are encoded as one value
+		return nil // a byte slice is encoded as one value
 	}
 	for i := range value.Len() {
 		found = append(found, zeroFields(value.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
@@ -87,9 +89,9 @@
 	return path + "." + name
 }
 
-// AllFieldsSet fails unless each exported field of each struct type in the samples is set in at least one of its
-// values. Unlike NoZeroFields it allows values without all fields beside a full one, and it descends into types with
-// their own encoding.
+// AllFieldsSet fails the test unless each exported field of each struct type in the samples is set in at least one
+// value of that type. Unlike NoZeroFields, it allows further values that set only some fields, and it also checks the
+// fields of types that implement their own encoding.
 func AllFieldsSet(tb testing.TB, samples ...any) {
 	tb.Helper()
 	if unset := unsetFields(samples...); len(unset) > 0 {
@@ -97,7 +99,7 @@
 	}
 }
 
-// unsetFields returns the exported fields that are zero in all samples, as TYPE.FIELD.
+// unsetFields returns the exported fields that are zero in all values of their type in the samples, as TYPE.FIELD.
 func unsetFields(samples ...any) (unset []string) {
 	set := map[string]bool{}
 	for _, sample := range samples {
@@ -112,7 +114,7 @@
 	return unset
 }
 
-// noteSetFields records whether each exported field below a value is set.
+// recordSetFields records in set, by TYPE.FIELD, whether each exported field at any depth of a value is set.
 func recordSetFields(value reflect.Value, set map[string]bool) {
 	switch value.Kind() { //nolint:exhaustive // the other kinds have no fields
 	case reflect.Pointer, reflect.Interface:
@@ -132,6 +134,7 @@
 	}
 }
 
+// recordSetStruct does the same as recordSetFields for a struct.
 func recordSetStruct(value reflect.Value, set map[string]bool) {
 	for field, fieldValue := range value.Fields() {
 		if !field.IsExported() {
--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -25,10 +25,10 @@
 func TestUntaggedFields(t *testing.T) {
 	want := []string{"golden.inner.Untagged", "golden.outer.Only"}
 	if got := untaggedFields("json", outer{}); !slices.Equal(got, want) {
-		t.Errorf("untagged are %q, not %q", got, want)
+		t.Errorf("untagged fields are %q, want %q", got, want)
 	}
 	if got := untaggedFields("cbor", inner{}); len(got) != 2 {
-		t.Errorf("untagged for cbor are %q", got)
+		t.Errorf("untagged fields for cbor are %q, want 2", got)
 	}
 }
 
@@ -40,7 +40,7 @@
 	}
 	want := []string{"List[1].Untagged", "ByName[x].Tagged", "Pointer.Untagged", "Only"}
 	if got := zeroFields(reflect.ValueOf(sample), ""); !slices.Equal(got, want) {
-		t.Errorf("zero are %q, not %q", got, want)
+		t.Errorf("zero fields are %q, want %q", got, want)
 	}
 }
 
@@ -51,13 +51,13 @@
 
 type sparseInner struct{ Set, Unset int }
 
-// A field counts as set if one value of its type sets it.
+// A field counts as set if at least one value of its type sets it.
 func TestUnsetFields(t *testing.T) {
 	got := unsetFields(sparse{List: []sparseInner{{Set: 1}}})
 	if want := []string{"golden.sparse.Other", "golden.sparseInner.Unset"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if got := unsetFields(sparse{List: []sparseInner{{Set: 1}}}, &sparse{Other: &sparseInner{Unset: 1}}); got != nil {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want none", got)
 	}
 }
--- a/internal/golden/struct_tags_test.go
+++ b/internal/golden/struct_tags_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A struct with a tag on one of its exported fields has a tag on each. It guards types without a name, such as the
-// bodies of calls, which no list of encoded types can contain.
+// If one exported field of a struct has a tag, all of them have one. This also covers anonymous struct types, such as
+// the bodies of HTTP calls, which AllFieldsTagged cannot check because a list of encoded types cannot name them.
 func TestNoStructIsPartlyTagged(t *testing.T) {
 	structs := 0
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -30,14 +30,14 @@
 			}
 			structs++
 			for _, name := range namesWithoutTag(s) {
-				t.Errorf("%s: field %s has no tag, and others of its struct do", files.Position(name.Pos()), name.Name)
+				t.Errorf("%s: field %s has no tag, but other fields of its struct do", files.Position(name.Pos()), name.Name)
 			}
 			return true
 		})
 		return nil
 	})
 	if err != nil || structs < 80 {
-		t.Error(structs, "structs with tags", err)
+		t.Errorf("%d structs with tags found, want at least 80; error %v", structs, err)
 	}
 }
 
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// AllFieldsTagged fails for each exported field without a tag of that key (json, cbor) in the types of the samples
-// and in the types of their fields, at any depth. An embedded struct needs no tag: its fields are encoded in its
-// place.
+// AllFieldsTagged fails the test for each exported field without a tag that has the given key (json or cbor), in the
+// types of the samples and in the types of their fields, at any depth. An embedded struct needs no tag: its fields are
+// encoded as fields of the outer struct.
 func AllFieldsTagged(tb testing.TB, key string, samples ...any) {
 	tb.Helper()
 	for _, path := range untaggedFields(key, samples...) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// untaggedFields returns the exported fields without a tag, as TYPE.FIELD.
+// untaggedFields returns the exported fields that have no tag with the given key, as TYPE.FIELD.
 func untaggedFields(key string, samples ...any) []string {
 	walk := tagWalker{key: key, seen: map[reflect.Type]bool{}}
 	for _, sample := range samples {
@@ -25,7 +25,7 @@
 	return walk.untagged
 }
 
-// tagWalk visits types, each of them once.
+// tagWalker collects the fields without a tag while it visits each type once.
 type tagWalker struct {
 	key      string
 	seen     map[reflect.Type]bool
--- a/internal/tracetest/tracetest.go
+++ b/internal/tracetest/tracetest.go
@@ -1,8 +1,8 @@
-// Package tracetest compares the decisions of a package with a recorded trace. A scenario drives the package with fixed
-// seeds and writes each decision into a Hash, field by field; a data file holds one line for each scenario. A change that
-// must not alter any decision must not alter the data file.
+// Package tracetest compares the decisions of a package with a recorded trace. A scenario runs the package with fixed
+// seeds and adds each decision to a Hash, field by field. A data file has one line for each scenario, with the number
+// of steps and the hash. A change that must not alter any decision must not alter the data file.
 //
-// Only tests import this package. Values are encoded field by field, never with the names of Go types or fields, so that
+// Only tests import this package. Values are encoded field by field, without the names of Go types or fields, so that
 // renaming these does not change a trace.
 package tracetest
 
@@ -23,33 +23,34 @@
 	"time"
 )
 
-// recordedOn is the architecture of the recorded traces: others may round sums of products differently.
+// recordedArch is the architecture that the traces were recorded on. Traces are not compared on other architectures,
+// which may round sums of products differently.
 const recordedArch = "amd64"
 
-// dataFile is the data file, relative to the directory of the tested package.
+// dataFile is the path of the data file, relative to the folder of the package under test.
 var dataFile = filepath.Join("testdata", "traces.txt")
 
 var record = flag.Bool("record-traces", false,
 	"append scenarios that have no line in testdata/traces.txt; no line is replaced")
 
-// Hash is the SHA-256 of a sequence of steps. The zero Hash is not usable; Check makes them.
+// Hash computes the SHA-256 of a sequence of steps. Its zero value is not usable; Check creates the hashes.
 type Hash struct {
 	sum   hash.Hash
 	steps int
 }
 
-// Step begins a step, usually one decision. The caller numbers the kinds of steps.
+// Step begins a step, usually one decision. The kind is a number that the caller chooses for each kind of step.
 func (h *Hash) Step(kind int) {
 	h.steps++
 	h.Int(int64(kind))
 }
 
-// Uint adds an unsigned number.
+// Uint adds an unsigned number, as 8 bytes in little-endian order.
 func (h *Hash) Uint(v uint64) {
 	h.sum.Write(binary.LittleEndian.AppendUint64(nil, v))
 }
 
-// Int adds a signed number, or the number of an enumeration's value.
+// Int adds a signed number or the number of an enumeration value, as its two's complement.
 func (h *Hash) Int(v int64) { h.Uint(uint64(v)) }
 
 // Float adds the bits of a floating-point number.
@@ -58,7 +59,7 @@
 // Duration adds a duration in nanoseconds.
 func (h *Hash) Duration(v time.Duration) { h.Int(int64(v)) }
 
-// Bool adds a truth value, as 1 or 0.
+// Bool adds a Boolean, as the number 1 or 0.
 func (h *Hash) Bool(v bool) {
 	if v {
 		h.Int(1)
@@ -79,9 +80,9 @@
 	h.sum.Write(b)
 }
 
-// Scenario is one line of the data file.
+// Scenario is a sequence of decisions that has one line in the data file.
 type Scenario struct {
-	Name string // without spaces
+	Name string // in the data file; without spaces
 	Run  func(t *testing.T, h *Hash)
 }
 
@@ -91,8 +92,8 @@
 	sum   string // in hexadecimal
 }
 
-// Check runs each scenario twice and compares the results with the data file. It fails where the two runs differ, where
-// the file has no line or a different one for a scenario, and where a line has no scenario.
+// Check runs each scenario twice and compares the results with the data file. It fails the test if the two runs of a
+// scenario differ, if the file has no line for a scenario or a line that differs, and if a line has no scenario.
 func Check(t *testing.T, scenarios []Scenario) {
 	t.Helper()
 	traces, err := readTraces(dataFile)
@@ -105,11 +106,12 @@
 		t.Run(scenario.Name, func(t *testing.T) { scenario.check(t, want, recorded) })
 	}
 	for name := range traces {
-		t.Errorf("%s: %s has a line for it, and there is no such scenario", name, dataFile)
+		t.Errorf("%s: %s has a line for this scenario, but the scenario does not exist", name, dataFile)
 	}
 }
 
-// check runs the scenario and compares it with its line, or records that where there is none and the flag is set.
+// check runs the scenario and compares the result with its line. If there is no line and the flag -record-traces is
+// set, it appends one.
 func (s Scenario) check(t *testing.T, want trace, recorded bool) {
 	t.Helper()
 	got, again := s.run(t), s.run(t)
@@ -117,7 +119,7 @@
 		return
 	}
 	if got != again {
-		t.Fatalf("two runs differ: %d steps %s, then %d steps %s", got.steps, got.sum, again.steps, again.sum)
+		t.Fatalf("two runs of the scenario differ: %d steps %s, then %d steps %s", got.steps, got.sum, again.steps, again.sum)
 	}
 	if runtime.GOARCH != recordedArch {
 		t.Logf("not compared with the trace recorded on %s: %d steps %s", recordedArch, got.steps, got.sum)
@@ -135,18 +137,20 @@
 	t.Logf("recorded %d steps", got.steps)
 }
 
-// compare returns an error that describes how a trace differs from the recorded one; known tells whether there is one.
+// compare returns an error that describes how a trace differs from the recorded one, or nil if they are equal.
+// Recorded is false if the data file has no line for the scenario.
 func compare(got, want trace, recorded bool) error {
 	switch {
 	case !recorded:
-		return fmt.Errorf("%s has no line for it: %d steps %s", dataFile, got.steps, got.sum)
+		return fmt.Errorf("%s has no line for this scenario: got %d steps %s", dataFile, got.steps, got.sum)
 	case got != want:
-		return fmt.Errorf("%d steps %s, recorded are %d steps %s: a decision has changed",
+		return fmt.Errorf("got %d steps %s, want %d steps %s as recorded: a decision has changed",
 			got.steps, got.sum, want.steps, want.sum)
 	}
 	return nil
 }
 
+// run runs the scenario once and returns its trace.
 func (s Scenario) run(t *testing.T) trace {
 	t.Helper()
 	h := &Hash{sum: sha256.New()}
@@ -154,7 +158,8 @@
 	return trace{steps: h.steps, sum: hex.EncodeToString(h.sum.Sum(nil))}
 }
 
-// read returns the traces of a data file by scenario; a missing file has none.
+// readTraces returns the traces of a data file by the names of their scenarios. It returns no traces if the file does
+// not exist, and an error for a malformed or duplicate line.
 func readTraces(path string) (map[string]trace, error) {
 	traces := map[string]trace{}
 	file, err := os.Open(path)
@@ -177,14 +182,14 @@
 			return nil, fmt.Errorf("%s: %q: %w", path, line, err)
 		}
 		if _, duplicate := traces[name]; duplicate {
-			return nil, fmt.Errorf("%s: %s has two lines", path, name)
+			return nil, fmt.Errorf("%s: scenario %s has two lines", path, name)
 		}
 		traces[name] = recorded
 	}
 	return traces, scanner.Err()
 }
 
-// appendLine appends a line to a data file, and creates the file if it does not exist.
+// appendLine appends the line of a scenario to a data file, and creates the file and its folder if necessary.
 func appendLine(path, name string, recorded trace) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/internal/tracetest/tracetest_test.go
+++ b/internal/tracetest/tracetest_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A scenario passes with the line that was recorded, and fails with another one or with none. It guards against
-// a recorded trace that is replaced by mistake.
+// A trace passes only if it equals the recorded line; it fails if the line differs or does not exist. Otherwise a
+// changed decision could go undetected.
 func TestCompare(t *testing.T) {
 	got := trace{steps: 3, sum: "abc"}
 	for _, test := range []struct {
@@ -27,11 +27,11 @@
 	}
 }
 
-// Lines are read as they were appended; a duplicate or malformed line is an error.
+// Traces are read as they were appended. A duplicate or malformed line is an error.
 func TestReadTraces(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "traces.txt")
 	if traces, err := readTraces(path); err != nil || len(traces) != 0 {
-		t.Error("a file that is missing:", traces, err)
+		t.Error("a missing file is not read as no traces:", traces, err)
 	}
 	for name, recorded := range map[string]trace{"a/b": {1, "x"}, "c": {2, "y"}} {
 		if err := appendLine(path, name, recorded); err != nil {
@@ -40,7 +40,7 @@
 	}
 	traces, err := readTraces(path)
 	if err != nil || len(traces) != 2 || traces["a/b"] != (trace{1, "x"}) || traces["c"] != (trace{2, "y"}) {
-		t.Error(traces, err)
+		t.Errorf("traces %v, error %v; want the two that were appended", traces, err)
 	}
 	if err := appendLine(path, "c", trace{2, "y"}); err != nil {
 		t.Fatal(err)
