--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// How the status of a row describes its figure. The check looks for these texts.
+// Texts in the status of a row that describe the origin of its figure. checkStatus looks for them.
 const (
 	statusUnmeasured   = "unmeasured"
 	statusExtrapolated = "extrapolated"
@@ -20,7 +20,8 @@
 	statusAssumed      = "assumed"
 )
 
-// Status returns the origin of a row's figure, and whether it is over its budget.
+// Status returns the text of the status column: the origin of a row's figure, and whether the figure is extrapolated
+// or over its budget.
 func (r Row) Status(figure Figure) string {
 	statuses := []string{r.origin(figure)}
 	if r.isAssumed() && len(figure.Missing) == 0 && figure.Extrapolation > MaxExtrapolation {
@@ -32,6 +33,7 @@
 	return strings.Join(statuses, "; ")
 }
 
+// origin returns the part of the status that says where the figure comes from.
 func (r Row) origin(figure Figure) string {
 	switch {
 	case len(figure.Missing) > 0:
@@ -52,21 +54,22 @@
 	return statusComputed
 }
 
+// atMultiple appends to a status the multiple of the largest measured size that the figure uses.
 func atMultiple(status string, figure Figure) string {
 	return fmt.Sprintf("%s %s times the largest size measured", status, formatNumber(figure.Extrapolation))
 }
 
-// isAssumed reports whether a term is assumed.
+// isAssumed reports whether at least one term is assumed.
 func (r Row) isAssumed() bool {
 	return slices.ContainsFunc(r.Terms, func(t Term) bool { return t.kind == assumedTerm })
 }
 
-// isGiven reports whether all terms are given or assumed.
+// isGiven reports whether the row has terms and all of them are given or assumed.
 func (r Row) isGiven() bool {
 	return len(r.Terms) > 0 && !slices.ContainsFunc(r.Terms, func(t Term) bool { return t.reason == "" })
 }
 
-// Source returns how the figure is computed.
+// Source returns the text of the column that says from which slopes, simulated days and values the figure is computed.
 func (r Row) Source() string {
 	var sources []string
 	for _, term := range r.Terms {
@@ -75,6 +78,7 @@
 	return strings.Join(sources, " + ")
 }
 
+// source returns the part of Source for one term.
 func (t Term) source() string {
 	var source string
 	switch t.kind {
@@ -93,7 +97,7 @@
 	return source
 }
 
-// cells returns the text of a row's cells, by columns.
+// cells returns the texts of a row's cells in the order of columns.
 func (m Measurements) cells(row Row) []string {
 	figure := m.Compute(row)
 	return []string{
@@ -128,10 +132,10 @@
 	return cell
 }
 
-// significantDigits is the precision of figures on the page.
+// significantDigits is how many significant digits figures on the page have.
 const significantDigits = 3
 
-// formatNumber formats a number with significantDigits, thousands separators and no exponent.
+// formatNumber formats a number with significantDigits, commas between thousands, and no exponent.
 func formatNumber(x float64) string {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return strconv.FormatFloat(x, 'f', -1, 64)
@@ -152,7 +156,7 @@
 	return sign + integer
 }
 
-// roundTo rounds to a number of decimals, which may be negative.
+// roundTo rounds x to a number of decimals. A negative number rounds to tens, hundreds and so on.
 func roundTo(x float64, decimals int) float64 {
 	if decimals < 0 {
 		unit := math.Pow(10, float64(-decimals))
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew from slopes.json and scale.json")
+var update = flag.Bool("update", false,
+	"replace the tables of the pages by ones that are recomputed from slopes.json and scale.json")
 
 const root = "../.."
 
@@ -41,13 +42,13 @@
 	return err == nil && len(files) > 0
 }
 
-// pages are the pages with tables.
+// pages are the pages that contain tables.
 var pages = []struct {
-	path      string // below the root
+	path      string // relative to the module's root
 	scenarios func() []Scenario
 }{{"docs/CAPACITY.md", Scenarios}, {"docs/design/capacity.md", Options}}
 
-// Each row of the pages has the figure, the status and the mechanism that the measurements result in.
+// Each row of the pages has the figure, status and mechanism that the measurements and the defined rows result in.
 func TestCapacityPages(t *testing.T) {
 	m := readMeasurements(t)
 	for _, p := range pages {
@@ -75,13 +76,13 @@
 			}
 			t.Log(count)
 			if t.Failed() {
-				t.Log("go test ./internal/capacity -update writes the tables anew")
+				t.Log("go test ./internal/capacity -update replaces the tables by recomputed ones")
 			}
 		})
 	}
 }
 
-// Each row has its fields, and a subject that is unique in its table.
+// Each row has a role, a subject and terms, is unique in its table, and contains no bar, which would end a cell.
 func TestRowsAreComplete(t *testing.T) {
 	for _, s := range slices.Concat(Scenarios(), Options()) {
 		seen := map[string]bool{}
@@ -89,15 +90,15 @@
 			id := s.Key + ", " + r.Role + ": " + r.Subject
 			incomplete := r.Role == "" || r.Subject == "" || len(r.Terms) == 0
 			if seen[id] || incomplete || strings.Contains(id+r.Mechanism, "|") {
-				t.Error(id, "is there twice, has an empty field, or a bar")
+				t.Errorf("%s: the row is a duplicate, has an empty field, or contains a bar", id)
 			}
 			seen[id] = true
 		}
 	}
 }
 
-// example returns a small page of known measurements: a slope of 2 ms a router from 100 to 400, and a day of 600
-// routers.
+// exampleMeasurements returns known measurements, the rows of one scenario, and a page with their table. The
+// measurements are a slope of 2 ms per router, measured at 100 to 400 routers, and a simulated day with 600 routers.
 func exampleMeasurements(t *testing.T) (Measurements, []Scenario, string) {
 	t.Helper()
 	s, err := NewSlope("a", "router", "routers", "ms", [][2]float64{
@@ -162,121 +163,128 @@
 	}
 }
 
-// pageFaults are changes of the example's page, with the fault that the check reports of each.
+// pageFaultTests replace a text on the page of exampleMeasurements; want is part of the fault that Check has to report.
 var pageFaultTests = []struct{ name, old, new, want string }{
 	{
-		"a wrong figure", "810 ms", "801 ms",
-		`one, router: within: the figure is "801 ms", the measurements give "810 ms"`,
+		"wrong figure", "810 ms", "801 ms",
+		`one, router: within: the figure is "801 ms", want "810 ms" by the measurements`,
 	},
-	{"another unit", "810 ms", "810 s", `the figure is "810 s"`},
-	{"another budget", "900 ms | measured", "950 ms | measured", `the budget is "950 ms", it was set to "900 ms"`},
-	{"an unsaid overrun", "; over its budget", "", `one, router: over: is over its budget and does not say so`},
+	{"wrong unit", "810 ms", "810 s", `the figure is "810 s"`},
+	{"wrong budget", "900 ms | measured", "950 ms | measured", `the budget is "950 ms", want "900 ms"`},
 	{
-		"an overrun on the page alone", "810 ms", "910 ms",
-		`one, router: within: is over its budget and does not say so`,
+		"unreported budget overrun", "; over its budget", "",
+		`one, router: over: is over its budget, but the status does not say so`,
 	},
 	{
-		"an unsaid extrapolation", "extrapolated to 4 times the largest size measured", "measured",
-		`one, router: far: is extrapolated to 4 times the largest size measured and does not say so`,
+		"budget overrun by the figure on the page only", "810 ms", "910 ms",
+		`one, router: within: is over its budget, but the status does not say so`,
 	},
-	{"an unsaid gap", "unmeasured: b", "measured", `one, router: missing: is unmeasured (b) and does not say so`},
 	{
-		"an extrapolation behind an assumption", "assumed; extrapolated to 4 times the largest size measured",
+		"unreported extrapolation", "extrapolated to 4 times the largest size measured", "measured",
+		`one, router: far: is extrapolated to 4 times the largest size measured, but the status does not say so`,
+	},
+	{
+		"unreported missing measurement", "unmeasured: b", "measured",
+		`one, router: missing: is unmeasured (b), but the status does not say so`,
+	},
+	{
+		"unreported extrapolation of an assumed figure", "assumed; extrapolated to 4 times the largest size measured",
 		"assumed", `one, relay: to come: is extrapolated to 4 times`,
 	},
-	{"an assumption called given", "assumed;", "given;", `one, relay: to come: the status is "given;`},
+	{"assumed figure reported as given", "assumed;", "given;", `one, relay: to come: the status is "given;`},
 	{
-		"a package for a mechanism that is not built", "a hop (not built)", "a hop `dispatch`",
-		"one, relay: to come: is said to be carried by \"a hop `dispatch`\"",
+		"package for a mechanism that is not built", "a hop (not built)", "a hop `dispatch`",
+		"one, relay: to come: the mechanism is \"a hop `dispatch`\"",
 	},
 	{
-		"a computed figure called measured", "| computed |", "| measured |",
+		"computed figure reported as measured", "| computed |", "| measured |",
 		`one, router: rise: the status is "measured", want "computed"`,
 	},
 	{
-		"another source", "`a` at 400 |", "`a` at 100 |",
-		`one, router: within: is said to come from "` + "`a` at 100",
+		"wrong source", "`a` at 400 |", "`a` at 100 |",
+		`one, router: within: the source is "` + "`a` at 100",
 	},
 	{
-		"a row without its mechanism", "a loop `dispatch` |\n| router | over", "|\n| router | over",
-		`one, router: within: names no mechanism with its package`,
+		"row without a mechanism", "a loop `dispatch` |\n| router | over", "|\n| router | over",
+		`one, router: within: has no mechanism or no package`,
 	},
-	{"a row that is missing", "| router | size |", "| router | sizes |", `one, router: size: is not on the page`},
+	{"missing row", "| router | size |", "| router | sizes |", `one, router: size: is not on the page`},
 	{
-		"a row that nothing defines", "| router | size |", "| router | sizes |",
-		`one, router: sizes: no row is defined for it`,
+		"undefined row", "| router | size |", "| router | sizes |",
+		`one, router: sizes: the row is not defined`,
 	},
-	{"a row twice", "| router | over |", "| router | within |", `one, router: within: is there twice`},
-	{"a cell too few", "| simulated ", "", `one, line 8: 6 cells, want 7`},
-	{"another head", "| role |", "| who |", `one: the table's head is not role`},
-	{"a table under another name", "capacity: one", "capacity: two", `table "two": no rows are defined for it`},
-	{"a table that is missing", "capacity: one", "capacity: two", `table "one": is not on the page`},
-	{"a table without its end", "<!-- /capacity -->\n", "", `table "one": has no end`},
+	{"duplicate row", "| router | over |", "| router | within |", `one, router: within: the row is a duplicate`},
+	{"missing cell", "| simulated ", "", `one, line 8: 6 cells, want 7`},
+	{"wrong header", "| role |", "| who |", `one: the table's header is not role`},
+	{"unknown key of a table", "capacity: one", "capacity: two", `table "two": no scenario has this key`},
+	{"missing table", "capacity: one", "capacity: two", `table "one": is not on the page`},
+	{"table without an end marker", "<!-- /capacity -->\n", "", `table "one": has no end marker`},
 }
 
-// The check finds each kind of fault and reports its row.
+// Check reports each kind of fault with its row.
 func TestCheckReportsFaults(t *testing.T) {
 	for _, test := range pageFaultTests {
 		t.Run(test.name, func(t *testing.T) {
 			m, rows, page := exampleMeasurements(t)
 			changed := strings.Replace(page, test.old, test.new, 1)
 			if changed == page {
-				t.Fatal(test.old, "is not on the page")
+				t.Fatalf("%q is not on the page", test.old)
 			}
 			faults := strings.Join(m.Check(changed, rows, packageExists), "\n")
 			if !strings.Contains(faults, test.want) {
-				t.Errorf("%q, want %q", faults, test.want)
+				t.Errorf("faults are %q, want one that contains %q", faults, test.want)
 			}
 		})
 	}
 }
 
-// The check finds a page that differs from changed measurements or rows.
+// Check reports a page that was not updated after measurements or rows changed.
 func TestCheckReportsOutdatedPage(t *testing.T) {
 	m, rows, page := exampleMeasurements(t)
 	m.Slopes[0].Slope = 2.5
-	checkFinds(t, m, page, rows, `within: is over its budget and does not say so`)
+	checkFinds(t, m, page, rows, `within: is over its budget, but the status does not say so`)
 	m, rows, page = exampleMeasurements(t)
 	m.Simulations[0].Routers = Routers / 5
-	checkFinds(t, m, page, rows, `day: is extrapolated to 5 times the largest size measured and does not say so`)
+	checkFinds(t, m, page, rows,
+		`day: is extrapolated to 5 times the largest size measured, but the status does not say so`)
 	m, rows, page = exampleMeasurements(t)
 	rows[0].Rows[0].Mechanism = ""
 	rows[0].Rows[1].Packages = []string{"internal/nowhere"}
 	rows[0].Rows[2].Packages = []string{"dispatch", NotBuilt}
 	for _, want := range []string{
-		"within: names no mechanism with its package",
-		"over: there is no package internal/nowhere",
-		"far: there is no package (not built)",
+		"within: has no mechanism or no package",
+		"over: package internal/nowhere does not exist",
+		"far: package (not built) does not exist",
 	} {
 		checkFinds(t, m, page, rows, want)
 	}
 }
 
-// checkFinds checks that the check reports a fault.
+// checkFinds fails the test unless Check reports a fault that contains want.
 func checkFinds(t *testing.T, m Measurements, page string, rows []Scenario, want string) {
 	t.Helper()
 	if faults := strings.Join(m.Check(page, rows, packageExists), "\n"); !strings.Contains(faults, want) {
-		t.Error(faults)
+		t.Errorf("faults are %q, want one that contains %q", faults, want)
 	}
 }
 
-// A page whose marks do not match the scenarios is not written, and the error says where.
+// Update returns no page if the marker lines do not match the scenarios, and the error names the line or the table.
 func TestUpdateRejectsInvalidMarkers(t *testing.T) {
 	const begin = beginMarker + "one" + markerSuffix + "\n"
 	const end = endMarker + "\n"
 	m, rows, page := exampleMeasurements(t)
 	if again, err := m.Update(page, rows); err != nil || again != page {
-		t.Errorf("a second update gives another page, error %v", err)
+		t.Errorf("a second update returns a different page, error %v", err)
 	}
 	for _, test := range []struct{ name, page, want string }{
-		{"no marks", "text\n", `table "one": is not on the page`},
-		{"an end alone", end + begin + end, "line 1: an end without its begin"},
-		{"no end", "text\n" + begin, `table "one": has no end`},
-		{"a table within another", begin + begin + end, `table "one": has no end`},
-		{"the same table twice", begin + end + begin + end, `table "one": is there twice`},
+		{"no markers", "text\n", `table "one": is not on the page`},
+		{"end marker only", end + begin + end, "line 1: end marker without a begin marker"},
+		{"no end marker", "text\n" + begin, `table "one": has no end marker`},
+		{"table within another", begin + begin + end, `table "one": has no end marker`},
+		{"duplicate table", begin + end + begin + end, `table "one": is a duplicate`},
 		{
-			"an unknown table", begin + end + beginMarker + "two" + markerSuffix + "\n" + end,
-			`table "two": no rows are defined for it`,
+			"unknown table", begin + end + beginMarker + "two" + markerSuffix + "\n" + end,
+			`table "two": no scenario has this key`,
 		},
 	} {
 		got, err := m.Update(test.page, rows)
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -4,31 +4,31 @@
 	"math"
 )
 
-// MaxExtrapolation is the largest multiple of the largest size measured at which a row may use a slope without the
-// status that its figure is extrapolated.
+// MaxExtrapolation limits the extrapolation of measurements: a row that uses more than this multiple of the largest
+// measured size has to be marked as extrapolated.
 const MaxExtrapolation = 4
 
-// roundingTolerance is the multiple of the largest size measured up to which a size counts as measured: sizes such as
-// rates are recorded as they were reached, which is not exactly.
+// roundingTolerance is the multiple of the largest measured size up to which a size counts as measured. Some sizes,
+// such as rates, are recorded as the tests reached them, which differs slightly from the intended size.
 const roundingTolerance = 1.005
 
-// Row is a line of a table: what a role carries in a scenario.
+// Row is a row of a table: one demand on a role in a scenario.
 type Row struct {
 	Role      string // router, discovery, keeper, control machine, engine or operator
-	Subject   string // what the figure is of; unique in its scenario and role
+	Subject   string // what the figure describes; unique for a role in a scenario
 	Unit      string
 	Terms     []Term
-	Budget    float64  // the largest figure allowed; 0: there is none
-	Mechanism string   // what carries the demand
-	Packages  []string // of the mechanism; NotBuilt alone where there is none yet
+	Budget    float64  // the largest allowed figure; 0 for no limit
+	Mechanism string   // what meets or limits the demand
+	Packages  []string // that implement the mechanism; only NotBuilt if it does not exist yet
 }
 
-// NotBuilt is listed in place of packages for a mechanism that does not exist.
+// NotBuilt is listed in place of packages for a mechanism that does not exist yet.
 const NotBuilt = "(not built)"
 
-// Scenario is a table of the page.
+// Scenario is a situation of the fleet, such as the loss of a zone. It has one table on a page.
 type Scenario struct {
-	Key  string // identifies the table's position on the page
+	Key  string // identifies the table in its begin marker on the page
 	Rows []Row
 }
 
@@ -36,14 +36,14 @@
 type termKind uint8
 
 const (
-	lineTerm      termKind = iota // a slope at a size
-	riseTerm                      // the same without its intercept
+	lineTerm      termKind = iota // the value of a slope's line at a size
+	riseTerm                      // the same without the line's intercept
 	simulatedTerm                 // a figure of a simulated day
 	givenTerm                     // a value that follows from the size, a page or a setting
-	assumedTerm                   // a value that nobody has measured
+	assumedTerm                   // a value that was neither measured nor specified
 )
 
-// Term is a part of a row's figure, which is the sum of its terms.
+// Term is one summand of a row's figure.
 type Term struct {
 	kind   termKind
 	slope  string  // name, of a line or rise
@@ -54,38 +54,39 @@
 	reason string  // of a given or assumed term
 }
 
-// Line is the cost at a size, by a slope's line.
+// Line returns a term for the cost at a size, on the line of the named slope.
 func Line(slope string, size float64) Term {
 	return Term{kind: lineTerm, slope: slope, size: size, factor: 1}
 }
 
-// Rise is what a size adds, by a slope's line without its intercept, which another term has.
+// Rise returns a term for the cost that a size adds, on the line of the named slope without its intercept. It is used
+// if another term already contains the fixed cost.
 func Rise(slope string, size float64) Term {
 	return Term{kind: riseTerm, slope: slope, size: size, factor: 1}
 }
 
-// Simulated is a figure of a simulated day.
+// Simulated returns a term for a figure of the named simulated day.
 func Simulated(day, figure string) Term {
 	return Term{kind: simulatedTerm, day: day, figure: figure, factor: 1}
 }
 
-// Given is a value that follows from the size alone, or that a page or a setting states.
+// Given returns a term for a value that follows from the size of the fleet, or that a page or a setting specifies.
 func Given(value float64, reason string) Term {
 	return Term{kind: givenTerm, factor: value, reason: reason}
 }
 
-// Assumed is a value that nobody has measured and nothing states.
+// Assumed returns a term for a value that was neither measured nor specified.
 func Assumed(value float64, reason string) Term {
 	return Term{kind: assumedTerm, factor: value, reason: reason}
 }
 
-// Times multiplies a term, for example by the events per second of which it is the cost.
+// Times returns the term multiplied by a factor, for example the cost of one event by the events per second.
 func (t Term) Times(factor float64) Term {
 	t.factor *= factor
 	return t
 }
 
-// Measurements are what rows are computed from.
+// Measurements are the inputs from which rows are computed.
 type Measurements struct {
 	Slopes      []Slope
 	Simulations []SimulatedDay
@@ -94,13 +95,13 @@
 // Figure is the computed figure of a row.
 type Figure struct {
 	Value         float64
-	Missing       []string // slopes and figures that are not measured; then there is no value
-	Extrapolation float64  // the largest multiple of the largest size measured that a term uses
-	Direct        bool     // one slope at a size, or one simulated figure, as it is
+	Missing       []string // names of slopes and figures that were not measured; Value is not valid then
+	Extrapolation float64  // the largest ratio of the size that a term uses to the largest measured size
+	Direct        bool     // whether the only term is an unscaled slope at a size or simulated figure
 	OverBudget    bool
 }
 
-// Compute returns a row's figure.
+// Compute returns the figure of a row.
 func (m Measurements) Compute(row Row) Figure {
 	var figure Figure
 	for _, term := range row.Terms {
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -1,37 +1,37 @@
 package capacity
 
-// The size to design for, within two years.
+// The size of the fleet to design for, expected within two years.
 const (
 	Routers             = 600
 	Engines             = 1200
 	Zones               = 6
 	Regions             = 2
 	ControlMachines     = 5
-	Sessions            = 2000 // of a router: 1.2 million connections over 600
-	StatementsPerSecond = 450  // of a router: 270,000 over 600
+	Sessions            = 2000 // per router: 1.2 million connections over 600 routers
+	StatementsPerSecond = 450  // per router: 270,000 over 600 routers
 	Tenants             = 1000
-	ChangesPerDay       = 1500 // of configuration
-	FailuresPerDay      = 3    // machines on an ordinary day
-	RestartsPerDay      = 430  // machines on an ordinary day, restarted or replaced
+	ChangesPerDay       = 1500 // of the configuration
+	FailuresPerDay      = 3    // machines that fail on an ordinary day
+	RestartsPerDay      = 430  // machines restarted or replaced on an ordinary day
 )
 
-// The budgets.
+// The budgets: the largest allowed figures.
 const (
-	RouterPercent        = 2.1  // of a core, for control
-	RouterMB             = 128  // for control
-	RouterBytesPerSecond = 2000 // for control
-	PrimarySeconds       = 9    // for a change of primary
-	InForceSeconds       = 7    // for a change of configuration
+	RouterPercent        = 2.1  // of a core, for control work, not for clients
+	RouterMB             = 128  // for control work
+	RouterBytesPerSecond = 2000 // for control work
+	PrimarySeconds       = 9    // until a change of primary is complete
+	InForceSeconds       = 7    // until a configuration change is in force at all routers
 )
 
 const (
 	secondsPerDay         = 86400.0
 	hoursPerDay           = 24.0
 	secondsPerMillisecond = 0.001
-	percentPerMillisecond = 0.1 // of a core, in one second
+	percentPerMillisecond = 0.1 // of a core, for one millisecond per second
 	changesPerSecond      = ChangesPerDay / secondsPerDay
-	burstChangesPerSecond = 20.0 // of configuration
-	maxReloadsPerSecond   = 2.0  // of a follower, which waits 500 ms between calls that bring changes
+	burstChangesPerSecond = 20.0 // of the configuration
+	maxReloadsPerSecond   = 2.0  // of a follower, which waits 500 ms between calls that return changes
 
 	totalMachines          = Routers + Engines
 	replacedEnginesPerDay  = RestartsPerDay * Engines / totalMachines
@@ -44,11 +44,12 @@
 	rackEngines            = Engines / racks
 	rackRouters            = Routers / racks
 
-	// eventsPerReplacement are the list changes for an engine that is replaced: draining, removed, another added.
+	// eventsPerReplacement is the number of changes of the endpoint list for an engine that is replaced: it is draining,
+	// it is removed, and another one is added.
 	eventsPerReplacement = 3
-	// eventsPerFailure are the list changes for an engine that fails: removed, added.
+	// eventsPerFailure is the number of changes of the endpoint list for an engine that fails: it is removed and added.
 	eventsPerFailure = 2
-	// eventsPerSecond are the list changes on an ordinary day.
+	// eventsPerSecond is the mean rate of changes of the endpoint list on an ordinary day.
 	eventsPerSecond = (replacedEnginesPerDay*eventsPerReplacement + FailuresPerDay*eventsPerFailure) / secondsPerDay
 )
 
@@ -78,7 +79,7 @@
 	dayZoneLost           = "zone lost, back cold"
 )
 
-// Packages that carry a demand.
+// Packages that implement the mechanisms of several rows.
 var (
 	backoffPackages       = []string{"internal/decide/backoff", "dispatch"}
 	configurationPackages = []string{"internal/decide/configlog", "internal/configclient"}
--- a/internal/capacity/rows_configuration.go
+++ b/internal/capacity/rows_configuration.go
@@ -1,11 +1,12 @@
 package capacity
 
-// inForce is the time until the last router had a revision in force, in a phase of dayConfiguration.
+// timeInForce returns the time in seconds until the last router had a revision in force, in a phase of
+// dayConfiguration.
 func timeInForce(phase string) []Term {
 	return []Term{Simulated(dayConfiguration, phase+", last ms").Times(secondsPerMillisecond)}
 }
 
-// configurationBurstRows are the rows of a burst of configuration changes.
+// configurationBurstRows are the rows for a burst of configuration changes.
 var configurationBurstRows = []Row{
 	{
 		Role: "router", Subject: "processor time for control at 20 changes a second, a complete file for each",
--- a/internal/capacity/rows_failures.go
+++ b/internal/capacity/rows_failures.go
@@ -1,11 +1,13 @@
 package capacity
 
-// removals is the cost of the removal of that many engines in a second, each in a change of its own.
+// removalCost returns the processor time of a router in a second in which engines are removed from the endpoint list,
+// each by a separate change.
 func removalCost(engines float64) []Term {
 	return []Term{Line("router-cpu-by-list-changes", engines)}
 }
 
-// removalsInFrame is the cost of their removal in one frame.
+// removalCostInFrame returns the processor time of a router in a second in which engines are removed from the endpoint
+// list by one frame.
 func removalCostInFrame(engines float64) []Term {
 	return []Term{
 		Line("router-cpu-by-engines", Engines),
@@ -13,7 +15,7 @@
 	}
 }
 
-// primaryChangeRows are the rows of a change of the engines that take a table group's loads.
+// primaryChangeRows are the rows for a change of the primary, the engine that runs the loads of a table group.
 var primaryChangeRows = []Row{
 	{
 		Role: "router", Subject: "the last of 600 routers receives an engine's change, the slowest of 20",
@@ -57,7 +59,7 @@
 	},
 }
 
-// rackRows are the rows of the loss of a rack.
+// rackRows are the rows for the loss of a rack.
 var rackRows = []Row{
 	{
 		Role: "router", Subject: "processor time for control in the second in which a rack's 24 engines are removed",
@@ -86,7 +88,7 @@
 	},
 }
 
-// subsetRows are the rows of the subsets of engines that routers use.
+// subsetRows are the rows for the subsets of engines that routers use.
 var subsetRows = []Row{
 	{
 		Role: "engine", Subject: "members of subsets that change when one engine is removed, of 22,200",
--- a/internal/capacity/rows_options.go
+++ b/internal/capacity/rows_options.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// What the options for configuration are computed with and nobody measured.
+// Assumed sizes for the comparison of the options for the distribution of configuration. They were not measured.
 const (
-	callBytes            = 700 // of an HTTP call and its response without changes, with headers, on an open connection
-	datagramBytes        = 160 // of a revision and a hash, with headers
-	entryBytes           = 80  // of a tenant's entry, as pointer and value
+	callBytes            = 700 // of an HTTP call and its response without changes, including headers, on an open connection
+	datagramBytes        = 160 // of a datagram with a revision and a hash, including headers
+	entryBytes           = 80  // of a tenant's entry: a JSON pointer and a value
 	acknowledgementBytes = 40  // of a router's acknowledgement of a revision
-	gossipPeers          = 3   // of a router in a round of gossip, which takes a second
+	gossipPeers          = 3   // of a router in a gossip round, which takes a second
 	exchangesPerSecond   = 2 * gossipPeers
 	relays               = 2 * Zones
 	burstBytesAtFollower = maxReloadsPerSecond*callBytes + burstChangesPerSecond*entryBytes
@@ -28,10 +28,10 @@
 	notBuiltYet  = []string{NotBuilt}
 )
 
-// Options returns the table of docs/design/capacity.md.
+// Options returns the scenarios of docs/design/capacity.md, which has one table.
 func Options() []Scenario { return []Scenario{{"options", optionRows}} }
 
-// optionRows are the rows of the options for configuration that docs/design/capacity.md compares.
+// optionRows are the rows for the options for the distribution of configuration that docs/design/capacity.md compares.
 var optionRows = []Row{
 	{
 		Role: optionFiles, Subject: "bytes at a router, mean of the day", Unit: unitBytesPerSecond,
--- a/internal/capacity/rows_region.go
+++ b/internal/capacity/rows_region.go
@@ -1,6 +1,6 @@
 package capacity
 
-// regionRows are the rows of the loss of a region.
+// regionRows are the rows for the loss of a region.
 var regionRows = []Row{
 	{
 		Role: "router", Subject: "sessions of each of the 300 remaining routers",
@@ -61,7 +61,7 @@
 	},
 }
 
-// regionPartitionRows are the rows of a partition between the regions.
+// regionPartitionRows are the rows for a network partition between the regions.
 var regionPartitionRows = []Row{
 	{
 		Role: "router", Subject: "revisions behind after an hour in the region without a majority",
--- a/internal/capacity/rows_state.go
+++ b/internal/capacity/rows_state.go
@@ -1,6 +1,6 @@
 package capacity
 
-// stateRows are the rows of the demand when idle and at a steady load.
+// stateRows are the rows for an idle fleet and for a steady load.
 var stateRows = []Row{
 	{
 		Role: "router", Subject: "memory for control: 1,200 engines, 1,000 tenants, no clients", Unit: unitMB,
--- a/internal/capacity/rows_steady.go
+++ b/internal/capacity/rows_steady.go
@@ -1,6 +1,6 @@
 package capacity
 
-// quietHourRows are the rows of an hour without failures and list changes.
+// quietHourRows are the rows for an hour without failures and without changes of the endpoint list.
 var quietHourRows = []Row{
 	{
 		Role: "router", Subject: "processor time for control, files and signals", Unit: unitPercent,
@@ -65,7 +65,7 @@
 	},
 }
 
-// ordinaryDayRows are the rows of a day of planned restarts and few failures.
+// ordinaryDayRows are the rows for a day with planned restarts and few failures.
 var ordinaryDayRows = []Row{
 	{
 		Role: "router", Subject: "processor time for control, files and signals", Unit: unitPercent,
--- a/internal/capacity/rows_zone.go
+++ b/internal/capacity/rows_zone.go
@@ -1,6 +1,6 @@
 package capacity
 
-// zoneRows are the rows of the loss of a zone, and its return with engines that warm up.
+// zoneRows are the rows for the loss of a zone, and for its return with engines that warm up.
 var zoneRows = []Row{
 	{
 		Role: "router",
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -8,7 +8,7 @@
 
 const oneDay = `{"name":"n","routers":6,"engines":12,"zones":3,"figures":{"served":0.9},"conditions":"c","test":"T"}`
 
-// The error for a field that is missing, unknown or wrong names its position in the file.
+// A missing, unknown or invalid field is rejected with an error that names the index, the day and the field.
 func TestParseSimulatedDaysRejectsInvalidFields(t *testing.T) {
 	days, err := ParseSimulatedDays([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
@@ -25,7 +25,7 @@
 		{`"zones":3`, `"zones":3,"regions":2`, `scales[0] "n": regions: is not known`},
 		{`"zones":3`, `"zones":"x"`, `scales[0] "n": zones: json`},
 		{`"zones":3`, `"zones":0`, `scales[0] "n": routers, engines or zones: is below 1`},
-		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: are none`},
+		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: is empty`},
 		{`"test":"T"`, `"test":""`, `scales[0] "n": name, conditions or test: is empty`},
 	} {
 		changed := strings.Replace(oneDay, test.old, test.new, 1)
@@ -35,22 +35,22 @@
 		}
 	}
 	_, err = ParseSimulatedDays([]byte("[" + oneDay + "," + oneDay + "]"))
-	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is there twice`) {
+	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is a duplicate`) {
 		t.Error(err)
 	}
 }
 
-// Days that could not be read again are not written, and half a file is not read.
+// FormatSimulatedDays rejects days that ParseSimulatedDays would reject, and a truncated file is rejected.
 func TestInvalidSimulatedDaysAreRejected(t *testing.T) {
 	if _, err := ParseSimulatedDays([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
-		t.Errorf("half a file: error %v", err)
+		t.Errorf("truncated file: error %v, want one that begins with \"scales: \"", err)
 	}
 	day := SimulatedDay{
 		Name: "n", Routers: 6, Engines: 12, Zones: 3, Conditions: "c", Test: "T",
 		Figures: map[string]float64{"served": 0.9},
 	}
 	if text, err := FormatSimulatedDays([]SimulatedDay{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
-		t.Errorf("a valid day: %s, error %v", text, err)
+		t.Errorf("valid day: %s, error %v", text, err)
 	}
 	withFigure := func(value float64) SimulatedDay {
 		changed := day
@@ -64,9 +64,9 @@
 		days []SimulatedDay
 		want string
 	}{
-		{"the same name twice", []SimulatedDay{day, day}, `scales[1] "n": name: is there twice`},
+		{"duplicate name", []SimulatedDay{day, day}, `scales[1] "n": name: is a duplicate`},
 		{"no test", []SimulatedDay{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
-		{"a figure that JSON can't hold", []SimulatedDay{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
+		{"figure that JSON cannot represent", []SimulatedDay{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
 	} {
 		text, err := FormatSimulatedDays(test.days)
 		if text != nil || err == nil || !strings.HasPrefix(err.Error(), test.want) {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -9,30 +9,30 @@
 	"slices"
 )
 
-// MinSizes is the least number of different sizes that a slope is measured at.
+// MinSizes is the minimum number of different sizes at which a slope has to be measured.
 const MinSizes = 4
 
-// Slope is a cost against a size, as a test measured it.
+// Slope is a cost that a test measured at several sizes, with the line that fits the measurements.
 type Slope struct {
-	Name       string  `json:"name"` // unique in the file; what rows refer to
-	Role       string  `json:"of"`   // whose cost: router, keeper or board
+	Name       string  `json:"name"` // unique in the file; rows refer to it
+	Role       string  `json:"of"`   // that has the cost: router, keeper or board, which is the discovery server
 	X          string  `json:"x"`    // the size, with its unit
 	Y          string  `json:"y"`    // the cost, with its unit
 	Points     Points  `json:"points"`
-	Intercept  float64 `json:"intercept"`        // of Fit, in the unit of Y
-	Slope      float64 `json:"slope"`            // of Fit, Y by X
-	Residual   float64 `json:"largest_residual"` // of Fit, in the unit of Y
+	Intercept  float64 `json:"intercept"`        // from Fit, in the unit of Y
+	Slope      float64 `json:"slope"`            // from Fit, Y per X
+	Residual   float64 `json:"largest_residual"` // from Fit, in the unit of Y
 	Conditions string  `json:"conditions"`       // machine, other sizes and duration of the measurement
 	Test       string  `json:"test"`             // the test that measured it
 }
 
-// Points are pairs of x and y.
+// Points are pairs of a size and the cost measured at it.
 type Points [][2]float64
 
-// At is the cost at a size, on the line; in the unit of Y.
+// At returns the cost at a size on the fitted line, in the unit of Y.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// LargestSize is the largest size that was measured, in the unit of X.
+// LargestSize returns the largest measured size in the unit of X, or negative infinity if there are no points.
 func (s Slope) LargestSize() float64 {
 	largest := math.Inf(-1)
 	for _, p := range s.Points {
@@ -41,8 +41,9 @@
 	return largest
 }
 
-// Fit fits a line to points by least squares. The largest residual is the largest distance in y of a point from it, in
-// the unit of y. Points that are all at one x result in a level line through their mean; no points result in zeros.
+// Fit fits a line to points by the method of least squares. The largest residual is the largest distance of a point
+// from the line in the direction of y. If all points have the same x, the line is horizontal at their mean; without
+// points, all results are 0.
 func Fit(points [][2]float64) (intercept, slope, largestResidual float64) {
 	if len(points) == 0 {
 		return 0, 0, 0
@@ -66,14 +67,14 @@
 	return intercept, slope, largestResidual
 }
 
-// NewSlope fits points and checks the result as ParseSlopes does.
+// NewSlope returns a slope with the line that fits the points, and an error if ParseSlopes would reject it.
 func NewSlope(name, of, x, y string, points [][2]float64, conditions, test string) (Slope, error) {
 	s := Slope{Name: name, Role: of, X: x, Y: y, Points: points, Conditions: conditions, Test: test}
 	s.Intercept, s.Slope, s.Residual = Fit(points)
 	return s, s.check()
 }
 
-// check returns an error for a slope that can't be computed with.
+// check returns an error if a field is empty, there are fewer than MinSizes sizes, or the line does not fit the points.
 func (s Slope) check() error {
 	for _, check := range []struct{ field, value string }{
 		{"name", s.Name},
@@ -96,7 +97,7 @@
 		return fmt.Errorf("points: %d different sizes, want at least %d", n, MinSizes)
 	}
 	intercept, slope, residual := Fit(s.Points)
-	scale := 0.0 // of the figures that go into the fit, for what rounding may make of them
+	scale := 0.0 // the largest cost, relative to which rounding errors are tolerated
 	for _, p := range s.Points {
 		scale = max(scale, math.Abs(p[1]))
 	}
@@ -110,15 +111,15 @@
 		{"largest_residual", s.Residual, residual, scale},
 	} {
 		if !(math.Abs(check.got-check.want) <= 1e-6*check.unit) {
-			return fmt.Errorf("%s: is %v, the points give %v", check.field, check.got, check.want)
+			return fmt.Errorf("%s: is %v, want %v by the points", check.field, check.got, check.want)
 		}
 	}
 	return nil
 }
 
-// ParseSlopes reads the text of slopes.json: a list of slopes with all fields and no others, each from at least
-// MinSizes sizes, with the fit that its points result in, names unique. An error names the index in the list, the slope
-// and the field.
+// ParseSlopes reads the text of slopes.json, a list of slopes. It returns an error if a slope lacks a field, has an
+// unknown or invalid one, has fewer than MinSizes different sizes, has a line that does not fit its points, or has the
+// name of another slope. The error names the index in the list, the slope and the field.
 func ParseSlopes(text []byte) ([]Slope, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(text, &items); err != nil {
@@ -128,7 +129,7 @@
 	for i, item := range items {
 		var parsed Slope
 		var named struct{ Name any }
-		_ = json.Unmarshal(item, &named) // for the error message; the errors of the item are found below
+		_ = json.Unmarshal(item, &named) // only for the error message; decodeObject reports the errors of the item
 		err := decodeObject(item, map[string]any{
 			"name": &parsed.Name, "of": &parsed.Role, "x": &parsed.X, "y": &parsed.Y, "points": &parsed.Points,
 			"intercept": &parsed.Intercept, "slope": &parsed.Slope, "largest_residual": &parsed.Residual,
@@ -141,15 +142,15 @@
 			return nil, fmt.Errorf("slopes[%d] %q: %w", i, fmt.Sprint(named.Name), err)
 		}
 		if slices.ContainsFunc(slopes, func(o Slope) bool { return o.Name == parsed.Name }) {
-			return nil, fmt.Errorf("slopes[%d] %q: name: is there twice", i, parsed.Name)
+			return nil, fmt.Errorf("slopes[%d] %q: name: is a duplicate", i, parsed.Name)
 		}
 		slopes = append(slopes, parsed)
 	}
 	return slopes, nil
 }
 
-// FormatSlopes returns the text of slopes.json, sorted by name, so that a new measurement changes its own lines
-// alone. It fails for slopes that ParseSlopes rejects.
+// FormatSlopes returns the text of slopes.json. The slopes are sorted by name, so that a new measurement changes only
+// its own lines. It returns an error for slopes that ParseSlopes rejects.
 func FormatSlopes(slopes []Slope) ([]byte, error) {
 	slopes = slices.SortedFunc(slices.Values(slopes), func(a, b Slope) int { return cmp.Compare(a.Name, b.Name) })
 	var out bytes.Buffer
@@ -165,7 +166,7 @@
 	return out.Bytes(), nil
 }
 
-// MergeSlopes returns the old slopes with fresh ones added; those with the same names are replaced.
+// MergeSlopes returns the old slopes with the updates added; an update replaces the old slope of the same name.
 func MergeSlopes(old, updates []Slope) []Slope {
 	merged := slices.DeleteFunc(slices.Clone(old), func(s Slope) bool {
 		return slices.ContainsFunc(updates, func(f Slope) bool { return f.Name == s.Name })
@@ -173,7 +174,7 @@
 	return append(merged, updates...)
 }
 
-// MarshalJSON implements json.Marshaler. It writes an empty list for nil.
+// MarshalJSON implements json.Marshaler. It encodes nil as an empty list.
 func (p Points) MarshalJSON() ([]byte, error) {
 	if p == nil {
 		return []byte("[]"), nil
@@ -181,8 +182,8 @@
 	return json.Marshal([][2]float64(p))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. It accepts pairs only: the default decoding fills a short pair with
-// zeros and truncates a long one.
+// UnmarshalJSON implements json.Unmarshaler. It rejects points without exactly two numbers: the default decoding would
+// fill short ones with zeros and truncate long ones.
 func (p *Points) UnmarshalJSON(text []byte) error {
 	var rows [][]float64
 	if err := json.Unmarshal(text, &rows); err != nil {
@@ -191,14 +192,15 @@
 	*p = make(Points, len(rows))
 	for i, row := range rows {
 		if len(row) != 2 {
-			return fmt.Errorf("point %d has %d figures, want 2", i, len(row))
+			return fmt.Errorf("point %d has %d numbers, want 2", i, len(row))
 		}
 		(*p)[i] = [2]float64(row)
 	}
 	return nil
 }
 
-// decodeObject decodes an object that has all of the wanted fields and no others into the values of want.
+// decodeObject decodes the fields of a JSON object into the pointers in want. It returns an error if a field is missing,
+// null, unknown or invalid.
 func decodeObject(text []byte, want map[string]any) error {
 	var got map[string]json.RawMessage
 	if err := json.Unmarshal(text, &got); err != nil {
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A line is found again from its points, with the noise that was added as the largest residual at most.
+// Fit recovers a line from its points. If one point is moved by 5, no line close to the fitted one has a smaller sum of
+// squares, and the largest residual is at most 5.
 func TestFitRecoversLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		intercept, slope := rapid.Float64Range(-1e3, 1e3).Draw(t, "intercept"), rapid.Float64Range(-10, 10).Draw(t, "slope")
@@ -22,7 +23,7 @@
 		if math.Abs(gotIntercept-intercept) > 1e-6 || math.Abs(gotSlope-slope) > 1e-8 || residual > 1e-6 {
 			t.Fatalf("%v + %v x, residual %v; want %v + %v x", gotIntercept, gotSlope, residual, intercept, slope)
 		}
-		// No other line has a smaller sum of squares.
+		// No line close to the fitted one has a smaller sum of squares.
 		points[0][1] += 5
 		sum := func(a, b float64) (s float64) {
 			for _, p := range points {
@@ -34,11 +35,11 @@
 		least := sum(gotIntercept, gotSlope)
 		for _, d := range [][2]float64{{1, 0}, {-1, 0}, {0, 0.01}, {0, -0.01}} {
 			if s := sum(gotIntercept+d[0], gotSlope+d[1]); s < least {
-				t.Fatalf("%v beside %v", s, least)
+				t.Fatalf("a line close to the fitted one has a sum of squares of %v, less than %v", s, least)
 			}
 		}
 		if residual > 5 || residual == 0 {
-			t.Fatalf("largest residual %v of a point that is 5 off", residual)
+			t.Fatalf("the largest residual is %v for a point that was moved by 5", residual)
 		}
 	})
 }
@@ -63,7 +64,7 @@
 const oneSlope = `{"name":"n","of":"router","x":"engines","y":"ms","points":[[1,2],[2,4],[3,6],[4,8]],` +
 	`"intercept":0,"slope":2,"largest_residual":0,"conditions":"c","test":"T"}`
 
-// The error for a field that is missing, unknown or wrong names its position in the file.
+// A missing, unknown or invalid field is rejected with an error that names the index, the slope and the field.
 func TestParseSlopesRejectsInvalidFields(t *testing.T) {
 	slopes, err := ParseSlopes([]byte("[" + oneSlope + "]"))
 	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].LargestSize() != 4 {
@@ -79,18 +80,18 @@
 		{`"of":"router"`, `"of":""`, `slopes[1] "m": of: is empty`},
 		{`"of":"router"`, `"of":"router","off":1`, `slopes[1] "m": off: is not known`},
 		{`"of":"router"`, `"of":7`, `slopes[1] "m": of: json: cannot unmarshal number`},
-		{`"name":"m"`, `"name":"n"`, `slopes[1] "n": name: is there twice`},
+		{`"name":"m"`, `"name":"n"`, `slopes[1] "n": name: is a duplicate`},
 		{`[4,8]`, `[3,6]`, `slopes[1] "m": points: 3 different sizes, want at least 4`},
-		{`[4,8]`, `[4]`, `slopes[1] "m": points: point 3 has 1 figures, want 2`},
-		{`[4,8]`, `[4,8,0]`, `slopes[1] "m": points: point 3 has 3 figures, want 2`},
-		{`"slope":2`, `"slope":2.1`, `slopes[1] "m": slope: is 2.1, the points give 2`},
-		{`"intercept":0`, `"intercept":1`, `slopes[1] "m": intercept: is 1, the points give 0`},
-		{`"largest_residual":0`, `"largest_residual":1`, `slopes[1] "m": largest_residual: is 1, the points give 0`},
+		{`[4,8]`, `[4]`, `slopes[1] "m": points: point 3 has 1 numbers, want 2`},
+		{`[4,8]`, `[4,8,0]`, `slopes[1] "m": points: point 3 has 3 numbers, want 2`},
+		{`"slope":2`, `"slope":2.1`, `slopes[1] "m": slope: is 2.1, want 2 by the points`},
+		{`"intercept":0`, `"intercept":1`, `slopes[1] "m": intercept: is 1, want 0 by the points`},
+		{`"largest_residual":0`, `"largest_residual":1`, `slopes[1] "m": largest_residual: is 1, want 0 by the points`},
 	} {
 		other := strings.Replace(oneSlope, `"name":"n"`, `"name":"m"`, 1)
 		text := strings.Replace(other, test.old, test.new, 1)
 		if text == other {
-			t.Fatal(test.old, "is not there")
+			t.Fatalf("the example has no text %q", test.old)
 		}
 		_, err := ParseSlopes([]byte("[" + oneSlope + "," + text + "]"))
 		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
@@ -98,11 +99,11 @@
 		}
 	}
 	if _, err := ParseSlopes([]byte("{")); err == nil {
-		t.Error("half a file was read")
+		t.Error("a truncated file was accepted")
 	}
 }
 
-// A new measurement replaces the one with its name, and invalid slopes are not written.
+// MergeSlopes replaces the slope of the same name, and FormatSlopes rejects invalid slopes.
 func TestMergeSlopes(t *testing.T) {
 	at := func(name string, y float64) Slope {
 		s, err := NewSlope(name, "router", "engines", "ms", [][2]float64{{1, y}, {2, y}, {3, y}, {4, y}}, "c", "T")
@@ -121,10 +122,10 @@
 		t.Error(back, err)
 	}
 	if _, err := NewSlope("a", "router", "engines", "ms", [][2]float64{{1, 1}, {2, 2}}, "c", "T"); err == nil {
-		t.Error("a slope of two sizes")
+		t.Error("a slope with two sizes was accepted")
 	}
 	all[0].Slope = 9
 	if _, err := FormatSlopes(all); err == nil {
-		t.Error("a slope that its points don't result in was written")
+		t.Error("a slope that does not fit its points was accepted")
 	}
 }
