--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -12,19 +12,21 @@
 	"time"
 )
 
-// Meter counts the bytes of connections, at their end in the test.
+// Meter counts the bytes and segments of connections of which the test process is one end.
 type Meter struct{ payload, segments, opened atomic.Int64 }
 
-// WireBytes is the bytes on them so far with headers, computed as Relay.WireBytes does.
+// WireBytes returns the bytes of the connections so far including headers, computed as by Relay.WireBytes.
 func (m *Meter) WireBytes() int64 {
 	return 7*segmentHeaderBytes*m.opened.Load() + m.payload.Load() + 2*segmentHeaderBytes*m.segments.Load()
 }
 
+// meteredConn is a connection whose bytes a meter counts.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
 }
 
+// count adds the bytes of one read or write.
 func (m *Meter) count(n int) {
 	m.payload.Add(int64(n))
 	m.segments.Add(int64((n + maxSegmentPayload - 1) / maxSegmentPayload))
@@ -42,6 +44,7 @@
 	return n, err
 }
 
+// meteredListener accepts connections whose bytes a meter counts.
 type meteredListener struct {
 	net.Listener
 	meter *Meter
@@ -62,7 +65,7 @@
 	reader *bufio.Reader
 }
 
-// Dial connects and logs in; meters count the bytes of the connection.
+// Dial connects to a router and logs in. Each of the meters counts the bytes of the connection.
 func Dial(addr string, meters ...*Meter) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	if err != nil {
@@ -78,7 +81,7 @@
 	login = append(append(login, 0, 0, 0, 1, 45), make([]byte, 23)...)
 	login = append(login, "app\x00\x00warehouse\x00mysql_native_password\x00"...)
 	if err = client.write(1, login); err == nil {
-		for range 2 { // the greeting, and OK
+		for range 2 { // the server's greeting, and OK
 			if _, err = client.packet(); err != nil {
 				break
 			}
@@ -91,14 +94,16 @@
 	return client, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
+// write sends a packet with a sequence number.
 func (c *Client) write(seq byte, body []byte) error {
 	_, err := c.conn.Write(append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...))
 	return err
 }
 
+// packet reads the next packet and returns its body.
 func (c *Client) packet() ([]byte, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
@@ -109,7 +114,7 @@
 	return body, err
 }
 
-// Ping sends COM_PING and waits for OK.
+// Ping sends COM_PING and waits for the response. It returns an error for a response other than OK.
 func (c *Client) Ping() error {
 	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	if err := c.write(0, []byte{14}); err != nil {
@@ -117,12 +122,13 @@
 	}
 	p, err := c.packet()
 	if err == nil && (len(p) == 0 || p[0] != 0) {
-		err = fmt.Errorf("% x in place of OK", p[:min(len(p), 8)])
+		err = fmt.Errorf("got a packet that begins with % x, want OK", p[:min(len(p), 8)])
 	}
 	return err
 }
 
-// Query sends a lookup with an id and reads its complete answer. An error answer is an error.
+// Query sends a lookup with the given id and reads its complete result. It returns an error if the router responds with
+// one.
 func (c *Client) Query(id uint64) error {
 	_ = c.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	text := fmt.Sprintf("/* method=lookup,rid=%016x,budget=5000 */ SELECT day, "+
@@ -144,14 +150,15 @@
 	return nil
 }
 
-// StubEngines are HTTP engines, each at an address of its own, that serve any statement with one row at once.
+// StubEngines are simulated HTTP engines, each with its own address. They respond to any statement immediately with one
+// row.
 type StubEngines struct {
 	Engines    []Engine
-	Statements atomic.Int64 // statements
+	Statements atomic.Int64 // received
 	Meter      Meter
 }
 
-// NewStubEngines starts n engines until the test's end.
+// NewStubEngines starts n engines, which run until the end of the test.
 func NewStubEngines(tb testing.TB, n int) *StubEngines {
 	tb.Helper()
 	s := &StubEngines{Engines: Engines(n)}
@@ -168,7 +175,7 @@
 	return s
 }
 
-// ServeHTTP implements http.Handler: a POST brings a statement and is answered with its complete result.
+// ServeHTTP implements http.Handler. A POST is a statement; the response is its complete result.
 func (s *StubEngines) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -8,9 +8,9 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Changes reach a complete fleet, alone and in a burst, with the leader killed, a zone's routers restarted at once,
-// and regions apart and joined; no router returns to an earlier revision, all end at the same content, and the
-// keepers report so.
+// Configuration changes reach all routers of a fleet: one by one and in a burst, while the leader is killed, after a
+// zone was disconnected, and after a partition between the regions. No router returns to an earlier revision, all have
+// the same content at the end, and the keepers report the revisions as in force everywhere.
 func TestConfigurationReachesTheFleet(t *testing.T) {
 	f := newConfiguredFleet(t, scenarioSizes(t))
 	routers := f.size.real + f.size.simulated
@@ -51,7 +51,7 @@
 	f.keepers.Restart(leader)
 	checkInForce(leader, last, routers)
 
-	const lostZone = 5 // the zone
+	const lostZone = 5 // index in Zones
 	f.links[lostZone].Each(members(f.size.keepers), (*Relay).Cut)
 	burst, last = f.burst(0, f.size.changes, nil)
 	f.await(last, burst[last], func(zone int) bool { return zone != lostZone }, nil)
@@ -70,13 +70,14 @@
 	checkInForce(0, revision, routers)
 	f.checkSameContent(revision)
 	if sum := f.simulated.Totals(); sum.Failed > 0 || sum.Served == 0 {
-		t.Errorf("%+v: statements failed, or none was served", sum)
+		t.Errorf("totals %+v, want some statements served and none failed", sum)
 	}
 	f.writeScale()
 }
 
-// partitionRegions cuts the regions off from each other: the one with the majority continues to make changes, the
-// other keeps what it has and changes nothing; joined, all have what the majority made.
+// partitionRegions disconnects the regions from each other. The region with the majority of the keepers continues to
+// accept changes; the other one accepts none, and its routers keep their revision. After the regions have reconnected,
+// all routers receive the changes of the majority.
 func (f *configuredFleet) partitionRegions() {
 	t := f.t
 	majority := members(f.size.keepers)[:f.size.keepers/2+1]
@@ -105,12 +106,12 @@
 			Put: map[string]json.RawMessage{"/settings/over-share-worth": json.RawMessage("0.9")},
 		}, &done)
 	if err == nil {
-		t.Errorf("a region without a majority made revision %d", done.Revision)
+		t.Errorf("the region without a majority accepted a change as revision %d", done.Revision)
 	}
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
 		for n, s := range state {
 			if regionOf(n%len(Zones)) == 1 && s.Last() >= last {
-				t.Errorf("simulated router %d has revision %d of the other region", n, s.Last())
+				t.Errorf("simulated router %d received revision %d of the other region during the partition", n, s.Last())
 			}
 		}
 		return ""
@@ -125,7 +126,7 @@
 	f.recordDurations("the region that was cut off, from the joining on", durations)
 }
 
-// checkSameContent looks whether all simulated routers have one content.
+// checkSameContent fails the test unless all simulated routers have the same content.
 func (f *configuredFleet) checkSameContent(revision uint64) {
 	hashes := map[string]int{}
 	f.simulated.Await(func(state map[int]*RouterStatus) string {
@@ -135,6 +136,6 @@
 		return ""
 	})
 	if len(hashes) != 1 {
-		f.t.Errorf("at revision %d the routers have %d contents: %v", revision, len(hashes), hashes)
+		f.t.Errorf("at revision %d the routers have %d different contents, want 1: %v", revision, len(hashes), hashes)
 	}
 }
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -17,13 +17,14 @@
 	"windflow/internal/decide/configlog"
 )
 
-// scenarioSize is how large the fleet of TestConfigurationReachesTheFleet is: small unless the environment sets it.
+// scenarioSize is the size of the fleet of TestConfigurationReachesTheFleet.
 type scenarioSize struct {
 	keepers, real, simulated int
-	changes                  int // one after the other, and in a burst
+	changes                  int // number of those one after the other, and of those in a burst
 	tenants, engines         int // in the configuration of each router
 }
 
+// scenarioSizes returns a small size, except for values that environment variables set.
 func scenarioSizes(t *testing.T) scenarioSize {
 	t.Helper()
 	size := scenarioSize{keepers: 3, real: realFollowers, simulated: 60, changes: 4, tenants: 4, engines: listedEngines}
@@ -35,7 +36,7 @@
 		if text := os.Getenv(name); text != "" {
 			n, err := strconv.Atoi(text)
 			if err != nil || n < 0 {
-				t.Fatalf("%s: %q is no number", name, text)
+				t.Fatalf("%s: %q is not a number of at least 0", name, text)
 			}
 			*value = n
 		}
@@ -43,15 +44,16 @@
 	return size
 }
 
-// burstRate is how many changes a second are made in a burst.
+// burstRate is the number of changes per second in a burst.
 const burstRate = 20
 
-// The first half of the zones is one region, and so are the first keepers, of which it has the majority.
+// regions lists the zones of each region. The first region also has the first keepers, which are the majority.
 var regions = [2][]int{{0, 1, 2}, {3, 4, 5}}
 
 func regionOf(zone int) int { return zone / len(regions[0]) }
 
-// configuredFleet is a fleet whose routers follow keepers: router i is in zone i mod 6, simulated ones first.
+// configuredFleet is a fleet whose routers follow keepers. Router i is in zone i mod 6. The simulated routers come first,
+// the real ones after them.
 type configuredFleet struct {
 	t         *testing.T
 	harness   *Harness
@@ -61,9 +63,10 @@
 	simulated *SimulatedRouters
 	real      []*Router
 	changes   int
-	figures   map[string]float64 // of what was measured
+	figures   map[string]float64 // measured values by name
 }
 
+// newConfiguredFleet starts a fleet and waits until its processes are ready.
 func newConfiguredFleet(t *testing.T, size scenarioSize) *configuredFleet {
 	t.Helper()
 	h := New(t)
@@ -99,7 +102,7 @@
 	return f
 }
 
-// close ends the processes of a fleet that is not needed any more.
+// close kills the processes of a fleet before the end of its test.
 func (f *configuredFleet) close() {
 	for _, p := range f.simulated.Processes {
 		p.Kill()
@@ -112,11 +115,12 @@
 	}
 }
 
+// section returns the settings section "keepers" of router i.
 func (f *configuredFleet) section(i int) map[string]any {
 	return f.links[i%len(Zones)].Section(filepath.Join(f.harness.Dir, fmt.Sprint("follower-", i)), i)
 }
 
-// nextChange is a change that nobody has made.
+// nextChange returns a change with a new id and a new value of one setting.
 func (f *configuredFleet) nextChange() configlog.Change {
 	f.changes++
 	return configlog.Change{ID: fmt.Sprint("change-", f.changes), Put: map[string]json.RawMessage{
@@ -124,13 +128,14 @@
 	}}
 }
 
-// change makes the next change, at keeper i.
+// change proposes the next change to keeper i, and returns its revision and when it was proposed.
 func (f *configuredFleet) change(i int) (revision uint64, proposedAt time.Time) {
 	f.t.Helper()
 	return f.keepers.Change(i, f.nextChange())
 }
 
-// await waits until routers of zones have a revision, and records how long after the proposal each of them had it.
+// await waits until all routers in the selected zones have a revision in force. It records the time from the proposal
+// until each of them had it in force, in microseconds, unless durations is nil.
 func (f *configuredFleet) await(revision uint64, proposedAt time.Time, zones func(int) bool,
 	durations *hdrhistogram.Histogram,
 ) {
@@ -170,7 +175,7 @@
 
 func newDurations() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// recordTimes records and logs a distribution, in milliseconds.
+// recordDurations records and logs the median, the 99th percentile and the maximum of durations, in milliseconds.
 func (f *configuredFleet) recordDurations(name string, durations *hdrhistogram.Histogram) {
 	f.t.Helper()
 	for what, us := range map[string]int64{
@@ -183,8 +188,8 @@
 		f.figures[name+", 99th ms"], f.figures[name+", last ms"], durations.TotalCount())
 }
 
-// measureDuring records and logs what keepers and real routers used while something was done, and what their links
-// carried.
+// measureDuring calls a function, and records and logs the processor time and memory of keepers and real routers and
+// the bytes on the links during the call.
 func (f *configuredFleet) measureDuring(name string, run func()) {
 	f.t.Helper()
 	var all []*Process
@@ -225,8 +230,8 @@
 	f.t.Logf("%s: over %.0f s: %v", name, seconds, most)
 }
 
-// burst makes changes at an even pace at keeper i, whether or not those before have been answered; between is called
-// after the first half. It returns when each revision was proposed.
+// burst proposes n changes to keeper i at burstRate without waiting for the responses, and calls atHalf, unless it is
+// nil, after half of them. It returns when each revision was proposed, and the last revision.
 func (f *configuredFleet) burst(i, n int, atHalf func()) (proposedAt map[uint64]time.Time, last uint64) {
 	f.t.Helper()
 	type proposal struct {
@@ -257,12 +262,12 @@
 		proposedAt[p.revision], last = p.proposedAt, max(last, p.revision)
 	}
 	if len(proposedAt) != n {
-		f.t.Errorf("%d changes with different ids made %d revisions", n, len(proposedAt))
+		f.t.Errorf("%d changes with different ids resulted in %d revisions", n, len(proposedAt))
 	}
 	return proposedAt, last
 }
 
-// recordRate logs how many changes a second were proposed.
+// recordRate records and logs the number of changes per second that were proposed.
 func (f *configuredFleet) recordRate(name string, proposedAt map[uint64]time.Time) {
 	var first, last time.Time
 	for _, at := range proposedAt {
@@ -277,6 +282,7 @@
 	f.t.Logf("%s: %.1f changes a second were proposed", name, f.figures[name+", changes a second"])
 }
 
+// awaitAll waits until all routers have the last revision in force, and records the durations for each revision.
 func (f *configuredFleet) awaitAll(proposedAt map[uint64]time.Time, last uint64, durations *hdrhistogram.Histogram) {
 	f.t.Helper()
 	f.await(last, proposedAt[last], everyZone, nil)
@@ -285,6 +291,7 @@
 	}
 }
 
+// members returns the indexes of n keepers.
 func members(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
@@ -292,7 +299,7 @@
 	return list
 }
 
-// writeScale writes the figures to scale.json next to slopes.json, where a folder for them is named.
+// writeScale writes the figures to scale.json in the folder that slopesFolderEnv names, if it is set.
 func (f *configuredFleet) writeScale() {
 	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
--- a/internal/fleettest/discovery.go
+++ b/internal/fleettest/discovery.go
@@ -16,7 +16,8 @@
 	"windflow/internal/settings"
 )
 
-// Zones and Kinds are those of every fleet of the harness; records of endpoint events point into them.
+// Zones and Kinds are the zones and engine kinds of every fleet of the harness. Records of endpoint events contain
+// indexes into them.
 var (
 	Zones = []string{"z0", "z1", "z2", "z3", "z4", "z5"}
 	Kinds = []string{"std"}
@@ -25,16 +26,17 @@
 const (
 	// heartbeatInterval is how often the server sends a frame to a watcher when nothing changes.
 	heartbeatInterval = time.Second
-	// keptFrames is how many events the server keeps for watchers that reconnect; one that is further behind gets the
-	// complete list.
+	// keptFrames is the minimum number of recent events that the server keeps for watchers that reconnect. It sends the
+	// complete list to a watcher that missed more events than are kept.
 	keptFrames = 256
-	// ioTimeout is how long a watcher may leave a frame unread before it is disconnected.
+	// ioTimeout is how long the server waits for a watcher to send its request or to read a frame before it closes the
+	// connection.
 	ioTimeout = 5 * time.Second
 
-	// heartbeatFrame, completeFrame and incrementalFrame are the kinds of frame.
+	// heartbeatFrame, completeFrame and incrementalFrame are the kinds of frames.
 	heartbeatFrame, completeFrame, incrementalFrame = 0, 1, 2
-	// frameHeaderSize and frameRecordSize are the sizes of a frame's head behind its length, and of one engine's
-	// record.
+	// frameHeaderSize is the size of a frame's header after the length field, and frameRecordSize the size of one
+	// engine's record, in bytes.
 	frameHeaderSize, frameRecordSize = 9, 27
 )
 
@@ -42,12 +44,12 @@
 type Engine struct {
 	ID        dispatch.EngineID
 	Address   netip.AddrPort // IPv4
-	Zone      int            // in Zones
+	Zone      int            // index in Zones
 	State     dispatch.EndpointState
 	StartedMS uint64 // Unix milliseconds
 }
 
-// Engines returns n engines, spread over the zones in turn, at addresses where nobody listens.
+// Engines returns n engines, assigned to the zones in turn, at addresses on which no process listens.
 func Engines(n int) []Engine {
 	list := make([]Engine, n)
 	for i := range list {
@@ -57,26 +59,27 @@
 	return list
 }
 
-// DiscoveryServer is a stand-in for the platform's discovery service, written from the frames that package discovery
-// reads: a length, an event's number, a kind, and records of 27 bytes. It serves hundreds of watchers from their last
-// event on.
+// DiscoveryServer is a test double of the platform's discovery service. It sends the frames that package discovery
+// reads: a length, the number of an event, a kind, and records of 27 bytes. It can serve hundreds of watchers, each of
+// which resumes after the last event that it has received.
 type DiscoveryServer struct {
 	Addr string
 
 	listener     net.Listener
 	mu           sync.Mutex
-	changed      chan struct{} // closed and replaced with each event, and as connections open and close
+	changed      chan struct{} // closed and replaced on each event, and when a connection opens or closes
 	number       uint64
 	list         map[dispatch.EngineID]Engine
 	order        []dispatch.EngineID
-	recentFrames [][]byte // of the last events
+	recentFrames [][]byte // of the most recent events
 	connections  map[net.Conn]bool
 
-	Accepted  atomic.Int64 // connections in all
-	SentBytes atomic.Int64 // payload
+	Accepted  atomic.Int64 // connections accepted so far
+	SentBytes atomic.Int64 // payload of all connections
 }
 
-// NewDiscoveryServer starts a server with a list, which is event 1, and ends it with the test.
+// NewDiscoveryServer starts a server whose event 1 is the given complete list. It closes the server at the end of the
+// test.
 func NewDiscoveryServer(tb testing.TB, engines []Engine) *DiscoveryServer {
 	tb.Helper()
 	server, err := startDiscoveryServer(engines)
@@ -93,15 +96,15 @@
 		return nil, err
 	}
 	server := &DiscoveryServer{
-		listener: listener, Addr: listener.Addr().String(), changed: make(chan struct{}), list: map[dispatch.EngineID]Engine{},
-		connections: map[net.Conn]bool{},
+		listener: listener, Addr: listener.Addr().String(), changed: make(chan struct{}),
+		list: map[dispatch.EngineID]Engine{}, connections: map[net.Conn]bool{},
 	}
 	server.publish(completeFrame, engines)
-	go server.accept() // ends with Close
+	go server.accept() // returns on Close
 	return server, nil
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *DiscoveryServer) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -111,21 +114,22 @@
 	}
 }
 
-// Change publishes engines in one event, and returns its number.
+// Change publishes one event that adds or updates the given engines, and returns the number of the event.
 func (s *DiscoveryServer) Change(engines ...Engine) uint64 {
 	return s.publish(incrementalFrame, engines)
 }
 
-// Replace publishes a complete list, and returns the event's number.
+// Replace publishes one event with a complete list, and returns the number of the event.
 func (s *DiscoveryServer) Replace(engines []Engine) uint64 { return s.publish(completeFrame, engines) }
 
-// LastEvent is the number of the last event.
+// LastEvent returns the number of the last event.
 func (s *DiscoveryServer) LastEvent() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.number
 }
 
+// publish appends an event with a frame of the given kind, updates the list, and returns the number of the event.
 func (s *DiscoveryServer) publish(kind byte, engines []Engine) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,12 +151,13 @@
 	return s.number
 }
 
+// notify wakes up all that wait for a change. The caller holds the lock.
 func (s *DiscoveryServer) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// encodeFrame returns an event in the form of the wire.
+// encodeFrame returns a frame in its encoded form, including the length field.
 func encodeFrame(number uint64, kind byte, engines []Engine) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(frameHeaderSize+frameRecordSize*len(engines)))
 	out = append(binary.BigEndian.AppendUint64(out, number), kind)
@@ -168,8 +173,9 @@
 	return out
 }
 
-// framesAfter returns the frames that a watcher lacks: those of its next events or, if it is new or far behind, the
-// complete list.
+// framesAfter returns the frames that a watcher has not received after event last. If last is 0 or the frames after it
+// are not kept any more, these are one frame with the complete list. It also returns the number of the last event, and
+// a channel that is closed on the next change.
 func (s *DiscoveryServer) framesAfter(last uint64) (frames [][]byte, now uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,6 +194,7 @@
 	return frames, max(s.number, last), s.changed
 }
 
+// accept serves each connection in a goroutine, until the listener is closed.
 func (s *DiscoveryServer) accept() {
 	for {
 		c, err := s.listener.Accept()
@@ -198,6 +205,7 @@
 	}
 }
 
+// serve sends the frames after the event that a watcher requests, and heartbeats, until the connection ends.
 func (s *DiscoveryServer) serve(conn net.Conn) {
 	defer conn.Close()
 	var request [8]byte
@@ -210,7 +218,7 @@
 	s.setConnected(conn, true)
 	defer s.setConnected(conn, false)
 	closed := make(chan struct{})
-	go func() { // ends with the connection
+	go func() { // returns when the connection ends
 		defer close(closed)
 		_, _ = io.Copy(io.Discard, conn)
 	}()
@@ -237,6 +245,7 @@
 	}
 }
 
+// write sends a frame, and reports false if the watcher does not read it within ioTimeout or the connection is closed.
 func (s *DiscoveryServer) write(conn net.Conn, frame []byte) bool {
 	_ = conn.SetWriteDeadline(time.Now().Add(ioTimeout))
 	n, err := conn.Write(frame)
@@ -244,6 +253,7 @@
 	return err == nil
 }
 
+// setConnected adds or removes a connection.
 func (s *DiscoveryServer) setConnected(conn net.Conn, connected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,7 +265,7 @@
 	s.notify()
 }
 
-// AwaitConnections waits until as many watchers are connected.
+// AwaitConnections waits until exactly n watchers are connected. It fails the test after WaitTimeout.
 func (s *DiscoveryServer) AwaitConnections(tb testing.TB, n int) {
 	tb.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -275,8 +285,8 @@
 	}
 }
 
-// KnownEvents is an endpoint list in the form of a router's configuration, as event 1; without engines the router knows
-// of no event yet.
+// KnownEvents returns an endpoint list in the form in which a router's configuration contains it, as event 1. Without
+// engines, the configuration contains no events.
 func KnownEvents(engines []Engine) json.RawMessage {
 	phases := map[dispatch.EndpointState]string{
 		dispatch.Live: "active", dispatch.Draining: "leaving",
@@ -307,7 +317,7 @@
 		"pool": map[string]any{"revision": 1, "complete": true, "members": members},
 	}}})
 	if err != nil {
-		panic(fmt.Sprint("a list that is no JSON: ", err))
+		panic(fmt.Sprint("cannot encode the endpoint list as JSON: ", err))
 	}
 	return text
 }
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// MaxProcesses is how many processes one test run has at most.
+	// MaxProcesses is the maximum number of processes that run at a time in one test run.
 	MaxProcesses = 300
-	// MaxMemory is the resident memory of all of them in bytes, at most.
+	// MaxMemory is the maximum resident memory of all these processes together, in bytes.
 	MaxMemory = 8 << 30
-	// WaitTimeout is how long anything may take that a test waits for: far beyond what it takes on a busy machine.
+	// WaitTimeout limits each wait of a test. It is far longer than any wait takes on a busy machine.
 	WaitTimeout = 60 * time.Second
 
-	// memoryCheckInterval is how often the memory of all processes is added up.
+	// memoryCheckInterval is the interval between checks of the memory of all processes.
 	memoryCheckInterval = 250 * time.Millisecond
-	// maxReadinessLines is how many lines of a process's readiness descriptor wait to be read.
+	// maxReadinessLines is how many lines from a process's readiness descriptor are buffered.
 	maxReadinessLines = 4096
-	// readinessDescriptor is the number of that descriptor in the process: the first one after the standard ones.
+	// readinessDescriptor is the number of the readiness descriptor in the process: the first one after the standard
+	// descriptors.
 	readinessDescriptor = 3
 )
 
-// Harness starts processes for one test and ends them with it, each by its id, also when the test fails.
+// Harness starts processes for one test. At the end of the test, passed or failed, it ends each of them by its id.
 type Harness struct {
 	T   testing.TB
-	Dir string // the test's own folder; its path is short, since Unix sockets are made below it
+	Dir string // temporary folder of the test; its path is short, because Unix sockets are created below it
 }
 
-// New returns a harness for a test.
+// New returns a harness for a test, and creates its folder.
 func New(tb testing.TB) *Harness {
 	tb.Helper()
 	dir, err := os.MkdirTemp("", "wf")
@@ -46,13 +47,13 @@
 	return &Harness{T: tb, Dir: dir}
 }
 
-// Start starts a command. WINDFLOW_READY_FD tells the process the number of its readiness descriptor; lines of its
-// log that contain a watched text are counted. It fails the test if MaxProcesses run already or MaxMemory was
-// exceeded.
+// Start starts a command. The environment variable WINDFLOW_READY_FD passes the number of the readiness descriptor to
+// the process. For each watched text, the lines of the process's log that contain it are counted. Start fails the test
+// if MaxProcesses are already running or MaxMemory was exceeded.
 func (h *Harness) Start(name string, cmd *exec.Cmd, watchedTexts ...string) *Process {
 	h.T.Helper()
 	if err := liveProcesses.admit(); err != nil {
-		h.T.Fatalf("%s is not started: %v", name, err)
+		h.T.Fatalf("cannot start %s: %v", name, err)
 	}
 	p := newProcess(h, name, cmd, watchedTexts)
 	readiness, log, err := p.launch()
@@ -65,8 +66,8 @@
 	return p
 }
 
-// processStarter starts processes from one thread that lives as long as the test run: the system kills the processes
-// when the thread that started them ends, so also when the test run is killed.
+// processStarter runs functions that start processes on one thread, which lives as long as the test run. The system
+// kills each process when the thread that started it ends (Pdeathsig), and therefore also if the test run is killed.
 var processStarter = sync.OnceValue(func() chan<- func() {
 	starts := make(chan func())
 	go func() {
@@ -78,7 +79,7 @@
 	return starts
 })
 
-// launch starts the process and returns the ends of its readiness descriptor and of its log.
+// launch starts the process and returns the read ends of its readiness descriptor and of its log.
 func (p *Process) launch() (readiness *os.File, log io.Reader, err error) {
 	readiness, writeEnd, err := os.Pipe()
 	if err != nil {
@@ -103,7 +104,7 @@
 	return readiness, log, nil
 }
 
-// readUntilEnd reads what the process writes, and waits for its end, in goroutines that end with it.
+// readUntilEnd reads the process's output and waits for its end, in goroutines that return when the process has ended.
 func (p *Process) readUntilEnd(readiness *os.File, log io.Reader) {
 	var readers sync.WaitGroup
 	readers.Go(func() { p.readLog(log) })
@@ -125,26 +126,26 @@
 	}()
 }
 
-// registry contains the live processes of all tests of a run, and ends them if they take too much memory.
+// registry contains the running processes of all tests of a run, and kills them if they use more than MaxMemory.
 type registry struct {
 	mu         sync.Mutex
 	processes  map[*Process]bool
-	exceeded   error // MaxMemory was exceeded
+	exceeded   error // set once MaxMemory was exceeded
 	startWatch sync.Once
 }
 
 var liveProcesses = &registry{processes: map[*Process]bool{}}
 
-// admit returns an error if no further process may be started.
+// admit returns an error if MaxProcesses are running or MaxMemory was exceeded.
 func (r *registry) admit() error {
-	r.startWatch.Do(func() { go r.watchMemory() }) // until the end of the test run
+	r.startWatch.Do(func() { go r.watchMemory() }) // runs until the end of the test run
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exceeded != nil {
 		return r.exceeded
 	}
 	if n := len(r.processes); n >= MaxProcesses {
-		return fmt.Errorf("%d processes of %d run", n, MaxProcesses)
+		return fmt.Errorf("%d processes are running, at most %d are allowed", n, MaxProcesses)
 	}
 	return nil
 }
@@ -168,7 +169,8 @@
 	}
 }
 
-// checkMemory kills all processes if they use more than MaxMemory: their tests fail because their processes ended.
+// checkMemory kills all processes if they use more than MaxMemory together. Their tests then fail, because the processes
+// ended unexpectedly.
 func (r *registry) checkMemory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +181,7 @@
 	if sum <= MaxMemory {
 		return
 	}
-	r.exceeded = fmt.Errorf("all were ended: they took %d MB of %d", sum>>20, MaxMemory>>20)
+	r.exceeded = fmt.Errorf("all processes were killed: they used %d MB, at most %d MB are allowed", sum>>20, MaxMemory>>20)
 	fmt.Fprintln(os.Stderr, "fleettest:", r.exceeded)
 	for p := range r.processes {
 		_ = p.cmd.Process.Kill()
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -19,7 +19,8 @@
 	listedEngines    = 120
 )
 
-// simulatedSpecs are simulated routers of a fleet, each with the discovery server that is given for it.
+// simulatedSpecs returns the first n simulated routers of a fleet. discovery returns the address of the discovery server
+// that a router connects to, and rate is the statements per second that each router submits.
 func simulatedSpecs(n, fleetSize int, engines []Engine, rate float64, discovery func(i int) string) []SimulatedRouterSpec {
 	list := make([]SimulatedRouterSpec, n)
 	for i := range list {
@@ -32,14 +33,14 @@
 	return list
 }
 
-// A small fleet: real and simulated routers receive a change of the endpoint list, lose their connection to
-// discovery, receive nothing meanwhile, and catch up once it is connected. It checks the harness, and each router's
-// discovery watcher.
+// Real and simulated routers receive a change of the endpoint list. While half of them are disconnected from the
+// discovery server, they receive no change; they catch up after they reconnect. The test checks the harness, and that
+// the discovery watcher of a router does not lose changes during a disconnect.
 func TestFleetCatchesUpAfterDiscoveryDisconnect(t *testing.T) {
 	h := New(t)
 	engines := Engines(listedEngines)
 	server := NewDiscoveryServer(t, engines)
-	relays := []*Relay{NewRelay(t, server.Addr), NewRelay(t, server.Addr)} // half of the fleet on either
+	relays := []*Relay{NewRelay(t, server.Addr), NewRelay(t, server.Addr)} // each for half of the fleet
 	const fleet = realRouters + simulatedRouters
 	var routers []*Router
 	for i := range realRouters {
@@ -74,7 +75,7 @@
 				return fmt.Sprintf("simulated router %d is at event %d, want %d", n, s.LastEvent, number)
 			}
 			if n%2 == 0 && s.LastEvent >= number {
-				return fmt.Sprintf("simulated router %d received event %d over a link that is cut", n, s.LastEvent)
+				return fmt.Sprintf("simulated router %d received event %d over a link that was cut", n, s.LastEvent)
 			}
 		}
 		return ""
@@ -86,17 +87,19 @@
 		p.Await(LineEndpointEvent, 2)
 	}
 	if sum := simulated.Totals(); sum.Engines != simulatedRouters*(listedEngines-1) || sum.Served == 0 || sum.Failed > 0 {
-		t.Errorf("%+v, want %d engines in all lists and nothing failed", sum, simulatedRouters*(listedEngines-1))
+		t.Errorf("totals %+v, want %d engines in all lists, some statements served and none failed", sum,
+			simulatedRouters*(listedEngines-1))
 	}
-	// A complete list replaces what they have.
+	// A complete list replaces the lists of the routers.
 	number = server.Replace(engines[10:])
 	simulated.AwaitList(number)
 	if sum := simulated.Totals(); sum.Engines != simulatedRouters*(listedEngines-10) {
-		t.Errorf("%+v, want %d engines in all lists", sum, simulatedRouters*(listedEngines-10))
+		t.Errorf("totals %+v, want %d engines in all lists", sum, simulatedRouters*(listedEngines-10))
 	}
 }
 
-// Watchers disconnect from a server that stops sending without closing, and reconnect once it answers.
+// Watchers close a connection on which the server stops sending without closing it, and reconnect. Otherwise a router
+// would not notice that it receives no changes any more.
 func TestWatchersDisconnectFromSilentServer(t *testing.T) {
 	h := New(t)
 	engines := Engines(30)
@@ -107,28 +110,29 @@
 	relay.Blackhole(Downstream)
 	before := server.Accepted.Load()
 	number := server.Change(ToggledEngine(engines, 3))
-	for server.Accepted.Load() < before+8 { // each connection that opens or closes is a change
+	for server.Accepted.Load() < before+8 { // the server's channel is closed when a connection opens or closes
 		server.mu.Lock()
 		changed := server.changed
 		server.mu.Unlock()
 		select {
 		case <-changed:
 		case <-time.After(WaitTimeout):
-			t.Fatal("the watchers stay with a silent server")
+			t.Fatal("the watchers do not reconnect when the server stops sending")
 		}
 	}
 	relay.Heal()
 	simulated.AwaitList(number)
 }
 
-// The readiness line is written when clients are accepted, and not before: a client that dials then is greeted.
+// A router writes its readiness line, and only one, once it accepts clients: a client that connects after that line can
+// log in.
 func TestReadyRouterAcceptsClients(t *testing.T) {
 	h := New(t)
 	server := NewDiscoveryServer(t, nil)
 	for i := range 3 {
 		p := h.Router(Config{Name: fmt.Sprint("n", i), Discovery: server.Addr, Engines: Engines(30)})
 		if details := p.Ready(); details != "" {
-			t.Errorf("ready with %q", details)
+			t.Errorf("the readiness line has the details %q, want none", details)
 		}
 		c, err := Dial(p.Listen)
 		if err != nil {
@@ -139,12 +143,12 @@
 		}
 		_ = c.Close()
 		if _, open := <-p.ready; open {
-			t.Error("more than one line")
+			t.Error("the router wrote more than one readiness line")
 		}
 	}
 }
 
-// An invalid readiness descriptor is an error that names the variable.
+// A router does not start with an invalid readiness descriptor, and the error names the environment variable.
 func TestInvalidReadinessDescriptorIsRejected(t *testing.T) {
 	h := New(t)
 	server := NewDiscoveryServer(t, nil)
@@ -157,11 +161,11 @@
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "TMPDIR="+h.Dir, "WINDFLOW_READY_FD=two")
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), `WINDFLOW_READY_FD: "two" is no descriptor`) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, output\n%s", err, out)
 	}
 }
 
-// The clock that measures costs agrees with the system's own accounting.
+// The processor time that Usage reads agrees with utime and stime in /proc, which have a resolution of 10 ms.
 func TestUsageMatchesProcStat(t *testing.T) {
 	h := New(t)
 	p := h.Router(Config{Name: "n0", Discovery: NewDiscoveryServer(t, nil).Addr, Engines: Engines(300), Tenants: 1000})
@@ -177,15 +181,16 @@
 	}
 	after := p.Usage()
 	accounted := time.Duration(n) * 10 * time.Millisecond
-	if accounted < before.CPU-20*time.Millisecond || accounted > after.CPU+10*time.Millisecond || before.CPU < 20*time.Millisecond {
-		t.Errorf("/proc has %v, the clock %v and then %v", accounted, before.CPU, after.CPU)
+	if accounted < before.CPU-20*time.Millisecond || accounted > after.CPU+10*time.Millisecond ||
+		before.CPU < 20*time.Millisecond {
+		t.Errorf("processor time in /proc is %v, Usage has %v before and %v after", accounted, before.CPU, after.CPU)
 	}
 	if before.Resident < 5<<20 || before.Resident > 500<<20 {
-		t.Errorf("%d bytes resident", before.Resident)
+		t.Errorf("%d bytes are resident, want 5 MB to 500 MB", before.Resident)
 	}
 }
 
-// No program links the test harness.
+// No program links the test harness, which would bring test code into production.
 func TestNoProgramLinksTheHarness(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "windflow/cmd/...").Output()
 	if err != nil {
@@ -193,6 +198,6 @@
 	}
 	if !strings.Contains(string(out), "windflow/internal/node\n") ||
 		strings.Contains(string(out), "windflow/internal/fleettest\n") {
-		t.Errorf("the programs are built from\n%s", out)
+		t.Errorf("the programs depend on\n%s", out)
 	}
 }
--- a/internal/fleettest/keepers.go
+++ b/internal/fleettest/keepers.go
@@ -19,15 +19,15 @@
 	"windflow/internal/decide/configlog"
 )
 
-// Keepers are processes of the built windflowkeeper, with a relay of its own from each to each other one.
+// Keepers are processes of the built program windflowkeeper. Each connects to each other one through separate relays.
 type Keepers struct {
 	Members []*Keeper
 
 	harness *Harness
-	links   map[[2]int][]*Relay // by members from and to: of replication and of HTTP calls
+	links   map[[2]int][]*Relay // by the indexes of the calling and the called keeper: for replication and for HTTP calls
 }
 
-// Keeper is one of them.
+// Keeper is a process of the built program windflowkeeper.
 type Keeper struct {
 	*Process
 	ID, HTTPAddr, RaftAddr string
@@ -35,7 +35,8 @@
 	args []string
 }
 
-// Keepers starts n keepers, which check changes against a router's configuration, and waits until all are ready.
+// Keepers starts n keepers and waits until all are ready. They validate changes against the configuration base of a
+// router.
 func (h *Harness) Keepers(n int, base Config) *Keepers {
 	h.T.Helper()
 	keepers := &Keepers{harness: h, links: map[[2]int][]*Relay{}}
@@ -45,7 +46,9 @@
 		h.T.Fatal(err)
 	}
 	for i := range n {
-		keepers.Members = append(keepers.Members, &Keeper{ID: fmt.Sprint("k", i+1), HTTPAddr: FreeAddress(h.T), RaftAddr: FreeAddress(h.T)})
+		keepers.Members = append(keepers.Members, &Keeper{
+			ID: fmt.Sprint("k", i+1), HTTPAddr: FreeAddress(h.T), RaftAddr: FreeAddress(h.T),
+		})
 	}
 	for i, m := range keepers.Members {
 		var peers []string
@@ -70,6 +73,7 @@
 	return keepers
 }
 
+// launch starts the process of keeper i.
 func (k *Keepers) launch(i int) {
 	k.harness.T.Helper()
 	m := k.Members[i]
@@ -78,14 +82,14 @@
 	m.Process = k.harness.Start(m.ID, cmd)
 }
 
-// Restart starts a keeper that has ended, on its folder, and waits until it is ready.
+// Restart starts keeper i, which has ended, again with its folder, and waits until it is ready.
 func (k *Keepers) Restart(i int) {
 	k.harness.T.Helper()
 	k.launch(i)
 	k.Members[i].Ready()
 }
 
-// SetPartitioned blackholes all links between keepers on two sides, or heals them.
+// SetPartitioned blackholes all links between the keepers a and the keepers b, or heals these links.
 func (k *Keepers) SetPartitioned(partitioned bool, a, b []int) {
 	for _, i := range a {
 		for _, j := range b {
@@ -99,7 +103,7 @@
 	}
 }
 
-// WireBytes is the bytes between keepers so far, with headers.
+// WireBytes returns the bytes between keepers so far, including headers.
 func (k *Keepers) WireBytes() (sum int64) {
 	for _, links := range k.links {
 		for _, l := range links {
@@ -109,12 +113,14 @@
 	return sum
 }
 
-// errRetryable reports that the next call may succeed: there is no leader, no majority, or the keeper does not answer.
+// errRetryable is the error for a call that may succeed if repeated: there is no leader or no majority, or the keeper
+// does not respond.
 var errRetryable = errors.New("retryable")
 
 var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// call makes one call at a keeper within a time and reads its answer.
+// call makes one HTTP call to the keeper with in as its body, and decodes the response into out. It returns
+// errRetryable if the keeper does not respond within the time limit or reports that it is unavailable.
 func (m *Keeper) call(within time.Duration, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -147,8 +153,9 @@
 	return json.Unmarshal(text, out)
 }
 
-// Change proposes a change to keeper i, and again with the same id until it is answered, to another keeper if that
-// one does not answer. It returns the revision, and when the first call was made.
+// Change proposes a change to keeper i, and repeats the call with the same id, at the next keeper each time, until one
+// accepts it. It returns the revision and the time of the first call. It fails the test if the change is rejected or
+// WaitTimeout has passed.
 func (k *Keepers) Change(i int, c configlog.Change) (revision uint64, proposedAt time.Time) {
 	k.harness.T.Helper()
 	revision, proposedAt, err := k.TryChange(i, c)
@@ -158,7 +165,7 @@
 	return revision, proposedAt
 }
 
-// TryChange is like Change, but may be called from any goroutine.
+// TryChange is like Change, but returns an error instead of failing the test, so that any goroutine may call it.
 func (k *Keepers) TryChange(i int, c configlog.Change) (revision uint64, proposedAt time.Time, err error) {
 	proposedAt = time.Now()
 	for {
@@ -174,7 +181,7 @@
 	}
 }
 
-// Leader returns the index of the leader, by the status of keeper i.
+// Leader returns the index of the leader that keeper i reports. It waits until there is one.
 func (k *Keepers) Leader(i int) int {
 	k.harness.T.Helper()
 	for began := time.Now(); time.Since(began) < WaitTimeout; {
@@ -191,11 +198,11 @@
 			}
 		}
 	}
-	k.harness.T.Fatalf("%s names no leader within %v", k.Members[i].ID, WaitTimeout)
+	k.harness.T.Fatalf("%s reports no leader within %v", k.Members[i].ID, WaitTimeout)
 	return 0
 }
 
-// AwaitConvergence polls keeper i until a revision is in force everywhere.
+// AwaitConvergence polls keeper i until it reports that a revision is in force everywhere, and returns its status.
 func (k *Keepers) AwaitConvergence(i int, revision uint64) configlog.ConvergenceStatus {
 	k.harness.T.Helper()
 	var last error
@@ -207,24 +214,24 @@
 			return v
 		}
 		if last == nil {
-			last = fmt.Errorf("%d in force, %d behind, %d refused, %d gone, unreached %v", len(v.InForce), len(v.Behind),
-				len(v.Rejected), len(v.Missing), v.UnreachedKeepers)
+			last = fmt.Errorf("%d in force, %d behind, %d rejected, %d missing, unreached keepers %v", len(v.InForce),
+				len(v.Behind), len(v.Rejected), len(v.Missing), v.UnreachedKeepers)
 		}
 	}
 	k.harness.T.Fatalf("revision %d is not in force everywhere according to %s: %v", revision, k.Members[i].ID, last)
 	return configlog.ConvergenceStatus{}
 }
 
-// Pause stops the process of a keeper until Resume.
+// Pause suspends the process of the keeper until Resume.
 func (m *Keeper) Pause() { m.Signal(syscall.SIGSTOP) }
 
-// Resume ends a Pause.
+// Resume continues the process after Pause.
 func (m *Keeper) Resume() { m.Signal(syscall.SIGCONT) }
 
-// ZoneLinks are the links from one zone to each keeper, which all its routers use.
+// ZoneLinks are the links from one zone to each keeper. All routers of the zone use them.
 type ZoneLinks struct{ Relays []*Relay }
 
-// ZoneLinks creates the links of a zone.
+// ZoneLinks creates the links from one zone to each keeper.
 func (k *Keepers) ZoneLinks(tb testing.TB) *ZoneLinks {
 	tb.Helper()
 	z := &ZoneLinks{}
@@ -234,7 +241,8 @@
 	return z
 }
 
-// Section is the settings section of router i behind these links. Each router prefers another keeper.
+// Section returns the settings section "keepers" of router i, with the addresses of these links. The order of the
+// keepers depends on i, so that the routers are distributed over them.
 func (z *ZoneLinks) Section(dir string, i int) map[string]any {
 	var addresses []string
 	for j := range z.Relays {
@@ -243,7 +251,7 @@
 	return map[string]any{"addresses": addresses, "dir": dir, "hold_ms": 2000}
 }
 
-// WireBytes is the bytes on them so far, with headers.
+// WireBytes returns the bytes on the links so far, including headers.
 func (z *ZoneLinks) WireBytes() (sum int64) {
 	for _, r := range z.Relays {
 		sum += r.WireBytes()
@@ -251,7 +259,7 @@
 	return sum
 }
 
-// Each calls a function for the links to some keepers.
+// Each calls a function for the link to each of the given keepers.
 func (z *ZoneLinks) Each(keepers []int, do func(*Relay)) {
 	for _, i := range keepers {
 		do(z.Relays[i])
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// keptLogLines is how many lines of a process's log are kept for the report of a test that fails.
+// keptLogLines is the minimum number of lines of a process's log that are kept for the report of a failed test.
 const keptLogLines = 40
 
-// maxLogLine is the buffer for one line of a log, in bytes; a longer one is read in pieces.
+// maxLogLine is the size in bytes of the buffer for one line of a log. Longer lines are read in pieces.
 const maxLogLine = 64 << 10
 
-// Process is a process that a harness started.
+// Process is a process that a Harness started.
 type Process struct {
 	Name string
 	PID  int
@@ -32,11 +32,11 @@
 
 	mu           sync.Mutex
 	exitError    error
-	lineCounts   map[string]int // lines of its log that contain a watched text
-	revisions    Revisions      // that are in force by its log
+	lineCounts   map[string]int // number of log lines that contain a watched text, by that text
+	revisions    Revisions      // that were in force according to the log
 	lastLines    []string
-	changed      chan struct{} // closed and replaced when lineCounts or revisions have changed
-	endRequested bool          // the test requested its end
+	changed      chan struct{} // closed and replaced when lineCounts or revisions change
+	endRequested bool          // the test has requested the end of the process
 }
 
 func newProcess(h *Harness, name string, cmd *exec.Cmd, watchedTexts []string) *Process {
@@ -53,7 +53,7 @@
 	return p
 }
 
-// readLog reads the log until it ends.
+// readLog reads the log until its end.
 func (p *Process) readLog(log io.Reader) {
 	for lines := bufio.NewReaderSize(log, maxLogLine); ; {
 		line, err := lines.ReadSlice('\n')
@@ -64,6 +64,7 @@
 	}
 }
 
+// recordLine updates the counts and revisions by one line of the log.
 func (p *Process) recordLine(line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +89,8 @@
 	}
 }
 
-// parseRevisionInForce reads the revision out of a line that says which one a router has in force.
+// parseRevisionInForce returns the revision that a router put in force according to a line of its log. It returns false
+// for any other line.
 func parseRevisionInForce(line []byte) (revision uint64, ok bool) {
 	if !bytes.Contains(line, []byte(lineRevisionInForce)) {
 		return 0, false
@@ -98,14 +100,14 @@
 	return revision, n == 1 && err == nil
 }
 
-// Log returns the last lines that the process logged.
+// Log returns the most recent lines that the process logged.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lastLines, "\n")
 }
 
-// Ready waits until the process says that it is ready, and returns the details of its readiness line.
+// Ready waits until the process writes its readiness line, and returns the text after the word "ready".
 func (p *Process) Ready() string {
 	p.harness.T.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -115,27 +117,27 @@
 		if details, ok := strings.CutPrefix(line, "ready"); open && ok {
 			return strings.TrimSpace(details)
 		}
-		p.harness.T.Fatalf("%s: wrote %q in place of ready:\n%s", p.Name, line, p.Log())
+		p.harness.T.Fatalf("%s: got the readiness line %q, want one that begins with \"ready\":\n%s", p.Name, line, p.Log())
 	case <-timeout.C:
 		p.harness.T.Fatalf("%s: not ready within %v:\n%s", p.Name, WaitTimeout, p.Log())
 	}
 	return ""
 }
 
-// LineCount is how many lines of the log have contained a watched text.
+// LineCount returns the number of log lines so far that contain a watched text.
 func (p *Process) LineCount(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lineCounts[text]
 }
 
-// Await waits until as many lines of the log have contained a text that was watched from the start.
+// Await waits until at least n lines of the log have contained a text that was passed to Start as a watched text.
 func (p *Process) Await(text string, n int) {
 	p.harness.T.Helper()
 	p.await(fmt.Sprintf("%d lines with %q", n, text), func() bool { return p.lineCounts[text] >= n })
 }
 
-// await waits until a condition of the log is met; it is evaluated under the lock.
+// await waits until ok returns true; it is called with the lock held. condition describes it for failure messages.
 func (p *Process) await(condition string, ok func() bool) {
 	p.harness.T.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -150,14 +152,14 @@
 		select {
 		case <-changed:
 		case <-p.ended:
-			p.harness.T.Fatalf("%s: ended before %s:\n%s", p.Name, condition, p.Log())
+			p.harness.T.Fatalf("%s: ended while the test waited for %s:\n%s", p.Name, condition, p.Log())
 		case <-timeout.C:
-			p.harness.T.Fatalf("%s: not %s within %v:\n%s", p.Name, condition, WaitTimeout, p.Log())
+			p.harness.T.Fatalf("%s: timeout after %v while waiting for %s:\n%s", p.Name, WaitTimeout, condition, p.Log())
 		}
 	}
 }
 
-// WriteLine writes a line to the process's standard input.
+// WriteLine writes a line to the standard input of the process.
 func (p *Process) WriteLine(line string) {
 	p.harness.T.Helper()
 	if _, err := io.WriteString(p.stdin, line+"\n"); err != nil {
@@ -165,7 +167,7 @@
 	}
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.harness.T.Helper()
 	if err := p.cmd.Process.Signal(signal); err != nil {
@@ -182,10 +184,11 @@
 	<-p.ended
 }
 
-// Ended is closed once the process has ended.
+// Ended returns a channel that is closed once the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// End ends the process. It fails the test if the process had ended by itself before.
+// End kills the process and waits until it has ended. It fails the test if the process had ended before without a
+// request of the test.
 func (p *Process) End() {
 	p.mu.Lock()
 	requested := p.endRequested
@@ -194,7 +197,7 @@
 	select {
 	case <-p.ended:
 		if !requested {
-			p.harness.T.Errorf("%s (%d) ended by itself: %v\n%s", p.Name, p.PID, p.exitError, p.Log())
+			p.harness.T.Errorf("%s (process %d) ended unexpectedly: %v\n%s", p.Name, p.PID, p.exitError, p.Log())
 		}
 		return
 	default:
--- a/internal/fleettest/programs.go
+++ b/internal/fleettest/programs.go
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// buildTimeout bounds the build of the programs.
+// buildTimeout limits the duration of the build of the programs.
 const buildTimeout = 5 * time.Minute
 
-// programs are the built programs of a test run.
+// programs has the folder with the built programs of a test run, or the error of the build.
 var programs struct {
 	sync.Mutex
 	folder string
 	err    error
 }
 
-// programsEnv names a folder with the programs of another version, to be measured by hand in place of those of this
-// one.
+// programsEnv is the environment variable for a folder with the programs of another version. If it is set, they are
+// used in place of programs built from this version, for measurements by hand.
 const programsEnv = "WINDFLOW_FLEET_PROGRAMS"
 
-// Programs builds the programs as deploy/balancer.toml specifies, once for a test run, and returns their folder.
+// Programs builds the programs with the flags that deploy/balancer.toml specifies, once in a test run, and returns
+// their folder.
 func Programs(tb testing.TB) string {
 	tb.Helper()
 	if other := os.Getenv(programsEnv); other != "" {
@@ -43,6 +44,7 @@
 	return programs.folder
 }
 
+// build builds the programs into a new temporary folder and returns the folder.
 func build() (string, error) {
 	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
@@ -64,8 +66,8 @@
 	return dir, nil
 }
 
-// Main runs the tests of a package that uses the harness, from its TestMain. Where a test has started the test binary
-// again for another role, it plays that role instead.
+// Main runs the tests of a package that uses the harness; the package calls it from TestMain. In a process that a test
+// started from the test binary to run a role, such as simulated routers, it runs that role instead.
 func Main(m *testing.M) {
 	if role := os.Getenv(roleEnv); role != "" {
 		if err := runRole(role); err != nil {
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// Direction of a relay's bytes.
+// Direction is the direction of the bytes of a relay.
 type Direction int
 
-// Upstream is from the relay's client to its target, Down the other way.
+// Upstream is the direction from the relay's client to its target, Downstream the opposite one.
 const (
 	Upstream Direction = iota
 	Downstream
 )
 
 const (
-	// segmentHeaderBytes are those of a segment: Ethernet 14, IPv4 20, TCP with timestamps 32 bytes.
+	// segmentHeaderBytes is the size of a segment's headers: Ethernet 14, IPv4 20, TCP with timestamps 32 bytes.
 	segmentHeaderBytes = 66
-	// maxSegmentPayload is the payload that one segment carries at most, with an MTU of 1,500 bytes.
+	// maxSegmentPayload is the maximum payload of a segment in bytes, with an MTU of 1,500 bytes.
 	maxSegmentPayload = 1448
 )
 
-// Traffic is the bytes and segments of a relay in one direction.
+// Traffic counts the bytes and segments of a relay in one direction.
 type Traffic struct {
 	Payload  int64 // bytes
-	Segments int64 // that carried it, at least one for each read
+	Segments int64 // for the payload, at least one for each read
 }
 
-// Relay is a link that a test disconnects, blackholes or delays, in each direction, and that counts bytes.
+// Relay forwards connections to a target and counts their bytes. A test can cut it, and blackhole or delay it in each
+// direction.
 type Relay struct {
 	Addr string
 
 	target     string
 	listener   net.Listener
 	mu         sync.Mutex
-	changed    chan struct{} // closed and replaced when its faults have changed
+	changed    chan struct{} // closed and replaced when the faults change
 	cut        bool
 	blackholed [2]bool
 	delay      [2]time.Duration
@@ -45,7 +46,7 @@
 	opened     int64
 }
 
-// NewRelay relays to a target until the test's end.
+// NewRelay starts a relay to a target, which runs until the end of the test.
 func NewRelay(tb testing.TB, target string) *Relay {
 	tb.Helper()
 	listener, err := listen()
@@ -64,7 +65,7 @@
 	return r
 }
 
-// Cut resets all connections, and each new one once it is accepted, until Heal.
+// Cut resets all connections. Until Heal, it also resets each new connection after accepting it.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +76,7 @@
 	r.notify()
 }
 
-// Blackhole delays all bytes in a direction until Heal; connections stay and new ones are accepted.
+// Blackhole holds back all bytes in a direction until Heal. Connections stay open, and new ones are accepted.
 func (r *Relay) Blackhole(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +84,7 @@
 	r.notify()
 }
 
-// Delay delays each read in a direction.
+// Delay delays the data of each read in a direction, until Heal.
 func (r *Relay) Delay(d Direction, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,6 +100,7 @@
 	r.notify()
 }
 
+// notify wakes up all that wait for a change of the faults. The caller holds the lock.
 func (r *Relay) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -111,16 +113,16 @@
 	return r.count[d]
 }
 
-// Opened is how many connections were made.
+// Opened returns the number of connections made to the target so far.
 func (r *Relay) Opened() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
 }
 
-// WireBytes is the bytes on the link so far in both directions with headers: those of the segments, a bare
-// acknowledgement for each, and seven segments without payload for the start and end of each connection. It is
-// computed, since loopback has no segments of that size.
+// WireBytes returns the bytes on the link so far in both directions, including headers. It counts the segments, one
+// acknowledgement without payload for each, and seven segments without payload for the start and end of each
+// connection. The result is computed, because loopback does not use segments of that size.
 func (r *Relay) WireBytes() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,16 +133,18 @@
 	return sum
 }
 
+// accept forwards each connection in a goroutine, until the listener is closed.
 func (r *Relay) accept() {
 	for {
 		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.forward(client) // ends with the connection
+		go r.forward(client) // returns when the connection ends
 	}
 }
 
+// forward connects to the target and copies both directions until they end.
 func (r *Relay) forward(client net.Conn) {
 	r.mu.Lock()
 	cut := r.cut
@@ -181,7 +185,7 @@
 	_ = target.Close()
 }
 
-// copyDirection copies one direction, and closes the write side of the target at its end.
+// copyDirection copies one direction of a connection, and closes the write side of the target at the end of the source.
 func (r *Relay) copyDirection(source, target net.Conn, d Direction) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -190,7 +194,7 @@
 			if !r.awaitForwarding(d) {
 				return
 			}
-			r.mu.Lock() // ahead of the write, so that what a peer has received is counted
+			r.mu.Lock() // before the write, so that everything that a peer has received is counted
 			r.count[d].Payload += int64(n)
 			r.count[d].Segments += int64((n + maxSegmentPayload - 1) / maxSegmentPayload)
 			r.mu.Unlock()
@@ -208,7 +212,7 @@
 	}
 }
 
-// awaitPassage waits while a direction is blackholed or delayed; false says that the link was cut meanwhile.
+// awaitForwarding waits while a direction is blackholed or delayed. It returns false if the link was cut meanwhile.
 func (r *Relay) awaitForwarding(d Direction) bool {
 	var due <-chan time.Time
 	for delayed := false; ; {
@@ -235,6 +239,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/fleettest/router.go
+++ b/internal/fleettest/router.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// Config is what differs between the routers of a harness; all else is the platform's configuration of a plain site.
+// Config has the parts of a router's configuration that tests choose. All other parts have the values of a simple site.
 type Config struct {
 	Name            string
-	Index           int    // of the router in its fleet
-	Routers         int    // of the fleet; 0: 1
-	Discovery       string // address
+	Index           int    // of the router in its fleet, from 0
+	Routers         int    // in the fleet; 0 means 1
+	Discovery       string // address of the discovery server
 	Engines         []Engine
-	Listen          string // empty: a free port on loopback
-	Sockets         int    // 0: 1024
-	MemoryMB        int    // 0: 192
+	Listen          string // address for clients; if empty, a free one on loopback
+	Sockets         int    // 0 means 1024
+	MemoryMB        int    // 0 means 192
 	Tenants         int
-	OverQuotaWeight float64        // the setting that reloads change
-	Installation    map[string]any // sections of the installation's settings; nil: none
+	OverQuotaWeight float64        // the setting that tests change by reloads
+	Installation    map[string]any // sections of the installation's settings; nil for no settings
 }
 
-// Text returns the configuration as the platform writes it.
+// Text returns the configuration as the JSON text that the platform writes for a router.
 func (c Config) Text() []byte {
 	type object = map[string]any
 	class := func(name, semantics string, goal, deadline int, stretch, credit, late float64) object {
@@ -75,19 +75,19 @@
 		},
 	})
 	if err != nil {
-		panic(fmt.Sprint("a configuration that is no JSON: ", err))
+		panic(fmt.Sprint("cannot encode the configuration as JSON: ", err))
 	}
 	return text
 }
 
-// Router is a process of the built program.
+// Router is a process of the built program windflow.
 type Router struct {
 	*Process
 	Config
 	path string
 }
 
-// The lines of a router's log that tests wait for.
+// Texts in lines of a router's log that tests wait for.
 const (
 	LineReloaded           = "msg=reloaded"
 	LineReloadRejected     = `msg="reload rejected"`
@@ -96,7 +96,7 @@
 	lineRevisionInForce    = `msg="configuration applied"`
 )
 
-// Router starts a router, and does not wait until it is ready.
+// Router starts a router. It does not wait until the router is ready.
 func (h *Harness) Router(config Config) *Router {
 	h.T.Helper()
 	if config.Listen == "" {
@@ -122,7 +122,7 @@
 	return router
 }
 
-// write replaces the file that the router reads atomically.
+// write atomically replaces the configuration file of the router.
 func (p *Router) write(tb testing.TB) {
 	tb.Helper()
 	err := os.WriteFile(p.path+".new", p.Text(), 0o600)
@@ -134,21 +134,21 @@
 	}
 }
 
-// Reload writes the current configuration and signals the router to read it; it does not wait.
+// Reload writes the current configuration and signals the router to read it. It does not wait for the reload.
 func (p *Router) Reload() {
 	p.harness.T.Helper()
 	p.write(p.harness.T)
 	p.Signal(syscall.SIGHUP)
 }
 
-// AwaitRevision waits until the router has a configuration revision or a later one in force, and returns since when,
-// by its log.
+// AwaitRevision waits until the router logs that it has a configuration revision or a later one in force, and returns
+// the time when the harness read that line. It fails the test if the router returned to an earlier revision.
 func (p *Router) AwaitRevision(revision uint64) time.Time {
 	p.harness.T.Helper()
 	var since time.Time
 	p.await(fmt.Sprint("revision ", revision), func() bool {
 		if p.revisions.regression != "" {
-			p.harness.T.Errorf("%s went back: %s", p.Process.Name, p.revisions.regression)
+			p.harness.T.Errorf("%s returned to an earlier revision: %s", p.Process.Name, p.revisions.regression)
 		}
 		at, ok := p.revisions.Since(revision)
 		since = at
@@ -159,19 +159,20 @@
 
 var loopbackIPs atomic.Uint32
 
-// nextLoopbackIP returns a loopback address that no other listener of this process has, nor one of another process that
-// runs tests.
+// nextLoopbackIP returns a loopback IP address that no other listener of this process uses. The process id is part of
+// the address, so that other processes that run tests at the same time use other addresses.
 func nextLoopbackIP() string {
 	n, pid := loopbackIPs.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%180, uint32(pid/180%8)*30+n/250%30, 1+n%250)
 }
 
-// listen listens at an address of its own: routers of tests that run beside this one go on dialling the ports of
-// servers that have ended, and the system assigns a port again.
+// listen listens at a new loopback IP address. On a shared address, the system could assign the port of a server that
+// has ended, and routers of tests that run at the same time may still connect to that port.
 func listen() (net.Listener, error) { return net.Listen("tcp", nextLoopbackIP()+":0") }
 
-// FreeAddress returns a loopback address for a process to listen at. Each has an IP address of its own, which the system
-// uses for no outgoing connection, so that it stays free until the process listens, and while it is restarted.
+// FreeAddress returns a loopback IP address and port for a process to listen at. Each has a separate IP address, which
+// the system does not use for outgoing connections, so that the address stays free until the process listens, and while
+// the process restarts.
 func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	for range 1000 {
@@ -181,6 +182,6 @@
 			return addr
 		}
 	}
-	tb.Fatal("no address on loopback is free")
+	tb.Fatal("found no free address on loopback")
 	return ""
 }
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -20,7 +20,7 @@
 	"windflow/internal/settings"
 )
 
-// roleEnv names the role that the test binary plays if a test has started it.
+// roleEnv is the environment variable for the role that the test binary runs if a test started it as a process.
 const roleEnv = "WINDFLOW_FLEET_ROLE"
 
 const (
@@ -28,7 +28,8 @@
 	roleDiscovery        = "discovery"
 )
 
-// playRole plays a role until the standard input ends, which it does with the test.
+// runRole runs a role until the end of the standard input, which the test closes when it ends. The first line of the
+// input describes what to run.
 func runRole(role string) error {
 	fd, err := strconv.Atoi(os.Getenv("WINDFLOW_READY_FD"))
 	if err != nil {
@@ -38,7 +39,7 @@
 	in := bufio.NewScanner(os.Stdin)
 	in.Buffer(nil, 16<<20)
 	if !in.Scan() {
-		return errors.New("no first line")
+		return errors.New("standard input has no first line")
 	}
 	switch role {
 	case roleSimulatedRouters:
@@ -46,10 +47,10 @@
 	case roleDiscovery:
 		return runDiscoveryServer(in, out)
 	}
-	return fmt.Errorf("no role is named %q", role)
+	return fmt.Errorf("unknown role %q", role)
 }
 
-// statusWriter writes lines to the test that started this process.
+// statusWriter writes lines to the readiness descriptor, for the test that started this process.
 type statusWriter struct {
 	mu   sync.Mutex
 	file *os.File
@@ -69,20 +70,20 @@
 	w.writeLine(string(text))
 }
 
-// statusMessage is the status that a process of simulated routers reports to its test.
+// statusMessage is a line that a process of simulated routers writes to its test: the status of one router, or Totals.
 type statusMessage struct {
 	Router   int     `json:"r"`
-	List     uint64  `json:"list,omitempty"`     // its last endpoint event
-	Revision uint64  `json:"revision,omitempty"` // in force, with Hash
+	List     uint64  `json:"list,omitempty"`     // number of its last endpoint event
+	Revision uint64  `json:"revision,omitempty"` // in force, with its Hash
 	Hash     string  `json:"hash,omitempty"`
 	AtNS     int64   `json:"at,omitempty"` // Unix nanoseconds
 	Totals   *Totals `json:"totals,omitempty"`
 }
 
-// Totals are counts of simulated routers.
+// Totals counts the statements of simulated routers by outcome.
 type Totals struct {
 	Taken, Served, Rejected, Failed int64
-	Engines                         int // in their endpoint lists, summed
+	Engines                         int // sum of the lengths of their endpoint lists
 }
 
 func (t *Totals) add(o Totals) {
@@ -90,17 +91,17 @@
 	t.Engines += o.Engines
 }
 
-// SimulatedRouterSpec describes one simulated router.
+// SimulatedRouterSpec describes a simulated router.
 type SimulatedRouterSpec struct {
-	Number              int             `json:"number"` // in its status messages
-	Config              json.RawMessage `json:"config"` // the platform's
-	StatementsPerSecond float64         `json:"rate"`   // statements a second
-	WorkMS              float64         `json:"work_ms"`
-	Keepers             json.RawMessage `json:"keepers,omitempty"` // the section of the installation's settings
+	Number              int             `json:"number"`            // identifies the router in status messages
+	Config              json.RawMessage `json:"config"`            // as the platform writes it
+	StatementsPerSecond float64         `json:"rate"`              // that the router submits to itself; 0 for none
+	WorkMS              float64         `json:"work_ms"`           // how long an engine runs a statement
+	Keepers             json.RawMessage `json:"keepers,omitempty"` // section of the installation's settings; nil for none
 }
 
-// simulatedRouter is a router without sockets for clients and engines: a loop, a discovery watcher and the core with
-// dispatch. It submits statements to itself, which simulated engines serve after a fixed time.
+// simulatedRouter is a router without sockets for clients and engines. It consists of a loop, a discovery watcher and
+// the core with dispatch. It submits statements to itself, and simulated engines serve them after a fixed time.
 type simulatedRouter struct {
 	spec       SimulatedRouterSpec
 	config     *settings.Node
@@ -115,58 +116,61 @@
 	stopClient func() // nil without a configuration client
 }
 
+// newSimulatedRouter starts a simulated router, which reports its status to out.
 func newSimulatedRouter(spec SimulatedRouterSpec, out *statusWriter) (*simulatedRouter, error) {
-	r := &simulatedRouter{
+	simulated := &simulatedRouter{
 		spec: spec, out: out, loop: router.NewLoop(clock.NewSystem()), stop: make(chan struct{}),
 		ended: make(chan struct{}),
 	}
 	var err error
-	if r.config, err = settings.ParseNode(spec.Config); err != nil {
+	if simulated.config, err = settings.ParseNode(spec.Config); err != nil {
 		return nil, err
 	}
-	decisions, err := r.config.Settings.DispatchConfig(r.config.SeedValue)
+	decisions, err := simulated.config.Settings.DispatchConfig(simulated.config.SeedValue)
 	if err != nil {
 		return nil, err
 	}
-	known, last, err := settings.ParseEndpoints(r.config.KnownEndpoints)
+	known, last, err := settings.ParseEndpoints(simulated.config.KnownEndpoints)
 	if err != nil {
 		return nil, err
 	}
 	log := slog.New(slog.DiscardHandler)
-	if r.core, err = router.New(r.loop, decisions, timedEngines{r}, log); err != nil {
+	if simulated.core, err = router.New(simulated.loop, decisions, timedEngines{simulated}, log); err != nil {
 		return nil, err
 	}
-	if r.net, err = netio.New(r.loop, "", nil, log); err != nil {
+	if simulated.net, err = netio.New(simulated.loop, "", nil, log); err != nil {
 		return nil, err
 	}
-	r.core.UpdateEndpoints(known.Events, known.Addresses)
-	r.loop.Post(func() {
-		r.watcher = discovery.Watch(r.loop, r.net, r.config.DiscoveryAddress,
-			r.names(), last, r.onUpdate, r.config.SeedValue, log)
+	simulated.core.UpdateEndpoints(known.Events, known.Addresses)
+	simulated.loop.Post(func() {
+		simulated.watcher = discovery.Watch(simulated.loop, simulated.net, simulated.config.DiscoveryAddress,
+			simulated.names(), last, simulated.onUpdate, simulated.config.SeedValue, log)
 		if spec.StatementsPerSecond > 0 {
-			r.submitNext()
+			simulated.submitNext()
 		}
 	})
 	go func() {
-		defer close(r.ended)
-		r.loop.Run(r.stop)
+		defer close(simulated.ended)
+		simulated.loop.Run(simulated.stop)
 	}()
 	if spec.Keepers != nil {
-		r.stopClient, err = r.startConfigClient()
+		simulated.stopClient, err = simulated.startConfigClient()
 	}
-	return r, err
+	return simulated, err
 }
 
 func (r *simulatedRouter) names() discovery.RecordNames {
 	return discovery.RecordNames{Zones: r.config.Settings.Zones, Kinds: r.config.Settings.Kinds}
 }
 
+// onUpdate applies an update of the endpoint list and reports it.
 func (r *simulatedRouter) onUpdate(update discovery.Update) {
 	r.core.UpdateEndpoints(update.Events, update.Addresses)
 	r.out.write(statusMessage{Router: r.spec.Number, List: r.watcher.LastEvent(), AtNS: time.Now().UnixNano()})
 }
 
-// configure applies another configuration, as a router's reload does. After an error nothing has changed.
+// configure applies another configuration in the same way as a reload of a router. If it returns an error, nothing has
+// changed.
 func (r *simulatedRouter) configure(cfg *settings.Node) error {
 	decisions, err := cfg.Settings.DispatchConfig(r.config.SeedValue)
 	if err != nil {
@@ -180,7 +184,7 @@
 	return nil
 }
 
-// submitNext submits the next statement, and schedules the one after it.
+// submitNext submits a statement and schedules the next one.
 func (r *simulatedRouter) submitNext() {
 	r.submitted++
 	_, _ = r.core.Submit(&router.Request{
@@ -207,14 +211,14 @@
 	r.net.Stop()
 }
 
-// discardResponses ignores answers: the core's counters say how a statement ended.
+// discardResponses ignores the responses to statements. The core's counters have their outcomes.
 type discardResponses struct{}
 
 func (discardResponses) Served(*router.Result) {}
 func (discardResponses) Rejected(float64)      {}
 func (discardResponses) Failed(router.Reason)  {}
 
-// timedEngines simulates all engines: it serves each attempt after the same time.
+// timedEngines simulates all engines of a router. It serves each attempt after the time WorkMS of the router's spec.
 type timedEngines struct{ router *simulatedRouter }
 
 type timedAttempt struct{ timer *router.Timer }
@@ -232,8 +236,8 @@
 func (a timedAttempt) Abandon()           { a.timer.Stop() }
 func (a timedAttempt) CancelUnsent() bool { return false }
 
-// runSimulatedRouters runs the routers that the first line describes, writes "ready", and answers "totals" until its
-// input ends.
+// runSimulatedRouters runs the routers that the first line describes as a JSON list of SimulatedRouterSpec. It writes
+// "ready", and a message with the totals for each line "totals", until the end of the input.
 func runSimulatedRouters(input *bufio.Scanner, out *statusWriter) error {
 	var specs []SimulatedRouterSpec
 	if err := json.Unmarshal(input.Bytes(), &specs); err != nil {
@@ -268,8 +272,8 @@
 	return input.Err()
 }
 
-// runDiscoveryServer runs a discovery server in a process of its own; the first line is the number of engines. It
-// writes its address, and obeys "rate N": N changes of one engine a second.
+// runDiscoveryServer runs a discovery server in this process. The first line is the number of engines in its list. It
+// writes "ready" with its address. A line "rate N" sets the rate of published changes of one engine to N per second.
 func runDiscoveryServer(input *bufio.Scanner, out *statusWriter) error {
 	n, err := strconv.Atoi(input.Text())
 	if err != nil {
@@ -282,7 +286,7 @@
 	}
 	out.writeLine("ready " + server.Addr)
 	rate := make(chan float64)
-	go changeAtRate(server, engines, rate) // ends when rate is closed
+	go changeAtRate(server, engines, rate) // returns when rate is closed
 	defer close(rate)
 	for input.Scan() {
 		command, argument, _ := strings.Cut(input.Text(), " ")
@@ -295,7 +299,7 @@
 	return input.Err()
 }
 
-// changeAtRate publishes changes at the rate that was received last, in changes a second, until the channel is closed.
+// changeAtRate publishes changes at the last received rate, in changes per second, until the channel is closed.
 func changeAtRate(server *DiscoveryServer, engines []Engine, rates <-chan float64) {
 	ticker := time.NewTicker(time.Hour)
 	ticker.Stop()
@@ -316,8 +320,8 @@
 	}
 }
 
-// ToggledEngine returns the i-th change of a series in which each engine of a list drains, and serves again in the next
-// round.
+// ToggledEngine returns the engine with its new state for the i-th change of a series. The series first drains each
+// engine of the list in turn, then makes each of them live again, and so on.
 func ToggledEngine(engines []Engine, i int) Engine {
 	e := engines[i%len(engines)]
 	if i/len(engines)%2 == 0 {
--- a/internal/fleettest/simulatedclient.go
+++ b/internal/fleettest/simulatedclient.go
@@ -13,8 +13,8 @@
 	"windflow/internal/validate"
 )
 
-// startConfigClient has a simulated router follow keepers as a router does: with the same client and the same check,
-// and a change of the core and of the discovery watcher in the loop. The returned function ends it.
+// startConfigClient makes the simulated router follow keepers in the same way as a real router: with the same client
+// and validation, and with changes of the core and the discovery watcher in the loop. The returned function stops it.
 func (r *simulatedRouter) startConfigClient() (end func(), err error) {
 	var section configclient.Config
 	if err := json.Unmarshal(r.spec.Keepers, &section); err != nil {
@@ -39,7 +39,7 @@
 	return client.Stop, nil
 }
 
-// applyInLoop applies a configuration, in the loop.
+// applyInLoop applies a configuration in the loop and waits for the result.
 func (r *simulatedRouter) applyInLoop(cfg *settings.Node) error {
 	done := make(chan error, 1)
 	r.loop.Post(func() { done <- r.configure(cfg) })
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// SimulatedRoutersPerProcess is how many simulated routers run in one process.
+// SimulatedRoutersPerProcess is the maximum number of simulated routers that run in one process.
 const SimulatedRoutersPerProcess = 60
 
 // SimulatedRouters are the simulated routers of a test.
@@ -20,30 +20,31 @@
 
 	harness *Harness
 	mu      sync.Mutex
-	changed chan struct{} // closed and replaced with each status message
+	changed chan struct{} // closed and replaced on each status message
 	state   map[int]*RouterStatus
 	totals  []Totals
 }
 
-// RouterStatus is the last status of a simulated router.
+// RouterStatus is the last reported status of a simulated router.
 type RouterStatus struct {
-	LastEvent uint64 // last endpoint event
+	LastEvent uint64 // number of the last endpoint event
 	Revisions
 }
 
-// Revisions are the configuration revisions that a router has put in force, in that order.
+// Revisions are the configuration revisions that a router has put in force, in the order of time.
 type Revisions struct {
 	Hash       string // of the last revision
 	inForce    []revisionTime
-	regression string // describes a return of the router to an earlier one
+	regression string // describes a return to an earlier revision; empty if there was none
 }
 
+// revisionTime is a revision with the time when it was put in force.
 type revisionTime struct {
 	revision uint64
 	at       time.Time
 }
 
-// Last is the revision in force, 0 for none.
+// Last returns the revision in force, or 0 for none.
 func (r *Revisions) Last() uint64 {
 	if len(r.inForce) == 0 {
 		return 0
@@ -51,7 +52,7 @@
 	return r.inForce[len(r.inForce)-1].revision
 }
 
-// Since is when a revision or a later one was put in force; false if none was.
+// Since returns the time when the given revision or a later one was put in force, or false if none was.
 func (r *Revisions) Since(revision uint64) (time.Time, bool) {
 	i := sort.Search(len(r.inForce), func(i int) bool { return r.inForce[i].revision >= revision })
 	if i == len(r.inForce) {
@@ -60,6 +61,7 @@
 	return r.inForce[i].at, true
 }
 
+// record adds a revision that was put in force.
 func (r *Revisions) record(revision uint64, hash string, at time.Time) {
 	if revision <= r.Last() {
 		r.regression = fmt.Sprintf("from revision %d to %d", r.Last(), revision)
@@ -67,7 +69,7 @@
 	r.inForce, r.Hash = append(r.inForce, revisionTime{revision, at}), hash
 }
 
-// SimulatedRouters starts simulated routers, SimulatedRoutersPerProcess to a process, and waits until they run.
+// SimulatedRouters starts simulated routers, up to SimulatedRoutersPerProcess in each process, and waits until they run.
 func (h *Harness) SimulatedRouters(specs []SimulatedRouterSpec) *SimulatedRouters {
 	h.T.Helper()
 	exe, err := os.Executable()
@@ -120,8 +122,8 @@
 	}
 }
 
-// Await waits until a condition of the routers' states is met. check is called while they do not change, and returns
-// what is missing; an empty text ends the wait.
+// Await waits until check returns an empty text. check is called with the status of each router by its number, which
+// does not change during the call, and returns a description of what does not hold yet.
 func (group *SimulatedRouters) Await(check func(map[int]*RouterStatus) string) {
 	group.harness.T.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -140,12 +142,12 @@
 			for _, p := range group.Processes {
 				logs = append(logs, p.Log())
 			}
-			group.harness.T.Fatalf("%s within %v\n%s", missing, WaitTimeout, strings.Join(logs, "\n"))
+			group.harness.T.Fatalf("after %v: %s\n%s", WaitTimeout, missing, strings.Join(logs, "\n"))
 		}
 	}
 }
 
-// AwaitList waits until all have an endpoint event.
+// AwaitList waits until all routers have received the endpoint event with the given number or a later one.
 func (group *SimulatedRouters) AwaitList(number uint64) {
 	group.harness.T.Helper()
 	group.Await(func(state map[int]*RouterStatus) string {
@@ -158,7 +160,7 @@
 	})
 }
 
-// Totals adds up what all have done so far.
+// Totals returns the sum of the totals of all routers so far.
 func (group *SimulatedRouters) Totals() (sum Totals) {
 	group.harness.T.Helper()
 	group.mu.Lock()
@@ -169,7 +171,7 @@
 	}
 	group.Await(func(map[int]*RouterStatus) string {
 		if n := len(group.totals); n < len(group.Processes) {
-			return fmt.Sprintf("%d of %d processes reported their totals", n, len(group.Processes))
+			return fmt.Sprintf("%d of %d processes have reported their totals", n, len(group.Processes))
 		}
 		sum = Totals{}
 		for _, t := range group.totals {
@@ -180,13 +182,13 @@
 	return sum
 }
 
-// DiscoveryProcess is a discovery server in a process of its own, whose cost can be measured.
+// DiscoveryProcess is a discovery server in a separate process, so that its cost can be measured.
 type DiscoveryProcess struct {
 	*Process
 	Addr string
 }
 
-// DiscoveryProcess starts a discovery server with a list of n engines.
+// DiscoveryProcess starts a process with a discovery server that has a list of n engines.
 func (h *Harness) DiscoveryProcess(n int) *DiscoveryProcess {
 	h.T.Helper()
 	exe, err := os.Executable()
@@ -200,7 +202,7 @@
 	return &DiscoveryProcess{Process: p, Addr: p.Ready()}
 }
 
-// SetChangeRate sets how many changes of one engine a second the server publishes.
+// SetChangeRate sets the rate at which the server publishes changes of one engine.
 func (d *DiscoveryProcess) SetChangeRate(perSecond float64) {
 	d.harness.T.Helper()
 	d.WriteLine(fmt.Sprint("rate ", perSecond))
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// sessionSockets allows a router 2,400 sessions: four tenths of its descriptors.
+// sessionSockets is the setting limits.sockets for 2,400 sessions: a router uses four tenths of its descriptors for them.
 const sessionSockets = 6000
 
-// sessions is clients of one router.
+// sessions are the clients of one router.
 type sessions struct {
 	clients []*Client
 	meter   Meter
 	ids     atomic.Uint64
 }
 
-// each runs f for every client, as many at a time as log in at once without being rejected, and fails on any error.
+// each calls f for each of n clients, 64 at a time, which is as many as can log in at once without a rejection. It fails
+// the test if any call returns an error.
 func (c *sessions) each(t *testing.T, n int, f func(i int) error) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -42,7 +43,7 @@
 	}
 }
 
-// openSessions logs clients in, each of which sends one query.
+// openSessions opens n sessions, each of which logs in and sends one ping.
 func openSessions(t *testing.T, p *Router, n int) *sessions {
 	t.Helper()
 	c := &sessions{clients: make([]*Client, n)}
@@ -64,7 +65,7 @@
 	}
 }
 
-// The cost of silent sessions.
+// Measures the cost of idle sessions.
 func TestSlopesOfSessionsAtRest(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	server := NewDiscoveryServer(t, Engines(300))
@@ -79,8 +80,7 @@
 		p.Ready()
 		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
-	// A router ends a session that is silent for 10 s, so that there are spans of silence between pings that are not
-	// measured.
+	// A router closes a session that is idle for 10 s. Therefore the sessions send pings between the measured spans.
 	const spans = 4
 	cpu, mb := make([]float64, len(sizes)), make([]float64, len(sizes))
 	for range spans {
@@ -100,8 +100,8 @@
 		conditions+", the most")
 }
 
-// querySteadily has the sessions send lookups at an even rate for a while, and returns how many were answered. At
-// most one answer in twenty may be an error.
+// querySteadily sends lookups over the sessions at a constant rate for a span of time, and returns the number of
+// responses. It fails the test if there is more than one error for twenty lookups that are served.
 func (c *sessions) querySteadily(t *testing.T, perSecond float64, span time.Duration) (answered int64) {
 	t.Helper()
 	var served, failed atomic.Int64
@@ -131,7 +131,8 @@
 	return served.Load() + failed.Load()
 }
 
-// What statements cost, from few sessions; and what sessions cost of which each sends a query now and then.
+// Measures the cost of statements by their rate, sent over few sessions, and the cost of sessions by their number, each
+// of which sends a query every 4.4 s.
 func TestSlopesOfStatements(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	run := func(name string, sessions int, perSecond float64) (rate, cpu, mb, bytes float64) {
@@ -146,7 +147,7 @@
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
 		defer c.close()
-		c.querySteadily(t, perSecond, 4*time.Second) // connections to engines are established
+		c.querySteadily(t, perSecond, 4*time.Second) // establishes the connections to engines
 		from, wire := p.Usage(), engines.Meter.WireBytes()+c.meter.WireBytes()
 		n := c.querySteadily(t, perSecond, 12*time.Second)
 		to := p.Usage()
@@ -178,7 +179,7 @@
 	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", megabytes, mb, conditions)
 }
 
-// The cost of clients that reconnect to a restarted router.
+// Measures the cost of clients that reconnect to a restarted router, by their number.
 func TestSlopesOfClientsThatComeBack(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	server := NewDiscoveryServer(t, Engines(300))
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -10,8 +10,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// What following the keepers costs a router of the size that is designed for, by the changes a second that it receives
-// one by one: from two a second on one call returns several.
+// Measures the cost of following the keepers for a router of a fleet of the size to design for, by the rate of changes.
+// The rates are at most two per second, because one call returns several changes at higher rates.
 func TestSlopesOfAFollowingRouter(t *testing.T) {
 	rows := requireSlopes(t)
 	rates := []float64{0, 0.25, 0.5, 1, 2}
@@ -25,7 +25,7 @@
 			Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: server.Addr, Engines: engines, Tenants: 1000,
 			OverQuotaWeight: 0.1,
 		}
-		h := New(t) // keepers have their folders by name, so that each group needs a folder of its own
+		h := New(t) // the folders of keepers have their names, so each group of keepers needs a separate harness
 		k := h.Keepers(3, c)
 		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(h.Dir, "follower"), 0)}
 		p := h.Router(c)
--- a/internal/fleettest/slopes_discovery_test.go
+++ b/internal/fleettest/slopes_discovery_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// openWatchers connects to a discovery server as many watchers do, and counts what it sends.
+// openWatchers opens n connections to a discovery server as watchers that have event 1. The returned meter counts the
+// bytes that the server sends.
 func openWatchers(t *testing.T, addr string, n int) *Meter {
 	t.Helper()
 	m := &Meter{}
@@ -26,11 +27,12 @@
 	return m
 }
 
-// What the discovery server of the harness costs by routers and by changes; another implementation may cost something
-// else.
+// Measures the cost of the harness's discovery server by routers and by changes. Other implementations may have other
+// costs.
 func TestSlopesOfTheBoard(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
-	const commonConditions = "our stand-in board, in a process of its own, followed by bare links that read; 1,200 engines; 20 s"
+	const commonConditions = "our stand-in board, in a process of its own, followed by bare links that read; " +
+		"1,200 engines; 20 s"
 	sizes := []int{60, 150, 300, 600}
 	rates := []float64{0, 1, 10, 30}
 	for _, test := range []struct {
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -13,7 +13,8 @@
 	"windflow/internal/decide/configlog"
 )
 
-// keeperGroup is five keepers with simulated routers that follow them.
+// keeperGroup is a fleet of five keepers and the simulated routers that follow them, with the byte counts at the start
+// of a measurement.
 type keeperGroup struct {
 	*configuredFleet
 	clientBytes, keeperBytes int64
@@ -26,10 +27,12 @@
 	return list
 }
 
+// startTraffic records the byte counts at the start of a measurement.
 func (g *keeperGroup) startTraffic() {
 	g.clientBytes, g.keeperBytes = g.traffic()
 }
 
+// traffic returns the bytes so far between followers and keepers, and between keepers.
 func (g *keeperGroup) traffic() (followerBytes, peerBytes int64) {
 	for _, d := range g.links {
 		followerBytes += d.WireBytes()
@@ -37,6 +40,7 @@
 	return followerBytes, g.keepers.WireBytes()
 }
 
+// newKeeperGroup starts a group, and waits until all routers have a first change in force.
 func newKeeperGroup(t *testing.T, routers int) *keeperGroup {
 	t.Helper()
 	g := &keeperGroup{configuredFleet: newConfiguredFleet(t,
@@ -46,7 +50,8 @@
 	return g
 }
 
-// measureGroups measures the cost of the busiest keeper, and the bytes of followers and keepers, over a span.
+// measureGroups measures over measuredSpan, for each group, the processor time and memory of the busiest keeper, and the
+// mean bytes per second of a router and of a keeper.
 func measureGroups(groups []*keeperGroup) (cpu, mb, perRouter, perKeeper []float64) {
 	var all []*Process
 	for _, g := range groups {
@@ -70,7 +75,7 @@
 const keeperConditions = "the busiest of 5 keepers; simulated routers follow them by the long poll, " +
 	"each change one entry; 20 s"
 
-// What a keeper costs by the routers that follow, while nothing changes.
+// Measures the cost of a keeper by the number of routers that follow, while there are no changes.
 func TestSlopesOfKeepersByRouters(t *testing.T) {
 	rows := requireSlopes(t)
 	sizes := []int{60, 150, 300, 600}
@@ -89,12 +94,13 @@
 		keeperConditions+"; nothing changes; mean of the routers")
 }
 
-// What keepers and followers cost in a burst of changes, by the routers.
+// Measures the cost of keepers and followers in a burst of changes, by the number of routers.
 func TestSlopesOfKeepersInABurst(t *testing.T) {
 	rows := requireSlopes(t)
 	sizes := []int{60, 150, 300, 600}
 	var cpu, perRouter, perKeeper []float64
-	for _, n := range sizes { // one after the other: simulated routers in a burst take as much of the machine as real ones
+	// One group after the other: in a burst, simulated routers use as much processor time as real ones.
+	for _, n := range sizes {
 		g := newKeeperGroup(t, n)
 		end := g.startChanges(burstRate)
 		busiest, _, router, keeper := measureGroups([]*keeperGroup{g})
@@ -110,7 +116,7 @@
 		conditions+"; mean of the routers")
 }
 
-// How long a change takes until the last router has it in force, by the routers.
+// Measures the time until the last router has a change in force, by the number of routers.
 func TestSlopesOfInForce(t *testing.T) {
 	rows := requireSlopes(t)
 	const changes = 40
@@ -137,11 +143,11 @@
 		pairs(sizes, worst), conditions)
 }
 
-// maxClientChangeRate is how many changes a second a follower accepts at most: it leaves 500 ms between two calls that
-// bring some. Its costs grow up to there, and are level past it.
+// maxClientChangeRate is the maximum rate of changes per second that a follower receives one by one, because it waits
+// 500 ms between two calls that return changes. Its costs grow up to this rate and are constant above it.
 const maxClientChangeRate = 2
 
-// What a keeper and a follower cost by the changes a second.
+// Measures the cost of a keeper and of a follower by the rate of changes.
 func TestSlopesOfKeepersByChanges(t *testing.T) {
 	rows := requireSlopes(t)
 	rates := []float64{0, 0.5, 1, maxClientChangeRate, 20}
@@ -172,8 +178,8 @@
 			perRouter[growing], rates[growing]))
 }
 
-// startChanges makes changes at an even rate, whether or not those before have been answered, until the function that
-// it returns is called. It fails the test where an answer does not arrive or the rate was not reached.
+// startChanges proposes changes at a constant rate, without waiting for the responses, until the returned function is
+// called. It fails the test if a change fails or less than 0.9 of the rate was reached.
 func (f *configuredFleet) startChanges(perSecond float64) (end func()) {
 	if perSecond == 0 {
 		return func() {}
@@ -208,13 +214,13 @@
 		took := time.Since(began).Seconds()
 		<-ended
 		if made := float64(n) / took; made < 0.9*perSecond {
-			f.t.Errorf("%.2f changes a second were made, want %v", made, perSecond)
+			f.t.Errorf("%.2f changes a second were proposed, want %v", made, perSecond)
 		}
 	}
 }
 
-// How large a complete configuration is for a follower that has none, and what memory a keeper uses, by tenants that
-// are put as entries.
+// Measures the size of a complete configuration for a follower that has none, and the memory of a keeper, by the number
+// of tenants that are stored as entries.
 func TestSlopesOfAWholeConfiguration(t *testing.T) {
 	rows := requireSlopes(t)
 	sizes := []int{10, 100, 300, 1000}
@@ -238,15 +244,16 @@
 			t.Fatal(err)
 		}
 		size := 0
-		for size == 0 { // 204 while the name is new
-			response, err := httpClient.Post("http://"+g.keepers.Members[0].HTTPAddr+"/v1/follow", "application/json", bytes.NewReader(body))
+		for size == 0 { // the response to the first call of a new name may be 204 without a body
+			response, err := httpClient.Post("http://"+g.keepers.Members[0].HTTPAddr+"/v1/follow", "application/json",
+				bytes.NewReader(body))
 			if err != nil {
 				t.Fatal(err)
 			}
 			text, err := io.ReadAll(response.Body)
 			_ = response.Body.Close()
 			if err != nil || response.StatusCode >= 300 {
-				t.Fatal(response.StatusCode, string(text), err)
+				t.Fatalf("status %d, body %s, error %v", response.StatusCode, text, err)
 			}
 			size = len(text)
 		}
--- a/internal/fleettest/slopes_notification_test.go
+++ b/internal/fleettest/slopes_notification_test.go
@@ -9,8 +9,8 @@
 	"windflow/dispatch"
 )
 
-// How long it takes until the last of hundreds of routers has an engine's change: from the discovery event to the
-// report of the last simulated router that its module has it.
+// Measures the time until the last of hundreds of routers has received the change of an engine, by the number of
+// routers: from the discovery event to the report of the last simulated router.
 func TestSlopesOfTelling(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	const changes = 20
@@ -42,7 +42,7 @@
 		conditions)
 }
 
-// The cost of a change that names many engines in one frame, as when a zone fails.
+// Measures the cost of a change of many engines in one frame, such as for the failure of a zone.
 func TestSlopesOfAFrameOfMany(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	const frames = 30
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -16,8 +16,8 @@
 	idleConditions = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
 )
 
-// What an idle router uses, by the engines in its list; what a complete list is on the wire; and what one change of
-// the list costs by the engines in it.
+// Measures by the number of engines in the endpoint list: the cost of an idle router, the bytes of a complete list, and
+// the cost of one change of the list.
 func TestSlopesOfARouterByEngines(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	var all []*Process
@@ -27,7 +27,7 @@
 	for _, n := range engineSizes {
 		server := NewDiscoveryServer(t, Engines(n))
 		relay := NewRelay(t, server.Addr)
-		// without a list
+		// The configuration has no endpoint list, so the server sends the complete one.
 		p := h.Router(Config{Name: fmt.Sprint("e", n), Routers: 600, Discovery: relay.Addr, Tenants: 4})
 		p.Ready()
 		p.Await(LineEndpointEvent, 1) // the complete list
@@ -76,7 +76,7 @@
 		"200 changes of one engine each, 50 a second, one router after the other; less what it takes at rest")
 }
 
-// What changes of the list cost a router of 1,200 engines.
+// Measures the cost of changes of the endpoint list for a router of 1,200 engines, by their rate.
 func TestSlopesOfARouterByListChanges(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	rates := []float64{0, 1, 3, 10, 30, 100}
@@ -109,14 +109,15 @@
 		conditions)
 }
 
-// reloadChanged changes the configuration file of a router and reloads it. n is the number of reloads so far.
+// reloadChanged reloads a router with a changed configuration and waits for the reload. n is the number of earlier
+// reloads.
 func reloadChanged(p *Router, n int) {
 	p.OverQuotaWeight = 0.1 + float64(n%2)/10
 	p.Reload()
 	p.Await(LineReloaded, n+1)
 }
 
-// What a reload costs by tenants and by engines, and what reloads a second take.
+// Measures the cost of a reload by tenants and by engines, and the processor time of reloads by their rate.
 func TestSlopesOfReloads(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	const reloads = 40
@@ -179,7 +180,7 @@
 		"each a SIGHUP on a changed file of 1,200 engines and 1,000 tenants; no clients")
 }
 
-// The cost of a restart, by engines.
+// Measures the cost of a restart by the number of engines.
 func TestSlopesOfARestart(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	const starts = 5
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -13,19 +13,19 @@
 	"windflow/internal/capacity"
 )
 
-// slopesFolderEnv names the folder, under the module's root unless it is absolute, whose slopes.json the tests
-// TestSlopes... write their rows into; without it they are skipped.
+// slopesFolderEnv is the environment variable for the folder with slopes.json, to which the tests TestSlopes... write.
+// A relative path is relative to the module's root. Without the variable, these tests are skipped.
 const slopesFolderEnv = "WINDFLOW_SLOPES"
 
-// measuredSpan is how long a cost by the second is measured for.
+// measuredSpan is the duration of a measurement of costs per second.
 const measuredSpan = 20 * time.Second
 
-// requireSlopes skips a test unless slopesFolderEnv is set, and returns where its rows are written.
+// requireSlopes skips the test unless slopesFolderEnv is set, and returns the object that writes its slopes.
 func requireSlopes(t *testing.T) *slopeRows {
 	t.Helper()
 	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
-		t.Skipf("%s is not set to the folder for slopes.json: costs are measured by hand", slopesFolderEnv)
+		t.Skipf("%s is not set to the folder of slopes.json; costs are only measured by hand", slopesFolderEnv)
 	}
 	if !filepath.IsAbs(dir) {
 		dir = filepath.Join("..", "..", dir)
@@ -34,7 +34,7 @@
 	return r
 }
 
-// slopeRows are the slopes that one test measures.
+// slopeRows writes the slopes that one test measures.
 type slopeRows struct {
 	t         *testing.T
 	path      string
@@ -42,7 +42,7 @@
 	mu        sync.Mutex
 }
 
-// loadAverage is how busy the machine is: the runnable threads, on average of a minute.
+// loadAverage returns the load average of the machine over the last minute, or "unknown".
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -52,7 +52,7 @@
 	return first
 }
 
-// add fits a row and writes it to the file at once, in place of an older one of its name.
+// add fits a line to points and writes the slope to the file immediately. It replaces an older slope of the same name.
 func (r *slopeRows) add(name, of, x, y string, points [][2]float64, conditions string) {
 	r.t.Helper()
 	r.mu.Lock()
@@ -83,7 +83,8 @@
 		points)
 }
 
-// measureCosts measures what processes take over a span in percent of a core, and the memory they use at its end in MB.
+// measureCosts measures the processor time of processes over a span, in percent of a core, and their resident memory at
+// its end, in units of 2^20 bytes.
 func measureCosts(span time.Duration, processes ...*Process) (percent, mb []float64) {
 	from := make([]Usage, len(processes))
 	for i, p := range processes {
@@ -97,6 +98,7 @@
 	return percent, mb
 }
 
+// pairs returns points from equally long lists of their coordinates.
 func pairs[X int | float64](x []X, y []float64) (points [][2]float64) {
 	for i := range x {
 		points = append(points, [2]float64{float64(x[i]), y[i]})
