--- a/dispatch/scalefleet_test.go
+++ b/dispatch/scalefleet_test.go
@@ -177,7 +177,7 @@
 }
 
 // runScaleScenario simulates a scenario, checks its results and returns its figures.
-func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.Scale {
+func runScaleScenario(t *testing.T, scenario scaleScenario) capacity.SimulatedDay {
 	t.Helper()
 	startedAt := time.Now()
 	f := newFleetSimulation(t, scenario.fleet)
@@ -216,7 +216,7 @@
 	for name, figure := range figures {
 		figures[name] = math.Round(figure*1000) / 1000
 	}
-	return capacity.Scale{
+	return capacity.SimulatedDay{
 		Name:    scenario.name,
 		Routers: scenario.fleet.routers,
 		Engines: scenario.fleet.engines,
@@ -306,18 +306,18 @@
 }
 
 // writeScaleResults writes results to docs/capacity/scale.json and replaces earlier results with the same names.
-func writeScaleResults(t *testing.T, results ...capacity.Scale) {
+func writeScaleResults(t *testing.T, results ...capacity.SimulatedDay) {
 	t.Helper()
 	path := filepath.Join("..", "docs", "capacity", "scale.json")
-	var previous []capacity.Scale
+	var previous []capacity.SimulatedDay
 	text, err := os.ReadFile(path)
 	if err == nil {
-		previous, err = capacity.ParseScales(text)
+		previous, err = capacity.ParseSimulatedDays(text)
 	} else if os.IsNotExist(err) {
 		err = nil
 	}
 	if err == nil {
-		text, err = capacity.FormatScales(capacity.MergeScales(previous, results))
+		text, err = capacity.FormatSimulatedDays(capacity.MergeSimulatedDays(previous, results))
 	}
 	if err == nil {
 		err = os.WriteFile(path, text, 0o644)
--- a/dispatch/scalesubset_test.go
+++ b/dispatch/scalesubset_test.go
@@ -121,7 +121,7 @@
 	}
 	figures["one engine less: share of places moved"] = math.Round(1000*share) / 1000
 	if os.Getenv(scaleEnv) == "1" && !t.Failed() {
-		writeScaleResults(t, capacity.Scale{
+		writeScaleResults(t, capacity.SimulatedDay{
 			Name: "near sets", Routers: scaleRouters, Engines: scaleEngines, Zones: 6, Figures: figures,
 			Conditions: "the module alone, 24 cores an engine, nothing sent: who is near to whom",
 			Test:       "windflow/dispatch TestSubsetsOfLargeFleet",
--- a/internal/capacity/rows_region.go
+++ b/internal/capacity/rows_region.go
@@ -1,6 +1,6 @@
 package capacity
 
-// regionRows are the rows of the loss of a region.
+// regionRows are the rows for the loss of a region.
 var regionRows = []Row{
 	{
 		Role: "router", Subject: "sessions of each of the 300 remaining routers",
@@ -21,13 +21,13 @@
 	{
 		Role:    "router",
 		Subject: "processor time for control in the second in which 600 engines are removed or added, a change each",
-		Unit:    unitPercent, Budget: RouterPercent, Terms: removals(regionEngines),
+		Unit:    unitPercent, Budget: RouterPercent, Terms: removalCost(regionEngines),
 		Mechanism: "changes in place of lists", Packages: discoveryPackages,
 	},
 	{
 		Role:    "router",
 		Subject: "processor time for control in the second in which 600 engines are removed or added, in one frame",
-		Unit:    unitPercent, Budget: RouterPercent, Terms: removalsInFrame(regionEngines),
+		Unit:    unitPercent, Budget: RouterPercent, Terms: removalCostInFrame(regionEngines),
 		Mechanism: "one pass over the list per frame", Packages: discoveryPackages,
 	},
 	{
@@ -61,7 +61,7 @@
 	},
 }
 
-// regionPartitionRows are the rows of a partition between the regions.
+// regionPartitionRows are the rows for a network partition between the regions.
 var regionPartitionRows = []Row{
 	{
 		Role: "router", Subject: "revisions behind after an hour in the region without a majority",
@@ -81,12 +81,12 @@
 	},
 	{
 		Role: "operator", Subject: "in force at the last router of the region with the majority", Unit: unitSeconds,
-		Budget: InForceSeconds, Terms: inForce("changes in the region with the majority, the other one cut off"),
+		Budget: InForceSeconds, Terms: timeInForce("changes in the region with the majority, the other one cut off"),
 		Mechanism: "a majority for each revision", Packages: keeperPackages,
 	},
 	{
 		Role: "operator", Subject: "regions reconnected: the last revision in force at the last router of the other",
-		Unit: unitSeconds, Budget: InForceSeconds, Terms: inForce("the region that was cut off, from the joining on"),
+		Unit: unitSeconds, Budget: InForceSeconds, Terms: timeInForce("the region that was cut off, from the joining on"),
 		Mechanism: "backoff with jitter, a delta or a snapshot", Packages: configurationPackages,
 	},
 	{
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -8,51 +8,51 @@
 
 const oneDay = `{"name":"n","routers":6,"engines":12,"zones":3,"figures":{"served":0.9},"conditions":"c","test":"T"}`
 
-// The error for a field that is missing, unknown or wrong names its position in the file.
-func TestScalesAreReadStrictly(t *testing.T) {
-	days, err := ParseScales([]byte("[" + oneDay + "]"))
+// A missing, unknown or invalid field is rejected with an error that names the index, the day and the field.
+func TestParseSimulatedDaysRejectsInvalidFields(t *testing.T) {
+	days, err := ParseSimulatedDays([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
 		t.Fatal(days, err)
 	}
-	text, err := FormatScales(MergeScales(days, []Scale{
+	text, err := FormatSimulatedDays(MergeSimulatedDays(days, []SimulatedDay{
 		{Name: "n", Routers: 1, Engines: 1, Zones: 1, Figures: map[string]float64{"a": 1}, Conditions: "c", Test: "T"},
 	}))
-	if back, e := ParseScales(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
+	if back, e := ParseSimulatedDays(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
 		t.Error(string(text), err, e)
 	}
-	for _, k := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"zones":3,`, ``, `scales[0] "n": zones: is missing`},
 		{`"zones":3`, `"zones":3,"regions":2`, `scales[0] "n": regions: is not known`},
 		{`"zones":3`, `"zones":"x"`, `scales[0] "n": zones: json`},
 		{`"zones":3`, `"zones":0`, `scales[0] "n": routers, engines or zones: is below 1`},
-		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: are none`},
+		{`{"served":0.9}`, `{}`, `scales[0] "n": figures: is empty`},
 		{`"test":"T"`, `"test":""`, `scales[0] "n": name, conditions or test: is empty`},
 	} {
-		changed := strings.Replace(oneDay, k.old, k.new, 1)
-		_, err := ParseScales([]byte("[" + changed + "]"))
-		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), k.want) {
-			t.Errorf("%s: %v, want %s", k.new, err, k.want)
+		changed := strings.Replace(oneDay, test.old, test.new, 1)
+		_, err := ParseSimulatedDays([]byte("[" + changed + "]"))
+		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.new, err, test.want)
 		}
 	}
-	_, err = ParseScales([]byte("[" + oneDay + "," + oneDay + "]"))
-	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is there twice`) {
+	_, err = ParseSimulatedDays([]byte("[" + oneDay + "," + oneDay + "]"))
+	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is a duplicate`) {
 		t.Error(err)
 	}
 }
 
-// Days that could not be read again are not written, and half a file is not read.
-func TestInvalidScalesAreRejected(t *testing.T) {
-	if _, err := ParseScales([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
-		t.Errorf("half a file: error %v", err)
+// FormatSimulatedDays rejects days that ParseSimulatedDays would reject, and a truncated file is rejected.
+func TestInvalidSimulatedDaysAreRejected(t *testing.T) {
+	if _, err := ParseSimulatedDays([]byte("[" + oneDay)); err == nil || !strings.HasPrefix(err.Error(), "scales: ") {
+		t.Errorf("truncated file: error %v, want one that begins with \"scales: \"", err)
 	}
-	day := Scale{
+	day := SimulatedDay{
 		Name: "n", Routers: 6, Engines: 12, Zones: 3, Conditions: "c", Test: "T",
 		Figures: map[string]float64{"served": 0.9},
 	}
-	if text, err := FormatScales([]Scale{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
-		t.Errorf("a valid day: %s, error %v", text, err)
+	if text, err := FormatSimulatedDays([]SimulatedDay{day}); err != nil || !strings.Contains(string(text), `"routers": 6,`) {
+		t.Errorf("valid day: %s, error %v", text, err)
 	}
-	withFigure := func(value float64) Scale {
+	withFigure := func(value float64) SimulatedDay {
 		changed := day
 		changed.Figures = map[string]float64{"served": value}
 		return changed
@@ -61,14 +61,14 @@
 	withoutTest.Test = ""
 	for _, test := range []struct {
 		name string
-		days []Scale
+		days []SimulatedDay
 		want string
 	}{
-		{"the same name twice", []Scale{day, day}, `scales[1] "n": name: is there twice`},
-		{"no test", []Scale{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
-		{"a figure that JSON can't hold", []Scale{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
+		{"duplicate name", []SimulatedDay{day, day}, `scales[1] "n": name: is a duplicate`},
+		{"no test", []SimulatedDay{withoutTest}, `scales[0] "n": name, conditions or test: is empty`},
+		{"figure that JSON cannot represent", []SimulatedDay{withFigure(math.NaN())}, "scales: json: unsupported value: NaN"},
 	} {
-		text, err := FormatScales(test.days)
+		text, err := FormatSimulatedDays(test.days)
 		if text != nil || err == nil || !strings.HasPrefix(err.Error(), test.want) {
 			t.Errorf("%s: %q, error %v, want %s", test.name, text, err, test.want)
 		}
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// sessionSockets allows a router 2,400 sessions: four tenths of its descriptors.
+// sessionSockets is the setting limits.sockets for 2,400 sessions: a router uses four tenths of its descriptors for them.
 const sessionSockets = 6000
 
-// sessions is clients of one router.
+// sessions are the clients of one router.
 type sessions struct {
 	clients []*Client
 	meter   Meter
 	ids     atomic.Uint64
 }
 
-// each runs f for every client, as many at a time as log in at once without being rejected, and fails on any error.
+// each calls f for each of n clients, 64 at a time, which is as many as can log in at once without a rejection. It fails
+// the test if any call returns an error.
 func (c *sessions) each(t *testing.T, n int, f func(i int) error) {
 	t.Helper()
 	var all sync.WaitGroup
-	var bad atomic.Pointer[string]
-	turn := make(chan struct{}, 64)
+	var lastError atomic.Pointer[string]
+	slots := make(chan struct{}, 64)
 	for i := range n {
 		all.Add(1)
-		turn <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer all.Done()
 			if err := f(i); err != nil {
 				text := err.Error()
-				bad.Store(&text)
+				lastError.Store(&text)
 			}
-			<-turn
+			<-slots
 		}()
 	}
 	all.Wait()
-	if text := bad.Load(); text != nil {
+	if text := lastError.Load(); text != nil {
 		t.Fatal(*text)
 	}
 }
 
-// openSessions logs clients in, each of which sends one query.
+// openSessions opens n sessions, each of which logs in and sends one ping.
 func openSessions(t *testing.T, p *Router, n int) *sessions {
 	t.Helper()
 	c := &sessions{clients: make([]*Client, n)}
@@ -64,23 +65,22 @@
 	}
 }
 
-// The cost of silent sessions.
+// Measures the cost of idle sessions.
 func TestSlopesOfSessionsAtRest(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	b := NewDiscoveryServer(t, Engines(300))
+	rows, h := requireSlopes(t), New(t)
+	server := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{0, 500, 1000, 2000}
 	var all []*Process
 	var groups []*sessions
 	for _, n := range sizes {
-		p := r.Router(Config{
-			Name: fmt.Sprint("q", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+		p := h.Router(Config{
+			Name: fmt.Sprint("q", n), Routers: 600, Discovery: server.Addr, Engines: Engines(300), Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
 		groups, all = append(groups, openSessions(t, p, n)), append(all, p.Process)
 	}
-	// A router ends a session that is silent for 10 s, so that there are spans of silence between pings that are not
-	// measured.
+	// A router closes a session that is idle for 10 s. Therefore the sessions send pings between the measured spans.
 	const spans = 4
 	cpu, mb := make([]float64, len(sizes)), make([]float64, len(sizes))
 	for range spans {
@@ -100,8 +100,8 @@
 		conditions+", the most")
 }
 
-// querySteadily has the sessions send lookups at an even rate for a while, and returns how many were answered. At
-// most one answer in twenty may be an error.
+// querySteadily sends lookups over the sessions at a constant rate for a span of time, and returns the number of
+// responses. It fails the test if there is more than one error for twenty lookups that are served.
 func (c *sessions) querySteadily(t *testing.T, perSecond float64, span time.Duration) (answered int64) {
 	t.Helper()
 	var served, failed atomic.Int64
@@ -131,31 +131,32 @@
 	return served.Load() + failed.Load()
 }
 
-// What statements cost, from few sessions; and what sessions cost of which each sends a query now and then.
+// Measures the cost of statements by their rate, sent over few sessions, and the cost of sessions by their number, each
+// of which sends a query every 4.4 s.
 func TestSlopesOfStatements(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	run := func(name string, sessions int, aSecond float64) (rate, cpu, mb, bytes float64) {
+	rows, h := requireSlopes(t), New(t)
+	run := func(name string, sessions int, perSecond float64) (rate, cpu, mb, bytes float64) {
 		t.Helper()
-		farm := NewStubEngines(t, 60)
-		b := NewDiscoveryServer(t, farm.Engines)
-		p := r.Router(Config{
-			Name: name, Routers: 20, Discovery: b.Addr, Engines: farm.Engines, Tenants: 4,
+		engines := NewStubEngines(t, 60)
+		server := NewDiscoveryServer(t, engines.Engines)
+		p := h.Router(Config{
+			Name: name, Routers: 20, Discovery: server.Addr, Engines: engines.Engines, Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
 		defer p.Kill()
 		c := openSessions(t, p, sessions)
 		defer c.close()
-		c.querySteadily(t, aSecond, 4*time.Second) // connections to engines are established
-		from, wire := p.Usage(), farm.Meter.WireBytes()+c.meter.WireBytes()
-		n := c.querySteadily(t, aSecond, 12*time.Second)
+		c.querySteadily(t, perSecond, 4*time.Second) // establishes the connections to engines
+		from, wire := p.Usage(), engines.Meter.WireBytes()+c.meter.WireBytes()
+		n := c.querySteadily(t, perSecond, 12*time.Second)
 		to := p.Usage()
 		took := to.At.Sub(from.At).Seconds()
-		return float64(n) / took, Percent(from, to), to.MB(), float64(farm.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
+		return float64(n) / took, Percent(from, to), to.MB(), float64(engines.Meter.WireBytes()+c.meter.WireBytes()-wire) / took
 	}
 	var cpu, mb, bytes [][2]float64
-	for _, aSecond := range []float64{25, 50, 100, 200, 450, 900} {
-		rate, percent, resident, wire := run(fmt.Sprint("v", aSecond), 64, aSecond)
+	for _, perSecond := range []float64{25, 50, 100, 200, 450, 900} {
+		rate, percent, resident, wire := run(fmt.Sprint("v", perSecond), 64, perSecond)
 		cpu = append(cpu, [2]float64{rate, percent})
 		mb = append(mb, [2]float64{rate, resident})
 		bytes = append(bytes, [2]float64{rate, wire})
@@ -178,15 +179,15 @@
 	rows.add("router-memory-by-busy-sessions", "router", "busy sessions", megabytes, mb, conditions)
 }
 
-// The cost of clients that reconnect to a restarted router.
+// Measures the cost of clients that reconnect to a restarted router, by their number.
 func TestSlopesOfClientsThatComeBack(t *testing.T) {
-	rows, r := requireSlopes(t), New(t)
-	b := NewDiscoveryServer(t, Engines(300))
+	rows, h := requireSlopes(t), New(t)
+	server := NewDiscoveryServer(t, Engines(300))
 	sizes := []int{250, 500, 1000, 2000}
 	var cpu, bytes, took []float64
 	for _, n := range sizes {
-		p := r.Router(Config{
-			Name: fmt.Sprint("b", n), Routers: 600, Discovery: b.Addr, Engines: Engines(300), Tenants: 4,
+		p := h.Router(Config{
+			Name: fmt.Sprint("b", n), Routers: 600, Discovery: server.Addr, Engines: Engines(300), Tenants: 4,
 			Sockets: sessionSockets,
 		})
 		p.Ready()
--- a/internal/golden/archive.go
+++ b/internal/golden/archive.go
@@ -11,27 +11,27 @@
 	"testing"
 )
 
-// Pack returns a compressed tar archive of a folder.
+// Pack returns a gzip-compressed tar archive of a folder. It fails the test if the folder cannot be read.
 func Pack(tb testing.TB, dir string) []byte {
 	tb.Helper()
 	var packed bytes.Buffer
-	compressed, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
-	archive := tar.NewWriter(compressed)
-	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressed.Close()); err != nil {
+	compressor, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	archive := tar.NewWriter(compressor)
+	if err := errors.Join(archive.AddFS(os.DirFS(dir)), archive.Close(), compressor.Close()); err != nil {
 		tb.Fatal(err)
 	}
 	return packed.Bytes()
 }
 
-// Unpack extracts an archive of Pack into a new temporary folder and returns its path.
+// Unpack extracts an archive that Pack returned into a new temporary folder and returns the path of the folder.
 func Unpack(tb testing.TB, packed []byte) string {
 	tb.Helper()
-	compressed, err := gzip.NewReader(bytes.NewReader(packed))
+	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	dir := tb.TempDir()
-	for archive := tar.NewReader(compressed); ; {
+	for archive := tar.NewReader(decompressor); ; {
 		header, err := archive.Next()
 		if errors.Is(err, io.EOF) {
 			return dir
@@ -45,6 +45,7 @@
 	}
 }
 
+// unpackEntry writes one folder or file of an archive below dir.
 func unpackEntry(dir string, header *tar.Header, content io.Reader) error {
 	path := filepath.Join(dir, filepath.FromSlash(header.Name))
 	if header.Typeflag == tar.TypeDir {
@@ -53,9 +54,9 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
 	}
-	text, err := io.ReadAll(content)
+	data, err := io.ReadAll(content)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, text, 0o600)
+	return os.WriteFile(path, data, 0o600)
 }
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// AllFieldsTagged fails for each exported field without a tag of that key (json, cbor) in the types of the samples
-// and in the types of their fields, at any depth. An embedded struct needs no tag: its fields are encoded in its
-// place.
+// AllFieldsTagged fails the test for each exported field without a tag that has the given key (json or cbor), in the
+// types of the samples and in the types of their fields, at any depth. An embedded struct needs no tag: its fields are
+// encoded as fields of the outer struct.
 func AllFieldsTagged(tb testing.TB, key string, samples ...any) {
 	tb.Helper()
 	for _, path := range untaggedFields(key, samples...) {
@@ -16,23 +16,23 @@
 	}
 }
 
-// untaggedFields returns the exported fields without a tag, as TYPE.FIELD.
+// untaggedFields returns the exported fields that have no tag with the given key, as TYPE.FIELD.
 func untaggedFields(key string, samples ...any) []string {
-	walk := tagWalk{key: key, seen: map[reflect.Type]bool{}}
+	walk := tagWalker{key: key, seen: map[reflect.Type]bool{}}
 	for _, sample := range samples {
 		walk.visitType(reflect.TypeOf(sample))
 	}
 	return walk.untagged
 }
 
-// tagWalk visits types, each of them once.
-type tagWalk struct {
+// tagWalker collects the fields without a tag while it visits each type once.
+type tagWalker struct {
 	key      string
 	seen     map[reflect.Type]bool
 	untagged []string
 }
 
-func (w *tagWalk) visitType(typ reflect.Type) {
+func (w *tagWalker) visitType(typ reflect.Type) {
 	if w.seen[typ] {
 		return
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (w *tagWalk) visitField(typ reflect.Type, field reflect.StructField) {
+func (w *tagWalker) visitField(typ reflect.Type, field reflect.StructField) {
 	if !field.IsExported() && !field.Anonymous {
 		return
 	}
