--- a/internal/node/bgp_neighbour_test.go
+++ b/internal/node/bgp_neighbour_test.go
@@ -10,10 +10,10 @@
 
 // bgpNeighbour is a fake BGP neighbour: it accepts sessions and records what it receives on them.
 type bgpNeighbour struct {
-	sessions chan int      // numbered from 1
-	updates  chan string   // "announce" or "withdraw"
-	beats    chan struct{} // KEEPALIVEs
-	ended    chan int
+	sessions   chan int      // numbered from 1
+	updates    chan string   // "announce" or "withdraw"
+	keepalives chan struct{} // KEEPALIVEs
+	ended      chan int
 }
 
 func (n *bgpNeighbour) serve(t *testing.T) string {
@@ -30,19 +30,19 @@
 				return
 			}
 			n.sessions <- i
-			go n.speak(c, i)
+			go n.handleSession(c, i)
 		}
 	}()
 	return lis.Addr().String()
 }
 
-func (n *bgpNeighbour) speak(c net.Conn, i int) {
+func (n *bgpNeighbour) handleSession(c net.Conn, i int) {
 	defer func() { n.ended <- i }()
 	defer c.Close()
-	say := func(kind byte, body ...byte) {
+	send := func(messageType byte, body ...byte) {
 		b := append(make([]byte, 0, 32), strings.Repeat("\xff", 16)...)
 		b = binary.BigEndian.AppendUint16(b, uint16(19+len(body)))
-		_, _ = c.Write(append(append(b, kind), body...))
+		_, _ = c.Write(append(append(b, messageType), body...))
 	}
 	for {
 		var head [19]byte
@@ -55,18 +55,18 @@
 		}
 		switch head[18] {
 		case 1:
-			say(1, 4, 0xfc, 0, 0, 3, 10, 0, 0, 9, 0) // AS 64512, hold time 3 s, id 10.0.0.9, no parameters
-			say(4)
+			send(1, 4, 0xfc, 0, 0, 3, 10, 0, 0, 9, 0) // AS 64512, hold time 3 s, id 10.0.0.9, no parameters
+			send(4)
 		case 2:
-			what := "announce"
+			kind := "announce"
 			if binary.BigEndian.Uint16(body) > 0 {
-				what = "withdraw"
+				kind = "withdraw"
 			}
-			n.updates <- what
+			n.updates <- kind
 		case 4:
-			say(4)
+			send(4)
 			select {
-			case n.beats <- struct{}{}:
+			case n.keepalives <- struct{}{}:
 			default:
 			}
 		}
@@ -75,26 +75,26 @@
 
 func newBGPNeighbour() *bgpNeighbour {
 	return &bgpNeighbour{
-		sessions: make(chan int, 8), updates: make(chan string, 8), beats: make(chan struct{}, 64),
+		sessions: make(chan int, 8), updates: make(chan string, 8), keepalives: make(chan struct{}, 64),
 		ended: make(chan int, 8),
 	}
 }
 
 // checkSessionGoesOn fails the test unless the first session continues, with nothing withdrawn and no further session.
-func (n *bgpNeighbour) checkSessionGoesOn(t *testing.T) {
+func (n *bgpNeighbour) checkSessionContinues(t *testing.T) {
 	t.Helper()
-	for len(n.beats) > 0 {
-		<-n.beats
+	for len(n.keepalives) > 0 {
+		<-n.keepalives
 	}
-	<-n.beats
-	<-n.beats
+	<-n.keepalives
+	<-n.keepalives
 	select {
 	case session := <-n.ended:
 		t.Errorf("BGP session %d ended", session)
 	default:
 	}
 	for len(n.updates) > 0 {
-		if what := <-n.updates; what == "withdraw" {
+		if kind := <-n.updates; kind == "withdraw" {
 			t.Error("an address was withdrawn")
 		}
 	}
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -14,7 +14,7 @@
 )
 
 // listedEngine is an entry of the list of engines.
-func listedEngine(addr string) string {
+func engineEntry(addr string) string {
 	return fmt.Sprintf(`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`,
 		addr)
 }
@@ -34,7 +34,7 @@
 // guards against a close over unread bytes, which loses the request, and with it an answer that the client has not
 // read.
 func TestRequestDuringConnectionEnd(t *testing.T) {
-	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
+	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	requesting, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 // served; one that arrives after is rejected at once. It guards against connections that are taken and dropped at the
 // end.
 func TestAcceptedClientServedAtEnd(t *testing.T) {
-	n := startRouter(t, []string{listedEngine(newBlockingEngine().serve(t))})
+	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
 	inLoop(n, func() {
 		c, err := net.Dial("tcp", n.listeners.clientsAddress)
@@ -82,7 +82,7 @@
 			return
 		}
 		m := &mysqlClient{conn: c, reader: bufio.NewReader(c)}
-		if err := errors.Join(m.login(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
+		if err := errors.Join(m.sendLogin(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
 		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop is blocked, so it has not seen it
@@ -105,12 +105,12 @@
 
 // A client that never finishes a packet, and reconnects whenever its time is up, does not delay the end past the
 // time by which everything is answered: a kill follows then. It guards against a router that has to be killed.
-func TestHalfOpenClientsDoNotDelayShutdown(t *testing.T) {
-	short := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
-	n := startRouterWith(t, []string{listedEngine(newBlockingEngine().serve(t))}, short)
+func TestIncompletePacketsDoNotDelayShutdown(t *testing.T) {
+	shortDeadlines := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
+	n := startRouterWith(t, []string{engineEntry(newBlockingEngine().serve(t))}, shortDeadlines)
 	stop := make(chan struct{})
 	defer close(stop)
-	begun := make(chan struct{}, 16)
+	partlySent := make(chan struct{}, 16)
 	for range 3 {
 		go func() {
 			for {
@@ -120,7 +120,7 @@
 				}
 				_, _ = c.Write([]byte{40, 0, 0, 1, 0})
 				select {
-				case begun <- struct{}{}:
+				case partlySent <- struct{}{}:
 				default:
 				}
 				_, _ = io.Copy(io.Discard, c) // until its time is up
@@ -133,10 +133,10 @@
 			}
 		}()
 	}
-	<-begun
-	at := 0.0
+	<-partlySent
+	signaledAt := 0.0
 	inLoop(n, func() {
-		at = n.loop.Now()
+		signaledAt = n.loop.Now()
 		n.signal(syscall.SIGTERM)
 	})
 	select {
@@ -145,7 +145,7 @@
 		t.Fatal("it does not end while clients are half open")
 	}
 	// The loop has ended: its state may be read.
-	if by := n.shutdown.answeredBy + endSlackMS - at; by >= 300+700 {
+	if by := n.shutdown.answeredBy + endSlackMS - signaledAt; by >= 300+700 {
 		t.Errorf("the end is %.0f ms after the signal; a kill may come after 1000", by)
 	}
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := strings.Replace(string(text), `"sockets":1024`, `"sockets":9000`, 1)
-	if err := os.WriteFile(harness.config, []byte(more), 0o600); err != nil {
+	raised := strings.Replace(string(text), `"sockets":1024`, `"sockets":9000`, 1)
+	if err := os.WriteFile(harness.config, []byte(raised), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := router.Process.Signal(syscall.SIGHUP); err != nil {
@@ -59,7 +59,7 @@
 }
 
 func TestTableSize(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		sockets int
 		limit   uint64
 		want    int
@@ -71,8 +71,8 @@
 		{1 << 30, ^uint64(0), maxDescriptorTableSize},
 		{5, 0, 1},
 	} {
-		if n := requiredTableSize(k.sockets, k.limit); n != k.want {
-			t.Errorf("sockets %d, limit %d: %d, want %d", k.sockets, k.limit, n, k.want)
+		if n := requiredTableSize(test.sockets, test.limit); n != test.want {
+			t.Errorf("sockets %d, limit %d: %d, want %d", test.sockets, test.limit, n, test.want)
 		}
 	}
 }
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -12,8 +12,8 @@
 // clients with requests. It guards the descriptors that the next dial needs.
 func TestDiscoveryRecoversBesideIdleClients(t *testing.T) {
 	const sockets = 192
-	one, two := newBlockingEngine(), newBlockingEngine()
-	harness := newRouterHarness(t, one, two)
+	removed, remaining := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, removed, remaining)
 	harness.limitSockets(sockets)
 	server := newClosedDiscovery(t)
 	harness.editConfig(func(text string) string {
@@ -39,17 +39,17 @@
 				append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...))
 		}
 	}
-	if n := harness.figure(adminAddress, discoveredFigure); n != 2 {
+	if n := harness.metric(adminAddress, discoveredMetric); n != 2 {
 		t.Fatalf("%d engines before discovery is back", n)
 	}
 	server.open(1)
 	harness.waitFor("the endpoint event arrives", func() bool {
-		return harness.figure(adminAddress, discoveredFigure) == 1
+		return harness.metric(adminAddress, discoveredMetric) == 1
 	})
 	for id := range 5 {
 		checkServed(t, harness.dial(), query("lookup", id+1, "SELECT 1"))
 	}
-	if one.totalRuns() > 0 || two.totalRuns() != 5 {
-		t.Errorf("%d and %d queries at the engine that is gone and the other", one.totalRuns(), two.totalRuns())
+	if removed.totalRuns() > 0 || remaining.totalRuns() != 5 {
+		t.Errorf("%d and %d queries at the engine that is gone and the other", removed.totalRuns(), remaining.totalRuns())
 	}
 }
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -43,14 +43,14 @@
 
 // listenDiscovery is a fake discovery server that hands over each connection once it has read from which event it
 // continues.
-func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
+func listenDiscovery(t *testing.T) (addr string, connections chan discoveryConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	links = make(chan discoveryLink, 8)
+	connections = make(chan discoveryConn, 8)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -59,14 +59,14 @@
 			}
 			var last [8]byte
 			if _, err := io.ReadFull(c, last[:]); err == nil {
-				links <- discoveryLink{c, binary.BigEndian.Uint64(last[:])}
+				connections <- discoveryConn{c, binary.BigEndian.Uint64(last[:])}
 			}
 		}
 	}()
-	return l.Addr().String(), links
+	return l.Addr().String(), connections
 }
 
-type discoveryLink struct {
+type discoveryConn struct {
 	net.Conn
 	lastEvent uint64
 }
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -24,16 +24,16 @@
 	t.Helper()
 	records := record.DefaultConfig
 	records.Dir = t.TempDir()
-	nobody := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
+	refusingAddress := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	return &installation.Settings{
 		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
 		BGP: &bgp.Config{
-			Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
+			Peer: refusingAddress, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
 			Prefixes: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}, NextHop: netip.MustParseAddr("10.0.0.1"),
 			HoldTimeS: 90, ConnectRetryS: 120,
 		},
 		Records: &records,
-		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), MaxPollWaitMS: 1000},
+		Keepers: &configclient.Config{Addresses: []string{refusingAddress}, Dir: t.TempDir(), MaxPollWaitMS: 1000},
 	}
 }
 
@@ -43,7 +43,7 @@
 	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + startIdleDiscovery(t) + `",
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[` +
-		listedEngine(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
+		engineEntry(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 // The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are
 // as they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a
 // router that serves nobody; of the counters' values most do, and they are left out.
-func TestGoldenFigures(t *testing.T) {
+func TestGoldenTelemetryAndStatus(t *testing.T) {
 	n := startAllParts(t)
 	var telemetry, names string
 	inLoop(n, func() {
@@ -90,7 +90,7 @@
 }
 
 // Each part has its counters in the list: one that is left out of the router of the test would be checked by nothing.
-func TestGoldenFiguresHaveEachPart(t *testing.T) {
+func TestGoldenStatusCoversEachPart(t *testing.T) {
 	n := startAllParts(t)
 	inLoop(n, func() {
 		if len(n.parts.all) != len(partConstructors) {
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -22,20 +22,20 @@
 // attributes, or appears in the table of renamed lines on the on-call page, beside a line that is logged: operators
 // look for them, and records have them as events. A new line needs no entry in the golden file.
 func TestGoldenLogLines(t *testing.T) {
-	now := logLines(t)
-	if len(now) < 30 {
-		t.Error(len(now), "lines")
+	current := logLines(t)
+	if len(current) < 30 {
+		t.Error(len(current), "lines")
 	}
 	if golden.Recording(t, goldenLog) {
-		golden.Write(t, goldenLog, []byte(strings.Join(now, "\n")+"\n"))
+		golden.Write(t, goldenLog, []byte(strings.Join(current, "\n")+"\n"))
 	}
 	renamed := renamedLines(t)
 	for line := range strings.Lines(string(golden.Read(t, goldenLog))) {
 		line = strings.TrimSuffix(line, "\n")
-		if to, ok := renamed[line]; ok {
-			line = to
+		if replacement, ok := renamed[line]; ok {
+			line = replacement
 		}
-		if !slices.Contains(now, line) {
+		if !slices.Contains(current, line) {
 			t.Errorf("no longer logged: %s", line)
 		}
 	}
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -75,7 +75,7 @@
 }
 
 // Each kind of message has a sample, and each golden file too.
-func TestGoldenMessagesAreAll(t *testing.T) {
+func TestGoldenMessagesAreComplete(t *testing.T) {
 	kinds, files := map[string]bool{}, map[string]bool{}
 	for _, s := range messageSamples() {
 		kinds[s.kind] = true
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -18,7 +18,7 @@
 func messageSamples() []messageSample {
 	one, two := sampleState(), sampleState()
 	one.Version, one.Configuration = 0, nil
-	return append(sharedSamples(),
+	return append(samplesOfBothVersions(),
 		messageSample{"v1/hello", "hello", helloMessage{PID: 22071}, []string{"Process", "Version"}},
 		messageSample{"v2/hello", "hello", helloMessage{PID: 22129, Process: 3, Version: hotrestart.ProtocolVersion}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
@@ -48,7 +48,7 @@
 }
 
 // sharedSamples are messages that are the same in both versions.
-func sharedSamples() []messageSample {
+func samplesOfBothVersions() []messageSample {
 	ticket := sampleTicket()
 	return []messageSample{
 		{"both/ready", "ready", readyMessage{Taken: []string{"clients", "door"}}, nil},
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -11,9 +11,9 @@
 
 // A predecessor that does not answer for three seconds. It guards against a new process that takes it for none: it
 // went on without the cordons, with the full limits, and the old one never read that it was to stop accepting.
-func TestStoppedPredecessor(t *testing.T) {
-	one, two := newBlockingEngine(), newBlockingEngine()
-	harness := newRouterHarness(t, one, two)
+func TestPredecessorStoppedForThreeSeconds(t *testing.T) {
+	one, cordoned := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, cordoned)
 	oldAdmin, newAdmin := freePort(t), freePort(t)
 	old := harness.startProcess(oldAdmin)
 	harness.waitReady(oldAdmin)
@@ -27,7 +27,7 @@
 	for id := range 40 {
 		requireServed(t, c, query("lookup", id, "SELECT 1"))
 	}
-	if two.totalRuns() > 0 {
+	if cordoned.totalRuns() > 0 {
 		t.Error("the cordon was forgotten")
 	}
 	if got := harness.callAdmin("GET", oldAdmin, "/api/ready"); got != 503 {
@@ -111,7 +111,7 @@
 }
 
 // goOn resumes the predecessor: it stops accepting, learns of the cordon, and what it knew is known to the successor.
-func (h *hangingPredecessor) goOn() {
+func (h *hangingPredecessor) resume() {
 	h.t.Helper()
 	if err := h.old.Process.Signal(syscall.SIGCONT); err != nil {
 		h.t.Fatal(err)
@@ -142,15 +142,15 @@
 // takes in no load, and learns of what the predecessor knows when it continues after all. It guards against a router
 // that can't be restarted out of a process that hangs.
 func TestPredecessorHangs(t *testing.T) {
-	t.Run("and is killed", func(t *testing.T) {
+	t.Run("killed", func(t *testing.T) {
 		h := hangPredecessor(t)
 		h.checkDegraded()
 		h.kill()
 	})
-	t.Run("and goes on", func(t *testing.T) {
+	t.Run("resumed", func(t *testing.T) {
 		h := hangPredecessor(t)
 		h.checkDegraded()
-		h.goOn()
+		h.resume()
 	})
 }
 
@@ -159,59 +159,59 @@
 // forgotten, more descriptors than the limit.
 func TestTenHotRestarts(t *testing.T) {
 	const sockets = 256
-	one, two := newBlockingEngine(), newBlockingEngine()
-	harness := newRouterHarness(t, one, two)
+	one, cordoned := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, cordoned)
 	harness.limitSockets(sockets)
-	all := &descriptorWatch{tracked: map[int]bool{}}
-	all.run(t)
+	descriptors := &descriptorWatch{tracked: map[int]bool{}}
+	descriptors.run(t)
 	adminAddresses := []string{freePort(t), freePort(t)}
-	now := harness.startProcess(adminAddresses[0])
-	all.track(now, true)
+	current := harness.startProcess(adminAddresses[0])
+	descriptors.track(current, true)
 	harness.waitReady(adminAddresses[0])
 	if harness.callAdmin("POST", adminAddresses[0], "/api/exclude/s-00000002") != 200 {
 		t.Fatal("the cordon was not taken")
 	}
-	c := harness.startLoad(24)
-	for n := 1; n <= 10; n++ {
-		stop := func() {}
-		switch n {
+	load := harness.startLoad(24)
+	for round := 1; round <= 10; round++ {
+		stopThrottling := func() {}
+		switch round {
 		case 2, 7:
-			harness.stopFor(now, 3*time.Second)
+			harness.stopFor(current, 3*time.Second)
 		case 3, 8:
-			stop = harness.throttle(now)
+			stopThrottling = harness.throttle(current)
 		}
-		next := harness.startProcess(adminAddresses[n%2])
-		all.track(next, true)
-		switch n {
+		next := harness.startProcess(adminAddresses[round%2])
+		descriptors.track(next, true)
+		switch round {
 		case 4:
-			stop = harness.throttle(next)
+			stopThrottling = harness.throttle(next)
 		case 5:
 			harness.stopFor(next, time.Second)
 		}
-		harness.waitReady(adminAddresses[n%2])
-		harness.terminate(now)
-		stop()
-		all.track(now, false)
-		now = next
-		if two.totalRuns() > 0 {
-			t.Fatalf("hot restart %d: the cordon was forgotten", n)
+		harness.waitReady(adminAddresses[round%2])
+		harness.terminate(current)
+		stopThrottling()
+		descriptors.track(current, false)
+		current = next
+		if cordoned.totalRuns() > 0 {
+			t.Fatalf("hot restart %d: the cordon was forgotten", round)
 		}
 	}
-	c.stop(t)
+	load.stop(t)
 	one.requireLoadsOnce(t)
-	all.mu.Lock()
-	defer all.mu.Unlock()
-	t.Logf("%d descriptors of %d", all.peak, sockets)
-	if all.peak > sockets {
-		t.Errorf("%d descriptors where %d is the limit", all.peak, sockets)
+	descriptors.mu.Lock()
+	defer descriptors.mu.Unlock()
+	t.Logf("%d descriptors of %d", descriptors.peak, sockets)
+	if descriptors.peak > sockets {
+		t.Errorf("%d descriptors where %d is the limit", descriptors.peak, sockets)
 	}
 }
 
 // A third and a fourth process that start while two live wait their turn; a hot restart that is reverted leaves the old
 // process serving; two that start at once become one after the other.
 func TestChainedAndRevertedHotRestarts(t *testing.T) {
-	one, two := newBlockingEngine(), newBlockingEngine()
-	harness := newRouterHarness(t, one, two)
+	one, cordoned := newBlockingEngine(), newBlockingEngine()
+	harness := newRouterHarness(t, one, cordoned)
 	adminAddresses := make([]string, 6)
 	for i := range adminAddresses {
 		adminAddresses[i] = freePort(t)
@@ -221,7 +221,7 @@
 	if harness.callAdmin("POST", adminAddresses[0], "/api/exclude/s-00000002") != 200 {
 		t.Fatal("the cordon was not taken")
 	}
-	c := harness.startLoad(8)
+	load := harness.startLoad(8)
 	second := harness.startProcess(adminAddresses[1])
 	harness.waitReady(adminAddresses[1])
 	third, fourth := harness.startProcess(adminAddresses[2]), harness.startProcess(adminAddresses[3]) // at once
@@ -256,9 +256,9 @@
 	harness.startProcess(adminAddresses[5])
 	harness.waitReady(adminAddresses[5])
 	harness.terminate(next)
-	c.stop(t)
+	load.stop(t)
 	one.requireLoadsOnce(t)
-	if two.totalRuns() > 0 {
+	if cordoned.totalRuns() > 0 {
 		t.Error("the cordon was forgotten")
 	}
 	left, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "*"))
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -22,7 +22,7 @@
 
 // readExchange reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes
 // sent them.
-func readExchange(t *testing.T, name string) (old, new recordedMessages) {
+func readExchange(t *testing.T, name string) (old, next recordedMessages) {
 	t.Helper()
 	a, err := txtar.ParseFile("testdata/takeover.txtar")
 	if err != nil {
@@ -33,19 +33,19 @@
 			continue
 		}
 		for line := range strings.Lines(string(f.Data)) {
-			var who, kind string
+			var sender, kind string
 			fields := strings.SplitN(strings.TrimSpace(line), " ", 3)
-			if who, kind = fields[0], fields[1]; len(fields) < 3 {
+			if sender, kind = fields[0], fields[1]; len(fields) < 3 {
 				fields = append(fields, "null")
 			}
 			m := hotrestartipc.Message{Kind: kind, Body: jsoniter.RawMessage(fields[2])}
-			if who == "old:" {
+			if sender == "old:" {
 				old = append(old, m)
 			} else {
-				new = append(new, m)
+				next = append(next, m)
 			}
 		}
-		return old, new
+		return old, next
 	}
 	t.Fatal("no exchange", name)
 	return nil, nil
@@ -110,9 +110,9 @@
 	a := startProtocolPeer(conn)
 	a.link.Send(next.byKind(t, "hello"))
 	state := a.expect(t, "state")
-	theirs := bodyFields(t, state)
+	stateFields := bodyFields(t, state)
 	for _, key := range bodyFields(t, old.byKind(t, "state")) {
-		if !slices.Contains(theirs, key) {
+		if !slices.Contains(stateFields, key) {
 			t.Errorf("the state has no %s", key)
 		}
 	}
@@ -189,18 +189,18 @@
 	}
 	a := startProtocolPeer(conn)
 	a.link.Send(next.helloFrom(t, p))
-	type said struct {
+	type messageShape struct {
 		Kind string
 		Keys []string
 	}
-	var got, want []said
+	var got, want []messageShape
 	for _, m := range old {
 		if m.Kind == "wait" { // the exchange has a third process's
 			continue
 		}
-		want = append(want, said{m.Kind, bodyFields(t, m)})
+		want = append(want, messageShape{m.Kind, bodyFields(t, m)})
 		g := a.expect(t, m.Kind)
-		got = append(got, said{g.Kind, bodyFields(t, g)})
+		got = append(got, messageShape{g.Kind, bodyFields(t, g)})
 		if m.Kind == "state" {
 			a.link.Send(next.byKind(t, "ready"))
 		}
@@ -230,7 +230,7 @@
 
 // The process before this one dies, or falls silent, at each step. It guards against a successor that never serves, and
 // against one that serves too early.
-func TestPredecessorAtEachStep(t *testing.T) {
+func TestPredecessorFailsAtEachStep(t *testing.T) {
 	for step := beforeHello; step <= afterGoAhead; step++ {
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silent %t", step, silent), func(t *testing.T) {
@@ -259,11 +259,11 @@
 
 // playPredecessor plays the recorded predecessor up to a step; it returns nil before the first one. greeted is called
 // once the successor has said hello, or at once before the first step.
-func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, greeted func()) *protocolPeer {
+func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, onHello func()) *protocolPeer {
 	t.Helper()
 	recorded, _ := readExchange(t, "version 2")
 	if step == beforeHello {
-		greeted()
+		onHello()
 		return nil
 	}
 	conn, err := slot.Listener.AcceptUnix()
@@ -272,7 +272,7 @@
 	}
 	peer := startProtocolPeer(conn)
 	peer.expect(t, "hello")
-	greeted()
+	onHello()
 	if step >= afterState {
 		peer.link.Send(recorded.byKind(t, "state"))
 	}
@@ -287,7 +287,7 @@
 
 // The process after this one dies at each step, or breaks the link and opens it again. It guards against a router on
 // which nobody accepts.
-func TestSuccessorAtEachStep(t *testing.T) {
+func TestSuccessorFailsAtEachStep(t *testing.T) {
 	for step := beforeHello; step <= afterGoAhead; step++ {
 		t.Run(step.String(), func(t *testing.T) {
 			harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -29,7 +29,7 @@
 	neighbour          *bgpNeighbour
 	engine, cordoned   *blockingEngine
 	oldAdmin, newAdmin string
-	old                *exec.Cmd
+	predecessor        *exec.Cmd
 
 	slow, killed, idle *mysqlClient // sessions of the predecessor
 	fresh              *mysqlClient // a session of the successor
@@ -62,7 +62,7 @@
 // startOld starts the predecessor, and has clients and an operator use it.
 func (h *hotRestart) startOld() {
 	h.t.Helper()
-	h.old = h.harness.startProcess(h.oldAdmin)
+	h.predecessor = h.harness.startProcess(h.oldAdmin)
 	h.harness.waitReady(h.oldAdmin)
 	if what := <-h.neighbour.updates; what != "announce" || <-h.neighbour.sessions != 1 {
 		h.t.Fatal("the first update is a", what)
@@ -158,9 +158,9 @@
 			h.t.Fatal("a load of the new process:", rows, code, err)
 		}
 	}
-	for id, why := range map[int]string{7: "a load that ran before", 9: "a request that is open in the old process"} {
+	for id, description := range map[int]string{7: "a load that ran before", 9: "a request that is open in the old process"} {
 		if _, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); code != 1064 || err != nil {
-			h.t.Errorf("the id of %s: error %d, %v", why, code, err)
+			h.t.Errorf("the id of %s: error %d, %v", description, code, err)
 		}
 	}
 	before := h.cordoned.totalRuns()
@@ -191,7 +191,7 @@
 // endOld ends the predecessor, which closes idle sessions and answers the open request first.
 func (h *hotRestart) endOld() {
 	h.t.Helper()
-	if err := h.old.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := h.predecessor.Process.Signal(syscall.SIGTERM); err != nil {
 		h.t.Fatal(err)
 	}
 	if _, err := h.idle.packet(); !errors.Is(err, io.EOF) {
@@ -206,7 +206,7 @@
 	if err := <-h.answers; err != nil {
 		h.t.Error("the open request:", err)
 	}
-	if err := h.old.Wait(); err != nil {
+	if err := h.predecessor.Wait(); err != nil {
 		h.t.Error("the old process:", err)
 	}
 }
@@ -237,7 +237,7 @@
 	restart.checkTicket()
 	restart.endOld()
 	restart.checkUncordon()
-	restart.neighbour.checkSessionGoesOn(t)
+	restart.neighbour.checkSessionContinues(t)
 }
 
 // Should the new process end first, the old one continues as before: it accepts, is ready, and can be restarted hot. So
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -34,53 +34,53 @@
 
 // simulatedConn is a connection to an engine.
 type simulatedConn struct {
-	harness  *interleavingHarness
-	engine   int // as the address says
-	handler  netio.Handler
-	up, shut bool
-	spoilt   bool // it brought what belongs to no call, and must not be used again
-	in       []byte
-	begun    string // the id of a POST of which some has come
-	requests []string
-	unread   []byte // sent by the engine and not yet read
+	harness        *interleavingHarness
+	engine         int // as the address says
+	handler        netio.Handler
+	opened, closed bool
+	strayData      bool // it brought what belongs to no call, and must not be used again
+	received       []byte
+	partialPost    string // the id of a POST of which some has come
+	requests       []string
+	unread         []byte // sent by the engine and not yet read
 }
 
 func (p *simulatedConn) Write(b []byte) error {
-	if p.shut || !p.up {
+	if p.closed || !p.opened {
 		return net.ErrClosed
 	}
-	if p.spoilt {
+	if p.strayData {
 		p.harness.fail("written to a connection that brought what belongs to no call: %.40q", b)
 	}
-	if len(p.in) == 0 && bytes.HasPrefix(b, []byte("POST")) {
-		p.begun = header(string(b), "Call-Id")
-		p.harness.checkBegin(p)
+	if len(p.received) == 0 && bytes.HasPrefix(b, []byte("POST")) {
+		p.partialPost = header(string(b), "Call-Id")
+		p.harness.checkPostStart(p)
 	}
-	p.in = append(p.in, b...)
+	p.received = append(p.received, b...)
 	for {
-		head, body, complete := strings.Cut(string(p.in), "\r\n\r\n")
+		head, body, complete := strings.Cut(string(p.received), "\r\n\r\n")
 		n, _ := strconv.Atoi(header(head, "Content-Length"))
 		if !complete || len(body) < n {
 			return nil
 		}
 		p.requests = append(p.requests, head)
-		switch post := p.harness.attempt(idOf(head), p.engine); {
+		switch post := p.harness.latestAttempt(requestID(head), p.engine); {
 		case strings.HasPrefix(head, "GET"):
 			post.polledAt = p.harness.now.MS
 		case strings.HasPrefix(head, "DELETE"):
 			post.ended = true
 		}
-		p.in = append([]byte(nil), body[n:]...)
-		if p.begun != "" {
-			p.harness.checkComplete(p)
-			p.begun = ""
+		p.received = append([]byte(nil), body[n:]...)
+		if p.partialPost != "" {
+			p.harness.checkPostReceived(p)
+			p.partialPost = ""
 		}
 	}
 }
 
 func (p *simulatedConn) Close() {
-	if !p.shut {
-		p.shut = true
+	if !p.closed {
+		p.closed = true
 		p.harness.loop.Post(func() { p.handler.Closed(net.ErrClosed) })
 	}
 }
@@ -106,9 +106,9 @@
 	class         int
 	session       uint32
 	cancelledAt   float64 // when it left, or cancelled; 0 while it waits
-	shut          bool
+	closed        bool
 	loggedIn      bool
-	end           float64
+	deadline      float64
 	answers       int
 	answerPackets int // packets of the answer under way
 	buffered      []byte
@@ -129,7 +129,7 @@
 }
 
 // attempt is the one of a client's id at an engine.
-func (w *interleavingHarness) attempt(id string, engine int) *simulatedAttempt {
+func (w *interleavingHarness) latestAttempt(id string, engine int) *simulatedAttempt {
 	if c := w.byID[id]; c != nil {
 		for _, post := range slices.Backward(c.attempts) {
 			if post.engine == engine {
@@ -141,7 +141,7 @@
 }
 
 // idOf is the id that a call is about.
-func idOf(head string) string {
+func requestID(head string) string {
 	if id := header(head, "Call-Id"); id != "" {
 		return id
 	}
@@ -150,7 +150,7 @@
 }
 
 // mayHaveRun is the first attempt that may have run.
-func (c *simulatedClient) mayHaveRun() *simulatedAttempt {
+func (c *simulatedClient) firstPossibleRun() *simulatedAttempt {
 	for _, post := range c.attempts {
 		if !post.neverRan {
 			return post
@@ -160,7 +160,7 @@
 }
 
 func (c *simulatedClient) Write(b []byte) error {
-	if c.shut {
+	if c.closed {
 		return net.ErrClosed
 	}
 	c.buffered = append(c.buffered, b...)
@@ -193,8 +193,8 @@
 }
 
 func (c *simulatedClient) Close() {
-	if !c.shut {
-		c.shut = true
+	if !c.closed {
+		c.closed = true
 		c.harness.loop.Post(func() { c.handler.Closed(net.ErrClosed) })
 	}
 }
@@ -204,20 +204,20 @@
 func (c *simulatedClient) NotifyFlushed(f func())  { f() }
 
 type interleavingHarness struct {
-	t           *rapid.T
-	now         *clock.Manual
-	loop        *router.Loop
-	core        *router.Core
-	engines     *enginehttp.Client
-	front       *mysql.Front
-	conns       []*simulatedConn
-	clients     []*simulatedClient
-	byID        map[string]*simulatedClient
-	closed      map[int]float64 // engines to which nothing new may go, and since when
-	addresses   map[dispatch.EngineID]int
-	cordoned    map[dispatch.EngineID]float64 // since when
-	lastAddress int
-	noHedging   bool // no hedged request is allowed
+	t             *rapid.T
+	now           *clock.Manual
+	loop          *router.Loop
+	core          *router.Core
+	engines       *enginehttp.Client
+	front         *mysql.Front
+	conns         []*simulatedConn
+	clients       []*simulatedClient
+	byID          map[string]*simulatedClient
+	closedSince   map[int]float64 // engines to which nothing new may go, and since when
+	addresses     map[dispatch.EngineID]int
+	cordonedSince map[dispatch.EngineID]float64 // since when
+	lastAddress   int
+	noHedging     bool // no hedged request is allowed
 }
 
 var interleavingClasses = []dispatch.Class{
@@ -235,18 +235,18 @@
 func newInterleavingHarness(t *rapid.T) *interleavingHarness {
 	w := &interleavingHarness{
 		t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*simulatedClient{},
-		closed: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordoned: map[dispatch.EngineID]float64{},
+		closedSince: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordonedSince: map[dispatch.EngineID]float64{},
 	}
 	w.loop = router.NewLoop(w.now)
 	log := slog.New(slog.DiscardHandler)
 	clients := &router.ByKind{}
-	w.noHedging = rapid.Bool().Draw(t, "no second copies")
+	w.noHedging = rapid.Bool().Draw(t, "hedging off")
 	core, err := router.New(w.loop, dispatch.Config{
 		Routers: 1, HedgingAllowed: !w.noHedging, Tick: 5 * time.Millisecond, MaxAttempts: 4,
 		RetryAfter: dispatch.RetryAfter{Allowed: true, Max: 2 * time.Second},
 		Features:   dispatch.EngineFeatures{Priorities: true},
 		Kinds:      []dispatch.EngineKind{{Name: "k", Cores: 8, MemoryMB: 8192}}, Classes: interleavingClasses,
-		CancelAllowed: rapid.Bool().Draw(t, "cancels"),
+		CancelAllowed: rapid.Bool().Draw(t, "cancel allowed"),
 		WarmUp: dispatch.WarmUp{
 			InitialShare: 0.4, Duration: 5 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
 		},
@@ -275,7 +275,7 @@
 	}
 }
 
-func (w *interleavingHarness) wait(ms float64) {
+func (w *interleavingHarness) advance(ms float64) {
 	for end := w.now.MS + ms; w.now.MS < end; w.now.MS++ {
 		w.run()
 	}
@@ -287,8 +287,8 @@
 	p := &simulatedConn{harness: w, engine: n, handler: h}
 	w.conns = append(w.conns, p)
 	w.loop.After(timeout, func() {
-		if !p.up && !p.shut {
-			p.shut = true
+		if !p.opened && !p.closed {
+			p.closed = true
 			p.handler.Closed(errors.Join(netio.ErrNotConnected, os.ErrDeadlineExceeded))
 		}
 	})
@@ -297,12 +297,12 @@
 
 // updateEndpoint sends the event of an engine; one that is started anew is at another address.
 func (w *interleavingHarness) updateEndpoint(id dispatch.EngineID, state dispatch.EndpointState) {
-	if state == dispatch.Live && w.addresses[id] == 0 || state == dispatch.Live && w.closed[w.addresses[id]] > 0 {
+	if state == dispatch.Live && w.addresses[id] == 0 || state == dispatch.Live && w.closedSince[w.addresses[id]] > 0 {
 		w.lastAddress++
 		w.addresses[id] = w.lastAddress
 	}
 	if state != dispatch.Live {
-		w.closed[w.addresses[id]] = w.now.MS
+		w.closedSince[w.addresses[id]] = w.now.MS
 	}
 	w.core.UpdateEndpoints(dispatch.EndpointList{
 		Mode:      dispatch.ListIncremental,
@@ -312,9 +312,9 @@
 }
 
 // checkBegin checks a POST whose first byte is written.
-func (w *interleavingHarness) checkBegin(p *simulatedConn) {
-	c := w.byID[p.begun]
-	for id, since := range w.cordoned {
+func (w *interleavingHarness) checkPostStart(p *simulatedConn) {
+	c := w.byID[p.partialPost]
+	for id, since := range w.cordonedSince {
 		if w.addresses[id] == p.engine && w.now.MS > since {
 			w.fail("%s begins at an engine %.0f ms after its cordon", c.id, w.now.MS-since)
 		}
@@ -324,20 +324,20 @@
 		w.fail("%s begins %.0f ms after its client has gone", c.id, now-c.cancelledAt)
 	case c.answers > 0:
 		w.fail("%s begins after its answer", c.id)
-	case w.closed[p.engine] > 0 && now > w.closed[p.engine]:
-		w.fail("%s begins at an engine %.0f ms after the event of its end", c.id, now-w.closed[p.engine])
-	case now > c.end:
+	case w.closedSince[p.engine] > 0 && now > w.closedSince[p.engine]:
+		w.fail("%s begins at an engine %.0f ms after the event of its end", c.id, now-w.closedSince[p.engine])
+	case now > c.deadline:
 		w.fail("%s begins after its end", c.id)
-	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.mayHaveRun() != nil &&
-		now > c.mayHaveRun().startedAt+clock.Millis(interleavingWindow):
-		w.fail("%s begins %.0f ms after its first attempt", c.id, now-c.mayHaveRun().startedAt)
+	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.firstPossibleRun() != nil &&
+		now > c.firstPossibleRun().startedAt+clock.Millis(interleavingWindow):
+		w.fail("%s begins %.0f ms after its first attempt", c.id, now-c.firstPossibleRun().startedAt)
 	}
 }
 
 // checkComplete checks a POST that has arrived completely.
-func (w *interleavingHarness) checkComplete(p *simulatedConn) {
-	c := w.byID[p.begun]
-	if interleavingClasses[c.class].Semantics == dispatch.AtMostOnce && c.mayHaveRun() != nil {
+func (w *interleavingHarness) checkPostReceived(p *simulatedConn) {
+	c := w.byID[p.partialPost]
+	if interleavingClasses[c.class].Semantics == dispatch.AtMostOnce && c.firstPossibleRun() != nil {
 		w.fail("load %s has arrived completely twice", c.id)
 	}
 	for _, post := range c.attempts {
@@ -355,19 +355,19 @@
 func (w *interleavingHarness) startRequest(class int, budget float64) {
 	c := &simulatedClient{
 		harness: w, handler: w.front.NewSession(), class: class,
-		id: fmt.Sprintf("%016x", len(w.clients)+1), end: w.now.MS + budget,
+		id: fmt.Sprintf("%016x", len(w.clients)+1), deadline: w.now.MS + budget,
 	}
 	w.clients = append(w.clients, c)
 	w.byID[c.id] = c
 	c.handler.Opened(c)
 	login := append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
 		append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...)
-	c.handler.Data(packetOf(1, login), w.now.MS)
+	c.handler.Data(mysqlPacket(1, login), w.now.MS)
 	c.loggedIn = true
-	c.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "/* method=%s,rid=%s,budget=%.0f */ SELECT 1 FROM a_%d.b",
+	c.handler.Data(mysqlPacket(0, fmt.Appendf([]byte{3}, "/* method=%s,rid=%s,budget=%.0f */ SELECT 1 FROM a_%d.b",
 		interleavingClasses[class].Name, c.id, budget, class)), w.now.MS)
 }
 
-func packetOf(seq byte, body []byte) []byte {
+func mysqlPacket(seq byte, body []byte) []byte {
 	return append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...)
 }
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -32,28 +32,28 @@
 		w := newInterleavingHarness(t)
 		w.run()
 		t.Repeat(map[string]func(*rapid.T){
-			"ask":          func(t *rapid.T) { w.clientQueries(t) },
-			"ask again":    func(t *rapid.T) { w.clientQueries(t) },
-			"client":       func(t *rapid.T) { w.clientCancels(t) },
-			"dial":         func(t *rapid.T) { w.dialCompletes(t) },
-			"engine":       func(t *rapid.T) { w.engineActs(t) },
-			"engine again": func(t *rapid.T) { w.engineActs(t) },
-			"list":         func(t *rapid.T) { w.endpointsChange(t) },
-			"ban":          func(t *rapid.T) { w.operatorCordons(t) },
+			"begin request":       func(t *rapid.T) { w.clientQueries(t) },
+			"begin request again": func(t *rapid.T) { w.clientQueries(t) },
+			"client cancels":      func(t *rapid.T) { w.clientCancels(t) },
+			"dial completes":      func(t *rapid.T) { w.dialCompletes(t) },
+			"engine acts":         func(t *rapid.T) { w.engineActs(t) },
+			"engine acts again":   func(t *rapid.T) { w.engineActs(t) },
+			"update endpoints":    func(t *rapid.T) { w.endpointsChange(t) },
+			"change cordon":       func(t *rapid.T) { w.operatorCordons(t) },
 			"wait": func(t *rapid.T) {
-				w.wait(float64(rapid.SampledFrom([]int{1, 11, 60, 130, 260, 700}).Draw(t, "ms")))
+				w.advance(float64(rapid.SampledFrom([]int{1, 11, 60, 130, 260, 700}).Draw(t, "ms")))
 			},
 			"": func(*rapid.T) { w.checkAnswers(false) },
 		})
-		w.wait(9000)
+		w.advance(9000)
 		w.checkAnswers(true)
 		for _, c := range w.clients {
-			if !c.shut {
-				c.shut = true
+			if !c.closed {
+				c.closed = true
 				c.handler.Closed(errors.New("closed by the client"))
 			}
 		}
-		w.wait(12_000)
+		w.advance(12_000)
 		w.checkNothingLeft()
 	})
 }
@@ -66,35 +66,35 @@
 
 // runOrBatch lets the loop run, or leaves what has arrived for one batch with what arrives next.
 func (w *interleavingHarness) runOrBatch(t *rapid.T) {
-	if rapid.Bool().Draw(t, "at once") {
+	if rapid.Bool().Draw(t, "run loop now") {
 		w.run()
 	}
 }
 
 // clientCancels closes a waiting client's connection, or cancels its query on another session.
 func (w *interleavingHarness) clientCancels(t *rapid.T) {
-	var wait []*simulatedClient
+	var waiting []*simulatedClient
 	for _, c := range w.clients {
-		if !c.shut && c.cancelledAt == 0 && c.answers == 0 {
-			wait = append(wait, c)
+		if !c.closed && c.cancelledAt == 0 && c.answers == 0 {
+			waiting = append(waiting, c)
 		}
 	}
-	if len(wait) == 0 {
+	if len(waiting) == 0 {
 		return
 	}
-	c := rapid.SampledFrom(wait).Draw(t, "client")
+	c := rapid.SampledFrom(waiting).Draw(t, "client")
 	c.cancelledAt = w.now.MS
-	if rapid.Bool().Draw(t, "closes") {
-		c.shut = true
+	if rapid.Bool().Draw(t, "closes connection") {
+		c.closed = true
 		w.loop.Post(func() { c.handler.Closed(errors.New("closed by the client")) })
 	} else {
 		w.loop.Post(func() {
-			k := &simulatedClient{harness: w, handler: w.front.NewSession()}
-			k.handler.Opened(k)
-			k.handler.Data(packetOf(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
+			killer := &simulatedClient{harness: w, handler: w.front.NewSession()}
+			killer.handler.Opened(killer)
+			killer.handler.Data(mysqlPacket(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
 				append(make([]byte, 23), "app\x00\x00warehouse\x00"...)...)), w.now.MS)
-			k.handler.Data(packetOf(0, fmt.Appendf([]byte{3}, "KILL QUERY %d", c.session)), w.now.MS)
-			k.Close()
+			killer.handler.Data(mysqlPacket(0, fmt.Appendf([]byte{3}, "KILL QUERY %d", c.session)), w.now.MS)
+			killer.Close()
 		})
 	}
 	w.runOrBatch(t)
@@ -104,20 +104,20 @@
 func (w *interleavingHarness) dialCompletes(t *rapid.T) {
 	var dials []*simulatedConn
 	for _, p := range w.conns {
-		if !p.up && !p.shut {
+		if !p.opened && !p.closed {
 			dials = append(dials, p)
 		}
 	}
 	if len(dials) == 0 {
 		return
 	}
-	p := rapid.SampledFrom(dials).Draw(t, "dial")
+	p := rapid.SampledFrom(dials).Draw(t, "connection attempt")
 	fails := rapid.IntRange(0, 4).Draw(t, "refused") == 0
 	w.loop.Post(func() {
 		switch {
-		case p.shut || p.up: // that has been decided
+		case p.closed || p.opened: // that has been decided
 		case fails:
-			p.shut = true
+			p.closed = true
 			for _, c := range w.clients { // nobody runs there
 				for _, post := range c.attempts {
 					post.ended = post.ended || post.engine == p.engine
@@ -125,20 +125,20 @@
 			}
 			p.handler.Closed(errors.Join(netio.ErrNotConnected, syscall.ECONNREFUSED))
 		default:
-			p.up = true
+			p.opened = true
 			p.handler.Opened(p)
 		}
 	})
 	w.runOrBatch(t)
 }
 
-const good = "HTTP/1.1 200 OK\r\nX-Parts: 1\r\nX-Cpu-Ms: 5\r\nContent-Length: 6\r\n\r\n1\t2\t3\n"
+const completeAnswer = "HTTP/1.1 200 OK\r\nX-Parts: 1\r\nX-Cpu-Ms: 5\r\nContent-Length: 6\r\n\r\n1\t2\t3\n"
 
 // engineActs answers an engine's open call, well or not, or does something on an idle connection.
 func (w *interleavingHarness) engineActs(t *rapid.T) {
 	var open []*simulatedConn
 	for _, conn := range w.conns {
-		if conn.up && !conn.shut {
+		if conn.opened && !conn.closed {
 			open = append(open, conn)
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 	conn := rapid.SampledFrom(open).Draw(t, "connection")
 	if len(conn.requests) == 0 {
-		w.engineDisturbs(t, conn)
+		w.engineDisturbsIdleConn(t, conn)
 	} else {
 		head := conn.requests[0]
 		conn.requests = conn.requests[1:]
@@ -161,12 +161,12 @@
 }
 
 // engineDisturbs closes an engine's idle connection, or sends on it what nobody requested, or nothing.
-func (w *interleavingHarness) engineDisturbs(t *rapid.T, conn *simulatedConn) {
-	switch rapid.IntRange(0, 5).Draw(t, "on a resting connection") {
+func (w *interleavingHarness) engineDisturbsIdleConn(t *rapid.T, conn *simulatedConn) {
+	switch rapid.IntRange(0, 5).Draw(t, "idle connection") {
 	case 0:
 		w.close(conn)
 	case 1:
-		if conn.begun == "" {
+		if conn.partialPost == "" {
 			w.engineSends(conn, "HTTP/1.1 20", true)
 		}
 	}
@@ -174,7 +174,7 @@
 
 // engineConfirms answers an engine's cancel or priority call, or loses the connection.
 func (w *interleavingHarness) engineConfirms(t *rapid.T, conn *simulatedConn) {
-	if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+	if rapid.IntRange(0, 3).Draw(t, "connection lost") == 0 {
 		w.close(conn)
 	} else {
 		w.engineSends(conn, "HTTP/1.1 204 No Content\r\n\r\n", false)
@@ -183,36 +183,37 @@
 
 // engineAnswers answers a request at an engine; head is the beginning of the request.
 func (w *interleavingHarness) engineAnswers(t *rapid.T, conn *simulatedConn, head string) {
-	attempt := w.attempt(idOf(head), conn.engine)
+	attempt := w.latestAttempt(requestID(head), conn.engine)
 	answers := []string{
-		"good", "good", "later", "later", "full", "error", "reset", "half", "second", "noise", "silent",
+		"complete", "complete", "pending", "pending", "full", "error", "reset", "truncated", "duplicate", "unsolicited",
+		"none",
 	}
 	switch rapid.SampledFrom(answers).Draw(t, "answer") {
-	case "good":
+	case "complete":
 		attempt.ended = true
-		w.engineSends(conn, good, false)
-	case "later":
+		w.engineSends(conn, completeAnswer, false)
+	case "pending":
 		w.engineSends(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", false)
 	case "full":
-		proof := ""
+		notBegunHeader := ""
 		if attempt.ended = true; strings.HasPrefix(head, "POST") {
-			attempt.neverRan, proof = true, "Not-Begun: 1\r\n"
+			attempt.neverRan, notBegunHeader = true, "Not-Begun: 1\r\n"
 		}
-		w.engineSends(conn, "HTTP/1.1 503 Full\r\n"+proof+"Content-Length: 0\r\n\r\n", false)
+		w.engineSends(conn, "HTTP/1.1 503 Full\r\n"+notBegunHeader+"Content-Length: 0\r\n\r\n", false)
 	case "error":
 		attempt.ended = true
 		w.engineSends(conn, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n", false)
 	case "reset":
 		w.close(conn)
-	case "half":
+	case "truncated":
 		attempt.ended = true
-		w.engineSends(conn, good[:30], false)
+		w.engineSends(conn, completeAnswer[:30], false)
 		w.close(conn)
-	case "second":
+	case "duplicate":
 		attempt.ended = true
-		w.engineSends(conn, good, false)
-		w.engineSends(conn, good, true)
-	case "noise":
+		w.engineSends(conn, completeAnswer, false)
+		w.engineSends(conn, completeAnswer, true)
+	case "unsolicited":
 		w.engineSends(conn, "no engine says that\r\n\r\n", true)
 	}
 }
@@ -223,17 +224,17 @@
 	p.unread = append(p.unread, text...)
 	w.loop.Post(func() {
 		p.unread = p.unread[len(text):]
-		if !p.shut {
+		if !p.closed {
 			p.handler.Data([]byte(text), w.now.MS)
-			p.spoilt = p.spoilt || stray
+			p.strayData = p.strayData || stray
 		}
 	})
 }
 
 func (w *interleavingHarness) close(p *simulatedConn) {
 	w.loop.Post(func() {
-		if !p.shut {
-			p.shut = true
+		if !p.closed {
+			p.closed = true
 			p.handler.Closed(syscall.ECONNRESET)
 		}
 	})
@@ -252,28 +253,28 @@
 // operatorCordons cordons an engine or uncordons it as an operator; it counts from the moment of the answer.
 func (w *interleavingHarness) operatorCordons(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
-	cordon := rapid.Bool().Draw(t, "exclude")
+	cordon := rapid.Bool().Draw(t, "cordon")
 	w.loop.Post(func() {
 		if !cordon {
-			delete(w.cordoned, id)
+			delete(w.cordonedSince, id)
 			w.core.Uncordon(id)
 		} else if w.core.Cordon(id) {
-			w.cordoned[id] = w.now.MS
+			w.cordonedSince[id] = w.now.MS
 		}
 	})
 	w.runOrBatch(t)
 }
 
 // checkAnswers checks every client's answers; late says that all time is up.
-func (w *interleavingHarness) checkAnswers(late bool) {
+func (w *interleavingHarness) checkAnswers(final bool) {
 	for _, c := range w.clients {
 		if c.answers > 1 {
 			w.fail("%s has %d answers", c.id, c.answers)
 		}
-		if c.cancelledAt == 0 && c.answers == 0 && (late || w.now.MS > c.end+20 && !w.loop.Step()) {
+		if c.cancelledAt == 0 && c.answers == 0 && (final || w.now.MS > c.deadline+20 && !w.loop.Step()) {
 			w.run()
 			if c.answers == 0 {
-				w.fail("%s has no answer %.0f ms after its end", c.id, w.now.MS-c.end)
+				w.fail("%s has no answer %.0f ms after its end", c.id, w.now.MS-c.deadline)
 			}
 		}
 	}
@@ -283,7 +284,7 @@
 func (w *interleavingHarness) checkNothingLeft() {
 	open := 0
 	for _, p := range w.conns {
-		if !p.shut {
+		if !p.closed {
 			open++
 		}
 	}
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -52,7 +52,7 @@
 
 // discoveryOfRevision starts a fake discovery server, and returns its address and a function that waits until a router
 // connects, which only one with that address in its configuration does.
-func discoveryOfRevision(t *testing.T) (addr string, reached func()) {
+func discoveryOfRevision(t *testing.T) (addr string, waitForConnection func()) {
 	t.Helper()
 	addr, links := listenDiscovery(t)
 	return addr, func() {
@@ -64,13 +64,13 @@
 
 // A revision is put in force in a running router, which continues to serve; one that it rejects is named with its
 // pointer, and the former one stays; the next good one is in force again.
-func TestRevisionInForce(t *testing.T) {
+func TestRevisionTakesEffect(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
 	adminAddress := freePort(t)
 	harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	if got := harness.figure(adminAddress, revisionFigure); got != 0 {
+	if got := harness.metric(adminAddress, revisionMetric); got != 0 {
 		t.Errorf("at the start revision %d", got)
 	}
 	addr, reached := discoveryOfRevision(t)
@@ -79,21 +79,21 @@
 	reached()
 	harness.requireServing(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	said := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
-	if said.Revision != first || said.Rejected.Revision != bad ||
-		said.Rejected.Pointer != "/settings/specifics/width-by-class" {
-		t.Errorf("%+v, %+v", said, said.Rejected)
+	status := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	if status.Revision != first || status.Rejected.Revision != bad ||
+		status.Rejected.Pointer != "/settings/specifics/width-by-class" {
+		t.Errorf("%+v, %+v", status, status.Rejected)
 	}
-	a, b := harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
+	a, b := harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
 	if a != int(first) || b != int(bad) {
 		t.Errorf("in force %d, rejected %d", a, b)
 	}
 	harness.requireServing(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
-	if said := k.WaitForRevision(last); said.Rejected != nil || said.Name != "n0" {
-		t.Errorf("%+v", said)
+	if status := k.WaitForRevision(last); status.Rejected != nil || status.Name != "n0" {
+		t.Errorf("%+v", status)
 	}
-	a, b = harness.figure(adminAddress, revisionFigure), harness.figure(adminAddress, rejectedFigure)
+	a, b = harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
 	if a != int(last) || b != 0 {
 		t.Errorf("in force %d, rejected %d", a, b)
 	}
@@ -108,7 +108,7 @@
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	hup := func() {
+	sendSIGHUP := func() {
 		t.Helper()
 		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 		last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+1)})
 		if i%4 == 0 {
 			harness.editConfig(func(s string) string { return strings.Replace(s, `"memory_mb":1`, `"memory_mb":11`, 1) })
-			hup()
+			sendSIGHUP()
 		}
 	}
 	k.WaitForRevision(last)
@@ -145,15 +145,15 @@
 	doc["board"] = otherAddress
 	text, _ = json.Marshal(doc)
 	harness.editConfig(func(string) string { return string(text) })
-	hup()
+	sendSIGHUP()
 	// It is rejected: revisions continue over the file that was in force, which has two classes.
-	end := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
-	if said := k.WaitForRevision(end); said.Rejected != nil {
-		t.Errorf("%+v", said.Rejected)
+	afterRejection := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
+	if status := k.WaitForRevision(afterRejection); status.Rejected != nil {
+		t.Errorf("%+v", status.Rejected)
 	}
 	// With the entries gone, and the signal sent again, the same file is in force.
 	k.WaitForRevision(k.Change(nil, "/settings/classes/1/credit", "/board"))
-	hup()
+	sendSIGHUP()
 	l := <-links
 	_ = l.Close()
 	harness.requireServing(1)
@@ -172,7 +172,7 @@
 		adminAddress := freePort(t)
 		p := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
-		if got := harness.figure(adminAddress, revisionFigure); got != int(last) {
+		if got := harness.metric(adminAddress, revisionMetric); got != int(last) {
 			t.Errorf("round %d: revision %d is in force where clients come, of %d", round, got, last)
 		}
 		k.WaitForRevision(last)
@@ -197,7 +197,7 @@
 	}
 }
 
-// Without a keeper at the start a router has its copy in force, or its own file where there is none, and serves.
+// Without a keeper at the test a router has its copy in force, or its own file where there is none, and serves.
 func TestStartWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
 	silent := keepertest.New(t)
@@ -206,7 +206,7 @@
 	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
 	harness := newKeeperHarness(t, k.Addr())
 	rev := k.Change(map[string]string{"/settings/over-share-worth": "0.5"})
-	for _, how := range []struct {
+	for _, test := range []struct {
 		name    string
 		keepers []string
 		want    uint64
@@ -215,8 +215,8 @@
 		{"a copy", []string{silent.Addr(), freePort(t)}, rev},
 		{"nothing", []string{silent.Addr()}, 0},
 	} {
-		harness.configureKeepers(how.keepers...)
-		if how.want == 0 {
+		harness.configureKeepers(test.keepers...)
+		if test.want == 0 {
 			if err := os.RemoveAll(harness.copyDir); err != nil {
 				t.Fatal(err)
 			}
@@ -224,11 +224,11 @@
 		adminAddress := freePort(t)
 		p := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
-		if got := harness.figure(adminAddress, revisionFigure); got != int(how.want) {
-			t.Errorf("%s: revision %d", how.name, got)
+		if got := harness.metric(adminAddress, revisionMetric); got != int(test.want) {
+			t.Errorf("%s: revision %d", test.name, got)
 		}
 		harness.requireServing(1)
-		if how.want == 0 { // keepers come back: a SIGHUP brings another address
+		if test.want == 0 { // keepers come back: a SIGHUP brings another address
 			harness.configureKeepers(k.Addr())
 			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
@@ -248,18 +248,18 @@
 func TestRouterWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
-	plain := &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
+	withoutKeepers := &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
 	oldAdmin, newAdmin := freePort(t), freePort(t)
 	harness.startProcess(oldAdmin)
-	plain.startProcess(newAdmin)
+	withoutKeepers.startProcess(newAdmin)
 	harness.waitReady(oldAdmin)
-	plain.waitReady(newAdmin)
+	withoutKeepers.waitReady(newAdmin)
 	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
-	if a, b := harness.figure(oldAdmin, revisionFigure), plain.figure(newAdmin, revisionFigure); a != 1 || b != -1 {
+	if a, b := harness.metric(oldAdmin, revisionMetric), withoutKeepers.metric(newAdmin, revisionMetric); a != 1 || b != -1 {
 		t.Errorf("revisions %d and %d", a, b)
 	}
 	harness.requireServing(1)
-	plain.requireServing(1)
+	withoutKeepers.requireServing(1)
 }
 
 // A hot restart while revisions arrive: the new process is ready with no earlier revision than the old one had, also
@@ -274,29 +274,29 @@
 	// The new one knows a keeper only that is not there.
 	harness.copyDir = t.TempDir() // nor the copy
 	harness.configureKeepers(freePort(t))
-	burst := make(chan uint64, 1)
+	lastRevision := make(chan uint64, 1)
 	go func() {
 		var last uint64
 		for i := range 200 {
 			last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+2)})
 		}
-		burst <- last
+		lastRevision <- last
 	}()
-	before := harness.figure(oldAdmin, revisionFigure)
+	before := harness.metric(oldAdmin, revisionMetric)
 	harness.startProcess(newAdmin)
 	harness.waitReady(newAdmin)
-	if got := harness.figure(newAdmin, revisionFigure); got < before || before == 0 {
+	if got := harness.metric(newAdmin, revisionMetric); got < before || before == 0 {
 		t.Errorf("the new process accepts at revision %d, the old one was at %d before", got, before)
 	}
-	last := <-burst
+	last := <-lastRevision
 	k.WaitForRevision(last) // in the old one
 	harness.waitFor("both obey the same revision", func() bool {
-		return harness.figure(newAdmin, revisionFigure) == int(last) && harness.figure(oldAdmin, revisionFigure) == int(last)
+		return harness.metric(newAdmin, revisionMetric) == int(last) && harness.metric(oldAdmin, revisionMetric) == int(last)
 	})
 	harness.requireServing(1)
 	// The new one alone continues from there.
 	harness.terminate(old)
-	if got := harness.figure(newAdmin, revisionFigure); got != int(last) {
+	if got := harness.metric(newAdmin, revisionMetric); got != int(last) {
 		t.Errorf("alone at revision %d", got)
 	}
 	harness.requireServing(2)
--- a/internal/node/log_writer_test.go
+++ b/internal/node/log_writer_test.go
@@ -18,15 +18,15 @@
 		}
 	}
 	l.flush() // times out
-	got := make(chan string)
+	written := make(chan string)
 	go func() {
 		text, _ := io.ReadAll(r)
-		got <- string(text)
+		written <- string(text)
 	}()
 	dropped := <-reported
 	l.flush()
 	_ = w.Close()
-	if n := int64(strings.Count(<-got, "a line\n")); n+dropped != 2*maxQueuedLines || dropped == 0 {
+	if n := int64(strings.Count(<-written, "a line\n")); n+dropped != 2*maxQueuedLines || dropped == 0 {
 		t.Errorf("%d lines and %d dropped of %d", n, dropped, 2*maxQueuedLines)
 	}
 }
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -88,23 +88,23 @@
 	executions *executionLog
 }
 
-func incoming(ctx context.Context, name string) string {
+func incomingMetadata(ctx context.Context, name string) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return strings.Join(md.Get(name), ",")
 }
 
-func (e *flightEngine) GetFlightInfoStatement(ctx context.Context, cmd fsql.StatementQuery,
+func (e *flightEngine) GetFlightInfoStatement(ctx context.Context, _ fsql.StatementQuery,
 
 	desc *flight.FlightDescriptor,
 ) (*flight.FlightInfo, error) {
-	ticket, err := fsql.CreateStatementQueryTicket([]byte(incoming(ctx, "rid")))
+	ticket, err := fsql.CreateStatementQueryTicket([]byte(incomingMetadata(ctx, "rid")))
 	return &flight.FlightInfo{
 		FlightDescriptor: desc,
 		Endpoint:         []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: ticket}}},
 	}, err
 }
 
-func (e *flightEngine) DoGetStatement(ctx context.Context, cmd fsql.StatementQueryTicket) (*arrow.Schema,
+func (e *flightEngine) DoGetStatement(_ context.Context, cmd fsql.StatementQueryTicket) (*arrow.Schema,
 
 	<-chan flight.StreamChunk, error,
 ) {
@@ -128,7 +128,7 @@
 }
 
 func (e *flightEngine) DoPutCommandStatementUpdate(ctx context.Context, _ fsql.StatementUpdate) (int64, error) {
-	id := incoming(ctx, "rid")
+	id := incomingMetadata(ctx, "rid")
 	if id[0] == 'f' {
 		_ = grpc.SetTrailer(ctx, metadata.Pairs("not-begun", "1"))
 		return 0, status.Error(codes.ResourceExhausted, "full")
@@ -187,10 +187,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := &installation.Settings{FlightSQL: &flightsql.Config{
+	site := &installation.Settings{FlightSQL: &flightsql.Config{
 		Listen: freePort(t), EngineKinds: []string{"arrow"}, MaxConnections: 32,
 	}}
-	n, err := start(cfg, own, slog.New(slog.DiscardHandler))
+	n, err := start(cfg, site, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,7 +245,7 @@
 }
 
 // answered notes the answer to a request.
-func (r *mixedRun) answered(front string, request plannedRequest, served bool) {
+func (r *mixedRun) recordAnswer(front string, request plannedRequest, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers[request.id]++
@@ -278,7 +278,7 @@
 		if code == 0 && rows != 60 && rows != 1 {
 			r.t.Errorf("mysql %s %s: served with %d rows", request.class(), request.id, rows)
 		}
-		r.answered("mysql", request, code == 0)
+		r.recordAnswer("mysql", request, code == 0)
 	}
 }
 
@@ -297,7 +297,7 @@
 		if err != nil {
 			r.t.Errorf("flight %s %s: %v", request.class(), request.id, err)
 		}
-		r.answered("flight", request, served)
+		r.recordAnswer("flight", request, served)
 	}
 }
 
@@ -307,9 +307,9 @@
 	if len(r.answers) != requests {
 		r.t.Errorf("%d requests were answered of %d", len(r.answers), requests)
 	}
-	for id, times := range r.answers {
-		if times != 1 {
-			r.t.Errorf("request %s was answered %d times", id, times)
+	for id, count := range r.answers {
+		if count != 1 {
+			r.t.Errorf("request %s was answered %d times", id, count)
 		}
 	}
 	r.executions.mu.Lock()
--- a/internal/node/mysql_client_test.go
+++ b/internal/node/mysql_client_test.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	m := &mysqlClient{conn: c, reader: bufio.NewReader(c)}
-	if err := m.login(); err != nil {
+	if err := m.sendLogin(); err != nil {
 		return nil, err
 	}
 	for range 2 { // the greeting, and OK
@@ -33,7 +33,7 @@
 	return m, nil
 }
 
-func (m *mysqlClient) login() error {
+func (m *mysqlClient) sendLogin() error {
 	login := binary.LittleEndian.AppendUint32(nil, 0x000fa20d)
 	login = append(login, 0, 0, 0, 1, 45)
 	login = append(login, make([]byte, 23)...)
--- a/internal/node/oncall_test.go
+++ b/internal/node/oncall_test.go
@@ -9,7 +9,7 @@
 
 // Each line that the router may log, from Info up, is on the on-call page or on the page that it leads to;
 // records have the same lines as events. It guards against a page that says less than the program.
-func TestOnCallPageHasEachLine(t *testing.T) {
+func TestOnCallPagesHaveEachLogLine(t *testing.T) {
 	var pages strings.Builder
 	for _, name := range []string{"on-call.md", "operating.md", "records.md"} {
 		text, err := os.ReadFile("../../docs/" + name)
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -17,7 +17,7 @@
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	blocked, rests, half := harness.dial(), harness.dial(), harness.dial()
+	blocked, idle, interrupted := harness.dial(), harness.dial(), harness.dial()
 	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	if _, err := fresh.packet(); err != nil { // its greeting: it is accepted, and has said nothing
 		t.Fatal(err)
 	}
-	pieces := func(c *mysqlClient, b []byte, size int) {
+	writeInPieces := func(c *mysqlClient, b []byte, size int) {
 		t.Helper()
 		for ; len(b) > 0; b = b[min(size, len(b)):] {
 			if _, err := c.conn.Write(b[:min(size, len(b))]); err != nil {
@@ -43,28 +43,28 @@
 		body := append([]byte{3}, query("lookup", id, "SELECT 1")...)
 		return append([]byte{byte(len(body)), 0, 0, 0}, body...)
 	}
-	split := packet(2)
-	pieces(half, split[:9], 3)
+	interruptedPacket := packet(2)
+	writeInPieces(interrupted, interruptedPacket[:9], 3)
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
-	pieces(half, split[9:], 7)
-	pieces(rests, packet(3), 1)
-	if err := fresh.login(); err != nil {
+	writeInPieces(interrupted, interruptedPacket[9:], 7)
+	writeInPieces(idle, packet(3), 1)
+	if err := fresh.sendLogin(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := fresh.packet(); err != nil {
 		t.Fatal(err)
 	}
-	pieces(fresh, packet(4), 2)
-	for name, c := range map[string]*mysqlClient{"half before": half, "rested": rests, "just accepted": fresh} {
+	writeInPieces(fresh, packet(4), 2)
+	for name, c := range map[string]*mysqlClient{"half before": interrupted, "rested": idle, "just accepted": fresh} {
 		checkServedAnswer(t, c, name)
 	}
 	close(engine.released)
 	checkServedAnswer(t, blocked, "the one that ran:")
 	for name, c := range map[string]*mysqlClient{
-		"blocked": blocked, "half before": half, "rested": rests, "just accepted": fresh,
+		"blocked": blocked, "half before": interrupted, "rested": idle, "just accepted": fresh,
 	} {
 		checkClosed(t, name, c)
 	}
--- a/internal/node/process_control_test.go
+++ b/internal/node/process_control_test.go
@@ -12,12 +12,12 @@
 )
 
 // stopFor stops a process and resumes it after a while.
-func (h *routerHarness) stopFor(p *exec.Cmd, pause time.Duration) {
+func (h *routerHarness) stopFor(p *exec.Cmd, duration time.Duration) {
 	h.t.Helper()
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 		h.t.Fatal(err)
 	}
-	time.AfterFunc(pause, func() { _ = p.Process.Signal(syscall.SIGCONT) })
+	time.AfterFunc(duration, func() { _ = p.Process.Signal(syscall.SIGCONT) })
 }
 
 // throttle limits a process to a tenth of its time until the end of the test, or until stop is called.
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -35,8 +35,8 @@
 func (a *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for {
-		m, there := a.next()
-		if !there {
+		m, ok := a.next()
+		if !ok {
 			t.Fatal("the link ended before", kind)
 		}
 		if m.Kind == kind {
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -21,11 +21,11 @@
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
 	dir := filepath.Join(t.TempDir(), "records")
-	own := filepath.Join(t.TempDir(), "windflow.json")
-	if err := os.WriteFile(own, []byte(fmt.Sprintf(`{"records": {"dir": %q}}`, dir)), 0o600); err != nil {
+	settingsPath := filepath.Join(t.TempDir(), "windflow.json")
+	if err := os.WriteFile(settingsPath, []byte(fmt.Sprintf(`{"records": {"dir": %q}}`, dir)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+own)
+	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+settingsPath)
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served, out, events := 0, 0, map[string]int{}
+	served, cordons, events := 0, 0, map[string]int{}
 	var head record.Header
 	read, err := record.ReadSegments(files, func(h *record.Header, r record.Record) error {
 		head = *h
@@ -53,7 +53,7 @@
 			}
 		case *record.EngineChange:
 			if r.State == record.Cordoned && r.EngineID == "s-00000002" {
-				out++
+				cordons++
 			}
 		case *record.Event:
 			events[r.Name]++
@@ -64,8 +64,8 @@
 	if err != nil || read[0].Err != nil || len(read[0].Damage) > 0 {
 		t.Fatal(err, read)
 	}
-	if served != 50 || out != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator order"] != 1 {
-		t.Errorf("%d served, out %d times, events %v", served, out, events)
+	if served != 50 || cordons != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator order"] != 1 {
+		t.Errorf("%d served, out %d times, events %v", served, cordons, events)
 	}
 	if head.Router != "n0" || head.Incarnation == 0 || head.WallMS == 0 {
 		t.Errorf("%+v", head)
@@ -83,11 +83,11 @@
 func BenchmarkRecords(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
-			own := &installation.Settings{}
+			site := &installation.Settings{}
 			if on {
 				cfg := record.DefaultConfig
 				cfg.Dir = b.TempDir()
-				own.Records = &cfg
+				site.Records = &cfg
 			}
 			cfg, err := settings.ParseNode([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f",
 				"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"127.0.0.1:1","known":{"rev":1,"notices":[]},
@@ -95,7 +95,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			r, err := start(cfg, own, slog.New(slog.DiscardHandler))
+			r, err := start(cfg, site, slog.New(slog.DiscardHandler))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -128,7 +128,7 @@
 func (a *answerCounter) Rejected(float64)      { a.n++ }
 func (a *answerCounter) Failed(router.Reason)  { a.n++ }
 
-var benchSeq int
+var lastBenchID int
 
 func benchRequest(b *testing.B, n *node) {
 	b.Helper()
@@ -144,11 +144,11 @@
 		n.loop.Post(func() {})
 		n.loop.Step()
 	}
-	benchSeq++
+	lastBenchID++
 	a := &answerCounter{}
 	now := n.loop.Now()
 	_, err := n.services.core.Submit(&router.Request{
-		ID: fmt.Sprintf("%016x", benchSeq), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
+		ID: fmt.Sprintf("%016x", lastBenchID), Class: "lookup", Statement: "SELECT 1", SentAtMS: now,
 		BudgetMS: 5000, EstimateMS: 1,
 	}, a)
 	if err != nil {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -35,7 +35,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	ended := make(chan error, 1)
 	go func() { ended <- Run(Options{}) }()
-	hup := func() {
+	sendSIGHUP := func() {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -44,14 +44,14 @@
 	first := <-oldLinks
 	defer first.Close()
 	writeConfig(t, path, "nowhere")
-	hup()
+	sendSIGHUP()
 	// Event 2 arrives on the old link, the beginning of event 3 too; the new server must be subscribed to from 2.
 	event := func(n byte) []byte { return []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, n, 2} }
 	if _, err := first.Write(append(event(2), event(3)[:7]...)); err != nil {
 		t.Fatal(err)
 	}
 	// A frame of no known kind ends a link, so that the next one shows that event 2 has been read.
-	second := func() discoveryLink {
+	second := func() discoveryConn {
 		if _, err := first.Write(event(3)[7:12]); err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +65,7 @@
 		t.Errorf("after a bad frame the old server was subscribed to from event %d", second.lastEvent)
 	}
 	writeConfig(t, path, newAddr)
-	hup()
+	sendSIGHUP()
 	third := <-newLinks
 	defer third.Close()
 	if third.lastEvent != 2 {
@@ -96,11 +96,11 @@
 		done := make(chan struct{})
 		n.loop.Post(func() {
 			n.configurator.log = slog.New(slog.NewTextHandler(&log, nil))
-			own := &installation.Settings{
+			site := &installation.Settings{
 				FlightSQL: &flightsql.Config{Listen: "127.0.0.1:2", EngineKinds: []string{"std"}, MaxConnections: 32},
 				BGP:       &bgp.Config{},
 			}
-			err = n.configurator.apply(cfg, own)
+			err = n.configurator.apply(cfg, site)
 			close(done)
 		})
 		<-done
@@ -120,8 +120,8 @@
 	if n.active.platform.Listen == "127.0.0.1:1" || log.Len() > 0 {
 		t.Errorf("a rejected reload left traces: %s", log.String())
 	}
-	better := strings.Replace(mixedSettings, `"attempts-cap":5`, `"attempts-cap":1`, 1)
-	if err := configure(text(1024, strings.Replace(better, "at_most_once", "idempotent", 1))); err != nil {
+	changed := strings.Replace(mixedSettings, `"attempts-cap":5`, `"attempts-cap":1`, 1)
+	if err := configure(text(1024, strings.Replace(changed, "at_most_once", "idempotent", 1))); err != nil {
 		t.Error(err)
 	}
 	for _, want := range []string{"reloaded", "classes[1]: effect", " listen", "/flightsql/listen", "/bgp"} {
@@ -137,7 +137,7 @@
 	if load, _ := n.services.core.Class("load"); load.Semantics != 2 {
 		t.Errorf("a reload made loads repeatable: %+v", load)
 	}
-	if now, _ := n.services.core.Class("lookup"); now.Name != "lookup" {
-		t.Errorf("class lookup is now %+v", now)
+	if lookup, _ := n.services.core.Class("lookup"); lookup.Name != "lookup" {
+		t.Errorf("class lookup is now %+v", lookup)
 	}
 }
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -13,7 +13,7 @@
 // A router that is killed, or signaled to end, under load and started again at once on its own address starts each
 // time: connections that its clients left open, and a process that has not ended yet, keep no address from it. It
 // guards against an end with status 1 at a restart.
-func TestRestartsOnItsAddress(t *testing.T) {
+func TestRestartOnSameAddress(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
 	addr := freePort(t)
@@ -27,11 +27,11 @@
 	}
 	harness.env = slices.DeleteFunc(harness.env, func(s string) bool { return strings.HasPrefix(s, passedSocketEnv) })
 	adminAddress := freePort(t)
-	var last *exec.Cmd
+	var previous *exec.Cmd
 	for round := range 12 {
-		now := harness.startProcess(adminAddress)
-		if last != nil && round%3 == 2 { // signaled to end a moment ago, and replaced while it drains
-			if err := last.Wait(); err != nil {
+		current := harness.startProcess(adminAddress)
+		if previous != nil && round%3 == 2 { // signaled to end a moment ago, and replaced while it drains
+			if err := previous.Wait(); err != nil {
 				t.Error("at its end:", err)
 			}
 		}
@@ -44,34 +44,34 @@
 			t.Cleanup(func() { _ = c.conn.Close() })
 			requireServed(t, c, query("lookup", round<<8+i+1, "SELECT 1"))
 		}
-		last = now
-		how := syscall.SIGKILL
+		previous = current
+		signal := syscall.SIGKILL
 		if round%3 == 1 {
-			how = syscall.SIGTERM
+			signal = syscall.SIGTERM
 		}
-		if err := now.Process.Signal(how); err != nil {
+		if err := current.Process.Signal(signal); err != nil {
 			t.Fatal(err)
 		}
-		if how == syscall.SIGKILL {
-			_ = now.Wait()
+		if signal == syscall.SIGKILL {
+			_ = current.Wait()
 		}
 	}
 }
 
 // A process that is signaled to end with a request in flight, idle clients, and one that never finishes its packet
 // answers the request, ends the others in order, resets nobody and exits 0.
-func TestTermWithRequestsInFlight(t *testing.T) {
+func TestSIGTERMWithRequestInFlight(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
 	adminAddress := freePort(t)
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	requesting, half := harness.dial(), harness.dial()
+	requesting, incomplete := harness.dial(), harness.dial()
 	idle := []*mysqlClient{harness.dial(), harness.dial(), harness.dial()}
 	for i, c := range idle[1:] { // the first one has only logged in
 		requireServed(t, c, query("lookup", i+1, "SELECT 1"))
 	}
-	if _, err := half.conn.Write([]byte{40, 0, 0, 0, 3}); err != nil {
+	if _, err := incomplete.conn.Write([]byte{40, 0, 0, 0, 3}); err != nil {
 		t.Fatal(err)
 	}
 	if err := requesting.write(0, append([]byte{3}, query("lookup", 9, "slow")...)); err != nil {
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -13,10 +13,10 @@
 )
 
 // replaceSleep replaces the sleep of retry for the test: between is called instead, with the number of the pause.
-func replaceSleep(t *testing.T, between func(n int)) *int {
+func replaceSleep(t *testing.T, onPause func(n int)) *int {
 	t.Helper()
 	n := 0
-	sleep = func(time.Duration) { n++; between(n) }
+	sleep = func(time.Duration) { n++; onPause(n) }
 	t.Cleanup(func() { sleep = time.Sleep })
 	return &n
 }
@@ -51,7 +51,7 @@
 
 // A router that starts before the one it replaces has released its address waits for it.
 func TestStartWaitsForTheAddress(t *testing.T) {
-	before, err := net.Listen("tcp", "127.0.0.77:0") // where no other test takes the port in between
+	holder, err := net.Listen("tcp", "127.0.0.77:0") // where no other test takes the port in between
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,10 +61,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Listen = before.Addr().String()
+	cfg.Listen = holder.Addr().String()
 	n := replaceSleep(t, func(n int) {
 		if n == 90 { // 4.5 s: longer than one that drains may take
-			_ = before.Close()
+			_ = holder.Close()
 		}
 	})
 	r, err := start(cfg, &installation.Settings{}, slog.New(slog.DiscardHandler))
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func (h *routerHarness) startProcess(control string) *exec.Cmd {
+func (h *routerHarness) startProcess(adminAddress string) *exec.Cmd {
 	h.t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 	cmd := exec.Command(exe)
 	cmd.ExtraFiles = []*os.File{file} // descriptor 3
-	cmd.Env = append(append(os.Environ(), h.env...), "PROXY_CONTROL="+control)
+	cmd.Env = append(append(os.Environ(), h.env...), "PROXY_CONTROL="+adminAddress)
 	cmd.Stderr = os.Stderr
 	if !testing.Verbose() {
 		cmd.Stderr = nil
@@ -144,24 +144,24 @@
 }
 
 // callAdmin makes one call of an admin API and returns its status, 0 where nobody is there.
-func (h *routerHarness) callAdmin(method, control, path string) int {
-	r, err := http.NewRequest(method, "http://"+control+path, nil)
+func (h *routerHarness) callAdmin(method, adminAddress, path string) int {
+	r, err := http.NewRequest(method, "http://"+adminAddress+path, nil)
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	r.Close = true
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
-func (h *routerHarness) waitFor(what string, ok func() bool) {
+func (h *routerHarness) waitFor(what string, condition func() bool) {
 	h.t.Helper()
 	for range 2000 {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -169,9 +169,9 @@
 	h.t.Fatal("not reached in time: " + what)
 }
 
-func (h *routerHarness) waitReady(control string) {
+func (h *routerHarness) waitReady(adminAddress string) {
 	h.t.Helper()
-	h.waitFor("ready at "+control, func() bool { return h.callAdmin("GET", control, "/api/ready") == 200 })
+	h.waitFor("ready at "+adminAddress, func() bool { return h.callAdmin("GET", adminAddress, "/api/ready") == 200 })
 }
 
 func (h *routerHarness) dial() *mysqlClient {
@@ -241,20 +241,20 @@
 
 // Figures of the telemetry.
 const (
-	discoveredFigure = "svc.discovered"
-	revisionFigure   = "svc.configuration_revision"
-	rejectedFigure   = "svc.configuration_refused"
+	discoveredMetric = "svc.discovered"
+	revisionMetric   = "svc.configuration_revision"
+	rejectedMetric   = "svc.configuration_refused"
 )
 
 // figure returns a figure of the telemetry, -1 where it is not there.
-func (h *routerHarness) figure(adminAddress, name string) int {
+func (h *routerHarness) metric(adminAddress, name string) int {
 	h.t.Helper()
-	answer, err := http.Get("http://" + adminAddress + "/api/telemetry")
+	response, err := http.Get("http://" + adminAddress + "/api/telemetry")
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -63,13 +63,13 @@
 	for taken := 0; taken == 0; taken = <-open {
 		n.loop.Post(func() { open <- n.services.core.OpenRequests() })
 	}
-	signalled := make(chan struct{})
+	signaled := make(chan struct{})
 	n.loop.Post(func() {
 		n.signal(syscall.SIGTERM)
 		n.signal(syscall.SIGTERM) // a second one changes nothing
-		close(signalled)
+		close(signaled)
 	})
-	<-signalled
+	<-signaled
 	late, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
 		t.Fatal("a new connection after SIGTERM:", err)
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -43,29 +43,29 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left := int64(1 << 40)
+	remaining := int64(1 << 40)
 	if f.rng.IntN(3) > 0 {
-		left = int64(f.rng.IntN(6000))
+		remaining = int64(f.rng.IntN(6000))
 	}
-	return &unreliableConn{Conn: c, left: left, kills: f.kills}, nil
+	return &unreliableConn{Conn: c, remaining: remaining, kills: f.kills}, nil
 }
 
 type unreliableConn struct {
 	net.Conn
-	mu    sync.Mutex
-	left  int64
-	kills *atomic.Int64
+	mu        sync.Mutex
+	remaining int64
+	kills     *atomic.Int64
 }
 
 func (c *unreliableConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if int64(len(b)) <= c.left {
-		c.left -= int64(len(b))
+	if int64(len(b)) <= c.remaining {
+		c.remaining -= int64(len(b))
 		return c.Conn.Write(b)
 	}
-	n, _ := c.Conn.Write(b[:c.left])
-	c.left = 0
+	n, _ := c.Conn.Write(b[:c.remaining])
+	c.remaining = 0
 	c.kills.Add(1)
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
@@ -76,11 +76,11 @@
 
 // queryFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
 // may not be: a code outside the mapping, or incomplete rows.
-func queryFlight(c *fsql.Client, class, id, statement string, put bool) (bool, error) {
+func queryFlight(c *fsql.Client, class, id, statement string, update bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "method", class, "rid", id, "acct", "a")
-	if put {
+	if update {
 		_, err := c.ExecuteUpdate(ctx, statement)
 		return err == nil, checkFlightError(err)
 	}
