--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// A predecessor that does not answer for three seconds. It guards against a new process that takes it for none: it
-// went on without the cordons, with the full limits, and the old one never read that it was to stop accepting.
+// A predecessor that does not answer for three seconds is still found by its successor. Guards against a new process
+// that treats it as absent. Such a process served without the cordons and with full limits, and the old one never
+// learned that it had to stop accepting.
 func TestPredecessorStoppedForThreeSeconds(t *testing.T) {
 	one, cordoned := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, cordoned)
@@ -18,7 +19,7 @@
 	old := harness.startProcess(oldAdmin)
 	harness.waitReady(oldAdmin)
 	if harness.callAdmin("POST", oldAdmin, "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the cordon was not taken")
+		t.Fatal("the cordon was not accepted")
 	}
 	harness.stopFor(old, 3*time.Second)
 	harness.startProcess(newAdmin)
@@ -28,26 +29,28 @@
 		requireServed(t, c, query("lookup", id, "SELECT 1"))
 	}
 	if cordoned.totalRuns() > 0 {
-		t.Error("the cordon was forgotten")
+		t.Error("the cordoned engine ran queries after the hot restart")
 	}
 	if got := harness.callAdmin("GET", oldAdmin, "/api/ready"); got != 503 {
-		t.Errorf("the old process's readiness check returns %d", got)
+		t.Errorf("the readiness check of the old process returns %d, want 503", got)
 	}
 	harness.terminate(old)
 }
 
-// hangingPredecessor is a router whose predecessor hangs for good, and whose successor is degraded.
+// hangingPredecessor is a router whose old process hangs until the test resumes or kills it, and whose new process is
+// degraded meanwhile.
 type hangingPredecessor struct {
 	t                  *testing.T
 	harness            *routerHarness
-	cordonedOld        *blockingEngine // at the predecessor, before it hung
-	cordonedNew        *blockingEngine // at the successor
-	runsBefore         int             // of cordonedOld, before its cordon
+	cordonedOld        *blockingEngine // cordoned at the predecessor before it hung
+	cordonedNew        *blockingEngine // cordoned at the successor
+	runsBefore         int             // queries that cordonedOld had run when the predecessor hung
 	oldAdmin, newAdmin string
 	old                *exec.Cmd
 	oldClient, client  *mysqlClient // sessions of the predecessor and of the successor
 }
 
+// hangPredecessor starts a router, stops its process with SIGSTOP, and starts a successor.
 func hangPredecessor(t *testing.T) *hangingPredecessor {
 	t.Helper()
 	h := &hangingPredecessor{
@@ -60,7 +63,7 @@
 	h.oldClient = h.harness.dial()
 	requireServed(t, h.oldClient, query("load", 7, "SELECT 1"))
 	if h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the cordon was not taken")
+		t.Fatal("the cordon was not accepted")
 	}
 	h.runsBefore = h.cordonedOld.totalRuns()
 	if err := h.old.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -72,51 +75,52 @@
 	return h
 }
 
-// requireAnswer ends the test unless a request is answered as wanted.
+// requireAnswer sends a request and ends the test unless the answer has wantRows rows and the error code wantCode.
 func (h *hangingPredecessor) requireAnswer(client *mysqlClient, class string, id, wantRows, wantCode int) {
 	h.t.Helper()
 	rows, code, err := client.exchange(query(class, id, "SELECT 1"))
 	if rows != wantRows || code != wantCode || err != nil {
-		h.t.Fatal(class, id, rows, code, err)
+		h.t.Fatalf("%s %d: %d rows, error %d, %v; want %d rows, error %d", class, id, rows, code, err, wantRows, wantCode)
 	}
 }
 
-// checkDegraded checks that the successor knows the cordons, and takes no load.
+// checkDegraded checks that the successor knows the cordon, rejects loads, and accepts a further cordon.
 func (h *hangingPredecessor) checkDegraded() {
 	h.t.Helper()
 	for id := range 40 {
 		h.requireAnswer(h.client, "lookup", 100+id, 1, 0)
 	}
 	if h.cordonedOld.totalRuns() != h.runsBefore {
-		h.t.Error("the cordon that was ordered at the old process was forgotten")
+		h.t.Error("the engine that was cordoned at the old process ran queries")
 	}
-	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, which does not answer
+	h.requireAnswer(h.client, "load", 7, 0, 1040) // it ran in the predecessor, but the successor can't know that yet
 	h.requireAnswer(h.client, "load", 8, 0, 1040)
 	if h.harness.callAdmin("POST", h.newAdmin, "/api/exclude/s-00000003") != 200 {
-		h.t.Fatal("the cordon was not taken")
+		h.t.Fatal("the cordon was not accepted")
 	}
 }
 
-// kill ends the predecessor; the successor takes loads then.
+// kill ends the predecessor, and waits until the successor accepts loads.
 func (h *hangingPredecessor) kill() {
 	h.t.Helper()
 	if err := h.old.Process.Kill(); err != nil {
 		h.t.Fatal(err)
 	}
 	_ = h.old.Wait()
-	h.harness.waitFor("loads again", func() bool {
+	h.harness.waitFor("loads are served again", func() bool {
 		rows, code, err := h.client.exchange(query("load", 9, "SELECT 1"))
 		return rows == 1 && code == 0 && err == nil
 	})
 }
 
-// goOn resumes the predecessor: it stops accepting, learns of the cordon, and what it knew is known to the successor.
+// resume lets the predecessor continue. It checks that the predecessor stops accepting and learns of the new cordon,
+// and that the successor learns which loads the predecessor ran.
 func (h *hangingPredecessor) resume() {
 	h.t.Helper()
 	if err := h.old.Process.Signal(syscall.SIGCONT); err != nil {
 		h.t.Fatal(err)
 	}
-	h.harness.waitFor("the old process stops accepting", func() bool {
+	h.harness.waitFor("the old process has stopped accepting", func() bool {
 		return h.harness.callAdmin("GET", h.oldAdmin, "/api/ready") == 503
 	})
 	h.harness.waitFor("the old process has the cordon", func() bool {
@@ -131,16 +135,16 @@
 		h.requireAnswer(h.oldClient, "lookup", 20000+id, 1, 0)
 	}
 	if h.cordonedNew.totalRuns() != runs || h.cordonedOld.totalRuns() != h.runsBefore {
-		h.t.Error("the old process forgot a cordon")
+		h.t.Error("a cordoned engine ran queries of the old process")
 	}
-	h.requireAnswer(h.client, "load", 7, 0, 1064) // now it is known to have run
+	h.requireAnswer(h.client, "load", 7, 0, 1064) // the successor knows now that it has run
 	h.requireAnswer(h.client, "load", 10, 1, 0)
 	h.harness.terminate(h.old)
 }
 
-// A predecessor that hangs for good keeps its successor from serving for some seconds only. That knows the cordons,
-// takes in no load, and learns of what the predecessor knows when it continues after all. It guards against a router
-// that can't be restarted out of a process that hangs.
+// A predecessor that hangs delays its successor by a few seconds only. The successor then knows the cordons and rejects
+// loads. If the predecessor continues, the successor learns what it knows. Guards against a router
+// whose hanging process can't be replaced by a hot restart.
 func TestPredecessorHangs(t *testing.T) {
 	t.Run("killed", func(t *testing.T) {
 		h := hangPredecessor(t)
@@ -154,9 +158,9 @@
 	})
 }
 
-// Ten hot restarts in a row under load, with processes that are slowed or stopped meanwhile. It guards against all
-// that a client, an operator or the platform would see of them: a request lost, a load that ran twice, a cordon
-// forgotten, more descriptors than the limit.
+// Ten hot restarts in a row under load, during which processes are throttled or stopped. Clients, operators and the
+// platform must not notice them: no request is lost, no load runs twice, no cordon is lost, and the processes together
+// stay within the limit on descriptors.
 func TestTenHotRestarts(t *testing.T) {
 	const sockets = 256
 	one, cordoned := newBlockingEngine(), newBlockingEngine()
@@ -169,7 +173,7 @@
 	descriptors.track(current, true)
 	harness.waitReady(adminAddresses[0])
 	if harness.callAdmin("POST", adminAddresses[0], "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the cordon was not taken")
+		t.Fatal("the cordon was not accepted")
 	}
 	load := harness.startLoad(24)
 	for round := 1; round <= 10; round++ {
@@ -194,21 +198,21 @@
 		descriptors.track(current, false)
 		current = next
 		if cordoned.totalRuns() > 0 {
-			t.Fatalf("hot restart %d: the cordon was forgotten", round)
+			t.Fatalf("hot restart %d: the cordoned engine ran queries", round)
 		}
 	}
 	load.stop(t)
 	one.requireLoadsOnce(t)
 	descriptors.mu.Lock()
 	defer descriptors.mu.Unlock()
-	t.Logf("%d descriptors of %d", descriptors.peak, sockets)
+	t.Logf("at most %d descriptors were open, the limit is %d", descriptors.peak, sockets)
 	if descriptors.peak > sockets {
-		t.Errorf("%d descriptors where %d is the limit", descriptors.peak, sockets)
+		t.Errorf("%d descriptors were open, the limit is %d", descriptors.peak, sockets)
 	}
 }
 
-// A third and a fourth process that start while two live wait their turn; a hot restart that is reverted leaves the old
-// process serving; two that start at once become one after the other.
+// A hot restart has two processes. Two further processes that start at once meanwhile wait until one of the two has
+// ended, and then take over one after the other. If a hot restart is reverted, the old process serves again.
 func TestChainedAndRevertedHotRestarts(t *testing.T) {
 	one, cordoned := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, cordoned)
@@ -219,23 +223,24 @@
 	first := harness.startProcess(adminAddresses[0])
 	harness.waitReady(adminAddresses[0])
 	if harness.callAdmin("POST", adminAddresses[0], "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the cordon was not taken")
+		t.Fatal("the cordon was not accepted")
 	}
 	load := harness.startLoad(8)
 	second := harness.startProcess(adminAddresses[1])
 	harness.waitReady(adminAddresses[1])
-	third, fourth := harness.startProcess(adminAddresses[2]), harness.startProcess(adminAddresses[3]) // at once
+	third, fourth := harness.startProcess(adminAddresses[2]), harness.startProcess(adminAddresses[3]) // both at once
 	for range 30 {
 		if harness.callAdmin("GET", adminAddresses[2], "/api/ready") == 200 ||
 			harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
-			t.Fatal("a third process serves while two do")
+			t.Fatal("a third process serves while two others run")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	harness.terminate(first)
-	// Whichever of them was first continues from the second, and the other waits for the second's end.
+	// One of them, whichever was first, becomes the successor of the second process. The other waits until that has
+	// ended.
 	next, last, nextAdmin, lastAdmin := third, fourth, adminAddresses[2], adminAddresses[3]
-	harness.waitFor("one of the two", func() bool {
+	harness.waitFor("the third or the fourth process is ready", func() bool {
 		if harness.callAdmin("GET", adminAddresses[3], "/api/ready") == 200 {
 			next, last, nextAdmin, lastAdmin = fourth, third, adminAddresses[3], adminAddresses[2]
 			return true
@@ -244,10 +249,10 @@
 	})
 	harness.terminate(second)
 	harness.waitReady(lastAdmin)
-	// The last one is taken back: the one before accepts again.
+	// The last process ends, so the hot restart is reverted: the process before it accepts again.
 	harness.terminate(last)
 	harness.waitReady(nextAdmin)
-	// One that is requested to end before it serves leaves no trace.
+	// A process that ends before it has served does not affect the others.
 	harness.stopFor(next, time.Second)
 	early := harness.startProcess(adminAddresses[4])
 	time.Sleep(200 * time.Millisecond)
@@ -259,8 +264,8 @@
 	load.stop(t)
 	one.requireLoadsOnce(t)
 	if cordoned.totalRuns() > 0 {
-		t.Error("the cordon was forgotten")
+		t.Error("the cordoned engine ran queries after the hot restart")
 	}
 	left, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "*"))
-	t.Log(len(left), "files where the processes meet")
+	t.Log(len(left), "files in the directory of the process slots")
 }
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -17,11 +17,11 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// recordedMessages is one process of a recorded exchange: what it says, by kind of message, in its order.
+// recordedMessages are the messages that one process sends in a recorded exchange, in order.
 type recordedMessages []hotrestartipc.Message
 
-// readExchange reads the exchange of that name. Lines are 'old: kind body' and 'new: kind body', as the processes
-// sent them.
+// readExchange returns the messages of the old and the new process in the recorded exchange of that name. Its lines are
+// 'old: kind body' and 'new: kind body', in the order in which they were sent.
 func readExchange(t *testing.T, name string) (old, next recordedMessages) {
 	t.Helper()
 	a, err := txtar.ParseFile("testdata/takeover.txtar")
@@ -47,10 +47,11 @@
 		}
 		return old, next
 	}
-	t.Fatal("no exchange", name)
+	t.Fatalf("testdata/takeover.txtar has no exchange %q", name)
 	return nil, nil
 }
 
+// byKind returns the first message of a kind.
 func (s recordedMessages) byKind(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for _, m := range s {
@@ -58,11 +59,11 @@
 			return m
 		}
 	}
-	t.Fatal("not recorded:", kind)
+	t.Fatalf("the exchange has no message of kind %q", kind)
 	return hotrestartipc.Message{}
 }
 
-// helloFrom is the recorded one, from the process slot that the test has.
+// helloFrom returns the recorded hello, with the number of the process slot that the test has acquired.
 func (s recordedMessages) helloFrom(t *testing.T, p *hotrestartipc.ProcessSlot) hotrestartipc.Message {
 	t.Helper()
 	h := s.byKind(t, "hello")
@@ -70,9 +71,10 @@
 	return h
 }
 
+// slotDir returns the directory in which the processes of the router have their slots.
 func (h *routerHarness) slotDir() string { return strings.TrimPrefix(h.env[1], "TMPDIR=") }
 
-// acquireSlot acquires a slot among the processes of the fleet's router.
+// acquireSlot acquires a process slot of the router.
 func (h *routerHarness) acquireSlot() *hotrestartipc.ProcessSlot {
 	h.t.Helper()
 	p, err := hotrestartipc.AcquireSlot(h.slotDir(), "n0 "+h.clientListener.Addr().String())
@@ -83,6 +85,7 @@
 	return p
 }
 
+// bodyFields returns the names of the fields in a message's body, sorted.
 func bodyFields(t *testing.T, m hotrestartipc.Message) []string {
 	t.Helper()
 	var all map[string]any
@@ -95,7 +98,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// A process of version 1 that starts later finds this one, understands its state, and replaces it.
+// A process with version 1 of the protocol can replace a process of this version: it finds the fields of the state that
+// it knows, and the exchange completes.
 func TestVersion1Successor(t *testing.T) {
 	old, next := readExchange(t, "version 1")
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -113,19 +117,19 @@
 	stateFields := bodyFields(t, state)
 	for _, key := range bodyFields(t, old.byKind(t, "state")) {
 		if !slices.Contains(stateFields, key) {
-			t.Errorf("the state has no %s", key)
+			t.Errorf("the state has no field %s", key)
 		}
 	}
 	a.link.Send(next.byKind(t, "ready"))
 	a.expect(t, "go-ahead")
 	if got := harness.callAdmin("GET", adminAddress, "/api/ready"); got != 503 {
-		t.Errorf("its readiness check returns %d", got)
+		t.Errorf("the readiness check of the replaced process returns %d, want 503", got)
 	}
-	a.link.Close() // the new one ends
+	a.link.Close() // the new process ends
 	harness.waitReady(adminAddress)
 }
 
-// A process of version 1 that serves is found, and gone on from.
+// A process of this version can replace a process with version 1 of the protocol, and takes over its cordons.
 func TestVersion1Predecessor(t *testing.T) {
 	old, next := readExchange(t, "version 1")
 	one, two := newBlockingEngine(), newBlockingEngine()
@@ -145,11 +149,11 @@
 			t.Fatal(err)
 		}
 		b := startProtocolPeer(conn)
-		if m, ok := b.next(); ok && m.Kind == "hello" { // others only look whether somebody lives
+		if m, ok := b.next(); ok && m.Kind == "hello" { // other connections only check whether the process is alive
 			a = b
 			for _, key := range bodyFields(t, next.byKind(t, "hello")) {
 				if !slices.Contains(bodyFields(t, m), key) {
-					t.Errorf("the hello has no %s", key)
+					t.Errorf("the hello has no field %s", key)
 				}
 			}
 		}
@@ -161,7 +165,7 @@
 			}
 		}
 	}()
-	a.link.Send(old.byKind(t, "state")) // s-00000002 is cordoned in it
+	a.link.Send(old.byKind(t, "state")) // in this state s-00000002 is cordoned
 	a.expect(t, "ready")
 	a.link.Send(old.byKind(t, "go-ahead"))
 	harness.waitReady(adminAddress)
@@ -170,12 +174,12 @@
 		requireServed(t, c, query("lookup", id, "SELECT 1"))
 	}
 	if two.totalRuns() > 0 || one.totalRuns() != 40 {
-		t.Error("the cordon of the process of version 1 was forgotten")
+		t.Error("the engine that was cordoned in the process of version 1 ran queries")
 	}
 }
 
-// The exchange of this version is as it was recorded: a message that changes its fields, or its position in the order,
-// needs a new version.
+// The exchange of messages equals the recorded one of this version of the protocol. A change of a message's fields or
+// of the order of messages needs a new version.
 func TestProtocolExchange(t *testing.T) {
 	old, next := readExchange(t, "version 2")
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -195,7 +199,7 @@
 	}
 	var got, want []messageShape
 	for _, m := range old {
-		if m.Kind == "wait" { // the exchange has a third process's
+		if m.Kind == "wait" { // this message was sent to a third process
 			continue
 		}
 		want = append(want, messageShape{m.Kind, bodyFields(t, m)})
@@ -209,11 +213,11 @@
 		}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error("-recorded +now\n", diff)
+		t.Errorf("the exchange differs from the recorded one (-recorded +sent):\n%s", diff)
 	}
 }
 
-// exchangeStep is how far the exchange of a hot restart has come when the other process dies or falls silent.
+// exchangeStep is the point in the exchange of a hot restart at which the other process dies or stops answering.
 type exchangeStep int
 
 const (
@@ -228,8 +232,8 @@
 	return [...]string{"before hello", "after hello", "after state", "after ready", "after go-ahead"}[s]
 }
 
-// The process before this one dies, or falls silent, at each step. It guards against a successor that never serves, and
-// against one that serves too early.
+// The predecessor dies, or stops answering, at each step of the exchange. Guards against a successor that never serves,
+// and against one that serves before the predecessor has stopped.
 func TestPredecessorFailsAtEachStep(t *testing.T) {
 	for step := beforeHello; step <= afterGoAhead; step++ {
 		for _, silent := range []bool{false, true} {
@@ -241,7 +245,7 @@
 				harness.startProcess(adminAddress)
 				predecessor := playPredecessor(t, slot, step, func() {
 					if step < afterGoAhead && harness.callAdmin("GET", adminAddress, "/api/ready") == 200 {
-						t.Error("it serves before its time")
+						t.Error("the successor is ready before the predecessor has failed")
 					}
 				})
 				if !silent {
@@ -257,8 +261,8 @@
 	}
 }
 
-// playPredecessor plays the recorded predecessor up to a step; it returns nil before the first one. greeted is called
-// once the successor has said hello, or at once before the first step.
+// playPredecessor sends the messages of the recorded predecessor up to a step. It calls onHello once the successor has
+// sent its hello. For the step beforeHello it calls onHello at once and returns nil.
 func playPredecessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep, onHello func()) *protocolPeer {
 	t.Helper()
 	recorded, _ := readExchange(t, "version 2")
@@ -285,8 +289,8 @@
 	return peer
 }
 
-// The process after this one dies at each step, or breaks the link and opens it again. It guards against a router on
-// which nobody accepts.
+// The successor closes the link and connects again, and then dies, at each step of the exchange. Guards against a
+// router of which no process accepts.
 func TestSuccessorFailsAtEachStep(t *testing.T) {
 	for step := beforeHello; step <= afterGoAhead; step++ {
 		t.Run(step.String(), func(t *testing.T) {
@@ -294,7 +298,7 @@
 			adminAddress := freePort(t)
 			harness.startProcess(adminAddress)
 			harness.waitReady(adminAddress)
-			for round := range 2 { // the link breaks, then the process ends
+			for round := range 2 { // in round 0 the link is closed and opened again before the process ends
 				slot := harness.acquireSlot()
 				peer := playSuccessor(t, slot, step)
 				if round == 0 {
@@ -310,7 +314,7 @@
 	}
 }
 
-// playSuccessor connects to the predecessor and plays the recorded successor up to a step.
+// playSuccessor connects to the predecessor and sends the messages of the recorded successor up to a step.
 func playSuccessor(t *testing.T, slot *hotrestartipc.ProcessSlot, step exchangeStep) *protocolPeer {
 	t.Helper()
 	_, recorded := readExchange(t, "version 2")
@@ -323,7 +327,7 @@
 	peer.repeatHello = func() { peer.link.Send(hello) }
 	if step >= afterHello {
 		peer.link.Send(hello)
-		peer.link.Send(hello) // twice
+		peer.link.Send(hello) // a repeated hello must not matter
 	}
 	if step >= afterState {
 		peer.expect(t, "state")
@@ -337,8 +341,8 @@
 	return peer
 }
 
-// In the directory of the slots there may be anything: a dead process's socket, a foreign listener that never speaks,
-// a lock file that nobody locks. It guards against a router that does not start.
+// The directory of the process slots contains a dead process's socket, a socket of a foreign process that never
+// answers, and lock files that nobody has locked. Guards against a router that does not start because of such files.
 func TestForeignFilesInSlotDirectory(t *testing.T) {
 	t.Parallel()
 	harness := newRouterHarness(t, newBlockingEngine(), newBlockingEngine())
@@ -362,9 +366,9 @@
 	defer foreign.Close()
 	adminAddress := freePort(t)
 	harness.startProcess(adminAddress)
-	harness.waitReady(adminAddress) // degraded, after its time: something lives there
+	harness.waitReady(adminAddress) // degraded, after a timeout, since the foreign process accepts connections
 	checkServed(t, harness.dial(), query("lookup", 1, "SELECT 1"))
 	if _, err := os.Stat(base + ".7.sock"); err == nil {
-		t.Error("a dead process's socket was left")
+		t.Error("the socket of a dead process was not removed")
 	}
 }
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -22,7 +22,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// hotRestart is a hot restart of a router with each protocol and a BGP session, and the clients that see it.
+// hotRestart is a hot restart of a router with both protocols and a BGP session, and the clients connected to it.
 type hotRestart struct {
 	t                  *testing.T
 	harness            *routerHarness
@@ -34,13 +34,14 @@
 	slow, killed, idle *mysqlClient // sessions of the predecessor
 	fresh              *mysqlClient // a session of the successor
 	killedSession      string       // the connection id of killed
-	answers            chan error   // to slow requests
+	answers            chan error   // outcomes of slow requests
 
 	flightAddress string
 	oldFlight     *fsql.Client
 	ticket        *flight.Ticket // of a load, from the predecessor
 }
 
+// newHotRestart prepares the configuration; it starts no process.
 func newHotRestart(t *testing.T) *hotRestart {
 	t.Helper()
 	h := &hotRestart{
@@ -59,17 +60,17 @@
 	return h
 }
 
-// startOld starts the predecessor, and has clients and an operator use it.
+// startOld starts the predecessor, cordons an engine, opens sessions, and gets the ticket of a load.
 func (h *hotRestart) startOld() {
 	h.t.Helper()
 	h.predecessor = h.harness.startProcess(h.oldAdmin)
 	h.harness.waitReady(h.oldAdmin)
-	if what := <-h.neighbour.updates; what != "announce" || <-h.neighbour.sessions != 1 {
-		h.t.Fatal("the first update is a", what)
+	if kind := <-h.neighbour.updates; kind != "announce" || <-h.neighbour.sessions != 1 {
+		h.t.Fatalf("first BGP update: %s, want announce in session 1", kind)
 	}
 	if h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000002") != 200 ||
 		h.harness.callAdmin("POST", h.oldAdmin, "/api/exclude/s-00000009") != 404 {
-		h.t.Error("a cordon was not taken, or one of an engine that was never listed was")
+		h.t.Error("a cordon was not accepted, or one of an unknown engine was")
 	}
 	h.slow, h.killed, h.idle = h.harness.dial(), h.harness.dial(), h.harness.dial()
 	requireServed(h.t, h.idle, query("load", 7, "SELECT 1"))
@@ -85,13 +86,13 @@
 	h.ticket = info.Endpoint[0].Ticket
 }
 
-// connectionID queries a session's id.
+// connectionID returns the id of a client's session.
 func (h *hotRestart) connectionID(client *mysqlClient) (id string) {
 	h.t.Helper()
 	if err := client.write(0, append([]byte{3}, "SELECT CONNECTION_ID()"...)); err != nil {
 		h.t.Fatal(err)
 	}
-	for i := range 5 { // columns, their definition, EOF, a row, EOF
+	for i := range 5 { // column count, column definition, EOF, row, EOF
 		packet, err := client.packet()
 		if err != nil {
 			h.t.Fatal(err)
@@ -103,7 +104,8 @@
 	return id
 }
 
-// startSlow sends a request that runs until the engine is released, and whose answer is to be rows and an error's code.
+// startSlow sends a request that runs until the engine is released, and waits until it runs. The outcome is sent to
+// answers: nil if the answer has wantRows rows and the error code wantCode, and an error otherwise.
 func (h *hotRestart) startSlow(client *mysqlClient, id, wantRows, wantCode int) {
 	go func() {
 		rows, code, err := client.exchange(query("lookup", id, "slow"))
@@ -125,13 +127,13 @@
 	return client
 }
 
-// startNew starts the successor, in whose session a request of the predecessor is killed.
+// startNew starts the successor, and kills a request that runs in the predecessor through a session of the successor.
 func (h *hotRestart) startNew() {
 	h.t.Helper()
 	h.harness.startProcess(h.newAdmin)
 	h.harness.waitReady(h.newAdmin)
 	if got := h.harness.callAdmin("GET", h.oldAdmin, "/api/ready"); got != 503 {
-		h.t.Errorf("the old process's readiness check returns %d", got)
+		h.t.Errorf("the readiness check of the old process returns %d, want 503", got)
 	}
 	h.fresh = h.harness.dial() // the predecessor accepts no more, so this one is the successor's
 	if err := h.fresh.write(0, append([]byte{3}, "KILL QUERY "+h.killedSession...)); err != nil {
@@ -141,7 +143,7 @@
 		h.t.Errorf("KILL QUERY of a session of the old process: % x, %v", packet, err)
 	}
 	if err := <-h.answers; err != nil {
-		h.t.Error("the killed one:", err)
+		h.t.Error("the killed request:", err)
 	}
 }
 
@@ -149,18 +151,21 @@
 func (h *hotRestart) checkIDsAndCordon() {
 	h.t.Helper()
 	h.startSlow(h.slow, 9, 1, 0)
-	// The predecessor grants the claim of another load behind its message about id 9, on the same link: once that
-	// load is served, the message has come.
+	// The predecessor sends its message about id 9 before it grants the claim of another load, on the same link. Once a
+	// load is served, the successor has received the message.
 	for id := 50; ; id++ {
 		if rows, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
 		} else if code != 1040 || id == 70 {
-			h.t.Fatal("a load of the new process:", rows, code, err)
+			h.t.Fatal("a load in the new process:", rows, code, err)
 		}
 	}
-	for id, description := range map[int]string{7: "a load that ran before", 9: "a request that is open in the old process"} {
+	for id, description := range map[int]string{
+		7: "a load that ran in the old process",
+		9: "a request that is open in the old process",
+	} {
 		if _, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); code != 1064 || err != nil {
-			h.t.Errorf("the id of %s: error %d, %v", description, code, err)
+			h.t.Errorf("a load with the id of %s: error %d, %v; want error 1064", description, code, err)
 		}
 	}
 	before := h.cordoned.totalRuns()
@@ -168,11 +173,12 @@
 		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 3"))
 	}
 	if before != 0 || h.cordoned.totalRuns() != 0 {
-		h.t.Error("the cordon was forgotten")
+		h.t.Error("the cordoned engine ran queries")
 	}
 }
 
-// checkTicket checks that a ticket of the predecessor, fetched from the successor, is consumed in both.
+// checkTicket checks that a load's ticket from the predecessor can be redeemed at the successor, and is then consumed
+// in both.
 func (h *hotRestart) checkTicket() {
 	h.t.Helper()
 	newFlight := h.dialFlight()
@@ -183,7 +189,7 @@
 	reader.Release()
 	for name, client := range map[string]*fsql.Client{"old": h.oldFlight, "new": newFlight} {
 		if _, err := client.DoGet(context.Background(), h.ticket); status.Code(err) != codes.NotFound {
-			h.t.Errorf("the ticket, a second time, from the %s process: %v", name, err)
+			h.t.Errorf("redeeming the ticket again at the %s process: %v, want NotFound", name, err)
 		}
 	}
 }
@@ -199,7 +205,7 @@
 	}
 	select {
 	case err := <-h.answers:
-		h.t.Fatal("the open request was answered early:", err)
+		h.t.Fatal("the open request was answered before the engine was released:", err)
 	default:
 	}
 	close(h.engine.released)
@@ -211,7 +217,7 @@
 	}
 }
 
-// checkUncordon checks that the successor ends a cordon that was ordered at the predecessor.
+// checkUncordon checks that the successor can end a cordon that was made at the predecessor.
 func (h *hotRestart) checkUncordon() {
 	h.t.Helper()
 	if h.harness.callAdmin("POST", h.newAdmin, "/api/include/s-00000002") != 200 {
@@ -222,13 +228,13 @@
 		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 4"))
 	}
 	if h.cordoned.totalRuns() == 0 {
-		h.t.Error("the engine got nothing after the end of its cordon")
+		h.t.Error("the engine ran no query after its cordon ended")
 	}
 }
 
-// A hot restart with two real processes. It guards against all that would show that they are two: a request rejected
-// or left without its answer, a cordon that is forgotten, an id that runs twice, a kill that does not arrive, a
-// ticket that is consumed twice, a BGP session that ends.
+// A hot restart with two real processes, in which both act as one router. Guards against a request that is rejected or
+// not answered, a lost cordon, an id that runs twice, a kill that does not reach the other process, a ticket that is
+// redeemed twice, and a BGP session that ends.
 func TestHotRestart(t *testing.T) {
 	restart := newHotRestart(t)
 	restart.startOld()
@@ -240,8 +246,8 @@
 	restart.neighbour.checkSessionContinues(t)
 }
 
-// Should the new process end first, the old one continues as before: it accepts, is ready, and can be restarted hot. So
-// it does where the admin API is on the same address in both.
+// If the new process ends first, the old one accepts again, is ready, and can be replaced by a further hot restart.
+// Both processes have the same admin address here.
 func TestSuccessorEnds(t *testing.T) {
 	one := newBlockingEngine()
 	harness := newRouterHarness(t, one)
@@ -251,9 +257,9 @@
 	harness.dial()
 	for round := range 2 {
 		next := harness.startProcess(adminAddress)
-		// The address is the same for both, so the log of the processes would show which one answers; the socket
-		// does too: the new one has taken it once it can be killed in place of the old one.
-		harness.waitFor("the successor's socket", func() bool {
+		// Both processes have the same admin address, so the readiness check does not show which one answers. The owner
+		// of the hot restart socket does: once that is the new process, the new process can be killed.
+		harness.waitFor("the successor owns the hot restart socket", func() bool {
 			paths, _ := filepath.Glob(filepath.Join(strings.TrimPrefix(harness.env[1], "TMPDIR="), "wf-????????.sock"))
 			if len(paths) != 1 {
 				return false
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -22,27 +22,27 @@
 	"windflow/internal/router"
 )
 
-// This file is the stage of TestEventInterleavings: the real sessions, core, module and engine connections on a clock
-// that the test drives, between fakes of clients' and engines' sockets, which delay each event until the
-// test lets it happen.
+// This file has the harness of TestEventInterleavings. It runs the real client sessions, core, dispatch module and
+// engine connections on a manual clock. The sockets of clients and engines are simulated, and each of their events
+// happens when the test triggers it.
 
 const (
-	interleavingDialTimeoutMS = 250.0 // ms
-	interleavingWindow        = 600 * time.Millisecond
-	cancelSlackMS             = 100.0 // a client that has gone gets no attempt this long after
+	interleavingDialTimeoutMS = 250.0
+	interleavingWindow        = 600 * time.Millisecond // idempotency window of class keyed
+	cancelSlackMS             = 100.0                  // latest start of an attempt after its client has cancelled
 )
 
-// simulatedConn is a connection to an engine.
+// simulatedConn is the router's side of a connection to an engine.
 type simulatedConn struct {
 	harness        *interleavingHarness
-	engine         int // as the address says
+	engine         int // number in the engine's address
 	handler        netio.Handler
 	opened, closed bool
-	strayData      bool // it brought what belongs to no call, and must not be used again
+	strayData      bool // it delivered data that belongs to no call, and must not be used again
 	received       []byte
-	partialPost    string // the id of a POST of which some has come
-	requests       []string
-	unread         []byte // sent by the engine and not yet read
+	partialPost    string   // id of a POST that the engine has received in part; empty for none
+	requests       []string // heads of complete calls that the engine has not answered
+	unread         []byte   // sent by the engine and not read yet
 }
 
 func (p *simulatedConn) Write(b []byte) error {
@@ -50,7 +50,7 @@
 		return net.ErrClosed
 	}
 	if p.strayData {
-		p.harness.fail("written to a connection that brought what belongs to no call: %.40q", b)
+		p.harness.fail("the router wrote to a connection that had delivered data of no call: %.40q", b)
 	}
 	if len(p.received) == 0 && bytes.HasPrefix(b, []byte("POST")) {
 		p.partialPost = header(string(b), "Call-Id")
@@ -98,37 +98,38 @@
 	return ""
 }
 
-// simulatedClient is a client's connection, with one request on it.
+// simulatedClient is the router's side of a client's connection, on which one request is sent.
 type simulatedClient struct {
 	harness       *interleavingHarness
 	handler       netio.Handler
 	id            string
 	class         int
 	session       uint32
-	cancelledAt   float64 // when it left, or cancelled; 0 while it waits
+	cancelledAt   float64 // when it closed the connection or cancelled the query; 0 while it waits
 	closed        bool
 	loggedIn      bool
 	deadline      float64
 	answers       int
-	answerPackets int // packets of the answer under way
+	answerPackets int // EOF packets received of the answer that is being read
 	buffered      []byte
 	attempts      []*simulatedAttempt
 }
 
-// simulatedAttempt is a POST that an engine has received completely.
+// simulatedAttempt is an attempt whose POST an engine has received completely.
 type simulatedAttempt struct {
-	startedAt, polledAt float64
+	startedAt, polledAt float64 // ms; polledAt is the time of the last GET, or of the POST
 	engine              int
-	neverRan            bool // the engine has said that it never ran
-	ended               bool // the engine has none of it any more
+	neverRan            bool // the engine has answered that it never ran
+	ended               bool // the engine does not run it any more
 }
 
-// running reports whether the engine may have it under way: it drops a query that nobody fetches.
+// running reports whether the engine may still run the attempt. An engine drops a query that has not been fetched for 2
+// s.
 func (p *simulatedAttempt) running(now float64) bool {
 	return !p.ended && !p.neverRan && now < p.polledAt+2000
 }
 
-// attempt is the one of a client's id at an engine.
+// latestAttempt returns the latest attempt of a request at an engine, or one that has ended if there is none.
 func (w *interleavingHarness) latestAttempt(id string, engine int) *simulatedAttempt {
 	if c := w.byID[id]; c != nil {
 		for _, post := range slices.Backward(c.attempts) {
@@ -140,7 +141,7 @@
 	return &simulatedAttempt{ended: true}
 }
 
-// idOf is the id that a call is about.
+// requestID returns the id of the request to which a call belongs, from its header or its path.
 func requestID(head string) string {
 	if id := header(head, "Call-Id"); id != "" {
 		return id
@@ -149,7 +150,7 @@
 	return path[:16]
 }
 
-// mayHaveRun is the first attempt that may have run.
+// firstPossibleRun returns the first attempt that may have run, or nil.
 func (c *simulatedClient) firstPossibleRun() *simulatedAttempt {
 	for _, post := range c.attempts {
 		if !post.neverRan {
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// packet counts answers to the query: an error, or a result set, which ends in its second EOF.
+// packet handles a packet from the router. It counts the answers to the query: an error, or a result set, which ends
+// with its second EOF. Before that it takes the connection id from the greeting.
 func (c *simulatedClient) packet(body []byte) {
 	switch {
 	case !c.loggedIn:
@@ -203,6 +205,7 @@
 func (c *simulatedClient) Detach(f func(*os.File)) { f(nil) }
 func (c *simulatedClient) NotifyFlushed(f func())  { f() }
 
+// interleavingHarness connects the code under test to simulated clients and engines, and checks each attempt.
 type interleavingHarness struct {
 	t             *rapid.T
 	now           *clock.Manual
@@ -213,11 +216,11 @@
 	conns         []*simulatedConn
 	clients       []*simulatedClient
 	byID          map[string]*simulatedClient
-	closedSince   map[int]float64 // engines to which nothing new may go, and since when
-	addresses     map[dispatch.EngineID]int
-	cordonedSince map[dispatch.EngineID]float64 // since when
+	closedSince   map[int]float64               // by engine number: when it was drained or removed
+	addresses     map[dispatch.EngineID]int     // number in the engine's current address
+	cordonedSince map[dispatch.EngineID]float64 // by engine: when it was cordoned
 	lastAddress   int
-	noHedging     bool // no hedged request is allowed
+	noHedging     bool // hedged attempts are not allowed
 }
 
 var interleavingClasses = []dispatch.Class{
@@ -270,18 +273,20 @@
 
 func (w *interleavingHarness) fail(f string, args ...any) { w.t.Fatalf(f, args...) }
 
+// run runs the event loop until it has nothing to do.
 func (w *interleavingHarness) run() {
 	for w.loop.Step() {
 	}
 }
 
+// advance moves the clock forward in steps of 1 ms, and runs the event loop at each.
 func (w *interleavingHarness) advance(ms float64) {
 	for end := w.now.MS + ms; w.now.MS < end; w.now.MS++ {
 		w.run()
 	}
 }
 
-// Dial implements netio.Dialer.
+// Dial implements netio.Dialer. The connection is open once dialCompletes has opened it; after the timeout it fails.
 func (w *interleavingHarness) Dial(addr string, timeout float64, h netio.Handler) netio.Conn {
 	n, _ := strconv.Atoi(addr)
 	p := &simulatedConn{harness: w, engine: n, handler: h}
@@ -295,7 +300,8 @@
 	return p
 }
 
-// updateEndpoint sends the event of an engine; one that is started anew is at another address.
+// updateEndpoint sends an endpoint event for one engine. An engine that becomes live after it was drained or
+// removed gets a new address.
 func (w *interleavingHarness) updateEndpoint(id dispatch.EngineID, state dispatch.EndpointState) {
 	if state == dispatch.Live && w.addresses[id] == 0 || state == dispatch.Live && w.closedSince[w.addresses[id]] > 0 {
 		w.lastAddress++
@@ -311,47 +317,49 @@
 		map[dispatch.EngineID]string{id: strconv.Itoa(w.addresses[id])})
 }
 
-// checkBegin checks a POST whose first byte is written.
+// checkPostStart checks that an attempt may start, when the first bytes of its POST are written.
 func (w *interleavingHarness) checkPostStart(p *simulatedConn) {
 	c := w.byID[p.partialPost]
 	for id, since := range w.cordonedSince {
 		if w.addresses[id] == p.engine && w.now.MS > since {
-			w.fail("%s begins at an engine %.0f ms after its cordon", c.id, w.now.MS-since)
+			w.fail("%s starts at an engine %.0f ms after its cordon", c.id, w.now.MS-since)
 		}
 	}
 	switch now := w.now.MS; {
 	case c.cancelledAt > 0 && now > c.cancelledAt+cancelSlackMS:
-		w.fail("%s begins %.0f ms after its client has gone", c.id, now-c.cancelledAt)
+		w.fail("%s starts %.0f ms after its client has cancelled", c.id, now-c.cancelledAt)
 	case c.answers > 0:
-		w.fail("%s begins after its answer", c.id)
+		w.fail("%s starts after its answer", c.id)
 	case w.closedSince[p.engine] > 0 && now > w.closedSince[p.engine]:
-		w.fail("%s begins at an engine %.0f ms after the event of its end", c.id, now-w.closedSince[p.engine])
+		w.fail("%s starts at an engine %.0f ms after the event that drained or removed it", c.id,
+			now-w.closedSince[p.engine])
 	case now > c.deadline:
-		w.fail("%s begins after its end", c.id)
+		w.fail("%s starts after its deadline", c.id)
 	case interleavingClasses[c.class].Semantics == dispatch.IdempotentByKey && c.firstPossibleRun() != nil &&
 		now > c.firstPossibleRun().startedAt+clock.Millis(interleavingWindow):
-		w.fail("%s begins %.0f ms after its first attempt", c.id, now-c.firstPossibleRun().startedAt)
+		w.fail("%s starts %.0f ms after its first attempt, outside the idempotency window", c.id,
+			now-c.firstPossibleRun().startedAt)
 	}
 }
 
-// checkComplete checks a POST that has arrived completely.
+// checkPostReceived checks that an attempt may run, when its POST has been received completely.
 func (w *interleavingHarness) checkPostReceived(p *simulatedConn) {
 	c := w.byID[p.partialPost]
 	if interleavingClasses[c.class].Semantics == dispatch.AtMostOnce && c.firstPossibleRun() != nil {
-		w.fail("load %s has arrived completely twice", c.id)
+		w.fail("load %s was received completely twice", c.id)
 	}
 	for _, post := range c.attempts {
 		if w.noHedging && post.running(w.now.MS) {
-			w.fail("%s has come to engine %d while engine %d may have it", c.id, p.engine, post.engine)
+			w.fail("%s was sent to engine %d while engine %d may still run it", c.id, p.engine, post.engine)
 		}
-		if post.engine == p.engine { // the engine takes it for the same query
+		if post.engine == p.engine { // the engine treats it as the same query
 			post.ended = true
 		}
 	}
 	c.attempts = append(c.attempts, &simulatedAttempt{startedAt: w.now.MS, polledAt: w.now.MS, engine: p.engine})
 }
 
-// startRequest logs a new client in and sends its request.
+// startRequest opens a session for a new client, logs in, and sends its request. budget is in ms.
 func (w *interleavingHarness) startRequest(class int, budget float64) {
 	c := &simulatedClient{
 		harness: w, handler: w.front.NewSession(), class: class,
@@ -368,6 +376,7 @@
 		interleavingClasses[class].Name, c.id, budget, class)), w.now.MS)
 }
 
+// mysqlPacket returns a MySQL packet with its header.
 func mysqlPacket(seq byte, body []byte) []byte {
 	return append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...)
 }
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -14,12 +14,18 @@
 	"windflow/internal/netio"
 )
 
-// In any order of what clients, engines, lists and clocks do, each request gets one answer, nothing begins for a
-// client that has gone, at an engine that nothing new may go to, past a window or an end, no load runs twice, no
-// connection that is spoilt is used again, and nothing is left behind. The real sessions, core, module and engine
-// connections run here; each event happens when the draw says so, none by a race.
+// Generates sequences of events of clients, engines, discovery, operators and the clock, and checks after each event:
+//   - Each request gets exactly one answer.
+//   - No attempt starts for a client that has cancelled, at an engine that is cordoned, drained or removed, after the
+//     request's deadline, or outside the idempotency window.
+//   - No load runs twice.
+//   - No connection is used again after it has delivered data that belongs to no call.
+//   - In the end no request, session, connection or timer is left.
+//
+// The real client sessions, core, dispatch module and engine connections run here. Each event happens when the
+// generator draws it, so no result depends on a race.
 func TestEventInterleavings(t *testing.T) {
-	// The draws are the same in every run, unless the command line says otherwise.
+	// The seed is fixed, so that every run generates the same sequences, unless the command line sets one.
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "1500", "rapid.steps": "80"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			if err := flag.Set(name, value); err != nil {
@@ -58,20 +64,21 @@
 	})
 }
 
+// clientQueries sends a request from a new client.
 func (w *interleavingHarness) clientQueries(t *rapid.T) {
 	w.startRequest(rapid.IntRange(0, len(interleavingClasses)-1).Draw(t, "class"),
 		float64(rapid.SampledFrom([]int{200, 900, 4000}).Draw(t, "budget")))
 	w.runOrBatch(t)
 }
 
-// runOrBatch lets the loop run, or leaves what has arrived for one batch with what arrives next.
+// runOrBatch runs the event loop, or leaves the pending events, so that it handles them together with the next ones.
 func (w *interleavingHarness) runOrBatch(t *rapid.T) {
 	if rapid.Bool().Draw(t, "run loop now") {
 		w.run()
 	}
 }
 
-// clientCancels closes a waiting client's connection, or cancels its query on another session.
+// clientCancels closes the connection of a waiting client, or kills its query from another session.
 func (w *interleavingHarness) clientCancels(t *rapid.T) {
 	var waiting []*simulatedClient
 	for _, c := range w.clients {
@@ -100,7 +107,7 @@
 	w.runOrBatch(t)
 }
 
-// dialCompletes establishes a connection, or fails it.
+// dialCompletes lets a pending dial succeed or fail.
 func (w *interleavingHarness) dialCompletes(t *rapid.T) {
 	var dials []*simulatedConn
 	for _, p := range w.conns {
@@ -115,10 +122,10 @@
 	fails := rapid.IntRange(0, 4).Draw(t, "refused") == 0
 	w.loop.Post(func() {
 		switch {
-		case p.closed || p.opened: // that has been decided
+		case p.closed || p.opened: // the dial has timed out or completed meanwhile
 		case fails:
 			p.closed = true
-			for _, c := range w.clients { // nobody runs there
+			for _, c := range w.clients { // the engine is not running, so its attempts have ended
 				for _, post := range c.attempts {
 					post.ended = post.ended || post.engine == p.engine
 				}
@@ -132,9 +139,11 @@
 	w.runOrBatch(t)
 }
 
+// completeAnswer is an engine's answer that serves a request.
 const completeAnswer = "HTTP/1.1 200 OK\r\nX-Parts: 1\r\nX-Cpu-Ms: 5\r\nContent-Length: 6\r\n\r\n1\t2\t3\n"
 
-// engineActs answers an engine's open call, well or not, or does something on an idle connection.
+// engineActs lets an engine answer the first open call on a connection, correctly or not, or disturb an idle
+// connection.
 func (w *interleavingHarness) engineActs(t *rapid.T) {
 	var open []*simulatedConn
 	for _, conn := range w.conns {
@@ -160,7 +169,8 @@
 	w.runOrBatch(t)
 }
 
-// engineDisturbs closes an engine's idle connection, or sends on it what nobody requested, or nothing.
+// engineDisturbsIdleConn lets an engine close an idle connection, send data on it that belongs to no call, or do
+// nothing.
 func (w *interleavingHarness) engineDisturbsIdleConn(t *rapid.T, conn *simulatedConn) {
 	switch rapid.IntRange(0, 5).Draw(t, "idle connection") {
 	case 0:
@@ -172,7 +182,7 @@
 	}
 }
 
-// engineConfirms answers an engine's cancel or priority call, or loses the connection.
+// engineConfirms lets an engine answer a cancel or priority call, or lose the connection.
 func (w *interleavingHarness) engineConfirms(t *rapid.T, conn *simulatedConn) {
 	if rapid.IntRange(0, 3).Draw(t, "connection lost") == 0 {
 		w.close(conn)
@@ -181,7 +191,8 @@
 	}
 }
 
-// engineAnswers answers a request at an engine; head is the beginning of the request.
+// engineAnswers lets an engine answer a POST or a GET in one of several ways, correct or not. head is the request line
+// and the header of the call.
 func (w *interleavingHarness) engineAnswers(t *rapid.T, conn *simulatedConn, head string) {
 	attempt := w.latestAttempt(requestID(head), conn.engine)
 	answers := []string{
@@ -218,8 +229,8 @@
 	}
 }
 
-// engineSends sends on an engine's connection; what is stray belongs to no call, and the connection must not be used
-// again once it is read.
+// engineSends sends text from an engine on a connection. stray says that it belongs to no call, so the router must not
+// use the connection again once it has read it.
 func (w *interleavingHarness) engineSends(p *simulatedConn, text string, stray bool) {
 	p.unread = append(p.unread, text...)
 	w.loop.Post(func() {
@@ -231,6 +242,7 @@
 	})
 }
 
+// close lets an engine reset a connection.
 func (w *interleavingHarness) close(p *simulatedConn) {
 	w.loop.Post(func() {
 		if !p.closed {
@@ -240,7 +252,7 @@
 	})
 }
 
-// endpointsChange sends a list in which an engine is draining, removed or live.
+// endpointsChange sends an endpoint event that makes an engine live, draining or removed.
 func (w *interleavingHarness) endpointsChange(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
 	state := rapid.SampledFrom([]dispatch.EndpointState{
@@ -250,7 +262,8 @@
 	w.runOrBatch(t)
 }
 
-// operatorCordons cordons an engine or uncordons it as an operator; it counts from the moment of the answer.
+// operatorCordons cordons or uncordons an engine as an operator does. The cordon is in force from the moment at which
+// the core has accepted it.
 func (w *interleavingHarness) operatorCordons(t *rapid.T) {
 	id := dispatch.EngineID(rapid.IntRange(1, 3).Draw(t, "engine"))
 	cordon := rapid.Bool().Draw(t, "cordon")
@@ -265,22 +278,23 @@
 	w.runOrBatch(t)
 }
 
-// checkAnswers checks every client's answers; late says that all time is up.
+// checkAnswers checks that no client has more than one answer, and that each client that has not cancelled has one 20
+// ms after its deadline. With final set, every deadline is taken to have passed.
 func (w *interleavingHarness) checkAnswers(final bool) {
 	for _, c := range w.clients {
 		if c.answers > 1 {
-			w.fail("%s has %d answers", c.id, c.answers)
+			w.fail("%s has %d answers, want one", c.id, c.answers)
 		}
 		if c.cancelledAt == 0 && c.answers == 0 && (final || w.now.MS > c.deadline+20 && !w.loop.Step()) {
 			w.run()
 			if c.answers == 0 {
-				w.fail("%s has no answer %.0f ms after its end", c.id, w.now.MS-c.deadline)
+				w.fail("%s has no answer %.0f ms after its deadline", c.id, w.now.MS-c.deadline)
 			}
 		}
 	}
 }
 
-// checkNothingLeft checks that nothing is left once all have gone.
+// checkNothingLeft checks that no request, session, connection or timer is left after all clients have disconnected.
 func (w *interleavingHarness) checkNothingLeft() {
 	open := 0
 	for _, p := range w.conns {
@@ -289,11 +303,11 @@
 		}
 	}
 	if w.core.OpenRequests() > 0 || w.front.Sessions() > 0 || open > 0 || w.engines.ConnCount() > 0 {
-		w.fail("left: %d requests, %d sessions, %d connections, %d counted", w.core.OpenRequests(), w.front.Sessions(),
-			open, w.engines.ConnCount())
+		w.fail("left: %d requests, %d sessions, %d connections, %d connections in the client's count",
+			w.core.OpenRequests(), w.front.Sessions(), open, w.engines.ConnCount())
 	}
-	// The sweeps of sessions and connections, the module's, and one that has expired.
+	// The periodic sweeps of sessions, of connections and of the dispatch module, and one timer that has expired.
 	if n := w.loop.PendingTimers(); n > 4 {
-		w.fail("%d timers are left", n)
+		w.fail("%d timers are left, want at most 4", n)
 	}
 }
--- a/internal/node/process_control_test.go
+++ b/internal/node/process_control_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// stopFor stops a process and resumes it after a while.
+// stopFor stops a process with SIGSTOP, and resumes it after the duration without waiting for that.
 func (h *routerHarness) stopFor(p *exec.Cmd, duration time.Duration) {
 	h.t.Helper()
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -20,7 +20,7 @@
 	time.AfterFunc(duration, func() { _ = p.Process.Signal(syscall.SIGCONT) })
 }
 
-// throttle limits a process to a tenth of its time until the end of the test, or until stop is called.
+// throttle limits a process to a tenth of its running time, until stop is called or the test ends.
 func (h *routerHarness) throttle(p *exec.Cmd) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -41,18 +41,18 @@
 	return stop
 }
 
-// terminate tells a process to end and waits until it has.
+// terminate sends SIGTERM to a process, waits for its end, and fails the test if its exit status is not 0.
 func (h *routerHarness) terminate(p *exec.Cmd) {
 	h.t.Helper()
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		h.t.Fatal(err)
 	}
 	if err := p.Wait(); err != nil {
-		h.t.Error("at its end:", err)
+		h.t.Error("the router process failed:", err)
 	}
 }
 
-// limitSockets lowers the router's limit of descriptors.
+// limitSockets changes the router's configured limit on descriptors from 1024 to sockets.
 func (h *routerHarness) limitSockets(sockets int) {
 	h.t.Helper()
 	h.editConfig(func(text string) string {
@@ -60,13 +60,14 @@
 	})
 }
 
-// descriptorWatch counts the descriptors of processes, again and again, and keeps the greatest sum.
+// descriptorWatch counts the open descriptors of the tracked processes every 5 ms, and keeps the highest total.
 type descriptorWatch struct {
 	mu      sync.Mutex
-	tracked map[int]bool
+	tracked map[int]bool // by process id
 	peak    int
 }
 
+// run starts to count, until the test ends.
 func (d *descriptorWatch) run(t *testing.T) {
 	t.Helper()
 	done := make(chan struct{})
@@ -90,6 +91,7 @@
 	}()
 }
 
+// track starts or stops counting the descriptors of a process.
 func (d *descriptorWatch) track(p *exec.Cmd, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -7,15 +7,16 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// protocolPeer plays one side of a hot restart; received has the machine's messages, but not those
-// that report what runs.
+// protocolPeer is one side of a hot restart, played by the test. It keeps the messages that the state machine of the
+// hot restart handles, and drops the others, such as usage reports.
 type protocolPeer struct {
 	link        *hotrestartipc.Link
 	received    chan hotrestartipc.Message
-	linkEnded   chan struct{} // closed with the link; a message may still be in hand then
-	repeatHello func()        // says hello again, as a successor does that is answered wait; nil for one that does not
+	linkEnded   chan struct{} // closed when the link ends; received may still have messages
+	repeatHello func()        // sends hello again after a wait message, as a successor does; may be nil
 }
 
+// startProtocolPeer starts a link on a connection, and closes all descriptors that it receives.
 func startProtocolPeer(conn *net.UnixConn) *protocolPeer {
 	a := &protocolPeer{received: make(chan hotrestartipc.Message, 256), linkEnded: make(chan struct{})}
 	a.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
@@ -32,12 +33,13 @@
 	return a
 }
 
+// expect returns the next message of a kind. Before it only hello, wait and state may come, which can be repeated.
 func (a *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for {
 		m, ok := a.next()
 		if !ok {
-			t.Fatal("the link ended before", kind)
+			t.Fatalf("the link ended before a message of kind %q", kind)
 		}
 		if m.Kind == kind {
 			return m
@@ -45,13 +47,13 @@
 		if m.Kind == "wait" && kind == "state" && a.repeatHello != nil {
 			a.repeatHello()
 		}
-		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // each may come again
-			t.Fatalf("%s received where %s was due", m.Kind, kind)
+		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // these may be repeated
+			t.Fatalf("received a message of kind %q, want %q", m.Kind, kind)
 		}
 	}
 }
 
-// next waits for a message, also one received before the link's end; false if there will be none.
+// next waits for a message. It returns false once the link has ended and all received messages have been returned.
 func (a *protocolPeer) next() (hotrestartipc.Message, bool) {
 	select {
 	case m := <-a.received:
