--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -19,7 +19,7 @@
 	"windflow/internal/settings"
 )
 
-// allParts are settings of an installation with each part, at addresses where nobody answers.
+// allParts returns settings that enable every part. The addresses in them refuse connections.
 func allParts(t *testing.T) *installation.Settings {
 	t.Helper()
 	records := record.DefaultConfig
@@ -37,7 +37,7 @@
 	}
 }
 
-// startAllParts runs a router that has each part, with an admin API, and ends it with the test.
+// startAllParts runs a router that has every part and an admin API, and stops it at the end of the test.
 func startAllParts(t *testing.T) *node {
 	t.Helper()
 	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
@@ -63,9 +63,9 @@
 	return n
 }
 
-// The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are
-// as they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a
-// router that serves nobody; of the counters' values most do, and they are left out.
+// The telemetry of a router with every part, and the names of the counters that SHOW STATUS lists and that are logged
+// when the process ends, equal the golden files, in the same order. The telemetry of a router that serves no client has
+// no value that depends on time. Most counters do, so only their names are compared.
 func TestGoldenTelemetryAndStatus(t *testing.T) {
 	n := startAllParts(t)
 	var telemetry, names string
@@ -79,8 +79,8 @@
 	golden.Equal(t, "status.txt", []byte(names))
 }
 
-// The texts for the phases of a hot restart appear in the log, in records, in a message to a process that waits, and in
-// what operators read from a router that is not ready.
+// The names of the phases of a hot restart equal the golden file. They appear in the log, in records, in the message to
+// a waiting process, and in the answer of the readiness check of a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var names strings.Builder
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
@@ -89,12 +89,13 @@
 	golden.Equal(t, "phases.txt", []byte(names.String()))
 }
 
-// Each part has its counters in the list: one that is left out of the router of the test would be checked by nothing.
+// The router of TestGoldenTelemetryAndStatus has every part, and the status lists the counters of each. Guards against
+// a part whose names no golden file covers.
 func TestGoldenStatusCoversEachPart(t *testing.T) {
 	n := startAllParts(t)
 	inLoop(n, func() {
 		if len(n.parts.all) != len(partConstructors) {
-			t.Errorf("%d parts of %d", len(n.parts.all), len(partConstructors))
+			t.Errorf("the router has %d parts, want %d", len(n.parts.all), len(partConstructors))
 		}
 		var groups []string
 		for _, row := range n.status.rows() {
@@ -103,7 +104,7 @@
 		}
 		for _, p := range n.parts.all {
 			if p.counters != nil && !slices.Contains(groups, p.counters()[0].name) {
-				t.Errorf("part %s has no counters", p.name)
+				t.Errorf("the status has no counters of part %s", p.name)
 			}
 		}
 	})
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -18,13 +18,13 @@
 
 const goldenLog = "log.txt"
 
-// Each line that the router logged when the golden file was made is still logged with the same names of its
-// attributes, or appears in the table of renamed lines on the on-call page, beside a line that is logged: operators
-// look for them, and records have them as events. A new line needs no entry in the golden file.
+// Each log line in the golden file is still logged with the same attribute keys, or the on-call page lists it as
+// renamed to a line that is logged. Operators search for these lines, and records contain them as events. A new line
+// needs no entry in the golden file.
 func TestGoldenLogLines(t *testing.T) {
 	current := logLines(t)
 	if len(current) < 30 {
-		t.Error(len(current), "lines")
+		t.Errorf("found %d log lines in the sources, want at least 30", len(current))
 	}
 	if golden.Recording(t, goldenLog) {
 		golden.Write(t, goldenLog, []byte(strings.Join(current, "\n")+"\n"))
@@ -36,13 +36,13 @@
 			line = replacement
 		}
 		if !slices.Contains(current, line) {
-			t.Errorf("no longer logged: %s", line)
+			t.Errorf("golden log line is no longer logged: %s", line)
 		}
 	}
 }
 
-// renamedLines reads the on-call page's table of renamed log lines: rows of two lines in backquotes, the former one
-// first.
+// renamedLines returns the new log line for each renamed one, from the table on the on-call page. Each row has the old
+// and the new line in backquotes.
 func renamedLines(t *testing.T) map[string]string {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/on-call.md")
@@ -57,8 +57,8 @@
 	return renamed
 }
 
-// logLines returns the lines from Info up that the sources below internal log, with the names of their attributes,
-// sorted.
+// logLines returns the log lines of level Info and above in the sources below internal, with their attribute keys,
+// sorted and without duplicates.
 func logLines(t *testing.T) (lines []string) {
 	t.Helper()
 	forEachLogCall(t, func(_ token.Position, call logCall) { lines = append(lines, call.line()) })
@@ -66,13 +66,13 @@
 	return slices.Compact(lines)
 }
 
-// logCall is a call of Info, Warn or Error whose text is a literal.
+// logCall is a call of Info, Warn or Error whose message is a string literal.
 type logCall struct {
 	level, text string
 	args        []ast.Expr
 }
 
-// forEachLogCall calls visit for each such call in the sources below internal.
+// forEachLogCall calls visit for each log call in the sources below internal, except tests.
 func forEachLogCall(t *testing.T, visit func(token.Position, logCall)) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
@@ -97,6 +97,7 @@
 	}
 }
 
+// parseLogCall returns the log call that n is, and false if n is none.
 func parseLogCall(n ast.Node) (logCall, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -110,7 +111,7 @@
 	return logCall{level: method.Sel.Name, text: text, args: call.Args[1:]}, ok
 }
 
-// line writes a call as LEVEL "TEXT" and the names of the attributes that are literals.
+// line formats a call as LEVEL "MESSAGE", followed by the attribute keys that are string literals.
 func (c logCall) line() string {
 	line := c.level + " " + strconv.Quote(c.text)
 	for i := 0; i < len(c.args); i += 2 {
@@ -121,6 +122,7 @@
 	return line
 }
 
+// literal returns the value of a string literal, and false if e is none.
 func literal(e ast.Expr) (string, bool) {
 	text, ok := e.(*ast.BasicLit)
 	if !ok || text.Kind != token.STRING {
--- a/internal/node/golden_message_test.go
+++ b/internal/node/golden_message_test.go
@@ -12,15 +12,15 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// messageSample is a message between two processes of a router, as one of them says it.
+// messageSample is a message that one process of a router sends to another.
 type messageSample struct {
 	file   string // below testdata/golden/upgrade, without .json
 	kind   string
-	body   any      // nil for a message that says no more than its kind
-	absent []string // fields of the body that this version does not have, and leaves zero
+	body   any      // nil for a message without a body
+	absent []string // fields of the body that this version of the protocol does not have; they are zero
 }
 
-// encode returns the message as a frame of the link carries it.
+// encode returns the message as it is sent on the link.
 func (s messageSample) encode(t *testing.T) []byte {
 	t.Helper()
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(hotrestartipc.NewMessage(s.kind, s.body))
@@ -32,8 +32,8 @@
 
 func (s messageSample) name() string { return "upgrade/" + s.file + ".json" }
 
-// Each message between two processes of a router is encoded as it was when its golden file was recorded. It guards
-// against a hot restart from or to a program that was built before a change of this code, in which something is lost.
+// Each message between two processes of a router is encoded as in its golden file. Guards against a change of the
+// encoding, with which a hot restart between an earlier and a later build would lose state.
 func TestGoldenMessagesAreEncoded(t *testing.T) {
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each recorded message is read back completely.
+// Each golden message is decoded to the sample that it was recorded from.
 func TestGoldenMessagesAreDecoded(t *testing.T) {
 	for _, s := range messageSamples() {
 		t.Run(s.file, func(t *testing.T) {
@@ -54,11 +54,11 @@
 				t.Fatal(err)
 			}
 			if m.Kind != s.kind {
-				t.Errorf("the kind is %q, not %q", m.Kind, s.kind)
+				t.Errorf("the kind is %q, want %q", m.Kind, s.kind)
 			}
 			if s.body == nil {
 				if text := string(m.Body); text != "" && text != "null" {
-					t.Errorf("the body is %s", text)
+					t.Errorf("the body is %s, want none", text)
 				}
 				return
 			}
@@ -68,13 +68,13 @@
 			}
 			if diff := cmp.Diff(s.body, got.Elem().Interface(),
 				cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
-				t.Errorf("sample -, read +\n%s", diff)
+				t.Errorf("decoded message differs from the sample (-sample +decoded):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Each kind of message has a sample, and each golden file too.
+// Each kind of message has a sample, and each golden file belongs to a sample.
 func TestGoldenMessagesAreComplete(t *testing.T) {
 	kinds, files := map[string]bool{}, map[string]bool{}
 	for _, s := range messageSamples() {
@@ -83,7 +83,7 @@
 	}
 	for kind := range machineMessages {
 		if !kinds[kind] {
-			t.Errorf("message %q has no sample", kind)
+			t.Errorf("message kind %q has no sample", kind)
 		}
 	}
 	for _, kind := range []string{
@@ -92,21 +92,21 @@
 		msgTicketClaimReply, msgTickets, msgConfiguration,
 	} {
 		if !kinds[kind] {
-			t.Errorf("message %q has no sample", kind)
+			t.Errorf("message kind %q has no sample", kind)
 		}
 	}
 	found, err := filepath.Glob("testdata/golden/upgrade/*/*.json")
 	if err != nil || len(found) != len(files) {
-		t.Errorf("%d golden files for %d samples, %v", len(found), len(files), err)
+		t.Errorf("found %d golden files for %d samples (error: %v)", len(found), len(files), err)
 	}
 	for _, path := range found {
 		if !files[path] {
-			t.Errorf("%s has no sample", path)
+			t.Errorf("golden file %s has no sample", path)
 		}
 	}
 }
 
-// Each field of a message names itself in a tag, so that the name in the code can change.
+// Each field of a message has a tag with its name on the wire, so that the name of the Go field can change.
 func TestMessageFieldsHaveTags(t *testing.T) {
 	encoded := []any{hotrestartipc.Message{}}
 	for _, s := range messageSamples() {
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -14,7 +14,8 @@
 	"windflow/internal/router"
 )
 
-// messageSamples are the messages of both versions, with no field left out. Version 1 has fewer fields and messages.
+// messageSamples returns the messages of both versions of the protocol, with every field set. Version 1 has fewer
+// fields and messages.
 func messageSamples() []messageSample {
 	one, two := sampleState(), sampleState()
 	one.Version, one.Configuration = 0, nil
@@ -47,7 +48,7 @@
 	)
 }
 
-// sharedSamples are messages that are the same in both versions.
+// samplesOfBothVersions returns the messages that are the same in both versions.
 func samplesOfBothVersions() []messageSample {
 	ticket := sampleTicket()
 	return []messageSample{
@@ -88,7 +89,8 @@
 	}
 }
 
-// sampleSnapshot names an engine twice, so that a list of one would show.
+// sampleSnapshot returns a snapshot with two engines and two classes, so that a list that loses all but one entry is
+// noticed.
 func sampleSnapshot() dispatch.Snapshot {
 	return dispatch.Snapshot{
 		Known:    []dispatch.EngineID{1, 2, 12_000_000},
--- a/internal/node/golden_slot_name_test.go
+++ b/internal/node/golden_slot_name_test.go
@@ -10,8 +10,8 @@
 	"windflow/internal/settings"
 )
 
-// Processes of a router meet by a name derived from its settings, and note a cordon by the engine's id as text: both
-// have to be the same in the next program.
+// The processes of a router find each other by a name that is derived from its settings, and store a cordon under the
+// engine's id as text. Both equal the golden file, since a hot restart may be between two builds.
 func TestGoldenSlotNameAndCordons(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintf(&got, "meeting %q\n", slotName(&settings.Node{Name: "n0", Listen: "127.0.0.1:3306"}))
@@ -19,7 +19,7 @@
 		text := settings.FormatEngineID(id)
 		fmt.Fprintf(&got, "ban of %d %q\n", id, text)
 		if back, err := settings.ParseEngineID(text); err != nil || back != id {
-			t.Errorf("%q is read as %d, %v", text, back, err)
+			t.Errorf("%q is parsed as %d, error %v", text, back, err)
 		}
 	}
 	golden.Equal(t, "meeting.txt", []byte(got.String()))
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -14,11 +14,11 @@
 	"windflow/internal/decide/configlog"
 )
 
-// keeperHarness is a fleet whose routers follow keepers.
+// keeperHarness is a router harness whose processes follow keepers.
 type keeperHarness struct {
 	*routerHarness
 	settingsPath string // path of the installation's settings
-	copyDir      string // of the copies
+	copyDir      string // directory of the local copies of revisions
 }
 
 func newKeeperHarness(t *testing.T, addrs ...string) *keeperHarness {
@@ -30,7 +30,7 @@
 	return h
 }
 
-// configureKeepers writes which keepers are to be followed.
+// configureKeepers writes installation settings with those keepers' addresses.
 func (h *keeperHarness) configureKeepers(addrs ...string) {
 	h.t.Helper()
 	list, err := json.Marshal(addrs)
@@ -43,15 +43,15 @@
 	}
 }
 
-// requireServing fails the test unless requests are served.
+// requireServing fails the test unless a request on a new connection is served.
 func (h *keeperHarness) requireServing(id int) {
 	h.t.Helper()
 	c := h.dial()
 	checkServed(h.t, c, query("lookup", id, "SELECT 1"))
 }
 
-// discoveryOfRevision starts a fake discovery server, and returns its address and a function that waits until a router
-// connects, which only one with that address in its configuration does.
+// discoveryOfRevision starts a fake discovery server. It returns the server's address, and a function that waits until
+// a router connects to it. A router does so only if the revision with that address is in force.
 func discoveryOfRevision(t *testing.T) (addr string, waitForConnection func()) {
 	t.Helper()
 	addr, links := listenDiscovery(t)
@@ -62,8 +62,8 @@
 	}
 }
 
-// A revision is put in force in a running router, which continues to serve; one that it rejects is named with its
-// pointer, and the former one stays; the next good one is in force again.
+// A running router puts a new revision in force and continues to serve. It reports a revision that it rejects with the
+// pointer to the invalid entry, and keeps the former one in force. The next valid revision is put in force.
 func TestRevisionTakesEffect(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -71,7 +71,7 @@
 	harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	if got := harness.metric(adminAddress, revisionMetric); got != 0 {
-		t.Errorf("at the start revision %d", got)
+		t.Errorf("revision %d is in force at the start, want 0", got)
 	}
 	addr, reached := discoveryOfRevision(t)
 	first := k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
@@ -79,29 +79,30 @@
 	reached()
 	harness.requireServing(1)
 	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	status := k.WaitForStatus("it rejects", func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
+	status := k.WaitForStatus("the router reports a rejected revision",
+		func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if status.Revision != first || status.Rejected.Revision != bad ||
 		status.Rejected.Pointer != "/settings/specifics/width-by-class" {
-		t.Errorf("%+v, %+v", status, status.Rejected)
+		t.Errorf("status %+v, rejected %+v, want revision %d in force and %d rejected", status, status.Rejected, first, bad)
 	}
 	a, b := harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
 	if a != int(first) || b != int(bad) {
-		t.Errorf("in force %d, rejected %d", a, b)
+		t.Errorf("metrics: revision %d in force, %d rejected, want %d and %d", a, b, first, bad)
 	}
 	harness.requireServing(2)
 	last := k.Change(nil, "/settings/specifics/width-by-class")
 	if status := k.WaitForRevision(last); status.Rejected != nil || status.Name != "n0" {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want nothing rejected and name n0", status)
 	}
 	a, b = harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
 	if a != int(last) || b != 0 {
-		t.Errorf("in force %d, rejected %d", a, b)
+		t.Errorf("metrics: revision %d in force, %d rejected, want %d and 0", a, b, last)
 	}
 	harness.requireServing(3)
 }
 
-// A router reads its own file again while revisions come: the entries in force stay laid over it, and a file that
-// does not fit with them is rejected while what was in force stays.
+// A router reloads its own file while revisions arrive. The entries in force still override the file. A file with which
+// an entry is invalid is rejected, and the former configuration stays in force.
 func TestReloadWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -114,8 +115,8 @@
 			t.Fatal(err)
 		}
 	}
-	// The address of discovery is an entry, the file's own is another one: the entry's is followed whatever the file
-	// says.
+	// An entry sets the address of discovery, and the file has another address. The entry's address is used, whatever
+	// the file says.
 	addr, reached := discoveryOfRevision(t)
 	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
@@ -129,7 +130,7 @@
 		}
 	}
 	k.WaitForRevision(last)
-	// A file that has no class for the entry does not fit.
+	// The entry refers to a class that the next file does not have, so that file is rejected.
 	k.WaitForRevision(k.Change(map[string]string{"/settings/classes/1/credit": "9"}))
 	text, err := os.ReadFile(harness.config)
 	if err != nil {
@@ -146,12 +147,12 @@
 	text, _ = json.Marshal(doc)
 	harness.editConfig(func(string) string { return string(text) })
 	sendSIGHUP()
-	// It is rejected: revisions continue over the file that was in force, which has two classes.
+	// After the rejection, revisions are still applied to the former file, which has two classes.
 	afterRejection := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
 	if status := k.WaitForRevision(afterRejection); status.Rejected != nil {
-		t.Errorf("%+v", status.Rejected)
+		t.Errorf("a revision was rejected: %+v", status.Rejected)
 	}
-	// With the entries gone, and the signal sent again, the same file is in force.
+	// Without the entries, a further SIGHUP puts the same file in force.
 	k.WaitForRevision(k.Change(nil, "/settings/classes/1/credit", "/board"))
 	sendSIGHUP()
 	l := <-links
@@ -159,8 +160,8 @@
 	harness.requireServing(1)
 }
 
-// A router that starts without its folder, or with a copy that is a thousand revisions old, has the latest one before
-// it is ready.
+// A router that starts without a copy of the configuration, or with one that is a thousand revisions old, puts the
+// latest revision in force before it is ready.
 func TestStartManyRevisionsBehind(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -173,7 +174,7 @@
 		p := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
 		if got := harness.metric(adminAddress, revisionMetric); got != int(last) {
-			t.Errorf("round %d: revision %d is in force where clients come, of %d", round, got, last)
+			t.Errorf("round %d: revision %d is in force when the router is ready, want %d", round, got, last)
 		}
 		k.WaitForRevision(last)
 		harness.requireServing(round + 1)
@@ -185,7 +186,7 @@
 		}
 		copies, _ := filepath.Glob(filepath.Join(harness.copyDir, "*.revision"))
 		if len(copies) != 1 {
-			t.Fatalf("copies: %v", copies)
+			t.Fatalf("files with copies: %v, want one", copies)
 		}
 		if round == 0 {
 			for i := range 1000 {
@@ -197,7 +198,8 @@
 	}
 }
 
-// Without a keeper at the test a router has its copy in force, or its own file where there is none, and serves.
+// A router that reaches no keeper at its start puts its copy of the configuration in force, or its own file if there is
+// no copy, and serves.
 func TestStartWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
 	silent := keepertest.New(t)
@@ -211,9 +213,9 @@
 		keepers []string
 		want    uint64
 	}{
-		{"a keeper", []string{k.Addr()}, rev},
-		{"a copy", []string{silent.Addr(), freePort(t)}, rev},
-		{"nothing", []string{silent.Addr()}, 0},
+		{"keeper answers", []string{k.Addr()}, rev},
+		{"no keeper, copy", []string{silent.Addr(), freePort(t)}, rev},
+		{"no keeper, no copy", []string{silent.Addr()}, 0},
 	} {
 		harness.configureKeepers(test.keepers...)
 		if test.want == 0 {
@@ -225,10 +227,10 @@
 		p := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
 		if got := harness.metric(adminAddress, revisionMetric); got != int(test.want) {
-			t.Errorf("%s: revision %d", test.name, got)
+			t.Errorf("%s: revision %d is in force, want %d", test.name, got, test.want)
 		}
 		harness.requireServing(1)
-		if test.want == 0 { // keepers come back: a SIGHUP brings another address
+		if test.want == 0 { // a SIGHUP with the address of a keeper that answers
 			harness.configureKeepers(k.Addr())
 			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
@@ -244,7 +246,8 @@
 	}
 }
 
-// A router that knows no keepers has its own file in force, and no figure of a revision, beside one that follows them.
+// A router without keepers in its settings uses its own file and has no metric of a revision, while another router on
+// the same machine follows keepers.
 func TestRouterWithoutKeepers(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -256,14 +259,15 @@
 	withoutKeepers.waitReady(newAdmin)
 	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
 	if a, b := harness.metric(oldAdmin, revisionMetric), withoutKeepers.metric(newAdmin, revisionMetric); a != 1 || b != -1 {
-		t.Errorf("revisions %d and %d", a, b)
+		t.Errorf("revision metrics are %d with keepers and %d without, want 1 and -1 (none)", a, b)
 	}
 	harness.requireServing(1)
 	withoutKeepers.requireServing(1)
 }
 
-// A hot restart while revisions arrive: the new process is ready with no earlier revision than the old one had, also
-// where it reaches no keeper itself, and both obey the same one in the end.
+// A hot restart while revisions arrive. When the new process is ready, its revision is not older than the one that the
+// old process had in force when the new process was started, even if the new process reaches no keeper. In the end both
+// have the same revision in force.
 func TestHotRestartWhileRevisionsArrive(t *testing.T) {
 	k := keepertest.New(t)
 	harness := newKeeperHarness(t, k.Addr())
@@ -271,8 +275,8 @@
 	old := harness.startProcess(oldAdmin)
 	harness.waitReady(oldAdmin)
 	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
-	// The new one knows a keeper only that is not there.
-	harness.copyDir = t.TempDir() // nor the copy
+	// The new process has the address of a keeper that does not exist, and no copy of the configuration.
+	harness.copyDir = t.TempDir()
 	harness.configureKeepers(freePort(t))
 	lastRevision := make(chan uint64, 1)
 	go func() {
@@ -286,18 +290,18 @@
 	harness.startProcess(newAdmin)
 	harness.waitReady(newAdmin)
 	if got := harness.metric(newAdmin, revisionMetric); got < before || before == 0 {
-		t.Errorf("the new process accepts at revision %d, the old one was at %d before", got, before)
+		t.Errorf("the new process is ready at revision %d, the old one was at %d before", got, before)
 	}
 	last := <-lastRevision
-	k.WaitForRevision(last) // in the old one
-	harness.waitFor("both obey the same revision", func() bool {
+	k.WaitForRevision(last) // the old process reports its revision to the keeper
+	harness.waitFor("both processes have the same revision in force", func() bool {
 		return harness.metric(newAdmin, revisionMetric) == int(last) && harness.metric(oldAdmin, revisionMetric) == int(last)
 	})
 	harness.requireServing(1)
-	// The new one alone continues from there.
+	// After the old process has ended, the new one keeps the revision.
 	harness.terminate(old)
 	if got := harness.metric(newAdmin, revisionMetric); got != int(last) {
-		t.Errorf("alone at revision %d", got)
+		t.Errorf("after the end of the old process revision %d is in force, want %d", got, last)
 	}
 	harness.requireServing(2)
 }
--- a/internal/node/log_writer_test.go
+++ b/internal/node/log_writer_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// A log that nobody reads blocks nobody who writes it; what does not fit is counted and reported once it is read again.
+// Writing to the log does not block if nobody reads it. Lines that exceed the queue are counted, and their number is
+// reported once the log is read again.
 func TestLogNeverBlocks(t *testing.T) {
-	r, w := io.Pipe() // takes nothing until it is read
+	r, w := io.Pipe() // a write blocks until the other end is read
 	l := newLogWriter(w)
 	reported := make(chan int64, 1)
 	l.onDropped = func(n int64) { reported <- n }
@@ -27,6 +28,6 @@
 	l.flush()
 	_ = w.Close()
 	if n := int64(strings.Count(<-written, "a line\n")); n+dropped != 2*maxQueuedLines || dropped == 0 {
-		t.Errorf("%d lines and %d dropped of %d", n, dropped, 2*maxQueuedLines)
+		t.Errorf("%d lines were written and %d dropped, want %d together and some dropped", n, dropped, 2*maxQueuedLines)
 	}
 }
--- a/internal/node/oncall_test.go
+++ b/internal/node/oncall_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Each line that the router may log, from Info up, is on the on-call page or on the page that it leads to;
-// records have the same lines as events. It guards against a page that says less than the program.
+// Each message that the router logs at level Info or above is on the on-call page or one of the pages that it refers
+// to, for operators who look it up. Records contain the same messages as events. Guards against log messages that are
+// not documented.
 func TestOnCallPagesHaveEachLogLine(t *testing.T) {
 	var pages strings.Builder
 	for _, name := range []string{"on-call.md", "operating.md", "records.md"} {
@@ -22,10 +23,10 @@
 	forEachLogCall(t, func(at token.Position, call logCall) {
 		lines++
 		if !strings.Contains(pages.String(), "`"+call.text+"`") {
-			t.Errorf("%s: %q is on no page", at, call.text)
+			t.Errorf("%s: log message %q is on none of the pages", at, call.text)
 		}
 	})
 	if lines < 30 {
-		t.Error(lines, "lines")
+		t.Errorf("found %d log calls in the sources, want at least 30", lines)
 	}
 }
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -15,8 +15,8 @@
 	"windflow/internal/settings"
 )
 
-// A router with records on writes what it saw: the engines' states, the requests by class and tenant, the log's
-// lines, and never a statement.
+// A router with records enabled writes the changes of engines, the requests by class and tenant, and the log messages,
+// but never the text of a statement.
 func TestRouterRecords(t *testing.T) {
 	one, two := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, one, two)
@@ -34,7 +34,7 @@
 		requireServed(t, c, query("lookup", id+1, "SELECT secret_name FROM donors_1.t"))
 	}
 	if harness.callAdmin("POST", adminAddress, "/api/exclude/s-00000002") != 200 {
-		t.Fatal("the cordon was not taken")
+		t.Fatal("the cordon was not accepted")
 	}
 	_ = c.conn.Close()
 	harness.terminate(p)
@@ -62,24 +62,25 @@
 		return nil
 	})
 	if err != nil || read[0].Err != nil || len(read[0].Damage) > 0 {
-		t.Fatal(err, read)
+		t.Fatalf("reading the segments: %v; %+v", err, read)
 	}
 	if served != 50 || cordons != 1 || events["ready"] != 1 || events["draining"] != 1 || events["operator order"] != 1 {
-		t.Errorf("%d served, out %d times, events %v", served, cordons, events)
+		t.Errorf("%d requests served, %d cordons, events %v; want 50, 1, and one each of ready, draining and operator order",
+			served, cordons, events)
 	}
 	if head.Router != "n0" || head.Incarnation == 0 || head.WallMS == 0 {
-		t.Errorf("%+v", head)
+		t.Errorf("header %+v, want router n0, an incarnation and a time", head)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil || strings.Contains(string(text), "secret_name") || strings.Contains(string(text), "donors") {
-			t.Error("a statement's text is in the records", err)
+			t.Error("the records contain the text of a statement, or can't be read:", err)
 		}
 	}
 }
 
-// BenchmarkRecords is a request through a router without and with records: from the core's taking it in to its answer,
-// over an engine on loopback.
+// BenchmarkRecords measures a request through the core of a router without and with records, from its submission to its
+// answer by an engine that answers at once.
 func BenchmarkRecords(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// instantEngine answers each attempt at once.
+// instantEngine is an engine client that serves each attempt at once.
 type instantEngine struct{ loop *router.Loop }
 
 func (c instantEngine) CancelUnsent() bool { return false }
@@ -122,14 +123,18 @@
 func (instantEngine) Forget(router.Engine)          {}
 func (instantEngine) CancelUnstarted(router.Engine) {}
 
+// answerCounter counts the answers to a request.
 type answerCounter struct{ n int }
 
 func (a *answerCounter) Served(*router.Result) { a.n++ }
 func (a *answerCounter) Rejected(float64)      { a.n++ }
 func (a *answerCounter) Failed(router.Reason)  { a.n++ }
 
+// lastBenchID is the id of the last request of benchRequest.
 var lastBenchID int
 
+// benchRequest submits one request and runs the event loop until it is answered. The first call for a router replaces
+// its engines.
 func benchRequest(b *testing.B, n *node) {
 	b.Helper()
 	if n.services.byKind.Default != router.EngineClient(instantEngine{n.loop}) {
@@ -160,5 +165,5 @@
 			return
 		}
 	}
-	b.Fatal("no answer")
+	b.Fatal("the request was not answered within 100 steps of the event loop")
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,6 +15,7 @@
 	"windflow/internal/settings"
 )
 
+// writeConfig writes a platform configuration without engines.
 func writeConfig(t *testing.T, path, discoveryAddress string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":192,
@@ -24,8 +25,8 @@
 	}
 }
 
-// On SIGHUP the program reads its file again: it continues at discovery's new address from the last event that it
-// has, and neither a file that can't be used nor the signal itself ends it.
+// On SIGHUP the program reads its configuration again. It subscribes at the new discovery address from the last event
+// that it has received. Neither the signal nor an invalid file ends the program.
 func TestReloadMovesDiscovery(t *testing.T) {
 	oldAddr, oldLinks := listenDiscovery(t)
 	newAddr, newLinks := listenDiscovery(t)
@@ -45,12 +46,13 @@
 	defer first.Close()
 	writeConfig(t, path, "nowhere")
 	sendSIGHUP()
-	// Event 2 arrives on the old link, the beginning of event 3 too; the new server must be subscribed to from 2.
+	// Event 2 and the beginning of event 3 arrive on the old connection, so the router must subscribe to the new server
+	// from event 2.
 	event := func(n byte) []byte { return []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, n, 2} }
 	if _, err := first.Write(append(event(2), event(3)[:7]...)); err != nil {
 		t.Fatal(err)
 	}
-	// A frame of no known kind ends a link, so that the next one shows that event 2 has been read.
+	// A frame of unknown kind makes the router close the connection. The next one shows that it has read event 2.
 	second := func() discoveryConn {
 		if _, err := first.Write(event(3)[7:12]); err != nil {
 			t.Fatal(err)
@@ -62,17 +64,17 @@
 	}()
 	defer second.Close()
 	if second.lastEvent != 2 {
-		t.Errorf("after a bad frame the old server was subscribed to from event %d", second.lastEvent)
+		t.Errorf("after an invalid frame the router subscribed to the old server from event %d, want 2", second.lastEvent)
 	}
 	writeConfig(t, path, newAddr)
 	sendSIGHUP()
 	third := <-newLinks
 	defer third.Close()
 	if third.lastEvent != 2 {
-		t.Errorf("the new server was subscribed to from event %d", third.lastEvent)
+		t.Errorf("the router subscribed to the new server from event %d, want 2", third.lastEvent)
 	}
 	if _, err := second.Read(make([]byte, 1)); err == nil {
-		t.Error("the link to the old server stayed open")
+		t.Error("the connection to the old server is still open")
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -82,8 +84,8 @@
 	}
 }
 
-// Changed settings reach those that go by them; what can't be used changes nothing, and what can't change while
-// running is named in the log.
+// Changed settings are applied to the services that use them. Invalid settings change nothing, and the log names
+// settings that can't change while the router runs.
 func TestConfigure(t *testing.T) {
 	n := startRouter(t, nil)
 	var log strings.Builder
@@ -112,13 +114,13 @@
 	}
 	if err := configure(text(1024, strings.Replace(mixedSettings, `"goal-time-ns":3000000000`,
 		`"goal-time-ns":-1`, 1))); err == nil || !strings.Contains(err.Error(), "classes[1].goal-time-ns") {
-		t.Errorf("a time below zero: %v", err)
+		t.Errorf("a negative time: %v, want an error that names the field", err)
 	}
 	if err := configure(text(160, mixedSettings)); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
-		t.Errorf("too few descriptors: %v", err)
+		t.Errorf("too few descriptors: %v, want an error that names the field", err)
 	}
 	if n.active.platform.Listen == "127.0.0.1:1" || log.Len() > 0 {
-		t.Errorf("a rejected reload left traces: %s", log.String())
+		t.Errorf("a rejected reload changed the settings or logged: %s", log.String())
 	}
 	changed := strings.Replace(mixedSettings, `"attempts-cap":5`, `"attempts-cap":1`, 1)
 	if err := configure(text(1024, strings.Replace(changed, "at_most_once", "idempotent", 1))); err != nil {
@@ -132,10 +134,10 @@
 	kinds := make(chan int, 1)
 	n.loop.Post(func() { kinds <- len(n.services.byKind.Kinds) })
 	if got := <-kinds; got != 1 || n.services.byKind.Kinds["std"] == nil {
-		t.Errorf("%d kinds of engine speak Flight SQL", got)
+		t.Errorf("%d kinds of engines use Flight SQL, want only std", got)
 	}
 	if load, _ := n.services.core.Class("load"); load.Semantics != 2 {
-		t.Errorf("a reload made loads repeatable: %+v", load)
+		t.Errorf("a reload changed the semantics of class load: %+v", load)
 	}
 	if lookup, _ := n.services.core.Class("lookup"); lookup.Name != "lookup" {
 		t.Errorf("class lookup is now %+v", lookup)
