--- a/internal/node/bgp_neighbour_test.go
+++ b/internal/node/bgp_neighbour_test.go
@@ -8,14 +8,15 @@
 	"testing"
 )
 
-// bgpNeighbour is a fake BGP neighbour: it accepts sessions and records what it receives on them.
+// bgpNeighbour is a fake BGP neighbour. It accepts sessions and reports the messages that it receives on them.
 type bgpNeighbour struct {
-	sessions   chan int      // numbered from 1
+	sessions   chan int      // number of each session that was accepted, from 1
 	updates    chan string   // "announce" or "withdraw"
-	keepalives chan struct{} // KEEPALIVEs
-	ended      chan int
+	keepalives chan struct{} // one value for each KEEPALIVE received
+	ended      chan int      // number of each session that ended
 }
 
+// serve starts the neighbour and returns its address.
 func (n *bgpNeighbour) serve(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,6 +37,7 @@
 	return lis.Addr().String()
 }
 
+// handleSession answers OPEN and KEEPALIVE messages, and reports UPDATEs, until the connection ends.
 func (n *bgpNeighbour) handleSession(c net.Conn, i int) {
 	defer func() { n.ended <- i }()
 	defer c.Close()
@@ -55,7 +57,7 @@
 		}
 		switch head[18] {
 		case 1:
-			send(1, 4, 0xfc, 0, 0, 3, 10, 0, 0, 9, 0) // AS 64512, hold time 3 s, id 10.0.0.9, no parameters
+			send(1, 4, 0xfc, 0, 0, 3, 10, 0, 0, 9, 0) // version 4, AS 64512, hold time 3 s, id 10.0.0.9, no parameters
 			send(4)
 		case 2:
 			kind := "announce"
@@ -80,7 +82,8 @@
 	}
 }
 
-// checkSessionGoesOn fails the test unless the first session continues, with nothing withdrawn and no further session.
+// checkSessionContinues waits for two further KEEPALIVEs, and fails the test if a session has ended, an address was
+// withdrawn or a further session was opened.
 func (n *bgpNeighbour) checkSessionContinues(t *testing.T) {
 	t.Helper()
 	for len(n.keepalives) > 0 {
@@ -99,6 +102,6 @@
 		}
 	}
 	if further := len(n.sessions); further > 0 {
-		t.Errorf("%d further BGP sessions", further)
+		t.Errorf("%d further BGP sessions were opened, want none", further)
 	}
 }
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// listedEngine is an entry of the list of engines.
+// engineEntry returns the entry of one engine for the configured list of engines.
 func engineEntry(addr string) string {
 	return fmt.Sprintf(`{"id":"s-00000001","host_port":"%s","locality":"a","flavor":"std","phase":"active","size":1}`,
 		addr)
 }
 
-// inLoop runs f in the router's loop and waits for it.
+// inLoop runs f in the router's event loop and waits until it returns.
 func inLoop(n *node, f func()) {
 	done := make(chan struct{})
 	n.loop.Post(func() {
@@ -29,10 +29,10 @@
 	<-done
 }
 
-// A request that has arrived at an idle connection when the router ends its sessions, and that the loop has not read,
-// is taken and answered; then the client reads the end, as an idle one does at once. Neither is reset. It
-// guards against a close over unread bytes, which loses the request, and with it an answer that the client has not
-// read.
+// A request that arrives on an idle connection just before the router ends its sessions, and that the event loop has
+// not read yet, is answered before the connection is closed. An idle connection is closed at once. Neither is reset.
+// Guards against closing a socket that has unread bytes: the kernel then resets the connection, which loses the request
+// and an answer that the client has not read.
 func TestRequestDuringConnectionEnd(t *testing.T) {
 	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	requesting, err := dialMySQL(n.listeners.clientsAddress)
@@ -49,7 +49,7 @@
 	}
 	answered := make(chan answer, 1)
 	inLoop(n, func() {
-		// The loop is blocked here, so that what is written now is read after the end has begun.
+		// The event loop is blocked here, so it reads this request only after the shutdown of sessions has begun.
 		q := query("lookup", 1, "SELECT 1")
 		if err := requesting.write(0, append([]byte{3}, q...)); err != nil {
 			t.Error(err)
@@ -61,16 +61,16 @@
 		answered <- answer{rows, code, err}
 	}()
 	if a := <-answered; a != (answer{rows: 1}) {
-		t.Errorf("the request that crossed the end: %+v", a)
+		t.Errorf("request that arrived during the shutdown: %+v, want one row", a)
 	}
 	for name, c := range map[string]*mysqlClient{"requesting": requesting, "idle": idle} {
 		checkClosed(t, name, c)
 	}
 }
 
-// A client whose connection was accepted before the router stops listening, and which the loop has not seen, is
-// served; one that arrives after is rejected at once. It guards against connections that are taken and dropped at the
-// end.
+// A client whose connection was accepted before the router stops listening is served, even if the event loop has not
+// seen it yet. A later client is refused at once. Guards against connections that are accepted and then dropped at
+// shutdown.
 func TestAcceptedClientServedAtEnd(t *testing.T) {
 	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
@@ -85,26 +85,27 @@
 		if err := errors.Join(m.sendLogin(), m.write(0, append([]byte{3}, query("lookup", 1, "SELECT 1")...))); err != nil {
 			t.Error(err)
 		}
-		for n.listeners.clients.Pending() == 0 { // until it is accepted; the loop is blocked, so it has not seen it
+		for n.listeners.clients.Pending() == 0 { // until it is accepted; the blocked event loop has not seen it
 			runtime.Gosched()
 		}
 		n.shutdown.closeConnections(n.loop.Now())
 		accepted <- m
 	})
 	m := <-accepted
-	for range 2 { // the greeting, and the answer to the login
+	for range 2 { // the greeting and the answer to the login
 		if _, err := m.packet(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	checkServedAnswer(t, m, "accepted before the end:")
+	checkServedAnswer(t, m, "client accepted before the shutdown")
 	if _, err := net.Dial("tcp", n.listeners.clientsAddress); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a client after the end: %v", err)
+		t.Errorf("dial after the shutdown: %v, want connection refused", err)
 	}
 }
 
-// A client that never finishes a packet, and reconnects whenever its time is up, does not delay the end past the
-// time by which everything is answered: a kill follows then. It guards against a router that has to be killed.
+// Clients that never finish a packet, and reconnect whenever the router times them out, do not delay the end of the
+// process past the deadline by which open requests are answered. Guards against a router that does not end in time and
+// is then killed by the platform.
 func TestIncompletePacketsDoNotDelayShutdown(t *testing.T) {
 	shortDeadlines := strings.NewReplacer("5000000000", "300000000", "25000000000", "300000000").Replace(mixedSettings)
 	n := startRouterWith(t, []string{engineEntry(newBlockingEngine().serve(t))}, shortDeadlines)
@@ -123,7 +124,7 @@
 				case partlySent <- struct{}{}:
 				default:
 				}
-				_, _ = io.Copy(io.Discard, c) // until its time is up
+				_, _ = io.Copy(io.Discard, c) // until the router closes the connection
 				_ = c.Close()
 				select {
 				case <-stop:
@@ -142,10 +143,10 @@
 	select {
 	case <-n.life.done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not end while clients are half open")
+		t.Fatal("the router does not end while clients have sent incomplete packets")
 	}
-	// The loop has ended: its state may be read.
+	// The event loop has ended, so its state can be read here.
 	if by := n.shutdown.answeredBy + endSlackMS - signaledAt; by >= 300+700 {
-		t.Errorf("the end is %.0f ms after the signal; a kill may come after 1000", by)
+		t.Errorf("the process may end %.0f ms after the signal; the platform may kill it after 1000 ms", by)
 	}
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// descriptorTableSize is how many descriptors a process's table has room for.
+// descriptorTableSize returns the number of entries in the descriptor table that the kernel has allocated for a
+// process.
 func descriptorTableSize(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -25,19 +26,19 @@
 			return n
 		}
 	}
-	t.Fatal("no FDSize in the status")
+	t.Fatalf("/proc/%d/status has no line FDSize", pid)
 	return 0
 }
 
-// A router that serves never grows its table of descriptors, which may take the kernel seconds: it has room for all
-// that the limit allows from its start on, and after a reload that allows more.
+// A router grows its descriptor table to the limit at its start, and again after a reload that raises the limit.
+// Guards against growing the table while serving, which may block in the kernel for seconds.
 func TestDescriptorTable(t *testing.T) {
 	harness := newRouterHarness(t, newBlockingEngine())
 	adminAddress := freePort(t)
 	router := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	if n := descriptorTableSize(t, router.Process.Pid); n < 1024 {
-		t.Errorf("room for %d descriptors of 1024", n)
+		t.Errorf("the descriptor table has %d entries, want at least 1024", n)
 	}
 	text, err := os.ReadFile(harness.config)
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("room for more after a reload",
+	harness.waitFor("larger descriptor table after a reload",
 		func() bool { return descriptorTableSize(t, router.Process.Pid) >= requiredTableSize(9000, limit.Cur) })
 }
 
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Idle clients hold all the descriptors that they can get while discovery is down; it still reconnects, and so do
-// clients with requests. It guards the descriptors that the next dial needs.
+// While discovery is down, idle clients hold all the descriptors that the router allows them. The router can still
+// reconnect to discovery and to engines, and accept clients that send requests. Guards against a limit on clients that
+// leaves no descriptors for these connections.
 func TestDiscoveryRecoversBesideIdleClients(t *testing.T) {
 	const sockets = 192
 	removed, remaining := newBlockingEngine(), newBlockingEngine()
@@ -20,7 +21,7 @@
 		i := strings.Index(text, `"board":"`) + len(`"board":"`)
 		return text[:i] + server.addr + text[i+strings.IndexByte(text[i:], '"'):]
 	})
-	harness.prepare = func(cmd *exec.Cmd) { // the system limits its descriptors, too
+	harness.prepare = func(cmd *exec.Cmd) { // the process limit on descriptors is the configured one
 		cmd.Args = append([]string{"sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), cmd.Path}, cmd.Args[1:]...)
 		cmd.Path = "/bin/sh"
 	}
@@ -33,23 +34,24 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if i%2 == 0 { // others have logged in, and are idle
+		if i%2 == 0 { // half of the clients send a login, the others send nothing
 			m := &mysqlClient{conn: c}
 			_ = m.write(1, append([]byte{0x0d, 0xa2, 0x0f, 0, 0, 0, 0, 1, 45},
 				append(make([]byte, 23), "app\x00\x00warehouse\x00mysql_native_password\x00"...)...))
 		}
 	}
 	if n := harness.metric(adminAddress, discoveredMetric); n != 2 {
-		t.Fatalf("%d engines before discovery is back", n)
+		t.Fatalf("%d engines are known before discovery is back, want 2", n)
 	}
 	server.open(1)
-	harness.waitFor("the endpoint event arrives", func() bool {
+	harness.waitFor("the endpoint event has arrived", func() bool {
 		return harness.metric(adminAddress, discoveredMetric) == 1
 	})
 	for id := range 5 {
 		checkServed(t, harness.dial(), query("lookup", id+1, "SELECT 1"))
 	}
 	if removed.totalRuns() > 0 || remaining.totalRuns() != 5 {
-		t.Errorf("%d and %d queries at the engine that is gone and the other", removed.totalRuns(), remaining.totalRuns())
+		t.Errorf("the removed engine ran %d queries and the remaining one %d, want 0 and 5",
+			removed.totalRuns(), remaining.totalRuns())
 	}
 }
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startIdleDiscovery is a fake discovery server that has no event.
+// startIdleDiscovery starts a fake discovery server that sends heartbeats and no events, and returns its address.
 func startIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +41,8 @@
 	return l.Addr().String()
 }
 
-// listenDiscovery is a fake discovery server that hands over each connection once it has read from which event it
-// continues.
+// listenDiscovery starts a fake discovery server. It passes each connection to connections once it has read the number
+// of the last event that the router has received.
 func listenDiscovery(t *testing.T) (addr string, connections chan discoveryConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,18 +66,20 @@
 	return l.Addr().String(), connections
 }
 
+// discoveryConn is a connection from a router to a fake discovery server.
 type discoveryConn struct {
 	net.Conn
-	lastEvent uint64
+	lastEvent uint64 // last event that the router had received when it connected
 }
 
-// closedDiscovery is a fake discovery server at which connections fail until it is opened.
+// closedDiscovery is a fake discovery server that refuses connections until open is called.
 type closedDiscovery struct {
 	t    *testing.T
 	fd   int
 	addr string
 }
 
+// newClosedDiscovery binds a socket to a free port without listening on it.
 func newClosedDiscovery(t *testing.T) *closedDiscovery {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -97,7 +99,7 @@
 	return b
 }
 
-// open accepts connections and sends each of them the event that an engine is gone.
+// open starts to accept connections, and sends each of them an event that removes an engine.
 func (b *closedDiscovery) open(gone uint32) {
 	b.t.Helper()
 	if err := syscall.Listen(b.fd, 16); err != nil {
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -30,11 +30,11 @@
 	"windflow/internal/settings"
 )
 
-// executionLog counts what the fake engines ran, by request.
+// executionLog counts the requests that the fake engines ran.
 type executionLog struct {
 	mu     sync.Mutex
-	runs   map[string]int
-	byKind map[string]int // by kind of engine
+	runs   map[string]int // by request id
+	byKind map[string]int // by protocol of the engine: fetch or flight
 }
 
 func (l *executionLog) add(id, kind string) {
@@ -44,7 +44,8 @@
 	l.byKind[kind]++
 }
 
-// newHTTPEngine is a fake engine over HTTP: 200 at once, three pages.
+// newHTTPEngine returns a fake engine with the HTTP protocol. It answers each request at once with status 200 and three
+// pages of 20 rows, and rejects requests whose id begins with f.
 func newHTTPEngine(l *executionLog) http.Handler {
 	mux := http.NewServeMux()
 	page := func(id string, n int) string { return strings.Repeat(fmt.Sprintf("%s\t%d\tx\n", id, n), 20) }
@@ -53,7 +54,7 @@
 			return
 		}
 		id := r.Header.Get("Call-Id")
-		if id[0] == 'f' { // a sixteenth is turned away unseen
+		if id[0] == 'f' { // a sixteenth of the requests is rejected before it runs
 			w.Header().Set("Not-Begun", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -82,12 +83,14 @@
 	return mux
 }
 
-// flightEngine is a fake engine over Flight SQL: three batches for a query, a count for an update.
+// flightEngine is a fake engine with the Flight SQL protocol. It answers a query with three batches of 20 rows, and an
+// update with a count. It rejects updates whose id begins with f.
 type flightEngine struct {
 	fsql.BaseServer
 	executions *executionLog
 }
 
+// incomingMetadata returns the values of a metadata key of the call, separated by commas.
 func incomingMetadata(ctx context.Context, name string) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return strings.Join(md.Get(name), ",")
@@ -137,6 +140,8 @@
 	return 7, nil
 }
 
+// mixedSettings are the platform's settings with classes lookup and load, and engine kinds std (HTTP) and arrow (Flight
+// SQL).
 const mixedSettings = `{"balancers":1,"classes":[
  {"name":"lookup","goal-time-ns":1000000000,"deadline-ns":5000000000,"semantics":"idempotent"},
  {"name":"load","goal-time-ns":3000000000,"deadline-ns":25000000000,"semantics":"at_most_once"}],
@@ -147,7 +152,8 @@
  "specifics":{"cores-by-kind":[8,8],"kind-memory-mb":[16384,16384],"width-by-class":[1,2],
   "class-load":[false,true],"yields-to-loads":[true,false],"priorities":true,"grants-count":true}}`
 
-// startMixedRouter runs a router in this process against two engines of either kind.
+// startMixedRouter runs a router in this process with two engines of each kind. kills counts the connections that the
+// engines reset.
 func startMixedRouter(t *testing.T, l *executionLog, kills *atomic.Int64) *node {
 	t.Helper()
 	var members []string
@@ -171,13 +177,14 @@
 	return startRouter(t, members)
 }
 
-// startRouter runs a router in this process with those members of the list, and ends it with the test.
+// startRouter runs a router in this process with those entries in its list of engines, and stops it at the end of the
+// test.
 func startRouter(t *testing.T, members []string) *node {
 	t.Helper()
 	return startRouterWith(t, members, mixedSettings)
 }
 
-// startRouterWith runs a router in this process, by the platform's settings.
+// startRouterWith is startRouter with other platform settings than mixedSettings.
 func startRouterWith(t *testing.T, members []string, platform string) *node {
 	t.Helper()
 	cfg, err := settings.ParseNode(fmt.Appendf(nil,
@@ -207,20 +214,20 @@
 	return n
 }
 
-// mixedRun is a run of requests over both protocols, and their outcomes.
+// mixedRun sends requests over both protocols and collects their outcomes.
 type mixedRun struct {
 	t          *testing.T
 	router     *node
 	executions *executionLog
-	kills      atomic.Int64 // connections of engines that were reset
+	kills      atomic.Int64 // connections that engines reset
 
 	mu      sync.Mutex
-	answers map[string]int
-	loads   map[string]bool
-	served  map[string]int // by front
+	answers map[string]int  // by request id
+	loads   map[string]bool // ids of requests of class load
+	served  map[string]int  // by front
 }
 
-// plannedRequest is a request of a run.
+// plannedRequest is a request that a mixedRun sends.
 type plannedRequest struct {
 	id     string
 	load   bool
@@ -236,6 +243,7 @@
 
 func (r plannedRequest) statement() string { return fmt.Sprintf("SELECT 1 FROM s_%d.t", r.number%3+1) }
 
+// planRequests returns requests with random ids, of which about half are loads.
 func planRequests(rng *rand.Rand, count int) (planned []plannedRequest) {
 	for number := range count {
 		id := fmt.Sprintf("%016x", rng.Uint64())
@@ -244,7 +252,7 @@
 	return planned
 }
 
-// answered notes the answer to a request.
+// recordAnswer records the answer to a request that was sent over a front.
 func (r *mixedRun) recordAnswer(front string, request plannedRequest, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,7 +265,7 @@
 	}
 }
 
-// runMySQL sends requests over MySQL, one after the other.
+// runMySQL sends requests over MySQL one at a time, and checks each answer.
 func (r *mixedRun) runMySQL(planned []plannedRequest) {
 	client, err := dialMySQL(r.router.listeners.clientsAddress)
 	if err != nil {
@@ -276,13 +284,14 @@
 			return
 		}
 		if code == 0 && rows != 60 && rows != 1 {
-			r.t.Errorf("mysql %s %s: served with %d rows", request.class(), request.id, rows)
+			r.t.Errorf("mysql %s %s: served with %d rows, want 1 or 60", request.class(), request.id, rows)
 		}
 		r.recordAnswer("mysql", request, code == 0)
 	}
 }
 
-// runFlight sends requests over Flight SQL, one after the other; every other load is an update.
+// runFlight sends requests over Flight SQL one at a time, and checks each answer. Loads with an even number are
+// updates.
 func (r *mixedRun) runFlight(planned []plannedRequest) {
 	address := r.router.parts.named("flightsql").acceptor.address
 	client, err := fsql.NewClient(address, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -301,35 +310,37 @@
 	}
 }
 
-// checkAnswers checks that each request had one answer, and each load ran at most once.
+// checkAnswers checks that each request got one answer, and that each load ran at most once.
 func (r *mixedRun) checkAnswers(requests int) {
 	r.t.Helper()
 	if len(r.answers) != requests {
-		r.t.Errorf("%d requests were answered of %d", len(r.answers), requests)
+		r.t.Errorf("%d requests were answered, want %d", len(r.answers), requests)
 	}
 	for id, count := range r.answers {
 		if count != 1 {
-			r.t.Errorf("request %s was answered %d times", id, count)
+			r.t.Errorf("request %s was answered %d times, want once", id, count)
 		}
 	}
 	r.executions.mu.Lock()
 	defer r.executions.mu.Unlock()
 	for id := range r.loads {
 		if r.executions.runs[id] > 1 {
-			r.t.Errorf("load %s ran %d times", id, r.executions.runs[id])
+			r.t.Errorf("load %s ran %d times, want at most once", id, r.executions.runs[id])
 		}
 	}
-	// The test shows something only if both fronts, both kinds of engine and the kills had their part.
+	// The test is meaningful only if requests were served over both fronts and by both kinds of engine, and if
+	// connections were reset.
 	ran := r.executions.byKind
 	if r.served["mysql"] == 0 || r.served["flight"] == 0 || ran["fetch"] == 0 || ran["flight"] == 0 ||
 		r.kills.Load() == 0 {
-		r.t.Errorf("served %v, ran %v, %d connections killed: some part was not met", r.served, ran, r.kills.Load())
+		r.t.Errorf("served by front %v, run by protocol %v, %d connections reset: none of these may be 0",
+			r.served, ran, r.kills.Load())
 	}
 }
 
-// TestMixedProtocolsUnderKilledStreams sends look-ups and loads over both protocols at once, to engines of both,
-// while a seeded part of the engines' connections dies at random bytes. Each request must get one answer, a complete
-// one or an error, and each load must have run at most once.
+// Clients send lookups and loads over both protocols at once, to engines of both protocols, while part of the engines'
+// connections is reset after a random number of bytes, from a fixed seed. Each request must get exactly one answer, a
+// complete one or an error, and each load must run at most once.
 func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
 	const workers, each = 6, 25
 	run := &mixedRun{
@@ -350,6 +361,6 @@
 	inLoop(run.router, func() { counters = run.router.services.core.Counters })
 	answered := counters.Served + counters.Rejected + counters.Failed + counters.Abandoned
 	if counters.Received != answered || counters.Received != 2*workers*each {
-		t.Errorf("taken %d, answered %d, want %d of both", counters.Received, answered, 2*workers*each)
+		t.Errorf("counters: %d received, %d answered, want %d of both", counters.Received, answered, 2*workers*each)
 	}
 }
--- a/internal/node/mysql_client_test.go
+++ b/internal/node/mysql_client_test.go
@@ -10,12 +10,13 @@
 	"testing"
 )
 
-// mysqlClient is a bare client of the MySQL protocol.
+// mysqlClient is a minimal client for the MySQL protocol.
 type mysqlClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
+// dialMySQL connects to an address and logs in.
 func dialMySQL(addr string) (*mysqlClient, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -25,7 +26,7 @@
 	if err := m.sendLogin(); err != nil {
 		return nil, err
 	}
-	for range 2 { // the greeting, and OK
+	for range 2 { // the greeting and the OK packet
 		if _, err := m.packet(); err != nil {
 			return nil, err
 		}
@@ -33,6 +34,7 @@
 	return m, nil
 }
 
+// sendLogin sends the answer to the greeting. It does not read the server's answer.
 func (m *mysqlClient) sendLogin() error {
 	login := binary.LittleEndian.AppendUint32(nil, 0x000fa20d)
 	login = append(login, 0, 0, 0, 1, 45)
@@ -41,11 +43,13 @@
 	return m.write(1, login)
 }
 
+// write sends one packet with that sequence number.
 func (m *mysqlClient) write(seq byte, body []byte) error {
 	_, err := m.conn.Write(append([]byte{byte(len(body)), byte(len(body) >> 8), byte(len(body) >> 16), seq}, body...))
 	return err
 }
 
+// packet reads one packet and returns its payload.
 func (m *mysqlClient) packet() ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(m.reader, head[:]); err != nil {
@@ -56,7 +60,7 @@
 	return body, err
 }
 
-// exchange sends a query and reads its complete answer: the number of rows, or the error's code.
+// exchange sends a query and reads the complete answer. It returns the number of rows, or the code of an error packet.
 func (m *mysqlClient) exchange(query string) (rows, code int, err error) {
 	if err := m.write(0, append([]byte{3}, query...)); err != nil {
 		return 0, 0, err
@@ -64,7 +68,7 @@
 	return m.answer()
 }
 
-// answer reads the complete answer to a query.
+// answer reads the complete answer to a query that was sent. It returns the same as exchange.
 func (m *mysqlClient) answer() (rows, code int, err error) {
 	ends := 0
 	for first := true; ends < 2; first = false {
@@ -83,27 +87,28 @@
 	return rows, 0, nil
 }
 
-// ping fails if anything but its answer is received: a second answer to the query before, above all.
+// ping sends a ping, and fails if anything but one OK packet is received, such as a second answer to the previous
+// query.
 func (m *mysqlClient) ping() error {
 	if err := m.write(0, []byte{14}); err != nil {
 		return err
 	}
 	p, err := m.packet()
 	if err == nil && (p[0] != 0 || m.reader.Buffered() > 0) {
-		err = fmt.Errorf("% x and %d bytes received instead of one OK", p[:min(len(p), 8)], m.reader.Buffered())
+		err = fmt.Errorf("received % x and %d further bytes, want one OK packet", p[:min(len(p), 8)], m.reader.Buffered())
 	}
 	return err
 }
 
-// requireServed sends a query and ends the test unless one row is the complete answer.
+// requireServed sends a query and ends the test at once unless the complete answer is one row.
 func requireServed(t *testing.T, c *mysqlClient, query string) {
 	t.Helper()
 	if rows, code, err := c.exchange(query); rows != 1 || code != 0 || err != nil {
-		t.Fatalf("%s: %d rows, error %d, %v", query, rows, code, err)
+		t.Fatalf("%s: %d rows, error %d, %v; want one row", query, rows, code, err)
 	}
 }
 
-// checkServed sends a query and fails the test unless one row is the complete answer.
+// checkServed sends a query and fails the test unless the complete answer is one row.
 func checkServed(t *testing.T, c *mysqlClient, query string) {
 	t.Helper()
 	if err := c.write(0, append([]byte{3}, query...)); err != nil {
@@ -113,18 +118,19 @@
 	checkServedAnswer(t, c, query)
 }
 
-// checkServedAnswer fails the test unless one row is the complete answer to the query that was sent.
+// checkServedAnswer reads the answer to a query that was sent, and fails the test unless the complete answer is one
+// row.
 func checkServedAnswer(t *testing.T, c *mysqlClient, what string) {
 	t.Helper()
 	if rows, code, err := c.answer(); rows != 1 || code != 0 || err != nil {
-		t.Errorf("%s: %d rows, error %d, %v", what, rows, code, err)
+		t.Errorf("%s: %d rows, error %d, %v; want one row", what, rows, code, err)
 	}
 }
 
-// checkClosed fails the test unless the connection ends in order, with nothing unread.
+// checkClosed fails the test unless the server closes the connection without a reset and nothing is left to read.
 func checkClosed(t *testing.T, name string, c *mysqlClient) {
 	t.Helper()
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%s: %v, want the end", name, err)
+		t.Errorf("connection %s: read error %v, want EOF", name, err)
 	}
 }
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Requests that arrive in pieces over the moment in which the router is signaled to end, on a connection that was
-// idle, on one that has just been accepted, and half before it and half after, are answered while it drains; then
-// all read the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes
-// crossed the signal.
+// Requests that arrive in pieces around SIGTERM are answered while the router drains: on an idle connection, on one
+// that has just been accepted, and on one whose request arrives half before the signal and half after. Then all
+// connections are closed without a reset. Guards against a lost request or a reset connection when bytes arrive during
+// the signal.
 func TestPartialPacketsAcrossShutdown(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
@@ -18,7 +18,8 @@
 	p := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	blocked, idle, interrupted := harness.dial(), harness.dial(), harness.dial()
-	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
+	// This request stays open, so that the router keeps draining.
+	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil {
 		t.Fatal(err)
 	}
 	<-engine.started
@@ -28,7 +29,8 @@
 	}
 	defer accepted.Close()
 	fresh := &mysqlClient{conn: accepted, reader: bufio.NewReader(accepted)}
-	if _, err := fresh.packet(); err != nil { // its greeting: it is accepted, and has said nothing
+	// The greeting shows that the connection is accepted. The client sends nothing yet.
+	if _, err := fresh.packet(); err != nil {
 		t.Fatal(err)
 	}
 	writeInPieces := func(c *mysqlClient, b []byte, size int) {
@@ -48,7 +50,7 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
+	harness.waitFor("the router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	writeInPieces(interrupted, interruptedPacket[9:], 7)
 	writeInPieces(idle, packet(3), 1)
 	if err := fresh.sendLogin(); err != nil {
@@ -58,17 +60,17 @@
 		t.Fatal(err)
 	}
 	writeInPieces(fresh, packet(4), 2)
-	for name, c := range map[string]*mysqlClient{"half before": interrupted, "rested": idle, "just accepted": fresh} {
+	for name, c := range map[string]*mysqlClient{"interrupted": interrupted, "idle": idle, "just accepted": fresh} {
 		checkServedAnswer(t, c, name)
 	}
 	close(engine.released)
-	checkServedAnswer(t, blocked, "the one that ran:")
+	checkServedAnswer(t, blocked, "the request that ran before SIGTERM")
 	for name, c := range map[string]*mysqlClient{
-		"blocked": blocked, "half before": interrupted, "rested": idle, "just accepted": fresh,
+		"blocked": blocked, "interrupted": interrupted, "idle": idle, "just accepted": fresh,
 	} {
 		checkClosed(t, name, c)
 	}
 	if err := p.Wait(); err != nil {
-		t.Error("at its end:", err)
+		t.Error("the router process failed:", err)
 	}
 }
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// A router that is killed, or signaled to end, under load and started again at once on its own address starts each
-// time: connections that its clients left open, and a process that has not ended yet, keep no address from it. It
-// guards against an end with status 1 at a restart.
+// A router that is killed, or gets SIGTERM, while clients are connected, and is started again at once on the same
+// address, starts each time. Guards against a start that fails with status 1 because the address is in use by
+// connections that clients left open, or by a process that has not ended yet.
 func TestRestartOnSameAddress(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
@@ -30,9 +30,9 @@
 	var previous *exec.Cmd
 	for round := range 12 {
 		current := harness.startProcess(adminAddress)
-		if previous != nil && round%3 == 2 { // signaled to end a moment ago, and replaced while it drains
+		if previous != nil && round%3 == 2 { // it got SIGTERM just before, and is replaced while it drains
 			if err := previous.Wait(); err != nil {
-				t.Error("at its end:", err)
+				t.Error("the router process failed:", err)
 			}
 		}
 		harness.waitReady(adminAddress)
@@ -58,8 +58,8 @@
 	}
 }
 
-// A process that is signaled to end with a request in flight, idle clients, and one that never finishes its packet
-// answers the request, ends the others in order, resets nobody and exits 0.
+// A process that gets SIGTERM with a request in flight, idle clients, and a client that never finishes its packet
+// answers the request, closes the other connections without a reset, and exits with status 0.
 func TestSIGTERMWithRequestInFlight(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
@@ -68,7 +68,7 @@
 	harness.waitReady(adminAddress)
 	requesting, incomplete := harness.dial(), harness.dial()
 	idle := []*mysqlClient{harness.dial(), harness.dial(), harness.dial()}
-	for i, c := range idle[1:] { // the first one has only logged in
+	for i, c := range idle[1:] { // the first client only logs in
 		requireServed(t, c, query("lookup", i+1, "SELECT 1"))
 	}
 	if _, err := incomplete.conn.Write([]byte{40, 0, 0, 0, 3}); err != nil {
@@ -81,13 +81,13 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
+	harness.waitFor("the router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	close(engine.released)
-	checkServedAnswer(t, requesting, "the request in flight:")
+	checkServedAnswer(t, requesting, "the request in flight")
 	for i, c := range append(idle, requesting) {
 		checkClosed(t, fmt.Sprint("client ", i), c)
 	}
 	if err := p.Wait(); err != nil {
-		t.Error("at its end:", err)
+		t.Error("the router process failed:", err)
 	}
 }
--- a/internal/node/router_process_test.go
+++ b/internal/node/router_process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestMain runs the program itself where a test has started this binary as a router.
+// TestMain runs the router instead of the tests if a test has started this binary as a router process.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINDFLOW_TEST_ROUTER") != "" {
 		opts := Options{Debug: true, Settings: strings.TrimPrefix(os.Getenv("WINDFLOW_TEST_ROUTER"), "settings=")}
@@ -27,16 +27,17 @@
 	os.Exit(m.Run())
 }
 
-// blockingEngine is a fake engine whose statements with "slow" in them run until they are released; it records what
-// ran.
+// blockingEngine is a fake engine. Statements that contain "slow" run until released is closed, others are answered at
+// once. It counts the runs of each request.
 type blockingEngine struct {
 	mu       sync.Mutex
-	runs     map[string]int
-	blocked  map[string]bool
-	released chan struct{}
-	started  chan string // ids of slow ones
+	runs     map[string]int  // by request id
+	blocked  map[string]bool // by request id: the statement contains "slow"
+	released chan struct{}   // closed by the test to release blocked statements
+	started  chan string     // ids of blocked requests as they start
 }
 
+// serve starts the engine and returns its address.
 func (e *blockingEngine) serve(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,6 +79,7 @@
 	fmt.Fprint(w, "a\tb\tc\n")
 }
 
+// totalRuns returns the number of runs of all requests.
 func (e *blockingEngine) totalRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,16 +90,17 @@
 	return n
 }
 
-// routerHarness is what the processes of one router are started with.
+// routerHarness has the configuration, environment and client listener with which the processes of a router are
+// started.
 type routerHarness struct {
 	t              *testing.T
-	config         string // path
+	config         string // path of the platform's configuration
 	clientListener net.Listener
 	env            []string
-	prepare        func(*exec.Cmd) // changes how a process is started
+	prepare        func(*exec.Cmd) // changes the command of a process before its start; may be nil
 }
 
-// editConfig changes the configuration.
+// editConfig rewrites the platform's configuration.
 func (h *routerHarness) editConfig(change func(string) string) {
 	h.t.Helper()
 	text, err := os.ReadFile(h.config)
@@ -109,6 +112,8 @@
 	}
 }
 
+// startProcess starts a router process with that admin address. The process is killed at the end of the test. If the
+// environment variable WINDFLOW_TEST_BINARY is set, that binary is run, such as one of an earlier version.
 func (h *routerHarness) startProcess(adminAddress string) *exec.Cmd {
 	h.t.Helper()
 	exe, err := os.Executable()
@@ -120,7 +125,7 @@
 		h.t.Fatal(err)
 	}
 	defer file.Close()
-	if other := os.Getenv("WINDFLOW_TEST_BINARY"); other != "" { // an earlier version, by hand
+	if other := os.Getenv("WINDFLOW_TEST_BINARY"); other != "" {
 		exe = other
 	}
 	cmd := exec.Command(exe)
@@ -143,7 +148,7 @@
 	return cmd
 }
 
-// callAdmin makes one call of an admin API and returns its status, 0 where nobody is there.
+// callAdmin makes one call to an admin API and returns the HTTP status, or 0 if there is no answer.
 func (h *routerHarness) callAdmin(method, adminAddress, path string) int {
 	r, err := http.NewRequest(method, "http://"+adminAddress+path, nil)
 	if err != nil {
@@ -158,6 +163,8 @@
 	return response.StatusCode
 }
 
+// waitFor checks a condition every 10 ms, and ends the test if it does not hold within about 20 s. what describes the
+// condition.
 func (h *routerHarness) waitFor(what string, condition func() bool) {
 	h.t.Helper()
 	for range 2000 {
@@ -166,14 +173,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	h.t.Fatal("not reached in time: " + what)
+	h.t.Fatal("timed out while waiting for: " + what)
 }
 
+// waitReady waits until the readiness check of a process succeeds.
 func (h *routerHarness) waitReady(adminAddress string) {
 	h.t.Helper()
 	h.waitFor("ready at "+adminAddress, func() bool { return h.callAdmin("GET", adminAddress, "/api/ready") == 200 })
 }
 
+// dial opens a MySQL session at the router, which is closed at the end of the test.
 func (h *routerHarness) dial() *mysqlClient {
 	h.t.Helper()
 	c, err := dialMySQL(h.clientListener.Addr().String())
@@ -184,7 +193,7 @@
 	return c
 }
 
-// freePort returns an address on which nobody listens now.
+// freePort returns a loopback address with a port on which nobody listens at the moment.
 func freePort(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,8 +204,8 @@
 	return lis.Addr().String()
 }
 
-// newRouterHarness writes the configuration of a router with two engines; the clients' socket is the test's, as the
-// platform's.
+// newRouterHarness writes the configuration of a router with those engines, whose ids are s-00000001 and so on. The
+// test listens on the socket for clients and passes it to the processes, as the platform does.
 func newRouterHarness(t *testing.T, engines ...*blockingEngine) *routerHarness {
 	t.Helper()
 	h := &routerHarness{t: t, config: filepath.Join(t.TempDir(), "config.json")}
@@ -216,7 +225,7 @@
 	if err := os.WriteFile(h.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	dir, err := os.MkdirTemp("", "wf") // short: the path of a Unix socket has its bound
+	dir, err := os.MkdirTemp("", "wf") // a short path, since the length of a Unix socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,6 +237,7 @@
 	return h
 }
 
+// newBlockingEngine returns an engine that has not started to serve.
 func newBlockingEngine() *blockingEngine {
 	return &blockingEngine{
 		runs: map[string]int{}, blocked: map[string]bool{}, released: make(chan struct{}),
@@ -235,18 +245,19 @@
 	}
 }
 
+// query returns a query of a class with a request id and a budget of 20 s in its leading comment.
 func query(class string, id int, statement string) string {
 	return fmt.Sprintf("/* method=%s,rid=%016x,budget=20000 */ %s", class, id, statement)
 }
 
-// Figures of the telemetry.
+// Names of metrics in the telemetry.
 const (
 	discoveredMetric = "svc.discovered"
 	revisionMetric   = "svc.configuration_revision"
 	rejectedMetric   = "svc.configuration_refused"
 )
 
-// figure returns a figure of the telemetry, -1 where it is not there.
+// metric returns the value of a metric in the telemetry, or -1 if the telemetry does not have it.
 func (h *routerHarness) metric(adminAddress, name string) int {
 	h.t.Helper()
 	response, err := http.Get("http://" + adminAddress + "/api/telemetry")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,8 +14,8 @@
 	"windflow/internal/settings"
 )
 
-// startReleasableEngine starts a fake engine, which answers statements with "slow" in them once release is
-// closed.
+// startReleasableEngine starts a fake engine and returns its address. The engine answers statements that contain "slow"
+// and GET calls once release is closed, and other statements at once.
 func startReleasableEngine(t *testing.T, release <-chan struct{}) (address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,8 +35,8 @@
 	return lis.Addr().String()
 }
 
-// After SIGTERM the router continues taking and answering, on open and on new connections, for as long as a
-// request is open, and then ends by itself. It guards against requests lost at a planned restart.
+// After SIGTERM the router continues to accept and answer requests, on open and on new connections, while any request
+// is open, and then ends by itself. Guards against requests that are lost in a planned restart.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	engine := startReleasableEngine(t, release)
@@ -66,7 +66,7 @@
 	signaled := make(chan struct{})
 	n.loop.Post(func() {
 		n.signal(syscall.SIGTERM)
-		n.signal(syscall.SIGTERM) // a second one changes nothing
+		n.signal(syscall.SIGTERM) // a second signal has no effect
 		close(signaled)
 	})
 	<-signaled
@@ -81,17 +81,17 @@
 	}
 	select {
 	case <-n.life.done:
-		t.Fatal("ended with a request open")
+		t.Fatal("the router ended while a request was open")
 	default:
 	}
 	close(release)
 	if err := <-slow; err != nil {
 		t.Error("the request that was open:", err)
 	}
-	<-n.life.done // ends by itself
+	<-n.life.done // the router ends without a further signal
 }
 
-// The README starts with the example, so it must stay usable.
+// The router starts with the example configuration, which the README uses.
 func TestExampleConfiguration(t *testing.T) {
 	cfg, err := settings.ReadNode("../../deploy/example.json")
 	if err != nil {
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -19,7 +19,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// unreliableListener wraps a listener: a seeded part of its connections is reset after a random number of bytes.
+// unreliableListener wraps a listener. About two thirds of its connections are reset after a random number of bytes
+// that the server has written. The choice depends on a seed.
 type unreliableListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -27,6 +28,7 @@
 	kills *atomic.Int64
 }
 
+// listenUnreliable listens on loopback. kills counts the connections that are reset.
 func listenUnreliable(t *testing.T, seed uint64, kills *atomic.Int64) *unreliableListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,6 +52,7 @@
 	return &unreliableConn{Conn: c, remaining: remaining, kills: f.kills}, nil
 }
 
+// unreliableConn resets the connection at a write that exceeds the remaining bytes.
 type unreliableConn struct {
 	net.Conn
 	mu        sync.Mutex
@@ -74,8 +77,8 @@
 
 var errTicketReused = errors.New("a load's ticket was redeemed twice")
 
-// queryFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
-// may not be: a code outside the mapping, or incomplete rows.
+// queryFlight sends one request over Flight SQL and reports whether it was served. It returns an error for an answer
+// that is not allowed: an unexpected status code, incomplete rows, or a load's ticket that can be redeemed twice.
 func queryFlight(c *fsql.Client, class, id, statement string, update bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -98,23 +101,23 @@
 		r.Release()
 	}
 	if class == "load" {
-		// Whatever the outcome, the ticket is consumed.
+		// The ticket is consumed by the first call, whatever its outcome.
 		again, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
 		if err == nil {
 			again.Release()
 			return false, errTicketReused
 		}
 		if status.Code(err) != codes.NotFound {
-			return false, fmt.Errorf("a load's ticket, a second time: %w", err)
+			return false, fmt.Errorf("redeeming a load's ticket again, want NotFound: %w", err)
 		}
 	}
 	if err == nil && rows != 60 && rows != 1 {
-		return false, fmt.Errorf("served with %d rows", rows)
+		return false, fmt.Errorf("served with %d rows, want 1 or 60", rows)
 	}
 	return err == nil, checkFlightError(err)
 }
 
-// checkFlightError passes the codes that an answer may have.
+// checkFlightError returns nil if an answer may have the status code of err, and err otherwise.
 func checkFlightError(err error) error {
 	allowed := []codes.Code{codes.OK, codes.ResourceExhausted, codes.Internal, codes.DeadlineExceeded}
 	if slices.Contains(allowed, status.Code(err)) {
