--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -33,7 +33,7 @@
 // not read yet, is answered before the connection is closed. An idle connection is closed at once. Neither is reset.
 // Guards against closing a socket that has unread bytes: the kernel then resets the connection, which loses the request
 // and an answer that the client has not read.
-func TestRequestDuringConnectionEnd(t *testing.T) {
+func TestRequestDuringConnectionShutdown(t *testing.T) {
 	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	requesting, err := dialMySQL(n.listeners.clientsAddress)
 	if err != nil {
@@ -71,7 +71,7 @@
 // A client whose connection was accepted before the router stops listening is served, even if the event loop has not
 // seen it yet. A later client is refused at once. Guards against connections that are accepted and then dropped at
 // shutdown.
-func TestAcceptedClientServedAtEnd(t *testing.T) {
+func TestAcceptedClientServedDuringShutdown(t *testing.T) {
 	n := startRouter(t, []string{engineEntry(newBlockingEngine().serve(t))})
 	accepted := make(chan *mysqlClient, 1)
 	inLoop(n, func() {
--- a/internal/node/discovery_recovery_test.go
+++ b/internal/node/discovery_recovery_test.go
@@ -11,7 +11,7 @@
 // While discovery is down, idle clients hold all the descriptors that the router allows them. The router can still
 // reconnect to discovery and to engines, and accept clients that send requests. Guards against a limit on clients that
 // leaves no descriptors for these connections.
-func TestDiscoveryRecoversBesideIdleClients(t *testing.T) {
+func TestDiscoveryRecoversWithIdleClients(t *testing.T) {
 	const sockets = 192
 	removed, remaining := newBlockingEngine(), newBlockingEngine()
 	harness := newRouterHarness(t, removed, remaining)
--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -93,19 +93,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &closedDiscovery{t: t, fd: fd}
-	b.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}),
+	d := &closedDiscovery{t: t, fd: fd}
+	d.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}),
 		uint16(name.(*syscall.SockaddrInet4).Port)).String()
-	return b
+	return d
 }
 
 // open starts to accept connections, and sends each of them an event that removes an engine.
-func (b *closedDiscovery) open(gone uint32) {
-	b.t.Helper()
-	if err := syscall.Listen(b.fd, 16); err != nil {
-		b.t.Fatal(err)
+func (d *closedDiscovery) open(removedEngine uint32) {
+	d.t.Helper()
+	if err := syscall.Listen(d.fd, 16); err != nil {
+		d.t.Fatal(err)
 	}
-	record := binary.BigEndian.AppendUint32(nil, gone)
+	record := binary.BigEndian.AppendUint32(nil, removedEngine)
 	record = append(record, make([]byte, 6)...)
 	record = append(record, 2)
 	record = append(record, make([]byte, 16)...)
@@ -114,12 +114,12 @@
 	frame = append(append(frame, 2), record...)
 	go func() {
 		for {
-			fd, _, err := syscall.Accept(b.fd)
+			fd, _, err := syscall.Accept(d.fd)
 			if err != nil {
 				return
 			}
 			_, _ = syscall.Write(fd, frame)
 		}
 	}()
-	b.t.Cleanup(func() { _ = syscall.Close(b.fd) })
+	d.t.Cleanup(func() { _ = syscall.Close(d.fd) })
 }
--- a/internal/node/golden_log_test.go
+++ b/internal/node/golden_log_test.go
@@ -107,7 +107,7 @@
 	if !ok || !slices.Contains([]string{"Info", "Warn", "Error"}, method.Sel.Name) {
 		return logCall{}, false
 	}
-	text, ok := literal(call.Args[0])
+	text, ok := stringLiteral(call.Args[0])
 	return logCall{level: method.Sel.Name, text: text, args: call.Args[1:]}, ok
 }
 
@@ -115,15 +115,15 @@
 func (c logCall) line() string {
 	line := c.level + " " + strconv.Quote(c.text)
 	for i := 0; i < len(c.args); i += 2 {
-		if name, ok := literal(c.args[i]); ok {
+		if name, ok := stringLiteral(c.args[i]); ok {
 			line += " " + name
 		}
 	}
 	return line
 }
 
-// literal returns the value of a string literal, and false if e is none.
-func literal(e ast.Expr) (string, bool) {
+// stringLiteral returns the value of a string literal, and false if e is none.
+func stringLiteral(e ast.Expr) (string, bool) {
 	text, ok := e.(*ast.BasicLit)
 	if !ok || text.Kind != token.STRING {
 		return "", false
--- a/internal/node/hot_restart_predecessor_test.go
+++ b/internal/node/hot_restart_predecessor_test.go
@@ -46,19 +46,19 @@
 	cordonedNew        *blockingEngine // cordoned at the successor
 	runsBefore         int             // queries that cordonedOld had run when the predecessor hung
 	oldAdmin, newAdmin string
-	old                *exec.Cmd
+	predecessor        *exec.Cmd
 	oldClient, client  *mysqlClient // sessions of the predecessor and of the successor
 }
 
-// hangPredecessor starts a router, stops its process with SIGSTOP, and starts a successor.
-func hangPredecessor(t *testing.T) *hangingPredecessor {
+// newHangingPredecessor starts a router, stops its process with SIGSTOP, and starts a successor.
+func newHangingPredecessor(t *testing.T) *hangingPredecessor {
 	t.Helper()
 	h := &hangingPredecessor{
 		t: t, cordonedOld: newBlockingEngine(), cordonedNew: newBlockingEngine(), oldAdmin: freePort(t),
 		newAdmin: freePort(t),
 	}
 	h.harness = newRouterHarness(t, newBlockingEngine(), h.cordonedOld, h.cordonedNew)
-	h.old = h.harness.startProcess(h.oldAdmin)
+	h.predecessor = h.harness.startProcess(h.oldAdmin)
 	h.harness.waitReady(h.oldAdmin)
 	h.oldClient = h.harness.dial()
 	requireServed(t, h.oldClient, query("load", 7, "SELECT 1"))
@@ -66,7 +66,7 @@
 		t.Fatal("the cordon was not accepted")
 	}
 	h.runsBefore = h.cordonedOld.totalRuns()
-	if err := h.old.Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := h.predecessor.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	h.harness.startProcess(h.newAdmin)
@@ -103,10 +103,10 @@
 // kill ends the predecessor, and waits until the successor accepts loads.
 func (h *hangingPredecessor) kill() {
 	h.t.Helper()
-	if err := h.old.Process.Kill(); err != nil {
+	if err := h.predecessor.Process.Kill(); err != nil {
 		h.t.Fatal(err)
 	}
-	_ = h.old.Wait()
+	_ = h.predecessor.Wait()
 	h.harness.waitFor("loads are served again", func() bool {
 		rows, code, err := h.client.exchange(query("load", 9, "SELECT 1"))
 		return rows == 1 && code == 0 && err == nil
@@ -117,7 +117,7 @@
 // and that the successor learns which loads the predecessor ran.
 func (h *hangingPredecessor) resume() {
 	h.t.Helper()
-	if err := h.old.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := h.predecessor.Process.Signal(syscall.SIGCONT); err != nil {
 		h.t.Fatal(err)
 	}
 	h.harness.waitFor("the old process has stopped accepting", func() bool {
@@ -139,7 +139,7 @@
 	}
 	h.requireAnswer(h.client, "load", 7, 0, 1064) // the successor knows now that it has run
 	h.requireAnswer(h.client, "load", 10, 1, 0)
-	h.harness.terminate(h.old)
+	h.harness.terminate(h.predecessor)
 }
 
 // A predecessor that hangs delays its successor by a few seconds only. The successor then knows the cordons and rejects
@@ -147,12 +147,12 @@
 // whose hanging process can't be replaced by a hot restart.
 func TestPredecessorHangs(t *testing.T) {
 	t.Run("killed", func(t *testing.T) {
-		h := hangPredecessor(t)
+		h := newHangingPredecessor(t)
 		h.checkDegraded()
 		h.kill()
 	})
 	t.Run("resumed", func(t *testing.T) {
-		h := hangPredecessor(t)
+		h := newHangingPredecessor(t)
 		h.checkDegraded()
 		h.resume()
 	})
--- a/internal/node/hot_restart_protocol_test.go
+++ b/internal/node/hot_restart_protocol_test.go
@@ -111,21 +111,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := startProtocolPeer(conn)
-	a.link.Send(next.byKind(t, "hello"))
-	state := a.expect(t, "state")
+	peer := startProtocolPeer(conn)
+	peer.link.Send(next.byKind(t, "hello"))
+	state := peer.expect(t, "state")
 	stateFields := bodyFields(t, state)
 	for _, key := range bodyFields(t, old.byKind(t, "state")) {
 		if !slices.Contains(stateFields, key) {
 			t.Errorf("the state has no field %s", key)
 		}
 	}
-	a.link.Send(next.byKind(t, "ready"))
-	a.expect(t, "go-ahead")
+	peer.link.Send(next.byKind(t, "ready"))
+	peer.expect(t, "go-ahead")
 	if got := harness.callAdmin("GET", adminAddress, "/api/ready"); got != 503 {
 		t.Errorf("the readiness check of the replaced process returns %d, want 503", got)
 	}
-	a.link.Close() // the new process ends
+	peer.link.Close() // the new process ends
 	harness.waitReady(adminAddress)
 }
 
@@ -142,15 +142,16 @@
 	defer lis.Close()
 	adminAddress := freePort(t)
 	harness.startProcess(adminAddress)
-	var a *protocolPeer
-	for a == nil {
+	var peer *protocolPeer
+	for peer == nil {
 		conn, err := lis.AcceptUnix()
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := startProtocolPeer(conn)
-		if m, ok := b.next(); ok && m.Kind == "hello" { // other connections only check whether the process is alive
-			a = b
+		candidate := startProtocolPeer(conn)
+		// Other connections only check whether the process is alive.
+		if m, ok := candidate.next(); ok && m.Kind == "hello" {
+			peer = candidate
 			for _, key := range bodyFields(t, next.byKind(t, "hello")) {
 				if !slices.Contains(bodyFields(t, m), key) {
 					t.Errorf("the hello has no field %s", key)
@@ -165,9 +166,9 @@
 			}
 		}
 	}()
-	a.link.Send(old.byKind(t, "state")) // in this state s-00000002 is cordoned
-	a.expect(t, "ready")
-	a.link.Send(old.byKind(t, "go-ahead"))
+	peer.link.Send(old.byKind(t, "state")) // in this state s-00000002 is cordoned
+	peer.expect(t, "ready")
+	peer.link.Send(old.byKind(t, "go-ahead"))
 	harness.waitReady(adminAddress)
 	c := harness.dial()
 	for id := range 40 {
@@ -191,8 +192,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := startProtocolPeer(conn)
-	a.link.Send(next.helloFrom(t, p))
+	peer := startProtocolPeer(conn)
+	peer.link.Send(next.helloFrom(t, p))
 	type messageShape struct {
 		Kind string
 		Keys []string
@@ -203,13 +204,13 @@
 			continue
 		}
 		want = append(want, messageShape{m.Kind, bodyFields(t, m)})
-		g := a.expect(t, m.Kind)
+		g := peer.expect(t, m.Kind)
 		got = append(got, messageShape{g.Kind, bodyFields(t, g)})
 		if m.Kind == "state" {
-			a.link.Send(next.byKind(t, "ready"))
+			peer.link.Send(next.byKind(t, "ready"))
 		}
 		if m.Kind == "go-ahead" {
-			a.link.Send(next.byKind(t, "back"))
+			peer.link.Send(next.byKind(t, "back"))
 		}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -32,7 +32,7 @@
 	predecessor        *exec.Cmd
 
 	slow, killed, idle *mysqlClient // sessions of the predecessor
-	fresh              *mysqlClient // a session of the successor
+	newClient          *mysqlClient // a session of the successor
 	killedSession      string       // the connection id of killed
 	answers            chan error   // outcomes of slow requests
 
@@ -135,11 +135,11 @@
 	if got := h.harness.callAdmin("GET", h.oldAdmin, "/api/ready"); got != 503 {
 		h.t.Errorf("the readiness check of the old process returns %d, want 503", got)
 	}
-	h.fresh = h.harness.dial() // the predecessor accepts no more, so this one is the successor's
-	if err := h.fresh.write(0, append([]byte{3}, "KILL QUERY "+h.killedSession...)); err != nil {
+	h.newClient = h.harness.dial() // the predecessor accepts no more, so this one is the successor's
+	if err := h.newClient.write(0, append([]byte{3}, "KILL QUERY "+h.killedSession...)); err != nil {
 		h.t.Fatal(err)
 	}
-	if packet, err := h.fresh.packet(); err != nil || packet[0] != 0 {
+	if packet, err := h.newClient.packet(); err != nil || packet[0] != 0 {
 		h.t.Errorf("KILL QUERY of a session of the old process: % x, %v", packet, err)
 	}
 	if err := <-h.answers; err != nil {
@@ -154,7 +154,7 @@
 	// The predecessor sends its message about id 9 before it grants the claim of another load, on the same link. Once a
 	// load is served, the successor has received the message.
 	for id := 50; ; id++ {
-		if rows, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
+		if rows, code, err := h.newClient.exchange(query("load", id, "SELECT 2")); rows == 1 && code == 0 && err == nil {
 			break
 		} else if code != 1040 || id == 70 {
 			h.t.Fatal("a load in the new process:", rows, code, err)
@@ -164,13 +164,13 @@
 		7: "a load that ran in the old process",
 		9: "a request that is open in the old process",
 	} {
-		if _, code, err := h.fresh.exchange(query("load", id, "SELECT 2")); code != 1064 || err != nil {
+		if _, code, err := h.newClient.exchange(query("load", id, "SELECT 2")); code != 1064 || err != nil {
 			h.t.Errorf("a load with the id of %s: error %d, %v; want error 1064", description, code, err)
 		}
 	}
 	before := h.cordoned.totalRuns()
 	for id := 100; id < 130; id++ {
-		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 3"))
+		requireServed(h.t, h.newClient, query("lookup", id, "SELECT 3"))
 	}
 	if before != 0 || h.cordoned.totalRuns() != 0 {
 		h.t.Error("the cordoned engine ran queries")
@@ -225,7 +225,7 @@
 	}
 	for range 30 {
 		id := 1000 + h.cordoned.totalRuns() + h.engine.totalRuns()
-		requireServed(h.t, h.fresh, query("lookup", id, "SELECT 4"))
+		requireServed(h.t, h.newClient, query("lookup", id, "SELECT 4"))
 	}
 	if h.cordoned.totalRuns() == 0 {
 		h.t.Error("the engine ran no query after its cordon ended")
--- a/internal/node/interleaving_harness_test.go
+++ b/internal/node/interleaving_harness_test.go
@@ -238,7 +238,8 @@
 func newInterleavingHarness(t *rapid.T) *interleavingHarness {
 	w := &interleavingHarness{
 		t: t, now: &clock.Manual{MS: 1e9}, byID: map[string]*simulatedClient{},
-		closedSince: map[int]float64{}, addresses: map[dispatch.EngineID]int{}, cordonedSince: map[dispatch.EngineID]float64{},
+		closedSince: map[int]float64{}, addresses: map[dispatch.EngineID]int{},
+		cordonedSince: map[dispatch.EngineID]float64{},
 	}
 	w.loop = router.NewLoop(w.now)
 	log := slog.New(slog.DiscardHandler)
--- a/internal/node/keepers_test.go
+++ b/internal/node/keepers_test.go
@@ -65,8 +65,8 @@
 // A running router puts a new revision in force and continues to serve. It reports a revision that it rejects with the
 // pointer to the invalid entry, and keeps the former one in force. The next valid revision is put in force.
 func TestRevisionTakesEffect(t *testing.T) {
-	k := keepertest.New(t)
-	harness := newKeeperHarness(t, k.Addr())
+	keeper := keepertest.New(t)
+	harness := newKeeperHarness(t, keeper.Addr())
 	adminAddress := freePort(t)
 	harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
@@ -74,29 +74,31 @@
 		t.Errorf("revision %d is in force at the start, want 0", got)
 	}
 	addr, reached := discoveryOfRevision(t)
-	first := k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
-	k.WaitForRevision(first)
+	first := keeper.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)})
+	keeper.WaitForRevision(first)
 	reached()
 	harness.requireServing(1)
-	bad := k.Change(map[string]string{"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5"})
-	status := k.WaitForStatus("the router reports a rejected revision",
+	bad := keeper.Change(map[string]string{
+		"/settings/specifics/width-by-class": "[1]", "/settings/over-share-worth": "0.5",
+	})
+	status := keeper.WaitForStatus("the router reports a rejected revision",
 		func(r configlog.FollowerStatus) bool { return r.Rejected != nil })
 	if status.Revision != first || status.Rejected.Revision != bad ||
 		status.Rejected.Pointer != "/settings/specifics/width-by-class" {
 		t.Errorf("status %+v, rejected %+v, want revision %d in force and %d rejected", status, status.Rejected, first, bad)
 	}
-	a, b := harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
-	if a != int(first) || b != int(bad) {
-		t.Errorf("metrics: revision %d in force, %d rejected, want %d and %d", a, b, first, bad)
+	inForce, rejected := harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
+	if inForce != int(first) || rejected != int(bad) {
+		t.Errorf("metrics: revision %d in force, %d rejected, want %d and %d", inForce, rejected, first, bad)
 	}
 	harness.requireServing(2)
-	last := k.Change(nil, "/settings/specifics/width-by-class")
-	if status := k.WaitForRevision(last); status.Rejected != nil || status.Name != "n0" {
+	last := keeper.Change(nil, "/settings/specifics/width-by-class")
+	if status := keeper.WaitForRevision(last); status.Rejected != nil || status.Name != "n0" {
 		t.Errorf("status %+v, want nothing rejected and name n0", status)
 	}
-	a, b = harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
-	if a != int(last) || b != 0 {
-		t.Errorf("metrics: revision %d in force, %d rejected, want %d and 0", a, b, last)
+	inForce, rejected = harness.metric(adminAddress, revisionMetric), harness.metric(adminAddress, rejectedMetric)
+	if inForce != int(last) || rejected != 0 {
+		t.Errorf("metrics: revision %d in force, %d rejected, want %d and 0", inForce, rejected, last)
 	}
 	harness.requireServing(3)
 }
@@ -104,34 +106,34 @@
 // A router reloads its own file while revisions arrive. The entries in force still override the file. A file with which
 // an entry is invalid is rejected, and the former configuration stays in force.
 func TestReloadWhileRevisionsArrive(t *testing.T) {
-	k := keepertest.New(t)
-	harness := newKeeperHarness(t, k.Addr())
+	keeper := keepertest.New(t)
+	harness := newKeeperHarness(t, keeper.Addr())
 	adminAddress := freePort(t)
-	p := harness.startProcess(adminAddress)
+	router := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	sendSIGHUP := func() {
 		t.Helper()
-		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := router.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// An entry sets the address of discovery, and the file has another address. The entry's address is used, whatever
 	// the file says.
 	addr, reached := discoveryOfRevision(t)
-	k.WaitForRevision(k.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
+	keeper.WaitForRevision(keeper.Change(map[string]string{"/board": fmt.Sprintf("%q", addr)}))
 	reached()
 	otherAddress, links := listenDiscovery(t)
 	var last uint64
 	for i := range 20 {
-		last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+1)})
+		last = keeper.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+1)})
 		if i%4 == 0 {
 			harness.editConfig(func(s string) string { return strings.Replace(s, `"memory_mb":1`, `"memory_mb":11`, 1) })
 			sendSIGHUP()
 		}
 	}
-	k.WaitForRevision(last)
+	keeper.WaitForRevision(last)
 	// The entry refers to a class that the next file does not have, so that file is rejected.
-	k.WaitForRevision(k.Change(map[string]string{"/settings/classes/1/credit": "9"}))
+	keeper.WaitForRevision(keeper.Change(map[string]string{"/settings/classes/1/credit": "9"}))
 	text, err := os.ReadFile(harness.config)
 	if err != nil {
 		t.Fatal(err)
@@ -148,12 +150,12 @@
 	harness.editConfig(func(string) string { return string(text) })
 	sendSIGHUP()
 	// After the rejection, revisions are still applied to the former file, which has two classes.
-	afterRejection := k.Change(map[string]string{"/settings/classes/1/credit": "8"})
-	if status := k.WaitForRevision(afterRejection); status.Rejected != nil {
+	afterRejection := keeper.Change(map[string]string{"/settings/classes/1/credit": "8"})
+	if status := keeper.WaitForRevision(afterRejection); status.Rejected != nil {
 		t.Errorf("a revision was rejected: %+v", status.Rejected)
 	}
 	// Without the entries, a further SIGHUP puts the same file in force.
-	k.WaitForRevision(k.Change(nil, "/settings/classes/1/credit", "/board"))
+	keeper.WaitForRevision(keeper.Change(nil, "/settings/classes/1/credit", "/board"))
 	sendSIGHUP()
 	l := <-links
 	_ = l.Close()
@@ -163,25 +165,25 @@
 // A router that starts without a copy of the configuration, or with one that is a thousand revisions old, puts the
 // latest revision in force before it is ready.
 func TestStartManyRevisionsBehind(t *testing.T) {
-	k := keepertest.New(t)
-	harness := newKeeperHarness(t, k.Addr())
+	keeper := keepertest.New(t)
+	harness := newKeeperHarness(t, keeper.Addr())
 	for i := range 5 {
-		k.Change(map[string]string{fmt.Sprintf("/settings/parties/t%d", i): `{"quota-rps":5}`})
+		keeper.Change(map[string]string{fmt.Sprintf("/settings/parties/t%d", i): `{"quota-rps":5}`})
 	}
 	var last uint64 = 5
 	for round := range 3 {
 		adminAddress := freePort(t)
-		p := harness.startProcess(adminAddress)
+		router := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
 		if got := harness.metric(adminAddress, revisionMetric); got != int(last) {
 			t.Errorf("round %d: revision %d is in force when the router is ready, want %d", round, got, last)
 		}
-		k.WaitForRevision(last)
+		keeper.WaitForRevision(last)
 		harness.requireServing(round + 1)
-		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Wait(); err != nil {
+		if err := router.Wait(); err != nil {
 			t.Error(err)
 		}
 		copies, _ := filepath.Glob(filepath.Join(harness.copyDir, "*.revision"))
@@ -190,7 +192,9 @@
 		}
 		if round == 0 {
 			for i := range 1000 {
-				last = k.Change(map[string]string{fmt.Sprintf("/settings/parties/t%d", i%50): fmt.Sprintf(`{"quota-rps":%d}`, i+1)})
+				last = keeper.Change(map[string]string{
+					fmt.Sprintf("/settings/parties/t%d", i%50): fmt.Sprintf(`{"quota-rps":%d}`, i+1),
+				})
 			}
 		} else if err := os.RemoveAll(harness.copyDir); err != nil {
 			t.Fatal(err)
@@ -201,19 +205,19 @@
 // A router that reaches no keeper at its start puts its copy of the configuration in force, or its own file if there is
 // no copy, and serves.
 func TestStartWithoutKeepers(t *testing.T) {
-	k := keepertest.New(t)
+	keeper := keepertest.New(t)
 	silent := keepertest.New(t)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	silent.SetHandler(func(http.ResponseWriter, *http.Request) { <-stop })
-	harness := newKeeperHarness(t, k.Addr())
-	rev := k.Change(map[string]string{"/settings/over-share-worth": "0.5"})
+	harness := newKeeperHarness(t, keeper.Addr())
+	rev := keeper.Change(map[string]string{"/settings/over-share-worth": "0.5"})
 	for _, test := range []struct {
 		name    string
 		keepers []string
 		want    uint64
 	}{
-		{"keeper answers", []string{k.Addr()}, rev},
+		{"keeper answers", []string{keeper.Addr()}, rev},
 		{"no keeper, copy", []string{silent.Addr(), freePort(t)}, rev},
 		{"no keeper, no copy", []string{silent.Addr()}, 0},
 	} {
@@ -224,23 +228,23 @@
 			}
 		}
 		adminAddress := freePort(t)
-		p := harness.startProcess(adminAddress)
+		router := harness.startProcess(adminAddress)
 		harness.waitReady(adminAddress)
 		if got := harness.metric(adminAddress, revisionMetric); got != int(test.want) {
 			t.Errorf("%s: revision %d is in force, want %d", test.name, got, test.want)
 		}
 		harness.requireServing(1)
 		if test.want == 0 { // a SIGHUP with the address of a keeper that answers
-			harness.configureKeepers(k.Addr())
-			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
+			harness.configureKeepers(keeper.Addr())
+			if err := router.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			k.WaitForRevision(rev)
+			keeper.WaitForRevision(rev)
 		}
-		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Wait(); err != nil {
+		if err := router.Wait(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -249,16 +253,17 @@
 // A router without keepers in its settings uses its own file and has no metric of a revision, while another router on
 // the same machine follows keepers.
 func TestRouterWithoutKeepers(t *testing.T) {
-	k := keepertest.New(t)
-	harness := newKeeperHarness(t, k.Addr())
+	keeper := keepertest.New(t)
+	harness := newKeeperHarness(t, keeper.Addr())
 	withoutKeepers := &keeperHarness{routerHarness: newRouterHarness(t, newBlockingEngine(), newBlockingEngine())}
 	oldAdmin, newAdmin := freePort(t), freePort(t)
 	harness.startProcess(oldAdmin)
 	withoutKeepers.startProcess(newAdmin)
 	harness.waitReady(oldAdmin)
 	withoutKeepers.waitReady(newAdmin)
-	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
-	if a, b := harness.metric(oldAdmin, revisionMetric), withoutKeepers.metric(newAdmin, revisionMetric); a != 1 || b != -1 {
+	keeper.WaitForRevision(keeper.Change(map[string]string{"/settings/over-share-worth": "0.5"}))
+	a, b := harness.metric(oldAdmin, revisionMetric), withoutKeepers.metric(newAdmin, revisionMetric)
+	if a != 1 || b != -1 {
 		t.Errorf("revision metrics are %d with keepers and %d without, want 1 and -1 (none)", a, b)
 	}
 	harness.requireServing(1)
@@ -269,12 +274,12 @@
 // old process had in force when the new process was started, even if the new process reaches no keeper. In the end both
 // have the same revision in force.
 func TestHotRestartWhileRevisionsArrive(t *testing.T) {
-	k := keepertest.New(t)
-	harness := newKeeperHarness(t, k.Addr())
+	keeper := keepertest.New(t)
+	harness := newKeeperHarness(t, keeper.Addr())
 	oldAdmin, newAdmin := freePort(t), freePort(t)
 	old := harness.startProcess(oldAdmin)
 	harness.waitReady(oldAdmin)
-	k.WaitForRevision(k.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
+	keeper.WaitForRevision(keeper.Change(map[string]string{"/settings/over-share-worth": "0.01"}))
 	// The new process has the address of a keeper that does not exist, and no copy of the configuration.
 	harness.copyDir = t.TempDir()
 	harness.configureKeepers(freePort(t))
@@ -282,7 +287,7 @@
 	go func() {
 		var last uint64
 		for i := range 200 {
-			last = k.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+2)})
+			last = keeper.Change(map[string]string{"/settings/over-share-worth": fmt.Sprintf("0.%d", i+2)})
 		}
 		lastRevision <- last
 	}()
@@ -293,7 +298,7 @@
 		t.Errorf("the new process is ready at revision %d, the old one was at %d before", got, before)
 	}
 	last := <-lastRevision
-	k.WaitForRevision(last) // the old process reports its revision to the keeper
+	keeper.WaitForRevision(last) // the old process reports its revision to the keeper
 	harness.waitFor("both processes have the same revision in force", func() bool {
 		return harness.metric(newAdmin, revisionMetric) == int(last) && harness.metric(oldAdmin, revisionMetric) == int(last)
 	})
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -28,7 +28,8 @@
 		oldLimits, newLimits := full, full
 		oldLimits.restrict(processShare{share: hotrestart.ShareHalf})
 		newLimits.restrict(processShare{share: hotrestart.ShareHalf, partner: partner})
-		if n := sockets/3 + newLimits.mysql.MaxSessions + oldLimits.engines.MaxConns + newLimits.engines.MaxConns; n > sockets {
+		n := sockets/3 + newLimits.mysql.MaxSessions + oldLimits.engines.MaxConns + newLimits.engines.MaxConns
+		if n > sockets {
 			t.Errorf("%d descriptors: two processes may hold %d", sockets, n)
 		}
 		if oldLimits.mysql.MaxBuffered+newLimits.mysql.MaxBuffered > full.mysql.MaxBuffered ||
@@ -39,7 +40,7 @@
 		// a successor.
 		degraded := full
 		degraded.restrict(processShare{share: hotrestart.ShareReserve, partner: partner})
-		n := full.mysql.MaxSessions + full.engines.MaxConns + degraded.mysql.MaxSessions + degraded.engines.MaxConns
+		n = full.mysql.MaxSessions + full.engines.MaxConns + degraded.mysql.MaxSessions + degraded.engines.MaxConns
 		if n > sockets {
 			t.Errorf("%d descriptors: a process that hangs and its successor may hold %d", sockets, n)
 		}
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -152,13 +152,13 @@
  "specifics":{"cores-by-kind":[8,8],"kind-memory-mb":[16384,16384],"width-by-class":[1,2],
   "class-load":[false,true],"yields-to-loads":[true,false],"priorities":true,"grants-count":true}}`
 
-// startMixedRouter runs a router in this process with two engines of each kind. kills counts the connections that the
+// startMixedRouter runs a router in this process with two engines of each kind. resets counts the connections that the
 // engines reset.
-func startMixedRouter(t *testing.T, l *executionLog, kills *atomic.Int64) *node {
+func startMixedRouter(t *testing.T, l *executionLog, resets *atomic.Int64) *node {
 	t.Helper()
 	var members []string
 	for i := range 4 {
-		kind, lis := "std", listenUnreliable(t, uint64(i)+100, kills)
+		kind, lis := "std", listenUnreliable(t, uint64(i)+100, resets)
 		if i%2 == 0 {
 			s := &http.Server{Handler: newHTTPEngine(l)}
 			go func() { _ = s.Serve(lis) }()
@@ -219,7 +219,7 @@
 	t          *testing.T
 	router     *node
 	executions *executionLog
-	kills      atomic.Int64 // connections that engines reset
+	resets     atomic.Int64 // connections that engines reset
 
 	mu      sync.Mutex
 	answers map[string]int  // by request id
@@ -332,22 +332,22 @@
 	// connections were reset.
 	ran := r.executions.byKind
 	if r.served["mysql"] == 0 || r.served["flight"] == 0 || ran["fetch"] == 0 || ran["flight"] == 0 ||
-		r.kills.Load() == 0 {
+		r.resets.Load() == 0 {
 		r.t.Errorf("served by front %v, run by protocol %v, %d connections reset: none of these may be 0",
-			r.served, ran, r.kills.Load())
+			r.served, ran, r.resets.Load())
 	}
 }
 
 // Clients send lookups and loads over both protocols at once, to engines of both protocols, while part of the engines'
 // connections is reset after a random number of bytes, from a fixed seed. Each request must get exactly one answer, a
 // complete one or an error, and each load must run at most once.
-func TestMixedProtocolsUnderKilledStreams(t *testing.T) {
+func TestMixedProtocolsWithResetConnections(t *testing.T) {
 	const workers, each = 6, 25
 	run := &mixedRun{
 		t: t, executions: &executionLog{runs: map[string]int{}, byKind: map[string]int{}},
 		answers: map[string]int{}, loads: map[string]bool{}, served: map[string]int{},
 	}
-	run.router = startMixedRouter(t, run.executions, &run.kills)
+	run.router = startMixedRouter(t, run.executions, &run.resets)
 	var wg sync.WaitGroup
 	for worker := range workers {
 		rng := rand.New(rand.NewPCG(uint64(worker), 99))
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -15,7 +15,7 @@
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
 	adminAddress := freePort(t)
-	p := harness.startProcess(adminAddress)
+	router := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	blocked, idle, interrupted := harness.dial(), harness.dial(), harness.dial()
 	// This request stays open, so that the router keeps draining.
@@ -47,10 +47,10 @@
 	}
 	interruptedPacket := packet(2)
 	writeInPieces(interrupted, interruptedPacket[:9], 3)
-	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("the router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
+	harness.waitFor("router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	writeInPieces(interrupted, interruptedPacket[9:], 7)
 	writeInPieces(idle, packet(3), 1)
 	if err := fresh.sendLogin(); err != nil {
@@ -70,7 +70,7 @@
 	} {
 		checkClosed(t, name, c)
 	}
-	if err := p.Wait(); err != nil {
+	if err := router.Wait(); err != nil {
 		t.Error("the router process failed:", err)
 	}
 }
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -18,34 +18,34 @@
 
 // startProtocolPeer starts a link on a connection, and closes all descriptors that it receives.
 func startProtocolPeer(conn *net.UnixConn) *protocolPeer {
-	a := &protocolPeer{received: make(chan hotrestartipc.Message, 256), linkEnded: make(chan struct{})}
-	a.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
+	p := &protocolPeer{received: make(chan hotrestartipc.Message, 256), linkEnded: make(chan struct{})}
+	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		for _, f := range m.Files {
 			_ = f.Close()
 		}
 		if _, known := machineMessages[m.Kind]; known {
 			select {
-			case a.received <- m:
-			case <-a.linkEnded:
+			case p.received <- m:
+			case <-p.linkEnded:
 			}
 		}
-	}, func(error) { close(a.linkEnded) })
-	return a
+	}, func(error) { close(p.linkEnded) })
+	return p
 }
 
 // expect returns the next message of a kind. Before it only hello, wait and state may come, which can be repeated.
-func (a *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
+func (p *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for {
-		m, ok := a.next()
+		m, ok := p.next()
 		if !ok {
 			t.Fatalf("the link ended before a message of kind %q", kind)
 		}
 		if m.Kind == kind {
 			return m
 		}
-		if m.Kind == "wait" && kind == "state" && a.repeatHello != nil {
-			a.repeatHello()
+		if m.Kind == "wait" && kind == "state" && p.repeatHello != nil {
+			p.repeatHello()
 		}
 		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // these may be repeated
 			t.Fatalf("received a message of kind %q, want %q", m.Kind, kind)
@@ -54,18 +54,18 @@
 }
 
 // next waits for a message. It returns false once the link has ended and all received messages have been returned.
-func (a *protocolPeer) next() (hotrestartipc.Message, bool) {
+func (p *protocolPeer) next() (hotrestartipc.Message, bool) {
 	select {
-	case m := <-a.received:
+	case m := <-p.received:
 		return m, true
 	default:
 	}
 	select {
-	case m := <-a.received:
+	case m := <-p.received:
 		return m, true
-	case <-a.linkEnded:
+	case <-p.linkEnded:
 		select {
-		case m := <-a.received:
+		case m := <-p.received:
 			return m, true
 		default:
 			return hotrestartipc.Message{}, false
--- a/internal/node/record_test.go
+++ b/internal/node/record_test.go
@@ -27,7 +27,7 @@
 	}
 	harness.env = append(harness.env, "WINDFLOW_TEST_ROUTER=settings="+settingsPath)
 	adminAddress := freePort(t)
-	p := harness.startProcess(adminAddress)
+	process := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	c := harness.dial()
 	for id := range 50 {
@@ -37,7 +37,7 @@
 		t.Fatal("the cordon was not accepted")
 	}
 	_ = c.conn.Close()
-	harness.terminate(p)
+	harness.terminate(process)
 	files, err := record.SegmentFiles(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -82,10 +82,10 @@
 // BenchmarkRecords measures a request through the core of a router without and with records, from its submission to its
 // answer by an engine that answers at once.
 func BenchmarkRecords(b *testing.B) {
-	for _, on := range []bool{false, true} {
-		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
+	for _, enabled := range []bool{false, true} {
+		b.Run(map[bool]string{false: "off", true: "on"}[enabled], func(b *testing.B) {
 			site := &installation.Settings{}
-			if on {
+			if enabled {
 				cfg := record.DefaultConfig
 				cfg.Dir = b.TempDir()
 				site.Records = &cfg
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -64,7 +64,7 @@
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
 	adminAddress := freePort(t)
-	p := harness.startProcess(adminAddress)
+	router := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
 	requesting, incomplete := harness.dial(), harness.dial()
 	idle := []*mysqlClient{harness.dial(), harness.dial(), harness.dial()}
@@ -78,16 +78,16 @@
 		t.Fatal(err)
 	}
 	<-engine.started
-	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("the router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
+	harness.waitFor("router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
 	close(engine.released)
 	checkServedAnswer(t, requesting, "the request in flight")
 	for i, c := range append(idle, requesting) {
 		checkClosed(t, fmt.Sprint("client ", i), c)
 	}
-	if err := p.Wait(); err != nil {
+	if err := router.Wait(); err != nil {
 		t.Error("the router process failed:", err)
 	}
 }
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -23,33 +23,33 @@
 // that the server has written. The choice depends on a seed.
 type unreliableListener struct {
 	net.Listener
-	mu    sync.Mutex
-	rng   *rand.Rand
-	kills *atomic.Int64
+	mu     sync.Mutex
+	rng    *rand.Rand
+	resets *atomic.Int64
 }
 
-// listenUnreliable listens on loopback. kills counts the connections that are reset.
-func listenUnreliable(t *testing.T, seed uint64, kills *atomic.Int64) *unreliableListener {
+// listenUnreliable listens on loopback. resets counts the connections that are reset.
+func listenUnreliable(t *testing.T, seed uint64, resets *atomic.Int64) *unreliableListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &unreliableListener{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), kills: kills}
+	return &unreliableListener{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), resets: resets}
 }
 
-func (f *unreliableListener) Accept() (net.Conn, error) {
-	c, err := f.Listener.Accept()
+func (l *unreliableListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	remaining := int64(1 << 40)
-	if f.rng.IntN(3) > 0 {
-		remaining = int64(f.rng.IntN(6000))
+	if l.rng.IntN(3) > 0 {
+		remaining = int64(l.rng.IntN(6000))
 	}
-	return &unreliableConn{Conn: c, remaining: remaining, kills: f.kills}, nil
+	return &unreliableConn{Conn: c, remaining: remaining, resets: l.resets}, nil
 }
 
 // unreliableConn resets the connection at a write that exceeds the remaining bytes.
@@ -57,7 +57,7 @@
 	net.Conn
 	mu        sync.Mutex
 	remaining int64
-	kills     *atomic.Int64
+	resets    *atomic.Int64
 }
 
 func (c *unreliableConn) Write(b []byte) (int, error) {
@@ -69,7 +69,7 @@
 	}
 	n, _ := c.Conn.Write(b[:c.remaining])
 	c.remaining = 0
-	c.kills.Add(1)
+	c.resets.Add(1)
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 	return n, io.ErrClosedPipe
