--- a/internal/node/discovery_server_test.go
+++ b/internal/node/discovery_server_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startIdleDiscovery is a fake discovery server that has no event.
+// startIdleDiscovery starts a fake discovery server that sends heartbeats and no events, and returns its address.
 func startIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,16 +41,16 @@
 	return l.Addr().String()
 }
 
-// listenDiscovery is a fake discovery server that hands over each connection once it has read from which event it
-// continues.
-func listenDiscovery(t *testing.T) (addr string, links chan discoveryLink) {
+// listenDiscovery starts a fake discovery server. It passes each connection to connections once it has read the number
+// of the last event that the router has received.
+func listenDiscovery(t *testing.T) (addr string, connections chan discoveryConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	links = make(chan discoveryLink, 8)
+	connections = make(chan discoveryConn, 8)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -59,25 +59,27 @@
 			}
 			var last [8]byte
 			if _, err := io.ReadFull(c, last[:]); err == nil {
-				links <- discoveryLink{c, binary.BigEndian.Uint64(last[:])}
+				connections <- discoveryConn{c, binary.BigEndian.Uint64(last[:])}
 			}
 		}
 	}()
-	return l.Addr().String(), links
+	return l.Addr().String(), connections
 }
 
-type discoveryLink struct {
+// discoveryConn is a connection from a router to a fake discovery server.
+type discoveryConn struct {
 	net.Conn
-	lastEvent uint64
+	lastEvent uint64 // last event that the router had received when it connected
 }
 
-// closedDiscovery is a fake discovery server at which connections fail until it is opened.
+// closedDiscovery is a fake discovery server that refuses connections until open is called.
 type closedDiscovery struct {
 	t    *testing.T
 	fd   int
 	addr string
 }
 
+// newClosedDiscovery binds a socket to a free port without listening on it.
 func newClosedDiscovery(t *testing.T) *closedDiscovery {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -91,19 +93,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &closedDiscovery{t: t, fd: fd}
-	b.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}),
+	d := &closedDiscovery{t: t, fd: fd}
+	d.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}),
 		uint16(name.(*syscall.SockaddrInet4).Port)).String()
-	return b
+	return d
 }
 
-// open accepts connections and sends each of them the event that an engine is gone.
-func (b *closedDiscovery) open(gone uint32) {
-	b.t.Helper()
-	if err := syscall.Listen(b.fd, 16); err != nil {
-		b.t.Fatal(err)
+// open starts to accept connections, and sends each of them an event that removes an engine.
+func (d *closedDiscovery) open(removedEngine uint32) {
+	d.t.Helper()
+	if err := syscall.Listen(d.fd, 16); err != nil {
+		d.t.Fatal(err)
 	}
-	record := binary.BigEndian.AppendUint32(nil, gone)
+	record := binary.BigEndian.AppendUint32(nil, removedEngine)
 	record = append(record, make([]byte, 6)...)
 	record = append(record, 2)
 	record = append(record, make([]byte, 16)...)
@@ -112,12 +114,12 @@
 	frame = append(append(frame, 2), record...)
 	go func() {
 		for {
-			fd, _, err := syscall.Accept(b.fd)
+			fd, _, err := syscall.Accept(d.fd)
 			if err != nil {
 				return
 			}
 			_, _ = syscall.Write(fd, frame)
 		}
 	}()
-	b.t.Cleanup(func() { _ = syscall.Close(b.fd) })
+	d.t.Cleanup(func() { _ = syscall.Close(d.fd) })
 }
--- a/internal/node/golden_figures_test.go
+++ b/internal/node/golden_figures_test.go
@@ -19,31 +19,31 @@
 	"windflow/internal/settings"
 )
 
-// allParts are settings of an installation with each part, at addresses where nobody answers.
+// allParts returns settings that enable every part. The addresses in them refuse connections.
 func allParts(t *testing.T) *installation.Settings {
 	t.Helper()
 	records := record.DefaultConfig
 	records.Dir = t.TempDir()
-	nobody := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
+	refusingAddress := routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})
 	return &installation.Settings{
 		FlightSQL: &flightsql.Config{Listen: "127.0.0.1:0", EngineKinds: []string{"arrow"}, MaxConnections: 32},
 		BGP: &bgp.Config{
-			Peer: nobody, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
+			Peer: refusingAddress, PeerAS: 64512, LocalAS: 64513, RouterID: netip.MustParseAddr("10.0.0.1"),
 			Prefixes: []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}, NextHop: netip.MustParseAddr("10.0.0.1"),
 			HoldTimeS: 90, ConnectRetryS: 120,
 		},
 		Records: &records,
-		Keepers: &configclient.Config{Addresses: []string{nobody}, Dir: t.TempDir(), MaxPollWaitMS: 1000},
+		Keepers: &configclient.Config{Addresses: []string{refusingAddress}, Dir: t.TempDir(), MaxPollWaitMS: 1000},
 	}
 }
 
-// startAllParts runs a router that has each part, with an admin API, and ends it with the test.
+// startAllParts runs a router that has every part and an admin API, and stops it at the end of the test.
 func startAllParts(t *testing.T) *node {
 	t.Helper()
 	text := []byte(`{"name":"n0","listen":"127.0.0.1:0","control":"127.0.0.1:0","seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":"` + startIdleDiscovery(t) + `",
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":1,"complete":true,"members":[` +
-		listedEngine(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
+		engineEntry(routertest.RefusingAddress(t, [4]byte{127, 0, 0, 1})) + `]}}]},"settings":` + mixedSettings + `}`)
 	cfg, err := settings.ParseNode(text)
 	if err != nil {
 		t.Fatal(err)
@@ -63,10 +63,10 @@
 	return n
 }
 
-// The telemetry of a router with each part, and the names of what SHOW STATUS lists and the log has at the end, are
-// as they were when the golden files were recorded, in their order. Telemetry has no figure that depends on time in a
-// router that serves nobody; of the counters' values most do, and they are left out.
-func TestGoldenFigures(t *testing.T) {
+// The telemetry of a router with every part, and the names of the counters that SHOW STATUS lists and that are logged
+// when the process ends, equal the golden files, in the same order. The telemetry of a router that serves no client has
+// no value that depends on time. Most counters do, so only their names are compared.
+func TestGoldenTelemetryAndStatus(t *testing.T) {
 	n := startAllParts(t)
 	var telemetry, names string
 	inLoop(n, func() {
@@ -79,8 +79,8 @@
 	golden.Equal(t, "status.txt", []byte(names))
 }
 
-// The texts for the phases of a hot restart appear in the log, in records, in a message to a process that waits, and in
-// what operators read from a router that is not ready.
+// The names of the phases of a hot restart equal the golden file. They appear in the log, in records, in the message to
+// a waiting process, and in the answer of the readiness check of a router that is not ready.
 func TestGoldenPhases(t *testing.T) {
 	var names strings.Builder
 	for p := hotrestart.PhaseFindingPredecessor; p <= hotrestart.PhaseEnded; p++ {
@@ -89,12 +89,13 @@
 	golden.Equal(t, "phases.txt", []byte(names.String()))
 }
 
-// Each part has its counters in the list: one that is left out of the router of the test would be checked by nothing.
-func TestGoldenFiguresHaveEachPart(t *testing.T) {
+// The router of TestGoldenTelemetryAndStatus has every part, and the status lists the counters of each. Guards against
+// a part whose names no golden file covers.
+func TestGoldenStatusCoversEachPart(t *testing.T) {
 	n := startAllParts(t)
 	inLoop(n, func() {
 		if len(n.parts.all) != len(partConstructors) {
-			t.Errorf("%d parts of %d", len(n.parts.all), len(partConstructors))
+			t.Errorf("the router has %d parts, want %d", len(n.parts.all), len(partConstructors))
 		}
 		var groups []string
 		for _, row := range n.status.rows() {
@@ -103,7 +104,7 @@
 		}
 		for _, p := range n.parts.all {
 			if p.counters != nil && !slices.Contains(groups, p.counters()[0].name) {
-				t.Errorf("part %s has no counters", p.name)
+				t.Errorf("the status has no counters of part %s", p.name)
 			}
 		}
 	})
--- a/internal/node/golden_samples_test.go
+++ b/internal/node/golden_samples_test.go
@@ -14,11 +14,12 @@
 	"windflow/internal/router"
 )
 
-// messageSamples are the messages of both versions, with no field left out. Version 1 has fewer fields and messages.
+// messageSamples returns the messages of both versions of the protocol, with every field set. Version 1 has fewer
+// fields and messages.
 func messageSamples() []messageSample {
 	one, two := sampleState(), sampleState()
 	one.Version, one.Configuration = 0, nil
-	return append(sharedSamples(),
+	return append(samplesOfBothVersions(),
 		messageSample{"v1/hello", "hello", helloMessage{PID: 22071}, []string{"Process", "Version"}},
 		messageSample{"v2/hello", "hello", helloMessage{PID: 22129, Process: 3, Version: hotrestart.ProtocolVersion}, nil},
 		messageSample{"v1/state", "state", one, []string{"Version", "Configuration"}},
@@ -47,8 +48,8 @@
 	)
 }
 
-// sharedSamples are messages that are the same in both versions.
-func sharedSamples() []messageSample {
+// samplesOfBothVersions returns the messages that are the same in both versions.
+func samplesOfBothVersions() []messageSample {
 	ticket := sampleTicket()
 	return []messageSample{
 		{"both/ready", "ready", readyMessage{Taken: []string{"clients", "door"}}, nil},
@@ -88,7 +89,8 @@
 	}
 }
 
-// sampleSnapshot names an engine twice, so that a list of one would show.
+// sampleSnapshot returns a snapshot with two engines and two classes, so that a list that loses all but one entry is
+// noticed.
 func sampleSnapshot() dispatch.Snapshot {
 	return dispatch.Snapshot{
 		Known:    []dispatch.EngineID{1, 2, 12_000_000},
--- a/internal/node/partial_packets_test.go
+++ b/internal/node/partial_packets_test.go
@@ -7,18 +7,19 @@
 	"testing"
 )
 
-// Requests that arrive in pieces over the moment in which the router is signaled to end, on a connection that was
-// idle, on one that has just been accepted, and half before it and half after, are answered while it drains; then
-// all read the end in order. It guards against a request that is lost, or a connection that is reset, since its bytes
-// crossed the signal.
+// Requests that arrive in pieces around SIGTERM are answered while the router drains: on an idle connection, on one
+// that has just been accepted, and on one whose request arrives half before the signal and half after. Then all
+// connections are closed without a reset. Guards against a lost request or a reset connection when bytes arrive during
+// the signal.
 func TestPartialPacketsAcrossShutdown(t *testing.T) {
 	engine := newBlockingEngine()
 	harness := newRouterHarness(t, engine)
 	adminAddress := freePort(t)
-	p := harness.startProcess(adminAddress)
+	router := harness.startProcess(adminAddress)
 	harness.waitReady(adminAddress)
-	blocked, rests, half := harness.dial(), harness.dial(), harness.dial()
-	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil { // so that it goes on draining
+	blocked, idle, interrupted := harness.dial(), harness.dial(), harness.dial()
+	// This request stays open, so that the router keeps draining.
+	if err := blocked.write(0, append([]byte{3}, query("load", 1, "slow")...)); err != nil {
 		t.Fatal(err)
 	}
 	<-engine.started
@@ -28,10 +29,11 @@
 	}
 	defer accepted.Close()
 	fresh := &mysqlClient{conn: accepted, reader: bufio.NewReader(accepted)}
-	if _, err := fresh.packet(); err != nil { // its greeting: it is accepted, and has said nothing
+	// The greeting shows that the connection is accepted. The client sends nothing yet.
+	if _, err := fresh.packet(); err != nil {
 		t.Fatal(err)
 	}
-	pieces := func(c *mysqlClient, b []byte, size int) {
+	writeInPieces := func(c *mysqlClient, b []byte, size int) {
 		t.Helper()
 		for ; len(b) > 0; b = b[min(size, len(b)):] {
 			if _, err := c.conn.Write(b[:min(size, len(b))]); err != nil {
@@ -43,32 +45,32 @@
 		body := append([]byte{3}, query("lookup", id, "SELECT 1")...)
 		return append([]byte{byte(len(body)), 0, 0, 0}, body...)
 	}
-	split := packet(2)
-	pieces(half, split[:9], 3)
-	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+	interruptedPacket := packet(2)
+	writeInPieces(interrupted, interruptedPacket[:9], 3)
+	if err := router.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	harness.waitFor("it drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
-	pieces(half, split[9:], 7)
-	pieces(rests, packet(3), 1)
-	if err := fresh.login(); err != nil {
+	harness.waitFor("router drains", func() bool { return harness.callAdmin("GET", adminAddress, "/api/ready") != 200 })
+	writeInPieces(interrupted, interruptedPacket[9:], 7)
+	writeInPieces(idle, packet(3), 1)
+	if err := fresh.sendLogin(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := fresh.packet(); err != nil {
 		t.Fatal(err)
 	}
-	pieces(fresh, packet(4), 2)
-	for name, c := range map[string]*mysqlClient{"half before": half, "rested": rests, "just accepted": fresh} {
+	writeInPieces(fresh, packet(4), 2)
+	for name, c := range map[string]*mysqlClient{"interrupted": interrupted, "idle": idle, "just accepted": fresh} {
 		checkServedAnswer(t, c, name)
 	}
 	close(engine.released)
-	checkServedAnswer(t, blocked, "the one that ran:")
+	checkServedAnswer(t, blocked, "the request that ran before SIGTERM")
 	for name, c := range map[string]*mysqlClient{
-		"blocked": blocked, "half before": half, "rested": rests, "just accepted": fresh,
+		"blocked": blocked, "interrupted": interrupted, "idle": idle, "just accepted": fresh,
 	} {
 		checkClosed(t, name, c)
 	}
-	if err := p.Wait(); err != nil {
-		t.Error("at its end:", err)
+	if err := router.Wait(); err != nil {
+		t.Error("the router process failed:", err)
 	}
 }
--- a/internal/node/protocol_peer_test.go
+++ b/internal/node/protocol_peer_test.go
@@ -7,63 +7,65 @@
 	"windflow/internal/hotrestartipc"
 )
 
-// protocolPeer plays one side of a hot restart; received has the machine's messages, but not those
-// that report what runs.
+// protocolPeer is one side of a hot restart, played by the test. It keeps the messages that the state machine of the
+// hot restart handles, and drops the others, such as usage reports.
 type protocolPeer struct {
 	link        *hotrestartipc.Link
 	received    chan hotrestartipc.Message
-	linkEnded   chan struct{} // closed with the link; a message may still be in hand then
-	repeatHello func()        // says hello again, as a successor does that is answered wait; nil for one that does not
+	linkEnded   chan struct{} // closed when the link ends; received may still have messages
+	repeatHello func()        // sends hello again after a wait message, as a successor does; may be nil
 }
 
+// startProtocolPeer starts a link on a connection, and closes all descriptors that it receives.
 func startProtocolPeer(conn *net.UnixConn) *protocolPeer {
-	a := &protocolPeer{received: make(chan hotrestartipc.Message, 256), linkEnded: make(chan struct{})}
-	a.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
+	p := &protocolPeer{received: make(chan hotrestartipc.Message, 256), linkEnded: make(chan struct{})}
+	p.link = hotrestartipc.StartLink(conn, func(m hotrestartipc.Message) {
 		for _, f := range m.Files {
 			_ = f.Close()
 		}
 		if _, known := machineMessages[m.Kind]; known {
 			select {
-			case a.received <- m:
-			case <-a.linkEnded:
+			case p.received <- m:
+			case <-p.linkEnded:
 			}
 		}
-	}, func(error) { close(a.linkEnded) })
-	return a
+	}, func(error) { close(p.linkEnded) })
+	return p
 }
 
-func (a *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
+// expect returns the next message of a kind. Before it only hello, wait and state may come, which can be repeated.
+func (p *protocolPeer) expect(t *testing.T, kind string) hotrestartipc.Message {
 	t.Helper()
 	for {
-		m, there := a.next()
-		if !there {
-			t.Fatal("the link ended before", kind)
+		m, ok := p.next()
+		if !ok {
+			t.Fatalf("the link ended before a message of kind %q", kind)
 		}
 		if m.Kind == kind {
 			return m
 		}
-		if m.Kind == "wait" && kind == "state" && a.repeatHello != nil {
-			a.repeatHello()
+		if m.Kind == "wait" && kind == "state" && p.repeatHello != nil {
+			p.repeatHello()
 		}
-		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // each may come again
-			t.Fatalf("%s received where %s was due", m.Kind, kind)
+		if m.Kind != "hello" && m.Kind != "wait" && m.Kind != "state" { // these may be repeated
+			t.Fatalf("received a message of kind %q, want %q", m.Kind, kind)
 		}
 	}
 }
 
-// next waits for a message, also one received before the link's end; false if there will be none.
-func (a *protocolPeer) next() (hotrestartipc.Message, bool) {
+// next waits for a message. It returns false once the link has ended and all received messages have been returned.
+func (p *protocolPeer) next() (hotrestartipc.Message, bool) {
 	select {
-	case m := <-a.received:
+	case m := <-p.received:
 		return m, true
 	default:
 	}
 	select {
-	case m := <-a.received:
+	case m := <-p.received:
 		return m, true
-	case <-a.linkEnded:
+	case <-p.linkEnded:
 		select {
-		case m := <-a.received:
+		case m := <-p.received:
 			return m, true
 		default:
 			return hotrestartipc.Message{}, false
--- a/internal/node/unreliable_listener_test.go
+++ b/internal/node/unreliable_listener_test.go
@@ -19,54 +19,57 @@
 	"google.golang.org/grpc/status"
 )
 
-// unreliableListener wraps a listener: a seeded part of its connections is reset after a random number of bytes.
+// unreliableListener wraps a listener. About two thirds of its connections are reset after a random number of bytes
+// that the server has written. The choice depends on a seed.
 type unreliableListener struct {
 	net.Listener
-	mu    sync.Mutex
-	rng   *rand.Rand
-	kills *atomic.Int64
+	mu     sync.Mutex
+	rng    *rand.Rand
+	resets *atomic.Int64
 }
 
-func listenUnreliable(t *testing.T, seed uint64, kills *atomic.Int64) *unreliableListener {
+// listenUnreliable listens on loopback. resets counts the connections that are reset.
+func listenUnreliable(t *testing.T, seed uint64, resets *atomic.Int64) *unreliableListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &unreliableListener{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), kills: kills}
+	return &unreliableListener{Listener: l, rng: rand.New(rand.NewPCG(seed, 1)), resets: resets}
 }
 
-func (f *unreliableListener) Accept() (net.Conn, error) {
-	c, err := f.Listener.Accept()
+func (l *unreliableListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	left := int64(1 << 40)
-	if f.rng.IntN(3) > 0 {
-		left = int64(f.rng.IntN(6000))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	remaining := int64(1 << 40)
+	if l.rng.IntN(3) > 0 {
+		remaining = int64(l.rng.IntN(6000))
 	}
-	return &unreliableConn{Conn: c, left: left, kills: f.kills}, nil
+	return &unreliableConn{Conn: c, remaining: remaining, resets: l.resets}, nil
 }
 
+// unreliableConn resets the connection at a write that exceeds the remaining bytes.
 type unreliableConn struct {
 	net.Conn
-	mu    sync.Mutex
-	left  int64
-	kills *atomic.Int64
+	mu        sync.Mutex
+	remaining int64
+	resets    *atomic.Int64
 }
 
 func (c *unreliableConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if int64(len(b)) <= c.left {
-		c.left -= int64(len(b))
+	if int64(len(b)) <= c.remaining {
+		c.remaining -= int64(len(b))
 		return c.Conn.Write(b)
 	}
-	n, _ := c.Conn.Write(b[:c.left])
-	c.left = 0
-	c.kills.Add(1)
+	n, _ := c.Conn.Write(b[:c.remaining])
+	c.remaining = 0
+	c.resets.Add(1)
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 	return n, io.ErrClosedPipe
@@ -74,13 +77,13 @@
 
 var errTicketReused = errors.New("a load's ticket was redeemed twice")
 
-// queryFlight runs one request over Flight SQL. It reports whether it was served; an error is an answer that
-// may not be: a code outside the mapping, or incomplete rows.
-func queryFlight(c *fsql.Client, class, id, statement string, put bool) (bool, error) {
+// queryFlight sends one request over Flight SQL and reports whether it was served. It returns an error for an answer
+// that is not allowed: an unexpected status code, incomplete rows, or a load's ticket that can be redeemed twice.
+func queryFlight(c *fsql.Client, class, id, statement string, update bool) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "method", class, "rid", id, "acct", "a")
-	if put {
+	if update {
 		_, err := c.ExecuteUpdate(ctx, statement)
 		return err == nil, checkFlightError(err)
 	}
@@ -98,23 +101,23 @@
 		r.Release()
 	}
 	if class == "load" {
-		// Whatever the outcome, the ticket is consumed.
+		// The ticket is consumed by the first call, whatever its outcome.
 		again, err := c.DoGet(ctx, info.Endpoint[0].Ticket)
 		if err == nil {
 			again.Release()
 			return false, errTicketReused
 		}
 		if status.Code(err) != codes.NotFound {
-			return false, fmt.Errorf("a load's ticket, a second time: %w", err)
+			return false, fmt.Errorf("redeeming a load's ticket again, want NotFound: %w", err)
 		}
 	}
 	if err == nil && rows != 60 && rows != 1 {
-		return false, fmt.Errorf("served with %d rows", rows)
+		return false, fmt.Errorf("served with %d rows, want 1 or 60", rows)
 	}
 	return err == nil, checkFlightError(err)
 }
 
-// checkFlightError passes the codes that an answer may have.
+// checkFlightError returns nil if an answer may have the status code of err, and err otherwise.
 func checkFlightError(err error) error {
 	allowed := []codes.Code{codes.OK, codes.ResourceExhausted, codes.Internal, codes.DeadlineExceeded}
 	if slices.Contains(allowed, status.Code(err)) {
