--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -46,7 +46,7 @@
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[1], `"DISPATCH":{"executor":7,"ref":"a","who":0}`) ||
 		!strings.Contains(lines[1], `"weight-class":2`) || strings.Contains(lines[2], "DISPATCH") {
-		t.Errorf("unexpected replies:\n%s", out)
+		t.Errorf("want 3 replies, and a DISPATCH to executor 7 in the second only:\n%s", out)
 	}
 	for _, line := range lines {
 		if !json.Valid([]byte(line)) {
@@ -61,7 +61,7 @@
 		`{"REGISTER":{"sheet":0,"elements":[{"executor":8,"flavor":"k","condition":"live"}]}}]}`, 1)
 	out, err := runLines(t, batch, requestLine("2", "a"))
 	if err != nil || !strings.Contains(out, `"executor":7`) || strings.Contains(out, `"executor":8`) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, want an attempt at executor 7 only:\n%s", err, out)
 	}
 }
 
@@ -86,7 +86,7 @@
 	out, err := runLines(t, startLine, requestLine("2", "a"),
 		`{"ts-ns":1300000000,"n":3,"in":[{"RETIRE":{"who":0}},`+restart+`]}`, requestLine("4", "b"))
 	if err != nil || strings.Count(out, "DISPATCH") != 2 {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, want two attempts:\n%s", err, out)
 	}
 }
 
--- a/cmd/windflow/main.go
+++ b/cmd/windflow/main.go
@@ -85,7 +85,7 @@
 	return config
 }
 
-// checkFiles checks files and writes a line to out for each valid one. The error has the errors of all others.
+// checkFiles checks files and writes a line to out for each valid one. It returns the errors of the others, joined.
 func checkFiles(out io.Writer, files []string) error {
 	var errs []error
 	for _, file := range files {
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -106,12 +106,12 @@
 	dir := writeIncidentRecords(t)
 	out, _, err := run(t, "records", "check", dir)
 	if err != nil || strings.Count(out, ": ok\n") != 2 {
-		t.Error(out, err)
+		t.Errorf("check: output %q, error %v, want two lines with ok", out, err)
 	}
 	out, _, err = run(t, "records", "cat", "--kind", "engine,header", dir)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if err != nil || len(lines) != 2*(1+3+6) {
-		t.Error(len(lines), err)
+		t.Errorf("cat --kind engine,header: %d lines, error %v, want %d lines", len(lines), err, 2*(1+3+6))
 	}
 	for _, line := range lines {
 		printed, err := decodeLine(line)
@@ -121,20 +121,20 @@
 	}
 	_, _, err = run(t, "records", "cat", "--kind", "x", dir)
 	if err == nil || !strings.Contains(err.Error(), "--kind") {
-		t.Error(err)
+		t.Errorf("cat --kind x: error %v, want \"--kind\" in it", err)
 	}
 	cut := filepath.Join(t.TempDir(), "cut")
 	const at = "2026-11-30T00:00:00Z"
 	out, _, err = run(t, "records", "cut", "--from", at, "--to", at, "-o", cut, dir)
 	if err == nil || !strings.Contains(err.Error(), "--to") {
-		t.Error(out, err)
+		t.Errorf("cut of an empty time range: output %q, error %v, want \"--to\" in the error", out, err)
 	}
 	from, to := formatTime(startMS+50_000), formatTime(startMS+80_000)
 	if out, _, err = run(t, "records", "cut", "--from", from, "--to", to, "-o", cut, dir); err != nil {
-		t.Error(out, err)
+		t.Errorf("cut: output %q, error %v", out, err)
 	}
 	if out, _, err = run(t, "incident", cut); err != nil || !strings.Contains(out, "Incident 1") {
-		t.Error(out, err)
+		t.Errorf("incident: output %q, error %v, want \"Incident 1\" in the output", out, err)
 	}
 	// A truncated file is reported but does not fail the check, because a crash may leave one. A damaged file fails it.
 	files, _ := record.SegmentFiles(dir)
@@ -143,18 +143,18 @@
 		t.Fatal(err)
 	}
 	if out, _, err = run(t, "records", "check", dir); err != nil || !strings.Contains(out, "cut off at byte") {
-		t.Error(out, err)
+		t.Errorf("check of a truncated file: output %q, error %v, want \"cut off at byte\" and no error", out, err)
 	}
 	text[len(text)/2] ^= 1
 	if err := os.WriteFile(files[0], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, _, err = run(t, "records", "check", dir); err == nil || !strings.Contains(out, "damaged from byte") {
-		t.Error(out, err)
+		t.Errorf("check of a damaged file: output %q, error %v, want \"damaged from byte\" and an error", out, err)
 	}
 	_, _, err = run(t, "records", "check", t.TempDir())
 	if err == nil || !strings.Contains(err.Error(), "no segments") {
-		t.Error(err)
+		t.Errorf("check of an empty folder: error %v, want \"no segments\" in it", err)
 	}
 }
 
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -39,7 +39,7 @@
 		}
 		w.add(time.Duration(i)*100*time.Millisecond, sampleThreads(proc, "windflow", nil))
 		if got := sampleThreads(proc, "other", nil); len(got) != 0 {
-			t.Fatal(got)
+			t.Fatalf("threads of a process named other: %v, want none", got)
 		}
 	}
 	w.add(time.Second, nil)
@@ -60,9 +60,9 @@
 func TestThreadsCommandErrors(t *testing.T) {
 	_, _, err := run(t, "threads", "--name", "no such process", "--every", "1ms", "--for", "3ms")
 	if err == nil || !strings.Contains(err.Error(), "no such process") {
-		t.Error(err)
+		t.Errorf("no process: error %v, want \"no such process\" in it", err)
 	}
 	if _, _, err := run(t, "threads", "--every", "0s"); err == nil || !strings.Contains(err.Error(), "--every") {
-		t.Error(err)
+		t.Errorf("--every 0s: error %v, want \"--every\" in it", err)
 	}
 }
--- a/cmd/windflowkeeper/main.go
+++ b/cmd/windflowkeeper/main.go
@@ -96,8 +96,8 @@
 	if options.OnReady, err = newReadinessNotifier(log); err != nil {
 		return err
 	}
-	// Without this, a write beyond the limit on file sizes would end the process. It is to fail like a write to a full
-	// disk.
+	// A write beyond the limit on file sizes raises SIGXFSZ, which would end the process. With the signal ignored, the
+	// write returns an error, like a write to a full disk.
 	signal.Ignore(syscall.SIGXFSZ)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -134,8 +134,8 @@
 }
 
 // readyEnv names the environment variable with the number of a descriptor. When the keeper is ready, it writes a line
-// with the address for HTTP calls there, for which the process that started it waits. Without the variable, nothing is
-// written.
+// with its address for HTTP calls to the descriptor. The process that started the keeper waits for that line. Without
+// the variable, nothing is written.
 const readyEnv = "WINDFLOW_READY_FD"
 
 // minReadyDescriptor is the first descriptor after those of the standard streams.
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -119,7 +119,7 @@
 	}
 	p.wait(3100) // over a third of the hold time of 9 s, the lower of the two
 	if got := p.takeMessages(); got != "keepalive" {
-		t.Errorf("after a third of the hold time: wrote %q", got)
+		t.Errorf("after a third of the hold time: wrote %q, want a keepalive", got)
 	}
 	p.handler.Data(encodeMessage(typeUpdate, []byte{0, 0, 0, 0}), 0)
 	p.speaker.Withdraw()
@@ -129,7 +129,7 @@
 	}
 	p.speaker.Close()
 	if got := p.takeMessages(); got != "notification 0602" || !p.closed {
-		t.Errorf("after Close: wrote %q, closed %v", got, p.closed)
+		t.Errorf("after Close: wrote %q, closed %v; want notification 0602 and a close", got, p.closed)
 	}
 	p.wait(60_000)
 	if p.dials != 1 {
@@ -146,7 +146,7 @@
 	p.takeMessages()
 	p.wait(9200)
 	if got := p.takeMessages(); !strings.HasSuffix(got, "notification 0400") || !p.closed {
-		t.Errorf("wrote %q, closed %v", got, p.closed)
+		t.Errorf("after the hold time: wrote %q, closed %v; want notification 0400 and a close", got, p.closed)
 	}
 	p.wait(5100)
 	if p.dials != 2 {
@@ -154,7 +154,7 @@
 	}
 	p.establish()
 	if got := p.takeMessages(); !strings.HasSuffix(got, wantAnnouncement) {
-		t.Errorf("after the reconnection: wrote %q", got)
+		t.Errorf("after the reconnection: wrote %q, want %s at the end", got, wantAnnouncement)
 	}
 	p.handler.Closed(os.ErrClosed)
 	p.wait(5100)
@@ -246,7 +246,8 @@
 	p.takeMessages()
 	p.handler.Data(encodeNotification(&NotificationError{Code: 6, Subcode: 4}), 0)
 	if got := p.takeMessages(); got != "" || !p.closed || p.speaker.Counters.NotificationsReceived != 1 {
-		t.Errorf("wrote %q, closed %v, counted %d", got, p.closed, p.speaker.Counters.NotificationsReceived)
+		t.Errorf("wrote %q, closed %v, counted %d notifications; want no output, a close and 1",
+			got, p.closed, p.speaker.Counters.NotificationsReceived)
 	}
 }
 
@@ -309,7 +310,7 @@
 	}
 	p.establish()
 	if got := p.takeMessages(); !strings.Contains(got, "20c000020b") || p.speaker.State() != Established {
-		t.Errorf("in the new session: wrote %s", got)
+		t.Errorf("in the new session: state %v, wrote %s; want Established and the new prefix", p.speaker.State(), got)
 	}
 	p.wait(6000)
 	if p.dials != 2 {
--- a/internal/enginehttp/conn.go
+++ b/internal/enginehttp/conn.go
@@ -38,7 +38,8 @@
 		(c.lastAttempt == r.attempt || c.loop.Now()-c.lastReadMS >= reuseDelayMS) && !c.netConn.HasUnread()
 }
 
-// idleBefore reports whether the connection comes before another in the order of the last read, then of the engine id.
+// idleBefore reports whether the last read of the connection is older than that of another. If both are equally old, it
+// reports whether the engine id is lower.
 func (c *conn) idleBefore(other *conn) bool {
 	return c.lastReadMS < other.lastReadMS ||
 		c.lastReadMS == other.lastReadMS && c.engine.ID < other.engine.ID
--- a/internal/enginehttp/pages_test.go
+++ b/internal/enginehttp/pages_test.go
@@ -43,15 +43,15 @@
 		cells = append(cells, cell.Text)
 	}
 	if !slices.Equal(cells, []string{"a", "b", "c", "d", "", "f"}) || result.WorkMS != 5 || result.NeedMB != 6 {
-		t.Errorf("got result %+v", result)
+		t.Errorf("result %+v, want the cells a b c d \"\" f, WorkMS 5 and NeedMB 6", result)
 	}
 	page := []byte(strings.Repeat("a\tb\tc\n", maxPage/6))
 	full := resultPages{pages: slices.Repeat([][]byte{page}, router.MaxResultBytes/len(page))}
 	if result, err := full.parse(); err != nil || len(result.Cells) != router.MaxResultBytes/2 {
-		t.Errorf("result of maximum size: error %v", err)
+		t.Errorf("result of maximum size: error %v, want none and %d cells", err, router.MaxResultBytes/2)
 	}
 	full.pages = append(full.pages, []byte("a\tb\tc\n"))
 	if _, err := full.parse(); err == nil || err.Error() != "result has 48006 bytes, at most 48000 are allowed" {
-		t.Errorf("result over the maximum size: error %v", err)
+		t.Errorf("result over the maximum size: error %v, want one that states both sizes", err)
 	}
 }
--- a/internal/flightsql/attempt.go
+++ b/internal/flightsql/attempt.go
@@ -28,7 +28,7 @@
 // SetPriority implements router.Attempt. Flight SQL cannot change the priority of a call in flight.
 func (a *attempt) SetPriority(int) {}
 
-// Cancel implements router.Attempt. It ends the call's stream, on which the engine cancels the query.
+// Cancel implements router.Attempt. It ends the call's stream; the engine then cancels the query.
 func (a *attempt) Cancel() {
 	a.cancelled = true
 	a.cancel()
@@ -49,7 +49,8 @@
 	return true
 }
 
-// finish releases the call and reports the end of the attempt, unless the end was reported before or is not wanted.
+// finish releases the call and reports the end of the attempt, unless the end was already reported or must not be
+// reported.
 func (a *attempt) finish(end router.End) {
 	a.cancel()
 	if a.ended {
--- a/internal/flightsql/front_test.go
+++ b/internal/flightsql/front_test.go
@@ -149,7 +149,8 @@
 	}
 	trailer := stream.Trailer()
 	if delay != time.Second || trailer.Get(metaBackoff)[0] != "1000" || trailer.Get(metaRetry)[0] != "safe" {
-		t.Errorf("%v: delay %v, trailer %v", err, delay, trailer)
+		t.Errorf("rejection %v: delay %v, trailer %v; want 1s, %s 1000 and %s safe",
+			err, delay, trailer, metaBackoff, metaRetry)
 	}
 	info, err = c.Execute(callCtx(t, 20*time.Second, "rid", "0000000000000002", "method", "load"), "reset")
 	if err != nil {
@@ -159,7 +160,7 @@
 		_, err = stream.Recv()
 	}
 	if got := stream.Trailer().Get(metaRetry); len(got) != 1 || !strings.HasPrefix(got[0], "unsafe") {
-		t.Errorf("%v: trailer %v", err, stream.Trailer())
+		t.Errorf("failure %v: trailer %v, want one %s that begins with unsafe", err, stream.Trailer(), metaRetry)
 	}
 }
 
@@ -308,7 +309,7 @@
 		}},
 	} {
 		if err := tc.call(); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: %v, want InvalidArgument", tc.name, err)
 		}
 	}
 	if engines.runsOf("0000000000000001") != 0 {
@@ -335,7 +336,7 @@
 	return err
 }
 
-// GetSqlInfo works, with which clients find out what the server supports.
+// The front answers GetSqlInfo, which clients call to find out what the server supports.
 func TestSqlInfo(t *testing.T) {
 	_, _, c := newFront(t)
 	info, err := c.GetSqlInfo(callCtx(t, 20*time.Second), []fsql.SqlInfo{fsql.SqlInfoFlightSqlServerName})
@@ -343,7 +344,7 @@
 		t.Fatal(err)
 	}
 	if rows, err := redeem(callCtx(t, 20*time.Second), c, info.Endpoint[0].Ticket); rows != 1 || err != nil {
-		t.Errorf("%d rows, %v", rows, err)
+		t.Errorf("%d rows, error %v, want 1 row", rows, err)
 	}
 }
 
--- a/internal/flightsql/service.go
+++ b/internal/flightsql/service.go
@@ -159,8 +159,8 @@
 	return -1, nil
 }
 
-// run submits a request to the core and blocks until its answer. If the call is cancelled or its deadline passes
-// before, the request is abandoned.
+// run submits a request to the core and blocks until the answer. If the call is cancelled or its deadline passes before
+// the answer, the request is abandoned.
 func (s *service) run(ctx context.Context, request *router.Request) (*router.Result, error) {
 	s.activeCalls.Add(1)
 	defer s.activeCalls.Add(-1)
--- a/internal/incident/timeline_test.go
+++ b/internal/incident/timeline_test.go
@@ -84,7 +84,7 @@
 	first := timeline.Processes[0].Clock
 	for i, p := range timeline.Processes {
 		if !p.Clock.Measured || p.Clock.UncertaintyMS > 15 {
-			t.Errorf("%s: %+v", p.Router, p.Clock)
+			t.Errorf("%s: clock %+v, want a measured one with an uncertainty of at most 15 ms", p.Router, p.Clock)
 		}
 		for _, at := range []float64{0, 60_000, 117_000} {
 			// The reference may be any of the three, so the corrected times are compared with each other.
@@ -144,7 +144,7 @@
 	addTwoIncidents(f)
 	timeline := f.joiner.Timeline()
 	if len(timeline.Incidents) != 2 {
-		t.Fatalf("%+v", timeline.Incidents)
+		t.Fatalf("incidents %+v, want 2", timeline.Incidents)
 	}
 	first := timeline.Incidents[0]
 	from, to := (first.FromMS-timeline.FromMS)/1000, (first.ToMS-timeline.FromMS)/1000
@@ -153,13 +153,13 @@
 	}
 	worst := first.Impacts[0]
 	if worst.Class != "lookup" || worst.Tenant != "a" {
-		t.Errorf("%+v", worst)
+		t.Errorf("first impact %+v, want lookups of tenant a", worst)
 	}
 	if worst.LossShare < 0.95 || worst.Loss < 0.3 || worst.BaselineLoss > 0.05 {
-		t.Errorf("%+v", worst)
+		t.Errorf("first impact %+v, want LossShare 0.95 or more, Loss 0.3 or more, BaselineLoss 0.05 or less", worst)
 	}
 	if gaps := countGaps(timeline, "n2", 6000); gaps != 1 {
-		t.Errorf("gaps: %+v", timeline.Gaps)
+		t.Errorf("gaps %+v, want one of n2 longer than 6 s", timeline.Gaps)
 	}
 	if down := countDownSpans(timeline, "s-00000001", first); down != 3 {
 		t.Errorf("the engine was down for %d routers, want 3", down)
@@ -206,19 +206,19 @@
 	}
 	timeline := f.joiner.Timeline()
 	if len(timeline.Processes) != 3 || timeline.Processes[2].Router != "n1" || timeline.Processes[2].Incarnation != 3 {
-		t.Fatalf("%+v", timeline.Processes)
+		t.Fatalf("processes %+v, want 3, the last one the successor of n1", timeline.Processes)
 	}
 	before, after := timeline.Processes[1].Clock, timeline.Processes[2].Clock
 	if math.Abs(after.OffsetMS-before.OffsetMS) > 0.001 || after.UncertaintyMS <= before.UncertaintyMS {
-		t.Errorf("%+v after %+v", after, before)
+		t.Errorf("clock of the successor %+v, want the offset of %+v with a larger uncertainty", after, before)
 	}
 	if len(timeline.Incidents) != 0 {
-		t.Errorf("%+v", timeline.Incidents)
+		t.Errorf("incidents %+v, want none", timeline.Incidents)
 	}
 }
 
 func TestTimelineWithoutRecords(t *testing.T) {
 	if timeline := NewJoiner().Timeline(); len(timeline.Processes)+len(timeline.Incidents) != 0 {
-		t.Errorf("%+v", timeline)
+		t.Errorf("timeline %+v, want no processes and incidents", timeline)
 	}
 }
--- a/internal/mysql/evict.go
+++ b/internal/mysql/evict.go
@@ -12,8 +12,8 @@
 	// quietAfterMS is the age from which on a connection that has sent nothing is evicted before those with a partial
 	// packet. Younger connections are evicted last.
 	quietAfterMS = 50.0
-	// maxEvictChecks bounds the candidates that are checked for unread bytes, so that a session whose client has just
-	// sent something is spared.
+	// maxEvictChecks is the maximum number of candidates that are checked for unread bytes. A session with unread
+	// bytes is not evicted, because its client has just sent something.
 	maxEvictChecks = 8
 )
 
@@ -27,7 +27,7 @@
 	rankNew              // has just connected and sent nothing yet
 )
 
-// candidate is a session that may be evicted.
+// evictionCandidate is a session that may be evicted, with its eviction rank.
 type evictionCandidate struct {
 	session *session
 	rank    int
--- a/internal/mysql/login.go
+++ b/internal/mysql/login.go
@@ -55,8 +55,8 @@
 	return parsed, nil
 }
 
-// cutPassword cuts the authentication response off a packet and reports whether it is of a nonempty password. ok is
-// false if the packet is truncated.
+// cutPassword cuts the authentication response off a packet and reports whether it belongs to a nonempty password. ok
+// is false if the packet is truncated.
 func cutPassword(packet []byte, caps uint32) (hasPassword bool, remaining []byte, ok bool) {
 	if caps&(capLenencAuth|capSecureConnection) == 0 {
 		var password string
--- a/internal/mysql/session_test.go
+++ b/internal/mysql/session_test.go
@@ -43,7 +43,8 @@
 	}
 	h.runLine("a leave")
 	if h.front.buffered != 0 || len(h.front.sessions) != 0 {
-		t.Errorf("%d bytes and %d sessions are left after all sessions closed", h.front.buffered, len(h.front.sessions))
+		t.Errorf("after all sessions closed: %d bytes and %d sessions left, want none",
+			h.front.buffered, len(h.front.sessions))
 	}
 }
 
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -24,7 +24,7 @@
 	// connection cannot be detached, fn is called with nil and the connection is unchanged.
 	Detach(fn func(*os.File))
 	// NotifyFlushed calls fn in the loop once all written bytes were passed to the operating system, which may be
-	// immediately. fn is never called if the connection is closed before.
+	// immediately. fn is never called if the connection is closed earlier.
 	NotifyFlushed(fn func())
 }
 
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -64,8 +64,8 @@
 	return poller, nil
 }
 
-// start starts nbio's poller and the registrar. After a stall of the loop, the loop waits until the poller has
-// delivered its pending events.
+// start starts nbio's poller and the registrar. It also makes the loop, after each stall, wait until the poller has
+// delivered the events that are pending.
 func (p *Poller) start() error {
 	if err := p.engine.Start(); err != nil {
 		return err
--- a/internal/netio/poller_test.go
+++ b/internal/netio/poller_test.go
@@ -93,7 +93,7 @@
 	}
 	_ = peer.Close()
 	if err := <-h.closed; errors.Is(err, ErrNotConnected) {
-		t.Errorf("connection closed by the peer: error %v, want another than ErrNotConnected", err)
+		t.Errorf("connection closed by the peer: error %v, want one other than ErrNotConnected", err)
 	}
 }
 
--- a/internal/record/meter_test.go
+++ b/internal/record/meter_test.go
@@ -49,8 +49,8 @@
 	}
 	tooMany := len(classes) > maxClasses+1 || len(engines) > maxEngines+1
 	if arrived != 10000 || tooMany || m.histogramBytes > maxHistogramBytes+1<<20 {
-		t.Errorf("got %d classes with %d arrivals, %d engines, %d histogram bytes",
-			len(classes), arrived, len(engines), m.histogramBytes)
+		t.Errorf("%d classes, %d arrivals, %d engines, %d histogram bytes; want 10000 arrivals and at most %d, %d, %d",
+			len(classes), arrived, len(engines), m.histogramBytes, maxClasses+1, maxEngines+1, maxHistogramBytes+1<<20)
 	}
 }
 
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -74,7 +74,7 @@
 	all := sampleRecords()
 	got, damage, err := readAll(encodeFrames(t, all...))
 	if err != nil || len(damage) > 0 {
-		t.Fatal(damage, err)
+		t.Fatalf("damage %v, error %v, want none", damage, err)
 	}
 	if diff := cmp.Diff(all[1:], got); diff != "" {
 		t.Error(diff)
@@ -156,7 +156,7 @@
 	b = append(b, later...)
 	got, damage, err := readAll(append(b, fixed...))
 	if err != nil || len(got) != 1 || len(damage) != 0 {
-		t.Error(got, damage, err)
+		t.Errorf("read %v with damage %v and error %v, want one record and no damage", got, damage, err)
 	}
 }
 
@@ -187,7 +187,8 @@
 		largest = max(largest, cap(r.buf))
 	}
 	if n != 200*repeats || largest > 4*maxFrameBodyBytes {
-		t.Errorf("read %d records of %d with a buffer of up to %d bytes", n, 200*repeats, largest)
+		t.Errorf("read %d records, want %d; the buffer had up to %d bytes, want at most %d",
+			n, 200*repeats, largest, 4*maxFrameBodyBytes)
 	}
 }
 
@@ -219,7 +220,7 @@
 	files, _ := SegmentFiles(dir)
 	n, err := Extract(files, out, 2050, 2250)
 	if err != nil || n != 3 {
-		t.Fatal(n, err)
+		t.Fatalf("extracted %d records with error %v, want 3", n, err)
 	}
 	files, _ = SegmentFiles(out)
 	var got []Record
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -73,10 +73,11 @@
 		total += info.Size()
 	}
 	if total > 512<<10 || len(files) < 2 || w.Counters.Segments.Load() <= int64(len(files)) {
-		t.Errorf("%d bytes in %d files are left of %d segments", total, len(files), w.Counters.Segments.Load())
+		t.Errorf("%d bytes in %d files of %d segments; want at most %d bytes, at least 2 files, and deleted segments",
+			total, len(files), w.Counters.Segments.Load(), 512<<10)
 	}
 	if _, _, read := readDir(t, dir); read[len(read)-1].Err != nil || read[len(read)-1].Header.Router != "n/0" {
-		t.Error(read[len(read)-1])
+		t.Errorf("last segment: %+v, want a complete one of router n/0", read[len(read)-1])
 	}
 }
 
--- a/internal/validate/resources.go
+++ b/internal/validate/resources.go
@@ -21,7 +21,7 @@
 	// before the two processes have connected. Both processes share the limit of descriptors.
 	SuccessorDescriptors = 40
 
-	// minEngineConnections is the number of connections to engines that a router needs at least.
+	// minEngineConnections is the minimum number of connections to engines that a router needs.
 	minEngineConnections = 16
 
 	defaultDescriptors = 1024
