--- a/internal/bgp/migrate.go
+++ b/internal/bgp/migrate.go
@@ -23,8 +23,8 @@
 }
 
 // Migrate stops the speaker and calls done with its session and the descriptor of the connection, for another process.
-// The neighbour does not notice, so that nothing is withdrawn. If there is no established session, or its connection
-// cannot be detached, the session is closed, the file is nil, and the other process has to connect.
+// The neighbour does not notice, so it keeps the announced routes. If there is no established session, or its
+// connection cannot be detached, the session is closed, the file is nil, and the other process has to connect.
 func (s *Speaker) Migrate(done func(SessionState, *os.File)) {
 	current := s.session
 	s.closed = true
--- a/internal/enginehttp/conn.go
+++ b/internal/enginehttp/conn.go
@@ -30,9 +30,9 @@
 	closed      bool
 }
 
-// usableFor reports whether the request may be written to the idle connection. A connection cannot be used for another
-// attempt before reuseDelayMS has passed, with unread bytes, or if it leads to a former address of the engine, where
-// another engine may be listening now.
+// usableFor reports whether the request may be written to the idle connection. A connection with unread bytes cannot be
+// used, nor one to a former address of the engine, where another engine may be listening now. A request of another
+// attempt cannot use the connection before reuseDelayMS has passed.
 func (c *conn) usableFor(r *request) bool {
 	return !r.newConn && c.engine.Address == r.engine.Address &&
 		(c.lastAttempt == r.attempt || c.loop.Now()-c.lastReadMS >= reuseDelayMS) && !c.netConn.HasUnread()
--- a/internal/enginehttp/poll.go
+++ b/internal/enginehttp/poll.go
@@ -183,7 +183,7 @@
 }
 
 // handleInvalid handles a response that violates the protocol. The response may belong to another request, so its
-// connection is closed.
+// connection is closed, unless it already carries the next request.
 func (a *attempt) handleInvalid(cause error) {
 	if c := a.current.conn; c.request == nil {
 		c.close()
--- a/internal/flightsql/execute.go
+++ b/internal/flightsql/execute.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// readSchema reads the column names. A stream without columns, or with another number of them than the one before, is
-// an error.
+// readSchema reads the column names. A stream without columns, or with a different number of columns than the previous
+// stream, is an error.
 func (r *rowReader) readSchema(schema *arrow.Schema) error {
 	var names []string
 	for _, field := range schema.Fields() {
--- a/internal/flightsql/tickets.go
+++ b/internal/flightsql/tickets.go
@@ -25,7 +25,7 @@
 type Ticket struct {
 	Handle      string         `json:"Handle"`
 	Request     router.Request `json:"Request"`
-	DeadlineMS  float64        `json:"End"` // the deadline by the budget field of the client; 0 if it sent none
+	DeadlineMS  float64        `json:"End"` // set by the budget field of the client; 0 if it sent none
 	ExpiresAtMS float64        `json:"Expires"`
 	SingleUse   bool           `json:"Once"`
 }
@@ -122,7 +122,7 @@
 	if claimed := (*claim)(handle); claimed != nil {
 		s.importAll([]Ticket{*claimed})
 	}
-	return s.redeemLocal(handle) // also finds a ticket that the other process sent when it ended in the meantime
+	return s.redeemLocal(handle) // also finds it if the other process ended during the claim and sent its tickets
 }
 
 func (s *ticketStore) redeemLocal(handle string) *Ticket {
--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -89,8 +89,9 @@
 }
 
 // estimateDrift returns the Theil-Sen estimate of the drift, limited to maxDrift. This estimate is the median of the
-// slopes between pairs of samples, so that a few events that arrived late do not change it. The samples must be sorted
-// by time. It returns 0 for fewer than minDriftEvents samples and for a span below minDriftSpanMS.
+// slopes between pairs of samples, so that a few events that arrived late do not change it. Pairs less than a
+// quarter of minDriftSpanMS apart are not used. The samples must be sorted by time. It returns 0 for fewer than
+// minDriftEvents samples and for a span below minDriftSpanMS.
 func estimateDrift(samples []offsetSample) float64 {
 	span := samples[len(samples)-1].atMS - samples[0].atMS
 	if len(samples) < minDriftEvents || span < minDriftSpanMS {
--- a/internal/mysql/builtin.go
+++ b/internal/mysql/builtin.go
@@ -11,31 +11,32 @@
 // maxVariables bounds the variables that one SELECT may request, because the answer is far longer than the list.
 const maxVariables = 16
 
-// builtinStatement is a statement without a leading comment with fields. The front answers it; no engine runs it.
+// builtinStatement is a statement that does not start with a comment with fields. The front answers it; no engine runs
+// it.
 type builtinStatement struct {
 	session *session
 	front   *Front
-	fields  []string // the words of the statement
+	words   []string
 }
 
 // run answers the statement, with an error if it is not one that the front supports.
 func (b *builtinStatement) run() {
 	switch {
-	case b.isVerb("KILL"):
+	case b.hasVerb("KILL"):
 		b.kill()
-	case b.isVerb("USE") && len(b.fields) == 2 && strings.Trim(b.fields[1], "`") == database, b.isVerb("SET"):
+	case b.hasVerb("USE") && len(b.words) == 2 && strings.Trim(b.words[1], "`") == database, b.hasVerb("SET"):
 		b.session.writeOK()
-	case b.isVerb("SHOW") && strings.EqualFold(b.fields[len(b.fields)-1], "STATUS"):
+	case b.hasVerb("SHOW") && strings.EqualFold(b.words[len(b.words)-1], "STATUS"):
 		b.showStatus()
-	case b.isVerb("SELECT") && b.selectVariables():
+	case b.hasVerb("SELECT") && b.selectVariables():
 	default:
 		b.session.writeError(errParse, "no fields: a query starts with /* method=CLASS,rid=ID,budget=MS */")
 	}
 }
 
-// isVerb reports whether the statement starts with the verb, in either case, and has further words.
-func (b *builtinStatement) isVerb(verb string) bool {
-	return len(b.fields) > 1 && strings.EqualFold(b.fields[0], verb)
+// hasVerb reports whether the statement starts with the verb, in any letter case, and has further words.
+func (b *builtinStatement) hasVerb(verb string) bool {
+	return len(b.words) > 1 && strings.EqualFold(b.words[0], verb)
 }
 
 // showStatus answers SHOW STATUS with one row for each status variable.
@@ -50,7 +51,7 @@
 // selectVariables answers a SELECT of the variables and functions that common clients request when they connect, and of
 // the connection id that KILL takes. For any other SELECT it returns false and writes no answer.
 func (b *builtinStatement) selectVariables() bool {
-	list := strings.ToLower(strings.Join(b.fields[1:], " "))
+	list := strings.ToLower(strings.Join(b.words[1:], " "))
 	names := strings.Split(strings.TrimSuffix(list, " limit 1"), ",")
 	if len(names) > maxVariables {
 		return false
@@ -92,13 +93,13 @@
 // kill runs KILL [QUERY|CONNECTION] id: it interrupts the query of another session and, unless QUERY is given, closes
 // that session.
 func (b *builtinStatement) kill() {
-	id, err := strconv.ParseUint(b.fields[len(b.fields)-1], 10, 32)
-	if err != nil || len(b.fields) > 3 {
+	id, err := strconv.ParseUint(b.words[len(b.words)-1], 10, 32)
+	if err != nil || len(b.words) > 3 {
 		b.session.writeError(errParse, "malformed KILL: expected KILL [QUERY|CONNECTION] and a connection id")
 		return
 	}
 	b.session.counters.Kills++
-	if !b.front.killAnywhere(uint32(id), strings.EqualFold(b.fields[1], "QUERY")) {
+	if !b.front.killAnywhere(uint32(id), strings.EqualFold(b.words[1], "QUERY")) {
 		b.session.writeError(errNoSuchThread, fmt.Sprintf("unknown thread id: %d", id))
 		return
 	}
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -49,7 +49,7 @@
 	fields, statement, found, err := parseFields(text)
 	if err == nil && !found {
 		statement := strings.TrimRight(strings.TrimSpace(text), "; \t\r\n")
-		(&builtinStatement{session: s, front: s.front, fields: strings.Fields(statement)}).run()
+		(&builtinStatement{session: s, front: s.front, words: strings.Fields(statement)}).run()
 		return
 	}
 	if err == nil {
--- a/internal/mysql/evict.go
+++ b/internal/mysql/evict.go
@@ -13,7 +13,7 @@
 	// packet. Younger connections are evicted last.
 	quietAfterMS = 50.0
 	// maxEvictChecks is the maximum number of candidates that are checked for unread bytes. A session with unread
-	// bytes is not evicted, because its client has just sent something.
+	// bytes is spared if another checked one has none, because its client has just sent something.
 	maxEvictChecks = 8
 )
 
--- a/internal/netio/registration.go
+++ b/internal/netio/registration.go
@@ -93,9 +93,9 @@
 }
 
 // handleWake carries out the registrations that are due. It is called in the poller's goroutine at each wake-up.
-// Registrations that were enqueued before the previous wake-up are due: the poller fetched the events that it handles
-// now after that wake-up, when the former connections with the same descriptors were already closed. Later
-// registrations may have been enqueued after the events were fetched and wait for the next wake-up.
+// Registrations that were enqueued before the previous wake-up are due: the events that the poller is handling were
+// fetched after that wake-up, when the former connections with the same descriptors were already closed. Later
+// registrations may have been enqueued after the events were fetched, so they wait for the next wake-up.
 func (r *registrar) handleWake() {
 	for _, reg := range r.takeDue() {
 		var err error
