--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// decodeError wraps an error of package json. Its text names the JSON field, not the Go type, because readers know the
-// protocol only.
+// decodeError wraps an error of package json. Its text names the JSON field, not the Go type, because its readers
+// know only the protocol.
 type decodeError struct{ err error }
 
 func (e decodeError) Error() string {
--- a/internal/enginehttp/pool.go
+++ b/internal/enginehttp/pool.go
@@ -128,7 +128,7 @@
 	}
 	p.idle[c.engine.ID] = list
 	if len(list) == 0 {
-		delete(p.idle, c.engine.ID) // engine ids are not reused, so the map would grow without bound
+		delete(p.idle, c.engine.ID) // otherwise the map would grow without bound, as ids are not reused
 	}
 }
 
--- a/internal/enginehttp/response.go
+++ b/internal/enginehttp/response.go
@@ -43,8 +43,8 @@
 )
 
 // parseResponse parses one complete response at the start of data and returns it with its length in bytes. The response
-// is nil and the length 0 if data is incomplete. It returns an error if the response is malformed or exceeds a limit,
-// so that its end cannot be determined.
+// is nil and the length 0 if data is incomplete. It returns an error if the response is malformed or exceeds a limit;
+// the end of the response is then unknown.
 func parseResponse(data []byte) (*response, int, error) {
 	end := bytes.Index(data, headEnd)
 	if end < 0 {
--- a/internal/flightsql/front.go
+++ b/internal/flightsql/front.go
@@ -26,9 +26,9 @@
 	maxCall = 2 * maxStatement
 	// maxHeaderList bounds the headers of a call, in bytes.
 	maxHeaderList = 16 << 10
-	// maxStreams bounds the concurrent calls of one connection. If every call of every connection stopped before its
-	// end, the calls would occupy max_connections * maxStreams * maxCall. With the default of 32 connections, that is
-	// 128 MB of a router's memory limit of 192 MB.
+	// maxStreams bounds the concurrent calls of one connection. If every call on every connection stopped in the
+	// middle of its message, the calls would occupy max_connections * maxStreams * maxCall. With the default of 32
+	// connections, that is 128 MB of a router's memory limit of 192 MB.
 	maxStreams = 32
 	// flowControlWindow is the HTTP/2 flow-control window in bytes. gRPC does not enlarge a window that is set.
 	flowControlWindow = 64 << 10
--- a/internal/flightsql/prepared.go
+++ b/internal/flightsql/prepared.go
@@ -39,8 +39,8 @@
 	return s.issueTicket(ctx, string(cmd.GetPreparedStatementHandle()), desc)
 }
 
-// DoPutPreparedStatementUpdate runs an update and returns the number of changed rows, or -1 if it is unknown.
-// Parameters are an error.
+// DoPutPreparedStatementUpdate runs an update and returns the number of changed rows, or -1 if it is 0 or
+// unknown. Parameters are an error.
 func (s *service) DoPutPreparedStatementUpdate(
 	ctx context.Context, cmd flightsql.PreparedStatementUpdate, parameters flight.MessageReader,
 ) (int64, error) {
--- a/internal/flightsql/request.go
+++ b/internal/flightsql/request.go
@@ -16,8 +16,8 @@
 const minDeadlineMS = 0.001
 
 // newRequest builds a request from the statement and the fields in the call's metadata, and checks it. Without a budget
-// field, the call's deadline sets the budget. A call with both is bound by the earlier; callers apply the deadline.
-// Errors are gRPC statuses and count as malformed calls.
+// field, the call's deadline sets the budget. If a call has both, the earlier one applies; the callers of newRequest
+// apply the deadline. Errors are gRPC statuses and count as malformed calls.
 func (s *service) newRequest(ctx context.Context, statement string) (*router.Request, error) {
 	now := s.loop.Now()
 	md, _ := metadata.FromIncomingContext(ctx)
--- a/internal/flightsql/service.go
+++ b/internal/flightsql/service.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// DoPutCommandStatementUpdate runs an update and returns the number of changed rows, or -1 if it is unknown.
+// DoPutCommandStatementUpdate runs an update and returns the number of changed rows, or -1 if it is 0 or unknown.
 func (s *service) DoPutCommandStatementUpdate(ctx context.Context, cmd flightsql.StatementUpdate) (int64, error) {
 	return s.update(ctx, cmd.GetQuery())
 }
--- a/internal/incident/outcome_series.go
+++ b/internal/incident/outcome_series.go
@@ -6,8 +6,8 @@
 	"windflow/internal/record"
 )
 
-// outcomeSeries has the outcomes of all requests, by the second in which they ended, not arrived, so that long
-// queries are counted, too.
+// outcomeSeries has the outcomes of all requests, counted in the second in which the request ended, not in the one in
+// which it arrived, so that long queries are counted, too.
 type outcomeSeries struct {
 	classes map[string]record.Class
 	fromMS  float64
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -87,7 +87,8 @@
 	allowance map[*nbio.Conn]int // the bytes that each peer may still send
 }
 
-// begin adds a connection. It returns false if maxGracefulCloses connections are already closing.
+// begin adds a connection. It returns false if maxGracefulCloses connections are already closing, unless unlimited is
+// set.
 func (g *gracefulCloses) begin(conn *nbio.Conn) bool {
 	if g.count >= maxGracefulCloses && !g.unlimited {
 		return false
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -19,7 +19,7 @@
 type socket struct {
 	loop    *router.Loop
 	closes  *gracefulCloses
-	conn    *nbio.Conn // nil until it is registered with the poller
+	conn    *nbio.Conn // nil until a dialed or adopted connection is registered with the poller
 	handler Handler    // nil until the loop has accepted the connection
 
 	dialTimer   *router.Timer
@@ -212,7 +212,8 @@
 	s.NotifyFlushed(s.closeWrite)
 }
 
-// closeWrite sends the end of the stream once all written bytes were sent, and starts the time limit for the peer.
+// closeWrite sends the end of the stream and starts the time limit for the peer. It is called once all written bytes
+// were sent.
 func (s *socket) closeWrite() {
 	s.closeTimer.Stop()
 	s.closeTimer = s.loop.After(lingerTimeoutMS, s.Close)
--- a/internal/validate/invalidentry.go
+++ b/internal/validate/invalidentry.go
@@ -17,9 +17,9 @@
 	return firstInvalidEntry(base, entries)
 }
 
-// entryOfNamedField returns the pointer of the entry that contains, or is part of, the field with whose name an error
-// text begins, or an empty text if there is none. The text "field settings: classes[2].name: ..." names the field
-// /settings/classes/2/name.
+// entryOfNamedField returns the pointer of the entry that contains the field named at the start of an error text, or
+// that is part of this field. It returns an empty text if there is none. The text "field settings: classes[2].name:
+// ..." names the field /settings/classes/2/name.
 func entryOfNamedField(reason string, entries map[string]settings.Value) string {
 	field, ok := strings.CutPrefix(reason, "field ")
 	if !ok {
--- a/internal/validate/resources.go
+++ b/internal/validate/resources.go
@@ -15,7 +15,7 @@
 
 	// ReservedDescriptors is the number of file descriptors for the listeners, discovery, the log, the poller,
 	// operators, and connections that use two descriptors for a moment while package net's dialer hands them to the
-	// poller. Where there are few descriptors, a third of them is reserved for these and the successor.
+	// poller. At most a third of all descriptors is reserved for these and the successor.
 	ReservedDescriptors = 64
 	// SuccessorDescriptors is the number of file descriptors left for the successor in a hot restart, which needs them
 	// before the two processes have connected. Both processes share the limit of descriptors.
@@ -67,8 +67,8 @@
 }
 
 // DispatchConfig converts the settings to the configuration of dispatch and bounds its queues by the number of file
-// descriptors: clients have at most a third of the descriptors open, and if the requests on most of those waited in
-// queues, new requests could not even be admitted.
+// descriptors. Clients have at most a third of the descriptors open. If the requests on most of these connections
+// waited in queues, new requests could not even be admitted.
 func DispatchConfig(cfg *settings.Node, seed uint64) (dispatch.Config, error) {
 	dispatchConfig, err := cfg.Settings.DispatchConfig(seed)
 	dispatchConfig.MaxQueued = int(maxQueuedShare * float64(cfg.Limits.Sockets))
