--- a/cmd/windflowctl/incident_report.go
+++ b/cmd/windflowctl/incident_report.go
@@ -16,7 +16,7 @@
 	// maxImpacts is the number of impacts printed per incident; those with a loss share below minLossShare are omitted.
 	maxImpacts   = 8
 	minLossShare = 0.01
-	// minSlowness is the slowness of an engine above which it is printed.
+	// minSlowness is the value above which the slowness of an engine is printed.
 	minSlowness = 1.2
 )
 
--- a/cmd/windflowctl/main_test.go
+++ b/cmd/windflowctl/main_test.go
@@ -116,7 +116,7 @@
 	for _, line := range lines {
 		printed, err := decodeLine(line)
 		if err != nil || printed.Kind != "engine" && printed.Kind != "header" || printed.Time == "" {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("line %s: error %v, want a header or engine record with a time", line, err)
 		}
 	}
 	_, _, err = run(t, "records", "cat", "--kind", "x", dir)
--- a/cmd/windflowctl/threads_test.go
+++ b/cmd/windflowctl/threads_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A long uninterruptible wait must be printed with its length, and each state must be in the summary, also the last one
-// before the process ended. The name of the thread has parentheses, which a parser of /proc could mistake for the end
-// of the name.
+// A long uninterruptible wait must be printed with its length, and each state must be in the summary, including the
+// last one before the process ended. The name of the thread has parentheses, which a parser of /proc could mistake for
+// the end of the name.
 func TestThreadWatchPrintsUninterruptibleWaits(t *testing.T) {
 	proc := t.TempDir()
 	writeThread := func(tid, state, channel string) {
--- a/cmd/windflowkeeper/main_test.go
+++ b/cmd/windflowkeeper/main_test.go
@@ -90,7 +90,7 @@
 	dir := t.TempDir()
 	program := filepath.Join(dir, "windflowkeeper")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	ready, readyWriter, err := os.Pipe()
 	if err != nil {
@@ -118,7 +118,7 @@
 	line, err := bufio.NewReader(ready).ReadString('\n')
 	address, ok := strings.CutPrefix(strings.TrimSpace(line), "ready ")
 	if err != nil || !ok {
-		t.Fatalf("%q: %v: %s", line, err, stderr.String())
+		t.Fatalf("readiness line %q, error %v, want \"ready ADDRESS\"; standard error: %s", line, err, stderr.String())
 	}
 	return &runningKeeper{t: t, command: command, baseURL: "http://" + address, stderr: &stderr}
 }
@@ -155,12 +155,12 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := json.NewDecoder(response.Body).Decode(&status); err != nil || status.Revision != 1 {
-		t.Error(status, err)
+		t.Errorf("status %+v, error %v, want revision 1", status, err)
 	}
 	if err := keeper.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := keeper.command.Wait(); err != nil {
-		t.Errorf("%v: %s", err, keeper.stderr.String())
+		t.Errorf("after SIGTERM: error %v, want none; standard error: %s", err, keeper.stderr.String())
 	}
 }
