--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -156,14 +156,15 @@
 tail
 `
 	if page != want {
-		t.Errorf("%s\nwant\n%s", page, want)
+		t.Errorf("the page is\n%s\nwant\n%s", page, want)
 	}
 	if faults := m.Check(page, rows, packageExists); len(faults) > 0 {
-		t.Error(faults)
+		t.Errorf("faults of a page that was just updated: %q, want none", faults)
 	}
 }
 
-// pageFaultTests replace a text on the page of exampleMeasurements; want is part of the fault that Check has to report.
+// pageFaultTests each replace the text old on the page of exampleMeasurements; want is part of the fault that Check has
+// to report.
 var pageFaultTests = []struct{ name, old, new, want string }{
 	{
 		"wrong figure", "810 ms", "801 ms",
@@ -274,7 +275,7 @@
 	const end = endMarker + "\n"
 	m, rows, page := exampleMeasurements(t)
 	if again, err := m.Update(page, rows); err != nil || again != page {
-		t.Errorf("a second update returns a different page, error %v", err)
+		t.Errorf("a second update returns %q, error %v; want the same page again", again, err)
 	}
 	for _, test := range []struct{ name, page, want string }{
 		{"no markers", "text\n", `table "one": is not on the page`},
@@ -289,7 +290,7 @@
 	} {
 		got, err := m.Update(test.page, rows)
 		if got != "" || !errors.Is(err, ErrMarkers) || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %q, error %v, want %s", test.name, got, err, test.want)
+			t.Errorf("%s: got page %q, error %v; want no page and an error with %q", test.name, got, err, test.want)
 		}
 	}
 }
@@ -312,7 +313,7 @@
 		{128, "128"},
 	} {
 		if got := formatNumber(test.x); got != test.want {
-			t.Errorf("%v: %s, want %s", test.x, got, test.want)
+			t.Errorf("formatNumber(%v) = %q, want %q", test.x, got, test.want)
 		}
 	}
 }
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -89,7 +89,7 @@
 	slowStartPackages     = []string{"internal/decide/slowstart", "dispatch"}
 )
 
-// Scenarios returns the tables of docs/CAPACITY.md.
+// Scenarios returns the scenarios of docs/CAPACITY.md, each of which has a table there.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{"state", stateRows},
--- a/internal/capacity/scale_test.go
+++ b/internal/capacity/scale_test.go
@@ -12,13 +12,13 @@
 func TestParseSimulatedDaysRejectsInvalidFields(t *testing.T) {
 	days, err := ParseSimulatedDays([]byte("[" + oneDay + "]"))
 	if err != nil || len(days) != 1 || days[0].Figures["served"] != 0.9 || days[0].Routers != 6 {
-		t.Fatal(days, err)
+		t.Fatalf("got days %+v, error %v; want the one of the text", days, err)
 	}
 	text, err := FormatSimulatedDays(MergeSimulatedDays(days, []SimulatedDay{
 		{Name: "n", Routers: 1, Engines: 1, Zones: 1, Figures: map[string]float64{"a": 1}, Conditions: "c", Test: "T"},
 	}))
 	if back, e := ParseSimulatedDays(text); err != nil || e != nil || len(back) != 1 || back[0].Figures["a"] != 1 {
-		t.Error(string(text), err, e)
+		t.Errorf("a day does not replace the one of its name: text %s, errors %v and %v", text, err, e)
 	}
 	for _, test := range []struct{ old, new, want string }{
 		{`"zones":3,`, ``, `scales[0] "n": zones: is missing`},
@@ -31,12 +31,12 @@
 		changed := strings.Replace(oneDay, test.old, test.new, 1)
 		_, err := ParseSimulatedDays([]byte("[" + changed + "]"))
 		if changed == oneDay || err == nil || !strings.HasPrefix(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %s", test.new, err, test.want)
+			t.Errorf("%q replaced by %q: error %v, want %s", test.old, test.new, err, test.want)
 		}
 	}
 	_, err = ParseSimulatedDays([]byte("[" + oneDay + "," + oneDay + "]"))
 	if err == nil || !strings.Contains(err.Error(), `scales[1] "n": name: is a duplicate`) {
-		t.Error(err)
+		t.Errorf("two days of one name: error %v, want one for the duplicate", err)
 	}
 }
 
@@ -70,7 +70,7 @@
 	} {
 		text, err := FormatSimulatedDays(test.days)
 		if text != nil || err == nil || !strings.HasPrefix(err.Error(), test.want) {
-			t.Errorf("%s: %q, error %v, want %s", test.name, text, err, test.want)
+			t.Errorf("%s: got text %q, error %v; want no text and error %s", test.name, text, err, test.want)
 		}
 	}
 }
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -21,7 +21,8 @@
 		}
 		gotIntercept, gotSlope, residual := Fit(points)
 		if math.Abs(gotIntercept-intercept) > 1e-6 || math.Abs(gotSlope-slope) > 1e-8 || residual > 1e-6 {
-			t.Fatalf("%v + %v x, residual %v; want %v + %v x", gotIntercept, gotSlope, residual, intercept, slope)
+			t.Fatalf("the line is %v + %v x with residual %v, want %v + %v x with residual 0",
+				gotIntercept, gotSlope, residual, intercept, slope)
 		}
 		// No line close to the fitted one has a smaller sum of squares.
 		points[0][1] += 5
@@ -39,7 +40,7 @@
 			}
 		}
 		if residual > 5 || residual == 0 {
-			t.Fatalf("the largest residual is %v for a point that was moved by 5", residual)
+			t.Fatalf("the largest residual is %v for a point that was moved by 5, want above 0 and at most 5", residual)
 		}
 	})
 }
@@ -56,7 +57,7 @@
 	} {
 		a, b, r := Fit(test.points)
 		if [3]float64{a, b, r} != test.want {
-			t.Errorf("%v: %v %v %v, want %v", test.points, a, b, r, test.want)
+			t.Errorf("points %v: intercept %v, slope %v, residual %v; want %v", test.points, a, b, r, test.want)
 		}
 	}
 }
@@ -68,11 +69,11 @@
 func TestParseSlopesRejectsInvalidFields(t *testing.T) {
 	slopes, err := ParseSlopes([]byte("[" + oneSlope + "]"))
 	if err != nil || len(slopes) != 1 || slopes[0].At(10) != 20 || slopes[0].LargestSize() != 4 {
-		t.Fatal(slopes, err)
+		t.Fatalf("got slopes %+v, error %v; want the one of the text", slopes, err)
 	}
 	again, err := FormatSlopes(slopes)
 	if back, e := ParseSlopes(again); err != nil || e != nil || back[0].Test != "T" {
-		t.Error(string(again), err, e)
+		t.Errorf("a formatted slope cannot be parsed again: text %s, errors %v and %v", again, err, e)
 	}
 	for _, test := range []struct{ old, new, want string }{
 		{`"of":"router",`, ``, `slopes[1] "m": of: is missing`},
@@ -95,7 +96,7 @@
 		}
 		_, err := ParseSlopes([]byte("[" + oneSlope + "," + text + "]"))
 		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %s", test.new, err, test.want)
+			t.Errorf("%q replaced by %q: error %v, want %s", test.old, test.new, err, test.want)
 		}
 	}
 	if _, err := ParseSlopes([]byte("{")); err == nil {
@@ -119,7 +120,7 @@
 	}
 	back, err := ParseSlopes(text)
 	if err != nil || len(back) != 3 || back[0].Name != "a" || back[1].Intercept != 3 || back[2].Name != "c" {
-		t.Error(back, err)
+		t.Errorf("got slopes %+v, error %v; want a, the updated b, and c", back, err)
 	}
 	if _, err := NewSlope("a", "router", "engines", "ms", [][2]float64{{1, 1}, {2, 2}}, "c", "T"); err == nil {
 		t.Error("a slope with two sizes was accepted")
--- a/internal/fleettest/configuration_test.go
+++ b/internal/fleettest/configuration_test.go
@@ -17,8 +17,8 @@
 	checkInForce := func(i int, revision uint64, want int) {
 		t.Helper()
 		if v := f.keepers.AwaitConvergence(i, revision); len(v.InForce) != want || len(v.Rejected)+len(v.Behind) > 0 {
-			t.Errorf("revision %d: %d in force, want %d; %d behind, %d rejected", revision, len(v.InForce), want, len(v.Behind),
-				len(v.Rejected))
+			t.Errorf("revision %d: in force at %d routers, want %d; %d routers behind, %d rejected it, want none",
+				revision, len(v.InForce), want, len(v.Behind), len(v.Rejected))
 		}
 	}
 	first, proposedAt := f.change(0)
--- a/internal/fleettest/configuredfleet_test.go
+++ b/internal/fleettest/configuredfleet_test.go
@@ -128,7 +128,7 @@
 	}}
 }
 
-// change proposes the next change to keeper i, and returns its revision and when it was proposed.
+// change proposes the next change to keeper i, and returns its revision and the time of the proposal.
 func (f *configuredFleet) change(i int) (revision uint64, proposedAt time.Time) {
 	f.t.Helper()
 	return f.keepers.Change(i, f.nextChange())
@@ -231,7 +231,7 @@
 }
 
 // burst proposes n changes to keeper i at burstRate without waiting for the responses, and calls atHalf, unless it is
-// nil, after half of them. It returns when each revision was proposed, and the last revision.
+// nil, after half of them. It returns the time of the proposal of each revision, and the last revision.
 func (f *configuredFleet) burst(i, n int, atHalf func()) (proposedAt map[uint64]time.Time, last uint64) {
 	f.t.Helper()
 	type proposal struct {
--- a/internal/fleettest/harness_test.go
+++ b/internal/fleettest/harness_test.go
@@ -161,7 +161,7 @@
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "TMPDIR="+h.Dir, "WINDFLOW_READY_FD=two")
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), `WINDFLOW_READY_FD: "two" is no descriptor`) {
-		t.Errorf("error %v, output\n%s", err, out)
+		t.Errorf("the router ended with error %v, want one that names WINDFLOW_READY_FD in the output:\n%s", err, out)
 	}
 }
 
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -80,7 +80,7 @@
 	Totals   *Totals `json:"totals,omitempty"`
 }
 
-// Totals counts the statements of simulated routers by outcome.
+// Totals counts the statements of simulated routers by outcome, and the engines in their endpoint lists.
 type Totals struct {
 	Taken, Served, Rejected, Failed int64
 	Engines                         int // sum of the lengths of their endpoint lists
@@ -272,8 +272,9 @@
 	return input.Err()
 }
 
-// runDiscoveryServer runs a discovery server in this process. The first line is the number of engines in its list. It
-// writes "ready" with its address. A line "rate N" sets the rate of published changes of one engine to N per second.
+// runDiscoveryServer runs a discovery server in this process until the end of the input, and writes "ready" with its
+// address. The first line is the number of engines in its list. A line "rate N" sets the rate at which the server
+// publishes changes, each of one engine, to N per second.
 func runDiscoveryServer(input *bufio.Scanner, out *statusWriter) error {
 	n, err := strconv.Atoi(input.Text())
 	if err != nil {
--- a/internal/fleettest/simulatedgroup.go
+++ b/internal/fleettest/simulatedgroup.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Await waits until check returns an empty text. check is called with the status of each router by its number, which
-// does not change during the call, and returns a description of what does not hold yet.
+// Await waits until check returns an empty text. check receives the status of each router by the router's number, and
+// returns a description of what is still missing. The statuses do not change during the call.
 func (group *SimulatedRouters) Await(check func(map[int]*RouterStatus) string) {
 	group.harness.T.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -202,7 +202,7 @@
 	return &DiscoveryProcess{Process: p, Addr: p.Ready()}
 }
 
-// SetChangeRate sets the rate at which the server publishes changes of one engine.
+// SetChangeRate sets the rate at which the server publishes changes, each of one engine.
 func (d *DiscoveryProcess) SetChangeRate(perSecond float64) {
 	d.harness.T.Helper()
 	d.WriteLine(fmt.Sprint("rate ", perSecond))
--- a/internal/fleettest/slopes_clients_test.go
+++ b/internal/fleettest/slopes_clients_test.go
@@ -101,7 +101,7 @@
 }
 
 // querySteadily sends lookups over the sessions at a constant rate for a span of time, and returns the number of
-// responses. It fails the test if there is more than one error for twenty lookups that are served.
+// responses. It fails the test if the number of errors is more than a twentieth of the number of served lookups.
 func (c *sessions) querySteadily(t *testing.T, perSecond float64, span time.Duration) (answered int64) {
 	t.Helper()
 	var served, failed atomic.Int64
--- a/internal/fleettest/slopes_configclient_test.go
+++ b/internal/fleettest/slopes_configclient_test.go
@@ -25,7 +25,7 @@
 			Name: fmt.Sprint("r", i), Index: i, Routers: 600, Discovery: server.Addr, Engines: engines, Tenants: 1000,
 			OverQuotaWeight: 0.1,
 		}
-		h := New(t) // the folders of keepers have their names, so each group of keepers needs a separate harness
+		h := New(t) // separate for each group: keepers of the same name would share a folder
 		k := h.Keepers(3, c)
 		c.Installation = map[string]any{"keepers": k.ZoneLinks(t).Section(filepath.Join(h.Dir, "follower"), 0)}
 		p := h.Router(c)
@@ -54,7 +54,7 @@
 				case <-ticker.C:
 				}
 				if _, _, err := k.TryChange(0, change(n)); err != nil {
-					result <- fmt.Errorf("%v changes a second: %w", perSecond, err)
+					result <- fmt.Errorf("a change at a rate of %v per second: %w", perSecond, err)
 					return
 				}
 			}
--- a/internal/fleettest/slopes_keepers_test.go
+++ b/internal/fleettest/slopes_keepers_test.go
@@ -179,7 +179,7 @@
 }
 
 // startChanges proposes changes at a constant rate, without waiting for the responses, until the returned function is
-// called. It fails the test if a change fails or less than 0.9 of the rate was reached.
+// called. It fails the test if a change fails or if the reached rate is below 0.9 of the given one.
 func (f *configuredFleet) startChanges(perSecond float64) (end func()) {
 	if perSecond == 0 {
 		return func() {}
@@ -204,7 +204,7 @@
 			go func() {
 				defer calls.Done()
 				if _, _, err := f.keepers.TryChange(0, c); err != nil {
-					f.t.Errorf("%v changes a second: %v", perSecond, err)
+					f.t.Errorf("a change at a rate of %v per second: %v", perSecond, err)
 				}
 			}()
 		}
@@ -214,7 +214,7 @@
 		took := time.Since(began).Seconds()
 		<-ended
 		if made := float64(n) / took; made < 0.9*perSecond {
-			f.t.Errorf("%.2f changes a second were proposed, want %v", made, perSecond)
+			f.t.Errorf("%.2f changes a second were proposed, want at least 0.9 of %v", made, perSecond)
 		}
 	}
 }
@@ -253,7 +253,8 @@
 			text, err := io.ReadAll(response.Body)
 			_ = response.Body.Close()
 			if err != nil || response.StatusCode >= 300 {
-				t.Fatalf("status %d, body %s, error %v", response.StatusCode, text, err)
+				t.Fatalf("/v1/follow: status %d, body %s, error %v; want a status below 300",
+					response.StatusCode, text, err)
 			}
 			size = len(text)
 		}
--- a/internal/fleettest/slopes_router_test.go
+++ b/internal/fleettest/slopes_router_test.go
@@ -16,8 +16,8 @@
 	idleConditions = "a router with 4 tenants and no clients, the stand-in board sending a frame a second; 20 s"
 )
 
-// Measures by the number of engines in the endpoint list: the cost of an idle router, the bytes of a complete list, and
-// the cost of one change of the list.
+// Measures the cost of an idle router, the bytes of a complete endpoint list, and the cost of one change of the list,
+// each by the number of engines in the list.
 func TestSlopesOfARouterByEngines(t *testing.T) {
 	rows, h := requireSlopes(t), New(t)
 	var all []*Process
--- a/internal/fleettest/slopes_test.go
+++ b/internal/fleettest/slopes_test.go
@@ -21,7 +21,7 @@
 const measuredSpan = 20 * time.Second
 
 // requireSlopes skips the test unless slopesFolderEnv is set, and returns the object that writes its slopes.
-func requireSlopes(t *testing.T) *slopeRows {
+func requireSlopes(t *testing.T) *slopeWriter {
 	t.Helper()
 	dir := os.Getenv(slopesFolderEnv)
 	if dir == "" {
@@ -30,12 +30,12 @@
 	if !filepath.IsAbs(dir) {
 		dir = filepath.Join("..", "..", dir)
 	}
-	r := &slopeRows{t: t, path: filepath.Join(dir, "slopes.json"), startLoad: loadAverage()}
+	r := &slopeWriter{t: t, path: filepath.Join(dir, "slopes.json"), startLoad: loadAverage()}
 	return r
 }
 
-// slopeRows writes the slopes that one test measures.
-type slopeRows struct {
+// slopeWriter writes the slopes that one test measures.
+type slopeWriter struct {
 	t         *testing.T
 	path      string
 	startLoad string
@@ -53,7 +53,7 @@
 }
 
 // add fits a line to points and writes the slope to the file immediately. It replaces an older slope of the same name.
-func (r *slopeRows) add(name, of, x, y string, points [][2]float64, conditions string) {
+func (r *slopeWriter) add(name, of, x, y string, points [][2]float64, conditions string) {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -22,7 +22,7 @@
 var record = flag.Bool("golden.record", false,
 	"write golden files that are missing; existing ones are never overwritten")
 
-// maxBinaryBytes is how many bytes of a binary file a failure message shows at most.
+// maxBinaryBytes is the maximum number of bytes of a binary file that a failure message shows.
 const maxBinaryBytes = 8 << 10
 
 // Path returns the path of a golden file, relative to the folder of the package under test.
--- a/internal/golden/samples.go
+++ b/internal/golden/samples.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// zeroFields returns the paths of the exported fields of a value that are zero or empty, at any depth. Path is the
-// path of the value itself.
+// zeroFields returns the paths of the exported fields of a value that are zero or empty, at any depth. The parameter
+// path is the path of the value itself.
 func zeroFields(value reflect.Value, path string) (found []string) {
 	if !value.IsValid() || value.IsZero() {
 		return []string{path}
@@ -90,7 +90,7 @@
 }
 
 // AllFieldsSet fails the test unless each exported field of each struct type in the samples is set in at least one
-// value of that type. Unlike NoZeroFields, it allows further values that set only some fields, and it also checks the
+// value of that type. Unlike NoZeroFields, it does not require a single value to set all fields, and it also checks the
 // fields of types that implement their own encoding.
 func AllFieldsSet(tb testing.TB, samples ...any) {
 	tb.Helper()
--- a/internal/golden/samples_test.go
+++ b/internal/golden/samples_test.go
@@ -18,7 +18,7 @@
 	ByName  map[string]inner `json:"by_name"`
 	Pointer *inner           `json:"pointer,omitempty"`
 	Address netip.Addr       `json:"address"`
-	Left    func()           `json:"-"`
+	Skipped func()           `json:"-"`
 	Only    bool             `json:",omitempty"`
 }
 
@@ -36,7 +36,7 @@
 	full := inner{1, "a"}
 	sample := outer{
 		List: []inner{full, {Tagged: 1}}, ByName: map[string]inner{"x": {Untagged: "b"}}, Pointer: &inner{Tagged: 1},
-		Address: netip.MustParseAddr("10.0.0.1"), Left: func() {},
+		Address: netip.MustParseAddr("10.0.0.1"), Skipped: func() {},
 	}
 	want := []string{"List[1].Untagged", "ByName[x].Tagged", "Pointer.Untagged", "Only"}
 	if got := zeroFields(reflect.ValueOf(sample), ""); !slices.Equal(got, want) {
--- a/internal/routertest/routertest.go
+++ b/internal/routertest/routertest.go
@@ -80,7 +80,7 @@
 }
 
 // RefusingAddress returns an address on the host at which connections are refused until the test ends: a socket is
-// bound to it and does not listen. Another program could take an address that is merely free before the test dials it.
+// bound to it and does not listen. Without it, another program could bind the address before the test dials it.
 func RefusingAddress(t *testing.T, host [4]byte) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/tracetest/tracetest.go
+++ b/internal/tracetest/tracetest.go
@@ -138,7 +138,7 @@
 }
 
 // compare returns an error that describes how a trace differs from the recorded one, or nil if they are equal.
-// Recorded is false if the data file has no line for the scenario.
+// The parameter recorded is false if the data file has no line for the scenario.
 func compare(got, want trace, recorded bool) error {
 	switch {
 	case !recorded:
--- a/internal/tracetest/tracetest_test.go
+++ b/internal/tracetest/tracetest_test.go
@@ -22,7 +22,7 @@
 		{"no line", trace{}, false, false},
 	} {
 		if err := compare(got, test.want, test.known); (err == nil) != test.pass {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: error %v, want an error: %v", test.name, err, !test.pass)
 		}
 	}
 }
@@ -31,7 +31,7 @@
 func TestReadTraces(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "traces.txt")
 	if traces, err := readTraces(path); err != nil || len(traces) != 0 {
-		t.Error("a missing file is not read as no traces:", traces, err)
+		t.Errorf("missing file: got traces %v, error %v; want none", traces, err)
 	}
 	for name, recorded := range map[string]trace{"a/b": {1, "x"}, "c": {2, "y"}} {
 		if err := appendLine(path, name, recorded); err != nil {
