--- a/dispatch/classes.go
+++ b/dispatch/classes.go
@@ -109,8 +109,9 @@
 	return settings, notApplied
 }
 
-// configure applies changed settings and restores those that cannot change in changed. It returns false if any of
-// these was different.
+// configure applies the settings in changed. Settings that cannot change while the router runs keep their present
+// values, which overwrite those in changed. It returns false if changed held a different value for any of these
+// settings; a thread count below 1 counts as 1.
 func (k *class) configure(changed *Class) bool {
 	wanted := *changed
 	wanted.Threads = max(wanted.Threads, 1)
--- a/internal/decide/hotrestart/phase.go
+++ b/internal/decide/hotrestart/phase.go
@@ -10,7 +10,7 @@
 	PhaseAwaitingGoAhead                 // the state is restored, and the predecessor's go-ahead is awaited
 	PhaseServing                         // accepts clients
 	PhaseDegraded                        // accepts clients within the reserve, since a living predecessor is silent
-	PhaseSuperseded                      // the successor accepts clients; work accepted earlier goes on
+	PhaseSuperseded                      // the successor accepts clients; this process serves those it accepted earlier
 	PhaseFinishing                       // superseded and requested to end: ends when no request or session is open
 	PhaseDraining                        // requested to end without a successor: accepts clients until idle
 	PhaseEnded                           // the process ends; events are ignored
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// begin starts the coordinator and the goroutines beside the event loop. The process takes a process slot if hotRestart
-// is set. The caller runs the event loop.
+// begin starts the stall detector, the cordon store and the coordinator. If hotRestart is set, it also tries to acquire
+// a process slot. With a slot, the process accepts links from successors; without one, it serves without hot restart.
+// The caller runs the event loop.
 func (n *node) begin(hotRestart bool) {
 	n.stalls.heartbeat()
 	go n.stalls.watch(n.life.done)
--- a/internal/node/restart_actions.go
+++ b/internal/node/restart_actions.go
@@ -84,7 +84,7 @@
 		"open", n.services.core.OpenRequests())
 }
 
-// leave implements restartActions. It starts the shutdown beside another process that accepts.
+// leave implements restartActions. It starts the shutdown of this process while another process accepts clients.
 func (n *node) leave() { n.shutdown.leave(n.restart.partnerPeer()) }
 
 // drain implements restartActions. It starts the shutdown without a successor.
